--- a/src/main/java/org/meadowhollow/bookkeeping/AttemptLog.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/AttemptLog.java
@@ -4,12 +4,17 @@
 import java.util.Map;
 
 /**
- * One attempt of a task as told to those who ask. Times are milliseconds of the time of day, as the leader's clock had
- * it, right within the bound of the settings; 0 means not yet.
+ * One attempt of a task as told to those who ask. Times are milliseconds of the time of day, as the
+ * leader's clock had it, right within the bound of the settings; 0 means not yet.
  *
  * @param cause why it ended, or null while it has not
  */
-public record AttemptLog(int attempt, String machine, long placedMillis, long startedMillis, long endedMillis,
+public record AttemptLog(
+        int attempt,
+        String machine,
+        long placedMillis,
+        long startedMillis,
+        long endedMillis,
         String cause) {
 
     AttemptLog started(long millis) {
@@ -34,8 +39,12 @@
     @SuppressWarnings("unchecked")
     static AttemptLog decode(Object item) {
         Map<String, Object> map = (Map<String, Object>) item;
-        return new AttemptLog(((Number) map.get("attempt")).intValue(), (String) map.get("machine"),
-                ((Number) map.get("placed")).longValue(), ((Number) map.get("started")).longValue(),
-                ((Number) map.get("ended")).longValue(), (String) map.get("cause"));
+        return new AttemptLog(
+                ((Number) map.get("attempt")).intValue(),
+                (String) map.get("machine"),
+                ((Number) map.get("placed")).longValue(),
+                ((Number) map.get("started")).longValue(),
+                ((Number) map.get("ended")).longValue(),
+                (String) map.get("cause"));
     }
 }
--- a/src/main/java/org/meadowhollow/bookkeeping/Cause.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/Cause.java
@@ -2,5 +2,12 @@
 
 /** Why a task exited. */
 public enum Cause {
-    DONE, STOPPED, PEERS, ALONE, ERROR, NO_ROOM, BUSY, UNKNOWN
+    DONE,
+    STOPPED,
+    PEERS,
+    ALONE,
+    ERROR,
+    NO_ROOM,
+    BUSY,
+    UNKNOWN
 }
--- a/src/main/java/org/meadowhollow/bookkeeping/Chunk.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/Chunk.java
@@ -27,7 +27,10 @@
         return index;
     }
 
-    /** Counts a change that is not in the record yet; the change is saved once {@link #isSaved} says so. */
+    /**
+     * Counts a change that is not in the record yet; the change is saved once {@link #isSaved} says
+     * so.
+     */
     public long touch() {
         return ++changed;
     }
@@ -92,16 +95,28 @@
 
     /** Tells what a record that was written says other than the one before it. */
     void tell(OrderLog order, Version revision, Map<Integer, OrderLog.Placed> now) {
-        savedPlaced.forEach((task, was) -> {
-            if (!was.equals(now.get(task))) {
-                order.task(revision, OrderLog.What.GONE, new TaskId(job.id(), task), job.spec().team(), was);
-            }
-        });
-        now.forEach((task, is) -> {
-            if (!is.equals(savedPlaced.get(task))) {
-                order.task(revision, OrderLog.What.PLACED, new TaskId(job.id(), task), job.spec().team(), is);
-            }
-        });
+        savedPlaced.forEach(
+                (task, was) -> {
+                    if (!was.equals(now.get(task))) {
+                        order.task(
+                                revision,
+                                OrderLog.What.GONE,
+                                new TaskId(job.id(), task),
+                                job.spec().team(),
+                                was);
+                    }
+                });
+        now.forEach(
+                (task, is) -> {
+                    if (!is.equals(savedPlaced.get(task))) {
+                        order.task(
+                                revision,
+                                OrderLog.What.PLACED,
+                                new TaskId(job.id(), task),
+                                job.spec().team(),
+                                is);
+                    }
+                });
         savedPlaced = now;
     }
 
--- a/src/main/java/org/meadowhollow/bookkeeping/Companion.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/Companion.java
@@ -6,14 +6,19 @@
 import java.util.Map;
 
 /**
- * What another interface keeps beside a job of one task: an entry in a list of its own, written in the same transactions
- * as the job's records, so that no reader sees one of them older than the other. Guarded like its job.
+ * What another interface keeps beside a job of one task: an entry in a list of its own, written in
+ * the same transactions as the job's records, so that no reader sees one of them older than the
+ * other. Guarded like its job.
  */
 public final class Companion {
-    /** Attempts kept in an entry; older ones are counted and left out, for an entry must stay small. */
+    /**
+     * Attempts kept in an entry; older ones are counted and left out, for an entry must stay small.
+     */
     static final int MOST_LOGGED = 10;
+
     /** The words in the log for what is no exit of the task's own. */
     public static final String PREEMPTED = "PREEMPTED";
+
     public static final String LOST = "LOST";
     private static final String PROGRESS = "progress";
     private static final String LOG = "log";
@@ -24,6 +29,7 @@
     private final String trace;
     private final List<AttemptLog> log = new ArrayList<>();
     private Progress failure;
+
     /** The last attempt whose end those who trace the task were told. */
     private int lastTraced;
 
@@ -65,8 +71,11 @@
         if (!(record instanceof Map<?, ?> map)) {
             return null;
         }
-        return new Companion((String) map.get("key"), (Map<String, Object>) map.get("entry"),
-                ((Number) map.get("most")).intValue(), (String) map.get("trace"));
+        return new Companion(
+                (String) map.get("key"),
+                (Map<String, Object>) map.get("entry"),
+                ((Number) map.get("most")).intValue(),
+                (String) map.get("trace"));
     }
 
     // ---- attempts ----
@@ -89,13 +98,17 @@
         return true;
     }
 
-    /** An attempt is over; when it was the last one allowed and did not complete the job, so is the job. */
+    /**
+     * An attempt is over; when it was the last one allowed and did not complete the job, so is the
+     * job.
+     */
     public void over(Attempt attempt, String cause, long millis) {
         int at = find(attempt);
         if (at >= 0 && log.get(at).cause() == null) {
             AttemptLog open = log.get(at);
             if (open.startedMillis() == 0 && cause.equals(Cause.DONE.name())) {
-                // Shorter than the pause between two reports: all that is known is that it ran after it was placed.
+                // Shorter than the pause between two reports: all that is known is that it ran
+                // after it was placed.
                 open = open.started(open.placedMillis());
             }
             log.set(at, open.ended(millis, cause));
@@ -124,8 +137,8 @@
     }
 
     /**
-     * Takes in what a predecessor wrote of the attempts. None of them is the last one allowed: an attempt that ends the
-     * job is written together with the job's end, never before it.
+     * Takes in what a predecessor wrote of the attempts. None of them is the last one allowed: an
+     * attempt that ends the job is written together with the job's end, never before it.
      */
     void restoreLog(Object encoded) {
         log.clear();
@@ -137,15 +150,17 @@
     }
 
     private static Progress failureOf(String cause) {
-        return cause.equals(Cause.DONE.name()) ? null : cause.equals(PREEMPTED) ? Progress.PREEMPTED
-                : cause.equals(LOST) ? Progress.LOST : Progress.FAILED;
+        return cause.equals(Cause.DONE.name())
+                ? null
+                : cause.equals(PREEMPTED)
+                        ? Progress.PREEMPTED
+                        : cause.equals(LOST) ? Progress.LOST : Progress.FAILED;
     }
 
     // ---- for those who trace the job ----
 
     /** An attempt that is over, and since when the job had waited for it. */
-    record Over(long waitedFromMillis, AttemptLog attempt) {
-    }
+    record Over(long waitedFromMillis, AttemptLog attempt) {}
 
     /** The job as it is traced, or null. */
     public TaskTraces.Traced traced(JobId id, String team) {
@@ -158,8 +173,10 @@
         for (int at = 0; at < log.size(); at++) {
             AttemptLog each = log.get(at);
             if (each.cause() != null && each.attempt() > lastTraced) {
-                long since = at > 0 ? log.get(at - 1).endedMillis()
-                        : each.attempt() == 1 ? acceptedMillis : each.placedMillis();
+                long since =
+                        at > 0
+                                ? log.get(at - 1).endedMillis()
+                                : each.attempt() == 1 ? acceptedMillis : each.placedMillis();
                 over.add(new Over(since, each));
             }
         }
--- a/src/main/java/org/meadowhollow/bookkeeping/Digests.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/Digests.java
@@ -10,8 +10,9 @@
 import java.util.TreeMap;
 
 /**
- * Digests of records by part: how many there are, and a sum over the hashes of their keys with their versions. A part
- * is named by what its keys begin with, up to their first digit, so that it can be read again by itself.
+ * Digests of records by part: how many there are, and a sum over the hashes of their keys with
+ * their versions. A part is named by what its keys begin with, up to their first digit, so that it
+ * can be read again by itself.
  */
 public final class Digests {
     public static final Digests NONE = new Digests();
@@ -75,8 +76,10 @@
         all.addAll(other.parts.keySet());
         List<String> differing = new ArrayList<>();
         for (String part : all) {
-            if (!unsettled.contains(part) && !other.unsettled.contains(part)
-                    && !parts.getOrDefault(part, Part.EMPTY).equals(other.parts.getOrDefault(part, Part.EMPTY))) {
+            if (!unsettled.contains(part)
+                    && !other.unsettled.contains(part)
+                    && !parts.getOrDefault(part, Part.EMPTY)
+                            .equals(other.parts.getOrDefault(part, Part.EMPTY))) {
                 differing.add(part);
             }
         }
@@ -89,6 +92,8 @@
         while (at < key.length() && !Character.isDigit(key.charAt(at))) {
             at++;
         }
-        return at == key.length() ? key.substring(0, key.indexOf('/') + 1) : key.substring(0, at + 1);
+        return at == key.length()
+                ? key.substring(0, key.indexOf('/') + 1)
+                : key.substring(0, at + 1);
     }
 }
--- a/src/main/java/org/meadowhollow/bookkeeping/ImageCache.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/ImageCache.java
@@ -21,14 +21,18 @@
         return sizes.containsKey(image);
     }
 
-    /** Notes that a task with this image is on the machine; what was used longest ago makes room for it. */
+    /**
+     * Notes that a task with this image is on the machine; what was used longest ago makes room for
+     * it.
+     */
     public void use(String image, double gb) {
         if (sizes.get(image) != null) {
             return;
         }
         sizes.put(image, gb);
         usedGb += gb;
-        for (Iterator<Double> eldest = sizes.values().iterator(); usedGb > roomGb && sizes.size() > 1;) {
+        for (Iterator<Double> eldest = sizes.values().iterator();
+                usedGb > roomGb && sizes.size() > 1; ) {
             usedGb -= eldest.next();
             eldest.remove();
         }
--- a/src/main/java/org/meadowhollow/bookkeeping/Job.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/Job.java
@@ -21,8 +21,13 @@
     private Moment waitingSince;
     private Moment holdUntil;
     private Moment roomMadeAt;
-    /** Failures of different tasks, or of one again and again, after which a job is tried with one task. */
+
+    /**
+     * Failures of different tasks, or of one again and again, after which a job is tried with one
+     * task.
+     */
     private static final int SUSPECT_AFTER = 3;
+
     private static final int MOST_AVOIDED = 8;
     private int failures;
     private final Set<MachineId> failedOn = new LinkedHashSet<>();
@@ -35,7 +40,12 @@
     /**
      * @param companion what another interface keeps beside the job, or null
      */
-    public Job(JobSpec spec, long acceptedAtMillis, int chunkSize, Version version, Companion companion) {
+    public Job(
+            JobSpec spec,
+            long acceptedAtMillis,
+            int chunkSize,
+            Version version,
+            Companion companion) {
         this.companion = companion;
         this.spec = spec;
         this.acceptedAtMillis = acceptedAtMillis;
@@ -65,7 +75,9 @@
         if (placements.isEmpty()) {
             return isGivenUp() ? companion.failure() : Progress.QUEUED;
         }
-        return placements.values().iterator().next().runningSince() != null ? Progress.RUNNING : Progress.PREPARING;
+        return placements.values().iterator().next().runningSince() != null
+                ? Progress.RUNNING
+                : Progress.PREPARING;
     }
 
     public JobSpec spec() {
@@ -149,7 +161,10 @@
         return placements.values();
     }
 
-    /** Whether a gang's attempt has run or is being stopped, so that it cannot be completed any more. */
+    /**
+     * Whether a gang's attempt has run or is being stopped, so that it cannot be completed any
+     * more.
+     */
     public boolean hasBegun() {
         for (Placement placement : placements.values()) {
             if (placement.runningSince() != null || placement.stopping()) {
@@ -168,7 +183,9 @@
         if (isGivenUp()) {
             return -1;
         }
-        for (int task = done.nextClearBit(from); task < spec.tasks(); task = done.nextClearBit(task + 1)) {
+        for (int task = done.nextClearBit(from);
+                task < spec.tasks();
+                task = done.nextClearBit(task + 1)) {
             if (!placements.containsKey(task)) {
                 return task;
             }
@@ -177,7 +194,9 @@
     }
 
     public int waitingCount() {
-        return cancelled || ended || isGivenUp() ? 0 : spec.tasks() - done.cardinality() - placements.size();
+        return cancelled || ended || isGivenUp()
+                ? 0
+                : spec.tasks() - done.cardinality() - placements.size();
     }
 
     /** The number for the next attempt of a task. */
@@ -185,7 +204,10 @@
         return new Attempt(chunkOf(task).lastAttempt() + 1);
     }
 
-    /** The number for the tasks of a gang: that of the attempt which they complete, or else the next one. */
+    /**
+     * The number for the tasks of a gang: that of the attempt which they complete, or else the next
+     * one.
+     */
     public Attempt gangAttempt() {
         if (!placements.isEmpty()) {
             return placements.values().iterator().next().attempt();
@@ -197,23 +219,35 @@
         return new Attempt(last + 1);
     }
 
-    public Placement place(int task, Attempt attempt, MachineId machine, Session session, Moment now) {
+    public Placement place(
+            int task, Attempt attempt, MachineId machine, Session session, Moment now) {
         Chunk chunk = chunkOf(task);
         chunk.attempted(attempt.value());
-        Placement placement = new Placement(this, new TaskId(id(), task), attempt, machine, session,
-                chunk.touch(), now);
+        Placement placement =
+                new Placement(
+                        this,
+                        new TaskId(id(), task),
+                        attempt,
+                        machine,
+                        session,
+                        chunk.touch(),
+                        now);
         placements.put(task, placement);
         return placement;
     }
 
     /** Takes in a placement that a predecessor committed. */
     Placement restore(int task, Attempt attempt, MachineId machine, Session session, Moment now) {
-        Placement placement = new Placement(this, new TaskId(id(), task), attempt, machine, session, 0, now);
+        Placement placement =
+                new Placement(this, new TaskId(id(), task), attempt, machine, session, 0, now);
         placements.put(task, placement);
         return placement;
     }
 
-    /** Removes a placement that is proven gone; the returned change must be saved before it is forgotten. */
+    /**
+     * Removes a placement that is proven gone; the returned change must be saved before it is
+     * forgotten.
+     */
     public long remove(Placement placement) {
         placements.remove(placement.task().index(), placement);
         return chunkOf(placement.task().index()).touch();
@@ -273,8 +307,9 @@
     }
 
     /**
-     * Whether the job itself seems to be the mistake: its tasks failed on several machines, and none was done. Then one
-     * task alone tries, for all would fail alike, each on a place and with a fetch that others could have.
+     * Whether the job itself seems to be the mistake: its tasks failed on several machines, and
+     * none was done. Then one task alone tries, for all would fail alike, each on a place and with
+     * a fetch that others could have.
      */
     public boolean isSuspect() {
         return failures >= SUSPECT_AFTER && failedOn.size() > 1 && done.isEmpty();
--- a/src/main/java/org/meadowhollow/bookkeeping/JobSpec.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/JobSpec.java
@@ -9,9 +9,25 @@
  * @param zone the only allowed zone, or null
  * @param deadlineS seconds from submission, or NaN for none
  */
-public record JobSpec(JobId id, String jobClass, String team, Kind kind, Priority priority, int tasks,
-        Resources perTask, List<String> types, String zone, boolean oneZone, boolean spread, boolean spot,
-        String image, double imageGb, double estimateS, double checkpointS, double saveS, double deadlineS) {
+public record JobSpec(
+        JobId id,
+        String jobClass,
+        String team,
+        Kind kind,
+        Priority priority,
+        int tasks,
+        Resources perTask,
+        List<String> types,
+        String zone,
+        boolean oneZone,
+        boolean spread,
+        boolean spot,
+        String image,
+        double imageGb,
+        double estimateS,
+        double checkpointS,
+        double saveS,
+        double deadlineS) {
 
     public boolean allowsType(String type) {
         return types == null || types.contains(type);
--- a/src/main/java/org/meadowhollow/bookkeeping/LeaseId.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/LeaseId.java
@@ -1,5 +1,4 @@
 package org.meadowhollow.bookkeeping;
 
 /** A lease of the state service. */
-public record LeaseId(long value) {
-}
+public record LeaseId(long value) {}
--- a/src/main/java/org/meadowhollow/bookkeeping/Machine.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/Machine.java
@@ -113,12 +113,18 @@
         listedAt = now;
     }
 
-    /** When the last news came of the machine, by a report or by an answer to a direct command, or null. */
+    /**
+     * When the last news came of the machine, by a report or by an answer to a direct command, or
+     * null.
+     */
     public Moment heardAt() {
         return heardAt;
     }
 
-    /** When the last report arrived that this leader answered, or null; only that renews the worker's lease. */
+    /**
+     * When the last report arrived that this leader answered, or null; only that renews the
+     * worker's lease.
+     */
     public Moment answeredAt() {
         return answeredAt;
     }
@@ -149,13 +155,19 @@
         draining = true;
     }
 
-    /** The machine is in another life than the one whose numbers were taken in; it takes no more tasks. */
+    /**
+     * The machine is in another life than the one whose numbers were taken in; it takes no more
+     * tasks.
+     */
     public void beginsAnew() {
         begunAnew = true;
         draining = true;
     }
 
-    /** Whether it is to be returned with all that may be on it, since its reports cannot be told from late copies. */
+    /**
+     * Whether it is to be returned with all that may be on it, since its reports cannot be told
+     * from late copies.
+     */
     public boolean begunAnew() {
         return begunAnew;
     }
@@ -184,7 +196,10 @@
         return settling;
     }
 
-    /** Tasks on the machine that no record knows of; they are being stopped and count until they are gone. */
+    /**
+     * Tasks on the machine that no record knows of; they are being stopped and count until they are
+     * gone.
+     */
     public Set<TaskId> strays() {
         return strays;
     }
@@ -216,7 +231,8 @@
     public boolean hasRoom() {
         Resources free = free();
         Resources room = type.room();
-        return (free.cpu() > 0 || room.cpu() == 0) && (free.gpu() > 0 || room.gpu() == 0)
+        return (free.cpu() > 0 || room.cpu() == 0)
+                && (free.gpu() > 0 || room.gpu() == 0)
                 && (free.memory() > 0 || room.memory() == 0);
     }
 
--- a/src/main/java/org/meadowhollow/bookkeeping/Order.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/Order.java
@@ -3,7 +3,11 @@
 /** A command to a worker. */
 public record Order(Op op, TaskId task, Attempt attempt, double graceS) {
     /** What a worker can be told to do with a task. */
-    public enum Op { START, STOP, FORGET }
+    public enum Op {
+        START,
+        STOP,
+        FORGET
+    }
 
     public static Order start(TaskId task, Attempt attempt) {
         return new Order(Op.START, task, attempt, 0);
--- a/src/main/java/org/meadowhollow/bookkeeping/OrderLog.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/OrderLog.java
@@ -4,10 +4,11 @@
 import java.util.function.Consumer;
 
 /**
- * What happened to jobs, native ones and those of other interfaces alike, in one sequence: the state service's revisions
- * give the order, across nodes and leaders. Each node logs what it wrote itself, so the sequence is that of all nodes'
- * events by revision; those of one revision happened together. An event whose transaction got no answer is left out,
- * and what its record says then shows in a later one.
+ * What happened to jobs, native ones and those of other interfaces alike, in one sequence: the
+ * state service's revisions give the order, across nodes and leaders. Each node logs what it wrote
+ * itself, so the sequence is that of all nodes' events by revision; those of one revision happened
+ * together. An event whose transaction got no answer is left out, and what its record says then
+ * shows in a later one.
  */
 public final class OrderLog {
     /** Keeps nothing, and costs nothing. */
@@ -32,12 +33,28 @@
      * @param machine where, or null
      * @param attempt the attempt's number, or 0
      */
-    public record Event(Version revision, What what, JobId job, String team, int task, String machine, int attempt) {
+    public record Event(
+            Version revision,
+            What what,
+            JobId job,
+            String team,
+            int task,
+            String machine,
+            int attempt) {
         @Override
         public String toString() {
-            String whole = "order " + revision.value() + ' ' + what.name().toLowerCase(Locale.ROOT) + ' '
-                    + job;
-            return (task < 0 ? whole : whole + '/' + task + " attempt " + attempt + " on " + machine) + " team " + team;
+            String whole =
+                    "order "
+                            + revision.value()
+                            + ' '
+                            + what.name().toLowerCase(Locale.ROOT)
+                            + ' '
+                            + job;
+            return (task < 0
+                            ? whole
+                            : whole + '/' + task + " attempt " + attempt + " on " + machine)
+                    + " team "
+                    + team;
         }
     }
 
@@ -61,11 +78,17 @@
     }
 
     void task(Version revision, What what, TaskId task, String team, Placed placed) {
-        sink.accept(new Event(revision, what, task.job(), team, task.index(), placed.machine().value(),
-                placed.attempt().value()));
+        sink.accept(
+                new Event(
+                        revision,
+                        what,
+                        task.job(),
+                        team,
+                        task.index(),
+                        placed.machine().value(),
+                        placed.attempt().value()));
     }
 
     /** Where a task may be running, as a record has it. */
-    record Placed(MachineId machine, Attempt attempt) {
-    }
+    record Placed(MachineId machine, Attempt attempt) {}
 }
--- a/src/main/java/org/meadowhollow/bookkeeping/Placement.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/Placement.java
@@ -1,6 +1,8 @@
 package org.meadowhollow.bookkeeping;
 
-/** An attempt of a task on a machine: it may be running from its record's commit until proven gone. */
+/**
+ * An attempt of a task on a machine: it may be running from its record's commit until proven gone.
+ */
 public final class Placement {
     private final Job job;
     private final TaskId task;
@@ -15,7 +17,13 @@
     private double graceS;
     private Moment runningSince;
 
-    Placement(Job job, TaskId task, Attempt attempt, MachineId machine, Session session, long change,
+    Placement(
+            Job job,
+            TaskId task,
+            Attempt attempt,
+            MachineId machine,
+            Session session,
+            long change,
             Moment since) {
         this.job = job;
         this.task = task;
--- a/src/main/java/org/meadowhollow/bookkeeping/Progress.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/Progress.java
@@ -1,6 +1,9 @@
 package org.meadowhollow.bookkeeping;
 
-/** How far a job has come that another interface than the native one accepted; each of those has its own words for it. */
+/**
+ * How far a job has come that another interface than the native one accepted; each of those has its
+ * own words for it.
+ */
 public enum Progress {
     /** Accepted, and on no machine. */
     QUEUED,
--- a/src/main/java/org/meadowhollow/bookkeeping/RecordImage.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/RecordImage.java
@@ -12,6 +12,7 @@
 public final class RecordImage {
     /** About what a number, a text and an item of a map or list take in memory, in bytes. */
     private static final int NUMBER = 24;
+
     private static final int TEXT = 48;
     private static final int ITEM = 40;
 
@@ -21,7 +22,8 @@
     private long bytes;
 
     /**
-     * @param revision as of the first page that is going to be added, since what changed after it is told by changes
+     * @param revision as of the first page that is going to be added, since what changed after it
+     *     is told by changes
      */
     public RecordImage(String prefix, Version revision) {
         this.prefix = prefix;
@@ -79,10 +81,12 @@
 
     /** Puts what was read anew in the place of the records whose keys begin with some text. */
     public void replace(String beginning, List<Entry> read) {
-        List.copyOf(entries(beginning)).forEach(entry -> {
-            entries.remove(entry.key());
-            bytes -= weight(entry);
-        });
+        List.copyOf(entries(beginning))
+                .forEach(
+                        entry -> {
+                            entries.remove(entry.key());
+                            bytes -= weight(entry);
+                        });
         addPage(read);
     }
 
--- a/src/main/java/org/meadowhollow/bookkeeping/Records.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/Records.java
@@ -15,25 +15,33 @@
     public static final String JOBS = "job/";
     public static final String TASKS = "task/";
     public static final String IMAGES = "image/";
-    /** Snapshots of the risk tables, in chunks, and the record that says which of them are the newest. */
+
+    /**
+     * Snapshots of the risk tables, in chunks, and the record that says which of them are the
+     * newest.
+     */
     public static final String TABLES = "table/";
+
     public static final String TABLES_HEAD = TABLES + "head";
     private static final String COMPANION = "companion";
     private static final String LOG = "log";
+
     /** Image names that can be part of a key as they are. */
     private static final Pattern IMAGE_KEY = Pattern.compile("[A-Za-z0-9._:/-]{1,150}");
+
     /** Bytes around a machine's name in a list, and around the list. */
     private static final int FRAMING = 8;
+
     /** Bytes that one task's entry takes in a chunk's record at most. */
     private static final int ENTRY = 64;
+
     /** Tasks in a chunk at most: a round's changes to a job then mostly fit into one record. */
     private static final int MOST_IN_CHUNK = 100;
 
     /** The form of the records that this program reads and writes. */
     public static final int SCHEMA = 1;
 
-    private Records() {
-    }
+    private Records() {}
 
     public static int chunkSize(int valueBytes) {
         return Math.max(1, Math.min(MOST_IN_CHUNK, valueBytes / ENTRY));
@@ -64,14 +72,19 @@
         return new JobId(key.substring(JOBS.length()));
     }
 
-    public static Map<String, Object> job(JobSpec spec, long acceptedAtMillis, int chunkSize, boolean cancelled) {
+    public static Map<String, Object> job(
+            JobSpec spec, long acceptedAtMillis, int chunkSize, boolean cancelled) {
         return job(spec, acceptedAtMillis, chunkSize, cancelled, null);
     }
 
     /**
      * @param companion what another interface keeps beside the job, or null
      */
-    public static Map<String, Object> job(JobSpec spec, long acceptedAtMillis, int chunkSize, boolean cancelled,
+    public static Map<String, Object> job(
+            JobSpec spec,
+            long acceptedAtMillis,
+            int chunkSize,
+            boolean cancelled,
             Companion companion) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("class", spec.jobClass());
@@ -105,18 +118,36 @@
     @SuppressWarnings("unchecked")
     public static Job job(JobId id, Map<String, Object> map, Version version, Moment now) {
         Object deadline = map.get("deadline");
-        JobSpec spec = new JobSpec(id, (String) map.get("class"), (String) map.get("team"),
-                Kind.valueOf((String) map.get("kind")), Priority.valueOf((String) map.get("priority")),
-                number(map, "tasks").intValue(),
-                new Resources(number(map, "cpu").longValue(), number(map, "gpu").longValue(),
-                        number(map, "memory").longValue()),
-                (List<String>) map.get("types"), (String) map.get("zone"), flag(map, "oneZone"),
-                flag(map, "spread"), flag(map, "spot"), (String) map.get("image"),
-                number(map, "imageGb").doubleValue(), number(map, "estimate").doubleValue(),
-                number(map, "checkpoint").doubleValue(), number(map, "save").doubleValue(),
-                deadline == null ? Double.NaN : ((Number) deadline).doubleValue());
-        Job job = new Job(spec, number(map, "accepted").longValue(), number(map, "chunk").intValue(), version,
-                Companion.of(map.get(COMPANION)));
+        JobSpec spec =
+                new JobSpec(
+                        id,
+                        (String) map.get("class"),
+                        (String) map.get("team"),
+                        Kind.valueOf((String) map.get("kind")),
+                        Priority.valueOf((String) map.get("priority")),
+                        number(map, "tasks").intValue(),
+                        new Resources(
+                                number(map, "cpu").longValue(),
+                                number(map, "gpu").longValue(),
+                                number(map, "memory").longValue()),
+                        (List<String>) map.get("types"),
+                        (String) map.get("zone"),
+                        flag(map, "oneZone"),
+                        flag(map, "spread"),
+                        flag(map, "spot"),
+                        (String) map.get("image"),
+                        number(map, "imageGb").doubleValue(),
+                        number(map, "estimate").doubleValue(),
+                        number(map, "checkpoint").doubleValue(),
+                        number(map, "save").doubleValue(),
+                        deadline == null ? Double.NaN : ((Number) deadline).doubleValue());
+        Job job =
+                new Job(
+                        spec,
+                        number(map, "accepted").longValue(),
+                        number(map, "chunk").intValue(),
+                        version,
+                        Companion.of(map.get(COMPANION)));
         if (flag(map, "cancelled")) {
             job.cancel(now);
         }
@@ -166,7 +197,7 @@
         List<Object> runs = new ArrayList<>();
         BitSet done = job.doneTasks();
         int end = chunk.endTask();
-        for (int from = done.nextSetBit(chunk.firstTask()); from >= 0 && from < end;) {
+        for (int from = done.nextSetBit(chunk.firstTask()); from >= 0 && from < end; ) {
             int to = Math.min(end, done.nextClearBit(from));
             runs.add((long) from);
             runs.add((long) to - from);
@@ -176,8 +207,12 @@
         for (int task = chunk.firstTask(); task < end; task++) {
             Placement placement = job.placement(task);
             if (placement != null) {
-                placed.add(List.of((long) task, (long) placement.attempt().value(), placement.machine().value(),
-                        placement.session().value()));
+                placed.add(
+                        List.of(
+                                (long) task,
+                                (long) placement.attempt().value(),
+                                placement.machine().value(),
+                                placement.session().value()));
             }
         }
         Map<String, Object> map = new LinkedHashMap<>();
@@ -206,12 +241,17 @@
         }
         List<?> runs = (List<?>) entry.value().get("done");
         for (int at = 0; at < runs.size(); at += 2) {
-            job.restoreDone(((Number) runs.get(at)).intValue(), ((Number) runs.get(at + 1)).intValue());
+            job.restoreDone(
+                    ((Number) runs.get(at)).intValue(), ((Number) runs.get(at + 1)).intValue());
         }
         for (Object item : (List<?>) entry.value().get("placed")) {
             List<?> placed = (List<?>) item;
-            job.restore(((Number) placed.get(0)).intValue(), new Attempt(((Number) placed.get(1)).intValue()),
-                    new MachineId((String) placed.get(2)), new Session(((Number) placed.get(3)).longValue()), now);
+            job.restore(
+                    ((Number) placed.get(0)).intValue(),
+                    new Attempt(((Number) placed.get(1)).intValue()),
+                    new MachineId((String) placed.get(2)),
+                    new Session(((Number) placed.get(3)).longValue()),
+                    now);
         }
         return true;
     }
@@ -228,8 +268,7 @@
     }
 
     /** Which machines have an image, and about how large that is in the state service. */
-    public record ImageRecord(Map<String, Object> map, int bytes) {
-    }
+    public record ImageRecord(Map<String, Object> map, int bytes) {}
 
     public static boolean isImageKey(String image) {
         return IMAGE_KEY.matcher(image).matches();
@@ -298,12 +337,19 @@
         List<MachineType> types = new ArrayList<>();
         for (Object item : (List<?>) record.get("types")) {
             Map<String, Object> map = (Map<String, Object>) item;
-            types.add(new MachineType((String) map.get("name"),
-                    new Resources(number(map, "cpu").longValue(), number(map, "gpu").longValue(),
-                            number(map, "memory").longValue()),
-                    number(map, "cacheGb").doubleValue(), number(map, "fetchGbPerS").doubleValue(),
-                    number(map, "price").doubleValue(), number(map, "spotPrice").doubleValue(),
-                    number(map, "bootS").doubleValue(), (List<String>) map.get("zones")));
+            types.add(
+                    new MachineType(
+                            (String) map.get("name"),
+                            new Resources(
+                                    number(map, "cpu").longValue(),
+                                    number(map, "gpu").longValue(),
+                                    number(map, "memory").longValue()),
+                            number(map, "cacheGb").doubleValue(),
+                            number(map, "fetchGbPerS").doubleValue(),
+                            number(map, "price").doubleValue(),
+                            number(map, "spotPrice").doubleValue(),
+                            number(map, "bootS").doubleValue(),
+                            (List<String>) map.get("zones")));
         }
         return types;
     }
--- a/src/main/java/org/meadowhollow/bookkeeping/Resources.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/Resources.java
@@ -9,7 +9,8 @@
     private static final double UNIT = 1e6;
 
     public static Resources of(double cpus, double gpus, double memoryGb) {
-        return new Resources(Math.round(cpus * UNIT), Math.round(gpus * UNIT), Math.round(memoryGb * UNIT));
+        return new Resources(
+                Math.round(cpus * UNIT), Math.round(gpus * UNIT), Math.round(memoryGb * UNIT));
     }
 
     public Resources plus(Resources other) {
@@ -30,7 +31,9 @@
 
     /** The largest share of {@code whole} that any one amount of this takes. */
     public double shareOf(Resources whole) {
-        return Math.max(share(cpu, whole.cpu), Math.max(share(gpu, whole.gpu), share(memory, whole.memory)));
+        return Math.max(
+                share(cpu, whole.cpu),
+                Math.max(share(gpu, whole.gpu), share(memory, whole.memory)));
     }
 
     /** How often this fits into {@code room}, at most {@code most} times. */
--- a/src/main/java/org/meadowhollow/bookkeeping/StateException.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/StateException.java
@@ -31,8 +31,10 @@
 
     /** The outcome behind a failed future; UNKNOWN for anything that is not of this kind. */
     public static Outcome of(Throwable failure) {
-        Throwable cause = failure instanceof CompletionException && failure.getCause() != null
-                ? failure.getCause() : failure;
+        Throwable cause =
+                failure instanceof CompletionException && failure.getCause() != null
+                        ? failure.getCause()
+                        : failure;
         return cause instanceof StateException state ? state.outcome : Outcome.UNKNOWN;
     }
 }
--- a/src/main/java/org/meadowhollow/bookkeeping/StateStore.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/StateStore.java
@@ -7,33 +7,38 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The small consistent store in which everything that must last is kept. Calls fail with a
- * {@link StateException}.
+ * The small consistent store in which everything that must last is kept. Calls fail with a {@link
+ * StateException}.
  */
 public interface StateStore {
     /** Who goes first when the request budget is short. */
-    enum Urgency { LEASE, USER, PLACEMENT, BACKGROUND }
-
-    record Entry(String key, Map<String, Object> value, Version version) {
+    enum Urgency {
+        LEASE,
+        USER,
+        PLACEMENT,
+        BACKGROUND
     }
 
-    record Page(List<Entry> entries, boolean more, Version revision) {
-    }
+    record Entry(String key, Map<String, Object> value, Version version) {}
+
+    record Page(List<Entry> entries, boolean more, Version revision) {}
 
     /** A change under a watched prefix; {@code value} is null when the key was removed. */
-    record Change(String key, Map<String, Object> value, Version version) {
-    }
+    record Change(String key, Map<String, Object> value, Version version) {}
 
-    record Changes(Version revision, List<Change> changes) {
-    }
+    record Changes(Version revision, List<Change> changes) {}
 
-    /** The outcome of a transaction: applied, or the keys that did not have the version expected. */
-    record Commit(boolean applied, Version revision, List<String> failed) {
-    }
+    /**
+     * The outcome of a transaction: applied, or the keys that did not have the version expected.
+     */
+    record Commit(boolean applied, Version revision, List<String> failed) {}
 
     CompletableFuture<Optional<Entry>> get(String key, Urgency urgency);
 
-    /** The longest page that is asked for; a page ends earlier where the service's own limits end it. */
+    /**
+     * The longest page that is asked for; a page ends earlier where the service's own limits end
+     * it.
+     */
     int MOST_LISTED = 1000;
 
     default CompletableFuture<Page> list(String prefix, String after, Urgency urgency) {
--- a/src/main/java/org/meadowhollow/bookkeeping/TaskState.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/TaskState.java
@@ -2,5 +2,9 @@
 
 /** What a worker says of a task. */
 public enum TaskState {
-    FETCHING, WAITING, RUNNING, SAVING, EXITED
+    FETCHING,
+    WAITING,
+    RUNNING,
+    SAVING,
+    EXITED
 }
--- a/src/main/java/org/meadowhollow/bookkeeping/Transaction.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/Transaction.java
@@ -3,11 +3,12 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Changes that happen together, or not at all if a guarded key has another version than expected. */
+/**
+ * Changes that happen together, or not at all if a guarded key has another version than expected.
+ */
 public final class Transaction {
     /** A value to put under a key, attached to a lease or not; a null value removes the key. */
-    public record Write(Map<String, Object> value, LeaseId lease) {
-    }
+    public record Write(Map<String, Object> value, LeaseId lease) {}
 
     private final Map<String, Version> guards = new LinkedHashMap<>();
     private final Map<String, Write> writes = new LinkedHashMap<>();
--- a/src/main/java/org/meadowhollow/bookkeeping/calendar/Calendar.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/calendar/Calendar.java
@@ -13,7 +13,8 @@
  * @param reservations in the order in which they were accepted, which is who comes first
  * @param stamp of the key that every change of the calendar guards and writes
  */
-public record Calendar(List<Held<Reservation>> reservations, List<Held<Window>> windows, Version stamp) {
+public record Calendar(
+        List<Held<Reservation>> reservations, List<Held<Window>> windows, Version stamp) {
     public static final Calendar EMPTY = new Calendar(List.of(), List.of(), Version.ABSENT);
 
     /**
@@ -21,8 +22,7 @@
      *
      * @param order counts up with each change of the calendar
      */
-    public record Held<T>(T what, long order, Version version) {
-    }
+    public record Held<T>(T what, long order, Version version) {}
 
     /** Makes sense of the records under {@link CalendarRecords#PREFIX}. */
     public static Calendar of(List<StateStore.Entry> entries) {
@@ -33,11 +33,17 @@
             if (entry.key().equals(CalendarRecords.STAMP)) {
                 stamp = entry.version();
             } else if (entry.key().startsWith(CalendarRecords.RESERVATIONS)) {
-                reservations.add(new Held<>(CalendarRecords.reservation(entry.value()),
-                        CalendarRecords.order(entry.value()), entry.version()));
+                reservations.add(
+                        new Held<>(
+                                CalendarRecords.reservation(entry.value()),
+                                CalendarRecords.order(entry.value()),
+                                entry.version()));
             } else if (entry.key().startsWith(CalendarRecords.WINDOWS)) {
-                windows.add(new Held<>(CalendarRecords.window(entry.value()), CalendarRecords.order(entry.value()),
-                        entry.version()));
+                windows.add(
+                        new Held<>(
+                                CalendarRecords.window(entry.value()),
+                                CalendarRecords.order(entry.value()),
+                                entry.version()));
             }
         }
         reservations.sort(Comparator.comparingLong(Held::order));
--- a/src/main/java/org/meadowhollow/bookkeeping/calendar/CalendarRecords.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/calendar/CalendarRecords.java
@@ -12,13 +12,17 @@
 /** The keys and values under which reservations and windows are kept in the state service. */
 public final class CalendarRecords {
     public static final String PREFIX = "cal/";
-    /** Written by every change, so that of two that were decided from the same calendar only one is applied. */
+
+    /**
+     * Written by every change, so that of two that were decided from the same calendar only one is
+     * applied.
+     */
     public static final String STAMP = PREFIX + "stamp";
+
     static final String RESERVATIONS = PREFIX + "reservation/";
     static final String WINDOWS = PREFIX + "window/";
 
-    private CalendarRecords() {
-    }
+    private CalendarRecords() {}
 
     public static String reservation(String name) {
         return RESERVATIONS + name;
@@ -73,25 +77,42 @@
     }
 
     private static Schedule schedule(Map<String, Object> map) {
-        return new Schedule(LocalDateTime.parse((String) map.get("start")), ZoneId.of((String) map.get("clocks")),
-                Duration.ofMillis(number(map, "length").longValue()), (String) map.get("rule"));
+        return new Schedule(
+                LocalDateTime.parse((String) map.get("start")),
+                ZoneId.of((String) map.get("clocks")),
+                Duration.ofMillis(number(map, "length").longValue()),
+                (String) map.get("rule"));
     }
 
     @SuppressWarnings("unchecked")
     static Reservation reservation(Map<String, Object> map) {
-        return new Reservation((String) map.get("name"), (String) map.get("team"),
-                Priority.valueOf((String) map.get("priority")), number(map, "tasks").intValue(),
-                new Resources(number(map, "cpu").longValue(), number(map, "gpu").longValue(),
+        return new Reservation(
+                (String) map.get("name"),
+                (String) map.get("team"),
+                Priority.valueOf((String) map.get("priority")),
+                number(map, "tasks").intValue(),
+                new Resources(
+                        number(map, "cpu").longValue(),
+                        number(map, "gpu").longValue(),
                         number(map, "memory").longValue()),
-                (List<String>) map.get("types"), (String) map.get("in"), (Boolean) map.get("spot"),
-                (String) map.get("image"), number(map, "imageGb").doubleValue(), (String) map.get("class"),
-                (List<String>) map.get("jobs"), schedule(map));
+                (List<String>) map.get("types"),
+                (String) map.get("in"),
+                (Boolean) map.get("spot"),
+                (String) map.get("image"),
+                number(map, "imageGb").doubleValue(),
+                (String) map.get("class"),
+                (List<String>) map.get("jobs"),
+                schedule(map));
     }
 
     @SuppressWarnings("unchecked")
     static Window window(Map<String, Object> map) {
-        return new Window((String) map.get("name"), Window.Scope.valueOf((String) map.get("scope")),
-                (List<String>) map.get("targets"), schedule(map), Duration.ofMillis(number(map, "notice").longValue()));
+        return new Window(
+                (String) map.get("name"),
+                Window.Scope.valueOf((String) map.get("scope")),
+                (List<String>) map.get("targets"),
+                schedule(map),
+                Duration.ofMillis(number(map, "notice").longValue()));
     }
 
     private static Number number(Map<String, Object> map, String key) {
--- a/src/main/java/org/meadowhollow/bookkeeping/calendar/Window.java
+++ b/src/main/java/org/meadowhollow/bookkeeping/calendar/Window.java
@@ -10,9 +10,14 @@
  * @param targets names of machines, machine types or zones, as the scope says
  * @param notice how long before its start services begin to leave, one after the other
  */
-public record Window(String name, Scope scope, List<String> targets, Schedule schedule, Duration notice) {
+public record Window(
+        String name, Scope scope, List<String> targets, Schedule schedule, Duration notice) {
     /** What the targets name. */
-    public enum Scope { MACHINE, TYPE, ZONE }
+    public enum Scope {
+        MACHINE,
+        TYPE,
+        ZONE
+    }
 
     public boolean covers(MachineId machine, String type, String zone) {
         return switch (scope) {
@@ -24,6 +29,7 @@
 
     /** Whether all machines of a type in a zone are out. */
     public boolean coversAll(String type, String zone) {
-        return scope == Scope.TYPE && targets.contains(type) || scope == Scope.ZONE && targets.contains(zone);
+        return scope == Scope.TYPE && targets.contains(type)
+                || scope == Scope.ZONE && targets.contains(zone);
     }
 }
--- a/src/main/java/org/meadowhollow/cli/CalendarOptions.java
+++ b/src/main/java/org/meadowhollow/cli/CalendarOptions.java
@@ -11,15 +11,23 @@
 import org.meadowhollow.protocol.tes.TesTokens;
 
 /**
- * Where a controller takes reservations and windows, and what there is to reserve, as its operator's flags say.
+ * Where a controller takes reservations and windows, and what there is to reserve, as its
+ * operator's flags say.
  *
  * @param chain the certificate's file, or null for plain connections
  * @param key the file of the certificate's key, or null with it
  * @param most machines that the operators will have at a time, by {@code type/zone} or type
  */
-public record CalendarOptions(Settings.Endpoint listen, TesTokens tokens, Path chain, Path key,
+public record CalendarOptions(
+        Settings.Endpoint listen,
+        TesTokens tokens,
+        Path chain,
+        Path key,
         Map<String, Integer> most) {
-    /** Holds tokens like the flag, separated by blanks, where a command line could be read by others. */
+    /**
+     * Holds tokens like the flag, separated by blanks, where a command line could be read by
+     * others.
+     */
     static final String TOKENS = "MEADOWHOLLOW_CALENDAR_TOKENS";
 
     /**
@@ -29,12 +37,19 @@
      * @return null if there is to be no calendar
      * @throws Settings.Unusable in one line, which names the flag
      */
-    static CalendarOptions of(String listen, List<String> tokens, Path chain, Path key, List<String> most,
-            Map<String, String> variables) throws Settings.Unusable {
+    static CalendarOptions of(
+            String listen,
+            List<String> tokens,
+            Path chain,
+            Path key,
+            List<String> most,
+            Map<String, String> variables)
+            throws Settings.Unusable {
         if (listen == null) {
             if (!tokens.isEmpty() || chain != null || key != null || !most.isEmpty()) {
-                throw new Settings.Unusable("--calendar-token, --calendar-cert, --calendar-key and --calendar-most go"
-                        + " with --calendar-listen");
+                throw new Settings.Unusable(
+                        "--calendar-token, --calendar-cert, --calendar-key and --calendar-most go"
+                                + " with --calendar-listen");
             }
             return null;
         }
@@ -42,20 +57,26 @@
             throw new Settings.Unusable("--calendar-cert and --calendar-key go together");
         }
         List<String> all = new ArrayList<>(tokens);
-        Arrays.stream(variables.getOrDefault(TOKENS, "").split("\\s+")).filter(each -> !each.isEmpty())
+        Arrays.stream(variables.getOrDefault(TOKENS, "").split("\\s+"))
+                .filter(each -> !each.isEmpty())
                 .forEach(all::add);
         try {
             TesTokens known = TesTokens.of(all);
             if (known.isEmpty()) {
-                throw new Settings.Unusable("--calendar-listen needs a --calendar-token or " + TOKENS);
+                throw new Settings.Unusable(
+                        "--calendar-listen needs a --calendar-token or " + TOKENS);
             }
             for (String name : known.teams()) {
                 if (!name.equals(CalendarApi.OPERATOR) && !name.equals(TesTokens.READERS)) {
-                    throw new Settings.Unusable("--calendar-token is for neither " + CalendarApi.OPERATOR + " nor "
-                            + TesTokens.READERS);
+                    throw new Settings.Unusable(
+                            "--calendar-token is for neither "
+                                    + CalendarApi.OPERATOR
+                                    + " nor "
+                                    + TesTokens.READERS);
                 }
             }
-            return new CalendarOptions(Settings.endpoint(listen, "--calendar-listen"), known, chain, key, most(most));
+            return new CalendarOptions(
+                    Settings.endpoint(listen, "--calendar-listen"), known, chain, key, most(most));
         } catch (Malformed wrong) {
             throw new Settings.Unusable(wrong.getMessage());
         }
--- a/src/main/java/org/meadowhollow/cli/Controller.java
+++ b/src/main/java/org/meadowhollow/cli/Controller.java
@@ -42,96 +42,189 @@
 public final class Controller implements AutoCloseable {
     /** Bytes of a network buffer; nearly every message fits into one. */
     private static final int BUFFER = 8 * 1024;
+
     private static final int MOST_BUFFERS = 64;
+
     /**
-     * The limits of the state service and the cloud hold for all nodes together. The leader does most of the
-     * work and may take most of them; the rest is left to what the others do for users.
+     * The limits of the state service and the cloud hold for all nodes together. The leader does
+     * most of the work and may take most of them; the rest is left to what the others do for users.
      */
     private static final double SHARE = 0.7;
 
     /** Longer than the pause between two hints while there is anything to say. */
     private static final Duration PEERS_IDLE = Duration.ofMinutes(2);
+
     /**
-     * Workers report and users poll every few seconds, so that whoever says nothing for this many reports is gone or
-     * behind a cut; but at least for so long, since a slow caller loses a request on a connection that is closed.
+     * Workers report and users poll every few seconds, so that whoever says nothing for this many
+     * reports is gone or behind a cut; but at least for so long, since a slow caller loses a
+     * request on a connection that is closed.
      */
     private static final int IDLE_REPORTS = 6;
+
     private static final Duration LEAST_IDLE = Duration.ofSeconds(20);
+
     /** While a lease is handed over. */
     private static final Duration LOOK_AGAIN = Duration.ofMillis(20);
+
     /** Sockets and files that the process itself needs beside its connections. */
     private static final int OWN_SOCKETS = 64;
+
     /** The least share of its sockets that a process leaves to those who come to it. */
     private static final double LEAST_FOR_CALLERS = 0.5;
-    /** The share of callers' connections that clients of the task execution API may take beside them. */
+
+    /**
+     * The share of callers' connections that clients of the task execution API may take beside
+     * them.
+     */
     private static final int TES_SHARE = 8;
+
     /** Connections of those who plan by hand or by a script. */
     private static final int MOST_OPERATORS = 16;
 
     private final XnioLoop loop;
     private final HttpServer front;
     private final HttpServer back;
+
     /** Null unless the task execution API is served. */
     private final HttpServer tes;
+
     /** Null unless reservations and windows are taken. */
     private final HttpServer calendar;
+
     private final Node node;
     private final Observers observers;
 
-    private Controller(XnioLoop loop, Settings settings, TesOptions tesOptions, SSLContext tesKeys,
-            CalendarOptions calendarOptions, SSLContext calendarKeys, StandbySettings standby, Observers observers,
+    private Controller(
+            XnioLoop loop,
+            Settings settings,
+            TesOptions tesOptions,
+            SSLContext tesKeys,
+            CalendarOptions calendarOptions,
+            SSLContext calendarKeys,
+            StandbySettings standby,
+            Observers observers,
             RandomGenerator random) {
         this.loop = loop;
         this.observers = observers;
         Platform platform = settings.platform();
         ByteBufferPool buffers = buffers();
         HttpClient http = new HttpClient(loop, buffers);
-        StateClient state = new StateClient(http, settings.state(), loop, budget(platform.stateRps()),
-                budget(platform.stateWriteRps()));
-        CloudClient cloud = new CloudClient(http, settings.cloud(), loop, budget(platform.cloudRps()));
+        StateClient state =
+                new StateClient(
+                        http,
+                        settings.state(),
+                        loop,
+                        budget(platform.stateRps()),
+                        budget(platform.stateWriteRps()));
+        CloudClient cloud =
+                new CloudClient(http, settings.cloud(), loop, budget(platform.cloudRps()));
         PeerLink peers = new PeerLink(http, settings.peers());
         Catalog catalog = new Catalog();
-        Node started = new Node(loop, state, new WorkerClient(http), cloud, peers, platform, catalog, observers,
-                calendarOptions == null ? CalendarSettings.OFF : new CalendarSettings(true, calendarOptions.most(),
-                        settings.skew()), standby, random);
+        Node started =
+                new Node(
+                        loop,
+                        state,
+                        new WorkerClient(http),
+                        cloud,
+                        peers,
+                        platform,
+                        catalog,
+                        observers,
+                        calendarOptions == null
+                                ? CalendarSettings.OFF
+                                : new CalendarSettings(
+                                        true, calendarOptions.most(), settings.skew()),
+                        standby,
+                        random);
         node = started;
-        peers.testator(new PeerLink.Testator() {
-            @Override
-            public Optional<TableDelta> tables(TableQuestion question) {
-                return started.tables(question);
-            }
+        peers.testator(
+                new PeerLink.Testator() {
+                    @Override
+                    public Optional<TableDelta> tables(TableQuestion question) {
+                        return started.tables(question);
+                    }
 
-            @Override
-            public Optional<Digests> digests() {
-                return started.digests();
-            }
-        });
+                    @Override
+                    public Optional<Digests> digests() {
+                        return started.digests();
+                    }
+                });
         peers.listener(node::heardOf);
         peers.served(() -> !state.seemsOut());
         peers.hearing(node::isHardOfHearing, node::heardAmong);
-        Admission admission = new Admission(state, loop, catalog, platform, observers, node::counts);
-        NodeApi api = new NodeApi(new UserApi(admission), new WorkerApi(node::report), node::isReady);
-        front = new HttpServer(loop, buffers, settings.listen().host(), settings.listen().port(),
-                mostCallers(settings), idle(platform), api);
-        tes = tesOptions == null ? null : new HttpServer(loop, buffers, tesOptions.listen().host(),
-                tesOptions.listen().port(), mostCallers(settings) / TES_SHARE, idle(platform), tesKeys,
-                new TesApi(admission, state, loop, platform, tesOptions.tokens(), observers.traces(),
-                        random));
-        calendar = calendarOptions == null ? null : new HttpServer(loop, buffers, calendarOptions.listen().host(),
-                calendarOptions.listen().port(), MOST_OPERATORS, idle(platform), calendarKeys,
-                new CalendarApi(new CalendarDesk(state, loop, catalog, platform, calendarOptions.most()),
-                        calendarOptions.tokens()));
-        back = new HttpServer(loop, buffers, settings.back().host(), settings.back().port(), 0, PEERS_IDLE, peers);
+        Admission admission =
+                new Admission(state, loop, catalog, platform, observers, node::counts);
+        NodeApi api =
+                new NodeApi(new UserApi(admission), new WorkerApi(node::report), node::isReady);
+        front =
+                new HttpServer(
+                        loop,
+                        buffers,
+                        settings.listen().host(),
+                        settings.listen().port(),
+                        mostCallers(settings),
+                        idle(platform),
+                        api);
+        tes =
+                tesOptions == null
+                        ? null
+                        : new HttpServer(
+                                loop,
+                                buffers,
+                                tesOptions.listen().host(),
+                                tesOptions.listen().port(),
+                                mostCallers(settings) / TES_SHARE,
+                                idle(platform),
+                                tesKeys,
+                                new TesApi(
+                                        admission,
+                                        state,
+                                        loop,
+                                        platform,
+                                        tesOptions.tokens(),
+                                        observers.traces(),
+                                        random));
+        calendar =
+                calendarOptions == null
+                        ? null
+                        : new HttpServer(
+                                loop,
+                                buffers,
+                                calendarOptions.listen().host(),
+                                calendarOptions.listen().port(),
+                                MOST_OPERATORS,
+                                idle(platform),
+                                calendarKeys,
+                                new CalendarApi(
+                                        new CalendarDesk(
+                                                state,
+                                                loop,
+                                                catalog,
+                                                platform,
+                                                calendarOptions.most()),
+                                        calendarOptions.tokens()));
+        back =
+                new HttpServer(
+                        loop,
+                        buffers,
+                        settings.back().host(),
+                        settings.back().port(),
+                        0,
+                        PEERS_IDLE,
+                        peers);
         node.start();
     }
 
     /**
-     * Connections for users and workers: what the process may have, less a reserve for those it opens itself, so that
-     * it can always reach the state service, the cloud, its peers and some silent workers.
+     * Connections for users and workers: what the process may have, less a reserve for those it
+     * opens itself, so that it can always reach the state service, the cloud, its peers and some
+     * silent workers.
      */
     static int mostCallers(Settings settings) {
-        int reserve = OWN_SOCKETS + HttpClient.MOST_OPEN * (2 + settings.peers().size())
-                + SilenceWatch.MOST_HANGING;
+        int reserve =
+                OWN_SOCKETS
+                        + HttpClient.MOST_OPEN * (2 + settings.peers().size())
+                        + SilenceWatch.MOST_HANGING;
         int least = (int) (settings.sockets() * LEAST_FOR_CALLERS);
         return settings.sockets() == 0 ? 0 : Math.max(least, settings.sockets() - reserve);
     }
@@ -177,7 +270,9 @@
             return this;
         }
 
-        /** Plans around reservations and windows, and takes them; null, as by default, does neither. */
+        /**
+         * Plans around reservations and windows, and takes them; null, as by default, does neither.
+         */
         public Builder calendar(CalendarOptions options) {
             calendar = options;
             return this;
@@ -193,21 +288,40 @@
             return this;
         }
 
-        /** Are told what happens to jobs; by default nobody is. The traces are closed with the controller. */
+        /**
+         * Are told what happens to jobs; by default nobody is. The traces are closed with the
+         * controller.
+         */
         public Builder observers(Observers told) {
             observers = told;
             return this;
         }
 
         public Controller start() throws IOException {
-            SSLContext keys = tes == null || tes.chain() == null ? null : PemKeys.context(tes.chain(), tes.key());
-            SSLContext calendarKeys = calendar == null || calendar.chain() == null ? null
-                    : PemKeys.context(calendar.chain(), calendar.key());
+            SSLContext keys =
+                    tes == null || tes.chain() == null
+                            ? null
+                            : PemKeys.context(tes.chain(), tes.key());
+            SSLContext calendarKeys =
+                    calendar == null || calendar.chain() == null
+                            ? null
+                            : PemKeys.context(calendar.chain(), calendar.key());
             XnioLoop loop = new XnioLoop();
             try {
-                // Built where it runs, so that one thread alone loads classes and reads files while it starts.
-                return loop.call(() -> new Controller(loop, settings, tes, keys, calendar, calendarKeys, standby,
-                        observers, random));
+                // Built where it runs, so that one thread alone loads classes and reads files while
+                // it starts.
+                return loop.call(
+                        () ->
+                                new Controller(
+                                        loop,
+                                        settings,
+                                        tes,
+                                        keys,
+                                        calendar,
+                                        calendarKeys,
+                                        standby,
+                                        observers,
+                                        random));
             } catch (RuntimeException failure) {
                 loop.close();
                 throw failure;
@@ -230,17 +344,19 @@
     }
 
     /**
-     * Gives the lease to the standby that could take over best, if this node leads, before it is closed.
+     * Gives the lease to the standby that could take over best, if this node leads, before it is
+     * closed.
      *
      * @param most how long to wait for that
      */
     public void handOver(Duration most) {
         CompletableFuture<Void> over = new CompletableFuture<>();
-        loop.call(() -> {
-            node.handOver();
-            untilOver(over);
-            return over;
-        });
+        loop.call(
+                () -> {
+                    node.handOver();
+                    untilOver(over);
+                    return over;
+                });
         try {
             over.get(most.toMillis(), TimeUnit.MILLISECONDS);
         } catch (InterruptedException interrupted) {
--- a/src/main/java/org/meadowhollow/cli/Main.java
+++ b/src/main/java/org/meadowhollow/cli/Main.java
@@ -23,8 +23,8 @@
 import picocli.CommandLine.Model.OptionSpec;
 
 /**
- * The command. Its options are described in code and not by annotations, whose inspection takes longer than all the
- * rest of the command, at every start.
+ * The command. Its options are described in code and not by annotations, whose inspection takes
+ * longer than all the rest of the command, at every start.
  */
 public final class Main implements Callable<Integer> {
     private static final Set<String> LEVELS = Set.of("error", "info", "debug");
@@ -43,56 +43,134 @@
     private static final String CALENDAR_MOST = "--calendar-most";
     private static final String TRACE_OTLP = "--trace-otlp";
     private static final String STANDBY = "--standby";
+
     /** A hand-over takes one change in the state service. */
     private static final Duration HAND_OVER = Duration.ofSeconds(2);
+
     private static final String REHEARSE = "--rehearse";
 
-    private final CommandSpec spec = CommandSpec.wrapWithoutInspection(this)
-            .name("meadowhollow")
-            .versionProvider(new Version())
-            .addOption(OptionSpec.builder(CONFIG).paramLabel("FILE").type(Path.class)
-                    .description("the platform's settings file").build())
-            .addOption(OptionSpec.builder(CHECK).description("check the settings and exit").build())
-            .addOption(OptionSpec.builder(TES_LISTEN).paramLabel("HOST:PORT").type(String.class)
-                    .description("serve the GA4GH task execution API there (default: not at all)").build())
-            .addOption(OptionSpec.builder(TES_TOKEN).paramLabel("TEAM=SHA256").type(List.class)
-                    .auxiliaryTypes(String.class).arity("1")
-                    .description("a team's bearer token, by its SHA-256 in hex; may be repeated").build())
-            .addOption(OptionSpec.builder(TES_CERT).paramLabel("FILE").type(Path.class)
-                    .description("certificate for that API, in PEM").build())
-            .addOption(OptionSpec.builder(TES_KEY).paramLabel("FILE").type(Path.class)
-                    .description("key of that certificate, in PEM").build())
-            .addOption(OptionSpec.builder(ORDER_LOG)
-                    .description("log what happens to jobs and tasks, numbered in one order for all nodes").build())
-            .addOption(OptionSpec.builder(CALENDAR_LISTEN).paramLabel("HOST:PORT").type(String.class)
-                    .description("take reservations and maintenance windows there (default: not at all)").build())
-            .addOption(OptionSpec.builder(CALENDAR_TOKEN).paramLabel("operator=SHA256").type(List.class)
-                    .auxiliaryTypes(String.class).arity("1")
-                    .description("an operator's bearer token, by its SHA-256 in hex; may be repeated").build())
-            .addOption(OptionSpec.builder(CALENDAR_CERT).paramLabel("FILE").type(Path.class)
-                    .description("certificate for that, in PEM").build())
-            .addOption(OptionSpec.builder(CALENDAR_KEY).paramLabel("FILE").type(Path.class)
-                    .description("key of that certificate, in PEM").build())
-            .addOption(OptionSpec.builder(CALENDAR_MOST).paramLabel("TYPE[/ZONE]=N").type(List.class)
-                    .auxiliaryTypes(String.class).arity("1")
-                    .description("machines of a type to reserve from (default: no bound); may be repeated").build())
-            .addOption(OptionSpec.builder(TRACE_OTLP).paramLabel("URL").type(String.class)
-                    .description("send spans of tasks whose clients trace them there, by OTLP over HTTP"
-                            + " (default: nowhere)").build())
-            .addOption(OptionSpec.builder(STANDBY)
-                    .description("keep warm what is needed to take over while another node leads, and hand the lead"
-                            + " over when told to end").build())
-            .addOption(OptionSpec.builder(REHEARSE).hidden(true).build())
-            .addOption(OptionSpec.builder("-h", "--help").usageHelp(true)
-                    .description("Show this help message and exit.").build())
-            .addOption(OptionSpec.builder("-V", "--version").versionHelp(true)
-                    .description("Print version information and exit.").build());
+    private final CommandSpec spec =
+            CommandSpec.wrapWithoutInspection(this)
+                    .name("meadowhollow")
+                    .versionProvider(new Version())
+                    .addOption(
+                            OptionSpec.builder(CONFIG)
+                                    .paramLabel("FILE")
+                                    .type(Path.class)
+                                    .description("the platform's settings file")
+                                    .build())
+                    .addOption(
+                            OptionSpec.builder(CHECK)
+                                    .description("check the settings and exit")
+                                    .build())
+                    .addOption(
+                            OptionSpec.builder(TES_LISTEN)
+                                    .paramLabel("HOST:PORT")
+                                    .type(String.class)
+                                    .description(
+                                            "serve the GA4GH task execution API there (default: not at all)")
+                                    .build())
+                    .addOption(
+                            OptionSpec.builder(TES_TOKEN)
+                                    .paramLabel("TEAM=SHA256")
+                                    .type(List.class)
+                                    .auxiliaryTypes(String.class)
+                                    .arity("1")
+                                    .description(
+                                            "a team's bearer token, by its SHA-256 in hex; may be repeated")
+                                    .build())
+                    .addOption(
+                            OptionSpec.builder(TES_CERT)
+                                    .paramLabel("FILE")
+                                    .type(Path.class)
+                                    .description("certificate for that API, in PEM")
+                                    .build())
+                    .addOption(
+                            OptionSpec.builder(TES_KEY)
+                                    .paramLabel("FILE")
+                                    .type(Path.class)
+                                    .description("key of that certificate, in PEM")
+                                    .build())
+                    .addOption(
+                            OptionSpec.builder(ORDER_LOG)
+                                    .description(
+                                            "log what happens to jobs and tasks, numbered in one order for all nodes")
+                                    .build())
+                    .addOption(
+                            OptionSpec.builder(CALENDAR_LISTEN)
+                                    .paramLabel("HOST:PORT")
+                                    .type(String.class)
+                                    .description(
+                                            "take reservations and maintenance windows there (default: not at all)")
+                                    .build())
+                    .addOption(
+                            OptionSpec.builder(CALENDAR_TOKEN)
+                                    .paramLabel("operator=SHA256")
+                                    .type(List.class)
+                                    .auxiliaryTypes(String.class)
+                                    .arity("1")
+                                    .description(
+                                            "an operator's bearer token, by its SHA-256 in hex; may be repeated")
+                                    .build())
+                    .addOption(
+                            OptionSpec.builder(CALENDAR_CERT)
+                                    .paramLabel("FILE")
+                                    .type(Path.class)
+                                    .description("certificate for that, in PEM")
+                                    .build())
+                    .addOption(
+                            OptionSpec.builder(CALENDAR_KEY)
+                                    .paramLabel("FILE")
+                                    .type(Path.class)
+                                    .description("key of that certificate, in PEM")
+                                    .build())
+                    .addOption(
+                            OptionSpec.builder(CALENDAR_MOST)
+                                    .paramLabel("TYPE[/ZONE]=N")
+                                    .type(List.class)
+                                    .auxiliaryTypes(String.class)
+                                    .arity("1")
+                                    .description(
+                                            "machines of a type to reserve from (default: no bound); may be repeated")
+                                    .build())
+                    .addOption(
+                            OptionSpec.builder(TRACE_OTLP)
+                                    .paramLabel("URL")
+                                    .type(String.class)
+                                    .description(
+                                            "send spans of tasks whose clients trace them there, by OTLP over HTTP"
+                                                    + " (default: nowhere)")
+                                    .build())
+                    .addOption(
+                            OptionSpec.builder(STANDBY)
+                                    .description(
+                                            "keep warm what is needed to take over while another node leads, and hand the lead"
+                                                    + " over when told to end")
+                                    .build())
+                    .addOption(OptionSpec.builder(REHEARSE).hidden(true).build())
+                    .addOption(
+                            OptionSpec.builder("-h", "--help")
+                                    .usageHelp(true)
+                                    .description("Show this help message and exit.")
+                                    .build())
+                    .addOption(
+                            OptionSpec.builder("-V", "--version")
+                                    .versionHelp(true)
+                                    .description("Print version information and exit.")
+                                    .build());
 
     private Main() {
-        spec.usageMessage().description("Runs one controller of the meadowhollow cluster scheduler until it is killed.")
-                .footer("", "meadowhollow reserve, window and plan work with the calendar of a running node; see their --help.",
+        spec.usageMessage()
+                .description(
+                        "Runs one controller of the meadowhollow cluster scheduler until it is killed.")
+                .footer(
+                        "",
+                        "meadowhollow reserve, window and plan work with the calendar of a running node; see their --help.",
                         "The variable LOG_LEVEL (error, info or debug) sets how much goes to standard error.",
-                        TesOptions.TOKENS + " holds tokens as " + TES_TOKEN + " takes them, separated by blanks.");
+                        TesOptions.TOKENS
+                                + " holds tokens as "
+                                + TES_TOKEN
+                                + " takes them, separated by blanks.");
     }
 
     /** The version that the build wrote into the manifest. */
@@ -104,7 +182,10 @@
         }
     }
 
-    /** Wrong flags get one line. A class of its own, for the archive of classes takes no lambda of this kind. */
+    /**
+     * Wrong flags get one line. A class of its own, for the archive of classes takes no lambda of
+     * this kind.
+     */
     static final class OneLine implements CommandLine.IParameterExceptionHandler {
         @Override
         public int handleParseException(CommandLine.ParameterException wrong, String[] args) {
@@ -121,13 +202,18 @@
         }
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level);
         System.setProperty("org.jboss.logging.provider", "slf4j");
-        // XNIO and its thread pool would set up the JVM's management, a quarter of the processor time of a start,
+        // XNIO and its thread pool would set up the JVM's management, a quarter of the processor
+        // time of a start,
         // for beans that nobody reads; without a server for them they go on without.
         System.setProperty("javax.management.builder.initial", "none");
         System.setProperty("jboss.threads.eqe.register-mbean", "false");
         if (CalendarCommand.isMeant(args)) {
-            System.exit(CalendarCommand.run(args, System.getenv(), new PrintWriter(System.out, true),
-                    new PrintWriter(System.err, true)));
+            System.exit(
+                    CalendarCommand.run(
+                            args,
+                            System.getenv(),
+                            new PrintWriter(System.out, true),
+                            new PrintWriter(System.err, true)));
         }
         CommandLine command = new CommandLine(new Main().spec);
         command.setParameterExceptionHandler(new OneLine());
@@ -158,13 +244,22 @@
         URI traces;
         try {
             settings = Settings.read(config);
-            tes = TesOptions.of(given.matchedOptionValue(TES_LISTEN, null),
-                    given.matchedOptionValue(TES_TOKEN, List.of()), given.matchedOptionValue(TES_CERT, null),
-                    given.matchedOptionValue(TES_KEY, null), System.getenv(), settings);
-            calendar = CalendarOptions.of(given.matchedOptionValue(CALENDAR_LISTEN, null),
-                    given.matchedOptionValue(CALENDAR_TOKEN, List.of()), given.matchedOptionValue(CALENDAR_CERT, null),
-                    given.matchedOptionValue(CALENDAR_KEY, null), given.matchedOptionValue(CALENDAR_MOST, List.of()),
-                    System.getenv());
+            tes =
+                    TesOptions.of(
+                            given.matchedOptionValue(TES_LISTEN, null),
+                            given.matchedOptionValue(TES_TOKEN, List.of()),
+                            given.matchedOptionValue(TES_CERT, null),
+                            given.matchedOptionValue(TES_KEY, null),
+                            System.getenv(),
+                            settings);
+            calendar =
+                    CalendarOptions.of(
+                            given.matchedOptionValue(CALENDAR_LISTEN, null),
+                            given.matchedOptionValue(CALENDAR_TOKEN, List.of()),
+                            given.matchedOptionValue(CALENDAR_CERT, null),
+                            given.matchedOptionValue(CALENDAR_KEY, null),
+                            given.matchedOptionValue(CALENDAR_MOST, List.of()),
+                            System.getenv());
             traces = traces(given.matchedOptionValue(TRACE_OTLP, null));
         } catch (Settings.Unusable unusable) {
             System.err.println("meadowhollow: " + unusable.getMessage());
@@ -174,22 +269,39 @@
             return CommandLine.ExitCode.OK;
         }
         try {
-            OrderLog order = given.hasMatchedOption(ORDER_LOG)
-                    ? new OrderLog(event -> LoggerFactory.getLogger(OrderLog.class).info("{}", event)) : OrderLog.NONE;
-            Controller.Builder builder = Controller.builder(settings).tes(tes).calendar(calendar)
-                    .observers(new Observers(order, traces == null ? TaskTraces.NONE
-                    : traced(traces, settings.platform().member())));
+            OrderLog order =
+                    given.hasMatchedOption(ORDER_LOG)
+                            ? new OrderLog(
+                                    event ->
+                                            LoggerFactory.getLogger(OrderLog.class)
+                                                    .info("{}", event))
+                            : OrderLog.NONE;
+            Controller.Builder builder =
+                    Controller.builder(settings)
+                            .tes(tes)
+                            .calendar(calendar)
+                            .observers(
+                                    new Observers(
+                                            order,
+                                            traces == null
+                                                    ? TaskTraces.NONE
+                                                    : traced(
+                                                            traces, settings.platform().member())));
             boolean standby = given.hasMatchedOption(STANDBY);
             if (standby) {
                 builder.standby(new Version().getVersion()[0]);
             }
             Controller controller = builder.start();
             if (standby) {
-                Runtime.getRuntime().addShutdownHook(new Thread(() -> controller.handOver(HAND_OVER), "hand-over"));
+                Runtime.getRuntime()
+                        .addShutdownHook(
+                                new Thread(() -> controller.handOver(HAND_OVER), "hand-over"));
             }
-            // The log counts milliseconds from the start, for formatting the time of day made every start a fifth
+            // The log counts milliseconds from the start, for formatting the time of day made every
+            // start a fifth
             // longer. This line tells what the count was at which time.
-            LoggerFactory.getLogger(Main.class).info("{} runs, at {}", settings.platform().member(), Instant.now());
+            LoggerFactory.getLogger(Main.class)
+                    .info("{} runs, at {}", settings.platform().member(), Instant.now());
         } catch (IOException | RuntimeException failure) {
             System.err.println("meadowhollow: cannot start: " + failure.getMessage());
             return CommandLine.ExitCode.SOFTWARE;
@@ -197,7 +309,10 @@
         return RUNNING;
     }
 
-    /** Only a process that traces loads what this names, and has its library log where all else does. */
+    /**
+     * Only a process that traces loads what this names, and has its library log where all else
+     * does.
+     */
     private static TaskTraces traced(URI collector, String member) {
         SLF4JBridgeHandler.removeHandlersForRootLogger();
         SLF4JBridgeHandler.install();
@@ -213,12 +328,15 @@
         }
         try {
             URI uri = new URI(url);
-            if (uri.getHost() != null && uri.getUserInfo() == null && SCHEMES.contains(uri.getScheme())) {
+            if (uri.getHost() != null
+                    && uri.getUserInfo() == null
+                    && SCHEMES.contains(uri.getScheme())) {
                 return uri;
             }
         } catch (URISyntaxException notAnAddress) {
             // One message for every wrong address.
         }
-        throw new Settings.Unusable(TRACE_OTLP + " is not of the form http://HOST:PORT or https://HOST:PORT");
+        throw new Settings.Unusable(
+                TRACE_OTLP + " is not of the form http://HOST:PORT or https://HOST:PORT");
     }
 }
--- a/src/main/java/org/meadowhollow/cli/Rehearsal.java
+++ b/src/main/java/org/meadowhollow/cli/Rehearsal.java
@@ -15,25 +15,39 @@
 import org.meadowhollow.transport.XnioLoop;
 
 /**
- * Run once by the build, to load the classes that a controller needs so that the JVM can archive them.
- * Starting from that archive costs a fraction of a cold start, which matters after a crash.
+ * Run once by the build, to load the classes that a controller needs so that the JVM can archive
+ * them. Starting from that archive costs a fraction of a cold start, which matters after a crash.
  */
 final class Rehearsal {
     private static final String OWN_CLASSES = "org/meadowhollow/";
+
     /** Loaded by those who trace, and by operators' commands, and by no node that only runs. */
-    private static final List<String> OTHERS = List.of(OWN_CLASSES + "transport/tracing/", OWN_CLASSES + "cli/calendar/");
+    private static final List<String> OTHERS =
+            List.of(OWN_CLASSES + "transport/tracing/", OWN_CLASSES + "cli/calendar/");
+
     private static final String CLASS = ".class";
 
-    private Rehearsal() {
-    }
+    private Rehearsal() {}
 
-    /** Lets a controller lead and run one job among stand-ins, then loads the rest of its own classes by name. */
+    /**
+     * Lets a controller lead and run one job among stand-ins, then loads the rest of its own
+     * classes by name.
+     */
     static void run() throws IOException, Settings.Unusable, ClassNotFoundException {
         Path file = Files.createTempFile("meadowhollow", ".json");
         XnioLoop outside = new XnioLoop();
-        try (HttpServer standIn = new HttpServer(outside, Controller.buffers(), "127.0.0.1", 0, 0,
-                Duration.ofMinutes(1), new StandIn())) {
-            Files.writeString(file, """
+        try (HttpServer standIn =
+                new HttpServer(
+                        outside,
+                        Controller.buffers(),
+                        "127.0.0.1",
+                        0,
+                        0,
+                        Duration.ofMinutes(1),
+                        new StandIn())) {
+            Files.writeString(
+                    file,
+                    """
                     {"member":"rehearsal","area":"z","listen":"127.0.0.1:0","back":"127.0.0.1:0",
                      "known":[{"member":"other","area":"z","addr":"127.0.0.1:9"}],
                      "external":{"cloud":"127.0.0.1:%1$d","state":"127.0.0.1:%1$d"},
@@ -41,7 +55,8 @@
                       "objectives":[{"kind":"wait","class":"c","within_s":1.0}],
                       "workers":{"report_s":3.0,"lease_s":18.0,"gang_wait_s":30.0,"gang_peer_s":6.0,"cancel_s":48.0},
                       "state":{"rps":80.0,"write_rps":30.0,"value_kb":16.0,"txn_ops":12},
-                      "cloud":{"rps":8.0,"list_lag_s":10.0}}}""".formatted(standIn.port()));
+                      "cloud":{"rps":8.0,"list_lag_s":10.0}}}"""
+                            .formatted(standIn.port()));
             try (Controller controller = Controller.builder(Settings.read(file)).start()) {
                 rehearse(controller.port());
             }
@@ -69,9 +84,16 @@
 
     private static void ask(int port, String method, String path, byte[] body) throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
-            socket.getOutputStream().write((method + ' ' + path + " HTTP/1.1\r\nHost: rehearsal\r\n"
-                    + "Connection: close\r\nContent-Length: " + body.length + "\r\n\r\n")
-                    .getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write(
+                            (method
+                                            + ' '
+                                            + path
+                                            + " HTTP/1.1\r\nHost: rehearsal\r\n"
+                                            + "Connection: close\r\nContent-Length: "
+                                            + body.length
+                                            + "\r\n\r\n")
+                                    .getBytes(StandardCharsets.US_ASCII));
             socket.getOutputStream().write(body);
             InputStream answer = socket.getInputStream();
             answer.readAllBytes();
@@ -79,12 +101,21 @@
     }
 
     private static void loadOwnClasses() throws IOException, ClassNotFoundException {
-        Path own = Path.of(Rehearsal.class.getProtectionDomain().getCodeSource().getLocation().getPath());
+        Path own =
+                Path.of(
+                        Rehearsal.class
+                                .getProtectionDomain()
+                                .getCodeSource()
+                                .getLocation()
+                                .getPath());
         try (JarFile jar = new JarFile(own.toFile())) {
             for (JarEntry entry : (Iterable<JarEntry>) jar.stream()::iterator) {
                 String name = entry.getName();
-                if (name.startsWith(OWN_CLASSES) && OTHERS.stream().noneMatch(name::startsWith) && name.endsWith(CLASS)) {
-                    Class.forName(name.substring(0, name.length() - CLASS.length()).replace('/', '.'));
+                if (name.startsWith(OWN_CLASSES)
+                        && OTHERS.stream().noneMatch(name::startsWith)
+                        && name.endsWith(CLASS)) {
+                    Class.forName(
+                            name.substring(0, name.length() - CLASS.length()).replace('/', '.'));
                 }
             }
         }
--- a/src/main/java/org/meadowhollow/cli/Settings.java
+++ b/src/main/java/org/meadowhollow/cli/Settings.java
@@ -22,12 +22,19 @@
  * @param zone that this node is in, empty if the file does not say
  * @param sockets how many sockets and files the process may have open, 0 if the file does not say
  */
-public record Settings(Endpoint listen, Endpoint back, Map<String, String> peers, String cloud, String state,
-        String zone, int sockets, Platform platform, Duration skew) {
+public record Settings(
+        Endpoint listen,
+        Endpoint back,
+        Map<String, String> peers,
+        String cloud,
+        String state,
+        String zone,
+        int sockets,
+        Platform platform,
+        Duration skew) {
 
     /** An address of this machine. */
-    public record Endpoint(String host, int port) {
-    }
+    public record Endpoint(String host, int port) {}
 
     /** The settings cannot be used; the text says why. */
     public static final class Unusable extends Exception {
@@ -58,28 +65,44 @@
         Fields external = file.fields("external");
         Endpoint listen = endpoint(file.text("listen"), "listen");
         Endpoint back = endpoint(file.text("back"), "back");
-        return new Settings(listen, back, peers, address(external.text("cloud"), "cloud"),
+        return new Settings(
+                listen,
+                back,
+                peers,
+                address(external.text("cloud"), "cloud"),
                 address(external.text("state"), "state"),
-                Objects.requireNonNullElse(file.textOrNull("area"), ""), sockets(file.fields("settings")), platform(file.text("member"), file.fields("settings")),
+                Objects.requireNonNullElse(file.textOrNull("area"), ""),
+                sockets(file.fields("settings")),
+                platform(file.text("member"), file.fields("settings")),
                 Duration.ofNanos((long) (file.fields("settings").amountOr("skew_ms", 0) * 1e6)));
     }
 
     private static int sockets(Fields settings) throws Malformed {
         return settings.has("quota") && settings.fields("quota").has("fd_limit")
-                ? (int) Math.min(Integer.MAX_VALUE, positive(settings.fields("quota"), "fd_limit")) : 0;
+                ? (int) Math.min(Integer.MAX_VALUE, positive(settings.fields("quota"), "fd_limit"))
+                : 0;
     }
 
     private static Platform platform(String member, Fields settings) throws Malformed {
         Map<String, Platform.Team> teams = new LinkedHashMap<>();
         for (Fields team : settings.list("teams")) {
-            teams.put(team.text("name"), new Platform.Team(team.text("name"),
-                    Resources.of(team.amountOr("cpus", 0), team.amountOr("gpus", 0), 0),
-                    Resources.of(team.amountOr("cpus_max", 0), team.amountOr("gpus_max", 0), 0)));
+            teams.put(
+                    team.text("name"),
+                    new Platform.Team(
+                            team.text("name"),
+                            Resources.of(team.amountOr("cpus", 0), team.amountOr("gpus", 0), 0),
+                            Resources.of(
+                                    team.amountOr("cpus_max", 0),
+                                    team.amountOr("gpus_max", 0),
+                                    0)));
         }
         List<Platform.Objective> objectives = new ArrayList<>();
         for (Fields objective : settings.list("objectives")) {
-            objectives.add(new Platform.Objective(objective.text("kind"), objective.textOrNull("class"),
-                    objective.amountOr("within_s", Double.NaN)));
+            objectives.add(
+                    new Platform.Objective(
+                            objective.text("kind"),
+                            objective.textOrNull("class"),
+                            objective.amountOr("within_s", Double.NaN)));
         }
         List<String> zones = settings.textsOrNull("zones");
         Fields workers = settings.fields("workers");
@@ -90,10 +113,21 @@
         if (cancel.compareTo(lease) <= 0) {
             throw new Malformed("cancel_s must be longer than lease_s");
         }
-        return new Platform(member, zones == null ? List.of() : zones, teams,
-                objectives, seconds(workers, "report_s"), lease, seconds(workers, "gang_wait_s"), cancel,
-                positive(state, "rps"), positive(state, "write_rps"), (int) (positive(state, "value_kb") * 1024),
-                (int) positive(state, "txn_ops"), positive(cloud, "rps"), seconds(cloud, "list_lag_s"));
+        return new Platform(
+                member,
+                zones == null ? List.of() : zones,
+                teams,
+                objectives,
+                seconds(workers, "report_s"),
+                lease,
+                seconds(workers, "gang_wait_s"),
+                cancel,
+                positive(state, "rps"),
+                positive(state, "write_rps"),
+                (int) (positive(state, "value_kb") * 1024),
+                (int) positive(state, "txn_ops"),
+                positive(cloud, "rps"),
+                seconds(cloud, "list_lag_s"));
     }
 
     private static Duration seconds(Fields fields, String key) throws Malformed {
--- a/src/main/java/org/meadowhollow/cli/calendar/CalendarCommand.java
+++ b/src/main/java/org/meadowhollow/cli/calendar/CalendarCommand.java
@@ -21,17 +21,24 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * What operators do from the command line: {@code reserve}, {@code window} and {@code plan}, sent to any node. Not
- * loaded by a process that runs a controller.
+ * What operators do from the command line: {@code reserve}, {@code window} and {@code plan}, sent
+ * to any node. Not loaded by a process that runs a controller.
  */
-@Command(name = "meadowhollow", subcommands = {CalendarCommand.Reserve.class, CalendarCommand.Windows.class,
-    CalendarCommand.ShowPlan.class})
+@Command(
+        name = "meadowhollow",
+        subcommands = {
+            CalendarCommand.Reserve.class,
+            CalendarCommand.Windows.class,
+            CalendarCommand.ShowPlan.class
+        })
 public final class CalendarCommand {
     private static final String NODE = "MEADOWHOLLOW_CALENDAR_URL";
     private static final String TOKEN = "MEADOWHOLLOW_CALENDAR_TOKEN";
     private static final Duration ANSWER = Duration.ofSeconds(10);
+
     /** How often a node's word to come back is followed before it is told to the operator. */
     private static final int MOST_TRIES = 5;
+
     private static final Duration LONGEST_PAUSE = Duration.ofSeconds(5);
 
     private final Map<String, String> variables;
@@ -58,26 +65,44 @@
      * @param variables the environment
      * @return the exit code: 0 if done, 1 if refused or not answered, 2 for wrong flags
      */
-    public static int run(String[] args, Map<String, String> variables, PrintWriter out, PrintWriter err) {
+    public static int run(
+            String[] args, Map<String, String> variables, PrintWriter out, PrintWriter err) {
         CommandLine command = new CommandLine(new CalendarCommand(variables));
         command.setOut(out).setErr(err);
-        command.setExecutionExceptionHandler((failure, line, parsed) -> {
-            err.println("meadowhollow: " + failure.getMessage());
-            return CommandLine.ExitCode.SOFTWARE;
-        });
+        command.setExecutionExceptionHandler(
+                (failure, line, parsed) -> {
+                    err.println("meadowhollow: " + failure.getMessage());
+                    return CommandLine.ExitCode.SOFTWARE;
+                });
         return command.execute(args);
     }
 
     /** What all of them need. */
     private static final class Common {
-        @Option(names = "--node", paramLabel = "URL", description = "a node's --calendar-listen address"
-                + " (default: the variable " + NODE + "); the token is in " + TOKEN)
+        @Option(
+                names = "--node",
+                paramLabel = "URL",
+                description =
+                        "a node's --calendar-listen address"
+                                + " (default: the variable "
+                                + NODE
+                                + "); the token is in "
+                                + TOKEN)
         private String node;
-        @Option(names = {"-h", "--help"}, usageHelp = true, description = "Show this help message and exit.")
+
+        @Option(
+                names = {"-h", "--help"},
+                usageHelp = true,
+                description = "Show this help message and exit.")
         private boolean help;
 
-        private Map<String, Object> ask(CalendarCommand command, String method, String path, Long version,
-                Map<String, Object> body) throws Failed {
+        private Map<String, Object> ask(
+                CalendarCommand command,
+                String method,
+                String path,
+                Long version,
+                Map<String, Object> body)
+                throws Failed {
             String base = node != null ? node : command.variables.get(NODE);
             String token = command.variables.get(TOKEN);
             if (base == null || token == null) {
@@ -85,16 +110,25 @@
             }
             HttpRequest.Builder request;
             try {
-                request = HttpRequest.newBuilder(URI.create((base.contains("://") ? base : "http://" + base)
-                        + "/calendar/v1/" + path)).timeout(ANSWER).header("Authorization", "Bearer " + token);
+                request =
+                        HttpRequest.newBuilder(
+                                        URI.create(
+                                                (base.contains("://") ? base : "http://" + base)
+                                                        + "/calendar/v1/"
+                                                        + path))
+                                .timeout(ANSWER)
+                                .header("Authorization", "Bearer " + token);
             } catch (IllegalArgumentException wrong) {
                 throw new Failed(base + " is not a node's address");
             }
             if (version != null) {
                 request.header("If-Match", String.valueOf(version));
             }
-            request.method(method, body == null ? HttpRequest.BodyPublishers.noBody()
-                    : HttpRequest.BodyPublishers.ofByteArray(Json.encode(body)));
+            request.method(
+                    method,
+                    body == null
+                            ? HttpRequest.BodyPublishers.noBody()
+                            : HttpRequest.BodyPublishers.ofByteArray(Json.encode(body)));
             return answer(request.build());
         }
 
@@ -103,8 +137,9 @@
             String why = "no answer";
             for (int attempt = 0; attempt < MOST_TRIES; attempt++) {
                 try {
-                    HttpResponse<byte[]> reply = HttpClient.newHttpClient().send(request,
-                            HttpResponse.BodyHandlers.ofByteArray());
+                    HttpResponse<byte[]> reply =
+                            HttpClient.newHttpClient()
+                                    .send(request, HttpResponse.BodyHandlers.ofByteArray());
                     Map<String, Object> told = Json.decode(reply.body());
                     if (reply.statusCode() / 100 == 2) {
                         return told;
@@ -113,10 +148,18 @@
                     if (reply.statusCode() != 503) {
                         throw new Failed(why);
                     }
-                    Duration pause = Duration.ofSeconds(reply.headers().firstValueAsLong("Retry-After").orElse(1));
-                    Thread.sleep((pause.compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : pause).toMillis());
+                    Duration pause =
+                            Duration.ofSeconds(
+                                    reply.headers().firstValueAsLong("Retry-After").orElse(1));
+                    Thread.sleep(
+                            (pause.compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : pause)
+                                    .toMillis());
                 } catch (IOException | Malformed lost) {
-                    why = "no answer from " + request.uri().getAuthority() + ": " + lost.getMessage();
+                    why =
+                            "no answer from "
+                                    + request.uri().getAuthority()
+                                    + ": "
+                                    + lost.getMessage();
                 } catch (InterruptedException stopped) {
                     Thread.currentThread().interrupt();
                     break;
@@ -128,15 +171,26 @@
 
     /** The parts of a schedule. */
     private static final class When {
-        @Option(names = "--start", paramLabel = "TIME", description = "first start on the clocks of the time zone,"
-                + " like 2026-12-31T02:00")
+        @Option(
+                names = "--start",
+                paramLabel = "TIME",
+                description =
+                        "first start on the clocks of the time zone," + " like 2026-12-31T02:00")
         private String start;
-        @Option(names = "--time-zone", paramLabel = "ZONE", description = "like Asia/Amman (default: UTC)")
+
+        @Option(
+                names = "--time-zone",
+                paramLabel = "ZONE",
+                description = "like Asia/Amman (default: UTC)")
         private String zone;
+
         @Option(names = "--length", paramLabel = "DURATION", description = "like PT2H30M")
         private String length;
-        @Option(names = "--rule", paramLabel = "RRULE", description = "how it repeats, by RFC 5545, like FREQ=DAILY"
-                + " (default: once)")
+
+        @Option(
+                names = "--rule",
+                paramLabel = "RRULE",
+                description = "how it repeats, by RFC 5545, like FREQ=DAILY" + " (default: once)")
         private String rule;
 
         private void put(Map<String, Object> body) throws Failed {
@@ -165,19 +219,21 @@
 
     /** What reservations and windows have in common. */
     private abstract static class Entries implements Callable<Integer> {
-        @CommandLine.ParentCommand
-        private CalendarCommand parent;
-        @CommandLine.Spec
-        private CommandLine.Model.CommandSpec spec;
-        @Mixin
-        private Common common;
-        @Mixin
-        private When when;
+        @CommandLine.ParentCommand private CalendarCommand parent;
+        @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
+        @Mixin private Common common;
+        @Mixin private When when;
+
         @Parameters(index = "0", paramLabel = "put|show|list|withdraw")
         private String what;
+
         @Parameters(index = "1", arity = "0..1", paramLabel = "NAME")
         private String name;
-        @Option(names = "--version", paramLabel = "N", description = "the version that is meant, to change one")
+
+        @Option(
+                names = "--version",
+                paramLabel = "N",
+                description = "the version that is meant, to change one")
         private Long version;
 
         abstract String path();
@@ -186,8 +242,10 @@
 
         @Override
         public Integer call() throws Exception {
-            if ((name == null) != what.equals("list") || !List.of("put", "show", "list", "withdraw").contains(what)) {
-                throw new CommandLine.ParameterException(spec.commandLine(), "put, show or withdraw a NAME, or list");
+            if ((name == null) != what.equals("list")
+                    || !List.of("put", "show", "list", "withdraw").contains(what)) {
+                throw new CommandLine.ParameterException(
+                        spec.commandLine(), "put, show or withdraw a NAME, or list");
             }
             String path = name == null ? path() : path() + '/' + name;
             Map<String, Object> body = null;
@@ -196,8 +254,13 @@
                 when.put(body);
                 fields(body);
             }
-            Map<String, Object> told = common.ask(parent, what.equals("put") ? "PUT" : what.equals("withdraw") ? "DELETE"
-                    : "GET", path, version, body);
+            Map<String, Object> told =
+                    common.ask(
+                            parent,
+                            what.equals("put") ? "PUT" : what.equals("withdraw") ? "DELETE" : "GET",
+                            path,
+                            version,
+                            body);
             spec.commandLine().getOut().println(new String(Json.encode(told)));
             return CommandLine.ExitCode.OK;
         }
@@ -208,29 +271,60 @@
     static final class Reserve extends Entries {
         @Option(names = "--team", paramLabel = "TEAM")
         private String team;
+
         @Option(names = "--tasks", paramLabel = "N", description = "tasks that it has room for")
         private Long tasks;
+
         @Option(names = "--cpus", paramLabel = "N", description = "of each task")
         private Double cpus;
+
         @Option(names = "--gpus", paramLabel = "N", description = "of each task")
         private Double gpus;
+
         @Option(names = "--ram-gb", paramLabel = "N", description = "of each task")
         private Double ramGb;
-        @Option(names = "--priority", paramLabel = "P", description = "work below it may be stopped: critical, urgent,"
-                + " normal (default) or idle")
+
+        @Option(
+                names = "--priority",
+                paramLabel = "P",
+                description =
+                        "work below it may be stopped: critical, urgent,"
+                                + " normal (default) or idle")
         private String priority;
-        @Option(names = "--class", paramLabel = "CLASS", description = "of the jobs that may use it (default: any)")
+
+        @Option(
+                names = "--class",
+                paramLabel = "CLASS",
+                description = "of the jobs that may use it (default: any)")
         private String jobClass;
-        @Option(names = "--job", paramLabel = "ID", description = "that may use it (default: any); may be repeated")
+
+        @Option(
+                names = "--job",
+                paramLabel = "ID",
+                description = "that may use it (default: any); may be repeated")
         private List<String> jobs;
-        @Option(names = "--type", paramLabel = "TYPE", description = "allowed machine type (default: any); may be repeated")
+
+        @Option(
+                names = "--type",
+                paramLabel = "TYPE",
+                description = "allowed machine type (default: any); may be repeated")
         private List<String> types;
-        @Option(names = "--zone", paramLabel = "ZONE", description = "the only allowed zone (default: any)")
+
+        @Option(
+                names = "--zone",
+                paramLabel = "ZONE",
+                description = "the only allowed zone (default: any)")
         private String zone;
+
         @Option(names = "--spot", description = "spot machines will do")
         private Boolean spot;
-        @Option(names = "--image", paramLabel = "IMAGE", description = "that the tasks are likely to need")
+
+        @Option(
+                names = "--image",
+                paramLabel = "IMAGE",
+                description = "that the tasks are likely to need")
         private String image;
+
         @Option(names = "--image-gb", paramLabel = "N", description = "its size")
         private Double imageGb;
 
@@ -262,13 +356,28 @@
     /** Maintenance windows. */
     @Command(name = "window", description = "Declares when machines are out.")
     static final class Windows extends Entries {
-        @Option(names = "--machine", paramLabel = "NAME", description = "that is out; may be repeated")
+        @Option(
+                names = "--machine",
+                paramLabel = "NAME",
+                description = "that is out; may be repeated")
         private List<String> machines;
-        @Option(names = "--type", paramLabel = "TYPE", description = "whose machines are out; may be repeated")
+
+        @Option(
+                names = "--type",
+                paramLabel = "TYPE",
+                description = "whose machines are out; may be repeated")
         private List<String> types;
-        @Option(names = "--zone", paramLabel = "ZONE", description = "whose machines are out; may be repeated")
+
+        @Option(
+                names = "--zone",
+                paramLabel = "ZONE",
+                description = "whose machines are out; may be repeated")
         private List<String> zones;
-        @Option(names = "--notice", paramLabel = "DURATION", description = "how long before it services begin to move")
+
+        @Option(
+                names = "--notice",
+                paramLabel = "DURATION",
+                description = "how long before it services begin to move")
         private String notice;
 
         @Override
@@ -290,17 +399,20 @@
     /** Who has what when. */
     @Command(name = "plan", description = "Prints who has what when, as text or as a page.")
     static final class ShowPlan implements Callable<Integer> {
-        @CommandLine.ParentCommand
-        private CalendarCommand parent;
-        @CommandLine.Spec
-        private CommandLine.Model.CommandSpec spec;
-        @Mixin
-        private Common common;
+        @CommandLine.ParentCommand private CalendarCommand parent;
+        @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
+        @Mixin private Common common;
+
         @Option(names = "--hours", paramLabel = "N", description = "how far ahead (default: 48)")
         private int hours = 48;
+
         @Option(names = "--html", description = "a page instead of text")
         private boolean html;
-        @Option(names = "--time-zone", paramLabel = "ZONE", description = "whose clocks times are told by (default: UTC)")
+
+        @Option(
+                names = "--time-zone",
+                paramLabel = "ZONE",
+                description = "whose clocks times are told by (default: UTC)")
         private String zone = "UTC";
 
         @Override
--- a/src/main/java/org/meadowhollow/cli/calendar/PlanPage.java
+++ b/src/main/java/org/meadowhollow/cli/calendar/PlanPage.java
@@ -18,13 +18,14 @@
 
 /** A plan as a node tells it, from templates: a table in plain text, or a page. */
 final class PlanPage {
-    private static final DateTimeFormatter TIME = DateTimeFormatter.ofPattern("EEE d MMM HH:mm", Locale.ENGLISH);
+    private static final DateTimeFormatter TIME =
+            DateTimeFormatter.ofPattern("EEE d MMM HH:mm", Locale.ENGLISH);
 
-    private PlanPage() {
-    }
+    private PlanPage() {}
 
     /** A line of the plan; the fields are what the templates name. */
-    private static Map<String, Object> line(Fields told, String what, String detail, String note, boolean bad, ZoneId zone)
+    private static Map<String, Object> line(
+            Fields told, String what, String detail, String note, boolean bad, ZoneId zone)
             throws Malformed {
         Map<String, Object> line = new LinkedHashMap<>();
         line.put("from", TIME.format(Instant.parse(told.text("from")).atZone(zone)));
@@ -34,8 +35,15 @@
         line.put("detail", detail);
         line.put("note", note);
         line.put("bad", bad);
-        line.put("row", "%-17s %-17s %-32s %s%s".formatted(line.get("from"), line.get("until"), what, detail,
-                note.isEmpty() ? "" : "  ! " + note));
+        line.put(
+                "row",
+                "%-17s %-17s %-32s %s%s"
+                        .formatted(
+                                line.get("from"),
+                                line.get("until"),
+                                what,
+                                detail,
+                                note.isEmpty() ? "" : "  ! " + note));
         return line;
     }
 
@@ -57,19 +65,44 @@
             long met = slot.count("met");
             long tasks = slot.count("tasks");
             List<String> machines = new ArrayList<>();
-            slot.fields("machines").map().forEach((pair, count) -> machines.add(count + " x " + pair));
-            lines.add(line(slot, "reservation " + slot.text("reservation"), "team " + slot.text("team") + ", " + met
-                    + " of " + tasks + " tasks, " + String.join(" + ", machines), met < tasks ? String.join("; ",
-                    slot.textsOrNull("against")) : "", met < tasks, zone));
+            slot.fields("machines")
+                    .map()
+                    .forEach((pair, count) -> machines.add(count + " x " + pair));
+            lines.add(
+                    line(
+                            slot,
+                            "reservation " + slot.text("reservation"),
+                            "team "
+                                    + slot.text("team")
+                                    + ", "
+                                    + met
+                                    + " of "
+                                    + tasks
+                                    + " tasks, "
+                                    + String.join(" + ", machines),
+                            met < tasks ? String.join("; ", slot.textsOrNull("against")) : "",
+                            met < tasks,
+                            zone));
         }
         for (Fields outage : told.list("outages")) {
-            lines.add(line(outage, "window " + outage.text("window"), outage.text("scope").toLowerCase(Locale.ROOT) + " "
-                    + String.join(", ", outage.textsOrNull("targets")) + " out", "", false, zone));
+            lines.add(
+                    line(
+                            outage,
+                            "window " + outage.text("window"),
+                            outage.text("scope").toLowerCase(Locale.ROOT)
+                                    + " "
+                                    + String.join(", ", outage.textsOrNull("targets"))
+                                    + " out",
+                            "",
+                            false,
+                            zone));
         }
-        lines.sort(Comparator.comparing((Map<String, Object> line) -> (String) line.get("order"))
-                .thenComparing(line -> (String) line.get("what")));
-        Mustache template = new DefaultMustacheFactory("org/meadowhollow/cli/calendar")
-                .compile(html ? "plan.html" : "plan.txt");
+        lines.sort(
+                Comparator.comparing((Map<String, Object> line) -> (String) line.get("order"))
+                        .thenComparing(line -> (String) line.get("what")));
+        Mustache template =
+                new DefaultMustacheFactory("org/meadowhollow/cli/calendar")
+                        .compile(html ? "plan.html" : "plan.txt");
         StringWriter page = new StringWriter();
         Map<String, Object> scope = new LinkedHashMap<>();
         scope.put("lines", lines);
--- a/src/main/java/org/meadowhollow/coordination/CalendarKeeper.java
+++ b/src/main/java/org/meadowhollow/coordination/CalendarKeeper.java
@@ -33,22 +33,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps a leader's rounds in step with the calendar: what the round may use, who is warned, who is stopped, and what is
- * rented ahead. Guarded by the leader's lock; does nothing while it is off.
+ * Keeps a leader's rounds in step with the calendar: what the round may use, who is warned, who is
+ * stopped, and what is rented ahead. Guarded by the leader's lock; does nothing while it is off.
  */
 final class CalendarKeeper {
     private static final Logger LOG = LoggerFactory.getLogger(CalendarKeeper.class);
+
     /**
-     * Nobody is stopped sooner than this after having been warned. Mostly the warning comes two minutes ahead; a window
-     * that begins at once, or a takeover, which forgets who was warned, leaves this much.
+     * Nobody is stopped sooner than this after having been warned. Mostly the warning comes two
+     * minutes ahead; a window that begins at once, or a takeover, which forgets who was warned,
+     * leaves this much.
      */
     private static final Duration LEAST_WARNING = Duration.ofSeconds(30);
-    /** One replica of a service at a time leaves, and the next one only after this, so that the service stays up. */
+
+    /**
+     * One replica of a service at a time leaves, and the next one only after this, so that the
+     * service stays up.
+     */
     private static final Duration BETWEEN_MOVES = Duration.ofSeconds(20);
+
     private static final int MOST_NOTED = 10_000;
 
-    private record Warned(TaskId task, Attempt attempt) {
-    }
+    private record Warned(TaskId task, Attempt attempt) {}
 
     private final Leader leader;
     private final Cluster cluster;
@@ -63,8 +69,15 @@
     private final Map<JobId, Moment> moved = new HashMap<>();
     private final Set<String> noted = new HashSet<>();
 
-    CalendarKeeper(Leader leader, Cluster cluster, Aims aims, Catalog catalog, Platform platform, StateStore store,
-            EventLoop loop, CalendarSettings settings) {
+    CalendarKeeper(
+            Leader leader,
+            Cluster cluster,
+            Aims aims,
+            Catalog catalog,
+            Platform platform,
+            StateStore store,
+            EventLoop loop,
+            CalendarSettings settings) {
         this.leader = leader;
         this.cluster = cluster;
         this.aims = aims;
@@ -81,7 +94,10 @@
         }
     }
 
-    /** Whether rounds may begin: not before the calendar is known, or they would place into what is promised. */
+    /**
+     * Whether rounds may begin: not before the calendar is known, or they would place into what is
+     * promised.
+     */
     boolean isReady() {
         return !settings.on() || diary.isKnown();
     }
@@ -105,24 +121,41 @@
             warned.clear();
             return;
         }
-        List<Machine> heard = cluster.machines().values().stream().filter(machine -> machine.heardAt() != null).toList();
+        List<Machine> heard =
+                cluster.machines().values().stream()
+                        .filter(machine -> machine.heardAt() != null)
+                        .toList();
         Map<JobSpec, Integer> waiting = new HashMap<>();
         for (Job job : cluster.jobs().values()) {
             if (job.waitingCount() > 0) {
                 waiting.put(job.spec(), job.waitingCount());
             }
         }
-        cluster.outlook(Outlook.of(plan, heard, machine -> cluster.usable(machine, now), waiting, estimates, supply,
-                aims::readyS, new Outlook.Clocks(now, loop.wallMillis(), settings.skew().toMillis())));
+        cluster.outlook(
+                Outlook.of(
+                        plan,
+                        heard,
+                        machine -> cluster.usable(machine, now),
+                        waiting,
+                        estimates,
+                        supply,
+                        aims::readyS,
+                        new Outlook.Clocks(now, loop.wallMillis(), settings.skew().toMillis())));
     }
 
     /** What to rent for slots that begin before long. */
     List<Fleet.Need> needs() {
         List<Fleet.Need> needs = new ArrayList<>();
         for (Outlook.Missing missing : cluster.outlook().missing()) {
-            needs.add(new Fleet.Need(missing.reservation().asJob(), missing.tasks(), missing.zone(), 0));
-            note("reservation " + missing.reservation().name() + " has no machines yet for " + missing.tasks()
-                    + " of its tasks");
+            needs.add(
+                    new Fleet.Need(
+                            missing.reservation().asJob(), missing.tasks(), missing.zone(), 0));
+            note(
+                    "reservation "
+                            + missing.reservation().name()
+                            + " has no machines yet for "
+                            + missing.tasks()
+                            + " of its tasks");
         }
         return needs;
     }
@@ -137,28 +170,44 @@
             if (since == null) {
                 if (warned.size() < MOST_NOTED) {
                     warned.put(key, now);
-                    LOG.info("task {} attempt {} on {} will be stopped in {} s unless it is done: {}", placement.task(),
-                            placement.attempt(), placement.machine(), Math.max(LEAST_WARNING.toSeconds(),
-                                    Math.round(spill.latestInS())), spill.why());
+                    LOG.info(
+                            "task {} attempt {} on {} will be stopped in {} s unless it is done: {}",
+                            placement.task(),
+                            placement.attempt(),
+                            placement.machine(),
+                            Math.max(LEAST_WARNING.toSeconds(), Math.round(spill.latestInS())),
+                            spill.why());
                 }
-            } else if (spill.stopInS() <= 0 && now.since(since).compareTo(LEAST_WARNING) >= 0
+            } else if (spill.stopInS() <= 0
+                    && now.since(since).compareTo(LEAST_WARNING) >= 0
                     && (spill.latestInS() <= 0 || mayMove(placement.job(), now))) {
                 leader.stopSaving(placement, spill.why());
                 moved.put(placement.job().id(), now);
             }
         }
-        outlook.unused().forEach(name -> note("reservation " + name + " is not used and given back"));
-        warned.keySet().removeIf(key -> outlook.spills().stream().noneMatch(spill ->
-                spill.placement().task().equals(key.task()) && spill.placement().attempt().equals(key.attempt())));
+        outlook.unused()
+                .forEach(name -> note("reservation " + name + " is not used and given back"));
+        warned.keySet()
+                .removeIf(
+                        key ->
+                                outlook.spills().stream()
+                                        .noneMatch(
+                                                spill ->
+                                                        spill.placement().task().equals(key.task())
+                                                                && spill.placement()
+                                                                        .attempt()
+                                                                        .equals(key.attempt())));
         moved.values().removeIf(at -> now.since(at).compareTo(BETWEEN_MOVES) > 0);
     }
 
     /** Whether a replica can leave while all others of its service run. */
     private boolean mayMove(Job job, Moment now) {
         Moment last = moved.get(job.id());
-        return job.spec().kind() != Kind.SERVICE || job.waitingCount() == 0
-                && (last == null || now.since(last).compareTo(BETWEEN_MOVES) >= 0)
-                && job.placements().stream().allMatch(one -> one.runningSince() != null && !one.stopping());
+        return job.spec().kind() != Kind.SERVICE
+                || job.waitingCount() == 0
+                        && (last == null || now.since(last).compareTo(BETWEEN_MOVES) >= 0)
+                        && job.placements().stream()
+                                .allMatch(one -> one.runningSince() != null && !one.stopping());
     }
 
     /** Says what operators should know once, and not in every round. */
--- a/src/main/java/org/meadowhollow/coordination/CalendarSettings.java
+++ b/src/main/java/org/meadowhollow/coordination/CalendarSettings.java
@@ -6,7 +6,8 @@
 /**
  * Whether a node plans around reservations and windows, as its operator's flags say.
  *
- * @param most machines that the operators will have at a time, by {@code type/zone} or type; others have no bound
+ * @param most machines that the operators will have at a time, by {@code type/zone} or type; others
+ *     have no bound
  * @param skew how far the time of day may be off, on either side
  */
 public record CalendarSettings(boolean on, Map<String, Integer> most, Duration skew) {
--- a/src/main/java/org/meadowhollow/coordination/HeldReports.java
+++ b/src/main/java/org/meadowhollow/coordination/HeldReports.java
@@ -11,13 +11,13 @@
 import org.meadowhollow.bookkeeping.Report;
 
 /**
- * Reports that are answered a little later. A leader holds them since starts go out in answers alone, so that a
- * machine can be told to start a task at once, instead of with its next report; another node while no leader is known.
+ * Reports that are answered a little later. A leader holds them since starts go out in answers
+ * alone, so that a machine can be told to start a task at once, instead of with its next report;
+ * another node while no leader is known.
  */
 final class HeldReports {
     /** A report, and where its answer goes. */
-    record Held(Report report, CompletableFuture<Answer> answer, Moment until) {
-    }
+    record Held(Report report, CompletableFuture<Answer> answer, Moment until) {}
 
     /** In the order in which they are due, for all are held for the same time. */
     private final Map<MachineId, Held> held = new LinkedHashMap<>();
@@ -29,7 +29,10 @@
         return entry.answer();
     }
 
-    /** Lets go of a machine's earlier report: it has one in flight at a time, so nobody waits for that answer. */
+    /**
+     * Lets go of a machine's earlier report: it has one in flight at a time, so nobody waits for
+     * that answer.
+     */
     void drop(MachineId machine) {
         Held earlier = held.remove(machine);
         if (earlier != null) {
@@ -49,7 +52,7 @@
     /** Those that have been held for long enough, which are held no more. */
     List<Held> due(Moment now) {
         List<Held> due = new ArrayList<>();
-        for (Iterator<Held> all = held.values().iterator(); all.hasNext();) {
+        for (Iterator<Held> all = held.values().iterator(); all.hasNext(); ) {
             Held next = all.next();
             if (now.isBefore(next.until())) {
                 break;
--- a/src/main/java/org/meadowhollow/coordination/ImageNotes.java
+++ b/src/main/java/org/meadowhollow/coordination/ImageNotes.java
@@ -20,12 +20,17 @@
 import org.meadowhollow.coordination.platform.Platform;
 
 /**
- * Notes in the state service which machines have which image cached, for no report tells, and a successor that
- * does not know fetches everything anew. Only hints: a note that is late or wrong costs a fetch, no more.
+ * Notes in the state service which machines have which image cached, for no report tells, and a
+ * successor that does not know fetches everything anew. Only hints: a note that is late or wrong
+ * costs a fetch, no more.
  */
 final class ImageNotes {
-    /** How much a takeover forgets at most; each change costs a write, and most images change all the time. */
+    /**
+     * How much a takeover forgets at most; each change costs a write, and most images change all
+     * the time.
+     */
     private static final Duration EVERY = Duration.ofSeconds(10);
+
     /** Bytes of a transaction: the protocol's 64 KiB, less room for framing. */
     private static final int MOST_BYTES = 48 * 1024;
 
@@ -35,8 +40,10 @@
     private final int valueBytes;
     private final Map<String, Double> sizes = new HashMap<>();
     private final Set<String> changed = new LinkedHashSet<>();
+
     /** What a predecessor noted of machines that this leader has not met yet. */
     private final Map<MachineId, Map<String, Double>> noted = new HashMap<>();
+
     private Moment writtenAt;
     private boolean writing;
 
@@ -47,7 +54,9 @@
         this.valueBytes = platform.valueBytes();
     }
 
-    /** Takes in what a predecessor noted; what its machines do not have any more is put right later. */
+    /**
+     * Takes in what a predecessor noted; what its machines do not have any more is put right later.
+     */
     void load(List<StateStore.Entry> entries, Moment now) {
         // By the first write all live machines have reported.
         writtenAt = now;
@@ -82,13 +91,15 @@
 
     /** Writes what has changed, now and then, as far as one transaction goes. */
     void write(Collection<Machine> machines, Moment now) {
-        if (writing || changed.isEmpty() || writtenAt != null && now.since(writtenAt).compareTo(EVERY) < 0) {
+        if (writing
+                || changed.isEmpty()
+                || writtenAt != null && now.since(writtenAt).compareTo(EVERY) < 0) {
             return;
         }
         Transaction transaction = new Transaction().guard(Records.LEADER, leaderVersion);
         int bytes = 0;
-        for (Iterator<String> images = changed.iterator(); images.hasNext()
-                && transaction.writes().size() < mostWrites;) {
+        for (Iterator<String> images = changed.iterator();
+                images.hasNext() && transaction.writes().size() < mostWrites; ) {
             String image = images.next();
             List<MachineId> having = new ArrayList<>();
             for (Machine machine : machines) {
@@ -112,6 +123,7 @@
         // The pause begins once all is written.
         writtenAt = changed.isEmpty() ? now : writtenAt;
         writing = true;
-        store.commit(transaction, Urgency.BACKGROUND).whenComplete((commit, failure) -> writing = false);
+        store.commit(transaction, Urgency.BACKGROUND)
+                .whenComplete((commit, failure) -> writing = false);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/Node.java
+++ b/src/main/java/org/meadowhollow/coordination/Node.java
@@ -25,12 +25,12 @@
 import org.meadowhollow.coordination.hearing.Earshot;
 import org.meadowhollow.coordination.leadership.Leadership;
 import org.meadowhollow.coordination.platform.Cloud;
+import org.meadowhollow.coordination.platform.NodeStatus;
 import org.meadowhollow.coordination.platform.Peers;
 import org.meadowhollow.coordination.platform.Platform;
-import org.meadowhollow.coordination.platform.Workers;
-import org.meadowhollow.coordination.platform.NodeStatus;
 import org.meadowhollow.coordination.platform.TableDelta;
 import org.meadowhollow.coordination.platform.TableQuestion;
+import org.meadowhollow.coordination.platform.Workers;
 import org.meadowhollow.coordination.succession.Inheritance;
 import org.meadowhollow.coordination.succession.Standby;
 import org.meadowhollow.coordination.succession.StandbySettings;
@@ -41,25 +41,43 @@
 public final class Node implements Leadership.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(Node.class);
     private static final Duration RETRY = Duration.ofSeconds(1);
-    /** How long another node's word holds that the state service serves it; a few probes of the balancer. */
+
+    /**
+     * How long another node's word holds that the state service serves it; a few probes of the
+     * balancer.
+     */
     private static final Duration SERVED_FOR = Duration.ofSeconds(3);
+
     /**
-     * How long a report waits here for a leader to be known; well below the 4 s that a worker waits for an answer.
-     * Sent on at once, hundreds of workers would go round all nodes every second, each time on a new connection,
-     * while these have to find a leader; and the new one would hear of most of them late.
+     * How long a report waits here for a leader to be known; well below the 4 s that a worker waits
+     * for an answer. Sent on at once, hundreds of workers would go round all nodes every second,
+     * each time on a new connection, while these have to find a leader; and the new one would hear
+     * of most of them late.
      */
     private static final Duration MOST_ORPHANED = Duration.ofMillis(2500);
+
     private static final Duration SWEEP = Duration.ofMillis(500);
-    /** Workers that a deaf node asks whether they can be reached again, and how often; one answer will do. */
+
+    /**
+     * Workers that a deaf node asks whether they can be reached again, and how often; one answer
+     * will do.
+     */
     private static final int MOST_ASKED = 3;
+
     private static final Duration LISTEN_AGAIN = Duration.ofSeconds(4);
 
     /** How often a node looks how late it comes to its own work. */
     private static final Duration LOAD_CHECK = Duration.ofMillis(500);
+
     /** Later than this a node is short of time; a pause of the collector is shorter. */
     private static final Duration LATE = Duration.ofMillis(300);
-    /** Looks in a row that were late before a leader sends users elsewhere, about what the balancer's probes need. */
+
+    /**
+     * Looks in a row that were late before a leader sends users elsewhere, about what the
+     * balancer's probes need.
+     */
     private static final int LATE_LOOKS = 3;
+
     /** For how long it does; the balancer lets no node back sooner than after a few seconds. */
     private static final Duration SHED_FOR = Duration.ofSeconds(10);
 
@@ -75,8 +93,10 @@
     private final Peers peers;
     private final HeldReports orphans = new HeldReports();
     private final Earshot earshot = new Earshot();
+
     /** Null unless this node keeps warm what a successor needs. */
     private final Standby standby;
+
     private Leader leader;
     private boolean sweeping;
     private Moment othersServedAt;
@@ -85,9 +105,18 @@
     private int lateLooks;
     private Moment shedUntil;
 
-    public Node(EventLoop loop, StateStore store, Workers workers, Cloud cloud, Peers peers, Platform platform,
-            Catalog catalog, Observers observers,
-            CalendarSettings calendar, StandbySettings standbySettings, RandomGenerator random) {
+    public Node(
+            EventLoop loop,
+            StateStore store,
+            Workers workers,
+            Cloud cloud,
+            Peers peers,
+            Platform platform,
+            Catalog catalog,
+            Observers observers,
+            CalendarSettings calendar,
+            StandbySettings standbySettings,
+            RandomGenerator random) {
         this.calendar = calendar;
         this.observers = observers;
         this.loop = loop;
@@ -98,9 +127,22 @@
         this.catalog = catalog;
         this.peers = peers;
         this.leadership = new Leadership(store, loop, peers, platform, earshot, random, this);
-        this.standby = standbySettings.on() ? new Standby(loop, store, peers, new NodeStatus(platform.member(),
-                random.nextLong(), standbySettings.zone(), standbySettings.program(), Records.SCHEMA, Version.ABSENT),
-                leadership::leader, leadership::highest) : null;
+        this.standby =
+                standbySettings.on()
+                        ? new Standby(
+                                loop,
+                                store,
+                                peers,
+                                new NodeStatus(
+                                        platform.member(),
+                                        random.nextLong(),
+                                        standbySettings.zone(),
+                                        standbySettings.program(),
+                                        Records.SCHEMA,
+                                        Version.ABSENT),
+                                leadership::leader,
+                                leadership::highest)
+                        : null;
     }
 
     public void start() {
@@ -114,8 +156,9 @@
     }
 
     /**
-     * Whether this node comes to its work in time. A leader that users ask many times as often, beside the reports of
-     * hundreds of workers, answered these too late: their leases ran out with all their tasks.
+     * Whether this node comes to its work in time. A leader that users ask many times as often,
+     * beside the reports of hundreds of workers, answered these too late: their leases ran out with
+     * all their tasks.
      */
     private void watchLoad(Moment last) {
         if (isClosed()) {
@@ -128,7 +171,8 @@
             lateLooks = late ? lateLooks + 1 : 0;
             if (lateLooks >= LATE_LOOKS && leader != null) {
                 if (shedUntil == null || shedUntil.isBefore(now)) {
-                    LOG.info("this node leads and is short of time: users are sent to others for {} s",
+                    LOG.info(
+                            "this node leads and is short of time: users are sent to others for {} s",
                             SHED_FOR.toSeconds());
                 }
                 shedUntil = now.plus(SHED_FOR);
@@ -142,14 +186,19 @@
     }
 
     private void askOthers() {
-        peers.anyServed().thenAccept(served -> {
-            if (served) {
-                othersServed();
-            }
-        });
+        peers.anyServed()
+                .thenAccept(
+                        served -> {
+                            if (served) {
+                                othersServed();
+                            }
+                        });
     }
 
-    /** While the state service does not serve this node: whether it is back, and whether it serves others. */
+    /**
+     * While the state service does not serve this node: whether it is back, and whether it serves
+     * others.
+     */
     private void watchState() {
         if (isClosed()) {
             return;
@@ -166,52 +215,64 @@
     }
 
     /**
-     * Whether users should come here. A node that the state service alone refuses sends them to the others; in an
-     * outage for all it stays, for a node that leaves is let back late. A leader that is short of time sends them to the
-     * others as well, for reports and its lease come first.
+     * Whether users should come here. A node that the state service alone refuses sends them to the
+     * others; in an outage for all it stays, for a node that leaves is let back late. A leader that
+     * is short of time sends them to the others as well, for reports and its lease come first.
      */
     public synchronized boolean isReady() {
         boolean shedding = leader != null && shedUntil != null && loop.now().isBefore(shedUntil);
-        return !catalog.isEmpty() && !((store.seemsOut() || shedding) && othersServedAt != null
-                && loop.now().since(othersServedAt).compareTo(SERVED_FOR) < 0);
+        return !catalog.isEmpty()
+                && !((store.seemsOut() || shedding)
+                        && othersServedAt != null
+                        && loop.now().since(othersServedAt).compareTo(SERVED_FOR) < 0);
     }
 
     /** The types as an earlier node noted them, so that a node can start while the cloud is out. */
     private void readTypes() {
-        store.get(Records.TYPES, Urgency.USER).whenComplete((entry, failure) -> {
-            if (isClosed() || !catalog.isEmpty()) {
-                return;
-            }
-            if (failure != null) {
-                loop.after(RETRY, this::readTypes);
-            } else if (entry.isPresent()) {
-                catalog.learn(Records.types(entry.get().value()));
-                LOG.info("the state service names {} machine types", Records.types(entry.get().value()).size());
-            } else {
-                askTypes();
-            }
-        });
+        store.get(Records.TYPES, Urgency.USER)
+                .whenComplete(
+                        (entry, failure) -> {
+                            if (isClosed() || !catalog.isEmpty()) {
+                                return;
+                            }
+                            if (failure != null) {
+                                loop.after(RETRY, this::readTypes);
+                            } else if (entry.isPresent()) {
+                                catalog.learn(Records.types(entry.get().value()));
+                                LOG.info(
+                                        "the state service names {} machine types",
+                                        Records.types(entry.get().value()).size());
+                            } else {
+                                askTypes();
+                            }
+                        });
     }
 
     private void askTypes() {
-        cloud.types().whenComplete((types, failure) -> {
-            if (isClosed()) {
-                return;
-            }
-            if (failure != null || types.isEmpty()) {
-                if (!cloudSilent) {
-                    LOG.info("the cloud does not name its machine types: {}; trying on",
-                            failure == null ? "it has none" : failure.getMessage());
-                }
-                cloudSilent = true;
-                loop.after(RETRY, this::readTypes);
-                return;
-            }
-            catalog.learn(types);
-            LOG.info("the cloud offers {} machine types", types.size());
-            store.commit(new Transaction().guard(Records.TYPES, Version.ABSENT)
-                    .put(Records.TYPES, Records.types(types)), Urgency.BACKGROUND);
-        });
+        cloud.types()
+                .whenComplete(
+                        (types, failure) -> {
+                            if (isClosed()) {
+                                return;
+                            }
+                            if (failure != null || types.isEmpty()) {
+                                if (!cloudSilent) {
+                                    LOG.info(
+                                            "the cloud does not name its machine types: {}; trying on",
+                                            failure == null ? "it has none" : failure.getMessage());
+                                }
+                                cloudSilent = true;
+                                loop.after(RETRY, this::readTypes);
+                                return;
+                            }
+                            catalog.learn(types);
+                            LOG.info("the cloud offers {} machine types", types.size());
+                            store.commit(
+                                    new Transaction()
+                                            .guard(Records.TYPES, Version.ABSENT)
+                                            .put(Records.TYPES, Records.types(types)),
+                                    Urgency.BACKGROUND);
+                        });
     }
 
     private synchronized boolean isClosed() {
@@ -220,8 +281,22 @@
 
     @Override
     public void elected(Term term, Version leaderVersion, Moment noticedAt) {
-        Leader begun = new Leader(loop, store, workers, cloud, peers, platform, catalog, leadership, term,
-                leaderVersion, observers, calendar, standby == null ? Inheritance.NONE : standby.handOver(), noticedAt);
+        Leader begun =
+                new Leader(
+                        loop,
+                        store,
+                        workers,
+                        cloud,
+                        peers,
+                        platform,
+                        catalog,
+                        leadership,
+                        term,
+                        leaderVersion,
+                        observers,
+                        calendar,
+                        standby == null ? Inheritance.NONE : standby.handOver(),
+                        noticedAt);
         synchronized (this) {
             if (leader != null) {
                 leader.close();
@@ -250,16 +325,25 @@
         listenAgain(addresses);
     }
 
-    /** While this node is deaf: whether some workers answer it again, since none comes to a node that does not lead. */
+    /**
+     * While this node is deaf: whether some workers answer it again, since none comes to a node
+     * that does not lead.
+     */
     private void listenAgain(List<String> addresses) {
         if (isClosed() || addresses.isEmpty() || !leadership.isDeaf()) {
             return;
         }
         Term shown = leadership.term();
-        addresses.forEach(address -> workers.send(address, shown, new Session(1), List.of()).thenAccept(report -> {
-            LOG.info("worker {} answers this node again", report.machine());
-            leadership.hearsAgain();
-        }));
+        addresses.forEach(
+                address ->
+                        workers.send(address, shown, new Session(1), List.of())
+                                .thenAccept(
+                                        report -> {
+                                            LOG.info(
+                                                    "worker {} answers this node again",
+                                                    report.machine());
+                                            leadership.hearsAgain();
+                                        }));
         loop.after(LISTEN_AGAIN, () -> listenAgain(addresses));
     }
 
@@ -269,13 +353,19 @@
         return now != null && !now.hearsWell();
     }
 
-    /** What this node's tables have come to know, for a standby that asks; empty if it does not lead. */
+    /**
+     * What this node's tables have come to know, for a standby that asks; empty if it does not
+     * lead.
+     */
     public Optional<TableDelta> tables(TableQuestion question) {
         Leader now = leader();
         return now == null ? Optional.empty() : now.tables(question);
     }
 
-    /** The digests of the records as this node knows them; empty if it does not lead, or has not loaded them. */
+    /**
+     * The digests of the records as this node knows them; empty if it does not lead, or has not
+     * loaded them.
+     */
     public Optional<Digests> digests() {
         Leader now = leader();
         return now == null ? Optional.empty() : now.digests();
@@ -286,7 +376,9 @@
         return standby == null ? 0 : standby.wrongRecords();
     }
 
-    /** Gives the lease to the standby that could take over best, because this node is about to end. */
+    /**
+     * Gives the lease to the standby that could take over best, because this node is about to end.
+     */
     public void handOver() {
         Leader now = leader();
         if (now != null) {
@@ -308,7 +400,10 @@
         return leader;
     }
 
-    /** Answers a worker's report, or sends it to the leader; while none is known, the worker waits a little. */
+    /**
+     * Answers a worker's report, or sends it to the leader; while none is known, the worker waits a
+     * little.
+     */
     public CompletableFuture<Answer> report(Report report) {
         earshot.heard(report.machine(), loop.now());
         if (leadership.isDeaf()) {
--- a/src/main/java/org/meadowhollow/coordination/Reconciliation.java
+++ b/src/main/java/org/meadowhollow/coordination/Reconciliation.java
@@ -23,11 +23,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Compares what a worker reports with what the records say, and finds the orders that bring them together. Guarded
- * by the leader's lock.
+ * Compares what a worker reports with what the records say, and finds the orders that bring them
+ * together. Guarded by the leader's lock.
  */
 final class Reconciliation {
     private static final Logger LOG = LoggerFactory.getLogger(Reconciliation.class);
+
     /** Orders in one answer; keeps it below the protocol's 64 KiB. */
     private static final int MOST_ORDERS = 400;
 
@@ -39,8 +40,14 @@
     private final Inheritance inheritance;
     private final TableFeed feed;
 
-    Reconciliation(Leader leader, Cluster cluster, ImageNotes images, Leadership leadership, Term term,
-            Inheritance inheritance, TableFeed feed) {
+    Reconciliation(
+            Leader leader,
+            Cluster cluster,
+            ImageNotes images,
+            Leadership leadership,
+            Term term,
+            Inheritance inheritance,
+            TableFeed feed) {
         this.leader = leader;
         this.cluster = cluster;
         this.images = images;
@@ -56,7 +63,9 @@
             return false;
         }
         if (machine.session() == null) {
-            inheritance.table(report, now).ifPresent(table -> cluster.risks().put(machine.id(), table));
+            inheritance
+                    .table(report, now)
+                    .ifPresent(table -> cluster.risks().put(machine.id(), table));
         }
         machine.reported(report);
         if (!leader.isLoaded()) {
@@ -75,17 +84,21 @@
             Report.Task task = listed.get(placement.task());
             if (report.session().isAfter(placement.session())) {
                 if (!report.token().equals(term)) {
-                    // It may be a copy from before a machine that is back began its sessions anew; the next one will tell.
+                    // It may be a copy from before a machine that is back began its sessions anew;
+                    // the next one will tell.
                     continue;
                 }
                 leader.lost(machine, placement, "the worker's lease ran out", now);
             } else if (placement.session().isAfter(report.session())) {
                 if (report.token().equals(term) && report.seq() > placement.startSentSeq()) {
-                    // It shows our token, so it was sent after the session of the record was seen, and sessions only grow: the
-                    // machine has begun anew. Without this its task would be waited for, and its job with it, for ever.
+                    // It shows our token, so it was sent after the session of the record was seen,
+                    // and sessions only grow: the
+                    // machine has begun anew. Without this its task would be waited for, and its
+                    // job with it, for ever.
                     leader.lost(machine, placement, "its machine has begun anew", now);
                 }
-                // Otherwise it is a copy from before the placement: the same attempt of a gang may have ended here then.
+                // Otherwise it is a copy from before the placement: the same attempt of a gang may
+                // have ended here then.
             } else if (task != null && task.attempt().equals(placement.attempt())) {
                 if (task.state() == TaskState.EXITED && isOver(placement, task.cause(), report)) {
                     leader.exited(machine, placement, task.cause(), now);
@@ -98,7 +111,9 @@
                         leader.began(placement);
                     }
                     if (task.state() != TaskState.FETCHING && task.state() != TaskState.EXITED) {
-                        images.has(machine, placement.job().spec().image(),
+                        images.has(
+                                machine,
+                                placement.job().spec().image(),
                                 placement.job().spec().imageGb());
                     }
                 }
@@ -111,8 +126,14 @@
             }
         }
         machine.settling().keySet().removeIf(task -> !listed.containsKey(task));
-        int sample = cluster.risks().get(machine.id()).add(machine.placements().size(),
-                machine.booked().shareOf(machine.type().room()), machine.takeLost(), now);
+        int sample =
+                cluster.risks()
+                        .get(machine.id())
+                        .add(
+                                machine.placements().size(),
+                                machine.booked().shareOf(machine.type().room()),
+                                machine.takeLost(),
+                                now);
         feed.sampled(machine, sample, now);
         return true;
     }
@@ -129,7 +150,8 @@
     List<Order> orders(Machine machine, Report report, Moment now) {
         List<Order> orders = new ArrayList<>();
         Map<TaskId, Report.Task> listed = new HashMap<>();
-        // All that is listed counts as listed, however many orders there is room for: what seems not to be there is let go.
+        // All that is listed counts as listed, however many orders there is room for: what seems
+        // not to be there is let go.
         report.tasks().forEach(task -> listed.put(task.id(), task));
         for (Report.Task task : report.tasks()) {
             if (orders.size() >= MOST_ORDERS) {
@@ -137,10 +159,13 @@
             }
             Placement placement = placementOf(machine, task);
             if (placement != null) {
-                if (placement.stopping() && (task.state() != TaskState.SAVING || placement.graceS() == 0)) {
+                if (placement.stopping()
+                        && (task.state() != TaskState.SAVING || placement.graceS() == 0)) {
                     orders.add(Order.stop(task.id(), task.attempt(), placement.graceS()));
-                } else if (task.state() == TaskState.EXITED && mayStart(placement, machine, report)) {
-                    // It gave up waiting for its gang, whose fetches go on; its record stands, so it may wait anew.
+                } else if (task.state() == TaskState.EXITED
+                        && mayStart(placement, machine, report)) {
+                    // It gave up waiting for its gang, whose fetches go on; its record stands, so
+                    // it may wait anew.
                     placement.startSent(report.seq());
                     orders.add(Order.forget(task.id(), task.attempt()));
                     orders.add(Order.start(task.id(), task.attempt()));
@@ -150,7 +175,9 @@
                 orders.add(Order.stop(task.id(), task.attempt(), 0));
             } else {
                 Machine.Settling settling = machine.settling().get(task.id());
-                if (settling == null || !settling.attempt().equals(task.attempt()) || settling.isSaved()) {
+                if (settling == null
+                        || !settling.attempt().equals(task.attempt())
+                        || settling.isSaved()) {
                     orders.add(Order.forget(task.id(), task.attempt()));
                 }
             }
@@ -173,36 +200,44 @@
     }
 
     /**
-     * Whether a placement that a report does not list can never start any more. A start goes out only in
-     * the answer to a report, and a worker has one report in flight at a time; so a later report without
-     * the task proves that no answer with its start will be heeded, once the worker has shown our token,
-     * which shuts out the answers of earlier leaders.
+     * Whether a placement that a report does not list can never start any more. A start goes out
+     * only in the answer to a report, and a worker has one report in flight at a time; so a later
+     * report without the task proves that no answer with its start will be heeded, once the worker
+     * has shown our token, which shuts out the answers of earlier leaders.
      */
     private boolean neverStarts(Placement placement, Machine machine, Report report) {
-        return report.token().equals(term) && report.session().equals(placement.session())
-                && report.seq() > placement.startSentSeq() && machine.heardAt() != null;
+        return report.token().equals(term)
+                && report.session().equals(placement.session())
+                && report.seq() > placement.startSentSeq()
+                && machine.heardAt() != null;
     }
 
     /**
-     * Whether the answer to a report may start a placement. Not in another session than that which it was placed in: the
-     * next report would prove that session over, and the task just started would be one that no record knows of.
+     * Whether the answer to a report may start a placement. Not in another session than that which
+     * it was placed in: the next report would prove that session over, and the task just started
+     * would be one that no record knows of.
      */
     private boolean mayStart(Placement placement, Machine machine, Report report) {
-        return leadership.maySendStarts() && placement.committed() && !machine.releasing()
-                && placement.session().equals(report.session()) && wholeGangCommitted(placement);
+        return leadership.maySendStarts()
+                && placement.committed()
+                && !machine.releasing()
+                && placement.session().equals(report.session())
+                && wholeGangCommitted(placement);
     }
 
     /**
-     * Whether an exit that a report of the placement's session lists is its end. One that only lost patience with its gang
-     * is started anew in the same attempt, for images differ by more than a gang's patience, and ending the attempt would
-     * give up the fetches of all its other tasks. Where it is not wanted any more, its exit is proof only if nobody can have
-     * taken it back: an old report that reached the next leader first let a cancelled gang end while it ran.
+     * Whether an exit that a report of the placement's session lists is its end. One that only lost
+     * patience with its gang is started anew in the same attempt, for images differ by more than a
+     * gang's patience, and ending the attempt would give up the fetches of all its other tasks.
+     * Where it is not wanted any more, its exit is proof only if nobody can have taken it back: an
+     * old report that reached the next leader first let a cancelled gang end while it ran.
      */
     private boolean isOver(Placement placement, Cause cause, Report report) {
         if (cause != Cause.ALONE) {
             return true;
         }
-        return (placement.stopping() || placement.job().cancelled()) && report.token().equals(term)
+        return (placement.stopping() || placement.job().cancelled())
+                && report.token().equals(term)
                 && report.seq() > placement.startSentSeq();
     }
 
--- a/src/main/java/org/meadowhollow/coordination/admission/LiveJobs.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/LiveJobs.java
@@ -18,43 +18,61 @@
 import org.meadowhollow.bookkeeping.Version;
 
 /**
- * What this node has seen of live jobs, by which it answers users who ask again and again. What is kept may be old, so
- * nothing is answered from it until a look at the changes, begun after the question came, has been taken in: then no
- * other node can have told anybody anything newer before. One look serves all who ask meanwhile, so that users who ask
- * many times as often cost the state service no more requests.
+ * What this node has seen of live jobs, by which it answers users who ask again and again. What is
+ * kept may be old, so nothing is answered from it until a look at the changes, begun after the
+ * question came, has been taken in: then no other node can have told anybody anything newer before.
+ * One look serves all who ask meanwhile, so that users who ask many times as often cost the state
+ * service no more requests.
  *
- * <p>Guards against what was met: polls at a read or two each took the whole budget of the state service, and the
- * leader neither learned of cancellations nor got its own records written.
+ * <p>Guards against what was met: polls at a read or two each took the whole budget of the state
+ * service, and the leader neither learned of cancellations nor got its own records written.
  */
 final class LiveJobs {
-    /** Between two looks of a node: unnoticed by a user, and a few requests a second of the state service's budget. */
+    /**
+     * Between two looks of a node: unnoticed by a user, and a few requests a second of the state
+     * service's budget.
+     */
     private static final Duration PACE = Duration.ofMillis(200);
+
     /** Looks on their way at a time: one that hangs must not hold up those who ask later. */
     private static final int MOST_LOOKS = 4;
+
     /** Users wait 2 s for an answer; one that comes later is of no use, and they ask again. */
     private static final Duration PATIENCE = Duration.ofMillis(1850);
-    /** After so long without a question the changes since then may be many; it is cheaper to begin anew. */
+
+    /**
+     * After so long without a question the changes since then may be many; it is cheaper to begin
+     * anew.
+     */
     private static final Duration IDLE = Duration.ofSeconds(20);
+
     /** Jobs kept; a few times as many as live at once on the largest deployments seen. */
     private static final int MOST_KEPT = 8000;
-    /** Questions that wait for a look; each holds a connection, of which a process has about as many. */
+
+    /**
+     * Questions that wait for a look; each holds a connection, of which a process has about as
+     * many.
+     */
     private static final int MOST_ASKING = 2000;
 
     /** Looks in a row without an answer after which those who ask are served by reads. */
     private static final int MOST_FAILURES = 2;
 
     /** What is known of a job that was seen alive. */
-    enum Sight { LIVE, CANCELLED, MOVED }
-
-    private record Known(Sight sight, Version version) {
+    enum Sight {
+        LIVE,
+        CANCELLED,
+        MOVED
     }
 
-    private record Asker(CompletableFuture<Void> answer) {
-    }
+    private record Known(Sight sight, Version version) {}
 
-    /** What was kept when a read was sent, so that its answer is told from what changed meanwhile. */
-    record Mark(int epoch, long dropped) {
-    }
+    private record Asker(CompletableFuture<Void> answer) {}
+
+    /**
+     * What was kept when a read was sent, so that its answer is told from what changed meanwhile.
+     */
+    record Mark(int epoch, long dropped) {}
 
     private final StateStore store;
     private final EventLoop loop;
@@ -66,8 +84,10 @@
     private boolean lookSet;
     private int epoch;
     private long dropped;
+
     /** Looks without an answer, since the last one that had one. */
     private int failures;
+
     /** Until when jobs are read instead of followed, or null. */
     private Moment readUntil;
 
@@ -76,23 +96,34 @@
         this.loop = loop;
     }
 
-    /** What was last seen of a job, or null; not to be told to anybody before {@link #readBarrier}. */
+    /**
+     * What was last seen of a job, or null; not to be told to anybody before {@link #readBarrier}.
+     */
     synchronized Sight sight(JobId id) {
         Known seen = known.get(id);
         return seen == null ? null : seen.sight();
     }
 
-    /** Completes once all changes up to now are taken in; fails if that is not known within {@link #PATIENCE}. */
+    /**
+     * Completes once all changes up to now are taken in; fails if that is not known within {@link
+     * #PATIENCE}.
+     */
     CompletableFuture<Void> readBarrier() {
         Asker asker = new Asker(new CompletableFuture<>());
         synchronized (this) {
             if (asking.size() >= MOST_ASKING) {
-                return CompletableFuture.failedFuture(new Admission.TryLater("too many ask at once"));
+                return CompletableFuture.failedFuture(
+                        new Admission.TryLater("too many ask at once"));
             }
             asking.add(asker);
         }
-        loop.after(PATIENCE, () -> asker.answer().completeExceptionally(
-                new Admission.TryLater("the state service gave no answer")));
+        loop.after(
+                PATIENCE,
+                () ->
+                        asker.answer()
+                                .completeExceptionally(
+                                        new Admission.TryLater(
+                                                "the state service gave no answer")));
         schedule();
         return asker.answer();
     }
@@ -114,7 +145,10 @@
         return mark;
     }
 
-    /** Keeps what a read found, unless changes that were taken in since may have been forgotten again. */
+    /**
+     * Keeps what a read found, unless changes that were taken in since may have been forgotten
+     * again.
+     */
     synchronized void read(JobId id, Version version, boolean cancelled, Mark sent) {
         if (reached != null && isFollowed() && sent.epoch() == epoch && sent.dropped() == dropped) {
             keep(id, new Known(cancelled ? Sight.CANCELLED : Sight.LIVE, version));
@@ -136,8 +170,9 @@
     }
 
     /**
-     * Looks that get no answer while reads do (an answer may be larger than the client takes) would leave all who ask
-     * about live jobs without one, for as long as that lasts: after two in a row they are served by reads for a time.
+     * Looks that get no answer while reads do (an answer may be larger than the client takes) would
+     * leave all who ask about live jobs without one, for as long as that lasts: after two in a row
+     * they are served by reads for a time.
      */
     private void failed(Outcome outcome) {
         failures += outcome == Outcome.UNKNOWN ? 1 : 0;
@@ -171,12 +206,14 @@
         if (pause.isZero()) {
             look();
         } else {
-            loop.after(pause, () -> {
-                synchronized (this) {
-                    lookSet = false;
-                }
-                look();
-            });
+            loop.after(
+                    pause,
+                    () -> {
+                        synchronized (this) {
+                            lookSet = false;
+                        }
+                        look();
+                    });
         }
     }
 
@@ -194,16 +231,25 @@
         }
         if (from == null) {
             // Where to follow from; whoever asks is served by reads until then.
-            store.list(Records.LEADER, null, 1, Urgency.USER).whenComplete((page, failure) ->
-                    looked(served, begun, failure == null ? new StateStore.Changes(page.revision(), List.of()) : null,
-                            failure));
+            store.list(Records.LEADER, null, 1, Urgency.USER)
+                    .whenComplete(
+                            (page, failure) ->
+                                    looked(
+                                            served,
+                                            begun,
+                                            failure == null
+                                                    ? new StateStore.Changes(
+                                                            page.revision(), List.of())
+                                                    : null,
+                                            failure));
         } else {
-            store.watch(Records.JOBS, from, Duration.ZERO).whenComplete((changes, failure) ->
-                    looked(served, begun, changes, failure));
+            store.watch(Records.JOBS, from, Duration.ZERO)
+                    .whenComplete((changes, failure) -> looked(served, begun, changes, failure));
         }
     }
 
-    private void looked(List<Asker> served, int begun, StateStore.Changes changes, Throwable failure) {
+    private void looked(
+            List<Asker> served, int begun, StateStore.Changes changes, Throwable failure) {
         boolean more;
         boolean current;
         synchronized (this) {
@@ -211,11 +257,19 @@
             current = begun == epoch;
             if (failure == null && current) {
                 failures = 0;
-                // A look that was sent before may be answered after it, when what it shows may have been let go again.
+                // A look that was sent before may be answered after it, when what it shows may have
+                // been let go again.
                 if (reached == null || changes.revision().isAfter(reached)) {
                     for (StateStore.Change change : changes.changes()) {
-                        keep(Records.jobOfKey(change.key()), new Known(change.value() == null ? Sight.MOVED
-                                : Records.isCancelled(change.value()) ? Sight.CANCELLED : Sight.LIVE, change.version()));
+                        keep(
+                                Records.jobOfKey(change.key()),
+                                new Known(
+                                        change.value() == null
+                                                ? Sight.MOVED
+                                                : Records.isCancelled(change.value())
+                                                        ? Sight.CANCELLED
+                                                        : Sight.LIVE,
+                                        change.version()));
                     }
                     reached = changes.revision();
                 }
--- a/src/main/java/org/meadowhollow/coordination/calendar/Admittance.java
+++ b/src/main/java/org/meadowhollow/coordination/calendar/Admittance.java
@@ -16,24 +16,29 @@
 import org.meadowhollow.bookkeeping.calendar.Schedule;
 import org.meadowhollow.bookkeeping.calendar.Window;
 
-/** Whether a reservation can be promised, and what a window takes from those that were: pure functions. */
+/**
+ * Whether a reservation can be promised, and what a window takes from those that were: pure
+ * functions.
+ */
 public final class Admittance {
     /** How far ahead times are promised; a rule that goes on is looked at again as time passes. */
     public static final Duration HORIZON = Duration.ofDays(35);
+
     /** Entries of a calendar: as many as one list of the state service, and its stamp, can hold. */
     public static final int MOST_ENTRIES = 999;
+
     /** Other starts that are tried for one that cannot be met. */
     private static final int MOST_STARTS = 50;
 
-    private Admittance() {
-    }
+    private Admittance() {}
 
     /**
      * The answer to a request.
      *
      * @param never why it can never be met, or null
      * @param against what stands against it now; empty if it can be met
-     * @param nearest a later start of its first time at which all could be met, or null if none was found
+     * @param nearest a later start of its first time at which all could be met, or null if none was
+     *     found
      */
     public record Verdict(String never, List<String> against, LocalDateTime nearest) {
         public boolean isMet() {
@@ -41,13 +46,15 @@
         }
     }
 
-    public static Verdict judge(Calendar calendar, Reservation asked, Supply supply, Set<String> zones, long now) {
+    public static Verdict judge(
+            Calendar calendar, Reservation asked, Supply supply, Set<String> zones, long now) {
         String never = whyNever(asked, supply, zones);
         if (never != null) {
             return new Verdict(never, List.of(), null);
         }
         List<String> against = against(calendar, asked, supply, now);
-        return new Verdict(null, against, against.isEmpty() ? null : nearest(calendar, asked, supply, now));
+        return new Verdict(
+                null, against, against.isEmpty() ? null : nearest(calendar, asked, supply, now));
     }
 
     private static String whyNever(Reservation asked, Supply supply, Set<String> zones) {
@@ -59,7 +66,8 @@
         }
         Resources limit = supply.limits().get(asked.team());
         Resources all = asked.perTask().times(asked.tasks());
-        if (limit.cpu() > 0 && all.cpu() > limit.cpu() || limit.gpu() > 0 && all.gpu() > limit.gpu()) {
+        if (limit.cpu() > 0 && all.cpu() > limit.cpu()
+                || limit.gpu() > 0 && all.gpu() > limit.gpu()) {
             return "it is more than the limit of team " + asked.team();
         }
         for (MachineType type : supply.types()) {
@@ -72,8 +80,12 @@
         return "a task fits no machine type that it allows";
     }
 
-    /** What stands against it, and against those accepted before it, since it comes last, nothing changes for them. */
-    private static List<String> against(Calendar calendar, Reservation asked, Supply supply, long now) {
+    /**
+     * What stands against it, and against those accepted before it, since it comes last, nothing
+     * changes for them.
+     */
+    private static List<String> against(
+            Calendar calendar, Reservation asked, Supply supply, long now) {
         Plan plan = Plan.of(calendar.with(asked), supply, now, now + HORIZON.toMillis());
         Set<String> all = new LinkedHashSet<>();
         boolean any = false;
@@ -89,15 +101,25 @@
         return List.copyOf(all);
     }
 
-    /** Whatever stands against a time ends when some other entry does, so only those moments are tried. */
-    private static LocalDateTime nearest(Calendar calendar, Reservation asked, Supply supply, long now) {
-        List<Occurrence> own = Recurrence.between(asked.schedule(), now, now + HORIZON.toMillis(), 1);
+    /**
+     * Whatever stands against a time ends when some other entry does, so only those moments are
+     * tried.
+     */
+    private static LocalDateTime nearest(
+            Calendar calendar, Reservation asked, Supply supply, long now) {
+        List<Occurrence> own =
+                Recurrence.between(asked.schedule(), now, now + HORIZON.toMillis(), 1);
         if (own.isEmpty()) {
             return null;
         }
         long start = own.get(0).fromMillis();
         TreeSet<Long> ends = new TreeSet<>();
-        Plan plan = Plan.of(calendar.withoutReservation(asked.name()), supply, now, now + HORIZON.toMillis());
+        Plan plan =
+                Plan.of(
+                        calendar.withoutReservation(asked.name()),
+                        supply,
+                        now,
+                        now + HORIZON.toMillis());
         plan.outages().forEach(outage -> ends.add(outage.when().untilMillis()));
         plan.slots().forEach(slot -> ends.add(slot.when().untilMillis()));
         int tried = 0;
@@ -107,9 +129,21 @@
             }
             Schedule was = asked.schedule();
             LocalDateTime moved = LocalDateTime.ofInstant(Instant.ofEpochMilli(end), was.zone());
-            Reservation other = new Reservation(asked.name(), asked.team(), asked.priority(), asked.tasks(),
-                    asked.perTask(), asked.types(), asked.zone(), asked.spot(), asked.image(), asked.imageGb(),
-                    asked.jobClass(), asked.jobs(), new Schedule(moved, was.zone(), was.length(), was.rule()));
+            Reservation other =
+                    new Reservation(
+                            asked.name(),
+                            asked.team(),
+                            asked.priority(),
+                            asked.tasks(),
+                            asked.perTask(),
+                            asked.types(),
+                            asked.zone(),
+                            asked.spot(),
+                            asked.image(),
+                            asked.imageGb(),
+                            asked.jobClass(),
+                            asked.jobs(),
+                            new Schedule(moved, was.zone(), was.length(), was.rule()));
             if (against(calendar, other, supply, now).isEmpty()) {
                 return moved;
             }
@@ -118,8 +152,9 @@
     }
 
     /**
-     * What a window that is declared or changed would take: times of accepted reservations that were met and are short
-     * with it, or are met from other machines. A window is never refused for it.
+     * What a window that is declared or changed would take: times of accepted reservations that
+     * were met and are short with it, or are met from other machines. A window is never refused for
+     * it.
      */
     public static List<String> taken(Calendar calendar, Window window, Supply supply, long now) {
         long until = now + HORIZON.toMillis();
@@ -129,7 +164,10 @@
         for (int at = 0; at < before.size(); at++) {
             Plan.Slot was = before.get(at);
             Plan.Slot is = after.get(at);
-            String which = was.reservation().name() + " at " + Instant.ofEpochMilli(was.when().fromMillis());
+            String which =
+                    was.reservation().name()
+                            + " at "
+                            + Instant.ofEpochMilli(was.when().fromMillis());
             if (was.isMet() && !is.isMet()) {
                 told.add(which + " is short: " + String.join("; ", is.against()));
             } else if (!was.machines().equals(is.machines())) {
--- a/src/main/java/org/meadowhollow/coordination/calendar/Diary.java
+++ b/src/main/java/org/meadowhollow/coordination/calendar/Diary.java
@@ -16,14 +16,19 @@
 import org.meadowhollow.bookkeeping.calendar.CalendarRecords;
 
 /**
- * A leader's view of the calendar: read once, then followed by what changes, and the plan made from it, which is made
- * anew only when the calendar has changed or much of its span is past.
+ * A leader's view of the calendar: read once, then followed by what changes, and the plan made from
+ * it, which is made anew only when the calendar has changed or much of its span is past.
  */
 public final class Diary {
     private static final Duration RETRY = Duration.ofSeconds(1);
     private static final Duration WATCH = Duration.ofSeconds(20);
-    /** The plan's span: what another clock may not take for past, and well beyond the time for which room is kept. */
+
+    /**
+     * The plan's span: what another clock may not take for past, and well beyond the time for which
+     * room is kept.
+     */
     private static final Duration BACK = Duration.ofMinutes(10);
+
     private static final Duration AHEAD = Duration.ofHours(6);
     private static final Duration REPLAN = Duration.ofHours(1);
 
@@ -52,21 +57,25 @@
         if (over.getAsBoolean()) {
             return;
         }
-        store.list(CalendarRecords.PREFIX, after, StateStore.MOST_LISTED, Urgency.PLACEMENT).whenComplete(
-                (page, failure) -> {
-                    if (failure != null) {
-                        loop.after(RETRY, this::start);
-                        return;
-                    }
-                    all.addAll(page.entries());
-                    Version from = first == null ? page.revision() : first;
-                    if (page.more()) {
-                        read(page.entries().get(page.entries().size() - 1).key(), from, all);
-                    } else {
-                        take(all);
-                        watch(from);
-                    }
-                });
+        store.list(CalendarRecords.PREFIX, after, StateStore.MOST_LISTED, Urgency.PLACEMENT)
+                .whenComplete(
+                        (page, failure) -> {
+                            if (failure != null) {
+                                loop.after(RETRY, this::start);
+                                return;
+                            }
+                            all.addAll(page.entries());
+                            Version from = first == null ? page.revision() : first;
+                            if (page.more()) {
+                                read(
+                                        page.entries().get(page.entries().size() - 1).key(),
+                                        from,
+                                        all);
+                            } else {
+                                take(all);
+                                watch(from);
+                            }
+                        });
     }
 
     private synchronized void take(List<StateStore.Entry> all) {
@@ -80,14 +89,20 @@
         if (over.getAsBoolean()) {
             return;
         }
-        store.watch(CalendarRecords.PREFIX, after, WATCH).whenComplete((changes, failure) -> {
-            if (failure == null) {
-                take(changes);
-                watch(changes.revision());
-            } else {
-                loop.after(RETRY, StateException.of(failure) == Outcome.TOO_OLD ? this::start : () -> watch(after));
-            }
-        });
+        store.watch(CalendarRecords.PREFIX, after, WATCH)
+                .whenComplete(
+                        (changes, failure) -> {
+                            if (failure == null) {
+                                take(changes);
+                                watch(changes.revision());
+                            } else {
+                                loop.after(
+                                        RETRY,
+                                        StateException.of(failure) == Outcome.TOO_OLD
+                                                ? this::start
+                                                : () -> watch(after));
+                            }
+                        });
     }
 
     private synchronized void take(StateStore.Changes changes) {
@@ -100,7 +115,9 @@
             if (change.value() == null) {
                 entries.remove(change.key());
             } else {
-                entries.put(change.key(), new StateStore.Entry(change.key(), change.value(), change.version()));
+                entries.put(
+                        change.key(),
+                        new StateStore.Entry(change.key(), change.value(), change.version()));
             }
             plan = null;
         }
@@ -118,8 +135,12 @@
         }
         // Also when the time of day goes back, as it may by its bound at a takeover.
         if (plan == null || Math.abs(wallMillis - plannedAt) > REPLAN.toMillis()) {
-            plan = Plan.of(Calendar.of(List.copyOf(entries.values())), supply, wallMillis - BACK.toMillis(),
-                    wallMillis + AHEAD.toMillis());
+            plan =
+                    Plan.of(
+                            Calendar.of(List.copyOf(entries.values())),
+                            supply,
+                            wallMillis - BACK.toMillis(),
+                            wallMillis + AHEAD.toMillis());
             plannedAt = wallMillis;
         }
         return plan;
--- a/src/main/java/org/meadowhollow/coordination/calendar/Estimates.java
+++ b/src/main/java/org/meadowhollow/coordination/calendar/Estimates.java
@@ -8,8 +8,9 @@
 import org.meadowhollow.bookkeeping.JobSpec;
 
 /**
- * How much longer tasks run than their owners say, by class of jobs: the ratio that nine of ten lately kept below. A
- * class that has not shown enough gets a margin that covers an estimate which is wrong by half.
+ * How much longer tasks run than their owners say, by class of jobs: the ratio that nine of ten
+ * lately kept below. A class that has not shown enough gets a margin that covers an estimate which
+ * is wrong by half.
  */
 public final class Estimates {
     private static final int ENOUGH = 10;
@@ -17,18 +18,25 @@
     private static final int MOST_CLASSES = 100;
     private static final double SHARE = 0.9;
     private static final double UNKNOWN_MARGIN = 1.5;
-    /** Less than estimated is not counted on, and one class's strays must not keep machines empty for hours. */
+
+    /**
+     * Less than estimated is not counted on, and one class's strays must not keep machines empty
+     * for hours.
+     */
     private static final double LEAST = 1;
+
     private static final double MOST = 4;
+
     /** What is taken for a task whose owner gives no estimate. */
     private static final double UNKNOWN_S = 900;
 
-    private final Map<String, ArrayDeque<Double>> ratios = new LinkedHashMap<>() {
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, ArrayDeque<Double>> eldest) {
-            return size() > MOST_CLASSES;
-        }
-    };
+    private final Map<String, ArrayDeque<Double>> ratios =
+            new LinkedHashMap<>() {
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<String, ArrayDeque<Double>> eldest) {
+                    return size() > MOST_CLASSES;
+                }
+            };
     private final Map<String, Double> margins = new HashMap<>();
 
     /**
@@ -40,7 +48,8 @@
         if (spec.estimateS() <= 0) {
             return;
         }
-        ArrayDeque<Double> kept = ratios.computeIfAbsent(spec.jobClass(), unused -> new ArrayDeque<>());
+        ArrayDeque<Double> kept =
+                ratios.computeIfAbsent(spec.jobClass(), unused -> new ArrayDeque<>());
         kept.add(ranS / spec.estimateS());
         if (kept.size() > MOST_KEPT) {
             kept.poll();
@@ -53,14 +62,20 @@
         if (kept == null || kept.size() < ENOUGH) {
             return UNKNOWN_MARGIN;
         }
-        return margins.computeIfAbsent(jobClass, unused -> {
-            double[] sorted = kept.stream().mapToDouble(Double::doubleValue).toArray();
-            Arrays.sort(sorted);
-            return Math.max(LEAST, Math.min(MOST, sorted[(int) Math.ceil(SHARE * sorted.length) - 1]));
-        });
+        return margins.computeIfAbsent(
+                jobClass,
+                unused -> {
+                    double[] sorted = kept.stream().mapToDouble(Double::doubleValue).toArray();
+                    Arrays.sort(sorted);
+                    return Math.max(
+                            LEAST,
+                            Math.min(MOST, sorted[(int) Math.ceil(SHARE * sorted.length) - 1]));
+                });
     }
 
-    /** The same for a task that nobody may stop: one of ten that takes longer would be one too many. */
+    /**
+     * The same for a task that nobody may stop: one of ten that takes longer would be one too many.
+     */
     double surelyS(JobSpec spec) {
         return (spec.estimateS() > 0 ? spec.estimateS() : UNKNOWN_S)
                 * Math.max(UNKNOWN_MARGIN, margin(spec.jobClass()));
