--- a/src/main/java/org/meadowhollow/coordination/calendar/Outlook.java
+++ b/src/main/java/org/meadowhollow/coordination/calendar/Outlook.java
@@ -20,23 +20,36 @@
 import org.meadowhollow.bookkeeping.calendar.Reservation;
 
 /**
- * What the plan means for one round: which machines are kept for whom, which are out and when, who would run into it,
- * and what is still to be rented. A pure function of the plan, of the machines and of two clocks.
+ * What the plan means for one round: which machines are kept for whom, which are out and when, who
+ * would run into it, and what is still to be rented. A pure function of the plan, of the machines
+ * and of two clocks.
  */
 public final class Outlook {
     /** How long before its start room is kept for a reservation: longer than most tasks run. */
     static final double HOLD_AHEAD_S = 1800;
-    /** Boots take up to half as long again as usual; a round and a call of the cloud come on top. */
+
+    /**
+     * Boots take up to half as long again as usual; a round and a call of the cloud come on top.
+     */
     private static final double BOOT_MARGIN = 1.5;
+
     private static final double RENT_MARGIN_S = 60;
+
     /** A slot that nobody has used for this long after its start is given back. */
     static final double GIVE_BACK_S = 600;
+
     /** How long before it is stopped somebody is told so. */
     public static final double WARN_S = 120;
-    /** For the stop to reach its worker and for the room to be seen as free: reports, a round, and a write. */
+
+    /**
+     * For the stop to reach its worker and for the room to be seen as free: reports, a round, and a
+     * write.
+     */
     private static final double STOP_MARGIN_S = 15;
+
     /** A machine that is out this soon is not rented any more. */
     private static final double OUT_SOON_S = 900;
+
     /** The share of its estimate that a task is taken to need still, however long it has run. */
     private static final double LEAST_LEFT = 0.1;
 
@@ -44,15 +57,14 @@
      * A task that would be in the way.
      *
      * @param stopInS when it is to be told to stop; negative if that time is past
-     * @param latestInS when it has to be told at the latest, later than that for a service, which moves
+     * @param latestInS when it has to be told at the latest, later than that for a service, which
+     *     moves
      * @param why in words for its owner
      */
-    public record Spill(Placement placement, double stopInS, double latestInS, String why) {
-    }
+    public record Spill(Placement placement, double stopInS, double latestInS, String why) {}
 
     /** Room that no machine has yet. */
-    public record Missing(Reservation reservation, int tasks, String zone) {
-    }
+    public record Missing(Reservation reservation, int tasks, String zone) {}
 
     /** The clocks of a round, and how far the time of day may be off. */
     public record Clocks(Moment now, long wallMillis, long skewMillis) {
@@ -114,11 +126,12 @@
     /** Machines that are kept for a reservation. */
     public Set<MachineId> kept() {
         Set<MachineId> all = new HashSet<>();
-        limits.forEach((id, limit) -> {
-            if (limit.isHeld()) {
-                all.add(id);
-            }
-        });
+        limits.forEach(
+                (id, limit) -> {
+                    if (limit.isHeld()) {
+                        all.add(id);
+                    }
+                });
         return all;
     }
 
@@ -128,8 +141,14 @@
      * @param waiting how many tasks of each job wait
      * @param readyS how long a new machine takes until it can run one of a job's tasks
      */
-    public static Outlook of(Plan plan, Collection<Machine> machines, Predicate<Machine> usable,
-            Map<JobSpec, Integer> waiting, Estimates estimates, Supply supply, ToDoubleFunction<JobSpec> readyS,
+    public static Outlook of(
+            Plan plan,
+            Collection<Machine> machines,
+            Predicate<Machine> usable,
+            Map<JobSpec, Integer> waiting,
+            Estimates estimates,
+            Supply supply,
+            ToDoubleFunction<JobSpec> readyS,
             Clocks clocks) {
         Outlook outlook = new Outlook(estimates);
         outlook.addOutages(plan, machines, supply, clocks);
@@ -164,11 +183,17 @@
                 }
             }
             if (inS < OUT_SOON_S) {
-                supply.types().forEach(type -> type.zones().forEach(zone -> {
-                    if (outage.window().coversAll(type.name(), zone)) {
-                        out.add(type.name() + '/' + zone);
-                    }
-                }));
+                supply.types()
+                        .forEach(
+                                type ->
+                                        type.zones()
+                                                .forEach(
+                                                        zone -> {
+                                                            if (outage.window()
+                                                                    .coversAll(type.name(), zone)) {
+                                                                out.add(type.name() + '/' + zone);
+                                                            }
+                                                        }));
             }
         }
     }
@@ -178,7 +203,8 @@
         for (Placement placement : machine.placements()) {
             JobSpec spec = placement.job().spec();
             boolean stays = spec.kind() == Kind.SERVICE;
-            // A service leaves when its notice begins. All others are told, though most of them will be done by then:
+            // A service leaves when its notice begins. All others are told, though most of them
+            // will be done by then:
             // one that is not, against all estimates, must have been told in time as well.
             double latestInS = inS - spec.saveS() - STOP_MARGIN_S;
             double stopInS = stays ? inS - noticeS : latestInS;
@@ -188,28 +214,43 @@
         }
     }
 
-    /** How much longer a task is expected to run at most, with more to spare if it may not be stopped. */
+    /**
+     * How much longer a task is expected to run at most, with more to spare if it may not be
+     * stopped.
+     */
     private double leftS(Placement placement, Reservation reservation, Clocks clocks) {
         JobSpec spec = placement.job().spec();
         if (spec.kind() == Kind.SERVICE) {
             return Double.POSITIVE_INFINITY;
         }
-        double wholeS = reservation.mayStop(spec) ? estimates.upperS(spec) : estimates.surelyS(spec);
-        double ranS = placement.runningSince() == null ? 0 : clocks.now().secondsSince(placement.runningSince());
+        double wholeS =
+                reservation.mayStop(spec) ? estimates.upperS(spec) : estimates.surelyS(spec);
+        double ranS =
+                placement.runningSince() == null
+                        ? 0
+                        : clocks.now().secondsSince(placement.runningSince());
         return Math.max(wholeS - ranS, wholeS * LEAST_LEFT);
     }
 
     // ---- slots ----
 
-    private void addSlot(Plan.Slot slot, Plan plan, Collection<Machine> machines, Predicate<Machine> can,
-            Map<JobSpec, Integer> waiting, ToDoubleFunction<JobSpec> readyS, Clocks clocks, Set<Placement> counted) {
+    private void addSlot(
+            Plan.Slot slot,
+            Plan plan,
+            Collection<Machine> machines,
+            Predicate<Machine> can,
+            Map<JobSpec, Integer> waiting,
+            ToDoubleFunction<JobSpec> readyS,
+            Clocks clocks,
+            Set<Placement> counted) {
         Reservation reservation = slot.reservation();
         double inS = clocks.untilS(slot.when().fromMillis());
         if (inS > HOLD_AHEAD_S || clocks.isPast(slot.when().untilMillis())) {
             return;
         }
         int left = slot.tasks() - used(reservation, slot.tasks(), machines, counted);
-        boolean wanted = left < slot.tasks() || waiting.keySet().stream().anyMatch(reservation::serves);
+        boolean wanted =
+                left < slot.tasks() || waiting.keySet().stream().anyMatch(reservation::serves);
         if (inS < -GIVE_BACK_S && !wanted) {
             unused.add(reservation.name());
             return;
@@ -219,16 +260,30 @@
         }
         List<Machine> usable = new ArrayList<>();
         for (Machine machine : machines) {
-            if (can.test(machine) && reservation.allows(machine.type().name(), machine.zone()) && (reservation.spot() || !machine.spot())
-                    && plan.outages().stream().noneMatch(outage -> outage.when().overlaps(slot.when())
-                    && outage.window().covers(machine.id(), machine.type().name(), machine.zone()))) {
+            if (can.test(machine)
+                    && reservation.allows(machine.type().name(), machine.zone())
+                    && (reservation.spot() || !machine.spot())
+                    && plan.outages().stream()
+                            .noneMatch(
+                                    outage ->
+                                            outage.when().overlaps(slot.when())
+                                                    && outage.window()
+                                                            .covers(
+                                                                    machine.id(),
+                                                                    machine.type().name(),
+                                                                    machine.zone()))) {
                 usable.add(machine);
             }
         }
-        // The plan's choice comes first; any other that the reservation allows will do where that is not to be had.
-        usable.sort(Comparator.<Machine, Boolean>comparing(machine -> !machine.images().has(reservation.image()))
-                .thenComparing(machine -> !slot.takes(machine.type().name(), machine.zone()))
-                .thenComparing(machine -> machine.placements().size()).thenComparing(Machine::id));
+        // The plan's choice comes first; any other that the reservation allows will do where that
+        // is not to be had.
+        usable.sort(
+                Comparator.<Machine, Boolean>comparing(
+                                machine -> !machine.images().has(reservation.image()))
+                        .thenComparing(
+                                machine -> !slot.takes(machine.type().name(), machine.zone()))
+                        .thenComparing(machine -> machine.placements().size())
+                        .thenComparing(Machine::id));
         for (Machine machine : usable) {
             left -= hold(machine, reservation, inS, left, clocks);
         }
@@ -241,17 +296,24 @@
         for (Map.Entry<JobSpec, Integer> job : waiting.entrySet()) {
             left -= reservation.serves(job.getKey()) ? job.getValue() : 0;
         }
-        if (left > 0 && inS < readyS.applyAsDouble(reservation.asJob()) * BOOT_MARGIN + RENT_MARGIN_S) {
+        if (left > 0
+                && inS < readyS.applyAsDouble(reservation.asJob()) * BOOT_MARGIN + RENT_MARGIN_S) {
             missing.add(new Missing(reservation, left, reservation.zone()));
         }
     }
 
     /** How much of a slot is in use; a task that two slots could be for counts in one of them. */
-    private static int used(Reservation reservation, int most, Collection<Machine> machines, Set<Placement> counted) {
+    private static int used(
+            Reservation reservation,
+            int most,
+            Collection<Machine> machines,
+            Set<Placement> counted) {
         int used = 0;
         for (Machine machine : machines) {
             for (Placement placement : machine.placements()) {
-                if (used < most && reservation.serves(placement.job().spec()) && counted.add(placement)) {
+                if (used < most
+                        && reservation.serves(placement.job().spec())
+                        && counted.add(placement)) {
                     used++;
                 }
             }
@@ -260,7 +322,8 @@
     }
 
     /** Keeps room that is free or will be by the start; says for how many tasks. */
-    private int hold(Machine machine, Reservation reservation, double inS, int most, Clocks clocks) {
+    private int hold(
+            Machine machine, Reservation reservation, double inS, int most, Clocks clocks) {
         Resources coming = Resources.NONE;
         List<Placement> ending = new ArrayList<>();
         for (Placement placement : machine.placements()) {
@@ -269,13 +332,17 @@
                 ending.add(placement);
             }
         }
-        Resources held = limits.containsKey(machine.id()) ? limits.get(machine.id()).held() : Resources.NONE;
+        Resources held =
+                limits.containsKey(machine.id()) ? limits.get(machine.id()).held() : Resources.NONE;
         int tasks = reservation.perTask().countIn(machine.free().plus(coming).minus(held), most);
         if (tasks > 0) {
             limitOf(machine).hold(reservation, inS, tasks, coming);
-            if (inS < WARN_S && !held.plus(reservation.perTask().times(tasks)).fitsIn(machine.free())) {
-                // They are counted on to be done by then; one that is not, against all estimates, has to go.
-                ending.stream().filter(placement -> mayStop(placement, reservation))
+            if (inS < WARN_S
+                    && !held.plus(reservation.perTask().times(tasks)).fitsIn(machine.free())) {
+                // They are counted on to be done by then; one that is not, against all estimates,
+                // has to go.
+                ending.stream()
+                        .filter(placement -> mayStop(placement, reservation))
                         .forEach(placement -> spill(placement, reservation, inS));
             }
         }
@@ -288,12 +355,18 @@
 
     private void spill(Placement placement, Reservation reservation, double inS) {
         double latestInS = inS - placement.job().spec().saveS() - STOP_MARGIN_S;
-        spills.add(new Spill(placement, latestInS, latestInS, "its room is reserved for " + reservation.name()));
+        spills.add(
+                new Spill(
+                        placement,
+                        latestInS,
+                        latestInS,
+                        "its room is reserved for " + reservation.name()));
     }
 
     /** Keeps room that work of a lower priority has; it is told, and stopped in time. */
     private int holdByStopping(Machine machine, Reservation reservation, double inS, int most) {
-        Resources held = limits.containsKey(machine.id()) ? limits.get(machine.id()).held() : Resources.NONE;
+        Resources held =
+                limits.containsKey(machine.id()) ? limits.get(machine.id()).held() : Resources.NONE;
         Resources room = machine.free().minus(held);
         List<Placement> stopped = new ArrayList<>();
         Resources coming = Resources.NONE;
--- a/src/main/java/org/meadowhollow/coordination/calendar/Plan.java
+++ b/src/main/java/org/meadowhollow/coordination/calendar/Plan.java
@@ -15,17 +15,17 @@
 import org.meadowhollow.bookkeeping.calendar.Window;
 
 /**
- * Who has what when: a pure function of the calendar, of what there is and of a span of time, so that every node finds
- * the same. Reservations are served in the order of their acceptance, each from the cheapest machines that its rules
- * allow and that no window takes; one that a later window takes its machines from thus moves to others, or is short.
+ * Who has what when: a pure function of the calendar, of what there is and of a span of time, so
+ * that every node finds the same. Reservations are served in the order of their acceptance, each
+ * from the cheapest machines that its rules allow and that no window takes; one that a later window
+ * takes its machines from thus moves to others, or is short.
  */
 public final class Plan {
     /** Times of one entry within a plan. */
     static final int MOST_EACH = 64;
 
     /** A window's time. */
-    public record Outage(Window window, Occurrence when) {
-    }
+    public record Outage(Window window, Occurrence when) {}
 
     /**
      * A reservation's time.
@@ -34,7 +34,11 @@
      * @param tasks that these have room for
      * @param against what stands against the rest, empty if there is none
      */
-    public record Slot(Reservation reservation, Occurrence when, Map<String, Integer> machines, int tasks,
+    public record Slot(
+            Reservation reservation,
+            Occurrence when,
+            Map<String, Integer> machines,
+            int tasks,
             List<String> against) {
         public boolean isMet() {
             return tasks >= reservation.tasks();
@@ -46,8 +50,7 @@
         }
     }
 
-    private record Use(Occurrence when, String holder, long amount) {
-    }
+    private record Use(Occurrence when, String holder, long amount) {}
 
     /** Amounts in use over time; looked up by day, so that a far night costs nothing. */
     private static final class Track {
@@ -73,7 +76,9 @@
             return all;
         }
 
-        /** The largest sum at any moment: it is reached at the start of one of them, or of the span. */
+        /**
+         * The largest sum at any moment: it is reached at the start of one of them, or of the span.
+         */
         long peak(Occurrence when) {
             List<Use> uses = during(when);
             long peak = 0;
@@ -81,7 +86,10 @@
                 long moment = Math.max(at.when().fromMillis(), when.fromMillis());
                 long sum = 0;
                 for (Use use : uses) {
-                    sum += use.when().fromMillis() <= moment && moment < use.when().untilMillis() ? use.amount() : 0;
+                    sum +=
+                            use.when().fromMillis() <= moment && moment < use.when().untilMillis()
+                                    ? use.amount()
+                                    : 0;
                 }
                 peak = Math.max(peak, sum);
             }
@@ -110,21 +118,27 @@
     public static Plan of(Calendar calendar, Supply supply, long fromMillis, long untilMillis) {
         List<Outage> outages = new ArrayList<>();
         for (Calendar.Held<Window> held : calendar.windows()) {
-            for (Occurrence when : Recurrence.between(held.what().schedule(), fromMillis, untilMillis, MOST_EACH)) {
+            for (Occurrence when :
+                    Recurrence.between(
+                            held.what().schedule(), fromMillis, untilMillis, MOST_EACH)) {
                 outages.add(new Outage(held.what(), when));
             }
         }
-        outages.sort(Comparator.<Outage>comparingLong(outage -> outage.when().fromMillis())
-                .thenComparing(outage -> outage.window().name()));
+        outages.sort(
+                Comparator.<Outage>comparingLong(outage -> outage.when().fromMillis())
+                        .thenComparing(outage -> outage.window().name()));
         Making making = new Making(supply, outages);
         List<Slot> slots = new ArrayList<>();
         for (Calendar.Held<Reservation> held : calendar.reservations()) {
-            for (Occurrence when : Recurrence.between(held.what().schedule(), fromMillis, untilMillis, MOST_EACH)) {
+            for (Occurrence when :
+                    Recurrence.between(
+                            held.what().schedule(), fromMillis, untilMillis, MOST_EACH)) {
                 slots.add(making.slot(held.what(), when));
             }
         }
-        slots.sort(Comparator.<Slot>comparingLong(slot -> slot.when().fromMillis())
-                .thenComparing(slot -> slot.reservation().name()));
+        slots.sort(
+                Comparator.<Slot>comparingLong(slot -> slot.when().fromMillis())
+                        .thenComparing(slot -> slot.reservation().name()));
         return new Plan(List.copyOf(outages), List.copyOf(slots));
     }
 
@@ -148,50 +162,90 @@
             int tasks = 0;
             for (MachineType type : byPrice(reservation)) {
                 for (String zone : type.zones()) {
-                    if (tasks < most && (reservation.zone() == null || reservation.zone().equals(zone))) {
+                    if (tasks < most
+                            && (reservation.zone() == null || reservation.zone().equals(zone))) {
                         tasks += take(reservation, when, type, zone, most - tasks, taken, against);
                     }
                 }
             }
             if (tasks > 0) {
-                track(cpus, reservation.team()).add(when, reservation.name(), reservation.perTask().times(tasks).cpu());
-                track(gpus, reservation.team()).add(when, reservation.name(), reservation.perTask().times(tasks).gpu());
+                track(cpus, reservation.team())
+                        .add(when, reservation.name(), reservation.perTask().times(tasks).cpu());
+                track(gpus, reservation.team())
+                        .add(when, reservation.name(), reservation.perTask().times(tasks).gpu());
             }
-            return new Slot(reservation, when, taken, tasks, tasks < reservation.tasks()
-                    ? against.stream().distinct().toList() : List.of());
+            return new Slot(
+                    reservation,
+                    when,
+                    taken,
+                    tasks,
+                    tasks < reservation.tasks() ? against.stream().distinct().toList() : List.of());
         }
 
         private List<MachineType> byPrice(Reservation reservation) {
-            return supply.types().stream().filter(type -> (reservation.types() == null
-                    || reservation.types().contains(type.name())) && reservation.perTask().fitsIn(type.room()))
-                    .sorted(Comparator.comparingDouble((MachineType type) -> type.price()
-                            / reservation.perTask().countIn(type.room(), reservation.tasks()))
-                            .thenComparing(MachineType::name)).toList();
+            return supply.types().stream()
+                    .filter(
+                            type ->
+                                    (reservation.types() == null
+                                                    || reservation.types().contains(type.name()))
+                                            && reservation.perTask().fitsIn(type.room()))
+                    .sorted(
+                            Comparator.comparingDouble(
+                                            (MachineType type) ->
+                                                    type.price()
+                                                            / reservation
+                                                                    .perTask()
+                                                                    .countIn(
+                                                                            type.room(),
+                                                                            reservation.tasks()))
+                                    .thenComparing(MachineType::name))
+                    .toList();
         }
 
         private int withinLimit(Reservation reservation, Occurrence when, List<String> against) {
             Resources limit = supply.limits().getOrDefault(reservation.team(), Resources.NONE);
-            Resources left = new Resources(
-                    limit.cpu() == 0 ? Long.MAX_VALUE : limit.cpu() - track(cpus, reservation.team()).peak(when),
-                    limit.gpu() == 0 ? Long.MAX_VALUE : limit.gpu() - track(gpus, reservation.team()).peak(when),
-                    Long.MAX_VALUE);
+            Resources left =
+                    new Resources(
+                            limit.cpu() == 0
+                                    ? Long.MAX_VALUE
+                                    : limit.cpu() - track(cpus, reservation.team()).peak(when),
+                            limit.gpu() == 0
+                                    ? Long.MAX_VALUE
+                                    : limit.gpu() - track(gpus, reservation.team()).peak(when),
+                            Long.MAX_VALUE);
             int most = reservation.perTask().countIn(left, reservation.tasks());
             if (most < reservation.tasks()) {
-                against.add("the limit of team " + reservation.team() + among(track(cpus, reservation.team()), when));
+                against.add(
+                        "the limit of team "
+                                + reservation.team()
+                                + among(track(cpus, reservation.team()), when));
             }
             return most;
         }
 
         private static String among(Track track, Occurrence when) {
-            List<String> names = track.during(when).stream().map(Use::holder).distinct().sorted().toList();
+            List<String> names =
+                    track.during(when).stream().map(Use::holder).distinct().sorted().toList();
             return names.isEmpty() ? "" : ", with " + String.join(", ", names);
         }
 
-        private int take(Reservation reservation, Occurrence when, MachineType type, String zone, int tasks,
-                Map<String, Integer> taken, List<String> against) {
+        private int take(
+                Reservation reservation,
+                Occurrence when,
+                MachineType type,
+                String zone,
+                int tasks,
+                Map<String, Integer> taken,
+                List<String> against) {
             for (Outage outage : outages) {
                 if (outage.when().overlaps(when) && outage.window().coversAll(type.name(), zone)) {
-                    against.add("window " + outage.window().name() + " takes " + type.name() + " in " + zone);
+                    against.add(
+                            "window "
+                                    + outage.window().name()
+                                    + " takes "
+                                    + type.name()
+                                    + " in "
+                                    + zone);
                     return 0;
                 }
             }
@@ -199,11 +253,20 @@
             int wanted = (tasks + each - 1) / each;
             String pair = type.name() + '/' + zone;
             int most = supply.mostOf(type.name(), zone);
-            long left = most == Integer.MAX_VALUE ? wanted : Math.max(0, most - track(machines, pair).peak(when));
+            long left =
+                    most == Integer.MAX_VALUE
+                            ? wanted
+                            : Math.max(0, most - track(machines, pair).peak(when));
             int got = (int) Math.min(wanted, left);
             if (got < wanted) {
-                against.add("there are " + most + " of " + type.name() + " in " + zone
-                        + among(track(machines, pair), when));
+                against.add(
+                        "there are "
+                                + most
+                                + " of "
+                                + type.name()
+                                + " in "
+                                + zone
+                                + among(track(machines, pair), when));
             }
             if (got > 0) {
                 track(machines, pair).add(when, reservation.name(), got);
--- a/src/main/java/org/meadowhollow/coordination/calendar/Recurrence.java
+++ b/src/main/java/org/meadowhollow/coordination/calendar/Recurrence.java
@@ -16,19 +16,24 @@
 import org.meadowhollow.bookkeeping.calendar.Schedule;
 
 /**
- * The times of a schedule. The rule is followed on the clocks of its place; what those clocks say is then found in time:
- * a time that they skip when they go forward is as much later as they skip, and one that they show twice is the first of
- * the two. A night of two hours stays two hours long.
+ * The times of a schedule. The rule is followed on the clocks of its place; what those clocks say
+ * is then found in time: a time that they skip when they go forward is as much later as they skip,
+ * and one that they show twice is the first of the two. A night of two hours stays two hours long.
  */
 public final class Recurrence {
     /** Steps of a rule looked at for one expansion; a rule that names hardly any day ends here. */
     private static final int MOST_STEPS = 5000;
-    private static final Set<Freq> FREQUENCIES = Set.of(Freq.DAILY, Freq.WEEKLY, Freq.MONTHLY, Freq.YEARLY);
-    /** A rule's days are looked for from a day before, for clocks differ by less than that from any other. */
+
+    private static final Set<Freq> FREQUENCIES =
+            Set.of(Freq.DAILY, Freq.WEEKLY, Freq.MONTHLY, Freq.YEARLY);
+
+    /**
+     * A rule's days are looked for from a day before, for clocks differ by less than that from any
+     * other.
+     */
     private static final Duration DAY = Duration.ofDays(1);
 
-    private Recurrence() {
-    }
+    private Recurrence() {}
 
     /** The schedule cannot be followed; the text says why. */
     public static final class Unusable extends Exception {
@@ -66,13 +71,23 @@
     }
 
     private static DateTime floating(LocalDateTime time) {
-        return new DateTime(time.getYear(), time.getMonthValue() - 1, time.getDayOfMonth(), time.getHour(),
-                time.getMinute(), time.getSecond());
+        return new DateTime(
+                time.getYear(),
+                time.getMonthValue() - 1,
+                time.getDayOfMonth(),
+                time.getHour(),
+                time.getMinute(),
+                time.getSecond());
     }
 
     private static LocalDateTime local(DateTime time) {
-        return LocalDateTime.of(time.getYear(), time.getMonth() + 1, time.getDayOfMonth(), time.getHours(),
-                time.getMinutes(), time.getSeconds());
+        return LocalDateTime.of(
+                time.getYear(),
+                time.getMonth() + 1,
+                time.getDayOfMonth(),
+                time.getHours(),
+                time.getMinutes(),
+                time.getSeconds());
     }
 
     /**
@@ -80,20 +95,26 @@
      *
      * @param schedule that was checked
      */
-    public static List<Occurrence> between(Schedule schedule, long fromMillis, long untilMillis, int most) {
+    public static List<Occurrence> between(
+            Schedule schedule, long fromMillis, long untilMillis, int most) {
         List<Occurrence> found = new ArrayList<>();
         if (schedule.rule() == null) {
             add(found, schedule, schedule.start(), fromMillis, untilMillis);
             return found;
         }
         try {
-            RecurrenceRuleIterator times = parse(schedule.rule()).iterator(floating(schedule.start()));
-            LocalDateTime early = LocalDateTime.ofInstant(Instant.ofEpochMilli(fromMillis).minus(schedule.length())
-                    .minus(DAY), schedule.zone());
+            RecurrenceRuleIterator times =
+                    parse(schedule.rule()).iterator(floating(schedule.start()));
+            LocalDateTime early =
+                    LocalDateTime.ofInstant(
+                            Instant.ofEpochMilli(fromMillis).minus(schedule.length()).minus(DAY),
+                            schedule.zone());
             if (early.isAfter(schedule.start())) {
                 times.fastForward(floating(early));
             }
-            for (int step = 0; step < MOST_STEPS && times.hasNext() && found.size() < most; step++) {
+            for (int step = 0;
+                    step < MOST_STEPS && times.hasNext() && found.size() < most;
+                    step++) {
                 LocalDateTime next = local(times.nextDateTime());
                 if (startOf(schedule, next) >= untilMillis + DAY.toMillis()) {
                     break;
@@ -111,7 +132,8 @@
         return ZonedDateTime.of(local, schedule.zone()).toInstant().toEpochMilli();
     }
 
-    private static void add(List<Occurrence> found, Schedule schedule, LocalDateTime local, long from, long until) {
+    private static void add(
+            List<Occurrence> found, Schedule schedule, LocalDateTime local, long from, long until) {
         long start = startOf(schedule, local);
         long end = start + schedule.length().toMillis();
         if (start < until && end > from) {
--- a/src/main/java/org/meadowhollow/coordination/calendar/SeatLimit.java
+++ b/src/main/java/org/meadowhollow/coordination/calendar/SeatLimit.java
@@ -7,7 +7,10 @@
 import org.meadowhollow.bookkeeping.Resources;
 import org.meadowhollow.bookkeeping.calendar.Reservation;
 
-/** What the calendar says of one machine in one round: until when it can be used, and what room is kept on it. */
+/**
+ * What the calendar says of one machine in one round: until when it can be used, and what room is
+ * kept on it.
+ */
 public final class SeatLimit {
     /** Room for a reservation, from some seconds on; negative once its time has come. */
     private static final class Hold {
@@ -28,8 +31,10 @@
 
     private final Estimates estimates;
     private final List<Hold> holds = new ArrayList<>();
+
     /** Room that will be free before the first of the holds begins. */
     private Resources comes = Resources.NONE;
+
     private double freeForS = Double.POSITIVE_INFINITY;
     private double noticeS;
 
@@ -68,8 +73,9 @@
     }
 
     /**
-     * Whether a task may start here: it would not run into a window, and leaves the room that is kept for others unless
-     * it is done before that is needed. A service never is; it may run here until its notice begins.
+     * Whether a task may start here: it would not run into a window, and leaves the room that is
+     * kept for others unless it is done before that is needed. A service never is; it may run here
+     * until its notice begins.
      *
      * @param fetchS until its image is here
      */
@@ -81,7 +87,10 @@
         }
         Resources kept = Resources.NONE;
         for (Hold hold : holds) {
-            double untilS = stays || hold.reservation.mayStop(spec) ? lastsS : fetchS + estimates.surelyS(spec);
+            double untilS =
+                    stays || hold.reservation.mayStop(spec)
+                            ? lastsS
+                            : fetchS + estimates.surelyS(spec);
             if (untilS > hold.startsInS && !hold.reservation.serves(spec)) {
                 kept = kept.plus(hold.room());
             }
@@ -90,7 +99,9 @@
     }
 
     private static Resources beyond(Resources kept, Resources coming) {
-        return new Resources(Math.max(0, kept.cpu() - coming.cpu()), Math.max(0, kept.gpu() - coming.gpu()),
+        return new Resources(
+                Math.max(0, kept.cpu() - coming.cpu()),
+                Math.max(0, kept.gpu() - coming.gpu()),
                 Math.max(0, kept.memory() - coming.memory()));
     }
 
--- a/src/main/java/org/meadowhollow/coordination/fleet/Awaited.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/Awaited.java
@@ -11,24 +11,41 @@
 import org.meadowhollow.bookkeeping.Moment;
 
 /**
- * Machines that are rented and not up yet. New machines may come up late or never, so one is counted on only for as long
- * as boots have taken of late; after that another is rented for what waits for it, a bounded number of times, and the
- * late one is returned when it has been replaced and has taken much longer still. Guarded by the fleet's lock.
+ * Machines that are rented and not up yet. New machines may come up late or never, so one is
+ * counted on only for as long as boots have taken of late; after that another is rented for what
+ * waits for it, a bounded number of times, and the late one is returned when it has been replaced
+ * and has taken much longer still. Guarded by the fleet's lock.
  */
 final class Awaited {
     /** The protocol: a boot takes usually up to this many times its type's boot time. */
     private static final double USUALLY = 1.5;
-    /** Boots vary, so they are awaited for a little longer than nearly all of the last ones took. */
+
+    /**
+     * Boots vary, so they are awaited for a little longer than nearly all of the last ones took.
+     */
     private static final double SLACK = 1.25;
+
     private static final double NEARLY_ALL = 0.9;
-    /** A machine that takes this many times its type's boot time is taken for one that never comes up. */
+
+    /**
+     * A machine that takes this many times its type's boot time is taken for one that never comes
+     * up.
+     */
     static final double PATIENCE = 4;
-    /** One that has been replaced is paid for in vain, and holds capacity that another could have. */
+
+    /**
+     * One that has been replaced is paid for in vain, and holds capacity that another could have.
+     */
     private static final double REPLACED_PATIENCE = 2.5;
+
     /** Boots remembered of a type, and those without which nothing is learned from them. */
     private static final int MOST_BOOTS = 32;
+
     private static final int LEAST_BOOTS = 4;
-    /** A machine, one for it, and one for that; if boots fail as often as this, money does not help. */
+
+    /**
+     * A machine, one for it, and one for that; if boots fail as often as this, money does not help.
+     */
     private static final int MOST_TRIES = 3;
 
     /** One machine that is to come. */
@@ -70,9 +87,21 @@
     private final Map<String, ArrayDeque<Double>> boots = new HashMap<>();
 
     /** Notes what a request has rented; as many that are overdue count as replaced by them. */
-    void rented(List<MachineId> ids, MachineType type, String zone, boolean spot, Moment sentAt, Moment now) {
-        List<Rental> overdue = rentals.values().stream().filter(each -> each.type.name().equals(type.name())
-                && !each.replaced && isOverdue(each, now)).toList();
+    void rented(
+            List<MachineId> ids,
+            MachineType type,
+            String zone,
+            boolean spot,
+            Moment sentAt,
+            Moment now) {
+        List<Rental> overdue =
+                rentals.values().stream()
+                        .filter(
+                                each ->
+                                        each.type.name().equals(type.name())
+                                                && !each.replaced
+                                                && isOverdue(each, now))
+                        .toList();
         int at = 0;
         for (MachineId id : ids) {
             int tries = 1;
@@ -93,7 +122,8 @@
     void cameUp(MachineId id, Moment now) {
         Rental rental = rentals.remove(id);
         if (rental != null) {
-            ArrayDeque<Double> seen = boots.computeIfAbsent(rental.type.name(), unused -> new ArrayDeque<>());
+            ArrayDeque<Double> seen =
+                    boots.computeIfAbsent(rental.type.name(), unused -> new ArrayDeque<>());
             seen.add(now.secondsSince(rental.sentAt));
             if (seen.size() > MOST_BOOTS) {
                 seen.poll();
@@ -107,18 +137,22 @@
 
     /** Those that tasks may wait for. */
     List<Rental> counted(Moment now) {
-        return rentals.values().stream().filter(each -> !isOverdue(each, now) || each.tries >= MOST_TRIES).toList();
+        return rentals.values().stream()
+                .filter(each -> !isOverdue(each, now) || each.tries >= MOST_TRIES)
+                .toList();
     }
 
     /** Those that are given up. */
     List<MachineId> givenUp(Moment now) {
         List<MachineId> ids = new ArrayList<>();
-        rentals.forEach((id, each) -> {
-            double patience = each.replaced ? REPLACED_PATIENCE : PATIENCE;
-            if (now.secondsSince(each.sentAt) > Math.max(usualS(each.type), each.type.bootS() * patience)) {
-                ids.add(id);
-            }
-        });
+        rentals.forEach(
+                (id, each) -> {
+                    double patience = each.replaced ? REPLACED_PATIENCE : PATIENCE;
+                    if (now.secondsSince(each.sentAt)
+                            > Math.max(usualS(each.type), each.type.bootS() * patience)) {
+                        ids.add(id);
+                    }
+                });
         return ids;
     }
 
@@ -133,7 +167,12 @@
         if (seen == null || seen.size() < LEAST_BOOTS) {
             return usualS;
         }
-        double slowS = seen.stream().sorted().skip((long) (seen.size() * NEARLY_ALL)).findFirst().orElse(usualS);
+        double slowS =
+                seen.stream()
+                        .sorted()
+                        .skip((long) (seen.size() * NEARLY_ALL))
+                        .findFirst()
+                        .orElse(usualS);
         return Math.max(usualS, Math.min(slowS * SLACK, type.bootS() * PATIENCE));
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/FailureDetector.java
@@ -23,32 +23,53 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How well the leader hears its workers, and what the other controllers say of those that it does not hear. A leader
- * whose network failed towards its workers alone took hundreds of healthy machines for silent, returned them to the
- * cloud and was refused others. Guarded by the leader's lock.
+ * How well the leader hears its workers, and what the other controllers say of those that it does
+ * not hear. A leader whose network failed towards its workers alone took hundreds of healthy
+ * machines for silent, returned them to the cloud and was refused others. Guarded by the leader's
+ * lock.
  */
 public final class FailureDetector {
     private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
-    /** Reports come up to a quarter late, and a worker that lost its connection turns to the next node a second later. */
+
+    /**
+     * Reports come up to a quarter late, and a worker that lost its connection turns to the next
+     * node a second later.
+     */
     private static final double LATEST_REPORT = 1.25;
+
     private static final Duration NEXT_NODE = Duration.ofSeconds(1);
-    /** What a worker of a leader that ended without a word takes before it turns to the next node. */
+
+    /**
+     * What a worker of a leader that ended without a word takes before it turns to the next node.
+     */
     private static final Duration NO_ANSWER = Duration.ofSeconds(4);
-    /** Machines named in one question: a few kilobytes, and more than a share below doubt at a thousand machines. */
+
+    /**
+     * Machines named in one question: a few kilobytes, and more than a share below doubt at a
+     * thousand machines.
+     */
     private static final int MOST_ASKED = 300;
+
     /** How long an answer about a machine holds, and how often it is asked for again. */
     private static final Duration ASK_AGAIN = Duration.ofSeconds(3);
-    /** Workers whose leader is silent come to another node every 5 s and more; those sent back do not come again. */
+
+    /**
+     * Workers whose leader is silent come to another node every 5 s and more; those sent back do
+     * not come again.
+     */
     private static final Duration WITNESSED = Duration.ofSeconds(6);
-    /** Giving up without knowing of a node that hears is not tried again for this long; a cut lasts about as long. */
+
+    /**
+     * Giving up without knowing of a node that hears is not tried again for this long; a cut lasts
+     * about as long.
+     */
     private static final Duration TRY_AGAIN = Duration.ofSeconds(30);
 
     /** A list is at times twice as late as usual, and so may be older than the one before it. */
     private static final int LISTS_LATE_BY = 2;
 
     /** A question to the other controllers, decided under the lock and sent outside it. */
-    private record Question(List<MachineId> machines) {
-    }
+    private record Question(List<MachineId> machines) {}
 
     private final TermHolder leader;
     private final Cluster cluster;
@@ -69,7 +90,13 @@
     private List<Testimony> answers = List.of();
     private Moment answersAt;
 
-    public FailureDetector(TermHolder leader, Cluster cluster, Platform platform, EventLoop loop, Peers peers, Leadership leadership,
+    public FailureDetector(
+            TermHolder leader,
+            Cluster cluster,
+            Platform platform,
+            EventLoop loop,
+            Peers peers,
+            Leadership leadership,
             Moment begunAt) {
         this.leader = leader;
         this.cluster = cluster;
@@ -114,7 +141,11 @@
 
     private void note(Hearing heard, int known, int late, Moment now) {
         if (heard != hearing) {
-            LOG.info("{} of {} machines are late with their reports: hearing is {}", late, known, heard);
+            LOG.info(
+                    "{} of {} machines are late with their reports: hearing is {}",
+                    late,
+                    known,
+                    heard);
         }
         hearing = heard;
         if (heard != Hearing.DEAF) {
@@ -125,16 +156,26 @@
     }
 
     private Duration reportDue() {
-        return Duration.ofNanos((long) (platform.reportEvery().toNanos() * LATEST_REPORT)).plus(NEXT_NODE);
+        return Duration.ofNanos((long) (platform.reportEvery().toNanos() * LATEST_REPORT))
+                .plus(NEXT_NODE);
     }
 
-    /** Whether a machine's report is overdue; what it answers directly shows that it lives, and renews no lease. */
+    /**
+     * Whether a machine's report is overdue; what it answers directly shows that it lives, and
+     * renews no lease.
+     */
     public boolean isLate(Machine machine, Moment now) {
-        Moment last = machine.answeredAt() == null ? machine.knownSince().plus(NO_ANSWER) : machine.answeredAt();
+        Moment last =
+                machine.answeredAt() == null
+                        ? machine.knownSince().plus(NO_ANSWER)
+                        : machine.answeredAt();
         return now.since(last).compareTo(reportDue()) > 0;
     }
 
-    /** How long nothing at all was heard of a machine, in seconds; so long as this process may have stood still itself. */
+    /**
+     * How long nothing at all was heard of a machine, in seconds; so long as this process may have
+     * stood still itself.
+     */
     double silentS(Machine machine, Moment now) {
         Moment last = machine.heardAt() == null ? machine.knownSince() : machine.heardAt();
         return now.secondsSince(last);
@@ -146,26 +187,37 @@
     }
 
     /**
-     * Whether the cloud has left out a machine that it listed before, or that a report has shown, for longer than its lists
-     * are late, as it does with one that it took away. A hint that its silence is its own: what was on it still counts until
-     * that is proven. Old reports of machines long gone, the first that a new leader heard, had it give its lease up as deaf.
+     * Whether the cloud has left out a machine that it listed before, or that a report has shown,
+     * for longer than its lists are late, as it does with one that it took away. A hint that its
+     * silence is its own: what was on it still counts until that is proven. Old reports of machines
+     * long gone, the first that a new leader heard, had it give its lease up as deaf.
      */
     boolean isUnlisted(Machine machine) {
         Moment shownAt = machine.listedAt() == null ? machine.knownSince() : machine.listedAt();
-        return lastListAt != null && lastListAt.since(shownAt)
-                .compareTo(platform.listLag().multipliedBy(LISTS_LATE_BY)) > 0;
+        return lastListAt != null
+                && lastListAt
+                                .since(shownAt)
+                                .compareTo(platform.listLag().multipliedBy(LISTS_LATE_BY))
+                        > 0;
     }
 
-    /** The longest silent go first: those may be returned next, and what others say of them decides. */
+    /**
+     * The longest silent go first: those may be returned next, and what others say of them decides.
+     */
     private Question ask(List<Machine> late, Moment now) {
         if (asking || late.isEmpty()) {
             return null;
         }
-        List<MachineId> machines = late.stream()
-                .filter(machine -> isOld(askedAt.get(machine.id()), now))
-                .sorted(Comparator.comparingDouble((Machine machine) -> -silentS(machine, now))
-                        .thenComparing(Machine::id))
-                .limit(MOST_ASKED).map(Machine::id).toList();
+        List<MachineId> machines =
+                late.stream()
+                        .filter(machine -> isOld(askedAt.get(machine.id()), now))
+                        .sorted(
+                                Comparator.comparingDouble(
+                                                (Machine machine) -> -silentS(machine, now))
+                                        .thenComparing(Machine::id))
+                        .limit(MOST_ASKED)
+                        .map(Machine::id)
+                        .toList();
         if (machines.isEmpty()) {
             return null;
         }
@@ -178,7 +230,10 @@
         return at == null || now.since(at).compareTo(ASK_AGAIN) >= 0;
     }
 
-    /** Asks what the round found worth asking, and gives the lease up if others hear better. Outside the lock. */
+    /**
+     * Asks what the round found worth asking, and gives the lease up if others hear better. Outside
+     * the lock.
+     */
     public void act() {
         Question next;
         Deafness.Verdict verdict = null;
@@ -187,8 +242,12 @@
             question = null;
             if (deafSince != null && answersAt != null && !answersAt.isBefore(deafSince)) {
                 Moment now = loop.now();
-                verdict = Deafness.judge(now.since(deafSince), answeredAbout, answers,
-                        leadership.mayResignAlone(TRY_AGAIN));
+                verdict =
+                        Deafness.judge(
+                                now.since(deafSince),
+                                answeredAbout,
+                                answers,
+                                leadership.mayResignAlone(TRY_AGAIN));
             }
         }
         if (next != null) {
@@ -224,8 +283,9 @@
     }
 
     /**
-     * Whether nobody who could be asked has heard a silent machine either. Without an answer from anybody the leader's
-     * own evidence has to do, or a machine would be paid for as long as the other controllers are out of reach.
+     * Whether nobody who could be asked has heard a silent machine either. Without an answer from
+     * anybody the leader's own evidence has to do, or a machine would be paid for as long as the
+     * other controllers are out of reach.
      */
     boolean unheardByAll(Machine machine, Moment now) {
         Moment at = unheardAt.get(machine.id());
--- a/src/main/java/org/meadowhollow/coordination/fleet/Fleet.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/Fleet.java
@@ -30,24 +30,40 @@
 /** Rents machines for the work that waits, and returns those that are idle, faulty or silent. */
 public final class Fleet {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
+
     /** The cloud's limit of machines in one request. */
     private static final int MOST_RENTED = 50;
+
     private static final int MOST_RELEASED = 100;
+
     /** Messages can arrive minutes late. */
     private static final Duration FORGET_RETURNED = Duration.ofMinutes(30);
+
     private static final boolean[] ORDINARY = {false};
     private static final boolean[] SPOT_FIRST = {true, false};
+
     /** Makes any difference in price count for more than a zone with fewer machines. */
     private static final double ZONE_WEIGHT = 1000;
-    /** After a refusal the same kind is left alone for this long at first, and for twice that each time. */
+
+    /**
+     * After a refusal the same kind is left alone for this long at first, and for twice that each
+     * time.
+     */
     private static final Duration FIRST_PAUSE = Duration.ofSeconds(4);
+
     private static final Duration LONGEST_PAUSE = Duration.ofSeconds(30);
+
     /**
-     * An idle machine is kept for this long at least, also before any job has shown what its image costs to fetch: a
-     * machine costs a minute in any case, and its return takes some seconds, with a round and calls that fail.
+     * An idle machine is kept for this long at least, also before any job has shown what its image
+     * costs to fetch: a machine costs a minute in any case, and its return takes some seconds, with
+     * a round and calls that fail.
      */
     private static final double LEAST_KEPT_S = 50;
-    /** A machine that costs this much more for a task than the cheapest kind is rented only for what would be late. */
+
+    /**
+     * A machine that costs this much more for a task than the cheapest kind is rented only for what
+     * would be late.
+     */
     private static final double DEAR = 2;
 
     /**
@@ -56,11 +72,9 @@
      * @param zone the only one that will do, or null
      * @param agedS how long ago the job was submitted
      */
-    public record Need(JobSpec spec, int tasks, String zone, double agedS) {
-    }
+    public record Need(JobSpec spec, int tasks, String zone, double agedS) {}
 
-    private record Source(String type, String zone, boolean spot) {
-    }
+    private record Source(String type, String zone, boolean spot) {}
 
     private static final class Pause {
         private Moment until;
@@ -76,8 +90,10 @@
     private final GivingUp givingUp;
     private final Awaited awaited = new Awaited();
     private final Map<Source, Pause> pauses = new HashMap<>();
+
     /** Returned machines, for as long as a late list or report may still name them. */
     private final Map<MachineId, Moment> released = new LinkedHashMap<>();
+
     private List<Need> needs = List.of();
     private Set<MachineId> reserved = Set.of();
     private int counter;
@@ -85,7 +101,13 @@
     private boolean releasing;
     private boolean closed;
 
-    public Fleet(TermHolder leader, Cloud cloud, Platform platform, Catalog catalog, EventLoop loop, Term term,
+    public Fleet(
+            TermHolder leader,
+            Cloud cloud,
+            Platform platform,
+            Catalog catalog,
+            EventLoop loop,
+            Term term,
             GivingUp givingUp) {
         this.leader = leader;
         this.cloud = cloud;
@@ -104,7 +126,10 @@
         closed = true;
     }
 
-    /** Takes in what a round found: what to rent for, and the machines to keep for what is likely to come. */
+    /**
+     * Takes in what a round found: what to rent for, and the machines to keep for what is likely to
+     * come.
+     */
     public synchronized void needs(List<Need> now, Set<MachineId> keep) {
         needs = now;
         reserved = keep;
@@ -121,12 +146,14 @@
         }
         // A list is late anyway; asking at half that lag finds what there is to find.
         Duration next = platform.listLag().dividedBy(2);
-        cloud.list().whenComplete((list, failure) -> {
-            if (failure == null) {
-                listed(list);
-            }
-            loop.after(next, this::list);
-        });
+        cloud.list()
+                .whenComplete(
+                        (list, failure) -> {
+                            if (failure == null) {
+                                listed(list);
+                            }
+                            loop.after(next, this::list);
+                        });
     }
 
     private void listed(List<Cloud.Listed> list) {
@@ -142,7 +169,11 @@
                     continue;
                 }
                 if (item.phase() == Cloud.Phase.BOOTING) {
-                    awaited.listed(item.id(), type, item.zone(), item.spot(),
+                    awaited.listed(
+                            item.id(),
+                            type,
+                            item.zone(),
+                            item.spot(),
                             new Moment(loop.now().nanos() - (long) (item.ageS() * 1e9)));
                 } else if (item.phase() == Cloud.Phase.FAILED) {
                     awaited.forget(item.id());
@@ -160,13 +191,14 @@
                 failed.add(item.id());
             }
         }
-        release(failed, "failed", returned -> { });
+        release(failed, "failed", returned -> {});
     }
 
     /**
-     * One round: rent for what waits, return what is of no more use. Not without the lease: whoever leads by then may
-     * have placed something on a machine that is idle for all that this leader knows. Nor while hardly any machine is
-     * heard: all of them seem useless then, and all that waits seems to need others.
+     * One round: rent for what waits, return what is of no more use. Not without the lease: whoever
+     * leads by then may have placed something on a machine that is idle for all that this leader
+     * knows. Nor while hardly any machine is heard: all of them seem useless then, and all that
+     * waits seems to need others.
      */
     public void act() {
         List<Machine> machines = leader.machineList();
@@ -198,7 +230,7 @@
         }
         wanted.forEach(this::rent);
         release(silent, "silent", returned -> givingUp.returned(returned, loop.now()));
-        release(unwanted, "idle or faulty", returned -> { });
+        release(unwanted, "idle or faulty", returned -> {});
     }
 
     private boolean unwanted(Machine machine, Moment now) {
@@ -208,39 +240,57 @@
         if (machine.begunAnew()) {
             return true;
         }
-        // A cancelled task that does not go is made to: the return proves it gone in time for its limit.
+        // A cancelled task that does not go is made to: the return proves it gone in time for its
+        // limit.
         Duration half = platform.cancelWithin().dividedBy(2);
-        if (machine.placements().stream().anyMatch(placement -> placement.job().cancelled()
-                && now.since(placement.job().cancelSeenAt()).compareTo(half) > 0)) {
+        if (machine.placements().stream()
+                .anyMatch(
+                        placement ->
+                                placement.job().cancelled()
+                                        && now.since(placement.job().cancelSeenAt()).compareTo(half)
+                                                > 0)) {
             return true;
         }
         if (machine.noticeEndsAt() != null) {
-            return machine.noticeEndsAt().isBefore(now) && machine.heardAt() != null
+            return machine.noticeEndsAt().isBefore(now)
+                    && machine.heardAt() != null
                     && now.secondsSince(machine.heardAt()) > 1;
         }
         if (machine.idleSince() == null || machine.heardAt() == null) {
             return false;
         }
-        return machine.draining() || !reserved.contains(machine.id())
-                && now.secondsSince(machine.idleSince()) > keepS(machine.type());
+        return machine.draining()
+                || !reserved.contains(machine.id())
+                        && now.secondsSince(machine.idleSince()) > keepS(machine.type());
     }
 
     /**
-     * How long an idle machine is kept: as long as it would take to have another one as ready, with its
-     * image fetched. Who keeps for the time that it costs to come back never pays more than double.
+     * How long an idle machine is kept: as long as it would take to have another one as ready, with
+     * its image fetched. Who keeps for the time that it costs to come back never pays more than
+     * double.
      */
     private double keepS(MachineType type) {
         return Math.max(LEAST_KEPT_S, type.bootS() + leader.largestImageGb() / type.fetchGbPerS());
     }
 
-    /** What to rent: the needs that neither the machines that are booting nor each other's new ones take. */
+    /**
+     * What to rent: the needs that neither the machines that are booting nor each other's new ones
+     * take.
+     */
     private Map<Source, Integer> wanted(List<Machine> machines, Moment now) {
-        record Bin(Source source, Resources[] free, double readyInS) {
-        }
+        record Bin(Source source, Resources[] free, double readyInS) {}
         List<Bin> bins = new ArrayList<>();
-        awaited.counted(now).forEach(rental -> bins.add(new Bin(
-                new Source(rental.type().name(), rental.zone(), rental.spot()),
-                new Resources[] {rental.type().room()}, rental.readyInS(now))));
+        awaited.counted(now)
+                .forEach(
+                        rental ->
+                                bins.add(
+                                        new Bin(
+                                                new Source(
+                                                        rental.type().name(),
+                                                        rental.zone(),
+                                                        rental.spot()),
+                                                new Resources[] {rental.type().room()},
+                                                rental.readyInS(now))));
         Turnover turnover = new Turnover(machines, now);
         Map<String, Integer> perZone = new HashMap<>();
         for (Machine machine : machines) {
@@ -256,7 +306,8 @@
             while (left > 0) {
                 Bin found = null;
                 for (Bin bin : bins) {
-                    if (fits(spec, bin.source(), only) && spec.perTask().fitsIn(bin.free()[0])
+                    if (fits(spec, bin.source(), only)
+                            && spec.perTask().fitsIn(bin.free()[0])
                             && inZone.getOrDefault(bin.source().zone(), 0) < spec.mostPerZone()) {
                         found = bin;
                         break;
@@ -282,7 +333,11 @@
                 inZone.merge(found.source().zone(), 1, Integer::sum);
                 if (spec.kind() == Kind.ARRAY) {
                     MachineType type = catalog.type(found.source().type());
-                    turnover.follows(spec, type, found.source().zone(), found.source().spot(),
+                    turnover.follows(
+                            spec,
+                            type,
+                            found.source().zone(),
+                            found.source().spot(),
                             found.readyInS() + spec.imageGb() / type.fetchGbPerS());
                 }
                 if (spec.oneZone()) {
@@ -311,13 +366,18 @@
     }
 
     private boolean fits(JobSpec spec, Source source, String zone) {
-        return spec.allowsType(source.type()) && (!source.spot() || spec.spot())
+        return spec.allowsType(source.type())
+                && (!source.spot() || spec.spot())
                 && (zone == null || zone.equals(source.zone()))
                 && spec.perTask().fitsIn(catalog.type(source.type()).room());
     }
 
     /** The cheapest place to rent for a task; among equals, the zone with the fewest machines. */
-    private Source source(JobSpec spec, String only, Map<String, Integer> inZone, Map<String, Integer> perZone,
+    private Source source(
+            JobSpec spec,
+            String only,
+            Map<String, Integer> inZone,
+            Map<String, Integer> perZone,
             Moment now) {
         Source best = null;
         double bestCost = 0;
@@ -326,11 +386,14 @@
                 for (boolean spot : spec.spot() ? SPOT_FIRST : ORDINARY) {
                     Source source = new Source(type.name(), zone, spot);
                     Pause pause = pauses.get(source);
-                    if (!fits(spec, source, only) || leader.isOut(type.name(), zone) || pause != null && now.isBefore(pause.until)
+                    if (!fits(spec, source, only)
+                            || leader.isOut(type.name(), zone)
+                            || pause != null && now.isBefore(pause.until)
                             || inZone.getOrDefault(zone, 0) >= spec.mostPerZone()) {
                         continue;
                     }
-                    double cost = costOf(spec, type, spot) * ZONE_WEIGHT + perZone.getOrDefault(zone, 0);
+                    double cost =
+                            costOf(spec, type, spot) * ZONE_WEIGHT + perZone.getOrDefault(zone, 0);
                     if (best == null || cost < bestCost) {
                         best = source;
                         bestCost = cost;
@@ -350,28 +413,50 @@
         }
         Moment sentAt = loop.now();
         int most = Math.min(MOST_RENTED, count);
-        LOG.info("renting {} {} {} in {} as {}", most, source.spot() ? "spot" : "ordinary", source.type(),
-                source.zone(), request);
-        cloud.rent(request, source.type(), source.zone(), source.spot(), most).whenComplete((rented, failure) -> {
-            synchronized (this) {
-                renting--;
-                if (failure != null || rented.isEmpty() || rented.get().size() < most) {
-                    pause(source, failure != null ? failure.getMessage() : "no capacity");
-                } else {
-                    pauses.remove(source);
-                }
-                if (failure == null && rented.isPresent()) {
-                    MachineType type = catalog.type(source.type());
-                    awaited.rented(rented.get(), type, source.zone(), source.spot(), sentAt, loop.now());
-                }
-            }
-        });
+        LOG.info(
+                "renting {} {} {} in {} as {}",
+                most,
+                source.spot() ? "spot" : "ordinary",
+                source.type(),
+                source.zone(),
+                request);
+        cloud.rent(request, source.type(), source.zone(), source.spot(), most)
+                .whenComplete(
+                        (rented, failure) -> {
+                            synchronized (this) {
+                                renting--;
+                                if (failure != null
+                                        || rented.isEmpty()
+                                        || rented.get().size() < most) {
+                                    pause(
+                                            source,
+                                            failure != null ? failure.getMessage() : "no capacity");
+                                } else {
+                                    pauses.remove(source);
+                                }
+                                if (failure == null && rented.isPresent()) {
+                                    MachineType type = catalog.type(source.type());
+                                    awaited.rented(
+                                            rented.get(),
+                                            type,
+                                            source.zone(),
+                                            source.spot(),
+                                            sentAt,
+                                            loop.now());
+                                }
+                            }
+                        });
     }
 
     private void pause(Source source, String why) {
         Pause pause = pauses.computeIfAbsent(source, unused -> new Pause());
         pause.until = loop.now().plus(pause.length);
-        LOG.info("no more {} in {} for {} s: {}", source.type(), source.zone(), pause.length.toSeconds(), why);
+        LOG.info(
+                "no more {} in {} for {} s: {}",
+                source.type(),
+                source.zone(),
+                pause.length.toSeconds(),
+                why);
         Duration twice = pause.length.multipliedBy(2);
         pause.length = twice.compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : twice;
     }
@@ -387,33 +472,44 @@
             batch = ids.stream().sorted(Comparator.naturalOrder()).limit(MOST_RELEASED).toList();
         }
         Set<MachineId> set = new HashSet<>(batch);
-        List<Machine> machines = leader.machineList().stream().filter(one -> set.contains(one.id())).toList();
+        List<Machine> machines =
+                leader.machineList().stream().filter(one -> set.contains(one.id())).toList();
         machines.forEach(machine -> machine.releasing(true));
         LOG.info("returning {}: {}", batch, why);
-        cloud.release(batch).whenComplete((unused, failure) -> {
-            synchronized (this) {
-                releasing = false;
-                if (failure == null) {
-                    Moment now = loop.now();
-                    released.values().removeIf(at -> now.since(at).compareTo(FORGET_RETURNED) > 0);
-                    batch.forEach(id -> released.put(id, now));
-                    batch.forEach(awaited::forget);
-                }
-            }
-            if (failure == null) {
-                returned.accept(batch.size());
-                batch.forEach(id -> leader.gone(id, "its machine was returned", true));
-            } else {
-                if (!(cause(failure) instanceof Cloud.Refused)) {
-                    // It may still be executed late, so nothing is placed there; the next round tries again.
-                    machines.forEach(Machine::drain);
-                }
-                machines.forEach(machine -> machine.releasing(false));
-            }
-        });
+        cloud.release(batch)
+                .whenComplete(
+                        (unused, failure) -> {
+                            synchronized (this) {
+                                releasing = false;
+                                if (failure == null) {
+                                    Moment now = loop.now();
+                                    released.values()
+                                            .removeIf(
+                                                    at ->
+                                                            now.since(at).compareTo(FORGET_RETURNED)
+                                                                    > 0);
+                                    batch.forEach(id -> released.put(id, now));
+                                    batch.forEach(awaited::forget);
+                                }
+                            }
+                            if (failure == null) {
+                                returned.accept(batch.size());
+                                batch.forEach(
+                                        id -> leader.gone(id, "its machine was returned", true));
+                            } else {
+                                if (!(cause(failure) instanceof Cloud.Refused)) {
+                                    // It may still be executed late, so nothing is placed there;
+                                    // the next round tries again.
+                                    machines.forEach(Machine::drain);
+                                }
+                                machines.forEach(machine -> machine.releasing(false));
+                            }
+                        });
     }
 
     private static Throwable cause(Throwable failure) {
-        return failure instanceof CompletionException && failure.getCause() != null ? failure.getCause() : failure;
+        return failure instanceof CompletionException && failure.getCause() != null
+                ? failure.getCause()
+                : failure;
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/fleet/GivingUp.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/GivingUp.java
@@ -19,32 +19,47 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which silent machines are returned to the cloud. A return proves what was on a machine gone, which may be worth much,
- * but it cannot be taken back, so it is the last resort: not while many are silent at once, not in a zone that is
- * mostly silent, not what another controller hears, and not many in a short time.
+ * Which silent machines are returned to the cloud. A return proves what was on a machine gone,
+ * which may be worth much, but it cannot be taken back, so it is the last resort: not while many
+ * are silent at once, not in a zone that is mostly silent, not what another controller hears, and
+ * not many in a short time.
  *
- * <p>Keeping a dead machine costs little, since the cloud lists it as failed within a minute, from when on it is free;
- * and one that it took away is left out; only one that hangs is paid for. So what is not returned for silence alone waits for the cloud's word, or for
- * {@link #LAST_RESORT_LEASES}.
+ * <p>Keeping a dead machine costs little, since the cloud lists it as failed within a minute, from
+ * when on it is free; and one that it took away is left out; only one that hangs is paid for. So
+ * what is not returned for silence alone waits for the cloud's word, or for {@link
+ * #LAST_RESORT_LEASES}.
  */
 public final class GivingUp {
     private static final Logger LOG = LoggerFactory.getLogger(GivingUp.class);
-    /** A silent machine is given up after this many leases: its tasks are gone, but it may yet go on. */
+
+    /**
+     * A silent machine is given up after this many leases: its tasks are gone, but it may yet go
+     * on.
+     */
     private static final double GIVE_UP_LEASES = 1.5;
+
     /**
-     * A machine that others wait for is given up after this many reports: two in a row at their latest (a
-     * quarter late each), and time for a direct question. Its return proves its tasks gone before its lease does.
+     * A machine that others wait for is given up after this many reports: two in a row at their
+     * latest (a quarter late each), and time for a direct question. Its return proves its tasks
+     * gone before its lease does.
      */
     private static final double GIVE_UP_REPORTS = 2.7;
-    /** Where silence has a common cause, a machine is given up after this many leases, by which any cut seen was over. */
+
+    /**
+     * Where silence has a common cause, a machine is given up after this many leases, by which any
+     * cut seen was over.
+     */
     private static final double LAST_RESORT_LEASES = 10;
+
     /** Above this share of silent machines a zone is cut off, rather than its machines dead. */
     private static final double MOST_OF_ZONE = 0.5;
+
     /** In a zone with fewer machines than this, the share tells nothing. */
     private static final int LEAST_IN_ZONE = 4;
+
     /**
-     * Machines that report after they seemed dead; one is a machine that hung, more speak against the listener, which
-     * may have stood still itself.
+     * Machines that report after they seemed dead; one is a machine that hung, more speak against
+     * the listener, which may have stood still itself.
      */
     private static final int LATE_AGAIN = 2;
 
@@ -67,7 +82,10 @@
         return seconds(platform.reportEvery()) * GIVE_UP_REPORTS;
     }
 
-    /** A report has come: if it is from a machine that was about to be given up, others may be heard again as well. */
+    /**
+     * A report has come: if it is from a machine that was about to be given up, others may be heard
+     * again as well.
+     */
     public void reported(Machine machine, Moment now) {
         if (machine.heardAt() == null || detector.silentS(machine, now) <= givenUpS()) {
             return;
@@ -76,8 +94,11 @@
         lateReports.add(now);
         if (lateReports.size() >= LATE_AGAIN) {
             if (suspendedUntil == null || suspendedUntil.isBefore(now)) {
-                LOG.info("machines that were silent for more than {} s report again: none is returned for silence alone"
-                        + " for {} s", givenUpS(), platform.lease().toSeconds());
+                LOG.info(
+                        "machines that were silent for more than {} s report again: none is returned for silence alone"
+                                + " for {} s",
+                        givenUpS(),
+                        platform.lease().toSeconds());
             }
             suspendedUntil = now.plus(platform.lease());
         }
@@ -112,24 +133,37 @@
         if (candidates.isEmpty()) {
             return List.of();
         }
-        boolean common = detector.hearing() != Deafness.Hearing.GOOD
-                || suspendedUntil != null && now.isBefore(suspendedUntil);
+        boolean common =
+                detector.hearing() != Deafness.Hearing.GOOD
+                        || suspendedUntil != null && now.isBefore(suspendedUntil);
         Set<String> cutOff = new HashSet<>();
-        known.forEach((zone, all) -> {
-            if (known.size() > 1 && all >= LEAST_IN_ZONE && silent.getOrDefault(zone, 0) > MOST_OF_ZONE * all) {
-                cutOff.add(zone);
-            }
-        });
+        known.forEach(
+                (zone, all) -> {
+                    if (known.size() > 1
+                            && all >= LEAST_IN_ZONE
+                            && silent.getOrDefault(zone, 0) > MOST_OF_ZONE * all) {
+                        cutOff.add(zone);
+                    }
+                });
         forgetBefore(returned, now);
         int mostNow = Math.max(1, (int) (count * Deafness.DOUBTFUL)) - returned.size();
         double lastResortS = seconds(platform.lease()) * LAST_RESORT_LEASES;
         return candidates.stream()
-                .filter(machine -> !common && !cutOff.contains(machine.zone())
-                        || detector.silentS(machine, now) > lastResortS)
-                .filter(machine -> detector.unheardByAll(machine, now) && !heardElsewhere(machine, now))
-                .sorted(Comparator.comparingDouble((Machine machine) -> -detector.silentS(machine, now))
-                        .thenComparing(Machine::id))
-                .limit(Math.max(0, mostNow)).map(Machine::id).toList();
+                .filter(
+                        machine ->
+                                !common && !cutOff.contains(machine.zone())
+                                        || detector.silentS(machine, now) > lastResortS)
+                .filter(
+                        machine ->
+                                detector.unheardByAll(machine, now)
+                                        && !heardElsewhere(machine, now))
+                .sorted(
+                        Comparator.comparingDouble(
+                                        (Machine machine) -> -detector.silentS(machine, now))
+                                .thenComparing(Machine::id))
+                .limit(Math.max(0, mostNow))
+                .map(Machine::id)
+                .toList();
     }
 
     /** Notes that machines were returned, which counts against how many more may be. */
@@ -147,14 +181,20 @@
     /** How long a machine may be silent before it is given up. */
     private double limitS(Machine machine) {
         if (machine.heardAt() == null) {
-            // Not one word since this leader began or the cloud listed it as running: as for one that never comes up.
-            return Math.max(machine.type().bootS() * Awaited.PATIENCE, seconds(platform.lease()) * GIVE_UP_LEASES);
+            // Not one word since this leader began or the cloud listed it as running: as for one
+            // that never comes up.
+            return Math.max(
+                    machine.type().bootS() * Awaited.PATIENCE,
+                    seconds(platform.lease()) * GIVE_UP_LEASES);
         }
         return isWaitedFor(machine) ? givenUpS() : seconds(platform.lease()) * GIVE_UP_LEASES;
     }
 
-    /** Whether a service or a gang is held up while nobody knows if the machine's tasks still run. */
+    /**
+     * Whether a service or a gang is held up while nobody knows if the machine's tasks still run.
+     */
     private static boolean isWaitedFor(Machine machine) {
-        return machine.placements().stream().anyMatch(placement -> placement.job().spec().kind() != Kind.ARRAY);
+        return machine.placements().stream()
+                .anyMatch(placement -> placement.job().spec().kind() != Kind.ARRAY);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/fleet/SilenceWatch.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/SilenceWatch.java
@@ -15,18 +15,21 @@
 import org.meadowhollow.coordination.platform.Platform;
 
 /**
- * Watches over machines that are silent, on notice or idle. What was on a silent one counts as running until its
- * worker's lease has certainly ended. Guarded by the leader's lock.
+ * Watches over machines that are silent, on notice or idle. What was on a silent one counts as
+ * running until its worker's lease has certainly ended. Guarded by the leader's lock.
  */
 public final class SilenceWatch {
     /** Clock drift and timer steps on top of a worker's lease. */
     private static final double LEASE_SLACK = 1.001;
+
     private static final Duration LEASE_MARGIN = Duration.ofMillis(500);
+
     /**
-     * Machines asked directly in a round. Behind a cut hundreds are silent at once, and each question takes a socket
-     * for as long as it hangs, which users and workers need as well.
+     * Machines asked directly in a round. Behind a cut hundreds are silent at once, and each
+     * question takes a socket for as long as it hangs, which users and workers need as well.
      */
     private static final int MOST_PROBES = 100;
+
     /** Questions that may hang at a time: each for 3 s, before the connection is given up. */
     public static final int MOST_HANGING = 3 * MOST_PROBES;
 
@@ -38,7 +41,8 @@
     private final Map<MachineId, Moment> probedAt = new HashMap<>();
     private int probes;
 
-    public SilenceWatch(TermHolder leader, Cluster cluster, Platform platform, Term term, Moment begunAt) {
+    public SilenceWatch(
+            TermHolder leader, Cluster cluster, Platform platform, Term term, Moment begunAt) {
         this.leader = leader;
         this.cluster = cluster;
         this.platform = platform;
@@ -59,37 +63,55 @@
         probedAt.remove(machine);
     }
 
-    /** Asks a silent machine, takes its tasks as gone once that is proven, and drains it on notice. */
+    /**
+     * Asks a silent machine, takes its tasks as gone once that is proven, and drains it on notice.
+     */
     private void watchOver(Machine machine, Moment now) {
         Moment lastHeard = machine.heardAt() == null ? begunAt : machine.heardAt();
         double silentS = now.secondsSince(lastHeard);
         double reportS = platform.reportEvery().toNanos() / 1e9;
-        if (silentS > Cluster.SILENT_REPORTS * reportS && machine.address() != null && probes < MOST_PROBES) {
+        if (silentS > Cluster.SILENT_REPORTS * reportS
+                && machine.address() != null
+                && probes < MOST_PROBES) {
             Moment probed = probedAt.get(machine.id());
             if (probed == null || now.secondsSince(probed) > reportS) {
                 probes++;
                 probedAt.put(machine.id(), now);
-                leader.send(machine, machine.session() == null ? new Session(1) : machine.session(), List.of());
+                leader.send(
+                        machine,
+                        machine.session() == null ? new Session(1) : machine.session(),
+                        List.of());
             }
         }
-        // Also where nothing is placed: an old report of a machine that is gone may be all that was ever heard of it, and the
+        // Also where nothing is placed: an old report of a machine that is gone may be all that was
+        // ever heard of it, and the
         // tasks that it lists would be held up by it until it is returned for its silence.
-        if (!(machine.placements().isEmpty() && machine.strays().isEmpty()) && leaseCertainlyOver(machine, now)) {
+        if (!(machine.placements().isEmpty() && machine.strays().isEmpty())
+                && leaseCertainlyOver(machine, now)) {
             for (Placement placement : List.copyOf(machine.placements())) {
-                leader.lost(machine, placement, "the machine has been silent for longer than its lease", now);
+                leader.lost(
+                        machine,
+                        placement,
+                        "the machine has been silent for longer than its lease",
+                        now);
             }
             machine.strays().clear();
         }
         if (machine.noticeEndsAt() != null) {
             for (Placement placement : List.copyOf(machine.placements())) {
-                if (!placement.stopping() && (placement.job().spec().saves()
-                        || placement.job().spec().kind() == Kind.SERVICE)) {
-                    leader.stopSaving(placement, "machine " + placement.machine() + " is being taken back");
+                if (!placement.stopping()
+                        && (placement.job().spec().saves()
+                                || placement.job().spec().kind() == Kind.SERVICE)) {
+                    leader.stopSaving(
+                            placement, "machine " + placement.machine() + " is being taken back");
                 }
             }
         }
-        // Of a silent machine nobody knows whether it is idle; behind a cut its tasks only count as lost.
-        if (machine.placements().isEmpty() && machine.strays().isEmpty() && !leader.isSilent(machine, now)) {
+        // Of a silent machine nobody knows whether it is idle; behind a cut its tasks only count as
+        // lost.
+        if (machine.placements().isEmpty()
+                && machine.strays().isEmpty()
+                && !leader.isSilent(machine, now)) {
             if (machine.idleSince() == null) {
                 machine.idleSince(now);
             }
@@ -99,9 +121,9 @@
     }
 
     /**
-     * Whether the worker's lease must have run out. Only a worker that has shown our token renews by our
-     * answers alone; for any other an earlier leader may have gone on answering, though not for longer
-     * than its limit after its last renewal, which was before our term began.
+     * Whether the worker's lease must have run out. Only a worker that has shown our token renews
+     * by our answers alone; for any other an earlier leader may have gone on answering, though not
+     * for longer than its limit after its last renewal, which was before our term began.
      */
     private boolean leaseCertainlyOver(Machine machine, Moment now) {
         if (machine.shown().equals(term) && machine.heardAt() != null) {
@@ -109,7 +131,7 @@
         }
         return now.since(begunAt).compareTo(slack(platform.cancelWithin())) > 0
                 && (machine.heardAt() == null
-                || now.since(machine.heardAt()).compareTo(slack(platform.lease())) > 0);
+                        || now.since(machine.heardAt()).compareTo(slack(platform.lease())) > 0);
     }
 
     private static Duration slack(Duration span) {
@@ -118,10 +140,15 @@
 
     /** Placements on machines that neither the cloud's list nor any report has shown. */
     private void expireUnseen(Moment now) {
-        if (!cluster.unseen().isEmpty() && now.since(begunAt).compareTo(slack(platform.cancelWithin())) > 0) {
+        if (!cluster.unseen().isEmpty()
+                && now.since(begunAt).compareTo(slack(platform.cancelWithin())) > 0) {
             for (List<Placement> placements : List.copyOf(cluster.unseen().values())) {
                 for (Placement placement : List.copyOf(placements)) {
-                    leader.lost(null, placement, "its machine has not been seen for longer than any lease", now);
+                    leader.lost(
+                            null,
+                            placement,
+                            "its machine has not been seen for longer than any lease",
+                            now);
                 }
             }
             cluster.unseen().clear();
--- a/src/main/java/org/meadowhollow/coordination/fleet/TermHolder.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/TermHolder.java
@@ -17,7 +17,10 @@
     /** Whether all that earlier leaders recorded is known. */
     boolean isLoaded();
 
-    /** Whether to place, stop, rent and return: the lease certainly holds, and the workers are heard. */
+    /**
+     * Whether to place, stop, rent and return: the lease certainly holds, and the workers are
+     * heard.
+     */
     boolean mayAct();
 
     /** Whether what is silent is so for its own reasons, as far as can be told. */
@@ -28,7 +31,10 @@
 
     List<Machine> machineList();
 
-    /** Seconds that a task of a job's kind takes on a machine that is still to be rented, until it runs. */
+    /**
+     * Seconds that a task of a job's kind takes on a machine that is still to be rented, until it
+     * runs.
+     */
     double readyS(JobSpec spec);
 
     double largestImageGb();
--- a/src/main/java/org/meadowhollow/coordination/hearing/Deafness.java
+++ b/src/main/java/org/meadowhollow/coordination/hearing/Deafness.java
@@ -5,37 +5,53 @@
 import org.meadowhollow.coordination.platform.Testimony;
 
 /**
- * Tells a leader that has lost its workers from workers that are lost. Many machines silent at once speak against the
- * listener; the other controllers, to whom workers turn when their leader gives no answer, can tell. Pure functions.
+ * Tells a leader that has lost its workers from workers that are lost. Many machines silent at once
+ * speak against the listener; the other controllers, to whom workers turn when their leader gives
+ * no answer, can tell. Pure functions.
  */
 public final class Deafness {
     /**
-     * The share of the known machines above which silence has a common cause: a wave of spot machines or a zone with
-     * fewer machines stays below it, and so did every independent failure seen.
+     * The share of the known machines above which silence has a common cause: a wave of spot
+     * machines or a zone with fewer machines stays below it, and so did every independent failure
+     * seen.
      */
     public static final double DOUBTFUL = 0.25;
-    /** The share above which it is the listener: the loss of the larger of two or three zones stays below it. */
+
+    /**
+     * The share above which it is the listener: the loss of the larger of two or three zones stays
+     * below it.
+     */
     static final double MOSTLY = 0.75;
+
     /** Fewer machines than this tell nothing. */
     static final int LEAST_KNOWN = 3;
+
     /** Machines that must have come to another node: one or two lose a connection now and then. */
     static final int LEAST_WITNESSED = 3;
+
     /**
-     * How long others have for an answer before a deaf leader goes by its own evidence alone: workers reach the next
-     * node 5 s after their leader fell silent, and the leader notes its own deafness about as soon.
+     * How long others have for an answer before a deaf leader goes by its own evidence alone:
+     * workers reach the next node 5 s after their leader fell silent, and the leader notes its own
+     * deafness about as soon.
      */
     static final Duration WAIT_FOR_OTHERS = Duration.ofSeconds(3);
 
     /** How well a leader hears its workers. */
-    public enum Hearing { GOOD, DOUBTFUL, DEAF }
+    public enum Hearing {
+        GOOD,
+        DOUBTFUL,
+        DEAF
+    }
 
-    /** What follows for the leadership; {@code heir} is the node to hand it to, null where none is known. */
+    /**
+     * What follows for the leadership; {@code heir} is the node to hand it to, null where none is
+     * known.
+     */
     public record Verdict(boolean resigns, String heir) {
         private static final Verdict STAY = new Verdict(false, null);
     }
 
-    private Deafness() {
-    }
+    private Deafness() {}
 
     /**
      * @param known machines that should report
@@ -49,21 +65,25 @@
     }
 
     /**
-     * Whether a deaf leader gives its lease up. It does so for a node that hears its workers. If all others answer and
-     * none hears them, nothing is gained by taking turns, and it stays. If some others cannot be reached, it gives up
-     * once without knowing of a better one; nobody who does not hear takes the lease then before it comes back.
+     * Whether a deaf leader gives its lease up. It does so for a node that hears its workers. If
+     * all others answer and none hears them, nothing is gained by taking turns, and it stays. If
+     * some others cannot be reached, it gives up once without knowing of a better one; nobody who
+     * does not hear takes the lease then before it comes back.
      *
      * @param deafFor since when it has been deaf
      * @param asked how many late machines the others were asked about
-     * @param others an answer or its absence for each of the other controllers; empty before the first round of answers
+     * @param others an answer or its absence for each of the other controllers; empty before the
+     *     first round of answers
      * @param mayTry whether it has not given up on its own evidence lately
      */
-    public static Verdict judge(Duration deafFor, int asked, List<Testimony> others, boolean mayTry) {
+    public static Verdict judge(
+            Duration deafFor, int asked, List<Testimony> others, boolean mayTry) {
         Testimony best = null;
         boolean allAnswered = true;
         for (Testimony other : others) {
             allAnswered &= other.answered();
-            if (other.served() && other.heard().size() >= Math.min(LEAST_WITNESSED, Math.max(1, asked))
+            if (other.served()
+                    && other.heard().size() >= Math.min(LEAST_WITNESSED, Math.max(1, asked))
                     && (best == null || other.heard().size() > best.heard().size())) {
                 best = other;
             }
@@ -72,6 +92,8 @@
             return new Verdict(true, best.member());
         }
         boolean alone = !others.isEmpty() && !allAnswered;
-        return alone && mayTry && deafFor.compareTo(WAIT_FOR_OTHERS) >= 0 ? new Verdict(true, null) : Verdict.STAY;
+        return alone && mayTry && deafFor.compareTo(WAIT_FOR_OTHERS) >= 0
+                ? new Verdict(true, null)
+                : Verdict.STAY;
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/hearing/Earshot.java
+++ b/src/main/java/org/meadowhollow/coordination/hearing/Earshot.java
@@ -11,13 +11,20 @@
 import org.meadowhollow.bookkeeping.Moment;
 
 /**
- * Which workers' reports have come to this node lately, whether or not it leads. That a report came shows that the
- * worker was alive and that the way from it to this node was open; that none came shows nothing.
+ * Which workers' reports have come to this node lately, whether or not it leads. That a report came
+ * shows that the worker was alive and that the way from it to this node was open; that none came
+ * shows nothing.
  */
 public final class Earshot {
-    /** Longer than any window that is asked for: a worker whose leader is silent goes round all nodes well within it. */
+    /**
+     * Longer than any window that is asked for: a worker whose leader is silent goes round all
+     * nodes well within it.
+     */
     private static final Duration KEPT = Duration.ofSeconds(60);
-    /** Machines remembered, some hundred bytes each; the one heard longest ago is forgotten first. */
+
+    /**
+     * Machines remembered, some hundred bytes each; the one heard longest ago is forgotten first.
+     */
     private static final int MOST = 20_000;
 
     /** In the order of their last reports. */
@@ -47,7 +54,8 @@
     }
 
     /** Those of some machines that were heard within a time of at most 60 s before now. */
-    public synchronized Set<MachineId> among(Collection<MachineId> machines, Duration within, Moment now) {
+    public synchronized Set<MachineId> among(
+            Collection<MachineId> machines, Duration within, Moment now) {
         Set<MachineId> heard = new HashSet<>();
         for (MachineId machine : machines) {
             Moment at = heardAt.get(machine);
--- a/src/main/java/org/meadowhollow/coordination/hearing/package-info.java
+++ b/src/main/java/org/meadowhollow/coordination/hearing/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Whose reports come to this node, and what that says of the listener. Pure: decides from counts and times passed in.
+ * Whose reports come to this node, and what that says of the listener. Pure: decides from counts
+ * and times passed in.
  */
 package org.meadowhollow.coordination.hearing;
--- a/src/main/java/org/meadowhollow/coordination/leadership/Leadership.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/Leadership.java
@@ -21,26 +21,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Who leads: the holder of a leased key in the state service. The term comes from a counter that only
- * grows, raised in the same transaction that takes the key. What follows from what is decided by {@link LeadershipStep},
- * under a short lock; this does what it asks for.
+ * Who leads: the holder of a leased key in the state service. The term comes from a counter that
+ * only grows, raised in the same transaction that takes the key. What follows from what is decided
+ * by {@link LeadershipStep}, under a short lock; this does what it asks for.
  */
 public final class Leadership {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
     private static final Duration RENEWAL_CHECK = Duration.ofMillis(500);
     private static final Duration RETRY = Duration.ofMillis(400);
+
     /** A watch of the leader's key; it returns at once when the key goes. */
     private static final Duration WATCH = Duration.ofSeconds(20);
+
     /**
-     * For what a worker takes to notice that its lease is over. An answer that is held back or late needs none: a lease
-     * counts from when its report was sent, which is before it was taken in here.
+     * For what a worker takes to notice that its lease is over. An answer that is held back or late
+     * needs none: a lease counts from when its report was sent, which is before it was taken in
+     * here.
      */
     private static final Duration MARGIN = Duration.ofSeconds(1);
+
     /**
-     * Workers that must have come here within some seconds for this node to count as one that hears them. Those of a
-     * silent leader go round all nodes, one every 5 s and more.
+     * Workers that must have come here within some seconds for this node to count as one that hears
+     * them. Those of a silent leader go round all nodes, one every 5 s and more.
      */
     private static final int LEAST_HEARD = 3;
+
     private static final Duration HEARD_WITHIN = Duration.ofSeconds(6);
 
     /** What follows from a change of leadership. */
@@ -71,8 +76,14 @@
     private final Listener listener;
     private LeadershipState state = LeadershipState.FIRST;
 
-    public Leadership(StateStore store, EventLoop loop, Peers peers, Platform platform, Earshot earshot,
-            RandomGenerator random, Listener listener) {
+    public Leadership(
+            StateStore store,
+            EventLoop loop,
+            Peers peers,
+            Platform platform,
+            Earshot earshot,
+            RandomGenerator random,
+            Listener listener) {
         this.store = store;
         this.loop = loop;
         this.peers = peers;
@@ -93,14 +104,18 @@
         return LeadershipStep.mayStart(state, loop.now());
     }
 
-    /** Whether starts may be sent to workers: the lease certainly holds, and no cancellation of a moment ago is unknown here. */
+    /**
+     * Whether starts may be sent to workers: the lease certainly holds, and no cancellation of a
+     * moment ago is unknown here.
+     */
     public synchronized boolean maySendStarts() {
         return LeadershipStep.maySendStarts(state, loop.now());
     }
 
     /**
-     * Whether reports may be answered. A leader that cannot renew keeps the tasks running, but only so long that all
-     * leases it renewed are over before a cancellation it never heard of is due. Before it has loaded it may not.
+     * Whether reports may be answered. A leader that cannot renew keeps the tasks running, but only
+     * so long that all leases it renewed are over before a cancellation it never heard of is due.
+     * Before it has loaded it may not.
      */
     public synchronized boolean mayAnswer() {
         return LeadershipStep.mayAnswer(answerFor, state, loop.now());
@@ -137,7 +152,8 @@
 
     /** Whether giving up without knowing of a node that hears has not been tried for a time. */
     public synchronized boolean mayResignAlone(Duration pause) {
-        return state.resignedAloneAt() == null || loop.now().since(state.resignedAloneAt()).compareTo(pause) >= 0;
+        return state.resignedAloneAt() == null
+                || loop.now().since(state.resignedAloneAt()).compareTo(pause) >= 0;
     }
 
     /** A peer or a worker told of a term; a higher one than ours ends our leadership. */
@@ -156,9 +172,10 @@
     }
 
     /**
-     * Gives the lease up because hardly any worker is heard here; the record of terms says so, and for whom. Its key is
-     * removed under a guard, so nothing is given up that another has taken. Until the answer comes this node answers
-     * reports and decides nothing; refused, it leads on and tries again when asked to.
+     * Gives the lease up because hardly any worker is heard here; the record of terms says so, and
+     * for whom. Its key is removed under a guard, so nothing is given up that another has taken.
+     * Until the answer comes this node answers reports and decides nothing; refused, it leads on
+     * and tries again when asked to.
      *
      * @param heir a node that hears them, or null if none is known
      */
@@ -167,7 +184,8 @@
     }
 
     /**
-     * Gives the lease to another node, because this one is going to end. The others leave it to that node for a moment.
+     * Gives the lease to another node, because this one is going to end. The others leave it to
+     * that node for a moment.
      *
      * @param heir the node that is to take it, or null if it does not matter which
      */
@@ -176,12 +194,14 @@
     }
 
     /**
-     * A worker has come here. If the leader answered it last, it has left the leader, whose process may have ended:
-     * the leader is asked, and if it refuses connections while several workers have left it, its lease is ended at
-     * once instead of when it runs out. That is a matter of time alone: whoever leads next takes the key and a higher
-     * term as ever, so a leader that is wrongly suspected loses its place, and no more.
+     * A worker has come here. If the leader answered it last, it has left the leader, whose process
+     * may have ended: the leader is asked, and if it refuses connections while several workers have
+     * left it, its lease is ended at once instead of when it runs out. That is a matter of time
+     * alone: whoever leads next takes the key and a higher term as ever, so a leader that is
+     * wrongly suspected loses its place, and no more.
      *
-     * @return whether it is better to wait for what comes of this than to send the worker back to the leader
+     * @return whether it is better to wait for what comes of this than to send the worker back to
+     *     the leader
      */
     public boolean arrived(MachineId worker, Term shown) {
         synchronized (this) {
@@ -194,13 +214,15 @@
     }
 
     /**
-     * Sends a renewal that is due. Called by a timer, and in between by long work: a node that computes slowly can
-     * be busy with hundreds of reports or with a round for longer than its lease lasts, and while its timer waited
-     * the leadership went round from one starved node to the next, each of which had to load everything anew.
+     * Sends a renewal that is due. Called by a timer, and in between by long work: a node that
+     * computes slowly can be busy with hundreds of reports or with a round for longer than its
+     * lease lasts, and while its timer waited the leadership went round from one starved node to
+     * the next, each of which had to load everything anew.
      */
     public void keepUp() {
         synchronized (this) {
-            if (state.holding() == null || !state.holding().isDue(loop.now(), LeadershipStep.RENEW)) {
+            if (state.holding() == null
+                    || !state.holding().isDue(loop.now(), LeadershipStep.RENEW)) {
                 return;
             }
         }
@@ -223,12 +245,15 @@
     }
 
     private void later(Duration pause, int expected, Runnable work) {
-        Duration jittered = pause.plus(Duration.ofNanos((long) (pause.toNanos() * random.nextDouble() * 0.5)));
-        loop.after(jittered, () -> {
-            if (current(expected)) {
-                work.run();
-            }
-        });
+        Duration jittered =
+                pause.plus(Duration.ofNanos((long) (pause.toNanos() * random.nextDouble() * 0.5)));
+        loop.after(
+                jittered,
+                () -> {
+                    if (current(expected)) {
+                        work.run();
+                    }
+                });
     }
 
     private void carryOut(LeadershipEffect effect) {
@@ -239,40 +264,85 @@
                 look(look.epoch());
             }
         } else if (effect instanceof LeadershipEffect.Watch watch) {
-            store.watch(Records.LEADER, watch.after(), WATCH).whenComplete((changes, failure) ->
-                    on(new LeadershipEvent.Watched(watch.epoch(), failure == null ? changes : null)));
+            store.watch(Records.LEADER, watch.after(), WATCH)
+                    .whenComplete(
+                            (changes, failure) ->
+                                    on(
+                                            new LeadershipEvent.Watched(
+                                                    watch.epoch(),
+                                                    failure == null ? changes : null)));
         } else if (effect instanceof LeadershipEffect.ReadCounter read) {
-            store.get(Records.TERM, Urgency.LEASE).whenComplete((counter, failure) ->
-                    on(new LeadershipEvent.CounterRead(read.epoch(), read.seen(), failure == null ? counter : null,
-                            earshot.count(HEARD_WITHIN, loop.now()) >= LEAST_HEARD)));
+            store.get(Records.TERM, Urgency.LEASE)
+                    .whenComplete(
+                            (counter, failure) ->
+                                    on(
+                                            new LeadershipEvent.CounterRead(
+                                                    read.epoch(),
+                                                    read.seen(),
+                                                    failure == null ? counter : null,
+                                                    earshot.count(HEARD_WITHIN, loop.now())
+                                                            >= LEAST_HEARD)));
         } else if (effect instanceof LeadershipEffect.Grant grant) {
             Moment sentAt = loop.now();
-            store.grant(LeadershipStep.TTL).whenComplete((lease, failure) ->
-                    on(new LeadershipEvent.Granted(grant.epoch(), grant.seen(), grant.counter(),
-                            failure == null ? lease : null, sentAt)));
+            store.grant(LeadershipStep.TTL)
+                    .whenComplete(
+                            (lease, failure) ->
+                                    on(
+                                            new LeadershipEvent.Granted(
+                                                    grant.epoch(),
+                                                    grant.seen(),
+                                                    grant.counter(),
+                                                    failure == null ? lease : null,
+                                                    sentAt)));
         } else if (effect instanceof LeadershipEffect.Claim claim) {
-            store.commit(transaction(claim), Urgency.LEASE).whenComplete((commit, failure) ->
-                    on(new LeadershipEvent.Claimed(claim.epoch(), claim.term(), claim.lease(), claim.sentAt(),
-                            failure == null ? commit : null)));
+            store.commit(transaction(claim), Urgency.LEASE)
+                    .whenComplete(
+                            (commit, failure) ->
+                                    on(
+                                            new LeadershipEvent.Claimed(
+                                                    claim.epoch(),
+                                                    claim.term(),
+                                                    claim.lease(),
+                                                    claim.sentAt(),
+                                                    failure == null ? commit : null)));
         } else if (effect instanceof LeadershipEffect.TickLater tick) {
             loop.after(RENEWAL_CHECK, () -> on(new LeadershipEvent.Tick(tick.epoch())));
         } else if (effect instanceof LeadershipEffect.Renew renew) {
-            store.renew(renew.lease()).whenComplete((unused, failure) ->
-                    on(new LeadershipEvent.Renewed(renew.epoch(), renew.sentAt(), failure == null
-                            ? LeadershipEvent.Renewal.DONE : StateException.of(failure) == Outcome.NO_SUCH_LEASE
-                            ? LeadershipEvent.Renewal.LEASE_ENDED : LeadershipEvent.Renewal.UNKNOWN)));
+            store.renew(renew.lease())
+                    .whenComplete(
+                            (unused, failure) ->
+                                    on(
+                                            new LeadershipEvent.Renewed(
+                                                    renew.epoch(),
+                                                    renew.sentAt(),
+                                                    failure == null
+                                                            ? LeadershipEvent.Renewal.DONE
+                                                            : StateException.of(failure)
+                                                                            == Outcome.NO_SUCH_LEASE
+                                                                    ? LeadershipEvent.Renewal
+                                                                            .LEASE_ENDED
+                                                                    : LeadershipEvent.Renewal
+                                                                            .UNKNOWN)));
         } else if (effect instanceof LeadershipEffect.GiveUp giveUp) {
             giveUp(giveUp);
         } else if (effect instanceof LeadershipEffect.Revoke revoke) {
             store.revoke(revoke.lease());
         } else if (effect instanceof LeadershipEffect.RevokeOf revoke) {
-            LOG.info("{} workers have left {}, which refuses connections: its lease is ended", revoke.left(),
+            LOG.info(
+                    "{} workers have left {}, which refuses connections: its lease is ended",
+                    revoke.left(),
                     revoke.suspect());
-            store.revoke(revoke.lease()).whenComplete((unused, failure) -> {
-                if (failure != null) {
-                    on(new LeadershipEvent.NotRevoked(revoke.epoch(), revoke.suspect(), revoke.lease()));
-                }
-            });
+            store.revoke(revoke.lease())
+                    .whenComplete(
+                            (unused, failure) -> {
+                                if (failure != null) {
+                                    on(
+                                            new LeadershipEvent.NotRevoked(
+                                                    revoke.epoch(),
+                                                    revoke.suspect(),
+                                                    revoke.lease()));
+                                }
+                            });
         } else if (effect instanceof LeadershipEffect.Ask ask) {
             if (ask.pause().isZero()) {
                 ask(ask);
@@ -292,36 +362,76 @@
     }
 
     private void look(int epoch) {
-        store.list(Records.LEADER, null, Urgency.LEASE).whenComplete((page, failure) ->
-                on(new LeadershipEvent.Looked(epoch, failure == null ? page : null)));
+        store.list(Records.LEADER, null, Urgency.LEASE)
+                .whenComplete(
+                        (page, failure) ->
+                                on(
+                                        new LeadershipEvent.Looked(
+                                                epoch, failure == null ? page : null)));
     }
 
     private void ask(LeadershipEffect.Ask ask) {
-        peers.signOf(ask.suspect()).thenAccept(sign ->
-                on(new LeadershipEvent.Told(ask.epoch(), ask.suspect(), ask.asked(), ask.refused(), sign)));
+        peers.signOf(ask.suspect())
+                .thenAccept(
+                        sign ->
+                                on(
+                                        new LeadershipEvent.Told(
+                                                ask.epoch(),
+                                                ask.suspect(),
+                                                ask.asked(),
+                                                ask.refused(),
+                                                sign)));
     }
 
     private void giveUp(LeadershipEffect.GiveUp giveUp) {
-        LOG.info("term {} {} its lease {}{}", giveUp.term(), giveUp.forWantOfHearing()
-                ? "hears hardly any worker and gives" : "is to end and hands", giveUp.forWantOfHearing() ? "up" : "over",
+        LOG.info(
+                "term {} {} its lease {}{}",
+                giveUp.term(),
+                giveUp.forWantOfHearing()
+                        ? "hears hardly any worker and gives"
+                        : "is to end and hands",
+                giveUp.forWantOfHearing() ? "up" : "over",
                 giveUp.heir() == null ? "" : " to " + giveUp.heir());
-        store.commit(transaction(giveUp), Urgency.LEASE).whenComplete((commit, failure) ->
-                on(new LeadershipEvent.GivenUp(giveUp.epoch(), giveUp.lease(), giveUp.forWantOfHearing(), giveUp.heir(),
-                        failure == null ? commit : null,
-                        failure != null && StateException.of(failure) == Outcome.REFUSED)));
+        store.commit(transaction(giveUp), Urgency.LEASE)
+                .whenComplete(
+                        (commit, failure) ->
+                                on(
+                                        new LeadershipEvent.GivenUp(
+                                                giveUp.epoch(),
+                                                giveUp.lease(),
+                                                giveUp.forWantOfHearing(),
+                                                giveUp.heir(),
+                                                failure == null ? commit : null,
+                                                failure != null
+                                                        && StateException.of(failure)
+                                                                == Outcome.REFUSED)));
     }
 
     private Transaction transaction(LeadershipEffect.Claim claim) {
-        return new Transaction().guard(Records.LEADER, claim.leader()).guard(Records.TERM, claim.counter())
+        return new Transaction()
+                .guard(Records.LEADER, claim.leader())
+                .guard(Records.TERM, claim.counter())
                 .put(Records.TERM, Map.of("term", claim.term().value()))
-                .put(Records.LEADER, Map.of("member", member, "term", claim.term().value(), "lease",
-                        claim.lease().value()), claim.lease());
+                .put(
+                        Records.LEADER,
+                        Map.of(
+                                "member",
+                                member,
+                                "term",
+                                claim.term().value(),
+                                "lease",
+                                claim.lease().value()),
+                        claim.lease());
     }
 
     private Transaction transaction(LeadershipEffect.GiveUp giveUp) {
-        return new Transaction().guard(Records.LEADER, giveUp.leader()).delete(Records.LEADER)
-                .put(Records.TERM, giveUp.forWantOfHearing()
-                        ? Standing.resigned(giveUp.term().value(), member, giveUp.heir())
-                        : Standing.handedOver(giveUp.term().value(), giveUp.heir()));
+        return new Transaction()
+                .guard(Records.LEADER, giveUp.leader())
+                .delete(Records.LEADER)
+                .put(
+                        Records.TERM,
+                        giveUp.forWantOfHearing()
+                                ? Standing.resigned(giveUp.term().value(), member, giveUp.heir())
+                                : Standing.handedOver(giveUp.term().value(), giveUp.heir()));
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipState.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipState.java
@@ -12,17 +12,31 @@
 /**
  * What a node knows of who leads; {@link LeadershipStep} makes the next one of it.
  *
- * @param epoch raised by the end of each leadership, so that what was begun before is not heeded after
+ * @param epoch raised by the end of each leadership, so that what was begun before is not heeded
+ *     after
  * @param term of this node's last leadership
  * @param holding null unless this node leads
  * @param deaf whether this node gave its lease up for want of hearing, and has heard nobody since
  * @param resignedAloneAt when it last did so without knowing of a node that hears, or null
  */
-record LeadershipState(int epoch, Term term, Holding holding, Known known, Suspicion suspicion, boolean deaf,
+record LeadershipState(
+        int epoch,
+        Term term,
+        Holding holding,
+        Known known,
+        Suspicion suspicion,
+        boolean deaf,
         Moment resignedAloneAt) {
     /** Of a node that has just started. */
-    static final LeadershipState FIRST = new LeadershipState(0, Term.NONE, null, new Known(null, Term.NONE, null, null),
-            Suspicion.NONE, false, null);
+    static final LeadershipState FIRST =
+            new LeadershipState(
+                    0,
+                    Term.NONE,
+                    null,
+                    new Known(null, Term.NONE, null, null),
+                    Suspicion.NONE,
+                    false,
+                    null);
 
     /**
      * The key and the lease of this node's leadership.
@@ -30,16 +44,29 @@
      * @param leaseSentAt when the last answered renewal was sent, from when on the lease counts
      * @param renewalSentAt when the last renewal was sent, or null if one is to be sent at once
      * @param version the revision of the transaction that took the key
-     * @param knownAt the moment up to which all changes of jobs are known here, or null while they are not loaded
+     * @param knownAt the moment up to which all changes of jobs are known here, or null while they
+     *     are not loaded
      */
-    record Holding(LeaseId lease, Moment leaseSentAt, Moment renewalSentAt, boolean renewing, Version version,
-            boolean resigning, Moment knownAt) {
+    record Holding(
+            LeaseId lease,
+            Moment leaseSentAt,
+            Moment renewalSentAt,
+            boolean renewing,
+            Version version,
+            boolean resigning,
+            Moment knownAt) {
         Holding renewing(Moment now) {
             return new Holding(lease, leaseSentAt, now, true, version, resigning, knownAt);
         }
 
         Holding renewed(Moment sentAt) {
-            return new Holding(lease, Moment.later(leaseSentAt, sentAt), renewalSentAt, false, version, resigning,
+            return new Holding(
+                    lease,
+                    Moment.later(leaseSentAt, sentAt),
+                    renewalSentAt,
+                    false,
+                    version,
+                    resigning,
                     knownAt);
         }
 
@@ -52,12 +79,19 @@
         }
 
         Holding knowing(Moment upTo) {
-            return new Holding(lease, leaseSentAt, renewalSentAt, renewing, version, resigning,
+            return new Holding(
+                    lease,
+                    leaseSentAt,
+                    renewalSentAt,
+                    renewing,
+                    version,
+                    resigning,
                     knownAt == null ? upTo : Moment.later(knownAt, upTo));
         }
 
         boolean isDue(Moment now, Duration every) {
-            return !renewing && (renewalSentAt == null || now.since(renewalSentAt).compareTo(every) >= 0);
+            return !renewing
+                    && (renewalSentAt == null || now.since(renewalSentAt).compareTo(every) >= 0);
         }
     }
 
@@ -126,13 +160,25 @@
 
     /** The leadership is over. */
     LeadershipState over(String member) {
-        return new LeadershipState(epoch + 1, term, null, member.equals(known.leader()) ? known.leader(null) : known,
-                suspicion, deaf, resignedAloneAt);
+        return new LeadershipState(
+                epoch + 1,
+                term,
+                null,
+                member.equals(known.leader()) ? known.leader(null) : known,
+                suspicion,
+                deaf,
+                resignedAloneAt);
     }
 
     /** The key is this node's. */
     LeadershipState elected(String member, Term now, Holding held) {
-        return new LeadershipState(epoch, now, held, new Known(member, now, known.lease(), null), suspicion, deaf,
+        return new LeadershipState(
+                epoch,
+                now,
+                held,
+                new Known(member, now, known.lease(), null),
+                suspicion,
+                deaf,
                 resignedAloneAt);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipStep.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipStep.java
@@ -17,31 +17,47 @@
 import org.meadowhollow.coordination.platform.Peers;
 
 /**
- * Leadership as a step function: a state, an event and the clock in; the next state and what is to be done out. The daemon
- * runs it ({@link Leadership}), and so does the exploration of its model, in the tests.
+ * Leadership as a step function: a state, an event and the clock in; the next state and what is to
+ * be done out. The daemon runs it ({@link Leadership}), and so does the exploration of its model,
+ * in the tests.
  */
 final class LeadershipStep {
-    /** Long enough for a hiccup of the store and a slow turn of ours, short enough for a takeover. */
+    /**
+     * Long enough for a hiccup of the store and a slow turn of ours, short enough for a takeover.
+     */
     static final Duration TTL = Duration.ofSeconds(5);
+
     /** Three tries fit into a lease. */
     static final Duration RENEW = Duration.ofMillis(1500);
+
     /**
-     * How old a leader's knowledge of cancellations may be for a start to go out: a watch of a second, its answer's time and a
-     * try again. Refused alone, it went on with starts of jobs called off elsewhere for as long as its lease held.
+     * How old a leader's knowledge of cancellations may be for a start to go out: a watch of a
+     * second, its answer's time and a try again. Refused alone, it went on with starts of jobs
+     * called off elsewhere for as long as its lease held.
      */
     static final Duration FRESH = Duration.ofMillis(2500);
+
     /** The bound that the protocol gives for the drift between two machines' clocks. */
     private static final double DRIFT = 0.0005;
+
     /**
-     * Workers that must have left a leader before its lease is ended for it. One or two lose a connection now and
-     * then, also while packet filters between the controllers refuse connections for no fault of the leader.
+     * Workers that must have left a leader before its lease is ended for it. One or two lose a
+     * connection now and then, also while packet filters between the controllers refuse connections
+     * for no fault of the leader.
      */
     private static final int LEAST_DESERTERS = 3;
+
     /** Refusals in a row; between them a process that is only short of sockets has closed some. */
     private static final int LEAST_REFUSALS = 2;
+
     private static final Duration ASK_AGAIN = Duration.ofMillis(250);
-    /** Questions to a suspected leader before the suspicion is dropped; about as long as reports are held for. */
+
+    /**
+     * Questions to a suspected leader before the suspicion is dropped; about as long as reports are
+     * held for.
+     */
     private static final int MOST_QUESTIONS = 8;
+
     /** How long the leader is trusted after it answered. */
     private static final Duration TRUST = Duration.ofSeconds(2);
 
@@ -64,27 +80,39 @@
         this.member = member;
     }
 
-    /** Whether new starts may go out: the lease certainly holds, and is not being given up, which may be done by now. */
+    /**
+     * Whether new starts may go out: the lease certainly holds, and is not being given up, which
+     * may be done by now.
+     */
     static boolean mayStart(LeadershipState state, Moment now) {
-        return state.holding() != null && within(TTL, state.holding().leaseSentAt(), now)
+        return state.holding() != null
+                && within(TTL, state.holding().leaseSentAt(), now)
                 && !state.holding().resigning();
     }
 
-    /** Whether starts may be sent: decisions may, and all cancellations are known up to a moment ago. */
+    /**
+     * Whether starts may be sent: decisions may, and all cancellations are known up to a moment
+     * ago.
+     */
     static boolean maySendStarts(LeadershipState state, Moment now) {
-        return mayStart(state, now) && state.holding().knownAt() != null && within(FRESH, state.holding().knownAt(), now);
+        return mayStart(state, now)
+                && state.holding().knownAt() != null
+                && within(FRESH, state.holding().knownAt(), now);
     }
 
     /**
-     * Whether reports may be answered, which renews the leases of workers. It counts from when the last answered renewal
-     * was sent, or from when this node last knew all cancellations, whichever was earlier: a renewal shows that the lease
-     * holds, not that anything was read, and a leader that has not loaded yet knows of none.
+     * Whether reports may be answered, which renews the leases of workers. It counts from when the
+     * last answered renewal was sent, or from when this node last knew all cancellations, whichever
+     * was earlier: a renewal shows that the lease holds, not that anything was read, and a leader
+     * that has not loaded yet knows of none.
      *
      * @param span the time for a cancellation less a worker's lease
      */
     static boolean mayAnswer(Duration span, LeadershipState state, Moment now) {
         LeadershipState.Holding held = state.holding();
-        return held != null && held.knownAt() != null && within(span, held.leaseSentAt(), now)
+        return held != null
+                && held.knownAt() != null
+                && within(span, held.leaseSentAt(), now)
                 && within(span, held.knownAt(), now);
     }
 
@@ -99,14 +127,19 @@
         } else if (event instanceof LeadershipEvent.WorkGoesOn) {
             return renewIfDue(state, now);
         } else if (event instanceof LeadershipEvent.Tick tick) {
-            return tick.epoch() != state.epoch() || state.holding() == null ? Step.of(state)
+            return tick.epoch() != state.epoch() || state.holding() == null
+                    ? Step.of(state)
                     : renewIfDue(state, now).then(new LeadershipEffect.TickLater(state.epoch()));
         } else if (event instanceof LeadershipEvent.Arrived arrived) {
             return arrived(state, arrived, now);
         } else if (event instanceof LeadershipEvent.Looked looked) {
-            return looked.epoch() != state.epoch() ? Step.of(state) : looked(state, looked.page(), now);
+            return looked.epoch() != state.epoch()
+                    ? Step.of(state)
+                    : looked(state, looked.page(), now);
         } else if (event instanceof LeadershipEvent.Watched watched) {
-            return watched.epoch() != state.epoch() ? Step.of(state) : watched(state, watched.changes());
+            return watched.epoch() != state.epoch()
+                    ? Step.of(state)
+                    : watched(state, watched.changes());
         } else if (event instanceof LeadershipEvent.CounterRead read) {
             return read.epoch() != state.epoch() ? Step.of(state) : counterRead(state, read, now);
         } else if (event instanceof LeadershipEvent.Granted granted) {
@@ -116,7 +149,8 @@
         } else if (event instanceof LeadershipEvent.Renewed renewed) {
             return renewed.epoch() != state.epoch() ? Step.of(state) : renewed(state, renewed);
         } else if (event instanceof LeadershipEvent.TookIn took) {
-            return state.holding() == null || !took.term().equals(state.term()) ? Step.of(state)
+            return state.holding() == null || !took.term().equals(state.term())
+                    ? Step.of(state)
                     : Step.of(state.with(state.holding().knowing(took.upTo())));
         } else if (event instanceof LeadershipEvent.GivingUp givingUp) {
             return givingUp(state, givingUp);
@@ -126,9 +160,15 @@
             return told(state, told, now);
         } else if (event instanceof LeadershipEvent.NotRevoked failed) {
             // The lease could not be ended, so its holder goes on being the leader.
-            return failed.epoch() != state.epoch() || state.known().leader() != null ? Step.of(state)
-                    : Step.of(state.with(new Known(failed.suspect(), state.known().term(), failed.lease(),
-                            state.known().freeSince())));
+            return failed.epoch() != state.epoch() || state.known().leader() != null
+                    ? Step.of(state)
+                    : Step.of(
+                            state.with(
+                                    new Known(
+                                            failed.suspect(),
+                                            state.known().term(),
+                                            failed.lease(),
+                                            state.known().freeSince())));
         } else if (event instanceof LeadershipEvent.HearsAgain) {
             return Step.of(state.deaf(false, state.resignedAloneAt()));
         } else if (event instanceof LeadershipEvent.Lost) {
@@ -148,7 +188,8 @@
             return lookAgain(state);
         }
         if (page.entries().isEmpty()) {
-            return Step.of(state.with(state.known().nobody(now)).with(state.suspicion().ofNobody()),
+            return Step.of(
+                    state.with(state.known().nobody(now)).with(state.suspicion().ofNobody()),
                     new LeadershipEffect.ReadCounter(state.epoch(), Version.ABSENT));
         }
         StateStore.Entry found = page.entries().get(0);
@@ -161,21 +202,30 @@
         if (state.known().term().isAfter(known.term())) {
             return Step.of(state, watch);
         }
-        LeadershipState following = known.term().isAfter(state.known().term())
-                ? state.with(state.suspicion().ofNobody()) : state;
-        return Step.of(following.with(known), new LeadershipEffect.Following(known.leader()), watch);
+        LeadershipState following =
+                known.term().isAfter(state.known().term())
+                        ? state.with(state.suspicion().ofNobody())
+                        : state;
+        return Step.of(
+                following.with(known), new LeadershipEffect.Following(known.leader()), watch);
     }
 
     private static Known known(Map<String, Object> record) {
-        return new Known((String) record.get("member"), new Term(((Number) record.get("term")).longValue()),
-                record.get("lease") instanceof Number id ? new LeaseId(id.longValue()) : null, null);
+        return new Known(
+                (String) record.get("member"),
+                new Term(((Number) record.get("term")).longValue()),
+                record.get("lease") instanceof Number id ? new LeaseId(id.longValue()) : null,
+                null);
     }
 
     private static Step watched(LeadershipState state, StateStore.Changes changes) {
-        return changes == null ? lookAgain(state)
-                : Step.of(state, changes.changes().isEmpty()
-                        ? new LeadershipEffect.Watch(state.epoch(), changes.revision())
-                        : new LeadershipEffect.Look(state.epoch(), false));
+        return changes == null
+                ? lookAgain(state)
+                : Step.of(
+                        state,
+                        changes.changes().isEmpty()
+                                ? new LeadershipEffect.Watch(state.epoch(), changes.revision())
+                                : new LeadershipEffect.Look(state.epoch(), false));
     }
 
     private Step counterRead(LeadershipState state, LeadershipEvent.CounterRead read, Moment now) {
@@ -185,8 +235,11 @@
         Moment freeSince = state.known().freeSince();
         Duration free = freeSince == null ? Duration.ZERO : now.since(freeSince);
         Map<String, Object> terms = read.counter().map(StateStore.Entry::value).orElse(null);
-        return free.compareTo(Standing.after(terms, member, read.hears(), state.deaf())) < 0 ? lookAgain(state)
-                : Step.of(state, new LeadershipEffect.Grant(state.epoch(), read.seen(), read.counter()));
+        return free.compareTo(Standing.after(terms, member, read.hears(), state.deaf())) < 0
+                ? lookAgain(state)
+                : Step.of(
+                        state,
+                        new LeadershipEffect.Grant(state.epoch(), read.seen(), read.counter()));
     }
 
     private static Step granted(LeadershipState state, LeadershipEvent.Granted granted) {
@@ -194,23 +247,42 @@
             return lookAgain(state);
         }
         Optional<StateStore.Entry> counter = granted.counter();
-        Term counted = counter.map(entry -> new Term(((Number) entry.value().get("term")).longValue()))
-                .orElse(Term.NONE);
+        Term counted =
+                counter.map(entry -> new Term(((Number) entry.value().get("term")).longValue()))
+                        .orElse(Term.NONE);
         Term heard = state.known().term();
-        // Workers drop a term below what they have shown, and may have shown one that the counter does not know.
+        // Workers drop a term below what they have shown, and may have shown one that the counter
+        // does not know.
         Term next = (heard.isAfter(counted) ? heard : counted).next();
-        return Step.of(state, new LeadershipEffect.Claim(state.epoch(), granted.seen(),
-                counter.map(StateStore.Entry::version).orElse(Version.ABSENT), next, granted.lease(), granted.sentAt()));
+        return Step.of(
+                state,
+                new LeadershipEffect.Claim(
+                        state.epoch(),
+                        granted.seen(),
+                        counter.map(StateStore.Entry::version).orElse(Version.ABSENT),
+                        next,
+                        granted.lease(),
+                        granted.sentAt()));
     }
 
     private Step claimed(LeadershipState state, LeadershipEvent.Claimed claimed) {
         if (claimed.commit() == null || !claimed.commit().applied()) {
-            // Unanswered, it may yet be applied; the next look then finds our own name and claims anew.
+            // Unanswered, it may yet be applied; the next look then finds our own name and claims
+            // anew.
             return lookAgain(state);
         }
         Version version = claimed.commit().revision();
-        Holding held = new Holding(claimed.lease(), claimed.sentAt(), claimed.sentAt(), false, version, false, null);
-        return Step.of(state.elected(member, claimed.term(), held),
+        Holding held =
+                new Holding(
+                        claimed.lease(),
+                        claimed.sentAt(),
+                        claimed.sentAt(),
+                        false,
+                        version,
+                        false,
+                        null);
+        return Step.of(
+                state.elected(member, claimed.term(), held),
                 new LeadershipEffect.Elected(claimed.term(), version, state.known().freeSince()),
                 new LeadershipEffect.TickLater(state.epoch()));
     }
@@ -219,8 +291,10 @@
 
     private static Step renewIfDue(LeadershipState state, Moment now) {
         Holding held = state.holding();
-        return held == null || !held.isDue(now, RENEW) ? Step.of(state)
-                : Step.of(state.with(held.renewing(now)),
+        return held == null || !held.isDue(now, RENEW)
+                ? Step.of(state)
+                : Step.of(
+                        state.with(held.renewing(now)),
                         new LeadershipEffect.Renew(state.epoch(), held.lease(), now));
     }
 
@@ -242,7 +316,9 @@
             return Step.of(state);
         }
         LeadershipState over = state.over(member);
-        return Step.of(over, new LeadershipEffect.Deposed(state.term(), why),
+        return Step.of(
+                over,
+                new LeadershipEffect.Deposed(state.term(), why),
                 new LeadershipEffect.Look(over.epoch(), false));
     }
 
@@ -250,17 +326,29 @@
         if (!heard.term().isAfter(state.known().term())) {
             return Step.of(state);
         }
-        LeadershipState told = state.with(new Known(heard.leader(), heard.term(), null, state.known().freeSince()));
+        LeadershipState told =
+                state.with(
+                        new Known(heard.leader(), heard.term(), null, state.known().freeSince()));
         // Answering on with a lower token would keep workers at this node until their leases end.
         Step step = stepDown(told, "a higher term " + heard.term() + " exists");
-        return heard.leader() == null ? step : step.then(new LeadershipEffect.Following(heard.leader()));
+        return heard.leader() == null
+                ? step
+                : step.then(new LeadershipEffect.Following(heard.leader()));
     }
 
     private static Step givingUp(LeadershipState state, LeadershipEvent.GivingUp event) {
         Holding held = state.holding();
-        return held == null || held.resigning() ? Step.of(state)
-                : Step.of(state.with(held.resigning(true)), new LeadershipEffect.GiveUp(state.epoch(), held.lease(),
-                        held.version(), state.term(), event.forWantOfHearing(), event.heir()));
+        return held == null || held.resigning()
+                ? Step.of(state)
+                : Step.of(
+                        state.with(held.resigning(true)),
+                        new LeadershipEffect.GiveUp(
+                                state.epoch(),
+                                held.lease(),
+                                held.version(),
+                                state.term(),
+                                event.forWantOfHearing(),
+                                event.heir()));
     }
 
     private Step givenUp(LeadershipState state, LeadershipEvent.GivenUp event, Moment now) {
@@ -270,25 +358,35 @@
         if (event.refused()) {
             return Step.of(state.with(state.holding().resigning(false)));
         }
-        LeadershipState given = event.forWantOfHearing()
-                ? state.deaf(true, event.heir() == null ? now : state.resignedAloneAt()) : state;
-        // Unanswered, it may have been executed, or may be at any later time, so this node cannot lead on.
-        String why = event.commit() == null ? "whether it is given up is not known"
-                : !event.commit().applied() ? "the leader's record has changed"
-                : event.forWantOfHearing() ? "it hears hardly any worker" : "it was handed over";
+        LeadershipState given =
+                event.forWantOfHearing()
+                        ? state.deaf(true, event.heir() == null ? now : state.resignedAloneAt())
+                        : state;
+        // Unanswered, it may have been executed, or may be at any later time, so this node cannot
+        // lead on.
+        String why =
+                event.commit() == null
+                        ? "whether it is given up is not known"
+                        : !event.commit().applied()
+                                ? "the leader's record has changed"
+                                : event.forWantOfHearing()
+                                        ? "it hears hardly any worker"
+                                        : "it was handed over";
         return stepDown(given, why).then(new LeadershipEffect.Revoke(event.lease()));
     }
 
     // ---- a leader that may have ended ----
 
     /**
-     * Whether it is better to wait than to send a worker back to the leader that answered it last: it has left the
-     * leader, whose process may have ended.
+     * Whether it is better to wait than to send a worker back to the leader that answered it last:
+     * it has left the leader, whose process may have ended.
      */
     boolean mayBeGone(LeadershipState state, Term shown, Moment now) {
         Moment trustedAt = state.suspicion().trustedAt();
         String leader = state.known().leader();
-        return state.holding() == null && leader != null && !member.equals(leader)
+        return state.holding() == null
+                && leader != null
+                && !member.equals(leader)
                 && shown.equals(state.known().term())
                 && (trustedAt == null || now.since(trustedAt).compareTo(TRUST) >= 0);
     }
@@ -298,26 +396,45 @@
             return Step.of(state);
         }
         Suspicion more = state.suspicion().left(arrived.worker(), LEAST_DESERTERS);
-        return more.asking() ? Step.of(state.with(more)) : Step.of(state.with(more.asking(true)),
-                new LeadershipEffect.Ask(state.epoch(), state.known().leader(), 0, 0, Duration.ZERO));
+        return more.asking()
+                ? Step.of(state.with(more))
+                : Step.of(
+                        state.with(more.asking(true)),
+                        new LeadershipEffect.Ask(
+                                state.epoch(), state.known().leader(), 0, 0, Duration.ZERO));
     }
 
     private static Step told(LeadershipState state, LeadershipEvent.Told told, Moment now) {
         boolean trusted = told.sign() == Peers.Sign.ANSWERS;
         boolean refuses = told.sign() == Peers.Sign.REFUSES;
         Suspicion suspicion = state.suspicion();
-        if (told.epoch() != state.epoch() || !told.suspect().equals(state.known().leader()) || trusted
+        if (told.epoch() != state.epoch()
+                || !told.suspect().equals(state.known().leader())
+                || trusted
                 || told.asked() >= MOST_QUESTIONS) {
-            Step dropped = Step.of(state.with(new Suspicion(Set.of(), 0, false, trusted ? now : null)));
+            Step dropped =
+                    Step.of(state.with(new Suspicion(Set.of(), 0, false, trusted ? now : null)));
             return trusted ? dropped.then(new LeadershipEffect.Following(told.suspect())) : dropped;
         }
-        if (refuses && told.refused() + 1 >= LEAST_REFUSALS && suspicion.deserters().size() >= LEAST_DESERTERS
+        if (refuses
+                && told.refused() + 1 >= LEAST_REFUSALS
+                && suspicion.deserters().size() >= LEAST_DESERTERS
                 && state.known().lease() != null) {
-            return Step.of(state.with(suspicion.asking(false)).with(state.known().leader(null)),
-                    new LeadershipEffect.RevokeOf(state.epoch(), told.suspect(), state.known().lease(),
+            return Step.of(
+                    state.with(suspicion.asking(false)).with(state.known().leader(null)),
+                    new LeadershipEffect.RevokeOf(
+                            state.epoch(),
+                            told.suspect(),
+                            state.known().lease(),
                             suspicion.left()));
         }
-        return Step.of(state, new LeadershipEffect.Ask(state.epoch(), told.suspect(), told.asked() + 1,
-                refuses ? told.refused() + 1 : 0, ASK_AGAIN));
+        return Step.of(
+                state,
+                new LeadershipEffect.Ask(
+                        state.epoch(),
+                        told.suspect(),
+                        told.asked() + 1,
+                        refuses ? told.refused() + 1 : 0,
+                        ASK_AGAIN));
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/leadership/Standing.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/Standing.java
@@ -5,24 +5,31 @@
 import java.util.Map;
 
 /**
- * Who may take a lease that a deaf leader gave up, and when. After any other end of a leadership everybody stands at
- * once; after this one, first the node that was named, then those that workers come to, then the one that gave up,
- * and last the rest: if nobody hears the workers, the lease goes back to where it was instead of round all nodes.
+ * Who may take a lease that a deaf leader gave up, and when. After any other end of a leadership
+ * everybody stands at once; after this one, first the node that was named, then those that workers
+ * come to, then the one that gave up, and last the rest: if nobody hears the workers, the lease
+ * goes back to where it was instead of round all nodes.
  */
 public final class Standing {
     /** Names the leader that gave up, in the record of terms; absent after any other end. */
     static final String DEAF = "deaf";
+
     /** Names the node that it gave up for, or is absent. */
     static final String HEIR = "heir";
-    /** What the node that was named needs to see that the lease is free and to take it, with a slow answer or two. */
+
+    /**
+     * What the node that was named needs to see that the lease is free and to take it, with a slow
+     * answer or two.
+     */
     static final Duration FOR_THE_HEIR = Duration.ofSeconds(1);
+
     /** In this time workers that go round have come to each node that they can reach. */
     static final Duration FOR_THOSE_WHO_HEAR = Duration.ofSeconds(4);
+
     /** After this the node that gave up seems to be gone as well. */
     static final Duration FOR_THE_DEAF = Duration.ofSeconds(6);
 
-    private Standing() {
-    }
+    private Standing() {}
 
     /** The record of terms as a leader leaves it that gives up for want of hearing. */
     public static Map<String, Object> resigned(long term, String member, String heir) {
@@ -47,7 +54,8 @@
      * @param hears whether workers have come to this node lately
      * @param deaf whether this node gave a lease up for want of hearing, and has heard nobody since
      */
-    public static Duration after(Map<String, Object> terms, String member, boolean hears, boolean deaf) {
+    public static Duration after(
+            Map<String, Object> terms, String member, boolean hears, boolean deaf) {
         Object gaveUp = terms == null ? null : terms.get(DEAF);
         Object heir = terms == null ? null : terms.get(HEIR);
         if (hears) {
--- a/src/main/java/org/meadowhollow/coordination/placement/Cluster.java
+++ b/src/main/java/org/meadowhollow/coordination/placement/Cluster.java
@@ -20,7 +20,9 @@
 import org.meadowhollow.coordination.calendar.Outlook;
 import org.meadowhollow.coordination.platform.Platform;
 
-/** The jobs and machines of one leadership, as far as it knows them; guarded by the leader's lock. */
+/**
+ * The jobs and machines of one leadership, as far as it knows them; guarded by the leader's lock.
+ */
 public final class Cluster {
     /** Reports missed in a row before a machine counts as silent. */
     public static final double SILENT_REPORTS = 2.0;
@@ -86,20 +88,26 @@
     }
 
     /**
-     * Whether a machine can be told to start tasks now. Starts go out in answers to reports alone, so one that only answers
-     * direct commands cannot: tasks that were placed there waited for as long as it found no controller.
+     * Whether a machine can be told to start tasks now. Starts go out in answers to reports alone,
+     * so one that only answers direct commands cannot: tasks that were placed there waited for as
+     * long as it found no controller.
      */
     public boolean usable(Machine machine, Moment now) {
-        return !machine.draining() && machine.answeredAt() != null && machine.shown().equals(term)
+        return !machine.draining()
+                && machine.answeredAt() != null
+                && machine.shown().equals(term)
                 && machine.session() != null
-                && now.secondsSince(machine.answeredAt()) < SILENT_REPORTS * platform.reportEvery().toNanos() / 1e9;
+                && now.secondsSince(machine.answeredAt())
+                        < SILENT_REPORTS * platform.reportEvery().toNanos() / 1e9;
     }
 
     /** Whether a machine can take tasks of a job now, if it has room. */
     boolean mayTake(Machine machine, JobSpec spec, Moment now) {
         JobId heldFor = machine.heldFor(now);
-        return usable(machine, now) && (heldFor == null || heldFor.equals(spec.id()))
-                && spec.allowsType(machine.type().name()) && spec.allowsZone(machine.zone())
+        return usable(machine, now)
+                && (heldFor == null || heldFor.equals(spec.id()))
+                && spec.allowsType(machine.type().name())
+                && spec.allowsZone(machine.zone())
                 && (spec.spot() || !machine.spot());
     }
 
@@ -107,14 +115,19 @@
     public String waitsFor(Job job, Moment now) {
         JobSpec spec = job.spec();
         Resources most = platform.teams().get(spec.team()).most();
-        Resources then = used().getOrDefault(spec.team(), Resources.NONE).plus(spec.kind() == Kind.ARRAY ? spec.perTask()
-                : spec.perTask().times(job.waitingCount()));
+        Resources then =
+                used().getOrDefault(spec.team(), Resources.NONE)
+                        .plus(
+                                spec.kind() == Kind.ARRAY
+                                        ? spec.perTask()
+                                        : spec.perTask().times(job.waitingCount()));
         long stopping = job.placements().stream().filter(Placement::stopping).count();
         if (job.holdUntil() != null && now.isBefore(job.holdUntil())) {
             return "a pause, since its tasks fail";
         } else if (stopping > 0) {
             return stopping + " tasks of its last attempt that may still be running";
-        } else if (most.cpu() > 0 && then.cpu() > most.cpu() || most.gpu() > 0 && then.gpu() > most.gpu()) {
+        } else if (most.cpu() > 0 && then.cpu() > most.cpu()
+                || most.gpu() > 0 && then.gpu() > most.gpu()) {
             return "its team's limit";
         }
         Object2IntOpenHashMap<String> room = new Object2IntOpenHashMap<>();
@@ -123,9 +136,13 @@
                 room.addTo(spec.oneZone() ? machine.zone() : "any zone", 1);
             }
         }
-        return job.placements().isEmpty() ? "room: machines with room for a task are " + room
-                : job.placements().size() + " tasks are placed, " + job.waitingCount() + " have none; machines with room: "
-                + room;
+        return job.placements().isEmpty()
+                ? "room: machines with room for a task are " + room
+                : job.placements().size()
+                        + " tasks are placed, "
+                        + job.waitingCount()
+                        + " have none; machines with room: "
+                        + room;
     }
 
     /** How many of a job's tasks may be in each zone. */
@@ -156,7 +173,10 @@
 
     private static void countUse(List<Placement> placements, Map<String, Resources> used) {
         for (Placement placement : placements) {
-            used.merge(placement.job().spec().team(), placement.job().spec().perTask(), Resources::plus);
+            used.merge(
+                    placement.job().spec().team(),
+                    placement.job().spec().perTask(),
+                    Resources::plus);
         }
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/placement/Expected.java
+++ b/src/main/java/org/meadowhollow/coordination/placement/Expected.java
@@ -8,18 +8,18 @@
 import org.meadowhollow.bookkeeping.Moment;
 
 /**
- * The jobs that are likely to come before a new machine could be ready for them: as many as came lately, in
- * twice the time that a new machine takes. Kept for tasks that need a machine of their own, since others nearly
- * always find some room.
+ * The jobs that are likely to come before a new machine could be ready for them: as many as came
+ * lately, in twice the time that a new machine takes. Kept for tasks that need a machine of their
+ * own, since others nearly always find some room.
  */
 public final class Expected {
     /** Jobs kept at most; bounds memory and what a round spends on them. */
     private static final int MOST_KEPT = 64;
+
     /** Arrivals come in bunches, so twice the time that a new machine takes is looked back. */
     private static final int WINDOWS = 2;
 
-    private record Arrival(JobSpec spec, Moment at, Duration ready) {
-    }
+    private record Arrival(JobSpec spec, Moment at, Duration ready) {}
 
     private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
 
@@ -37,7 +37,10 @@
 
     /** The jobs to keep room for, the latest first. */
     public List<JobSpec> likely(Moment now) {
-        arrivals.removeIf(arrival -> now.since(arrival.at()).compareTo(arrival.ready().multipliedBy(WINDOWS)) > 0);
+        arrivals.removeIf(
+                arrival ->
+                        now.since(arrival.at()).compareTo(arrival.ready().multipliedBy(WINDOWS))
+                                > 0);
         List<JobSpec> specs = new ArrayList<>();
         arrivals.descendingIterator().forEachRemaining(arrival -> specs.add(arrival.spec()));
         return specs;
--- a/src/main/java/org/meadowhollow/coordination/placement/PlacementRound.java
+++ b/src/main/java/org/meadowhollow/coordination/placement/PlacementRound.java
@@ -24,9 +24,13 @@
 public final class PlacementRound {
     /** The paper's EfficiencyFirst: no violation with at least this chance. */
     private static final double LEAST_CHANCE = 0.8;
+
     /** A task that takes more than this share of a machine has it to itself. */
     private static final double LARGE = 0.5;
-    /** Fetches that differ by less than this end at about the same time, for rates vary by a third. */
+
+    /**
+     * Fetches that differ by less than this end at about the same time, for rates vary by a third.
+     */
     private static final double FETCH_STEP_S = 5;
 
     /** A machine that can take tasks now. */
@@ -47,8 +51,10 @@
         private Resources free;
         private int tasks;
         private int replicas;
+
         /** How the seat rates for the job being placed; see {@link #rate}. */
         private double chance;
+
         private double steps;
         private boolean preferredSpot;
         private boolean coming;
@@ -61,12 +67,25 @@
          * @param tasks all tasks on the machine
          * @param replicas those of services among them
          * @param cached what is probably cached here
-         * @param fetches the images on their way here, each with the seconds that it will still take
+         * @param fetches the images on their way here, each with the seconds that it will still
+         *     take
          * @param forLarge whether tasks that need most of such a machine are about
          */
-        public Seat(int order, MachineId id, String type, String zone, boolean spot, Resources whole, Resources free,
-                int tasks, int replicas, ImageCache cached, Object2DoubleMap<String> fetches, double fetchGbPerS,
-                RiskTable risk, boolean forLarge) {
+        public Seat(
+                int order,
+                MachineId id,
+                String type,
+                String zone,
+                boolean spot,
+                Resources whole,
+                Resources free,
+                int tasks,
+                int replicas,
+                ImageCache cached,
+                Object2DoubleMap<String> fetches,
+                double fetchGbPerS,
+                RiskTable risk,
+                boolean forLarge) {
             this.order = order;
             this.id = id;
             this.type = type;
@@ -110,7 +129,9 @@
         /** Works out all that the order of the seats depends on, for one more task of this kind. */
         private void rate(JobSpec spec, Set<MachineId> failedOn) {
             failed = failedOn.contains(id);
-            chance = risk.chanceOfNone(tasks + 1, whole.minus(free).plus(spec.perTask()).shareOf(whole));
+            chance =
+                    risk.chanceOfNone(
+                            tasks + 1, whole.minus(free).plus(spec.perTask()).shareOf(whole));
             steps = fetchSteps(spec);
             // Somebody waits for every replica, so its fetch comes before the price.
             preferredSpot = spot && spec.kind() != Kind.SERVICE;
@@ -120,11 +141,14 @@
         }
 
         /**
-         * Whether the machine is better kept whole, since large tasks are about: an empty one is not for short
-         * tasks, and one without a replica is not for replicas, which would block it for as long as they run.
+         * Whether the machine is better kept whole, since large tasks are about: an empty one is
+         * not for short tasks, and one without a replica is not for replicas, which would block it
+         * for as long as they run.
          */
         private boolean keptFrom(JobSpec spec) {
-            return forLarge && !isLarge(spec, whole) && (spec.kind() == Kind.SERVICE ? replicas : tasks) == 0;
+            return forLarge
+                    && !isLarge(spec, whole)
+                    && (spec.kind() == Kind.SERVICE ? replicas : tasks) == 0;
         }
 
         /** Takes a task in; true if its image has to be fetched for it. */
@@ -142,13 +166,18 @@
             return true;
         }
 
-        /** About how many steps it takes until an image is here, on a line that fetches have to share. */
+        /**
+         * About how many steps it takes until an image is here, on a line that fetches have to
+         * share.
+         */
         private double fetchSteps(JobSpec spec) {
             if (cached.has(spec.image())) {
                 return 0;
             }
-            double aloneS = fetches.containsKey(spec.image()) ? fetches.getDouble(spec.image()) * fetches.size()
-                    : spec.imageGb() / fetchGbPerS * (fetches.size() + 1);
+            double aloneS =
+                    fetches.containsKey(spec.image())
+                            ? fetches.getDouble(spec.image()) * fetches.size()
+                            : spec.imageGb() / fetchGbPerS * (fetches.size() + 1);
             return 1 + Math.floor(aloneS / FETCH_STEP_S);
         }
 
@@ -172,7 +201,11 @@
      * @param desperate whether it has waited so long that the risk does not count any more
      * @param failedOn machines on which its tasks failed, which come behind others of equal risk
      */
-    public record Waiting(JobSpec spec, int[] tasks, Object2IntMap<String> zones, boolean desperate,
+    public record Waiting(
+            JobSpec spec,
+            int[] tasks,
+            Object2IntMap<String> zones,
+            boolean desperate,
             Set<MachineId> failedOn) {
         public Waiting(JobSpec spec, int[] tasks, Object2IntMap<String> zones, boolean desperate) {
             this(spec, tasks, zones, desperate, Set.of());
@@ -191,13 +224,13 @@
 
         private boolean allows(Resources more) {
             Resources sum = used.plus(more);
-            return (most.cpu() == 0 || sum.cpu() <= most.cpu()) && (most.gpu() == 0 || sum.gpu() <= most.gpu());
+            return (most.cpu() == 0 || sum.cpu() <= most.cpu())
+                    && (most.gpu() == 0 || sum.gpu() <= most.gpu());
         }
     }
 
     /** A task and the machine it goes to; whether the table decided or room alone. */
-    public record Decision(JobSpec spec, int task, MachineId machine, boolean byTable) {
-    }
+    public record Decision(JobSpec spec, int task, MachineId machine, boolean byTable) {}
 
     private final List<Seat> seats;
     private final Map<String, Share> teams;
@@ -210,14 +243,14 @@
     }
 
     /** What a round decided, and how many tasks of each job found no machine for lack of room. */
-    public record Outcome(List<Decision> decisions, Map<JobId, Integer> unplaced) {
-    }
+    public record Outcome(List<Decision> decisions, Map<JobId, Integer> unplaced) {}
 
     /**
-     * Places jobs in the order given, and decides for the first {@code mostJobs} that find room. The others are
-     * placed only to see who finds none. The seats and shares are used up.
+     * Places jobs in the order given, and decides for the first {@code mostJobs} that find room.
+     * The others are placed only to see who finds none. The seats and shares are used up.
      */
-    public static Outcome run(List<Seat> seats, Map<String, Share> teams, List<Waiting> jobs, int mostJobs) {
+    public static Outcome run(
+            List<Seat> seats, Map<String, Share> teams, List<Waiting> jobs, int mostJobs) {
         PlacementRound round = new PlacementRound(seats, teams);
         int decided = 0;
         int placed = 0;
@@ -252,7 +285,8 @@
             }
             candidates.take(choice);
             team.used = team.used.plus(job.spec().perTask());
-            decisions.add(new Decision(job.spec(), job.tasks()[at], choice.seat.id, choice.byTable));
+            decisions.add(
+                    new Decision(job.spec(), job.tasks()[at], choice.seat.id, choice.byTable));
         }
     }
 
@@ -285,7 +319,8 @@
         List<Choice> best = List.of();
         double bestSteps = Double.MAX_VALUE;
         for (String zone : starts) {
-            Candidates candidates = new Candidates(seats, job, job.desperate() || roomOnly, !roomOnly, zone);
+            Candidates candidates =
+                    new Candidates(seats, job, job.desperate() || roomOnly, !roomOnly, zone);
             List<Choice> taken = new ArrayList<>();
             List<Boolean> fetched = new ArrayList<>();
             double steps = 0;
@@ -309,17 +344,17 @@
         }
         for (int at = 0; at < best.size(); at++) {
             best.get(at).seat.take(job.spec());
-            decisions.add(new Decision(job.spec(), job.tasks()[at], best.get(at).seat.id, !roomOnly));
+            decisions.add(
+                    new Decision(job.spec(), job.tasks()[at], best.get(at).seat.id, !roomOnly));
         }
         return !best.isEmpty();
     }
 
-    private record Choice(Seat seat, boolean byTable) {
-    }
+    private record Choice(Seat seat, boolean byTable) {}
 
     /**
-     * The seats that one job's tasks may go to, best first. A task changes only the seat that takes it, so each
-     * seat is rated once for the job and once more for each of its tasks that it takes.
+     * The seats that one job's tasks may go to, best first. A task changes only the seat that takes
+     * it, so each seat is rated once for the job and once more for each of its tasks that it takes.
      */
     private static final class Candidates {
         private final JobSpec spec;
@@ -327,12 +362,19 @@
         private final boolean tableOnly;
         private final Set<MachineId> failedOn;
         private final Object2IntOpenHashMap<String> zones;
+
         /** Seats whose risk the policy allows. */
         private final PriorityQueue<Seat> passing = new PriorityQueue<>(PlacementRound::leastRisk);
+
         /** Seats that are judged by room alone. */
         private final PriorityQueue<Seat> others = new PriorityQueue<>(PlacementRound::better);
 
-        Candidates(List<Seat> seats, Waiting job, boolean anyRisk, boolean tableOnly, String onlyZone) {
+        Candidates(
+                List<Seat> seats,
+                Waiting job,
+                boolean anyRisk,
+                boolean tableOnly,
+                String onlyZone) {
             this.spec = job.spec();
             this.anyRisk = anyRisk;
             this.tableOnly = tableOnly;
@@ -388,9 +430,10 @@
     }
 
     /**
-     * At equal risk: where no task of the job failed, so that a faulty machine is told from a faulty job; where the
-     * image is; a spot machine for a task that may use one; where the image comes soonest; for a replica, one more
-     * machine that will have its image; no machine that a large task could take whole; then most room.
+     * At equal risk: where no task of the job failed, so that a faulty machine is told from a
+     * faulty job; where the image is; a spot machine for a task that may use one; where the image
+     * comes soonest; for a replica, one more machine that will have its image; no machine that a
+     * large task could take whole; then most room.
      */
     private static int better(Seat one, Seat other) {
         int order = Boolean.compare(one.failed, other.failed);
@@ -427,15 +470,20 @@
     }
 
     private static boolean allowed(JobSpec spec, Object2IntMap<String> zones, Seat seat) {
-        if (!spec.perTask().fitsIn(seat.free) || !spec.allowsType(seat.type) || !spec.allowsZone(seat.zone)
+        if (!spec.perTask().fitsIn(seat.free)
+                || !spec.allowsType(seat.type)
+                || !spec.allowsZone(seat.zone)
                 || seat.spot && !spec.spot()) {
             return false;
         }
         if (seat.heldFor != null && !seat.heldFor.equals(spec.id())) {
             return false;
         }
-        if (seat.limit != null && !seat.limit.allows(spec, seat.cached.has(spec.image()) ? 0
-                : spec.imageGb() / seat.fetchGbPerS, seat.free)) {
+        if (seat.limit != null
+                && !seat.limit.allows(
+                        spec,
+                        seat.cached.has(spec.image()) ? 0 : spec.imageGb() / seat.fetchGbPerS,
+                        seat.free)) {
             return false;
         }
         if (spec.spread() && zones.getInt(seat.zone) >= spec.mostPerZone()) {
--- a/src/main/java/org/meadowhollow/coordination/placement/Preemption.java
+++ b/src/main/java/org/meadowhollow/coordination/placement/Preemption.java
@@ -8,12 +8,11 @@
 import org.meadowhollow.bookkeeping.Resources;
 
 /**
- * Which tasks to stop for one that finds no room: a pure function. Only work of lower priority may be
- * stopped, or, for a team within its guarantee, what another team runs beyond its own.
+ * Which tasks to stop for one that finds no room: a pure function. Only work of lower priority may
+ * be stopped, or, for a team within its guarantee, what another team runs beyond its own.
  */
 final class Preemption {
-    private Preemption() {
-    }
+    private Preemption() {}
 
     /**
      * A task that runs somewhere.
@@ -21,14 +20,21 @@
      * @param lostS seconds of work that stopping it would lose
      * @param borrowed whether its team uses more than its guarantee
      */
-    record Running<T>(T task, Priority priority, String team, Resources takes, double lostS, boolean borrowed) {
-    }
+    record Running<T>(
+            T task,
+            Priority priority,
+            String team,
+            Resources takes,
+            double lostS,
+            boolean borrowed) {}
 
     /** A machine that the waiting task may use, what is free on it, and what runs there. */
-    record Place<T>(Resources free, boolean cached, List<Running<T>> running) {
-    }
+    record Place<T>(Resources free, boolean cached, List<Running<T>> running) {}
 
-    /** The tasks to stop, all on one machine, that lose least; empty if no machine can be made to fit. */
+    /**
+     * The tasks to stop, all on one machine, that lose least; empty if no machine can be made to
+     * fit.
+     */
     static <T> List<T> victims(JobSpec spec, boolean guaranteed, List<Place<T>> places) {
         List<T> best = List.of();
         double bestLoss = Double.MAX_VALUE;
@@ -59,18 +65,21 @@
         return best;
     }
 
-    /** Room for one more task at a place: what has to be stopped for it, and how much that loses. */
-    record Gain<T>(Place<T> place, List<T> stopped, double lostS) {
-    }
+    /**
+     * Room for one more task at a place: what has to be stopped for it, and how much that loses.
+     */
+    record Gain<T>(Place<T> place, List<T> stopped, double lostS) {}
 
     /**
-     * What to stop so that several tasks find room: only work of the lowest priority, which waits for what others leave.
-     * Least loss for each task goes first, and room that is free already costs nothing.
+     * What to stop so that several tasks find room: only work of the lowest priority, which waits
+     * for what others leave. Least loss for each task goes first, and room that is free already
+     * costs nothing.
      *
      * @param most tasks that want room
      * @param whole whether room for fewer is of no use, as for a gang
      */
-    static <T> List<Gain<T>> idleVictims(JobSpec spec, int most, boolean whole, List<Place<T>> places) {
+    static <T> List<Gain<T>> idleVictims(
+            JobSpec spec, int most, boolean whole, List<Place<T>> places) {
         if (!spec.priority().above(Priority.LOW)) {
             return List.of();
         }
--- a/src/main/java/org/meadowhollow/coordination/placement/RiskTable.java
+++ b/src/main/java/org/meadowhollow/coordination/placement/RiskTable.java
@@ -6,37 +6,56 @@
 import org.meadowhollow.bookkeeping.Moment;
 
 /**
- * What one machine's past says of the losses to expect at a load: how often each violation group was
- * seen in a bucket of task count and booked share.
+ * What one machine's past says of the losses to expect at a load: how often each violation group
+ * was seen in a bucket of task count and booked share.
  */
 public final class RiskTable {
     /** The paper's groups V1 to V4: 0, 1 or 2, 3 or 4, and 5 or more violations. */
     private static final int GROUPS = 4;
+
     private static final int SHARE_BUCKETS = 5;
     private static final int COUNT_BUCKETS = 6;
+
     /** Fewer samples than this say nothing (DESIGN's starting value). */
     static final int LEAST_SAMPLES = 20;
+
     /** The quality value is compared over windows of this length (DESIGN's starting value). */
     private static final Duration WINDOW = Duration.ofMinutes(2);
+
     private static final int WINDOWS = 3;
+
     /** Samples older than this are left out of a rebuilt table (DESIGN's starting value). */
     public static final Duration RECENT = Duration.ofMinutes(10);
-    /** A swing of the quality value by this much means that the machine has changed: one task in five. */
+
+    /**
+     * A swing of the quality value by this much means that the machine has changed: one task in
+     * five.
+     */
     private static final double SWING = 0.2;
+
     /** Bounds memory: what a machine reports in ten minutes, with room for reports on change. */
     private static final int MOST_SAMPLES = 400;
+
     private static final int FIRST_SAMPLES = 16;
-    /** A sample is one number, and a small one where little is lost: violations, tasks (each up to a bound), bucket. */
+
+    /**
+     * A sample is one number, and a small one where little is lost: violations, tasks (each up to a
+     * bound), bucket.
+     */
     private static final int BUCKET_BITS = 5;
+
     private static final int COUNT_BITS = 13;
     private static final int MOST_COUNT = (1 << COUNT_BITS) - 1;
+
     /** Numbers of a run of equal samples in what {@link #export} gives. */
     private static final int RUN = 4;
 
     /** How often a group was seen in a bucket, by {@link #cell}. */
     private final Int2IntCounterMap seen = new Int2IntCounterMap(0);
+
     /** The latest samples, oldest first from {@link #first} on, round the end: when, and what. */
     private long[] times = new long[FIRST_SAMPLES];
+
     private int[] loads = new int[FIRST_SAMPLES];
     private int first;
     private int kept;
@@ -49,13 +68,18 @@
      * @return the sample, for a copy's {@link #replay}
      */
     public int add(int tasks, double share, int violations, Moment now) {
-        int sample = (Math.min(MOST_COUNT, violations) << COUNT_BITS | Math.min(MOST_COUNT, tasks)) << BUCKET_BITS
-                | bucket(tasks, share);
+        int sample =
+                (Math.min(MOST_COUNT, violations) << COUNT_BITS | Math.min(MOST_COUNT, tasks))
+                                << BUCKET_BITS
+                        | bucket(tasks, share);
         replay(sample, now);
         return sample;
     }
 
-    /** Adds a sample that another table was given by {@link #add}, at the same time, so that both come to say the same. */
+    /**
+     * Adds a sample that another table was given by {@link #add}, at the same time, so that both
+     * come to say the same.
+     */
     public void replay(int sample, Moment now) {
         if (!isSample(sample)) {
             throw new IllegalArgumentException("no sample: " + sample);
@@ -153,19 +177,21 @@
     // ---- copies of tables ----
 
     /**
-     * The table as numbers that mean the same to any process: its counts, and its latest samples as runs of equal ones,
-     * whose times within a run are lost but for the first and the last. Ages are milliseconds.
+     * The table as numbers that mean the same to any process: its counts, and its latest samples as
+     * runs of equal ones, whose times within a run are lost but for the first and the last. Ages
+     * are milliseconds.
      */
     public int[] export(Moment now) {
         IntArrayList out = new IntArrayList();
         out.add(samples);
         out.add(windowsFrom == null ? 0 : millis(now, windowsFrom.nanos()));
         out.add(seen.size());
-        seen.forEach((cell, count) -> {
-            out.add(cell);
-            out.add(count);
-        });
-        for (int at = 0; at < kept;) {
+        seen.forEach(
+                (cell, count) -> {
+                    out.add(cell);
+                    out.add(count);
+                });
+        for (int at = 0; at < kept; ) {
             int from = at;
             while (at < kept && loads[slot(at)] == loads[slot(from)]) {
                 at++;
@@ -192,12 +218,18 @@
         int counted = 0;
         int at = 3;
         int cells = at <= exported.length ? exported[2] : -1;
-        if (cells < 0 || cells > COUNT_BUCKETS * SHARE_BUCKETS * GROUPS || exported[0] < 0 || exported[1] < 0
-                || exported.length < at + 2 * cells || (exported.length - at - 2 * cells) % RUN != 0) {
+        if (cells < 0
+                || cells > COUNT_BUCKETS * SHARE_BUCKETS * GROUPS
+                || exported[0] < 0
+                || exported[1] < 0
+                || exported.length < at + 2 * cells
+                || (exported.length - at - 2 * cells) % RUN != 0) {
             throw new IllegalArgumentException("no table");
         }
         for (int end = at + 2 * cells; at < end; at += 2) {
-            if (exported[at] < 0 || exported[at] >= COUNT_BUCKETS * SHARE_BUCKETS * GROUPS || exported[at + 1] <= 0) {
+            if (exported[at] < 0
+                    || exported[at] >= COUNT_BUCKETS * SHARE_BUCKETS * GROUPS
+                    || exported[at + 1] <= 0) {
                 throw new IllegalArgumentException("no cell of a table");
             }
             table.seen.put(exported[at], exported[at + 1]);
@@ -212,11 +244,17 @@
             int count = exported[at + 1];
             double from = exported[at + 2];
             double to = exported[at + 3];
-            if (!isSample(exported[at]) || count <= 0 || count > MOST_SAMPLES || to < 0 || from < to) {
+            if (!isSample(exported[at])
+                    || count <= 0
+                    || count > MOST_SAMPLES
+                    || to < 0
+                    || from < to) {
                 throw new IllegalArgumentException("no samples of a table");
             }
             for (int one = 0; one < count; one++) {
-                table.keep(exported[at], before(now, count == 1 ? to : from + (to - from) * one / (count - 1)));
+                table.keep(
+                        exported[at],
+                        before(now, count == 1 ? to : from + (to - from) * one / (count - 1)));
             }
         }
         return table;
@@ -228,7 +266,9 @@
 
     @Override
     public boolean equals(Object other) {
-        if (!(other instanceof RiskTable table) || samples != table.samples || seen.size() != table.seen.size()) {
+        if (!(other instanceof RiskTable table)
+                || samples != table.samples
+                || seen.size() != table.seen.size()) {
             return false;
         }
         for (int cell = 0; cell < COUNT_BUCKETS * SHARE_BUCKETS * GROUPS; cell++) {
--- a/src/main/java/org/meadowhollow/coordination/placement/Snapshot.java
+++ b/src/main/java/org/meadowhollow/coordination/placement/Snapshot.java
@@ -20,7 +20,10 @@
 import org.meadowhollow.bookkeeping.TaskId;
 import org.meadowhollow.coordination.platform.Platform;
 
-/** What a round decides from: the machines that can take tasks, the jobs that wait in their order, and the teams. */
+/**
+ * What a round decides from: the machines that can take tasks, the jobs that wait in their order,
+ * and the teams.
+ */
 public final class Snapshot {
     /** Tasks of one job looked at in a round: more than fit on any fleet at once, and bounded. */
     private static final int MOST_TASKS = 2000;
@@ -56,7 +59,10 @@
         return shares;
     }
 
-    /** Whether a job fits into its team's guarantee together with the team's earlier unfinished jobs. */
+    /**
+     * Whether a job fits into its team's guarantee together with the team's earlier unfinished
+     * jobs.
+     */
     public boolean isGuaranteed(JobId job) {
         return guaranteed.getOrDefault(job, false);
     }
@@ -65,11 +71,24 @@
         for (Machine machine : cluster.machines().values()) {
             strays.addAll(machine.strays());
             if (cluster.usable(machine, now)) {
-                seats.add(new PlacementRound.Seat(seats.size(), machine.id(), machine.type().name(), machine.zone(),
-                        machine.spot(), machine.type().room(), machine.free(), machine.placements().size(),
-                        replicas(machine), machine.images(), fetches(machine), machine.type().fetchGbPerS(),
-                        cluster.risks().get(machine.id()), aims.isForLarge(machine.type()))
-                        .limited(cluster.outlook().limit(machine.id())).heldFor(machine.heldFor(now)));
+                seats.add(
+                        new PlacementRound.Seat(
+                                        seats.size(),
+                                        machine.id(),
+                                        machine.type().name(),
+                                        machine.zone(),
+                                        machine.spot(),
+                                        machine.type().room(),
+                                        machine.free(),
+                                        machine.placements().size(),
+                                        replicas(machine),
+                                        machine.images(),
+                                        fetches(machine),
+                                        machine.type().fetchGbPerS(),
+                                        cluster.risks().get(machine.id()),
+                                        aims.isForLarge(machine.type()))
+                                .limited(cluster.outlook().limit(machine.id()))
+                                .heldFor(machine.heldFor(now)));
             }
         }
     }
@@ -77,21 +96,29 @@
     private void addWaiting() {
         List<Job> order = new ArrayList<>();
         for (Job job : cluster.jobs().values()) {
-            if (job.waitingCount() > 0 && !job.allDone()
+            if (job.waitingCount() > 0
+                    && !job.allDone()
                     && (job.holdUntil() == null || job.holdUntil().isBefore(now))) {
                 order.add(job);
             }
         }
-        order.sort(Comparator.<Job, Boolean>comparing(job -> !cluster.outlook().isDue(job.spec()))
-                .thenComparing(job -> !isGuaranteed(job.id()))
-                .thenComparing(job -> job.spec().priority())
-                .thenComparingDouble(job -> dueAt(job))
-                .thenComparing(Job::acceptedAtMillis).thenComparing(Job::id));
+        order.sort(
+                Comparator.<Job, Boolean>comparing(job -> !cluster.outlook().isDue(job.spec()))
+                        .thenComparing(job -> !isGuaranteed(job.id()))
+                        .thenComparing(job -> job.spec().priority())
+                        .thenComparingDouble(job -> dueAt(job))
+                        .thenComparing(Job::acceptedAtMillis)
+                        .thenComparing(Job::id));
         for (Job job : order) {
             int[] tasks = waitingTasks(job);
             if (tasks.length > 0) {
-                waiting.add(new PlacementRound.Waiting(job.spec(), tasks, cluster.zonesOf(job),
-                        now.since(job.waitingSince()).compareTo(Aims.DESPERATE) > 0, job.failedOn()));
+                waiting.add(
+                        new PlacementRound.Waiting(
+                                job.spec(),
+                                tasks,
+                                cluster.zonesOf(job),
+                                now.since(job.waitingSince()).compareTo(Aims.DESPERATE) > 0,
+                                job.failedOn()));
             }
         }
     }
@@ -102,7 +129,9 @@
         for (Placement placement : machine.placements()) {
             JobSpec spec = placement.job().spec();
             if (!machine.images().has(spec.image())) {
-                double leftS = spec.imageGb() / machine.type().fetchGbPerS() - now.secondsSince(placement.since());
+                double leftS =
+                        spec.imageGb() / machine.type().fetchGbPerS()
+                                - now.secondsSince(placement.since());
                 fetches.put(spec.image(), Math.max(0, leftS));
             }
         }
@@ -121,11 +150,15 @@
         if (job.spec().kind() == Kind.GANG && (job.hasBegun() || job.doneCount() > 0)) {
             return new int[0];
         }
-        int most = job.spec().kind() == Kind.GANG ? Integer.MAX_VALUE
-                : job.isSuspect() ? Math.max(0, 1 - job.placements().size()) : MOST_TASKS;
+        int most =
+                job.spec().kind() == Kind.GANG
+                        ? Integer.MAX_VALUE
+                        : job.isSuspect() ? Math.max(0, 1 - job.placements().size()) : MOST_TASKS;
         int[] tasks = new int[Math.min(most, job.waitingCount())];
         int count = 0;
-        for (int task = job.nextWaiting(0); task >= 0 && count < tasks.length; task = job.nextWaiting(task + 1)) {
+        for (int task = job.nextWaiting(0);
+                task >= 0 && count < tasks.length;
+                task = job.nextWaiting(task + 1)) {
             if (!strays.contains(new TaskId(job.id(), task))) {
                 tasks[count++] = task;
             } else if (job.spec().kind() == Kind.GANG) {
@@ -136,7 +169,8 @@
     }
 
     private static double dueAt(Job job) {
-        return Double.isNaN(job.spec().deadlineS()) ? Double.MAX_VALUE
+        return Double.isNaN(job.spec().deadlineS())
+                ? Double.MAX_VALUE
                 : job.acceptedAtMillis() / 1000.0 + job.spec().deadlineS();
     }
 
@@ -144,13 +178,18 @@
         Map<String, Resources> used = cluster.used();
         Map<String, PlacementRound.Share> shares = new HashMap<>();
         for (Platform.Team team : platform.teams().values()) {
-            shares.put(team.name(), new PlacementRound.Share(used.getOrDefault(team.name(), Resources.NONE),
-                    team.most()));
+            shares.put(
+                    team.name(),
+                    new PlacementRound.Share(
+                            used.getOrDefault(team.name(), Resources.NONE), team.most()));
         }
         return shares;
     }
 
-    /** The jobs that fit into their team's guarantee together with the team's earlier unfinished jobs. */
+    /**
+     * The jobs that fit into their team's guarantee together with the team's earlier unfinished
+     * jobs.
+     */
     private Map<JobId, Boolean> findGuaranteed() {
         List<Job> byAge = new ArrayList<>(cluster.jobs().values());
         byAge.sort(Comparator.comparingLong(Job::acceptedAtMillis).thenComparing(Job::id));
@@ -164,9 +203,11 @@
             Resources sum = sums.merge(job.spec().team(), all, Resources::plus);
             Platform.Team team = platform.teams().get(job.spec().team());
             Resources most = team.guaranteed();
-            within.put(job.id(), (most.cpu() > 0 || most.gpu() > 0)
-                    && (most.cpu() == 0 || sum.cpu() <= most.cpu())
-                    && (most.gpu() == 0 || sum.gpu() <= most.gpu()));
+            within.put(
+                    job.id(),
+                    (most.cpu() > 0 || most.gpu() > 0)
+                            && (most.cpu() == 0 || sum.cpu() <= most.cpu())
+                            && (most.gpu() == 0 || sum.gpu() <= most.gpu()));
         }
         return within;
     }
--- a/src/main/java/org/meadowhollow/coordination/placement/Turnover.java
+++ b/src/main/java/org/meadowhollow/coordination/placement/Turnover.java
@@ -15,24 +15,28 @@
 import org.meadowhollow.bookkeeping.Resources;
 
 /**
- * The places that tasks of arrays will leave soon. A waiting task that can still be in time on one of them needs
- * no machine of its own, which would hardly be ready sooner.
+ * The places that tasks of arrays will leave soon. A waiting task that can still be in time on one
+ * of them needs no machine of its own, which would hardly be ready sooner.
  */
 public final class Turnover {
     /** Owners' estimates are often wrong by half. */
     private static final double ESTIMATE_MARGIN = 1.3;
+
     /** A job that is late in any case should not become later than this share of its time. */
     private static final double LATE_SHARE = 0.5;
 
     /** A place that is left in some seconds. */
     private record Place(double inS, Resources takes, MachineType type, String zone, boolean spot) {
         boolean suits(JobSpec spec) {
-            return spec.perTask().fitsIn(takes) && spec.allowsType(type.name()) && spec.allowsZone(zone)
+            return spec.perTask().fitsIn(takes)
+                    && spec.allowsType(type.name())
+                    && spec.allowsZone(zone)
                     && (spec.spot() || !spot);
         }
     }
 
-    private final PriorityQueue<Place> places = new PriorityQueue<>(Comparator.comparingDouble(Place::inS));
+    private final PriorityQueue<Place> places =
+            new PriorityQueue<>(Comparator.comparingDouble(Place::inS));
 
     /** Notes the tasks of arrays that are on machines where others can follow them. */
     public Turnover(List<Machine> machines, Moment now) {
@@ -43,10 +47,19 @@
             for (Placement placement : machine.placements()) {
                 JobSpec spec = placement.job().spec();
                 if (spec.kind() == Kind.ARRAY) {
-                    double leftS = placement.runningSince() == null
-                            ? runS(spec) + spec.imageGb() / machine.type().fetchGbPerS() / 2
-                            : Math.max(runS(spec) - now.secondsSince(placement.runningSince()), runS(spec) / 4);
-                    places.add(new Place(leftS, spec.perTask(), machine.type(), machine.zone(), machine.spot()));
+                    double leftS =
+                            placement.runningSince() == null
+                                    ? runS(spec) + spec.imageGb() / machine.type().fetchGbPerS() / 2
+                                    : Math.max(
+                                            runS(spec) - now.secondsSince(placement.runningSince()),
+                                            runS(spec) / 4);
+                    places.add(
+                            new Place(
+                                    leftS,
+                                    spec.perTask(),
+                                    machine.type(),
+                                    machine.zone(),
+                                    machine.spot()));
                 }
             }
         }
@@ -57,7 +70,8 @@
     }
 
     /** Notes a task that a machine not yet up will take first. */
-    public void follows(JobSpec spec, MachineType type, String zone, boolean spot, double readyInS) {
+    public void follows(
+            JobSpec spec, MachineType type, String zone, boolean spot, double readyInS) {
         places.add(new Place(readyInS + runS(spec), spec.perTask(), type, zone, spot));
     }
 
@@ -75,8 +89,13 @@
         while (taken < tasks && !places.isEmpty() && places.peek().inS() <= startInS) {
             Place place = places.poll();
             if (place.suits(spec)) {
-                followed.add(new Place(place.inS() + runS(spec), spec.perTask(), place.type(), place.zone(),
-                        place.spot()));
+                followed.add(
+                        new Place(
+                                place.inS() + runS(spec),
+                                spec.perTask(),
+                                place.type(),
+                                place.zone(),
+                                place.spot()));
                 taken++;
             } else {
                 unsuited.add(place);
@@ -98,6 +117,8 @@
             return readyS;
         }
         double startInS = spec.deadlineS() - agedS - runS(spec);
-        return startInS >= readyS ? startInS : Math.max(readyS, startInS + spec.deadlineS() * LATE_SHARE);
+        return startInS >= readyS
+                ? startInS
+                : Math.max(readyS, startInS + spec.deadlineS() * LATE_SHARE);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/platform/NodeStatus.java
+++ b/src/main/java/org/meadowhollow/coordination/platform/NodeStatus.java
@@ -5,10 +5,17 @@
 /**
  * What a node says of itself.
  *
- * @param incarnation a random number of this process, so that a restarted one is told from itself before
+ * @param incarnation a random number of this process, so that a restarted one is told from itself
+ *     before
  * @param program its version
  * @param schema of the records that it reads and writes
- * @param revision that its image of the records stands at, or {@link Version#ABSENT} while it has none
+ * @param revision that its image of the records stands at, or {@link Version#ABSENT} while it has
+ *     none
  */
-public record NodeStatus(String member, long incarnation, String zone, String program, int schema, Version revision) {
-}
+public record NodeStatus(
+        String member,
+        long incarnation,
+        String zone,
+        String program,
+        int schema,
+        Version revision) {}
--- a/src/main/java/org/meadowhollow/coordination/platform/Peers.java
+++ b/src/main/java/org/meadowhollow/coordination/platform/Peers.java
@@ -16,14 +16,22 @@
     CompletableFuture<Boolean> anyServed();
 
     /**
-     * How another controller takes a question: REFUSES if it alone does, while some other one answers; DEAF if it
-     * answers, leads, and misses the reports of many workers.
+     * How another controller takes a question: REFUSES if it alone does, while some other one
+     * answers; DEAF if it answers, leads, and misses the reports of many workers.
      */
-    enum Sign { ANSWERS, DEAF, REFUSES, SILENT }
+    enum Sign {
+        ANSWERS,
+        DEAF,
+        REFUSES,
+        SILENT
+    }
 
     CompletableFuture<Sign> signOf(String member);
 
-    /** What each of the others says of machines: which have reported to it within a time before its answer. */
+    /**
+     * What each of the others says of machines: which have reported to it within a time before its
+     * answer.
+     */
     CompletableFuture<List<Testimony>> hearing(List<MachineId> machines, Duration within);
 
     /** An answer was not understood: it is damaged, or of another version. */
@@ -36,14 +44,14 @@
     }
 
     /**
-     * What a leader's risk tables have come to know; empty if there is no answer or the node does not lead. Fails with
-     * {@link Unreadable}.
+     * What a leader's risk tables have come to know; empty if there is no answer or the node does
+     * not lead. Fails with {@link Unreadable}.
      */
     CompletableFuture<Optional<TableDelta>> tables(String leader, TableQuestion question);
 
     /**
-     * The digests of a leader's records; empty if there is no answer or the node does not lead. Fails with
-     * {@link Unreadable}.
+     * The digests of a leader's records; empty if there is no answer or the node does not lead.
+     * Fails with {@link Unreadable}.
      */
     CompletableFuture<Optional<Digests>> digests(String leader);
 }
--- a/src/main/java/org/meadowhollow/coordination/platform/TableDelta.java
+++ b/src/main/java/org/meadowhollow/coordination/platform/TableDelta.java
@@ -20,10 +20,16 @@
      * @param incarnation a hash of what the machine's name means: its type, zone, kind and address
      * @param session and {@code seq}: of the last report that is in it
      * @param table a whole table as {@code RiskTable.export} gives it; empty if there are samples
-     * @param samples four numbers each, oldest first: session, number of the report, age in milliseconds, sample
+     * @param samples four numbers each, oldest first: session, number of the report, age in
+     *     milliseconds, sample
      */
-    public record Part(MachineId machine, int incarnation, Session session, long seq, int[] table, long[] samples) {
-    }
+    public record Part(
+            MachineId machine,
+            int incarnation,
+            Session session,
+            long seq,
+            int[] table,
+            long[] samples) {}
 
     /** Numbers of a sample in {@link Part#samples}. */
     public static final int SAMPLE = 4;
--- a/src/main/java/org/meadowhollow/coordination/platform/Testimony.java
+++ b/src/main/java/org/meadowhollow/coordination/platform/Testimony.java
@@ -4,8 +4,8 @@
 import org.meadowhollow.bookkeeping.MachineId;
 
 /**
- * What one other controller says of the machines that it was asked about. A hint: it decides who leads best and which
- * machines had better be kept, and proves nothing of what runs on them.
+ * What one other controller says of the machines that it was asked about. A hint: it decides who
+ * leads best and which machines had better be kept, and proves nothing of what runs on them.
  *
  * @param answered whether it gave an answer at all
  * @param served whether the state service serves it, so that it could lead
