--- a/src/main/java/org/meadowhollow/coordination/serving/Served.java
+++ b/src/main/java/org/meadowhollow/coordination/serving/Served.java
@@ -16,27 +16,38 @@
 import org.meadowhollow.bookkeeping.Moment;
 
 /**
- * What became of the jobs of each class and team in one leadership. A leadership begins with the jobs that live then, so
- * the counts of one day are those of all its leaders together, less what a leader that ended had not yet logged. Guarded
- * by the leader's lock.
+ * What became of the jobs of each class and team in one leadership. A leadership begins with the
+ * jobs that live then, so the counts of one day are those of all its leaders together, less what a
+ * leader that ended had not yet logged. Guarded by the leader's lock.
  */
 public final class Served {
     /** Between two accounts of all classes and teams. */
     private static final Duration EVERY = Duration.ofMinutes(1);
+
     /** A job that has waited for so long without a task running counts as left behind. */
     private static final Duration LONG = Duration.ofMinutes(2);
-    /** Below this share of started jobs, of as many as this at least, a class or team is falling behind. */
+
+    /**
+     * Below this share of started jobs, of as many as this at least, a class or team is falling
+     * behind.
+     */
     private static final double BEHIND = 0.7;
+
     private static final int LEAST = 4;
-    /** A job with so much of the most tasks that a job of its class had is one of the class's largest. */
+
+    /**
+     * A job with so much of the most tasks that a job of its class had is one of the class's
+     * largest.
+     */
     private static final double LARGE = 0.75;
+
     /** Lines about large jobs that wait, the oldest first. */
     private static final int MOST_TOLD = 8;
+
     /** Classes and teams counted; the settings name the teams, but users choose the classes. */
     private static final int MOST = 256;
 
-    private record Group(String jobClass, String team) {
-    }
+    private record Group(String jobClass, String team) {}
 
     private static final class Counts {
         private int mostTasks;
@@ -51,8 +62,8 @@
         private int largeWaiting;
     }
 
-    private final Map<Group, Counts> groups = new TreeMap<>(Comparator.comparing(Group::jobClass)
-            .thenComparing(Group::team));
+    private final Map<Group, Counts> groups =
+            new TreeMap<>(Comparator.comparing(Group::jobClass).thenComparing(Group::team));
     private final Set<JobId> started = new HashSet<>();
     private Moment toldAt;
 
@@ -84,13 +95,14 @@
     }
 
     /**
-     * What there is to log now: nothing, or a line for each class and team, and one for each of the largest jobs of a class
-     * that has waited for long, up to eight.
+     * What there is to log now: nothing, or a line for each class and team, and one for each of the
+     * largest jobs of a class that has waited for long, up to eight.
      *
      * @param jobs all that live
      * @param waitsFor says what a job that waits is waiting for
      */
-    public List<String> account(Collection<Job> jobs, Moment now, long wallMillis, Function<Job, String> waitsFor) {
+    public List<String> account(
+            Collection<Job> jobs, Moment now, long wallMillis, Function<Job, String> waitsFor) {
         if (toldAt == null) {
             toldAt = now;
         }
@@ -98,12 +110,14 @@
             return List.of();
         }
         toldAt = now;
-        groups.values().forEach(counts -> {
-            counts.waiting = 0;
-            counts.leftBehind = 0;
-            counts.oldestS = 0;
-            counts.largeWaiting = 0;
-        });
+        groups.values()
+                .forEach(
+                        counts -> {
+                            counts.waiting = 0;
+                            counts.leftBehind = 0;
+                            counts.oldestS = 0;
+                            counts.largeWaiting = 0;
+                        });
         List<Job> large = new ArrayList<>();
         for (Job job : jobs) {
             if (job.waitingCount() > 0) {
@@ -120,16 +134,56 @@
             }
         }
         List<String> lines = new ArrayList<>();
-        groups.forEach((group, counts) -> lines.add("served: class " + group.jobClass() + " of " + group.team() + ": "
-                + counts.came + " jobs came, " + counts.started + " started, " + counts.done + " done, " + counts.late
-                + " late, " + counts.cancelled + " cancelled; " + counts.waiting + " tasks wait, the oldest for "
-                + (long) counts.oldestS + " s" + (counts.largeWaiting > 0 ? "; " + counts.largeWaiting
-                + " of its largest jobs wait" : "") + (isBehind(counts) ? "; FALLS BEHIND: " + counts.leftBehind
-                + " jobs wait for over " + LONG.toSeconds() + " s" : "")));
-        large.stream().sorted(Comparator.comparingLong(Job::acceptedAtMillis).thenComparing(Job::id)).limit(MOST_TOLD)
-                .forEach(job -> lines.add("large job " + job.id() + " of class " + job.spec().jobClass() + ", "
-                        + job.spec().tasks() + " tasks, waits for " + (wallMillis - job.acceptedAtMillis()) / 1000
-                        + " s: " + waitsFor.apply(job)));
+        groups.forEach(
+                (group, counts) ->
+                        lines.add(
+                                "served: class "
+                                        + group.jobClass()
+                                        + " of "
+                                        + group.team()
+                                        + ": "
+                                        + counts.came
+                                        + " jobs came, "
+                                        + counts.started
+                                        + " started, "
+                                        + counts.done
+                                        + " done, "
+                                        + counts.late
+                                        + " late, "
+                                        + counts.cancelled
+                                        + " cancelled; "
+                                        + counts.waiting
+                                        + " tasks wait, the oldest for "
+                                        + (long) counts.oldestS
+                                        + " s"
+                                        + (counts.largeWaiting > 0
+                                                ? "; "
+                                                        + counts.largeWaiting
+                                                        + " of its largest jobs wait"
+                                                : "")
+                                        + (isBehind(counts)
+                                                ? "; FALLS BEHIND: "
+                                                        + counts.leftBehind
+                                                        + " jobs wait for over "
+                                                        + LONG.toSeconds()
+                                                        + " s"
+                                                : "")));
+        large.stream()
+                .sorted(Comparator.comparingLong(Job::acceptedAtMillis).thenComparing(Job::id))
+                .limit(MOST_TOLD)
+                .forEach(
+                        job ->
+                                lines.add(
+                                        "large job "
+                                                + job.id()
+                                                + " of class "
+                                                + job.spec().jobClass()
+                                                + ", "
+                                                + job.spec().tasks()
+                                                + " tasks, waits for "
+                                                + (wallMillis - job.acceptedAtMillis()) / 1000
+                                                + " s: "
+                                                + waitsFor.apply(job)));
         return lines;
     }
 
@@ -144,7 +198,10 @@
 
     private Counts counts(JobSpec spec) {
         Group group = new Group(spec.jobClass(), spec.team());
-        return groups.computeIfAbsent(groups.size() < MOST || groups.containsKey(group) ? group
-                : new Group("others", spec.team()), unused -> new Counts());
+        return groups.computeIfAbsent(
+                groups.size() < MOST || groups.containsKey(group)
+                        ? group
+                        : new Group("others", spec.team()),
+                unused -> new Counts());
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/succession/Inheritance.java
+++ b/src/main/java/org/meadowhollow/coordination/succession/Inheritance.java
@@ -20,16 +20,25 @@
 public final class Inheritance {
     /** Of a node that followed nothing. */
     public static final Inheritance NONE = new Inheritance(Map.of(), new TableCopies());
-    /** Machines that the last leader heard of within this time, before it ended, are likely to report again. */
+
+    /**
+     * Machines that the last leader heard of within this time, before it ended, are likely to
+     * report again.
+     */
     private static final Duration LIKELY = Standby.PULL.multipliedBy(3);
 
-    /** Tables of a snapshot that are made at a time: a starved node must come to renew its lease in between. */
+    /**
+     * Tables of a snapshot that are made at a time: a starved node must come to renew its lease in
+     * between.
+     */
     private static final int MOST_AT_ONCE = 50;
 
     private final Map<String, RecordFollower> followers;
     private final TableCopies copies;
+
     /** What a snapshot holds and has not been handed over yet, and when that was so. */
     private final ArrayDeque<TableDelta.Part> noted = new ArrayDeque<>();
+
     private Moment notedAt;
     private int tables;
 
@@ -44,24 +53,42 @@
     }
 
     /**
-     * The records by prefix, each with all changes up to a revision and maybe more; empty if one of the images is
-     * missing, older than that, or of another history than the one that is served.
+     * The records by prefix, each with all changes up to a revision and maybe more; empty if one of
+     * the images is missing, older than that, or of another history than the one that is served.
      */
     public CompletableFuture<Optional<Map<String, RecordImage>>> records(Version atLeast) {
-        List<CompletableFuture<Optional<RecordImage>>> images = followers.values().stream()
-                .map(follower -> follower.handOver(atLeast)).toList();
-        return CompletableFuture.allOf(images.toArray(CompletableFuture[]::new)).thenApply(unused -> {
-            Map<String, RecordImage> byPrefix = new TreeMap<>();
-            images.forEach(image -> image.join().ifPresent(each -> byPrefix.put(each.prefix(), each)));
-            return byPrefix.isEmpty() || byPrefix.size() < followers.size() ? Optional.empty() : Optional.of(byPrefix);
-        });
+        List<CompletableFuture<Optional<RecordImage>>> images =
+                followers.values().stream().map(follower -> follower.handOver(atLeast)).toList();
+        return CompletableFuture.allOf(images.toArray(CompletableFuture[]::new))
+                .thenApply(
+                        unused -> {
+                            Map<String, RecordImage> byPrefix = new TreeMap<>();
+                            images.forEach(
+                                    image ->
+                                            image.join()
+                                                    .ifPresent(
+                                                            each ->
+                                                                    byPrefix.put(
+                                                                            each.prefix(), each)));
+                            return byPrefix.isEmpty() || byPrefix.size() < followers.size()
+                                    ? Optional.empty()
+                                    : Optional.of(byPrefix);
+                        });
     }
 
-    /** The table of a machine whose first report has come, if what is there is of the machine as it is now. */
+    /**
+     * The table of a machine whose first report has come, if what is there is of the machine as it
+     * is now.
+     */
     public Optional<RiskTable> table(Report report, Moment now) {
-        return inherited(copies.inherit(report.machine(),
-                TableFeed.incarnation(report.type(), report.zone(), report.spot(), report.address()), report.session(),
-                report.seq(), now));
+        return inherited(
+                copies.inherit(
+                        report.machine(),
+                        TableFeed.incarnation(
+                                report.type(), report.zone(), report.spot(), report.address()),
+                        report.session(),
+                        report.seq(),
+                        now));
     }
 
     private Optional<RiskTable> inherited(Optional<RiskTable> table) {
@@ -70,7 +97,8 @@
     }
 
     /**
-     * Takes in the tables that were noted in the state service, where no leader handed any over because all nodes ended.
+     * Takes in the tables that were noted in the state service, where no leader handed any over
+     * because all nodes ended.
      */
     public void noted(TableSnapshots.Read snapshot, Moment now) {
         noted.addAll(snapshot.parts());
@@ -87,14 +115,21 @@
      *
      * @return whether there are more
      */
-    public boolean handOverNoted(Map<MachineId, Machine> machines, Map<MachineId, RiskTable> risks, Moment now) {
+    public boolean handOverNoted(
+            Map<MachineId, Machine> machines, Map<MachineId, RiskTable> risks, Moment now) {
         for (int done = 0; done < MOST_AT_ONCE && !noted.isEmpty(); done++) {
             TableDelta.Part part = noted.poll();
             copies.take(List.of(part), notedAt);
             Machine machine = machines.get(part.machine());
             if (machine != null && machine.session() != null) {
-                inherited(copies.inherit(machine.id(), TableFeed.incarnation(machine), machine.session(), machine.seq(),
-                        now)).ifPresent(table -> risks.put(machine.id(), table));
+                inherited(
+                                copies.inherit(
+                                        machine.id(),
+                                        TableFeed.incarnation(machine),
+                                        machine.session(),
+                                        machine.seq(),
+                                        now))
+                        .ifPresent(table -> risks.put(machine.id(), table));
             }
         }
         return !noted.isEmpty();
@@ -105,7 +140,9 @@
         return tables;
     }
 
-    /** Machines that the last leader heard of lately, and whose first report has not come here yet. */
+    /**
+     * Machines that the last leader heard of lately, and whose first report has not come here yet.
+     */
     public int awaited(Moment now) {
         return copies.heardWithin(LIKELY, now);
     }
--- a/src/main/java/org/meadowhollow/coordination/succession/Lives.java
+++ b/src/main/java/org/meadowhollow/coordination/succession/Lives.java
@@ -23,10 +23,12 @@
 
     /** Does some work of a life after a pause, unless another has begun by then. */
     void later(Duration pause, int life, Runnable work) {
-        loop.after(pause, () -> {
-            if (isCurrent(life)) {
-                work.run();
-            }
-        });
+        loop.after(
+                pause,
+                () -> {
+                    if (isCurrent(life)) {
+                        work.run();
+                    }
+                });
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/succession/Membership.java
+++ b/src/main/java/org/meadowhollow/coordination/succession/Membership.java
@@ -11,16 +11,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The standbys as a leader knows them by their questions. It serves the hand-over and decides nothing that the lease
- * decides. Guarded by the leader's lock.
+ * The standbys as a leader knows them by their questions. It serves the hand-over and decides
+ * nothing that the lease decides. Guarded by the leader's lock.
  */
 public final class Membership {
     private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
-    /** Two questions that a standby did not get through; of one that has been silent for longer nothing is known. */
+
+    /**
+     * Two questions that a standby did not get through; of one that has been silent for longer
+     * nothing is known.
+     */
     static final Duration FRESH = Standby.PULL.multipliedBy(5).dividedBy(2);
 
-    private record Seen(NodeStatus status, Moment at) {
-    }
+    private record Seen(NodeStatus status, Moment at) {}
 
     private final Map<String, Seen> members = new TreeMap<>();
 
@@ -28,22 +31,28 @@
     public void seen(NodeStatus status, Moment now) {
         Seen before = members.put(status.member(), new Seen(status, now));
         if (before == null || before.status().incarnation() != status.incarnation()) {
-            LOG.info("{} in {} follows, program {}, records of schema {}", status.member(), status.zone(),
-                    status.program(), status.schema());
+            LOG.info(
+                    "{} in {} follows, program {}, records of schema {}",
+                    status.member(),
+                    status.zone(),
+                    status.program(),
+                    status.schema());
         }
     }
 
     /**
-     * Who could take over best: of those heard of lately that read records of our schema, the one that stands at the
-     * latest revision; of equal ones the first by name, so that one of them is meant.
+     * Who could take over best: of those heard of lately that read records of our schema, the one
+     * that stands at the latest revision; of equal ones the first by name, so that one of them is
+     * meant.
      */
     public Optional<String> heir(int schema, Moment now) {
         return members.values().stream()
                 .filter(each -> now.since(each.at()).compareTo(FRESH) <= 0)
                 .map(Seen::status)
                 .filter(status -> status.schema() == schema)
-                .max(Comparator.<NodeStatus>comparingLong(status -> status.revision().value())
-                        .thenComparing(NodeStatus::member, Comparator.reverseOrder()))
+                .max(
+                        Comparator.<NodeStatus>comparingLong(status -> status.revision().value())
+                                .thenComparing(NodeStatus::member, Comparator.reverseOrder()))
                 .map(NodeStatus::member);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/succession/RecordFollower.java
+++ b/src/main/java/org/meadowhollow/coordination/succession/RecordFollower.java
@@ -23,18 +23,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the records under a prefix: reads them once, then asks for what has changed, at most every
- * {@link #PAUSE} while there are changes and every {@link #WATCH} while there are none.
+ * Follows the records under a prefix: reads them once, then asks for what has changed, at most
+ * every {@link #PAUSE} while there are changes and every {@link #WATCH} while there are none.
  */
 final class RecordFollower {
     private static final Logger LOG = LoggerFactory.getLogger(RecordFollower.class);
-    /** A leader writes thirty records a second and more; answered one by one they would take all requests there are. */
+
+    /**
+     * A leader writes thirty records a second and more; answered one by one they would take all
+     * requests there are.
+     */
     static final Duration PAUSE = Duration.ofSeconds(2);
+
     private static final Duration WATCH = Duration.ofSeconds(20);
     private static final Duration RETRY = Duration.ofSeconds(3);
+
     /** Records that do not fit are not tried again soon. */
     private static final Duration TOO_LARGE_FOR = Duration.ofMinutes(5);
-    /** Changes asked for in vain before the records are read anew: their answer may be too large to come. */
+
+    /**
+     * Changes asked for in vain before the records are read anew: their answer may be too large to
+     * come.
+     */
     private static final int MOST_FAILURES = 3;
 
     private final StateStore store;
@@ -74,38 +84,52 @@
         return lives.next();
     }
 
-    /** Reads a page of the records, and then the next; {@code after} and {@code begun} are null for the first. */
+    /**
+     * Reads a page of the records, and then the next; {@code after} and {@code begun} are null for
+     * the first.
+     */
     private void page(int mine, String after, RecordImage begun) {
-        store.list(prefix, after, Urgency.BACKGROUND).whenComplete((page, failure) -> {
-            if (!lives.isCurrent(mine)) {
-                return;
-            }
-            if (failure != null) {
-                lives.later(RETRY, mine, () -> page(mine, after, begun));
-                return;
-            }
-            RecordImage growing = begun == null ? new RecordImage(prefix, page.revision()) : begun;
-            growing.addPage(page.entries());
-            if (isTooLarge(growing, mine)) {
-                return;
-            }
-            if (page.more()) {
-                page(mine, page.entries().get(page.entries().size() - 1).key(), growing);
-                return;
-            }
-            synchronized (this) {
-                image = growing;
-                failures = 0;
-            }
-            lives.later(PAUSE, mine, () -> follow(mine));
-        });
+        store.list(prefix, after, Urgency.BACKGROUND)
+                .whenComplete(
+                        (page, failure) -> {
+                            if (!lives.isCurrent(mine)) {
+                                return;
+                            }
+                            if (failure != null) {
+                                lives.later(RETRY, mine, () -> page(mine, after, begun));
+                                return;
+                            }
+                            RecordImage growing =
+                                    begun == null
+                                            ? new RecordImage(prefix, page.revision())
+                                            : begun;
+                            growing.addPage(page.entries());
+                            if (isTooLarge(growing, mine)) {
+                                return;
+                            }
+                            if (page.more()) {
+                                page(
+                                        mine,
+                                        page.entries().get(page.entries().size() - 1).key(),
+                                        growing);
+                                return;
+                            }
+                            synchronized (this) {
+                                image = growing;
+                                failures = 0;
+                            }
+                            lives.later(PAUSE, mine, () -> follow(mine));
+                        });
     }
 
     private boolean isTooLarge(RecordImage growing, int mine) {
         if (growing.bytes() <= mostBytes) {
             return false;
         }
-        LOG.info("the records under {} take more than {} bytes and are not followed", prefix, mostBytes);
+        LOG.info(
+                "the records under {} take more than {} bytes and are not followed",
+                prefix,
+                mostBytes);
         synchronized (this) {
             image = null;
         }
@@ -118,29 +142,40 @@
         synchronized (this) {
             followed = image;
         }
-        store.watch(prefix, followed.revision(), WATCH).whenComplete((changes, failure) -> {
-            if (!lives.isCurrent(mine)) {
-                return;
-            }
-            if (failure == null && !followed.revision().isAfter(changes.revision())) {
-                synchronized (this) {
-                    failures = 0;
-                    followed.apply(changes);
-                }
-                if (!isTooLarge(followed, mine)) {
-                    lives.later(PAUSE, mine, () -> follow(mine));
-                }
-            } else if (failure == null || isLost(StateException.of(failure))) {
-                LOG.info("the records under {} are read anew: {}", prefix, failure == null
-                        ? "the state service went back to " + changes.revision().value() : failure.getMessage());
-                lives.later(PAUSE, begin(), this::start);
-            } else {
-                lives.later(RETRY, mine, () -> follow(mine));
-            }
-        });
+        store.watch(prefix, followed.revision(), WATCH)
+                .whenComplete(
+                        (changes, failure) -> {
+                            if (!lives.isCurrent(mine)) {
+                                return;
+                            }
+                            if (failure == null
+                                    && !followed.revision().isAfter(changes.revision())) {
+                                synchronized (this) {
+                                    failures = 0;
+                                    followed.apply(changes);
+                                }
+                                if (!isTooLarge(followed, mine)) {
+                                    lives.later(PAUSE, mine, () -> follow(mine));
+                                }
+                            } else if (failure == null || isLost(StateException.of(failure))) {
+                                LOG.info(
+                                        "the records under {} are read anew: {}",
+                                        prefix,
+                                        failure == null
+                                                ? "the state service went back to "
+                                                        + changes.revision().value()
+                                                : failure.getMessage());
+                                lives.later(PAUSE, begin(), this::start);
+                            } else {
+                                lives.later(RETRY, mine, () -> follow(mine));
+                            }
+                        });
     }
 
-    /** Whether to read anew rather than to ask again; an outage in which every request is refused loses nothing. */
+    /**
+     * Whether to read anew rather than to ask again; an outage in which every request is refused
+     * loses nothing.
+     */
     private synchronized boolean isLost(Outcome outcome) {
         failures += outcome == Outcome.UNKNOWN && !store.seemsOut() ? 1 : 0;
         return outcome == Outcome.TOO_OLD || failures >= MOST_FAILURES;
@@ -160,14 +195,19 @@
         if (last == null) {
             return CompletableFuture.completedFuture(Optional.empty());
         }
-        return store.watch(prefix, last.revision(), Duration.ZERO).handle((changes, failure) -> {
-            // Guards against an image that is older than the key, and against one of a history that is not served now.
-            if (failure != null || atLeast.isAfter(changes.revision()) || last.revision().isAfter(changes.revision())) {
-                return Optional.empty();
-            }
-            last.apply(changes);
-            return Optional.of(last);
-        });
+        return store.watch(prefix, last.revision(), Duration.ZERO)
+                .handle(
+                        (changes, failure) -> {
+                            // Guards against an image that is older than the key, and against one
+                            // of a history that is not served now.
+                            if (failure != null
+                                    || atLeast.isAfter(changes.revision())
+                                    || last.revision().isAfter(changes.revision())) {
+                                return Optional.empty();
+                            }
+                            last.apply(changes);
+                            return Optional.of(last);
+                        });
     }
 
     /** The digests of the image's parts, or none while there is no image. */
@@ -176,9 +216,11 @@
     }
 
     /**
-     * Reads one part of the records again and judges the image by it. What changed in between is not judged.
+     * Reads one part of the records again and judges the image by it. What changed in between is
+     * not judged.
      *
-     * @return the keys that were wrong in the image; empty if it was right, or nothing could be told
+     * @return the keys that were wrong in the image; empty if it was right, or nothing could be
+     *     told
      */
     CompletableFuture<List<String>> readAgain(String part) {
         int mine;
@@ -187,31 +229,42 @@
             if (image == null) {
                 return CompletableFuture.completedFuture(List.of());
             }
-            // The following rests meanwhile, so that all changes since the image's revision come by here.
+            // The following rests meanwhile, so that all changes since the image's revision come by
+            // here.
             mine = lives.next();
             judged = image;
         }
-        return store.list(part, null, Urgency.BACKGROUND).thenCombine(
-                store.watch(prefix, judged.revision(), Duration.ZERO), (page, changes) -> {
-                    synchronized (this) {
-                        boolean comparable = lives.isCurrent(mine) && !page.more()
-                                && !judged.revision().isAfter(changes.revision());
-                        List<String> wrong = comparable ? wrong(judged, page, changes, part) : List.<String>of();
-                        if (!wrong.isEmpty()) {
-                            judged.replace(part, page.entries());
-                        }
-                        if (comparable) {
-                            judged.apply(changes);
-                        }
-                        return wrong;
-                    }
-                }).handle((wrong, failure) -> {
-                    lives.later(PAUSE, mine, () -> follow(mine));
-                    return failure == null ? wrong : List.of();
-                });
+        return store.list(part, null, Urgency.BACKGROUND)
+                .thenCombine(
+                        store.watch(prefix, judged.revision(), Duration.ZERO),
+                        (page, changes) -> {
+                            synchronized (this) {
+                                boolean comparable =
+                                        lives.isCurrent(mine)
+                                                && !page.more()
+                                                && !judged.revision().isAfter(changes.revision());
+                                List<String> wrong =
+                                        comparable
+                                                ? wrong(judged, page, changes, part)
+                                                : List.<String>of();
+                                if (!wrong.isEmpty()) {
+                                    judged.replace(part, page.entries());
+                                }
+                                if (comparable) {
+                                    judged.apply(changes);
+                                }
+                                return wrong;
+                            }
+                        })
+                .handle(
+                        (wrong, failure) -> {
+                            lives.later(PAUSE, mine, () -> follow(mine));
+                            return failure == null ? wrong : List.of();
+                        });
     }
 
-    private static List<String> wrong(RecordImage judged, Page truth, Changes changes, String part) {
+    private static List<String> wrong(
+            RecordImage judged, Page truth, Changes changes, String part) {
         Map<String, Entry> have = new HashMap<>();
         judged.entries(part).forEach(entry -> have.put(entry.key(), entry));
         List<String> wrong = new ArrayList<>();
@@ -224,7 +277,8 @@
         for (Change change : changes.changes()) {
             wrong.remove(change.key());
         }
-        // A page that was read after the changes may have later ones in it; they will come by themselves.
+        // A page that was read after the changes may have later ones in it; they will come by
+        // themselves.
         Version seen = changes.revision();
         wrong.removeIf(key -> truth.revision().isAfter(seen));
         return wrong;
--- a/src/main/java/org/meadowhollow/coordination/succession/Standby.java
+++ b/src/main/java/org/meadowhollow/coordination/succession/Standby.java
@@ -20,21 +20,36 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps warm what a successor needs, on a node that does not lead: the records, from the state service, and the risk
- * tables, from the leader. All of it but the records are hints.
+ * Keeps warm what a successor needs, on a node that does not lead: the records, from the state
+ * service, and the risk tables, from the leader. All of it but the records are hints.
  */
 public final class Standby {
     private static final Logger LOG = LoggerFactory.getLogger(Standby.class);
-    /** A node that has just started has more urgent work, and so has one that has just lost its lease. */
+
+    /**
+     * A node that has just started has more urgent work, and so has one that has just lost its
+     * lease.
+     */
     static final Duration FIRST = Duration.ofSeconds(8);
+
     /** How often a leader is asked for samples: three reports of each machine, or so. */
     static final Duration PULL = Duration.ofSeconds(8);
-    /** Between two pages: a whole set of tables takes some pages, and what a leader spends on them is bounded. */
+
+    /**
+     * Between two pages: a whole set of tables takes some pages, and what a leader spends on them
+     * is bounded.
+     */
     private static final Duration MORE = Duration.ofSeconds(1);
+
     /** An audit costs one message and, where something seems to differ, one page of records. */
     static final Duration AUDIT = Duration.ofSeconds(60);
-    /** Bytes that all records may take, about: a fifth of the heap that the smallest controllers have. */
+
+    /**
+     * Bytes that all records may take, about: a fifth of the heap that the smallest controllers
+     * have.
+     */
     private static final long MOST_BYTES = 12L * 1024 * 1024;
+
     /** Parts of the records that the leader's digests cover; it knows the versions of no others. */
     private static final List<String> AUDITED = List.of(Records.JOBS, Records.TASKS);
 
@@ -53,7 +68,12 @@
      * @param leader the member that leads as far as is known, or null
      * @param highest the highest term that this node has heard of
      */
-    public Standby(EventLoop loop, StateStore store, Peers peers, NodeStatus self, Supplier<String> leader,
+    public Standby(
+            EventLoop loop,
+            StateStore store,
+            Peers peers,
+            NodeStatus self,
+            Supplier<String> leader,
             Supplier<Term> highest) {
         this.loop = loop;
         this.lives = new Lives(loop);
@@ -73,10 +93,13 @@
             mine = lives.next();
             copies = new TableCopies();
         }
-        lives.later(FIRST, mine, () -> {
-            followers.values().forEach(RecordFollower::start);
-            pull(mine);
-        });
+        lives.later(
+                FIRST,
+                mine,
+                () -> {
+                    followers.values().forEach(RecordFollower::start);
+                    pull(mine);
+                });
         lives.later(AUDIT, mine, () -> audit(mine));
     }
 
@@ -114,7 +137,13 @@
     }
 
     private NodeStatus status() {
-        return new NodeStatus(self.member(), self.incarnation(), self.zone(), self.program(), self.schema(), revision());
+        return new NodeStatus(
+                self.member(),
+                self.incarnation(),
+                self.zone(),
+                self.program(),
+                self.schema(),
+                revision());
     }
 
     private void pull(int mine) {
@@ -127,20 +156,28 @@
         synchronized (this) {
             filled = copies;
         }
-        peers.tables(asked, filled.question(status())).whenComplete((delta, failure) -> {
-            if (!lives.isCurrent(mine)) {
-                return;
-            }
-            boolean more;
-            synchronized (this) {
-                more = failure == null && delta.isPresent() && take(filled, asked, delta.get());
-            }
-            if (failure != null) {
-                filled.askForWhole();
-                LOG.info("what {} says of its tables cannot be read and is asked for anew: {}", asked, reason(failure));
-            }
-            lives.later(more ? MORE : PULL, mine, () -> pull(mine));
-        });
+        peers.tables(asked, filled.question(status()))
+                .whenComplete(
+                        (delta, failure) -> {
+                            if (!lives.isCurrent(mine)) {
+                                return;
+                            }
+                            boolean more;
+                            synchronized (this) {
+                                more =
+                                        failure == null
+                                                && delta.isPresent()
+                                                && take(filled, asked, delta.get());
+                            }
+                            if (failure != null) {
+                                filled.askForWhole();
+                                LOG.info(
+                                        "what {} says of its tables cannot be read and is asked for anew: {}",
+                                        asked,
+                                        reason(failure));
+                            }
+                            lives.later(more ? MORE : PULL, mine, () -> pull(mine));
+                        });
     }
 
     private static String reason(Throwable failure) {
@@ -150,9 +187,14 @@
     private boolean take(TableCopies filled, String asked, TableDelta delta) {
         TableCopies.Taken taken = filled.take(delta, highest.get(), loop.now());
         if (taken == TableCopies.Taken.DEPOSED) {
-            LOG.info("tables of term {} came from {}, which does not lead any more: dropped", delta.term(), asked);
+            LOG.info(
+                    "tables of term {} came from {}, which does not lead any more: dropped",
+                    delta.term(),
+                    asked);
         } else if (taken == TableCopies.Taken.BROKEN) {
-            LOG.info("tables from {} do not follow those that are here and are asked for anew", asked);
+            LOG.info(
+                    "tables from {} do not follow those that are here and are asked for anew",
+                    asked);
         }
         return taken == TableCopies.Taken.MORE || taken == TableCopies.Taken.BROKEN;
     }
@@ -165,31 +207,46 @@
         if (!isOther(asked)) {
             return;
         }
-        peers.digests(asked).whenComplete((told, failure) -> {
-            if (lives.isCurrent(mine) && failure == null) {
-                told.flatMap(this::firstDiffering).ifPresent(part -> readAgain(mine, part));
-            }
-        });
+        peers.digests(asked)
+                .whenComplete(
+                        (told, failure) -> {
+                            if (lives.isCurrent(mine) && failure == null) {
+                                told.flatMap(this::firstDiffering)
+                                        .ifPresent(part -> readAgain(mine, part));
+                            }
+                        });
     }
 
-    /** Under load some part nearly always differs by the changes of the last seconds; only reading it again tells. */
+    /**
+     * Under load some part nearly always differs by the changes of the last seconds; only reading
+     * it again tells.
+     */
     private Optional<String> firstDiffering(Digests told) {
         Digests here = new Digests();
         AUDITED.forEach(prefix -> here.add(followers.get(prefix).digests()));
         return AUDITED.stream().allMatch(prefix -> followers.get(prefix).revision() != null)
-                ? told.differing(here).stream().findFirst() : Optional.empty();
+                ? told.differing(here).stream().findFirst()
+                : Optional.empty();
     }
 
     private void readAgain(int mine, String part) {
         String prefix = part.substring(0, part.indexOf('/') + 1);
-        followers.get(prefix).readAgain(part).thenAccept(wrong -> {
-            if (lives.isCurrent(mine) && !wrong.isEmpty()) {
-                synchronized (this) {
-                    wrongRecords += wrong.size();
-                }
-                LOG.error("{} records under {} were wrong here and are read again, {} since the start; the first is {}",
-                        wrong.size(), part, wrongRecords(), wrong.get(0));
-            }
-        });
+        followers
+                .get(prefix)
+                .readAgain(part)
+                .thenAccept(
+                        wrong -> {
+                            if (lives.isCurrent(mine) && !wrong.isEmpty()) {
+                                synchronized (this) {
+                                    wrongRecords += wrong.size();
+                                }
+                                LOG.error(
+                                        "{} records under {} were wrong here and are read again, {} since the start; the first is {}",
+                                        wrong.size(),
+                                        part,
+                                        wrongRecords(),
+                                        wrong.get(0));
+                            }
+                        });
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/succession/TableCopies.java
+++ b/src/main/java/org/meadowhollow/coordination/succession/TableCopies.java
@@ -14,7 +14,10 @@
 import org.meadowhollow.coordination.platform.TableDelta;
 import org.meadowhollow.coordination.platform.TableQuestion;
 
-/** Copies of a leader's risk tables, kept up to date by its answers. Hints: a wrong one costs a worse place, no more. */
+/**
+ * Copies of a leader's risk tables, kept up to date by its answers. Hints: a wrong one costs a
+ * worse place, no more.
+ */
 final class TableCopies {
     /** Tables kept; bounds memory, at a few kilobytes each. */
     private static final int MOST_TABLES = 2000;
@@ -22,24 +25,33 @@
     /** Older copies tell of a machine as it was; the tables themselves are rebuilt from as much. */
     static final Duration MOST_AGE = RiskTable.RECENT;
 
-    private record Copy(RiskTable table, int incarnation, Session session, long seq, Moment at) {
-    }
+    private record Copy(RiskTable table, int incarnation, Session session, long seq, Moment at) {}
 
     /** What became of an answer. */
-    enum Taken { IN, MORE, DEPOSED, BROKEN }
+    enum Taken {
+        IN,
+        MORE,
+        DEPOSED,
+        BROKEN
+    }
 
     private final Map<MachineId, Copy> copies = new HashMap<>();
     private Term term = Term.NONE;
     private long upTo = -1;
+
     /** The machine after which whole tables go on, or empty. */
     private String wholeAfter = "";
+
     private long firstPageUpTo;
 
     int size() {
         return copies.size();
     }
 
-    /** Machines that the leader has heard of within a time before now, and that have not been inherited yet. */
+    /**
+     * Machines that the leader has heard of within a time before now, and that have not been
+     * inherited yet.
+     */
     int heardWithin(Duration span, Moment now) {
         int count = 0;
         for (Copy copy : copies.values()) {
@@ -55,13 +67,15 @@
     /**
      * Takes an answer in.
      *
-     * @param highest the highest term that this node has heard of: what a leader says that it deposed is not believed
+     * @param highest the highest term that this node has heard of: what a leader says that it
+     *     deposed is not believed
      */
     Taken take(TableDelta delta, Term highest, Moment now) {
         if (highest.isAfter(delta.term())) {
             return Taken.DEPOSED;
         }
-        // Samples that do not follow what is here are worth nothing; a late answer to an earlier question is one.
+        // Samples that do not follow what is here are worth nothing; a late answer to an earlier
+        // question is one.
         boolean follows = delta.term().equals(term) && upTo >= 0;
         if (!delta.whole() && (!follows || delta.upTo() < upTo)) {
             askForWhole();
@@ -80,7 +94,8 @@
             firstPageUpTo = delta.upTo();
         }
         term = delta.term();
-        wholeAfter = unfinished ? delta.parts().get(delta.parts().size() - 1).machine().value() : "";
+        wholeAfter =
+                unfinished ? delta.parts().get(delta.parts().size() - 1).machine().value() : "";
         // What came between the pages is missing in the earlier ones.
         upTo = unfinished ? -1 : delta.whole() ? firstPageUpTo : delta.upTo();
         if (delta.whole() && !unfinished) {
@@ -105,8 +120,14 @@
             return;
         }
         if (whole) {
-            copies.put(part.machine(), new Copy(RiskTable.of(part.table(), now), part.incarnation(), part.session(),
-                    part.seq(), now));
+            copies.put(
+                    part.machine(),
+                    new Copy(
+                            RiskTable.of(part.table(), now),
+                            part.incarnation(),
+                            part.session(),
+                            part.seq(),
+                            now));
             return;
         }
         if (part.samples().length % TableDelta.SAMPLE != 0) {
@@ -122,7 +143,8 @@
             long itsSeq = part.samples()[at + 1];
             // Whole tables that came page by page may have some of them already.
             if (itsSession.isAfter(session) || itsSession.equals(session) && itsSeq > seq) {
-                table.replay((int) part.samples()[at + 3],
+                table.replay(
+                        (int) part.samples()[at + 3],
                         new Moment(now.nanos() - Math.max(0, part.samples()[at + 2]) * 1_000_000));
                 session = itsSession;
                 seq = itsSeq;
@@ -134,13 +156,20 @@
     /**
      * Hands over the table of a machine whose first report has come.
      *
-     * @return empty if there is none, if the name meant another machine, or if it is too old to tell anything
+     * @return empty if there is none, if the name meant another machine, or if it is too old to
+     *     tell anything
      */
-    Optional<RiskTable> inherit(MachineId machine, int incarnation, Session session, long seq, Moment now) {
+    Optional<RiskTable> inherit(
+            MachineId machine, int incarnation, Session session, long seq, Moment now) {
         Copy copy = copies.remove(machine);
-        boolean isOlder = copy != null && (session.isAfter(copy.session())
-                || session.equals(copy.session()) && seq >= copy.seq());
-        return isOlder && copy.incarnation() == incarnation && now.since(copy.at()).compareTo(MOST_AGE) <= 0
-                ? Optional.of(copy.table()) : Optional.empty();
+        boolean isOlder =
+                copy != null
+                        && (session.isAfter(copy.session())
+                                || session.equals(copy.session()) && seq >= copy.seq());
+        return isOlder
+                        && copy.incarnation() == incarnation
+                        && now.since(copy.at()).compareTo(MOST_AGE) <= 0
+                ? Optional.of(copy.table())
+                : Optional.empty();
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/succession/TableFeed.java
+++ b/src/main/java/org/meadowhollow/coordination/succession/TableFeed.java
@@ -18,20 +18,26 @@
 
 /** A leader's latest samples, for the standbys that ask for them. Guarded by the leader's lock. */
 public final class TableFeed {
-    /** Samples kept: some twenty seconds of a thousand machines. Who asks later gets whole tables. */
+    /**
+     * Samples kept: some twenty seconds of a thousand machines. Who asks later gets whole tables.
+     */
     static final int MOST_KEPT = 8192;
-    /** Numbers in an answer at most; each takes one to three bytes, and an answer may have 60 KiB. */
+
+    /**
+     * Numbers in an answer at most; each takes one to three bytes, and an answer may have 60 KiB.
+     */
     static final int MOST_NUMBERS = 16 * 1024;
 
     /** What a machine's name and the rest of its part take, in such numbers. */
     private static final int PART = 10;
 
-    private record Sample(MachineId machine, Session session, long seq, Moment at, int sample) {
-    }
+    private record Sample(MachineId machine, Session session, long seq, Moment at, int sample) {}
 
     private final Term term;
+
     /** By number, round the end; null where there are no standbys to ask. */
     private final Sample[] kept;
+
     private long next;
 
     /**
@@ -47,7 +53,8 @@
         if (kept == null) {
             return;
         }
-        kept[(int) (next++ % MOST_KEPT)] = new Sample(machine.id(), machine.session(), machine.seq(), now, sample);
+        kept[(int) (next++ % MOST_KEPT)] =
+                new Sample(machine.id(), machine.session(), machine.seq(), now, sample);
     }
 
     /** What a machine's name means now; a name that is used again means something else. */
@@ -56,20 +63,27 @@
     }
 
     static int incarnation(Machine machine) {
-        return incarnation(machine.type().name(), machine.zone(), machine.spot(), machine.address());
+        return incarnation(
+                machine.type().name(), machine.zone(), machine.spot(), machine.address());
     }
 
     /** The answer to a standby, over the machines and tables as they are now. */
-    public TableDelta answer(TableQuestion asked, SortedMap<MachineId, Machine> machines,
-            Map<MachineId, RiskTable> tables, Moment now) {
-        boolean known = asked.term().equals(term) && !asked.isForWhole() && asked.after() < next
-                && asked.after() >= next - 1 - MOST_KEPT;
+    public TableDelta answer(
+            TableQuestion asked,
+            SortedMap<MachineId, Machine> machines,
+            Map<MachineId, RiskTable> tables,
+            Moment now) {
+        boolean known =
+                asked.term().equals(term)
+                        && !asked.isForWhole()
+                        && asked.after() < next
+                        && asked.after() >= next - 1 - MOST_KEPT;
         return known ? samples(asked.after(), machines, now) : whole(asked, machines, tables, now);
     }
 
     /** All tables as they are now, for a snapshot. */
-    public static List<TableDelta.Part> all(SortedMap<MachineId, Machine> machines, Map<MachineId, RiskTable> tables,
-            Moment now) {
+    public static List<TableDelta.Part> all(
+            SortedMap<MachineId, Machine> machines, Map<MachineId, RiskTable> tables, Moment now) {
         List<TableDelta.Part> parts = new ArrayList<>();
         for (Machine machine : machines.values()) {
             if (machine.session() != null) {
@@ -80,38 +94,58 @@
     }
 
     private static TableDelta.Part part(Machine machine, int[] table) {
-        return new TableDelta.Part(machine.id(), incarnation(machine), machine.session(), machine.seq(), table,
+        return new TableDelta.Part(
+                machine.id(),
+                incarnation(machine),
+                machine.session(),
+                machine.seq(),
+                table,
                 new long[0]);
     }
 
     private TableDelta samples(long after, SortedMap<MachineId, Machine> machines, Moment now) {
         Map<MachineId, LongArrayList> byMachine = new LinkedHashMap<>();
         long upTo = after;
-        while (upTo + 1 < next && (upTo - after) * TableDelta.SAMPLE + byMachine.size() * PART < MOST_NUMBERS) {
+        while (upTo + 1 < next
+                && (upTo - after) * TableDelta.SAMPLE + byMachine.size() * PART < MOST_NUMBERS) {
             Sample sample = kept[(int) (++upTo % MOST_KEPT)];
-            LongArrayList samples = byMachine.computeIfAbsent(sample.machine(), unused -> new LongArrayList());
+            LongArrayList samples =
+                    byMachine.computeIfAbsent(sample.machine(), unused -> new LongArrayList());
             samples.add(sample.session().value());
             samples.add(sample.seq());
             samples.add(Math.max(0, now.since(sample.at()).toMillis()));
             samples.add(sample.sample());
         }
         List<TableDelta.Part> parts = new ArrayList<>();
-        byMachine.forEach((id, samples) -> {
-            Machine machine = machines.get(id);
-            if (machine != null) {
-                parts.add(new TableDelta.Part(id, incarnation(machine), machine.session(), machine.seq(), new int[0],
-                        samples.toLongArray()));
-            }
-        });
+        byMachine.forEach(
+                (id, samples) -> {
+                    Machine machine = machines.get(id);
+                    if (machine != null) {
+                        parts.add(
+                                new TableDelta.Part(
+                                        id,
+                                        incarnation(machine),
+                                        machine.session(),
+                                        machine.seq(),
+                                        new int[0],
+                                        samples.toLongArray()));
+                    }
+                });
         return new TableDelta(term, upTo, false, upTo + 1 < next, parts);
     }
 
-    private TableDelta whole(TableQuestion asked, SortedMap<MachineId, Machine> machines,
-            Map<MachineId, RiskTable> tables, Moment now) {
+    private TableDelta whole(
+            TableQuestion asked,
+            SortedMap<MachineId, Machine> machines,
+            Map<MachineId, RiskTable> tables,
+            Moment now) {
         // Another leader's pages are begun anew.
-        boolean goesOn = asked.isForWhole() && asked.term().equals(term) && !asked.afterMachine().isEmpty();
-        SortedMap<MachineId, Machine> rest = goesOn
-                ? machines.tailMap(new MachineId(asked.afterMachine() + '\0')) : new TreeMap<>(machines);
+        boolean goesOn =
+                asked.isForWhole() && asked.term().equals(term) && !asked.afterMachine().isEmpty();
+        SortedMap<MachineId, Machine> rest =
+                goesOn
+                        ? machines.tailMap(new MachineId(asked.afterMachine() + '\0'))
+                        : new TreeMap<>(machines);
         List<TableDelta.Part> parts = new ArrayList<>();
         int numbers = 0;
         for (Machine machine : rest.values()) {
--- a/src/main/java/org/meadowhollow/coordination/succession/TableSnapshots.java
+++ b/src/main/java/org/meadowhollow/coordination/succession/TableSnapshots.java
@@ -33,24 +33,36 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The risk tables in the state service, for the case that all controllers end at once. Two sets of chunks are written in
- * turn, and the record that names the newer one is written last, so that a set that is half written is never read.
- * Guarded by the leader's lock.
+ * The risk tables in the state service, for the case that all controllers end at once. Two sets of
+ * chunks are written in turn, and the record that names the newer one is written last, so that a
+ * set that is half written is never read. Guarded by the leader's lock.
  */
 public final class TableSnapshots {
     private static final Logger LOG = LoggerFactory.getLogger(TableSnapshots.class);
-    /** How much a full stop forgets at most: a tenth of what a table is rebuilt from, for a few changes each time. */
+
+    /**
+     * How much a full stop forgets at most: a tenth of what a table is rebuilt from, for a few
+     * changes each time.
+     */
     static final Duration EVERY = Duration.ofSeconds(60);
+
     /** A set that is not written by then is given up; there is more urgent work. */
     private static final Duration GIVEN_UP = EVERY.multipliedBy(2);
+
     /** The form of what is written; another one is not read. */
     static final int FORM = 1;
+
     /** Machines in a set at most; bounds its chunks. */
     private static final int MOST_MACHINES = 2000;
-    /** Text that one transaction may hold, in bytes: the protocol's 64 KiB, less room for framing. */
+
+    /**
+     * Text that one transaction may hold, in bytes: the protocol's 64 KiB, less room for framing.
+     */
     private static final int MOST_BYTES = 48 * 1024;
+
     /** Bytes of a value that are not its text. */
     private static final int FRAMING = 64;
+
     private static final int SETS = 2;
 
     private final StateStore store;
@@ -59,8 +71,10 @@
     private final int chunkBytes;
     private List<String> chunks = List.of();
     private int written;
+
     /** The set that was begun last, by whomever; -1 while that is not known. */
     private int set = -1;
+
     private Map<String, Object> head;
     private boolean writing;
     private Moment begunAt;
@@ -80,7 +94,8 @@
      *
      * @param idle whether no other records wait to be written
      */
-    public void write(Supplier<List<TableDelta.Part>> tables, boolean idle, Moment now, long wallMillis) {
+    public void write(
+            Supplier<List<TableDelta.Part>> tables, boolean idle, Moment now, long wallMillis) {
         if (writing || !idle) {
             return;
         }
@@ -98,7 +113,8 @@
         Transaction transaction = new Transaction().guard(Records.LEADER, leaderVersion);
         int bytes = 0;
         int next = written;
-        while (next < chunks.size() && transaction.writes().size() < mostWrites - 1
+        while (next < chunks.size()
+                && transaction.writes().size() < mostWrites - 1
                 && bytes + chunks.get(next).length() <= MOST_BYTES) {
             bytes += chunks.get(next).length();
             transaction.put(Records.tableChunk(set, next), Map.of("text", chunks.get(next)));
@@ -110,28 +126,35 @@
         }
         int reached = next;
         writing = true;
-        store.commit(transaction, Urgency.BACKGROUND).whenComplete((commit, failure) -> {
-            writing = false;
-            if (failure == null && commit.applied()) {
-                written = reached;
-                head = last ? null : head;
-            }
-        });
+        store.commit(transaction, Urgency.BACKGROUND)
+                .whenComplete(
+                        (commit, failure) -> {
+                            writing = false;
+                            if (failure == null && commit.applied()) {
+                                written = reached;
+                                head = last ? null : head;
+                            }
+                        });
     }
 
     /** The set that an earlier leader wrote last must stand until there is a newer one. */
     private void findSet() {
         writing = true;
-        store.get(Records.TABLES_HEAD, Urgency.BACKGROUND).whenComplete((found, failure) -> {
-            writing = false;
-            if (failure == null) {
-                set = found.map(entry -> (int) number(entry.value(), "set")).orElse(0);
-            }
-        });
+        store.get(Records.TABLES_HEAD, Urgency.BACKGROUND)
+                .whenComplete(
+                        (found, failure) -> {
+                            writing = false;
+                            if (failure == null) {
+                                set =
+                                        found.map(entry -> (int) number(entry.value(), "set"))
+                                                .orElse(0);
+                            }
+                        });
     }
 
     private void begin(List<TableDelta.Part> parts, long wallMillis) {
-        byte[] body = encode(parts.size() > MOST_MACHINES ? parts.subList(0, MOST_MACHINES) : parts);
+        byte[] body =
+                encode(parts.size() > MOST_MACHINES ? parts.subList(0, MOST_MACHINES) : parts);
         String text = Base64.getEncoder().encodeToString(body);
         chunks = new ArrayList<>();
         for (int at = 0; at < text.length(); at += chunkBytes) {
@@ -139,8 +162,18 @@
         }
         set = (set + 1) % SETS;
         written = 0;
-        head = Map.of("form", (long) FORM, "set", (long) set, "chunks", (long) chunks.size(), "at", wallMillis,
-                "checksum", checksum(body));
+        head =
+                Map.of(
+                        "form",
+                        (long) FORM,
+                        "set",
+                        (long) set,
+                        "chunks",
+                        (long) chunks.size(),
+                        "at",
+                        wallMillis,
+                        "checksum",
+                        checksum(body));
     }
 
     private static long checksum(byte[] body) {
@@ -173,7 +206,8 @@
     }
 
     private static List<TableDelta.Part> decode(byte[] body) throws IOException {
-        try (DataInputStream in = new DataInputStream(new InflaterInputStream(new ByteArrayInputStream(body)))) {
+        try (DataInputStream in =
+                new DataInputStream(new InflaterInputStream(new ByteArrayInputStream(body)))) {
             int count = Math.min(MOST_MACHINES, in.readInt());
             List<TableDelta.Part> parts = new ArrayList<>();
             for (int at = 0; at < count; at++) {
@@ -189,36 +223,51 @@
                 for (int number = 0; number < table.length; number++) {
                     table[number] = in.readInt();
                 }
-                parts.add(new TableDelta.Part(machine, incarnation, session, seq, table, new long[0]));
+                parts.add(
+                        new TableDelta.Part(
+                                machine, incarnation, session, seq, table, new long[0]));
             }
             return parts;
         }
     }
 
     /** Tables, and how old they are. */
-    public record Read(List<TableDelta.Part> parts, Duration age) {
-    }
+    public record Read(List<TableDelta.Part> parts, Duration age) {}
 
     /**
-     * The newest whole set; empty if there is none, or none that can be used, which is said in a line. Fails if the state
-     * service does not answer, which says nothing of what there is.
+     * The newest whole set; empty if there is none, or none that can be used, which is said in a
+     * line. Fails if the state service does not answer, which says nothing of what there is.
      */
     public static CompletableFuture<Optional<Read>> read(StateStore store, EventLoop loop) {
-        return store.get(Records.TABLES_HEAD, Urgency.PLACEMENT).thenCompose(found -> {
-            if (found.isEmpty()) {
-                return CompletableFuture.completedFuture(Optional.<Read>empty());
-            }
-            Map<String, Object> head = found.get().value();
-            Duration age = Duration.ofMillis(Math.max(0, loop.wallMillis() - number(head, "at")));
-            if (number(head, "form") != FORM || age.compareTo(TableCopies.MOST_AGE) > 0) {
-                return unusable("it has form " + number(head, "form") + " and is " + age.toSeconds() + " s old");
-            }
-            return store.list(Records.tableSet((int) number(head, "set")), null, Urgency.PLACEMENT)
-                    .thenCompose(page -> read(head, page.entries(), age));
-        });
+        return store.get(Records.TABLES_HEAD, Urgency.PLACEMENT)
+                .thenCompose(
+                        found -> {
+                            if (found.isEmpty()) {
+                                return CompletableFuture.completedFuture(Optional.<Read>empty());
+                            }
+                            Map<String, Object> head = found.get().value();
+                            Duration age =
+                                    Duration.ofMillis(
+                                            Math.max(0, loop.wallMillis() - number(head, "at")));
+                            if (number(head, "form") != FORM
+                                    || age.compareTo(TableCopies.MOST_AGE) > 0) {
+                                return unusable(
+                                        "it has form "
+                                                + number(head, "form")
+                                                + " and is "
+                                                + age.toSeconds()
+                                                + " s old");
+                            }
+                            return store.list(
+                                            Records.tableSet((int) number(head, "set")),
+                                            null,
+                                            Urgency.PLACEMENT)
+                                    .thenCompose(page -> read(head, page.entries(), age));
+                        });
     }
 
-    private static CompletableFuture<Optional<Read>> read(Map<String, Object> head, List<Entry> entries, Duration age) {
+    private static CompletableFuture<Optional<Read>> read(
+            Map<String, Object> head, List<Entry> entries, Duration age) {
         Map<String, Object> texts = new HashMap<>();
         entries.forEach(entry -> texts.put(entry.key(), entry.value().get("text")));
         StringBuilder text = new StringBuilder();
--- a/src/main/java/org/meadowhollow/coordination/succession/Takeover.java
+++ b/src/main/java/org/meadowhollow/coordination/succession/Takeover.java
@@ -7,7 +7,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The phases of one takeover, as one line of the log once the first full round is over. Guarded by the leader's lock. */
+/**
+ * The phases of one takeover, as one line of the log once the first full round is over. Guarded by
+ * the leader's lock.
+ */
 public final class Takeover {
     private static final Logger LOG = LoggerFactory.getLogger(Takeover.class);
 
@@ -38,7 +41,10 @@
         records = count + " from " + from;
     }
 
-    /** A round was not begun yet because of these checks; the last to fail is what the first round waited for. */
+    /**
+     * A round was not begun yet because of these checks; the last to fail is what the first round
+     * waited for.
+     */
     public void waitsFor(Set<FirstDecision.Check> failing) {
         lastFailing = failing.isEmpty() ? lastFailing : failing;
     }
@@ -46,8 +52,14 @@
     public void firstRound(int reported, int needed, int placed, Moment now) {
         if (firstAt == null) {
             firstAt = now;
-            first = placed + " tasks placed with " + reported + " machines heard of " + needed + " needed, last for "
-                    + lastFailing;
+            first =
+                    placed
+                            + " tasks placed with "
+                            + reported
+                            + " machines heard of "
+                            + needed
+                            + " needed, last for "
+                            + lastFailing;
         }
     }
 
@@ -60,13 +72,23 @@
     public void fullRound(int tables, Moment now) {
         if (!told) {
             told = true;
-            LOG.info("takeover in term {}: seen {} s before the key; after it, records in {} s ({}), first round in {} s"
-                    + " ({}), full round in {} s; {} tables inherited", term, seconds(noticedAt, keyAt),
-                    seconds(keyAt, recordsAt), records, seconds(keyAt, firstAt), first, seconds(keyAt, now), tables);
+            LOG.info(
+                    "takeover in term {}: seen {} s before the key; after it, records in {} s ({}), first round in {} s"
+                            + " ({}), full round in {} s; {} tables inherited",
+                    term,
+                    seconds(noticedAt, keyAt),
+                    seconds(keyAt, recordsAt),
+                    records,
+                    seconds(keyAt, firstAt),
+                    first,
+                    seconds(keyAt, now),
+                    tables);
         }
     }
 
     private static String seconds(Moment from, Moment to) {
-        return from == null || to == null ? "?" : String.format(Locale.ROOT, "%.2f", to.secondsSince(from));
+        return from == null || to == null
+                ? "?"
+                : String.format(Locale.ROOT, "%.2f", to.secondsSince(from));
     }
 }
--- a/src/main/java/org/meadowhollow/protocol/Http.java
+++ b/src/main/java/org/meadowhollow/protocol/Http.java
@@ -37,7 +37,10 @@
         }
     }
 
-    /** The other side's machine answered that nobody listens there, or that no more connections are taken. */
+    /**
+     * The other side's machine answered that nobody listens there, or that no more connections are
+     * taken.
+     */
     final class Refused extends NotSent {
         public Refused(String message) {
             super(message);
@@ -53,7 +56,8 @@
 
     /** Sends a request to an address; fails with {@link NotSent} or {@link NoAnswer}. */
     interface Client {
-        CompletableFuture<Reply> send(String address, String method, String path, byte[] body, Duration timeout);
+        CompletableFuture<Reply> send(
+                String address, String method, String path, byte[] body, Duration timeout);
     }
 
     /**
@@ -62,9 +66,12 @@
      * @param query the values of each parameter, decoded, in their order
      * @param header the value of a header by its name, or null
      */
-    record Request(String method, String path, Map<String, List<String>> query, UnaryOperator<String> header,
-            byte[] body) {
-    }
+    record Request(
+            String method,
+            String path,
+            Map<String, List<String>> query,
+            UnaryOperator<String> header,
+            byte[] body) {}
 
     /** Answers the requests that arrive at one listening address. */
     interface Service {
--- a/src/main/java/org/meadowhollow/protocol/Json.java
+++ b/src/main/java/org/meadowhollow/protocol/Json.java
@@ -11,19 +11,26 @@
 /** JSON objects from and to maps with the same kinds of values as {@link Wire} gives. */
 public final class Json {
     /**
-     * Far deeper than anything that is read here. The library's own bound is a thousand, for which the stack of a node
-     * as it is deployed does not suffice.
+     * Far deeper than anything that is read here. The library's own bound is a thousand, for which
+     * the stack of a node as it is deployed does not suffice.
      */
     private static final int MAX_DEPTH = 32;
-    private static final JSON JSON_IO = JSON.builder(JsonFactory.builder().streamReadConstraints(
-            StreamReadConstraints.builder().maxNestingDepth(MAX_DEPTH).build()).build()).build();
 
-    private Json() {
-    }
+    private static final JSON JSON_IO =
+            JSON.builder(
+                            JsonFactory.builder()
+                                    .streamReadConstraints(
+                                            StreamReadConstraints.builder()
+                                                    .maxNestingDepth(MAX_DEPTH)
+                                                    .build())
+                                    .build())
+                    .build();
+
+    private Json() {}
 
     /**
-     * Reads an object, nested at most 32 levels deep. The length of numbers is bounded by the library, the size by who
-     * hands the bytes over.
+     * Reads an object, nested at most 32 levels deep. The length of numbers is bounded by the
+     * library, the size by who hands the bytes over.
      *
      * @throws Malformed if the bytes are no JSON object
      */
@@ -46,7 +53,8 @@
         try {
             return JSON_IO.asBytes(map);
         } catch (IOException impossible) {
-            throw new IllegalStateException("maps of plain values can always be written", impossible);
+            throw new IllegalStateException(
+                    "maps of plain values can always be written", impossible);
         }
     }
 
@@ -61,8 +69,10 @@
     private static String whole(String text) {
         for (int at = 0; at < text.length(); at++) {
             char unit = text.charAt(at);
-            boolean paired = Character.isHighSurrogate(unit) && at + 1 < text.length()
-                    && Character.isLowSurrogate(text.charAt(at + 1));
+            boolean paired =
+                    Character.isHighSurrogate(unit)
+                            && at + 1 < text.length()
+                            && Character.isLowSurrogate(text.charAt(at + 1));
             if (Character.isSurrogate(unit) && !paired) {
                 throw new IllegalArgumentException("a text holds half of a character");
             }
--- a/src/main/java/org/meadowhollow/protocol/NodeApi.java
+++ b/src/main/java/org/meadowhollow/protocol/NodeApi.java
@@ -26,9 +26,12 @@
             return method.equals("POST") ? workers.hello(body) : wrongMethod();
         }
         if (path.equals("/ready")) {
-            return !method.equals("GET") ? wrongMethod() : now(ready.getAsBoolean()
-                    ? Http.Reply.of(200, Fields.of("ready", true))
-                    : Http.Reply.comeBack(503, 1, "not ready"));
+            return !method.equals("GET")
+                    ? wrongMethod()
+                    : now(
+                            ready.getAsBoolean()
+                                    ? Http.Reply.of(200, Fields.of("ready", true))
+                                    : Http.Reply.comeBack(503, 1, "not ready"));
         }
         if (path.equals(SUBMISSIONS)) {
             return method.equals("POST") ? users.submit(body) : wrongMethod();
@@ -36,7 +39,8 @@
         if (path.startsWith(SUBMISSIONS + "/")) {
             String rest = path.substring(SUBMISSIONS.length() + 1);
             if (rest.endsWith(CANCEL)) {
-                return method.equals("POST") ? users.cancel(rest.substring(0, rest.length() - CANCEL.length()))
+                return method.equals("POST")
+                        ? users.cancel(rest.substring(0, rest.length() - CANCEL.length()))
                         : wrongMethod();
             }
             return method.equals("GET") ? users.poll(rest) : wrongMethod();
--- a/src/main/java/org/meadowhollow/protocol/RateBudget.java
+++ b/src/main/java/org/meadowhollow/protocol/RateBudget.java
@@ -4,16 +4,22 @@
 import org.meadowhollow.bookkeeping.Moment;
 
 /**
- * A token bucket: so much a second, with bursts of one second's worth. The limit behind it is shared with others that
- * cannot be seen, so it is followed as a connection's is: a refusal lowers the rate by a factor, and it rises steadily
- * while there is none, so that all who share it come to what the limit allows.
+ * A token bucket: so much a second, with bursts of one second's worth. The limit behind it is
+ * shared with others that cannot be seen, so it is followed as a connection's is: a refusal lowers
+ * the rate by a factor, and it rises steadily while there is none, so that all who share it come to
+ * what the limit allows.
  */
 public final class RateBudget {
     /** One refusal is seen by all calls on their way, and counts once. */
     private static final Duration SAME_REFUSAL = Duration.ofMillis(300);
+
     /** The share of the full rate that comes back in a second. */
     private static final double RISE = 0.1;
-    /** However many share the limit, this much of it is tried; less than an even share for the nodes of any deployment. */
+
+    /**
+     * However many share the limit, this much of it is tried; less than an even share for the nodes
+     * of any deployment.
+     */
     private static final double LEAST = 0.1;
 
     private final double perSecond;
@@ -29,11 +35,16 @@
         this.left = this.burst;
     }
 
-    /** How long until {@code amount} can be taken; an amount above the burst waits for a full bucket. */
+    /**
+     * How long until {@code amount} can be taken; an amount above the burst waits for a full
+     * bucket.
+     */
     public synchronized Duration untilFree(int amount, Moment now) {
         fill(now);
         double missing = Math.min(amount, Math.max(1, burst * factor)) - left;
-        return missing <= 0 ? Duration.ZERO : Duration.ofNanos(1 + (long) (missing / (perSecond * factor) * 1e9));
+        return missing <= 0
+                ? Duration.ZERO
+                : Duration.ofNanos(1 + (long) (missing / (perSecond * factor) * 1e9));
     }
 
     /**
--- a/src/main/java/org/meadowhollow/protocol/Wire.java
+++ b/src/main/java/org/meadowhollow/protocol/Wire.java
@@ -13,11 +13,12 @@
 
 /** MessagePack bodies as maps keyed by text, lists, text, numbers, booleans and null. */
 public final class Wire {
-    /** Deeper nesting than any message of the protocol has; guards the stack against hostile bodies. */
+    /**
+     * Deeper nesting than any message of the protocol has; guards the stack against hostile bodies.
+     */
     private static final int MAX_DEPTH = 16;
 
-    private Wire() {
-    }
+    private Wire() {}
 
     public static byte[] encode(Map<String, ?> body) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
@@ -76,7 +77,8 @@
         int size = unpacker.unpackMapHeader();
         // A header may promise far more than the body holds; each entry takes two bytes at least.
         if (size > most / 2 || depth > MAX_DEPTH) {
-            throw new Malformed(depth > MAX_DEPTH ? "the body is nested too deeply" : "the body is cut short");
+            throw new Malformed(
+                    depth > MAX_DEPTH ? "the body is nested too deeply" : "the body is cut short");
         }
         Map<String, Object> map = new LinkedHashMap<>(size * 2);
         for (int at = 0; at < size; at++) {
@@ -88,7 +90,8 @@
         return map;
     }
 
-    private static Object value(MessageUnpacker unpacker, int most, int depth) throws IOException, Malformed {
+    private static Object value(MessageUnpacker unpacker, int most, int depth)
+            throws IOException, Malformed {
         switch (unpacker.getNextFormat().getValueType()) {
             case NIL -> {
                 unpacker.unpackNil();
@@ -109,8 +112,10 @@
             case ARRAY -> {
                 int size = unpacker.unpackArrayHeader();
                 if (size > most || depth > MAX_DEPTH) {
-                    throw new Malformed(depth > MAX_DEPTH ? "the body is nested too deeply"
-                            : "the body is cut short");
+                    throw new Malformed(
+                            depth > MAX_DEPTH
+                                    ? "the body is nested too deeply"
+                                    : "the body is cut short");
                 }
                 List<Object> list = new ArrayList<>(size);
                 for (int at = 0; at < size; at++) {
--- a/src/main/java/org/meadowhollow/protocol/calendar/CalendarApi.java
+++ b/src/main/java/org/meadowhollow/protocol/calendar/CalendarApi.java
@@ -20,10 +20,14 @@
 import org.meadowhollow.protocol.Malformed;
 import org.meadowhollow.protocol.tes.TesTokens;
 
-/** What operators call: put, show, list and withdraw reservations and windows, and the plan; at every node. */
+/**
+ * What operators call: put, show, list and withdraw reservations and windows, and the plan; at
+ * every node.
+ */
 public final class CalendarApi implements Http.Service {
     /** The name that tokens of those who may change the calendar have, in place of a team's. */
     public static final String OPERATOR = "operator";
+
     private static final String ROOT = "/calendar/v1/";
     private static final String JSON_TYPE = "application/json";
     private static final int COME_BACK_S = 1;
@@ -71,15 +75,21 @@
             return reply(400, cause.getMessage());
         }
         if (cause instanceof CalendarDesk.Refused refused) {
-            return reply(switch (refused.why()) {
-                case NEVER -> 422;
-                case NOT_MET, FULL -> 409;
-                case CONFLICT -> 412;
-                case ABSENT -> 404;
-            }, refused.getMessage());
+            return reply(
+                    switch (refused.why()) {
+                        case NEVER -> 422;
+                        case NOT_MET, FULL -> 409;
+                        case CONFLICT -> 412;
+                        case ABSENT -> 404;
+                    },
+                    refused.getMessage());
         }
         if (cause instanceof Admission.TryLater || cause instanceof StateException) {
-            return new Http.Reply(503, Json.encode(Fields.of("error", cause.getMessage())), COME_BACK_S, JSON_TYPE);
+            return new Http.Reply(
+                    503,
+                    Json.encode(Fields.of("error", cause.getMessage())),
+                    COME_BACK_S,
+                    JSON_TYPE);
         }
         throw new CompletionException(cause);
     }
@@ -96,15 +106,17 @@
         if (!request.path().startsWith(ROOT)) {
             throw new Wrong(404, "no such path");
         }
-        String who = tokens.teamOf(request.header().apply("Authorization"))
-                .orElseThrow(() -> new Wrong(401, "no token, or one that is not known"));
+        String who =
+                tokens.teamOf(request.header().apply("Authorization"))
+                        .orElseThrow(() -> new Wrong(401, "no token, or one that is not known"));
         boolean reads = request.method().equals("GET");
         if (!reads && !who.equals(OPERATOR)) {
             throw new Wrong(403, "this token may only read");
         }
         String[] parts = request.path().substring(ROOT.length()).split("/", -1);
         if (parts.length == 1 && parts[0].equals("plan") && reads) {
-            return desk.plan(Duration.ofHours(hours(request))).thenApply(plan -> reply(200, CalendarCodec.encode(plan)));
+            return desk.plan(Duration.ofHours(hours(request)))
+                    .thenApply(plan -> reply(200, CalendarCodec.encode(plan)));
         }
         boolean windows = parts[0].equals("windows");
         if (parts.length > 2 || !windows && !parts[0].equals("reservations")) {
@@ -114,16 +126,40 @@
             if (!reads) {
                 throw new Wrong(405, "wrong method");
             }
-            return desk.read().thenApply(calendar -> reply(200, Fields.of(parts[0], all(calendar, windows).stream()
-                    .map(CalendarCodec::encode).toList())));
+            return desk.read()
+                    .thenApply(
+                            calendar ->
+                                    reply(
+                                            200,
+                                            Fields.of(
+                                                    parts[0],
+                                                    all(calendar, windows).stream()
+                                                            .map(CalendarCodec::encode)
+                                                            .toList())));
         }
         String name = CalendarCodec.name(parts[1]);
         return switch (request.method()) {
-            case "GET" -> desk.read().thenApply(calendar -> all(calendar, windows).stream().filter(held ->
-                    nameOf(held).equals(name)).findFirst().map(held -> reply(200, CalendarCodec.encode(held)))
-                    .orElseThrow(() -> new Wrong(404, "there is none of this name")));
+            case "GET" ->
+                    desk.read()
+                            .thenApply(
+                                    calendar ->
+                                            all(calendar, windows).stream()
+                                                    .filter(held -> nameOf(held).equals(name))
+                                                    .findFirst()
+                                                    .map(
+                                                            held ->
+                                                                    reply(
+                                                                            200,
+                                                                            CalendarCodec.encode(
+                                                                                    held)))
+                                                    .orElseThrow(
+                                                            () ->
+                                                                    new Wrong(
+                                                                            404,
+                                                                            "there is none of this name")));
             case "PUT" -> put(name, windows, request);
-            case "DELETE" -> desk.withdraw(name, windows, expected(request)).thenApply(CalendarApi::done);
+            case "DELETE" ->
+                    desk.withdraw(name, windows, expected(request)).thenApply(CalendarApi::done);
             default -> throw new Wrong(405, "wrong method");
         };
     }
@@ -133,23 +169,31 @@
     }
 
     private static String nameOf(Calendar.Held<?> held) {
-        return held.what() instanceof Window window ? window.name()
+        return held.what() instanceof Window window
+                ? window.name()
                 : ((Reservation) held.what()).name();
     }
 
-    private CompletableFuture<Http.Reply> put(String name, boolean windows, Http.Request request) throws Malformed {
+    private CompletableFuture<Http.Reply> put(String name, boolean windows, Http.Request request)
+            throws Malformed {
         Fields body = new Fields(Json.decode(request.body()));
         Version expected = expected(request);
-        return (windows ? desk.declare(CalendarCodec.window(name, body), expected)
-                : desk.reserve(CalendarCodec.reservation(name, body), expected)).thenApply(CalendarApi::done);
+        return (windows
+                        ? desk.declare(CalendarCodec.window(name, body), expected)
+                        : desk.reserve(CalendarCodec.reservation(name, body), expected))
+                .thenApply(CalendarApi::done);
     }
 
     private static Http.Reply done(CalendarDesk.Done done) {
-        return reply(done.result() == CalendarDesk.Result.CREATED ? 201 : 200,
+        return reply(
+                done.result() == CalendarDesk.Result.CREATED ? 201 : 200,
                 Fields.of("version", done.version().value(), "notes", done.notes()));
     }
 
-    /** The version that a change is meant for, in the header that HTTP has for it, with quotes or without. */
+    /**
+     * The version that a change is meant for, in the header that HTTP has for it, with quotes or
+     * without.
+     */
     private static Version expected(Http.Request request) throws Malformed {
         String text = request.header().apply("If-Match");
         if (text == null) {
@@ -163,7 +207,10 @@
     }
 
     private static int hours(Http.Request request) throws Malformed {
-        String text = Optional.ofNullable(request.query().get("hours")).map(values -> values.get(0)).orElse(null);
+        String text =
+                Optional.ofNullable(request.query().get("hours"))
+                        .map(values -> values.get(0))
+                        .orElse(null);
         try {
             int hours = text == null ? DEFAULT_HOURS : Integer.parseInt(text);
             if (hours >= 1 && hours <= Admittance.HORIZON.toHours()) {
--- a/src/main/java/org/meadowhollow/protocol/calendar/CalendarCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/calendar/CalendarCodec.java
@@ -19,18 +19,28 @@
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Malformed;
 
-/** Reservations and windows as operators write and read them, in JSON; {@code docs/reservations.md} has the fields. */
+/**
+ * Reservations and windows as operators write and read them, in JSON; {@code docs/reservations.md}
+ * has the fields.
+ */
 final class CalendarCodec {
     private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9-]{0,39}");
     private static final int LONGEST = 200;
     private static final int MOST_LISTED = 100;
     private static final long MOST_TASKS = 100_000;
     private static final double LONGEST_S = Duration.ofDays(31).toSeconds();
-    private static final Map<String, Priority> PRIORITIES = Map.of("critical", Priority.PRODUCTION, "urgent",
-            Priority.HIGH, "normal", Priority.NORMAL, "idle", Priority.LOW);
+    private static final Map<String, Priority> PRIORITIES =
+            Map.of(
+                    "critical",
+                    Priority.PRODUCTION,
+                    "urgent",
+                    Priority.HIGH,
+                    "normal",
+                    Priority.NORMAL,
+                    "idle",
+                    Priority.LOW);
 
-    private CalendarCodec() {
-    }
+    private CalendarCodec() {}
 
     static String name(String text) throws Malformed {
         if (!NAME.matcher(text).matches()) {
@@ -48,18 +58,34 @@
         if (!PRIORITIES.containsKey(priority)) {
             throw new Malformed("priority is none of critical, urgent, normal, idle");
         }
-        return new Reservation(name(name), bounded(body, "team"), PRIORITIES.get(priority), (int) tasks,
+        return new Reservation(
+                name(name),
+                bounded(body, "team"),
+                PRIORITIES.get(priority),
+                (int) tasks,
                 Resources.of(body.amount("cpus"), body.amountOr("gpus", 0), body.amount("ram_gb")),
-                names(body, "machine_types"), body.textOrNull("zone"), body.flagOr("spot", false),
-                body.has("image") ? bounded(body, "image") : "", body.amountOr("image_gb", 0),
-                body.has("class") ? bounded(body, "class") : null, names(body, "jobs"), schedule(body));
+                names(body, "machine_types"),
+                body.textOrNull("zone"),
+                body.flagOr("spot", false),
+                body.has("image") ? bounded(body, "image") : "",
+                body.amountOr("image_gb", 0),
+                body.has("class") ? bounded(body, "class") : null,
+                names(body, "jobs"),
+                schedule(body));
     }
 
     static Window window(String name, Fields body) throws Malformed {
         Window.Scope scope = null;
         List<String> targets = null;
-        for (Map.Entry<String, Window.Scope> each : Map.of("machines", Window.Scope.MACHINE, "machine_types",
-                Window.Scope.TYPE, "zones", Window.Scope.ZONE).entrySet()) {
+        for (Map.Entry<String, Window.Scope> each :
+                Map.of(
+                                "machines",
+                                Window.Scope.MACHINE,
+                                "machine_types",
+                                Window.Scope.TYPE,
+                                "zones",
+                                Window.Scope.ZONE)
+                        .entrySet()) {
             if (body.has(each.getKey())) {
                 if (scope != null) {
                     throw new Malformed("a window names either machines, machine_types or zones");
@@ -75,7 +101,12 @@
         if (noticeS > LONGEST_S) {
             throw new Malformed("notice_s is longer than 31 days");
         }
-        return new Window(name(name), scope, targets, schedule(body), Duration.ofMillis((long) (noticeS * 1000)));
+        return new Window(
+                name(name),
+                scope,
+                targets,
+                schedule(body),
+                Duration.ofMillis((long) (noticeS * 1000)));
     }
 
     private static Schedule schedule(Fields body) throws Malformed {
@@ -84,15 +115,19 @@
             throw new Malformed("length_s is not from 1 to " + (long) LONGEST_S);
         }
         try {
-            Schedule schedule = new Schedule(LocalDateTime.parse(body.text("start")).withNano(0),
-                    ZoneId.of(body.has("time_zone") ? body.text("time_zone") : "UTC"),
-                    Duration.ofMillis((long) (lengthS * 1000)), body.has("rule") ? bounded(body, "rule") : null);
+            Schedule schedule =
+                    new Schedule(
+                            LocalDateTime.parse(body.text("start")).withNano(0),
+                            ZoneId.of(body.has("time_zone") ? body.text("time_zone") : "UTC"),
+                            Duration.ofMillis((long) (lengthS * 1000)),
+                            body.has("rule") ? bounded(body, "rule") : null);
             Recurrence.check(schedule);
             return schedule;
         } catch (Recurrence.Unusable wrong) {
             throw new Malformed(wrong.getMessage());
         } catch (DateTimeException wrong) {
-            throw new Malformed("start is not of the form 2026-12-31T02:00, or time_zone is not one that is known");
+            throw new Malformed(
+                    "start is not of the form 2026-12-31T02:00, or time_zone is not one that is known");
         }
     }
 
@@ -106,8 +141,15 @@
 
     private static List<String> names(Fields body, String key) throws Malformed {
         List<String> names = body.textsOrNull(key);
-        if (names != null && (names.size() > MOST_LISTED || names.stream().anyMatch(one -> one.length() > LONGEST))) {
-            throw new Malformed(key + " holds more than " + MOST_LISTED + " names, or one longer than " + LONGEST);
+        if (names != null
+                && (names.size() > MOST_LISTED
+                        || names.stream().anyMatch(one -> one.length() > LONGEST))) {
+            throw new Malformed(
+                    key
+                            + " holds more than "
+                            + MOST_LISTED
+                            + " names, or one longer than "
+                            + LONGEST);
         }
         return names == null ? null : List.copyOf(names);
     }
@@ -115,30 +157,67 @@
     // ---- what operators read ----
 
     static Map<String, Object> encode(Calendar.Held<?> held) {
-        Map<String, Object> map = held.what() instanceof Window window ? window(window)
-                : reservation((Reservation) held.what());
+        Map<String, Object> map =
+                held.what() instanceof Window window
+                        ? window(window)
+                        : reservation((Reservation) held.what());
         map.put("version", held.version().value());
         return map;
     }
 
     private static Map<String, Object> reservation(Reservation one) {
-        Map<String, Object> map = Fields.of("name", one.name(), "team", one.team(), "priority",
-                PRIORITIES.entrySet().stream().filter(each -> each.getValue() == one.priority()).findFirst()
-                        .orElseThrow().getKey(),
-                "tasks", one.tasks(), "cpus", one.perTask().cpu() / 1e6, "gpus", one.perTask().gpu() / 1e6,
-                "ram_gb", one.perTask().memory() / 1e6, "machine_types", one.types(), "zone", one.zone(),
-                "spot", one.spot(), "image", one.image(), "image_gb", one.imageGb(), "class", one.jobClass(),
-                "jobs", one.jobs());
+        Map<String, Object> map =
+                Fields.of(
+                        "name",
+                        one.name(),
+                        "team",
+                        one.team(),
+                        "priority",
+                        PRIORITIES.entrySet().stream()
+                                .filter(each -> each.getValue() == one.priority())
+                                .findFirst()
+                                .orElseThrow()
+                                .getKey(),
+                        "tasks",
+                        one.tasks(),
+                        "cpus",
+                        one.perTask().cpu() / 1e6,
+                        "gpus",
+                        one.perTask().gpu() / 1e6,
+                        "ram_gb",
+                        one.perTask().memory() / 1e6,
+                        "machine_types",
+                        one.types(),
+                        "zone",
+                        one.zone(),
+                        "spot",
+                        one.spot(),
+                        "image",
+                        one.image(),
+                        "image_gb",
+                        one.imageGb(),
+                        "class",
+                        one.jobClass(),
+                        "jobs",
+                        one.jobs());
         return scheduled(map, one.schedule());
     }
 
     private static Map<String, Object> window(Window one) {
-        String key = switch (one.scope()) {
-            case MACHINE -> "machines";
-            case TYPE -> "machine_types";
-            case ZONE -> "zones";
-        };
-        return scheduled(Fields.of("name", one.name(), key, one.targets(), "notice_s", one.notice().toMillis() / 1000.0),
+        String key =
+                switch (one.scope()) {
+                    case MACHINE -> "machines";
+                    case TYPE -> "machine_types";
+                    case ZONE -> "zones";
+                };
+        return scheduled(
+                Fields.of(
+                        "name",
+                        one.name(),
+                        key,
+                        one.targets(),
+                        "notice_s",
+                        one.notice().toMillis() / 1000.0),
                 one.schedule());
     }
 
@@ -151,13 +230,45 @@
     }
 
     static Map<String, Object> encode(Plan plan) {
-        return Fields.of("slots", plan.slots().stream().map(slot -> Fields.of("reservation", slot.reservation().name(),
-                        "team", slot.reservation().team(), "from", time(slot.when().fromMillis()),
-                        "until", time(slot.when().untilMillis()), "tasks", slot.reservation().tasks(),
-                        "met", slot.tasks(), "machines", slot.machines(), "against", slot.against())).toList(),
-                "outages", plan.outages().stream().map(outage -> Fields.of("window", outage.window().name(),
-                        "scope", outage.window().scope().name(), "targets", outage.window().targets(),
-                        "from", time(outage.when().fromMillis()), "until", time(outage.when().untilMillis()))).toList());
+        return Fields.of(
+                "slots",
+                plan.slots().stream()
+                        .map(
+                                slot ->
+                                        Fields.of(
+                                                "reservation",
+                                                slot.reservation().name(),
+                                                "team",
+                                                slot.reservation().team(),
+                                                "from",
+                                                time(slot.when().fromMillis()),
+                                                "until",
+                                                time(slot.when().untilMillis()),
+                                                "tasks",
+                                                slot.reservation().tasks(),
+                                                "met",
+                                                slot.tasks(),
+                                                "machines",
+                                                slot.machines(),
+                                                "against",
+                                                slot.against()))
+                        .toList(),
+                "outages",
+                plan.outages().stream()
+                        .map(
+                                outage ->
+                                        Fields.of(
+                                                "window",
+                                                outage.window().name(),
+                                                "scope",
+                                                outage.window().scope().name(),
+                                                "targets",
+                                                outage.window().targets(),
+                                                "from",
+                                                time(outage.when().fromMillis()),
+                                                "until",
+                                                time(outage.when().untilMillis())))
+                        .toList());
     }
 
     private static String time(long millis) {
--- a/src/main/java/org/meadowhollow/protocol/cloud/CloudClient.java
+++ b/src/main/java/org/meadowhollow/protocol/cloud/CloudClient.java
@@ -22,6 +22,7 @@
 public final class CloudClient implements Cloud {
     /** The cloud's own machinery is slow; past this no answer will come. */
     private static final Duration ANSWER = Duration.ofSeconds(5);
+
     private static final int PAGE = 500;
 
     private final Http.Client http;
@@ -38,37 +39,67 @@
 
     @Override
     public CompletableFuture<List<MachineType>> types() {
-        return call("GET", "/machine_types", null).thenApply(reply -> read(reply, body -> {
-            List<MachineType> types = new ArrayList<>();
-            for (Fields item : body.list("breeds")) {
-                List<String> zones = item.textsOrNull("fields");
-                types.add(new MachineType(item.text("label"),
-                        Resources.of(item.amount("cores"), item.amount("gpus"), item.amount("memGb")),
-                        item.amount("cacheGb"), item.amount("fetchGbPerS"), item.amount("hourly"),
-                        item.amountOr("spotPrice", item.amount("hourly")), item.amount("readyS"),
-                        zones == null ? List.of() : zones));
-            }
-            return types;
-        }));
+        return call("GET", "/machine_types", null)
+                .thenApply(
+                        reply ->
+                                read(
+                                        reply,
+                                        body -> {
+                                            List<MachineType> types = new ArrayList<>();
+                                            for (Fields item : body.list("breeds")) {
+                                                List<String> zones = item.textsOrNull("fields");
+                                                types.add(
+                                                        new MachineType(
+                                                                item.text("label"),
+                                                                Resources.of(
+                                                                        item.amount("cores"),
+                                                                        item.amount("gpus"),
+                                                                        item.amount("memGb")),
+                                                                item.amount("cacheGb"),
+                                                                item.amount("fetchGbPerS"),
+                                                                item.amount("hourly"),
+                                                                item.amountOr(
+                                                                        "spotPrice",
+                                                                        item.amount("hourly")),
+                                                                item.amount("readyS"),
+                                                                zones == null ? List.of() : zones));
+                                            }
+                                            return types;
+                                        }));
     }
 
     @Override
-    public CompletableFuture<Optional<List<MachineId>>> rent(String request, String type, String zone,
-            boolean spot, int count) {
-        byte[] bytes = Wire.encode(Fields.of("hire", request, "breed", type, "field", zone, "loaners", spot,
-                "count", (long) count));
-        return call("POST", "/rentals", bytes).thenApply(reply -> {
-            if (reply.status() == 503 && noCapacity(reply)) {
-                return Optional.<List<MachineId>>empty();
-            }
-            return read(reply, body -> {
-                List<MachineId> ids = new ArrayList<>();
-                for (String id : body.textsOrNull("stalls")) {
-                    ids.add(new MachineId(id));
-                }
-                return Optional.of(ids);
-            });
-        });
+    public CompletableFuture<Optional<List<MachineId>>> rent(
+            String request, String type, String zone, boolean spot, int count) {
+        byte[] bytes =
+                Wire.encode(
+                        Fields.of(
+                                "hire",
+                                request,
+                                "breed",
+                                type,
+                                "field",
+                                zone,
+                                "loaners",
+                                spot,
+                                "count",
+                                (long) count));
+        return call("POST", "/rentals", bytes)
+                .thenApply(
+                        reply -> {
+                            if (reply.status() == 503 && noCapacity(reply)) {
+                                return Optional.<List<MachineId>>empty();
+                            }
+                            return read(
+                                    reply,
+                                    body -> {
+                                        List<MachineId> ids = new ArrayList<>();
+                                        for (String id : body.textsOrNull("stalls")) {
+                                            ids.add(new MachineId(id));
+                                        }
+                                        return Optional.of(ids);
+                                    });
+                        });
     }
 
     private static boolean noCapacity(Http.Reply reply) {
@@ -81,13 +112,16 @@
 
     @Override
     public CompletableFuture<Void> release(List<MachineId> machines) {
-        byte[] bytes = Wire.encode(Map.of("stalls", machines.stream().map(MachineId::value).toList()));
-        return call("POST", "/rentals/release", bytes).thenAccept(reply -> {
-            if (reply.status() == 429 || reply.status() == 503) {
-                throw new Cloud.Refused("the cloud answered " + reply.status());
-            }
-            read(reply, body -> body);
-        });
+        byte[] bytes =
+                Wire.encode(Map.of("stalls", machines.stream().map(MachineId::value).toList()));
+        return call("POST", "/rentals/release", bytes)
+                .thenAccept(
+                        reply -> {
+                            if (reply.status() == 429 || reply.status() == 503) {
+                                throw new Cloud.Refused("the cloud answered " + reply.status());
+                            }
+                            read(reply, body -> body);
+                        });
     }
 
     @Override
@@ -96,18 +130,30 @@
     }
 
     private CompletableFuture<List<Listed>> page(String after, List<Listed> all) {
-        return call("GET", "/rentals?after=" + after + "&most=" + PAGE, null).thenCompose(reply -> {
-            boolean more = read(reply, body -> {
-                for (Fields item : body.list("stalls")) {
-                    all.add(new Listed(new MachineId(item.text("ref")), item.textOrNull("endpoint"),
-                            item.text("breed"), item.text("field"), item.flagOr("loaners", false),
-                            phase(item.text("phase")), item.amountOr("heldS", 0)));
-                }
-                return body.flagOr("truncated", false);
-            });
-            return more && !all.isEmpty() ? page(all.get(all.size() - 1).id().value(), all)
-                    : CompletableFuture.completedFuture(all);
-        });
+        return call("GET", "/rentals?after=" + after + "&most=" + PAGE, null)
+                .thenCompose(
+                        reply -> {
+                            boolean more =
+                                    read(
+                                            reply,
+                                            body -> {
+                                                for (Fields item : body.list("stalls")) {
+                                                    all.add(
+                                                            new Listed(
+                                                                    new MachineId(item.text("ref")),
+                                                                    item.textOrNull("endpoint"),
+                                                                    item.text("breed"),
+                                                                    item.text("field"),
+                                                                    item.flagOr("loaners", false),
+                                                                    phase(item.text("phase")),
+                                                                    item.amountOr("heldS", 0)));
+                                                }
+                                                return body.flagOr("truncated", false);
+                                            });
+                            return more && !all.isEmpty()
+                                    ? page(all.get(all.size() - 1).id().value(), all)
+                                    : CompletableFuture.completedFuture(all);
+                        });
     }
 
     private static Phase phase(String text) throws Malformed {
@@ -126,13 +172,18 @@
             return http.send(address, method, path, body, ANSWER);
         }
         CompletableFuture<Http.Reply> answer = new CompletableFuture<>();
-        loop.after(pause, () -> http.send(address, method, path, body, ANSWER).whenComplete((reply, failure) -> {
-            if (failure == null) {
-                answer.complete(reply);
-            } else {
-                answer.completeExceptionally(failure);
-            }
-        }));
+        loop.after(
+                pause,
+                () ->
+                        http.send(address, method, path, body, ANSWER)
+                                .whenComplete(
+                                        (reply, failure) -> {
+                                            if (failure == null) {
+                                                answer.complete(reply);
+                                            } else {
+                                                answer.completeExceptionally(failure);
+                                            }
+                                        }));
         return answer;
     }
 
--- a/src/main/java/org/meadowhollow/protocol/peers/PeerLink.java
+++ b/src/main/java/org/meadowhollow/protocol/peers/PeerLink.java
@@ -32,57 +32,84 @@
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
 
-/** Hints between controllers: who leads, in which term, whom the state service serves, and who hears which workers. */
+/**
+ * Hints between controllers: who leads, in which term, whom the state service serves, and who hears
+ * which workers.
+ */
 public final class PeerLink implements Peers, Http.Handler {
     private static final String LEADER = "/leader";
     private static final String SERVED = "/served";
     private static final String HEARING = "/hearing";
     private static final String TABLES = "/tables";
     private static final String DIGESTS = "/digests";
+
     /** The form of what standbys are told; one that is not known is not read. */
     static final int FORM = 1;
+
     private static final Duration ANSWER = Duration.ofSeconds(2);
+
     /** A node that is up but slow must not be taken for one that is silent too soon. */
     private static final Duration SIGN = Duration.ofSeconds(1);
-    /** Bytes; most hints are a name and a number, and a question about machines names some hundred. */
+
+    /**
+     * Bytes; most hints are a name and a number, and a question about machines names some hundred.
+     */
     private static final int FIRST_BYTES = 512;
+
     private static final int MOST_BYTES = 60 * 1024;
+
     /** Machines that one question may name. */
     private static final int MOST_MACHINES = 1000;
 
     /** What one controller tells another. */
-    record LeaderHint(String member, long term) {
-    }
+    record LeaderHint(String member, long term) {}
 
-    /** Whether the state service serves a controller, and whether it leads and misses many workers' reports. */
-    record ServedHint(boolean served, boolean deaf) {
-    }
+    /**
+     * Whether the state service serves a controller, and whether it leads and misses many workers'
+     * reports.
+     */
+    record ServedHint(boolean served, boolean deaf) {}
 
     /** Which of some machines have reported to a controller within a time. */
-    record HearingQuestion(String[] machines, long withinMillis) {
-    }
+    record HearingQuestion(String[] machines, long withinMillis) {}
 
     /** The answer: a bit for each machine asked about, in their order. */
-    record HearingHint(boolean served, long[] heard) {
-    }
+    record HearingHint(boolean served, long[] heard) {}
 
     /** A question about a leader's tables, and what the node that asks says of itself. */
-    record TablesQuestionHint(int form, String member, long incarnation, String zone, String program, int schema,
-            long revision, long term, long after, String afterMachine) {
-    }
+    record TablesQuestionHint(
+            int form,
+            String member,
+            long incarnation,
+            String zone,
+            String program,
+            int schema,
+            long revision,
+            long term,
+            long after,
+            String afterMachine) {}
 
-    /** An answer of which a receiver can tell whether it knows its form and whether it is whole, before it reads it. */
-    record SealedHint(int form, int checksum, byte[] body) {
-    }
+    /**
+     * An answer of which a receiver can tell whether it knows its form and whether it is whole,
+     * before it reads it.
+     */
+    record SealedHint(int form, int checksum, byte[] body) {}
 
     /** The answer about tables: the columns of its parts. */
-    record TablesHint(long term, long upTo, boolean whole, boolean more, String[] machines, int[] incarnations,
-            long[] sessions, long[] seqs, int[][] tables, long[][] samples) {
-    }
+    record TablesHint(
+            long term,
+            long upTo,
+            boolean whole,
+            boolean more,
+            String[] machines,
+            int[] incarnations,
+            long[] sessions,
+            long[] seqs,
+            int[][] tables,
+            long[][] samples) {}
 
     /** The digests of a leader's records. */
-    record DigestsHint(String[] parts, int[] records, long[] sums, String[] unsettled) {
-    }
+    record DigestsHint(String[] parts, int[] records, long[] sums, String[] unsettled) {}
 
     /** What a leading node tells its standbys; all answers are empty while it does not lead. */
     public interface Testator {
@@ -91,17 +118,18 @@
         Optional<Digests> digests();
     }
 
-    private static final Testator NOBODY = new Testator() {
-        @Override
-        public Optional<TableDelta> tables(TableQuestion question) {
-            return Optional.empty();
-        }
+    private static final Testator NOBODY =
+            new Testator() {
+                @Override
+                public Optional<TableDelta> tables(TableQuestion question) {
+                    return Optional.empty();
+                }
 
-        @Override
-        public Optional<Digests> digests() {
-            return Optional.empty();
-        }
-    };
+                @Override
+                public Optional<Digests> digests() {
+                    return Optional.empty();
+                }
+            };
 
     /** Those of some machines that have reported to this node within a time. */
     public interface Ears {
@@ -110,13 +138,18 @@
 
     private final Http.Client http;
     private final Map<String, String> addresses;
-    /** Made for the first hint: it brings many classes, and a node takes requests before it hears any. */
+
+    /**
+     * Made for the first hint: it brings many classes, and a node takes requests before it hears
+     * any.
+     */
     private Kryo kryo;
+
     private volatile BooleanSupplier served = () -> false;
     private volatile BooleanSupplier deaf = () -> false;
     private volatile Testator testator = NOBODY;
     private volatile Ears ears = (machines, within) -> Set.of();
-    private volatile BiConsumer<Term, String> listener = (term, member) -> { };
+    private volatile BiConsumer<Term, String> listener = (term, member) -> {};
 
     /**
      * @param addresses of the other controllers, by member
@@ -153,7 +186,10 @@
         served = now;
     }
 
-    /** Says to others whether this node leads and misses many reports, and which workers have come to it. */
+    /**
+     * Says to others whether this node leads and misses many reports, and which workers have come
+     * to it.
+     */
     public void hearing(BooleanSupplier deafNow, Ears heard) {
         deaf = deafNow;
         ears = heard;
@@ -180,7 +216,10 @@
     public CompletableFuture<Http.Reply> handle(String method, String path, byte[] body) {
         if (method.equals("GET") && path.equals(SERVED)) {
             return CompletableFuture.completedFuture(
-                    new Http.Reply(200, encode(new ServedHint(served.getAsBoolean(), deaf.getAsBoolean())), 0));
+                    new Http.Reply(
+                            200,
+                            encode(new ServedHint(served.getAsBoolean(), deaf.getAsBoolean())),
+                            0));
         }
         if (method.equals("POST") && path.equals(HEARING)) {
             return CompletableFuture.completedFuture(heardOf(body));
@@ -189,8 +228,10 @@
             return CompletableFuture.completedFuture(tablesOf(body));
         }
         if (method.equals("GET") && path.equals(DIGESTS)) {
-            return CompletableFuture.completedFuture(testator.digests().map(this::digestsReply)
-                    .orElseGet(() -> Http.Reply.error(404, "this node does not lead")));
+            return CompletableFuture.completedFuture(
+                    testator.digests()
+                            .map(this::digestsReply)
+                            .orElseGet(() -> Http.Reply.error(404, "this node does not lead")));
         }
         if (!method.equals("POST") || !path.equals(LEADER)) {
             return CompletableFuture.completedFuture(Http.Reply.error(404, "no such path"));
@@ -217,29 +258,47 @@
         if (asked.form() != FORM) {
             return Http.Reply.error(400, "a question of an unknown form");
         }
-        TableQuestion question = new TableQuestion(new NodeStatus(asked.member(), asked.incarnation(), asked.zone(),
-                asked.program(), asked.schema(), new Version(asked.revision())), new Term(asked.term()), asked.after(),
-                asked.afterMachine());
-        return testator.tables(question).map(this::tablesReply)
+        TableQuestion question =
+                new TableQuestion(
+                        new NodeStatus(
+                                asked.member(),
+                                asked.incarnation(),
+                                asked.zone(),
+                                asked.program(),
+                                asked.schema(),
+                                new Version(asked.revision())),
+                        new Term(asked.term()),
+                        asked.after(),
+                        asked.afterMachine());
+        return testator.tables(question)
+                .map(this::tablesReply)
                 .orElseGet(() -> Http.Reply.error(404, "this node does not lead"));
     }
 
     private Http.Reply tablesReply(TableDelta delta) {
         List<TableDelta.Part> parts = delta.parts();
-        return sealed(new TablesHint(delta.term().value(), delta.upTo(), delta.whole(), delta.more(),
-                parts.stream().map(part -> part.machine().value()).toArray(String[]::new),
-                parts.stream().mapToInt(TableDelta.Part::incarnation).toArray(),
-                parts.stream().mapToLong(part -> part.session().value()).toArray(),
-                parts.stream().mapToLong(TableDelta.Part::seq).toArray(),
-                parts.stream().map(TableDelta.Part::table).toArray(int[][]::new),
-                parts.stream().map(TableDelta.Part::samples).toArray(long[][]::new)));
+        return sealed(
+                new TablesHint(
+                        delta.term().value(),
+                        delta.upTo(),
+                        delta.whole(),
+                        delta.more(),
+                        parts.stream().map(part -> part.machine().value()).toArray(String[]::new),
+                        parts.stream().mapToInt(TableDelta.Part::incarnation).toArray(),
+                        parts.stream().mapToLong(part -> part.session().value()).toArray(),
+                        parts.stream().mapToLong(TableDelta.Part::seq).toArray(),
+                        parts.stream().map(TableDelta.Part::table).toArray(int[][]::new),
+                        parts.stream().map(TableDelta.Part::samples).toArray(long[][]::new)));
     }
 
     private Http.Reply digestsReply(Digests digests) {
         String[] parts = digests.parts().keySet().toArray(String[]::new);
-        return sealed(new DigestsHint(parts, digests.parts().values().stream().mapToInt(Digests.Part::records).toArray(),
-                digests.parts().values().stream().mapToLong(Digests.Part::sum).toArray(),
-                digests.unsettled().toArray(String[]::new)));
+        return sealed(
+                new DigestsHint(
+                        parts,
+                        digests.parts().values().stream().mapToInt(Digests.Part::records).toArray(),
+                        digests.parts().values().stream().mapToLong(Digests.Part::sum).toArray(),
+                        digests.unsettled().toArray(String[]::new)));
     }
 
     private Http.Reply sealed(Object hint) {
@@ -253,7 +312,10 @@
         return (int) sum.getValue();
     }
 
-    /** Empty if there is none: no answer, a node that does not lead, or one that knows no such question. */
+    /**
+     * Empty if there is none: no answer, a node that does not lead, or one that knows no such
+     * question.
+     */
     private <T> Optional<T> unseal(Http.Reply reply, Throwable failure, Class<T> type) {
         if (failure != null || reply.status() != 200) {
             return Optional.empty();
@@ -279,23 +341,44 @@
             return CompletableFuture.completedFuture(Optional.empty());
         }
         NodeStatus from = question.from();
-        byte[] body = encode(new TablesQuestionHint(FORM, from.member(), from.incarnation(), from.zone(), from.program(),
-                from.schema(), from.revision().value(), question.term().value(), question.after(),
-                question.afterMachine()));
+        byte[] body =
+                encode(
+                        new TablesQuestionHint(
+                                FORM,
+                                from.member(),
+                                from.incarnation(),
+                                from.zone(),
+                                from.program(),
+                                from.schema(),
+                                from.revision().value(),
+                                question.term().value(),
+                                question.after(),
+                                question.afterMachine()));
         return http.send(address, "POST", TABLES, body, ANSWER)
-                .handle((reply, failure) -> unseal(reply, failure, TablesHint.class).map(PeerLink::delta));
+                .handle(
+                        (reply, failure) ->
+                                unseal(reply, failure, TablesHint.class).map(PeerLink::delta));
     }
 
     private static TableDelta delta(TablesHint hint) {
         int count = hint.machines().length;
-        if (hint.incarnations().length != count || hint.sessions().length != count || hint.seqs().length != count
-                || hint.tables().length != count || hint.samples().length != count) {
+        if (hint.incarnations().length != count
+                || hint.sessions().length != count
+                || hint.seqs().length != count
+                || hint.tables().length != count
+                || hint.samples().length != count) {
             throw new Unreadable("its columns differ in length");
         }
         List<TableDelta.Part> parts = new ArrayList<>(count);
         for (int at = 0; at < count; at++) {
-            parts.add(new TableDelta.Part(new MachineId(hint.machines()[at]), hint.incarnations()[at],
-                    new Session(hint.sessions()[at]), hint.seqs()[at], hint.tables()[at], hint.samples()[at]));
+            parts.add(
+                    new TableDelta.Part(
+                            new MachineId(hint.machines()[at]),
+                            hint.incarnations()[at],
+                            new Session(hint.sessions()[at]),
+                            hint.seqs()[at],
+                            hint.tables()[at],
+                            hint.samples()[at]));
         }
         return new TableDelta(new Term(hint.term()), hint.upTo(), hint.whole(), hint.more(), parts);
     }
@@ -307,11 +390,14 @@
             return CompletableFuture.completedFuture(Optional.empty());
         }
         return http.send(address, "GET", DIGESTS, null, ANSWER)
-                .handle((reply, failure) -> unseal(reply, failure, DigestsHint.class).map(PeerLink::digests));
+                .handle(
+                        (reply, failure) ->
+                                unseal(reply, failure, DigestsHint.class).map(PeerLink::digests));
     }
 
     private static Digests digests(DigestsHint hint) {
-        if (hint.records().length != hint.parts().length || hint.sums().length != hint.parts().length) {
+        if (hint.records().length != hint.parts().length
+                || hint.sums().length != hint.parts().length) {
             throw new Unreadable("its columns differ in length");
         }
         Map<String, Digests.Part> parts = new HashMap<>();
@@ -339,17 +425,27 @@
         for (int at = 0; at < machines.size(); at++) {
             bits.set(at, heard.contains(machines.get(at)));
         }
-        return new Http.Reply(200, encode(new HearingHint(served.getAsBoolean(), bits.toLongArray())), 0);
+        return new Http.Reply(
+                200, encode(new HearingHint(served.getAsBoolean(), bits.toLongArray())), 0);
     }
 
     @Override
     public CompletableFuture<List<Testimony>> hearing(List<MachineId> machines, Duration within) {
-        byte[] question = encode(new HearingQuestion(
-                machines.stream().map(MachineId::value).toArray(String[]::new), within.toMillis()));
+        byte[] question =
+                encode(
+                        new HearingQuestion(
+                                machines.stream().map(MachineId::value).toArray(String[]::new),
+                                within.toMillis()));
         List<CompletableFuture<Testimony>> answers = new ArrayList<>();
-        addresses.forEach((member, address) -> answers.add(http.send(address, "POST", HEARING, question, SIGN)
-                .handle((reply, failure) -> failure == null ? testimony(member, machines, reply)
-                        : Testimony.none(member))));
+        addresses.forEach(
+                (member, address) ->
+                        answers.add(
+                                http.send(address, "POST", HEARING, question, SIGN)
+                                        .handle(
+                                                (reply, failure) ->
+                                                        failure == null
+                                                                ? testimony(member, machines, reply)
+                                                                : Testimony.none(member))));
         return CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new))
                 .thenApply(unused -> answers.stream().map(CompletableFuture::join).toList());
     }
@@ -359,7 +455,9 @@
             if (reply.status() == 200 && decode(reply.body()) instanceof HearingHint hint) {
                 BitSet bits = BitSet.valueOf(hint.heard());
                 Set<MachineId> heard = new HashSet<>();
-                for (int at = bits.nextSetBit(0); at >= 0 && at < machines.size(); at = bits.nextSetBit(at + 1)) {
+                for (int at = bits.nextSetBit(0);
+                        at >= 0 && at < machines.size();
+                        at = bits.nextSetBit(at + 1)) {
                     heard.add(machines.get(at));
                 }
                 return new Testimony(member, true, hint.served(), heard);
@@ -372,32 +470,64 @@
 
     @Override
     public CompletableFuture<Boolean> anyServed() {
-        return any(addresses.values().stream().map(address -> http.send(address, "GET", SERVED, null, ANSWER)
-                .handle((reply, failure) -> failure == null && says(reply, ServedHint::served))).toList());
+        return any(
+                addresses.values().stream()
+                        .map(
+                                address ->
+                                        http.send(address, "GET", SERVED, null, ANSWER)
+                                                .handle(
+                                                        (reply, failure) ->
+                                                                failure == null
+                                                                        && says(
+                                                                                reply,
+                                                                                ServedHint
+                                                                                        ::served)))
+                        .toList());
     }
 
     @Override
     public CompletableFuture<Sign> signOf(String member) {
-        return ask(member).thenCompose(sign -> {
-            if (sign != Sign.REFUSES) {
-                return CompletableFuture.completedFuture(sign);
-            }
-            // A packet filter between the controllers refuses connections to all of them.
-            return any(addresses.keySet().stream().filter(other -> !other.equals(member))
-                    .map(other -> ask(other).thenApply(its -> its == Sign.ANSWERS || its == Sign.DEAF)).toList())
-                    .thenApply(othersAnswer -> othersAnswer ? Sign.REFUSES : Sign.SILENT);
-        });
+        return ask(member)
+                .thenCompose(
+                        sign -> {
+                            if (sign != Sign.REFUSES) {
+                                return CompletableFuture.completedFuture(sign);
+                            }
+                            // A packet filter between the controllers refuses connections to all of
+                            // them.
+                            return any(addresses.keySet().stream()
+                                            .filter(other -> !other.equals(member))
+                                            .map(
+                                                    other ->
+                                                            ask(other)
+                                                                    .thenApply(
+                                                                            its ->
+                                                                                    its
+                                                                                                    == Sign
+                                                                                                            .ANSWERS
+                                                                                            || its
+                                                                                                    == Sign
+                                                                                                            .DEAF))
+                                            .toList())
+                                    .thenApply(
+                                            othersAnswer ->
+                                                    othersAnswer ? Sign.REFUSES : Sign.SILENT);
+                        });
     }
 
     /** Whether any of the answers is yes, as soon as one is. */
     private static CompletableFuture<Boolean> any(List<CompletableFuture<Boolean>> answers) {
         CompletableFuture<Boolean> any = new CompletableFuture<>();
-        answers.forEach(answer -> answer.thenAccept(yes -> {
-            if (yes) {
-                any.complete(true);
-            }
-        }));
-        CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new)).thenRun(() -> any.complete(false));
+        answers.forEach(
+                answer ->
+                        answer.thenAccept(
+                                yes -> {
+                                    if (yes) {
+                                        any.complete(true);
+                                    }
+                                }));
+        CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new))
+                .thenRun(() -> any.complete(false));
         return any;
     }
 
@@ -406,14 +536,21 @@
         if (address == null) {
             return CompletableFuture.completedFuture(Sign.SILENT);
         }
-        return http.send(address, "GET", SERVED, null, SIGN).handle((reply, failure) -> failure == null
-                ? says(reply, ServedHint::deaf) ? Sign.DEAF : Sign.ANSWERS
-                : failure instanceof Http.Refused ? Sign.REFUSES : Sign.SILENT);
+        return http.send(address, "GET", SERVED, null, SIGN)
+                .handle(
+                        (reply, failure) ->
+                                failure == null
+                                        ? says(reply, ServedHint::deaf) ? Sign.DEAF : Sign.ANSWERS
+                                        : failure instanceof Http.Refused
+                                                ? Sign.REFUSES
+                                                : Sign.SILENT);
     }
 
     private boolean says(Http.Reply reply, Predicate<ServedHint> what) {
         try {
-            return reply.status() == 200 && decode(reply.body()) instanceof ServedHint hint && what.test(hint);
+            return reply.status() == 200
+                    && decode(reply.body()) instanceof ServedHint hint
+                    && what.test(hint);
         } catch (KryoException | IllegalArgumentException broken) {
             return false;
         }
--- a/src/main/java/org/meadowhollow/protocol/rehearsal/StandIn.java
+++ b/src/main/java/org/meadowhollow/protocol/rehearsal/StandIn.java
@@ -9,8 +9,8 @@
 import org.meadowhollow.protocol.Wire;
 
 /**
- * Stands in for the state service and the cloud, as far as it takes for one controller to lead and to run one job,
- * while the build finds out which classes that needs. It keeps nothing.
+ * Stands in for the state service and the cloud, as far as it takes for one controller to lead and
+ * to run one job, while the build finds out which classes that needs. It keeps nothing.
  */
 public final class StandIn implements Http.Handler {
     private static final String JOB = "req-1";
@@ -22,7 +22,8 @@
     private long revision;
 
     @Override
-    public synchronized CompletableFuture<Http.Reply> handle(String method, String path, byte[] body) {
+    public synchronized CompletableFuture<Http.Reply> handle(
+            String method, String path, byte[] body) {
         if (path.equals("/changes")) {
             CompletableFuture<Http.Reply> watch = watched ? new CompletableFuture<>() : firstWatch;
             watched = true;
@@ -33,28 +34,96 @@
 
     private Http.Reply answer(String method, String path, byte[] body) {
         return switch (path) {
-            case "/kv" -> Http.Reply.of(200, Fields.of("items", List.of(), "truncated", false, "ledgerRev", revision));
+            case "/kv" ->
+                    Http.Reply.of(
+                            200,
+                            Fields.of(
+                                    "items", List.of(), "truncated", false, "ledgerRev", revision));
             case "/multi" -> committed(body);
             case "/grants" -> Http.Reply.of(200, Fields.of("tether", 1L));
-            case "/machine_types" -> Http.Reply.of(200, Fields.of("breeds", List.of(Fields.of("label", TYPE,
-                    "cores", 8.0, "gpus", 1.0, "memGb", 32.0, "cacheGb", 50.0, "fetchGbPerS", 1.0, "hourly", 1.0,
-                    "spotPrice", 0.5, "readyS", 30.0, "fields", List.of("z")))));
-            case "/rentals" -> Http.Reply.of(200, method.equals("POST") ? Fields.of("stalls", List.of(MACHINE))
-                    : Fields.of("stalls", List.of(Fields.of("ref", MACHINE, "endpoint", "127.0.0.1:9", "breed", TYPE,
-                            "field", "z", "loaners", false, "phase", "running", "heldS", 60.0)), "truncated", false));
-            default -> path.startsWith("/kv/") ? Http.Reply.of(404, Fields.of("ledgerRev", revision))
-                    : Http.Reply.of(200, Fields.of());
+            case "/machine_types" ->
+                    Http.Reply.of(
+                            200,
+                            Fields.of(
+                                    "breeds",
+                                    List.of(
+                                            Fields.of(
+                                                    "label",
+                                                    TYPE,
+                                                    "cores",
+                                                    8.0,
+                                                    "gpus",
+                                                    1.0,
+                                                    "memGb",
+                                                    32.0,
+                                                    "cacheGb",
+                                                    50.0,
+                                                    "fetchGbPerS",
+                                                    1.0,
+                                                    "hourly",
+                                                    1.0,
+                                                    "spotPrice",
+                                                    0.5,
+                                                    "readyS",
+                                                    30.0,
+                                                    "fields",
+                                                    List.of("z")))));
+            case "/rentals" ->
+                    Http.Reply.of(
+                            200,
+                            method.equals("POST")
+                                    ? Fields.of("stalls", List.of(MACHINE))
+                                    : Fields.of(
+                                            "stalls",
+                                            List.of(
+                                                    Fields.of(
+                                                            "ref",
+                                                            MACHINE,
+                                                            "endpoint",
+                                                            "127.0.0.1:9",
+                                                            "breed",
+                                                            TYPE,
+                                                            "field",
+                                                            "z",
+                                                            "loaners",
+                                                            false,
+                                                            "phase",
+                                                            "running",
+                                                            "heldS",
+                                                            60.0)),
+                                            "truncated",
+                                            false));
+            default ->
+                    path.startsWith("/kv/")
+                            ? Http.Reply.of(404, Fields.of("ledgerRev", revision))
+                            : Http.Reply.of(200, Fields.of());
         };
     }
 
-    /** Lets every transaction through, and shows the watching leader the job that one of them accepts. */
+    /**
+     * Lets every transaction through, and shows the watching leader the job that one of them
+     * accepts.
+     */
     private Http.Reply committed(byte[] body) {
         revision++;
         try {
             for (Fields write : Fields.decode(body).list("writes")) {
                 if (write.has("set") && write.text("set").startsWith("job/")) {
-                    firstWatch.complete(Http.Reply.of(200, Fields.of("ledgerRev", revision, "log", List.of(Fields.of(
-                            "set", write.text("set"), "v", write.fields("v").map(), "stamp", revision)))));
+                    firstWatch.complete(
+                            Http.Reply.of(
+                                    200,
+                                    Fields.of(
+                                            "ledgerRev",
+                                            revision,
+                                            "log",
+                                            List.of(
+                                                    Fields.of(
+                                                            "set",
+                                                            write.text("set"),
+                                                            "v",
+                                                            write.fields("v").map(),
+                                                            "stamp",
+                                                            revision)))));
                 }
             }
         } catch (Malformed impossible) {
@@ -65,9 +134,38 @@
 
     /** What a user sends to submit the job. */
     public static byte[] submission() {
-        return Wire.encode(Fields.of("ref", JOB, "herd", "c", "crew", "t", "shape", "array", "urgency", "normal",
-                "chores", 1L, "cores", 1.0, "gpus", 0.0, "memGb", 1.0, "bundle", "i", "pullGb", 1.0, "expectedS", 1.0,
-                "bookmarkS", 0.0, "stashS", 0.0, "dueS", 60.0));
+        return Wire.encode(
+                Fields.of(
+                        "ref",
+                        JOB,
+                        "herd",
+                        "c",
+                        "crew",
+                        "t",
+                        "shape",
+                        "array",
+                        "urgency",
+                        "normal",
+                        "chores",
+                        1L,
+                        "cores",
+                        1.0,
+                        "gpus",
+                        0.0,
+                        "memGb",
+                        1.0,
+                        "bundle",
+                        "i",
+                        "pullGb",
+                        1.0,
+                        "expectedS",
+                        1.0,
+                        "bookmarkS",
+                        0.0,
+                        "stashS",
+                        0.0,
+                        "dueS",
+                        60.0));
     }
 
     /**
@@ -76,8 +174,36 @@
      * @param phase of the job's task there, as the wire has it; null while it is not there
      */
     public static byte[] report(long number, long token, String phase) {
-        return Wire.encode(Fields.of("stall", MACHINE, "endpoint", "127.0.0.1:9", "breed", TYPE, "field", "z",
-                "loaners", false, "tenure", 1L, "tally", number, "baton", token, "chores", phase == null ? List.of()
-                        : List.of(Map.of("chore", JOB + "/0", "try", 1L, "phase", phase, "cause", "done"))));
+        return Wire.encode(
+                Fields.of(
+                        "stall",
+                        MACHINE,
+                        "endpoint",
+                        "127.0.0.1:9",
+                        "breed",
+                        TYPE,
+                        "field",
+                        "z",
+                        "loaners",
+                        false,
+                        "tenure",
+                        1L,
+                        "tally",
+                        number,
+                        "baton",
+                        token,
+                        "chores",
+                        phase == null
+                                ? List.of()
+                                : List.of(
+                                        Map.of(
+                                                "chore",
+                                                JOB + "/0",
+                                                "try",
+                                                1L,
+                                                "phase",
+                                                phase,
+                                                "cause",
+                                                "done"))));
     }
 }
--- a/src/main/java/org/meadowhollow/protocol/state/StateClient.java
+++ b/src/main/java/org/meadowhollow/protocol/state/StateClient.java
@@ -28,47 +28,72 @@
  */
 public final class StateClient implements StateStore {
     private static final Logger LOG = LoggerFactory.getLogger(StateClient.class);
-    /** Most answers take a few milliseconds and a few take some hundred; past this the line is mostly dead. */
+
+    /**
+     * Most answers take a few milliseconds and a few take some hundred; past this the line is
+     * mostly dead.
+     */
     private static final Duration ANSWER = Duration.ofMillis(1500);
+
     /**
-     * For how long answers are waited for once some in a row have not come in time: less than a leader's lease, and than users
-     * wait. A state service that took 1.5 s for each was as good as out for all, for as long as it was slow.
+     * For how long answers are waited for once some in a row have not come in time: less than a
+     * leader's lease, and than users wait. A state service that took 1.5 s for each was as good as
+     * out for all, for as long as it was slow.
      */
     private static final Duration SLOW_ANSWER = Duration.ofMillis(3200);
+
     /** Calls in a row without an answer in time, after which answers are waited for longer. */
     private static final int SLOW_AFTER = 3;
+
     /** Room for bursts of users' calls; past it a caller is better told at once to come back. */
     private static final int MOST_WAITING = 256;
+
     /**
-     * Requests on their way at a time: at some milliseconds each far more than the budget allows, and fewer than the
-     * connections that may be open to one address. A burst of users' calls waits its turn instead of opening a
-     * connection for each, or failing for want of one, which looked like an outage of the state service.
+     * Requests on their way at a time: at some milliseconds each far more than the budget allows,
+     * and fewer than the connections that may be open to one address. A burst of users' calls waits
+     * its turn instead of opening a connection for each, or failing for want of one, which looked
+     * like an outage of the state service.
      */
     private static final int MOST_IN_FLIGHT = 12;
+
     /** How long after a failure, with no success since, the store counts as out. */
     private static final Duration OUT_FOR = Duration.ofSeconds(3);
 
     /**
-     * A user's call that has waited for so long is not sent any more: most users have given up by then and ask again,
-     * and a queue in which every call comes too late serves nobody.
+     * A user's call that has waited for so long is not sent any more: most users have given up by
+     * then and ask again, and a queue in which every call comes too late serves nobody.
      */
     private static final Duration MOST_WAIT = Duration.ofMillis(1500);
-    /** How far the calls of users and those of the leader may run ahead of each other's fair half. */
+
+    /**
+     * How far the calls of users and those of the leader may run ahead of each other's fair half.
+     */
     private static final double MOST_AHEAD = 24;
-    /** The share of its rate that a node keeps when it is refused; the leader, whose records others wait for, keeps more. */
+
+    /**
+     * The share of its rate that a node keeps when it is refused; the leader, whose records others
+     * wait for, keeps more.
+     */
     private static final double KEEP = 0.7;
+
     private static final double LEADER_KEEPS = 0.9;
+
     /** A node whose records were written so lately leads. */
     private static final Duration LEADS_FOR = Duration.ofSeconds(5);
 
-    private record Call(String method, String path, byte[] body, int changes, Urgency urgency, Moment since,
-            CompletableFuture<Http.Reply> answer) {
-    }
+    private record Call(
+            String method,
+            String path,
+            byte[] body,
+            int changes,
+            Urgency urgency,
+            Moment since,
+            CompletableFuture<Http.Reply> answer) {}
 
-    private static final List<Urgency> USERS_FIRST = List.of(Urgency.LEASE, Urgency.USER, Urgency.PLACEMENT,
-            Urgency.BACKGROUND);
-    private static final List<Urgency> LEADER_FIRST = List.of(Urgency.LEASE, Urgency.PLACEMENT, Urgency.USER,
-            Urgency.BACKGROUND);
+    private static final List<Urgency> USERS_FIRST =
+            List.of(Urgency.LEASE, Urgency.USER, Urgency.PLACEMENT, Urgency.BACKGROUND);
+    private static final List<Urgency> LEADER_FIRST =
+            List.of(Urgency.LEASE, Urgency.PLACEMENT, Urgency.USER, Urgency.BACKGROUND);
 
     private final Http.Client http;
     private final String address;
@@ -80,14 +105,23 @@
     private int inFlight;
     private boolean wakeSet;
     private Moment failedAt;
+
     /** What users' calls took of the budgets beyond the leader's, while both were waiting. */
     private double usersAhead;
+
     private Moment recordsAt;
+
     /** Calls without an answer in time since the last one that had one. */
     private int unanswered;
+
     private boolean slow;
 
-    public StateClient(Http.Client http, String address, EventLoop loop, RateBudget requests, RateBudget changes) {
+    public StateClient(
+            Http.Client http,
+            String address,
+            EventLoop loop,
+            RateBudget requests,
+            RateBudget changes) {
         this.http = http;
         this.address = address;
         this.loop = loop;
@@ -100,71 +134,109 @@
 
     @Override
     public CompletableFuture<Optional<Entry>> get(String key, Urgency urgency) {
-        return call("GET", "/kv/" + key, null, 0, urgency).thenApply(reply -> {
-            if (reply.status() == 404) {
-                return Optional.<Entry>empty();
-            }
-            Fields body = body(reply);
-            return read(() -> Optional.of(entry(body)));
-        });
+        return call("GET", "/kv/" + key, null, 0, urgency)
+                .thenApply(
+                        reply -> {
+                            if (reply.status() == 404) {
+                                return Optional.<Entry>empty();
+                            }
+                            Fields body = body(reply);
+                            return read(() -> Optional.of(entry(body)));
+                        });
     }
 
     @Override
     public CompletableFuture<Page> list(String prefix, String after, int most, Urgency urgency) {
-        String path = "/kv?prefix=" + prefix + (after == null ? "" : "&after=" + after) + "&most=" + most;
-        return call("GET", path, null, 0, urgency).thenApply(reply -> {
-            Fields body = body(reply);
-            return read(() -> {
-                List<Entry> entries = new ArrayList<>();
-                for (Fields item : body.list("items")) {
-                    entries.add(entry(item));
-                }
-                return new Page(entries, body.flagOr("truncated", false), new Version(body.count("ledgerRev")));
-            });
-        });
+        String path =
+                "/kv?prefix=" + prefix + (after == null ? "" : "&after=" + after) + "&most=" + most;
+        return call("GET", path, null, 0, urgency)
+                .thenApply(
+                        reply -> {
+                            Fields body = body(reply);
+                            return read(
+                                    () -> {
+                                        List<Entry> entries = new ArrayList<>();
+                                        for (Fields item : body.list("items")) {
+                                            entries.add(entry(item));
+                                        }
+                                        return new Page(
+                                                entries,
+                                                body.flagOr("truncated", false),
+                                                new Version(body.count("ledgerRev")));
+                                    });
+                        });
     }
 
     @Override
     public CompletableFuture<Commit> commit(Transaction transaction, Urgency urgency) {
         List<Map<String, Object>> guards = new ArrayList<>();
-        transaction.guards().forEach((key, version) ->
-                guards.add(Fields.of("key", key, "stamp", version.value())));
+        transaction
+                .guards()
+                .forEach(
+                        (key, version) ->
+                                guards.add(Fields.of("key", key, "stamp", version.value())));
         List<Map<String, Object>> writes = new ArrayList<>();
-        transaction.writes().forEach((key, write) -> {
-            if (write.value() == null) {
-                writes.add(Fields.of("remove", key));
-            } else if (write.lease() == null) {
-                writes.add(Fields.of("set", key, "v", write.value()));
-            } else {
-                writes.add(Fields.of("set", key, "v", write.value(), "tether", write.lease().value()));
-            }
-        });
+        transaction
+                .writes()
+                .forEach(
+                        (key, write) -> {
+                            if (write.value() == null) {
+                                writes.add(Fields.of("remove", key));
+                            } else if (write.lease() == null) {
+                                writes.add(Fields.of("set", key, "v", write.value()));
+                            } else {
+                                writes.add(
+                                        Fields.of(
+                                                "set",
+                                                key,
+                                                "v",
+                                                write.value(),
+                                                "tether",
+                                                write.lease().value()));
+                            }
+                        });
         byte[] bytes = Wire.encode(Fields.of("guards", guards, "writes", writes));
-        return call("POST", "/multi", bytes, writes.size(), urgency).thenApply(reply -> {
-            Fields body = body(reply);
-            return read(() -> new Commit(reply.status() == 200, new Version(body.count("ledgerRev")),
-                    reply.status() == 200 ? List.of() : body.textsOrNull("failed")));
-        });
+        return call("POST", "/multi", bytes, writes.size(), urgency)
+                .thenApply(
+                        reply -> {
+                            Fields body = body(reply);
+                            return read(
+                                    () ->
+                                            new Commit(
+                                                    reply.status() == 200,
+                                                    new Version(body.count("ledgerRev")),
+                                                    reply.status() == 200
+                                                            ? List.of()
+                                                            : body.textsOrNull("failed")));
+                        });
     }
 
     @Override
     public CompletableFuture<LeaseId> grant(Duration ttl) {
         byte[] bytes = Wire.encode(Fields.of("ttlMs", ttl.toMillis()));
-        return call("POST", "/grants", bytes, 0, Urgency.LEASE).thenApply(reply -> {
-            Fields body = body(reply);
-            return read(() -> new LeaseId(body.count("tether")));
-        });
+        return call("POST", "/grants", bytes, 0, Urgency.LEASE)
+                .thenApply(
+                        reply -> {
+                            Fields body = body(reply);
+                            return read(() -> new LeaseId(body.count("tether")));
+                        });
     }
 
     @Override
     public CompletableFuture<Void> renew(LeaseId lease) {
-        return call("POST", "/grants/" + lease.value() + "/renew", Wire.encode(Map.of()), 0, Urgency.LEASE)
+        return call(
+                        "POST",
+                        "/grants/" + lease.value() + "/renew",
+                        Wire.encode(Map.of()),
+                        0,
+                        Urgency.LEASE)
                 .thenAccept(StateClient::leaseStands);
     }
 
     @Override
     public CompletableFuture<Void> revoke(LeaseId lease) {
-        return call("DELETE", "/grants/" + lease.value(), null, 0, Urgency.LEASE).thenAccept(reply -> { });
+        return call("DELETE", "/grants/" + lease.value(), null, 0, Urgency.LEASE)
+                .thenAccept(reply -> {});
     }
 
     private static void leaseStands(Http.Reply reply) {
@@ -175,24 +247,42 @@
 
     @Override
     public CompletableFuture<Changes> watch(String prefix, Version after, Duration wait) {
-        String path = "/changes?prefix=" + prefix + "&after=" + after.value() + "&blockMs=" + wait.toMillis();
+        String path =
+                "/changes?prefix="
+                        + prefix
+                        + "&after="
+                        + after.value()
+                        + "&blockMs="
+                        + wait.toMillis();
         // A watch waits by design, so it has a time-out of its own and stays out of the queue.
         requests.take(1, loop.now());
-        return http.send(address, "GET", path, null, wait.plus(answerWithin())).handle((reply, failure) -> {
-            if (failure != null) {
-                throw new StateException(Outcome.UNKNOWN, "no answer to the watch");
-            }
-            Fields body = body(check(reply));
-            return read(() -> {
-                List<Change> log = new ArrayList<>();
-                for (Fields item : body.list("log")) {
-                    Version version = new Version(item.count("stamp"));
-                    log.add(item.has("remove") ? new Change(item.text("remove"), null, version)
-                            : new Change(item.text("set"), item.fields("v").map(), version));
-                }
-                return new Changes(new Version(body.count("ledgerRev")), log);
-            });
-        });
+        return http.send(address, "GET", path, null, wait.plus(answerWithin()))
+                .handle(
+                        (reply, failure) -> {
+                            if (failure != null) {
+                                throw new StateException(Outcome.UNKNOWN, "no answer to the watch");
+                            }
+                            Fields body = body(check(reply));
+                            return read(
+                                    () -> {
+                                        List<Change> log = new ArrayList<>();
+                                        for (Fields item : body.list("log")) {
+                                            Version version = new Version(item.count("stamp"));
+                                            log.add(
+                                                    item.has("remove")
+                                                            ? new Change(
+                                                                    item.text("remove"),
+                                                                    null,
+                                                                    version)
+                                                            : new Change(
+                                                                    item.text("set"),
+                                                                    item.fields("v").map(),
+                                                                    version));
+                                        }
+                                        return new Changes(
+                                                new Version(body.count("ledgerRev")), log);
+                                    });
+                        });
     }
 
     @Override
@@ -200,9 +290,17 @@
         return failedAt != null && loop.now().since(failedAt).compareTo(OUT_FOR) < 0;
     }
 
-    private CompletableFuture<Http.Reply> call(String method, String path, byte[] body, int changeCount,
-            Urgency urgency) {
-        Call call = new Call(method, path, body, changeCount, urgency, loop.now(), new CompletableFuture<>());
+    private CompletableFuture<Http.Reply> call(
+            String method, String path, byte[] body, int changeCount, Urgency urgency) {
+        Call call =
+                new Call(
+                        method,
+                        path,
+                        body,
+                        changeCount,
+                        urgency,
+                        loop.now(),
+                        new CompletableFuture<>());
         synchronized (this) {
             if (waitingCount >= MOST_WAITING && urgency != Urgency.LEASE) {
                 return CompletableFuture.failedFuture(
@@ -236,7 +334,8 @@
                         break;
                     }
                     if (first.changes() > 0) {
-                        // Once a call waits for changes no later one may take them, or a large one would never go.
+                        // Once a call waits for changes no later one may take them, or a large one
+                        // would never go.
                         free = changesHeld ? pause : changes.untilFree(first.changes(), now);
                         if (!free.isZero()) {
                             pause = free;
@@ -251,18 +350,25 @@
                 if (next == null && late.isEmpty()) {
                     if (!pause.isZero() && !wakeSet) {
                         wakeSet = true;
-                        loop.after(pause, () -> {
-                            synchronized (this) {
-                                wakeSet = false;
-                            }
-                            pump();
-                        });
+                        loop.after(
+                                pause,
+                                () -> {
+                                    synchronized (this) {
+                                        wakeSet = false;
+                                    }
+                                    pump();
+                                });
                     }
                     return;
                 }
             }
-            late.forEach(call -> call.answer().completeExceptionally(
-                    new StateException(Outcome.REFUSED, "waited too long for its turn")));
+            late.forEach(
+                    call ->
+                            call.answer()
+                                    .completeExceptionally(
+                                            new StateException(
+                                                    Outcome.REFUSED,
+                                                    "waited too long for its turn")));
             if (next != null) {
                 send(next);
             }
@@ -278,8 +384,9 @@
     }
 
     /**
-     * Who may go first. Users and the leader take turns by what they cost: with users always first, a node that many of
-     * them asked at once neither loaded nor wrote its records as the leader, and cancelled tasks ran on past their limit.
+     * Who may go first. Users and the leader take turns by what they cost: with users always first,
+     * a node that many of them asked at once neither loaded nor wrote its records as the leader,
+     * and cancelled tasks ran on past their limit.
      */
     private List<Urgency> order() {
         return usersAhead > 0 ? LEADER_FIRST : USERS_FIRST;
@@ -296,30 +403,39 @@
         }
         if (leader || call.urgency() == Urgency.USER) {
             double cost = 1 + call.changes();
-            usersAhead = Math.max(-MOST_AHEAD, Math.min(MOST_AHEAD, usersAhead + (leader ? -cost : cost)));
+            usersAhead =
+                    Math.max(
+                            -MOST_AHEAD,
+                            Math.min(MOST_AHEAD, usersAhead + (leader ? -cost : cost)));
         }
-        if (waiting.get(Urgency.USER.ordinal()).isEmpty() || waiting.get(Urgency.PLACEMENT.ordinal()).isEmpty()) {
+        if (waiting.get(Urgency.USER.ordinal()).isEmpty()
+                || waiting.get(Urgency.PLACEMENT.ordinal()).isEmpty()) {
             usersAhead = 0;
         }
     }
 
     private void send(Call call) {
         Moment sentAt = loop.now();
-        http.send(address, call.method(), call.path(), call.body(), answerWithin()).whenComplete((reply, failure) -> {
-            synchronized (this) {
-                inFlight--;
-                noteTime(failure, loop.now().since(sentAt));
-            }
-            settle(call, reply, failure);
-            pump();
-        });
+        http.send(address, call.method(), call.path(), call.body(), answerWithin())
+                .whenComplete(
+                        (reply, failure) -> {
+                            synchronized (this) {
+                                inFlight--;
+                                noteTime(failure, loop.now().since(sentAt));
+                            }
+                            settle(call, reply, failure);
+                            pump();
+                        });
     }
 
     private synchronized Duration answerWithin() {
         return slow ? SLOW_ANSWER : ANSWER;
     }
 
-    /** Whether the state service is slow: it gave no answer in time again and again, and none soon since. */
+    /**
+     * Whether the state service is slow: it gave no answer in time again and again, and none soon
+     * since.
+     */
     private void noteTime(Throwable failure, Duration took) {
         if (failure == null) {
             unanswered = 0;
@@ -358,8 +474,8 @@
     }
 
     /**
-     * Which of the two limits refused is not said; a call with changes is mostly refused for these, of which there are
-     * fewer. All nodes share the limits, and each alone would keep to them.
+     * Which of the two limits refused is not said; a call with changes is mostly refused for these,
+     * of which there are fewer. All nodes share the limits, and each alone would keep to them.
      */
     private synchronized void slowDown(boolean withChanges) {
         Moment now = loop.now();
@@ -377,16 +493,23 @@
     private static Http.Reply check(Http.Reply reply) {
         return switch (reply.status()) {
             case 200, 404, 409 -> reply;
-            case 429, 503 -> throw new StateException(Outcome.REFUSED, "answered " + reply.status());
+            case 429, 503 ->
+                    throw new StateException(Outcome.REFUSED, "answered " + reply.status());
             case 410 -> throw new StateException(Outcome.TOO_OLD, "the watch began too long ago");
-            case 400 -> throw new StateException(new String(reply.body(), java.nio.charset.StandardCharsets.UTF_8)
-                    .contains("no such lease") ? Outcome.NO_SUCH_LEASE : Outcome.INVALID, "answered 400");
+            case 400 ->
+                    throw new StateException(
+                            new String(reply.body(), java.nio.charset.StandardCharsets.UTF_8)
+                                            .contains("no such lease")
+                                    ? Outcome.NO_SUCH_LEASE
+                                    : Outcome.INVALID,
+                            "answered 400");
             default -> throw new StateException(Outcome.UNKNOWN, "answered " + reply.status());
         };
     }
 
     private static Entry entry(Fields item) throws Malformed {
-        return new Entry(item.text("key"), item.fields("v").map(), new Version(item.count("stamp")));
+        return new Entry(
+                item.text("key"), item.fields("v").map(), new Version(item.count("stamp")));
     }
 
     private static Fields body(Http.Reply reply) {
@@ -401,7 +524,8 @@
         try {
             return reading.get();
         } catch (Malformed broken) {
-            throw new StateException(Outcome.UNKNOWN, "the answer makes no sense: " + broken.getMessage());
+            throw new StateException(
+                    Outcome.UNKNOWN, "the answer makes no sense: " + broken.getMessage());
         }
     }
 }
--- a/src/main/java/org/meadowhollow/protocol/tes/TesApi.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesApi.java
@@ -29,8 +29,9 @@
 import org.meadowhollow.protocol.Malformed;
 
 /**
- * The GA4GH task execution API, version 1.1, on the same admission as native jobs: any node answers, from the state
- * service alone, so that no answer is older than another node's. {@code docs/tes.md} has the ways that were weighed.
+ * The GA4GH task execution API, version 1.1, on the same admission as native jobs: any node
+ * answers, from the state service alone, so that no answer is older than another node's. {@code
+ * docs/tes.md} has the ways that were weighed.
  */
 public final class TesApi implements Http.Service {
     private static final String ROOT = "/ga4gh/tes/v1";
@@ -38,14 +39,32 @@
     private static final String CANCEL = ":cancel";
     private static final String JSON_TYPE = "application/json";
     private static final int COME_BACK_S = 1;
+
     /** The states that the API names; the first and PAUSED never occur here. */
-    static final List<String> STATES = List.of("UNKNOWN", "QUEUED", "INITIALIZING", "RUNNING", "PAUSED", "COMPLETE",
-            "EXECUTOR_ERROR", "SYSTEM_ERROR", "CANCELED", "PREEMPTED", "CANCELING");
-    /** Hex digits of an id after its prefix: 104 bits, which nobody guesses and no two tasks share. */
+    static final List<String> STATES =
+            List.of(
+                    "UNKNOWN",
+                    "QUEUED",
+                    "INITIALIZING",
+                    "RUNNING",
+                    "PAUSED",
+                    "COMPLETE",
+                    "EXECUTOR_ERROR",
+                    "SYSTEM_ERROR",
+                    "CANCELED",
+                    "PREEMPTED",
+                    "CANCELING");
+
+    /**
+     * Hex digits of an id after its prefix: 104 bits, which nobody guesses and no two tasks share.
+     */
     private static final int ID_DIGITS = 26;
+
     private static final int LONGEST_KEY = 200;
+
     /** Tasks, which never change once accepted, that are kept in memory: some kilobytes each. */
     private static final int MOST_CACHED = 256;
+
     /** Bytes around the fields of a record. */
     private static final int FRAMING = 512;
 
@@ -57,19 +76,30 @@
     private final RandomGenerator random;
     private final TaskTraces traces;
     private final TesListing listing;
-    private final Map<String, Kept> cache = new LinkedHashMap<>(16, 0.75f, true) {
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Kept> eldest) {
-            return size() > MOST_CACHED;
-        }
-    };
+    private final Map<String, Kept> cache =
+            new LinkedHashMap<>(16, 0.75f, true) {
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<String, Kept> eldest) {
+                    return size() > MOST_CACHED;
+                }
+            };
 
     /** What is kept of a task for ever, as its client sent it. */
-    record Kept(String team, long createdMillis, String entryKey, String digest, Map<String, Object> document) {
-    }
-
-    public TesApi(Admission admission, StateStore store, EventLoop loop, Platform platform, TesTokens tokens,
-            TaskTraces traces, RandomGenerator random) {
+    record Kept(
+            String team,
+            long createdMillis,
+            String entryKey,
+            String digest,
+            Map<String, Object> document) {}
+
+    public TesApi(
+            Admission admission,
+            StateStore store,
+            EventLoop loop,
+            Platform platform,
+            TesTokens tokens,
+            TaskTraces traces,
+            RandomGenerator random) {
         this.traces = traces;
         this.admission = admission;
         this.store = store;
@@ -121,11 +151,16 @@
     }
 
     static Http.Reply comeBack(String why) {
-        return new Http.Reply(503, Json.encode(Fields.of("status_code", 503, "msg", why)), COME_BACK_S, JSON_TYPE);
+        return new Http.Reply(
+                503,
+                Json.encode(Fields.of("status_code", 503, "msg", why)),
+                COME_BACK_S,
+                JSON_TYPE);
     }
 
     private static Http.Reply error(int status, String why) {
-        return new Http.Reply(status, Json.encode(Fields.of("status_code", status, "msg", why)), 0, JSON_TYPE);
+        return new Http.Reply(
+                status, Json.encode(Fields.of("status_code", status, "msg", why)), 0, JSON_TYPE);
     }
 
     static Http.Reply ok(Map<String, Object> body) {
@@ -141,8 +176,9 @@
         if (!path.equals(TASKS) && !path.startsWith(TASKS + "/")) {
             throw new Refused(404, "no such path");
         }
-        String team = tokens.teamOf(request.header().apply("Authorization"))
-                .orElseThrow(() -> new Refused(401, "no token, or one that is not known"));
+        String team =
+                tokens.teamOf(request.header().apply("Authorization"))
+                        .orElseThrow(() -> new Refused(401, "no token, or one that is not known"));
         if (path.equals(TASKS)) {
             if (request.method().equals("POST")) {
                 return create(request, team);
@@ -167,18 +203,30 @@
     }
 
     private Map<String, Object> serviceInfo() {
-        return Fields.of("id", "org.meadowhollow." + platform.member(), "name", "meadowhollow",
-                "type", Fields.of("group", "org.ga4gh", "artifact", "tes", "version", "1.1.0"),
-                "description", "Tasks on the cluster that meadowhollow schedules",
-                "organization", Fields.of("name", "meadowhollow", "url", "urn:meadowhollow"),
-                "version", Optional.ofNullable(TesApi.class.getPackage().getImplementationVersion())
+        return Fields.of(
+                "id",
+                "org.meadowhollow." + platform.member(),
+                "name",
+                "meadowhollow",
+                "type",
+                Fields.of("group", "org.ga4gh", "artifact", "tes", "version", "1.1.0"),
+                "description",
+                "Tasks on the cluster that meadowhollow schedules",
+                "organization",
+                Fields.of("name", "meadowhollow", "url", "urn:meadowhollow"),
+                "version",
+                Optional.ofNullable(TesApi.class.getPackage().getImplementationVersion())
                         .orElse("not packaged"),
-                "storage", List.of(), "tesResources_backend_parameters", TesCodec.PARAMETERS);
+                "storage",
+                List.of(),
+                "tesResources_backend_parameters",
+                TesCodec.PARAMETERS);
     }
 
     // ---- one task ----
 
-    private CompletableFuture<Http.Reply> create(Http.Request request, String team) throws Malformed {
+    private CompletableFuture<Http.Reply> create(Http.Request request, String team)
+            throws Malformed {
         mayWrite(team);
         TesCodec.Task task = TesCodec.decode(new Fields(Json.decode(request.body())));
         String repeatKey = request.header().apply("Idempotency-Key");
@@ -190,22 +238,49 @@
         long now = loop.wallMillis();
         byte[] document = Json.encode(task.document());
         TesListing.Entry entry = new TesListing.Entry(id.value(), task.name(), task.tags(), now);
-        Kept kept = new Kept(team, now, TesListing.key(team, now, id), digest(document), task.document());
+        Kept kept =
+                new Kept(
+                        team,
+                        now,
+                        TesListing.key(team, now, id),
+                        digest(document),
+                        task.document());
         int room = platform.valueBytes() - FRAMING;
         // The job's own record holds the entry as well, with what it takes to place the task.
         if (document.length > room || 2 * entry.bytes() > room) {
-            throw new Refused(413, "the task takes " + document.length + " bytes, its name and tags " + entry.bytes()
-                    + "; at most " + room + " and " + room / 2 + " can be kept");
+            throw new Refused(
+                    413,
+                    "the task takes "
+                            + document.length
+                            + " bytes, its name and tags "
+                            + entry.bytes()
+                            + "; at most "
+                            + room
+                            + " and "
+                            + room / 2
+                            + " can be kept");
         }
-        Companion companion = new Companion(kept.entryKey(), entry.encode(), TesCodec.mostAttempts(task),
-                traces.contextOf(request.header().apply("traceparent")));
-        return admission.submit(spec, companion, Map.of(recordKey(id.value()), encode(kept))).thenCompose(accepted ->
-                accepted.isNew() ? CompletableFuture.completedFuture(kept) : kept(id.value(), Urgency.USER)).thenApply(stands -> {
-                    if (!stands.digest().equals(kept.digest())) {
-                        throw new Refused(400, "the Idempotency-Key was used for another task");
-                    }
-                    return ok(Fields.of("id", id.value()));
-                });
+        Companion companion =
+                new Companion(
+                        kept.entryKey(),
+                        entry.encode(),
+                        TesCodec.mostAttempts(task),
+                        traces.contextOf(request.header().apply("traceparent")));
+        return admission
+                .submit(spec, companion, Map.of(recordKey(id.value()), encode(kept)))
+                .thenCompose(
+                        accepted ->
+                                accepted.isNew()
+                                        ? CompletableFuture.completedFuture(kept)
+                                        : kept(id.value(), Urgency.USER))
+                .thenApply(
+                        stands -> {
+                            if (!stands.digest().equals(kept.digest())) {
+                                throw new Refused(
+                                        400, "the Idempotency-Key was used for another task");
+                            }
+                            return ok(Fields.of("id", id.value()));
+                        });
     }
 
     private void mayWrite(String team) {
@@ -227,7 +302,8 @@
     }
 
     private static String digest(byte[] document) {
-        return HexFormat.of().formatHex(TesTokens.sha256(new String(document, StandardCharsets.UTF_8)));
+        return HexFormat.of()
+                .formatHex(TesTokens.sha256(new String(document, StandardCharsets.UTF_8)));
     }
 
     private static String recordKey(String id) {
@@ -235,14 +311,26 @@
     }
 
     private static Map<String, Object> encode(Kept kept) {
-        return Fields.of("team", kept.team(), "created", kept.createdMillis(), "entry", kept.entryKey(),
-                "digest", kept.digest(), "document", kept.document());
+        return Fields.of(
+                "team",
+                kept.team(),
+                "created",
+                kept.createdMillis(),
+                "entry",
+                kept.entryKey(),
+                "digest",
+                kept.digest(),
+                "document",
+                kept.document());
     }
 
     @SuppressWarnings("unchecked")
     private static Kept decode(Map<String, Object> record) {
-        return new Kept((String) record.get("team"), ((Number) record.get("created")).longValue(),
-                (String) record.get("entry"), (String) record.get("digest"),
+        return new Kept(
+                (String) record.get("team"),
+                ((Number) record.get("created")).longValue(),
+                (String) record.get("entry"),
+                (String) record.get("digest"),
                 (Map<String, Object>) record.get("document"));
     }
 
@@ -257,43 +345,68 @@
                 return CompletableFuture.completedFuture(known);
             }
         }
-        return store.get(recordKey(id), urgency).thenApply(found -> {
-            Kept kept = decode(found.orElseThrow(() -> new Refused(404, "no such task")).value());
-            synchronized (cache) {
-                cache.put(id, kept);
-            }
-            return kept;
-        });
+        return store.get(recordKey(id), urgency)
+                .thenApply(
+                        found -> {
+                            Kept kept =
+                                    decode(
+                                            found.orElseThrow(
+                                                            () -> new Refused(404, "no such task"))
+                                                    .value());
+                            synchronized (cache) {
+                                cache.put(id, kept);
+                            }
+                            return kept;
+                        });
     }
 
     private CompletableFuture<Kept> owned(String id, String team) {
-        return kept(id, Urgency.USER).thenApply(kept -> {
-            if (!kept.team().equals(team) && !team.equals(TesTokens.READERS)) {
-                throw new Refused(403, "the task belongs to another team");
-            }
-            return kept;
-        });
+        return kept(id, Urgency.USER)
+                .thenApply(
+                        kept -> {
+                            if (!kept.team().equals(team) && !team.equals(TesTokens.READERS)) {
+                                throw new Refused(403, "the task belongs to another team");
+                            }
+                            return kept;
+                        });
     }
 
     private CompletableFuture<Http.Reply> get(String id, String team, View view) {
-        return owned(id, team).thenCompose(kept -> store.get(kept.entryKey(), Urgency.USER).thenApply(entry -> {
-            Map<String, Object> state = entry.orElseThrow(() -> new Admission.TryLater("the task's entry is missing"))
-                    .value();
-            return ok(view == View.MINIMAL ? minimal(state) : whole(id, kept, state, view));
-        }));
+        return owned(id, team)
+                .thenCompose(
+                        kept ->
+                                store.get(kept.entryKey(), Urgency.USER)
+                                        .thenApply(
+                                                entry -> {
+                                                    Map<String, Object> state =
+                                                            entry.orElseThrow(
+                                                                            () ->
+                                                                                    new Admission
+                                                                                            .TryLater(
+                                                                                            "the task's entry is missing"))
+                                                                    .value();
+                                                    return ok(
+                                                            view == View.MINIMAL
+                                                                    ? minimal(state)
+                                                                    : whole(id, kept, state, view));
+                                                }));
     }
 
     private CompletableFuture<Http.Reply> cancel(String id, String team) {
         mayWrite(team);
         // A task that is over stays as it is, and the request has nothing left to do.
-        return owned(id, team).thenCompose(kept -> admission.cancel(new JobId(id))).thenApply(state -> ok(Map.of()));
+        return owned(id, team)
+                .thenCompose(kept -> admission.cancel(new JobId(id)))
+                .thenApply(state -> ok(Map.of()));
     }
 
     // ---- how a task is told ----
 
     /** How much of a task is told. */
     enum View {
-        MINIMAL, BASIC, FULL;
+        MINIMAL,
+        BASIC,
+        FULL;
 
         static View of(Map<String, List<String>> query) throws Malformed {
             String name = query.getOrDefault("view", List.of("MINIMAL")).get(0);
@@ -325,9 +438,16 @@
     }
 
     static Map<String, Object> whole(String id, Kept kept, Map<String, Object> entry, View view) {
-        Map<String, Object> task = Fields.of("id", id, "state", stateName(Companion.progressOf(entry)));
-        kept.document().forEach((key, value) -> task.put(key, key.equals("inputs") && view == View.BASIC
-                ? withoutContent(value) : value));
+        Map<String, Object> task =
+                Fields.of("id", id, "state", stateName(Companion.progressOf(entry)));
+        kept.document()
+                .forEach(
+                        (key, value) ->
+                                task.put(
+                                        key,
+                                        key.equals("inputs") && view == View.BASIC
+                                                ? withoutContent(value)
+                                                : value));
         task.put("creation_time", time(kept.createdMillis()));
         List<Object> logs = new ArrayList<>();
         for (AttemptLog attempt : Companion.logOf(entry)) {
@@ -350,10 +470,20 @@
 
     private static Map<String, Object> log(AttemptLog attempt, View view) {
         boolean completed = "DONE".equals(attempt.cause());
-        Map<String, Object> log = Fields.of("logs", completed ? List.of(Fields.of("exit_code", 0)) : List.of(),
-                "metadata", Fields.of("attempt", String.valueOf(attempt.attempt()), "machine", attempt.machine(),
-                        "cause", attempt.cause() == null ? "" : attempt.cause()),
-                "outputs", List.of());
+        Map<String, Object> log =
+                Fields.of(
+                        "logs",
+                        completed ? List.of(Fields.of("exit_code", 0)) : List.of(),
+                        "metadata",
+                        Fields.of(
+                                "attempt",
+                                String.valueOf(attempt.attempt()),
+                                "machine",
+                                attempt.machine(),
+                                "cause",
+                                attempt.cause() == null ? "" : attempt.cause()),
+                        "outputs",
+                        List.of());
         if (attempt.startedMillis() > 0) {
             log.put("start_time", time(attempt.startedMillis()));
         }
--- a/src/main/java/org/meadowhollow/protocol/tes/TesCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesCodec.java
@@ -14,26 +14,57 @@
 import org.meadowhollow.protocol.Malformed;
 
 /**
- * A task of the GA4GH task execution API (TES 1.1) as it is checked, kept and run. What is kept holds the fields that
- * the API names and nothing else.
+ * A task of the GA4GH task execution API (TES 1.1) as it is checked, kept and run. What is kept
+ * holds the fields that the API names and nothing else.
  */
 final class TesCodec {
     /** Backend parameters that are understood; {@code docs/tes.md} says what each means. */
-    static final List<String> PARAMETERS = List.of("class", "priority", "gpus", "machine_types", "image_gb",
-            "expected_s", "checkpoint_s", "save_s", "deadline_s", "max_attempts");
-    /** The class of jobs that a task belongs to unless it says so: objectives for the class may name it. */
+    static final List<String> PARAMETERS =
+            List.of(
+                    "class",
+                    "priority",
+                    "gpus",
+                    "machine_types",
+                    "image_gb",
+                    "expected_s",
+                    "checkpoint_s",
+                    "save_s",
+                    "deadline_s",
+                    "max_attempts");
+
+    /**
+     * The class of jobs that a task belongs to unless it says so: objectives for the class may name
+     * it.
+     */
     private static final String CLASS = "tes";
+
     private static final int MOST_ITEMS = 1000;
     private static final int LONGEST_NAME = 200;
-    /** What is taken for an image whose size the client does not tell; decides where to place, and nothing else. */
+
+    /**
+     * What is taken for an image whose size the client does not tell; decides where to place, and
+     * nothing else.
+     */
     private static final double IMAGE_GB = 2;
+
     private static final double CPUS = 1;
     private static final double MEMORY_GB = 2;
     private static final Set<String> FILE_TYPES = Set.of("FILE", "DIRECTORY");
-    private static final Map<String, Priority> PRIORITIES = Map.of("critical", Priority.PRODUCTION, "urgent",
-            Priority.HIGH, "normal", Priority.NORMAL, "idle", Priority.LOW);
+    private static final Map<String, Priority> PRIORITIES =
+            Map.of(
+                    "critical",
+                    Priority.PRODUCTION,
+                    "urgent",
+                    Priority.HIGH,
+                    "normal",
+                    Priority.NORMAL,
+                    "idle",
+                    Priority.LOW);
 
-    /** What can be said of a task that is well formed: what is kept of it, and its backend parameters. */
+    /**
+     * What can be said of a task that is well formed: what is kept of it, and its backend
+     * parameters.
+     */
     record Task(Map<String, Object> document, Map<String, Object> parameters) {
         String name() {
             return (String) document.get("name");
@@ -45,8 +76,7 @@
         }
     }
 
-    private TesCodec() {
-    }
+    private TesCodec() {}
 
     /** Checks a task to be created; fields that the API does not name are left out. */
     static Task decode(Fields body) throws Malformed {
@@ -91,7 +121,8 @@
         return all;
     }
 
-    private static void putUnlessEmpty(Map<String, Object> document, String key, List<Object> items) {
+    private static void putUnlessEmpty(
+            Map<String, Object> document, String key, List<Object> items) {
         if (!items.isEmpty()) {
             document.put(key, items);
         }
@@ -144,7 +175,8 @@
         return map;
     }
 
-    private static Map<String, Object> resources(Fields resources, Map<String, Object> parameters) throws Malformed {
+    private static Map<String, Object> resources(Fields resources, Map<String, Object> parameters)
+            throws Malformed {
         Map<String, Object> map = new LinkedHashMap<>();
         if (resources.has("cpu_cores")) {
             map.put("cpu_cores", resources.count("cpu_cores"));
@@ -161,7 +193,8 @@
             map.put("zones", resources.textsOrNull("zones"));
         }
         if (resources.has("backend_parameters")) {
-            parameters.putAll(strings(resources.fields("backend_parameters"), "backend_parameters"));
+            parameters.putAll(
+                    strings(resources.fields("backend_parameters"), "backend_parameters"));
             map.put("backend_parameters", parameters);
         }
         if (resources.has("backend_parameters_strict")) {
@@ -177,7 +210,8 @@
         return map;
     }
 
-    private static void texts(Fields from, Map<String, Object> to, String... keys) throws Malformed {
+    private static void texts(Fields from, Map<String, Object> to, String... keys)
+            throws Malformed {
         for (String key : keys) {
             String text = from.textOrNull(key);
             if (text != null) {
@@ -223,8 +257,10 @@
      * @param zones of the deployment
      */
     static JobSpec job(JobId id, String team, Task task, List<String> zones) throws Malformed {
-        Fields resources = new Fields(task.document()).has("resources")
-                ? new Fields(task.document()).fields("resources") : new Fields(Map.of());
+        Fields resources =
+                new Fields(task.document()).has("resources")
+                        ? new Fields(task.document()).fields("resources")
+                        : new Fields(Map.of());
         Fields parameters = new Fields(task.parameters());
         String priority = text(parameters, "priority", "normal");
         if (!PRIORITIES.containsKey(priority)) {
@@ -236,12 +272,28 @@
             throw new Malformed("class is empty or too long");
         }
         double cpus = resources.has("cpu_cores") ? resources.count("cpu_cores") : CPUS;
-        return new JobSpec(id, jobClass, team, Kind.ARRAY, PRIORITIES.get(priority), 1,
-                Resources.of(cpus, number(parameters, "gpus", 0), resources.amountOr("ram_gb", MEMORY_GB)),
-                types == null ? null : List.of(types.split(",")), zone(resources.textsOrNull("zones"), zones), false,
-                false, resources.flagOr("preemptible", false), image(task), number(parameters, "image_gb", IMAGE_GB),
-                number(parameters, "expected_s", 0), number(parameters, "checkpoint_s", 0),
-                number(parameters, "save_s", 0), number(parameters, "deadline_s", Double.NaN));
+        return new JobSpec(
+                id,
+                jobClass,
+                team,
+                Kind.ARRAY,
+                PRIORITIES.get(priority),
+                1,
+                Resources.of(
+                        cpus,
+                        number(parameters, "gpus", 0),
+                        resources.amountOr("ram_gb", MEMORY_GB)),
+                types == null ? null : List.of(types.split(",")),
+                zone(resources.textsOrNull("zones"), zones),
+                false,
+                false,
+                resources.flagOr("preemptible", false),
+                image(task),
+                number(parameters, "image_gb", IMAGE_GB),
+                number(parameters, "expected_s", 0),
+                number(parameters, "checkpoint_s", 0),
+                number(parameters, "save_s", 0),
+                number(parameters, "deadline_s", Double.NaN));
     }
 
     /** How often a task may be tried, 0 for as often as it takes. */
@@ -253,10 +305,14 @@
         return (int) most;
     }
 
-    /** A machine fetches images one by one; the first executor's decides where the task starts soonest. */
+    /**
+     * A machine fetches images one by one; the first executor's decides where the task starts
+     * soonest.
+     */
     @SuppressWarnings("unchecked")
     private static String image(Task task) {
-        return (String) ((List<Map<String, Object>>) task.document().get("executors")).get(0).get("image");
+        return (String)
+                ((List<Map<String, Object>>) task.document().get("executors")).get(0).get("image");
     }
 
     /** A job is bound to one zone or to none, so a choice of some zones cannot be kept. */
