--- a/src/main/java/org/meadowhollow/protocol/tes/TesTokens.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesTokens.java
@@ -9,20 +9,27 @@
 import java.util.Optional;
 import org.meadowhollow.protocol.Malformed;
 
-/** Which team a bearer token belongs to. Tokens are known by their SHA-256 only, and compared in constant time. */
+/**
+ * Which team a bearer token belongs to. Tokens are known by their SHA-256 only, and compared in
+ * constant time.
+ */
 public final class TesTokens {
-    /** Whoever has a token of this team may read the tasks of all teams and do nothing else; workers do. */
+    /**
+     * Whoever has a token of this team may read the tasks of all teams and do nothing else; workers
+     * do.
+     */
     public static final String READERS = "*";
+
     private static final String BEARER = "Bearer ";
     private static final int HASH_BYTES = 32;
 
-    private record Known(String team, byte[] hash) {
-    }
+    private record Known(String team, byte[] hash) {}
 
     private final List<Known> known = new ArrayList<>();
 
     /**
-     * @param entries each a team's name, {@code =}, and the SHA-256 of a token of that team as 64 hex digits
+     * @param entries each a team's name, {@code =}, and the SHA-256 of a token of that team as 64
+     *     hex digits
      * @throws Malformed naming the entry that is not of this form, without its hash
      */
     public static TesTokens of(List<String> entries) throws Malformed {
@@ -37,8 +44,9 @@
                 hash = new byte[0];
             }
             if (team.isEmpty() || hash.length != HASH_BYTES) {
-                throw new Malformed("a token is not of the form TEAM=SHA256" + (team.isEmpty() ? "" : " (team "
-                        + team + ")"));
+                throw new Malformed(
+                        "a token is not of the form TEAM=SHA256"
+                                + (team.isEmpty() ? "" : " (team " + team + ")"));
             }
             tokens.known.add(new Known(team, hash));
         }
@@ -55,11 +63,12 @@
     }
 
     /**
-     * The team of an {@code Authorization} header, which may be null. All known tokens are compared, whichever fits, so
-     * that the time it takes tells nothing.
+     * The team of an {@code Authorization} header, which may be null. All known tokens are
+     * compared, whichever fits, so that the time it takes tells nothing.
      */
     public Optional<String> teamOf(String authorization) {
-        if (authorization == null || !authorization.regionMatches(true, 0, BEARER, 0, BEARER.length())) {
+        if (authorization == null
+                || !authorization.regionMatches(true, 0, BEARER, 0, BEARER.length())) {
             return Optional.empty();
         }
         byte[] hash = sha256(authorization.substring(BEARER.length()).trim());
@@ -74,7 +83,8 @@
 
     static byte[] sha256(String text) {
         try {
-            return MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
+            return MessageDigest.getInstance("SHA-256")
+                    .digest(text.getBytes(StandardCharsets.UTF_8));
         } catch (NoSuchAlgorithmException impossible) {
             throw new IllegalStateException("every Java has SHA-256", impossible);
         }
--- a/src/main/java/org/meadowhollow/protocol/users/SubmissionCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/users/SubmissionCodec.java
@@ -15,11 +15,11 @@
     private static final int MOST_TASKS = 100_000;
     private static final int LONGEST_NAME = 200;
 
-    private SubmissionCodec() {
-    }
+    private SubmissionCodec() {}
 
     /**
-     * Reads a submission. Only {@code breeds}, {@code field} and {@code dueS} may be null, and so may be left out.
+     * Reads a submission. Only {@code breeds}, {@code field} and {@code dueS} may be null, and so
+     * may be left out.
      *
      * @throws Malformed if a field is missing, of another type or out of its range
      */
@@ -32,24 +32,72 @@
         if (tasks < 1 || tasks > MOST_TASKS) {
             throw new Malformed("chores is not from 1 to " + MOST_TASKS);
         }
-        Resources perTask = Resources.of(body.amount("cores"), body.amount("gpus"), body.amount("memGb"));
+        Resources perTask =
+                Resources.of(body.amount("cores"), body.amount("gpus"), body.amount("memGb"));
         List<String> types = body.textsOrNull("breeds");
-        return new JobSpec(new JobId(ref), name(body, "herd"), name(body, "crew"), kind(body.text("shape")),
-                priority(body.text("urgency")), (int) tasks, perTask, types == null ? null : List.copyOf(types),
-                body.textOrNull("field"), body.flag("together"), body.flag("spread"), body.flag("loaners"), name(body, "bundle"), body.amount("pullGb"),
-                body.amount("expectedS"), body.amount("bookmarkS"), body.amount("stashS"),
+        return new JobSpec(
+                new JobId(ref),
+                name(body, "herd"),
+                name(body, "crew"),
+                kind(body.text("shape")),
+                priority(body.text("urgency")),
+                (int) tasks,
+                perTask,
+                types == null ? null : List.copyOf(types),
+                body.textOrNull("field"),
+                body.flag("together"),
+                body.flag("spread"),
+                body.flag("loaners"),
+                name(body, "bundle"),
+                body.amount("pullGb"),
+                body.amount("expectedS"),
+                body.amount("bookmarkS"),
+                body.amount("stashS"),
                 body.amountOr("dueS", Double.NaN));
     }
 
     public static Map<String, Object> encode(JobSpec spec) {
-        return Fields.of("ref", spec.id().value(), "herd", spec.jobClass(), "crew", spec.team(),
-                "shape", kindName(spec.kind()), "urgency", priorityName(spec.priority()),
-                "chores", (long) spec.tasks(), "cores", spec.perTask().cpu() / 1e6,
-                "gpus", spec.perTask().gpu() / 1e6, "memGb", spec.perTask().memory() / 1e6,
-                "breeds", spec.types(), "field", spec.zone(), "together", spec.oneZone(),
-                "spread", spec.spread(), "loaners", spec.spot(), "bundle", spec.image(),
-                "pullGb", spec.imageGb(), "expectedS", spec.estimateS(), "bookmarkS", spec.checkpointS(),
-                "stashS", spec.saveS(), "dueS", Double.isNaN(spec.deadlineS()) ? null : spec.deadlineS());
+        return Fields.of(
+                "ref",
+                spec.id().value(),
+                "herd",
+                spec.jobClass(),
+                "crew",
+                spec.team(),
+                "shape",
+                kindName(spec.kind()),
+                "urgency",
+                priorityName(spec.priority()),
+                "chores",
+                (long) spec.tasks(),
+                "cores",
+                spec.perTask().cpu() / 1e6,
+                "gpus",
+                spec.perTask().gpu() / 1e6,
+                "memGb",
+                spec.perTask().memory() / 1e6,
+                "breeds",
+                spec.types(),
+                "field",
+                spec.zone(),
+                "together",
+                spec.oneZone(),
+                "spread",
+                spec.spread(),
+                "loaners",
+                spec.spot(),
+                "bundle",
+                spec.image(),
+                "pullGb",
+                spec.imageGb(),
+                "expectedS",
+                spec.estimateS(),
+                "bookmarkS",
+                spec.checkpointS(),
+                "stashS",
+                spec.saveS(),
+                "dueS",
+                Double.isNaN(spec.deadlineS()) ? null : spec.deadlineS());
     }
 
     private static String name(Fields body, String key) throws Malformed {
--- a/src/main/java/org/meadowhollow/protocol/users/UserApi.java
+++ b/src/main/java/org/meadowhollow/protocol/users/UserApi.java
@@ -30,8 +30,14 @@
         } catch (Malformed broken) {
             return CompletableFuture.completedFuture(Http.Reply.error(400, broken.getMessage()));
         }
-        return answered(admission.submit(spec).thenApply(accepted ->
-                Http.Reply.of(accepted.isNew() ? 201 : 200, body(accepted.state()))));
+        return answered(
+                admission
+                        .submit(spec)
+                        .thenApply(
+                                accepted ->
+                                        Http.Reply.of(
+                                                accepted.isNew() ? 201 : 200,
+                                                body(accepted.state()))));
     }
 
     public CompletableFuture<Http.Reply> poll(String ref) {
@@ -46,32 +52,46 @@
         return CompletableFuture.completedFuture(Http.Reply.error(404, "no such job"));
     }
 
-    private static CompletableFuture<Http.Reply> found(CompletableFuture<Optional<Admission.JobState>> state) {
-        return answered(state.thenApply(job -> job.map(known -> Http.Reply.of(200, body(known)))
-                .orElseGet(() -> Http.Reply.error(404, "no such job"))));
+    private static CompletableFuture<Http.Reply> found(
+            CompletableFuture<Optional<Admission.JobState>> state) {
+        return answered(
+                state.thenApply(
+                        job ->
+                                job.map(known -> Http.Reply.of(200, body(known)))
+                                        .orElseGet(() -> Http.Reply.error(404, "no such job"))));
     }
 
     private static CompletableFuture<Http.Reply> answered(CompletableFuture<Http.Reply> reply) {
-        return reply.exceptionally(failure -> {
-            Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-            if (cause instanceof Admission.NeverRuns) {
-                return Http.Reply.error(422, cause.getMessage());
-            }
-            if (cause instanceof Admission.TryLater || cause instanceof StateException) {
-                return Http.Reply.comeBack(503, COME_BACK_S, cause.getMessage());
-            }
-            throw new CompletionException(cause);
-        });
+        return reply.exceptionally(
+                failure -> {
+                    Throwable cause =
+                            failure instanceof CompletionException ? failure.getCause() : failure;
+                    if (cause instanceof Admission.NeverRuns) {
+                        return Http.Reply.error(422, cause.getMessage());
+                    }
+                    if (cause instanceof Admission.TryLater || cause instanceof StateException) {
+                        return Http.Reply.comeBack(503, COME_BACK_S, cause.getMessage());
+                    }
+                    throw new CompletionException(cause);
+                });
     }
 
     private static Map<String, Object> body(Admission.JobState state) {
-        String phase = switch (state.phase()) {
-            case QUEUED -> "pending";
-            case RUNNING -> "running";
-            case DONE -> "done";
-            case CANCELLED -> "aborted";
-        };
-        return Fields.of("ref", state.id().value(), "phase", phase, "done", (long) state.done(),
-                "running", (long) state.running());
+        String phase =
+                switch (state.phase()) {
+                    case QUEUED -> "pending";
+                    case RUNNING -> "running";
+                    case DONE -> "done";
+                    case CANCELLED -> "aborted";
+                };
+        return Fields.of(
+                "ref",
+                state.id().value(),
+                "phase",
+                phase,
+                "done",
+                (long) state.done(),
+                "running",
+                (long) state.running());
     }
 }
--- a/src/main/java/org/meadowhollow/protocol/workers/WorkerApi.java
+++ b/src/main/java/org/meadowhollow/protocol/workers/WorkerApi.java
@@ -28,8 +28,13 @@
 
     private static Http.Reply reply(Answer answer) {
         if (answer instanceof Answer.Orders orders) {
-            return Http.Reply.of(200, Fields.of("baton", orders.token().value(),
-                    "orders", WorkerCodec.orders(orders.orders())));
+            return Http.Reply.of(
+                    200,
+                    Fields.of(
+                            "baton",
+                            orders.token().value(),
+                            "orders",
+                            WorkerCodec.orders(orders.orders())));
         }
         String member = ((Answer.Elsewhere) answer).member();
         return Http.Reply.of(421, member == null ? Fields.of() : Fields.of("herder", member));
--- a/src/main/java/org/meadowhollow/protocol/workers/WorkerClient.java
+++ b/src/main/java/org/meadowhollow/protocol/workers/WorkerClient.java
@@ -26,18 +26,29 @@
     }
 
     @Override
-    public CompletableFuture<Report> send(String address, Term token, Session session, List<Order> orders) {
-        byte[] body = Wire.encode(Fields.of("baton", token.value(), "tenure", session.value(),
-                "orders", WorkerCodec.orders(orders)));
-        return http.send(address, "POST", "/orders", body, ANSWER).thenApply(reply -> {
-            if (reply.status() != 200 && reply.status() != 409) {
-                throw new CompletionException(new Malformed("the worker answered " + reply.status()));
-            }
-            try {
-                return WorkerCodec.report(Fields.decode(reply.body()));
-            } catch (Malformed broken) {
-                throw new CompletionException(broken);
-            }
-        });
+    public CompletableFuture<Report> send(
+            String address, Term token, Session session, List<Order> orders) {
+        byte[] body =
+                Wire.encode(
+                        Fields.of(
+                                "baton",
+                                token.value(),
+                                "tenure",
+                                session.value(),
+                                "orders",
+                                WorkerCodec.orders(orders)));
+        return http.send(address, "POST", "/orders", body, ANSWER)
+                .thenApply(
+                        reply -> {
+                            if (reply.status() != 200 && reply.status() != 409) {
+                                throw new CompletionException(
+                                        new Malformed("the worker answered " + reply.status()));
+                            }
+                            try {
+                                return WorkerCodec.report(Fields.decode(reply.body()));
+                            } catch (Malformed broken) {
+                                throw new CompletionException(broken);
+                            }
+                        });
     }
 }
--- a/src/main/java/org/meadowhollow/protocol/workers/WorkerCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/workers/WorkerCodec.java
@@ -17,8 +17,7 @@
 
 /** Workers' reports and the orders to them, between their wire names and ours. */
 final class WorkerCodec {
-    private WorkerCodec() {
-    }
+    private WorkerCodec() {}
 
     static Report report(Fields body) throws Malformed {
         List<Report.Task> tasks = new ArrayList<>();
@@ -28,20 +27,37 @@
                 throw new Malformed("chore is not a task's name");
             }
             TaskState state = state(item.text("phase"));
-            tasks.add(new Report.Task(id, new Attempt((int) item.count("try")), state,
-                    state == TaskState.EXITED ? cause(item.textOrNull("cause")) : null));
+            tasks.add(
+                    new Report.Task(
+                            id,
+                            new Attempt((int) item.count("try")),
+                            state,
+                            state == TaskState.EXITED ? cause(item.textOrNull("cause")) : null));
         }
-        return new Report(new MachineId(body.text("stall")), body.text("endpoint"), body.text("breed"),
-                body.text("field"), body.flagOr("loaners", false), new Session(body.count("tenure")),
-                body.count("tally"), new Term(body.has("baton") ? body.count("baton") : 0),
-                body.amountOr("warningS", Double.NaN), tasks);
+        return new Report(
+                new MachineId(body.text("stall")),
+                body.text("endpoint"),
+                body.text("breed"),
+                body.text("field"),
+                body.flagOr("loaners", false),
+                new Session(body.count("tenure")),
+                body.count("tally"),
+                new Term(body.has("baton") ? body.count("baton") : 0),
+                body.amountOr("warningS", Double.NaN),
+                tasks);
     }
 
     static List<Map<String, Object>> orders(List<Order> orders) {
         List<Map<String, Object>> list = new ArrayList<>(orders.size());
         for (Order order : orders) {
-            Map<String, Object> map = Fields.of("verb", verb(order.op()), "chore", order.task().toString(),
-                    "try", (long) order.attempt().value());
+            Map<String, Object> map =
+                    Fields.of(
+                            "verb",
+                            verb(order.op()),
+                            "chore",
+                            order.task().toString(),
+                            "try",
+                            (long) order.attempt().value());
             if (order.op() == Order.Op.STOP) {
                 map.put("leewayS", order.graceS());
             }
--- a/src/main/java/org/meadowhollow/transport/Connections.java
+++ b/src/main/java/org/meadowhollow/transport/Connections.java
@@ -6,14 +6,19 @@
 import java.util.function.Consumer;
 
 /**
- * The connections that others have opened to a listener, at most so many. Behind a cut the far ends of hundreds are
- * gone, which nothing says here, while the same callers come again on new ones; so when there are too many, the one
- * without a request for longest goes first. All work is done on the loop's thread.
+ * The connections that others have opened to a listener, at most so many. Behind a cut the far ends
+ * of hundreds are gone, which nothing says here, while the same callers come again on new ones; so
+ * when there are too many, the one without a request for longest goes first. All work is done on
+ * the loop's thread.
  */
 final class Connections<C> {
     private final int most;
     private final Consumer<C> close;
-    /** Requests that are being answered on each connection, in the order of the last request's arrival. */
+
+    /**
+     * Requests that are being answered on each connection, in the order of the last request's
+     * arrival.
+     */
     private final Map<C, Integer> open = new LinkedHashMap<>();
 
     /**
@@ -47,7 +52,10 @@
         return open.size();
     }
 
-    /** One that still waits for its answer is spared: its caller is more likely there than that of any idle one. */
+    /**
+     * One that still waits for its answer is spared: its caller is more likely there than that of
+     * any idle one.
+     */
     private void closeIdlest() {
         Iterator<Map.Entry<C, Integer>> all = open.entrySet().iterator();
         while (all.hasNext()) {
--- a/src/main/java/org/meadowhollow/transport/Dialer.java
+++ b/src/main/java/org/meadowhollow/transport/Dialer.java
@@ -9,10 +9,11 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Stands in for the loop's thread where Undertow's client opens a connection, and keeps hold of the attempt, which that
- * client does not hand out. An attempt that is given up must be cancelled: behind a cut it keeps its socket for two
- * minutes, and a leader that asked hundreds of silent machines ran out of sockets for its users and healthy workers.
- * It is never started as a thread; everything is handed to the real one.
+ * Stands in for the loop's thread where Undertow's client opens a connection, and keeps hold of the
+ * attempt, which that client does not hand out. An attempt that is given up must be cancelled:
+ * behind a cut it keeps its socket for two minutes, and a leader that asked hundreds of silent
+ * machines ran out of sockets for its users and healthy workers. It is never started as a thread;
+ * everything is handed to the real one.
  */
 final class Dialer extends XnioIoThread {
     private final XnioIoThread thread;
@@ -23,7 +24,10 @@
         this.thread = thread;
     }
 
-    /** The attempt begun last, which this forgets; to be called right after it began, on the loop's thread. */
+    /**
+     * The attempt begun last, which this forgets; to be called right after it began, on the loop's
+     * thread.
+     */
     IoFuture<StreamConnection> takeLatest() {
         IoFuture<StreamConnection> taken = latest;
         latest = null;
@@ -31,8 +35,10 @@
     }
 
     @Override
-    public IoFuture<StreamConnection> openStreamConnection(SocketAddress destination,
-            ChannelListener<? super StreamConnection> opened, OptionMap options) {
+    public IoFuture<StreamConnection> openStreamConnection(
+            SocketAddress destination,
+            ChannelListener<? super StreamConnection> opened,
+            OptionMap options) {
         latest = thread.openStreamConnection(destination, opened, options);
         return latest;
     }
--- a/src/main/java/org/meadowhollow/transport/HttpClient.java
+++ b/src/main/java/org/meadowhollow/transport/HttpClient.java
@@ -36,8 +36,12 @@
 public final class HttpClient implements Http.Client {
     /** Idle connections kept for an address: as many as a busy caller has requests on their way. */
     private static final int MOST_IDLE = 12;
-    /** Open and opening connections for an address; a dead one must not eat the process's sockets. */
+
+    /**
+     * Open and opening connections for an address; a dead one must not eat the process's sockets.
+     */
     public static final int MOST_OPEN = 24;
+
     /** A list of the state service holds 512 KiB; a watch may answer with all that has changed. */
     private static final int MOST_BODY = 8 * 1024 * 1024;
 
@@ -58,9 +62,15 @@
     }
 
     @Override
-    public CompletableFuture<Http.Reply> send(String address, String method, String path, byte[] body,
-            Duration timeout) {
-        Call call = new Call(address, method, path, body, new Patience(System.nanoTime(), timeout.toNanos()));
+    public CompletableFuture<Http.Reply> send(
+            String address, String method, String path, byte[] body, Duration timeout) {
+        Call call =
+                new Call(
+                        address,
+                        method,
+                        path,
+                        body,
+                        new Patience(System.nanoTime(), timeout.toNanos()));
         call.await(timeout.toNanos());
         if (Thread.currentThread() == loop.thread()) {
             call.start();
@@ -80,8 +90,10 @@
         private final CompletableFuture<Http.Reply> answer = new CompletableFuture<>();
         private XnioExecutor.Key timer;
         private ClientConnection connection;
+
         /** Where this call waits for its connection, until it has it or gives it up. */
         private Target connecting;
+
         private IoFuture<StreamConnection> attempt;
         private boolean sent;
         private boolean refused;
@@ -96,14 +108,19 @@
         }
 
         private void await(long nanos) {
-            timer = loop.thread().executeAfter(() -> {
-                long more = patience.more(System.nanoTime());
-                if (more > 0) {
-                    await(more);
-                } else {
-                    fail("no answer in time");
-                }
-            }, nanos, TimeUnit.NANOSECONDS);
+            timer =
+                    loop.thread()
+                            .executeAfter(
+                                    () -> {
+                                        long more = patience.more(System.nanoTime());
+                                        if (more > 0) {
+                                            await(more);
+                                        } else {
+                                            fail("no answer in time");
+                                        }
+                                    },
+                                    nanos,
+                                    TimeUnit.NANOSECONDS);
         }
 
         void start() {
@@ -121,24 +138,30 @@
             }
             target.open++;
             connecting = target;
-            UndertowClient.getInstance().connect(new ClientCallback<>() {
-                @Override
-                public void completed(ClientConnection made) {
-                    if (connecting == null) {
-                        IoUtils.safeClose(made);
-                        return;
-                    }
-                    connecting = null;
-                    made.getCloseSetter().set(unused -> closed(target));
-                    use(made);
-                }
+            UndertowClient.getInstance()
+                    .connect(
+                            new ClientCallback<>() {
+                                @Override
+                                public void completed(ClientConnection made) {
+                                    if (connecting == null) {
+                                        IoUtils.safeClose(made);
+                                        return;
+                                    }
+                                    connecting = null;
+                                    made.getCloseSetter().set(unused -> closed(target));
+                                    use(made);
+                                }
 
-                @Override
-                public void failed(IOException failure) {
-                    refused = failure instanceof ConnectException;
-                    fail("no connection to " + address);
-                }
-            }, URI.create("http://" + address), dialer, buffers, OptionMap.EMPTY);
+                                @Override
+                                public void failed(IOException failure) {
+                                    refused = failure instanceof ConnectException;
+                                    fail("no connection to " + address);
+                                }
+                            },
+                            URI.create("http://" + address),
+                            dialer,
+                            buffers,
+                            OptionMap.EMPTY);
             attempt = dialer.takeLatest();
         }
 
@@ -152,19 +175,35 @@
         private void use(ClientConnection free) {
             connection = free;
             sent = true;
-            ClientRequest request = new ClientRequest().setMethod(new HttpString(method)).setPath(path);
+            ClientRequest request =
+                    new ClientRequest().setMethod(new HttpString(method)).setPath(path);
             request.getRequestHeaders().put(Headers.HOST, address);
             if (body != null) {
                 request.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/msgpack");
                 request.getRequestHeaders().put(Headers.CONTENT_LENGTH, body.length);
             }
-            connection.sendRequest(request, new ClientCallback<>() {
-                @Override
-                public void completed(ClientExchange exchange) {
-                    exchange.setResponseListener(new ClientCallback<>() {
+            connection.sendRequest(
+                    request,
+                    new ClientCallback<>() {
                         @Override
-                        public void completed(ClientExchange answered) {
-                            read(answered, new ByteArrayOutputStream());
+                        public void completed(ClientExchange exchange) {
+                            exchange.setResponseListener(
+                                    new ClientCallback<>() {
+                                        @Override
+                                        public void completed(ClientExchange answered) {
+                                            read(answered, new ByteArrayOutputStream());
+                                        }
+
+                                        @Override
+                                        public void failed(IOException failure) {
+                                            lost(failure);
+                                        }
+                                    });
+                            try {
+                                write(exchange.getRequestChannel());
+                            } catch (IOException failure) {
+                                lost(failure);
+                            }
                         }
 
                         @Override
@@ -172,18 +211,6 @@
                             lost(failure);
                         }
                     });
-                    try {
-                        write(exchange.getRequestChannel());
-                    } catch (IOException failure) {
-                        lost(failure);
-                    }
-                }
-
-                @Override
-                public void failed(IOException failure) {
-                    lost(failure);
-                }
-            });
         }
 
         private void write(StreamSinkChannel channel) throws IOException {
@@ -195,19 +222,21 @@
             ByteBuffer left = ByteBuffer.wrap(body);
             while (left.hasRemaining()) {
                 if (channel.write(left) == 0) {
-                    channel.getWriteSetter().set(same -> {
-                        try {
-                            while (left.hasRemaining()) {
-                                if (channel.write(left) == 0) {
-                                    return;
-                                }
-                            }
-                            channel.shutdownWrites();
-                            finish(channel);
-                        } catch (IOException failure) {
-                            lost(failure);
-                        }
-                    });
+                    channel.getWriteSetter()
+                            .set(
+                                    same -> {
+                                        try {
+                                            while (left.hasRemaining()) {
+                                                if (channel.write(left) == 0) {
+                                                    return;
+                                                }
+                                            }
+                                            channel.shutdownWrites();
+                                            finish(channel);
+                                        } catch (IOException failure) {
+                                            lost(failure);
+                                        }
+                                    });
                     channel.resumeWrites();
                     return;
                 }
@@ -218,15 +247,17 @@
 
         private void finish(StreamSinkChannel channel) throws IOException {
             if (!channel.flush()) {
-                channel.getWriteSetter().set(same -> {
-                    try {
-                        if (channel.flush()) {
-                            channel.suspendWrites();
-                        }
-                    } catch (IOException failure) {
-                        lost(failure);
-                    }
-                });
+                channel.getWriteSetter()
+                        .set(
+                                same -> {
+                                    try {
+                                        if (channel.flush()) {
+                                            channel.suspendWrites();
+                                        }
+                                    } catch (IOException failure) {
+                                        lost(failure);
+                                    }
+                                });
                 channel.resumeWrites();
             }
         }
@@ -237,7 +268,8 @@
             drain(exchange, channel, read);
         }
 
-        private void drain(ClientExchange exchange, StreamSourceChannel channel, ByteArrayOutputStream read) {
+        private void drain(
+                ClientExchange exchange, StreamSourceChannel channel, ByteArrayOutputStream read) {
             try (PooledByteBuffer pooled = buffers.allocate()) {
                 ByteBuffer buffer = pooled.getBuffer();
                 while (true) {
@@ -273,7 +305,9 @@
             timer.remove();
             Target target = targets.get(address);
             String keep = exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION);
-            if (target != null && target.idle.size() < MOST_IDLE && connection.isOpen()
+            if (target != null
+                    && target.idle.size() < MOST_IDLE
+                    && connection.isOpen()
                     && !"close".equalsIgnoreCase(keep)) {
                 target.idle.push(connection);
             } else {
@@ -282,7 +316,10 @@
             answer.complete(new Http.Reply(exchange.getResponse().getResponseCode(), bytes, 0));
         }
 
-        /** What one connection suffers its idle neighbours have suffered too; a new call needs a new one. */
+        /**
+         * What one connection suffers its idle neighbours have suffered too; a new call needs a new
+         * one.
+         */
         private void dropIdle() {
             Target target = targets.get(address);
             ClientConnection kept;
@@ -297,13 +334,15 @@
 
         private void fail(String why) {
             if (over) {
-                // Closing the connection below comes back here, with a cause that hides the first one.
+                // Closing the connection below comes back here, with a cause that hides the first
+                // one.
                 return;
             }
             over = true;
             timer.remove();
             if (connecting != null) {
-                // Given up, it counts no more: behind a cut, attempts that hang would use up all that may be open.
+                // Given up, it counts no more: behind a cut, attempts that hang would use up all
+                // that may be open.
                 closed(connecting);
                 connecting = null;
                 if (attempt != null) {
@@ -314,8 +353,10 @@
             if (sent) {
                 dropIdle();
             }
-            answer.completeExceptionally(sent ? new Http.NoAnswer(why)
-                    : refused ? new Http.Refused(why) : new Http.NotSent(why));
+            answer.completeExceptionally(
+                    sent
+                            ? new Http.NoAnswer(why)
+                            : refused ? new Http.Refused(why) : new Http.NotSent(why));
         }
     }
 }
--- a/src/main/java/org/meadowhollow/transport/HttpServer.java
+++ b/src/main/java/org/meadowhollow/transport/HttpServer.java
@@ -26,6 +26,7 @@
 /** Listens on one address and hands whole requests to a handler. */
 public final class HttpServer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
+
     /** The protocol's limit of a request's body, in bytes. */
     private static final int MOST_BODY = 64 * 1024;
 
@@ -33,10 +34,18 @@
     private final Connections<ServerConnection> connections;
 
     /**
-     * @param most connections kept open at a time, 0 for no bound; the one without a request for longest goes first
-     * @param idle longer than any caller keeps a connection without a word; then the socket is wanted elsewhere
+     * @param most connections kept open at a time, 0 for no bound; the one without a request for
+     *     longest goes first
+     * @param idle longer than any caller keeps a connection without a word; then the socket is
+     *     wanted elsewhere
      */
-    public HttpServer(XnioLoop loop, ByteBufferPool buffers, String host, int port, int most, Duration idle,
+    public HttpServer(
+            XnioLoop loop,
+            ByteBufferPool buffers,
+            String host,
+            int port,
+            int most,
+            Duration idle,
             Http.Service service) {
         this(loop, buffers, host, port, most, idle, null, service);
     }
@@ -44,20 +53,31 @@
     /**
      * @param tls what connections are secured with, or null for plain ones
      */
-    public HttpServer(XnioLoop loop, ByteBufferPool buffers, String host, int port, int most, Duration idle,
-            SSLContext tls, Http.Service service) {
+    public HttpServer(
+            XnioLoop loop,
+            ByteBufferPool buffers,
+            String host,
+            int port,
+            int most,
+            Duration idle,
+            SSLContext tls,
+            Http.Service service) {
         connections = new Connections<>(most, IoUtils::safeClose);
         int idleMs = (int) idle.toMillis();
         HttpHandler handler = exchange -> receive(exchange, service);
-        Undertow.Builder builder = Undertow.builder()
-                .setWorker(loop.worker())
-                .setByteBufferPool(buffers)
-                .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
-                .setServerOption(UndertowOptions.ENABLE_HTTP2, false)
-                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, idleMs)
-                .setServerOption(UndertowOptions.IDLE_TIMEOUT, idleMs);
-        server = (tls == null ? builder.addHttpListener(port, host, handler)
-                : builder.addHttpsListener(port, host, tls, handler)).build();
+        Undertow.Builder builder =
+                Undertow.builder()
+                        .setWorker(loop.worker())
+                        .setByteBufferPool(buffers)
+                        .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
+                        .setServerOption(UndertowOptions.ENABLE_HTTP2, false)
+                        .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, idleMs)
+                        .setServerOption(UndertowOptions.IDLE_TIMEOUT, idleMs);
+        server =
+                (tls == null
+                                ? builder.addHttpListener(port, host, handler)
+                                : builder.addHttpsListener(port, host, tls, handler))
+                        .build();
         server.start();
     }
 
@@ -71,18 +91,22 @@
         if (connections.begins(connection)) {
             connection.addCloseListener(connections::closed);
         }
-        exchange.addExchangeCompleteListener((over, next) -> {
-            connections.ends(connection);
-            next.proceed();
-        });
+        exchange.addExchangeCompleteListener(
+                (over, next) -> {
+                    connections.ends(connection);
+                    next.proceed();
+                });
         if (exchange.getRequestContentLength() > MOST_BODY) {
             refuse(exchange, service);
             return;
         }
         Receiver receiver = exchange.getRequestReceiver();
         receiver.setMaxBufferSize(MOST_BODY);
-        receiver.receiveFullBytes((same, body) -> exchange.dispatch(SameThreadExecutor.INSTANCE, () ->
-                handle(exchange, service, body)), (same, failure) -> refuse(exchange, service));
+        receiver.receiveFullBytes(
+                (same, body) ->
+                        exchange.dispatch(
+                                SameThreadExecutor.INSTANCE, () -> handle(exchange, service, body)),
+                (same, failure) -> refuse(exchange, service));
     }
 
     private static void refuse(HttpServerExchange exchange, Http.Service service) {
@@ -93,20 +117,30 @@
     private static void handle(HttpServerExchange exchange, Http.Service service, byte[] body) {
         CompletableFuture<Http.Reply> answer;
         try {
-            answer = service.answer(new Http.Request(exchange.getRequestMethod().toString(), exchange.getRequestPath(),
-                    query(exchange), name -> exchange.getRequestHeaders().getFirst(name), body));
+            answer =
+                    service.answer(
+                            new Http.Request(
+                                    exchange.getRequestMethod().toString(),
+                                    exchange.getRequestPath(),
+                                    query(exchange),
+                                    name -> exchange.getRequestHeaders().getFirst(name),
+                                    body));
         } catch (RuntimeException mistake) {
             answer = CompletableFuture.failedFuture(mistake);
         }
-        answer.whenComplete((reply, failure) -> {
-            if (failure != null) {
-                LOG.error("a request failed: {} {}", exchange.getRequestMethod(), exchange.getRequestPath(),
-                        failure);
-                send(exchange, Http.Reply.comeBack(503, 1, "internal error"));
-            } else {
-                send(exchange, reply);
-            }
-        });
+        answer.whenComplete(
+                (reply, failure) -> {
+                    if (failure != null) {
+                        LOG.error(
+                                "a request failed: {} {}",
+                                exchange.getRequestMethod(),
+                                exchange.getRequestPath(),
+                                failure);
+                        send(exchange, Http.Reply.comeBack(503, 1, "internal error"));
+                    } else {
+                        send(exchange, reply);
+                    }
+                });
     }
 
     private static Map<String, List<String>> query(HttpServerExchange exchange) {
@@ -114,7 +148,8 @@
             return Map.of();
         }
         Map<String, List<String>> query = new HashMap<>();
-        exchange.getQueryParameters().forEach((name, values) -> query.put(name, List.copyOf(values)));
+        exchange.getQueryParameters()
+                .forEach((name, values) -> query.put(name, List.copyOf(values)));
         return query;
     }
 
--- a/src/main/java/org/meadowhollow/transport/XnioLoop.java
+++ b/src/main/java/org/meadowhollow/transport/XnioLoop.java
@@ -18,8 +18,8 @@
 import org.xnio.XnioWorker;
 
 /**
- * One XNIO thread for all connections and timers. With a fraction of a core, more threads would only
- * add switches between them.
+ * One XNIO thread for all connections and timers. With a fraction of a core, more threads would
+ * only add switches between them.
  */
 public final class XnioLoop implements EventLoop, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(XnioLoop.class);
@@ -28,13 +28,16 @@
     private volatile boolean closed;
 
     public XnioLoop() throws IOException {
-        worker = Xnio.getInstance(XnioLoop.class.getClassLoader()).createWorker(OptionMap.builder()
-                .set(Options.WORKER_NAME, "meadowhollow")
-                .set(Options.WORKER_IO_THREADS, 1)
-                .set(Options.WORKER_TASK_CORE_THREADS, 1)
-                .set(Options.WORKER_TASK_MAX_THREADS, 1)
-                .set(Options.THREAD_DAEMON, false)
-                .getMap());
+        worker =
+                Xnio.getInstance(XnioLoop.class.getClassLoader())
+                        .createWorker(
+                                OptionMap.builder()
+                                        .set(Options.WORKER_NAME, "meadowhollow")
+                                        .set(Options.WORKER_IO_THREADS, 1)
+                                        .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                                        .set(Options.THREAD_DAEMON, false)
+                                        .getMap());
         thread = worker.getIoThread();
     }
 
@@ -49,13 +52,14 @@
     /** Does some work on the loop's thread and waits for its result. */
     public <T> T call(Supplier<T> work) {
         CompletableFuture<T> result = new CompletableFuture<>();
-        thread.execute(() -> {
-            try {
-                result.complete(work.get());
-            } catch (RuntimeException failure) {
-                result.completeExceptionally(failure);
-            }
-        });
+        thread.execute(
+                () -> {
+                    try {
+                        result.complete(work.get());
+                    } catch (RuntimeException failure) {
+                        result.completeExceptionally(failure);
+                    }
+                });
         try {
             return result.join();
         } catch (CompletionException failed) {
@@ -79,16 +83,20 @@
             // What runs while the loop ends may still want to go on later; there is no later.
             return;
         }
-        thread.executeAfter(() -> {
-            try {
-                work.run();
-            } catch (RejectedExecutionException atTheEnd) {
-                LOG.debug("a timer came while the loop ended", atTheEnd);
-            } catch (RuntimeException mistake) {
-                // One broken piece of work must not end the loop that everything else runs on.
-                LOG.error("a timer's work failed", mistake);
-            }
-        }, Math.max(0, pause.toNanos()), TimeUnit.NANOSECONDS);
+        thread.executeAfter(
+                () -> {
+                    try {
+                        work.run();
+                    } catch (RejectedExecutionException atTheEnd) {
+                        LOG.debug("a timer came while the loop ended", atTheEnd);
+                    } catch (RuntimeException mistake) {
+                        // One broken piece of work must not end the loop that everything else runs
+                        // on.
+                        LOG.error("a timer's work failed", mistake);
+                    }
+                },
+                Math.max(0, pause.toNanos()),
+                TimeUnit.NANOSECONDS);
     }
 
     @Override
--- a/src/main/java/org/meadowhollow/transport/tracing/OtlpTraces.java
+++ b/src/main/java/org/meadowhollow/transport/tracing/OtlpTraces.java
@@ -25,7 +25,6 @@
 import java.security.NoSuchAlgorithmException;
 import java.time.Duration;
 import java.util.HexFormat;
-import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import org.meadowhollow.bookkeeping.AttemptLog;
@@ -34,48 +33,64 @@
 import org.meadowhollow.bookkeeping.TaskTraces;
 
 /**
- * Sends spans by OTLP over HTTP with the OpenTelemetry SDK. A span's id is a hash of what it tells, so that one that is
- * told again after a takeover is the same span, and a child can name a parent that another node will tell of.
+ * Sends spans by OTLP over HTTP with the OpenTelemetry SDK. A span's id is a hash of what it tells,
+ * so that one that is told again after a takeover is the same span, and a child can name a parent
+ * that another node will tell of.
  *
- * <p>What cannot be sent in time is dropped: a collector that hangs costs a bounded queue and one thread.
+ * <p>What cannot be sent in time is dropped: a collector that hangs costs a bounded queue and one
+ * thread.
  */
 public final class OtlpTraces implements TaskTraces {
     private static final String PATH = "/v1/traces";
+
     /** The span of a task from its acceptance to its end, the parent of all others. */
     private static final String WHOLE = "task";
-    /** Spans that wait to be sent, about a kilobyte each; a small node has some megabytes to spare. */
+
+    /**
+     * Spans that wait to be sent, about a kilobyte each; a small node has some megabytes to spare.
+     */
     private static final int MOST_QUEUED = 1024;
+
     private static final int MOST_SENT = 256;
+
     /** How long spans are collected: a message every few seconds is no burden on a small node. */
     private static final Duration COLLECT = Duration.ofSeconds(5);
+
     private static final Duration ANSWER = Duration.ofSeconds(5);
+
     /** A process that ends waits no longer than this for a collector that may be gone as well. */
     private static final Duration CLOSE = Duration.ofSeconds(2);
+
     private static final int MOST_ATTRIBUTES = 16;
+
     /** What W3C's trace context names the header, and how long a value of its first version is. */
     private static final String HEADER = "traceparent";
+
     private static final int CONTEXT_LENGTH = 55;
     private static final AttributeKey<String> TASK = AttributeKey.stringKey("meadowhollow.task");
     private static final AttributeKey<String> TEAM = AttributeKey.stringKey("meadowhollow.team");
     private static final AttributeKey<String> STATE = AttributeKey.stringKey("meadowhollow.state");
-    private static final AttributeKey<String> MACHINE = AttributeKey.stringKey("meadowhollow.machine");
+    private static final AttributeKey<String> MACHINE =
+            AttributeKey.stringKey("meadowhollow.machine");
     private static final AttributeKey<String> CAUSE = AttributeKey.stringKey("meadowhollow.cause");
     private static final AttributeKey<Long> ATTEMPT = AttributeKey.longKey("meadowhollow.attempt");
-    private static final TextMapGetter<Map<String, String>> GETTER = new TextMapGetter<>() {
-        @Override
-        public Iterable<String> keys(Map<String, String> carrier) {
-            return carrier.keySet();
-        }
+    private static final TextMapGetter<Map<String, String>> GETTER =
+            new TextMapGetter<>() {
+                @Override
+                public Iterable<String> keys(Map<String, String> carrier) {
+                    return carrier.keySet();
+                }
 
-        @Override
-        public String get(Map<String, String> carrier, String key) {
-            return carrier == null ? null : carrier.get(key);
-        }
-    };
+                @Override
+                public String get(Map<String, String> carrier, String key) {
+                    return carrier == null ? null : carrier.get(key);
+                }
+            };
 
     private final String endpoint;
     private final String member;
     private final Ids ids = new Ids();
+
     /** Made for the first span: it takes longer than all the rest of a start. */
     private SdkTracerProvider provider;
 
@@ -107,26 +122,45 @@
     }
 
     private SdkTracerProvider provider() {
-        OtlpHttpSpanExporter exporter = OtlpHttpSpanExporter.builder().setEndpoint(endpoint).setTimeout(ANSWER)
-                .setConnectTimeout(ANSWER).build();
+        OtlpHttpSpanExporter exporter =
+                OtlpHttpSpanExporter.builder()
+                        .setEndpoint(endpoint)
+                        .setTimeout(ANSWER)
+                        .setConnectTimeout(ANSWER)
+                        .build();
         return SdkTracerProvider.builder()
                 .setIdGenerator(ids)
-                .setResource(Resource.create(Attributes.of(AttributeKey.stringKey("service.name"), "meadowhollow",
-                        AttributeKey.stringKey("service.instance.id"), member)))
-                .setSpanLimits(SpanLimits.builder().setMaxNumberOfAttributes(MOST_ATTRIBUTES).build())
-                .addSpanProcessor(BatchSpanProcessor.builder(exporter).setMaxQueueSize(MOST_QUEUED)
-                        .setMaxExportBatchSize(MOST_SENT).setScheduleDelay(COLLECT).setExporterTimeout(ANSWER).build())
+                .setResource(
+                        Resource.create(
+                                Attributes.of(
+                                        AttributeKey.stringKey("service.name"),
+                                        "meadowhollow",
+                                        AttributeKey.stringKey("service.instance.id"),
+                                        member)))
+                .setSpanLimits(
+                        SpanLimits.builder().setMaxNumberOfAttributes(MOST_ATTRIBUTES).build())
+                .addSpanProcessor(
+                        BatchSpanProcessor.builder(exporter)
+                                .setMaxQueueSize(MOST_QUEUED)
+                                .setMaxExportBatchSize(MOST_SENT)
+                                .setScheduleDelay(COLLECT)
+                                .setExporterTimeout(ANSWER)
+                                .build())
                 .build();
     }
 
     /**
-     * @param collector where a collector takes OTLP over HTTP; {@code /v1/traces} is added if it names no path
+     * @param collector where a collector takes OTLP over HTTP; {@code /v1/traces} is added if it
+     *     names no path
      * @param member the node's name, told with every span
      */
     public static OtlpTraces to(URI collector, String member) {
         boolean whole = collector.getPath() != null && collector.getPath().length() > 1;
         String base = collector.toString();
-        return new OtlpTraces(whole ? base : (base.endsWith("/") ? base.substring(0, base.length() - 1) : base) + PATH,
+        return new OtlpTraces(
+                whole
+                        ? base
+                        : (base.endsWith("/") ? base.substring(0, base.length() - 1) : base) + PATH,
                 member);
     }
 
@@ -135,58 +169,109 @@
         if (traceparent == null || traceparent.length() < CONTEXT_LENGTH) {
             return null;
         }
-        // A later version may add to the header, and what it has in common with the first one is kept.
+        // A later version may add to the header, and what it has in common with the first one is
+        // kept.
         String first = traceparent.substring(0, CONTEXT_LENGTH);
         SpanContext context = parse(first);
         return context.isValid() && context.isSampled() ? first : null;
     }
 
     private static SpanContext parse(String traceparent) {
-        return Span.fromContext(W3CTraceContextPropagator.getInstance().extract(Context.root(),
-                Map.of(HEADER, traceparent), GETTER)).getSpanContext();
+        return Span.fromContext(
+                        W3CTraceContextPropagator.getInstance()
+                                .extract(Context.root(), Map.of(HEADER, traceparent), GETTER))
+                .getSpanContext();
     }
 
     @Override
     public void accepted(Traced task, long fromMillis, long untilMillis) {
-        tell(task, whole(task), "create task", SpanKind.SERVER, fromMillis, untilMillis, Attributes.empty(), null);
+        tell(
+                task,
+                whole(task),
+                "create task",
+                SpanKind.SERVER,
+                fromMillis,
+                untilMillis,
+                Attributes.empty(),
+                null);
     }
 
     @Override
     public void attempt(Traced task, long waitedFromMillis, AttemptLog attempt) {
         SpanContext parent = whole(task);
         String suffix = " " + attempt.attempt();
-        Attributes attributes = Attributes.of(ATTEMPT, (long) attempt.attempt(), MACHINE, attempt.machine(), CAUSE,
-                attempt.cause());
+        Attributes attributes =
+                Attributes.of(
+                        ATTEMPT,
+                        (long) attempt.attempt(),
+                        MACHINE,
+                        attempt.machine(),
+                        CAUSE,
+                        attempt.cause());
         String failure = Cause.DONE.name().equals(attempt.cause()) ? null : attempt.cause();
         boolean ran = attempt.startedMillis() > 0;
-        tell(task, parent, "wait" + suffix, SpanKind.INTERNAL, waitedFromMillis, attempt.placedMillis(),
-                Attributes.of(ATTEMPT, (long) attempt.attempt()), null);
-        tell(task, parent, "prepare" + suffix, SpanKind.INTERNAL, attempt.placedMillis(),
-                ran ? attempt.startedMillis() : attempt.endedMillis(), attributes, ran ? null : failure);
+        tell(
+                task,
+                parent,
+                "wait" + suffix,
+                SpanKind.INTERNAL,
+                waitedFromMillis,
+                attempt.placedMillis(),
+                Attributes.of(ATTEMPT, (long) attempt.attempt()),
+                null);
+        tell(
+                task,
+                parent,
+                "prepare" + suffix,
+                SpanKind.INTERNAL,
+                attempt.placedMillis(),
+                ran ? attempt.startedMillis() : attempt.endedMillis(),
+                attributes,
+                ran ? null : failure);
         if (ran) {
-            tell(task, parent, "run" + suffix, SpanKind.INTERNAL, attempt.startedMillis(), attempt.endedMillis(),
-                    attributes, failure);
+            tell(
+                    task,
+                    parent,
+                    "run" + suffix,
+                    SpanKind.INTERNAL,
+                    attempt.startedMillis(),
+                    attempt.endedMillis(),
+                    attributes,
+                    failure);
         }
     }
 
     @Override
     public void ended(Traced task, Progress how, long fromMillis, long untilMillis) {
         boolean asWished = how == Progress.DONE || how == Progress.CANCELLED;
-        tell(task, parse(task.context()), WHOLE, SpanKind.INTERNAL, fromMillis, untilMillis,
-                Attributes.of(STATE, how.name()), asWished ? null : how.name());
+        tell(
+                task,
+                parse(task.context()),
+                WHOLE,
+                SpanKind.INTERNAL,
+                fromMillis,
+                untilMillis,
+                Attributes.of(STATE, how.name()),
+                asWished ? null : how.name());
     }
 
     /** The context of the span of the whole task, whichever node tells of it. */
     private static SpanContext whole(Traced task) {
         SpanContext client = parse(task.context());
-        return SpanContext.createFromRemoteParent(client.getTraceId(), id(task, WHOLE), TraceFlags.getSampled(),
+        return SpanContext.createFromRemoteParent(
+                client.getTraceId(),
+                id(task, WHOLE),
+                TraceFlags.getSampled(),
                 TraceState.getDefault());
     }
 
     private static String id(Traced task, String name) {
         try {
-            byte[] hash = MessageDigest.getInstance("SHA-256").digest((task.context() + '/' + task.id() + '/' + name)
-                    .getBytes(StandardCharsets.UTF_8));
+            byte[] hash =
+                    MessageDigest.getInstance("SHA-256")
+                            .digest(
+                                    (task.context() + '/' + task.id() + '/' + name)
+                                            .getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(hash, 0, Long.BYTES);
         } catch (NoSuchAlgorithmException impossible) {
             throw new IllegalStateException("every Java has SHA-256", impossible);
@@ -196,13 +281,23 @@
     /**
      * @param failure why what the span tells of failed, or null
      */
-    private synchronized void tell(Traced task, SpanContext parent, String name, SpanKind kind, long fromMillis,
-            long untilMillis, Attributes attributes, String failure) {
+    private synchronized void tell(
+            Traced task,
+            SpanContext parent,
+            String name,
+            SpanKind kind,
+            long fromMillis,
+            long untilMillis,
+            Attributes attributes,
+            String failure) {
         ids.next = id(task, name);
-        SpanBuilder builder = tracer().spanBuilder(name.split(" \\d")[0]).setSpanKind(kind)
-                .setParent(Context.root().with(Span.wrap(parent)))
-                .setStartTimestamp(fromMillis, TimeUnit.MILLISECONDS)
-                .setAttribute(TASK, task.id().value()).setAttribute(TEAM, task.team());
+        SpanBuilder builder =
+                tracer().spanBuilder(name.split(" \\d")[0])
+                        .setSpanKind(kind)
+                        .setParent(Context.root().with(Span.wrap(parent)))
+                        .setStartTimestamp(fromMillis, TimeUnit.MILLISECONDS)
+                        .setAttribute(TASK, task.id().value())
+                        .setAttribute(TEAM, task.team());
         builder.setAllAttributes(attributes);
         Span span = builder.startSpan();
         if (failure != null) {
--- a/src/test/java/org/meadowhollow/LayersTest.java
+++ b/src/test/java/org/meadowhollow/LayersTest.java
@@ -14,10 +14,22 @@
 class LayersTest {
     private static final List<String> DOWNWARDS =
             List.of("cli", "transport", "protocol", "coordination", "bookkeeping");
-    /** The rooms of coordination; each may know those before it, and the package itself knows all. */
+
+    /**
+     * The rooms of coordination; each may know those before it, and the package itself knows all.
+     */
     private static final List<String> ROOMS =
-            List.of("platform", "admission", "calendar", "placement", "hearing", "serving", "leadership", "succession",
+            List.of(
+                    "platform",
+                    "admission",
+                    "calendar",
+                    "placement",
+                    "hearing",
+                    "serving",
+                    "leadership",
+                    "succession",
                     "fleet");
+
     private static final Path ROOT = Path.of("src/main/java/org/meadowhollow");
     private static final String IMPORT = "import org.meadowhollow.";
 
@@ -27,7 +39,9 @@
 
     private static void imports(Path from, Check check) throws IOException {
         try (Stream<Path> files = Files.walk(from)) {
-            for (Path file : (Iterable<Path>) files.filter(one -> one.toString().endsWith(".java"))::iterator) {
+            for (Path file :
+                    (Iterable<Path>)
+                            files.filter(one -> one.toString().endsWith(".java"))::iterator) {
                 for (String line : Files.readAllLines(file)) {
                     if (line.startsWith(IMPORT)) {
                         check.line(file, line.substring(IMPORT.length()));
@@ -42,12 +56,14 @@
         List<String> wrong = new ArrayList<>();
         int[] seen = {0};
         for (String layer : DOWNWARDS) {
-            imports(ROOT.resolve(layer), (file, other) -> {
-                seen[0]++;
-                if (DOWNWARDS.indexOf(other.split("\\.")[0]) < DOWNWARDS.indexOf(layer)) {
-                    wrong.add(file + ": " + other);
-                }
-            });
+            imports(
+                    ROOT.resolve(layer),
+                    (file, other) -> {
+                        seen[0]++;
+                        if (DOWNWARDS.indexOf(other.split("\\.")[0]) < DOWNWARDS.indexOf(layer)) {
+                            wrong.add(file + ": " + other);
+                        }
+                    });
         }
         assertEquals(List.of(), wrong);
         assertTrue(seen[0] > 100);
@@ -58,16 +74,18 @@
         List<String> wrong = new ArrayList<>();
         int[] seen = {0};
         for (String room : ROOMS) {
-            imports(ROOT.resolve("coordination").resolve(room), (file, other) -> {
-                String[] path = other.split("\\.");
-                if (path[0].equals("coordination")) {
-                    seen[0]++;
-                    int at = ROOMS.indexOf(path[1]);
-                    if (at < 0 || at > ROOMS.indexOf(room)) {
-                        wrong.add(file + ": " + other);
-                    }
-                }
-            });
+            imports(
+                    ROOT.resolve("coordination").resolve(room),
+                    (file, other) -> {
+                        String[] path = other.split("\\.");
+                        if (path[0].equals("coordination")) {
+                            seen[0]++;
+                            int at = ROOMS.indexOf(path[1]);
+                            if (at < 0 || at > ROOMS.indexOf(room)) {
+                                wrong.add(file + ": " + other);
+                            }
+                        }
+                    });
         }
         assertEquals(List.of(), wrong);
         assertTrue(seen[0] > 20);
--- a/src/test/java/org/meadowhollow/bookkeeping/GoldenFilesMain.java
+++ b/src/test/java/org/meadowhollow/bookkeeping/GoldenFilesMain.java
@@ -14,19 +14,18 @@
 import org.meadowhollow.bookkeeping.calendar.Window;
 import org.meadowhollow.coordination.leadership.Standing;
 import org.meadowhollow.coordination.platform.TableDelta;
-import org.meadowhollow.coordination.succession.TableSnapshots;
 import org.meadowhollow.golden.GoldenFile;
 
 /**
- * Writes the golden files of the stored records. To be run again only for a kind of record that is new: a file that
- * exists says what versions in use have written, and a change of it is a change of the stored data.
+ * Writes the golden files of the stored records. To be run again only for a kind of record that is
+ * new: a file that exists says what versions in use have written, and a change of it is a change of
+ * the stored data.
  */
 final class GoldenFilesMain {
     private static final Moment NOW = new Moment(0);
     private static final Version VERSION = new Version(1);
 
-    private GoldenFilesMain() {
-    }
+    private GoldenFilesMain() {}
 
     public static void main(String[] unused) throws IOException {
         jobs();
@@ -38,45 +37,149 @@
     }
 
     private static JobSpec fullArray() {
-        return new JobSpec(new JobId("req-000101"), "batch", "team", Kind.ARRAY, Priority.PRODUCTION, 250,
-                new Resources(1_500_000, 1_000_000, 4_250_000), List.of("large", "huge"), "a", true, true, true,
-                "registry/image:1", 2.5, 30.25, 600, 15, 86_400.5);
+        return new JobSpec(
+                new JobId("req-000101"),
+                "batch",
+                "team",
+                Kind.ARRAY,
+                Priority.PRODUCTION,
+                250,
+                new Resources(1_500_000, 1_000_000, 4_250_000),
+                List.of("large", "huge"),
+                "a",
+                true,
+                true,
+                true,
+                "registry/image:1",
+                2.5,
+                30.25,
+                600,
+                15,
+                86_400.5);
     }
 
     private static JobSpec gang() {
-        return new JobSpec(new JobId("req-000102"), "train", "other", Kind.GANG, Priority.HIGH, 4,
-                new Resources(2_000_000, 2_000_000, 8_000_000), null, null, true, false, false, "gang-image", 1, 20, 0, 0,
+        return new JobSpec(
+                new JobId("req-000102"),
+                "train",
+                "other",
+                Kind.GANG,
+                Priority.HIGH,
+                4,
+                new Resources(2_000_000, 2_000_000, 8_000_000),
+                null,
+                null,
+                true,
+                false,
+                false,
+                "gang-image",
+                1,
+                20,
+                0,
+                0,
                 Double.NaN);
     }
 
     private static JobSpec service() {
-        return new JobSpec(new JobId("req-000103"), "web", "team", Kind.SERVICE, Priority.NORMAL, 3,
-                new Resources(500_000, 0, 1_000_000), null, null, false, true, false, "web-image", 0.5, 0, 0, 0, Double.NaN);
+        return new JobSpec(
+                new JobId("req-000103"),
+                "web",
+                "team",
+                Kind.SERVICE,
+                Priority.NORMAL,
+                3,
+                new Resources(500_000, 0, 1_000_000),
+                null,
+                null,
+                false,
+                true,
+                false,
+                "web-image",
+                0.5,
+                0,
+                0,
+                0,
+                Double.NaN);
     }
 
     private static JobSpec cancelled() {
-        return new JobSpec(new JobId("req-000104"), "batch", "team", Kind.ARRAY, Priority.LOW, 2,
-                new Resources(1_000_000, 0, 1_000_000), null, null, false, false, true, "image", 1, 10, 0, 0, Double.NaN);
+        return new JobSpec(
+                new JobId("req-000104"),
+                "batch",
+                "team",
+                Kind.ARRAY,
+                Priority.LOW,
+                2,
+                new Resources(1_000_000, 0, 1_000_000),
+                null,
+                null,
+                false,
+                false,
+                true,
+                "image",
+                1,
+                10,
+                0,
+                0,
+                Double.NaN);
     }
 
     private static JobSpec accompanied() {
-        return new JobSpec(new JobId("tes-00112233445566778899aabbcc"), "tes", "team", Kind.ARRAY, Priority.NORMAL, 1,
-                Resources.of(1, 1, 4), null, null, false, false, false, "image", 2, 0, 0, 0, Double.NaN);
+        return new JobSpec(
+                new JobId("tes-00112233445566778899aabbcc"),
+                "tes",
+                "team",
+                Kind.ARRAY,
+                Priority.NORMAL,
+                1,
+                Resources.of(1, 1, 4),
+                null,
+                null,
+                false,
+                false,
+                false,
+                "image",
+                2,
+                0,
+                0,
+                0,
+                Double.NaN);
     }
 
     private static Companion companion(String trace) {
-        return new Companion("tesx/0123456789abcdef/9998299999998-tes-00112233445566778899aabbcc",
-                Map.of("id", "tes-00112233445566778899aabbcc", "name", "align", "tags", Map.of("night", "1", "run", "x"),
-                        "created", 1_700_000_000_001L), 12, trace);
+        return new Companion(
+                "tesx/0123456789abcdef/9998299999998-tes-00112233445566778899aabbcc",
+                Map.of(
+                        "id",
+                        "tes-00112233445566778899aabbcc",
+                        "name",
+                        "align",
+                        "tags",
+                        Map.of("night", "1", "run", "x"),
+                        "created",
+                        1_700_000_000_001L),
+                12,
+                trace);
     }
 
     private static void jobs() throws IOException {
         job("job-array", Records.job(fullArray(), 1_700_000_000_000L, 100, false), "req-000101");
         job("job-gang", Records.job(gang(), 1_700_000_000_100L, 100, false), "req-000102");
         job("job-service", Records.job(service(), 1_700_000_000_200L, 100, false), "req-000103");
-        job("job-cancelled", Records.cancelled(Records.job(cancelled(), 1_700_000_000_300L, 100, false)), "req-000104");
-        job("job-accompanied", GoldenFile.sorted(Records.job(accompanied(), 1_700_000_000_400L, 100, false,
-                companion("00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"))),
+        job(
+                "job-cancelled",
+                Records.cancelled(Records.job(cancelled(), 1_700_000_000_300L, 100, false)),
+                "req-000104");
+        job(
+                "job-accompanied",
+                GoldenFile.sorted(
+                        Records.job(
+                                accompanied(),
+                                1_700_000_000_400L,
+                                100,
+                                false,
+                                companion(
+                                        "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"))),
                 "tes-00112233445566778899aabbcc");
     }
 
@@ -94,21 +197,34 @@
         array.complete(152);
         array.complete(199);
         array.place(160, new Attempt(2), new MachineId("vm-000001"), new Session(1), NOW);
-        array.place(161, new Attempt(7), new MachineId("vm-000003"), new Session(4_294_967_297L), NOW);
+        array.place(
+                161, new Attempt(7), new MachineId("vm-000003"), new Session(4_294_967_297L), NOW);
         array.chunk(0).attempted(300);
         chunk("chunk-done", array.chunk(0));
         chunk("chunk-mixed", array.chunk(1));
         Job gang = new Job(gang(), 0, 100, VERSION);
         for (int task = 0; task < 4; task++) {
-            gang.place(task, new Attempt(3), new MachineId("vm-%06d".formatted(1 + task % 2)), new Session(1), NOW);
+            gang.place(
+                    task,
+                    new Attempt(3),
+                    new MachineId("vm-%06d".formatted(1 + task % 2)),
+                    new Session(1),
+                    NOW);
         }
         chunk("chunk-gang", gang.chunk(0));
         Job task = new Job(accompanied(), 0, 100, VERSION, companion(null));
         long millis = 1_700_000_001_000L;
         int number = 0;
         List<String> words = new ArrayList<>(List.of(Companion.PREEMPTED, Companion.LOST));
-        for (Cause cause : List.of(Cause.PEERS, Cause.ALONE, Cause.ERROR, Cause.NO_ROOM, Cause.BUSY, Cause.UNKNOWN,
-                Cause.DONE)) {
+        for (Cause cause :
+                List.of(
+                        Cause.PEERS,
+                        Cause.ALONE,
+                        Cause.ERROR,
+                        Cause.NO_ROOM,
+                        Cause.BUSY,
+                        Cause.UNKNOWN,
+                        Cause.DONE)) {
             words.add(cause.name());
         }
         for (String word : words) {
@@ -121,7 +237,10 @@
         task.place(0, new Attempt(10), new MachineId("vm-000010"), new Session(1), NOW);
         task.companion().placed(new Attempt(10), new MachineId("vm-000010"), millis);
         chunk("chunk-accompanied", task.chunk(0));
-        GoldenFile.write("entry", task.companion().key(), GoldenFile.sorted(task.companion().encode(task.progress())));
+        GoldenFile.write(
+                "entry",
+                task.companion().key(),
+                GoldenFile.sorted(task.companion().encode(task.progress())));
     }
 
     private static void others() throws IOException {
@@ -131,12 +250,39 @@
         Job stopped = new Job(service(), 0, 100, VERSION);
         stopped.complete(1);
         stopped.cancel(NOW);
-        GoldenFile.write("ended-cancelled", Records.ended(new JobId("req-000106")), Records.ended(stopped));
-        GoldenFile.write("image", Records.imageKey("registry/image:1"), Records.image(2.5,
-                List.of(new MachineId("vm-000001"), new MachineId("vm-000002")), 16 * 1024).map());
-        GoldenFile.write("types", Records.TYPES, Records.types(List.of(
-                new MachineType("small", Resources.of(8, 2, 32), 50, 1, 2, 1, 10, List.of("a", "b")),
-                new MachineType("large", Resources.of(32, 8, 128), 50.5, 1.25, 8, 4, 10.75, List.of("a")))));
+        GoldenFile.write(
+                "ended-cancelled", Records.ended(new JobId("req-000106")), Records.ended(stopped));
+        GoldenFile.write(
+                "image",
+                Records.imageKey("registry/image:1"),
+                Records.image(
+                                2.5,
+                                List.of(new MachineId("vm-000001"), new MachineId("vm-000002")),
+                                16 * 1024)
+                        .map());
+        GoldenFile.write(
+                "types",
+                Records.TYPES,
+                Records.types(
+                        List.of(
+                                new MachineType(
+                                        "small",
+                                        Resources.of(8, 2, 32),
+                                        50,
+                                        1,
+                                        2,
+                                        1,
+                                        10,
+                                        List.of("a", "b")),
+                                new MachineType(
+                                        "large",
+                                        Resources.of(32, 8, 128),
+                                        50.5,
+                                        1.25,
+                                        8,
+                                        4,
+                                        10.75,
+                                        List.of("a")))));
     }
 
     private static void leadership() throws IOException {
@@ -151,40 +297,121 @@
         var leaving = GoldenStore.candidate("n1", store, new GoldenStore.Noted());
         leaving.start();
         GoldenStore.handOver(leaving, "n2");
-        GoldenFile.write("term-handed-over", Records.TERM, GoldenFile.sorted(store.get(Records.TERM)));
+        GoldenFile.write(
+                "term-handed-over", Records.TERM, GoldenFile.sorted(store.get(Records.TERM)));
     }
 
     private static void tables() throws IOException {
-        List<TableDelta.Part> parts = List.of(
-                new TableDelta.Part(new MachineId("vm-000001"), -77, new Session(1), 12, new int[] {1, 2, -3}, new long[0]),
-                new TableDelta.Part(new MachineId("vm-000002"), 78, new Session(4_294_967_297L), 13,
-                        new int[] {1_928_374_655, -1_020_304_050, 77, 0, 1_357_924_680, -2_147_483_648,
-                                2_147_483_647, 900, -8, 314_159_265, 271_828_182, -141_421_356, 173_205_080, 1, 65_536,
-                                -1_618_033_988}, new long[0]));
-        GoldenStore store = GoldenStore.withSnapshot(parts, Optional.empty(), 1_700_000_000_000L, 160);
-        GoldenFile.write("table-head", Records.TABLES_HEAD, GoldenFile.sorted(store.get(Records.TABLES_HEAD)));
-        for (int at = 0; at < ((Number) store.get(Records.TABLES_HEAD).get("chunks")).intValue(); at++) {
+        List<TableDelta.Part> parts =
+                List.of(
+                        new TableDelta.Part(
+                                new MachineId("vm-000001"),
+                                -77,
+                                new Session(1),
+                                12,
+                                new int[] {1, 2, -3},
+                                new long[0]),
+                        new TableDelta.Part(
+                                new MachineId("vm-000002"),
+                                78,
+                                new Session(4_294_967_297L),
+                                13,
+                                new int[] {
+                                    1_928_374_655,
+                                    -1_020_304_050,
+                                    77,
+                                    0,
+                                    1_357_924_680,
+                                    -2_147_483_648,
+                                    2_147_483_647,
+                                    900,
+                                    -8,
+                                    314_159_265,
+                                    271_828_182,
+                                    -141_421_356,
+                                    173_205_080,
+                                    1,
+                                    65_536,
+                                    -1_618_033_988
+                                },
+                                new long[0]));
+        GoldenStore store =
+                GoldenStore.withSnapshot(parts, Optional.empty(), 1_700_000_000_000L, 160);
+        GoldenFile.write(
+                "table-head",
+                Records.TABLES_HEAD,
+                GoldenFile.sorted(store.get(Records.TABLES_HEAD)));
+        for (int at = 0;
+                at < ((Number) store.get(Records.TABLES_HEAD).get("chunks")).intValue();
+                at++) {
             String key = Records.tableChunk(1, at);
             GoldenFile.write("table-chunk-" + at, key, store.get(key));
         }
     }
 
     private static void calendar() throws IOException {
-        Reservation full = new Reservation("nightly", "team", Priority.HIGH, 6, new Resources(1_000_000, 2_000_000, 3_000_000),
-                List.of("large"), "b", true, "registry/image:1", 2.5, "batch", List.of("req-000101", "req-000999"),
-                new Schedule(LocalDateTime.of(2030, 3, 31, 1, 30), ZoneId.of("Europe/Berlin"), Duration.ofMinutes(90),
-                        "FREQ=DAILY;COUNT=10"));
-        GoldenFile.write("reservation", CalendarRecords.reservation(full.name()), CalendarRecords.encode(full, 3));
-        Reservation plain = new Reservation("once", "other", Priority.PRODUCTION, 1, new Resources(1, 0, 0), null, null,
-                false, "", 0, null, null, new Schedule(LocalDateTime.of(2030, 1, 1, 0, 0, 1), ZoneId.of("UTC"),
-                        Duration.ofMillis(1500), null));
-        GoldenFile.write("reservation-plain", CalendarRecords.reservation(plain.name()), CalendarRecords.encode(plain, 4));
+        Reservation full =
+                new Reservation(
+                        "nightly",
+                        "team",
+                        Priority.HIGH,
+                        6,
+                        new Resources(1_000_000, 2_000_000, 3_000_000),
+                        List.of("large"),
+                        "b",
+                        true,
+                        "registry/image:1",
+                        2.5,
+                        "batch",
+                        List.of("req-000101", "req-000999"),
+                        new Schedule(
+                                LocalDateTime.of(2030, 3, 31, 1, 30),
+                                ZoneId.of("Europe/Berlin"),
+                                Duration.ofMinutes(90),
+                                "FREQ=DAILY;COUNT=10"));
+        GoldenFile.write(
+                "reservation",
+                CalendarRecords.reservation(full.name()),
+                CalendarRecords.encode(full, 3));
+        Reservation plain =
+                new Reservation(
+                        "once",
+                        "other",
+                        Priority.PRODUCTION,
+                        1,
+                        new Resources(1, 0, 0),
+                        null,
+                        null,
+                        false,
+                        "",
+                        0,
+                        null,
+                        null,
+                        new Schedule(
+                                LocalDateTime.of(2030, 1, 1, 0, 0, 1),
+                                ZoneId.of("UTC"),
+                                Duration.ofMillis(1500),
+                                null));
+        GoldenFile.write(
+                "reservation-plain",
+                CalendarRecords.reservation(plain.name()),
+                CalendarRecords.encode(plain, 4));
         for (Window.Scope scope : Window.Scope.values()) {
-            Window window = new Window("window-" + scope.ordinal(), scope, List.of("x", "y"),
-                    new Schedule(LocalDateTime.of(2031, 2, 3, 4, 5), ZoneId.of("America/New_York"), Duration.ofHours(2),
-                            scope == Window.Scope.TYPE ? null : "FREQ=WEEKLY"), Duration.ofSeconds(90));
-            GoldenFile.write("window-" + List.of("machine", "type", "zone").get(scope.ordinal()),
-                    CalendarRecords.window(window.name()), CalendarRecords.encode(window, 5 + scope.ordinal()));
+            Window window =
+                    new Window(
+                            "window-" + scope.ordinal(),
+                            scope,
+                            List.of("x", "y"),
+                            new Schedule(
+                                    LocalDateTime.of(2031, 2, 3, 4, 5),
+                                    ZoneId.of("America/New_York"),
+                                    Duration.ofHours(2),
+                                    scope == Window.Scope.TYPE ? null : "FREQ=WEEKLY"),
+                            Duration.ofSeconds(90));
+            GoldenFile.write(
+                    "window-" + List.of("machine", "type", "zone").get(scope.ordinal()),
+                    CalendarRecords.window(window.name()),
+                    CalendarRecords.encode(window, 5 + scope.ordinal()));
         }
         GoldenFile.write("calendar-stamp", CalendarRecords.STAMP, Map.of());
     }
--- a/src/test/java/org/meadowhollow/bookkeeping/GoldenRecordsTest.java
+++ b/src/test/java/org/meadowhollow/bookkeeping/GoldenRecordsTest.java
@@ -38,9 +38,10 @@
 import org.meadowhollow.golden.GoldenFile;
 
 /**
- * Stored records as an earlier version wrote them: each is read, every field is what it was, and what is written for it
- * now is the same to the byte, so that the earlier version can read it in turn. Keys, field names and the words of enums
- * that are stored are thereby pinned. Nothing here writes a file.
+ * Stored records as an earlier version wrote them: each is read, every field is what it was, and
+ * what is written for it now is the same to the byte, so that the earlier version can read it in
+ * turn. Keys, field names and the words of enums that are stored are thereby pinned. Nothing here
+ * writes a file.
  */
 class GoldenRecordsTest {
     private static final Moment NOW = new Moment(0);
@@ -57,12 +58,18 @@
     }
 
     private static Map<String, Object> encoded(Job job) {
-        Map<String, Object> record = Records.job(job.spec(), job.acceptedAtMillis(), job.chunkSize(), false,
-                job.companion());
+        Map<String, Object> record =
+                Records.job(
+                        job.spec(),
+                        job.acceptedAtMillis(),
+                        job.chunkSize(),
+                        false,
+                        job.companion());
         return job.cancelled() ? Records.cancelled(record) : record;
     }
 
-    private static void assertJob(JobSpec expected, long acceptedAtMillis, boolean cancelled, Job job) {
+    private static void assertJob(
+            JobSpec expected, long acceptedAtMillis, boolean cancelled, Job job) {
         assertEquals(expected, job.spec());
         assertEquals(acceptedAtMillis, job.acceptedAtMillis());
         assertEquals(100, job.chunkSize());
@@ -76,9 +83,29 @@
         GoldenFile file = GoldenFile.read("job-array");
         assertEquals("job/req-000101", file.key());
         Job job = job(file);
-        assertJob(new JobSpec(new JobId("req-000101"), "batch", "team", Kind.ARRAY, Priority.PRODUCTION, 250,
-                new Resources(1_500_000, 1_000_000, 4_250_000), List.of("large", "huge"), "a", true, true, true,
-                "registry/image:1", 2.5, 30.25, 600, 15, 86_400.5), 1_700_000_000_000L, false, job);
+        assertJob(
+                new JobSpec(
+                        new JobId("req-000101"),
+                        "batch",
+                        "team",
+                        Kind.ARRAY,
+                        Priority.PRODUCTION,
+                        250,
+                        new Resources(1_500_000, 1_000_000, 4_250_000),
+                        List.of("large", "huge"),
+                        "a",
+                        true,
+                        true,
+                        true,
+                        "registry/image:1",
+                        2.5,
+                        30.25,
+                        600,
+                        15,
+                        86_400.5),
+                1_700_000_000_000L,
+                false,
+                job);
         assertNull(job.companion());
         assertNull(Records.companionKey(file.value()));
         assertEquals("team", Records.teamOf(file.value()));
@@ -91,9 +118,29 @@
     void aGang() {
         GoldenFile file = GoldenFile.read("job-gang");
         Job job = job(file);
-        assertJob(new JobSpec(new JobId("req-000102"), "train", "other", Kind.GANG, Priority.HIGH, 4,
-                new Resources(2_000_000, 2_000_000, 8_000_000), null, null, true, false, false, "gang-image", 1, 20, 0, 0,
-                Double.NaN), 1_700_000_000_100L, false, job);
+        assertJob(
+                new JobSpec(
+                        new JobId("req-000102"),
+                        "train",
+                        "other",
+                        Kind.GANG,
+                        Priority.HIGH,
+                        4,
+                        new Resources(2_000_000, 2_000_000, 8_000_000),
+                        null,
+                        null,
+                        true,
+                        false,
+                        false,
+                        "gang-image",
+                        1,
+                        20,
+                        0,
+                        0,
+                        Double.NaN),
+                1_700_000_000_100L,
+                false,
+                job);
         file.assertSameBytes(encoded(job));
     }
 
@@ -101,9 +148,29 @@
     void aService() {
         GoldenFile file = GoldenFile.read("job-service");
         Job job = job(file);
-        assertJob(new JobSpec(new JobId("req-000103"), "web", "team", Kind.SERVICE, Priority.NORMAL, 3,
-                new Resources(500_000, 0, 1_000_000), null, null, false, true, false, "web-image", 0.5, 0, 0, 0, Double.NaN),
-                1_700_000_000_200L, false, job);
+        assertJob(
+                new JobSpec(
+                        new JobId("req-000103"),
+                        "web",
+                        "team",
+                        Kind.SERVICE,
+                        Priority.NORMAL,
+                        3,
+                        new Resources(500_000, 0, 1_000_000),
+                        null,
+                        null,
+                        false,
+                        true,
+                        false,
+                        "web-image",
+                        0.5,
+                        0,
+                        0,
+                        0,
+                        Double.NaN),
+                1_700_000_000_200L,
+                false,
+                job);
         file.assertSameBytes(encoded(job));
     }
 
@@ -111,9 +178,29 @@
     void aCancelledJob() {
         GoldenFile file = GoldenFile.read("job-cancelled");
         Job job = job(file);
-        assertJob(new JobSpec(new JobId("req-000104"), "batch", "team", Kind.ARRAY, Priority.LOW, 2,
-                new Resources(1_000_000, 0, 1_000_000), null, null, false, false, true, "image", 1, 10, 0, 0, Double.NaN),
-                1_700_000_000_300L, true, job);
+        assertJob(
+                new JobSpec(
+                        new JobId("req-000104"),
+                        "batch",
+                        "team",
+                        Kind.ARRAY,
+                        Priority.LOW,
+                        2,
+                        new Resources(1_000_000, 0, 1_000_000),
+                        null,
+                        null,
+                        false,
+                        false,
+                        true,
+                        "image",
+                        1,
+                        10,
+                        0,
+                        0,
+                        Double.NaN),
+                1_700_000_000_300L,
+                true,
+                job);
         assertTrue(Records.isCancelled(file.value()));
         file.assertSameBytes(encoded(job));
     }
@@ -127,16 +214,53 @@
         GoldenFile file = GoldenFile.read("job-accompanied");
         assertEquals("job/tes-00112233445566778899aabbcc", file.key());
         Job job = accompanied();
-        assertJob(new JobSpec(new JobId("tes-00112233445566778899aabbcc"), "tes", "team", Kind.ARRAY, Priority.NORMAL, 1,
-                new Resources(1_000_000, 1_000_000, 4_000_000), null, null, false, false, false, "image", 2, 0, 0, 0,
-                Double.NaN), 1_700_000_000_400L, false, job);
+        assertJob(
+                new JobSpec(
+                        new JobId("tes-00112233445566778899aabbcc"),
+                        "tes",
+                        "team",
+                        Kind.ARRAY,
+                        Priority.NORMAL,
+                        1,
+                        new Resources(1_000_000, 1_000_000, 4_000_000),
+                        null,
+                        null,
+                        false,
+                        false,
+                        false,
+                        "image",
+                        2,
+                        0,
+                        0,
+                        0,
+                        Double.NaN),
+                1_700_000_000_400L,
+                false,
+                job);
         String key = "tesx/0123456789abcdef/9998299999998-tes-00112233445566778899aabbcc";
         assertEquals(key, job.companion().key());
         assertEquals(key, Records.companionKey(file.value()));
-        assertEquals(Map.of("key", key, "entry", Map.of("id", "tes-00112233445566778899aabbcc", "name", "align", "tags",
-                Map.of("night", "1", "run", "x"), "created", 1_700_000_000_001L), "most", 12L, "trace",
-                "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"), job.companion().record());
-        assertEquals("00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01",
+        assertEquals(
+                Map.of(
+                        "key",
+                        key,
+                        "entry",
+                        Map.of(
+                                "id",
+                                "tes-00112233445566778899aabbcc",
+                                "name",
+                                "align",
+                                "tags",
+                                Map.of("night", "1", "run", "x"),
+                                "created",
+                                1_700_000_000_001L),
+                        "most",
+                        12L,
+                        "trace",
+                        "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"),
+                job.companion().record());
+        assertEquals(
+                "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01",
                 job.companion().traced(job.id(), "team").context());
         // Only the twelfth attempt is the last one.
         job.companion().over(new Attempt(11), Companion.LOST, 1);
@@ -156,7 +280,8 @@
         return chunk;
     }
 
-    private static void assertPlaced(int attempt, String machine, long session, Placement placement) {
+    private static void assertPlaced(
+            int attempt, String machine, long session, Placement placement) {
         assertEquals(new Attempt(attempt), placement.attempt());
         assertEquals(new MachineId(machine), placement.machine());
         assertEquals(new Session(session), placement.session());
@@ -211,16 +336,33 @@
     }
 
     /** What is stored of why an attempt ended, by attempt; the tenth has not. */
-    private static final List<String> ENDS = Arrays.asList("PREEMPTED", "LOST", "PEERS", "ALONE", "ERROR", "NO_ROOM",
-            "BUSY", "UNKNOWN", "DONE", null);
+    private static final List<String> ENDS =
+            Arrays.asList(
+                    "PREEMPTED",
+                    "LOST",
+                    "PEERS",
+                    "ALONE",
+                    "ERROR",
+                    "NO_ROOM",
+                    "BUSY",
+                    "UNKNOWN",
+                    "DONE",
+                    null);
 
     private static void assertLog(List<AttemptLog> log) {
         assertEquals(ENDS.size(), log.size());
         for (int at = 0; at < ENDS.size(); at++) {
             long placed = 1_700_000_001_000L + 1000 * at;
             boolean over = ENDS.get(at) != null;
-            assertEquals(new AttemptLog(at + 1, "vm-%06d".formatted(at + 1), placed, over ? placed + 100 : 0,
-                    over ? placed + 200 : 0, ENDS.get(at)), log.get(at));
+            assertEquals(
+                    new AttemptLog(
+                            at + 1,
+                            "vm-%06d".formatted(at + 1),
+                            placed,
+                            over ? placed + 100 : 0,
+                            over ? placed + 200 : 0,
+                            ENDS.get(at)),
+                    log.get(at));
         }
     }
 
@@ -238,13 +380,27 @@
         file.assertSameBytes(Records.encode(chunk));
     }
 
-    /** The same log as it comes about while the task runs, from the words of the program and not from the record. */
+    /**
+     * The same log as it comes about while the task runs, from the words of the program and not
+     * from the record.
+     */
     @Test
     void theWordsInALogAreThoseThatCausesStandFor() {
         GoldenFile file = GoldenFile.read("chunk-accompanied");
         Job job = accompanied();
-        List<String> words = Stream.concat(Stream.of(Companion.PREEMPTED, Companion.LOST), Stream.of(Cause.PEERS,
-                Cause.ALONE, Cause.ERROR, Cause.NO_ROOM, Cause.BUSY, Cause.UNKNOWN, Cause.DONE).map(Cause::name)).toList();
+        List<String> words =
+                Stream.concat(
+                                Stream.of(Companion.PREEMPTED, Companion.LOST),
+                                Stream.of(
+                                                Cause.PEERS,
+                                                Cause.ALONE,
+                                                Cause.ERROR,
+                                                Cause.NO_ROOM,
+                                                Cause.BUSY,
+                                                Cause.UNKNOWN,
+                                                Cause.DONE)
+                                        .map(Cause::name))
+                        .toList();
         for (int at = 0; at < 10; at++) {
             Attempt attempt = new Attempt(at + 1);
             MachineId machine = new MachineId("vm-%06d".formatted(at + 1));
@@ -280,10 +436,15 @@
     }
 
     static Stream<Arguments> progress() {
-        return Stream.of(Arguments.of("QUEUED", Progress.QUEUED), Arguments.of("PREPARING", Progress.PREPARING),
-                Arguments.of("RUNNING", Progress.RUNNING), Arguments.of("CANCELING", Progress.CANCELING),
-                Arguments.of("DONE", Progress.DONE), Arguments.of("CANCELLED", Progress.CANCELLED),
-                Arguments.of("FAILED", Progress.FAILED), Arguments.of("LOST", Progress.LOST),
+        return Stream.of(
+                Arguments.of("QUEUED", Progress.QUEUED),
+                Arguments.of("PREPARING", Progress.PREPARING),
+                Arguments.of("RUNNING", Progress.RUNNING),
+                Arguments.of("CANCELING", Progress.CANCELING),
+                Arguments.of("DONE", Progress.DONE),
+                Arguments.of("CANCELLED", Progress.CANCELLED),
+                Arguments.of("FAILED", Progress.FAILED),
+                Arguments.of("LOST", Progress.LOST),
                 Arguments.of("PREEMPTED", Progress.PREEMPTED));
     }
 
@@ -295,7 +456,8 @@
         assertEquals(progress, Companion.progressOf(stored));
         Job job = accompanied();
         loaded(GoldenFile.read("chunk-accompanied"), job, 0);
-        assertEquals(GoldenFile.sorted(stored), GoldenFile.sorted(job.companion().encode(progress)));
+        assertEquals(
+                GoldenFile.sorted(stored), GoldenFile.sorted(job.companion().encode(progress)));
     }
 
     @Test
@@ -311,14 +473,29 @@
     /** Words that are stored, all of them; a new one comes behind the others here. */
     @Test
     void wordsOfEnumsThatAreStored() {
-        assertEquals(List.of("ARRAY", "GANG", "SERVICE"), Stream.of(Kind.values()).map(Kind::name).toList());
-        assertEquals(List.of("PRODUCTION", "HIGH", "NORMAL", "LOW"),
+        assertEquals(
+                List.of("ARRAY", "GANG", "SERVICE"),
+                Stream.of(Kind.values()).map(Kind::name).toList());
+        assertEquals(
+                List.of("PRODUCTION", "HIGH", "NORMAL", "LOW"),
                 Stream.of(Priority.values()).map(Priority::name).toList());
-        assertEquals(List.of("DONE", "STOPPED", "PEERS", "ALONE", "ERROR", "NO_ROOM", "BUSY", "UNKNOWN"),
+        assertEquals(
+                List.of("DONE", "STOPPED", "PEERS", "ALONE", "ERROR", "NO_ROOM", "BUSY", "UNKNOWN"),
                 Stream.of(Cause.values()).map(Cause::name).toList());
-        assertEquals(List.of("QUEUED", "PREPARING", "RUNNING", "CANCELING", "DONE", "CANCELLED", "FAILED", "LOST",
-                "PREEMPTED"), Stream.of(Progress.values()).map(Progress::name).toList());
-        assertEquals(List.of("MACHINE", "TYPE", "ZONE"),
+        assertEquals(
+                List.of(
+                        "QUEUED",
+                        "PREPARING",
+                        "RUNNING",
+                        "CANCELING",
+                        "DONE",
+                        "CANCELLED",
+                        "FAILED",
+                        "LOST",
+                        "PREEMPTED"),
+                Stream.of(Progress.values()).map(Progress::name).toList());
+        assertEquals(
+                List.of("MACHINE", "TYPE", "ZONE"),
                 Stream.of(Window.Scope.values()).map(Window.Scope::name).toList());
         assertEquals("PREEMPTED", Companion.PREEMPTED);
         assertEquals("LOST", Companion.LOST);
@@ -360,9 +537,15 @@
         assertEquals(file.key(), Records.imageKey("registry/image:1"));
         assertEquals(2.5, Records.imageGb(file.value()));
         // The latest come first in the record.
-        assertEquals(List.of(new MachineId("vm-000002"), new MachineId("vm-000001")), Records.imageMachines(file.value()));
-        file.assertSameBytes(Records.image(Records.imageGb(file.value()),
-                List.of(new MachineId("vm-000001"), new MachineId("vm-000002")), 16 * 1024).map());
+        assertEquals(
+                List.of(new MachineId("vm-000002"), new MachineId("vm-000001")),
+                Records.imageMachines(file.value()));
+        file.assertSameBytes(
+                Records.image(
+                                Records.imageGb(file.value()),
+                                List.of(new MachineId("vm-000001"), new MachineId("vm-000002")),
+                                16 * 1024)
+                        .map());
     }
 
     @Test
@@ -371,10 +554,27 @@
         assertEquals("meta/types", file.key());
         assertEquals(file.key(), Records.TYPES);
         List<MachineType> types = Records.types(file.value());
-        assertEquals(List.of(
-                new MachineType("small", new Resources(8_000_000, 2_000_000, 32_000_000), 50, 1, 2, 1, 10, List.of("a", "b")),
-                new MachineType("large", new Resources(32_000_000, 8_000_000, 128_000_000), 50.5, 1.25, 8, 4, 10.75,
-                        List.of("a"))), types);
+        assertEquals(
+                List.of(
+                        new MachineType(
+                                "small",
+                                new Resources(8_000_000, 2_000_000, 32_000_000),
+                                50,
+                                1,
+                                2,
+                                1,
+                                10,
+                                List.of("a", "b")),
+                        new MachineType(
+                                "large",
+                                new Resources(32_000_000, 8_000_000, 128_000_000),
+                                50.5,
+                                1.25,
+                                8,
+                                4,
+                                10.75,
+                                List.of("a"))),
+                types);
         file.assertSameBytes(Records.types(types));
     }
 
@@ -387,7 +587,8 @@
         assertEquals("meta/term", term.key());
         assertEquals("meta/leader", leader.key());
         assertEquals(Map.of("term", 42L), term.value());
-        assertEquals(Map.of("member", "n1", "term", 42L, "lease", GoldenStore.LEASE), leader.value());
+        assertEquals(
+                Map.of("member", "n1", "term", 42L, "lease", GoldenStore.LEASE), leader.value());
 
         GoldenStore before = new GoldenStore();
         before.put("meta/term", Map.of("term", 41L));
@@ -420,17 +621,23 @@
         GoldenStore.candidate("n2", store, noted).start();
         assertEquals(List.of(new Term(43)), noted.elected);
         assertEquals(Map.of("term", 43L), store.get(Records.TERM));
-        assertEquals(Map.of("member", "n2", "term", 43L, "lease", GoldenStore.LEASE), store.get(Records.LEADER));
+        assertEquals(
+                Map.of("member", "n2", "term", 43L, "lease", GoldenStore.LEASE),
+                store.get(Records.LEADER));
     }
 
     @Test
     void theTermOfALeaderThatResigned() {
         GoldenFile file = GoldenFile.read("term-resigned");
         assertEquals(Map.of("term", 42L, "deaf", "n1", "heir", "n2"), file.value());
-        assertEquals(Duration.ZERO, Standing.after(file.value(), "n2", false, false), "it was named");
+        assertEquals(
+                Duration.ZERO, Standing.after(file.value(), "n2", false, false), "it was named");
         assertEquals(Duration.ofSeconds(1), Standing.after(file.value(), "n3", true, false));
         assertEquals(Duration.ofSeconds(6), Standing.after(file.value(), "n3", false, false));
-        assertEquals(Duration.ofSeconds(4), Standing.after(file.value(), "n1", false, false), "it gave up");
+        assertEquals(
+                Duration.ofSeconds(4),
+                Standing.after(file.value(), "n1", false, false),
+                "it gave up");
         file.assertSameBytes(Standing.resigned(42, "n1", "n2"));
         Map<String, Object> nobody = new LinkedHashMap<>(file.value());
         nobody.remove("heir");
@@ -441,7 +648,8 @@
     void theTermOfALeaderThatHandedOver() {
         GoldenFile file = GoldenFile.read("term-handed-over");
         assertEquals(Map.of("term", 42L, "heir", "n2"), file.value());
-        assertEquals(Duration.ZERO, Standing.after(file.value(), "n2", false, false), "it was named");
+        assertEquals(
+                Duration.ZERO, Standing.after(file.value(), "n2", false, false), "it was named");
         assertEquals(Duration.ofSeconds(1), Standing.after(file.value(), "n3", false, false));
         GoldenStore store = new GoldenStore();
         store.put("meta/term", Map.of("term", 41L));
@@ -484,14 +692,15 @@
     }
 
     private static List<TableDelta.Part> parts(GoldenStore store) {
-        Optional<TableSnapshots.Read> read = TableSnapshots.read(store, new GoldenStore.Still(TABLES_AT + 2500)).join();
+        Optional<TableSnapshots.Read> read =
+                TableSnapshots.read(store, new GoldenStore.Still(TABLES_AT + 2500)).join();
         assertEquals(Duration.ofMillis(2500), read.orElseThrow().age());
         return read.get().parts();
     }
 
     /**
-     * What is compressed is compared, not how: another build of zlib may pack the same bytes into others, which are read
-     * all the same.
+     * What is compressed is compared, not how: another build of zlib may pack the same bytes into
+     * others, which are read all the same.
      */
     @Test
     void aSnapshotOfRiskTables() throws IOException {
@@ -501,8 +710,19 @@
         assertEquals("table/1/0", GoldenFile.read("table-chunk-0").key());
         assertEquals("table/1/1", GoldenFile.read("table-chunk-1").key());
         byte[] body = body(tables(), 1, TABLE_FILES.size());
-        assertEquals(Map.of("form", 1L, "set", 1L, "chunks", (long) TABLE_FILES.size(), "at", TABLES_AT, "checksum",
-                checksum(body)), head.value());
+        assertEquals(
+                Map.of(
+                        "form",
+                        1L,
+                        "set",
+                        1L,
+                        "chunks",
+                        (long) TABLE_FILES.size(),
+                        "at",
+                        TABLES_AT,
+                        "checksum",
+                        checksum(body)),
+                head.value());
 
         List<TableDelta.Part> parts = parts(tables());
         assertEquals(2, parts.size());
@@ -516,8 +736,26 @@
         assertEquals(78, parts.get(1).incarnation());
         assertEquals(new Session(4_294_967_297L), parts.get(1).session());
         assertEquals(13, parts.get(1).seq());
-        assertArrayEquals(new int[] {1_928_374_655, -1_020_304_050, 77, 0, 1_357_924_680, -2_147_483_648, 2_147_483_647, 900,
-                -8, 314_159_265, 271_828_182, -141_421_356, 173_205_080, 1, 65_536, -1_618_033_988}, parts.get(1).table());
+        assertArrayEquals(
+                new int[] {
+                    1_928_374_655,
+                    -1_020_304_050,
+                    77,
+                    0,
+                    1_357_924_680,
+                    -2_147_483_648,
+                    2_147_483_647,
+                    900,
+                    -8,
+                    314_159_265,
+                    271_828_182,
+                    -141_421_356,
+                    173_205_080,
+                    1,
+                    65_536,
+                    -1_618_033_988
+                },
+                parts.get(1).table());
         assertArrayEquals(new long[0], parts.get(1).samples());
 
         GoldenStore again = GoldenStore.withSnapshot(parts, Optional.empty(), TABLES_AT, 160);
@@ -525,14 +763,29 @@
         int chunks = ((Number) written.get("chunks")).intValue();
         byte[] bodyAgain = body(again, 1, chunks);
         assertArrayEquals(inflated(body), inflated(bodyAgain));
-        assertEquals(Map.of("form", 1L, "set", 1L, "chunks", (long) chunks, "at", TABLES_AT, "checksum",
-                checksum(bodyAgain)), written);
+        assertEquals(
+                Map.of(
+                        "form",
+                        1L,
+                        "set",
+                        1L,
+                        "chunks",
+                        (long) chunks,
+                        "at",
+                        TABLES_AT,
+                        "checksum",
+                        checksum(bodyAgain)),
+                written);
     }
 
     @Test
     void theNextSnapshotGoesIntoTheOtherSet() {
-        GoldenStore next = GoldenStore.withSnapshot(parts(tables()), Optional.of(GoldenFile.read("table-head")),
-                TABLES_AT, 160);
+        GoldenStore next =
+                GoldenStore.withSnapshot(
+                        parts(tables()),
+                        Optional.of(GoldenFile.read("table-head")),
+                        TABLES_AT,
+                        160);
         assertEquals(0L, next.get("table/head").get("set"));
         assertNotNull(next.get("table/0/0"));
         assertNull(next.get("table/1/0"));
@@ -548,7 +801,8 @@
     void aReservationWithEveryOptionalField() {
         GoldenFile file = GoldenFile.read("reservation");
         assertEquals("cal/reservation/nightly", file.key());
-        Calendar.Held<Reservation> held = calendar("reservation").reservation("nightly").orElseThrow();
+        Calendar.Held<Reservation> held =
+                calendar("reservation").reservation("nightly").orElseThrow();
         assertEquals(3, held.order());
         assertEquals(new Version(5), held.version());
         Reservation is = held.what();
@@ -575,7 +829,8 @@
     @Test
     void aReservationWithoutOptionalFields() {
         GoldenFile file = GoldenFile.read("reservation-plain");
-        Calendar.Held<Reservation> held = calendar("reservation-plain").reservation("once").orElseThrow();
+        Calendar.Held<Reservation> held =
+                calendar("reservation-plain").reservation("once").orElseThrow();
         Reservation is = held.what();
         assertEquals(4, held.order());
         assertEquals("other", is.team());
@@ -597,9 +852,16 @@
     }
 
     static Stream<Arguments> windows() {
-        return Stream.of(Arguments.of("window-machine", "cal/window/window-0", Window.Scope.MACHINE, 5, "FREQ=WEEKLY"),
+        return Stream.of(
+                Arguments.of(
+                        "window-machine",
+                        "cal/window/window-0",
+                        Window.Scope.MACHINE,
+                        5,
+                        "FREQ=WEEKLY"),
                 Arguments.of("window-type", "cal/window/window-1", Window.Scope.TYPE, 6, null),
-                Arguments.of("window-zone", "cal/window/window-2", Window.Scope.ZONE, 7, "FREQ=WEEKLY"));
+                Arguments.of(
+                        "window-zone", "cal/window/window-2", Window.Scope.ZONE, 7, "FREQ=WEEKLY"));
     }
 
     @ParameterizedTest
@@ -629,11 +891,20 @@
         assertEquals("cal/stamp", file.key());
         assertEquals(CalendarRecords.STAMP, file.key());
         file.assertSameBytes(Map.of());
-        Calendar calendar = calendar("reservation-plain", "window-zone", "calendar-stamp", "reservation", "window-type",
-                "window-machine");
+        Calendar calendar =
+                calendar(
+                        "reservation-plain",
+                        "window-zone",
+                        "calendar-stamp",
+                        "reservation",
+                        "window-type",
+                        "window-machine");
         assertEquals(new Version(5), calendar.stamp());
-        assertEquals(List.of("nightly", "once"), calendar.reservations().stream().map(held -> held.what().name()).toList());
-        assertEquals(List.of("window-0", "window-1", "window-2"),
+        assertEquals(
+                List.of("nightly", "once"),
+                calendar.reservations().stream().map(held -> held.what().name()).toList());
+        assertEquals(
+                List.of("window-0", "window-1", "window-2"),
                 calendar.windows().stream().map(held -> held.what().name()).toList());
     }
 
--- a/src/test/java/org/meadowhollow/bookkeeping/GoldenStore.java
+++ b/src/test/java/org/meadowhollow/bookkeeping/GoldenStore.java
@@ -20,8 +20,8 @@
 import org.meadowhollow.golden.GoldenFile;
 
 /**
- * A store that answers at once, with a clock that stands still, to see what production code reads from golden files and
- * what it writes. Nothing that waits for time to pass ever goes on.
+ * A store that answers at once, with a clock that stands still, to see what production code reads
+ * from golden files and what it writes. Nothing that waits for time to pass ever goes on.
  */
 final class GoldenStore implements StateStore {
     /** The lease that is granted first. */
@@ -41,8 +41,7 @@
         }
 
         @Override
-        public void deposed(String why) {
-        }
+        public void deposed(String why) {}
 
         @Override
         public void following(String leader) {
@@ -58,8 +57,7 @@
         }
 
         @Override
-        public void after(Duration pause, Runnable work) {
-        }
+        public void after(Duration pause, Runnable work) {}
     }
 
     void put(GoldenFile file) {
@@ -77,10 +75,30 @@
 
     /** A controller that stands for leader, alone. */
     static Leadership candidate(String member, StateStore store, Leadership.Listener listener) {
-        Platform platform = new Platform(member, List.of("a", "b"), Map.of(), List.of(), Duration.ofSeconds(3),
-                Duration.ofSeconds(18), Duration.ofSeconds(30), Duration.ofSeconds(48), 100, 50, 16 * 1024, 12, 10,
-                Duration.ofSeconds(8));
-        return new Leadership(store, new Still(0), new NoPeers(), platform, new Earshot(), new Random(1), listener);
+        Platform platform =
+                new Platform(
+                        member,
+                        List.of("a", "b"),
+                        Map.of(),
+                        List.of(),
+                        Duration.ofSeconds(3),
+                        Duration.ofSeconds(18),
+                        Duration.ofSeconds(30),
+                        Duration.ofSeconds(48),
+                        100,
+                        50,
+                        16 * 1024,
+                        12,
+                        10,
+                        Duration.ofSeconds(8));
+        return new Leadership(
+                store,
+                new Still(0),
+                new NoPeers(),
+                platform,
+                new Earshot(),
+                new Random(1),
+                listener);
     }
 
     static void handOver(Leadership leadership, String heir) {
@@ -93,7 +111,10 @@
      * @param before the head of an earlier snapshot, if there is one
      * @param valueBytes that a chunk may have
      */
-    static GoldenStore withSnapshot(List<TableDelta.Part> parts, Optional<GoldenFile> before, long wallMillis,
+    static GoldenStore withSnapshot(
+            List<TableDelta.Part> parts,
+            Optional<GoldenFile> before,
+            long wallMillis,
             int valueBytes) {
         GoldenStore store = new GoldenStore();
         before.ifPresent(store::put);
@@ -112,21 +133,35 @@
 
     @Override
     public CompletableFuture<Page> list(String prefix, String after, int most, Urgency urgency) {
-        return CompletableFuture.completedFuture(new Page(entries.values().stream()
-                .filter(entry -> entry.key().startsWith(prefix)).toList(), false, new Version(revision)));
+        return CompletableFuture.completedFuture(
+                new Page(
+                        entries.values().stream()
+                                .filter(entry -> entry.key().startsWith(prefix))
+                                .toList(),
+                        false,
+                        new Version(revision)));
     }
 
     @Override
     public CompletableFuture<Commit> commit(Transaction transaction, Urgency urgency) {
         revision++;
-        transaction.writes().forEach((key, write) -> {
-            if (write.value() == null) {
-                entries.remove(key);
-            } else {
-                entries.put(key, new Entry(key, new HashMap<>(write.value()), new Version(revision)));
-            }
-        });
-        return CompletableFuture.completedFuture(new Commit(true, new Version(revision), List.of()));
+        transaction
+                .writes()
+                .forEach(
+                        (key, write) -> {
+                            if (write.value() == null) {
+                                entries.remove(key);
+                            } else {
+                                entries.put(
+                                        key,
+                                        new Entry(
+                                                key,
+                                                new HashMap<>(write.value()),
+                                                new Version(revision)));
+                            }
+                        });
+        return CompletableFuture.completedFuture(
+                new Commit(true, new Version(revision), List.of()));
     }
 
     @Override
@@ -157,8 +192,7 @@
     /** Nobody else is there. */
     private static final class NoPeers implements Peers {
         @Override
-        public void announce(String leader, Term term) {
-        }
+        public void announce(String leader, Term term) {}
 
         @Override
         public CompletableFuture<Boolean> anyServed() {
@@ -171,12 +205,14 @@
         }
 
         @Override
-        public CompletableFuture<List<Testimony>> hearing(List<MachineId> machines, Duration within) {
+        public CompletableFuture<List<Testimony>> hearing(
+                List<MachineId> machines, Duration within) {
             return new CompletableFuture<>();
         }
 
         @Override
-        public CompletableFuture<Optional<TableDelta>> tables(String leader, TableQuestion question) {
+        public CompletableFuture<Optional<TableDelta>> tables(
+                String leader, TableQuestion question) {
             return new CompletableFuture<>();
         }
 
--- a/src/test/java/org/meadowhollow/bookkeeping/LedgerTest.java
+++ b/src/test/java/org/meadowhollow/bookkeeping/LedgerTest.java
@@ -12,11 +12,14 @@
 import org.meadowhollow.bookkeeping.StateException.Outcome;
 import org.meadowhollow.bookkeeping.StateStore.Urgency;
 
-/** In which order a leader's records are written when there are more than the state service takes. */
+/**
+ * In which order a leader's records are written when there are more than the state service takes.
+ */
 class LedgerTest {
     private static final int MOST_WRITES = 12;
 
-    private record Sent(Transaction transaction, Urgency urgency, CompletableFuture<StateStore.Commit> answer) {
+    private record Sent(
+            Transaction transaction, Urgency urgency, CompletableFuture<StateStore.Commit> answer) {
         boolean writes(String prefix) {
             return transaction.writes().keySet().stream().anyMatch(key -> key.startsWith(prefix));
         }
@@ -24,50 +27,79 @@
 
     private final List<Sent> sent = new ArrayList<>();
     private final List<Runnable> timers = new ArrayList<>();
-    private final StateStore store = (StateStore) Proxy.newProxyInstance(StateStore.class.getClassLoader(),
-            new Class<?>[] {StateStore.class}, (proxy, method, arguments) -> {
-                assertEquals("commit", method.getName());
-                sent.add(new Sent((Transaction) arguments[0], (Urgency) arguments[1], new CompletableFuture<>()));
-                return sent.get(sent.size() - 1).answer();
-            });
-    private final EventLoop loop = new EventLoop() {
-        @Override
-        public Moment now() {
-            return new Moment(0);
-        }
-
-        @Override
-        public long wallMillis() {
-            return 0;
-        }
-
-        @Override
-        public void after(Duration pause, Runnable work) {
-            timers.add(work);
-        }
-    };
-    private final Ledger ledger = new Ledger(store, loop, MOST_WRITES, new Version(1), Observers.NONE,
-            new Ledger.Listener() {
-                @Override
-                public void ended(Job job) {
-                }
-
+    private final StateStore store =
+            (StateStore)
+                    Proxy.newProxyInstance(
+                            StateStore.class.getClassLoader(),
+                            new Class<?>[] {StateStore.class},
+                            (proxy, method, arguments) -> {
+                                assertEquals("commit", method.getName());
+                                sent.add(
+                                        new Sent(
+                                                (Transaction) arguments[0],
+                                                (Urgency) arguments[1],
+                                                new CompletableFuture<>()));
+                                return sent.get(sent.size() - 1).answer();
+                            });
+    private final EventLoop loop =
+            new EventLoop() {
                 @Override
-                public void saved(Job job) {
+                public Moment now() {
+                    return new Moment(0);
                 }
 
                 @Override
-                public void changedElsewhere(JobId id) {
+                public long wallMillis() {
+                    return 0;
                 }
 
                 @Override
-                public void deposed() {
+                public void after(Duration pause, Runnable work) {
+                    timers.add(work);
                 }
-            });
+            };
+    private final Ledger ledger =
+            new Ledger(
+                    store,
+                    loop,
+                    MOST_WRITES,
+                    new Version(1),
+                    Observers.NONE,
+                    new Ledger.Listener() {
+                        @Override
+                        public void ended(Job job) {}
+
+                        @Override
+                        public void saved(Job job) {}
+
+                        @Override
+                        public void changedElsewhere(JobId id) {}
+
+                        @Override
+                        public void deposed() {}
+                    });
 
     private static Job job(int number, Priority priority) {
-        JobSpec spec = new JobSpec(new JobId("req-%06d".formatted(number)), "class", "team", Kind.ARRAY, priority, 1,
-                Resources.of(1, 1, 1), null, null, false, false, false, "image", 1, 1, 0, 0, Double.NaN);
+        JobSpec spec =
+                new JobSpec(
+                        new JobId("req-%06d".formatted(number)),
+                        "class",
+                        "team",
+                        Kind.ARRAY,
+                        priority,
+                        1,
+                        Resources.of(1, 1, 1),
+                        null,
+                        null,
+                        false,
+                        false,
+                        false,
+                        "image",
+                        1,
+                        1,
+                        0,
+                        0,
+                        Double.NaN);
         Job job = new Job(spec, 0, 100, new Version(1));
         job.place(0, job.nextAttempt(0), new MachineId("vm-000001"), new Session(1), new Moment(0));
         return job;
@@ -90,7 +122,9 @@
         assertTrue(sent.get(0).writes("task/req-000100") && sent.get(0).writes("ended/"));
     }
 
-    /** A guest's swarm stood before the records of everybody else, and before users' submissions. */
+    /**
+     * A guest's swarm stood before the records of everybody else, and before users' submissions.
+     */
     @Test
     void recordsOfTheLowestPriorityGoBehindAllOthers() {
         starts(0, 30, Priority.LOW);
@@ -107,14 +141,19 @@
     void aRefusedTransactionComesAgainInSmallerOnes() {
         starts(0, 40, Priority.NORMAL);
         ledger.flush();
-        sent.get(0).answer().completeExceptionally(new StateException(Outcome.REFUSED, "answered 429"));
+        sent.get(0)
+                .answer()
+                .completeExceptionally(new StateException(Outcome.REFUSED, "answered 429"));
         timers.forEach(Runnable::run);
         assertEquals(MOST_WRITES / 2, sent.get(2).transaction().writes().size());
         sent.get(2).answer().complete(new StateStore.Commit(true, new Version(5), List.of()));
         assertEquals(MOST_WRITES / 2 + 1, sent.get(3).transaction().writes().size());
     }
 
-    /** In a crowd of one-task jobs what was left of the ended ones took a fifth of the changes that users waited for. */
+    /**
+     * In a crowd of one-task jobs what was left of the ended ones took a fifth of the changes that
+     * users waited for.
+     */
     @Test
     void whatIsOnlyClearedAwayGoesBehindWhatIsWaitedFor() {
         for (int number = 0; number < 12; number++) {
@@ -127,10 +166,14 @@
         assertEquals(1, sent.size());
         sent.get(0).answer().complete(new StateStore.Commit(true, new Version(5), List.of()));
         assertEquals(Urgency.BACKGROUND, sent.get(1).urgency());
-        assertEquals(12, sent.get(1).transaction().writes().size(), "and the rest behind users' calls");
+        assertEquals(
+                12, sent.get(1).transaction().writes().size(), "and the rest behind users' calls");
     }
 
-    /** Cleared away before it, or with a transaction that failed: a successor ran done tasks again, or the records stayed. */
+    /**
+     * Cleared away before it, or with a transaction that failed: a successor ran done tasks again,
+     * or the records stayed.
+     */
     @Test
     void whatIsLeftOfAJobIsClearedAwayOnceItsEndIsWrittenAndNotLost() {
         List<Job> ends = new ArrayList<>();
@@ -144,7 +187,9 @@
         ends.forEach(ledger::ending);
         ledger.flush();
         for (int at = 1; at < 3; at++) {
-            sent.get(at).answer().completeExceptionally(new StateException(Outcome.REFUSED, "answered 429"));
+            sent.get(at)
+                    .answer()
+                    .completeExceptionally(new StateException(Outcome.REFUSED, "answered 429"));
         }
         assertEquals(3, sent.size(), "nothing is cleared away while no end is written");
         // As the answers come, everything goes through, but for every third transaction.
@@ -152,23 +197,32 @@
             List.copyOf(timers).forEach(Runnable::run);
             for (; at < sent.size(); at++) {
                 if (at % 3 == 0) {
-                    sent.get(at).answer().completeExceptionally(new StateException(Outcome.REFUSED, "answered 429"));
+                    sent.get(at)
+                            .answer()
+                            .completeExceptionally(
+                                    new StateException(Outcome.REFUSED, "answered 429"));
                 } else {
-                    sent.get(at).answer().complete(new StateStore.Commit(true, new Version(6 + at), List.of()));
+                    sent.get(at)
+                            .answer()
+                            .complete(new StateStore.Commit(true, new Version(6 + at), List.of()));
                 }
             }
         }
         for (int number = 0; number < 6; number++) {
             String name = "req-%06d".formatted(number);
             assertTrue(applied("ended/" + name) >= 0, name);
-            assertTrue(applied("task/" + name + "/0") >= applied("ended/" + name), name + " is cleared away, and not before its end");
+            assertTrue(
+                    applied("task/" + name + "/0") >= applied("ended/" + name),
+                    name + " is cleared away, and not before its end");
         }
     }
 
     /** The last transaction that was applied and wrote a key; -1 if none. */
     private int applied(String key) {
         for (int at = sent.size() - 1; at >= 0; at--) {
-            if (sent.get(at).writes(key) && sent.get(at).answer().isDone() && !sent.get(at).answer().isCompletedExceptionally()) {
+            if (sent.get(at).writes(key)
+                    && sent.get(at).answer().isDone()
+                    && !sent.get(at).answer().isCompletedExceptionally()) {
                 return at;
             }
         }
--- a/src/test/java/org/meadowhollow/cli/ControllerTest.java
+++ b/src/test/java/org/meadowhollow/cli/ControllerTest.java
@@ -20,7 +20,8 @@
 
 /** A real controller on loopback whose state service and cloud cannot be reached. */
 class ControllerTest {
-    private static final String SETTINGS = """
+    private static final String SETTINGS =
+            """
             {"member":"n0","area":"z","listen":"127.0.0.1:0","back":"127.0.0.1:0","known":[],"news":1,
              "external":{"cloud":"127.0.0.1:1","state":"127.0.0.1:1"},
              "settings":{"size":1,"zones":["z"],"teams":[{"name":"t","gpus_max":4}],
@@ -29,8 +30,7 @@
               "state":{"rps":80.0,"write_rps":30.0,"value_kb":16.0,"txn_ops":12},
               "cloud":{"rps":8.0,"list_lag_s":10.0}}}""";
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private Settings settings(String text) throws IOException, Settings.Unusable {
         Path file = folder.resolve("settings.json");
@@ -38,11 +38,20 @@
         return Settings.read(file);
     }
 
-    private static String ask(int port, String method, String path, byte[] body) throws IOException {
+    private static String ask(int port, String method, String path, byte[] body)
+            throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(10_000);
-            socket.getOutputStream().write((method + ' ' + path + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n"
-                    + "Content-Length: " + body.length + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write(
+                            (method
+                                            + ' '
+                                            + path
+                                            + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n"
+                                            + "Content-Length: "
+                                            + body.length
+                                            + "\r\n\r\n")
+                                    .getBytes(StandardCharsets.US_ASCII));
             try {
                 socket.getOutputStream().write(body);
             } catch (IOException refusedEarly) {
@@ -67,7 +76,9 @@
             assertEquals("404", status(ask(port, "GET", "/submissions/nonsense", none)));
             assertEquals("405", status(ask(port, "PUT", "/submissions", none)));
             assertEquals("400", status(ask(port, "POST", "/submissions", none)));
-            assertEquals("400", status(ask(port, "POST", "/hello", Wire.encode(Fields.of("stall", "m")))));
+            assertEquals(
+                    "400",
+                    status(ask(port, "POST", "/hello", Wire.encode(Fields.of("stall", "m")))));
             assertEquals("400", status(ask(port, "POST", "/submissions", new byte[70_000])));
             String later = ask(port, "GET", "/submissions/req-1", none);
             assertEquals("503", status(later), "nothing confirms that there is no such job");
@@ -75,10 +86,17 @@
         }
     }
 
-    private static final String HASH = "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b";
+    private static final String HASH =
+            "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b";
 
-    private TesOptions tes(String listen, String token, Map<String, String> variables) throws Exception {
-        return TesOptions.of(listen, token == null ? List.of() : List.of(token), null, null, variables,
+    private TesOptions tes(String listen, String token, Map<String, String> variables)
+            throws Exception {
+        return TesOptions.of(
+                listen,
+                token == null ? List.of() : List.of(token),
+                null,
+                null,
+                variables,
                 settings(SETTINGS));
     }
 
@@ -88,10 +106,14 @@
         try (Controller controller = Controller.builder(settings(SETTINGS)).tes(options).start()) {
             int port = controller.tesPort();
             byte[] none = new byte[0];
-            assertEquals("404", status(ask(controller.port(), "GET", "/ga4gh/tes/v1/service-info", none)));
+            assertEquals(
+                    "404",
+                    status(ask(controller.port(), "GET", "/ga4gh/tes/v1/service-info", none)));
             String info = ask(port, "GET", "/ga4gh/tes/v1/service-info", none);
             assertEquals("200", status(info));
-            assertTrue(info.contains("Content-Type: application/json") && info.contains("\"1.1.0\""), info);
+            assertTrue(
+                    info.contains("Content-Type: application/json") && info.contains("\"1.1.0\""),
+                    info);
             String unknown = ask(port, "GET", "/ga4gh/tes/v1/tasks", none);
             assertEquals("401", status(unknown));
             assertTrue(unknown.contains("WWW-Authenticate: Bearer"), unknown);
@@ -108,39 +130,81 @@
     void flagsOfTheTaskExecutionApiThatCannotBeUsedAreNamed() throws Exception {
         assertNull(tes(null, null, Map.of()));
         assertEquals(List.of("t"), tes("127.0.0.1:0", "t=" + HASH, Map.of()).tokens().teams());
-        for (String[] wrong : new String[][] {{null, "t=" + HASH, "--tes-listen"}, {"nowhere", "t=" + HASH, "--tes-listen"},
-                {"127.0.0.1:0", null, "--tes-token"}, {"127.0.0.1:0", "t=12", "TEAM=SHA256"},
-                {"127.0.0.1:0", "nobody=" + HASH, "nobody"}}) {
-            Settings.Unusable unusable = assertThrows(Settings.Unusable.class, () -> tes(wrong[0], wrong[1], Map.of()));
-            assertTrue(unusable.getMessage().contains(wrong[2]) && !unusable.getMessage().contains(HASH),
+        for (String[] wrong :
+                new String[][] {
+                    {null, "t=" + HASH, "--tes-listen"},
+                    {"nowhere", "t=" + HASH, "--tes-listen"},
+                    {"127.0.0.1:0", null, "--tes-token"},
+                    {"127.0.0.1:0", "t=12", "TEAM=SHA256"},
+                    {"127.0.0.1:0", "nobody=" + HASH, "nobody"}
+                }) {
+            Settings.Unusable unusable =
+                    assertThrows(Settings.Unusable.class, () -> tes(wrong[0], wrong[1], Map.of()));
+            assertTrue(
+                    unusable.getMessage().contains(wrong[2])
+                            && !unusable.getMessage().contains(HASH),
                     unusable.getMessage());
         }
     }
 
     @Test
     void theCalendarIsTakenOnAListenerOfItsOwn() throws Exception {
-        CalendarOptions options = CalendarOptions.of("127.0.0.1:0", List.of("operator=" + HASH), null, null,
-                List.of("t=4", "t/z=2"), Map.of());
-        try (Controller controller = Controller.builder(settings(SETTINGS)).calendar(options).start()) {
+        CalendarOptions options =
+                CalendarOptions.of(
+                        "127.0.0.1:0",
+                        List.of("operator=" + HASH),
+                        null,
+                        null,
+                        List.of("t=4", "t/z=2"),
+                        Map.of());
+        try (Controller controller =
+                Controller.builder(settings(SETTINGS)).calendar(options).start()) {
             byte[] none = new byte[0];
-            assertEquals("401", status(ask(controller.calendarPort(), "GET", "/calendar/v1/plan", none)));
+            assertEquals(
+                    "401",
+                    status(ask(controller.calendarPort(), "GET", "/calendar/v1/plan", none)));
             assertEquals("404", status(ask(controller.port(), "GET", "/calendar/v1/plan", none)));
-            assertEquals("413", status(ask(controller.calendarPort(), "PUT", "/calendar/v1/windows/w", new byte[70_000])));
+            assertEquals(
+                    "413",
+                    status(
+                            ask(
+                                    controller.calendarPort(),
+                                    "PUT",
+                                    "/calendar/v1/windows/w",
+                                    new byte[70_000])));
         }
         assertNull(CalendarOptions.of(null, List.of(), null, null, List.of(), Map.of()));
-        for (String[] wrong : new String[][] {{null, "operator=" + HASH, "t=4", "--calendar-listen"},
-                {"127.0.0.1:0", "t=" + HASH, "t=4", "--calendar-token"}, {"127.0.0.1:0", "operator=12", "t=4", "SHA256"},
-                {"127.0.0.1:0", "operator=" + HASH, "t=many", "--calendar-most"}}) {
-            Settings.Unusable unusable = assertThrows(Settings.Unusable.class, () -> CalendarOptions.of(wrong[0],
-                    List.of(wrong[1]), null, null, List.of(wrong[2]), Map.of()));
+        for (String[] wrong :
+                new String[][] {
+                    {null, "operator=" + HASH, "t=4", "--calendar-listen"},
+                    {"127.0.0.1:0", "t=" + HASH, "t=4", "--calendar-token"},
+                    {"127.0.0.1:0", "operator=12", "t=4", "SHA256"},
+                    {"127.0.0.1:0", "operator=" + HASH, "t=many", "--calendar-most"}
+                }) {
+            Settings.Unusable unusable =
+                    assertThrows(
+                            Settings.Unusable.class,
+                            () ->
+                                    CalendarOptions.of(
+                                            wrong[0],
+                                            List.of(wrong[1]),
+                                            null,
+                                            null,
+                                            List.of(wrong[2]),
+                                            Map.of()));
             assertTrue(unusable.getMessage().contains(wrong[3]), unusable.getMessage());
         }
     }
 
     @Test
     void someSocketsAreLeftForWhatANodeOpensItself() throws Exception {
-        assertEquals(0, Controller.mostCallers(settings(SETTINGS)), "the file does not say how many there are");
-        String more = SETTINGS.replace("\"state\":{\"rps\"", "\"quota\":{\"fd_limit\":2000},\"state\":{\"rps\"");
+        assertEquals(
+                0,
+                Controller.mostCallers(settings(SETTINGS)),
+                "the file does not say how many there are");
+        String more =
+                SETTINGS.replace(
+                        "\"state\":{\"rps\"", "\"quota\":{\"fd_limit\":2000},\"state\":{\"rps\"");
         int most = Controller.mostCallers(settings(more));
         assertTrue(most >= 1500 && most <= 1700, "a few hundred are kept back: " + most);
         int few = Controller.mostCallers(settings(more.replace("2000", "300")));
@@ -149,11 +213,18 @@
 
     @Test
     void settingsThatCannotBeUsedAreNamed() {
-        for (String[] wrong : new String[][] {{"127.0.0.1:0\",\"back", "nowhere\",\"back"}, {"\"lease_s\":18.0,", ""},
-                {"48.0", "18.0"}, {"\"rps\":80.0", "\"rps\":\"many\""},
-                {"\"size\":1", "\"quota\":{\"fd_limit\":-1}"}, {"{\"member\"", "[\"member\""}}) {
+        for (String[] wrong :
+                new String[][] {
+                    {"127.0.0.1:0\",\"back", "nowhere\",\"back"},
+                    {"\"lease_s\":18.0,", ""},
+                    {"48.0", "18.0"},
+                    {"\"rps\":80.0", "\"rps\":\"many\""},
+                    {"\"size\":1", "\"quota\":{\"fd_limit\":-1}"},
+                    {"{\"member\"", "[\"member\""}
+                }) {
             String text = SETTINGS.replace(wrong[0], wrong[1]);
-            Settings.Unusable unusable = assertThrows(Settings.Unusable.class, () -> settings(text), wrong[1]);
+            Settings.Unusable unusable =
+                    assertThrows(Settings.Unusable.class, () -> settings(text), wrong[1]);
             assertEquals(1, unusable.getMessage().lines().count());
         }
     }
--- a/src/test/java/org/meadowhollow/cli/calendar/CalendarCommandTest.java
+++ b/src/test/java/org/meadowhollow/cli/calendar/CalendarCommandTest.java
@@ -34,15 +34,31 @@
     @BeforeEach
     void listen() throws IOException {
         loop = new XnioLoop();
-        node = new HttpServer(loop, new DefaultByteBufferPool(false, 8192), "127.0.0.1", 0, 0, Duration.ofMinutes(1),
-                request -> {
-                    synchronized (asked) {
-                        asked.add(request.method() + ' ' + request.path() + ' ' + request.query() + ' '
-                                + request.header().apply("Authorization") + ' ' + request.header().apply("If-Match") + ' '
-                                + new String(request.body()));
-                        return CompletableFuture.completedFuture(answers.remove(0));
-                    }
-                });
+        node =
+                new HttpServer(
+                        loop,
+                        new DefaultByteBufferPool(false, 8192),
+                        "127.0.0.1",
+                        0,
+                        0,
+                        Duration.ofMinutes(1),
+                        request -> {
+                            synchronized (asked) {
+                                asked.add(
+                                        request.method()
+                                                + ' '
+                                                + request.path()
+                                                + ' '
+                                                + request.query()
+                                                + ' '
+                                                + request.header().apply("Authorization")
+                                                + ' '
+                                                + request.header().apply("If-Match")
+                                                + ' '
+                                                + new String(request.body()));
+                                return CompletableFuture.completedFuture(answers.remove(0));
+                            }
+                        });
     }
 
     @AfterEach
@@ -52,25 +68,69 @@
     }
 
     private void answer(int status, Object... fields) {
-        answers.add(new Http.Reply(status, Json.encode(Fields.of(fields)), status == 503 ? 1 : 0, "application/json"));
+        answers.add(
+                new Http.Reply(
+                        status,
+                        Json.encode(Fields.of(fields)),
+                        status == 503 ? 1 : 0,
+                        "application/json"));
     }
 
     private int run(String... args) {
-        return CalendarCommand.run(args, Map.of("MEADOWHOLLOW_CALENDAR_URL", "127.0.0.1:" + node.port(),
-                "MEADOWHOLLOW_CALENDAR_TOKEN", "secret"), new PrintWriter(out, true), new PrintWriter(err, true));
+        return CalendarCommand.run(
+                args,
+                Map.of(
+                        "MEADOWHOLLOW_CALENDAR_URL",
+                        "127.0.0.1:" + node.port(),
+                        "MEADOWHOLLOW_CALENDAR_TOKEN",
+                        "secret"),
+                new PrintWriter(out, true),
+                new PrintWriter(err, true));
     }
 
     @Test
     void whatIsPutIsSentWholeAndSentAgainWhenTheNodeSaysWhenToComeBack() throws Malformed {
         answer(503, "error", "the state service is out");
         answer(201, "version", 7L, "notes", List.of());
-        assertEquals(0, run("reserve", "put", "calendars", "--team", "t", "--tasks", "6", "--cpus", "1", "--ram-gb", "4",
-                "--type", "small", "--type", "large", "--start", "2026-12-31T02:00", "--time-zone", "Asia/Amman", "--length",
-                "PT2H30M", "--rule", "FREQ=DAILY"));
+        assertEquals(
+                0,
+                run(
+                        "reserve",
+                        "put",
+                        "calendars",
+                        "--team",
+                        "t",
+                        "--tasks",
+                        "6",
+                        "--cpus",
+                        "1",
+                        "--ram-gb",
+                        "4",
+                        "--type",
+                        "small",
+                        "--type",
+                        "large",
+                        "--start",
+                        "2026-12-31T02:00",
+                        "--time-zone",
+                        "Asia/Amman",
+                        "--length",
+                        "PT2H30M",
+                        "--rule",
+                        "FREQ=DAILY"));
         assertEquals(2, asked.size());
         assertEquals(asked.get(0), asked.get(1));
-        assertTrue(asked.get(0).startsWith("PUT /calendar/v1/reservations/calendars {} Bearer secret null {"), asked.get(0));
-        Fields body = new Fields(Json.decode(asked.get(0).substring(asked.get(0).indexOf("null {") + 5).getBytes()));
+        assertTrue(
+                asked.get(0)
+                        .startsWith(
+                                "PUT /calendar/v1/reservations/calendars {} Bearer secret null {"),
+                asked.get(0));
+        Fields body =
+                new Fields(
+                        Json.decode(
+                                asked.get(0)
+                                        .substring(asked.get(0).indexOf("null {") + 5)
+                                        .getBytes()));
         assertEquals(9000.0, body.amount("length_s"));
         assertEquals(List.of("small", "large"), body.textsOrNull("machine_types"));
         assertEquals("Asia/Amman", body.text("time_zone"));
@@ -79,13 +139,26 @@
 
     @Test
     void refusalsAndWrongFlagsAreOneLineAndAnExitCode() {
-        answer(409, "error", "the limit of team t, with first; the nearest start that could be met is 2026-12-31T04:00");
+        answer(
+                409,
+                "error",
+                "the limit of team t, with first; the nearest start that could be met is 2026-12-31T04:00");
         assertEquals(1, run("window", "withdraw", "w", "--version", "3"));
-        assertTrue(asked.get(0).startsWith("DELETE /calendar/v1/windows/w {} Bearer secret 3"), asked.get(0));
-        assertEquals("meadowhollow: 409, the limit of team t, with first; the nearest start that could be met is "
-                + "2026-12-31T04:00", err.toString().trim());
-        for (String[] wrong : new String[][] {{"reserve", "put"}, {"reserve", "list", "x"}, {"window", "move", "x"},
-                {"plan", "--hours", "many"}, {"reserve"}}) {
+        assertTrue(
+                asked.get(0).startsWith("DELETE /calendar/v1/windows/w {} Bearer secret 3"),
+                asked.get(0));
+        assertEquals(
+                "meadowhollow: 409, the limit of team t, with first; the nearest start that could be met is "
+                        + "2026-12-31T04:00",
+                err.toString().trim());
+        for (String[] wrong :
+                new String[][] {
+                    {"reserve", "put"},
+                    {"reserve", "list", "x"},
+                    {"window", "move", "x"},
+                    {"plan", "--hours", "many"},
+                    {"reserve"}
+                }) {
             assertEquals(2, run(wrong), String.join(" ", wrong));
         }
         assertEquals(1, run("window", "put", "w", "--length", "two hours"));
@@ -95,18 +168,53 @@
     @Test
     void thePlanIsPrintedInTheOrderOfTimeAndShowsWhatIsShort() {
         for (int at = 0; at < 2; at++) {
-            answer(200, "slots", List.of(Fields.of("reservation", "calendars", "team", "<t>", "from", "2026-12-31T00:00:00Z",
-                    "until", "2026-12-31T02:00:00Z", "tasks", 6, "met", 2, "machines", Map.of("small/a", 1), "against",
-                    List.of("window works takes small in b"))), "outages", List.of(Fields.of("window", "works", "scope",
-                    "ZONE", "targets", List.of("b"), "from", "2026-12-30T23:00:00Z", "until", "2026-12-31T05:00:00Z")));
+            answer(
+                    200,
+                    "slots",
+                    List.of(
+                            Fields.of(
+                                    "reservation",
+                                    "calendars",
+                                    "team",
+                                    "<t>",
+                                    "from",
+                                    "2026-12-31T00:00:00Z",
+                                    "until",
+                                    "2026-12-31T02:00:00Z",
+                                    "tasks",
+                                    6,
+                                    "met",
+                                    2,
+                                    "machines",
+                                    Map.of("small/a", 1),
+                                    "against",
+                                    List.of("window works takes small in b"))),
+                    "outages",
+                    List.of(
+                            Fields.of(
+                                    "window",
+                                    "works",
+                                    "scope",
+                                    "ZONE",
+                                    "targets",
+                                    List.of("b"),
+                                    "from",
+                                    "2026-12-30T23:00:00Z",
+                                    "until",
+                                    "2026-12-31T05:00:00Z")));
         }
         assertEquals(0, run("plan", "--hours", "24", "--time-zone", "Asia/Amman"));
         assertTrue(asked.get(0).contains("{hours=[24]}"), asked.get(0));
         List<String> lines = out.toString().lines().toList();
         assertEquals("Plan, by the clocks of Asia/Amman", lines.get(0));
-        assertTrue(lines.get(1).startsWith("Thu 31 Dec 02:00  Thu 31 Dec 08:00  window works"), lines.get(1));
-        assertTrue(lines.get(2).startsWith("Thu 31 Dec 03:00") && lines.get(2).contains("2 of 6 tasks, 1 x small/a")
-                && lines.get(2).endsWith("! window works takes small in b"), lines.get(2));
+        assertTrue(
+                lines.get(1).startsWith("Thu 31 Dec 02:00  Thu 31 Dec 08:00  window works"),
+                lines.get(1));
+        assertTrue(
+                lines.get(2).startsWith("Thu 31 Dec 03:00")
+                        && lines.get(2).contains("2 of 6 tasks, 1 x small/a")
+                        && lines.get(2).endsWith("! window works takes small in b"),
+                lines.get(2));
         assertEquals(0, run("plan", "--html"));
         String page = out.toString().substring(out.toString().indexOf("<!DOCTYPE"));
         assertTrue(page.contains("team &lt;t&gt;") && page.contains("class=\"bad\""), page);
--- a/src/test/java/org/meadowhollow/coordination/admission/LiveJobsTest.java
+++ b/src/test/java/org/meadowhollow/coordination/admission/LiveJobsTest.java
@@ -21,27 +21,43 @@
 
     private final VirtualLoop loop = new VirtualLoop();
     private final List<CompletableFuture<StateStore.Changes>> looks = new ArrayList<>();
+
     /** Looks that are answered when the test says so, and a first page that is answered at once. */
-    private final StateStore store = (StateStore) Proxy.newProxyInstance(StateStore.class.getClassLoader(),
-            new Class<?>[] {StateStore.class}, (proxy, method, arguments) -> switch (method.getName()) {
-                case "list" -> CompletableFuture.completedFuture(new StateStore.Page(List.of(), false, new Version(10)));
-                case "watch" -> {
-                    looks.add(new CompletableFuture<>());
-                    yield looks.get(looks.size() - 1);
-                }
-                default -> throw new UnsupportedOperationException(method.getName());
-            });
+    private final StateStore store =
+            (StateStore)
+                    Proxy.newProxyInstance(
+                            StateStore.class.getClassLoader(),
+                            new Class<?>[] {StateStore.class},
+                            (proxy, method, arguments) ->
+                                    switch (method.getName()) {
+                                        case "list" ->
+                                                CompletableFuture.completedFuture(
+                                                        new StateStore.Page(
+                                                                List.of(), false, new Version(10)));
+                                        case "watch" -> {
+                                            looks.add(new CompletableFuture<>());
+                                            yield looks.get(looks.size() - 1);
+                                        }
+                                        default ->
+                                                throw new UnsupportedOperationException(
+                                                        method.getName());
+                                    });
+
     private final LiveJobs live = new LiveJobs(store, loop);
 
     private static StateStore.Change change(boolean cancelled, long version) {
-        return new StateStore.Change(Records.job(JOB), Map.of("cancelled", cancelled), new Version(version));
+        return new StateStore.Change(
+                Records.job(JOB), Map.of("cancelled", cancelled), new Version(version));
     }
 
     private static StateStore.Changes upTo(long revision, StateStore.Change... changes) {
         return new StateStore.Changes(new Version(revision), List.of(changes));
     }
 
-    /** The look sent first is answered last, after what the second one showed has been let go to make room. */
+    /**
+     * The look sent first is answered last, after what the second one showed has been let go to
+     * make room.
+     */
     @Test
     void aLookThatIsAnsweredLateBringsNothingOlderBack() {
         live.mark();
--- a/src/test/java/org/meadowhollow/coordination/calendar/PlanTest.java
+++ b/src/test/java/org/meadowhollow/coordination/calendar/PlanTest.java
@@ -31,43 +31,90 @@
 import org.meadowhollow.bookkeeping.calendar.Window;
 
 class PlanTest {
-    private static final List<MachineType> TYPES = List.of(
-            new MachineType("small", Resources.of(8, 2, 32), 50, 1, 2, 1, 30, List.of("a", "b")),
-            new MachineType("large", Resources.of(32, 8, 128), 50, 1, 7, 4, 30, List.of("a")));
-    private static final Supply SUPPLY = new Supply(TYPES, Map.of("t", Resources.of(0, 10, 0), "u", Resources.NONE),
-            Map.of("small", 3, "large/a", 1));
+    private static final List<MachineType> TYPES =
+            List.of(
+                    new MachineType(
+                            "small", Resources.of(8, 2, 32), 50, 1, 2, 1, 30, List.of("a", "b")),
+                    new MachineType(
+                            "large", Resources.of(32, 8, 128), 50, 1, 7, 4, 30, List.of("a")));
+    private static final Supply SUPPLY =
+            new Supply(
+                    TYPES,
+                    Map.of("t", Resources.of(0, 10, 0), "u", Resources.NONE),
+                    Map.of("small", 3, "large/a", 1));
     private static final long HOUR = 3_600_000;
     private static final long SPAN = 24 * HOUR;
 
     private static Schedule at(int minute, int length) {
-        return new Schedule(LocalDateTime.of(1970, 1, 1, 0, 0).plusMinutes(minute), ZoneOffset.UTC,
-                Duration.ofMinutes(length), null);
+        return new Schedule(
+                LocalDateTime.of(1970, 1, 1, 0, 0).plusMinutes(minute),
+                ZoneOffset.UTC,
+                Duration.ofMinutes(length),
+                null);
     }
 
-    private static Reservation reservation(String name, String team, int tasks, double gpus, String zone, int minute,
-            int length) {
-        return new Reservation(name, team, Priority.HIGH, tasks, Resources.of(1, gpus, 1), null, zone, false, "", 0, null,
-                null, at(minute, length));
+    private static Reservation reservation(
+            String name, String team, int tasks, double gpus, String zone, int minute, int length) {
+        return new Reservation(
+                name,
+                team,
+                Priority.HIGH,
+                tasks,
+                Resources.of(1, gpus, 1),
+                null,
+                zone,
+                false,
+                "",
+                0,
+                null,
+                null,
+                at(minute, length));
     }
 
-    private static Window window(String name, Window.Scope scope, String target, int minute, int length) {
+    private static Window window(
+            String name, Window.Scope scope, String target, int minute, int length) {
         return new Window(name, scope, List.of(target), at(minute, length), Duration.ZERO);
     }
 
     private static Calendar random(Random random) {
         Calendar calendar = Calendar.EMPTY;
         for (int at = random.nextInt(12); at > 0; at--) {
-            calendar = calendar.with(reservation("r" + at, random.nextBoolean() ? "t" : "u", 1 + random.nextInt(6),
-                    random.nextInt(3), random.nextInt(3) == 0 ? "a" : null, random.nextInt(600), 1 + random.nextInt(300)));
+            calendar =
+                    calendar.with(
+                            reservation(
+                                    "r" + at,
+                                    random.nextBoolean() ? "t" : "u",
+                                    1 + random.nextInt(6),
+                                    random.nextInt(3),
+                                    random.nextInt(3) == 0 ? "a" : null,
+                                    random.nextInt(600),
+                                    1 + random.nextInt(300)));
         }
         for (int at = random.nextInt(4); at > 0; at--) {
-            calendar = calendar.with(random.nextBoolean() ? window("w" + at, Window.Scope.ZONE, "a", random.nextInt(600), 60)
-                    : window("w" + at, Window.Scope.TYPE, "small", random.nextInt(600), 60));
+            calendar =
+                    calendar.with(
+                            random.nextBoolean()
+                                    ? window(
+                                            "w" + at,
+                                            Window.Scope.ZONE,
+                                            "a",
+                                            random.nextInt(600),
+                                            60)
+                                    : window(
+                                            "w" + at,
+                                            Window.Scope.TYPE,
+                                            "small",
+                                            random.nextInt(600),
+                                            60));
         }
         return calendar;
     }
 
-    @Property(tries = 400, seed = "1", generation = GenerationMode.RANDOMIZED, edgeCases = EdgeCasesMode.NONE,
+    @Property(
+            tries = 400,
+            seed = "1",
+            generation = GenerationMode.RANDOMIZED,
+            edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
     void noPlanGivesMoreThanThereIs(@ForAll long seed) {
         Plan plan = Plan.of(random(new Random(seed)), SUPPLY, 0, SPAN);
@@ -77,42 +124,64 @@
             double gpus = 0;
             for (Plan.Slot slot : plan.slots()) {
                 if (slot.when().fromMillis() <= now && now < slot.when().untilMillis()) {
-                    slot.machines().forEach((pair, count) -> machines.merge(pair, count, Integer::sum));
-                    gpus += slot.reservation().team().equals("t") ? slot.tasks() * slot.reservation().perTask().gpu() / 1e6
-                            : 0;
+                    slot.machines()
+                            .forEach((pair, count) -> machines.merge(pair, count, Integer::sum));
+                    gpus +=
+                            slot.reservation().team().equals("t")
+                                    ? slot.tasks() * slot.reservation().perTask().gpu() / 1e6
+                                    : 0;
                 }
             }
             assertTrue(gpus <= 10, "over the limit of the team");
             for (String pair : machines.keySet()) {
                 assertTrue(machines.get(pair) <= (pair.startsWith("small") ? 3 : 1), pair);
                 for (Plan.Outage outage : plan.outages()) {
-                    boolean covers = outage.window().coversAll(pair.split("/")[0], pair.split("/")[1]);
-                    assertTrue(!covers || now < outage.when().fromMillis() || now >= outage.when().untilMillis(), pair);
+                    boolean covers =
+                            outage.window().coversAll(pair.split("/")[0], pair.split("/")[1]);
+                    assertTrue(
+                            !covers
+                                    || now < outage.when().fromMillis()
+                                    || now >= outage.when().untilMillis(),
+                            pair);
                 }
             }
         }
     }
 
-    @Property(tries = 200, seed = "2", generation = GenerationMode.RANDOMIZED, edgeCases = EdgeCasesMode.NONE,
+    @Property(
+            tries = 200,
+            seed = "2",
+            generation = GenerationMode.RANDOMIZED,
+            edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
     void theSameRecordsGiveTheSamePlanInWhateverOrderTheyAreRead(@ForAll long seed) {
         Calendar calendar = random(new Random(seed));
         List<StateStore.Entry> entries = new ArrayList<>();
         long order = 0;
         for (Calendar.Held<Reservation> held : calendar.reservations()) {
-            entries.add(new StateStore.Entry(CalendarRecords.reservation(held.what().name()),
-                    CalendarRecords.encode(held.what(), ++order), new Version(order)));
+            entries.add(
+                    new StateStore.Entry(
+                            CalendarRecords.reservation(held.what().name()),
+                            CalendarRecords.encode(held.what(), ++order),
+                            new Version(order)));
         }
         for (Calendar.Held<Window> held : calendar.windows()) {
-            entries.add(new StateStore.Entry(CalendarRecords.window(held.what().name()),
-                    CalendarRecords.encode(held.what(), ++order), new Version(order)));
+            entries.add(
+                    new StateStore.Entry(
+                            CalendarRecords.window(held.what().name()),
+                            CalendarRecords.encode(held.what(), ++order),
+                            new Version(order)));
         }
         List<Plan.Slot> slots = Plan.of(calendar, SUPPLY, 0, SPAN).slots();
         Collections.shuffle(entries, new Random(seed));
         assertEquals(slots, Plan.of(Calendar.of(entries), SUPPLY, 0, SPAN).slots());
     }
 
-    @Property(tries = 200, seed = "3", generation = GenerationMode.RANDOMIZED, edgeCases = EdgeCasesMode.NONE,
+    @Property(
+            tries = 200,
+            seed = "3",
+            generation = GenerationMode.RANDOMIZED,
+            edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
     void whatIsAcceptedTakesNothingFromOthersAndLeavesNoTraceWhenItIsWithdrawn(@ForAll long seed) {
         Calendar calendar = random(new Random(seed));
@@ -120,48 +189,105 @@
         List<Plan.Slot> before = Plan.of(calendar, SUPPLY, 0, SPAN).slots();
         List<Plan.Slot> with = Plan.of(calendar.with(asked), SUPPLY, 0, SPAN).slots();
         assertTrue(with.containsAll(before), "who came earlier has what it had");
-        assertEquals(before, Plan.of(calendar.with(asked).withoutReservation("asked"), SUPPLY, 0, SPAN).slots());
+        assertEquals(
+                before,
+                Plan.of(calendar.with(asked).withoutReservation("asked"), SUPPLY, 0, SPAN).slots());
         Admittance.Verdict verdict = Admittance.judge(calendar, asked, SUPPLY, Set.of("a", "b"), 0);
         if (verdict.nearest() != null) {
-            long minute = Duration.between(LocalDateTime.of(1970, 1, 1, 0, 0), verdict.nearest()).toMinutes();
-            assertTrue(Admittance.judge(calendar, reservation("asked", "u", 2, 1, null, (int) minute, 200), SUPPLY,
-                    Set.of("a", "b"), 0).isMet(), "the start that is named can be met");
+            long minute =
+                    Duration.between(LocalDateTime.of(1970, 1, 1, 0, 0), verdict.nearest())
+                            .toMinutes();
+            assertTrue(
+                    Admittance.judge(
+                                    calendar,
+                                    reservation("asked", "u", 2, 1, null, (int) minute, 200),
+                                    SUPPLY,
+                                    Set.of("a", "b"),
+                                    0)
+                            .isMet(),
+                    "the start that is named can be met");
         }
     }
 
     @Example
     void whatStandsAgainstAReservationIsNamedWithTheNearestStart() {
-        Calendar calendar = Calendar.EMPTY.with(reservation("first", "t", 4, 2, null, 60, 120))
-                .with(window("works", Window.Scope.ZONE, "a", 300, 60));
-        Admittance.Verdict limit = Admittance.judge(calendar, reservation("more", "t", 2, 2, null, 100, 60), SUPPLY,
-                Set.of("a", "b"), 0);
+        Calendar calendar =
+                Calendar.EMPTY
+                        .with(reservation("first", "t", 4, 2, null, 60, 120))
+                        .with(window("works", Window.Scope.ZONE, "a", 300, 60));
+        Admittance.Verdict limit =
+                Admittance.judge(
+                        calendar,
+                        reservation("more", "t", 2, 2, null, 100, 60),
+                        SUPPLY,
+                        Set.of("a", "b"),
+                        0);
         assertEquals(List.of("the limit of team t, with first"), limit.against());
         assertEquals(LocalDateTime.of(1970, 1, 1, 3, 0), limit.nearest());
-        Admittance.Verdict zone = Admittance.judge(calendar, reservation("in-a", "u", 1, 0, "a", 270, 60), SUPPLY,
-                Set.of("a", "b"), 0);
+        Admittance.Verdict zone =
+                Admittance.judge(
+                        calendar,
+                        reservation("in-a", "u", 1, 0, "a", 270, 60),
+                        SUPPLY,
+                        Set.of("a", "b"),
+                        0);
         assertTrue(zone.against().contains("window works takes small in a"), () -> "" + zone);
         assertEquals(LocalDateTime.of(1970, 1, 1, 6, 0), zone.nearest());
-        Admittance.Verdict machines = Admittance.judge(calendar, reservation("many", "u", 20, 2, "b", 900, 60), SUPPLY,
-                Set.of("a", "b"), 0);
+        Admittance.Verdict machines =
+                Admittance.judge(
+                        calendar,
+                        reservation("many", "u", 20, 2, "b", 900, 60),
+                        SUPPLY,
+                        Set.of("a", "b"),
+                        0);
         assertEquals(List.of("there are 3 of small in b"), machines.against());
         assertEquals(null, machines.nearest());
-        assertEquals("there is no zone z", Admittance.judge(calendar, reservation("z", "u", 1, 0, "z", 0, 1), SUPPLY,
-                Set.of("a", "b"), 0).never());
-        assertEquals("it is more than the limit of team t", Admittance.judge(calendar, reservation("z", "t", 6, 2, null, 0,
-                1), SUPPLY, Set.of("a", "b"), 0).never());
+        assertEquals(
+                "there is no zone z",
+                Admittance.judge(
+                                calendar,
+                                reservation("z", "u", 1, 0, "z", 0, 1),
+                                SUPPLY,
+                                Set.of("a", "b"),
+                                0)
+                        .never());
+        assertEquals(
+                "it is more than the limit of team t",
+                Admittance.judge(
+                                calendar,
+                                reservation("z", "t", 6, 2, null, 0, 1),
+                                SUPPLY,
+                                Set.of("a", "b"),
+                                0)
+                        .never());
     }
 
     @Example
     void aWindowDeclaredLaterMovesWhatItTakesOrSaysWhatIsShort() {
-        Calendar calendar = Calendar.EMPTY.with(reservation("moves", "u", 2, 1, null, 60, 60))
-                .with(reservation("bound", "u", 1, 1, "a", 60, 60));
-        List<String> notes = Admittance.taken(calendar, window("works", Window.Scope.ZONE, "a", 0, 200), SUPPLY, 0);
+        Calendar calendar =
+                Calendar.EMPTY
+                        .with(reservation("moves", "u", 2, 1, null, 60, 60))
+                        .with(reservation("bound", "u", 1, 1, "a", 60, 60));
+        List<String> notes =
+                Admittance.taken(
+                        calendar, window("works", Window.Scope.ZONE, "a", 0, 200), SUPPLY, 0);
         assertEquals(2, notes.size());
-        assertTrue(notes.stream().anyMatch(note -> note.startsWith("bound") && note.contains("is short: window works")),
+        assertTrue(
+                notes.stream()
+                        .anyMatch(
+                                note ->
+                                        note.startsWith("bound")
+                                                && note.contains("is short: window works")),
                 () -> "" + notes);
-        assertTrue(notes.stream().anyMatch(note -> note.startsWith("moves") && note.endsWith("small/b")), () -> "" + notes);
-        Calendar both = calendar.with(window("works", Window.Scope.ZONE, "a", 0, 200))
-                .with(window("more", Window.Scope.ZONE, "b", 90, 200));
-        assertTrue(Plan.of(both, SUPPLY, 0, SPAN).slots().stream().noneMatch(Plan.Slot::isMet), "two windows take all");
+        assertTrue(
+                notes.stream()
+                        .anyMatch(note -> note.startsWith("moves") && note.endsWith("small/b")),
+                () -> "" + notes);
+        Calendar both =
+                calendar.with(window("works", Window.Scope.ZONE, "a", 0, 200))
+                        .with(window("more", Window.Scope.ZONE, "b", 90, 200));
+        assertTrue(
+                Plan.of(both, SUPPLY, 0, SPAN).slots().stream().noneMatch(Plan.Slot::isMet),
+                "two windows take all");
     }
 }
--- a/src/test/java/org/meadowhollow/coordination/calendar/RecurrenceTest.java
+++ b/src/test/java/org/meadowhollow/coordination/calendar/RecurrenceTest.java
@@ -14,48 +14,115 @@
 import org.meadowhollow.bookkeeping.calendar.Schedule;
 
 class RecurrenceTest {
-    private static List<String> starts(String start, String zone, String rule, String from, String until) {
-        Schedule schedule = new Schedule(LocalDateTime.parse(start), ZoneId.of(zone), Duration.ofHours(2), rule);
-        return Recurrence.between(schedule, Instant.parse(from).toEpochMilli(), Instant.parse(until).toEpochMilli(), 64)
-                .stream().map(Occurrence::fromMillis).map(Instant::ofEpochMilli).map(Instant::toString).toList();
+    private static List<String> starts(
+            String start, String zone, String rule, String from, String until) {
+        Schedule schedule =
+                new Schedule(
+                        LocalDateTime.parse(start), ZoneId.of(zone), Duration.ofHours(2), rule);
+        return Recurrence.between(
+                        schedule,
+                        Instant.parse(from).toEpochMilli(),
+                        Instant.parse(until).toEpochMilli(),
+                        64)
+                .stream()
+                .map(Occurrence::fromMillis)
+                .map(Instant::ofEpochMilli)
+                .map(Instant::toString)
+                .toList();
     }
 
     @Test
     void everyNightIsTheSameOnTheClocksThoughTheyChange() {
         // New York's clocks go forward on 8 March 2026 at 2 and back on 1 November at 2.
-        assertEquals(List.of("2026-03-07T06:00:00Z", "2026-03-08T06:00:00Z", "2026-03-09T05:00:00Z"),
-                starts("2025-01-01T01:00", "America/New_York", "FREQ=DAILY", "2026-03-07T00:00:00Z",
+        assertEquals(
+                List.of("2026-03-07T06:00:00Z", "2026-03-08T06:00:00Z", "2026-03-09T05:00:00Z"),
+                starts(
+                        "2025-01-01T01:00",
+                        "America/New_York",
+                        "FREQ=DAILY",
+                        "2026-03-07T00:00:00Z",
                         "2026-03-10T00:00:00Z"));
     }
 
     @Test
     void aTimeThatIsSkippedComesLaterAndOneThatComesTwiceIsTheFirst() {
-        assertEquals(List.of("2026-03-07T07:30:00Z", "2026-03-08T07:30:00Z", "2026-03-09T06:30:00Z"),
-                starts("2026-03-07T02:30", "America/New_York", "FREQ=DAILY;COUNT=3", "2026-03-01T00:00:00Z",
-                        "2026-03-20T00:00:00Z"), "half past two is half past three on the eighth");
-        assertEquals(List.of("2026-10-31T05:30:00Z", "2026-11-01T05:30:00Z", "2026-11-02T06:30:00Z"),
-                starts("2026-10-31T01:30", "America/New_York", "FREQ=DAILY;COUNT=3", "2026-10-01T00:00:00Z",
+        assertEquals(
+                List.of("2026-03-07T07:30:00Z", "2026-03-08T07:30:00Z", "2026-03-09T06:30:00Z"),
+                starts(
+                        "2026-03-07T02:30",
+                        "America/New_York",
+                        "FREQ=DAILY;COUNT=3",
+                        "2026-03-01T00:00:00Z",
+                        "2026-03-20T00:00:00Z"),
+                "half past two is half past three on the eighth");
+        assertEquals(
+                List.of("2026-10-31T05:30:00Z", "2026-11-01T05:30:00Z", "2026-11-02T06:30:00Z"),
+                starts(
+                        "2026-10-31T01:30",
+                        "America/New_York",
+                        "FREQ=DAILY;COUNT=3",
+                        "2026-10-01T00:00:00Z",
                         "2026-11-20T00:00:00Z"));
     }
 
     @Test
     void whatHasBegunIsPartOfASpanAndWhatIsOverIsNot() {
-        assertEquals(List.of("2026-05-01T00:00:00Z"), starts("2026-05-01T00:00", "UTC", null, "2026-05-01T01:59:59Z",
-                "2026-05-03T00:00:00Z"));
-        assertEquals(List.of(), starts("2026-05-01T00:00", "UTC", null, "2026-05-01T02:00:00Z", "2026-05-03T00:00:00Z"));
-        assertEquals(List.of("2026-05-01T23:00:00Z", "2026-05-02T23:00:00Z"), starts("2020-01-01T23:00", "UTC",
-                "FREQ=DAILY", "2026-05-02T00:30:00Z", "2026-05-03T00:00:00Z"));
+        assertEquals(
+                List.of("2026-05-01T00:00:00Z"),
+                starts(
+                        "2026-05-01T00:00",
+                        "UTC",
+                        null,
+                        "2026-05-01T01:59:59Z",
+                        "2026-05-03T00:00:00Z"));
+        assertEquals(
+                List.of(),
+                starts(
+                        "2026-05-01T00:00",
+                        "UTC",
+                        null,
+                        "2026-05-01T02:00:00Z",
+                        "2026-05-03T00:00:00Z"));
+        assertEquals(
+                List.of("2026-05-01T23:00:00Z", "2026-05-02T23:00:00Z"),
+                starts(
+                        "2020-01-01T23:00",
+                        "UTC",
+                        "FREQ=DAILY",
+                        "2026-05-02T00:30:00Z",
+                        "2026-05-03T00:00:00Z"));
     }
 
     @Test
     void rulesThatCannotBeFollowedAreNamedAndRulesWithoutDaysEnd() {
-        for (String wrong : List.of("FREQ=HOURLY", "FREQ=SECONDLY", "nightly", "FREQ=DAILY;BYDAY=XX", "FREQ=DAILY;COUNT=-1",
-                "FREQ=DAILY;UNTIL=20260101T000000Z")) {
-            Recurrence.Unusable unusable = assertThrows(Recurrence.Unusable.class, () -> Recurrence.check(new Schedule(
-                    LocalDateTime.parse("2026-01-01T00:00"), ZoneId.of("Asia/Amman"), Duration.ofHours(1), wrong)), wrong);
+        for (String wrong :
+                List.of(
+                        "FREQ=HOURLY",
+                        "FREQ=SECONDLY",
+                        "nightly",
+                        "FREQ=DAILY;BYDAY=XX",
+                        "FREQ=DAILY;COUNT=-1",
+                        "FREQ=DAILY;UNTIL=20260101T000000Z")) {
+            Recurrence.Unusable unusable =
+                    assertThrows(
+                            Recurrence.Unusable.class,
+                            () ->
+                                    Recurrence.check(
+                                            new Schedule(
+                                                    LocalDateTime.parse("2026-01-01T00:00"),
+                                                    ZoneId.of("Asia/Amman"),
+                                                    Duration.ofHours(1),
+                                                    wrong)),
+                            wrong);
             assertTrue(unusable.getMessage().startsWith("rule"), unusable.getMessage());
         }
-        assertEquals(List.of(), starts("2026-01-01T00:00", "UTC", "FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=30",
-                "2026-01-01T00:00:00Z", "2027-01-01T00:00:00Z"));
+        assertEquals(
+                List.of(),
+                starts(
+                        "2026-01-01T00:00",
+                        "UTC",
+                        "FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=30",
+                        "2026-01-01T00:00:00Z",
+                        "2027-01-01T00:00:00Z"));
     }
 }
--- a/src/test/java/org/meadowhollow/coordination/fleet/AwaitedTest.java
+++ b/src/test/java/org/meadowhollow/coordination/fleet/AwaitedTest.java
@@ -12,8 +12,8 @@
 
 /** How long machines that boot late or never are counted on. */
 class AwaitedTest {
-    private static final MachineType TYPE = new MachineType("small", Resources.of(8, 2, 32), 50, 1, 2, 1, 10,
-            List.of("a"));
+    private static final MachineType TYPE =
+            new MachineType("small", Resources.of(8, 2, 32), 50, 1, 2, 1, 10, List.of("a"));
     private final Awaited awaited = new Awaited();
 
     private static Moment at(double seconds) {
@@ -31,7 +31,10 @@
         assertEquals(0, awaited.counted(at(16)).size());
         rent("vm-2", 16);
         assertEquals(0, awaited.counted(at(32)).size());
-        assertEquals(List.of(new MachineId("vm-1")), awaited.givenUp(at(32)), "it was replaced, and is late by far");
+        assertEquals(
+                List.of(new MachineId("vm-1")),
+                awaited.givenUp(at(32)),
+                "it was replaced, and is late by far");
         awaited.forget(new MachineId("vm-1"));
         rent("vm-3", 32);
         assertEquals(1, awaited.counted(at(60)).size(), "renting without end helps nobody");
--- a/src/test/java/org/meadowhollow/coordination/fleet/GivingUpTest.java
+++ b/src/test/java/org/meadowhollow/coordination/fleet/GivingUpTest.java
@@ -16,21 +16,38 @@
 import org.meadowhollow.coordination.platform.Platform;
 
 class GivingUpTest {
-    private static final MachineType TYPE = new MachineType("type", Resources.of(8, 2, 32), 50, 1, 2, 1, 10,
-            List.of("a"));
+    private static final MachineType TYPE =
+            new MachineType("type", Resources.of(8, 2, 32), 50, 1, 2, 1, 10, List.of("a"));
     private static final Moment BEGUN = new Moment(0);
 
     /** Of thousands that are silent, the other nodes can be asked about some hundred at a time. */
     @Test
     void aMachineThatNobodyHasBeenAskedAboutIsKept() {
-        Platform platform = new Platform("n0", List.of("a"), Map.of(), List.of(), Duration.ofSeconds(3),
-                Duration.ofSeconds(18), Duration.ofSeconds(30), Duration.ofSeconds(48), 100, 50, 16 * 1024, 12, 10,
-                Duration.ofSeconds(8));
+        Platform platform =
+                new Platform(
+                        "n0",
+                        List.of("a"),
+                        Map.of(),
+                        List.of(),
+                        Duration.ofSeconds(3),
+                        Duration.ofSeconds(18),
+                        Duration.ofSeconds(30),
+                        Duration.ofSeconds(48),
+                        100,
+                        50,
+                        16 * 1024,
+                        12,
+                        10,
+                        Duration.ofSeconds(8));
         Cluster cluster = new Cluster(platform, new Term(1));
-        GivingUp givingUp = new GivingUp(new FailureDetector(null, cluster, platform, null, null, null, BEGUN), platform);
+        GivingUp givingUp =
+                new GivingUp(
+                        new FailureDetector(null, cluster, platform, null, null, null, BEGUN),
+                        platform);
         Machine silent = new Machine(new MachineId("vm-1"), TYPE, "a", false);
         silent.knownSince(BEGUN);
         silent.answered(BEGUN);
-        assertEquals(List.of(), givingUp.choose(List.of(silent), BEGUN.plus(Duration.ofSeconds(100))));
+        assertEquals(
+                List.of(), givingUp.choose(List.of(silent), BEGUN.plus(Duration.ofSeconds(100))));
     }
 }
