--- a/src/test/java/org/meadowhollow/story/Judge.java
+++ b/src/test/java/org/meadowhollow/story/Judge.java
@@ -24,16 +24,24 @@
 import org.meadowhollow.coordination.platform.Platform;
 
 /**
- * Holds what workers and users saw against the protocol's rules, and against what is promised for the time after all
- * troubles. It knows nothing of records, nor of what any node believes.
+ * Holds what workers and users saw against the protocol's rules, and against what is promised for
+ * the time after all troubles. It knows nothing of records, nor of what any node believes.
  */
 final class Judge {
     /** A job about which no question is answered for so long, after all troubles, is forgotten. */
     private static final Duration NO_ANSWER = Duration.ofSeconds(75);
-    /** No job waits for so long, after all troubles, while a machine that fits has room and its team is under its limit. */
+
+    /**
+     * No job waits for so long, after all troubles, while a machine that fits has room and its team
+     * is under its limit.
+     */
     private static final Duration NEGLECTED = Duration.ofSeconds(90);
-    /** The largest jobs of a class begin within this time, counted from when all troubles were over. */
+
+    /**
+     * The largest jobs of a class begin within this time, counted from when all troubles were over.
+     */
     private static final Duration LARGEST_BEGIN = Duration.ofMinutes(4);
+
     private static final double LEAST_SERVED = 0.5;
 
     /** A machine as it is, whatever anybody believes. */
@@ -52,8 +60,7 @@
         List<TaskId> running();
     }
 
-    private record Told(Phase phase, Moment at) {
-    }
+    private record Told(Phase phase, Moment at) {}
 
     private final Duration cancelWithin;
     private final Map<String, Platform.Team> teams;
@@ -71,8 +78,12 @@
     private Moment calmSince;
     private int startsAfterCancellation;
 
-    Judge(Duration cancelWithin, Map<String, Platform.Team> teams, List<MachineType> types,
-            Function<JobId, JobSpec> specs, Supplier<? extends Collection<? extends Place>> places) {
+    Judge(
+            Duration cancelWithin,
+            Map<String, Platform.Team> teams,
+            List<MachineType> types,
+            Function<JobId, JobSpec> specs,
+            Supplier<? extends Collection<? extends Place>> places) {
         this.cancelWithin = cancelWithin;
         this.teams = teams;
         this.types = types;
@@ -90,10 +101,14 @@
         cancelAsked.add(id);
     }
 
-    /** The protocol's own words on what can never run: team, types, limit, and what a gang's own fields rule out. */
+    /**
+     * The protocol's own words on what can never run: team, types, limit, and what a gang's own
+     * fields rule out.
+     */
     boolean canRun(JobSpec spec) {
         Platform.Team team = teams.get(spec.team());
-        Resources atOnce = spec.kind() == Kind.ARRAY ? spec.perTask() : spec.perTask().times(spec.tasks());
+        Resources atOnce =
+                spec.kind() == Kind.ARRAY ? spec.perTask() : spec.perTask().times(spec.tasks());
         if (team == null || !within(atOnce, team.most())) {
             return false;
         }
@@ -104,18 +119,21 @@
             }
         }
         boolean inOneZone = spec.oneZone() || zones.size() == 1;
-        return !zones.isEmpty() && !(spec.kind() == Kind.GANG && spec.spread() && inOneZone && spec.tasks() > 1);
+        return !zones.isEmpty()
+                && !(spec.kind() == Kind.GANG && spec.spread() && inOneZone && spec.tasks() > 1);
     }
 
     private static boolean within(Resources used, Resources most) {
-        return (most.cpu() == 0 || used.cpu() <= most.cpu()) && (most.gpu() == 0 || used.gpu() <= most.gpu());
+        return (most.cpu() == 0 || used.cpu() <= most.cpu())
+                && (most.gpu() == 0 || used.gpu() <= most.gpu());
     }
 
     /**
      * An answer has come.
      *
      * @param phase null if there is no such job
-     * @param sentAt when the question was sent: what was told only after that may be newer than the answer
+     * @param sentAt when the question was sent: what was told only after that may be newer than the
+     *     answer
      */
     void answered(JobId id, Phase phase, Moment sentAt, Moment now) {
         answeredAt.put(id, now);
@@ -128,12 +146,18 @@
         Told end = ends.get(id);
         boolean isEnd = phase == Phase.DONE || phase == Phase.CANCELLED;
         if (end != null && (isEnd || end.at().isBefore(sentAt))) {
-            assertTrue(phase == end.phase(), "went_back: " + id + " was " + end.phase() + " and is " + phase);
+            assertTrue(
+                    phase == end.phase(),
+                    "went_back: " + id + " was " + end.phase() + " and is " + phase);
         }
-        assertTrue(phase != Phase.CANCELLED || cancelAsked.contains(id), "went_back: " + id + " cancelled by nobody");
+        assertTrue(
+                phase != Phase.CANCELLED || cancelAsked.contains(id),
+                "went_back: " + id + " cancelled by nobody");
         if (phase == Phase.DONE) {
             for (int task = 0; task < specs.apply(id).tasks(); task++) {
-                assertTrue(completed.contains(new TaskId(id, task)), "not_done: task " + task + " of " + id);
+                assertTrue(
+                        completed.contains(new TaskId(id, task)),
+                        "not_done: task " + task + " of " + id);
             }
         }
         if (since == null) {
@@ -170,7 +194,10 @@
         startsAfterCancellation += isCancelled(task.job()) ? 1 : 0;
     }
 
-    /** Orders to start that workers took after the job's cancellation was confirmed; each had been under way by then. */
+    /**
+     * Orders to start that workers took after the job's cancellation was confirmed; each had been
+     * under way by then.
+     */
     int startsAfterCancellation() {
         return startsAfterCancellation;
     }
@@ -179,18 +206,24 @@
     void started(Place place, TaskId task, Moment now) {
         JobSpec spec = specs.apply(task.job());
         begunAt.putIfAbsent(task.job(), now);
-        assertTrue(spec.allowsZone(place.zone()) && spec.allowsType(place.machineType().name()), "wrong_place: " + task);
+        assertTrue(
+                spec.allowsZone(place.zone()) && spec.allowsType(place.machineType().name()),
+                "wrong_place: " + task);
         int inZone = 0;
         for (Place other : places.get()) {
             for (TaskId running : other.running()) {
                 assertTrue(other == place || !running.equals(task), "ran_twice: " + task);
                 if (running.job().equals(task.job())) {
                     inZone += other.zone().equals(place.zone()) ? 1 : 0;
-                    assertTrue(!spec.oneZone() || other.zone().equals(place.zone()), "wrong_place: " + task);
+                    assertTrue(
+                            !spec.oneZone() || other.zone().equals(place.zone()),
+                            "wrong_place: " + task);
                 }
             }
         }
-        assertTrue(!spec.spread() || inZone <= spec.mostPerZone(), "wrong_place: too many in a zone: " + task);
+        assertTrue(
+                !spec.spread() || inZone <= spec.mostPerZone(),
+                "wrong_place: too many in a zone: " + task);
     }
 
     // ---- at each step ----
@@ -201,11 +234,16 @@
             for (TaskId task : place.running()) {
                 JobSpec spec = specs.apply(task.job());
                 used.merge(spec.team(), spec.perTask(), Resources::plus);
-                assertTrue(!isCancelled(task.job())
-                        || now.since(ends.get(task.job()).at()).compareTo(cancelWithin) <= 0, "ran_cancelled: " + task);
+                assertTrue(
+                        !isCancelled(task.job())
+                                || now.since(ends.get(task.job()).at()).compareTo(cancelWithin)
+                                        <= 0,
+                        "ran_cancelled: " + task);
             }
         }
-        used.forEach((team, sum) -> assertTrue(within(sum, teams.get(team).most()), "quota: team " + team));
+        used.forEach(
+                (team, sum) ->
+                        assertTrue(within(sum, teams.get(team).most()), "quota: team " + team));
         if (calmSince != null) {
             unfinished().forEach(id -> checkCalm(id, used, now));
         }
@@ -232,10 +270,15 @@
             return;
         }
         Moment neglected = neglectedSince.computeIfAbsent(id, unused -> now);
-        assertTrue(now.since(neglected).compareTo(NEGLECTED) <= 0, "neglected: " + id + " waits beside room for it");
+        assertTrue(
+                now.since(neglected).compareTo(NEGLECTED) <= 0,
+                "neglected: " + id + " waits beside room for it");
     }
 
-    /** Whether a task of the job, or all of a gang's, waits although machines that fit have room and the team may use it. */
+    /**
+     * Whether a task of the job, or all of a gang's, waits although machines that fit have room and
+     * the team may use it.
+     */
     private boolean hasRoom(JobSpec spec, Map<String, Resources> used) {
         Map<String, Integer> zones = new HashMap<>();
         int held = 0;
@@ -244,7 +287,11 @@
             done += completed.contains(new TaskId(spec.id(), task)) ? 1 : 0;
         }
         for (Place place : places.get()) {
-            int here = (int) place.held().stream().filter(task -> task.job().equals(spec.id())).count();
+            int here =
+                    (int)
+                            place.held().stream()
+                                    .filter(task -> task.job().equals(spec.id()))
+                                    .count();
             held += here;
             if (here > 0) {
                 zones.merge(place.zone(), here, Integer::sum);
@@ -252,54 +299,83 @@
         }
         boolean gang = spec.kind() == Kind.GANG;
         int needed = gang ? spec.tasks() : 1;
-        if (held + done >= spec.tasks() || gang && held > 0
-                || !within(used.getOrDefault(spec.team(), Resources.NONE).plus(spec.perTask().times(needed)),
-                teams.get(spec.team()).most())) {
+        if (held + done >= spec.tasks()
+                || gang && held > 0
+                || !within(
+                        used.getOrDefault(spec.team(), Resources.NONE)
+                                .plus(spec.perTask().times(needed)),
+                        teams.get(spec.team()).most())) {
             return false;
         }
         Map<String, Integer> room = new HashMap<>();
         for (Place place : places.get()) {
-            boolean elsewhere = spec.oneZone() && zones.keySet().stream().anyMatch(zone -> !zone.equals(place.zone()));
-            if (place.inTouch() && spec.allowsType(place.machineType().name()) && spec.allowsZone(place.zone()) && !elsewhere) {
+            boolean elsewhere =
+                    spec.oneZone()
+                            && zones.keySet().stream().anyMatch(zone -> !zone.equals(place.zone()));
+            if (place.inTouch()
+                    && spec.allowsType(place.machineType().name())
+                    && spec.allowsZone(place.zone())
+                    && !elsewhere) {
                 Resources free = place.machineType().room();
                 for (TaskId task : place.held()) {
                     free = free.minus(specs.apply(task.job()).perTask());
                 }
                 int most = spec.mostPerZone() - zones.getOrDefault(place.zone(), 0);
-                room.merge(place.zone(), spec.perTask().countIn(free, spec.tasks()),
+                room.merge(
+                        place.zone(),
+                        spec.perTask().countIn(free, spec.tasks()),
                         (one, other) -> Math.min(most, one + other));
                 room.computeIfPresent(place.zone(), (zone, count) -> Math.min(most, count));
             }
         }
-        return (spec.oneZone() ? room.values().stream().mapToInt(Integer::intValue).max().orElse(0)
-                : room.values().stream().mapToInt(Integer::intValue).sum()) >= needed;
+        return (spec.oneZone()
+                        ? room.values().stream().mapToInt(Integer::intValue).max().orElse(0)
+                        : room.values().stream().mapToInt(Integer::intValue).sum())
+                >= needed;
     }
 
-    /** At the end: of what was accepted and is wanted, who was served, by class, team and the largest of each class. */
+    /**
+     * At the end: of what was accepted and is wanted, who was served, by class, team and the
+     * largest of each class.
+     */
     void served() {
         Map<String, List<JobId>> groups = new LinkedHashMap<>();
         Map<String, Integer> largest = new HashMap<>();
-        List<JobId> wanted = accepted.keySet().stream().filter(id -> !cancelAsked.contains(id)).toList();
-        wanted.forEach(id -> largest.merge(specs.apply(id).jobClass(), specs.apply(id).tasks(), Math::max));
+        List<JobId> wanted =
+                accepted.keySet().stream().filter(id -> !cancelAsked.contains(id)).toList();
+        wanted.forEach(
+                id ->
+                        largest.merge(
+                                specs.apply(id).jobClass(), specs.apply(id).tasks(), Math::max));
         for (JobId id : wanted) {
             JobSpec spec = specs.apply(id);
             groups.computeIfAbsent("class " + spec.jobClass(), unused -> new ArrayList<>()).add(id);
             groups.computeIfAbsent("team " + spec.team(), unused -> new ArrayList<>()).add(id);
             if (spec.tasks() == largest.get(spec.jobClass())) {
-                groups.computeIfAbsent("largest of " + spec.jobClass(), unused -> new ArrayList<>()).add(id);
-                Moment from = calmSince == null ? accepted.get(id) : Moment.later(calmSince, accepted.get(id));
-                assertTrue(begunAt.containsKey(id) && begunAt.get(id).isBefore(from.plus(LARGEST_BEGIN)),
+                groups.computeIfAbsent("largest of " + spec.jobClass(), unused -> new ArrayList<>())
+                        .add(id);
+                Moment from =
+                        calmSince == null
+                                ? accepted.get(id)
+                                : Moment.later(calmSince, accepted.get(id));
+                assertTrue(
+                        begunAt.containsKey(id)
+                                && begunAt.get(id).isBefore(from.plus(LARGEST_BEGIN)),
                         "the largest have to begin in time: " + id);
             }
         }
-        groups.forEach((group, jobs) -> {
-            long served = jobs.stream().filter(this::isServed).count();
-            assertTrue(served >= LEAST_SERVED * jobs.size(), group + ": " + served + " served of " + jobs.size());
-        });
+        groups.forEach(
+                (group, jobs) -> {
+                    long served = jobs.stream().filter(this::isServed).count();
+                    assertTrue(
+                            served >= LEAST_SERVED * jobs.size(),
+                            group + ": " + served + " served of " + jobs.size());
+                });
     }
 
     private boolean isServed(JobId id) {
-        return specs.apply(id).kind() == Kind.SERVICE ? begunAt.containsKey(id)
+        return specs.apply(id).kind() == Kind.SERVICE
+                ? begunAt.containsKey(id)
                 : isOver(id) && ends.get(id).phase() == Phase.DONE;
     }
 }
--- a/src/test/java/org/meadowhollow/story/JudgeTest.java
+++ b/src/test/java/org/meadowhollow/story/JudgeTest.java
@@ -26,7 +26,8 @@
 class JudgeTest {
     private static final JobId UNKNOWN = new JobId("req-99");
 
-    private record Stand(String zone, MachineType machineType, List<TaskId> held, List<TaskId> running)
+    private record Stand(
+            String zone, MachineType machineType, List<TaskId> held, List<TaskId> running)
             implements Judge.Place {
         @Override
         public boolean inTouch() {
@@ -37,8 +38,13 @@
     private final Map<JobId, JobSpec> specs = new HashMap<>();
     private final Map<String, Platform.Team> teams = new HashMap<>();
     private final List<Stand> places = new ArrayList<>();
-    private final Judge judge = new Judge(Duration.ofSeconds(48), teams, List.of(World.SMALL, World.LARGE), specs::get,
-            () -> places);
+    private final Judge judge =
+            new Judge(
+                    Duration.ofSeconds(48),
+                    teams,
+                    List.of(World.SMALL, World.LARGE),
+                    specs::get,
+                    () -> places);
 
     private static Moment at(double seconds) {
         return new Moment((long) (seconds * 1e9));
@@ -76,13 +82,19 @@
     void whatUsersAreTold() {
         sees("invented", () -> judge.answered(UNKNOWN, Phase.QUEUED, at(0), at(1)));
         JobSpec job = accepted(1, Kind.ARRAY, 2);
-        assertDoesNotThrow(() -> judge.answered(job.id(), null, at(0.5), at(2)), "asked before anybody was told");
+        assertDoesNotThrow(
+                () -> judge.answered(job.id(), null, at(0.5), at(2)),
+                "asked before anybody was told");
         sees("forgotten", () -> judge.answered(job.id(), null, at(1.5), at(2)));
-        sees("went_back: " + job.id() + " cancelled by nobody", () -> judge.answered(job.id(), Phase.CANCELLED, at(2), at(3)));
+        sees(
+                "went_back: " + job.id() + " cancelled by nobody",
+                () -> judge.answered(job.id(), Phase.CANCELLED, at(2), at(3)));
         sees("not_done", () -> judge.answered(job.id(), Phase.DONE, at(2), at(3)));
         judge.asksToCancel(job.id());
         judge.answered(job.id(), Phase.CANCELLED, at(3), at(4));
-        assertDoesNotThrow(() -> judge.answered(job.id(), Phase.RUNNING, at(3.5), at(5)), "asked before it was confirmed");
+        assertDoesNotThrow(
+                () -> judge.answered(job.id(), Phase.RUNNING, at(3.5), at(5)),
+                "asked before it was confirmed");
         sees("went_back", () -> judge.answered(job.id(), Phase.RUNNING, at(4.1), at(5)));
         judge.complete(task(job, 0));
         judge.complete(task(job, 1));
@@ -91,9 +103,13 @@
 
     @Test
     void whatIsAcceptedThoughItCannotRun() {
-        for (JobSpec wrong : List.of(World.spec(1, Kind.ARRAY, 1, 9), Story.withTeam(World.spec(2, Kind.ARRAY, 1, 1), "nobody"),
-                World.spec(3, Kind.GANG, 5, 1), Story.inZone(World.spec(4, Kind.ARRAY, 1, 1), "c"),
-                Story.zoned(World.spec(5, Kind.GANG, 2, 1), true, true))) {
+        for (JobSpec wrong :
+                List.of(
+                        World.spec(1, Kind.ARRAY, 1, 9),
+                        Story.withTeam(World.spec(2, Kind.ARRAY, 1, 1), "nobody"),
+                        World.spec(3, Kind.GANG, 5, 1),
+                        Story.inZone(World.spec(4, Kind.ARRAY, 1, 1), "c"),
+                        Story.zoned(World.spec(5, Kind.GANG, 2, 1), true, true))) {
             job(wrong);
             sees("wrongly accepted", () -> judge.answered(wrong.id(), Phase.QUEUED, at(0), at(1)));
         }
@@ -187,9 +203,10 @@
     @Test
     void whatIsFoundInsideAnAnswerEndsTheTestWithItsNextStep() {
         World world = new World();
-        world.judged(() -> {
-            throw new AssertionError("planted");
-        });
+        world.judged(
+                () -> {
+                    throw new AssertionError("planted");
+                });
         sees("planted", () -> world.runS(1));
     }
 }
--- a/src/test/java/org/meadowhollow/story/LeaderStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/LeaderStoriesTest.java
@@ -25,7 +25,10 @@
         assertTrue(world.isReady(1));
     }
 
-    /** A leader that came late to its work answered workers too late, while users asked it as often as any other node. */
+    /**
+     * A leader that came late to its work answered workers too late, while users asked it as often
+     * as any other node.
+     */
     @Test
     void aLeaderThatIsShortOfTimeSendsUsersElsewhere() {
         int leader = world.leader();
@@ -149,7 +152,8 @@
         world.runS(3);
         assertTrue(world.cancel((old + 1) % 3, job.id()));
         world.runS(15);
-        assertTrue(world.workers().stream().allMatch(worker -> worker.running().isEmpty()),
+        assertTrue(
+                world.workers().stream().allMatch(worker -> worker.running().isEmpty()),
                 "a hint of the new term makes the old leader let go at once");
     }
 
--- a/src/test/java/org/meadowhollow/story/LimitStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/LimitStoriesTest.java
@@ -19,18 +19,20 @@
 import org.meadowhollow.coordination.admission.Admission.Phase;
 
 /**
- * Teams at their limits and zones that jobs are bound to, while tasks are called off on machines that cannot be asked, and the
- * work changes hands. The judge of {@link World} watches limits, zones and the time that a cancellation has.
+ * Teams at their limits and zones that jobs are bound to, while tasks are called off on machines
+ * that cannot be asked, and the work changes hands. The judge of {@link World} watches limits,
+ * zones and the time that a cancellation has.
  */
 class LimitStoriesTest extends Story {
     /** Why a machine cannot be asked. */
     enum OutOfReach {
         HUNG(FakeWorker::hang),
-        CUT((worker, now) -> {
-            for (int node = 0; node < 3; node++) {
-                worker.cannotReach(node, now);
-            }
-        }),
+        CUT(
+                (worker, now) -> {
+                    for (int node = 0; node < 3; node++) {
+                        worker.cannotReach(node, now);
+                    }
+                }),
         MUTE(FakeWorker::mute),
         DEAF(FakeWorker::deaf);
 
@@ -57,14 +59,19 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"HUNG, 1", "HUNG, 2", "HUNG, 3", "CUT, 1", "CUT, 2", "MUTE, 1", "MUTE, 2", "DEAF, 1", "DEAF, 2", "DEAF, 3"})
-    void whatIsCalledOffOutOfReachCountsForItsTeamUntilItIsGoneAcrossLeaders(OutOfReach how, int leaders) {
+    @CsvSource({
+        "HUNG, 1", "HUNG, 2", "HUNG, 3", "CUT, 1", "CUT, 2", "MUTE, 1", "MUTE, 2", "DEAF, 1",
+        "DEAF, 2", "DEAF, 3"
+    })
+    void whatIsCalledOffOutOfReachCountsForItsTeamUntilItIsGoneAcrossLeaders(
+            OutOfReach how, int leaders) {
         List<JobSpec> running = bothTeamsAtTheirLimits();
         world.cloudOut(true);
         List<FakeWorker> lost = world.workers().subList(0, 2);
         lost.forEach(worker -> how.trouble.accept(worker, true));
         running.forEach(job -> assertTrue(world.cancel(other(world.leader(), 1), job.id())));
-        List<JobSpec> next = List.of(withTeam(array(3, 12), "team"), withTeam(array(4, 8), "other"));
+        List<JobSpec> next =
+                List.of(withTeam(array(3, 12), "team"), withTeam(array(4, 8), "other"));
         next.forEach(job -> assertTrue(world.submit(other(world.leader(), 1), job, HOURS)));
         boolean still = false;
         for (int takeover = 0; takeover < leaders; takeover++) {
@@ -72,13 +79,18 @@
             world.crash(leader);
             for (int second = 0; second < 8; second++) {
                 world.runS(1);
-                still |= world.leader() != leader && lost.stream().anyMatch(worker -> !worker.running().isEmpty());
+                still |=
+                        world.leader() != leader
+                                && lost.stream().anyMatch(worker -> !worker.running().isEmpty());
             }
             assertNotEquals(leader, world.leader());
             world.restart(leader);
         }
         // Direct commands reach a mute machine, so there its tasks are gone at once.
-        assertEquals(how != OutOfReach.MUTE, still, "a task that was called off was there while the next one led");
+        assertEquals(
+                how != OutOfReach.MUTE,
+                still,
+                "a task that was called off was there while the next one led");
         world.runS(60);
         lost.forEach(worker -> how.trouble.accept(worker, false));
         world.cloudOut(false);
@@ -87,7 +99,10 @@
         next.forEach(job -> assertTrue(allRun(job), job.id() + " waits for nobody for ever"));
     }
 
-    /** The start was committed and never sent: the next leader cannot know, and nobody waits for it for ever. */
+    /**
+     * The start was committed and never sent: the next leader cannot know, and nobody waits for it
+     * for ever.
+     */
     @Test
     void anAttemptWhoseStartWasNeverSentCountsAndIsGivenUp() {
         world.team("team", 0, 8);
@@ -110,18 +125,27 @@
     }
 
     /** How the work changes hands. */
-    enum Handing { RESIGNED, ENDED, DEPOSED, ENDED_AND_BACK }
+    enum Handing {
+        RESIGNED,
+        ENDED,
+        DEPOSED,
+        ENDED_AND_BACK
+    }
 
     private void handOn(Handing how, int leader) {
         switch (how) {
             case RESIGNED -> world.node(leader).handOver();
             case ENDED -> world.crash(leader);
-            case DEPOSED -> world.node(leader).heardOf(new Term(world.term() + 1), "n" + other(leader, 1));
+            case DEPOSED ->
+                    world.node(leader).heardOf(new Term(world.term() + 1), "n" + other(leader, 1));
             default -> world.bounce(leader, Duration.ofMillis(200));
         }
     }
 
-    /** Cancellations a quarter of a second apart, from before the work changes hands until after the next one has loaded. */
+    /**
+     * Cancellations a quarter of a second apart, from before the work changes hands until after the
+     * next one has loaded.
+     */
     @ParameterizedTest
     @EnumSource(Handing.class)
     void jobsCalledOffInTheSecondsInWhichWorkChangesHandsAreGone(Handing how) {
@@ -156,7 +180,9 @@
         assertEquals(0, world.judge().startsAfterCancellation());
     }
 
-    /** Ten leaders in two minutes, also inside an outage, in which none of them can read anything. */
+    /**
+     * Ten leaders in two minutes, also inside an outage, in which none of them can read anything.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void tenLeadersInTwoMinutes(boolean inAnOutage) {
@@ -166,7 +192,8 @@
         world.runS(10);
         long term = world.term();
         for (int change = 0; change < 13; change++) {
-            world.bounce(Math.max(0, world.leader()), Duration.ofMillis(change % 2 == 0 ? 200 : 3000));
+            world.bounce(
+                    Math.max(0, world.leader()), Duration.ofMillis(change % 2 == 0 ? 200 : 3000));
             if (inAnOutage && change == 4) {
                 world.store().out(true);
             }
@@ -187,7 +214,10 @@
         assertEquals(Phase.CANCELLED, phase(goes));
     }
 
-    /** A job bound to a zone loses its machines: nothing of it starts elsewhere, and it does not wait for ever. */
+    /**
+     * A job bound to a zone loses its machines: nothing of it starts elsewhere, and it does not
+     * wait for ever.
+     */
     @ParameterizedTest
     @CsvSource({"ARRAY, true", "ARRAY, false", "GANG, true", "GANG, false", "SERVICE, true"})
     void aJobBoundToOneZoneLosesMachinesThere(Kind kind, boolean together) {
@@ -212,7 +242,10 @@
         assertTrue(allRun(job), "it runs again, where its tasks may be");
     }
 
-    /** One machine of the zone fails, the other hangs through a change of leader, and only the other zone has room. */
+    /**
+     * One machine of the zone fails, the other hangs through a change of leader, and only the other
+     * zone has room.
+     */
     @Test
     void anArrayThatIsTogetherStaysWhereOneOfItsTasksMayBe() {
         JobSpec job = zoned(World.spec(1, Kind.ARRAY, 2, 8), true, false);
@@ -238,7 +271,10 @@
         assertTrue(allRun(job));
     }
 
-    /** New machines are up before their rental is answered or listed, get work at once while writes lag, and the leader ends. */
+    /**
+     * New machines are up before their rental is answered or listed, get work at once while writes
+     * lag, and the leader ends.
+     */
     @ParameterizedTest
     @ValueSource(ints = {50, 150, 600, 1900})
     void machinesUpAtOnceGetWorkWhileWritesLagAndTheLeaderEnds(int bootMillis) {
--- a/src/test/java/org/meadowhollow/story/LoadMain.java
+++ b/src/test/java/org/meadowhollow/story/LoadMain.java
@@ -33,19 +33,22 @@
 import org.meadowhollow.transport.XnioLoop;
 
 /**
- * Measures one controller, a process bound to one core, beside stand-ins in this process: requests a second of both
- * interfaces, what lists cost the state service, and what hostile requests leave behind. Run by hand:
- * {@code docs/measurements.md} says how.
+ * Measures one controller, a process bound to one core, beside stand-ins in this process: requests
+ * a second of both interfaces, what lists cost the state service, and what hostile requests leave
+ * behind. Run by hand: {@code docs/measurements.md} says how.
  */
 final class LoadMain {
     private static final int AT_ONCE = 16;
     private static final int REQUESTS = 2000;
     private static final int TASKS = 10_000;
-    private static final String HASH = "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b";
-    private static final String TASK = """
+    private static final String HASH =
+            "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b";
+    private static final String TASK =
+            """
             {"name": "night", "executors": [{"image": "i", "command": ["true"]}], "tags": {"n": "%d"}}""";
 
-    private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+    private final HttpClient http =
+            HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private final AtomicInteger stateRequests = new AtomicInteger();
     private final AtomicLong stateBytes = new AtomicLong();
     private final Queue<String> ids = new ConcurrentLinkedQueue<>();
@@ -53,8 +56,7 @@
     private int tes;
     private Process node;
 
-    private LoadMain() {
-    }
+    private LoadMain() {}
 
     /**
      * @param args the command that starts a controller, up to its {@code --config}
@@ -73,36 +75,94 @@
     private void run(String[] command) throws Exception {
         XnioLoop loop = new XnioLoop();
         FakeStore store = new FakeStore(loop, Duration.ZERO);
-        Http.Service state = loop.call(() -> new StateServer(store.new Line(), () -> { }));
-        int statePort = serve(loop, request -> {
-            stateRequests.incrementAndGet();
-            return state.answer(request).thenApply(reply -> {
-                stateBytes.addAndGet(reply.body().length);
-                return reply;
-            });
-        });
-        int cloud = serve(loop, (Http.Handler) (method, path, body) -> CompletableFuture.completedFuture(
-                path.equals("/machine_types") ? Http.Reply.of(200, Fields.of("breeds", List.of(Fields.of("label", "t",
-                        "cores", 8.0, "gpus", 2.0, "memGb", 32.0, "cacheGb", 50.0, "fetchGbPerS", 1.0, "hourly", 1.0,
-                        "readyS", 30.0, "fields", List.of("z")))))
-                        : method.equals("POST") ? Http.Reply.comeBack(503, 1, "no capacity")
-                                : Http.Reply.of(200, Fields.of("stalls", List.of(), "truncated", false))));
+        Http.Service state = loop.call(() -> new StateServer(store.new Line(), () -> {}));
+        int statePort =
+                serve(
+                        loop,
+                        request -> {
+                            stateRequests.incrementAndGet();
+                            return state.answer(request)
+                                    .thenApply(
+                                            reply -> {
+                                                stateBytes.addAndGet(reply.body().length);
+                                                return reply;
+                                            });
+                        });
+        int cloud =
+                serve(
+                        loop,
+                        (Http.Handler)
+                                (method, path, body) ->
+                                        CompletableFuture.completedFuture(
+                                                path.equals("/machine_types")
+                                                        ? Http.Reply.of(
+                                                                200,
+                                                                Fields.of(
+                                                                        "breeds",
+                                                                        List.of(
+                                                                                Fields.of(
+                                                                                        "label",
+                                                                                        "t",
+                                                                                        "cores",
+                                                                                        8.0,
+                                                                                        "gpus",
+                                                                                        2.0,
+                                                                                        "memGb",
+                                                                                        32.0,
+                                                                                        "cacheGb",
+                                                                                        50.0,
+                                                                                        "fetchGbPerS",
+                                                                                        1.0,
+                                                                                        "hourly",
+                                                                                        1.0,
+                                                                                        "readyS",
+                                                                                        30.0,
+                                                                                        "fields",
+                                                                                        List.of(
+                                                                                                "z")))))
+                                                        : method.equals("POST")
+                                                                ? Http.Reply.comeBack(
+                                                                        503, 1, "no capacity")
+                                                                : Http.Reply.of(
+                                                                        200,
+                                                                        Fields.of(
+                                                                                "stalls",
+                                                                                List.of(),
+                                                                                "truncated",
+                                                                                false))));
         front = freePort();
         tes = freePort();
         Path settings = Files.createTempFile("load", ".json");
-        Files.writeString(settings, """
+        Files.writeString(
+                settings,
+                """
                 {"member":"n0","area":"z","listen":"127.0.0.1:%d","back":"127.0.0.1:0","known":[],
                  "external":{"cloud":"127.0.0.1:%d","state":"127.0.0.1:%d"},
                  "settings":{"size":3,"zones":["z"],"teams":[{"name":"team"}],
                   "objectives":[{"kind":"wait","class":"class","within_s":1.0}],
                   "workers":{"report_s":3.0,"lease_s":18.0,"gang_wait_s":30.0,"gang_peer_s":6.0,"cancel_s":48.0},
                   "state":{"rps":100000.0,"write_rps":100000.0,"value_kb":16.0,"txn_ops":12},
-                  "cloud":{"rps":20.0,"list_lag_s":10.0}}}""".formatted(front, cloud, statePort));
+                  "cloud":{"rps":20.0,"list_lag_s":10.0}}}"""
+                        .formatted(front, cloud, statePort));
         String[] all = Arrays.copyOf(command, command.length + 6);
-        System.arraycopy(new String[] {"--tes-listen", "127.0.0.1:" + tes, "--tes-token", "team=" + HASH, "--config",
-                settings.toString()}, 0, all, command.length, 6);
-        node = new ProcessBuilder(all).redirectOutput(ProcessBuilder.Redirect.DISCARD)
-                .redirectError(ProcessBuilder.Redirect.DISCARD).start();
+        System.arraycopy(
+                new String[] {
+                    "--tes-listen",
+                    "127.0.0.1:" + tes,
+                    "--tes-token",
+                    "team=" + HASH,
+                    "--config",
+                    settings.toString()
+                },
+                0,
+                all,
+                command.length,
+                6);
+        node =
+                new ProcessBuilder(all)
+                        .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                        .redirectError(ProcessBuilder.Redirect.DISCARD)
+                        .start();
         try {
             measure();
         } finally {
@@ -112,8 +172,15 @@
     }
 
     private static int serve(XnioLoop loop, Http.Service service) {
-        return new HttpServer(loop, new DefaultByteBufferPool(false, 8192), "127.0.0.1", 0, 0, Duration.ofMinutes(5),
-                service).port();
+        return new HttpServer(
+                        loop,
+                        new DefaultByteBufferPool(false, 8192),
+                        "127.0.0.1",
+                        0,
+                        0,
+                        Duration.ofMinutes(5),
+                        service)
+                .port();
     }
 
     private void measure() throws Exception {
@@ -125,15 +192,35 @@
         // Once without counting, for the compiler; both kinds in turn.
         for (int round = 0; round < 2; round++) {
             int from = round * 3 * REQUESTS;
-            load("native submit", REQUESTS, at -> plain("POST", "/submissions", Wire.encode(SubmissionCodec.encode(
-                    World.spec(from + at + 1, Kind.ARRAY, 1, 1)))));
-            load("native poll", REQUESTS, at -> plain("GET", "/submissions/req-%06d".formatted(from + at + 1), null));
-            load("native cancel", REQUESTS, at -> plain("POST", "/submissions/req-%06d/cancel".formatted(from + at + 1),
-                    new byte[0]));
+            load(
+                    "native submit",
+                    REQUESTS,
+                    at ->
+                            plain(
+                                    "POST",
+                                    "/submissions",
+                                    Wire.encode(
+                                            SubmissionCodec.encode(
+                                                    World.spec(from + at + 1, Kind.ARRAY, 1, 1)))));
+            load(
+                    "native poll",
+                    REQUESTS,
+                    at -> plain("GET", "/submissions/req-%06d".formatted(from + at + 1), null));
+            load(
+                    "native cancel",
+                    REQUESTS,
+                    at ->
+                            plain(
+                                    "POST",
+                                    "/submissions/req-%06d/cancel".formatted(from + at + 1),
+                                    new byte[0]));
             load("TES create", REQUESTS, at -> api("POST", "/tasks", TASK.formatted(at)));
             String[] made = ids.toArray(String[]::new);
             load("TES get", REQUESTS, at -> api("GET", "/tasks/" + made[at], null));
-            load("TES get FULL", REQUESTS, at -> api("GET", "/tasks/" + made[at] + "?view=FULL", null));
+            load(
+                    "TES get FULL",
+                    REQUESTS,
+                    at -> api("GET", "/tasks/" + made[at] + "?view=FULL", null));
             load("TES list of 20", REQUESTS / 4, at -> api("GET", "/tasks?page_size=20", null));
             load("TES cancel", REQUESTS, at -> api("POST", "/tasks/" + made[at] + ":cancel", ""));
             ids.clear();
@@ -156,7 +243,9 @@
 
     private boolean ready() {
         try {
-            return http.send(plain("GET", "/ready", null), HttpResponse.BodyHandlers.discarding()).statusCode() == 200;
+            return http.send(plain("GET", "/ready", null), HttpResponse.BodyHandlers.discarding())
+                            .statusCode()
+                    == 200;
         } catch (IOException | InterruptedException notYet) {
             return false;
         }
@@ -170,31 +259,57 @@
         double cpu = cpuS();
         String token = null;
         do {
-            HttpResponse<byte[]> reply = http.send(api("GET", "/tasks?" + query + (token == null ? ""
-                    : "&page_token=" + token), null), HttpResponse.BodyHandlers.ofByteArray());
+            HttpResponse<byte[]> reply =
+                    http.send(
+                            api(
+                                    "GET",
+                                    "/tasks?"
+                                            + query
+                                            + (token == null ? "" : "&page_token=" + token),
+                                    null),
+                            HttpResponse.BodyHandlers.ofByteArray());
             Fields page = new Fields(Json.decode(reply.body()));
             told += page.list("tasks").size();
             token = page.textOrNull("next_page_token");
             requests++;
         } while (token != null);
-        System.out.printf("list of %s: %d told in %d requests, %d state requests, %d KB from it, %.2f s of processor%n",
-                what, told, requests, stateRequests.get() - before, (stateBytes.get() - bytes) / 1024, cpuS() - cpu);
+        System.out.printf(
+                "list of %s: %d told in %d requests, %d state requests, %d KB from it, %.2f s of processor%n",
+                what,
+                told,
+                requests,
+                stateRequests.get() - before,
+                (stateBytes.get() - bytes) / 1024,
+                cpuS() - cpu);
     }
 
     private HttpRequest plain(String method, String path, byte[] body) {
-        return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + front + path)).timeout(Duration.ofSeconds(20))
-                .method(method, body == null ? HttpRequest.BodyPublishers.noBody()
-                        : HttpRequest.BodyPublishers.ofByteArray(body)).build();
+        return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + front + path))
+                .timeout(Duration.ofSeconds(20))
+                .method(
+                        method,
+                        body == null
+                                ? HttpRequest.BodyPublishers.noBody()
+                                : HttpRequest.BodyPublishers.ofByteArray(body))
+                .build();
     }
 
     private HttpRequest api(String method, String path, String body) {
-        return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + tes + "/ga4gh/tes/v1" + path))
-                .timeout(Duration.ofSeconds(20)).header("Authorization", "Bearer secret")
-                .method(method, body == null ? HttpRequest.BodyPublishers.noBody()
-                        : HttpRequest.BodyPublishers.ofString(body)).build();
+        return HttpRequest.newBuilder(
+                        URI.create("http://127.0.0.1:" + tes + "/ga4gh/tes/v1" + path))
+                .timeout(Duration.ofSeconds(20))
+                .header("Authorization", "Bearer secret")
+                .method(
+                        method,
+                        body == null
+                                ? HttpRequest.BodyPublishers.noBody()
+                                : HttpRequest.BodyPublishers.ofString(body))
+                .build();
     }
 
-    /** Sends so many requests, some at once, and prints what came of them; silent without a name. */
+    /**
+     * Sends so many requests, some at once, and prints what came of them; silent without a name.
+     */
     private void load(String what, int count, IntFunction<HttpRequest> request) throws Exception {
         AtomicInteger next = new AtomicInteger();
         Map<Integer, Integer> answers = new ConcurrentHashMap<>();
@@ -208,32 +323,47 @@
         left.await();
         double seconds = (System.nanoTime() - begun) / 1e9;
         if (!what.isEmpty()) {
-            System.out.printf("%-20s %7.0f a second, %.3f ms of processor each, %.2f state requests each, answers %s%n",
-                    what, count / seconds, (cpuS() - cpu) * 1000 / count, (stateRequests.get() - before) / (double) count,
+            System.out.printf(
+                    "%-20s %7.0f a second, %.3f ms of processor each, %.2f state requests each, answers %s%n",
+                    what,
+                    count / seconds,
+                    (cpuS() - cpu) * 1000 / count,
+                    (stateRequests.get() - before) / (double) count,
                     answers);
         }
     }
 
-    private void one(AtomicInteger next, int count, IntFunction<HttpRequest> request, CountDownLatch left,
+    private void one(
+            AtomicInteger next,
+            int count,
+            IntFunction<HttpRequest> request,
+            CountDownLatch left,
             Map<Integer, Integer> answers) {
         int at = next.getAndIncrement();
         if (at >= count) {
             return;
         }
         HttpRequest sent = request.apply(at);
-        http.sendAsync(sent, HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8)).whenComplete((reply, failure) -> {
-            int status = failure != null ? 0 : reply.statusCode();
-            answers.merge(status, 1, Integer::sum);
-            if (status == 200 && sent.method().equals("POST") && reply.body().startsWith("{\"id\":\"")) {
-                ids.add(reply.body().substring(7, reply.body().length() - 2));
-            }
-            left.countDown();
-            one(next, count, request, left, answers);
-        });
+        http.sendAsync(sent, HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8))
+                .whenComplete(
+                        (reply, failure) -> {
+                            int status = failure != null ? 0 : reply.statusCode();
+                            answers.merge(status, 1, Integer::sum);
+                            if (status == 200
+                                    && sent.method().equals("POST")
+                                    && reply.body().startsWith("{\"id\":\"")) {
+                                ids.add(reply.body().substring(7, reply.body().length() - 2));
+                            }
+                            left.countDown();
+                            one(next, count, request, left, answers);
+                        });
     }
 
     private double cpuS() throws IOException {
-        String[] stat = Files.readString(Path.of("/proc/" + node.pid() + "/stat")).replaceAll(".*\\) ", "").split(" ");
+        String[] stat =
+                Files.readString(Path.of("/proc/" + node.pid() + "/stat"))
+                        .replaceAll(".*\\) ", "")
+                        .split(" ");
         return (Long.parseLong(stat[11]) + Long.parseLong(stat[12])) / 100.0;
     }
 
--- a/src/test/java/org/meadowhollow/story/LoopbackTest.java
+++ b/src/test/java/org/meadowhollow/story/LoopbackTest.java
@@ -52,20 +52,22 @@
 import org.meadowhollow.transport.tracing.OtlpTraces;
 
 /**
- * Three real controllers, stand-ins for all that is around them, and a client of each interface, over real connections
- * on ports of the system's choice. What the clients wait for is bounded, and waited for by what the stand-ins see.
+ * Three real controllers, stand-ins for all that is around them, and a client of each interface,
+ * over real connections on ports of the system's choice. What the clients wait for is bounded, and
+ * waited for by what the stand-ins see.
  */
 class LoopbackTest {
     private static final Duration PATIENCE = Duration.ofSeconds(40);
     private static final int LIMIT = 4;
     private static final String TRACE = "0af7651916cd43dd8448eb211c80319c";
-    private static final String HASH = "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b";
-    private static final String TASK = """
+    private static final String HASH =
+            "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b";
+    private static final String TASK =
+            """
             {"name": "night", "executors": [{"image": "i", "command": ["true"]}], "tags": {"n": "%d"},
              "resources": {"cpu_cores": 1, "ram_gb": 1, "backend_parameters": {"gpus": "1"}}}""";
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private final Object signal = new Object();
     private final List<OrderLog.Event> events = new ArrayList<>();
     private final List<Span> spans = new ArrayList<>();
@@ -95,33 +97,61 @@
         }
         for (String name : fronts.keySet()) {
             List<Object> known = new ArrayList<>();
-            backs.forEach((other, address) -> {
-                if (!other.equals(name)) {
-                    known.add(Fields.of("member", other, "area", "z", "addr", address));
-                }
-            });
+            backs.forEach(
+                    (other, address) -> {
+                        if (!other.equals(name)) {
+                            known.add(Fields.of("member", other, "area", "z", "addr", address));
+                        }
+                    });
             Path file = folder.resolve(name + ".json");
-            Files.writeString(file, """
+            Files.writeString(
+                    file,
+                    """
                     {"member":"%s","area":"z","listen":"%s","back":"%s","known":%s,
                      "external":{"cloud":"127.0.0.1:%d","state":"127.0.0.1:%d"},
                      "settings":{"size":3,"zones":["z"],"teams":[{"name":"team","gpus_max":%d}],
                       "objectives":[{"kind":"wait","class":"class","within_s":1.0}],
                       "workers":{"report_s":0.5,"lease_s":4.0,"gang_wait_s":5.0,"gang_peer_s":2.0,"cancel_s":12.0},
                       "state":{"rps":1000.0,"write_rps":500.0,"value_kb":16.0,"txn_ops":12},
-                      "cloud":{"rps":20.0,"list_lag_s":1.0}}}""".formatted(name, fronts.get(name), backs.get(name),
-                    new String(Json.encode(Fields.of("l", known))).replaceAll("^\\{\"l\":|\\}$", ""), cloud, state, LIMIT));
-            nodes.put(name, Controller.builder(Settings.read(file))
-                    .tes(new TesOptions(new Settings.Endpoint("127.0.0.1", 0), TesTokens.of(List.of("team=" + HASH)),
-                            null, null))
-                    .observers(new Observers(new OrderLog(this::note),
-                            OtlpTraces.to(URI.create("http://127.0.0.1:" + collector), name)))
-                    .start());
+                      "cloud":{"rps":20.0,"list_lag_s":1.0}}}"""
+                            .formatted(
+                                    name,
+                                    fronts.get(name),
+                                    backs.get(name),
+                                    new String(Json.encode(Fields.of("l", known)))
+                                            .replaceAll("^\\{\"l\":|\\}$", ""),
+                                    cloud,
+                                    state,
+                                    LIMIT));
+            nodes.put(
+                    name,
+                    Controller.builder(Settings.read(file))
+                            .tes(
+                                    new TesOptions(
+                                            new Settings.Endpoint("127.0.0.1", 0),
+                                            TesTokens.of(List.of("team=" + HASH)),
+                                            null,
+                                            null))
+                            .observers(
+                                    new Observers(
+                                            new OrderLog(this::note),
+                                            OtlpTraces.to(
+                                                    URI.create("http://127.0.0.1:" + collector),
+                                                    name)))
+                            .start());
         }
     }
 
     private int serve(Http.Service service) {
-        servers.add(new HttpServer(loop, new DefaultByteBufferPool(false, 8192), "127.0.0.1", 0, 0,
-                Duration.ofMinutes(1), service));
+        servers.add(
+                new HttpServer(
+                        loop,
+                        new DefaultByteBufferPool(false, 8192),
+                        "127.0.0.1",
+                        0,
+                        0,
+                        Duration.ofMinutes(1),
+                        service));
         return servers.get(servers.size() - 1).port();
     }
 
@@ -134,36 +164,77 @@
     @AfterEach
     void stop() {
         nodes.values().forEach(Controller::close);
-        loop.call(() -> {
-            workers.forEach(LoopbackWorker::close);
-            return null;
-        });
+        loop.call(
+                () -> {
+                    workers.forEach(LoopbackWorker::close);
+                    return null;
+                });
         servers.forEach(HttpServer::close);
         loop.close();
     }
 
     private CompletableFuture<Http.Reply> cloud(String method, String path, byte[] body) {
-        return CompletableFuture.completedFuture(switch (path) {
-            case "/machine_types" -> Http.Reply.of(200, Fields.of("breeds", List.of(Fields.of("label", "t", "cores", 8.0,
-                    "gpus", 2.0, "memGb", 32.0, "cacheGb", 50.0, "fetchGbPerS", 1.0, "hourly", 1.0, "readyS", 30.0,
-                    "fields", List.of("z")))));
-            case "/rentals" -> method.equals("POST") ? Http.Reply.comeBack(503, 1, "no capacity")
-                    : Http.Reply.of(200, Fields.of("stalls", workers.stream().map(LoopbackWorker::listed).toList(),
-                            "truncated", false));
-            default -> Http.Reply.of(200, Fields.of());
-        });
+        return CompletableFuture.completedFuture(
+                switch (path) {
+                    case "/machine_types" ->
+                            Http.Reply.of(
+                                    200,
+                                    Fields.of(
+                                            "breeds",
+                                            List.of(
+                                                    Fields.of(
+                                                            "label",
+                                                            "t",
+                                                            "cores",
+                                                            8.0,
+                                                            "gpus",
+                                                            2.0,
+                                                            "memGb",
+                                                            32.0,
+                                                            "cacheGb",
+                                                            50.0,
+                                                            "fetchGbPerS",
+                                                            1.0,
+                                                            "hourly",
+                                                            1.0,
+                                                            "readyS",
+                                                            30.0,
+                                                            "fields",
+                                                            List.of("z")))));
+                    case "/rentals" ->
+                            method.equals("POST")
+                                    ? Http.Reply.comeBack(503, 1, "no capacity")
+                                    : Http.Reply.of(
+                                            200,
+                                            Fields.of(
+                                                    "stalls",
+                                                    workers.stream()
+                                                            .map(LoopbackWorker::listed)
+                                                            .toList(),
+                                                    "truncated",
+                                                    false));
+                    default -> Http.Reply.of(200, Fields.of());
+                });
     }
 
     private CompletableFuture<Http.Reply> collect(String method, String path, byte[] body) {
         try {
             synchronized (spans) {
-                ExportTraceServiceRequest.parseFrom(body).getResourceSpansList().forEach(resource ->
-                        resource.getScopeSpansList().forEach(scope -> spans.addAll(scope.getSpansList())));
+                ExportTraceServiceRequest.parseFrom(body)
+                        .getResourceSpansList()
+                        .forEach(
+                                resource ->
+                                        resource.getScopeSpansList()
+                                                .forEach(
+                                                        scope ->
+                                                                spans.addAll(
+                                                                        scope.getSpansList())));
             }
         } catch (InvalidProtocolBufferException broken) {
             return CompletableFuture.completedFuture(Http.Reply.error(400, "not a request"));
         }
-        return CompletableFuture.completedFuture(new Http.Reply(200, new byte[0], 0, "application/x-protobuf"));
+        return CompletableFuture.completedFuture(
+                new Http.Reply(200, new byte[0], 0, "application/x-protobuf"));
     }
 
     private void note(OrderLog.Event event) {
@@ -181,11 +252,16 @@
 
     private List<OrderLog.Event> events() {
         synchronized (signal) {
-            return events.stream().sorted(Comparator.comparingLong(event -> event.revision().value())).toList();
+            return events.stream()
+                    .sorted(Comparator.comparingLong(event -> event.revision().value()))
+                    .toList();
         }
     }
 
-    /** Looks again whenever the state service or the ordering log has news, or a renewal of a lease has come by. */
+    /**
+     * Looks again whenever the state service or the ordering log has news, or a renewal of a lease
+     * has come by.
+     */
     private void await(String what, Callable<Boolean> there) throws Exception {
         long until = System.nanoTime() + PATIENCE.toNanos();
         while (!there.call()) {
@@ -200,7 +276,9 @@
     // ---- the two clients ----
 
     private HttpResponse<byte[]> send(HttpRequest.Builder request) throws Exception {
-        return http.send(request.timeout(Duration.ofSeconds(10)).build(), HttpResponse.BodyHandlers.ofByteArray());
+        return http.send(
+                request.timeout(Duration.ofSeconds(10)).build(),
+                HttpResponse.BodyHandlers.ofByteArray());
     }
 
     private String anyNode(int at) {
@@ -208,11 +286,18 @@
         return all.get(at % all.size());
     }
 
-    private HttpResponse<byte[]> tes(int node, String method, String path, String body) throws Exception {
-        return send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + nodes.get(anyNode(node)).tesPort()
-                + "/ga4gh/tes/v1" + path)).header("Authorization", "Bearer secret")
-                .header("traceparent", "00-" + TRACE + "-b7ad6b7169203331-01")
-                .method(method, HttpRequest.BodyPublishers.ofString(body)));
+    private HttpResponse<byte[]> tes(int node, String method, String path, String body)
+            throws Exception {
+        return send(
+                HttpRequest.newBuilder(
+                                URI.create(
+                                        "http://127.0.0.1:"
+                                                + nodes.get(anyNode(node)).tesPort()
+                                                + "/ga4gh/tes/v1"
+                                                + path))
+                        .header("Authorization", "Bearer secret")
+                        .header("traceparent", "00-" + TRACE + "-b7ad6b7169203331-01")
+                        .method(method, HttpRequest.BodyPublishers.ofString(body)));
     }
 
     private String create(int node, int number) throws Exception {
@@ -223,33 +308,41 @@
 
     private String state(int node, String id) throws Exception {
         HttpResponse<byte[]> reply = tes(node, "GET", "/tasks/" + id, "");
-        return reply.statusCode() == 200 ? new Fields(Json.decode(reply.body())).text("state")
+        return reply.statusCode() == 200
+                ? new Fields(Json.decode(reply.body())).text("state")
                 : String.valueOf(reply.statusCode());
     }
 
-    private HttpResponse<byte[]> plain(int node, String method, String path, byte[] body) throws Exception {
-        return send(HttpRequest.newBuilder(URI.create("http://" + fronts.get(anyNode(node)) + path))
-                .method(method, HttpRequest.BodyPublishers.ofByteArray(body)));
+    private HttpResponse<byte[]> plain(int node, String method, String path, byte[] body)
+            throws Exception {
+        return send(
+                HttpRequest.newBuilder(URI.create("http://" + fronts.get(anyNode(node)) + path))
+                        .method(method, HttpRequest.BodyPublishers.ofByteArray(body)));
     }
 
     private JobId submit(int node, int number) throws Exception {
         JobSpec job = World.spec(number, Kind.ARRAY, 1, 1);
-        assertEquals(201, plain(node, "POST", "/submissions", Wire.encode(SubmissionCodec.encode(job))).statusCode());
+        assertEquals(
+                201,
+                plain(node, "POST", "/submissions", Wire.encode(SubmissionCodec.encode(job)))
+                        .statusCode());
         return job.id();
     }
 
     private String phase(int node, JobId id) throws Exception {
         HttpResponse<byte[]> reply = plain(node, "GET", "/submissions/" + id, new byte[0]);
-        return reply.statusCode() == 200 ? Fields.decode(reply.body()).text("phase")
+        return reply.statusCode() == 200
+                ? Fields.decode(reply.body()).text("phase")
                 : String.valueOf(reply.statusCode());
     }
 
     private Set<TaskId> running() {
-        return loop.call(() -> {
-            Set<TaskId> all = new HashSet<>();
-            workers.forEach(worker -> all.addAll(worker.running()));
-            return all;
-        });
+        return loop.call(
+                () -> {
+                    Set<TaskId> all = new HashSet<>();
+                    workers.forEach(worker -> all.addAll(worker.running()));
+                    return all;
+                });
     }
 
     private String leader() {
@@ -274,21 +367,27 @@
             tasks.add(create(at + 1, at));
             came.add(new JobId(tasks.get(at)));
         }
-        List<TaskId> first = came.subList(0, LIMIT).stream().map(job -> new TaskId(job, 0)).toList();
+        List<TaskId> first =
+                came.subList(0, LIMIT).stream().map(job -> new TaskId(job, 0)).toList();
         await("as many as the team may have", () -> running().size() == LIMIT);
         assertEquals(new HashSet<>(first), running(), "first come, first placed, by either way");
-        await("told by every node", () -> state(0, tasks.get(0)).equals("RUNNING")
-                && state(1, tasks.get(1)).equals("RUNNING") && state(2, tasks.get(2)).equals("QUEUED"));
+        await(
+                "told by every node",
+                () ->
+                        state(0, tasks.get(0)).equals("RUNNING")
+                                && state(1, tasks.get(1)).equals("RUNNING")
+                                && state(2, tasks.get(2)).equals("QUEUED"));
         assertEquals(200, tes(2, "POST", "/tasks/" + tasks.get(3) + ":cancel", "").statusCode());
         await("cancelled", () -> state(0, tasks.get(3)).equals("CANCELED"));
         String leader = leader();
         nodes.remove(leader).close();
         await("another leader", () -> leader() != null && !leader().equals(leader));
         assertEquals(LIMIT, count(OrderLog.What.PLACED), "nothing is placed again");
-        loop.call(() -> {
-            workers.forEach(LoopbackWorker::endAll);
-            return null;
-        });
+        loop.call(
+                () -> {
+                    workers.forEach(LoopbackWorker::endAll);
+                    return null;
+                });
         await("the end of all", () -> count(OrderLog.What.ENDED) == came.size());
         for (int node = 0; node < 2; node++) {
             for (int at = 0; at < 4; at++) {
@@ -297,13 +396,25 @@
             }
         }
         assertEquals("404", phase(0, new JobId(tasks.get(0))), "a task is no native job");
-        Fields list = new Fields(Json.decode(tes(0, "GET", "/tasks?state=COMPLETE&view=BASIC", "").body()));
+        Fields list =
+                new Fields(
+                        Json.decode(tes(0, "GET", "/tasks?state=COMPLETE&view=BASIC", "").body()));
         assertEquals(3, list.list("tasks").size());
-        assertEquals(401, send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:"
-                + nodes.get(anyNode(0)).tesPort() + "/ga4gh/tes/v1/tasks")).GET()).statusCode());
+        assertEquals(
+                401,
+                send(HttpRequest.newBuilder(
+                                        URI.create(
+                                                "http://127.0.0.1:"
+                                                        + nodes.get(anyNode(0)).tesPort()
+                                                        + "/ga4gh/tes/v1/tasks"))
+                                .GET())
+                        .statusCode());
         OrderRules.check(events(), LIMIT);
-        List<JobId> placed = events().stream().filter(event -> event.what() == OrderLog.What.PLACED)
-                .map(OrderLog.Event::job).toList();
+        List<JobId> placed =
+                events().stream()
+                        .filter(event -> event.what() == OrderLog.What.PLACED)
+                        .map(OrderLog.Event::job)
+                        .toList();
         List<JobId> wanted = new ArrayList<>(came);
         wanted.remove(new JobId(tasks.get(3)));
         assertEquals(wanted, placed);
@@ -314,14 +425,36 @@
         nodes.values().forEach(Controller::close);
         nodes.clear();
         synchronized (spans) {
-            assertTrue(spans.stream().allMatch(span -> TRACE.equals(
-                    java.util.HexFormat.of().formatHex(span.getTraceId().toByteArray()))));
+            assertTrue(
+                    spans.stream()
+                            .allMatch(
+                                    span ->
+                                            TRACE.equals(
+                                                    java.util.HexFormat.of()
+                                                            .formatHex(
+                                                                    span.getTraceId()
+                                                                            .toByteArray()))));
             for (int at = 0; at < 4; at++) {
                 String id = tasks.get(at);
-                List<String> names = spans.stream().filter(span -> span.getAttributesList().stream().anyMatch(
-                        attribute -> attribute.getValue().getStringValue().equals(id))).map(Span::getName).sorted().toList();
-                assertEquals(at < 3 ? List.of("create task", "prepare", "run", "task", "wait")
-                        : List.of("create task", "task"), names);
+                List<String> names =
+                        spans.stream()
+                                .filter(
+                                        span ->
+                                                span.getAttributesList().stream()
+                                                        .anyMatch(
+                                                                attribute ->
+                                                                        attribute
+                                                                                .getValue()
+                                                                                .getStringValue()
+                                                                                .equals(id)))
+                                .map(Span::getName)
+                                .sorted()
+                                .toList();
+                assertEquals(
+                        at < 3
+                                ? List.of("create task", "prepare", "run", "task", "wait")
+                                : List.of("create task", "task"),
+                        names);
             }
         }
         assertNotEquals(0, spans.size());
--- a/src/test/java/org/meadowhollow/story/LoopbackWorker.java
+++ b/src/test/java/org/meadowhollow/story/LoopbackWorker.java
@@ -55,15 +55,35 @@
         this.nodes = nodes;
         this.node = nodes.keySet().iterator().next();
         this.http = new HttpClient(loop, new DefaultByteBufferPool(false, 8192));
-        this.server = new HttpServer(loop, new DefaultByteBufferPool(false, 8192), "127.0.0.1", 0, 0,
-                Duration.ofMinutes(1), (Http.Handler) this::ordered);
+        this.server =
+                new HttpServer(
+                        loop,
+                        new DefaultByteBufferPool(false, 8192),
+                        "127.0.0.1",
+                        0,
+                        0,
+                        Duration.ofMinutes(1),
+                        (Http.Handler) this::ordered);
         tick();
     }
 
     /** As the cloud lists it. */
     Map<String, Object> listed() {
-        return Fields.of("ref", name, "endpoint", "127.0.0.1:" + server.port(), "breed", "t", "field", "z",
-                "loaners", false, "phase", "running", "heldS", 60.0);
+        return Fields.of(
+                "ref",
+                name,
+                "endpoint",
+                "127.0.0.1:" + server.port(),
+                "breed",
+                "t",
+                "field",
+                "z",
+                "loaners",
+                false,
+                "phase",
+                "running",
+                "heldS",
+                60.0);
     }
 
     /** From now on all tasks are done as soon as they run; until then they run on. */
@@ -74,11 +94,12 @@
 
     List<TaskId> running() {
         List<TaskId> all = new ArrayList<>();
-        tasks.forEach((task, held) -> {
-            if (held.phase.equals("running")) {
-                all.add(TaskId.parse(task));
-            }
-        });
+        tasks.forEach(
+                (task, held) -> {
+                    if (held.phase.equals("running")) {
+                        all.add(TaskId.parse(task));
+                    }
+                });
         return all;
     }
 
@@ -100,25 +121,30 @@
         }
         long sentAt = System.nanoTime();
         long reporting = tenure;
-        http.send(nodes.get(node), "POST", "/hello", snapshot(), ANSWER).whenComplete((reply, failure) -> {
-            if (closed || reporting != tenure) {
-                return;
-            }
-            try {
-                if (failure != null || reply.status() != 200) {
-                    moveOn(failure == null && reply.status() == 421
-                            ? Fields.decode(reply.body()).textOrNull("herder") : null);
-                    return;
-                }
-                Fields answer = Fields.decode(reply.body());
-                if (answer.count("baton") >= baton) {
-                    renewedAt = sentAt;
-                    obey(answer);
-                }
-            } catch (Malformed broken) {
-                throw new AssertionError(broken);
-            }
-        });
+        http.send(nodes.get(node), "POST", "/hello", snapshot(), ANSWER)
+                .whenComplete(
+                        (reply, failure) -> {
+                            if (closed || reporting != tenure) {
+                                return;
+                            }
+                            try {
+                                if (failure != null || reply.status() != 200) {
+                                    moveOn(
+                                            failure == null && reply.status() == 421
+                                                    ? Fields.decode(reply.body())
+                                                            .textOrNull("herder")
+                                                    : null);
+                                    return;
+                                }
+                                Fields answer = Fields.decode(reply.body());
+                                if (answer.count("baton") >= baton) {
+                                    renewedAt = sentAt;
+                                    obey(answer);
+                                }
+                            } catch (Malformed broken) {
+                                throw new AssertionError(broken);
+                            }
+                        });
     }
 
     private void moveOn(String leader) {
@@ -129,11 +155,38 @@
 
     private byte[] snapshot() {
         List<Object> chores = new ArrayList<>();
-        tasks.forEach((task, held) -> chores.add(Fields.of("chore", task, "try", held.attempt, "phase", held.phase,
-                "cause", held.cause)));
-        return org.meadowhollow.protocol.Wire.encode(Fields.of("stall", name, "endpoint", "127.0.0.1:" + server.port(),
-                "breed", "t", "field", "z", "loaners", false, "tenure", tenure, "tally", ++tally, "baton", baton,
-                "chores", chores));
+        tasks.forEach(
+                (task, held) ->
+                        chores.add(
+                                Fields.of(
+                                        "chore",
+                                        task,
+                                        "try",
+                                        held.attempt,
+                                        "phase",
+                                        held.phase,
+                                        "cause",
+                                        held.cause)));
+        return org.meadowhollow.protocol.Wire.encode(
+                Fields.of(
+                        "stall",
+                        name,
+                        "endpoint",
+                        "127.0.0.1:" + server.port(),
+                        "breed",
+                        "t",
+                        "field",
+                        "z",
+                        "loaners",
+                        false,
+                        "tenure",
+                        tenure,
+                        "tally",
+                        ++tally,
+                        "baton",
+                        baton,
+                        "chores",
+                        chores));
     }
 
     private CompletableFuture<Http.Reply> ordered(String method, String path, byte[] body) {
@@ -143,7 +196,8 @@
             if (obeys) {
                 obey(orders);
             }
-            return CompletableFuture.completedFuture(new Http.Reply(obeys ? 200 : 409, snapshot(), 0));
+            return CompletableFuture.completedFuture(
+                    new Http.Reply(obeys ? 200 : 409, snapshot(), 0));
         } catch (Malformed broken) {
             return CompletableFuture.completedFuture(Http.Reply.error(400, broken.getMessage()));
         }
--- a/src/test/java/org/meadowhollow/story/MachineStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/MachineStoriesTest.java
@@ -31,7 +31,8 @@
         JobSpec job = array(1, 6);
         assertTrue(world.submit(0, job, LONG));
         world.runS(1.5);
-        assertTrue(world.workers().stream().anyMatch(worker -> worker.holds(new TaskId(job.id(), 0))));
+        assertTrue(
+                world.workers().stream().anyMatch(worker -> worker.holds(new TaskId(job.id(), 0))));
     }
 
     @Test
@@ -101,9 +102,23 @@
         JobSpec job = runningReplica();
         FakeWorker place = placeOf(job, 0);
         Report now = place.snapshot();
-        Report late = new Report(now.machine(), now.address(), now.type(), now.zone(), now.spot(), now.session(), 1,
-                now.token(), Double.NaN, List.of(new Report.Task(new TaskId(job.id(), 0),
-                        place.attempt(new TaskId(job.id(), 0)), TaskState.EXITED, Cause.ERROR)));
+        Report late =
+                new Report(
+                        now.machine(),
+                        now.address(),
+                        now.type(),
+                        now.zone(),
+                        now.spot(),
+                        now.session(),
+                        1,
+                        now.token(),
+                        Double.NaN,
+                        List.of(
+                                new Report.Task(
+                                        new TaskId(job.id(), 0),
+                                        place.attempt(new TaskId(job.id(), 0)),
+                                        TaskState.EXITED,
+                                        Cause.ERROR)));
         world.deliver(world.leader(), late);
         world.runS(15);
         assertEquals(1, world.starts());
@@ -131,7 +146,10 @@
         assertTrue(world.workers().size() <= 1, world.workers().size() + " are left idle");
     }
 
-    /** A return that the cloud certainly did not execute closes no machine: its room was lost for as long as a replica ran there. */
+    /**
+     * A return that the cloud certainly did not execute closes no machine: its room was lost for as
+     * long as a replica ran there.
+     */
     @Test
     void aMachineWhoseReturnWasRefusedTakesTasksAgain() {
         JobSpec job = runningReplica();
--- a/src/test/java/org/meadowhollow/story/MeetingStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/MeetingStoriesTest.java
@@ -16,12 +16,17 @@
 import org.meadowhollow.coordination.admission.Admission.Phase;
 
 /**
- * Cancellations that the one who answers the workers has not heard of: the state service refuses the leader alone, another
- * node confirms them, and then it is down for all. docs/meetings.md has what each party believes at each step.
+ * Cancellations that the one who answers the workers has not heard of: the state service refuses
+ * the leader alone, another node confirms them, and then it is down for all. docs/meetings.md has
+ * what each party believes at each step.
  */
 class MeetingStoriesTest extends Story {
     private List<JobSpec> longJobs() {
-        List<JobSpec> jobs = List.of(array(1, 12), World.spec(2, Kind.GANG, 4, 2), World.spec(3, Kind.SERVICE, 3, 1));
+        List<JobSpec> jobs =
+                List.of(
+                        array(1, 12),
+                        World.spec(2, Kind.GANG, 4, 2),
+                        World.spec(3, Kind.SERVICE, 3, 1));
         for (JobSpec job : jobs) {
             assertTrue(world.submit(0, job, job.kind() == Kind.SERVICE ? null : HOURS));
         }
@@ -32,10 +37,17 @@
 
     private void cancelAll(int node, List<JobSpec> jobs) {
         jobs.forEach(job -> assertTrue(world.cancel(node, job.id())));
-        jobs.forEach(job -> assertTrue(allRun(job), job.id() + " should still run when its cancellation is confirmed"));
+        jobs.forEach(
+                job ->
+                        assertTrue(
+                                allRun(job),
+                                job.id() + " should still run when its cancellation is confirmed"));
     }
 
-    /** What the judge of {@link World} watches over at each step, and that it had something to watch. */
+    /**
+     * What the judge of {@link World} watches over at each step, and that it had something to
+     * watch.
+     */
     private void goneInTime(List<JobSpec> jobs) {
         for (JobSpec job : jobs) {
             for (int task = 0; task < job.tasks(); task++) {
@@ -50,7 +62,10 @@
         }
     }
 
-    /** The state service refuses the leader, no other node tells it anything, and another one confirms the cancellations. */
+    /**
+     * The state service refuses the leader, no other node tells it anything, and another one
+     * confirms the cancellations.
+     */
     private void refusedAloneWhileCancelled(int leader, List<JobSpec> jobs) {
         world.peersCut(true);
         world.line(leader).cut(true);
@@ -136,7 +151,8 @@
     void aPlainOutageLetsNoTaskGoSoonerThanTheRulesNeed() {
         List<JobSpec> jobs = longJobs();
         world.store().out(true);
-        // cancel_s less a look's age and a second: what was not cancelled goes on for so long, and through an outage shorter than it.
+        // cancel_s less a look's age and a second: what was not cancelled goes on for so long, and
+        // through an outage shorter than it.
         world.runS(24);
         world.store().out(false);
         world.runS(20);
@@ -183,7 +199,8 @@
         List<FakeWorker> back = world.workers().subList(0, 2);
         back.forEach(FakeWorker::reboot);
         world.runS(20);
-        assertTrue(world.returned().containsAll(back.stream().map(FakeWorker::id).toList()),
+        assertTrue(
+                world.returned().containsAll(back.stream().map(FakeWorker::id).toList()),
                 "what they report cannot be told from late copies");
         world.runS(10);
         jobs.forEach(job -> assertTrue(allRun(job)));
@@ -212,7 +229,10 @@
         assertEquals(0, world.store().size(Records.TASKS), "what it left is cleared away");
     }
 
-    /** Two tasks whose ends lie some ten seconds apart, and between them, at any moment around the first, the leader ends. */
+    /**
+     * Two tasks whose ends lie some ten seconds apart, and between them, at any moment around the
+     * first, the leader ends.
+     */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4, 6, 9, 12})
     void jobsWhoseTasksEndFarApartAcrossAChangeOfLeaderAreDoneOnceAndWhole(int quartersOfASecond) {
@@ -244,7 +264,10 @@
         assertEquals(0, world.store().size(Records.JOBS) + world.store().size(Records.TASKS));
     }
 
-    /** A zone goes on inside with a controller that leads, and jobs are called off through the new one outside. */
+    /**
+     * A zone goes on inside with a controller that leads, and jobs are called off through the new
+     * one outside.
+     */
     @ParameterizedTest
     @ValueSource(ints = {20, 35, 60})
     void aZoneWithWorkersAndItsLeaderIsCutOffForLongerThanTheLease(int cutS) {
@@ -262,8 +285,22 @@
         cancelAll(other(leader, 1), jobs);
         world.runS(12);
         assertFalse(leader == world.leader());
-        assertTrue(jobs.stream().anyMatch(job -> world.workers().stream().anyMatch(worker -> worker.zone().equals("a")
-                && worker.running().stream().anyMatch(task -> task.job().equals(job.id())))), "the cut zone goes on inside");
+        assertTrue(
+                jobs.stream()
+                        .anyMatch(
+                                job ->
+                                        world.workers().stream()
+                                                .anyMatch(
+                                                        worker ->
+                                                                worker.zone().equals("a")
+                                                                        && worker.running().stream()
+                                                                                .anyMatch(
+                                                                                        task ->
+                                                                                                task.job()
+                                                                                                        .equals(
+                                                                                                                job
+                                                                                                                        .id())))),
+                "the cut zone goes on inside");
         world.runS(cutS);
         world.apart(leader, false);
         for (int node = 0; node < 3; node++) {
@@ -271,13 +308,17 @@
         }
         world.runS(40);
         goneInTime(jobs);
-        // What was not called off counts as running in the cut zone for as long as its leader may have gone on answering.
+        // What was not called off counts as running in the cut zone for as long as its leader may
+        // have gone on answering.
         world.runS(30);
         assertTrue(allRun(stays));
         assertEquals(2, world.store().size(Records.JOBS) + world.store().size(Records.TASKS));
     }
 
-    /** Each of a leader's writes for some seconds is carried out later, after the newer ones by which it went on. */
+    /**
+     * Each of a leader's writes for some seconds is carried out later, after the newer ones by
+     * which it went on.
+     */
     @ParameterizedTest
     @ValueSource(ints = {0, 2, 5, 8, 11})
     void whatALeaderWroteIsCarriedOutAfterItsNewerWrites(int fromS) {
@@ -298,7 +339,9 @@
         assertEquals(0, world.store().size(Records.JOBS) + world.store().size(Records.TASKS));
     }
 
-    /** The record of a start is written again over that of the task's end, and then the leader ends. */
+    /**
+     * The record of a start is written again over that of the task's end, and then the leader ends.
+     */
     @Test
     void aStartThatIsWrittenAfterTheEndOfItsTaskIsRefused() {
         JobSpec job = World.spec(1, Kind.ARRAY, 2, 8);
@@ -321,7 +364,10 @@
         assertEquals(null, placeOf(job, 0), "its task had ended");
         assertEquals(leader, world.leader());
         Map<String, Object> record = world.store().value(Records.TASKS + job.id() + "/0");
-        assertEquals(1, ((List<?>) record.get("placed")).size(), "the record of its start does not come back");
+        assertEquals(
+                1,
+                ((List<?>) record.get("placed")).size(),
+                "the record of its start does not come back");
         world.crash(leader);
         second.hang(false);
         world.runS(40);
@@ -352,7 +398,10 @@
         assertEquals(0, world.store().size(Records.JOBS) + world.store().size(Records.TASKS));
     }
 
-    /** Places are committed and their starts not sent yet when the leader alone is refused and the job is called off. */
+    /**
+     * Places are committed and their starts not sent yet when the leader alone is refused and the
+     * job is called off.
+     */
     @Test
     void aLeaderThatIsRefusedAloneSendsNoStartsOfWhatWasCalledOffElsewhere() {
         world.workers().forEach(worker -> worker.hang(true));
@@ -374,7 +423,10 @@
         assertEquals(0, world.starts());
     }
 
-    /** Each answer of the state service takes 1.6 s, for longer than `cancel_s`, while users cancel, ask and submit. */
+    /**
+     * Each answer of the state service takes 1.6 s, for longer than `cancel_s`, while users cancel,
+     * ask and submit.
+     */
     @Test
     void aSlowStateServiceStillLetsUsersAskAndCancelAndTasksGoOn() {
         List<JobSpec> jobs = longJobs();
@@ -385,7 +437,9 @@
         assertTrue(world.submit(other(leader, 1), more, HOURS), "taken within five seconds");
         assertTrue(world.cancel(other(leader, 2), jobs.get(0).id()));
         for (int time = 0; time < 12; time++) {
-            assertEquals(Phase.CANCELLED, world.poll(other(leader, 1), jobs.get(0).id()).orElseThrow().phase());
+            assertEquals(
+                    Phase.CANCELLED,
+                    world.poll(other(leader, 1), jobs.get(0).id()).orElseThrow().phase());
             assertTrue(world.poll(other(leader, 1), jobs.get(1).id()).isPresent());
             world.runS(3);
         }
--- a/src/test/java/org/meadowhollow/story/MonthOfNightsTest.java
+++ b/src/test/java/org/meadowhollow/story/MonthOfNightsTest.java
@@ -22,14 +22,15 @@
 import org.meadowhollow.protocol.Json;
 
 /**
- * A month of nights on a fleet that other work could fill, with a run at two each night; what lies between is left out
- * of the clocks. The month has a night on which the clocks go back.
+ * A month of nights on a fleet that other work could fill, with a run at two each night; what lies
+ * between is left out of the clocks. The month has a night on which the clocks go back.
  */
 class MonthOfNightsTest {
     private static final ZoneId ZONE = ZoneId.of("America/New_York");
     private static final LocalDate FIRST = LocalDate.of(2026, 10, 20);
     private static final int NIGHTS = 30;
     private static final int TASKS = 8;
+
     /** Rounds are a second apart, reports three, and an image takes two. */
     private static final double ON_TIME_S = 15;
 
@@ -37,8 +38,7 @@
      * @param onTime nights on which all of the run ran within {@link #ON_TIME_S}
      * @param others tasks of other work that were done
      */
-    private record Month(int onTime, int others) {
-    }
+    private record Month(int onTime, int others) {}
 
     private static Month month(long seed, boolean reserved, boolean faults) {
         Random random = new Random(seed);
@@ -50,14 +50,45 @@
         world.machine(World.LARGE, "b");
         world.mostMachines(6);
         world.calendar(Map.of());
-        world.loop().skip(Duration.between(Instant.ofEpochMilli(world.loop().wallMillis()),
-                FIRST.atStartOfDay(ZONE).toInstant()));
+        world.loop()
+                .skip(
+                        Duration.between(
+                                Instant.ofEpochMilli(world.loop().wallMillis()),
+                                FIRST.atStartOfDay(ZONE).toInstant()));
         world.runS(15);
         if (reserved) {
-            Http.Reply reply = world.operate(0, "secret", "PUT", "reservations/nightly", null, new String(Json.encode(
-                    Fields.of("team", "team", "priority", "urgent", "tasks", TASKS, "cpus", 1.0, "gpus", 1.0, "ram_gb", 4.0,
-                            "class", "nightly", "start", FIRST.atTime(2, 0).toString(), "time_zone", ZONE.getId(), "rule",
-                            "FREQ=DAILY", "length_s", 900.0))));
+            Http.Reply reply =
+                    world.operate(
+                            0,
+                            "secret",
+                            "PUT",
+                            "reservations/nightly",
+                            null,
+                            new String(
+                                    Json.encode(
+                                            Fields.of(
+                                                    "team",
+                                                    "team",
+                                                    "priority",
+                                                    "urgent",
+                                                    "tasks",
+                                                    TASKS,
+                                                    "cpus",
+                                                    1.0,
+                                                    "gpus",
+                                                    1.0,
+                                                    "ram_gb",
+                                                    4.0,
+                                                    "class",
+                                                    "nightly",
+                                                    "start",
+                                                    FIRST.atTime(2, 0).toString(),
+                                                    "time_zone",
+                                                    ZONE.getId(),
+                                                    "rule",
+                                                    "FREQ=DAILY",
+                                                    "length_s",
+                                                    900.0))));
             assertEquals(201, reply.status(), new String(reply.body()));
         }
         int number = 0;
@@ -65,25 +96,69 @@
         int others = 0;
         for (int night = 0; night < NIGHTS; night++) {
             Instant two = FIRST.plusDays(night).atTime(LocalTime.of(2, 0)).atZone(ZONE).toInstant();
-            world.loop().skip(Duration.between(Instant.ofEpochMilli(world.loop().wallMillis()), two.minusSeconds(600)));
+            world.loop()
+                    .skip(
+                            Duration.between(
+                                    Instant.ofEpochMilli(world.loop().wallMillis()),
+                                    two.minusSeconds(600)));
             List<JobSpec> background = new ArrayList<>();
             for (int at = 0; at < 6; at++) {
                 double estimate = 100 + random.nextInt(800);
                 JobSpec spec = World.spec(++number, Kind.ARRAY, 8, 1);
-                JobSpec other = new JobSpec(spec.id(), "other", "team", spec.kind(), random.nextBoolean() ? Priority.NORMAL
-                        : Priority.HIGH, 8, spec.perTask(), null, null, false, false, false, spec.image(), 1, estimate, 20, 4,
-                        Double.NaN);
+                JobSpec other =
+                        new JobSpec(
+                                spec.id(),
+                                "other",
+                                "team",
+                                spec.kind(),
+                                random.nextBoolean() ? Priority.NORMAL : Priority.HIGH,
+                                8,
+                                spec.perTask(),
+                                null,
+                                null,
+                                false,
+                                false,
+                                false,
+                                spec.image(),
+                                1,
+                                estimate,
+                                20,
+                                4,
+                                Double.NaN);
                 background.add(other);
                 // Wrong by up to half, either way.
-                assertTrue(world.submit(at % 3, other, Duration.ofMillis((long) (estimate * (500 + random.nextInt(1000))))));
+                assertTrue(
+                        world.submit(
+                                at % 3,
+                                other,
+                                Duration.ofMillis(
+                                        (long) (estimate * (500 + random.nextInt(1000))))));
                 world.runS(random.nextInt(60));
             }
             fault(world, faults ? random.nextInt(5) : -1);
             double leftS = (two.toEpochMilli() - world.loop().wallMillis()) / 1000.0;
             world.runS(Math.max(0, leftS));
             JobSpec run = World.spec(++number, Kind.ARRAY, TASKS, 1);
-            run = new JobSpec(run.id(), "nightly", "team", run.kind(), Priority.HIGH, TASKS, run.perTask(), null, null, false,
-                    false, false, run.image(), 1, 60, 0, 0, Double.NaN);
+            run =
+                    new JobSpec(
+                            run.id(),
+                            "nightly",
+                            "team",
+                            run.kind(),
+                            Priority.HIGH,
+                            TASKS,
+                            run.perTask(),
+                            null,
+                            null,
+                            false,
+                            false,
+                            false,
+                            run.image(),
+                            1,
+                            60,
+                            0,
+                            0,
+                            Double.NaN);
             for (int node = 0; !world.submit(node % 3, run, Duration.ofSeconds(60)); node++) {
                 assertTrue(node < 10, "nobody takes it");
             }
--- a/src/test/java/org/meadowhollow/story/MuteMachineStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/MuteMachineStoriesTest.java
@@ -15,17 +15,22 @@
 import org.meadowhollow.bookkeeping.TaskId;
 
 /**
- * Machines that can open no connection to any controller, while direct commands reach them, and machines whose answers are
- * lost or held up. Their reports are missing though they live, and a direct answer renews no lease.
+ * Machines that can open no connection to any controller, while direct commands reach them, and
+ * machines whose answers are lost or held up. Their reports are missing though they live, and a
+ * direct answer renews no lease.
  */
 class MuteMachineStoriesTest extends Story {
     private List<FakeWorker> muteZone(String zone) {
-        List<FakeWorker> mute = world.workers().stream().filter(worker -> worker.zone().equals(zone)).toList();
+        List<FakeWorker> mute =
+                world.workers().stream().filter(worker -> worker.zone().equals(zone)).toList();
         mute.forEach(worker -> worker.mute(true));
         return mute;
     }
 
-    /** Placed there, tasks waited for as long as the machine was mute, since starts go out in answers alone. */
+    /**
+     * Placed there, tasks waited for as long as the machine was mute, since starts go out in
+     * answers alone.
+     */
     @Test
     void nothingIsPlacedOnAMachineThatOnlyAnswersDirectCommands() {
         world.mostMachines(0);
@@ -34,7 +39,8 @@
         world.runS(8);
         JobSpec job = World.spec(1, Kind.ARRAY, 12, 2);
         assertTrue(world.submit(0, job, HOURS));
-        // Before the lease of those that are mute is over, which would prove that nothing was started there.
+        // Before the lease of those that are mute is over, which would prove that nothing was
+        // started there.
         world.runS(7);
         assertTrue(allRun(job), "there is room for all on the others");
         mute.forEach(worker -> worker.mute(false));
@@ -42,7 +48,9 @@
         assertEquals(12, world.starts());
     }
 
-    /** It lives, as its direct answers show; its tasks go with its lease, and then run elsewhere. */
+    /**
+     * It lives, as its direct answers show; its tasks go with its lease, and then run elsewhere.
+     */
     @Test
     void aMuteMachineIsNotReturnedForItsSilence() {
         JobSpec job = World.spec(1, Kind.SERVICE, 6, 1);
@@ -58,7 +66,10 @@
         assertEquals(7, world.starts());
     }
 
-    /** A zone's worth of machines goes mute, tasks there are called off, and the leader ends before or after it knows. */
+    /**
+     * A zone's worth of machines goes mute, tasks there are called off, and the leader ends before
+     * or after it knows.
+     */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 4, 6})
     void aMuteZoneKeepsItsMachinesAndItsCancelledTasksGo(int leaderEndsAfterS) {
@@ -74,7 +85,18 @@
             world.crash(leader);
         }
         assertTrue(world.cancel(other(leader, 1), goes.id()));
-        assertTrue(leaderEndsAfterS > 0 || mute.stream().anyMatch(worker -> worker.running().stream().anyMatch(task -> task.job().equals(goes.id()))),
+        assertTrue(
+                leaderEndsAfterS > 0
+                        || mute.stream()
+                                .anyMatch(
+                                        worker ->
+                                                worker.running().stream()
+                                                        .anyMatch(
+                                                                task ->
+                                                                        task.job()
+                                                                                .equals(
+                                                                                        goes
+                                                                                                .id()))),
                 "it is there when its cancellation is confirmed");
         if (leaderEndsAfterS > 0) {
             world.runS(leaderEndsAfterS);
@@ -82,7 +104,10 @@
         }
         world.runS(12);
         for (int task = 0; task < 12; task++) {
-            assertEquals(null, placeOf(goes, task), "a direct command reaches it well within the time there is");
+            assertEquals(
+                    null,
+                    placeOf(goes, task),
+                    "a direct command reaches it well within the time there is");
         }
         int next = world.leader();
         long term = world.term();
@@ -97,14 +122,19 @@
         assertTrue(allRun(stays));
     }
 
-    /** What was ordered directly is held up and carried out when another one leads, or when the next attempt has begun. */
+    /**
+     * What was ordered directly is held up and carried out when another one leads, or when the next
+     * attempt has begun.
+     */
     @ParameterizedTest
     @CsvSource({"6, true", "14, true", "25, true", "6, false", "14, false"})
     void anOrderThatWasHeldUpIsCarriedOutWhenThereIsANewAttempt(int heldS, boolean leaderEnds) {
         JobSpec job = World.spec(1, Kind.GANG, 3, 8);
         assertTrue(world.submit(0, job, HOURS));
         world.runS(10);
-        assertTrue(world.submit(0, withTeam(World.spec(2, Kind.SERVICE, 3, 8), "other"), null), "fills the other machines");
+        assertTrue(
+                world.submit(0, withTeam(World.spec(2, Kind.SERVICE, 3, 8), "other"), null),
+                "fills the other machines");
         world.mostMachines(0);
         world.runS(10);
         List<FakeWorker> places = new ArrayList<>();
@@ -112,7 +142,8 @@
             places.add(placeOf(job, task));
         }
         world.holdOrders(true);
-        // A task of the gang ends, and the others are told to stop, directly and in their next answers.
+        // A task of the gang ends, and the others are told to stop, directly and in their next
+        // answers.
         FakeWorker first = places.get(0);
         places.get(1).hang(true);
         places.get(2).hang(true);
@@ -144,7 +175,10 @@
         assertEquals(leaderEnds ? world.starts() : starts, world.starts());
     }
 
-    /** A machine is deaf for longer than its lease while leaders change; its tasks count until the lease has surely ended. */
+    /**
+     * A machine is deaf for longer than its lease while leaders change; its tasks count until the
+     * lease has surely ended.
+     */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3})
     void machinesThatAreDeafAcrossLeadersHoldTheirTasksForAsLongAsTheyMayRun(int leaders) {
@@ -160,7 +194,9 @@
             world.crash(leader);
             for (int second = 0; second < 9; second++) {
                 world.runS(1);
-                still |= world.leader() != leader && deaf.stream().anyMatch(worker -> !worker.running().isEmpty());
+                still |=
+                        world.leader() != leader
+                                && deaf.stream().anyMatch(worker -> !worker.running().isEmpty());
             }
             world.restart(leader);
         }
--- a/src/test/java/org/meadowhollow/story/NotedTraces.java
+++ b/src/test/java/org/meadowhollow/story/NotedTraces.java
@@ -26,8 +26,13 @@
 
     @Override
     public void attempt(Traced task, long waitedFromMillis, AttemptLog attempt) {
-        note(task, "attempt " + attempt.attempt() + ' ' + attempt.cause(), waitedFromMillis, attempt.placedMillis(),
-                attempt.startedMillis() == 0 ? attempt.placedMillis() : attempt.startedMillis(), attempt.endedMillis());
+        note(
+                task,
+                "attempt " + attempt.attempt() + ' ' + attempt.cause(),
+                waitedFromMillis,
+                attempt.placedMillis(),
+                attempt.startedMillis() == 0 ? attempt.placedMillis() : attempt.startedMillis(),
+                attempt.endedMillis());
     }
 
     @Override
@@ -45,6 +50,5 @@
     }
 
     @Override
-    public void close() {
-    }
+    public void close() {}
 }
--- a/src/test/java/org/meadowhollow/story/OldReportStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/OldReportStoriesTest.java
@@ -16,9 +16,15 @@
 import org.meadowhollow.bookkeeping.TaskId;
 import org.meadowhollow.coordination.admission.Admission.Phase;
 
-/** What a new leader may conclude from the first report that it hears of a machine, which may be old or of another session. */
+/**
+ * What a new leader may conclude from the first report that it hears of a machine, which may be old
+ * or of another session.
+ */
 class OldReportStoriesTest extends Story {
-    /** Without a check of the session each task was started by the first answer, and stopped as a stray by the next. */
+    /**
+     * Without a check of the session each task was started by the first answer, and stopped as a
+     * stray by the next.
+     */
     @Test
     void allNodesAreAwayForLongerThanTheLeaseAndNothingStartsInASessionThatItWasNotPlacedIn() {
         world.team("team", 0, 6);
@@ -30,16 +36,22 @@
         world.crashAll();
         world.runS(25);
         assertEquals(6, world.starts());
-        assertTrue(world.workers().stream().allMatch(worker -> worker.session().equals(new Session(2))),
+        assertTrue(
+                world.workers().stream()
+                        .allMatch(worker -> worker.session().equals(new Session(2))),
                 "all leases have run out");
         world.restartAll();
         world.runS(20);
-        assertEquals(12, world.startOrders(), "each replica is started once more, and none is stopped at once");
+        assertEquals(
+                12,
+                world.startOrders(),
+                "each replica is started once more, and none is stopped at once");
     }
 
     /**
-     * A gang's task that gave up waiting is started again in the same attempt. Taken for an exit, the old report let the
-     * cancelled job end and its team's limit be used again while the task was on its machine.
+     * A gang's task that gave up waiting is started again in the same attempt. Taken for an exit,
+     * the old report let the cancelled job end and its team's limit be used again while the task
+     * was on its machine.
      */
     @Test
     void anExitThatWasTakenBackProvesNothingToTheNextLeader() {
@@ -49,8 +61,11 @@
         assertTrue(world.submit(0, gang, HOURS));
         world.runS(10);
         TaskId first = new TaskId(gang.id(), 0);
-        FakeWorker worker = world.workers().stream().filter(one -> one.holds(first)).findFirst().orElseThrow();
-        assertTrue(world.submit(0, withTeam(World.spec(3, Kind.SERVICE, 3, 4), "other"), null), "keeps the other machines");
+        FakeWorker worker =
+                world.workers().stream().filter(one -> one.holds(first)).findFirst().orElseThrow();
+        assertTrue(
+                world.submit(0, withTeam(World.spec(3, Kind.SERVICE, 3, 4), "other"), null),
+                "keeps the other machines");
         worker.giveUp(first);
         world.keepForNext(worker);
         world.runS(60);
@@ -73,7 +88,10 @@
         assertTrue(allRun(next), "nobody waits for it for ever");
     }
 
-    /** A gang's task is replaced on its machine in the same attempt, and an exit from the session before comes late. */
+    /**
+     * A gang's task is replaced on its machine in the same attempt, and an exit from the session
+     * before comes late.
+     */
     @Test
     void anExitInAnEarlierSessionIsNotTheEndOfTheSameAttemptInTheNext() {
         world.fetch(Duration.ofSeconds(40));
@@ -82,7 +100,8 @@
         world.runS(8);
         world.cloudOut(true);
         TaskId first = new TaskId(gang.id(), 0);
-        FakeWorker worker = world.workers().stream().filter(one -> one.holds(first)).findFirst().orElseThrow();
+        FakeWorker worker =
+                world.workers().stream().filter(one -> one.holds(first)).findFirst().orElseThrow();
         worker.fail(first);
         world.keepForNext(worker);
         worker.hang(true);
@@ -103,11 +122,15 @@
         worker.hang(false);
         world.runS(30);
         assertTrue(allRun(gang));
-        // Its peers missed it, so there is a new attempt, none of whose tasks ran beside the former one (the judge).
+        // Its peers missed it, so there is a new attempt, none of whose tasks ran beside the former
+        // one (the judge).
         assertEquals(12, world.starts());
     }
 
-    /** A report from before the start, without the task, reaches the next leader first, while the machine cannot be asked. */
+    /**
+     * A report from before the start, without the task, reaches the next leader first, while the
+     * machine cannot be asked.
+     */
     @Test
     void anOldReportWithoutATaskDoesNotProveThatItNeverStarts() {
         world.team("team", 0, 12);
@@ -124,7 +147,9 @@
         assertTrue(world.submit(other(leader, 1), array(2, 12), LONG));
         world.runS(11);
         assertTrue(world.deliveredToNext() > 0);
-        assertTrue(silent.stream().anyMatch(worker -> !worker.running().isEmpty()), "they may go on at any time");
+        assertTrue(
+                silent.stream().anyMatch(worker -> !worker.running().isEmpty()),
+                "they may go on at any time");
         world.runS(4);
         silent.forEach(worker -> worker.hang(false));
         world.calm();
@@ -132,11 +157,15 @@
         assertTrue(allRun(array(2, 12)));
     }
 
-    /** The machine is back with its sessions begun anew, and a report of a higher session of its former life comes late. */
+    /**
+     * The machine is back with its sessions begun anew, and a report of a higher session of its
+     * former life comes late.
+     */
     @Test
     void aHigherSessionOfAFormerLifeDoesNotProveTheSessionOverInWhichATaskRuns() {
         FakeWorker first = world.machine(World.SMALL, "a");
-        JobSpec fills = withTypes(withTeam(World.spec(2, Kind.SERVICE, 1, 2), "other"), List.of("small"));
+        JobSpec fills =
+                withTypes(withTeam(World.spec(2, Kind.SERVICE, 1, 2), "other"), List.of("small"));
         assertTrue(world.submit(0, fills, null));
         world.runS(10);
         assertEquals(first, placeOf(fills, 0));
@@ -168,7 +197,10 @@
         assertTrue(allRun(job));
     }
 
-    /** An old report with a start, an end of an earlier attempt, or nothing at all reaches every node as a leader begins. */
+    /**
+     * An old report with a start, an end of an earlier attempt, or nothing at all reaches every
+     * node as a leader begins.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"before the start", "while it ran", "of an earlier session"})
     void anOldReportReachesEveryNodeJustAsALeaderBegins(String when) {
@@ -196,17 +228,24 @@
         assertEquals(starts, world.starts(), "what runs goes on where it is");
         assertTrue(world.cancel(world.leader(), job.id()));
         world.runS(8);
-        assertTrue(world.workers().stream().allMatch(worker -> worker.running().isEmpty()), "newer reports were heeded");
+        assertTrue(
+                world.workers().stream().allMatch(worker -> worker.running().isEmpty()),
+                "newer reports were heeded");
         assertEquals(Phase.CANCELLED, phase(job));
     }
 
-    /** An old report of machines that are gone names tasks, which nobody ever takes back, and the cloud returns nothing. */
+    /**
+     * An old report of machines that are gone names tasks, which nobody ever takes back, and the
+     * cloud returns nothing.
+     */
     @Test
     void whatMachinesThatAreGoneOnceReportedHoldsNobodyUp() {
         JobSpec job = World.spec(1, Kind.ARRAY, 2, 8);
         assertTrue(world.submit(0, job, LONG));
         world.runS(10);
-        assertTrue(world.submit(0, withTeam(World.spec(2, Kind.SERVICE, 4, 8), "other"), null), "fills the other machines");
+        assertTrue(
+                world.submit(0, withTeam(World.spec(2, Kind.SERVICE, 4, 8), "other"), null),
+                "fills the other machines");
         world.runS(10);
         List<FakeWorker> gone = List.of(placeOf(job, 0), placeOf(job, 1));
         takenWithOldReports(gone);
@@ -219,13 +258,17 @@
         assertTrue(allRun(job));
     }
 
-    /** The cloud takes machines away, their tasks are proven lost, and the next leader hears of them by old reports first. */
+    /**
+     * The cloud takes machines away, their tasks are proven lost, and the next leader hears of them
+     * by old reports first.
+     */
     private void takenWithOldReports(List<FakeWorker> gone) {
         world.cloudOut(true);
-        gone.forEach(worker -> {
-            world.keepForNext(worker);
-            world.take(worker);
-        });
+        gone.forEach(
+                worker -> {
+                    world.keepForNext(worker);
+                    world.take(worker);
+                });
         world.runS(30);
         world.crash(world.leader());
         world.runS(8);
@@ -237,7 +280,8 @@
             world.machine(World.LARGE, "a");
         }
         world.runS(10);
-        takenWithOldReports(world.workers().stream().filter(worker -> worker.zone().equals("a")).toList());
+        takenWithOldReports(
+                world.workers().stream().filter(worker -> worker.zone().equals("a")).toList());
         assertTrue(world.deliveredToNext() > 0);
         world.cloudOut(false);
         int leader = world.leader();
--- a/src/test/java/org/meadowhollow/story/RandomTroubleTest.java
+++ b/src/test/java/org/meadowhollow/story/RandomTroubleTest.java
@@ -17,7 +17,10 @@
 import org.meadowhollow.coordination.admission.Admission.JobState;
 import org.meadowhollow.coordination.admission.Admission.Phase;
 
-/** Troubles of all kinds at random times, from fixed seeds; the world checks the rules at every step. */
+/**
+ * Troubles of all kinds at random times, from fixed seeds; the world checks the rules at every
+ * step.
+ */
 class RandomTroubleTest {
     private static final int STEPS = 150;
 
@@ -69,7 +72,8 @@
         world.runS(runsS);
         for (JobSpec job : jobs) {
             Phase phase = world.poll(0, job.id()).map(JobState::phase).orElse(null);
-            assertTrue(phase == null || phase == Phase.CANCELLED || phase == Phase.DONE,
+            assertTrue(
+                    phase == null || phase == Phase.CANCELLED || phase == Phase.DONE,
                     job.id() + " is " + phase + " long after all troubles");
         }
     }
@@ -79,7 +83,10 @@
         return LongStream.rangeClosed(1, Long.getLong("quick.seeds", 30));
     }
 
-    /** Processes and machines that are back within a fraction of a second, processes that stand still, late copies. */
+    /**
+     * Processes and machines that are back within a fraction of a second, processes that stand
+     * still, late copies.
+     */
     @ParameterizedTest
     @MethodSource("quickSeeds")
     void theRulesHoldWhenWhatEndsIsBackAtOnceAndMessagesComeAgain(long seed) {
@@ -131,7 +138,10 @@
         return LongStream.rangeClosed(1, Long.getLong("meeting.seeds", 40));
     }
 
-    /** Two troubles that overlap, most of them of the leader, with long tasks and cancellations in the gap. */
+    /**
+     * Two troubles that overlap, most of them of the leader, with long tasks and cancellations in
+     * the gap.
+     */
     @ParameterizedTest
     @MethodSource("meetingSeeds")
     void theRulesHoldWhenTroublesMeet(long seed) {
@@ -146,10 +156,16 @@
         for (int meeting = 0; meeting < 10; meeting++) {
             for (int at = 0; at < 3; at++) {
                 Kind kind = Kind.values()[random.nextInt(3)];
-                JobSpec job = World.spec(jobs.size(), kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
+                JobSpec job =
+                        World.spec(jobs.size(), kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
                 jobs.add(job);
-                world.submit(random.nextInt(3), job, kind == Kind.SERVICE ? null
-                        : Duration.ofSeconds(random.nextBoolean() ? 300 : 5 + random.nextInt(40)));
+                world.submit(
+                        random.nextInt(3),
+                        job,
+                        kind == Kind.SERVICE
+                                ? null
+                                : Duration.ofSeconds(
+                                        random.nextBoolean() ? 300 : 5 + random.nextInt(40)));
             }
             world.runS(random.nextInt(20));
             List<Runnable> ends = new ArrayList<>();
@@ -187,19 +203,21 @@
     }
 
     private static LongStream furtherSeeds() {
-        return LongStream.rangeClosed(Long.getLong("further.first", 1), Long.getLong("further.seeds", 40));
+        return LongStream.rangeClosed(
+                Long.getLong("further.first", 1), Long.getLong("further.seeds", 40));
     }
 
     /**
-     * One of the further troubles with any other, two teams at their limits on every second day, and what is promised for the
-     * time after all troubles held against what workers and users saw.
+     * One of the further troubles with any other, two teams at their limits on every second day,
+     * and what is promised for the time after all troubles held against what workers and users saw.
      */
     @ParameterizedTest
     @MethodSource("furtherSeeds")
     void theRulesHoldWhenFurtherTroublesMeet(long seed) {
         Random random = new Random(seed);
         boolean limited = seed % 2 == 0;
-        World world = new World().team("team", 4, limited ? 12 : 0).team("other", 2, limited ? 8 : 0);
+        World world =
+                new World().team("team", 4, limited ? 12 : 0).team("other", 2, limited ? 8 : 0);
         if (seed % 3 == 0) {
             world.standby();
         }
@@ -214,7 +232,10 @@
             List<Runnable> ends = new ArrayList<>();
             ends.add(Trouble.beginFurther(world, random));
             world.run(Duration.ofMillis(250 * random.nextInt(16)));
-            ends.add(random.nextBoolean() ? Trouble.begin(world, random) : Trouble.beginFurther(world, random));
+            ends.add(
+                    random.nextBoolean()
+                            ? Trouble.begin(world, random)
+                            : Trouble.beginFurther(world, random));
             askOrCancel(world, random, jobs, 5);
             endAll(world, random, ends);
         }
@@ -229,12 +250,32 @@
     private static JobSpec anyJob(World world, Random random, int number) {
         Kind kind = Kind.values()[random.nextInt(3)];
         JobSpec plain = World.spec(number, kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
-        JobSpec job = new JobSpec(plain.id(), kind.name(), random.nextInt(3) == 0 ? "other" : "team", kind,
-                Priority.values()[random.nextInt(3)], plain.tasks(), plain.perTask(), null,
-                random.nextInt(6) == 0 ? "a" : null, random.nextInt(4) == 0, false, false, plain.image(), plain.imageGb(),
-                plain.estimateS(), 0, 0, Double.NaN);
-        world.submit(random.nextInt(3), job, kind == Kind.SERVICE ? null
-                : Duration.ofSeconds(random.nextBoolean() ? 200 : 5 + random.nextInt(40)));
+        JobSpec job =
+                new JobSpec(
+                        plain.id(),
+                        kind.name(),
+                        random.nextInt(3) == 0 ? "other" : "team",
+                        kind,
+                        Priority.values()[random.nextInt(3)],
+                        plain.tasks(),
+                        plain.perTask(),
+                        null,
+                        random.nextInt(6) == 0 ? "a" : null,
+                        random.nextInt(4) == 0,
+                        false,
+                        false,
+                        plain.image(),
+                        plain.imageGb(),
+                        plain.estimateS(),
+                        0,
+                        0,
+                        Double.NaN);
+        world.submit(
+                random.nextInt(3),
+                job,
+                kind == Kind.SERVICE
+                        ? null
+                        : Duration.ofSeconds(random.nextBoolean() ? 200 : 5 + random.nextInt(40)));
         return job;
     }
 
@@ -250,7 +291,10 @@
                 JobSpec job = World.spec(step, kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
                 // Without an answer it may have been accepted all the same.
                 jobs.add(job);
-                world.submit(node, job, kind == Kind.SERVICE ? null : Duration.ofSeconds(5 + random.nextInt(40)));
+                world.submit(
+                        node,
+                        job,
+                        kind == Kind.SERVICE ? null : Duration.ofSeconds(5 + random.nextInt(40)));
             }
             case 4, 5 -> {
                 if (!jobs.isEmpty()) {
--- a/src/test/java/org/meadowhollow/story/ScaleTest.java
+++ b/src/test/java/org/meadowhollow/story/ScaleTest.java
@@ -13,7 +13,10 @@
 import org.meadowhollow.bookkeeping.Records;
 import org.meadowhollow.coordination.admission.Admission.Phase;
 
-/** What a large deployment must bear; it counts messages and records, not seconds of a machine's time. */
+/**
+ * What a large deployment must bear; it counts messages and records, not seconds of a machine's
+ * time.
+ */
 class ScaleTest {
     private static final int MACHINES = 900;
     private static final int JOBS = 40;
@@ -68,12 +71,18 @@
             watches[node] = world.line(node).watches();
         }
         for (int second = 0; second < 20; second++) {
-            assertTrue(world.submit(dead, World.spec(JOBS + 1 + second, Kind.ARRAY, 2, 1), Duration.ofSeconds(3)));
+            assertTrue(
+                    world.submit(
+                            dead,
+                            World.spec(JOBS + 1 + second, Kind.ARRAY, 2, 1),
+                            Duration.ofSeconds(3)));
             world.runS(0.75);
         }
         int follower = (dead + 1) % 3;
         int asked = world.line(follower).watches() - watches[follower];
-        assertTrue(asked <= 3 * 11, asked + " watches of three prefixes in 20 s, at most one each in 2 s");
+        assertTrue(
+                asked <= 3 * 11,
+                asked + " watches of three prefixes in 20 s, at most one each in 2 s");
         JobSpec waiting = World.spec(JOBS, Kind.ARRAY, 1, 1);
         world.crash(dead);
         assertTrue(world.submit(follower, waiting, Duration.ofSeconds(20)));
@@ -82,7 +91,10 @@
         }
         int next = world.leader();
         world.runS(1);
-        assertEquals(1, world.store().size(Records.TASKS + waiting.id().value()), "placed within a second or so");
+        assertEquals(
+                1,
+                world.store().size(Records.TASKS + waiting.id().value()),
+                "placed within a second or so");
         assertEquals(pages[next], world.line(next).pages(), "it has all records in hand");
     }
 
--- a/src/test/java/org/meadowhollow/story/StandbyStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/StandbyStoriesTest.java
@@ -28,6 +28,7 @@
 class StandbyStoriesTest extends Story {
     /** Samples that a table needs before it says anything, at a report every 3 s, and some. */
     private static final double LEARNT_S = 80;
+
     private static final int LEAST_SAMPLES = 20;
     private int wrongExpected;
 
@@ -55,9 +56,12 @@
 
     /** Tables of a leader that have seen enough to say something. */
     private long learnt(int node) {
-        TableQuestion whole = new TableQuestion(new NodeStatus("test", 1, "a", "", 0, Version.ABSENT), Term.NONE, -1, "");
+        TableQuestion whole =
+                new TableQuestion(
+                        new NodeStatus("test", 1, "a", "", 0, Version.ABSENT), Term.NONE, -1, "");
         return world.node(node).tables(whole).map(TableDelta::parts).orElse(List.of()).stream()
-                .filter(part -> part.table()[0] >= LEAST_SAMPLES).count();
+                .filter(part -> part.table()[0] >= LEAST_SAMPLES)
+                .count();
     }
 
     private int untilAnotherLeads(int than) {
@@ -154,7 +158,10 @@
         assertEquals(pages, world.line(standby).pages());
     }
 
-    /** Some machines hang while another node takes over, and a job waits that fits on all six, with one task each. */
+    /**
+     * Some machines hang while another node takes over, and a job waits that fits on all six, with
+     * one task each.
+     */
     private List<FakeWorker> takenOverWithout(int machines) {
         int dead = world.leader();
         List<FakeWorker> late = world.workers().subList(0, machines);
@@ -169,7 +176,8 @@
     void aFirstRoundWaitsForHalfTheMachines() {
         takenOverWithout(4);
         world.runS(1.5);
-        assertEquals(0, world.store().size(Records.TASKS + "req-000001"), "two of six have reported");
+        assertEquals(
+                0, world.store().size(Records.TASKS + "req-000001"), "two of six have reported");
     }
 
     @Test
@@ -181,7 +189,8 @@
         }
         assertEquals(10, world.starts(), "where machines have reported");
         world.runS(1);
-        assertEquals(rentals, world.rentals(), "the others may have room, as is seen when they report");
+        assertEquals(
+                rentals, world.rentals(), "the others may have room, as is seen when they report");
         late.forEach(worker -> worker.hang(false));
         world.runS(8);
         assertEquals(12, world.starts());
@@ -216,7 +225,8 @@
         assertEquals(heir, world.leader());
         world.line(heir).blindTo(null);
         untilDone(job, 40);
-        assertEquals(11, world.starts(), "from the old view they would have been stopped as nobody's");
+        assertEquals(
+                11, world.starts(), "from the old view they would have been stopped as nobody's");
     }
 
     @Test
@@ -299,12 +309,14 @@
 
     @Test
     void tablesThatCannotBeReadAreAskedForAnewAndHoldUpNothing() {
-        world.tables(delta -> {
-            if (!delta.whole()) {
-                throw new Peers.Unreadable("damaged");
-            }
-            return delta;
-        }, Duration.ofMillis(5));
+        world.tables(
+                delta -> {
+                    if (!delta.whole()) {
+                        throw new Peers.Unreadable("damaged");
+                    }
+                    return delta;
+                },
+                Duration.ofMillis(5));
         world.runS(LEARNT_S);
         int first = world.leader();
         world.crash(first);
@@ -312,9 +324,11 @@
         world.runS(4);
         assertEquals(6, learnt(after), "whole tables came instead");
         world.restart(first);
-        world.tables(delta -> {
-            throw new Peers.Unreadable("damaged");
-        }, Duration.ofMillis(5));
+        world.tables(
+                delta -> {
+                    throw new Peers.Unreadable("damaged");
+                },
+                Duration.ofMillis(5));
         world.runS(LEARNT_S);
         JobSpec job = array(1, 4);
         int dead = world.leader();
--- a/src/test/java/org/meadowhollow/story/StateServer.java
+++ b/src/test/java/org/meadowhollow/story/StateServer.java
@@ -32,15 +32,18 @@
     @Override
     public CompletableFuture<Http.Reply> answer(Http.Request request) {
         try {
-            return route(request).handle((reply, failure) -> failure == null ? reply : refusal(failure));
+            return route(request)
+                    .handle((reply, failure) -> failure == null ? reply : refusal(failure));
         } catch (Malformed | NumberFormatException broken) {
-            return CompletableFuture.completedFuture(Http.Reply.error(400, "outside the protocol: " + broken));
+            return CompletableFuture.completedFuture(
+                    Http.Reply.error(400, "outside the protocol: " + broken));
         }
     }
 
     private static Http.Reply refusal(Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-        Outcome outcome = cause instanceof StateException refused ? refused.outcome() : Outcome.UNKNOWN;
+        Outcome outcome =
+                cause instanceof StateException refused ? refused.outcome() : Outcome.UNKNOWN;
         return switch (outcome) {
             case NO_SUCH_LEASE -> Http.Reply.error(400, "no such lease");
             case REFUSED -> Http.Reply.error(503, "out");
@@ -51,30 +54,70 @@
     private CompletableFuture<Http.Reply> route(Http.Request request) throws Malformed {
         String path = request.path();
         if (path.startsWith("/kv/")) {
-            return store.get(path.substring("/kv/".length()), Urgency.USER).thenApply(found -> found
-                    .map(entry -> Http.Reply.of(200, entry(entry))).orElse(Http.Reply.of(404, Fields.of())));
+            return store.get(path.substring("/kv/".length()), Urgency.USER)
+                    .thenApply(
+                            found ->
+                                    found.map(entry -> Http.Reply.of(200, entry(entry)))
+                                            .orElse(Http.Reply.of(404, Fields.of())));
         }
         if (path.startsWith("/grants/")) {
             boolean renews = path.endsWith("/renew");
-            LeaseId lease = new LeaseId(Long.parseLong(path.substring("/grants/".length(),
-                    path.length() - (renews ? "/renew".length() : 0))));
-            return (renews ? store.renew(lease) : store.revoke(lease)).handle((done, failure) ->
-                    Http.Reply.of(failure == null ? 200 : 404, Fields.of())).whenComplete((reply, none) -> changed.run());
+            LeaseId lease =
+                    new LeaseId(
+                            Long.parseLong(
+                                    path.substring(
+                                            "/grants/".length(),
+                                            path.length() - (renews ? "/renew".length() : 0))));
+            return (renews ? store.renew(lease) : store.revoke(lease))
+                    .handle(
+                            (done, failure) ->
+                                    Http.Reply.of(failure == null ? 200 : 404, Fields.of()))
+                    .whenComplete((reply, none) -> changed.run());
         }
         return switch (path) {
-            case "/kv" -> store.list(one(request, "prefix"), one(request, "after"),
-                    Integer.parseInt(one(request, "most")), Urgency.USER).thenApply(page -> Http.Reply.of(200, Fields.of(
-                            "items", page.entries().stream().map(StateServer::entry).toList(),
-                            "truncated", page.more(), "ledgerRev", page.revision().value())));
-            case "/changes" -> store.watch(one(request, "prefix"), new Version(Long.parseLong(one(request, "after"))),
-                    Duration.ofMillis(Long.parseLong(one(request, "blockMs")))).thenApply(StateServer::changes);
-            case "/multi" -> store.commit(transaction(Fields.decode(request.body())), Urgency.USER).thenApply(commit -> {
-                changed.run();
-                return Http.Reply.of(commit.applied() ? 200 : 409, Fields.of("ledgerRev", commit.revision().value(),
-                        "failed", commit.failed()));
-            });
-            case "/grants" -> store.grant(Duration.ofMillis(Fields.decode(request.body()).count("ttlMs")))
-                    .thenApply(lease -> Http.Reply.of(200, Fields.of("tether", lease.value())));
+            case "/kv" ->
+                    store.list(
+                                    one(request, "prefix"),
+                                    one(request, "after"),
+                                    Integer.parseInt(one(request, "most")),
+                                    Urgency.USER)
+                            .thenApply(
+                                    page ->
+                                            Http.Reply.of(
+                                                    200,
+                                                    Fields.of(
+                                                            "items",
+                                                            page.entries().stream()
+                                                                    .map(StateServer::entry)
+                                                                    .toList(),
+                                                            "truncated",
+                                                            page.more(),
+                                                            "ledgerRev",
+                                                            page.revision().value())));
+            case "/changes" ->
+                    store.watch(
+                                    one(request, "prefix"),
+                                    new Version(Long.parseLong(one(request, "after"))),
+                                    Duration.ofMillis(Long.parseLong(one(request, "blockMs"))))
+                            .thenApply(StateServer::changes);
+            case "/multi" ->
+                    store.commit(transaction(Fields.decode(request.body())), Urgency.USER)
+                            .thenApply(
+                                    commit -> {
+                                        changed.run();
+                                        return Http.Reply.of(
+                                                commit.applied() ? 200 : 409,
+                                                Fields.of(
+                                                        "ledgerRev",
+                                                        commit.revision().value(),
+                                                        "failed",
+                                                        commit.failed()));
+                                    });
+            case "/grants" ->
+                    store.grant(Duration.ofMillis(Fields.decode(request.body()).count("ttlMs")))
+                            .thenApply(
+                                    lease ->
+                                            Http.Reply.of(200, Fields.of("tether", lease.value())));
             default -> throw new Malformed("no such path: " + path);
         };
     }
@@ -89,10 +132,29 @@
     }
 
     private static Http.Reply changes(StateStore.Changes changes) {
-        return Http.Reply.of(200, Fields.of("ledgerRev", changes.revision().value(), "log", changes.changes().stream()
-                .map(change -> change.value() == null ? Fields.of("remove", change.key(), "stamp", change.version().value())
-                        : Fields.of("set", change.key(), "v", change.value(), "stamp", change.version().value()))
-                .toList()));
+        return Http.Reply.of(
+                200,
+                Fields.of(
+                        "ledgerRev",
+                        changes.revision().value(),
+                        "log",
+                        changes.changes().stream()
+                                .map(
+                                        change ->
+                                                change.value() == null
+                                                        ? Fields.of(
+                                                                "remove",
+                                                                change.key(),
+                                                                "stamp",
+                                                                change.version().value())
+                                                        : Fields.of(
+                                                                "set",
+                                                                change.key(),
+                                                                "v",
+                                                                change.value(),
+                                                                "stamp",
+                                                                change.version().value()))
+                                .toList()));
     }
 
     private static Transaction transaction(Fields body) throws Malformed {
@@ -104,7 +166,10 @@
             if (write.has("remove")) {
                 transaction.delete(write.text("remove"));
             } else if (write.has("tether")) {
-                transaction.put(write.text("set"), write.fields("v").map(), new LeaseId(write.count("tether")));
+                transaction.put(
+                        write.text("set"),
+                        write.fields("v").map(),
+                        new LeaseId(write.count("tether")));
             } else {
                 transaction.put(write.text("set"), write.fields("v").map());
             }
--- a/src/test/java/org/meadowhollow/story/Story.java
+++ b/src/test/java/org/meadowhollow/story/Story.java
@@ -9,7 +9,10 @@
 import org.meadowhollow.bookkeeping.TaskId;
 import org.meadowhollow.coordination.admission.Admission.Phase;
 
-/** A small deployment for stories of what happens while things fail; {@link World} checks the protocol's rules. */
+/**
+ * A small deployment for stories of what happens while things fail; {@link World} checks the
+ * protocol's rules.
+ */
 abstract class Story {
     static final Duration SHORT = Duration.ofSeconds(10);
     static final Duration LONG = Duration.ofMinutes(5);
@@ -47,27 +50,91 @@
     }
 
     static JobSpec zoned(JobSpec spec, boolean oneZone, boolean spread) {
-        return new JobSpec(spec.id(), spec.jobClass(), spec.team(), spec.kind(), Priority.HIGH, spec.tasks(),
-                spec.perTask(), List.of("large"), spec.zone(), oneZone, spread, spec.spot(), spec.image(),
-                spec.imageGb(), spec.estimateS(), spec.checkpointS(), spec.saveS(), spec.deadlineS());
+        return new JobSpec(
+                spec.id(),
+                spec.jobClass(),
+                spec.team(),
+                spec.kind(),
+                Priority.HIGH,
+                spec.tasks(),
+                spec.perTask(),
+                List.of("large"),
+                spec.zone(),
+                oneZone,
+                spread,
+                spec.spot(),
+                spec.image(),
+                spec.imageGb(),
+                spec.estimateS(),
+                spec.checkpointS(),
+                spec.saveS(),
+                spec.deadlineS());
     }
 
     static JobSpec withTeam(JobSpec spec, String team) {
-        return new JobSpec(spec.id(), spec.jobClass(), team, spec.kind(), spec.priority(), spec.tasks(), spec.perTask(),
-                spec.types(), spec.zone(), spec.oneZone(), spec.spread(), spec.spot(), spec.image(), spec.imageGb(),
-                spec.estimateS(), spec.checkpointS(), spec.saveS(), spec.deadlineS());
+        return new JobSpec(
+                spec.id(),
+                spec.jobClass(),
+                team,
+                spec.kind(),
+                spec.priority(),
+                spec.tasks(),
+                spec.perTask(),
+                spec.types(),
+                spec.zone(),
+                spec.oneZone(),
+                spec.spread(),
+                spec.spot(),
+                spec.image(),
+                spec.imageGb(),
+                spec.estimateS(),
+                spec.checkpointS(),
+                spec.saveS(),
+                spec.deadlineS());
     }
 
     static JobSpec inZone(JobSpec spec, String zone) {
-        return new JobSpec(spec.id(), spec.jobClass(), spec.team(), spec.kind(), spec.priority(), spec.tasks(),
-                spec.perTask(), spec.types(), zone, spec.oneZone(), spec.spread(), spec.spot(), spec.image(),
-                spec.imageGb(), spec.estimateS(), spec.checkpointS(), spec.saveS(), spec.deadlineS());
+        return new JobSpec(
+                spec.id(),
+                spec.jobClass(),
+                spec.team(),
+                spec.kind(),
+                spec.priority(),
+                spec.tasks(),
+                spec.perTask(),
+                spec.types(),
+                zone,
+                spec.oneZone(),
+                spec.spread(),
+                spec.spot(),
+                spec.image(),
+                spec.imageGb(),
+                spec.estimateS(),
+                spec.checkpointS(),
+                spec.saveS(),
+                spec.deadlineS());
     }
 
     static JobSpec withTypes(JobSpec spec, List<String> types) {
-        return new JobSpec(spec.id(), spec.jobClass(), spec.team(), spec.kind(), spec.priority(), spec.tasks(), spec.perTask(),
-                types, spec.zone(), spec.oneZone(), spec.spread(), spec.spot(), spec.image(), spec.imageGb(), spec.estimateS(),
-                spec.checkpointS(), spec.saveS(), spec.deadlineS());
+        return new JobSpec(
+                spec.id(),
+                spec.jobClass(),
+                spec.team(),
+                spec.kind(),
+                spec.priority(),
+                spec.tasks(),
+                spec.perTask(),
+                types,
+                spec.zone(),
+                spec.oneZone(),
+                spec.spread(),
+                spec.spot(),
+                spec.image(),
+                spec.imageGb(),
+                spec.estimateS(),
+                spec.checkpointS(),
+                spec.saveS(),
+                spec.deadlineS());
     }
 
     boolean allRun(JobSpec job) {
--- a/src/test/java/org/meadowhollow/story/TakeoverTest.java
+++ b/src/test/java/org/meadowhollow/story/TakeoverTest.java
@@ -31,7 +31,9 @@
         int dead = world.leader();
         world.crash(dead);
         world.runS(3.5);
-        assertTrue(world.leader() >= 0 && world.leader() != dead, "its lease of 5 s has not run out yet");
+        assertTrue(
+                world.leader() >= 0 && world.leader() != dead,
+                "its lease of 5 s has not run out yet");
     }
 
     @Test
@@ -91,7 +93,8 @@
         world.refusesPeers(first, true);
         world.workers().forEach(worker -> worker.goTo((first + 1) % 3));
         world.runS(4);
-        assertNotEquals(first, world.leader(), "several workers left it, and it refused connections");
+        assertNotEquals(
+                first, world.leader(), "several workers left it, and it refused connections");
         world.refusesPeers(first, false);
         world.runS(60);
         assertEquals(40, world.poll(first, job.id()).orElseThrow().done());
@@ -113,7 +116,9 @@
         world.losePower(world.leader());
         world.takeReports();
         world.runS(5);
-        assertTrue(world.takeReports() <= 3 * MACHINES, "each worker is answered when there is news, or late");
+        assertTrue(
+                world.takeReports() <= 3 * MACHINES,
+                "each worker is answered when there is news, or late");
     }
 
     @Test
@@ -131,7 +136,8 @@
             world.runS(0.25);
         }
         world.runS(4);
-        assertTrue(world.workers().stream().anyMatch(worker -> worker.holds(new TaskId(job.id(), 0))),
+        assertTrue(
+                world.workers().stream().anyMatch(worker -> worker.holds(new TaskId(job.id(), 0))),
                 "reports come every 3 s, and one that is silent was waited for till 4.75 s");
     }
 }
--- a/src/test/java/org/meadowhollow/story/TesFuzzTest.java
+++ b/src/test/java/org/meadowhollow/story/TesFuzzTest.java
@@ -33,23 +33,49 @@
 import org.meadowhollow.transport.tracing.OtlpTraces;
 
 /**
- * What nobody sends on purpose, from a library's random source with fixed seeds: each request gets an answer that is no
- * failure of ours, and what is accepted is told again as it came. Generators have a fixed depth; recursive ones took
- * the library longer to set up than the whole of this run.
+ * What nobody sends on purpose, from a library's random source with fixed seeds: each request gets
+ * an answer that is no failure of ours, and what is accepted is told again as it came. Generators
+ * have a fixed depth; recursive ones took the library longer to set up than the whole of this run.
  */
 class TesFuzzTest {
     /** Answers that a working service may give to anything. */
     private static final Set<Integer> FINE = Set.of(200, 400, 401, 403, 404, 405, 413);
+
     /** A task with a slot for each of its values, and what each slot holds in a good one. */
-    private static final String SHAPE = """
+    private static final String SHAPE =
+            """
             {"name": %s, "description": %s, "executors": [{"image": %s, "command": %s, "env": %s, "ignore_error": %s,
              "workdir": %s}], "inputs": [{"path": %s, "content": %s, "type": %s}], "outputs": %s, "volumes": %s,
              "tags": %s, "resources": {"cpu_cores": %s, "ram_gb": %s, "disk_gb": %s, "preemptible": %s, "zones": %s,
              "backend_parameters": {"gpus": %s, "max_attempts": %s, "deadline_s": %s, "machine_types": %s},
              "backend_parameters_strict": %s}, "nobody": %s}""";
-    private static final List<String> GOOD = List.of("\"n\"", "\"d\"", "\"i\"", "[\"true\"]", "{\"A\": \"b\"}", "false",
-            "\"/w\"", "\"/in\"", "\"c\"", "\"FILE\"", "[]", "[\"/v\"]", "{\"t\": \"1\"}", "1", "1.5", "2", "false", "[]",
-            "\"1\"", "\"3\"", "\"60\"", "\"small\"", "true", "1");
+
+    private static final List<String> GOOD =
+            List.of(
+                    "\"n\"",
+                    "\"d\"",
+                    "\"i\"",
+                    "[\"true\"]",
+                    "{\"A\": \"b\"}",
+                    "false",
+                    "\"/w\"",
+                    "\"/in\"",
+                    "\"c\"",
+                    "\"FILE\"",
+                    "[]",
+                    "[\"/v\"]",
+                    "{\"t\": \"1\"}",
+                    "1",
+                    "1.5",
+                    "2",
+                    "false",
+                    "[]",
+                    "\"1\"",
+                    "\"3\"",
+                    "\"60\"",
+                    "\"small\"",
+                    "true",
+                    "1");
 
     private final World world = new World();
 
@@ -58,58 +84,125 @@
     }
 
     private static Arbitrary<String> text() {
-        return Arbitraries.oneOf(Arbitraries.strings().all().ofMaxLength(12),
+        return Arbitraries.oneOf(
+                Arbitraries.strings().all().ofMaxLength(12),
                 Arbitraries.strings().withCharRange('\uD800', '\uDFFF').ofMaxLength(4),
-                Arbitraries.of("\u0000", "\uFEFF", "\u202E", "e\u0301", "\uD83D\uDE91", "/", "..", "%00", "x".repeat(300)));
+                Arbitraries.of(
+                        "\u0000",
+                        "\uFEFF",
+                        "\u202E",
+                        "e\u0301",
+                        "\uD83D\uDE91",
+                        "/",
+                        "..",
+                        "%00",
+                        "x".repeat(300)));
     }
 
     private static String quoted(String text) {
         StringBuilder json = new StringBuilder("\"");
         for (int at = 0; at < text.length(); at++) {
-            // Halves of characters are named by their numbers, for they cannot be written otherwise.
+            // Halves of characters are named by their numbers, for they cannot be written
+            // otherwise.
             json.append("\\u%04x".formatted((int) text.charAt(at)));
         }
         return json.append('"').toString();
     }
 
     private static Arbitrary<String> literal() {
-        Arbitrary<String> nested = Arbitraries.of(1, 10, 500, 900, 1100, 20_000)
-                .flatMap(depth -> Arbitraries.of("[", "{\"a\":").map(open -> open.repeat(depth)
-                        + (open.equals("[") ? "]" : "1" + "}").repeat(depth)));
-        return Arbitraries.oneOf(text().map(TesFuzzTest::quoted), nested, Arbitraries.of("null", "true", "{}", "[]", "[null]",
-                        "0", "-1", "-0", "1e400", "-1e400", "1e-400", "9".repeat(30), "9".repeat(1100), "1." + "3".repeat(1100),
-                        "NaN", "9223372036854775807", "9223372036854775808", "0.1", "1e9", "\"1e400\"", "\"NaN\"",
-                        "\"Infinity\"", "\"0x10\"", "\"-1\"", "\"1d\"", "[1, \"a\", null]", "{\"\": \"\"}", "{\"a\": 1}"),
-                Arbitraries.integers().between(0, 40).map(count -> "[" + "\"/a\", ".repeat(count) + "\"/b\"]"));
+        Arbitrary<String> nested =
+                Arbitraries.of(1, 10, 500, 900, 1100, 20_000)
+                        .flatMap(
+                                depth ->
+                                        Arbitraries.of("[", "{\"a\":")
+                                                .map(
+                                                        open ->
+                                                                open.repeat(depth)
+                                                                        + (open.equals("[")
+                                                                                        ? "]"
+                                                                                        : "1" + "}")
+                                                                                .repeat(depth)));
+        return Arbitraries.oneOf(
+                text().map(TesFuzzTest::quoted),
+                nested,
+                Arbitraries.of(
+                        "null",
+                        "true",
+                        "{}",
+                        "[]",
+                        "[null]",
+                        "0",
+                        "-1",
+                        "-0",
+                        "1e400",
+                        "-1e400",
+                        "1e-400",
+                        "9".repeat(30),
+                        "9".repeat(1100),
+                        "1." + "3".repeat(1100),
+                        "NaN",
+                        "9223372036854775807",
+                        "9223372036854775808",
+                        "0.1",
+                        "1e9",
+                        "\"1e400\"",
+                        "\"NaN\"",
+                        "\"Infinity\"",
+                        "\"0x10\"",
+                        "\"-1\"",
+                        "\"1d\"",
+                        "[1, \"a\", null]",
+                        "{\"\": \"\"}",
+                        "{\"a\": 1}"),
+                Arbitraries.integers()
+                        .between(0, 40)
+                        .map(count -> "[" + "\"/a\", ".repeat(count) + "\"/b\"]"));
     }
 
     @Example
     void theShapeItselfIsAGoodTask() throws Malformed {
-        Http.Reply reply = ask("POST", "/tasks", Map.of(), SHAPE.formatted(GOOD.toArray())
-                .getBytes(StandardCharsets.UTF_8));
+        Http.Reply reply =
+                ask(
+                        "POST",
+                        "/tasks",
+                        Map.of(),
+                        SHAPE.formatted(GOOD.toArray()).getBytes(StandardCharsets.UTF_8));
         assertEquals(200, reply.status(), new String(reply.body()));
     }
 
     @Provide
     Arbitrary<String> bodies() {
-        Arbitrary<String> changed = Combinators.combine(Arbitraries.integers().between(0, GOOD.size() - 1).set()
-                .ofMaxSize(3), literal().list().ofSize(3)).as((slots, literals) -> {
-            List<String> values = new ArrayList<>(GOOD);
-            int next = 0;
-            for (int slot : slots) {
-                values.set(slot, literals.get(next++));
-            }
-            return SHAPE.formatted(values.toArray());
-        });
-        Arbitrary<String> torn = Combinators.combine(changed, Arbitraries.integers().between(0, 900), text()).as(
-                (body, at, junk) -> body.substring(0, Math.min(at, body.length())) + junk
-                        + body.substring(Math.min(body.length(), at + 1)));
-        Arbitrary<String> cut = Combinators.combine(changed, Arbitraries.integers().between(0, 900)).as(
-                (body, at) -> body.substring(0, Math.min(at, body.length())));
+        Arbitrary<String> changed =
+                Combinators.combine(
+                                Arbitraries.integers()
+                                        .between(0, GOOD.size() - 1)
+                                        .set()
+                                        .ofMaxSize(3),
+                                literal().list().ofSize(3))
+                        .as(
+                                (slots, literals) -> {
+                                    List<String> values = new ArrayList<>(GOOD);
+                                    int next = 0;
+                                    for (int slot : slots) {
+                                        values.set(slot, literals.get(next++));
+                                    }
+                                    return SHAPE.formatted(values.toArray());
+                                });
+        Arbitrary<String> torn =
+                Combinators.combine(changed, Arbitraries.integers().between(0, 900), text())
+                        .as(
+                                (body, at, junk) ->
+                                        body.substring(0, Math.min(at, body.length()))
+                                                + junk
+                                                + body.substring(Math.min(body.length(), at + 1)));
+        Arbitrary<String> cut =
+                Combinators.combine(changed, Arbitraries.integers().between(0, 900))
+                        .as((body, at) -> body.substring(0, Math.min(at, body.length())));
         return Arbitraries.oneOf(changed, torn, cut, literal(), text());
     }
 
-    private Http.Reply ask(String method, String path, Map<String, List<String>> query, byte[] body) {
+    private Http.Reply ask(
+            String method, String path, Map<String, List<String>> query, byte[] body) {
         Http.Reply reply = world.tes(0, "secret", method, path, query, Map.of(), body);
         assertNotNull(reply, "no answer");
         return reply;
@@ -117,21 +210,26 @@
 
     private void checkCreate(byte[] body) throws Malformed {
         Http.Reply reply = ask("POST", "/tasks", Map.of(), body);
-        assertTrue(FINE.contains(reply.status()), () -> reply.status() + " " + new String(reply.body()));
+        assertTrue(
+                FINE.contains(reply.status()),
+                () -> reply.status() + " " + new String(reply.body()));
         // Bodies that are all refused, or all accepted, would try half of it only.
         Statistics.collect(reply.status());
-        Statistics.coverage(seen -> {
-            seen.check(200).percentage(share -> share > 5);
-            seen.check(400).percentage(share -> share > 30);
-        });
+        Statistics.coverage(
+                seen -> {
+                    seen.check(200).percentage(share -> share > 5);
+                    seen.check(400).percentage(share -> share > 30);
+                });
         Fields answer = new Fields(Json.decode(reply.body()));
         if (reply.status() != 200) {
             assertTrue(!answer.text("msg").isEmpty());
             return;
         }
         String id = answer.text("id");
-        Map<String, Object> told = Json.decode(ask("GET", "/tasks/" + id, Map.of("view", List.of("FULL")), new byte[0])
-                .body());
+        Map<String, Object> told =
+                Json.decode(
+                        ask("GET", "/tasks/" + id, Map.of("view", List.of("FULL")), new byte[0])
+                                .body());
         Map<String, Object> sent = Json.decode(body);
         for (String key : List.of("name", "description", "volumes", "tags")) {
             assertEquals(sent.get(key), told.get(key), key);
@@ -141,15 +239,24 @@
         assertEquals(new JobId(id).value(), told.get("id"));
     }
 
-    @Property(tries = 1500, seed = "14", generation = GenerationMode.RANDOMIZED, edgeCases = EdgeCasesMode.NONE,
+    @Property(
+            tries = 1500,
+            seed = "14",
+            generation = GenerationMode.RANDOMIZED,
+            edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
     void createAnswersWhateverComes(@ForAll("bodies") String body) throws Malformed {
         checkCreate(body.getBytes(StandardCharsets.UTF_8));
     }
 
-    @Property(tries = 500, seed = "15", generation = GenerationMode.RANDOMIZED, edgeCases = EdgeCasesMode.NONE,
+    @Property(
+            tries = 500,
+            seed = "15",
+            generation = GenerationMode.RANDOMIZED,
+            edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
-    void createAnswersBytesThatAreNoText(@ForAll @IntRange(max = 700) int at, @ForAll byte junk) throws Malformed {
+    void createAnswersBytesThatAreNoText(@ForAll @IntRange(max = 700) int at, @ForAll byte junk)
+            throws Malformed {
         byte[] bytes = SHAPE.formatted(GOOD.toArray()).getBytes(StandardCharsets.UTF_8);
         bytes[at % bytes.length] = junk;
         checkCreate(bytes);
@@ -157,60 +264,121 @@
 
     @Provide
     Arbitrary<Map<String, List<String>>> queries() {
-        Arbitrary<String> key = Arbitraries.of("name_prefix", "state", "tag_key", "tag_value", "view", "page_size",
-                "page_token", "nobody");
-        Arbitrary<String> value = Arbitraries.oneOf(text(), Arbitraries.of("", "MINIMAL", "FULL", "QUEUED", "0", "-1",
-                "2048", "2049", "9999999999999", "1e3", "AAAA", "dGVzLTAw", "%", "=", "OTk5OTk5OTk5OTk5OS10ZXMt"));
+        Arbitrary<String> key =
+                Arbitraries.of(
+                        "name_prefix",
+                        "state",
+                        "tag_key",
+                        "tag_value",
+                        "view",
+                        "page_size",
+                        "page_token",
+                        "nobody");
+        Arbitrary<String> value =
+                Arbitraries.oneOf(
+                        text(),
+                        Arbitraries.of(
+                                "",
+                                "MINIMAL",
+                                "FULL",
+                                "QUEUED",
+                                "0",
+                                "-1",
+                                "2048",
+                                "2049",
+                                "9999999999999",
+                                "1e3",
+                                "AAAA",
+                                "dGVzLTAw",
+                                "%",
+                                "=",
+                                "OTk5OTk5OTk5OTk5OS10ZXMt"));
         return Arbitraries.maps(key, value.list().ofMinSize(1).ofMaxSize(3)).ofMaxSize(4);
     }
 
-    @Property(tries = 1000, seed = "16", generation = GenerationMode.RANDOMIZED, edgeCases = EdgeCasesMode.NONE,
+    @Property(
+            tries = 1000,
+            seed = "16",
+            generation = GenerationMode.RANDOMIZED,
+            edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
-    void listsAnswerWhateverIsAsked(@ForAll("queries") Map<String, List<String>> query) throws Malformed {
+    void listsAnswerWhateverIsAsked(@ForAll("queries") Map<String, List<String>> query)
+            throws Malformed {
         Http.Reply reply = ask("GET", "/tasks", query, new byte[0]);
-        assertTrue(Set.of(200, 400).contains(reply.status()), () -> reply.status() + " " + new String(reply.body()));
+        assertTrue(
+                Set.of(200, 400).contains(reply.status()),
+                () -> reply.status() + " " + new String(reply.body()));
         Json.decode(reply.body());
     }
 
     @Provide
     Arbitrary<String> texts() {
-        return Arbitraries.oneOf(text(), Arbitraries.strings().ascii().ofMaxLength(80),
-                Arbitraries.strings().withChars("0123456789abcdefABCDEF-=:* ").ofMinLength(40).ofMaxLength(90));
+        return Arbitraries.oneOf(
+                text(),
+                Arbitraries.strings().ascii().ofMaxLength(80),
+                Arbitraries.strings()
+                        .withChars("0123456789abcdefABCDEF-=:* ")
+                        .ofMinLength(40)
+                        .ofMaxLength(90));
     }
 
-    @Property(tries = 1000, seed = "17", generation = GenerationMode.RANDOMIZED, edgeCases = EdgeCasesMode.NONE,
+    @Property(
+            tries = 1000,
+            seed = "17",
+            generation = GenerationMode.RANDOMIZED,
+            edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
-    void pathsTokensAndContextsAreReadOrRefused(@ForAll("texts") String one, @ForAll("texts") String other) {
+    void pathsTokensAndContextsAreReadOrRefused(
+            @ForAll("texts") String one, @ForAll("texts") String other) {
         for (String method : List.of("GET", "POST", "DELETE", one)) {
-            assertTrue(FINE.contains(ask(method, "/tasks/" + other, Map.of(), new byte[0]).status()));
+            assertTrue(
+                    FINE.contains(ask(method, "/tasks/" + other, Map.of(), new byte[0]).status()));
         }
         Map<String, String> headers = new HashMap<>(Map.of("Authorization", one));
         Http.Reply reply = world.tes(0, null, "GET", "/tasks", Map.of(), headers, new byte[0]);
         assertEquals(401, reply.status(), "nobody guesses a token");
         try {
-            assertTrue(TesTokens.of(List.of(one + '=' + other)).teamOf("Bearer " + other).isEmpty());
+            assertTrue(
+                    TesTokens.of(List.of(one + '=' + other)).teamOf("Bearer " + other).isEmpty());
         } catch (Malformed refused) {
-            assertTrue(!refused.getMessage().contains(other) || other.length() < 4, "a token is never told");
+            assertTrue(
+                    !refused.getMessage().contains(other) || other.length() < 4,
+                    "a token is never told");
         }
         String context = CONTEXTS.contextOf(one);
         assertTrue(context == null || context.length() == 55);
     }
 
-    private static final OtlpTraces CONTEXTS = OtlpTraces.to(URI.create("http://127.0.0.1:9"), "n0");
+    private static final OtlpTraces CONTEXTS =
+            OtlpTraces.to(URI.create("http://127.0.0.1:9"), "n0");
 
-    @Property(tries = 300, seed = "18", generation = GenerationMode.RANDOMIZED, edgeCases = EdgeCasesMode.NONE,
+    @Property(
+            tries = 300,
+            seed = "18",
+            generation = GenerationMode.RANDOMIZED,
+            edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
     void aRepeatedCreateIsTheSameTaskWhateverItsKey(@ForAll("texts") String key) throws Malformed {
         byte[] body = SHAPE.formatted(GOOD.toArray()).getBytes(StandardCharsets.UTF_8);
         Http.Reply[] replies = new Http.Reply[2];
-        Arrays.setAll(replies, at -> world.tes(at, "secret", "POST", "/tasks", Map.of(), Map.of("Idempotency-Key", key),
-                body));
+        Arrays.setAll(
+                replies,
+                at ->
+                        world.tes(
+                                at,
+                                "secret",
+                                "POST",
+                                "/tasks",
+                                Map.of(),
+                                Map.of("Idempotency-Key", key),
+                                body));
         assertEquals(replies[0].status(), replies[1].status());
         assertTrue(Set.of(200, 400).contains(replies[0].status()));
         if (replies[0].status() == 200) {
             assertEquals(new String(replies[0].body()), new String(replies[1].body()));
             String id = new Fields(Json.decode(replies[0].body())).text("id");
-            assertEquals(200, ask("POST", "/tasks/" + id + ":cancel", Map.of(), new byte[0]).status());
+            assertEquals(
+                    200, ask("POST", "/tasks/" + id + ":cancel", Map.of(), new byte[0]).status());
         }
     }
 }
--- a/src/test/java/org/meadowhollow/story/TesStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/TesStoriesTest.java
@@ -32,14 +32,21 @@
 
 /** Tasks that come by the task execution API, beside native jobs, while things fail. */
 class TesStoriesTest extends Story {
-    private static final String TASK = """
+    private static final String TASK =
+            """
             {"name": "%s", "executors": [{"image": "image", "command": ["true"]}], "tags": {"night": "%s"},
              "inputs": [{"content": "abc", "path": "/in"}],
              "resources": {"cpu_cores": 1, "ram_gb": 4, "backend_parameters": {"gpus": "1" %s}}}""";
 
     private Http.Reply create(int node, String body, String key) {
-        return world.tes(node, "secret", "POST", "/tasks", Map.of(), key == null ? Map.of()
-                : Map.of("Idempotency-Key", key), body);
+        return world.tes(
+                node,
+                "secret",
+                "POST",
+                "/tasks",
+                Map.of(),
+                key == null ? Map.of() : Map.of("Idempotency-Key", key),
+                body);
     }
 
     private Http.Reply ask(int node, String method, String path, Map<String, List<String>> query) {
@@ -75,8 +82,13 @@
 
     /** Whether the task is on some machine, with its image or without. */
     private boolean isSomewhere(String id) {
-        return world.workers().stream().anyMatch(worker -> !worker.hung() && worker.holds(task(id))
-                && (worker.running().contains(task(id)) || world.fetch().toSeconds() > 30));
+        return world.workers().stream()
+                .anyMatch(
+                        worker ->
+                                !worker.hung()
+                                        && worker.holds(task(id))
+                                        && (worker.running().contains(task(id))
+                                                || world.fetch().toSeconds() > 30));
     }
 
     @Test
@@ -87,7 +99,8 @@
         assertEquals("RUNNING", state(2, id));
         world.runS(20);
         for (int node = 0; node < 3; node++) {
-            Map<String, Object> full = body(ask(node, "GET", "/tasks/" + id, Map.of("view", List.of("FULL"))));
+            Map<String, Object> full =
+                    body(ask(node, "GET", "/tasks/" + id, Map.of("view", List.of("FULL"))));
             assertEquals("COMPLETE", full.get("state"));
             Fields told = new Fields(full);
             assertEquals("abc", told.list("inputs").get(0).text("content"));
@@ -96,7 +109,8 @@
             assertTrue(log.text("start_time").compareTo(log.text("end_time")) < 0);
             assertTrue(told.text("creation_time").compareTo(log.text("start_time")) < 0);
         }
-        Map<String, Object> basic = body(ask(1, "GET", "/tasks/" + id, Map.of("view", List.of("BASIC"))));
+        Map<String, Object> basic =
+                body(ask(1, "GET", "/tasks/" + id, Map.of("view", List.of("BASIC"))));
         assertFalse(new Fields(basic).list("inputs").get(0).has("content"));
     }
 
@@ -104,7 +118,8 @@
     void aTaskThatIsDoneBetweenTwoReportsHasAStartAllTheSame() throws Malformed {
         String id = created(Duration.ofMillis(10));
         world.runS(12);
-        Fields told = new Fields(body(ask(1, "GET", "/tasks/" + id, Map.of("view", List.of("BASIC")))));
+        Fields told =
+                new Fields(body(ask(1, "GET", "/tasks/" + id, Map.of("view", List.of("BASIC")))));
         assertEquals("COMPLETE", told.text("state"));
         Fields log = told.list("logs").get(0);
         assertTrue(log.text("start_time").compareTo(log.text("end_time")) < 0);
@@ -175,14 +190,17 @@
     void aCancellationIsNeverToldAsTakenBack() {
         String id = created(LONG);
         world.runS(6);
-        // The leader cannot see the cancellation by itself for a while, and has news of its own to write.
+        // The leader cannot see the cancellation by itself for a while, and has news of its own to
+        // write.
         world.line(world.leader()).blind(true);
         body(ask((world.leader() + 1) % 3, "POST", "/tasks/" + id + ":cancel", Map.of()));
-        world.workers().forEach(worker -> {
-            if (worker.holds(task(id))) {
-                worker.fail(task(id));
-            }
-        });
+        world.workers()
+                .forEach(
+                        worker -> {
+                            if (worker.holds(task(id))) {
+                                worker.fail(task(id));
+                            }
+                        });
         for (int second = 0; second < 20; second++) {
             assertTrue(Set.of("CANCELING", "CANCELED").contains(state(second % 3, id)));
             world.runS(1);
@@ -199,14 +217,23 @@
         // It reads the entry before the task has a place, and writes after.
         int other = (world.leader() + 1) % 3;
         world.line(other).holdCommits();
-        world.loop().after(Duration.ofSeconds(1), () -> world.workers().forEach(worker -> worker.hang(false)));
+        world.loop()
+                .after(
+                        Duration.ofSeconds(1),
+                        () -> world.workers().forEach(worker -> worker.hang(false)));
         Http.Reply unanswered = ask(other, "POST", "/tasks/" + id + ":cancel", Map.of());
         assertTrue(unanswered == null || unanswered.status() == 503);
         world.runS(10);
         assertEquals("RUNNING", state(world.leader(), id));
         world.line(other).hold(false);
         for (int second = 0; second < 10; second++) {
-            Map<String, Object> full = body(ask(world.leader(), "GET", "/tasks/" + id, Map.of("view", List.of("FULL"))));
+            Map<String, Object> full =
+                    body(
+                            ask(
+                                    world.leader(),
+                                    "GET",
+                                    "/tasks/" + id,
+                                    Map.of("view", List.of("FULL"))));
             assertEquals(1, new Fields(full).list("logs").size());
             world.runS(1);
         }
@@ -227,7 +254,8 @@
         world.runS(10);
         assertEquals("COMPLETE", state(0, id));
         assertEquals(Admission.Phase.DONE, world.poll(0, job.id()).orElseThrow().phase());
-        assertEquals(0, world.store().size(Records.JOBS), "no record of a job that is over comes back");
+        assertEquals(
+                0, world.store().size(Records.JOBS), "no record of a job that is over comes back");
         assertEquals(2, world.starts());
     }
 
@@ -271,17 +299,20 @@
         String bounded = created("bounded", "1", ", \"max_attempts\": \"2\"", LONG);
         String free = created("free", "1", "", LONG);
         for (int second = 0; second < 60; second++) {
-            world.workers().forEach(worker -> {
-                for (String id : List.of(bounded, free)) {
-                    if (worker.running().contains(task(id))) {
-                        worker.fail(task(id));
-                    }
-                }
-            });
+            world.workers()
+                    .forEach(
+                            worker -> {
+                                for (String id : List.of(bounded, free)) {
+                                    if (worker.running().contains(task(id))) {
+                                        worker.fail(task(id));
+                                    }
+                                }
+                            });
             world.runS(1);
         }
         assertEquals("EXECUTOR_ERROR", state(1, bounded));
-        Map<String, Object> full = body(ask(2, "GET", "/tasks/" + bounded, Map.of("view", List.of("FULL"))));
+        Map<String, Object> full =
+                body(ask(2, "GET", "/tasks/" + bounded, Map.of("view", List.of("FULL"))));
         List<Fields> logs = new Fields(full).list("logs");
         assertEquals(2, logs.size());
         assertEquals("ERROR", logs.get(1).fields("metadata").text("cause"));
@@ -307,16 +338,36 @@
     @Test
     void aTaskIsItsTeamsAlone() {
         String id = created(LONG);
-        assertEquals(401, world.tes(0, "wrong", "GET", "/tasks/" + id, Map.of(), Map.of(), "").status());
-        assertEquals(403, world.tes(0, "other secret", "GET", "/tasks/" + id, Map.of(), Map.of(), "").status());
-        assertEquals(403, world.tes(0, "other secret", "POST", "/tasks/" + id + ":cancel", Map.of(), Map.of(), "")
-                .status());
-        assertEquals(200, world.tes(0, "reader", "GET", "/tasks/" + id, Map.of(), Map.of(), "").status());
-        assertEquals(403, world.tes(0, "reader", "POST", "/tasks/" + id + ":cancel", Map.of(), Map.of(), "").status());
+        assertEquals(
+                401, world.tes(0, "wrong", "GET", "/tasks/" + id, Map.of(), Map.of(), "").status());
+        assertEquals(
+                403,
+                world.tes(0, "other secret", "GET", "/tasks/" + id, Map.of(), Map.of(), "")
+                        .status());
+        assertEquals(
+                403,
+                world.tes(
+                                0,
+                                "other secret",
+                                "POST",
+                                "/tasks/" + id + ":cancel",
+                                Map.of(),
+                                Map.of(),
+                                "")
+                        .status());
+        assertEquals(
+                200,
+                world.tes(0, "reader", "GET", "/tasks/" + id, Map.of(), Map.of(), "").status());
+        assertEquals(
+                403,
+                world.tes(0, "reader", "POST", "/tasks/" + id + ":cancel", Map.of(), Map.of(), "")
+                        .status());
         Http.Reply others = world.tes(1, "other secret", "GET", "/tasks", Map.of(), Map.of(), "");
         assertEquals(List.of(), body(others).get("tasks"));
-        assertEquals(404, ask(0, "GET", "/tasks/tes-00000000000000000000000000", Map.of()).status());
-        assertEquals(404, ask(0, "GET", "/tasks/req-1", Map.of()).status(), "a native job is no task");
+        assertEquals(
+                404, ask(0, "GET", "/tasks/tes-00000000000000000000000000", Map.of()).status());
+        assertEquals(
+                404, ask(0, "GET", "/tasks/req-1", Map.of()).status(), "a native job is no task");
         assertFalse(JobId.wellFormed(id), "and a task no native job");
     }
 
@@ -324,20 +375,28 @@
     void pagesMissNothingAndTellNothingTwiceWhileTasksComeAndGo() throws Malformed {
         Set<String> there = new HashSet<>();
         for (int at = 0; at < 12; at++) {
-            there.add(created("a" + at, String.valueOf(at % 2), "", Duration.ofSeconds(at % 3 == 0 ? 2 : 200)));
+            there.add(
+                    created(
+                            "a" + at,
+                            String.valueOf(at % 2),
+                            "",
+                            Duration.ofSeconds(at % 3 == 0 ? 2 : 200)));
         }
         List<String> told = new ArrayList<>();
         String token = null;
         int node = 0;
         do {
-            Map<String, List<String>> query = token == null ? Map.of("page_size", List.of("5"))
-                    : Map.of("page_size", List.of("5"), "page_token", List.of(token));
+            Map<String, List<String>> query =
+                    token == null
+                            ? Map.of("page_size", List.of("5"))
+                            : Map.of("page_size", List.of("5"), "page_token", List.of(token));
             Fields page = new Fields(body(ask(node, "GET", "/tasks", query)));
             for (Fields task : page.list("tasks")) {
                 told.add(task.text("id"));
             }
             token = page.textOrNull("next_page_token");
-            // The next page is asked of another node, after a takeover, and others have come in between.
+            // The next page is asked of another node, after a takeover, and others have come in
+            // between.
             created("later", "9", "", LONG);
             world.crash(world.leader());
             world.runS(8);
@@ -347,11 +406,28 @@
         } while (token != null);
         assertEquals(told.size(), new HashSet<>(told).size());
         assertEquals(there, new HashSet<>(told));
-        Fields tagged = new Fields(body(ask(0, "GET", "/tasks", Map.of("tag_key", List.of("night"), "tag_value",
-                List.of("1"), "name_prefix", List.of("a"), "view", List.of("BASIC")))));
+        Fields tagged =
+                new Fields(
+                        body(
+                                ask(
+                                        0,
+                                        "GET",
+                                        "/tasks",
+                                        Map.of(
+                                                "tag_key",
+                                                List.of("night"),
+                                                "tag_value",
+                                                List.of("1"),
+                                                "name_prefix",
+                                                List.of("a"),
+                                                "view",
+                                                List.of("BASIC")))));
         assertEquals(6, tagged.list("tasks").size());
-        assertTrue(new Fields(body(ask(0, "GET", "/tasks", Map.of("state", List.of("COMPLETE"))))).list("tasks")
-                .size() >= 4);
+        assertTrue(
+                new Fields(body(ask(0, "GET", "/tasks", Map.of("state", List.of("COMPLETE")))))
+                                .list("tasks")
+                                .size()
+                        >= 4);
     }
 
     @Test
@@ -383,23 +459,42 @@
 
     @Test
     void whatCanNeverRunAndWhatIsWrongIsRefusedByName() {
-        for (String[] wrong : new String[][] {
-                {"{\"executors\": []}", "executors"}, {"[]", "JSON"},
-                {"{\"executors\": [{\"image\": \"i\", \"command\": []}]}", "command"},
-                {TASK.formatted("t", "1", ", \"priority\": \"high\""), "priority"},
-                {TASK.formatted("t", "1", ", \"max_attempts\": \"2.5\""), "max_attempts"},
-                {TASK.formatted("t", "1", "").replace("\"1\" }", "\"9\"}"), "machine type"},
-                {TASK.formatted("t", "1", ", \"machine_types\": \"huge\""), "machine type"},
-                {TASK.formatted("t", "1", "").replace("\"cpu_cores\"", "\"zones\": [\"z\"], \"cpu_cores\""), "zone"},
-                {TASK.formatted("t", "1", ", \"x\": \"1\"").replace("}}}",
-                        "}, \"backend_parameters_strict\": true}}"), "backend parameter x"}}) {
+        for (String[] wrong :
+                new String[][] {
+                    {"{\"executors\": []}", "executors"},
+                    {"[]", "JSON"},
+                    {"{\"executors\": [{\"image\": \"i\", \"command\": []}]}", "command"},
+                    {TASK.formatted("t", "1", ", \"priority\": \"high\""), "priority"},
+                    {TASK.formatted("t", "1", ", \"max_attempts\": \"2.5\""), "max_attempts"},
+                    {TASK.formatted("t", "1", "").replace("\"1\" }", "\"9\"}"), "machine type"},
+                    {TASK.formatted("t", "1", ", \"machine_types\": \"huge\""), "machine type"},
+                    {
+                        TASK.formatted("t", "1", "")
+                                .replace("\"cpu_cores\"", "\"zones\": [\"z\"], \"cpu_cores\""),
+                        "zone"
+                    },
+                    {
+                        TASK.formatted("t", "1", ", \"x\": \"1\"")
+                                .replace("}}}", "}, \"backend_parameters_strict\": true}}"),
+                        "backend parameter x"
+                    }
+                }) {
             Http.Reply reply = create(0, wrong[0], null);
             String said = new String(reply.body());
             assertEquals(400, reply.status(), said);
             assertTrue(said.contains(wrong[1]), said);
         }
         for (String number : List.of("-1", "NaN", "1e400", "0x", "")) {
-            String said = new String(create(0, TASK.formatted("t", "1", ", \"deadline_s\": \"" + number + '"'), null).body());
+            String said =
+                    new String(
+                            create(
+                                            0,
+                                            TASK.formatted(
+                                                    "t",
+                                                    "1",
+                                                    ", \"deadline_s\": \"" + number + '"'),
+                                            null)
+                                    .body());
             assertTrue(said.contains("deadline_s"), said);
         }
         assertEquals(413, create(0, TASK.formatted("x".repeat(20_000), "1", ""), null).status());
@@ -413,8 +508,13 @@
         for (int at = 0; at < 6; at++) {
             lists.add(world.asked(0, "secret", "GET", "/tasks", Map.of(), Map.of(), new byte[0]));
         }
-        assertEquals(List.of(503, 503), lists.stream().filter(CompletableFuture::isDone).map(reply ->
-                reply.join().status()).toList(), "four at a time, the others at once");
+        assertEquals(
+                List.of(503, 503),
+                lists.stream()
+                        .filter(CompletableFuture::isDone)
+                        .map(reply -> reply.join().status())
+                        .toList(),
+                "four at a time, the others at once");
         world.runS(1);
         assertTrue(lists.stream().limit(4).allMatch(reply -> reply.join().status() == 200));
         for (int at = 0; at < 40; at++) {
@@ -423,16 +523,35 @@
         Fields whole = new Fields(body(ask(1, "GET", "/tasks", Map.of("view", List.of("BASIC")))));
         assertEquals(32, whole.list("tasks").size(), "each takes a read of its own");
         assertTrue(whole.has("next_page_token"));
-        String team = HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest("team".getBytes()))
-                .substring(0, 16);
+        String team =
+                HexFormat.of()
+                        .formatHex(MessageDigest.getInstance("SHA-256").digest("team".getBytes()))
+                        .substring(0, 16);
         for (int at = 0; at < 5000; at++) {
             String id = "tes-%026x".formatted(at);
-            world.store().put("tesx/" + team + "/%013d-".formatted(at) + id, Fields.of("id", id, "name", "old", "tags",
-                    Map.of(), "created", 1L, "progress", "DONE", "log", List.of()));
+            world.store()
+                    .put(
+                            "tesx/" + team + "/%013d-".formatted(at) + id,
+                            Fields.of(
+                                    "id",
+                                    id,
+                                    "name",
+                                    "old",
+                                    "tags",
+                                    Map.of(),
+                                    "created",
+                                    1L,
+                                    "progress",
+                                    "DONE",
+                                    "log",
+                                    List.of()));
         }
-        Fields none = new Fields(body(ask(2, "GET", "/tasks", Map.of("name_prefix", List.of("t")))));
+        Fields none =
+                new Fields(body(ask(2, "GET", "/tasks", Map.of("name_prefix", List.of("t")))));
         assertEquals(0, none.list("tasks").size());
-        assertTrue(none.has("next_page_token"), "a filter that fits nothing reads no further than so far");
+        assertTrue(
+                none.has("next_page_token"),
+                "a filter that fits nothing reads no further than so far");
     }
 
     @Test
@@ -444,11 +563,12 @@
         world.runS(20);
         int other = (world.leader() + 1) % 3;
         int[] before = {0};
-        ToIntFunction<String> cost = id -> {
-            before[0] = world.line(other).reads();
-            state(other, id);
-            return world.line(other).reads() - before[0];
-        };
+        ToIntFunction<String> cost =
+                id -> {
+                    before[0] = world.line(other).reads();
+                    state(other, id);
+                    return world.line(other).reads() - before[0];
+                };
         assertEquals(2, cost.applyAsInt(ids.get(0)));
         assertEquals(1, cost.applyAsInt(ids.get(0)), "a task that was read once is known");
         ids.forEach(cost::applyAsInt);
@@ -458,23 +578,38 @@
     @Test
     void aTaskThatFailsOnAndOnKeepsItsLastAttempts() throws Malformed {
         String id = created(Duration.ofHours(1));
-        for (int failures = 0; failures < 14;) {
-            List<FakeWorker> on = world.workers().stream().filter(worker -> worker.running().contains(task(id))).toList();
+        for (int failures = 0; failures < 14; ) {
+            List<FakeWorker> on =
+                    world.workers().stream()
+                            .filter(worker -> worker.running().contains(task(id)))
+                            .toList();
             on.forEach(worker -> worker.fail(task(id)));
             failures += on.size();
             world.runS(4);
         }
-        Fields told = new Fields(body(ask(1, "GET", "/tasks/" + id, Map.of("view", List.of("FULL")))));
+        Fields told =
+                new Fields(body(ask(1, "GET", "/tasks/" + id, Map.of("view", List.of("FULL")))));
         assertTrue(told.list("logs").size() == 10, () -> "" + told);
         assertEquals("14", told.list("logs").get(9).fields("metadata").text("attempt"));
     }
 
     @Test
     void aPageTokenThatNoListGaveLeadsNowhere() {
-        for (String forged : List.of("", "x", "&prefix=tesx/", "../", "9999999999999-tes-0", "0".repeat(13) + "-tes-"
-                + "0".repeat(26) + "&prefix=job/")) {
-            String token = Base64.getUrlEncoder().encodeToString(forged.getBytes()) + (forged.isEmpty() ? "AA" : "");
-            assertEquals(400, ask(0, "GET", "/tasks", Map.of("page_token", List.of(token))).status(), forged);
+        for (String forged :
+                List.of(
+                        "",
+                        "x",
+                        "&prefix=tesx/",
+                        "../",
+                        "9999999999999-tes-0",
+                        "0".repeat(13) + "-tes-" + "0".repeat(26) + "&prefix=job/")) {
+            String token =
+                    Base64.getUrlEncoder().encodeToString(forged.getBytes())
+                            + (forged.isEmpty() ? "AA" : "");
+            assertEquals(
+                    400,
+                    ask(0, "GET", "/tasks", Map.of("page_token", List.of(token))).status(),
+                    forged);
         }
     }
 
@@ -497,17 +632,39 @@
         world.runS(150);
         assertEquals(18, world.starts());
         List<OrderLog.Event> events = world.events();
-        assertEquals(came, events.stream().filter(event -> event.what() == OrderLog.What.ACCEPTED)
-                .map(OrderLog.Event::job).filter(job -> !job.equals(cancelled)).toList());
-        assertEquals(came, events.stream().filter(event -> event.what() == OrderLog.What.PLACED)
-                .map(OrderLog.Event::job).distinct().toList(), "first come, first placed, by either way");
+        assertEquals(
+                came,
+                events.stream()
+                        .filter(event -> event.what() == OrderLog.What.ACCEPTED)
+                        .map(OrderLog.Event::job)
+                        .filter(job -> !job.equals(cancelled))
+                        .toList());
+        assertEquals(
+                came,
+                events.stream()
+                        .filter(event -> event.what() == OrderLog.What.PLACED)
+                        .map(OrderLog.Event::job)
+                        .distinct()
+                        .toList(),
+                "first come, first placed, by either way");
         OrderRules.check(events, 4);
-        assertEquals(came.size() + 1, events.stream().filter(event -> event.what() == OrderLog.What.ENDED).count());
+        assertEquals(
+                came.size() + 1,
+                events.stream().filter(event -> event.what() == OrderLog.What.ENDED).count());
     }
 
     private String createdTraced(String parameters, Duration runs) {
-        String id = (String) body(world.tes(0, "secret", "POST", "/tasks", Map.of(), Map.of("traceparent", "ctx"),
-                TASK.formatted("traced", "1", parameters))).get("id");
+        String id =
+                (String)
+                        body(world.tes(
+                                        0,
+                                        "secret",
+                                        "POST",
+                                        "/tasks",
+                                        Map.of(),
+                                        Map.of("traceparent", "ctx"),
+                                        TASK.formatted("traced", "1", parameters)))
+                                .get("id");
         world.runs(new JobId(id), runs);
         return id;
     }
@@ -523,7 +680,12 @@
         world.crash(world.leader());
         world.runS(40);
         assertEquals("COMPLETE", state((world.leader() + 1) % 3, id));
-        assertEquals(List.of("ctx accepted", "ctx attempt 1 ERROR", "ctx attempt 2 DONE", "ctx ended DONE"),
+        assertEquals(
+                List.of(
+                        "ctx accepted",
+                        "ctx attempt 1 ERROR",
+                        "ctx attempt 2 DONE",
+                        "ctx ended DONE"),
                 world.traced());
     }
 
@@ -532,7 +694,10 @@
         String id = createdTraced("", Duration.ofSeconds(8));
         world.runS(6);
         assertEquals("RUNNING", state(0, id));
-        for (int step = 0; step < 80 && world.workers().stream().anyMatch(worker -> worker.running().contains(task(id)));
+        for (int step = 0;
+                step < 80
+                        && world.workers().stream()
+                                .anyMatch(worker -> worker.running().contains(task(id)));
                 step++) {
             world.runS(0.25);
         }
@@ -545,7 +710,8 @@
         world.runS(10);
         assertEquals(leader, world.leader());
         assertEquals("COMPLETE", state(0, id));
-        assertEquals(List.of("ctx accepted", "ctx attempt 1 DONE", "ctx ended DONE"), world.traced());
+        assertEquals(
+                List.of("ctx accepted", "ctx attempt 1 DONE", "ctx ended DONE"), world.traced());
     }
 
     @Test
@@ -570,8 +736,10 @@
         Set<String> listed = new HashSet<>();
         String token = null;
         do {
-            Map<String, List<String>> query = token == null ? Map.of("page_size", List.of("300"))
-                    : Map.of("page_size", List.of("300"), "page_token", List.of(token));
+            Map<String, List<String>> query =
+                    token == null
+                            ? Map.of("page_size", List.of("300"))
+                            : Map.of("page_size", List.of("300"), "page_token", List.of(token));
             Map<String, Object> page = body(ask(listed.size() % 3, "GET", "/tasks", query));
             for (Object task : (List<?>) page.get("tasks")) {
                 assertTrue(listed.add((String) ((Map<?, ?>) task).get("id")));
@@ -583,7 +751,8 @@
 
     @Test
     void aTaskCancelledInTheRoundThatPlacesItNeverRuns() {
-        // Placed and cancelled between two answers of the state service, whichever of the two gets there first.
+        // Placed and cancelled between two answers of the state service, whichever of the two gets
+        // there first.
         for (int at = 0; at < 12; at++) {
             String id = created(LONG);
             world.run(Duration.ofMillis(250 * (at % 6)));
@@ -607,13 +776,31 @@
         // All machines that were rented are up, and full.
         world.runS(20);
         long before = world.workers().stream().mapToLong(worker -> worker.running().size()).sum();
-        String id = (String) body(world.tes(0, "other secret", "POST", "/tasks", Map.of(), Map.of(),
-                TASK.formatted("first", "1", ", \"save_s\": \"1\""))).get("id");
+        String id =
+                (String)
+                        body(world.tes(
+                                        0,
+                                        "other secret",
+                                        "POST",
+                                        "/tasks",
+                                        Map.of(),
+                                        Map.of(),
+                                        TASK.formatted("first", "1", ", \"save_s\": \"1\"")))
+                                .get("id");
         world.runs(new JobId(id), LONG);
         world.runS(40);
-        assertTrue(before > 0 && before == world.workers().stream().mapToLong(worker -> worker.running().size()).sum());
-        Http.Reply reply = world.tes(1, "other secret", "GET", "/tasks/" + id, Map.of(), Map.of(), "");
-        assertEquals("RUNNING", body(reply).get("state"), "others make room, as for a native job of that team");
+        assertTrue(
+                before > 0
+                        && before
+                                == world.workers().stream()
+                                        .mapToLong(worker -> worker.running().size())
+                                        .sum());
+        Http.Reply reply =
+                world.tes(1, "other secret", "GET", "/tasks/" + id, Map.of(), Map.of(), "");
+        assertEquals(
+                "RUNNING",
+                body(reply).get("state"),
+                "others make room, as for a native job of that team");
     }
 
     @Test
@@ -629,13 +816,15 @@
             if (tokens[client] == null) {
                 continue;
             }
-            Map<String, List<String>> query = new HashMap<>(Map.of("page_size", List.of(client == 0 ? "3" : "4")));
+            Map<String, List<String>> query =
+                    new HashMap<>(Map.of("page_size", List.of(client == 0 ? "3" : "4")));
             if (!tokens[client].isEmpty()) {
                 query.put("page_token", List.of(tokens[client]));
             }
             Map<String, Object> page = body(ask(step % 3, "GET", "/tasks", query));
             for (Object task : (List<?>) page.get("tasks")) {
-                assertTrue(told.get(client).add((String) ((Map<?, ?>) task).get("id")), "told twice");
+                assertTrue(
+                        told.get(client).add((String) ((Map<?, ?>) task).get("id")), "told twice");
             }
             tokens[client] = (String) page.get("next_page_token");
             String passing = created("passing", "2", "", SHORT);
