--- a/src/test/java/org/meadowhollow/story/Trouble.java
+++ b/src/test/java/org/meadowhollow/story/Trouble.java
@@ -13,15 +13,48 @@
 
 /** A trouble that begins, and ends when it is told to, for days on which troubles meet. */
 enum Trouble {
-    REFUSED_ALONE, OUT_FOR_ALL, APART, LATE_WRITES, LATE_REPORTS, DEAF_MACHINES, HUNG_MACHINES, ENDED, ALL_ENDED, BACK_AT_ONCE,
-    FROZEN, ANSWERS_LOST, REQUESTS_HELD, DEAF_TO_A_ZONE, WATCHES_FAIL, RECORDS_HIDDEN, SHORT_OF_TIME, PEERS_CUT, HAND_OVER,
-    MACHINES_BEGIN_ANEW, SERVED_FOR_INSTANTS,
-    MUTE_MACHINES, MUTE_ZONE, ANSWERS_OF_WRITES_LOST, REPORTS_FOR_NEXT, CANCEL_NOW, CANCEL_AT_END, ODD_REQUESTS, CLOSE_LOOKS,
-    QUICK_BOOTS, DEPOSED_BY_A_HINT, ALL_AWAY, ZONE_APART_WITH_A_NODE, LEADER_AFTER_LEADER,
-    CLOUD_OUT, FEW_CHANGES, SLOW_FOR_ALL;
+    REFUSED_ALONE,
+    OUT_FOR_ALL,
+    APART,
+    LATE_WRITES,
+    LATE_REPORTS,
+    DEAF_MACHINES,
+    HUNG_MACHINES,
+    ENDED,
+    ALL_ENDED,
+    BACK_AT_ONCE,
+    FROZEN,
+    ANSWERS_LOST,
+    REQUESTS_HELD,
+    DEAF_TO_A_ZONE,
+    WATCHES_FAIL,
+    RECORDS_HIDDEN,
+    SHORT_OF_TIME,
+    PEERS_CUT,
+    HAND_OVER,
+    MACHINES_BEGIN_ANEW,
+    SERVED_FOR_INSTANTS,
+    MUTE_MACHINES,
+    MUTE_ZONE,
+    ANSWERS_OF_WRITES_LOST,
+    REPORTS_FOR_NEXT,
+    CANCEL_NOW,
+    CANCEL_AT_END,
+    ODD_REQUESTS,
+    CLOSE_LOOKS,
+    QUICK_BOOTS,
+    DEPOSED_BY_A_HINT,
+    ALL_AWAY,
+    ZONE_APART_WITH_A_NODE,
+    LEADER_AFTER_LEADER,
+    CLOUD_OUT,
+    FEW_CHANGES,
+    SLOW_FOR_ALL;
 
-    private static final List<Trouble> FIRST = List.copyOf(EnumSet.range(REFUSED_ALONE, SERVED_FOR_INSTANTS));
-    private static final List<Trouble> FURTHER = List.copyOf(EnumSet.range(MUTE_MACHINES, SLOW_FOR_ALL));
+    private static final List<Trouble> FIRST =
+            List.copyOf(EnumSet.range(REFUSED_ALONE, SERVED_FOR_INSTANTS));
+    private static final List<Trouble> FURTHER =
+            List.copyOf(EnumSet.range(MUTE_MACHINES, SLOW_FOR_ALL));
 
     /** Begins one of the first list, mostly at the leader; what is returned ends it. */
     static Runnable begin(World world, Random random) {
@@ -81,7 +114,7 @@
                     world.bounce(node, Duration.ofMillis(100 + random.nextInt(900)));
                     world.run(Duration.ofMillis(500));
                 }
-                return () -> { };
+                return () -> {};
             }
             case FROZEN -> {
                 world.freeze(node);
@@ -125,18 +158,22 @@
                 if (world.node(node) != null) {
                     world.node(node).handOver();
                 }
-                return () -> { };
+                return () -> {};
             }
             case MACHINES_BEGIN_ANEW -> {
                 some(world, random).forEach(FakeWorker::reboot);
-                return () -> { };
+                return () -> {};
             }
             case MUTE_MACHINES -> {
                 return on(some(world, random), FakeWorker::mute);
             }
             case MUTE_ZONE -> {
                 String zone = random.nextBoolean() ? "a" : "b";
-                return on(world.workers().stream().filter(worker -> worker.zone().equals(zone)).toList(), FakeWorker::mute);
+                return on(
+                        world.workers().stream()
+                                .filter(worker -> worker.zone().equals(zone))
+                                .toList(),
+                        FakeWorker::mute);
             }
             case ANSWERS_OF_WRITES_LOST -> {
                 return onLines(world, random, FakeStore.Line::loseCommitAnswers);
@@ -148,9 +185,10 @@
             case CANCEL_NOW -> {
                 List<JobSpec> running = new ArrayList<>(world.runningJobs());
                 Collections.shuffle(running, random);
-                world.cancelNow(running.subList(0, Math.min(4, running.size())),
+                world.cancelNow(
+                        running.subList(0, Math.min(4, running.size())),
                         Duration.ofSeconds(random.nextBoolean() ? 0 : 5 + random.nextInt(40)));
-                return () -> { };
+                return () -> {};
             }
             case CANCEL_AT_END -> {
                 world.cancelAtEnd(0.3 + 0.7 * random.nextDouble(), random.nextLong());
@@ -161,7 +199,7 @@
                     world.oddRequest(random);
                     world.run(Duration.ofMillis(250 * random.nextInt(4)));
                 }
-                return () -> { };
+                return () -> {};
             }
             case CLOSE_LOOKS -> {
                 world.closeLooks(true);
@@ -173,9 +211,10 @@
             }
             case DEPOSED_BY_A_HINT -> {
                 if (world.leader() >= 0 && world.node(world.leader()) != null) {
-                    world.node(world.leader()).heardOf(new Term(world.term() + 1), "n" + random.nextInt(3));
+                    world.node(world.leader())
+                            .heardOf(new Term(world.term() + 1), "n" + random.nextInt(3));
                 }
-                return () -> { };
+                return () -> {};
             }
             case ALL_AWAY -> {
                 for (int each = 0; each < 3; each++) {
@@ -184,7 +223,7 @@
                 world.crashAll();
                 world.runS(19 + random.nextInt(20));
                 world.restartAll();
-                return () -> { };
+                return () -> {};
             }
             case ZONE_APART_WITH_A_NODE -> {
                 String zone = random.nextBoolean() ? "a" : "b";
@@ -208,7 +247,7 @@
                     }
                     world.runS(3 + random.nextInt(9));
                 }
-                return () -> { };
+                return () -> {};
             }
             case SLOW_FOR_ALL -> {
                 world.store().slow(Duration.ofMillis(200 + random.nextInt(1100)));
--- a/src/test/java/org/meadowhollow/story/World.java
+++ b/src/test/java/org/meadowhollow/story/World.java
@@ -64,19 +64,21 @@
 import org.meadowhollow.protocol.users.UserApi;
 
 /**
- * A deployment in memory and in virtual time: three nodes, the state service, a cloud and workers. It
- * checks the protocol's rules whenever a task starts and after every step.
+ * A deployment in memory and in virtual time: three nodes, the state service, a cloud and workers.
+ * It checks the protocol's rules whenever a task starts and after every step.
  */
 final class World {
-    static final MachineType SMALL = new MachineType("small", Resources.of(8, 2, 32), 50, 1, 2, 1, 10,
-            List.of("a", "b"));
-    static final MachineType LARGE = new MachineType("large", Resources.of(32, 8, 128), 50, 1, 8, 4, 10,
-            List.of("a", "b"));
+    static final MachineType SMALL =
+            new MachineType("small", Resources.of(8, 2, 32), 50, 1, 2, 1, 10, List.of("a", "b"));
+    static final MachineType LARGE =
+            new MachineType("large", Resources.of(32, 8, 128), 50, 1, 8, 4, 10, List.of("a", "b"));
     private static final Duration CANCEL = Duration.ofSeconds(48);
+
     /** Longer than a leadership's lease. */
     private static final Duration BUSY = Duration.ofSeconds(6);
-    private static final List<Duration> LATE = List.of(Duration.ofMillis(100), Duration.ofSeconds(20),
-            Duration.ofMinutes(4));
+
+    private static final List<Duration> LATE =
+            List.of(Duration.ofMillis(100), Duration.ofSeconds(20), Duration.ofMinutes(4));
     private static final Duration STEP = Duration.ofMillis(250);
     private static final int MOST_HANGING = 8;
     private static final Duration RENTAL_ANSWER = Duration.ofMillis(100);
@@ -90,9 +92,12 @@
     private final Map<JobId, JobSpec> specs = new HashMap<>();
     private final Map<JobId, Duration> runTimes = new HashMap<>();
     private final Map<String, Platform.Team> teams = new HashMap<>();
-    private final Judge judge = new Judge(CANCEL, teams, List.of(SMALL, LARGE), this::spec, workers::values);
+    private final Judge judge =
+            new Judge(CANCEL, teams, List.of(SMALL, LARGE), this::spec, workers::values);
+
     /** What was found wrong inside an answer, where nothing that is thrown would be seen. */
     private AssertionError wrong;
+
     private final Map<JobId, Phase> lookedClosely = new HashMap<>();
     private final Map<MachineId, Moment> rentedAt = new HashMap<>();
     private final List<Report> kept = new ArrayList<>();
@@ -104,8 +109,10 @@
     private Duration listLag = Duration.ZERO;
     private int deliveredToNext;
     private int startOrders;
+
     /** Null unless direct orders are held up. */
     private List<Runnable> heldOrders;
+
     private int nextAsked;
     private final List<OrderLog.Event> events = new ArrayList<>();
     private final NotedTraces traces = new NotedTraces();
@@ -141,16 +148,22 @@
         private Admission admission;
         private TesApi tes;
         private CalendarApi desk;
+
         /** The zones whose workers it cannot hear or reach. */
         private final Set<String> cutZones = new HashSet<>();
+
         /** Reports do not come here, while its own messages go out and are answered. */
         private boolean mute;
+
         /** What it should have done since it stands still; null while it runs. */
         private List<Runnable> frozen;
+
         private Duration busy = Duration.ZERO;
         private boolean refusesPeers;
+
         /** No message passes between it and the other nodes. */
         private boolean apart;
+
         /** Its machine gives no answer, rather than that nobody listens there. */
         private boolean silent;
 
@@ -164,15 +177,50 @@
             line = store.new Line().readBy(this::whenAwake).copied(World.this::again);
             FakeStore.Line mine = line;
             Catalog catalog = new Catalog();
-            Platform platform = new Platform(name, List.of("a", "b"), teams, List.of(), Duration.ofSeconds(3),
-                    Duration.ofSeconds(18), Duration.ofSeconds(30), CANCEL, 100, 50, 16 * 1024, 12, 10,
-                    Duration.ofSeconds(8));
+            Platform platform =
+                    new Platform(
+                            name,
+                            List.of("a", "b"),
+                            teams,
+                            List.of(),
+                            Duration.ofSeconds(3),
+                            Duration.ofSeconds(18),
+                            Duration.ofSeconds(30),
+                            CANCEL,
+                            100,
+                            50,
+                            16 * 1024,
+                            12,
+                            10,
+                            Duration.ofSeconds(8));
             EventLoop own = new OwnLoop(this);
-            node = new Node(own, mine, new Direct(this), new Offer(), new Hints(this), platform, catalog,
-                    observers, calendar, standby, new Random(nextSeed++));
+            node =
+                    new Node(
+                            own,
+                            mine,
+                            new Direct(this),
+                            new Offer(),
+                            new Hints(this),
+                            platform,
+                            catalog,
+                            observers,
+                            calendar,
+                            standby,
+                            new Random(nextSeed++));
             admission = new Admission(mine, own, catalog, platform, observers, node::counts);
-            tes = new TesApi(admission, mine, own, platform, tokens(), traces, new Random(nextSeed++));
-            desk = new CalendarApi(new CalendarDesk(mine, own, catalog, platform, calendar.most()), operators());
+            tes =
+                    new TesApi(
+                            admission,
+                            mine,
+                            own,
+                            platform,
+                            tokens(),
+                            traces,
+                            new Random(nextSeed++));
+            desk =
+                    new CalendarApi(
+                            new CalendarDesk(mine, own, catalog, platform, calendar.most()),
+                            operators());
             node.start();
         }
 
@@ -195,7 +243,10 @@
         }
     }
 
-    /** A node's own view of the loop: one that is busy comes to its timers late, though it goes on taking reports. */
+    /**
+     * A node's own view of the loop: one that is busy comes to its timers late, though it goes on
+     * taking reports.
+     */
     private final class OwnLoop implements EventLoop {
         private final Member member;
 
@@ -231,29 +282,48 @@
     private static TesTokens tokens() {
         try {
             // The SHA-256 of "secret", "other secret" and "reader".
-            return TesTokens.of(List.of(
-                    "team=2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b",
-                    "other=bd4106123e659e259c401119d0c7ef0a221df306a5a414b6fb6a579499962d26", "*=3d0941964aa3ebdcb00ccef58b1bb399f9f898465e9886d5aec7f31090a0fb30"));
+            return TesTokens.of(
+                    List.of(
+                            "team=2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b",
+                            "other=bd4106123e659e259c401119d0c7ef0a221df306a5a414b6fb6a579499962d26",
+                            "*=3d0941964aa3ebdcb00ccef58b1bb399f9f898465e9886d5aec7f31090a0fb30"));
         } catch (Malformed wrong) {
             throw new AssertionError(wrong);
         }
     }
 
-    /** Sends a request of a client of the task execution API, and waits five seconds for the answer; null if none. */
-    Http.Reply tes(int node, String token, String method, String path, Map<String, List<String>> query,
-            Map<String, String> headers, String body) {
-        return tes(node, token, method, path, query, headers, body.getBytes(StandardCharsets.UTF_8));
+    /**
+     * Sends a request of a client of the task execution API, and waits five seconds for the answer;
+     * null if none.
+     */
+    Http.Reply tes(
+            int node,
+            String token,
+            String method,
+            String path,
+            Map<String, List<String>> query,
+            Map<String, String> headers,
+            String body) {
+        return tes(
+                node, token, method, path, query, headers, body.getBytes(StandardCharsets.UTF_8));
     }
 
     /**
      * @param token null if the headers hold what there is of one
      */
-    Http.Reply tes(int node, String token, String method, String path, Map<String, List<String>> query,
-            Map<String, String> headers, byte[] body) {
+    Http.Reply tes(
+            int node,
+            String token,
+            String method,
+            String path,
+            Map<String, List<String>> query,
+            Map<String, String> headers,
+            byte[] body) {
         if (members.get(node).node == null) {
             return null;
         }
-        CompletableFuture<Http.Reply> answer = asked(node, token, method, path, query, headers, body);
+        CompletableFuture<Http.Reply> answer =
+                asked(node, token, method, path, query, headers, body);
         for (int step = 0; step < 20 && !answer.isDone(); step++) {
             run(STEP);
         }
@@ -261,21 +331,30 @@
     }
 
     /** Sends such a request to a node that runs, and waits for nothing. */
-    CompletableFuture<Http.Reply> asked(int node, String token, String method, String path,
-            Map<String, List<String>> query, Map<String, String> headers, byte[] body) {
+    CompletableFuture<Http.Reply> asked(
+            int node,
+            String token,
+            String method,
+            String path,
+            Map<String, List<String>> query,
+            Map<String, String> headers,
+            byte[] body) {
         Map<String, String> all = new HashMap<>(headers);
         if (token != null) {
             all.put("Authorization", "Bearer " + token);
         }
-        return members.get(node).tes.answer(new Http.Request(method, "/ga4gh/tes/v1" + path, query, all::get, body));
+        return members.get(node)
+                .tes
+                .answer(new Http.Request(method, "/ga4gh/tes/v1" + path, query, all::get, body));
     }
 
     private static TesTokens operators() {
         try {
             // The SHA-256 of "secret" and "reader".
-            return TesTokens.of(List.of(
-                    "operator=2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b",
-                    "*=3d0941964aa3ebdcb00ccef58b1bb399f9f898465e9886d5aec7f31090a0fb30"));
+            return TesTokens.of(
+                    List.of(
+                            "operator=2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b",
+                            "*=3d0941964aa3ebdcb00ccef58b1bb399f9f898465e9886d5aec7f31090a0fb30"));
         } catch (Malformed wrong) {
             throw new AssertionError(wrong);
         }
@@ -311,8 +390,8 @@
     }
 
     /**
-     * From now on any message may come once more: a moment, twenty seconds or four minutes later, out of order, to whoever
-     * has its receiver's name by then; nobody waits for the answer.
+     * From now on any message may come once more: a moment, twenty seconds or four minutes later,
+     * out of order, to whoever has its receiver's name by then; nobody waits for the answer.
      */
     World copies(long seed) {
         copies = new Random(seed);
@@ -354,7 +433,8 @@
     }
 
     /** Sends an operator's request, and waits five seconds for the answer; null if none. */
-    Http.Reply operate(int node, String token, String method, String path, String version, String body) {
+    Http.Reply operate(
+            int node, String token, String method, String path, String version, String body) {
         CompletableFuture<Http.Reply> answer = asksDesk(node, token, method, path, version, body);
         for (int step = 0; step < 20 && !answer.isDone(); step++) {
             run(STEP);
@@ -363,14 +443,21 @@
     }
 
     /** Sends an operator's request and waits for nothing. */
-    CompletableFuture<Http.Reply> asksDesk(int node, String token, String method, String path, String version,
-            String body) {
+    CompletableFuture<Http.Reply> asksDesk(
+            int node, String token, String method, String path, String version, String body) {
         Map<String, String> headers = new HashMap<>(Map.of("Authorization", "Bearer " + token));
         if (version != null) {
             headers.put("If-Match", version);
         }
-        return members.get(node).desk.answer(new Http.Request(method, "/calendar/v1/" + path, Map.of(), headers::get,
-                body.getBytes(StandardCharsets.UTF_8)));
+        return members.get(node)
+                .desk
+                .answer(
+                        new Http.Request(
+                                method,
+                                "/calendar/v1/" + path,
+                                Map.of(),
+                                headers::get,
+                                body.getBytes(StandardCharsets.UTF_8)));
     }
 
     /** How long the tasks of a job run that was not submitted here. */
@@ -380,10 +467,13 @@
 
     /** What a job's user asked for, as submitted here or as its live record has it. */
     JobSpec spec(JobId id) {
-        return specs.computeIfAbsent(id, unknown -> {
-            judge.submits(id);
-            return Records.job(id, store.value(Records.job(id)), Version.ABSENT, loop.now()).spec();
-        });
+        return specs.computeIfAbsent(
+                id,
+                unknown -> {
+                    judge.submits(id);
+                    return Records.job(id, store.value(Records.job(id)), Version.ABSENT, loop.now())
+                            .spec();
+                });
     }
 
     static MachineType typeOf(String name) {
@@ -391,8 +481,10 @@
     }
 
     World team(String name, double guaranteedGpus, double mostGpus) {
-        teams.put(name, new Platform.Team(name, Resources.of(0, guaranteedGpus, 0),
-                Resources.of(0, mostGpus, 0)));
+        teams.put(
+                name,
+                new Platform.Team(
+                        name, Resources.of(0, guaranteedGpus, 0), Resources.of(0, mostGpus, 0)));
         return this;
     }
 
@@ -450,7 +542,9 @@
 
     /** What all nodes wrote, in the order of the state service. */
     List<OrderLog.Event> events() {
-        return events.stream().sorted(Comparator.comparingLong(event -> event.revision().value())).toList();
+        return events.stream()
+                .sorted(Comparator.comparingLong(event -> event.revision().value()))
+                .toList();
     }
 
     /** What those who trace were told, in the order in which they were. */
@@ -493,7 +587,10 @@
         cutFromZone(node, "b", cut);
     }
 
-    /** Neither reports nor direct commands pass between a node and the workers of a zone, and nothing says so. */
+    /**
+     * Neither reports nor direct commands pass between a node and the workers of a zone, and
+     * nothing says so.
+     */
     void cutFromZone(int node, String zone, boolean cut) {
         if (cut) {
             members.get(node).cutZones.add(zone);
@@ -520,7 +617,9 @@
         }
     }
 
-    /** Direct orders are held up on their way, to be carried out when this ends, whoever sent them. */
+    /**
+     * Direct orders are held up on their way, to be carried out when this ends, whoever sent them.
+     */
     void holdOrders(boolean now) {
         List<Runnable> due = heldOrders;
         heldOrders = now ? new ArrayList<>() : null;
@@ -556,7 +655,10 @@
     }
 
     List<MachineId> returnedFrom(String zone) {
-        return returned.stream().filter(worker -> worker.zone().equals(zone)).map(FakeWorker::id).toList();
+        return returned.stream()
+                .filter(worker -> worker.zone().equals(zone))
+                .map(FakeWorker::id)
+                .toList();
     }
 
     /** Hints between the nodes are lost. */
@@ -564,19 +666,26 @@
         peersCut = cut;
     }
 
-    /** A node loses the state service and the other nodes, and neither its workers nor its users. */
+    /**
+     * A node loses the state service and the other nodes, and neither its workers nor its users.
+     */
     void apart(int node, boolean now) {
         members.get(node).apart = now;
         members.get(node).line.cut(now);
     }
 
-    /** A copy of each so many reports arrives again, from 2 s to well over a lease later; 0 ends it. */
+    /**
+     * A copy of each so many reports arrives again, from 2 s to well over a lease later; 0 ends it.
+     */
     void lateReports(double share, long seed) {
         lateReports = share == 0 ? null : new Random(seed);
         lateShare = share;
     }
 
-    /** A copy of each so many reports is kept until a new leader begins, and reaches every node then; 0 ends it. */
+    /**
+     * A copy of each so many reports is kept until a new leader begins, and reaches every node
+     * then; 0 ends it.
+     */
     void keepReportsForNext(double share, long seed) {
         keeping = share == 0 ? null : new Random(seed);
         keptShare = share;
@@ -605,20 +714,30 @@
         }
     }
 
-    /** Users call off jobs within a fifth of a second, each at the next node, and machines of theirs hang for a time. */
+    /**
+     * Users call off jobs within a fifth of a second, each at the next node, and machines of theirs
+     * hang for a time.
+     */
     void cancelNow(List<JobSpec> jobs, Duration hang) {
         Set<FakeWorker> hanging = new HashSet<>();
         for (int at = 0; at < jobs.size(); at++) {
             JobSpec job = jobs.get(at);
             int node = at % members.size();
             loop.after(Duration.ofMillis(200L * at / jobs.size()), () -> cancels(node, job.id()));
-            workers().stream().filter(worker -> worker.running().stream().anyMatch(task -> task.job().equals(job.id())))
+            workers().stream()
+                    .filter(
+                            worker ->
+                                    worker.running().stream()
+                                            .anyMatch(task -> task.job().equals(job.id())))
                     .forEach(hanging::add);
         }
-        hanging.stream().limit(hang.isZero() ? 0 : MOST_HANGING).forEach(worker -> {
-            worker.hang(true);
-            loop.after(hang, () -> worker.hang(false));
-        });
+        hanging.stream()
+                .limit(hang.isZero() ? 0 : MOST_HANGING)
+                .forEach(
+                        worker -> {
+                            worker.hang(true);
+                            loop.after(hang, () -> worker.hang(false));
+                        });
     }
 
     /** So many of the jobs that end are called off at the moment of their end; 0 ends it. */
@@ -627,7 +746,10 @@
         cancelledAtEnd = share;
     }
 
-    /** Users ask at all nodes within milliseconds, and repeat the submission, as soon as they were told of a job's state. */
+    /**
+     * Users ask at all nodes within milliseconds, and repeat the submission, as soon as they were
+     * told of a job's state.
+     */
     void closeLooks(boolean now) {
         closeLooks = now;
     }
@@ -647,15 +769,32 @@
 
     /** Jobs of which tasks run, and that nobody was told to be over. */
     List<JobSpec> runningJobs() {
-        return specs.values().stream().filter(spec -> !judge.isOver(spec.id()) && workers().stream()
-                .anyMatch(worker -> worker.running().stream().anyMatch(task -> task.job().equals(spec.id()))))
-                .sorted(Comparator.comparing(JobSpec::id)).toList();
+        return specs.values().stream()
+                .filter(
+                        spec ->
+                                !judge.isOver(spec.id())
+                                        && workers().stream()
+                                                .anyMatch(
+                                                        worker ->
+                                                                worker.running().stream()
+                                                                        .anyMatch(
+                                                                                task ->
+                                                                                        task.job()
+                                                                                                .equals(
+                                                                                                        spec
+                                                                                                                .id()))))
+                .sorted(Comparator.comparing(JobSpec::id))
+                .toList();
     }
 
-    /** A user repeats a submission, calls off a job that is done, or sends one that cannot run or lacks a field. */
+    /**
+     * A user repeats a submission, calls off a job that is done, or sends one that cannot run or
+     * lacks a field.
+     */
     void oddRequest(Random random) {
         int node = random.nextInt(members.size());
-        List<JobSpec> known = specs.values().stream().sorted(Comparator.comparing(JobSpec::id)).toList();
+        List<JobSpec> known =
+                specs.values().stream().sorted(Comparator.comparing(JobSpec::id)).toList();
         if (known.isEmpty()) {
             return;
         }
@@ -667,10 +806,20 @@
                     cancels(node, job.id());
                 }
             }
-            case 3 -> refused(node, 422, SubmissionCodec.encode(spec(900_000 + random.nextInt(1000), Kind.ARRAY, 1, 9)));
+            case 3 ->
+                    refused(
+                            node,
+                            422,
+                            SubmissionCodec.encode(
+                                    spec(900_000 + random.nextInt(1000), Kind.ARRAY, 1, 9)));
             default -> {
-                Map<String, Object> body = new HashMap<>(SubmissionCodec.encode(spec(910_000, Kind.ARRAY, 1, 1)));
-                List<String> needed = body.keySet().stream().filter(key -> body.get(key) != null).sorted().toList();
+                Map<String, Object> body =
+                        new HashMap<>(SubmissionCodec.encode(spec(910_000, Kind.ARRAY, 1, 1)));
+                List<String> needed =
+                        body.keySet().stream()
+                                .filter(key -> body.get(key) != null)
+                                .sorted()
+                                .toList();
                 body.remove(needed.get(random.nextInt(needed.size())));
                 refused(node, 400, body);
             }
@@ -678,11 +827,28 @@
     }
 
     private void refused(int node, int status, Map<String, Object> body) {
-        request(node, admission -> new UserApi(admission).submit(Wire.encode(body)).thenAccept(reply -> judged(() ->
-                assertTrue(reply.status() == status || reply.status() == 503, "wrongly answered " + reply.status()))));
+        request(
+                node,
+                admission ->
+                        new UserApi(admission)
+                                .submit(Wire.encode(body))
+                                .thenAccept(
+                                        reply ->
+                                                judged(
+                                                        () ->
+                                                                assertTrue(
+                                                                        reply.status() == status
+                                                                                || reply.status()
+                                                                                        == 503,
+                                                                        "wrongly answered "
+                                                                                + reply
+                                                                                        .status()))));
     }
 
-    /** All troubles are over: users ask about each job every few seconds, and what is promised for then is checked. */
+    /**
+     * All troubles are over: users ask about each job every few seconds, and what is promised for
+     * then is checked.
+     */
     void calm() {
         judge.calm(loop.now());
         askAll();
@@ -701,7 +867,9 @@
 
     /** Sends a body as a user does, and gives the status; 0 without an answer. */
     int posts(int node, Map<String, Object> body) {
-        return await(node, admission -> new UserApi(admission).submit(Wire.encode(body))).map(Http.Reply::status).orElse(0);
+        return await(node, admission -> new UserApi(admission).submit(Wire.encode(body)))
+                .map(Http.Reply::status)
+                .orElse(0);
     }
 
     void busy(int node, boolean now) {
@@ -752,8 +920,25 @@
     // ---- users ----
 
     static JobSpec spec(int number, Kind kind, int tasks, double gpus) {
-        return new JobSpec(new JobId("req-%06d".formatted(number)), "class", "team", kind, Priority.NORMAL, tasks,
-                Resources.of(1, gpus, 4), null, null, false, false, false, "image", 1, 10, 0, 0, Double.NaN);
+        return new JobSpec(
+                new JobId("req-%06d".formatted(number)),
+                "class",
+                "team",
+                kind,
+                Priority.NORMAL,
+                tasks,
+                Resources.of(1, gpus, 4),
+                null,
+                null,
+                false,
+                false,
+                false,
+                "image",
+                1,
+                10,
+                0,
+                0,
+                Double.NaN);
     }
 
     /** Submits until accepted, as users do. */
@@ -762,8 +947,16 @@
         runTimes.put(spec.id(), runTime);
         judge.submits(spec.id());
         again(() -> resubmits(node, spec));
-        return await(node, admission -> judged(spec.id(), admission.submit(spec).thenApply(
-                accepted -> Optional.of(accepted.state())))).isPresent();
+        return await(
+                        node,
+                        admission ->
+                                judged(
+                                        spec.id(),
+                                        admission
+                                                .submit(spec)
+                                                .thenApply(
+                                                        accepted -> Optional.of(accepted.state()))))
+                .isPresent();
     }
 
     /** Submits without waiting for the answer. */
@@ -776,8 +969,14 @@
 
     /** Submits a job once more, without waiting for the answer. */
     CompletableFuture<Optional<JobState>> resubmits(int node, JobSpec spec) {
-        return request(node, admission -> judged(spec.id(), admission.submit(spec).thenApply(
-                accepted -> Optional.of(accepted.state()))));
+        return request(
+                node,
+                admission ->
+                        judged(
+                                spec.id(),
+                                admission
+                                        .submit(spec)
+                                        .thenApply(accepted -> Optional.of(accepted.state()))));
     }
 
     Optional<JobState> poll(int node, JobId id) {
@@ -812,19 +1011,26 @@
     }
 
     /** Holds each answer against what was told before its question was sent. */
-    private CompletableFuture<Optional<JobState>> judged(JobId id, CompletableFuture<Optional<JobState>> answer) {
+    private CompletableFuture<Optional<JobState>> judged(
+            JobId id, CompletableFuture<Optional<JobState>> answer) {
         Moment sentAt = loop.now();
-        answer.thenAccept(state -> judged(() -> {
-            Phase phase = state.map(JobState::phase).orElse(null);
-            judge.answered(id, phase, sentAt, loop.now());
-            if (closeLooks && phase != null) {
-                lookClosely(id, phase);
-            }
-        }));
+        answer.thenAccept(
+                state ->
+                        judged(
+                                () -> {
+                                    Phase phase = state.map(JobState::phase).orElse(null);
+                                    judge.answered(id, phase, sentAt, loop.now());
+                                    if (closeLooks && phase != null) {
+                                        lookClosely(id, phase);
+                                    }
+                                }));
         return answer;
     }
 
-    /** What is found wrong inside an answer ends the test with its next step; thrown there, nobody would see it. */
+    /**
+     * What is found wrong inside an answer ends the test with its next step; thrown there, nobody
+     * would see it.
+     */
     void judged(Runnable check) {
         try {
             check.run();
@@ -840,7 +1046,8 @@
     /** Sends a request that nobody waits for; it fails where no node listens. */
     private <T> CompletableFuture<T> request(int node, Ask<T> request) {
         return members.get(node).node != null && members.get(node).frozen == null
-                ? request.of(members.get(node).admission) : CompletableFuture.failedFuture(new IllegalStateException("down"));
+                ? request.of(members.get(node).admission)
+                : CompletableFuture.failedFuture(new IllegalStateException("down"));
     }
 
     /** Waits five seconds for an answer; empty if none or a refusal came. */
@@ -852,7 +1059,8 @@
         for (int step = 0; step < 20 && !answer.isDone(); step++) {
             run(STEP);
         }
-        return answer.isDone() && !answer.isCompletedExceptionally() ? Optional.of(answer.join())
+        return answer.isDone() && !answer.isCompletedExceptionally()
+                ? Optional.of(answer.join())
                 : Optional.empty();
     }
 
@@ -920,8 +1128,12 @@
     void completed(TaskId task) {
         judge.complete(task);
         JobSpec spec = spec(task.job());
-        boolean ends = spec.kind() == Kind.GANG || !judge.isOver(spec.id())
-                && IntStream.range(0, spec.tasks()).allMatch(at -> judge.isCompleted(new TaskId(spec.id(), at)));
+        boolean ends =
+                spec.kind() == Kind.GANG
+                        || !judge.isOver(spec.id())
+                                && IntStream.range(0, spec.tasks())
+                                        .allMatch(
+                                                at -> judge.isCompleted(new TaskId(spec.id(), at)));
         if (ends && cancelling != null && cancelling.nextDouble() < cancelledAtEnd) {
             int node = cancelling.nextInt(members.size());
             loop.after(Duration.ofMillis(cancelling.nextInt(400)), () -> cancels(node, spec.id()));
@@ -964,22 +1176,30 @@
             kept.add(report);
         }
         if (lateReports != null && lateReports.nextDouble() < lateShare) {
-            loop.after(Duration.ofMillis(2000 + lateReports.nextInt(40_000)), () -> {
-                if (member.node != null && member.frozen == null) {
-                    member.node.report(report);
-                }
-            });
+            loop.after(
+                    Duration.ofMillis(2000 + lateReports.nextInt(40_000)),
+                    () -> {
+                        if (member.node != null && member.frozen == null) {
+                            member.node.report(report);
+                        }
+                    });
         }
-        again(() -> {
-            if (member.node != null && member.frozen == null) {
-                member.node.report(report);
-            }
-        });
-        member.whenAwake(() -> asked.report(report).thenAccept(given -> {
-            if (member.node == asked && member.hears(report.zone())) {
-                answer.complete(given);
-            }
-        }));
+        again(
+                () -> {
+                    if (member.node != null && member.frozen == null) {
+                        member.node.report(report);
+                    }
+                });
+        member.whenAwake(
+                () ->
+                        asked.report(report)
+                                .thenAccept(
+                                        given -> {
+                                            if (member.node == asked
+                                                    && member.hears(report.zone())) {
+                                                answer.complete(given);
+                                            }
+                                        }));
         return answer;
     }
 
@@ -991,41 +1211,58 @@
         }
 
         @Override
-        public CompletableFuture<Report> send(String address, Term token, Session session, List<Order> orders) {
+        public CompletableFuture<Report> send(
+                String address, Term token, Session session, List<Order> orders) {
             for (Order order : orders) {
                 assertTrue(order.op() != Order.Op.START, "a start went out directly: " + order);
             }
             directs++;
-            again(() -> {
-                FakeWorker worker = workers.get(new MachineId(address.substring(0, address.indexOf(':'))));
-                if (worker != null) {
-                    worker.direct(token, session, orders);
-                }
-            });
+            again(
+                    () -> {
+                        FakeWorker worker =
+                                workers.get(
+                                        new MachineId(address.substring(0, address.indexOf(':'))));
+                        if (worker != null) {
+                            worker.direct(token, session, orders);
+                        }
+                    });
             CompletableFuture<Report> answer = new CompletableFuture<>();
             Node sender = member.node;
             if (heldOrders != null && !orders.isEmpty()) {
-                heldOrders.add(() -> {
-                    FakeWorker worker = workers.get(new MachineId(address.substring(0, address.indexOf(':'))));
-                    if (worker != null) {
-                        worker.direct(token, session, orders);
-                    }
-                });
+                heldOrders.add(
+                        () -> {
+                            FakeWorker worker =
+                                    workers.get(
+                                            new MachineId(
+                                                    address.substring(0, address.indexOf(':'))));
+                            if (worker != null) {
+                                worker.direct(token, session, orders);
+                            }
+                        });
                 return answer;
             }
-            loop.after(Duration.ofMillis(5), () -> {
-                FakeWorker worker = workers.get(new MachineId(address.substring(0, address.indexOf(':'))));
-                Report report = worker == null || !member.hears(worker.zone())
-                        || !worker.reaches(members.indexOf(member)) ? null
-                        : worker.direct(token, session, orders);
-                member.whenAwake(() -> {
-                    if (report != null && member.node == sender) {
-                        answer.complete(report);
-                    } else {
-                        answer.completeExceptionally(new IllegalStateException("no answer"));
-                    }
-                });
-            });
+            loop.after(
+                    Duration.ofMillis(5),
+                    () -> {
+                        FakeWorker worker =
+                                workers.get(
+                                        new MachineId(address.substring(0, address.indexOf(':'))));
+                        Report report =
+                                worker == null
+                                                || !member.hears(worker.zone())
+                                                || !worker.reaches(members.indexOf(member))
+                                        ? null
+                                        : worker.direct(token, session, orders);
+                        member.whenAwake(
+                                () -> {
+                                    if (report != null && member.node == sender) {
+                                        answer.complete(report);
+                                    } else {
+                                        answer.completeExceptionally(
+                                                new IllegalStateException("no answer"));
+                                    }
+                                });
+                    });
             return answer;
         }
     }
@@ -1048,9 +1285,18 @@
         @Override
         public CompletableFuture<Boolean> anyServed() {
             CompletableFuture<Boolean> any = new CompletableFuture<>();
-            loop.after(Duration.ofMillis(5), () -> any.complete(members.stream().anyMatch(
-                    member -> member != from && reaches(member) && !member.refusesPeers && member.node != null
-                            && !member.line.seemsOut())));
+            loop.after(
+                    Duration.ofMillis(5),
+                    () ->
+                            any.complete(
+                                    members.stream()
+                                            .anyMatch(
+                                                    member ->
+                                                            member != from
+                                                                    && reaches(member)
+                                                                    && !member.refusesPeers
+                                                                    && member.node != null
+                                                                    && !member.line.seemsOut())));
             return any;
         }
 
@@ -1058,29 +1304,68 @@
         public CompletableFuture<Sign> signOf(String name) {
             CompletableFuture<Sign> sign = new CompletableFuture<>();
             Member asked = members.get(indexOf(name));
-            loop.after(Duration.ofMillis(5), () -> {
-                boolean othersAnswer = members.stream().anyMatch(other -> other != from && other != asked && reaches(other)
-                        && other.node != null && !other.refusesPeers);
-                boolean refuses = reaches(asked) && (asked.refusesPeers || asked.node == null && !asked.silent);
-                sign.complete(refuses && othersAnswer ? Sign.REFUSES
-                        : refuses || !reaches(asked) || asked.node == null || asked.frozen != null ? Sign.SILENT
-                        : asked.node.isHardOfHearing() ? Sign.DEAF : Sign.ANSWERS);
-            });
+            loop.after(
+                    Duration.ofMillis(5),
+                    () -> {
+                        boolean othersAnswer =
+                                members.stream()
+                                        .anyMatch(
+                                                other ->
+                                                        other != from
+                                                                && other != asked
+                                                                && reaches(other)
+                                                                && other.node != null
+                                                                && !other.refusesPeers);
+                        boolean refuses =
+                                reaches(asked)
+                                        && (asked.refusesPeers
+                                                || asked.node == null && !asked.silent);
+                        sign.complete(
+                                refuses && othersAnswer
+                                        ? Sign.REFUSES
+                                        : refuses
+                                                        || !reaches(asked)
+                                                        || asked.node == null
+                                                        || asked.frozen != null
+                                                ? Sign.SILENT
+                                                : asked.node.isHardOfHearing()
+                                                        ? Sign.DEAF
+                                                        : Sign.ANSWERS);
+                    });
             return sign;
         }
 
         @Override
-        public CompletableFuture<List<Testimony>> hearing(List<MachineId> machines, Duration within) {
+        public CompletableFuture<List<Testimony>> hearing(
+                List<MachineId> machines, Duration within) {
             CompletableFuture<List<Testimony>> answers = new CompletableFuture<>();
-            loop.after(Duration.ofMillis(5), () -> answers.complete(members.stream().filter(other -> other != from)
-                    .map(other -> !reaches(other) || other.refusesPeers || other.node == null || other.frozen != null
-                            ? Testimony.none(other.name) : new Testimony(other.name, true, !other.line.seemsOut(),
-                            other.node.heardAmong(machines, within))).toList()));
+            loop.after(
+                    Duration.ofMillis(5),
+                    () ->
+                            answers.complete(
+                                    members.stream()
+                                            .filter(other -> other != from)
+                                            .map(
+                                                    other ->
+                                                            !reaches(other)
+                                                                            || other.refusesPeers
+                                                                            || other.node == null
+                                                                            || other.frozen != null
+                                                                    ? Testimony.none(other.name)
+                                                                    : new Testimony(
+                                                                            other.name,
+                                                                            true,
+                                                                            !other.line.seemsOut(),
+                                                                            other.node.heardAmong(
+                                                                                    machines,
+                                                                                    within)))
+                                            .toList()));
             return answers;
         }
 
         @Override
-        public CompletableFuture<Optional<TableDelta>> tables(String leader, TableQuestion question) {
+        public CompletableFuture<Optional<TableDelta>> tables(
+                String leader, TableQuestion question) {
             return told(leader, tablesLate, node -> node.tables(question).map(tablesChange));
         }
 
@@ -1090,13 +1375,19 @@
         }
 
         /** What another node says now, heard a little later. */
-        private <T> CompletableFuture<Optional<T>> told(String name, Duration late, Function<Node, Optional<T>> what) {
+        private <T> CompletableFuture<Optional<T>> told(
+                String name, Duration late, Function<Node, Optional<T>> what) {
             CompletableFuture<Optional<T>> answer = new CompletableFuture<>();
             Member asked = members.get(indexOf(name));
             Optional<T> given;
             try {
-                given = !reaches(asked) || asked.refusesPeers || asked.node == null || asked.frozen != null
-                        ? Optional.empty() : what.apply(asked.node);
+                given =
+                        !reaches(asked)
+                                        || asked.refusesPeers
+                                        || asked.node == null
+                                        || asked.frozen != null
+                                ? Optional.empty()
+                                : what.apply(asked.node);
             } catch (Peers.Unreadable broken) {
                 loop.after(late, () -> answer.completeExceptionally(broken));
                 return answer;
@@ -1107,35 +1398,43 @@
 
         @Override
         public void announce(String leader, Term term) {
-            Runnable told = () -> {
-                for (Member member : members) {
-                    if (reaches(member) && !member.refusesPeers && member != from && member.node != null) {
-                        member.whenAwake(() -> {
-                            if (member.node != null) {
-                                member.node.heardOf(term, leader);
+            Runnable told =
+                    () -> {
+                        for (Member member : members) {
+                            if (reaches(member)
+                                    && !member.refusesPeers
+                                    && member != from
+                                    && member.node != null) {
+                                member.whenAwake(
+                                        () -> {
+                                            if (member.node != null) {
+                                                member.node.heardOf(term, leader);
+                                            }
+                                        });
                             }
-                        });
-                    }
-                }
-            };
+                        }
+                    };
             loop.after(Duration.ofMillis(5), told);
             again(told);
         }
     }
 
     private boolean isListed(MachineId id) {
-        return !rentedAt.containsKey(id) || loop.now().since(rentedAt.get(id)).compareTo(listLag) > 0;
+        return !rentedAt.containsKey(id)
+                || loop.now().since(rentedAt.get(id)).compareTo(listLag) > 0;
     }
 
     private final class Offer implements Cloud {
         private <T> CompletableFuture<T> after(CompletableFuture<T> answer, Runnable work) {
-            loop.after(Duration.ofMillis(200), () -> {
-                if (cloudOut) {
-                    answer.completeExceptionally(new Cloud.Refused("trouble"));
-                } else {
-                    work.run();
-                }
-            });
+            loop.after(
+                    Duration.ofMillis(200),
+                    () -> {
+                        if (cloudOut) {
+                            answer.completeExceptionally(new Cloud.Refused("trouble"));
+                        } else {
+                            work.run();
+                        }
+                    });
             return answer;
         }
 
@@ -1146,36 +1445,56 @@
         }
 
         @Override
-        public CompletableFuture<Optional<List<MachineId>>> rent(String request, String type, String zone,
-                boolean spot, int count) {
+        public CompletableFuture<Optional<List<MachineId>>> rent(
+                String request, String type, String zone, boolean spot, int count) {
             CompletableFuture<Optional<List<MachineId>>> answer = new CompletableFuture<>();
-            return after(answer, () -> {
-                assertTrue(!rentals.containsKey(request), "a rental's name was used twice: " + request);
-                List<MachineId> ids = new ArrayList<>();
-                for (int at = 0; at < count && workers.size() + ids.size() < mostMachines; at++) {
-                    MachineId id = new MachineId("vm-%06d".formatted(++nextMachine));
-                    ids.add(id);
-                    rentedAt.put(id, loop.now());
-                    if (neverUp > 0) {
-                        neverUp--;
-                        continue;
-                    }
-                    loop.after(boot, () -> workers.put(id, new FakeWorker(World.this, id.value(), type, zone)));
-                }
-                rentals.put(request, ids);
-                // A machine that is up at once may report before its rental is answered.
-                loop.after(RENTAL_ANSWER, () -> answer.complete(ids.isEmpty() ? Optional.empty() : Optional.of(ids)));
-            });
+            return after(
+                    answer,
+                    () -> {
+                        assertTrue(
+                                !rentals.containsKey(request),
+                                "a rental's name was used twice: " + request);
+                        List<MachineId> ids = new ArrayList<>();
+                        for (int at = 0;
+                                at < count && workers.size() + ids.size() < mostMachines;
+                                at++) {
+                            MachineId id = new MachineId("vm-%06d".formatted(++nextMachine));
+                            ids.add(id);
+                            rentedAt.put(id, loop.now());
+                            if (neverUp > 0) {
+                                neverUp--;
+                                continue;
+                            }
+                            loop.after(
+                                    boot,
+                                    () ->
+                                            workers.put(
+                                                    id,
+                                                    new FakeWorker(
+                                                            World.this, id.value(), type, zone)));
+                        }
+                        rentals.put(request, ids);
+                        // A machine that is up at once may report before its rental is answered.
+                        loop.after(
+                                RENTAL_ANSWER,
+                                () ->
+                                        answer.complete(
+                                                ids.isEmpty()
+                                                        ? Optional.empty()
+                                                        : Optional.of(ids)));
+                    });
         }
 
         @Override
         public CompletableFuture<Void> release(List<MachineId> machines) {
             CompletableFuture<Void> answer = new CompletableFuture<>();
             again(() -> returnAll(machines));
-            return after(answer, () -> {
-                returnAll(machines);
-                answer.complete(null);
-            });
+            return after(
+                    answer,
+                    () -> {
+                        returnAll(machines);
+                        answer.complete(null);
+                    });
         }
 
         private void returnAll(List<MachineId> machines) {
@@ -1191,9 +1510,28 @@
         @Override
         public CompletableFuture<List<Listed>> list() {
             CompletableFuture<List<Listed>> answer = new CompletableFuture<>();
-            return after(answer, () -> answer.complete(workers.values().stream().filter(worker -> !taken.contains(worker.id()) && isListed(worker.id()))
-                    .map(worker -> new Listed(worker.id(), worker.id().value() + ":9000", worker.type(),
-                            worker.zone(), false, failed.contains(worker.id()) ? Phase.FAILED : Phase.RUNNING, 60)).toList()));
+            return after(
+                    answer,
+                    () ->
+                            answer.complete(
+                                    workers.values().stream()
+                                            .filter(
+                                                    worker ->
+                                                            !taken.contains(worker.id())
+                                                                    && isListed(worker.id()))
+                                            .map(
+                                                    worker ->
+                                                            new Listed(
+                                                                    worker.id(),
+                                                                    worker.id().value() + ":9000",
+                                                                    worker.type(),
+                                                                    worker.zone(),
+                                                                    false,
+                                                                    failed.contains(worker.id())
+                                                                            ? Phase.FAILED
+                                                                            : Phase.RUNNING,
+                                                                    60))
+                                            .toList()));
         }
     }
 }
--- a/src/test/java/org/meadowhollow/transport/HttpClientTest.java
+++ b/src/test/java/org/meadowhollow/transport/HttpClientTest.java
@@ -9,8 +9,8 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
-import java.net.SocketTimeoutException;
 import java.net.Socket;
+import java.net.SocketTimeoutException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -25,7 +25,11 @@
 
 class HttpClientTest {
     private static final int CALLS = 20;
-    /** How the system's table of connections writes the state of one whose first packet has no answer. */
+
+    /**
+     * How the system's table of connections writes the state of one whose first packet has no
+     * answer.
+     */
     private static final String SYN_SENT = "02";
 
     /** Connections to a port whose first packet was sent and not answered. */
@@ -33,8 +37,11 @@
         String remote = ":%04X".formatted(port);
         long count = 0;
         for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
-            count += Files.readAllLines(Path.of(table)).stream().map(line -> line.trim().split("\\s+"))
-                    .filter(row -> row[2].endsWith(remote) && row[3].equals(SYN_SENT)).count();
+            count +=
+                    Files.readAllLines(Path.of(table)).stream()
+                            .map(line -> line.trim().split("\\s+"))
+                            .filter(row -> row[2].endsWith(remote) && row[3].equals(SYN_SENT))
+                            .count();
         }
         return count;
     }
@@ -44,19 +51,29 @@
     void anAttemptToConnectThatIsGivenUpLeavesNoSocketBehind() throws Exception {
         InetAddress here = InetAddress.getByName("127.0.0.1");
         List<Socket> filling = new ArrayList<>();
-        try (ServerSocket full = new ServerSocket(0, 1, here); XnioLoop loop = new XnioLoop()) {
-            // Nobody accepts, and once its queue is full the system leaves further attempts without an answer.
-            assertThrows(SocketTimeoutException.class, () -> {
-                while (filling.size() < 100) {
-                    Socket next = new Socket();
-                    filling.add(next);
-                    next.connect(new InetSocketAddress(here, full.getLocalPort()), 100);
-                }
-            });
+        try (ServerSocket full = new ServerSocket(0, 1, here);
+                XnioLoop loop = new XnioLoop()) {
+            // Nobody accepts, and once its queue is full the system leaves further attempts without
+            // an answer.
+            assertThrows(
+                    SocketTimeoutException.class,
+                    () -> {
+                        while (filling.size() < 100) {
+                            Socket next = new Socket();
+                            filling.add(next);
+                            next.connect(new InetSocketAddress(here, full.getLocalPort()), 100);
+                        }
+                    });
             HttpClient client = new HttpClient(loop, new DefaultByteBufferPool(false, 8192, 4, 0));
             List<CompletableFuture<Http.Reply>> calls = new ArrayList<>();
             for (int at = 0; at < CALLS; at++) {
-                calls.add(client.send("127.0.0.1:" + full.getLocalPort(), "GET", "/", null, Duration.ofMillis(200)));
+                calls.add(
+                        client.send(
+                                "127.0.0.1:" + full.getLocalPort(),
+                                "GET",
+                                "/",
+                                null,
+                                Duration.ofMillis(200)));
             }
             for (CompletableFuture<Http.Reply> call : calls) {
                 CompletionException failure = assertThrows(CompletionException.class, call::join);
@@ -75,10 +92,16 @@
     @Test
     void aCallThatIsGivenUpSaysThatNoAnswerCame() throws Exception {
         InetAddress here = InetAddress.getByName("127.0.0.1");
-        try (ServerSocket mute = new ServerSocket(0, 5, here); XnioLoop loop = new XnioLoop()) {
+        try (ServerSocket mute = new ServerSocket(0, 5, here);
+                XnioLoop loop = new XnioLoop()) {
             HttpClient client = new HttpClient(loop, new DefaultByteBufferPool(false, 8192, 4, 0));
-            CompletableFuture<Http.Reply> call = client.send("127.0.0.1:" + mute.getLocalPort(), "GET", "/", null,
-                    Duration.ofMillis(300));
+            CompletableFuture<Http.Reply> call =
+                    client.send(
+                            "127.0.0.1:" + mute.getLocalPort(),
+                            "GET",
+                            "/",
+                            null,
+                            Duration.ofMillis(300));
             CompletionException failure = assertThrows(CompletionException.class, call::join);
             assertTrue(failure.getCause() instanceof Http.NoAnswer);
             assertEquals("no answer in time", failure.getCause().getMessage());
--- a/src/test/java/org/meadowhollow/transport/tracing/OtlpTracesTest.java
+++ b/src/test/java/org/meadowhollow/transport/tracing/OtlpTracesTest.java
@@ -33,7 +33,9 @@
 import org.meadowhollow.transport.HttpServer;
 import org.meadowhollow.transport.XnioLoop;
 
-/** Spans on their way to a collector that stands in for a real one, read by the published protocol. */
+/**
+ * Spans on their way to a collector that stands in for a real one, read by the published protocol.
+ */
 class OtlpTracesTest {
     private static final String TRACE = "0af7651916cd43dd8448eb211c80319c";
     private static final String CLIENT = "b7ad6b7169203331";
@@ -46,8 +48,15 @@
     @BeforeEach
     void listen() throws IOException {
         loop = new XnioLoop();
-        collector = new HttpServer(loop, new DefaultByteBufferPool(false, 8192), "127.0.0.1", 0, 0,
-                Duration.ofMinutes(1), (Http.Handler) this::take);
+        collector =
+                new HttpServer(
+                        loop,
+                        new DefaultByteBufferPool(false, 8192),
+                        "127.0.0.1",
+                        0,
+                        0,
+                        Duration.ofMinutes(1),
+                        (Http.Handler) this::take);
     }
 
     @AfterEach
@@ -66,7 +75,8 @@
         } catch (InvalidProtocolBufferException broken) {
             return CompletableFuture.completedFuture(Http.Reply.error(400, "not a request"));
         }
-        return CompletableFuture.completedFuture(new Http.Reply(200, new byte[0], 0, "application/x-protobuf"));
+        return CompletableFuture.completedFuture(
+                new Http.Reply(200, new byte[0], 0, "application/x-protobuf"));
     }
 
     private OtlpTraces traces(String member) {
@@ -75,8 +85,12 @@
 
     private List<Span> spans() {
         synchronized (got) {
-            return got.stream().map(ResourceSpans::getScopeSpansList).flatMap(List::stream)
-                    .map(ScopeSpans::getSpansList).flatMap(List::stream).toList();
+            return got.stream()
+                    .map(ResourceSpans::getScopeSpansList)
+                    .flatMap(List::stream)
+                    .map(ScopeSpans::getSpansList)
+                    .flatMap(List::stream)
+                    .toList();
         }
     }
 
@@ -87,7 +101,8 @@
     @Test
     void theSpansOfATaskHangTogetherThoughTwoNodesTellThem() {
         Traced task = new Traced(CONTEXT, new JobId("tes-1"), "team");
-        try (OtlpTraces first = traces("n0"); OtlpTraces second = traces("n1")) {
+        try (OtlpTraces first = traces("n0");
+                OtlpTraces second = traces("n1")) {
             first.accepted(task, 1000, 1010);
             second.attempt(task, 1005, new AttemptLog(1, "m1", 2000, 3000, 4000, "ERROR"));
             second.attempt(task, 4000, new AttemptLog(2, "m2", 5000, 0, 6000, "LOST"));
@@ -96,34 +111,67 @@
             // What a successor tells again is the same span.
             first.ended(task, Progress.DONE, 1005, 9000);
         }
-        Map<String, Span> byId = spans().stream().collect(Collectors.toMap(span -> hex(span.getSpanId()),
-                Function.identity(), (one, same) -> same));
+        Map<String, Span> byId =
+                spans().stream()
+                        .collect(
+                                Collectors.toMap(
+                                        span -> hex(span.getSpanId()),
+                                        Function.identity(),
+                                        (one, same) -> same));
         assertEquals(11, spans().size());
         assertEquals(10, byId.size());
-        Span whole = byId.values().stream().filter(span -> span.getName().equals("task")).findFirst().orElseThrow();
+        Span whole =
+                byId.values().stream()
+                        .filter(span -> span.getName().equals("task"))
+                        .findFirst()
+                        .orElseThrow();
         assertEquals(CLIENT, hex(whole.getParentSpanId()));
         assertEquals(9000 * 1_000_000L, whole.getEndTimeUnixNano());
         for (Span span : byId.values()) {
             assertEquals(TRACE, hex(span.getTraceId()));
-            assertTrue(span == whole || span.getParentSpanId().equals(whole.getSpanId()), span.getName());
+            assertTrue(
+                    span == whole || span.getParentSpanId().equals(whole.getSpanId()),
+                    span.getName());
             assertTrue(span.getStartTimeUnixNano() <= span.getEndTimeUnixNano(), span.getName());
         }
-        List<Span> failed = byId.values().stream()
-                .filter(span -> span.getStatus().getCode() == Status.StatusCode.STATUS_CODE_ERROR).toList();
-        assertEquals(List.of("prepare LOST", "run ERROR"), failed.stream()
-                .map(span -> span.getName() + ' ' + span.getStatus().getMessage()).sorted().toList());
-        assertEquals(2, got.stream().map(ResourceSpans::getResource).distinct().count(), "each node names itself");
+        List<Span> failed =
+                byId.values().stream()
+                        .filter(
+                                span ->
+                                        span.getStatus().getCode()
+                                                == Status.StatusCode.STATUS_CODE_ERROR)
+                        .toList();
+        assertEquals(
+                List.of("prepare LOST", "run ERROR"),
+                failed.stream()
+                        .map(span -> span.getName() + ' ' + span.getStatus().getMessage())
+                        .sorted()
+                        .toList());
+        assertEquals(
+                2,
+                got.stream().map(ResourceSpans::getResource).distinct().count(),
+                "each node names itself");
     }
 
     @Test
     void onlyAContextThatIsWholeAndWantedIsKept() {
         try (OtlpTraces traces = traces("n0")) {
             assertEquals(CONTEXT, traces.contextOf(CONTEXT));
-            assertEquals(CONTEXT.replaceFirst("00", "cc"), traces.contextOf(CONTEXT.replaceFirst("00", "cc") + "-more"),
+            assertEquals(
+                    CONTEXT.replaceFirst("00", "cc"),
+                    traces.contextOf(CONTEXT.replaceFirst("00", "cc") + "-more"),
                     "a later version may add to it");
-            for (String none : new String[] {null, "", "00-" + TRACE + '-' + CLIENT + "-00",
-                    CONTEXT.replace(TRACE, "0".repeat(32)), CONTEXT.replace('-', '_'), "ff" + CONTEXT.substring(2),
-                    "\u0000".repeat(55), "00-" + TRACE.toUpperCase(java.util.Locale.ROOT) + '-' + CLIENT + "-01"}) {
+            for (String none :
+                    new String[] {
+                        null,
+                        "",
+                        "00-" + TRACE + '-' + CLIENT + "-00",
+                        CONTEXT.replace(TRACE, "0".repeat(32)),
+                        CONTEXT.replace('-', '_'),
+                        "ff" + CONTEXT.substring(2),
+                        "\u0000".repeat(55),
+                        "00-" + TRACE.toUpperCase(java.util.Locale.ROOT) + '-' + CLIENT + "-01"
+                    }) {
                 assertNull(traces.contextOf(none), none);
             }
         }
@@ -139,7 +187,9 @@
             for (int at = 0; at < 5000; at++) {
                 traces.ended(task, Progress.DONE, 1, 2);
             }
-            assertTrue(System.nanoTime() - begun < Duration.ofSeconds(5).toNanos(), "what does not fit is dropped");
+            assertTrue(
+                    System.nanoTime() - begun < Duration.ofSeconds(5).toNanos(),
+                    "what does not fit is dropped");
         }
     }
 }
