--- a/src/test/java/org/meadowhollow/story/FakeStore.java
+++ b/src/test/java/org/meadowhollow/story/FakeStore.java
@@ -377,7 +377,7 @@
                 expire();
                 if (!cut && !out) {
                     try {
-                        work.get();
+                        T unused = work.get();
                     } catch (StateException refused) {
                         // Nobody waits for it.
                     }
--- a/src/test/java/org/meadowhollow/story/TesStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/TesStoriesTest.java
@@ -451,7 +451,7 @@
         };
         assertEquals(2, cost.applyAsInt(ids.get(0)));
         assertEquals(1, cost.applyAsInt(ids.get(0)), "a task that was read once is known");
-        ids.forEach(cost::applyAsInt);
+        ids.forEach(id -> state(other, id));
         assertEquals(2, cost.applyAsInt(ids.get(0)), "but not for ever");
     }
 
