--- a/src/test/java/org/meadowhollow/LayersTest.java
+++ b/src/test/java/org/meadowhollow/LayersTest.java
@@ -1,36 +1,89 @@
 package org.meadowhollow;
 
+import static com.tngtech.archunit.base.DescribedPredicate.not;
+import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAPackage;
+import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAnyPackage;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import com.tngtech.archunit.core.domain.JavaClasses;
+import com.tngtech.archunit.core.importer.ClassFileImporter;
+import com.tngtech.archunit.core.importer.ImportOption;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
+/**
+ * The direction of dependencies between packages. The package names stand here once: a package that is renamed or
+ * added is changed in {@link #LAYERS} or {@link #COORDINATION_PACKAGES} and nowhere else.
+ */
 class LayersTest {
-    private static final List<String> DOWNWARDS =
-            List.of("cli", "transport", "protocol", "coordination", "bookkeeping");
-    /** The rooms of coordination; each may know those before it, and the package itself knows all. */
-    private static final List<String> ROOMS =
+    private static final String ROOT = "org.meadowhollow";
+    private static final String COORDINATION = "coordination";
+
+    /** From the top to the bottom; a layer may use itself and those after it. */
+    private static final List<String> LAYERS =
+            List.of("cli", "transport", "protocol", COORDINATION, "bookkeeping");
+
+    /**
+     * The packages inside coordination; each may use itself and those before it. The classes of coordination itself
+     * may use all of them and are used by none of them.
+     */
+    private static final List<String> COORDINATION_PACKAGES =
             List.of("platform", "admission", "calendar", "placement", "hearing", "serving", "leadership", "succession",
                     "fleet");
-    private static final Path ROOT = Path.of("src/main/java/org/meadowhollow");
-    private static final String IMPORT = "import org.meadowhollow.";
 
-    private interface Check {
-        void line(Path file, String otherPackage);
+    private static final Path SOURCES = Path.of("src/main/java", ROOT.split("\\."));
+    private static final Pattern IMPORT =
+            Pattern.compile("import (?:static )?" + Pattern.quote(ROOT) + "\\.([\\w.]+)(?:\\.\\*)?;.*");
+
+    private static final JavaClasses CLASSES = new ClassFileImporter()
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages(ROOT);
+
+    /** The pattern of a package inside the root and all packages in it. */
+    private static String tree(String name) {
+        return ROOT + "." + name + "..";
     }
 
-    private static void imports(Path from, Check check) throws IOException {
+    private static String[] trees(List<String> names, String prefix) {
+        return names.stream().map(name -> tree(prefix + name)).toArray(String[]::new);
+    }
+
+    private static List<String> layersFrom(String layer) {
+        return LAYERS.subList(LAYERS.indexOf(layer), LAYERS.size());
+    }
+
+    private static List<String> coordinationPackagesUpTo(String name) {
+        return COORDINATION_PACKAGES.subList(0, COORDINATION_PACKAGES.indexOf(name) + 1);
+    }
+
+    /** How many dependencies between classes lead from the first packages to the second: that a rule had any to judge. */
+    private static long dependencies(String from, String to) {
+        return CLASSES.that(resideInAPackage(from)).stream()
+                .flatMap(origin -> origin.getDirectDependenciesFromSelf().stream())
+                .filter(dependency -> resideInAPackage(to).test(dependency.getTargetClass()))
+                .count();
+    }
+
+    private interface ImportCheck {
+        void line(Path file, String imported);
+    }
+
+    private static void imports(Path from, ImportCheck check) throws IOException {
         try (Stream<Path> files = Files.walk(from)) {
             for (Path file : (Iterable<Path>) files.filter(one -> one.toString().endsWith(".java"))::iterator) {
                 for (String line : Files.readAllLines(file)) {
-                    if (line.startsWith(IMPORT)) {
-                        check.line(file, line.substring(IMPORT.length()));
+                    Matcher found = IMPORT.matcher(line);
+                    if (found.matches()) {
+                        check.line(file, found.group(1));
                     }
                 }
             }
@@ -38,14 +91,54 @@
     }
 
     @Test
-    void everyLayerImportsOnlyWhatIsBelowIt() throws IOException {
+    void everyLayerDependsOnlyOnItselfAndTheLayersBelow() {
+        for (String layer : LAYERS) {
+            classes().that().resideInAPackage(tree(layer))
+                    .should().onlyDependOnClassesThat(not(resideInAPackage(ROOT + ".."))
+                            .or(resideInAnyPackage(trees(layersFrom(layer), ""))))
+                    .because("calls go downwards: " + LAYERS)
+                    .check(CLASSES);
+        }
+        long judged = LAYERS.stream().mapToLong(layer -> dependencies(tree(layer), ROOT + "..")).sum();
+        assertTrue(judged > 100, () -> "only " + judged + " dependencies were judged");
+    }
+
+    @Test
+    void everyPackageOfCoordinationDependsOnlyOnItselfAndThoseBeforeIt() {
+        for (String name : COORDINATION_PACKAGES) {
+            classes().that().resideInAPackage(tree(COORDINATION + "." + name))
+                    .should().onlyDependOnClassesThat(not(resideInAPackage(tree(COORDINATION)))
+                            .or(resideInAnyPackage(
+                                    trees(coordinationPackagesUpTo(name), COORDINATION + "."))))
+                    .because("the packages of coordination are in this order: " + COORDINATION_PACKAGES)
+                    .check(CLASSES);
+        }
+        long judged = COORDINATION_PACKAGES.stream()
+                .mapToLong(name -> dependencies(tree(COORDINATION + "." + name), tree(COORDINATION)))
+                .sum();
+        assertTrue(judged > 20, () -> "only " + judged + " dependencies were judged");
+    }
+
+    @Test
+    void everyClassIsInOneOfTheLayersAndPackagesThatAreChecked() {
+        classes().should().resideInAnyPackage(trees(LAYERS, "")).check(CLASSES);
+        String[] ofCoordination = trees(COORDINATION_PACKAGES, COORDINATION + ".");
+        classes().that().resideInAPackage(tree(COORDINATION))
+                .and().resideOutsideOfPackage(ROOT + "." + COORDINATION)
+                .should().resideInAnyPackage(ofCoordination)
+                .check(CLASSES);
+    }
+
+    /** Compiled classes do not show an import that only a constant or a comment uses; the sources do. */
+    @Test
+    void importsThatLeaveNoTraceInCompiledClassesKeepTheOrderOfLayersToo() throws IOException {
         List<String> wrong = new ArrayList<>();
         int[] seen = {0};
-        for (String layer : DOWNWARDS) {
-            imports(ROOT.resolve(layer), (file, other) -> {
+        for (String layer : LAYERS) {
+            imports(SOURCES.resolve(layer), (file, imported) -> {
                 seen[0]++;
-                if (DOWNWARDS.indexOf(other.split("\\.")[0]) < DOWNWARDS.indexOf(layer)) {
-                    wrong.add(file + ": " + other);
+                if (!layersFrom(layer).contains(imported.split("\\.", -1)[0])) {
+                    wrong.add(file + ": " + imported);
                 }
             });
         }
@@ -53,18 +146,18 @@
         assertTrue(seen[0] > 100);
     }
 
+    /** As above, inside coordination. */
     @Test
-    void everyRoomOfCoordinationKnowsOnlyTheRoomsBeforeIt() throws IOException {
+    void importsThatLeaveNoTraceInCompiledClassesKeepTheOrderInsideCoordinationToo() throws IOException {
         List<String> wrong = new ArrayList<>();
         int[] seen = {0};
-        for (String room : ROOMS) {
-            imports(ROOT.resolve("coordination").resolve(room), (file, other) -> {
-                String[] path = other.split("\\.");
-                if (path[0].equals("coordination")) {
+        for (String name : COORDINATION_PACKAGES) {
+            imports(SOURCES.resolve(COORDINATION).resolve(name), (file, imported) -> {
+                String[] path = imported.split("\\.", -1);
+                if (path[0].equals(COORDINATION)) {
                     seen[0]++;
-                    int at = ROOMS.indexOf(path[1]);
-                    if (at < 0 || at > ROOMS.indexOf(room)) {
-                        wrong.add(file + ": " + other);
+                    if (!coordinationPackagesUpTo(name).contains(path[1])) {
+                        wrong.add(file + ": " + imported);
                     }
                 }
             });
