--- a/src/main/java/org/meadowhollow/cli/Controller.java
+++ b/src/main/java/org/meadowhollow/cli/Controller.java
@@ -11,9 +11,6 @@
 import java.util.concurrent.TimeoutException;
 import java.util.random.RandomGenerator;
 import javax.net.ssl.SSLContext;
-import org.meadowhollow.bookkeeping.Catalog;
-import org.meadowhollow.bookkeeping.Digests;
-import org.meadowhollow.bookkeeping.Observers;
 import org.meadowhollow.coordination.CalendarSettings;
 import org.meadowhollow.coordination.Node;
 import org.meadowhollow.coordination.admission.Admission;
@@ -23,6 +20,8 @@
 import org.meadowhollow.coordination.platform.TableDelta;
 import org.meadowhollow.coordination.platform.TableQuestion;
 import org.meadowhollow.coordination.succession.StandbySettings;
+import org.meadowhollow.model.JobEventListeners;
+import org.meadowhollow.model.MachineTypeCatalog;
 import org.meadowhollow.protocol.NodeApi;
 import org.meadowhollow.protocol.RateBudget;
 import org.meadowhollow.protocol.calendar.CalendarApi;
@@ -33,6 +32,7 @@
 import org.meadowhollow.protocol.users.UserApi;
 import org.meadowhollow.protocol.workers.WorkerApi;
 import org.meadowhollow.protocol.workers.WorkerClient;
+import org.meadowhollow.storage.RecordDigests;
 import org.meadowhollow.transport.HttpClient;
 import org.meadowhollow.transport.HttpServer;
 import org.meadowhollow.transport.PemKeys;
@@ -92,7 +92,7 @@
     private final HttpServer calendar;
 
     private final Node node;
-    private final Observers observers;
+    private final JobEventListeners jobEventListeners;
 
     private Controller(
             XnioLoop loop,
@@ -102,10 +102,10 @@
             CalendarOptions calendarOptions,
             SSLContext calendarKeys,
             StandbySettings standby,
-            Observers observers,
+            JobEventListeners jobEventListeners,
             RandomGenerator random) {
         this.loop = loop;
-        this.observers = observers;
+        this.jobEventListeners = jobEventListeners;
         Platform platform = settings.platform();
         ByteBufferPool buffers = buffers();
         HttpClient http = new HttpClient(loop, buffers);
@@ -119,7 +119,7 @@
         CloudClient cloud =
                 new CloudClient(http, settings.cloud(), loop, budget(platform.cloudRps()));
         PeerLink peers = new PeerLink(http, settings.peers());
-        Catalog catalog = new Catalog();
+        MachineTypeCatalog machineTypeCatalog = new MachineTypeCatalog();
         Node started =
                 new Node(
                         loop,
@@ -128,8 +128,8 @@
                         cloud,
                         peers,
                         platform,
-                        catalog,
-                        observers,
+                        machineTypeCatalog,
+                        jobEventListeners,
                         calendarOptions == null
                                 ? CalendarSettings.OFF
                                 : new CalendarSettings(
@@ -145,15 +145,16 @@
                     }
 
                     @Override
-                    public Optional<Digests> digests() {
+                    public Optional<RecordDigests> digests() {
                         return started.digests();
                     }
                 });
         peers.listener(node::heardOf);
-        peers.served(() -> !state.seemsOut());
+        peers.served(() -> !state.seemsUnavailable());
         peers.hearing(node::isHardOfHearing, node::heardAmong);
         Admission admission =
-                new Admission(state, loop, catalog, platform, observers, node::counts);
+                new Admission(
+                        state, loop, machineTypeCatalog, platform, jobEventListeners, node::counts);
         NodeApi api =
                 new NodeApi(new UserApi(admission), new WorkerApi(node::report), node::isReady);
         front =
@@ -182,7 +183,7 @@
                                         loop,
                                         platform,
                                         tesOptions.tokens(),
-                                        observers.traces(),
+                                        jobEventListeners.tracer(),
                                         random));
         calendar =
                 calendarOptions == null
@@ -199,7 +200,7 @@
                                         new CalendarDesk(
                                                 state,
                                                 loop,
-                                                catalog,
+                                                machineTypeCatalog,
                                                 platform,
                                                 calendarOptions.most()),
                                         calendarOptions.tokens()));
@@ -253,7 +254,7 @@
         private TesOptions tes;
         private CalendarOptions calendar;
         private StandbySettings standby = StandbySettings.OFF;
-        private Observers observers = Observers.NONE;
+        private JobEventListeners jobEventListeners = JobEventListeners.NONE;
 
         private Builder(Settings settings) {
             this.settings = settings;
@@ -292,8 +293,8 @@
          * Are told what happens to jobs; by default nobody is. The traces are closed with the
          * controller.
          */
-        public Builder observers(Observers told) {
-            observers = told;
+        public Builder observers(JobEventListeners told) {
+            jobEventListeners = told;
             return this;
         }
 
@@ -320,7 +321,7 @@
                                         calendar,
                                         calendarKeys,
                                         standby,
-                                        observers,
+                                        jobEventListeners,
                                         random));
             } catch (RuntimeException failure) {
                 loop.close();
@@ -368,7 +369,7 @@
 
     private void untilOver(CompletableFuture<Void> over) {
         if (node.leads()) {
-            loop.after(LOOK_AGAIN, () -> untilOver(over));
+            loop.schedule(LOOK_AGAIN, () -> untilOver(over));
         } else {
             over.complete(null);
         }
@@ -386,6 +387,6 @@
         back.close();
         node.close();
         loop.close();
-        observers.traces().close();
+        jobEventListeners.tracer().close();
     }
 }
--- a/src/main/java/org/meadowhollow/cli/Main.java
+++ b/src/main/java/org/meadowhollow/cli/Main.java
@@ -11,10 +11,10 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.concurrent.Callable;
-import org.meadowhollow.bookkeeping.Observers;
-import org.meadowhollow.bookkeeping.OrderLog;
-import org.meadowhollow.bookkeeping.TaskTraces;
 import org.meadowhollow.cli.calendar.CalendarCommand;
+import org.meadowhollow.model.JobEventListeners;
+import org.meadowhollow.model.JobEventLog;
+import org.meadowhollow.model.TaskTracer;
 import org.meadowhollow.transport.tracing.OtlpTraces;
 import org.slf4j.LoggerFactory;
 import org.slf4j.bridge.SLF4JBridgeHandler;
@@ -269,22 +269,22 @@
             return CommandLine.ExitCode.OK;
         }
         try {
-            OrderLog order =
+            JobEventLog order =
                     given.hasMatchedOption(ORDER_LOG)
-                            ? new OrderLog(
+                            ? new JobEventLog(
                                     event ->
-                                            LoggerFactory.getLogger(OrderLog.class)
+                                            LoggerFactory.getLogger(JobEventLog.class)
                                                     .info("{}", event))
-                            : OrderLog.NONE;
+                            : JobEventLog.NONE;
             Controller.Builder builder =
                     Controller.builder(settings)
                             .tes(tes)
                             .calendar(calendar)
                             .observers(
-                                    new Observers(
+                                    new JobEventListeners(
                                             order,
                                             traces == null
-                                                    ? TaskTraces.NONE
+                                                    ? TaskTracer.NONE
                                                     : traced(
                                                             traces, settings.platform().member())));
             boolean standby = given.hasMatchedOption(STANDBY);
@@ -313,7 +313,7 @@
      * Only a process that traces loads what this names, and has its library log where all else
      * does.
      */
-    private static TaskTraces traced(URI collector, String member) {
+    private static TaskTracer traced(URI collector, String member) {
         SLF4JBridgeHandler.removeHandlersForRootLogger();
         SLF4JBridgeHandler.install();
         return OtlpTraces.to(collector, member);
--- a/src/main/java/org/meadowhollow/coordination/CalendarKeeper.java
+++ b/src/main/java/org/meadowhollow/coordination/CalendarKeeper.java
@@ -7,18 +7,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.meadowhollow.bookkeeping.Attempt;
-import org.meadowhollow.bookkeeping.Catalog;
-import org.meadowhollow.bookkeeping.EventLoop;
-import org.meadowhollow.bookkeeping.Job;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Machine;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Placement;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.TaskId;
 import org.meadowhollow.coordination.calendar.CalendarDesk;
 import org.meadowhollow.coordination.calendar.Diary;
 import org.meadowhollow.coordination.calendar.Estimates;
@@ -29,6 +17,18 @@
 import org.meadowhollow.coordination.placement.Aims;
 import org.meadowhollow.coordination.placement.Cluster;
 import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.model.AttemptNumber;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.Job;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.MachineTypeCatalog;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Placement;
+import org.meadowhollow.model.TaskId;
+import org.meadowhollow.storage.KeyValueStore;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -54,34 +54,34 @@
 
     private static final int MOST_NOTED = 10_000;
 
-    private record Warned(TaskId task, Attempt attempt) {}
+    private record Warned(TaskId task, AttemptNumber attempt) {}
 
     private final Leader leader;
     private final Cluster cluster;
     private final Aims aims;
-    private final Catalog catalog;
+    private final MachineTypeCatalog machineTypeCatalog;
     private final Platform platform;
     private final EventLoop loop;
     private final CalendarSettings settings;
     private final Diary diary;
     private final Estimates estimates = new Estimates();
-    private final Map<Warned, Moment> warned = new HashMap<>();
-    private final Map<JobId, Moment> moved = new HashMap<>();
+    private final Map<Warned, MonotonicTime> warned = new HashMap<>();
+    private final Map<JobId, MonotonicTime> moved = new HashMap<>();
     private final Set<String> noted = new HashSet<>();
 
     CalendarKeeper(
             Leader leader,
             Cluster cluster,
             Aims aims,
-            Catalog catalog,
+            MachineTypeCatalog machineTypeCatalog,
             Platform platform,
-            StateStore store,
+            KeyValueStore store,
             EventLoop loop,
             CalendarSettings settings) {
         this.leader = leader;
         this.cluster = cluster;
         this.aims = aims;
-        this.catalog = catalog;
+        this.machineTypeCatalog = machineTypeCatalog;
         this.platform = platform;
         this.loop = loop;
         this.settings = settings;
@@ -110,12 +110,12 @@
     }
 
     /** Finds out what the calendar means for the round that begins. */
-    void look(Moment now) {
+    void look(MonotonicTime now) {
         if (!settings.on()) {
             return;
         }
-        Supply supply = CalendarDesk.supply(catalog, platform, settings.most());
-        Plan plan = diary.plan(supply, loop.wallMillis());
+        Supply supply = CalendarDesk.supply(machineTypeCatalog, platform, settings.most());
+        Plan plan = diary.plan(supply, loop.wallClockMillis());
         if (plan == null) {
             cluster.outlook(Outlook.NONE);
             warned.clear();
@@ -123,12 +123,12 @@
         }
         List<Machine> heard =
                 cluster.machines().values().stream()
-                        .filter(machine -> machine.heardAt() != null)
+                        .filter(machine -> machine.lastContactAt() != null)
                         .toList();
         Map<JobSpec, Integer> waiting = new HashMap<>();
         for (Job job : cluster.jobs().values()) {
-            if (job.waitingCount() > 0) {
-                waiting.put(job.spec(), job.waitingCount());
+            if (job.pendingTaskCount() > 0) {
+                waiting.put(job.spec(), job.pendingTaskCount());
             }
         }
         cluster.outlook(
@@ -140,7 +140,8 @@
                         estimates,
                         supply,
                         aims::readyS,
-                        new Outlook.Clocks(now, loop.wallMillis(), settings.skew().toMillis())));
+                        new Outlook.Clocks(
+                                now, loop.wallClockMillis(), settings.skew().toMillis())));
     }
 
     /** What to rent for slots that begin before long. */
@@ -149,7 +150,10 @@
         for (Outlook.Missing missing : cluster.outlook().missing()) {
             needs.add(
                     new Fleet.Need(
-                            missing.reservation().asJob(), missing.tasks(), missing.zone(), 0));
+                            missing.reservation().toPlaceholderJobSpec(),
+                            missing.tasks(),
+                            missing.zone(),
+                            0));
             note(
                     "reservation "
                             + missing.reservation().name()
@@ -161,25 +165,25 @@
     }
 
     /** Warns those who would run into a window or a slot, and stops who has to go now. */
-    void carryOut(Moment now) {
+    void carryOut(MonotonicTime now) {
         Outlook outlook = cluster.outlook();
         for (Outlook.Spill spill : outlook.spills()) {
             Placement placement = spill.placement();
-            Warned key = new Warned(placement.task(), placement.attempt());
-            Moment since = warned.get(key);
+            Warned key = new Warned(placement.taskId(), placement.attemptNumber());
+            MonotonicTime since = warned.get(key);
             if (since == null) {
                 if (warned.size() < MOST_NOTED) {
                     warned.put(key, now);
                     LOG.info(
                             "task {} attempt {} on {} will be stopped in {} s unless it is done: {}",
-                            placement.task(),
-                            placement.attempt(),
-                            placement.machine(),
+                            placement.taskId(),
+                            placement.attemptNumber(),
+                            placement.machineId(),
                             Math.max(LEAST_WARNING.toSeconds(), Math.round(spill.latestInS())),
                             spill.why());
                 }
             } else if (spill.stopInS() <= 0
-                    && now.since(since).compareTo(LEAST_WARNING) >= 0
+                    && now.elapsedSince(since).compareTo(LEAST_WARNING) >= 0
                     && (spill.latestInS() <= 0 || mayMove(placement.job(), now))) {
                 leader.stopSaving(placement, spill.why());
                 moved.put(placement.job().id(), now);
@@ -193,21 +197,23 @@
                                 outlook.spills().stream()
                                         .noneMatch(
                                                 spill ->
-                                                        spill.placement().task().equals(key.task())
+                                                        spill.placement()
+                                                                        .taskId()
+                                                                        .equals(key.task())
                                                                 && spill.placement()
-                                                                        .attempt()
+                                                                        .attemptNumber()
                                                                         .equals(key.attempt())));
-        moved.values().removeIf(at -> now.since(at).compareTo(BETWEEN_MOVES) > 0);
+        moved.values().removeIf(at -> now.elapsedSince(at).compareTo(BETWEEN_MOVES) > 0);
     }
 
     /** Whether a replica can leave while all others of its service run. */
-    private boolean mayMove(Job job, Moment now) {
-        Moment last = moved.get(job.id());
-        return job.spec().kind() != Kind.SERVICE
-                || job.waitingCount() == 0
-                        && (last == null || now.since(last).compareTo(BETWEEN_MOVES) >= 0)
+    private boolean mayMove(Job job, MonotonicTime now) {
+        MonotonicTime last = moved.get(job.id());
+        return job.spec().kind() != JobKind.SERVICE
+                || job.pendingTaskCount() == 0
+                        && (last == null || now.elapsedSince(last).compareTo(BETWEEN_MOVES) >= 0)
                         && job.placements().stream()
-                                .allMatch(one -> one.runningSince() != null && !one.stopping());
+                                .allMatch(one -> one.runningSince() != null && !one.isStopping());
     }
 
     /** Says what operators should know once, and not in every round. */
--- a/src/main/java/org/meadowhollow/coordination/HeldReports.java
+++ b/src/main/java/org/meadowhollow/coordination/HeldReports.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Report;
+import org.meadowhollow.model.Heartbeat;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MonotonicTime;
 
 /**
  * Reports that are answered a little later. A leader holds them since starts go out in answers
@@ -17,15 +17,15 @@
  */
 final class HeldReports {
     /** A report, and where its answer goes. */
-    record Held(Report report, CompletableFuture<Answer> answer, Moment until) {}
+    record Held(Heartbeat report, CompletableFuture<Answer> answer, MonotonicTime until) {}
 
     /** In the order in which they are due, for all are held for the same time. */
     private final Map<MachineId, Held> held = new LinkedHashMap<>();
 
-    CompletableFuture<Answer> hold(Report report, Moment until) {
-        drop(report.machine());
-        Held entry = new Held(report, new CompletableFuture<>(), until);
-        held.put(report.machine(), entry);
+    CompletableFuture<Answer> hold(Heartbeat heartbeat, MonotonicTime until) {
+        drop(heartbeat.machineId());
+        Held entry = new Held(heartbeat, new CompletableFuture<>(), until);
+        held.put(heartbeat.machineId(), entry);
         return entry.answer();
     }
 
@@ -50,7 +50,7 @@
     }
 
     /** Those that have been held for long enough, which are held no more. */
-    List<Held> due(Moment now) {
+    List<Held> due(MonotonicTime now) {
         List<Held> due = new ArrayList<>();
         for (Iterator<Held> all = held.values().iterator(); all.hasNext(); ) {
             Held next = all.next();
--- a/src/main/java/org/meadowhollow/coordination/ImageNotes.java
+++ b/src/main/java/org/meadowhollow/coordination/ImageNotes.java
@@ -9,15 +9,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.meadowhollow.bookkeeping.Machine;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Records;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.StateStore.Urgency;
-import org.meadowhollow.bookkeeping.Transaction;
-import org.meadowhollow.bookkeeping.Version;
 import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.KeyValueStore.RequestPriority;
+import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.Transaction;
 
 /**
  * Notes in the state service which machines have which image cached, for no report tells, and a
@@ -34,8 +34,8 @@
     /** Bytes of a transaction: the protocol's 64 KiB, less room for framing. */
     private static final int MOST_BYTES = 48 * 1024;
 
-    private final StateStore store;
-    private final Version leaderVersion;
+    private final KeyValueStore store;
+    private final Revision leaderVersion;
     private final int mostWrites;
     private final int valueBytes;
     private final Map<String, Double> sizes = new HashMap<>();
@@ -44,10 +44,10 @@
     /** What a predecessor noted of machines that this leader has not met yet. */
     private final Map<MachineId, Map<String, Double>> noted = new HashMap<>();
 
-    private Moment writtenAt;
+    private MonotonicTime writtenAt;
     private boolean writing;
 
-    ImageNotes(StateStore store, Version leaderVersion, Platform platform) {
+    ImageNotes(KeyValueStore store, Revision leaderVersion, Platform platform) {
         this.store = store;
         this.leaderVersion = leaderVersion;
         this.mostWrites = platform.txnOps();
@@ -57,15 +57,15 @@
     /**
      * Takes in what a predecessor noted; what its machines do not have any more is put right later.
      */
-    void load(List<StateStore.Entry> entries, Moment now) {
+    void load(List<KeyValueStore.Entry> entries, MonotonicTime now) {
         // By the first write all live machines have reported.
         writtenAt = now;
-        for (StateStore.Entry entry : entries) {
-            String image = Records.imageOfKey(entry.key());
-            double gb = Records.imageGb(entry.value());
+        for (KeyValueStore.Entry entry : entries) {
+            String image = RecordCodec.imageOfKey(entry.key());
+            double gb = RecordCodec.imageSizeGbOf(entry.value());
             sizes.put(image, gb);
             changed.add(image);
-            for (MachineId machine : Records.imageMachines(entry.value())) {
+            for (MachineId machine : RecordCodec.machinesWithImage(entry.value())) {
                 noted.computeIfAbsent(machine, unused -> new HashMap<>()).put(image, gb);
             }
         }
@@ -81,49 +81,51 @@
 
     /** Notes that a machine has an image. */
     void has(Machine machine, String image, double gb) {
-        boolean isNew = !machine.images().has(image);
-        machine.images().use(image, gb);
-        if (isNew && Records.isImageKey(image)) {
+        boolean isNew = !machine.imageCache().contains(image);
+        machine.imageCache().recordUse(image, gb);
+        if (isNew && RecordCodec.isImageKey(image)) {
             sizes.put(image, gb);
             changed.add(image);
         }
     }
 
     /** Writes what has changed, now and then, as far as one transaction goes. */
-    void write(Collection<Machine> machines, Moment now) {
+    void write(Collection<Machine> machines, MonotonicTime now) {
         if (writing
                 || changed.isEmpty()
-                || writtenAt != null && now.since(writtenAt).compareTo(EVERY) < 0) {
+                || writtenAt != null && now.elapsedSince(writtenAt).compareTo(EVERY) < 0) {
             return;
         }
-        Transaction transaction = new Transaction().guard(Records.LEADER, leaderVersion);
+        Transaction transaction =
+                new Transaction().requireRevision(RecordCodec.LEADER_KEY, leaderVersion);
         int bytes = 0;
         for (Iterator<String> images = changed.iterator();
                 images.hasNext() && transaction.writes().size() < mostWrites; ) {
             String image = images.next();
             List<MachineId> having = new ArrayList<>();
             for (Machine machine : machines) {
-                if (machine.images().has(image)) {
+                if (machine.imageCache().contains(image)) {
                     having.add(machine.id());
                 }
             }
-            Records.ImageRecord record = Records.image(sizes.get(image), having, valueBytes);
-            bytes += record.bytes();
+            RecordCodec.ImageLocationsRecord record =
+                    RecordCodec.encodeImageLocations(sizes.get(image), having, valueBytes);
+            bytes += record.estimatedBytes();
             if (bytes > MOST_BYTES && !transaction.writes().isEmpty()) {
                 break;
             }
             images.remove();
             if (having.isEmpty()) {
-                transaction.delete(Records.imageKey(image));
+                transaction.delete(RecordCodec.imageKey(image));
                 sizes.remove(image);
             } else {
-                transaction.put(Records.imageKey(image), record.map());
+                transaction.put(RecordCodec.imageKey(image), record.fields());
             }
         }
         // The pause begins once all is written.
         writtenAt = changed.isEmpty() ? now : writtenAt;
         writing = true;
-        store.commit(transaction, Urgency.BACKGROUND)
-                .whenComplete((commit, failure) -> writing = false);
+        store.commit(transaction, RequestPriority.BACKGROUND)
+                .whenComplete((commitResult, failure) -> writing = false);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/Leader.java
+++ b/src/main/java/org/meadowhollow/coordination/Leader.java
@@ -12,35 +12,6 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.Collectors;
-import org.meadowhollow.bookkeeping.Attempt;
-import org.meadowhollow.bookkeeping.Catalog;
-import org.meadowhollow.bookkeeping.Cause;
-import org.meadowhollow.bookkeeping.Chunk;
-import org.meadowhollow.bookkeeping.Companion;
-import org.meadowhollow.bookkeeping.Digests;
-import org.meadowhollow.bookkeeping.EventLoop;
-import org.meadowhollow.bookkeeping.Job;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Ledger;
-import org.meadowhollow.bookkeeping.Machine;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.MachineType;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Observers;
-import org.meadowhollow.bookkeeping.Order;
-import org.meadowhollow.bookkeeping.Placement;
-import org.meadowhollow.bookkeeping.Priority;
-import org.meadowhollow.bookkeeping.Records;
-import org.meadowhollow.bookkeeping.Report;
-import org.meadowhollow.bookkeeping.Session;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.StateStore.Urgency;
-import org.meadowhollow.bookkeeping.TaskId;
-import org.meadowhollow.bookkeeping.TaskState;
-import org.meadowhollow.bookkeeping.Term;
-import org.meadowhollow.bookkeeping.Version;
 import org.meadowhollow.coordination.admission.Admission;
 import org.meadowhollow.coordination.fleet.FailureDetector;
 import org.meadowhollow.coordination.fleet.Fleet;
@@ -68,6 +39,35 @@
 import org.meadowhollow.coordination.succession.TableFeed;
 import org.meadowhollow.coordination.succession.TableSnapshots;
 import org.meadowhollow.coordination.succession.Takeover;
+import org.meadowhollow.model.AttemptNumber;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.ExitReason;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.Heartbeat;
+import org.meadowhollow.model.Job;
+import org.meadowhollow.model.JobEventListeners;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.MachineTypeCatalog;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Placement;
+import org.meadowhollow.model.Priority;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.model.SecondaryRecord;
+import org.meadowhollow.model.TaskId;
+import org.meadowhollow.model.TaskShard;
+import org.meadowhollow.model.TaskState;
+import org.meadowhollow.model.WorkerCommand;
+import org.meadowhollow.model.WorkerIncarnation;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.KeyValueStore.RequestPriority;
+import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordDigests;
+import org.meadowhollow.storage.RecordWriter;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -75,7 +75,7 @@
  * One leadership: everything that the leader of one term knows and does. A new term begins with a
  * new object, so nothing that an old term believed can leak into it.
  */
-final class Leader implements Ledger.Listener, TermHolder {
+final class Leader implements RecordWriter.Listener, TermHolder {
     private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
 
     /** The design's round. */
@@ -150,21 +150,21 @@
     private static final int FAULTY_AFTER = 3;
 
     private final EventLoop loop;
-    private final StateStore store;
+    private final KeyValueStore store;
     private final Workers workers;
     private final Platform platform;
-    private final Catalog catalog;
+    private final MachineTypeCatalog machineTypeCatalog;
     private final Leadership leadership;
     private final Fleet fleet;
-    private final Ledger ledger;
+    private final RecordWriter recordWriter;
     private final ImageNotes images;
     private final HeldReports held = new HeldReports();
 
     /** Those that came while this leader did not know which jobs are cancelled. */
     private final HeldReports early = new HeldReports();
 
-    private final Term term;
-    private final Moment begunAt;
+    private final FencingToken fencingToken;
+    private final MonotonicTime begunAt;
     private final Cluster cluster;
     private final Map<JobId, Job> jobs;
     private final Map<MachineId, Machine> machines;
@@ -176,7 +176,7 @@
     private final FailureDetector detector;
     private final GivingUp givingUp;
     private final CalendarKeeper calendar;
-    private final Version leaderVersion;
+    private final Revision leaderVersion;
     private final Inheritance inheritance;
     private final Takeover takeover;
     private final TableFeed feed;
@@ -202,39 +202,41 @@
 
     public Leader(
             EventLoop loop,
-            StateStore store,
+            KeyValueStore store,
             Workers workers,
             Cloud cloud,
             Peers peers,
             Platform platform,
-            Catalog catalog,
+            MachineTypeCatalog machineTypeCatalog,
             Leadership leadership,
-            Term term,
-            Version leaderVersion,
-            Observers observers,
+            FencingToken fencingToken,
+            Revision leaderVersion,
+            JobEventListeners jobEventListeners,
             CalendarSettings calendarSettings,
             Inheritance inheritance,
-            Moment noticedAt) {
+            MonotonicTime noticedAt) {
         this.loop = loop;
         this.store = store;
         this.workers = workers;
         this.platform = platform;
-        this.catalog = catalog;
+        this.machineTypeCatalog = machineTypeCatalog;
         this.leadership = leadership;
-        this.term = term;
+        this.fencingToken = fencingToken;
         this.leaderVersion = leaderVersion;
         this.inheritance = inheritance;
         this.begunAt = loop.now();
-        this.takeover = new Takeover(term, noticedAt, begunAt);
-        this.feed = new TableFeed(term, inheritance.isWarm());
+        this.takeover = new Takeover(fencingToken, noticedAt, begunAt);
+        this.feed = new TableFeed(fencingToken, inheritance.isWarm());
         this.snapshots =
                 new TableSnapshots(store, leaderVersion, platform.txnOps(), platform.valueBytes());
-        this.cluster = new Cluster(platform, term);
+        this.cluster = new Cluster(platform, fencingToken);
         this.jobs = cluster.jobs();
         this.machines = cluster.machines();
-        this.aims = new Aims(platform, catalog);
+        this.aims = new Aims(platform, machineTypeCatalog);
         this.rooms = new RoomMaker(cluster, platform, aims);
-        this.ledger = new Ledger(store, loop, platform.txnOps(), leaderVersion, observers, this);
+        this.recordWriter =
+                new RecordWriter(
+                        store, loop, platform.txnOps(), leaderVersion, jobEventListeners, this);
         this.images = new ImageNotes(store, leaderVersion, platform);
         this.loading =
                 new Loading(
@@ -244,22 +246,31 @@
                         cluster,
                         aims,
                         expected,
-                        ledger,
+                        recordWriter,
                         images,
-                        term,
+                        fencingToken,
                         leaderVersion,
                         inheritance,
                         takeover);
-        this.silence = new SilenceWatch(this, cluster, platform, term, begunAt);
+        this.silence = new SilenceWatch(this, cluster, platform, fencingToken, begunAt);
         this.reconciliation =
-                new Reconciliation(this, cluster, images, leadership, term, inheritance, feed);
+                new Reconciliation(
+                        this, cluster, images, leadership, fencingToken, inheritance, feed);
         this.detector =
                 new FailureDetector(this, cluster, platform, loop, peers, leadership, begunAt);
         this.givingUp = new GivingUp(detector, platform);
         this.calendar =
                 new CalendarKeeper(
-                        this, cluster, aims, catalog, platform, store, loop, calendarSettings);
-        this.fleet = new Fleet(this, cloud, platform, catalog, loop, term, givingUp);
+                        this,
+                        cluster,
+                        aims,
+                        machineTypeCatalog,
+                        platform,
+                        store,
+                        loop,
+                        calendarSettings);
+        this.fleet =
+                new Fleet(this, cloud, platform, machineTypeCatalog, loop, fencingToken, givingUp);
     }
 
     /** Loads all live jobs, then begins its rounds. */
@@ -267,18 +278,18 @@
         loading.start();
         calendar.start();
         fleet.start();
-        loop.after(ROUND, this::round);
+        loop.schedule(ROUND, this::round);
         if (inheritance.isWarm()) {
-            loop.after(EARLY, this::early);
+            loop.schedule(EARLY, this::early);
         }
-        loop.after(HOLD_SWEEP, this::sweepHeld);
+        loop.schedule(HOLD_SWEEP, this::sweepHeld);
     }
 
     public void close() {
         List<HeldReports.Held> unanswered;
         synchronized (this) {
             closed = true;
-            ledger.close();
+            recordWriter.close();
             fleet.close();
             unanswered = new ArrayList<>(held.takeAll());
             unanswered.addAll(early.takeAll());
@@ -304,16 +315,18 @@
     // ---- what the ledger tells ----
 
     @Override
-    public synchronized void ended(Job job) {
+    public synchronized void onJobEndPersisted(Job job) {
         jobs.remove(job.id());
         served.ended(
-                job.spec(), job.cancelled(), (loop.wallMillis() - job.acceptedAtMillis()) / 1000.0);
-        LOG.info("job {} is {}", job.id(), job.cancelled() ? "cancelled and gone" : "done");
+                job.spec(),
+                job.isCancelled(),
+                (loop.wallClockMillis() - job.acceptedAtMillis()) / 1000.0);
+        LOG.info("job {} is {}", job.id(), job.isCancelled() ? "cancelled and gone" : "done");
     }
 
     @Override
-    public void changedElsewhere(JobId id) {
-        store.get(Records.job(id), Urgency.PLACEMENT)
+    public void onConcurrentJobChange(JobId id) {
+        store.get(RecordCodec.job(id), RequestPriority.PLACEMENT)
                 .whenComplete(
                         (entry, failure) -> {
                             synchronized (this) {
@@ -325,19 +338,19 @@
                                     loading.takeJob(
                                             entry.get().key(),
                                             entry.get().value(),
-                                            entry.get().version());
+                                            entry.get().revision());
                                 } else {
                                     // Only our own unanswered transaction can have moved it to its
                                     // final record.
-                                    ledger.endedUnanswered(job);
+                                    recordWriter.recordUnacknowledgedEnd(job);
                                 }
-                                ledger.flush();
+                                recordWriter.flush();
                             }
                         });
     }
 
     @Override
-    public void deposed() {
+    public void onLeadershipLost() {
         leadership.lost();
     }
 
@@ -348,36 +361,36 @@
      * room. While this leader cannot know of all cancellations nothing is answered that would renew
      * a lease, so reports wait until it does, or for as long as they can.
      */
-    public synchronized CompletableFuture<Answer> report(Report report) {
-        Moment now = loop.now();
+    public synchronized CompletableFuture<Answer> report(Heartbeat heartbeat) {
+        MonotonicTime now = loop.now();
         leadership.keepUp();
-        if (report.token().isAfter(term)) {
-            leadership.heardOf(report.token(), null);
+        if (heartbeat.fencingToken().isAfter(fencingToken)) {
+            leadership.heardOf(heartbeat.fencingToken(), null);
             return CompletableFuture.completedFuture(new Answer.Elsewhere(leadership.leader()));
         }
         if (!leadership.mayAnswer()) {
-            return early.hold(report, now.plus(MOST_EARLY));
+            return early.hold(heartbeat, now.plus(MOST_EARLY));
         }
-        Machine machine = machine(report);
+        Machine machine = machine(heartbeat);
         if (machine == null) {
             // What is not known as a machine gets no orders, so its lease is not renewed either.
             return CompletableFuture.completedFuture(new Answer.Elsewhere(null));
         }
-        if (!reconciliation.take(machine, report, now)) {
-            return CompletableFuture.completedFuture(stale(machine, report, now));
+        if (!reconciliation.take(machine, heartbeat, now)) {
+            return CompletableFuture.completedFuture(stale(machine, heartbeat, now));
         }
-        held.drop(report.machine());
+        held.drop(heartbeat.machineId());
         givingUp.reported(machine, now);
-        machine.answered(now);
-        List<Order> orders = reconciliation.orders(machine, report, now);
-        ledger.flush();
+        machine.recordAnsweredHeartbeat(now);
+        List<WorkerCommand> orders = reconciliation.orders(machine, heartbeat, now);
+        recordWriter.flush();
         if (orders.isEmpty()
                 && leadership.mayStart()
-                && machine.hasRoom()
+                && machine.hasFreeCapacity()
                 && cluster.usable(machine, now)) {
-            return held.hold(report, now.plus(holdFor()));
+            return held.hold(heartbeat, now.plus(holdFor()));
         }
-        return CompletableFuture.completedFuture(new Answer.Orders(term, orders));
+        return CompletableFuture.completedFuture(new Answer.Orders(fencingToken, orders));
     }
 
     /**
@@ -386,12 +399,12 @@
      * comes from a machine that has begun anew: its lease must not be renewed, for its tasks are
      * taken for lost by its silence.
      */
-    private Answer stale(Machine machine, Report report, Moment now) {
-        if (report.token().equals(term)
-                && report.session().equals(machine.session())
-                && machine.seq() - report.seq() <= MOST_OVERTAKEN) {
-            machine.heard(now);
-            return new Answer.Orders(term, List.of());
+    private Answer stale(Machine machine, Heartbeat heartbeat, MonotonicTime now) {
+        if (heartbeat.fencingToken().equals(fencingToken)
+                && heartbeat.incarnation().equals(machine.incarnation())
+                && machine.lastSequenceNumber() - heartbeat.sequenceNumber() <= MOST_OVERTAKEN) {
+            machine.recordContact(now);
+            return new Answer.Orders(fencingToken, List.of());
         }
         return new Answer.Elsewhere(null);
     }
@@ -411,7 +424,7 @@
             due = held.due(loop.now());
             tooEarly = early.due(loop.now());
         }
-        loop.after(HOLD_SWEEP, this::sweepHeld);
+        loop.schedule(HOLD_SWEEP, this::sweepHeld);
         due.forEach(this::answer);
         tooEarly.forEach(this::sendOn);
     }
@@ -419,7 +432,7 @@
     /** Sends a worker on whose lease may not be renewed; what it reports is news all the same. */
     private void sendOn(HeldReports.Held waited) {
         synchronized (this) {
-            Moment now = loop.now();
+            MonotonicTime now = loop.now();
             Machine machine = closed ? null : machine(waited.report());
             takeNews(machine, waited.report(), now);
         }
@@ -432,10 +445,10 @@
      *
      * @param upTo when the request was sent whose answer showed the last of them
      */
-    synchronized void knows(Moment upTo) {
-        leadership.knows(term, upTo);
+    synchronized void knows(MonotonicTime upTo) {
+        leadership.knows(fencingToken, upTo);
         if (!early.isEmpty()) {
-            loop.after(Duration.ZERO, this::answerEarly);
+            loop.schedule(Duration.ZERO, this::answerEarly);
         }
     }
 
@@ -451,26 +464,26 @@
     private void answer(HeldReports.Held late) {
         Answer.Orders answer;
         synchronized (this) {
-            Machine machine = machines.get(late.report().machine());
+            Machine machine = machines.get(late.report().machineId());
             answer =
                     new Answer.Orders(
-                            term,
+                            fencingToken,
                             closed || machine == null
                                     ? List.of()
                                     : reconciliation.orders(machine, late.report(), loop.now()));
-            ledger.flush();
+            recordWriter.flush();
         }
         late.answer().complete(answer);
     }
 
     @Override
-    public void saved(Job job) {
+    public void onTasksPersisted(Job job) {
         List<HeldReports.Held> waiting = new ArrayList<>();
         synchronized (this) {
             for (Placement placement : job.placements()) {
                 HeldReports.Held report =
-                        placement.startSentSeq() < 0 && placement.committed()
-                                ? held.take(placement.machine())
+                        placement.startSentSequenceNumber() < 0 && placement.isCommitted()
+                                ? held.take(placement.machineId())
                                 : null;
                 if (report != null) {
                     waiting.add(report);
@@ -480,16 +493,22 @@
         waiting.forEach(this::answer);
     }
 
-    private Machine machine(Report report) {
-        Machine machine = machines.get(report.machine());
+    private Machine machine(Heartbeat heartbeat) {
+        Machine machine = machines.get(heartbeat.machineId());
         if (machine == null) {
-            MachineType type = catalog.type(report.type());
-            if (type == null || fleet.isGone(report.machine())) {
+            MachineType type = machineTypeCatalog.typeNamed(heartbeat.machineType());
+            if (type == null || fleet.isGone(heartbeat.machineId())) {
                 return null;
             }
-            machine = add(new Machine(report.machine(), type, report.zone(), report.spot()));
+            machine =
+                    add(
+                            new Machine(
+                                    heartbeat.machineId(),
+                                    type,
+                                    heartbeat.zone(),
+                                    heartbeat.isSpot()));
         }
-        machine.address(report.address());
+        machine.address(heartbeat.address());
         return machine;
     }
 
@@ -502,101 +521,113 @@
 
     // ---- the end of placements ----
 
-    void exited(Machine machine, Placement placement, Cause cause, Moment now) {
+    void exited(Machine machine, Placement placement, ExitReason exitReason, MonotonicTime now) {
         Job job = placement.job();
-        int task = placement.task().index();
-        if (cause == Cause.DONE) {
-            job.worked();
+        int task = placement.taskId().index();
+        if (exitReason == ExitReason.DONE) {
+            job.resetFailures();
             if (placement.runningSince() != null) {
                 calendar.ran(job.spec(), now.secondsSince(placement.runningSince()));
             }
-            if (job.spec().kind() == Kind.GANG) {
+            if (job.spec().kind() == JobKind.GANG) {
                 // The tasks of a gang complete together, so one that is done speaks for all.
-                for (int other = 0; other < job.spec().tasks(); other++) {
-                    job.complete(other);
+                for (int other = 0; other < job.spec().taskCount(); other++) {
+                    job.markTaskComplete(other);
                 }
             } else {
-                job.complete(task);
+                job.markTaskComplete(task);
             }
-        } else if (!placement.stopping() && !job.cancelled()) {
+        } else if (!placement.isStopping() && !job.isCancelled()) {
             LOG.info(
                     "task {} attempt {} on {} exited: {}",
-                    placement.task(),
-                    placement.attempt(),
+                    placement.taskId(),
+                    placement.attemptNumber(),
                     machine.id(),
-                    cause);
-            if (cause == Cause.ERROR || cause == Cause.UNKNOWN || cause == Cause.NO_ROOM) {
-                failed(machine, job, cause, now);
+                    exitReason);
+            if (exitReason == ExitReason.ERROR
+                    || exitReason == ExitReason.UNKNOWN
+                    || exitReason == ExitReason.NO_ROOM) {
+                failed(machine, job, exitReason, now);
             }
         }
-        attemptOver(placement, cause == Cause.STOPPED ? Companion.PREEMPTED : cause.name());
+        attemptOver(
+                placement,
+                exitReason == ExitReason.STOPPED
+                        ? SecondaryRecord.PREEMPTED_REASON
+                        : exitReason.name());
         long change = remove(machine, placement, now, true);
-        machine.settling()
+        machine.unpersistedExits()
                 .put(
-                        placement.task(),
-                        new Machine.Settling(placement.attempt(), job.chunkOf(task), change));
-        if (job.allDone()) {
-            ledger.ending(job);
+                        placement.taskId(),
+                        new Machine.UnpersistedExit(
+                                placement.attemptNumber(), job.shardOfTask(task), change));
+        if (job.isComplete()) {
+            recordWriter.endPending(job);
         }
     }
 
-    private void failed(Machine machine, Job job, Cause cause, Moment now) {
-        int failures = job.failed(machine.id());
+    private void failed(Machine machine, Job job, ExitReason exitReason, MonotonicTime now) {
+        int failures = job.recordTaskFailure(machine.id());
         if (failures >= FAILURES_BEFORE_HOLD) {
             int hold = Math.min(MOST_HOLD_S, 1 << Math.min(10, failures - FAILURES_BEFORE_HOLD));
-            job.holdUntil(now.plus(Duration.ofSeconds(hold)));
-        } else if (cause == Cause.ERROR
+            job.backoffUntil(now.plus(Duration.ofSeconds(hold)));
+        } else if (exitReason == ExitReason.ERROR
                 && faults.addTo(machine.id(), 1) + 1 >= FAULTY_AFTER
-                && !machine.draining()) {
+                && !machine.isUnschedulable()) {
             LOG.info("machine {} is taken out: {} tasks failed on it", machine.id(), FAULTY_AFTER);
-            machine.drain();
+            machine.cordon();
         }
     }
 
     @Override
-    public void lost(Machine machine, Placement placement, String why, Moment now) {
+    public void lost(Machine machine, Placement placement, String why, MonotonicTime now) {
         LOG.info(
                 "task {} attempt {} on {} is lost: {}",
-                placement.task(),
-                placement.attempt(),
-                placement.machine(),
+                placement.taskId(),
+                placement.attemptNumber(),
+                placement.machineId(),
                 why);
         if (machine != null) {
-            machine.lost(1);
+            machine.recordLostTasks(1);
         }
-        boolean taken = machine != null && machine.noticeEndsAt() != null;
-        attemptOver(placement, taken ? Companion.PREEMPTED : Companion.LOST);
+        boolean taken = machine != null && machine.preemptionDeadline() != null;
+        attemptOver(
+                placement, taken ? SecondaryRecord.PREEMPTED_REASON : SecondaryRecord.LOST_REASON);
         // A gang that has not begun waits on for a replacement with the attempt's number.
         remove(
                 machine,
                 placement,
                 now,
-                placement.job().hasBegun() || placement.runningSince() != null);
+                placement.job().hasAttemptStarted() || placement.runningSince() != null);
     }
 
     /** Notes the end of an attempt for those who ask about the job through another interface. */
     private void attemptOver(Placement placement, String cause) {
-        Companion companion = placement.job().companion();
-        if (companion != null) {
-            companion.over(placement.attempt(), cause, loop.wallMillis());
+        SecondaryRecord secondaryRecord = placement.job().secondaryRecord();
+        if (secondaryRecord != null) {
+            secondaryRecord.recordAttemptEnd(
+                    placement.attemptNumber(), cause, loop.wallClockMillis());
         }
     }
 
     /** A worker has reported a task as running. */
     void began(Placement placement) {
         served.began(placement.job().spec());
-        Companion companion = placement.job().companion();
-        if (companion != null && companion.started(placement.attempt(), loop.wallMillis())) {
-            Chunk chunk = placement.job().chunkOf(placement.task().index());
-            chunk.touch();
-            ledger.changed(chunk);
+        SecondaryRecord secondaryRecord = placement.job().secondaryRecord();
+        if (secondaryRecord != null
+                && secondaryRecord.recordStart(placement.attemptNumber(), loop.wallClockMillis())) {
+            TaskShard taskShard = placement.job().shardOfTask(placement.taskId().index());
+            taskShard.recordChange();
+            recordWriter.markDirty(taskShard);
         }
         Job job = placement.job();
-        if (job.spec().kind() == Kind.GANG && !placement.stopping() && job.waitingCount() > 0) {
+        if (job.spec().kind() == JobKind.GANG
+                && !placement.isStopping()
+                && job.pendingTaskCount() > 0) {
             // Its other tasks were lost before this leader heard that the gang had begun, so the
             // attempt cannot be completed;
             // it would keep its machine, and the gang would wait, for ever.
-            stopOthers(job, new TaskId(job.id(), job.nextWaiting(0)));
+            stopOthers(job, new TaskId(job.id(), job.nextPendingTask(0)));
         }
     }
 
@@ -604,26 +635,26 @@
      * @param endsAttempt whether a gang's attempt is over with this task; its others must then be
      *     gone before the next
      */
-    long remove(Machine machine, Placement placement, Moment now, boolean endsAttempt) {
+    long remove(Machine machine, Placement placement, MonotonicTime now, boolean endsAttempt) {
         if (machine != null) {
             machine.placements().remove(placement);
         }
         Job job = placement.job();
-        long change = job.remove(placement);
-        job.waitingSince(now);
-        ledger.changed(job.chunkOf(placement.task().index()));
-        if (endsAttempt && job.spec().kind() == Kind.GANG && !job.allDone()) {
-            stopOthers(job, placement.task());
+        long change = job.removePlacement(placement);
+        job.pendingSince(now);
+        recordWriter.markDirty(job.shardOfTask(placement.taskId().index()));
+        if (endsAttempt && job.spec().kind() == JobKind.GANG && !job.isComplete()) {
+            stopOthers(job, placement.taskId());
         }
-        if ((job.cancelled() || job.isGivenUp()) && job.placements().isEmpty()) {
-            ledger.ending(job);
+        if ((job.isCancelled() || job.hasExhaustedAttempts()) && job.placements().isEmpty()) {
+            recordWriter.endPending(job);
         }
         return change;
     }
 
     private void stopOthers(Job gang, TaskId lost) {
         for (Placement other : List.copyOf(gang.placements())) {
-            if (!other.stopping()) {
+            if (!other.isStopping()) {
                 stop(other, 0, "its gang lost task " + lost);
             }
         }
@@ -634,24 +665,24 @@
             stop(placement, graceS, why);
         }
         if (job.placements().isEmpty()) {
-            ledger.ending(job);
-            ledger.flush();
+            recordWriter.endPending(job);
+            recordWriter.flush();
         }
     }
 
     private void stop(Placement placement, double graceS, String why) {
-        Moment now = loop.now();
-        if (!placement.stopping()) {
+        MonotonicTime now = loop.now();
+        if (!placement.isStopping()) {
             LOG.info(
                     "task {} attempt {} on {} is stopped: {}",
-                    placement.task(),
-                    placement.attempt(),
-                    placement.machine(),
+                    placement.taskId(),
+                    placement.attemptNumber(),
+                    placement.machineId(),
                     why);
         }
-        placement.stop(graceS);
-        Machine machine = machines.get(placement.machine());
-        if (!placement.committed()) {
+        placement.requestStop(graceS);
+        Machine machine = machines.get(placement.machineId());
+        if (!placement.isCommitted()) {
             // Its start was never sent and cannot be: nothing to wait for.
             remove(machine, placement, now, true);
             return;
@@ -659,20 +690,23 @@
         if (machine != null && machine.address() != null) {
             send(
                     machine,
-                    placement.session(),
-                    List.of(Order.stop(placement.task(), placement.attempt(), graceS)));
+                    placement.incarnation(),
+                    List.of(
+                            WorkerCommand.stop(
+                                    placement.taskId(), placement.attemptNumber(), graceS)));
         }
     }
 
     @Override
-    public void send(Machine machine, Session session, List<Order> orders) {
-        Session knownSession = machine.session();
-        long knownSeq = machine.seq();
-        workers.send(machine.address(), term, session, orders)
+    public void send(
+            Machine machine, WorkerIncarnation workerIncarnation, List<WorkerCommand> orders) {
+        WorkerIncarnation knownSession = machine.incarnation();
+        long knownSeq = machine.lastSequenceNumber();
+        workers.send(machine.address(), fencingToken, workerIncarnation, orders)
                 .whenComplete(
-                        (report, failure) -> {
+                        (heartbeat, failure) -> {
                             if (failure == null) {
-                                direct(report, machine, knownSession, knownSeq);
+                                direct(heartbeat, machine, knownSession, knownSeq);
                             }
                         });
     }
@@ -684,22 +718,22 @@
      * @param knownSeq the number of its latest report then
      */
     private synchronized void direct(
-            Report report, Machine asked, Session knownSession, long knownSeq) {
+            Heartbeat heartbeat, Machine asked, WorkerIncarnation knownSession, long knownSeq) {
         if (closed) {
             return;
         }
-        if (report.token().isAfter(term)) {
-            leadership.heardOf(report.token(), null);
+        if (heartbeat.fencingToken().isAfter(fencingToken)) {
+            leadership.heardOf(heartbeat.fencingToken(), null);
             return;
         }
-        Moment now = loop.now();
-        Machine machine = machine(report);
+        MonotonicTime now = loop.now();
+        Machine machine = machine(heartbeat);
         if (machine == asked
                 && knownSession != null
-                && !report.isNewerThan(knownSession, knownSeq)) {
+                && !heartbeat.isNewerThan(knownSession, knownSeq)) {
             begunAnew(machine, now);
         } else {
-            takeNews(machine, report, now);
+            takeNews(machine, heartbeat, now);
         }
     }
 
@@ -707,11 +741,11 @@
      * Takes in a report that renews no lease, unless it is of no machine known here or older than
      * what is known.
      */
-    private void takeNews(Machine machine, Report report, Moment now) {
-        if (machine != null && reconciliation.take(machine, report, now)) {
+    private void takeNews(Machine machine, Heartbeat heartbeat, MonotonicTime now) {
+        if (machine != null && reconciliation.take(machine, heartbeat, now)) {
             givingUp.reported(machine, now);
-            machine.heard(now);
-            ledger.flush();
+            machine.recordContact(now);
+            recordWriter.flush();
         }
     }
 
@@ -722,12 +756,12 @@
      * returned, which proves all of them gone. Without this all its reports counted as copies, it
      * as silent, and a leader most of whose machines were back in this way as deaf.
      */
-    private static void begunAnew(Machine machine, Moment now) {
-        if (!machine.begunAnew()) {
+    private static void begunAnew(Machine machine, MonotonicTime now) {
+        if (!machine.isIncarnationReset()) {
             LOG.info("machine {} has begun anew and is to be returned", machine.id());
-            machine.beginsAnew();
+            machine.markIncarnationReset();
         }
-        machine.heard(now);
+        machine.recordContact(now);
     }
 
     // ---- rounds ----
@@ -737,27 +771,31 @@
             if (closed) {
                 return;
             }
-            loop.after(ROUND, this::round);
+            loop.schedule(ROUND, this::round);
             if (!loading.isDone()) {
                 return;
             }
-            Moment now = loop.now();
+            MonotonicTime now = loop.now();
             leadership.keepUp();
             detector.round(now);
             silence.round(now);
             if (mayDecide(now)) {
                 place(now);
             }
-            served.account(jobs.values(), now, loop.wallMillis(), job -> cluster.waitsFor(job, now))
+            served.account(
+                            jobs.values(),
+                            now,
+                            loop.wallClockMillis(),
+                            job -> cluster.waitsFor(job, now))
                     .forEach(LOG::info);
-            ledger.flush();
+            recordWriter.flush();
             images.write(machines.values(), now);
             if (tablesSettled && leadership.mayStart()) {
                 snapshots.write(
                         () -> TableFeed.all(cluster.machines(), cluster.risks(), now),
-                        ledger.backlog() == 0,
+                        recordWriter.dirtyShardCount() == 0,
                         now,
-                        loop.wallMillis());
+                        loop.wallClockMillis());
             }
         }
         detector.act();
@@ -773,13 +811,13 @@
             if (closed) {
                 return;
             }
-            Moment now = loop.now();
+            MonotonicTime now = loop.now();
             if (loading.isDone() && !begun && mayDecide(now)) {
                 place(now);
-                ledger.flush();
+                recordWriter.flush();
             }
             if (!begun) {
-                loop.after(EARLY, this::early);
+                loop.schedule(EARLY, this::early);
             }
             if (!loading.isDone() || tablesAsked) {
                 return;
@@ -798,7 +836,7 @@
                         (read, failure) -> {
                             if (failure != null) {
                                 if (!isClosed()) {
-                                    loop.after(READ_AGAIN, this::readNotedTables);
+                                    loop.schedule(READ_AGAIN, this::readNotedTables);
                                 }
                                 return;
                             }
@@ -821,7 +859,7 @@
                 return;
             }
             if (inheritance.handOverNoted(machines, cluster.risks(), loop.now())) {
-                loop.after(EARLY, this::handOverNoted);
+                loop.schedule(EARLY, this::handOverNoted);
             } else {
                 tablesSettled = true;
                 LOG.info(
@@ -835,7 +873,7 @@
      * Whether a round may decide: for the first one all checks hold, for later ones those that can
      * fail again.
      */
-    private boolean mayDecide(Moment now) {
+    private boolean mayDecide(MonotonicTime now) {
         if (begun) {
             return mayAct() && calendar.isReady();
         }
@@ -843,11 +881,11 @@
                 FirstDecision.failing(
                         new FirstDecision.Facts(
                                 leadership.mayStart(),
-                                term,
+                                fencingToken,
                                 leadership.highest(),
                                 leaderVersion,
                                 loading.revision(),
-                                !catalog.isEmpty(),
+                                !machineTypeCatalog.isEmpty(),
                                 calendar.isReady(),
                                 detector.hearing() != Deafness.Hearing.DEAF,
                                 heard(),
@@ -859,14 +897,16 @@
 
     private int heard() {
         return (int)
-                machines.values().stream().filter(machine -> machine.heardAt() != null).count();
+                machines.values().stream()
+                        .filter(machine -> machine.lastContactAt() != null)
+                        .count();
     }
 
     /**
      * Machines whose reports the first round needs; what then is only placed, and not rented or
      * made room for.
      */
-    private int needed(Moment now) {
+    private int needed(MonotonicTime now) {
         if (hasGathered(now)) {
             return 0;
         }
@@ -891,7 +931,7 @@
     }
 
     @Override
-    public synchronized boolean isSilent(Machine machine, Moment now) {
+    public synchronized boolean isSilent(Machine machine, MonotonicTime now) {
         return detector.isLate(machine, now);
     }
 
@@ -909,7 +949,7 @@
      * from the few machines that happened to report first. What was listed but is silent is not
      * waited for any longer.
      */
-    private boolean hasGathered(Moment now) {
+    private boolean hasGathered(MonotonicTime now) {
         if (!gathered) {
             double reportS = platform.reportEvery().toNanos() / 1e9;
             gathered =
@@ -927,17 +967,17 @@
     @Override
     public void stopSaving(Placement placement, String why) {
         Job job = placement.job();
-        if (job.spec().kind() == Kind.GANG) {
+        if (job.spec().kind() == JobKind.GANG) {
             // An orderly stop saves only if all tasks hear of it together.
             for (Placement each : List.copyOf(job.placements())) {
-                stop(each, job.spec().saveS(), why);
+                stop(each, job.spec().checkpointDurationSeconds(), why);
             }
         } else {
-            stop(placement, job.spec().saveS(), why);
+            stop(placement, job.spec().checkpointDurationSeconds(), why);
         }
     }
 
-    private void place(Moment now) {
+    private void place(MonotonicTime now) {
         boolean full = hasGathered(now);
         calendar.look(now);
         Snapshot snapshot = new Snapshot(cluster, platform, aims, now);
@@ -959,7 +999,7 @@
                         snapshot.seats(),
                         snapshot.shares(),
                         byIdle.get(true),
-                        Math.max(0, recordsInRound() - ledger.backlog()));
+                        Math.max(0, recordsInRound() - recordWriter.dirtyShardCount()));
         carryOut(idleOutcome.decisions(), now);
         if (!takeover.isTold()) {
             takeover.firstRound(
@@ -992,7 +1032,7 @@
                 if (!victims.isEmpty()) {
                     victims.forEach(
                             victim -> stopSaving(victim, "idle work gives way to " + job.id()));
-                    job.roomMadeAt(now);
+                    job.lastPreemptionAt(now);
                     idle -= victims.size();
                     makingRoom++;
                 }
@@ -1002,14 +1042,14 @@
                             job.spec(),
                             count,
                             onlyZone(waiting),
-                            (loop.wallMillis() - job.acceptedAtMillis()) / 1000.0));
+                            (loop.wallClockMillis() - job.acceptedAtMillis()) / 1000.0));
             giveUpIncomplete(job, now);
             if (preempting < MOST_PREEMPTING) {
                 List<Placement> victims =
                         rooms.victims(job, waiting.zones(), snapshot.isGuaranteed(job.id()), now);
                 victims.forEach(victim -> stopSaving(victim, "room is needed for " + job.id()));
                 if (!victims.isEmpty()) {
-                    job.roomMadeAt(now);
+                    job.lastPreemptionAt(now);
                     preempting++;
                 }
             }
@@ -1022,23 +1062,29 @@
     }
 
     /** Notes what a round decided; the starts go out once their records are written. */
-    private void carryOut(List<PlacementRound.Decision> decisions, Moment now) {
-        Map<JobId, Attempt> attempts = new HashMap<>();
+    private void carryOut(List<PlacementRound.Decision> decisions, MonotonicTime now) {
+        Map<JobId, AttemptNumber> attempts = new HashMap<>();
         for (PlacementRound.Decision decision : decisions) {
             Job job = jobs.get(decision.spec().id());
             Machine machine = machines.get(decision.machine());
-            Attempt attempt =
-                    job.spec().kind() == Kind.GANG
-                            ? attempts.computeIfAbsent(job.id(), unused -> job.gangAttempt())
-                            : job.nextAttempt(decision.task());
+            AttemptNumber attemptNumber =
+                    job.spec().kind() == JobKind.GANG
+                            ? attempts.computeIfAbsent(job.id(), unused -> job.gangAttemptNumber())
+                            : job.nextAttemptNumber(decision.task());
             Placement placement =
-                    job.place(decision.task(), attempt, machine.id(), machine.session(), now);
-            if (job.companion() != null) {
-                job.companion().placed(attempt, machine.id(), loop.wallMillis());
+                    job.addPlacement(
+                            decision.task(),
+                            attemptNumber,
+                            machine.id(),
+                            machine.incarnation(),
+                            now);
+            if (job.secondaryRecord() != null) {
+                job.secondaryRecord()
+                        .recordPlacement(attemptNumber, machine.id(), loop.wallClockMillis());
             }
             machine.placements().add(placement);
             machine.idleSince(null);
-            ledger.changed(job.chunkOf(decision.task()));
+            recordWriter.markDirty(job.shardOfTask(decision.task()));
             if (decision.byTable()) {
                 byTable++;
             } else {
@@ -1046,8 +1092,8 @@
             }
             LOG.debug(
                     "task {} attempt {} goes to {} by {}",
-                    placement.task(),
-                    attempt,
+                    placement.taskId(),
+                    attemptNumber,
                     machine.id(),
                     decision.byTable() ? "risk" : "room");
         }
@@ -1065,10 +1111,10 @@
      * finds none is rented for. Returns the machines that it would take, which are not to be
      * returned.
      */
-    private Set<MachineId> reserve(Snapshot left, List<Fleet.Need> needs, Moment now) {
+    private Set<MachineId> reserve(Snapshot left, List<Fleet.Need> needs, MonotonicTime now) {
         List<PlacementRound.Waiting> likely = new ArrayList<>();
         for (JobSpec spec : expected.likely(now)) {
-            int[] tasks = new int[spec.tasks()];
+            int[] tasks = new int[spec.taskCount()];
             likely.add(
                     new PlacementRound.Waiting(spec, tasks, new Object2IntOpenHashMap<>(), true));
         }
@@ -1079,7 +1125,7 @@
         for (PlacementRound.Waiting job : likely) {
             Integer count = outcome.unplaced().get(job.spec().id());
             if (count != null) {
-                needs.add(new Fleet.Need(job.spec(), count, job.spec().zone(), 0));
+                needs.add(new Fleet.Need(job.spec(), count, job.spec().requiredZone(), 0));
             }
         }
         return reserved;
@@ -1087,7 +1133,7 @@
 
     /** Jobs to place in a round: what a round decides should be written before the next one. */
     private int mostJobs() {
-        return Math.max(0, recordsInRound() - ledger.pressingBacklog());
+        return Math.max(0, recordsInRound() - recordWriter.urgentDirtyShardCount());
     }
 
     /** Tasks of the lowest priority that may be running, and could make room. */
@@ -1104,19 +1150,19 @@
 
     /** The zone that a job with tasks in place is bound to, or null. */
     private static String onlyZone(PlacementRound.Waiting job) {
-        return job.spec().oneZone() && !job.zones().isEmpty()
+        return job.spec().requiresSingleZone() && !job.zones().isEmpty()
                 ? job.zones().keySet().iterator().next()
-                : job.spec().zone();
+                : job.spec().requiredZone();
     }
 
     /**
      * Ends an attempt of a gang that no replacement was found for, so that it does not hold its
      * machines.
      */
-    private void giveUpIncomplete(Job job, Moment now) {
-        if (job.spec().kind() == Kind.GANG
-                && now.since(job.waitingSince()).compareTo(platform.gangWait()) > 0) {
-            int missing = job.nextWaiting(0);
+    private void giveUpIncomplete(Job job, MonotonicTime now) {
+        if (job.spec().kind() == JobKind.GANG
+                && now.elapsedSince(job.pendingSince()).compareTo(platform.gangWait()) > 0) {
+            int missing = job.nextPendingTask(0);
             stopOthers(job, new TaskId(job.id(), missing));
         }
     }
@@ -1154,28 +1200,28 @@
     @Override
     public synchronized void listed(List<Cloud.Listed> list) {
         listed = true;
-        Moment now = loop.now();
+        MonotonicTime now = loop.now();
         detector.listed(now);
         for (Cloud.Listed item : list) {
             Machine machine = machines.get(item.id());
             if (machine == null
                     && item.phase() == Cloud.Phase.RUNNING
-                    && catalog.type(item.type()) != null) {
+                    && machineTypeCatalog.typeNamed(item.type()) != null) {
                 machine =
                         add(
                                 new Machine(
                                         item.id(),
-                                        catalog.type(item.type()),
+                                        machineTypeCatalog.typeNamed(item.type()),
                                         item.zone(),
                                         item.spot()));
             }
             if (machine != null) {
-                machine.listed(now);
+                machine.recordListing(now);
                 if (machine.address() == null) {
                     machine.address(item.address());
                 }
                 if (item.phase() == Cloud.Phase.FAILED) {
-                    machine.drain();
+                    machine.cordon();
                 }
             }
             if (item.phase() == Cloud.Phase.FAILED) {
@@ -1187,7 +1233,7 @@
     /** Takes a machine, and all that was on it, as gone. */
     @Override
     public synchronized void gone(MachineId id, String why, boolean forget) {
-        Moment now = loop.now();
+        MonotonicTime now = loop.now();
         Machine machine = machines.get(id);
         List<Placement> placements =
                 machine != null
@@ -1198,7 +1244,7 @@
         }
         cluster.unseen().remove(id);
         if (machine != null) {
-            machine.strays().clear();
+            machine.orphanedTasks().clear();
             if (forget) {
                 machines.remove(id);
                 cluster.risks().remove(id);
@@ -1206,7 +1252,7 @@
                 faults.removeInt(id);
             }
         }
-        ledger.flush();
+        recordWriter.flush();
     }
 
     // ---- for standbys ----
@@ -1222,18 +1268,18 @@
         return Optional.of(feed.answer(asked, cluster.machines(), cluster.risks(), loop.now()));
     }
 
-    synchronized Optional<Digests> digests() {
+    synchronized Optional<RecordDigests> digests() {
         if (closed || !loading.isDone()) {
             return Optional.empty();
         }
-        Digests digests = new Digests();
-        jobs.values().forEach(job -> Records.digest(job, digests));
-        return Optional.of(digests);
+        RecordDigests recordDigests = new RecordDigests();
+        jobs.values().forEach(job -> RecordCodec.addToDigests(job, recordDigests));
+        return Optional.of(recordDigests);
     }
 
     /** The standby that could take over best, as far as is known. */
     synchronized Optional<String> heir() {
-        return members.heir(Records.SCHEMA, loop.now());
+        return members.heir(RecordCodec.SCHEMA_VERSION, loop.now());
     }
 
     /** Counts of a live job for display; empty when it is not known here. */
@@ -1244,7 +1290,7 @@
         }
         int running = 0;
         for (Placement placement : job.placements()) {
-            if (placement.state() == TaskState.RUNNING) {
+            if (placement.reportedState() == TaskState.RUNNING) {
                 running++;
             }
         }
@@ -1252,7 +1298,7 @@
                 new Admission.JobState(
                         id,
                         running > 0 ? Admission.Phase.RUNNING : Admission.Phase.QUEUED,
-                        job.doneCount(),
+                        job.completedTaskCount(),
                         running));
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/Loading.java
+++ b/src/main/java/org/meadowhollow/coordination/Loading.java
@@ -6,25 +6,25 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.meadowhollow.bookkeeping.EventLoop;
-import org.meadowhollow.bookkeeping.Job;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.Ledger;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Placement;
-import org.meadowhollow.bookkeeping.RecordImage;
-import org.meadowhollow.bookkeeping.Records;
-import org.meadowhollow.bookkeeping.StateException;
-import org.meadowhollow.bookkeeping.StateException.Outcome;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.StateStore.Urgency;
-import org.meadowhollow.bookkeeping.Term;
-import org.meadowhollow.bookkeeping.Version;
 import org.meadowhollow.coordination.placement.Aims;
 import org.meadowhollow.coordination.placement.Cluster;
 import org.meadowhollow.coordination.placement.Expected;
 import org.meadowhollow.coordination.succession.Inheritance;
 import org.meadowhollow.coordination.succession.Takeover;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.Job;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Placement;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.KeyValueStore.RequestPriority;
+import org.meadowhollow.storage.KeyValueStoreException;
+import org.meadowhollow.storage.KeyValueStoreException.Outcome;
+import org.meadowhollow.storage.KeyspaceReplica;
+import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordWriter;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -50,35 +50,35 @@
     private static final Duration BLIND = Duration.ofSeconds(6);
 
     private final Leader leader;
-    private final StateStore store;
+    private final KeyValueStore store;
     private final EventLoop loop;
     private final Cluster cluster;
     private final Aims aims;
     private final Expected expected;
-    private final Ledger ledger;
+    private final RecordWriter recordWriter;
     private final ImageNotes images;
-    private final Term term;
-    private final Version keyTakenAt;
+    private final FencingToken fencingToken;
+    private final Revision keyTakenAt;
     private final Inheritance inheritance;
     private final Takeover takeover;
     private int records;
-    private Version revision;
+    private Revision revision;
     private boolean loaded;
 
     /** When the last look that was answered was begun. */
-    private Moment lookedAt;
+    private MonotonicTime lookedAt;
 
     Loading(
             Leader leader,
-            StateStore store,
+            KeyValueStore store,
             EventLoop loop,
             Cluster cluster,
             Aims aims,
             Expected expected,
-            Ledger ledger,
+            RecordWriter recordWriter,
             ImageNotes images,
-            Term term,
-            Version keyTakenAt,
+            FencingToken fencingToken,
+            Revision keyTakenAt,
             Inheritance inheritance,
             Takeover takeover) {
         this.leader = leader;
@@ -87,9 +87,9 @@
         this.cluster = cluster;
         this.aims = aims;
         this.expected = expected;
-        this.ledger = ledger;
+        this.recordWriter = recordWriter;
         this.images = images;
-        this.term = term;
+        this.fencingToken = fencingToken;
         this.keyTakenAt = keyTakenAt;
         this.inheritance = inheritance;
         this.takeover = takeover;
@@ -112,7 +112,7 @@
                                 if (images.isEmpty()) {
                                     LOG.info(
                                             "term {} reads all records: what was followed here does not reach to its key",
-                                            term);
+                                            fencingToken);
                                     loadJobs(this::loadTasks);
                                 } else {
                                     take(images.get());
@@ -121,25 +121,25 @@
                         });
     }
 
-    private void take(Map<String, RecordImage> followed) {
-        RecordImage jobs = followed.get(Records.JOBS);
-        jobs.entries().forEach(entry -> takeJob(entry.key(), entry.value(), entry.version()));
+    private void take(Map<String, KeyspaceReplica> followed) {
+        KeyspaceReplica jobs = followed.get(RecordCodec.JOB_PREFIX);
+        jobs.entries().forEach(entry -> takeJob(entry.key(), entry.value(), entry.revision()));
         leader.keepUp();
-        takeTasks(followed.get(Records.TASKS).entries());
+        takeTasks(followed.get(RecordCodec.TASK_PREFIX).entries());
         leader.keepUp();
-        takeImages(List.copyOf(followed.get(Records.IMAGES).entries()));
+        takeImages(List.copyOf(followed.get(RecordCodec.IMAGE_PREFIX).entries()));
         followed.values().forEach(image -> records += image.size());
         loaded(
                 jobs.revision(),
                 "the image",
                 followed.values().stream()
-                        .map(RecordImage::revision)
-                        .min(Comparator.comparingLong(Version::value))
+                        .map(KeyspaceReplica::revision)
+                        .min(Comparator.comparingLong(Revision::value))
                         .orElseThrow());
     }
 
     /** The revision up to which all is in, or null before that. */
-    Version revision() {
+    Revision revision() {
         return revision;
     }
 
@@ -155,10 +155,10 @@
     private void read(
             String prefix,
             String after,
-            Version first,
-            Consumer<List<StateStore.Entry>> take,
-            Consumer<Version> then) {
-        store.list(prefix, after, Urgency.PLACEMENT)
+            Revision first,
+            Consumer<List<KeyValueStore.Entry>> take,
+            Consumer<Revision> then) {
+        store.list(prefix, after, RequestPriority.PLACEMENT)
                 .whenComplete(
                         (page, failure) -> {
                             synchronized (leader) {
@@ -166,14 +166,15 @@
                                     return;
                                 }
                                 if (failure != null) {
-                                    loop.after(RETRY, () -> read(prefix, after, first, take, then));
+                                    loop.schedule(
+                                            RETRY, () -> read(prefix, after, first, take, then));
                                     return;
                                 }
                                 records += page.entries().size();
                                 take.accept(page.entries());
                                 leader.keepUp();
-                                Version from = first == null ? page.revision() : first;
-                                if (page.more()) {
+                                Revision from = first == null ? page.revision() : first;
+                                if (page.hasMore()) {
                                     read(
                                             prefix,
                                             page.entries().get(page.entries().size() - 1).key(),
@@ -187,39 +188,39 @@
                         });
     }
 
-    private void loadJobs(Consumer<Version> then) {
+    private void loadJobs(Consumer<Revision> then) {
         read(
-                Records.JOBS,
+                RecordCodec.JOB_PREFIX,
                 null,
                 null,
                 jobRecords ->
                         jobRecords.forEach(
-                                entry -> takeJob(entry.key(), entry.value(), entry.version())),
+                                entry -> takeJob(entry.key(), entry.value(), entry.revision())),
                 then);
     }
 
-    private void loadTasks(Version watchFrom) {
-        read(Records.TASKS, null, null, this::takeTasks, unused -> loadImages(watchFrom));
+    private void loadTasks(Revision watchFrom) {
+        read(RecordCodec.TASK_PREFIX, null, null, this::takeTasks, unused -> loadImages(watchFrom));
     }
 
-    private void takeTasks(Collection<StateStore.Entry> tasks) {
-        for (StateStore.Entry entry : tasks) {
-            if (!Records.load(entry, cluster.jobs(), loop.now())) {
-                ledger.leftover(entry.key());
+    private void takeTasks(Collection<KeyValueStore.Entry> tasks) {
+        for (KeyValueStore.Entry entry : tasks) {
+            if (!RecordCodec.restoreShard(entry, cluster.jobs(), loop.now())) {
+                recordWriter.addObsoleteKey(entry.key());
             }
         }
     }
 
-    private void loadImages(Version watchFrom) {
+    private void loadImages(Revision watchFrom) {
         read(
-                Records.IMAGES,
+                RecordCodec.IMAGE_PREFIX,
                 null,
                 null,
                 this::takeImages,
                 unused -> loaded(watchFrom, "pages", watchFrom));
     }
 
-    private void takeImages(List<StateStore.Entry> notes) {
+    private void takeImages(List<KeyValueStore.Entry> notes) {
         images.load(notes, loop.now());
         cluster.machines().values().forEach(images::met);
     }
@@ -228,20 +229,20 @@
      * @param from what the records were taken from
      * @param reached the revision up to which all is in
      */
-    private void loaded(Version watchFrom, String from, Version reached) {
+    private void loaded(Revision watchFrom, String from, Revision reached) {
         int placed = 0;
         for (Job job : cluster.jobs().values()) {
-            ledger.restored(job);
+            recordWriter.markRestored(job);
             for (Placement placement : job.placements()) {
                 cluster.restore(placement);
                 placed++;
             }
-            if (job.cancelled()) {
+            if (job.isCancelled()) {
                 leader.stopAll(job, 0, "its user cancelled the job");
-            } else if (job.allDone()) {
+            } else if (job.isComplete()) {
                 // The predecessor noted the end of the last attempt but did not get to write the
                 // job's end.
-                ledger.ending(job);
+                recordWriter.endPending(job);
             }
         }
         loaded = true;
@@ -249,47 +250,51 @@
         takeover.recordsIn(from, records, loop.now());
         LOG.info(
                 "term {} has loaded {} jobs with {} tasks that may be running",
-                term,
+                fencingToken,
                 cluster.jobs().size(),
                 placed);
         look(watchFrom);
     }
 
     /** Asks for what has changed by now, which is answered at once, and goes on to watch. */
-    private void look(Version after) {
+    private void look(Revision after) {
         watch(after, Duration.ZERO);
     }
 
-    private void watch(Version after, Duration wait) {
-        Moment sentAt = loop.now();
+    private void watch(Revision after, Duration wait) {
+        MonotonicTime sentAt = loop.now();
         if (lookedAt == null) {
             lookedAt = sentAt;
         }
-        store.watch(Records.JOBS, after, wait)
+        store.watch(RecordCodec.JOB_PREFIX, after, wait)
                 .whenComplete(
-                        (changes, failure) -> {
+                        (changeBatch, failure) -> {
                             synchronized (leader) {
                                 if (leader.isClosed()) {
                                     return;
                                 }
-                                if (failure == null && after.isAfter(changes.revision())) {
+                                if (failure == null && after.isAfter(changeBatch.revision())) {
                                     LOG.info(
                                             "the state service shows changes up to {}, and has shown {}: not taken in",
-                                            changes.revision(),
+                                            changeBatch.revision(),
                                             after);
-                                    loop.after(RETRY, () -> look(after));
+                                    loop.schedule(RETRY, () -> look(after));
                                 } else if (failure == null) {
-                                    for (StateStore.Change change : changes.changes()) {
+                                    for (KeyValueStore.Change change : changeBatch.changes()) {
                                         if (change.value() != null) {
-                                            takeJob(change.key(), change.value(), change.version());
+                                            takeJob(
+                                                    change.key(),
+                                                    change.value(),
+                                                    change.revision());
                                         }
                                     }
                                     lookedAt = sentAt;
                                     leader.knows(sentAt);
-                                    watch(changes.revision(), WATCH);
-                                } else if (StateException.of(failure) == Outcome.TOO_OLD
+                                    watch(changeBatch.revision(), WATCH);
+                                } else if (KeyValueStoreException.outcomeOf(failure)
+                                                == Outcome.COMPACTED
                                         || isBlind(sentAt)) {
-                                    Moment begun = loop.now();
+                                    MonotonicTime begun = loop.now();
                                     lookedAt = begun;
                                     loadJobs(
                                             from -> {
@@ -297,7 +302,7 @@
                                                 look(from);
                                             });
                                 } else {
-                                    loop.after(RETRY, () -> look(after));
+                                    loop.schedule(RETRY, () -> look(after));
                                 }
                             }
                         });
@@ -307,17 +312,17 @@
      * Whether other calls are answered, but watches have not been for long: their answer may be too
      * large to take.
      */
-    private boolean isBlind(Moment now) {
-        return !store.seemsOut() && now.since(lookedAt).compareTo(BLIND) > 0;
+    private boolean isBlind(MonotonicTime now) {
+        return !store.seemsUnavailable() && now.elapsedSince(lookedAt).compareTo(BLIND) > 0;
     }
 
-    void takeJob(String key, Map<String, Object> record, Version version) {
-        JobId id = Records.jobOfKey(key);
+    void takeJob(String key, Map<String, Object> record, Revision version) {
+        JobId id = RecordCodec.jobIdOfKey(key);
         Job job = cluster.jobs().get(id);
-        Moment now = loop.now();
+        MonotonicTime now = loop.now();
         if (job == null) {
-            job = Records.job(id, record, version, now);
-            job.waitingSince(now);
+            job = RecordCodec.job(id, record, version, now);
+            job.pendingSince(now);
             cluster.jobs().put(id, job);
             aims.note(job.spec());
             leader.came(job);
@@ -325,31 +330,31 @@
                     "job {}: {} of {} tasks of about {} s for team {}, class {}, due in {} s",
                     id,
                     job.spec().kind(),
-                    job.spec().tasks(),
-                    job.spec().estimateS(),
+                    job.spec().taskCount(),
+                    job.spec().estimatedRuntimeSeconds(),
                     job.spec().team(),
                     job.spec().jobClass(),
-                    job.spec().deadlineS());
+                    job.spec().deadlineSeconds());
             if (aims.needsReserve(job.spec())) {
-                long ageMillis = Math.max(0, loop.wallMillis() - job.acceptedAtMillis());
+                long ageMillis = Math.max(0, loop.wallClockMillis() - job.acceptedAtMillis());
                 expected.came(
                         job.spec(),
-                        new Moment(now.nanos() - ageMillis * 1_000_000),
+                        new MonotonicTime(now.nanos() - ageMillis * 1_000_000),
                         Duration.ofMillis((long) (aims.readyS(job.spec()) * 1000)));
             }
-            if (job.cancelled() && loaded) {
+            if (job.isCancelled() && loaded) {
                 // Taken in and cancelled between two looks: there is nothing to stop, but its end
                 // is still to be written.
-                ledger.ending(job);
-                ledger.flush();
+                recordWriter.endPending(job);
+                recordWriter.flush();
             }
             return;
         }
-        if (!version.isAfter(job.version())) {
+        if (!version.isAfter(job.recordRevision())) {
             return;
         }
-        job.version(version);
-        if (Records.isCancelled(record) && !job.cancelled()) {
+        job.recordRevision(version);
+        if (RecordCodec.isCancelled(record) && !job.isCancelled()) {
             job.cancel(now);
             leader.stopAll(job, 0, "its user cancelled the job");
         }
--- a/src/main/java/org/meadowhollow/coordination/Node.java
+++ b/src/main/java/org/meadowhollow/coordination/Node.java
@@ -6,21 +6,6 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.random.RandomGenerator;
-import org.meadowhollow.bookkeeping.Catalog;
-import org.meadowhollow.bookkeeping.Digests;
-import org.meadowhollow.bookkeeping.EventLoop;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Observers;
-import org.meadowhollow.bookkeeping.Records;
-import org.meadowhollow.bookkeeping.Report;
-import org.meadowhollow.bookkeeping.Session;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.StateStore.Urgency;
-import org.meadowhollow.bookkeeping.Term;
-import org.meadowhollow.bookkeeping.Transaction;
-import org.meadowhollow.bookkeeping.Version;
 import org.meadowhollow.coordination.admission.Admission;
 import org.meadowhollow.coordination.hearing.Earshot;
 import org.meadowhollow.coordination.leadership.Leadership;
@@ -34,6 +19,21 @@
 import org.meadowhollow.coordination.succession.Inheritance;
 import org.meadowhollow.coordination.succession.Standby;
 import org.meadowhollow.coordination.succession.StandbySettings;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.Heartbeat;
+import org.meadowhollow.model.JobEventListeners;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MachineTypeCatalog;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.model.WorkerIncarnation;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.KeyValueStore.RequestPriority;
+import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordDigests;
+import org.meadowhollow.storage.Transaction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -82,12 +82,12 @@
     private static final Duration SHED_FOR = Duration.ofSeconds(10);
 
     private final EventLoop loop;
-    private final StateStore store;
+    private final KeyValueStore store;
     private final Workers workers;
     private final Cloud cloud;
     private final Platform platform;
-    private final Catalog catalog;
-    private final Observers observers;
+    private final MachineTypeCatalog machineTypeCatalog;
+    private final JobEventListeners jobEventListeners;
     private final CalendarSettings calendar;
     private final Leadership leadership;
     private final Peers peers;
@@ -99,32 +99,32 @@
 
     private Leader leader;
     private boolean sweeping;
-    private Moment othersServedAt;
+    private MonotonicTime othersServedAt;
     private boolean closed;
     private boolean cloudSilent;
     private int lateLooks;
-    private Moment shedUntil;
+    private MonotonicTime shedUntil;
 
     public Node(
             EventLoop loop,
-            StateStore store,
+            KeyValueStore store,
             Workers workers,
             Cloud cloud,
             Peers peers,
             Platform platform,
-            Catalog catalog,
-            Observers observers,
+            MachineTypeCatalog machineTypeCatalog,
+            JobEventListeners jobEventListeners,
             CalendarSettings calendar,
             StandbySettings standbySettings,
             RandomGenerator random) {
         this.calendar = calendar;
-        this.observers = observers;
+        this.jobEventListeners = jobEventListeners;
         this.loop = loop;
         this.store = store;
         this.workers = workers;
         this.cloud = cloud;
         this.platform = platform;
-        this.catalog = catalog;
+        this.machineTypeCatalog = machineTypeCatalog;
         this.peers = peers;
         this.leadership = new Leadership(store, loop, peers, platform, earshot, random, this);
         this.standby =
@@ -138,8 +138,8 @@
                                         random.nextLong(),
                                         standbySettings.zone(),
                                         standbySettings.program(),
-                                        Records.SCHEMA,
-                                        Version.ABSENT),
+                                        RecordCodec.SCHEMA_VERSION,
+                                        Revision.ABSENT),
                                 leadership::leader,
                                 leadership::highest)
                         : null;
@@ -160,12 +160,12 @@
      * beside the reports of hundreds of workers, answered these too late: their leases ran out with
      * all their tasks.
      */
-    private void watchLoad(Moment last) {
+    private void watchLoad(MonotonicTime last) {
         if (isClosed()) {
             return;
         }
-        Moment now = loop.now();
-        boolean late = now.since(last).compareTo(LOAD_CHECK.plus(LATE)) > 0;
+        MonotonicTime now = loop.now();
+        boolean late = now.elapsedSince(last).compareTo(LOAD_CHECK.plus(LATE)) > 0;
         boolean ask;
         synchronized (this) {
             lateLooks = late ? lateLooks + 1 : 0;
@@ -182,7 +182,7 @@
         if (ask) {
             askOthers();
         }
-        loop.after(LOAD_CHECK, () -> watchLoad(now));
+        loop.schedule(LOAD_CHECK, () -> watchLoad(now));
     }
 
     private void askOthers() {
@@ -203,9 +203,9 @@
         if (isClosed()) {
             return;
         }
-        loop.after(RETRY, this::watchState);
-        if (store.seemsOut()) {
-            store.get(Records.TERM, Urgency.BACKGROUND);
+        loop.schedule(RETRY, this::watchState);
+        if (store.seemsUnavailable()) {
+            store.get(RecordCodec.FENCING_TOKEN_KEY, RequestPriority.BACKGROUND);
             askOthers();
         }
     }
@@ -221,27 +221,28 @@
      */
     public synchronized boolean isReady() {
         boolean shedding = leader != null && shedUntil != null && loop.now().isBefore(shedUntil);
-        return !catalog.isEmpty()
-                && !((store.seemsOut() || shedding)
+        return !machineTypeCatalog.isEmpty()
+                && !((store.seemsUnavailable() || shedding)
                         && othersServedAt != null
-                        && loop.now().since(othersServedAt).compareTo(SERVED_FOR) < 0);
+                        && loop.now().elapsedSince(othersServedAt).compareTo(SERVED_FOR) < 0);
     }
 
     /** The types as an earlier node noted them, so that a node can start while the cloud is out. */
     private void readTypes() {
-        store.get(Records.TYPES, Urgency.USER)
+        store.get(RecordCodec.MACHINE_TYPES_KEY, RequestPriority.USER)
                 .whenComplete(
                         (entry, failure) -> {
-                            if (isClosed() || !catalog.isEmpty()) {
+                            if (isClosed() || !machineTypeCatalog.isEmpty()) {
                                 return;
                             }
                             if (failure != null) {
-                                loop.after(RETRY, this::readTypes);
+                                loop.schedule(RETRY, this::readTypes);
                             } else if (entry.isPresent()) {
-                                catalog.learn(Records.types(entry.get().value()));
+                                machineTypeCatalog.replaceAll(
+                                        RecordCodec.types(entry.get().value()));
                                 LOG.info(
                                         "the state service names {} machine types",
-                                        Records.types(entry.get().value()).size());
+                                        RecordCodec.types(entry.get().value()).size());
                             } else {
                                 askTypes();
                             }
@@ -262,16 +263,19 @@
                                             failure == null ? "it has none" : failure.getMessage());
                                 }
                                 cloudSilent = true;
-                                loop.after(RETRY, this::readTypes);
+                                loop.schedule(RETRY, this::readTypes);
                                 return;
                             }
-                            catalog.learn(types);
+                            machineTypeCatalog.replaceAll(types);
                             LOG.info("the cloud offers {} machine types", types.size());
                             store.commit(
                                     new Transaction()
-                                            .guard(Records.TYPES, Version.ABSENT)
-                                            .put(Records.TYPES, Records.types(types)),
-                                    Urgency.BACKGROUND);
+                                            .requireRevision(
+                                                    RecordCodec.MACHINE_TYPES_KEY, Revision.ABSENT)
+                                            .put(
+                                                    RecordCodec.MACHINE_TYPES_KEY,
+                                                    RecordCodec.types(types)),
+                                    RequestPriority.BACKGROUND);
                         });
     }
 
@@ -280,7 +284,8 @@
     }
 
     @Override
-    public void elected(Term term, Version leaderVersion, Moment noticedAt) {
+    public void elected(
+            FencingToken fencingToken, Revision leaderVersion, MonotonicTime noticedAt) {
         Leader begun =
                 new Leader(
                         loop,
@@ -289,11 +294,11 @@
                         cloud,
                         peers,
                         platform,
-                        catalog,
+                        machineTypeCatalog,
                         leadership,
-                        term,
+                        fencingToken,
                         leaderVersion,
-                        observers,
+                        jobEventListeners,
                         calendar,
                         standby == null ? Inheritance.NONE : standby.handOver(),
                         noticedAt);
@@ -333,18 +338,18 @@
         if (isClosed() || addresses.isEmpty() || !leadership.isDeaf()) {
             return;
         }
-        Term shown = leadership.term();
+        FencingToken shown = leadership.term();
         addresses.forEach(
                 address ->
-                        workers.send(address, shown, new Session(1), List.of())
+                        workers.send(address, shown, new WorkerIncarnation(1), List.of())
                                 .thenAccept(
-                                        report -> {
+                                        heartbeat -> {
                                             LOG.info(
                                                     "worker {} answers this node again",
-                                                    report.machine());
+                                                    heartbeat.machineId());
                                             leadership.hearsAgain();
                                         }));
-        loop.after(LISTEN_AGAIN, () -> listenAgain(addresses));
+        loop.schedule(LISTEN_AGAIN, () -> listenAgain(addresses));
     }
 
     /** Whether this node leads and misses the reports of more workers than fail by themselves. */
@@ -366,7 +371,7 @@
      * The digests of the records as this node knows them; empty if it does not lead, or has not
      * loaded them.
      */
-    public Optional<Digests> digests() {
+    public Optional<RecordDigests> digests() {
         Leader now = leader();
         return now == null ? Optional.empty() : now.digests();
     }
@@ -404,31 +409,31 @@
      * Answers a worker's report, or sends it to the leader; while none is known, the worker waits a
      * little.
      */
-    public CompletableFuture<Answer> report(Report report) {
-        earshot.heard(report.machine(), loop.now());
+    public CompletableFuture<Answer> report(Heartbeat heartbeat) {
+        earshot.heard(heartbeat.machineId(), loop.now());
         if (leadership.isDeaf()) {
             leadership.hearsAgain();
         }
         Leader now = leader();
         if (now != null) {
-            return now.report(report);
+            return now.report(heartbeat);
         }
-        leadership.heardOf(report.token(), null);
-        boolean mayBeGone = leadership.arrived(report.machine(), report.token());
+        leadership.heardOf(heartbeat.fencingToken(), null);
+        boolean mayBeGone = leadership.arrived(heartbeat.machineId(), heartbeat.fencingToken());
         String other = leadership.leader();
         boolean known = other != null && !platform.member().equals(other) && !mayBeGone;
-        if (known || store.seemsOut()) {
+        if (known || store.seemsUnavailable()) {
             return CompletableFuture.completedFuture(new Answer.Elsewhere(known ? other : null));
         }
-        return orphaned(report);
+        return orphaned(heartbeat);
     }
 
-    private synchronized CompletableFuture<Answer> orphaned(Report report) {
+    private synchronized CompletableFuture<Answer> orphaned(Heartbeat heartbeat) {
         if (!sweeping) {
             sweeping = true;
-            loop.after(SWEEP, this::sweepOrphans);
+            loop.schedule(SWEEP, this::sweepOrphans);
         }
-        return orphans.hold(report, loop.now().plus(MOST_ORPHANED));
+        return orphans.hold(heartbeat, loop.now().plus(MOST_ORPHANED));
     }
 
     private void sweepOrphans() {
@@ -437,7 +442,7 @@
             due = orphans.due(loop.now());
             sweeping = !closed && !orphans.isEmpty();
             if (sweeping) {
-                loop.after(SWEEP, this::sweepOrphans);
+                loop.schedule(SWEEP, this::sweepOrphans);
             }
         }
         HeldReports.sendOn(due, null);
@@ -453,8 +458,8 @@
         HeldReports.sendOn(takeOrphans(), isOther ? other : null);
     }
 
-    public void heardOf(Term term, String member) {
-        leadership.heardOf(term, member);
+    public void heardOf(FencingToken fencingToken, String member) {
+        leadership.heardOf(fencingToken, member);
     }
 
     public Optional<Admission.JobState> counts(JobId id) {
--- a/src/main/java/org/meadowhollow/coordination/Reconciliation.java
+++ b/src/main/java/org/meadowhollow/coordination/Reconciliation.java
@@ -5,20 +5,20 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.meadowhollow.bookkeeping.Cause;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Machine;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Order;
-import org.meadowhollow.bookkeeping.Placement;
-import org.meadowhollow.bookkeeping.Report;
-import org.meadowhollow.bookkeeping.TaskId;
-import org.meadowhollow.bookkeeping.TaskState;
-import org.meadowhollow.bookkeeping.Term;
 import org.meadowhollow.coordination.leadership.Leadership;
 import org.meadowhollow.coordination.placement.Cluster;
 import org.meadowhollow.coordination.succession.Inheritance;
 import org.meadowhollow.coordination.succession.TableFeed;
+import org.meadowhollow.model.ExitReason;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.Heartbeat;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Placement;
+import org.meadowhollow.model.TaskId;
+import org.meadowhollow.model.TaskState;
+import org.meadowhollow.model.WorkerCommand;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -36,7 +36,7 @@
     private final Cluster cluster;
     private final ImageNotes images;
     private final Leadership leadership;
-    private final Term term;
+    private final FencingToken fencingToken;
     private final Inheritance inheritance;
     private final TableFeed feed;
 
@@ -45,52 +45,61 @@
             Cluster cluster,
             ImageNotes images,
             Leadership leadership,
-            Term term,
+            FencingToken fencingToken,
             Inheritance inheritance,
             TableFeed feed) {
         this.leader = leader;
         this.cluster = cluster;
         this.images = images;
         this.leadership = leadership;
-        this.term = term;
+        this.fencingToken = fencingToken;
         this.inheritance = inheritance;
         this.feed = feed;
     }
 
     /** Takes a report's news in; false if it is older than what is known. */
-    boolean take(Machine machine, Report report, Moment now) {
-        if (machine.session() != null && !report.isNewerThan(machine.session(), machine.seq())) {
+    boolean take(Machine machine, Heartbeat heartbeat, MonotonicTime now) {
+        if (machine.incarnation() != null
+                && !heartbeat.isNewerThan(machine.incarnation(), machine.lastSequenceNumber())) {
             return false;
         }
-        if (machine.session() == null) {
+        if (machine.incarnation() == null) {
             inheritance
-                    .table(report, now)
+                    .table(heartbeat, now)
                     .ifPresent(table -> cluster.risks().put(machine.id(), table));
         }
-        machine.reported(report);
+        machine.recordHeartbeat(heartbeat);
         if (!leader.isLoaded()) {
             return true;
         }
-        if (!Double.isNaN(report.noticeS()) && machine.noticeEndsAt() == null) {
-            machine.noticeEndsAt(now.plus(Duration.ofMillis((long) (report.noticeS() * 1000))));
-            LOG.info("machine {} will be taken back in {} s", machine.id(), report.noticeS());
-            machine.drain();
+        if (!Double.isNaN(heartbeat.preemptionNoticeSeconds())
+                && machine.preemptionDeadline() == null) {
+            machine.preemptionDeadline(
+                    now.plus(
+                            Duration.ofMillis(
+                                    (long) (heartbeat.preemptionNoticeSeconds() * 1000))));
+            LOG.info(
+                    "machine {} will be taken back in {} s",
+                    machine.id(),
+                    heartbeat.preemptionNoticeSeconds());
+            machine.cordon();
         }
-        Map<TaskId, Report.Task> listed = new HashMap<>();
-        for (Report.Task task : report.tasks()) {
-            listed.put(task.id(), task);
+        Map<TaskId, Heartbeat.TaskStatus> listed = new HashMap<>();
+        for (Heartbeat.TaskStatus taskStatus : heartbeat.tasks()) {
+            listed.put(taskStatus.taskId(), taskStatus);
         }
         for (Placement placement : List.copyOf(machine.placements())) {
-            Report.Task task = listed.get(placement.task());
-            if (report.session().isAfter(placement.session())) {
-                if (!report.token().equals(term)) {
+            Heartbeat.TaskStatus taskStatus = listed.get(placement.taskId());
+            if (heartbeat.incarnation().isAfter(placement.incarnation())) {
+                if (!heartbeat.fencingToken().equals(fencingToken)) {
                     // It may be a copy from before a machine that is back began its sessions anew;
                     // the next one will tell.
                     continue;
                 }
                 leader.lost(machine, placement, "the worker's lease ran out", now);
-            } else if (placement.session().isAfter(report.session())) {
-                if (report.token().equals(term) && report.seq() > placement.startSentSeq()) {
+            } else if (placement.incarnation().isAfter(heartbeat.incarnation())) {
+                if (heartbeat.fencingToken().equals(fencingToken)
+                        && heartbeat.sequenceNumber() > placement.startSentSequenceNumber()) {
                     // It shows our token, so it was sent after the session of the record was seen,
                     // and sessions only grow: the
                     // machine has begun anew. Without this its task would be waited for, and its
@@ -99,101 +108,120 @@
                 }
                 // Otherwise it is a copy from before the placement: the same attempt of a gang may
                 // have ended here then.
-            } else if (task != null && task.attempt().equals(placement.attempt())) {
-                if (task.state() == TaskState.EXITED && isOver(placement, task.cause(), report)) {
-                    leader.exited(machine, placement, task.cause(), now);
+            } else if (taskStatus != null
+                    && taskStatus.attemptNumber().equals(placement.attemptNumber())) {
+                if (taskStatus.state() == TaskState.EXITED
+                        && isOver(placement, taskStatus.exitReason(), heartbeat)) {
+                    leader.exited(machine, placement, taskStatus.exitReason(), now);
                 } else {
-                    if (placement.state() != task.state()) {
-                        LOG.debug("task {} on {} is {}", task.id(), machine.id(), task.state());
+                    if (placement.reportedState() != taskStatus.state()) {
+                        LOG.debug(
+                                "task {} on {} is {}",
+                                taskStatus.taskId(),
+                                machine.id(),
+                                taskStatus.state());
                     }
-                    placement.state(task.state(), now);
-                    if (task.state() == TaskState.RUNNING) {
+                    placement.reportedState(taskStatus.state(), now);
+                    if (taskStatus.state() == TaskState.RUNNING) {
                         leader.began(placement);
                     }
-                    if (task.state() != TaskState.FETCHING && task.state() != TaskState.EXITED) {
+                    if (taskStatus.state() != TaskState.PULLING_IMAGE
+                            && taskStatus.state() != TaskState.EXITED) {
                         images.has(
                                 machine,
                                 placement.job().spec().image(),
-                                placement.job().spec().imageGb());
+                                placement.job().spec().imageSizeGb());
                     }
                 }
             }
         }
-        machine.strays().clear();
-        for (Report.Task task : report.tasks()) {
-            if (task.state() != TaskState.EXITED && placementOf(machine, task) == null) {
-                machine.strays().add(task.id());
+        machine.orphanedTasks().clear();
+        for (Heartbeat.TaskStatus taskStatus : heartbeat.tasks()) {
+            if (taskStatus.state() != TaskState.EXITED
+                    && placementOf(machine, taskStatus) == null) {
+                machine.orphanedTasks().add(taskStatus.taskId());
             }
         }
-        machine.settling().keySet().removeIf(task -> !listed.containsKey(task));
+        machine.unpersistedExits().keySet().removeIf(task -> !listed.containsKey(task));
         int sample =
                 cluster.risks()
                         .get(machine.id())
                         .add(
                                 machine.placements().size(),
-                                machine.booked().shareOf(machine.type().room()),
-                                machine.takeLost(),
+                                machine.allocated().dominantShareOf(machine.type().capacity()),
+                                machine.takeLostTaskCount(),
                                 now);
         feed.sampled(machine, sample, now);
         return true;
     }
 
-    private static Placement placementOf(Machine machine, Report.Task task) {
+    private static Placement placementOf(Machine machine, Heartbeat.TaskStatus taskStatus) {
         for (Placement placement : machine.placements()) {
-            if (placement.task().equals(task.id()) && placement.attempt().equals(task.attempt())) {
+            if (placement.taskId().equals(taskStatus.taskId())
+                    && placement.attemptNumber().equals(taskStatus.attemptNumber())) {
                 return placement;
             }
         }
         return null;
     }
 
-    List<Order> orders(Machine machine, Report report, Moment now) {
-        List<Order> orders = new ArrayList<>();
-        Map<TaskId, Report.Task> listed = new HashMap<>();
+    List<WorkerCommand> orders(Machine machine, Heartbeat heartbeat, MonotonicTime now) {
+        List<WorkerCommand> orders = new ArrayList<>();
+        Map<TaskId, Heartbeat.TaskStatus> listed = new HashMap<>();
         // All that is listed counts as listed, however many orders there is room for: what seems
         // not to be there is let go.
-        report.tasks().forEach(task -> listed.put(task.id(), task));
-        for (Report.Task task : report.tasks()) {
+        heartbeat.tasks().forEach(taskStatus -> listed.put(taskStatus.taskId(), taskStatus));
+        for (Heartbeat.TaskStatus taskStatus : heartbeat.tasks()) {
             if (orders.size() >= MOST_ORDERS) {
                 break;
             }
-            Placement placement = placementOf(machine, task);
+            Placement placement = placementOf(machine, taskStatus);
             if (placement != null) {
-                if (placement.stopping()
-                        && (task.state() != TaskState.SAVING || placement.graceS() == 0)) {
-                    orders.add(Order.stop(task.id(), task.attempt(), placement.graceS()));
-                } else if (task.state() == TaskState.EXITED
-                        && mayStart(placement, machine, report)) {
+                if (placement.isStopping()
+                        && (taskStatus.state() != TaskState.CHECKPOINTING
+                                || placement.graceSeconds() == 0)) {
+                    orders.add(
+                            WorkerCommand.stop(
+                                    taskStatus.taskId(),
+                                    taskStatus.attemptNumber(),
+                                    placement.graceSeconds()));
+                } else if (taskStatus.state() == TaskState.EXITED
+                        && mayStart(placement, machine, heartbeat)) {
                     // It gave up waiting for its gang, whose fetches go on; its record stands, so
                     // it may wait anew.
-                    placement.startSent(report.seq());
-                    orders.add(Order.forget(task.id(), task.attempt()));
-                    orders.add(Order.start(task.id(), task.attempt()));
+                    placement.recordStartSent(heartbeat.sequenceNumber());
+                    orders.add(
+                            WorkerCommand.forget(taskStatus.taskId(), taskStatus.attemptNumber()));
+                    orders.add(
+                            WorkerCommand.start(taskStatus.taskId(), taskStatus.attemptNumber()));
                 }
-            } else if (task.state() != TaskState.EXITED) {
+            } else if (taskStatus.state() != TaskState.EXITED) {
                 // Nobody's record knows of it, so nobody would ever stop it or count it.
-                orders.add(Order.stop(task.id(), task.attempt(), 0));
+                orders.add(WorkerCommand.stop(taskStatus.taskId(), taskStatus.attemptNumber(), 0));
             } else {
-                Machine.Settling settling = machine.settling().get(task.id());
-                if (settling == null
-                        || !settling.attempt().equals(task.attempt())
-                        || settling.isSaved()) {
-                    orders.add(Order.forget(task.id(), task.attempt()));
+                Machine.UnpersistedExit unpersistedExit =
+                        machine.unpersistedExits().get(taskStatus.taskId());
+                if (unpersistedExit == null
+                        || !unpersistedExit.attemptNumber().equals(taskStatus.attemptNumber())
+                        || unpersistedExit.isPersisted()) {
+                    orders.add(
+                            WorkerCommand.forget(taskStatus.taskId(), taskStatus.attemptNumber()));
                 }
             }
         }
         for (Placement placement : List.copyOf(machine.placements())) {
-            Report.Task task = listed.get(placement.task());
-            if (task != null && task.attempt().equals(placement.attempt())) {
+            Heartbeat.TaskStatus taskStatus = listed.get(placement.taskId());
+            if (taskStatus != null
+                    && taskStatus.attemptNumber().equals(placement.attemptNumber())) {
                 continue;
             }
-            if (placement.stopping() || placement.job().cancelled()) {
-                if (neverStarts(placement, machine, report)) {
+            if (placement.isStopping() || placement.job().isCancelled()) {
+                if (neverStarts(placement, machine, heartbeat)) {
                     leader.remove(machine, placement, now, true);
                 }
-            } else if (orders.size() < MOST_ORDERS && mayStart(placement, machine, report)) {
-                placement.startSent(report.seq());
-                orders.add(Order.start(placement.task(), placement.attempt()));
+            } else if (orders.size() < MOST_ORDERS && mayStart(placement, machine, heartbeat)) {
+                placement.recordStartSent(heartbeat.sequenceNumber());
+                orders.add(WorkerCommand.start(placement.taskId(), placement.attemptNumber()));
             }
         }
         return orders;
@@ -205,11 +233,11 @@
      * report without the task proves that no answer with its start will be heeded, once the worker
      * has shown our token, which shuts out the answers of earlier leaders.
      */
-    private boolean neverStarts(Placement placement, Machine machine, Report report) {
-        return report.token().equals(term)
-                && report.session().equals(placement.session())
-                && report.seq() > placement.startSentSeq()
-                && machine.heardAt() != null;
+    private boolean neverStarts(Placement placement, Machine machine, Heartbeat heartbeat) {
+        return heartbeat.fencingToken().equals(fencingToken)
+                && heartbeat.incarnation().equals(placement.incarnation())
+                && heartbeat.sequenceNumber() > placement.startSentSequenceNumber()
+                && machine.lastContactAt() != null;
     }
 
     /**
@@ -217,11 +245,11 @@
      * it was placed in: the next report would prove that session over, and the task just started
      * would be one that no record knows of.
      */
-    private boolean mayStart(Placement placement, Machine machine, Report report) {
+    private boolean mayStart(Placement placement, Machine machine, Heartbeat heartbeat) {
         return leadership.maySendStarts()
-                && placement.committed()
+                && placement.isCommitted()
                 && !machine.releasing()
-                && placement.session().equals(report.session())
+                && placement.incarnation().equals(heartbeat.incarnation())
                 && wholeGangCommitted(placement);
     }
 
@@ -232,24 +260,24 @@
      * Where it is not wanted any more, its exit is proof only if nobody can have taken it back: an
      * old report that reached the next leader first let a cancelled gang end while it ran.
      */
-    private boolean isOver(Placement placement, Cause cause, Report report) {
-        if (cause != Cause.ALONE) {
+    private boolean isOver(Placement placement, ExitReason exitReason, Heartbeat heartbeat) {
+        if (exitReason != ExitReason.ALONE) {
             return true;
         }
-        return (placement.stopping() || placement.job().cancelled())
-                && report.token().equals(term)
-                && report.seq() > placement.startSentSeq();
+        return (placement.isStopping() || placement.job().isCancelled())
+                && heartbeat.fencingToken().equals(fencingToken)
+                && heartbeat.sequenceNumber() > placement.startSentSequenceNumber();
     }
 
     private static boolean wholeGangCommitted(Placement placement) {
-        if (placement.job().spec().kind() != Kind.GANG) {
+        if (placement.job().spec().kind() != JobKind.GANG) {
             return true;
         }
         for (Placement other : placement.job().placements()) {
-            if (!other.committed()) {
+            if (!other.isCommitted()) {
                 return false;
             }
         }
-        return placement.job().placements().size() == placement.job().spec().tasks();
+        return placement.job().placements().size() == placement.job().spec().taskCount();
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/admission/Admission.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/Admission.java
@@ -7,26 +7,26 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import org.meadowhollow.bookkeeping.Catalog;
-import org.meadowhollow.bookkeeping.Companion;
-import org.meadowhollow.bookkeeping.EventLoop;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.MachineType;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Observers;
-import org.meadowhollow.bookkeeping.OrderLog;
-import org.meadowhollow.bookkeeping.Records;
-import org.meadowhollow.bookkeeping.Resources;
-import org.meadowhollow.bookkeeping.StateException;
-import org.meadowhollow.bookkeeping.StateException.Outcome;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.StateStore.Urgency;
-import org.meadowhollow.bookkeeping.TaskTraces;
-import org.meadowhollow.bookkeeping.Transaction;
-import org.meadowhollow.bookkeeping.Version;
 import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.JobEventListeners;
+import org.meadowhollow.model.JobEventLog;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.MachineTypeCatalog;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Resources;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.model.SecondaryRecord;
+import org.meadowhollow.model.TaskTracer;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.KeyValueStore.RequestPriority;
+import org.meadowhollow.storage.KeyValueStoreException;
+import org.meadowhollow.storage.KeyValueStoreException.Outcome;
+import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.Transaction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -78,13 +78,13 @@
     /** A submission's outcome: the job's state, and whether it is new. */
     public record Accepted(JobState state, boolean isNew) {}
 
-    private record Found(Map<String, Object> record, Version version, boolean ended) {}
+    private record Found(Map<String, Object> record, Revision version, boolean ended) {}
 
-    private final StateStore store;
+    private final KeyValueStore store;
     private final EventLoop loop;
-    private final Catalog catalog;
+    private final MachineTypeCatalog machineTypeCatalog;
     private final Platform platform;
-    private final Observers observers;
+    private final JobEventListeners jobEventListeners;
     private final Counts counts;
     private final LiveJobs live;
     private final Map<JobId, JobState> over =
@@ -96,16 +96,16 @@
             };
 
     public Admission(
-            StateStore store,
+            KeyValueStore store,
             EventLoop loop,
-            Catalog catalog,
+            MachineTypeCatalog machineTypeCatalog,
             Platform platform,
-            Observers observers,
+            JobEventListeners jobEventListeners,
             Counts counts) {
-        this.observers = observers;
+        this.jobEventListeners = jobEventListeners;
         this.store = store;
         this.loop = loop;
-        this.catalog = catalog;
+        this.machineTypeCatalog = machineTypeCatalog;
         this.platform = platform;
         this.counts = counts;
         this.live = new LiveJobs(store, loop);
@@ -118,16 +118,18 @@
     /**
      * Accepts a job together with what another interface keeps of it, all or nothing.
      *
-     * @param companion kept beside the job for as long as it lives, or null
+     * @param secondaryRecord kept beside the job for as long as it lives, or null
      * @param records keys of this job alone, to write with it
      */
     public CompletableFuture<Accepted> submit(
-            JobSpec spec, Companion companion, Map<String, Map<String, Object>> records) {
+            JobSpec spec,
+            SecondaryRecord secondaryRecord,
+            Map<String, Map<String, Object>> records) {
         JobState known = cached(spec.id());
         if (known != null) {
             return CompletableFuture.completedFuture(new Accepted(known, false));
         }
-        if (catalog.isEmpty()) {
+        if (machineTypeCatalog.isEmpty()) {
             return CompletableFuture.failedFuture(
                     new TryLater("the machine types are not known yet"));
         }
@@ -144,10 +146,10 @@
                                 throw new NeverRuns(never);
                             });
         }
-        if (store.seemsOut()) {
+        if (store.seemsUnavailable()) {
             return CompletableFuture.failedFuture(new TryLater("the state service is out"));
         }
-        if (companion == null && live.sight(spec.id()) != null) {
+        if (secondaryRecord == null && live.sight(spec.id()) != null) {
             // Repeated while the job lives: a transaction that must fail would cost a change of the
             // state service's budget.
             return poll(spec.id())
@@ -158,40 +160,50 @@
                                                     new Accepted(found.get(), false))
                                             : accept(spec, null, Map.of()));
         }
-        return accept(spec, companion, records);
+        return accept(spec, secondaryRecord, records);
     }
 
     private CompletableFuture<Accepted> accept(
-            JobSpec spec, Companion companion, Map<String, Map<String, Object>> records) {
-        long now = loop.wallMillis();
+            JobSpec spec,
+            SecondaryRecord secondaryRecord,
+            Map<String, Map<String, Object>> records) {
+        long now = loop.wallClockMillis();
         Map<String, Object> record =
-                Records.job(spec, now, Records.chunkSize(platform.valueBytes()), false, companion);
+                RecordCodec.job(
+                        spec,
+                        now,
+                        RecordCodec.shardSize(platform.valueBytes()),
+                        false,
+                        secondaryRecord);
         Transaction accept =
                 new Transaction()
-                        .guard(Records.job(spec.id()), Version.ABSENT)
-                        .guard(Records.ended(spec.id()), Version.ABSENT)
-                        .put(Records.job(spec.id()), record);
-        if (companion != null) {
-            accept.put(companion.key(), companion.accepted());
+                        .requireRevision(RecordCodec.job(spec.id()), Revision.ABSENT)
+                        .requireRevision(RecordCodec.ended(spec.id()), Revision.ABSENT)
+                        .put(RecordCodec.job(spec.id()), record);
+        if (secondaryRecord != null) {
+            accept.put(secondaryRecord.key(), secondaryRecord.encodeAccepted());
         }
         records.forEach(accept::put);
         return commit(accept, loop.now())
                 .thenCompose(
-                        commit -> {
-                            if (commit.applied()) {
-                                observers
-                                        .order()
-                                        .job(
-                                                commit.revision(),
-                                                OrderLog.What.ACCEPTED,
+                        commitResult -> {
+                            if (commitResult.isApplied()) {
+                                jobEventListeners
+                                        .eventLog()
+                                        .logJobEvent(
+                                                commitResult.revision(),
+                                                JobEventLog.EventType.ACCEPTED,
                                                 spec.id(),
                                                 spec.team());
-                                TaskTraces.Traced task =
-                                        companion == null
+                                TaskTracer.TracedTask task =
+                                        secondaryRecord == null
                                                 ? null
-                                                : companion.traced(spec.id(), spec.team());
+                                                : secondaryRecord.tracedTask(
+                                                        spec.id(), spec.team());
                                 if (task != null) {
-                                    observers.traces().accepted(task, now, loop.wallMillis());
+                                    jobEventListeners
+                                            .tracer()
+                                            .onTaskAccepted(task, now, loop.wallClockMillis());
                                 }
                                 return CompletableFuture.completedFuture(
                                         new Accepted(
@@ -244,27 +256,31 @@
         return cancel(id, loop.now());
     }
 
-    private CompletableFuture<Optional<JobState>> cancel(JobId id, Moment begun) {
+    private CompletableFuture<Optional<JobState>> cancel(JobId id, MonotonicTime begun) {
         return find(id).thenCompose(
                         found -> {
                             if (found.isEmpty()
                                     || found.get().ended()
-                                    || Records.isCancelled(found.get().record())) {
+                                    || RecordCodec.isCancelled(found.get().record())) {
                                 return CompletableFuture.completedFuture(
                                         found.map(record -> state(id, record)));
                             }
                             Transaction cancel =
                                     new Transaction()
-                                            .guard(Records.job(id), found.get().version())
+                                            .requireRevision(
+                                                    RecordCodec.job(id), found.get().version())
                                             .put(
-                                                    Records.job(id),
-                                                    Records.cancelled(found.get().record()));
+                                                    RecordCodec.job(id),
+                                                    RecordCodec.withCancellation(
+                                                            found.get().record()));
                             return withCompanion(cancel, found.get().record())
                                     .thenCompose(whole -> commit(whole, begun))
                                     .thenCompose(
-                                            commit -> {
-                                                if (!commit.applied()) {
-                                                    if (loop.now().since(begun).compareTo(PATIENCE)
+                                            commitResult -> {
+                                                if (!commitResult.isApplied()) {
+                                                    if (loop.now()
+                                                                    .elapsedSince(begun)
+                                                                    .compareTo(PATIENCE)
                                                             > 0) {
                                                         return CompletableFuture.failedFuture(
                                                                 new TryLater(
@@ -273,13 +289,13 @@
                                                     return cancel(id, begun);
                                                 }
                                                 LOG.info("cancelled {} for its user", id);
-                                                observers
-                                                        .order()
-                                                        .job(
-                                                                commit.revision(),
-                                                                OrderLog.What.CANCELLED,
+                                                jobEventListeners
+                                                        .eventLog()
+                                                        .logJobEvent(
+                                                                commitResult.revision(),
+                                                                JobEventLog.EventType.CANCELLED,
                                                                 id,
-                                                                Records.teamOf(
+                                                                RecordCodec.teamOf(
                                                                         found.get().record()));
                                                 return CompletableFuture.completedFuture(
                                                         Optional.of(
@@ -298,42 +314,48 @@
      */
     private CompletableFuture<Transaction> withCompanion(
             Transaction cancel, Map<String, Object> jobRecord) {
-        String key = Records.companionKey(jobRecord);
+        String key = RecordCodec.secondaryRecordKey(jobRecord);
         if (key == null) {
             return CompletableFuture.completedFuture(cancel);
         }
-        return store.get(key, Urgency.USER)
+        return store.get(key, RequestPriority.USER)
                 .thenApply(
                         entry ->
                                 entry.map(
                                                 found ->
-                                                        cancel.guard(key, found.version())
+                                                        cancel.requireRevision(
+                                                                        key, found.revision())
                                                                 .put(
                                                                         key,
-                                                                        Companion.canceling(
-                                                                                found.value())))
+                                                                        SecondaryRecord
+                                                                                .withCancellationRequested(
+                                                                                        found
+                                                                                                .value())))
                                         .orElse(cancel));
     }
 
     /**
      * A transaction that may have been applied unanswered is guarded, so it can be sent once more.
      */
-    private CompletableFuture<StateStore.Commit> commit(Transaction transaction, Moment begun) {
-        return store.commit(transaction, Urgency.USER)
+    private CompletableFuture<KeyValueStore.CommitResult> commit(
+            Transaction transaction, MonotonicTime begun) {
+        return store.commit(transaction, RequestPriority.USER)
                 .handle(
-                        (commit, failure) -> {
+                        (commitResult, failure) -> {
                             if (failure == null) {
-                                return CompletableFuture.completedFuture(commit);
+                                return CompletableFuture.completedFuture(commitResult);
                             }
-                            if (StateException.of(failure) == Outcome.INVALID
-                                    || store.seemsOut()
-                                            && StateException.of(failure) == Outcome.REFUSED
-                                    || loop.now().since(begun).compareTo(PATIENCE) > 0) {
-                                return CompletableFuture.<StateStore.Commit>failedFuture(
+                            if (KeyValueStoreException.outcomeOf(failure) == Outcome.INVALID_REQUEST
+                                    || store.seemsUnavailable()
+                                            && KeyValueStoreException.outcomeOf(failure)
+                                                    == Outcome.REJECTED
+                                    || loop.now().elapsedSince(begun).compareTo(PATIENCE) > 0) {
+                                return CompletableFuture.<KeyValueStore.CommitResult>failedFuture(
                                         new TryLater("the state service gave no answer"));
                             }
-                            CompletableFuture<StateStore.Commit> again = new CompletableFuture<>();
-                            loop.after(
+                            CompletableFuture<KeyValueStore.CommitResult> again =
+                                    new CompletableFuture<>();
+                            loop.schedule(
                                     RETRY,
                                     () ->
                                             commit(transaction, begun)
@@ -357,40 +379,40 @@
      */
     private CompletableFuture<Optional<Found>> find(JobId id) {
         LiveJobs.Mark sent = live.mark();
-        return store.get(Records.job(id), Urgency.USER)
+        return store.get(RecordCodec.job(id), RequestPriority.USER)
                 .thenCompose(
                         found -> {
                             if (found.isPresent()) {
-                                StateStore.Entry entry = found.get();
+                                KeyValueStore.Entry entry = found.get();
                                 live.read(
                                         id,
-                                        entry.version(),
-                                        Records.isCancelled(entry.value()),
+                                        entry.revision(),
+                                        RecordCodec.isCancelled(entry.value()),
                                         sent);
                                 return CompletableFuture.completedFuture(
                                         Optional.of(
-                                                new Found(entry.value(), entry.version(), false)));
+                                                new Found(entry.value(), entry.revision(), false)));
                             }
                             return findEnded(id);
                         });
     }
 
     private CompletableFuture<Optional<Found>> findEnded(JobId id) {
-        return store.get(Records.ended(id), Urgency.USER)
+        return store.get(RecordCodec.ended(id), RequestPriority.USER)
                 .thenApply(
                         ended ->
                                 ended.map(
-                                        entry -> new Found(entry.value(), entry.version(), true)));
+                                        entry -> new Found(entry.value(), entry.revision(), true)));
     }
 
     private JobState state(JobId id, Found found) {
-        boolean cancelled = Records.isCancelled(found.record());
+        boolean cancelled = RecordCodec.isCancelled(found.record());
         if (found.ended()) {
             JobState state =
                     new JobState(
                             id,
                             cancelled ? Phase.CANCELLED : Phase.DONE,
-                            Records.doneOf(found.record()),
+                            RecordCodec.completedTaskCountOf(found.record()),
                             0);
             synchronized (over) {
                 over.put(id, state);
@@ -422,26 +444,29 @@
             return "there is no team " + spec.team();
         }
         Resources atOnce =
-                spec.kind() == Kind.ARRAY ? spec.perTask() : spec.perTask().times(spec.tasks());
+                spec.kind() == JobKind.ARRAY
+                        ? spec.resourcesPerTask()
+                        : spec.resourcesPerTask().times(spec.taskCount());
         if (team.most().cpu() > 0 && atOnce.cpu() > team.most().cpu()
                 || team.most().gpu() > 0 && atOnce.gpu() > team.most().gpu()) {
             return "the job needs more than the limit of team " + spec.team();
         }
         Set<String> zones = new HashSet<>();
-        for (MachineType type : catalog.types()) {
-            if (spec.allowsType(type.name()) && spec.perTask().fitsIn(type.room())) {
+        for (MachineType type : machineTypeCatalog.types()) {
+            if (spec.allowsMachineType(type.name())
+                    && spec.resourcesPerTask().fitsIn(type.capacity())) {
                 type.zones().stream().filter(spec::allowsZone).forEach(zones::add);
             }
         }
         if (zones.isEmpty()) {
-            return spec.zone() == null || platform.zones().contains(spec.zone())
+            return spec.requiredZone() == null || platform.zones().contains(spec.requiredZone())
                     ? "a task fits no machine type that the job allows"
-                    : "there is no zone " + spec.zone();
+                    : "there is no zone " + spec.requiredZone();
         }
         // All of a gang's tasks run at the same time; an array's or a service's may run half by
         // half.
-        boolean inOneZone = spec.oneZone() || zones.size() == 1;
-        return spec.kind() == Kind.GANG && inOneZone && spec.tasks() > spec.mostPerZone()
+        boolean inOneZone = spec.requiresSingleZone() || zones.size() == 1;
+        return spec.kind() == JobKind.GANG && inOneZone && spec.taskCount() > spec.maxTasksPerZone()
                 ? "its tasks run together, may only be in one zone, and only half of them may be in one"
                 : null;
     }
--- a/src/main/java/org/meadowhollow/coordination/admission/LiveJobs.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/LiveJobs.java
@@ -7,15 +7,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import org.meadowhollow.bookkeeping.EventLoop;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Records;
-import org.meadowhollow.bookkeeping.StateException;
-import org.meadowhollow.bookkeeping.StateException.Outcome;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.StateStore.Urgency;
-import org.meadowhollow.bookkeeping.Version;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.KeyValueStore.RequestPriority;
+import org.meadowhollow.storage.KeyValueStoreException;
+import org.meadowhollow.storage.KeyValueStoreException.Outcome;
+import org.meadowhollow.storage.RecordCodec;
 
 /**
  * What this node has seen of live jobs, by which it answers users who ask again and again. What is
@@ -65,7 +65,7 @@
         MOVED
     }
 
-    private record Known(Sight sight, Version version) {}
+    private record Known(Sight sight, Revision version) {}
 
     private record Asker(CompletableFuture<Void> answer) {}
 
@@ -74,12 +74,12 @@
      */
     record Mark(int epoch, long dropped) {}
 
-    private final StateStore store;
+    private final KeyValueStore store;
     private final EventLoop loop;
     private final Map<JobId, Known> known = new LinkedHashMap<>();
     private List<Asker> asking = new ArrayList<>();
-    private Version reached;
-    private Moment lookedAt;
+    private Revision reached;
+    private MonotonicTime lookedAt;
     private int looks;
     private boolean lookSet;
     private int epoch;
@@ -89,9 +89,9 @@
     private int failures;
 
     /** Until when jobs are read instead of followed, or null. */
-    private Moment readUntil;
+    private MonotonicTime readUntil;
 
-    LiveJobs(StateStore store, EventLoop loop) {
+    LiveJobs(KeyValueStore store, EventLoop loop) {
         this.store = store;
         this.loop = loop;
     }
@@ -117,7 +117,7 @@
             }
             asking.add(asker);
         }
-        loop.after(
+        loop.schedule(
                 PATIENCE,
                 () ->
                         asker.answer()
@@ -133,7 +133,9 @@
         boolean begin;
         Mark mark;
         synchronized (this) {
-            if (reached != null && looks == 0 && loop.now().since(lookedAt).compareTo(IDLE) > 0) {
+            if (reached != null
+                    && looks == 0
+                    && loop.now().elapsedSince(lookedAt).compareTo(IDLE) > 0) {
                 forget();
             }
             begin = reached == null && isFollowed();
@@ -149,9 +151,9 @@
      * Keeps what a read found, unless changes that were taken in since may have been forgotten
      * again.
      */
-    synchronized void read(JobId id, Version version, boolean cancelled, Mark sent) {
+    synchronized void read(JobId id, Revision revision, boolean cancelled, Mark sent) {
         if (reached != null && isFollowed() && sent.epoch() == epoch && sent.dropped() == dropped) {
-            keep(id, new Known(cancelled ? Sight.CANCELLED : Sight.LIVE, version));
+            keep(id, new Known(cancelled ? Sight.CANCELLED : Sight.LIVE, revision));
         }
     }
 
@@ -175,8 +177,8 @@
      * they are served by reads for a time.
      */
     private void failed(Outcome outcome) {
-        failures += outcome == Outcome.UNKNOWN ? 1 : 0;
-        if (outcome == Outcome.TOO_OLD || failures >= MOST_FAILURES) {
+        failures += outcome == Outcome.INDETERMINATE ? 1 : 0;
+        if (outcome == Outcome.COMPACTED || failures >= MOST_FAILURES) {
             readUntil = failures >= MOST_FAILURES ? loop.now().plus(IDLE) : readUntil;
             failures = 0;
             forget();
@@ -199,14 +201,14 @@
             if (looks >= MOST_LOOKS || lookSet || reached == null && looks > 0) {
                 return;
             }
-            Duration since = lookedAt == null ? PACE : loop.now().since(lookedAt);
+            Duration since = lookedAt == null ? PACE : loop.now().elapsedSince(lookedAt);
             pause = since.compareTo(PACE) >= 0 ? Duration.ZERO : PACE.minus(since);
             lookSet = !pause.isZero();
         }
         if (pause.isZero()) {
             look();
         } else {
-            loop.after(
+            loop.schedule(
                     pause,
                     () -> {
                         synchronized (this) {
@@ -219,7 +221,7 @@
 
     private void look() {
         List<Asker> served;
-        Version from;
+        Revision from;
         int begun;
         synchronized (this) {
             looks++;
@@ -231,25 +233,29 @@
         }
         if (from == null) {
             // Where to follow from; whoever asks is served by reads until then.
-            store.list(Records.LEADER, null, 1, Urgency.USER)
+            store.list(RecordCodec.LEADER_KEY, null, 1, RequestPriority.USER)
                     .whenComplete(
                             (page, failure) ->
                                     looked(
                                             served,
                                             begun,
                                             failure == null
-                                                    ? new StateStore.Changes(
+                                                    ? new KeyValueStore.ChangeBatch(
                                                             page.revision(), List.of())
                                                     : null,
                                             failure));
         } else {
-            store.watch(Records.JOBS, from, Duration.ZERO)
-                    .whenComplete((changes, failure) -> looked(served, begun, changes, failure));
+            store.watch(RecordCodec.JOB_PREFIX, from, Duration.ZERO)
+                    .whenComplete(
+                            (changeBatch, failure) -> looked(served, begun, changeBatch, failure));
         }
     }
 
     private void looked(
-            List<Asker> served, int begun, StateStore.Changes changes, Throwable failure) {
+            List<Asker> served,
+            int begun,
+            KeyValueStore.ChangeBatch changeBatch,
+            Throwable failure) {
         boolean more;
         boolean current;
         synchronized (this) {
@@ -259,23 +265,23 @@
                 failures = 0;
                 // A look that was sent before may be answered after it, when what it shows may have
                 // been let go again.
-                if (reached == null || changes.revision().isAfter(reached)) {
-                    for (StateStore.Change change : changes.changes()) {
+                if (reached == null || changeBatch.revision().isAfter(reached)) {
+                    for (KeyValueStore.Change change : changeBatch.changes()) {
                         keep(
-                                Records.jobOfKey(change.key()),
+                                RecordCodec.jobIdOfKey(change.key()),
                                 new Known(
                                         change.value() == null
                                                 ? Sight.MOVED
-                                                : Records.isCancelled(change.value())
+                                                : RecordCodec.isCancelled(change.value())
                                                         ? Sight.CANCELLED
                                                         : Sight.LIVE,
-                                        change.version()));
+                                        change.revision()));
                     }
-                    reached = changes.revision();
+                    reached = changeBatch.revision();
                 }
             } else {
                 if (failure != null && current) {
-                    failed(StateException.of(failure));
+                    failed(KeyValueStoreException.outcomeOf(failure));
                 }
                 served.stream().filter(asker -> !asker.answer().isDone()).forEach(asking::add);
             }
--- a/src/main/java/org/meadowhollow/coordination/calendar/Admittance.java
+++ b/src/main/java/org/meadowhollow/coordination/calendar/Admittance.java
@@ -8,13 +8,13 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
-import org.meadowhollow.bookkeeping.MachineType;
-import org.meadowhollow.bookkeeping.Resources;
-import org.meadowhollow.bookkeeping.calendar.Calendar;
-import org.meadowhollow.bookkeeping.calendar.Occurrence;
-import org.meadowhollow.bookkeeping.calendar.Reservation;
-import org.meadowhollow.bookkeeping.calendar.Schedule;
-import org.meadowhollow.bookkeeping.calendar.Window;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.Resources;
+import org.meadowhollow.model.reservation.MaintenanceWindow;
+import org.meadowhollow.model.reservation.Occurrence;
+import org.meadowhollow.model.reservation.RecurringSchedule;
+import org.meadowhollow.model.reservation.Reservation;
+import org.meadowhollow.storage.CalendarSnapshot;
 
 /**
  * Whether a reservation can be promised, and what a window takes from those that were: pure
@@ -47,33 +47,41 @@
     }
 
     public static Verdict judge(
-            Calendar calendar, Reservation asked, Supply supply, Set<String> zones, long now) {
+            CalendarSnapshot calendarSnapshot,
+            Reservation asked,
+            Supply supply,
+            Set<String> zones,
+            long now) {
         String never = whyNever(asked, supply, zones);
         if (never != null) {
             return new Verdict(never, List.of(), null);
         }
-        List<String> against = against(calendar, asked, supply, now);
+        List<String> against = against(calendarSnapshot, asked, supply, now);
         return new Verdict(
-                null, against, against.isEmpty() ? null : nearest(calendar, asked, supply, now));
+                null,
+                against,
+                against.isEmpty() ? null : nearest(calendarSnapshot, asked, supply, now));
     }
 
     private static String whyNever(Reservation asked, Supply supply, Set<String> zones) {
         if (!supply.limits().containsKey(asked.team())) {
             return "there is no team " + asked.team();
         }
-        if (asked.zone() != null && !zones.contains(asked.zone())) {
-            return "there is no zone " + asked.zone();
+        if (asked.requiredZone() != null && !zones.contains(asked.requiredZone())) {
+            return "there is no zone " + asked.requiredZone();
         }
         Resources limit = supply.limits().get(asked.team());
-        Resources all = asked.perTask().times(asked.tasks());
+        Resources all = asked.resourcesPerTask().times(asked.taskCount());
         if (limit.cpu() > 0 && all.cpu() > limit.cpu()
                 || limit.gpu() > 0 && all.gpu() > limit.gpu()) {
             return "it is more than the limit of team " + asked.team();
         }
         for (MachineType type : supply.types()) {
-            if ((asked.types() == null || asked.types().contains(type.name()))
-                    && asked.perTask().fitsIn(type.room())
-                    && (asked.zone() == null || type.zones().contains(asked.zone()))) {
+            if ((asked.allowedMachineTypes() == null
+                            || asked.allowedMachineTypes().contains(type.name()))
+                    && asked.resourcesPerTask().fitsIn(type.capacity())
+                    && (asked.requiredZone() == null
+                            || type.zones().contains(asked.requiredZone()))) {
                 return null;
             }
         }
@@ -85,8 +93,8 @@
      * changes for them.
      */
     private static List<String> against(
-            Calendar calendar, Reservation asked, Supply supply, long now) {
-        Plan plan = Plan.of(calendar.with(asked), supply, now, now + HORIZON.toMillis());
+            CalendarSnapshot calendarSnapshot, Reservation asked, Supply supply, long now) {
+        Plan plan = Plan.of(calendarSnapshot.with(asked), supply, now, now + HORIZON.toMillis());
         Set<String> all = new LinkedHashSet<>();
         boolean any = false;
         for (Plan.Slot slot : plan.slots()) {
@@ -106,45 +114,47 @@
      * tried.
      */
     private static LocalDateTime nearest(
-            Calendar calendar, Reservation asked, Supply supply, long now) {
+            CalendarSnapshot calendarSnapshot, Reservation asked, Supply supply, long now) {
         List<Occurrence> own =
                 Recurrence.between(asked.schedule(), now, now + HORIZON.toMillis(), 1);
         if (own.isEmpty()) {
             return null;
         }
-        long start = own.get(0).fromMillis();
+        long start = own.get(0).startMillis();
         TreeSet<Long> ends = new TreeSet<>();
         Plan plan =
                 Plan.of(
-                        calendar.withoutReservation(asked.name()),
+                        calendarSnapshot.withoutReservation(asked.name()),
                         supply,
                         now,
                         now + HORIZON.toMillis());
-        plan.outages().forEach(outage -> ends.add(outage.when().untilMillis()));
-        plan.slots().forEach(slot -> ends.add(slot.when().untilMillis()));
+        plan.outages().forEach(outage -> ends.add(outage.when().endMillis()));
+        plan.slots().forEach(slot -> ends.add(slot.when().endMillis()));
         int tried = 0;
         for (long end : ends.tailSet(start, false)) {
             if (tried++ == MOST_STARTS) {
                 return null;
             }
-            Schedule was = asked.schedule();
-            LocalDateTime moved = LocalDateTime.ofInstant(Instant.ofEpochMilli(end), was.zone());
+            RecurringSchedule was = asked.schedule();
+            LocalDateTime moved =
+                    LocalDateTime.ofInstant(Instant.ofEpochMilli(end), was.timeZone());
             Reservation other =
                     new Reservation(
                             asked.name(),
                             asked.team(),
                             asked.priority(),
-                            asked.tasks(),
-                            asked.perTask(),
-                            asked.types(),
-                            asked.zone(),
-                            asked.spot(),
+                            asked.taskCount(),
+                            asked.resourcesPerTask(),
+                            asked.allowedMachineTypes(),
+                            asked.requiredZone(),
+                            asked.allowsSpot(),
                             asked.image(),
-                            asked.imageGb(),
+                            asked.imageSizeGb(),
                             asked.jobClass(),
-                            asked.jobs(),
-                            new Schedule(moved, was.zone(), was.length(), was.rule()));
-            if (against(calendar, other, supply, now).isEmpty()) {
+                            asked.allowedJobs(),
+                            new RecurringSchedule(
+                                    moved, was.timeZone(), was.duration(), was.recurrenceRule()));
+            if (against(calendarSnapshot, other, supply, now).isEmpty()) {
                 return moved;
             }
         }
@@ -156,10 +166,11 @@
      * were met and are short with it, or are met from other machines. A window is never refused for
      * it.
      */
-    public static List<String> taken(Calendar calendar, Window window, Supply supply, long now) {
+    public static List<String> taken(
+            CalendarSnapshot calendarSnapshot, MaintenanceWindow window, Supply supply, long now) {
         long until = now + HORIZON.toMillis();
-        List<Plan.Slot> before = Plan.of(calendar, supply, now, until).slots();
-        List<Plan.Slot> after = Plan.of(calendar.with(window), supply, now, until).slots();
+        List<Plan.Slot> before = Plan.of(calendarSnapshot, supply, now, until).slots();
+        List<Plan.Slot> after = Plan.of(calendarSnapshot.with(window), supply, now, until).slots();
         List<String> told = new ArrayList<>();
         for (int at = 0; at < before.size(); at++) {
             Plan.Slot was = before.get(at);
@@ -167,7 +178,7 @@
             String which =
                     was.reservation().name()
                             + " at "
-                            + Instant.ofEpochMilli(was.when().fromMillis());
+                            + Instant.ofEpochMilli(was.when().startMillis());
             if (was.isMet() && !is.isMet()) {
                 told.add(which + " is short: " + String.join("; ", is.against()));
             } else if (!was.machines().equals(is.machines())) {
--- a/src/main/java/org/meadowhollow/coordination/calendar/CalendarDesk.java
+++ b/src/main/java/org/meadowhollow/coordination/calendar/CalendarDesk.java
@@ -9,22 +9,22 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
-import org.meadowhollow.bookkeeping.Catalog;
-import org.meadowhollow.bookkeeping.EventLoop;
-import org.meadowhollow.bookkeeping.MachineType;
-import org.meadowhollow.bookkeeping.Resources;
-import org.meadowhollow.bookkeeping.StateException;
-import org.meadowhollow.bookkeeping.StateException.Outcome;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.StateStore.Urgency;
-import org.meadowhollow.bookkeeping.Transaction;
-import org.meadowhollow.bookkeeping.Version;
-import org.meadowhollow.bookkeeping.calendar.Calendar;
-import org.meadowhollow.bookkeeping.calendar.CalendarRecords;
-import org.meadowhollow.bookkeeping.calendar.Reservation;
-import org.meadowhollow.bookkeeping.calendar.Window;
 import org.meadowhollow.coordination.admission.Admission;
 import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.MachineTypeCatalog;
+import org.meadowhollow.model.Resources;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.model.reservation.MaintenanceWindow;
+import org.meadowhollow.model.reservation.Reservation;
+import org.meadowhollow.storage.CalendarRecordCodec;
+import org.meadowhollow.storage.CalendarSnapshot;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.KeyValueStore.RequestPriority;
+import org.meadowhollow.storage.KeyValueStoreException;
+import org.meadowhollow.storage.KeyValueStoreException.Outcome;
+import org.meadowhollow.storage.Transaction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -49,7 +49,7 @@
      * @param version of the entry as it is now
      * @param notes what it does to others, for the operator to read
      */
-    public record Done(Result result, Version version, List<String> notes) {}
+    public record Done(Result result, Revision version, List<String> notes) {}
 
     /** The request is not carried out; the text says why. */
     public static final class Refused extends RuntimeException {
@@ -77,13 +77,13 @@
     private record Change(
             String key,
             Map<String, Object> value,
-            Version was,
+            Revision was,
             Result result,
             List<String> notes) {}
 
-    private final StateStore store;
+    private final KeyValueStore store;
     private final EventLoop loop;
-    private final Catalog catalog;
+    private final MachineTypeCatalog machineTypeCatalog;
     private final Platform platform;
     private final Map<String, Integer> most;
 
@@ -91,61 +91,67 @@
      * @param most machines that the operators will have at a time, as in {@link Supply}
      */
     public CalendarDesk(
-            StateStore store,
+            KeyValueStore store,
             EventLoop loop,
-            Catalog catalog,
+            MachineTypeCatalog machineTypeCatalog,
             Platform platform,
             Map<String, Integer> most) {
         this.store = store;
         this.loop = loop;
-        this.catalog = catalog;
+        this.machineTypeCatalog = machineTypeCatalog;
         this.platform = platform;
         this.most = Map.copyOf(most);
     }
 
-    public static Supply supply(Catalog catalog, Platform platform, Map<String, Integer> most) {
+    public static Supply supply(
+            MachineTypeCatalog machineTypeCatalog, Platform platform, Map<String, Integer> most) {
         Map<String, Resources> limits = new HashMap<>();
         platform.teams().values().forEach(team -> limits.put(team.name(), team.most()));
         List<MachineType> types = new ArrayList<>();
-        catalog.types().forEach(types::add);
+        machineTypeCatalog.types().forEach(types::add);
         return new Supply(types, limits, most);
     }
 
     /** Fails with {@link Admission.TryLater} while the machine types are not known. */
     private Supply supply() {
-        if (catalog.isEmpty()) {
+        if (machineTypeCatalog.isEmpty()) {
             throw new Admission.TryLater("the machine types are not known yet");
         }
-        return supply(catalog, platform, most);
+        return supply(machineTypeCatalog, platform, most);
     }
 
     /** The calendar, whose stamp is no newer than anything else in it. */
-    public CompletableFuture<Calendar> read() {
+    public CompletableFuture<CalendarSnapshot> read() {
         // The stamp first: read with the rest, it could be newer than an entry before it, and a
         // change that was decided
         // from the old entry would be applied.
-        return store.get(CalendarRecords.STAMP, Urgency.USER)
+        return store.get(CalendarRecordCodec.REVISION_KEY, RequestPriority.USER)
                 .thenCompose(
                         stamp ->
                                 page(null, new ArrayList<>())
                                         .thenApply(
                                                 entries -> {
-                                                    Calendar calendar = Calendar.of(entries);
-                                                    return new Calendar(
-                                                            calendar.reservations(),
-                                                            calendar.windows(),
-                                                            stamp.map(StateStore.Entry::version)
-                                                                    .orElse(Version.ABSENT));
+                                                    CalendarSnapshot calendarSnapshot =
+                                                            CalendarSnapshot.fromRecords(entries);
+                                                    return new CalendarSnapshot(
+                                                            calendarSnapshot.reservations(),
+                                                            calendarSnapshot.windows(),
+                                                            stamp.map(KeyValueStore.Entry::revision)
+                                                                    .orElse(Revision.ABSENT));
                                                 }));
     }
 
-    private CompletableFuture<List<StateStore.Entry>> page(
-            String after, List<StateStore.Entry> all) {
-        return store.list(CalendarRecords.PREFIX, after, StateStore.MOST_LISTED, Urgency.USER)
+    private CompletableFuture<List<KeyValueStore.Entry>> page(
+            String after, List<KeyValueStore.Entry> all) {
+        return store.list(
+                        CalendarRecordCodec.CALENDAR_PREFIX,
+                        after,
+                        KeyValueStore.MAX_PAGE_SIZE,
+                        RequestPriority.USER)
                 .thenCompose(
                         page -> {
                             all.addAll(page.entries());
-                            return page.more()
+                            return page.hasMore()
                                     ? page(page.entries().get(page.entries().size() - 1).key(), all)
                                     : CompletableFuture.completedFuture(all);
                         });
@@ -154,32 +160,33 @@
     /** The plan of some time ahead. */
     public CompletableFuture<Plan> plan(Duration ahead) {
         return read().thenApply(
-                        calendar ->
+                        calendarSnapshot ->
                                 Plan.of(
-                                        calendar,
+                                        calendarSnapshot,
                                         supply(),
-                                        loop.wallMillis(),
-                                        loop.wallMillis() + ahead.toMillis()));
+                                        loop.wallClockMillis(),
+                                        loop.wallClockMillis() + ahead.toMillis()));
     }
 
     /**
      * @param expected the version that is to be changed, or null for a new reservation
      */
-    public CompletableFuture<Done> reserve(Reservation asked, Version expected) {
+    public CompletableFuture<Done> reserve(Reservation asked, Revision expected) {
         return change(
-                calendar -> {
-                    Optional<Calendar.Held<Reservation>> held = calendar.reservation(asked.name());
-                    if (held.isPresent() && held.get().what().equals(asked)) {
+                calendarSnapshot -> {
+                    Optional<CalendarSnapshot.CalendarEntry<Reservation>> held =
+                            calendarSnapshot.findReservation(asked.name());
+                    if (held.isPresent() && held.get().item().equals(asked)) {
                         return same(held.get());
                     }
-                    check(calendar, held, expected);
+                    check(calendarSnapshot, held, expected);
                     Admittance.Verdict verdict =
                             Admittance.judge(
-                                    calendar,
+                                    calendarSnapshot,
                                     asked,
                                     supply(),
                                     Set.copyOf(platform.zones()),
-                                    loop.wallMillis());
+                                    loop.wallClockMillis());
                     if (verdict.never() != null) {
                         throw new Refused(Refused.Why.NEVER, verdict.never());
                     }
@@ -193,8 +200,8 @@
                                                         + verdict.nearest()));
                     }
                     return new Change(
-                            CalendarRecords.reservation(asked.name()),
-                            CalendarRecords.encode(asked, next(calendar)),
+                            CalendarRecordCodec.reservation(asked.name()),
+                            CalendarRecordCodec.encode(asked, next(calendarSnapshot)),
                             versionOf(held),
                             result(held),
                             List.of());
@@ -204,23 +211,25 @@
     /**
      * @param expected the version that is to be changed, or null for a new window
      */
-    public CompletableFuture<Done> declare(Window asked, Version expected) {
+    public CompletableFuture<Done> declare(MaintenanceWindow asked, Revision expected) {
         return change(
-                calendar -> {
-                    Optional<Calendar.Held<Window>> held = calendar.window(asked.name());
-                    if (held.isPresent() && held.get().what().equals(asked)) {
+                calendarSnapshot -> {
+                    Optional<CalendarSnapshot.CalendarEntry<MaintenanceWindow>> held =
+                            calendarSnapshot.findWindow(asked.name());
+                    if (held.isPresent() && held.get().item().equals(asked)) {
                         return same(held.get());
                     }
-                    check(calendar, held, expected);
-                    if (asked.scope() == Window.Scope.ZONE
+                    check(calendarSnapshot, held, expected);
+                    if (asked.scope() == MaintenanceWindow.Scope.ZONE
                             && !platform.zones().containsAll(asked.targets())) {
                         throw new Refused(Refused.Why.NEVER, "there is no such zone");
                     }
                     List<String> notes =
-                            Admittance.taken(calendar, asked, supply(), loop.wallMillis());
+                            Admittance.taken(
+                                    calendarSnapshot, asked, supply(), loop.wallClockMillis());
                     return new Change(
-                            CalendarRecords.window(asked.name()),
-                            CalendarRecords.encode(asked, next(calendar)),
+                            CalendarRecordCodec.window(asked.name()),
+                            CalendarRecordCodec.encode(asked, next(calendarSnapshot)),
                             versionOf(held),
                             result(held),
                             notes);
@@ -232,97 +241,103 @@
      *
      * @param expected the version that is to go, or null for any
      */
-    public CompletableFuture<Done> withdraw(String name, boolean window, Version expected) {
+    public CompletableFuture<Done> withdraw(String name, boolean window, Revision expected) {
         return change(
-                calendar -> {
-                    Optional<? extends Calendar.Held<?>> held =
-                            window ? calendar.window(name) : calendar.reservation(name);
+                calendarSnapshot -> {
+                    Optional<? extends CalendarSnapshot.CalendarEntry<?>> held =
+                            window
+                                    ? calendarSnapshot.findWindow(name)
+                                    : calendarSnapshot.findReservation(name);
                     if (held.isEmpty()) {
-                        return new Change(null, null, Version.ABSENT, Result.SAME, List.of());
+                        return new Change(null, null, Revision.ABSENT, Result.SAME, List.of());
                     }
-                    if (expected != null && !expected.equals(held.get().version())) {
-                        throw conflict(held.get().version());
+                    if (expected != null && !expected.equals(held.get().revision())) {
+                        throw conflict(held.get().revision());
                     }
                     return new Change(
                             window
-                                    ? CalendarRecords.window(name)
-                                    : CalendarRecords.reservation(name),
+                                    ? CalendarRecordCodec.window(name)
+                                    : CalendarRecordCodec.reservation(name),
                             null,
-                            held.get().version(),
+                            held.get().revision(),
                             Result.CHANGED,
                             List.of());
                 });
     }
 
-    private static Change same(Calendar.Held<?> held) {
-        return new Change(null, null, held.version(), Result.SAME, List.of());
+    private static Change same(CalendarSnapshot.CalendarEntry<?> calendarEntry) {
+        return new Change(null, null, calendarEntry.revision(), Result.SAME, List.of());
     }
 
-    private static Refused conflict(Version is) {
+    private static Refused conflict(Revision is) {
         return new Refused(Refused.Why.CONFLICT, "its version is " + is.value() + " by now");
     }
 
     private static <T> void check(
-            Calendar calendar, Optional<Calendar.Held<T>> held, Version expected) {
-        if (held.isPresent() && !held.get().version().equals(expected)) {
-            throw conflict(held.get().version());
+            CalendarSnapshot calendarSnapshot,
+            Optional<CalendarSnapshot.CalendarEntry<T>> held,
+            Revision expected) {
+        if (held.isPresent() && !held.get().revision().equals(expected)) {
+            throw conflict(held.get().revision());
         }
         if (held.isEmpty() && expected != null) {
             throw new Refused(Refused.Why.ABSENT, "there is none to change");
         }
-        if (held.isEmpty() && calendar.size() >= Admittance.MOST_ENTRIES) {
+        if (held.isEmpty() && calendarSnapshot.size() >= Admittance.MOST_ENTRIES) {
             throw new Refused(
                     Refused.Why.FULL,
                     "there are " + Admittance.MOST_ENTRIES + " entries; withdraw some");
         }
     }
 
-    private static <T> Version versionOf(Optional<Calendar.Held<T>> held) {
-        return held.map(Calendar.Held::version).orElse(Version.ABSENT);
+    private static <T> Revision versionOf(Optional<CalendarSnapshot.CalendarEntry<T>> held) {
+        return held.map(CalendarSnapshot.CalendarEntry::revision).orElse(Revision.ABSENT);
     }
 
-    private static <T> Result result(Optional<Calendar.Held<T>> held) {
+    private static <T> Result result(Optional<CalendarSnapshot.CalendarEntry<T>> held) {
         return held.isPresent() ? Result.CHANGED : Result.CREATED;
     }
 
     /** Who comes later is later: the last of the orders, and one more. */
-    private static long next(Calendar calendar) {
+    private static long next(CalendarSnapshot calendarSnapshot) {
         long last = 0;
-        for (Calendar.Held<?> held : calendar.reservations()) {
-            last = Math.max(last, held.order());
+        for (CalendarSnapshot.CalendarEntry<?> calendarEntry : calendarSnapshot.reservations()) {
+            last = Math.max(last, calendarEntry.acceptanceOrder());
         }
-        for (Calendar.Held<?> held : calendar.windows()) {
-            last = Math.max(last, held.order());
+        for (CalendarSnapshot.CalendarEntry<?> calendarEntry : calendarSnapshot.windows()) {
+            last = Math.max(last, calendarEntry.acceptanceOrder());
         }
         return last + 1;
     }
 
-    private CompletableFuture<Done> change(Function<Calendar, Change> decide) {
+    private CompletableFuture<Done> change(Function<CalendarSnapshot, Change> decide) {
         return attempt(decide, 1);
     }
 
-    private CompletableFuture<Done> attempt(Function<Calendar, Change> decide, int tries) {
+    private CompletableFuture<Done> attempt(Function<CalendarSnapshot, Change> decide, int tries) {
         return read().thenCompose(
-                        calendar -> {
-                            Change change = decide.apply(calendar);
+                        calendarSnapshot -> {
+                            Change change = decide.apply(calendarSnapshot);
                             if (change.key() == null) {
                                 return CompletableFuture.completedFuture(
                                         new Done(change.result(), change.was(), change.notes()));
                             }
                             Transaction transaction =
                                     new Transaction()
-                                            .guard(CalendarRecords.STAMP, calendar.stamp())
-                                            .guard(change.key(), change.was())
-                                            .put(CalendarRecords.STAMP, Map.of());
+                                            .requireRevision(
+                                                    CalendarRecordCodec.REVISION_KEY,
+                                                    calendarSnapshot.revision())
+                                            .requireRevision(change.key(), change.was())
+                                            .put(CalendarRecordCodec.REVISION_KEY, Map.of());
                             if (change.value() == null) {
                                 transaction.delete(change.key());
                             } else {
                                 transaction.put(change.key(), change.value());
                             }
-                            return store.commit(transaction, Urgency.USER)
+                            return store.commit(transaction, RequestPriority.USER)
                                     .handle(
-                                            (commit, failure) -> {
-                                                if (failure == null && commit.applied()) {
+                                            (commitResult, failure) -> {
+                                                if (failure == null && commitResult.isApplied()) {
                                                     LOG.info(
                                                             "the calendar's {} is {}; {}",
                                                             change.key(),
@@ -333,15 +348,17 @@
                                                     return CompletableFuture.completedFuture(
                                                             new Done(
                                                                     change.result(),
-                                                                    commit.revision(),
+                                                                    commitResult.revision(),
                                                                     change.notes()));
                                                 }
                                                 // Not applied, or not known: what is there by now
                                                 // decides, and the guards keep a late one out.
                                                 if (tries == MOST_TRIES
                                                         || failure != null
-                                                                && StateException.of(failure)
-                                                                        == Outcome.INVALID) {
+                                                                && KeyValueStoreException.outcomeOf(
+                                                                                failure)
+                                                                        == Outcome
+                                                                                .INVALID_REQUEST) {
                                                     return CompletableFuture.<Done>failedFuture(
                                                             new Admission.TryLater(
                                                                     "the calendar keeps changing, or"
@@ -349,7 +366,7 @@
                                                 }
                                                 CompletableFuture<Done> later =
                                                         new CompletableFuture<>();
-                                                loop.after(
+                                                loop.schedule(
                                                         RETRY,
                                                         () ->
                                                                 attempt(decide, tries + 1)
--- a/src/main/java/org/meadowhollow/coordination/calendar/Diary.java
+++ b/src/main/java/org/meadowhollow/coordination/calendar/Diary.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
-import org.meadowhollow.bookkeeping.EventLoop;
-import org.meadowhollow.bookkeeping.StateException;
-import org.meadowhollow.bookkeeping.StateException.Outcome;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.StateStore.Urgency;
-import org.meadowhollow.bookkeeping.Version;
-import org.meadowhollow.bookkeeping.calendar.Calendar;
-import org.meadowhollow.bookkeeping.calendar.CalendarRecords;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.CalendarRecordCodec;
+import org.meadowhollow.storage.CalendarSnapshot;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.KeyValueStore.RequestPriority;
+import org.meadowhollow.storage.KeyValueStoreException;
+import org.meadowhollow.storage.KeyValueStoreException.Outcome;
 
 /**
  * A leader's view of the calendar: read once, then followed by what changes, and the plan made from
@@ -32,10 +32,10 @@
     private static final Duration AHEAD = Duration.ofHours(6);
     private static final Duration REPLAN = Duration.ofHours(1);
 
-    private final StateStore store;
+    private final KeyValueStore store;
     private final EventLoop loop;
     private final BooleanSupplier over;
-    private final Map<String, StateStore.Entry> entries = new TreeMap<>();
+    private final Map<String, KeyValueStore.Entry> entries = new TreeMap<>();
     private boolean known;
     private Plan plan;
     private long plannedAt;
@@ -43,7 +43,7 @@
     /**
      * @param over whether the leadership is, and with it the need to follow
      */
-    public Diary(StateStore store, EventLoop loop, BooleanSupplier over) {
+    public Diary(KeyValueStore store, EventLoop loop, BooleanSupplier over) {
         this.store = store;
         this.loop = loop;
         this.over = over;
@@ -53,20 +53,24 @@
         read(null, null, new ArrayList<>());
     }
 
-    private void read(String after, Version first, List<StateStore.Entry> all) {
+    private void read(String after, Revision first, List<KeyValueStore.Entry> all) {
         if (over.getAsBoolean()) {
             return;
         }
-        store.list(CalendarRecords.PREFIX, after, StateStore.MOST_LISTED, Urgency.PLACEMENT)
+        store.list(
+                        CalendarRecordCodec.CALENDAR_PREFIX,
+                        after,
+                        KeyValueStore.MAX_PAGE_SIZE,
+                        RequestPriority.PLACEMENT)
                 .whenComplete(
                         (page, failure) -> {
                             if (failure != null) {
-                                loop.after(RETRY, this::start);
+                                loop.schedule(RETRY, this::start);
                                 return;
                             }
                             all.addAll(page.entries());
-                            Version from = first == null ? page.revision() : first;
-                            if (page.more()) {
+                            Revision from = first == null ? page.revision() : first;
+                            if (page.hasMore()) {
                                 read(
                                         page.entries().get(page.entries().size() - 1).key(),
                                         from,
@@ -78,38 +82,39 @@
                         });
     }
 
-    private synchronized void take(List<StateStore.Entry> all) {
+    private synchronized void take(List<KeyValueStore.Entry> all) {
         entries.clear();
         all.forEach(entry -> entries.put(entry.key(), entry));
         known = true;
         plan = null;
     }
 
-    private void watch(Version after) {
+    private void watch(Revision after) {
         if (over.getAsBoolean()) {
             return;
         }
-        store.watch(CalendarRecords.PREFIX, after, WATCH)
+        store.watch(CalendarRecordCodec.CALENDAR_PREFIX, after, WATCH)
                 .whenComplete(
-                        (changes, failure) -> {
+                        (changeBatch, failure) -> {
                             if (failure == null) {
-                                take(changes);
-                                watch(changes.revision());
+                                take(changeBatch);
+                                watch(changeBatch.revision());
                             } else {
-                                loop.after(
+                                loop.schedule(
                                         RETRY,
-                                        StateException.of(failure) == Outcome.TOO_OLD
+                                        KeyValueStoreException.outcomeOf(failure)
+                                                        == Outcome.COMPACTED
                                                 ? this::start
                                                 : () -> watch(after));
                             }
                         });
     }
 
-    private synchronized void take(StateStore.Changes changes) {
-        for (StateStore.Change change : changes.changes()) {
-            StateStore.Entry was = entries.get(change.key());
+    private synchronized void take(KeyValueStore.ChangeBatch changeBatch) {
+        for (KeyValueStore.Change change : changeBatch.changes()) {
+            KeyValueStore.Entry was = entries.get(change.key());
             // Pages that were read after the first one may hold later changes already.
-            if (was != null && !change.version().isAfter(was.version())) {
+            if (was != null && !change.revision().isAfter(was.revision())) {
                 continue;
             }
             if (change.value() == null) {
@@ -117,7 +122,7 @@
             } else {
                 entries.put(
                         change.key(),
-                        new StateStore.Entry(change.key(), change.value(), change.version()));
+                        new KeyValueStore.Entry(change.key(), change.value(), change.revision()));
             }
             plan = null;
         }
@@ -137,7 +142,7 @@
         if (plan == null || Math.abs(wallMillis - plannedAt) > REPLAN.toMillis()) {
             plan =
                     Plan.of(
-                            Calendar.of(List.copyOf(entries.values())),
+                            CalendarSnapshot.fromRecords(List.copyOf(entries.values())),
                             supply,
                             wallMillis - BACK.toMillis(),
                             wallMillis + AHEAD.toMillis());
--- a/src/main/java/org/meadowhollow/coordination/calendar/Estimates.java
+++ b/src/main/java/org/meadowhollow/coordination/calendar/Estimates.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import org.meadowhollow.bookkeeping.JobSpec;
+import org.meadowhollow.model.JobSpec;
 
 /**
  * How much longer tasks run than their owners say, by class of jobs: the ratio that nine of ten
@@ -45,12 +45,12 @@
      * @param ranS how long it ran, without its image's fetch
      */
     public void ran(JobSpec spec, double ranS) {
-        if (spec.estimateS() <= 0) {
+        if (spec.estimatedRuntimeSeconds() <= 0) {
             return;
         }
         ArrayDeque<Double> kept =
                 ratios.computeIfAbsent(spec.jobClass(), unused -> new ArrayDeque<>());
-        kept.add(ranS / spec.estimateS());
+        kept.add(ranS / spec.estimatedRuntimeSeconds());
         if (kept.size() > MOST_KEPT) {
             kept.poll();
         }
@@ -77,12 +77,13 @@
      * The same for a task that nobody may stop: one of ten that takes longer would be one too many.
      */
     double surelyS(JobSpec spec) {
-        return (spec.estimateS() > 0 ? spec.estimateS() : UNKNOWN_S)
+        return (spec.estimatedRuntimeSeconds() > 0 ? spec.estimatedRuntimeSeconds() : UNKNOWN_S)
                 * Math.max(UNKNOWN_MARGIN, margin(spec.jobClass()));
     }
 
     /** How long a task of a job that ends by itself is expected to run at most, in seconds. */
     public double upperS(JobSpec spec) {
-        return (spec.estimateS() > 0 ? spec.estimateS() : UNKNOWN_S) * margin(spec.jobClass());
+        return (spec.estimatedRuntimeSeconds() > 0 ? spec.estimatedRuntimeSeconds() : UNKNOWN_S)
+                * margin(spec.jobClass());
     }
 }
