--- a/src/main/java/org/meadowhollow/coordination/calendar/Outlook.java
+++ b/src/main/java/org/meadowhollow/coordination/calendar/Outlook.java
@@ -10,14 +10,14 @@
 import java.util.Set;
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Machine;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Placement;
-import org.meadowhollow.bookkeeping.Resources;
-import org.meadowhollow.bookkeeping.calendar.Reservation;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Placement;
+import org.meadowhollow.model.Resources;
+import org.meadowhollow.model.reservation.Reservation;
 
 /**
  * What the plan means for one round: which machines are kept for whom, which are out and when, who
@@ -67,7 +67,7 @@
     public record Missing(Reservation reservation, int tasks, String zone) {}
 
     /** The clocks of a round, and how far the time of day may be off. */
-    public record Clocks(Moment now, long wallMillis, long skewMillis) {
+    public record Clocks(MonotonicTime now, long wallMillis, long skewMillis) {
         /** Until a time of day that may come early by the clocks' difference. */
         double untilS(long millis) {
             return (millis - wallMillis - skewMillis) / 1000.0;
@@ -115,7 +115,7 @@
 
     /** Whether a job's reserved time is now, with room left in it. */
     public boolean isDue(JobSpec spec) {
-        return due.stream().anyMatch(reservation -> reservation.serves(spec));
+        return due.stream().anyMatch(reservation -> reservation.admits(spec));
     }
 
     /** Whether machines of a type in a zone are out, or soon will be, so that none is rented. */
@@ -168,13 +168,14 @@
 
     private void addOutages(Plan plan, Collection<Machine> machines, Supply supply, Clocks clocks) {
         for (Plan.Outage outage : plan.outages()) {
-            if (clocks.isPast(outage.when().untilMillis())) {
+            if (clocks.isPast(outage.when().endMillis())) {
                 continue;
             }
-            double inS = clocks.untilS(outage.when().fromMillis());
-            double noticeS = outage.window().notice().toMillis() / 1000.0;
+            double inS = clocks.untilS(outage.when().startMillis());
+            double noticeS = outage.window().serviceEvictionLead().toMillis() / 1000.0;
             for (Machine machine : machines) {
-                if (outage.window().covers(machine.id(), machine.type().name(), machine.zone())) {
+                if (outage.window()
+                        .coversMachine(machine.id(), machine.type().name(), machine.zone())) {
                     SeatLimit limit = limitOf(machine);
                     if (inS < limit.freeForS()) {
                         limit.out(inS, noticeS);
@@ -190,7 +191,8 @@
                                                 .forEach(
                                                         zone -> {
                                                             if (outage.window()
-                                                                    .coversAll(type.name(), zone)) {
+                                                                    .coversAllOfType(
+                                                                            type.name(), zone)) {
                                                                 out.add(type.name() + '/' + zone);
                                                             }
                                                         }));
@@ -202,13 +204,13 @@
         String why = "window " + outage.window().name() + " takes its machine";
         for (Placement placement : machine.placements()) {
             JobSpec spec = placement.job().spec();
-            boolean stays = spec.kind() == Kind.SERVICE;
+            boolean stays = spec.kind() == JobKind.SERVICE;
             // A service leaves when its notice begins. All others are told, though most of them
             // will be done by then:
             // one that is not, against all estimates, must have been told in time as well.
-            double latestInS = inS - spec.saveS() - STOP_MARGIN_S;
+            double latestInS = inS - spec.checkpointDurationSeconds() - STOP_MARGIN_S;
             double stopInS = stays ? inS - noticeS : latestInS;
-            if (!placement.stopping() && stopInS < WARN_S) {
+            if (!placement.isStopping() && stopInS < WARN_S) {
                 spills.add(new Spill(placement, Math.min(stopInS, latestInS), latestInS, why));
             }
         }
@@ -220,11 +222,11 @@
      */
     private double leftS(Placement placement, Reservation reservation, Clocks clocks) {
         JobSpec spec = placement.job().spec();
-        if (spec.kind() == Kind.SERVICE) {
+        if (spec.kind() == JobKind.SERVICE) {
             return Double.POSITIVE_INFINITY;
         }
         double wholeS =
-                reservation.mayStop(spec) ? estimates.upperS(spec) : estimates.surelyS(spec);
+                reservation.mayPreempt(spec) ? estimates.upperS(spec) : estimates.surelyS(spec);
         double ranS =
                 placement.runningSince() == null
                         ? 0
@@ -244,13 +246,13 @@
             Clocks clocks,
             Set<Placement> counted) {
         Reservation reservation = slot.reservation();
-        double inS = clocks.untilS(slot.when().fromMillis());
-        if (inS > HOLD_AHEAD_S || clocks.isPast(slot.when().untilMillis())) {
+        double inS = clocks.untilS(slot.when().startMillis());
+        if (inS > HOLD_AHEAD_S || clocks.isPast(slot.when().endMillis())) {
             return;
         }
         int left = slot.tasks() - used(reservation, slot.tasks(), machines, counted);
         boolean wanted =
-                left < slot.tasks() || waiting.keySet().stream().anyMatch(reservation::serves);
+                left < slot.tasks() || waiting.keySet().stream().anyMatch(reservation::admits);
         if (inS < -GIVE_BACK_S && !wanted) {
             unused.add(reservation.name());
             return;
@@ -261,14 +263,14 @@
         List<Machine> usable = new ArrayList<>();
         for (Machine machine : machines) {
             if (can.test(machine)
-                    && reservation.allows(machine.type().name(), machine.zone())
-                    && (reservation.spot() || !machine.spot())
+                    && reservation.allowsMachine(machine.type().name(), machine.zone())
+                    && (reservation.allowsSpot() || !machine.isSpot())
                     && plan.outages().stream()
                             .noneMatch(
                                     outage ->
                                             outage.when().overlaps(slot.when())
                                                     && outage.window()
-                                                            .covers(
+                                                            .coversMachine(
                                                                     machine.id(),
                                                                     machine.type().name(),
                                                                     machine.zone()))) {
@@ -279,7 +281,7 @@
         // is not to be had.
         usable.sort(
                 Comparator.<Machine, Boolean>comparing(
-                                machine -> !machine.images().has(reservation.image()))
+                                machine -> !machine.imageCache().contains(reservation.image()))
                         .thenComparing(
                                 machine -> !slot.takes(machine.type().name(), machine.zone()))
                         .thenComparing(machine -> machine.placements().size())
@@ -294,11 +296,13 @@
         }
         // What waits for the slot already is rented for by itself.
         for (Map.Entry<JobSpec, Integer> job : waiting.entrySet()) {
-            left -= reservation.serves(job.getKey()) ? job.getValue() : 0;
+            left -= reservation.admits(job.getKey()) ? job.getValue() : 0;
         }
         if (left > 0
-                && inS < readyS.applyAsDouble(reservation.asJob()) * BOOT_MARGIN + RENT_MARGIN_S) {
-            missing.add(new Missing(reservation, left, reservation.zone()));
+                && inS
+                        < readyS.applyAsDouble(reservation.toPlaceholderJobSpec()) * BOOT_MARGIN
+                                + RENT_MARGIN_S) {
+            missing.add(new Missing(reservation, left, reservation.requiredZone()));
         }
     }
 
@@ -312,7 +316,7 @@
         for (Machine machine : machines) {
             for (Placement placement : machine.placements()) {
                 if (used < most
-                        && reservation.serves(placement.job().spec())
+                        && reservation.admits(placement.job().spec())
                         && counted.add(placement)) {
                     used++;
                 }
@@ -327,18 +331,22 @@
         Resources coming = Resources.NONE;
         List<Placement> ending = new ArrayList<>();
         for (Placement placement : machine.placements()) {
-            if (placement.stopping() || leftS(placement, reservation, clocks) <= inS) {
-                coming = coming.plus(placement.job().spec().perTask());
+            if (placement.isStopping() || leftS(placement, reservation, clocks) <= inS) {
+                coming = coming.plus(placement.job().spec().resourcesPerTask());
                 ending.add(placement);
             }
         }
         Resources held =
                 limits.containsKey(machine.id()) ? limits.get(machine.id()).held() : Resources.NONE;
-        int tasks = reservation.perTask().countIn(machine.free().plus(coming).minus(held), most);
+        int tasks =
+                reservation
+                        .resourcesPerTask()
+                        .maxCopiesIn(machine.freeCapacity().plus(coming).minus(held), most);
         if (tasks > 0) {
             limitOf(machine).hold(reservation, inS, tasks, coming);
             if (inS < WARN_S
-                    && !held.plus(reservation.perTask().times(tasks)).fitsIn(machine.free())) {
+                    && !held.plus(reservation.resourcesPerTask().times(tasks))
+                            .fitsIn(machine.freeCapacity())) {
                 // They are counted on to be done by then; one that is not, against all estimates,
                 // has to go.
                 ending.stream()
@@ -350,11 +358,11 @@
     }
 
     private static boolean mayStop(Placement placement, Reservation reservation) {
-        return reservation.mayStop(placement.job().spec()) && !placement.stopping();
+        return reservation.mayPreempt(placement.job().spec()) && !placement.isStopping();
     }
 
     private void spill(Placement placement, Reservation reservation, double inS) {
-        double latestInS = inS - placement.job().spec().saveS() - STOP_MARGIN_S;
+        double latestInS = inS - placement.job().spec().checkpointDurationSeconds() - STOP_MARGIN_S;
         spills.add(
                 new Spill(
                         placement,
@@ -367,7 +375,7 @@
     private int holdByStopping(Machine machine, Reservation reservation, double inS, int most) {
         Resources held =
                 limits.containsKey(machine.id()) ? limits.get(machine.id()).held() : Resources.NONE;
-        Resources room = machine.free().minus(held);
+        Resources room = machine.freeCapacity().minus(held);
         List<Placement> stopped = new ArrayList<>();
         Resources coming = Resources.NONE;
         int tasks = 0;
@@ -377,10 +385,10 @@
                 break;
             }
             if (mayStop(placement, reservation)) {
-                room = room.plus(spec.perTask());
-                coming = coming.plus(spec.perTask());
+                room = room.plus(spec.resourcesPerTask());
+                coming = coming.plus(spec.resourcesPerTask());
                 stopped.add(placement);
-                tasks = reservation.perTask().countIn(room, most);
+                tasks = reservation.resourcesPerTask().maxCopiesIn(room, most);
             }
         }
         if (tasks > 0) {
--- a/src/main/java/org/meadowhollow/coordination/calendar/Plan.java
+++ b/src/main/java/org/meadowhollow/coordination/calendar/Plan.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.meadowhollow.bookkeeping.MachineType;
-import org.meadowhollow.bookkeeping.Resources;
-import org.meadowhollow.bookkeeping.calendar.Calendar;
-import org.meadowhollow.bookkeeping.calendar.Occurrence;
-import org.meadowhollow.bookkeeping.calendar.Reservation;
-import org.meadowhollow.bookkeeping.calendar.Window;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.Resources;
+import org.meadowhollow.model.reservation.MaintenanceWindow;
+import org.meadowhollow.model.reservation.Occurrence;
+import org.meadowhollow.model.reservation.Reservation;
+import org.meadowhollow.storage.CalendarSnapshot;
 
 /**
  * Who has what when: a pure function of the calendar, of what there is and of a span of time, so
@@ -25,7 +25,7 @@
     static final int MOST_EACH = 64;
 
     /** A window's time. */
-    public record Outage(Window window, Occurrence when) {}
+    public record Outage(MaintenanceWindow window, Occurrence when) {}
 
     /**
      * A reservation's time.
@@ -41,7 +41,7 @@
             int tasks,
             List<String> against) {
         public boolean isMet() {
-            return tasks >= reservation.tasks();
+            return tasks >= reservation.taskCount();
         }
 
         /** Whether the slot has machines of a type in a zone. */
@@ -59,14 +59,14 @@
 
         void add(Occurrence when, String holder, long amount) {
             Use use = new Use(when, holder, amount);
-            for (long day = when.fromMillis() / DAY; day <= (when.untilMillis() - 1) / DAY; day++) {
+            for (long day = when.startMillis() / DAY; day <= (when.endMillis() - 1) / DAY; day++) {
                 days.computeIfAbsent(day, unused -> new ArrayList<>()).add(use);
             }
         }
 
         List<Use> during(Occurrence when) {
             List<Use> all = new ArrayList<>();
-            for (long day = when.fromMillis() / DAY; day <= (when.untilMillis() - 1) / DAY; day++) {
+            for (long day = when.startMillis() / DAY; day <= (when.endMillis() - 1) / DAY; day++) {
                 for (Use use : days.getOrDefault(day, List.of())) {
                     if (use.when().overlaps(when) && !all.contains(use)) {
                         all.add(use);
@@ -83,11 +83,11 @@
             List<Use> uses = during(when);
             long peak = 0;
             for (Use at : uses) {
-                long moment = Math.max(at.when().fromMillis(), when.fromMillis());
+                long moment = Math.max(at.when().startMillis(), when.startMillis());
                 long sum = 0;
                 for (Use use : uses) {
                     sum +=
-                            use.when().fromMillis() <= moment && moment < use.when().untilMillis()
+                            use.when().startMillis() <= moment && moment < use.when().endMillis()
                                     ? use.amount()
                                     : 0;
                 }
@@ -115,29 +115,32 @@
         return slots;
     }
 
-    public static Plan of(Calendar calendar, Supply supply, long fromMillis, long untilMillis) {
+    public static Plan of(
+            CalendarSnapshot calendarSnapshot, Supply supply, long fromMillis, long untilMillis) {
         List<Outage> outages = new ArrayList<>();
-        for (Calendar.Held<Window> held : calendar.windows()) {
+        for (CalendarSnapshot.CalendarEntry<MaintenanceWindow> calendarEntry :
+                calendarSnapshot.windows()) {
             for (Occurrence when :
                     Recurrence.between(
-                            held.what().schedule(), fromMillis, untilMillis, MOST_EACH)) {
-                outages.add(new Outage(held.what(), when));
+                            calendarEntry.item().schedule(), fromMillis, untilMillis, MOST_EACH)) {
+                outages.add(new Outage(calendarEntry.item(), when));
             }
         }
         outages.sort(
-                Comparator.<Outage>comparingLong(outage -> outage.when().fromMillis())
+                Comparator.<Outage>comparingLong(outage -> outage.when().startMillis())
                         .thenComparing(outage -> outage.window().name()));
         Making making = new Making(supply, outages);
         List<Slot> slots = new ArrayList<>();
-        for (Calendar.Held<Reservation> held : calendar.reservations()) {
+        for (CalendarSnapshot.CalendarEntry<Reservation> calendarEntry :
+                calendarSnapshot.reservations()) {
             for (Occurrence when :
                     Recurrence.between(
-                            held.what().schedule(), fromMillis, untilMillis, MOST_EACH)) {
-                slots.add(making.slot(held.what(), when));
+                            calendarEntry.item().schedule(), fromMillis, untilMillis, MOST_EACH)) {
+                slots.add(making.slot(calendarEntry.item(), when));
             }
         }
         slots.sort(
-                Comparator.<Slot>comparingLong(slot -> slot.when().fromMillis())
+                Comparator.<Slot>comparingLong(slot -> slot.when().startMillis())
                         .thenComparing(slot -> slot.reservation().name()));
         return new Plan(List.copyOf(outages), List.copyOf(slots));
     }
@@ -157,47 +160,61 @@
 
         Slot slot(Reservation reservation, Occurrence when) {
             List<String> against = new ArrayList<>();
-            int most = Math.min(reservation.tasks(), withinLimit(reservation, when, against));
+            int most = Math.min(reservation.taskCount(), withinLimit(reservation, when, against));
             Map<String, Integer> taken = new LinkedHashMap<>();
             int tasks = 0;
             for (MachineType type : byPrice(reservation)) {
                 for (String zone : type.zones()) {
                     if (tasks < most
-                            && (reservation.zone() == null || reservation.zone().equals(zone))) {
+                            && (reservation.requiredZone() == null
+                                    || reservation.requiredZone().equals(zone))) {
                         tasks += take(reservation, when, type, zone, most - tasks, taken, against);
                     }
                 }
             }
             if (tasks > 0) {
                 track(cpus, reservation.team())
-                        .add(when, reservation.name(), reservation.perTask().times(tasks).cpu());
+                        .add(
+                                when,
+                                reservation.name(),
+                                reservation.resourcesPerTask().times(tasks).cpu());
                 track(gpus, reservation.team())
-                        .add(when, reservation.name(), reservation.perTask().times(tasks).gpu());
+                        .add(
+                                when,
+                                reservation.name(),
+                                reservation.resourcesPerTask().times(tasks).gpu());
             }
             return new Slot(
                     reservation,
                     when,
                     taken,
                     tasks,
-                    tasks < reservation.tasks() ? against.stream().distinct().toList() : List.of());
+                    tasks < reservation.taskCount()
+                            ? against.stream().distinct().toList()
+                            : List.of());
         }
 
         private List<MachineType> byPrice(Reservation reservation) {
             return supply.types().stream()
                     .filter(
                             type ->
-                                    (reservation.types() == null
-                                                    || reservation.types().contains(type.name()))
-                                            && reservation.perTask().fitsIn(type.room()))
+                                    (reservation.allowedMachineTypes() == null
+                                                    || reservation
+                                                            .allowedMachineTypes()
+                                                            .contains(type.name()))
+                                            && reservation
+                                                    .resourcesPerTask()
+                                                    .fitsIn(type.capacity()))
                     .sorted(
                             Comparator.comparingDouble(
                                             (MachineType type) ->
-                                                    type.price()
+                                                    type.hourlyPrice()
                                                             / reservation
-                                                                    .perTask()
-                                                                    .countIn(
-                                                                            type.room(),
-                                                                            reservation.tasks()))
+                                                                    .resourcesPerTask()
+                                                                    .maxCopiesIn(
+                                                                            type.capacity(),
+                                                                            reservation
+                                                                                    .taskCount()))
                                     .thenComparing(MachineType::name))
                     .toList();
         }
@@ -213,8 +230,8 @@
                                     ? Long.MAX_VALUE
                                     : limit.gpu() - track(gpus, reservation.team()).peak(when),
                             Long.MAX_VALUE);
-            int most = reservation.perTask().countIn(left, reservation.tasks());
-            if (most < reservation.tasks()) {
+            int most = reservation.resourcesPerTask().maxCopiesIn(left, reservation.taskCount());
+            if (most < reservation.taskCount()) {
                 against.add(
                         "the limit of team "
                                 + reservation.team()
@@ -238,7 +255,8 @@
                 Map<String, Integer> taken,
                 List<String> against) {
             for (Outage outage : outages) {
-                if (outage.when().overlaps(when) && outage.window().coversAll(type.name(), zone)) {
+                if (outage.when().overlaps(when)
+                        && outage.window().coversAllOfType(type.name(), zone)) {
                     against.add(
                             "window "
                                     + outage.window().name()
@@ -249,7 +267,7 @@
                     return 0;
                 }
             }
-            int each = reservation.perTask().countIn(type.room(), tasks);
+            int each = reservation.resourcesPerTask().maxCopiesIn(type.capacity(), tasks);
             int wanted = (tasks + each - 1) / each;
             String pair = type.name() + '/' + zone;
             int most = supply.mostOf(type.name(), zone);
--- a/src/main/java/org/meadowhollow/coordination/calendar/Recurrence.java
+++ b/src/main/java/org/meadowhollow/coordination/calendar/Recurrence.java
@@ -12,8 +12,8 @@
 import org.dmfs.rfc5545.recur.InvalidRecurrenceRuleException;
 import org.dmfs.rfc5545.recur.RecurrenceRule;
 import org.dmfs.rfc5545.recur.RecurrenceRuleIterator;
-import org.meadowhollow.bookkeeping.calendar.Occurrence;
-import org.meadowhollow.bookkeeping.calendar.Schedule;
+import org.meadowhollow.model.reservation.Occurrence;
+import org.meadowhollow.model.reservation.RecurringSchedule;
 
 /**
  * The times of a schedule. The rule is followed on the clocks of its place; what those clocks say
@@ -47,16 +47,16 @@
      *
      * @throws Unusable naming what is wrong with it
      */
-    public static void check(Schedule schedule) throws Unusable {
-        if (schedule.rule() == null) {
+    public static void check(RecurringSchedule schedule) throws Unusable {
+        if (schedule.recurrenceRule() == null) {
             return;
         }
-        RecurrenceRule rule = parse(schedule.rule());
+        RecurrenceRule rule = parse(schedule.recurrenceRule());
         if (!FREQUENCIES.contains(rule.getFreq())) {
             throw new Unusable("rule repeats more often than daily");
         }
         try {
-            rule.iterator(floating(schedule.start()));
+            rule.iterator(floating(schedule.firstStart()));
         } catch (IllegalArgumentException wrong) {
             throw new Unusable("rule does not go with its start: " + wrong.getMessage());
         }
@@ -96,20 +96,20 @@
      * @param schedule that was checked
      */
     public static List<Occurrence> between(
-            Schedule schedule, long fromMillis, long untilMillis, int most) {
+            RecurringSchedule schedule, long fromMillis, long untilMillis, int most) {
         List<Occurrence> found = new ArrayList<>();
-        if (schedule.rule() == null) {
-            add(found, schedule, schedule.start(), fromMillis, untilMillis);
+        if (schedule.recurrenceRule() == null) {
+            add(found, schedule, schedule.firstStart(), fromMillis, untilMillis);
             return found;
         }
         try {
             RecurrenceRuleIterator times =
-                    parse(schedule.rule()).iterator(floating(schedule.start()));
+                    parse(schedule.recurrenceRule()).iterator(floating(schedule.firstStart()));
             LocalDateTime early =
                     LocalDateTime.ofInstant(
-                            Instant.ofEpochMilli(fromMillis).minus(schedule.length()).minus(DAY),
-                            schedule.zone());
-            if (early.isAfter(schedule.start())) {
+                            Instant.ofEpochMilli(fromMillis).minus(schedule.duration()).minus(DAY),
+                            schedule.timeZone());
+            if (early.isAfter(schedule.firstStart())) {
                 times.fastForward(floating(early));
             }
             for (int step = 0;
@@ -128,14 +128,18 @@
         return found;
     }
 
-    private static long startOf(Schedule schedule, LocalDateTime local) {
-        return ZonedDateTime.of(local, schedule.zone()).toInstant().toEpochMilli();
+    private static long startOf(RecurringSchedule schedule, LocalDateTime local) {
+        return ZonedDateTime.of(local, schedule.timeZone()).toInstant().toEpochMilli();
     }
 
     private static void add(
-            List<Occurrence> found, Schedule schedule, LocalDateTime local, long from, long until) {
+            List<Occurrence> found,
+            RecurringSchedule schedule,
+            LocalDateTime local,
+            long from,
+            long until) {
         long start = startOf(schedule, local);
-        long end = start + schedule.length().toMillis();
+        long end = start + schedule.duration().toMillis();
         if (start < until && end > from) {
             found.add(new Occurrence(start, end));
         }
--- a/src/main/java/org/meadowhollow/coordination/calendar/SeatLimit.java
+++ b/src/main/java/org/meadowhollow/coordination/calendar/SeatLimit.java
@@ -2,10 +2,10 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Resources;
-import org.meadowhollow.bookkeeping.calendar.Reservation;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Resources;
+import org.meadowhollow.model.reservation.Reservation;
 
 /**
  * What the calendar says of one machine in one round: until when it can be used, and what room is
@@ -25,7 +25,7 @@
         }
 
         Resources room() {
-            return reservation.perTask().times(tasks);
+            return reservation.resourcesPerTask().times(tasks);
         }
     }
 
@@ -80,7 +80,7 @@
      * @param fetchS until its image is here
      */
     public boolean allows(JobSpec spec, double fetchS, Resources free) {
-        boolean stays = spec.kind() == Kind.SERVICE;
+        boolean stays = spec.kind() == JobKind.SERVICE;
         double lastsS = stays ? Double.POSITIVE_INFINITY : fetchS + estimates.upperS(spec);
         if (stays ? freeForS <= noticeS + fetchS : lastsS > freeForS) {
             return false;
@@ -88,14 +88,14 @@
         Resources kept = Resources.NONE;
         for (Hold hold : holds) {
             double untilS =
-                    stays || hold.reservation.mayStop(spec)
+                    stays || hold.reservation.mayPreempt(spec)
                             ? lastsS
                             : fetchS + estimates.surelyS(spec);
-            if (untilS > hold.startsInS && !hold.reservation.serves(spec)) {
+            if (untilS > hold.startsInS && !hold.reservation.admits(spec)) {
                 kept = kept.plus(hold.room());
             }
         }
-        return spec.perTask().fitsIn(free.minus(beyond(kept, comes)));
+        return spec.resourcesPerTask().fitsIn(free.minus(beyond(kept, comes)));
     }
 
     private static Resources beyond(Resources kept, Resources coming) {
@@ -117,7 +117,7 @@
 
     private void change(JobSpec spec, int by) {
         for (Hold hold : holds) {
-            if (hold.reservation.serves(spec) && hold.tasks + by >= 0) {
+            if (hold.reservation.admits(spec) && hold.tasks + by >= 0) {
                 hold.tasks += by;
                 return;
             }
--- a/src/main/java/org/meadowhollow/coordination/calendar/Supply.java
+++ b/src/main/java/org/meadowhollow/coordination/calendar/Supply.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.Map;
-import org.meadowhollow.bookkeeping.MachineType;
-import org.meadowhollow.bookkeeping.Resources;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.Resources;
 
 /**
  * What there is to reserve from.
--- a/src/main/java/org/meadowhollow/coordination/fleet/Awaited.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/Awaited.java
@@ -6,9 +6,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.MachineType;
-import org.meadowhollow.bookkeeping.Moment;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.MonotonicTime;
 
 /**
  * Machines that are rented and not up yet. New machines may come up late or never, so one is
@@ -53,11 +53,12 @@
         private final MachineType type;
         private final String zone;
         private final boolean spot;
-        private final Moment sentAt;
+        private final MonotonicTime sentAt;
         private final int tries;
         private boolean replaced;
 
-        private Rental(MachineType type, String zone, boolean spot, Moment sentAt, int tries) {
+        private Rental(
+                MachineType type, String zone, boolean spot, MonotonicTime sentAt, int tries) {
             this.type = type;
             this.zone = zone;
             this.spot = spot;
@@ -78,8 +79,8 @@
         }
 
         /** Seconds until it should be up; 0 if it should be by now. */
-        double readyInS(Moment now) {
-            return Math.max(0, type.bootS() - now.secondsSince(sentAt));
+        double readyInS(MonotonicTime now) {
+            return Math.max(0, type.bootSeconds() - now.secondsSince(sentAt));
         }
     }
 
@@ -92,8 +93,8 @@
             MachineType type,
             String zone,
             boolean spot,
-            Moment sentAt,
-            Moment now) {
+            MonotonicTime sentAt,
+            MonotonicTime now) {
         List<Rental> overdue =
                 rentals.values().stream()
                         .filter(
@@ -114,12 +115,12 @@
     }
 
     /** Notes a machine that the cloud lists as booting. */
-    void listed(MachineId id, MachineType type, String zone, boolean spot, Moment sentAt) {
+    void listed(MachineId id, MachineType type, String zone, boolean spot, MonotonicTime sentAt) {
         rentals.computeIfAbsent(id, unused -> new Rental(type, zone, spot, sentAt, 1));
     }
 
     /** Notes that a machine has come up. */
-    void cameUp(MachineId id, Moment now) {
+    void cameUp(MachineId id, MonotonicTime now) {
         Rental rental = rentals.remove(id);
         if (rental != null) {
             ArrayDeque<Double> seen =
@@ -136,33 +137,33 @@
     }
 
     /** Those that tasks may wait for. */
-    List<Rental> counted(Moment now) {
+    List<Rental> counted(MonotonicTime now) {
         return rentals.values().stream()
                 .filter(each -> !isOverdue(each, now) || each.tries >= MOST_TRIES)
                 .toList();
     }
 
     /** Those that are given up. */
-    List<MachineId> givenUp(Moment now) {
+    List<MachineId> givenUp(MonotonicTime now) {
         List<MachineId> ids = new ArrayList<>();
         rentals.forEach(
                 (id, each) -> {
                     double patience = each.replaced ? REPLACED_PATIENCE : PATIENCE;
                     if (now.secondsSince(each.sentAt)
-                            > Math.max(usualS(each.type), each.type.bootS() * patience)) {
+                            > Math.max(usualS(each.type), each.type.bootSeconds() * patience)) {
                         ids.add(id);
                     }
                 });
         return ids;
     }
 
-    private boolean isOverdue(Rental rental, Moment now) {
+    private boolean isOverdue(Rental rental, MonotonicTime now) {
         return now.secondsSince(rental.sentAt) > usualS(rental.type);
     }
 
     /** How long a boot of a type is awaited. */
     private double usualS(MachineType type) {
-        double usualS = type.bootS() * USUALLY;
+        double usualS = type.bootSeconds() * USUALLY;
         ArrayDeque<Double> seen = boots.get(type.name());
         if (seen == null || seen.size() < LEAST_BOOTS) {
             return usualS;
@@ -173,6 +174,6 @@
                         .skip((long) (seen.size() * NEARLY_ALL))
                         .findFirst()
                         .orElse(usualS);
-        return Math.max(usualS, Math.min(slowS * SLACK, type.bootS() * PATIENCE));
+        return Math.max(usualS, Math.min(slowS * SLACK, type.bootSeconds() * PATIENCE));
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/FailureDetector.java
@@ -8,10 +8,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.meadowhollow.bookkeeping.EventLoop;
-import org.meadowhollow.bookkeeping.Machine;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Moment;
 import org.meadowhollow.coordination.hearing.Deafness;
 import org.meadowhollow.coordination.hearing.Deafness.Hearing;
 import org.meadowhollow.coordination.leadership.Leadership;
@@ -19,6 +15,10 @@
 import org.meadowhollow.coordination.platform.Peers;
 import org.meadowhollow.coordination.platform.Platform;
 import org.meadowhollow.coordination.platform.Testimony;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -77,18 +77,18 @@
     private final EventLoop loop;
     private final Peers peers;
     private final Leadership leadership;
-    private final Moment begunAt;
-    private final Map<MachineId, Moment> askedAt = new HashMap<>();
-    private final Map<MachineId, Moment> unheardAt = new HashMap<>();
-    private final Map<MachineId, Moment> elsewhereAt = new HashMap<>();
-    private Moment lastListAt;
+    private final MonotonicTime begunAt;
+    private final Map<MachineId, MonotonicTime> askedAt = new HashMap<>();
+    private final Map<MachineId, MonotonicTime> unheardAt = new HashMap<>();
+    private final Map<MachineId, MonotonicTime> elsewhereAt = new HashMap<>();
+    private MonotonicTime lastListAt;
     private Hearing hearing = Hearing.GOOD;
-    private Moment deafSince;
+    private MonotonicTime deafSince;
     private Question question;
     private boolean asking;
     private int answeredAbout;
     private List<Testimony> answers = List.of();
-    private Moment answersAt;
+    private MonotonicTime answersAt;
 
     public FailureDetector(
             TermHolder leader,
@@ -97,7 +97,7 @@
             EventLoop loop,
             Peers peers,
             Leadership leadership,
-            Moment begunAt) {
+            MonotonicTime begunAt) {
         this.leader = leader;
         this.cluster = cluster;
         this.platform = platform;
@@ -112,10 +112,10 @@
     }
 
     /** One look at all machines. What follows from it is done by {@link #act}. */
-    public void round(Moment now) {
+    public void round(MonotonicTime now) {
         List<Machine> late = new ArrayList<>();
         int known = cluster.unseen().size();
-        boolean allDue = now.since(begunAt).compareTo(reportDue().plus(NO_ANSWER)) > 0;
+        boolean allDue = now.elapsedSince(begunAt).compareTo(reportDue().plus(NO_ANSWER)) > 0;
         int lateCount = allDue ? cluster.unseen().size() : 0;
         for (Machine machine : cluster.machines().values()) {
             if (machine.releasing()) {
@@ -139,7 +139,7 @@
         question = ask(late, now);
     }
 
-    private void note(Hearing heard, int known, int late, Moment now) {
+    private void note(Hearing heard, int known, int late, MonotonicTime now) {
         if (heard != hearing) {
             LOG.info(
                     "{} of {} machines are late with their reports: hearing is {}",
@@ -164,25 +164,26 @@
      * Whether a machine's report is overdue; what it answers directly shows that it lives, and
      * renews no lease.
      */
-    public boolean isLate(Machine machine, Moment now) {
-        Moment last =
-                machine.answeredAt() == null
+    public boolean isLate(Machine machine, MonotonicTime now) {
+        MonotonicTime last =
+                machine.lastAnsweredHeartbeatAt() == null
                         ? machine.knownSince().plus(NO_ANSWER)
-                        : machine.answeredAt();
-        return now.since(last).compareTo(reportDue()) > 0;
+                        : machine.lastAnsweredHeartbeatAt();
+        return now.elapsedSince(last).compareTo(reportDue()) > 0;
     }
 
     /**
      * How long nothing at all was heard of a machine, in seconds; so long as this process may have
      * stood still itself.
      */
-    double silentS(Machine machine, Moment now) {
-        Moment last = machine.heardAt() == null ? machine.knownSince() : machine.heardAt();
+    double silentS(Machine machine, MonotonicTime now) {
+        MonotonicTime last =
+                machine.lastContactAt() == null ? machine.knownSince() : machine.lastContactAt();
         return now.secondsSince(last);
     }
 
     /** The cloud has given a list. */
-    public void listed(Moment now) {
+    public void listed(MonotonicTime now) {
         lastListAt = now;
     }
 
@@ -193,10 +194,11 @@
      * long gone, the first that a new leader heard, had it give its lease up as deaf.
      */
     boolean isUnlisted(Machine machine) {
-        Moment shownAt = machine.listedAt() == null ? machine.knownSince() : machine.listedAt();
+        MonotonicTime shownAt =
+                machine.lastListedAt() == null ? machine.knownSince() : machine.lastListedAt();
         return lastListAt != null
                 && lastListAt
-                                .since(shownAt)
+                                .elapsedSince(shownAt)
                                 .compareTo(platform.listLag().multipliedBy(LISTS_LATE_BY))
                         > 0;
     }
@@ -204,7 +206,7 @@
     /**
      * The longest silent go first: those may be returned next, and what others say of them decides.
      */
-    private Question ask(List<Machine> late, Moment now) {
+    private Question ask(List<Machine> late, MonotonicTime now) {
         if (asking || late.isEmpty()) {
             return null;
         }
@@ -226,8 +228,8 @@
         return new Question(machines);
     }
 
-    private static boolean isOld(Moment at, Moment now) {
-        return at == null || now.since(at).compareTo(ASK_AGAIN) >= 0;
+    private static boolean isOld(MonotonicTime at, MonotonicTime now) {
+        return at == null || now.elapsedSince(at).compareTo(ASK_AGAIN) >= 0;
     }
 
     /**
@@ -241,10 +243,10 @@
             next = question;
             question = null;
             if (deafSince != null && answersAt != null && !answersAt.isBefore(deafSince)) {
-                Moment now = loop.now();
+                MonotonicTime now = loop.now();
                 verdict =
                         Deafness.judge(
-                                now.since(deafSince),
+                                now.elapsedSince(deafSince),
                                 answeredAbout,
                                 answers,
                                 leadership.mayResignAlone(TRY_AGAIN));
@@ -260,7 +262,7 @@
 
     private void answered(Question asked, List<Testimony> given) {
         synchronized (leader) {
-            Moment now = loop.now();
+            MonotonicTime now = loop.now();
             asking = false;
             answers = given;
             answersAt = now;
@@ -287,13 +289,13 @@
      * anybody the leader's own evidence has to do, or a machine would be paid for as long as the
      * other controllers are out of reach.
      */
-    boolean unheardByAll(Machine machine, Moment now) {
-        Moment at = unheardAt.get(machine.id());
-        return at != null && now.since(at).compareTo(ASK_AGAIN.plus(ASK_AGAIN)) <= 0;
+    boolean unheardByAll(Machine machine, MonotonicTime now) {
+        MonotonicTime at = unheardAt.get(machine.id());
+        return at != null && now.elapsedSince(at).compareTo(ASK_AGAIN.plus(ASK_AGAIN)) <= 0;
     }
 
     /** When another controller last heard a machine that is silent here, or null. */
-    Moment elsewhereAt(Machine machine) {
+    MonotonicTime elsewhereAt(Machine machine) {
         return elsewhereAt.get(machine.id());
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/fleet/Fleet.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/Fleet.java
@@ -11,19 +11,19 @@
 import java.util.Set;
 import java.util.concurrent.CompletionException;
 import java.util.function.IntConsumer;
-import org.meadowhollow.bookkeeping.Catalog;
-import org.meadowhollow.bookkeeping.EventLoop;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Machine;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.MachineType;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Resources;
-import org.meadowhollow.bookkeeping.Term;
 import org.meadowhollow.coordination.placement.Turnover;
 import org.meadowhollow.coordination.platform.Cloud;
 import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.MachineTypeCatalog;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Resources;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -77,22 +77,22 @@
     private record Source(String type, String zone, boolean spot) {}
 
     private static final class Pause {
-        private Moment until;
+        private MonotonicTime until;
         private Duration length = FIRST_PAUSE;
     }
 
     private final TermHolder leader;
     private final Cloud cloud;
     private final Platform platform;
-    private final Catalog catalog;
+    private final MachineTypeCatalog machineTypeCatalog;
     private final EventLoop loop;
-    private final Term term;
+    private final FencingToken fencingToken;
     private final GivingUp givingUp;
     private final Awaited awaited = new Awaited();
     private final Map<Source, Pause> pauses = new HashMap<>();
 
     /** Returned machines, for as long as a late list or report may still name them. */
-    private final Map<MachineId, Moment> released = new LinkedHashMap<>();
+    private final Map<MachineId, MonotonicTime> released = new LinkedHashMap<>();
 
     private List<Need> needs = List.of();
     private Set<MachineId> reserved = Set.of();
@@ -105,16 +105,16 @@
             TermHolder leader,
             Cloud cloud,
             Platform platform,
-            Catalog catalog,
+            MachineTypeCatalog machineTypeCatalog,
             EventLoop loop,
-            Term term,
+            FencingToken fencingToken,
             GivingUp givingUp) {
         this.leader = leader;
         this.cloud = cloud;
         this.platform = platform;
-        this.catalog = catalog;
+        this.machineTypeCatalog = machineTypeCatalog;
         this.loop = loop;
-        this.term = term;
+        this.fencingToken = fencingToken;
         this.givingUp = givingUp;
     }
 
@@ -152,7 +152,7 @@
                             if (failure == null) {
                                 listed(list);
                             }
-                            loop.after(next, this::list);
+                            loop.schedule(next, this::list);
                         });
     }
 
@@ -164,7 +164,7 @@
                     continue;
                 }
                 live.add(item);
-                MachineType type = catalog.type(item.type());
+                MachineType type = machineTypeCatalog.typeNamed(item.type());
                 if (type == null) {
                     continue;
                 }
@@ -174,7 +174,7 @@
                             type,
                             item.zone(),
                             item.spot(),
-                            new Moment(loop.now().nanos() - (long) (item.ageS() * 1e9)));
+                            new MonotonicTime(loop.now().nanos() - (long) (item.ageS() * 1e9)));
                 } else if (item.phase() == Cloud.Phase.FAILED) {
                     awaited.forget(item.id());
                 }
@@ -202,10 +202,10 @@
      */
     public void act() {
         List<Machine> machines = leader.machineList();
-        if (!leader.isLoaded() || catalog.isEmpty() || !leader.mayAct()) {
+        if (!leader.isLoaded() || machineTypeCatalog.isEmpty() || !leader.mayAct()) {
             return;
         }
-        Moment now = loop.now();
+        MonotonicTime now = loop.now();
         List<MachineId> unwanted = new ArrayList<>();
         Map<Source, Integer> wanted;
         synchronized (this) {
@@ -213,8 +213,8 @@
                 return;
             }
             for (Machine machine : machines) {
-                if (machine.heardAt() != null) {
-                    awaited.cameUp(machine.id(), machine.heardAt());
+                if (machine.lastContactAt() != null) {
+                    awaited.cameUp(machine.id(), machine.lastContactAt());
                 }
             }
             if (leader.hearsWell()) {
@@ -233,11 +233,11 @@
         release(unwanted, "idle or faulty", returned -> {});
     }
 
-    private boolean unwanted(Machine machine, Moment now) {
+    private boolean unwanted(Machine machine, MonotonicTime now) {
         if (machine.releasing()) {
             return false;
         }
-        if (machine.begunAnew()) {
+        if (machine.isIncarnationReset()) {
             return true;
         }
         // A cancelled task that does not go is made to: the return proves it gone in time for its
@@ -246,20 +246,21 @@
         if (machine.placements().stream()
                 .anyMatch(
                         placement ->
-                                placement.job().cancelled()
-                                        && now.since(placement.job().cancelSeenAt()).compareTo(half)
+                                placement.job().isCancelled()
+                                        && now.elapsedSince(placement.job().cancelObservedAt())
+                                                        .compareTo(half)
                                                 > 0)) {
             return true;
         }
-        if (machine.noticeEndsAt() != null) {
-            return machine.noticeEndsAt().isBefore(now)
-                    && machine.heardAt() != null
-                    && now.secondsSince(machine.heardAt()) > 1;
+        if (machine.preemptionDeadline() != null) {
+            return machine.preemptionDeadline().isBefore(now)
+                    && machine.lastContactAt() != null
+                    && now.secondsSince(machine.lastContactAt()) > 1;
         }
-        if (machine.idleSince() == null || machine.heardAt() == null) {
+        if (machine.idleSince() == null || machine.lastContactAt() == null) {
             return false;
         }
-        return machine.draining()
+        return machine.isUnschedulable()
                 || !reserved.contains(machine.id())
                         && now.secondsSince(machine.idleSince()) > keepS(machine.type());
     }
@@ -270,14 +271,16 @@
      * double.
      */
     private double keepS(MachineType type) {
-        return Math.max(LEAST_KEPT_S, type.bootS() + leader.largestImageGb() / type.fetchGbPerS());
+        return Math.max(
+                LEAST_KEPT_S,
+                type.bootSeconds() + leader.largestImageGb() / type.imagePullGbPerSecond());
     }
 
     /**
      * What to rent: the needs that neither the machines that are booting nor each other's new ones
      * take.
      */
-    private Map<Source, Integer> wanted(List<Machine> machines, Moment now) {
+    private Map<Source, Integer> wanted(List<Machine> machines, MonotonicTime now) {
         record Bin(Source source, Resources[] free, double readyInS) {}
         List<Bin> bins = new ArrayList<>();
         awaited.counted(now)
@@ -289,7 +292,7 @@
                                                         rental.type().name(),
                                                         rental.zone(),
                                                         rental.spot()),
-                                                new Resources[] {rental.type().room()},
+                                                new Resources[] {rental.type().capacity()},
                                                 rental.readyInS(now))));
         Turnover turnover = new Turnover(machines, now);
         Map<String, Integer> perZone = new HashMap<>();
@@ -302,13 +305,14 @@
             Map<String, Integer> inZone = new HashMap<>();
             String only = need.zone();
             int left = need.tasks();
-            boolean mayFollow = spec.kind() == Kind.ARRAY;
+            boolean mayFollow = spec.kind() == JobKind.ARRAY;
             while (left > 0) {
                 Bin found = null;
                 for (Bin bin : bins) {
                     if (fits(spec, bin.source(), only)
-                            && spec.perTask().fitsIn(bin.free()[0])
-                            && inZone.getOrDefault(bin.source().zone(), 0) < spec.mostPerZone()) {
+                            && spec.resourcesPerTask().fitsIn(bin.free()[0])
+                            && inZone.getOrDefault(bin.source().zone(), 0)
+                                    < spec.maxTasksPerZone()) {
                         found = bin;
                         break;
                     }
@@ -323,24 +327,24 @@
                     if (source == null) {
                         break;
                     }
-                    MachineType type = catalog.type(source.type());
-                    found = new Bin(source, new Resources[] {type.room()}, type.bootS());
+                    MachineType type = machineTypeCatalog.typeNamed(source.type());
+                    found = new Bin(source, new Resources[] {type.capacity()}, type.bootSeconds());
                     bins.add(found);
                     wanted.merge(source, 1, Integer::sum);
                     perZone.merge(source.zone(), 1, Integer::sum);
                 }
-                found.free()[0] = found.free()[0].minus(spec.perTask());
+                found.free()[0] = found.free()[0].minus(spec.resourcesPerTask());
                 inZone.merge(found.source().zone(), 1, Integer::sum);
-                if (spec.kind() == Kind.ARRAY) {
-                    MachineType type = catalog.type(found.source().type());
+                if (spec.kind() == JobKind.ARRAY) {
+                    MachineType type = machineTypeCatalog.typeNamed(found.source().type());
                     turnover.follows(
                             spec,
                             type,
                             found.source().zone(),
                             found.source().spot(),
-                            found.readyInS() + spec.imageGb() / type.fetchGbPerS());
+                            found.readyInS() + spec.imageSizeGb() / type.imagePullGbPerSecond());
                 }
-                if (spec.oneZone()) {
+                if (spec.requiresSingleZone()) {
                     only = found.source().zone();
                 }
                 left--;
@@ -351,25 +355,31 @@
 
     private boolean isDear(JobSpec spec, Source source) {
         double cheapest = Double.MAX_VALUE;
-        for (MachineType type : catalog.types()) {
-            if (spec.allowsType(type.name()) && spec.perTask().fitsIn(type.room())) {
-                cheapest = Math.min(cheapest, costOf(spec, type, spec.spot()));
+        for (MachineType type : machineTypeCatalog.types()) {
+            if (spec.allowsMachineType(type.name())
+                    && spec.resourcesPerTask().fitsIn(type.capacity())) {
+                cheapest = Math.min(cheapest, costOf(spec, type, spec.allowsSpot()));
             }
         }
-        return costOf(spec, catalog.type(source.type()), source.spot()) > cheapest * DEAR;
+        return costOf(spec, machineTypeCatalog.typeNamed(source.type()), source.spot())
+                > cheapest * DEAR;
     }
 
     /** The hourly cost of a task on a machine that it shares with others of its kind. */
     private static double costOf(JobSpec spec, MachineType type, boolean spot) {
-        int each = spec.kind() == Kind.GANG ? 1 : spec.perTask().countIn(type.room(), MOST_RENTED);
-        return (spot ? type.spotPrice() : type.price()) / Math.max(1, each);
+        int each =
+                spec.kind() == JobKind.GANG
+                        ? 1
+                        : spec.resourcesPerTask().maxCopiesIn(type.capacity(), MOST_RENTED);
+        return (spot ? type.hourlySpotPrice() : type.hourlyPrice()) / Math.max(1, each);
     }
 
     private boolean fits(JobSpec spec, Source source, String zone) {
-        return spec.allowsType(source.type())
-                && (!source.spot() || spec.spot())
+        return spec.allowsMachineType(source.type())
+                && (!source.spot() || spec.allowsSpot())
                 && (zone == null || zone.equals(source.zone()))
-                && spec.perTask().fitsIn(catalog.type(source.type()).room());
+                && spec.resourcesPerTask()
+                        .fitsIn(machineTypeCatalog.typeNamed(source.type()).capacity());
     }
 
     /** The cheapest place to rent for a task; among equals, the zone with the fewest machines. */
@@ -378,18 +388,18 @@
             String only,
             Map<String, Integer> inZone,
             Map<String, Integer> perZone,
-            Moment now) {
+            MonotonicTime now) {
         Source best = null;
         double bestCost = 0;
-        for (MachineType type : catalog.types()) {
+        for (MachineType type : machineTypeCatalog.types()) {
             for (String zone : type.zones()) {
-                for (boolean spot : spec.spot() ? SPOT_FIRST : ORDINARY) {
+                for (boolean spot : spec.allowsSpot() ? SPOT_FIRST : ORDINARY) {
                     Source source = new Source(type.name(), zone, spot);
                     Pause pause = pauses.get(source);
                     if (!fits(spec, source, only)
                             || leader.isOut(type.name(), zone)
                             || pause != null && now.isBefore(pause.until)
-                            || inZone.getOrDefault(zone, 0) >= spec.mostPerZone()) {
+                            || inZone.getOrDefault(zone, 0) >= spec.maxTasksPerZone()) {
                         continue;
                     }
                     double cost =
@@ -408,10 +418,10 @@
         String request;
         synchronized (this) {
             // Term and counter together are never used again, by this node or any other.
-            request = "r-" + term + '-' + (++counter);
+            request = "r-" + fencingToken + '-' + (++counter);
             renting++;
         }
-        Moment sentAt = loop.now();
+        MonotonicTime sentAt = loop.now();
         int most = Math.min(MOST_RENTED, count);
         LOG.info(
                 "renting {} {} {} in {} as {}",
@@ -435,7 +445,7 @@
                                     pauses.remove(source);
                                 }
                                 if (failure == null && rented.isPresent()) {
-                                    MachineType type = catalog.type(source.type());
+                                    MachineType type = machineTypeCatalog.typeNamed(source.type());
                                     awaited.rented(
                                             rented.get(),
                                             type,
@@ -482,11 +492,13 @@
                             synchronized (this) {
                                 releasing = false;
                                 if (failure == null) {
-                                    Moment now = loop.now();
+                                    MonotonicTime now = loop.now();
                                     released.values()
                                             .removeIf(
                                                     at ->
-                                                            now.since(at).compareTo(FORGET_RETURNED)
+                                                            now.elapsedSince(at)
+                                                                            .compareTo(
+                                                                                    FORGET_RETURNED)
                                                                     > 0);
                                     batch.forEach(id -> released.put(id, now));
                                     batch.forEach(awaited::forget);
@@ -500,7 +512,7 @@
                                 if (!(cause(failure) instanceof Cloud.Refused)) {
                                     // It may still be executed late, so nothing is placed there;
                                     // the next round tries again.
-                                    machines.forEach(Machine::drain);
+                                    machines.forEach(Machine::cordon);
                                 }
                                 machines.forEach(machine -> machine.releasing(false));
                             }
--- a/src/main/java/org/meadowhollow/coordination/fleet/GivingUp.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/GivingUp.java
@@ -9,12 +9,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Machine;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Moment;
 import org.meadowhollow.coordination.hearing.Deafness;
 import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -65,9 +65,9 @@
 
     private final FailureDetector detector;
     private final Platform platform;
-    private final ArrayDeque<Moment> returned = new ArrayDeque<>();
-    private final ArrayDeque<Moment> lateReports = new ArrayDeque<>();
-    private Moment suspendedUntil;
+    private final ArrayDeque<MonotonicTime> returned = new ArrayDeque<>();
+    private final ArrayDeque<MonotonicTime> lateReports = new ArrayDeque<>();
+    private MonotonicTime suspendedUntil;
 
     public GivingUp(FailureDetector detector, Platform platform) {
         this.detector = detector;
@@ -86,8 +86,8 @@
      * A report has come: if it is from a machine that was about to be given up, others may be heard
      * again as well.
      */
-    public void reported(Machine machine, Moment now) {
-        if (machine.heardAt() == null || detector.silentS(machine, now) <= givenUpS()) {
+    public void reported(Machine machine, MonotonicTime now) {
+        if (machine.lastContactAt() == null || detector.silentS(machine, now) <= givenUpS()) {
             return;
         }
         forgetBefore(lateReports, now);
@@ -104,14 +104,14 @@
         }
     }
 
-    private void forgetBefore(ArrayDeque<Moment> times, Moment now) {
-        while (!times.isEmpty() && now.since(times.peek()).compareTo(platform.lease()) > 0) {
+    private void forgetBefore(ArrayDeque<MonotonicTime> times, MonotonicTime now) {
+        while (!times.isEmpty() && now.elapsedSince(times.peek()).compareTo(platform.lease()) > 0) {
             times.poll();
         }
     }
 
     /** The silent machines to return now, the longest silent first. */
-    List<MachineId> choose(List<Machine> machines, Moment now) {
+    List<MachineId> choose(List<Machine> machines, MonotonicTime now) {
         List<Machine> candidates = new ArrayList<>();
         Map<String, Integer> known = new HashMap<>();
         Map<String, Integer> silent = new HashMap<>();
@@ -167,24 +167,24 @@
     }
 
     /** Notes that machines were returned, which counts against how many more may be. */
-    void returned(int machines, Moment now) {
+    void returned(int machines, MonotonicTime now) {
         for (int at = 0; at < machines; at++) {
             returned.add(now);
         }
     }
 
-    private boolean heardElsewhere(Machine machine, Moment now) {
-        Moment at = detector.elsewhereAt(machine);
+    private boolean heardElsewhere(Machine machine, MonotonicTime now) {
+        MonotonicTime at = detector.elsewhereAt(machine);
         return at != null && now.secondsSince(at) <= givenUpS();
     }
 
     /** How long a machine may be silent before it is given up. */
     private double limitS(Machine machine) {
-        if (machine.heardAt() == null) {
+        if (machine.lastContactAt() == null) {
             // Not one word since this leader began or the cloud listed it as running: as for one
             // that never comes up.
             return Math.max(
-                    machine.type().bootS() * Awaited.PATIENCE,
+                    machine.type().bootSeconds() * Awaited.PATIENCE,
                     seconds(platform.lease()) * GIVE_UP_LEASES);
         }
         return isWaitedFor(machine) ? givenUpS() : seconds(platform.lease()) * GIVE_UP_LEASES;
@@ -195,6 +195,6 @@
      */
     private static boolean isWaitedFor(Machine machine) {
         return machine.placements().stream()
-                .anyMatch(placement -> placement.job().spec().kind() != Kind.ARRAY);
+                .anyMatch(placement -> placement.job().spec().kind() != JobKind.ARRAY);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/fleet/SilenceWatch.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/SilenceWatch.java
@@ -4,15 +4,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Machine;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Placement;
-import org.meadowhollow.bookkeeping.Session;
-import org.meadowhollow.bookkeeping.Term;
 import org.meadowhollow.coordination.placement.Cluster;
 import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Placement;
+import org.meadowhollow.model.WorkerIncarnation;
 
 /**
  * Watches over machines that are silent, on notice or idle. What was on a silent one counts as
@@ -36,22 +36,26 @@
     private final TermHolder leader;
     private final Cluster cluster;
     private final Platform platform;
-    private final Term term;
-    private final Moment begunAt;
-    private final Map<MachineId, Moment> probedAt = new HashMap<>();
+    private final FencingToken fencingToken;
+    private final MonotonicTime begunAt;
+    private final Map<MachineId, MonotonicTime> probedAt = new HashMap<>();
     private int probes;
 
     public SilenceWatch(
-            TermHolder leader, Cluster cluster, Platform platform, Term term, Moment begunAt) {
+            TermHolder leader,
+            Cluster cluster,
+            Platform platform,
+            FencingToken fencingToken,
+            MonotonicTime begunAt) {
         this.leader = leader;
         this.cluster = cluster;
         this.platform = platform;
-        this.term = term;
+        this.fencingToken = fencingToken;
         this.begunAt = begunAt;
     }
 
     /** One round over all machines. */
-    public void round(Moment now) {
+    public void round(MonotonicTime now) {
         probes = 0;
         for (Machine machine : List.copyOf(cluster.machines().values())) {
             watchOver(machine, now);
@@ -66,27 +70,30 @@
     /**
      * Asks a silent machine, takes its tasks as gone once that is proven, and drains it on notice.
      */
-    private void watchOver(Machine machine, Moment now) {
-        Moment lastHeard = machine.heardAt() == null ? begunAt : machine.heardAt();
+    private void watchOver(Machine machine, MonotonicTime now) {
+        MonotonicTime lastHeard =
+                machine.lastContactAt() == null ? begunAt : machine.lastContactAt();
         double silentS = now.secondsSince(lastHeard);
         double reportS = platform.reportEvery().toNanos() / 1e9;
         if (silentS > Cluster.SILENT_REPORTS * reportS
                 && machine.address() != null
                 && probes < MOST_PROBES) {
-            Moment probed = probedAt.get(machine.id());
+            MonotonicTime probed = probedAt.get(machine.id());
             if (probed == null || now.secondsSince(probed) > reportS) {
                 probes++;
                 probedAt.put(machine.id(), now);
                 leader.send(
                         machine,
-                        machine.session() == null ? new Session(1) : machine.session(),
+                        machine.incarnation() == null
+                                ? new WorkerIncarnation(1)
+                                : machine.incarnation(),
                         List.of());
             }
         }
         // Also where nothing is placed: an old report of a machine that is gone may be all that was
         // ever heard of it, and the
         // tasks that it lists would be held up by it until it is returned for its silence.
-        if (!(machine.placements().isEmpty() && machine.strays().isEmpty())
+        if (!(machine.placements().isEmpty() && machine.orphanedTasks().isEmpty())
                 && leaseCertainlyOver(machine, now)) {
             for (Placement placement : List.copyOf(machine.placements())) {
                 leader.lost(
@@ -95,22 +102,22 @@
                         "the machine has been silent for longer than its lease",
                         now);
             }
-            machine.strays().clear();
+            machine.orphanedTasks().clear();
         }
-        if (machine.noticeEndsAt() != null) {
+        if (machine.preemptionDeadline() != null) {
             for (Placement placement : List.copyOf(machine.placements())) {
-                if (!placement.stopping()
-                        && (placement.job().spec().saves()
-                                || placement.job().spec().kind() == Kind.SERVICE)) {
+                if (!placement.isStopping()
+                        && (placement.job().spec().usesCheckpoints()
+                                || placement.job().spec().kind() == JobKind.SERVICE)) {
                     leader.stopSaving(
-                            placement, "machine " + placement.machine() + " is being taken back");
+                            placement, "machine " + placement.machineId() + " is being taken back");
                 }
             }
         }
         // Of a silent machine nobody knows whether it is idle; behind a cut its tasks only count as
         // lost.
         if (machine.placements().isEmpty()
-                && machine.strays().isEmpty()
+                && machine.orphanedTasks().isEmpty()
                 && !leader.isSilent(machine, now)) {
             if (machine.idleSince() == null) {
                 machine.idleSince(now);
@@ -125,13 +132,15 @@
      * by our answers alone; for any other an earlier leader may have gone on answering, though not
      * for longer than its limit after its last renewal, which was before our term began.
      */
-    private boolean leaseCertainlyOver(Machine machine, Moment now) {
-        if (machine.shown().equals(term) && machine.heardAt() != null) {
-            return now.since(machine.heardAt()).compareTo(slack(platform.lease())) > 0;
+    private boolean leaseCertainlyOver(Machine machine, MonotonicTime now) {
+        if (machine.highestFencingToken().equals(fencingToken) && machine.lastContactAt() != null) {
+            return now.elapsedSince(machine.lastContactAt()).compareTo(slack(platform.lease())) > 0;
         }
-        return now.since(begunAt).compareTo(slack(platform.cancelWithin())) > 0
-                && (machine.heardAt() == null
-                        || now.since(machine.heardAt()).compareTo(slack(platform.lease())) > 0);
+        return now.elapsedSince(begunAt).compareTo(slack(platform.cancelWithin())) > 0
+                && (machine.lastContactAt() == null
+                        || now.elapsedSince(machine.lastContactAt())
+                                        .compareTo(slack(platform.lease()))
+                                > 0);
     }
 
     private static Duration slack(Duration span) {
@@ -139,9 +148,9 @@
     }
 
     /** Placements on machines that neither the cloud's list nor any report has shown. */
-    private void expireUnseen(Moment now) {
+    private void expireUnseen(MonotonicTime now) {
         if (!cluster.unseen().isEmpty()
-                && now.since(begunAt).compareTo(slack(platform.cancelWithin())) > 0) {
+                && now.elapsedSince(begunAt).compareTo(slack(platform.cancelWithin())) > 0) {
             for (List<Placement> placements : List.copyOf(cluster.unseen().values())) {
                 for (Placement placement : List.copyOf(placements)) {
                     leader.lost(
--- a/src/main/java/org/meadowhollow/coordination/fleet/TermHolder.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/TermHolder.java
@@ -1,14 +1,14 @@
 package org.meadowhollow.coordination.fleet;
 
 import java.util.List;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Machine;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Order;
-import org.meadowhollow.bookkeeping.Placement;
-import org.meadowhollow.bookkeeping.Session;
 import org.meadowhollow.coordination.platform.Cloud;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Placement;
+import org.meadowhollow.model.WorkerCommand;
+import org.meadowhollow.model.WorkerIncarnation;
 
 /** The leader of a term, as far as the care for its machines has to do with it. */
 public interface TermHolder {
@@ -27,7 +27,7 @@
     boolean hearsWell();
 
     /** Whether a machine's report is overdue. */
-    boolean isSilent(Machine machine, Moment now);
+    boolean isSilent(Machine machine, MonotonicTime now);
 
     List<Machine> machineList();
 
@@ -48,11 +48,11 @@
     void gone(MachineId id, String why, boolean forget);
 
     /** Takes a task as gone that is proven to be, and was not stopped. */
-    void lost(Machine machine, Placement placement, String why, Moment now);
+    void lost(Machine machine, Placement placement, String why, MonotonicTime now);
 
     /** Stops a task so that it can save what it did. */
     void stopSaving(Placement placement, String why);
 
     /** Sends orders straight to a worker. */
-    void send(Machine machine, Session session, List<Order> orders);
+    void send(Machine machine, WorkerIncarnation workerIncarnation, List<WorkerCommand> orders);
 }
--- a/src/main/java/org/meadowhollow/coordination/hearing/Earshot.java
+++ b/src/main/java/org/meadowhollow/coordination/hearing/Earshot.java
@@ -7,8 +7,8 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Moment;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MonotonicTime;
 
 /**
  * Which workers' reports have come to this node lately, whether or not it leads. That a report came
@@ -28,16 +28,16 @@
     private static final int MOST = 20_000;
 
     /** In the order of their last reports. */
-    private final LinkedHashMap<MachineId, Moment> heardAt = new LinkedHashMap<>();
+    private final LinkedHashMap<MachineId, MonotonicTime> heardAt = new LinkedHashMap<>();
 
     /** A report of a machine has come. */
-    public synchronized void heard(MachineId machine, Moment now) {
+    public synchronized void heard(MachineId machine, MonotonicTime now) {
         heardAt.remove(machine);
         heardAt.put(machine, now);
-        Iterator<Moment> oldest = heardAt.values().iterator();
+        Iterator<MonotonicTime> oldest = heardAt.values().iterator();
         while (oldest.hasNext()) {
-            Moment at = oldest.next();
-            if (heardAt.size() <= MOST && now.since(at).compareTo(KEPT) <= 0) {
+            MonotonicTime at = oldest.next();
+            if (heardAt.size() <= MOST && now.elapsedSince(at).compareTo(KEPT) <= 0) {
                 break;
             }
             oldest.remove();
@@ -45,21 +45,21 @@
     }
 
     /** How many machines were heard within a time of at most 60 s before now. */
-    public synchronized int count(Duration within, Moment now) {
+    public synchronized int count(Duration within, MonotonicTime now) {
         int count = 0;
-        for (Moment at : heardAt.values()) {
-            count += now.since(at).compareTo(within) <= 0 ? 1 : 0;
+        for (MonotonicTime at : heardAt.values()) {
+            count += now.elapsedSince(at).compareTo(within) <= 0 ? 1 : 0;
         }
         return count;
     }
 
     /** Those of some machines that were heard within a time of at most 60 s before now. */
     public synchronized Set<MachineId> among(
-            Collection<MachineId> machines, Duration within, Moment now) {
+            Collection<MachineId> machines, Duration within, MonotonicTime now) {
         Set<MachineId> heard = new HashSet<>();
         for (MachineId machine : machines) {
-            Moment at = heardAt.get(machine);
-            if (at != null && now.since(at).compareTo(within) <= 0) {
+            MonotonicTime at = heardAt.get(machine);
+            if (at != null && now.elapsedSince(at).compareTo(within) <= 0) {
                 heard.add(machine);
             }
         }
@@ -67,7 +67,7 @@
     }
 
     /** All that is remembered, for tests of the bound. */
-    synchronized Map<MachineId, Moment> all() {
+    synchronized Map<MachineId, MonotonicTime> all() {
         return Map.copyOf(heardAt);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/leadership/Leadership.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/Leadership.java
@@ -3,20 +3,20 @@
 import java.time.Duration;
 import java.util.Map;
 import java.util.random.RandomGenerator;
-import org.meadowhollow.bookkeeping.EventLoop;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Records;
-import org.meadowhollow.bookkeeping.StateException;
-import org.meadowhollow.bookkeeping.StateException.Outcome;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.StateStore.Urgency;
-import org.meadowhollow.bookkeeping.Term;
-import org.meadowhollow.bookkeeping.Transaction;
-import org.meadowhollow.bookkeeping.Version;
 import org.meadowhollow.coordination.hearing.Earshot;
 import org.meadowhollow.coordination.platform.Peers;
 import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.KeyValueStore.RequestPriority;
+import org.meadowhollow.storage.KeyValueStoreException;
+import org.meadowhollow.storage.KeyValueStoreException.Outcome;
+import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.Transaction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -56,7 +56,7 @@
          * @param leaderVersion the revision of the transaction that took the key
          * @param noticedAt when this node saw that nobody leads, or null
          */
-        void elected(Term term, Version leaderVersion, Moment noticedAt);
+        void elected(FencingToken fencingToken, Revision leaderVersion, MonotonicTime noticedAt);
 
         /** This member does not lead any more. */
         void deposed(String why);
@@ -65,7 +65,7 @@
         void following(String leader);
     }
 
-    private final StateStore store;
+    private final KeyValueStore store;
     private final EventLoop loop;
     private final Peers peers;
     private final String member;
@@ -77,7 +77,7 @@
     private LeadershipState state = LeadershipState.FIRST;
 
     public Leadership(
-            StateStore store,
+            KeyValueStore store,
             EventLoop loop,
             Peers peers,
             Platform platform,
@@ -126,17 +126,17 @@
      *
      * @param upTo when the request was sent whose answer showed the last of them
      */
-    public void knows(Term term, Moment upTo) {
-        on(new LeadershipEvent.TookIn(term, upTo));
+    public void knows(FencingToken fencingToken, MonotonicTime upTo) {
+        on(new LeadershipEvent.TookIn(fencingToken, upTo));
     }
 
     /** The term of this node's last leadership. */
-    public synchronized Term term() {
+    public synchronized FencingToken term() {
         return state.term();
     }
 
     /** The highest term heard of, by whomever it was shown. */
-    public synchronized Term highest() {
+    public synchronized FencingToken highest() {
         return state.known().term();
     }
 
@@ -153,11 +153,11 @@
     /** Whether giving up without knowing of a node that hears has not been tried for a time. */
     public synchronized boolean mayResignAlone(Duration pause) {
         return state.resignedAloneAt() == null
-                || loop.now().since(state.resignedAloneAt()).compareTo(pause) >= 0;
+                || loop.now().elapsedSince(state.resignedAloneAt()).compareTo(pause) >= 0;
     }
 
     /** A peer or a worker told of a term; a higher one than ours ends our leadership. */
-    public void heardOf(Term other, String otherLeader) {
+    public void heardOf(FencingToken other, String otherLeader) {
         on(new LeadershipEvent.Heard(other, otherLeader));
     }
 
@@ -203,7 +203,7 @@
      * @return whether it is better to wait for what comes of this than to send the worker back to
      *     the leader
      */
-    public boolean arrived(MachineId worker, Term shown) {
+    public boolean arrived(MachineId worker, FencingToken shown) {
         synchronized (this) {
             if (!steps.mayBeGone(state, shown, loop.now())) {
                 return false;
@@ -247,7 +247,7 @@
     private void later(Duration pause, int expected, Runnable work) {
         Duration jittered =
                 pause.plus(Duration.ofNanos((long) (pause.toNanos() * random.nextDouble() * 0.5)));
-        loop.after(
+        loop.schedule(
                 jittered,
                 () -> {
                     if (current(expected)) {
@@ -264,15 +264,15 @@
                 look(look.epoch());
             }
         } else if (effect instanceof LeadershipEffect.Watch watch) {
-            store.watch(Records.LEADER, watch.after(), WATCH)
+            store.watch(RecordCodec.LEADER_KEY, watch.after(), WATCH)
                     .whenComplete(
-                            (changes, failure) ->
+                            (changeBatch, failure) ->
                                     on(
                                             new LeadershipEvent.Watched(
                                                     watch.epoch(),
-                                                    failure == null ? changes : null)));
+                                                    failure == null ? changeBatch : null)));
         } else if (effect instanceof LeadershipEffect.ReadCounter read) {
-            store.get(Records.TERM, Urgency.LEASE)
+            store.get(RecordCodec.FENCING_TOKEN_KEY, RequestPriority.LEASE)
                     .whenComplete(
                             (counter, failure) ->
                                     on(
@@ -283,8 +283,8 @@
                                                     earshot.count(HEARD_WITHIN, loop.now())
                                                             >= LEAST_HEARD)));
         } else if (effect instanceof LeadershipEffect.Grant grant) {
-            Moment sentAt = loop.now();
-            store.grant(LeadershipStep.TTL)
+            MonotonicTime sentAt = loop.now();
+            store.grantLease(LeadershipStep.TTL)
                     .whenComplete(
                             (lease, failure) ->
                                     on(
@@ -295,20 +295,20 @@
                                                     failure == null ? lease : null,
                                                     sentAt)));
         } else if (effect instanceof LeadershipEffect.Claim claim) {
-            store.commit(transaction(claim), Urgency.LEASE)
+            store.commit(transaction(claim), RequestPriority.LEASE)
                     .whenComplete(
-                            (commit, failure) ->
+                            (commitResult, failure) ->
                                     on(
                                             new LeadershipEvent.Claimed(
                                                     claim.epoch(),
                                                     claim.term(),
                                                     claim.lease(),
                                                     claim.sentAt(),
-                                                    failure == null ? commit : null)));
+                                                    failure == null ? commitResult : null)));
         } else if (effect instanceof LeadershipEffect.TickLater tick) {
-            loop.after(RENEWAL_CHECK, () -> on(new LeadershipEvent.Tick(tick.epoch())));
+            loop.schedule(RENEWAL_CHECK, () -> on(new LeadershipEvent.Tick(tick.epoch())));
         } else if (effect instanceof LeadershipEffect.Renew renew) {
-            store.renew(renew.lease())
+            store.renewLease(renew.lease())
                     .whenComplete(
                             (unused, failure) ->
                                     on(
@@ -317,8 +317,9 @@
                                                     renew.sentAt(),
                                                     failure == null
                                                             ? LeadershipEvent.Renewal.DONE
-                                                            : StateException.of(failure)
-                                                                            == Outcome.NO_SUCH_LEASE
+                                                            : KeyValueStoreException.outcomeOf(
+                                                                                    failure)
+                                                                            == Outcome.LEASE_EXPIRED
                                                                     ? LeadershipEvent.Renewal
                                                                             .LEASE_ENDED
                                                                     : LeadershipEvent.Renewal
@@ -326,13 +327,13 @@
         } else if (effect instanceof LeadershipEffect.GiveUp giveUp) {
             giveUp(giveUp);
         } else if (effect instanceof LeadershipEffect.Revoke revoke) {
-            store.revoke(revoke.lease());
+            store.revokeLease(revoke.lease());
         } else if (effect instanceof LeadershipEffect.RevokeOf revoke) {
             LOG.info(
                     "{} workers have left {}, which refuses connections: its lease is ended",
                     revoke.left(),
                     revoke.suspect());
-            store.revoke(revoke.lease())
+            store.revokeLease(revoke.lease())
                     .whenComplete(
                             (unused, failure) -> {
                                 if (failure != null) {
@@ -347,7 +348,7 @@
             if (ask.pause().isZero()) {
                 ask(ask);
             } else {
-                loop.after(ask.pause(), () -> ask(ask));
+                loop.schedule(ask.pause(), () -> ask(ask));
             }
         } else if (effect instanceof LeadershipEffect.Elected elected) {
             LOG.info("elected: {} leads in term {}", member, elected.term());
@@ -362,7 +363,7 @@
     }
 
     private void look(int epoch) {
-        store.list(Records.LEADER, null, Urgency.LEASE)
+        store.list(RecordCodec.LEADER_KEY, null, RequestPriority.LEASE)
                 .whenComplete(
                         (page, failure) ->
                                 on(
@@ -392,28 +393,28 @@
                         : "is to end and hands",
                 giveUp.forWantOfHearing() ? "up" : "over",
                 giveUp.heir() == null ? "" : " to " + giveUp.heir());
-        store.commit(transaction(giveUp), Urgency.LEASE)
+        store.commit(transaction(giveUp), RequestPriority.LEASE)
                 .whenComplete(
-                        (commit, failure) ->
+                        (commitResult, failure) ->
                                 on(
                                         new LeadershipEvent.GivenUp(
                                                 giveUp.epoch(),
                                                 giveUp.lease(),
                                                 giveUp.forWantOfHearing(),
                                                 giveUp.heir(),
-                                                failure == null ? commit : null,
+                                                failure == null ? commitResult : null,
                                                 failure != null
-                                                        && StateException.of(failure)
-                                                                == Outcome.REFUSED)));
+                                                        && KeyValueStoreException.outcomeOf(failure)
+                                                                == Outcome.REJECTED)));
     }
 
     private Transaction transaction(LeadershipEffect.Claim claim) {
         return new Transaction()
-                .guard(Records.LEADER, claim.leader())
-                .guard(Records.TERM, claim.counter())
-                .put(Records.TERM, Map.of("term", claim.term().value()))
+                .requireRevision(RecordCodec.LEADER_KEY, claim.leader())
+                .requireRevision(RecordCodec.FENCING_TOKEN_KEY, claim.counter())
+                .put(RecordCodec.FENCING_TOKEN_KEY, Map.of("term", claim.term().value()))
                 .put(
-                        Records.LEADER,
+                        RecordCodec.LEADER_KEY,
                         Map.of(
                                 "member",
                                 member,
@@ -426,10 +427,10 @@
 
     private Transaction transaction(LeadershipEffect.GiveUp giveUp) {
         return new Transaction()
-                .guard(Records.LEADER, giveUp.leader())
-                .delete(Records.LEADER)
+                .requireRevision(RecordCodec.LEADER_KEY, giveUp.leader())
+                .delete(RecordCodec.LEADER_KEY)
                 .put(
-                        Records.TERM,
+                        RecordCodec.FENCING_TOKEN_KEY,
                         giveUp.forWantOfHearing()
                                 ? Standing.resigned(giveUp.term().value(), member, giveUp.heir())
                                 : Standing.handedOver(giveUp.term().value(), giveUp.heir()));
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipEffect.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipEffect.java
@@ -2,11 +2,11 @@
 
 import java.time.Duration;
 import java.util.Optional;
-import org.meadowhollow.bookkeeping.LeaseId;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.Term;
-import org.meadowhollow.bookkeeping.Version;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.LeaseId;
 
 /** What a step asks for; those with an epoch are answered by an event with the same one. */
 sealed interface LeadershipEffect {
@@ -14,11 +14,11 @@
     record Look(int epoch, boolean later) implements LeadershipEffect {}
 
     /** Wait until the leader's key changes. */
-    record Watch(int epoch, Version after) implements LeadershipEffect {}
+    record Watch(int epoch, Revision after) implements LeadershipEffect {}
 
-    record ReadCounter(int epoch, Version seen) implements LeadershipEffect {}
+    record ReadCounter(int epoch, Revision seen) implements LeadershipEffect {}
 
-    record Grant(int epoch, Version seen, Optional<StateStore.Entry> counter)
+    record Grant(int epoch, Revision seen, Optional<KeyValueStore.Entry> counter)
             implements LeadershipEffect {}
 
     /**
@@ -28,20 +28,25 @@
      * @param counter the version that the record of terms must have
      */
     record Claim(
-            int epoch, Version leader, Version counter, Term term, LeaseId lease, Moment sentAt)
+            int epoch,
+            Revision leader,
+            Revision counter,
+            FencingToken term,
+            LeaseId lease,
+            MonotonicTime sentAt)
             implements LeadershipEffect {}
 
     /** Let a tick come. */
     record TickLater(int epoch) implements LeadershipEffect {}
 
-    record Renew(int epoch, LeaseId lease, Moment sentAt) implements LeadershipEffect {}
+    record Renew(int epoch, LeaseId lease, MonotonicTime sentAt) implements LeadershipEffect {}
 
     /** Remove the key, and note in the record of terms who should take it. */
     record GiveUp(
             int epoch,
             LeaseId lease,
-            Version leader,
-            Term term,
+            Revision leader,
+            FencingToken term,
             boolean forWantOfHearing,
             String heir)
             implements LeadershipEffect {}
@@ -56,10 +61,10 @@
     record Ask(int epoch, String suspect, int asked, int refused, Duration pause)
             implements LeadershipEffect {}
 
-    record Elected(Term term, Version leaderVersion, Moment noticedAt)
+    record Elected(FencingToken term, Revision leaderVersion, MonotonicTime noticedAt)
             implements LeadershipEffect {}
 
-    record Deposed(Term term, String why) implements LeadershipEffect {}
+    record Deposed(FencingToken term, String why) implements LeadershipEffect {}
 
     record Following(String leader) implements LeadershipEffect {}
 }
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipEvent.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipEvent.java
@@ -1,13 +1,13 @@
 package org.meadowhollow.coordination.leadership;
 
 import java.util.Optional;
-import org.meadowhollow.bookkeeping.LeaseId;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.Term;
-import org.meadowhollow.bookkeeping.Version;
 import org.meadowhollow.coordination.platform.Peers;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.LeaseId;
 
 /** What can happen to a node's leadership. Answers name the epoch that they were asked for in. */
 sealed interface LeadershipEvent {
@@ -18,14 +18,14 @@
      *
      * @param page null if it could not be
      */
-    record Looked(int epoch, StateStore.Page page) implements LeadershipEvent {}
+    record Looked(int epoch, KeyValueStore.Page page) implements LeadershipEvent {}
 
     /**
      * The watch of the leader's key has ended.
      *
      * @param changes null if it failed
      */
-    record Watched(int epoch, StateStore.Changes changes) implements LeadershipEvent {}
+    record Watched(int epoch, KeyValueStore.ChangeBatch changes) implements LeadershipEvent {}
 
     /**
      * The record of terms was read.
@@ -34,7 +34,8 @@
      * @param counter null if it could not be
      * @param hears whether workers have come to this node lately
      */
-    record CounterRead(int epoch, Version seen, Optional<StateStore.Entry> counter, boolean hears)
+    record CounterRead(
+            int epoch, Revision seen, Optional<KeyValueStore.Entry> counter, boolean hears)
             implements LeadershipEvent {}
 
     /**
@@ -44,10 +45,10 @@
      */
     record Granted(
             int epoch,
-            Version seen,
-            Optional<StateStore.Entry> counter,
+            Revision seen,
+            Optional<KeyValueStore.Entry> counter,
             LeaseId lease,
-            Moment sentAt)
+            MonotonicTime sentAt)
             implements LeadershipEvent {}
 
     /**
@@ -55,7 +56,12 @@
      *
      * @param commit null if that was not answered
      */
-    record Claimed(int epoch, Term term, LeaseId lease, Moment sentAt, StateStore.Commit commit)
+    record Claimed(
+            int epoch,
+            FencingToken term,
+            LeaseId lease,
+            MonotonicTime sentAt,
+            KeyValueStore.CommitResult commit)
             implements LeadershipEvent {}
 
     /** A timer's turn, by which a renewal may be due. */
@@ -70,7 +76,7 @@
         UNKNOWN
     }
 
-    record Renewed(int epoch, Moment sentAt, Renewal renewal) implements LeadershipEvent {}
+    record Renewed(int epoch, MonotonicTime sentAt, Renewal renewal) implements LeadershipEvent {}
 
     /**
      * All changes of jobs up to a moment are known here.
@@ -78,10 +84,10 @@
      * @param term of the leadership that knows them
      * @param upTo when the request was sent whose answer showed the last of them
      */
-    record TookIn(Term term, Moment upTo) implements LeadershipEvent {}
+    record TookIn(FencingToken term, MonotonicTime upTo) implements LeadershipEvent {}
 
     /** A peer or a worker told of a term. */
-    record Heard(Term term, String leader) implements LeadershipEvent {}
+    record Heard(FencingToken term, String leader) implements LeadershipEvent {}
 
     /** A write has shown that the key is not this node's any more. */
     record Lost() implements LeadershipEvent {}
@@ -104,12 +110,12 @@
             LeaseId lease,
             boolean forWantOfHearing,
             String heir,
-            StateStore.Commit commit,
+            KeyValueStore.CommitResult commit,
             boolean refused)
             implements LeadershipEvent {}
 
     /** A worker has come that has left the leader. */
-    record Arrived(MachineId worker, Term shown) implements LeadershipEvent {}
+    record Arrived(MachineId worker, FencingToken shown) implements LeadershipEvent {}
 
     /** A leader that may have ended was asked, or could not be. */
     record Told(int epoch, String suspect, int asked, int refused, Peers.Sign sign)
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipState.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipState.java
@@ -3,11 +3,11 @@
 import java.time.Duration;
 import java.util.HashSet;
 import java.util.Set;
-import org.meadowhollow.bookkeeping.LeaseId;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Term;
-import org.meadowhollow.bookkeeping.Version;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.LeaseId;
 
 /**
  * What a node knows of who leads; {@link LeadershipStep} makes the next one of it.
@@ -21,19 +21,19 @@
  */
 record LeadershipState(
         int epoch,
-        Term term,
+        FencingToken term,
         Holding holding,
         Known known,
         Suspicion suspicion,
         boolean deaf,
-        Moment resignedAloneAt) {
+        MonotonicTime resignedAloneAt) {
     /** Of a node that has just started. */
     static final LeadershipState FIRST =
             new LeadershipState(
                     0,
-                    Term.NONE,
+                    FencingToken.NONE,
                     null,
-                    new Known(null, Term.NONE, null, null),
+                    new Known(null, FencingToken.NONE, null, null),
                     Suspicion.NONE,
                     false,
                     null);
@@ -49,20 +49,20 @@
      */
     record Holding(
             LeaseId lease,
-            Moment leaseSentAt,
-            Moment renewalSentAt,
+            MonotonicTime leaseSentAt,
+            MonotonicTime renewalSentAt,
             boolean renewing,
-            Version version,
+            Revision version,
             boolean resigning,
-            Moment knownAt) {
-        Holding renewing(Moment now) {
+            MonotonicTime knownAt) {
+        Holding renewing(MonotonicTime now) {
             return new Holding(lease, leaseSentAt, now, true, version, resigning, knownAt);
         }
 
-        Holding renewed(Moment sentAt) {
+        Holding renewed(MonotonicTime sentAt) {
             return new Holding(
                     lease,
-                    Moment.later(leaseSentAt, sentAt),
+                    MonotonicTime.latestOf(leaseSentAt, sentAt),
                     renewalSentAt,
                     false,
                     version,
@@ -78,7 +78,7 @@
             return new Holding(lease, leaseSentAt, renewalSentAt, renewing, version, now, knownAt);
         }
 
-        Holding knowing(Moment upTo) {
+        Holding knowing(MonotonicTime upTo) {
             return new Holding(
                     lease,
                     leaseSentAt,
@@ -86,12 +86,13 @@
                     renewing,
                     version,
                     resigning,
-                    knownAt == null ? upTo : Moment.later(knownAt, upTo));
+                    knownAt == null ? upTo : MonotonicTime.latestOf(knownAt, upTo));
         }
 
-        boolean isDue(Moment now, Duration every) {
+        boolean isDue(MonotonicTime now, Duration every) {
             return !renewing
-                    && (renewalSentAt == null || now.since(renewalSentAt).compareTo(every) >= 0);
+                    && (renewalSentAt == null
+                            || now.elapsedSince(renewalSentAt).compareTo(every) >= 0);
         }
     }
 
@@ -103,8 +104,8 @@
      * @param lease of its key, or null
      * @param freeSince since when the key is known to be free, or null
      */
-    record Known(String leader, Term term, LeaseId lease, Moment freeSince) {
-        Known nobody(Moment now) {
+    record Known(String leader, FencingToken term, LeaseId lease, MonotonicTime freeSince) {
+        Known nobody(MonotonicTime now) {
             return new Known(null, term, null, freeSince == null ? now : freeSince);
         }
 
@@ -121,7 +122,7 @@
      * @param asking whether it is being asked
      * @param trustedAt when it last answered, or null
      */
-    record Suspicion(Set<MachineId> deserters, int left, boolean asking, Moment trustedAt) {
+    record Suspicion(Set<MachineId> deserters, int left, boolean asking, MonotonicTime trustedAt) {
         static final Suspicion NONE = new Suspicion(Set.of(), 0, false, null);
 
         Suspicion left(MachineId worker, int enough) {
@@ -154,7 +155,7 @@
         return new LeadershipState(epoch, term, holding, known, now, deaf, resignedAloneAt);
     }
 
-    LeadershipState deaf(boolean now, Moment aloneAt) {
+    LeadershipState deaf(boolean now, MonotonicTime aloneAt) {
         return new LeadershipState(epoch, term, holding, known, suspicion, now, aloneAt);
     }
 
@@ -171,7 +172,7 @@
     }
 
     /** The key is this node's. */
-    LeadershipState elected(String member, Term now, Holding held) {
+    LeadershipState elected(String member, FencingToken now, Holding held) {
         return new LeadershipState(
                 epoch,
                 now,
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipStep.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipStep.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.meadowhollow.bookkeeping.LeaseId;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.Term;
-import org.meadowhollow.bookkeeping.Version;
 import org.meadowhollow.coordination.leadership.LeadershipState.Holding;
 import org.meadowhollow.coordination.leadership.LeadershipState.Known;
 import org.meadowhollow.coordination.leadership.LeadershipState.Suspicion;
 import org.meadowhollow.coordination.platform.Peers;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.LeaseId;
 
 /**
  * Leadership as a step function: a state, an event and the clock in; the next state and what is to
@@ -84,7 +84,7 @@
      * Whether new starts may go out: the lease certainly holds, and is not being given up, which
      * may be done by now.
      */
-    static boolean mayStart(LeadershipState state, Moment now) {
+    static boolean mayStart(LeadershipState state, MonotonicTime now) {
         return state.holding() != null
                 && within(TTL, state.holding().leaseSentAt(), now)
                 && !state.holding().resigning();
@@ -94,7 +94,7 @@
      * Whether starts may be sent: decisions may, and all cancellations are known up to a moment
      * ago.
      */
-    static boolean maySendStarts(LeadershipState state, Moment now) {
+    static boolean maySendStarts(LeadershipState state, MonotonicTime now) {
         return mayStart(state, now)
                 && state.holding().knownAt() != null
                 && within(FRESH, state.holding().knownAt(), now);
@@ -108,7 +108,7 @@
      *
      * @param span the time for a cancellation less a worker's lease
      */
-    static boolean mayAnswer(Duration span, LeadershipState state, Moment now) {
+    static boolean mayAnswer(Duration span, LeadershipState state, MonotonicTime now) {
         LeadershipState.Holding held = state.holding();
         return held != null
                 && held.knownAt() != null
@@ -117,11 +117,11 @@
     }
 
     /** Whether a moment is less than a time ago, by any clock. */
-    private static boolean within(Duration span, Moment since, Moment now) {
+    private static boolean within(Duration span, MonotonicTime since, MonotonicTime now) {
         return now.isBefore(since.plus(Duration.ofNanos((long) (span.toNanos() * (1 - DRIFT)))));
     }
 
-    Step on(LeadershipState state, LeadershipEvent event, Moment now) {
+    Step on(LeadershipState state, LeadershipEvent event, MonotonicTime now) {
         if (event instanceof LeadershipEvent.Heard heard) {
             return heard(state, heard);
         } else if (event instanceof LeadershipEvent.WorkGoesOn) {
@@ -183,19 +183,20 @@
         return Step.of(state, new LeadershipEffect.Look(state.epoch(), true));
     }
 
-    private Step looked(LeadershipState state, StateStore.Page page, Moment now) {
+    private Step looked(LeadershipState state, KeyValueStore.Page page, MonotonicTime now) {
         if (page == null) {
             return lookAgain(state);
         }
         if (page.entries().isEmpty()) {
             return Step.of(
                     state.with(state.known().nobody(now)).with(state.suspicion().ofNobody()),
-                    new LeadershipEffect.ReadCounter(state.epoch(), Version.ABSENT));
+                    new LeadershipEffect.ReadCounter(state.epoch(), Revision.ABSENT));
         }
-        StateStore.Entry found = page.entries().get(0);
+        KeyValueStore.Entry found = page.entries().get(0);
         if (member.equals(found.value().get("member"))) {
             // This process has only just begun, so the holder is its own dead predecessor.
-            return Step.of(state, new LeadershipEffect.ReadCounter(state.epoch(), found.version()));
+            return Step.of(
+                    state, new LeadershipEffect.ReadCounter(state.epoch(), found.revision()));
         }
         LeadershipEffect watch = new LeadershipEffect.Watch(state.epoch(), page.revision());
         Known known = known(found.value());
@@ -213,28 +214,29 @@
     private static Known known(Map<String, Object> record) {
         return new Known(
                 (String) record.get("member"),
-                new Term(((Number) record.get("term")).longValue()),
+                new FencingToken(((Number) record.get("term")).longValue()),
                 record.get("lease") instanceof Number id ? new LeaseId(id.longValue()) : null,
                 null);
     }
 
-    private static Step watched(LeadershipState state, StateStore.Changes changes) {
-        return changes == null
+    private static Step watched(LeadershipState state, KeyValueStore.ChangeBatch changeBatch) {
+        return changeBatch == null
                 ? lookAgain(state)
                 : Step.of(
                         state,
-                        changes.changes().isEmpty()
-                                ? new LeadershipEffect.Watch(state.epoch(), changes.revision())
+                        changeBatch.changes().isEmpty()
+                                ? new LeadershipEffect.Watch(state.epoch(), changeBatch.revision())
                                 : new LeadershipEffect.Look(state.epoch(), false));
     }
 
-    private Step counterRead(LeadershipState state, LeadershipEvent.CounterRead read, Moment now) {
+    private Step counterRead(
+            LeadershipState state, LeadershipEvent.CounterRead read, MonotonicTime now) {
         if (read.counter() == null) {
             return lookAgain(state);
         }
-        Moment freeSince = state.known().freeSince();
-        Duration free = freeSince == null ? Duration.ZERO : now.since(freeSince);
-        Map<String, Object> terms = read.counter().map(StateStore.Entry::value).orElse(null);
+        MonotonicTime freeSince = state.known().freeSince();
+        Duration free = freeSince == null ? Duration.ZERO : now.elapsedSince(freeSince);
+        Map<String, Object> terms = read.counter().map(KeyValueStore.Entry::value).orElse(null);
         return free.compareTo(Standing.after(terms, member, read.hears(), state.deaf())) < 0
                 ? lookAgain(state)
                 : Step.of(
@@ -246,50 +248,53 @@
         if (granted.lease() == null) {
             return lookAgain(state);
         }
-        Optional<StateStore.Entry> counter = granted.counter();
-        Term counted =
-                counter.map(entry -> new Term(((Number) entry.value().get("term")).longValue()))
-                        .orElse(Term.NONE);
-        Term heard = state.known().term();
+        Optional<KeyValueStore.Entry> counter = granted.counter();
+        FencingToken counted =
+                counter.map(
+                                entry ->
+                                        new FencingToken(
+                                                ((Number) entry.value().get("term")).longValue()))
+                        .orElse(FencingToken.NONE);
+        FencingToken heard = state.known().term();
         // Workers drop a term below what they have shown, and may have shown one that the counter
         // does not know.
-        Term next = (heard.isAfter(counted) ? heard : counted).next();
+        FencingToken next = (heard.isAfter(counted) ? heard : counted).next();
         return Step.of(
                 state,
                 new LeadershipEffect.Claim(
                         state.epoch(),
                         granted.seen(),
-                        counter.map(StateStore.Entry::version).orElse(Version.ABSENT),
+                        counter.map(KeyValueStore.Entry::revision).orElse(Revision.ABSENT),
                         next,
                         granted.lease(),
                         granted.sentAt()));
     }
 
     private Step claimed(LeadershipState state, LeadershipEvent.Claimed claimed) {
-        if (claimed.commit() == null || !claimed.commit().applied()) {
+        if (claimed.commit() == null || !claimed.commit().isApplied()) {
             // Unanswered, it may yet be applied; the next look then finds our own name and claims
             // anew.
             return lookAgain(state);
         }
-        Version version = claimed.commit().revision();
+        Revision revision = claimed.commit().revision();
         Holding held =
                 new Holding(
                         claimed.lease(),
                         claimed.sentAt(),
                         claimed.sentAt(),
                         false,
-                        version,
+                        revision,
                         false,
                         null);
         return Step.of(
                 state.elected(member, claimed.term(), held),
-                new LeadershipEffect.Elected(claimed.term(), version, state.known().freeSince()),
+                new LeadershipEffect.Elected(claimed.term(), revision, state.known().freeSince()),
                 new LeadershipEffect.TickLater(state.epoch()));
     }
 
     // ---- keeping it, and its end ----
 
-    private static Step renewIfDue(LeadershipState state, Moment now) {
+    private static Step renewIfDue(LeadershipState state, MonotonicTime now) {
         Holding held = state.holding();
         return held == null || !held.isDue(now, RENEW)
                 ? Step.of(state)
@@ -351,7 +356,7 @@
                                 event.heir()));
     }
 
-    private Step givenUp(LeadershipState state, LeadershipEvent.GivenUp event, Moment now) {
+    private Step givenUp(LeadershipState state, LeadershipEvent.GivenUp event, MonotonicTime now) {
         if (state.holding() == null) {
             return Step.of(state);
         }
@@ -367,7 +372,7 @@
         String why =
                 event.commit() == null
                         ? "whether it is given up is not known"
-                        : !event.commit().applied()
+                        : !event.commit().isApplied()
                                 ? "the leader's record has changed"
                                 : event.forWantOfHearing()
                                         ? "it hears hardly any worker"
@@ -381,17 +386,18 @@
      * Whether it is better to wait than to send a worker back to the leader that answered it last:
      * it has left the leader, whose process may have ended.
      */
-    boolean mayBeGone(LeadershipState state, Term shown, Moment now) {
-        Moment trustedAt = state.suspicion().trustedAt();
+    boolean mayBeGone(LeadershipState state, FencingToken shown, MonotonicTime now) {
+        MonotonicTime trustedAt = state.suspicion().trustedAt();
         String leader = state.known().leader();
         return state.holding() == null
                 && leader != null
                 && !member.equals(leader)
                 && shown.equals(state.known().term())
-                && (trustedAt == null || now.since(trustedAt).compareTo(TRUST) >= 0);
+                && (trustedAt == null || now.elapsedSince(trustedAt).compareTo(TRUST) >= 0);
     }
 
-    private Step arrived(LeadershipState state, LeadershipEvent.Arrived arrived, Moment now) {
+    private Step arrived(
+            LeadershipState state, LeadershipEvent.Arrived arrived, MonotonicTime now) {
         if (!mayBeGone(state, arrived.shown(), now)) {
             return Step.of(state);
         }
@@ -404,7 +410,7 @@
                                 state.epoch(), state.known().leader(), 0, 0, Duration.ZERO));
     }
 
-    private static Step told(LeadershipState state, LeadershipEvent.Told told, Moment now) {
+    private static Step told(LeadershipState state, LeadershipEvent.Told told, MonotonicTime now) {
         boolean trusted = told.sign() == Peers.Sign.ANSWERS;
         boolean refuses = told.sign() == Peers.Sign.REFUSES;
         Suspicion suspicion = state.suspicion();
--- a/src/main/java/org/meadowhollow/coordination/placement/Aims.java
+++ b/src/main/java/org/meadowhollow/coordination/placement/Aims.java
@@ -3,11 +3,11 @@
 import java.time.Duration;
 import java.util.HashSet;
 import java.util.Set;
-import org.meadowhollow.bookkeeping.Catalog;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.MachineType;
 import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.MachineTypeCatalog;
 
 /** What the objectives and the machine types mean for the jobs that have come so far. */
 public final class Aims {
@@ -15,19 +15,19 @@
     static final Duration DESPERATE = Duration.ofSeconds(30);
 
     private final Platform platform;
-    private final Catalog catalog;
+    private final MachineTypeCatalog machineTypeCatalog;
     private final Set<String> largeFor = new HashSet<>();
     private double largestImageGb;
 
-    public Aims(Platform platform, Catalog catalog) {
+    public Aims(Platform platform, MachineTypeCatalog machineTypeCatalog) {
         this.platform = platform;
-        this.catalog = catalog;
+        this.machineTypeCatalog = machineTypeCatalog;
     }
 
     /** Notes the machine types that a job's tasks need most of, and the size of its image. */
     public void note(JobSpec spec) {
-        largestImageGb = Math.max(largestImageGb, spec.imageGb());
-        for (MachineType type : catalog.types()) {
+        largestImageGb = Math.max(largestImageGb, spec.imageSizeGb());
+        for (MachineType type : machineTypeCatalog.types()) {
             if (isLarge(spec, type)) {
                 largeFor.add(type.name());
             }
@@ -35,11 +35,12 @@
     }
 
     private static boolean fits(JobSpec spec, MachineType type) {
-        return spec.allowsType(type.name()) && spec.perTask().fitsIn(type.room());
+        return spec.allowsMachineType(type.name())
+                && spec.resourcesPerTask().fitsIn(type.capacity());
     }
 
     private static boolean isLarge(JobSpec spec, MachineType type) {
-        return fits(spec, type) && PlacementRound.isLarge(spec, type.room());
+        return fits(spec, type) && PlacementRound.isLarge(spec, type.capacity());
     }
 
     /** Whether tasks that need most of such a machine are about. */
@@ -66,9 +67,13 @@
     /** How long a new machine takes at best until it can run one of the job's tasks. */
     public double readyS(JobSpec spec) {
         double readyS = Double.MAX_VALUE;
-        for (MachineType type : catalog.types()) {
+        for (MachineType type : machineTypeCatalog.types()) {
             if (fits(spec, type)) {
-                readyS = Math.min(readyS, type.bootS() + spec.imageGb() / type.fetchGbPerS());
+                readyS =
+                        Math.min(
+                                readyS,
+                                type.bootSeconds()
+                                        + spec.imageSizeGb() / type.imagePullGbPerSecond());
             }
         }
         return readyS;
@@ -77,9 +82,9 @@
     /** Whether a job needs machines of its own and could not be started in time on new ones. */
     public boolean needsReserve(JobSpec spec) {
         boolean large = false;
-        for (MachineType type : catalog.types()) {
+        for (MachineType type : machineTypeCatalog.types()) {
             large |= isLarge(spec, type);
         }
-        return large && spec.kind() != Kind.SERVICE && patienceS(spec, false) < 0;
+        return large && spec.kind() != JobKind.SERVICE && patienceS(spec, false) < 0;
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/placement/Cluster.java
+++ b/src/main/java/org/meadowhollow/coordination/placement/Cluster.java
@@ -7,18 +7,18 @@
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import org.meadowhollow.bookkeeping.Job;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Machine;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Placement;
-import org.meadowhollow.bookkeeping.Resources;
-import org.meadowhollow.bookkeeping.Term;
 import org.meadowhollow.coordination.calendar.Outlook;
 import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.Job;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Placement;
+import org.meadowhollow.model.Resources;
 
 /**
  * The jobs and machines of one leadership, as far as it knows them; guarded by the leader's lock.
@@ -28,7 +28,7 @@
     public static final double SILENT_REPORTS = 2.0;
 
     private final Platform platform;
-    private final Term term;
+    private final FencingToken fencingToken;
     private final Map<JobId, Job> jobs = new TreeMap<>();
     private final SortedMap<MachineId, Machine> machines = new TreeMap<>();
     private final Map<MachineId, RiskTable> risks = new HashMap<>();
@@ -36,9 +36,9 @@
 
     private Outlook outlook = Outlook.NONE;
 
-    public Cluster(Platform platform, Term term) {
+    public Cluster(Platform platform, FencingToken fencingToken) {
         this.platform = platform;
-        this.term = term;
+        this.fencingToken = fencingToken;
     }
 
     public Map<JobId, Job> jobs() {
@@ -79,11 +79,12 @@
 
     /** Takes in what a predecessor committed. */
     public void restore(Placement placement) {
-        Machine machine = machines.get(placement.machine());
+        Machine machine = machines.get(placement.machineId());
         if (machine != null) {
             machine.placements().add(placement);
         } else {
-            unseen.computeIfAbsent(placement.machine(), unused -> new ArrayList<>()).add(placement);
+            unseen.computeIfAbsent(placement.machineId(), unused -> new ArrayList<>())
+                    .add(placement);
         }
     }
 
@@ -92,37 +93,37 @@
      * so one that only answers direct commands cannot: tasks that were placed there waited for as
      * long as it found no controller.
      */
-    public boolean usable(Machine machine, Moment now) {
-        return !machine.draining()
-                && machine.answeredAt() != null
-                && machine.shown().equals(term)
-                && machine.session() != null
-                && now.secondsSince(machine.answeredAt())
+    public boolean usable(Machine machine, MonotonicTime now) {
+        return !machine.isUnschedulable()
+                && machine.lastAnsweredHeartbeatAt() != null
+                && machine.highestFencingToken().equals(fencingToken)
+                && machine.incarnation() != null
+                && now.secondsSince(machine.lastAnsweredHeartbeatAt())
                         < SILENT_REPORTS * platform.reportEvery().toNanos() / 1e9;
     }
 
     /** Whether a machine can take tasks of a job now, if it has room. */
-    boolean mayTake(Machine machine, JobSpec spec, Moment now) {
-        JobId heldFor = machine.heldFor(now);
+    boolean mayTake(Machine machine, JobSpec spec, MonotonicTime now) {
+        JobId heldFor = machine.heldForGang(now);
         return usable(machine, now)
                 && (heldFor == null || heldFor.equals(spec.id()))
-                && spec.allowsType(machine.type().name())
+                && spec.allowsMachineType(machine.type().name())
                 && spec.allowsZone(machine.zone())
-                && (spec.spot() || !machine.spot());
+                && (spec.allowsSpot() || !machine.isSpot());
     }
 
     /** What keeps a job that waits from being placed, for those who read the log. */
-    public String waitsFor(Job job, Moment now) {
+    public String waitsFor(Job job, MonotonicTime now) {
         JobSpec spec = job.spec();
         Resources most = platform.teams().get(spec.team()).most();
         Resources then =
                 used().getOrDefault(spec.team(), Resources.NONE)
                         .plus(
-                                spec.kind() == Kind.ARRAY
-                                        ? spec.perTask()
-                                        : spec.perTask().times(job.waitingCount()));
-        long stopping = job.placements().stream().filter(Placement::stopping).count();
-        if (job.holdUntil() != null && now.isBefore(job.holdUntil())) {
+                                spec.kind() == JobKind.ARRAY
+                                        ? spec.resourcesPerTask()
+                                        : spec.resourcesPerTask().times(job.pendingTaskCount()));
+        long stopping = job.placements().stream().filter(Placement::isStopping).count();
+        if (job.backoffUntil() != null && now.isBefore(job.backoffUntil())) {
             return "a pause, since its tasks fail";
         } else if (stopping > 0) {
             return stopping + " tasks of its last attempt that may still be running";
@@ -132,15 +133,16 @@
         }
         Object2IntOpenHashMap<String> room = new Object2IntOpenHashMap<>();
         for (Machine machine : machines.values()) {
-            if (mayTake(machine, spec, now) && spec.perTask().fitsIn(machine.free())) {
-                room.addTo(spec.oneZone() ? machine.zone() : "any zone", 1);
+            if (mayTake(machine, spec, now)
+                    && spec.resourcesPerTask().fitsIn(machine.freeCapacity())) {
+                room.addTo(spec.requiresSingleZone() ? machine.zone() : "any zone", 1);
             }
         }
         return job.placements().isEmpty()
                 ? "room: machines with room for a task are " + room
                 : job.placements().size()
                         + " tasks are placed, "
-                        + job.waitingCount()
+                        + job.pendingTaskCount()
                         + " have none; machines with room: "
                         + room;
     }
@@ -149,7 +151,7 @@
     Object2IntOpenHashMap<String> zonesOf(Job job) {
         Object2IntOpenHashMap<String> zones = new Object2IntOpenHashMap<>();
         for (Placement placement : job.placements()) {
-            Machine machine = machines.get(placement.machine());
+            Machine machine = machines.get(placement.machineId());
             // A machine not seen yet may be in any zone, so it counts in all of them.
             if (machine != null) {
                 zones.addTo(machine.zone(), 1);
@@ -175,7 +177,7 @@
         for (Placement placement : placements) {
             used.merge(
                     placement.job().spec().team(),
-                    placement.job().spec().perTask(),
+                    placement.job().spec().resourcesPerTask(),
                     Resources::plus);
         }
     }
--- a/src/main/java/org/meadowhollow/coordination/placement/Expected.java
+++ b/src/main/java/org/meadowhollow/coordination/placement/Expected.java
@@ -4,8 +4,8 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Moment;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.MonotonicTime;
 
 /**
  * The jobs that are likely to come before a new machine could be ready for them: as many as came
@@ -19,7 +19,7 @@
     /** Arrivals come in bunches, so twice the time that a new machine takes is looked back. */
     private static final int WINDOWS = 2;
 
-    private record Arrival(JobSpec spec, Moment at, Duration ready) {}
+    private record Arrival(JobSpec spec, MonotonicTime at, Duration ready) {}
 
     private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
 
@@ -28,7 +28,7 @@
      *
      * @param ready how long a new machine takes until it can run one of the job's tasks
      */
-    public void came(JobSpec spec, Moment at, Duration ready) {
+    public void came(JobSpec spec, MonotonicTime at, Duration ready) {
         arrivals.add(new Arrival(spec, at, ready));
         if (arrivals.size() > MOST_KEPT) {
             arrivals.poll();
@@ -36,10 +36,11 @@
     }
 
     /** The jobs to keep room for, the latest first. */
-    public List<JobSpec> likely(Moment now) {
+    public List<JobSpec> likely(MonotonicTime now) {
         arrivals.removeIf(
                 arrival ->
-                        now.since(arrival.at()).compareTo(arrival.ready().multipliedBy(WINDOWS))
+                        now.elapsedSince(arrival.at())
+                                        .compareTo(arrival.ready().multipliedBy(WINDOWS))
                                 > 0);
         List<JobSpec> specs = new ArrayList<>();
         arrivals.descendingIterator().forEachRemaining(arrival -> specs.add(arrival.spec()));
--- a/src/main/java/org/meadowhollow/coordination/placement/PlacementRound.java
+++ b/src/main/java/org/meadowhollow/coordination/placement/PlacementRound.java
@@ -9,13 +9,13 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
-import org.meadowhollow.bookkeeping.ImageCache;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Resources;
 import org.meadowhollow.coordination.calendar.SeatLimit;
+import org.meadowhollow.model.ImageCache;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.Resources;
 
 /**
  * One round of placement, a pure function of a snapshot: each waiting task goes to the machine with
@@ -131,13 +131,17 @@
             failed = failedOn.contains(id);
             chance =
                     risk.chanceOfNone(
-                            tasks + 1, whole.minus(free).plus(spec.perTask()).shareOf(whole));
+                            tasks + 1,
+                            whole.minus(free).plus(spec.resourcesPerTask()).dominantShareOf(whole));
             steps = fetchSteps(spec);
             // Somebody waits for every replica, so its fetch comes before the price.
-            preferredSpot = spot && spec.kind() != Kind.SERVICE;
-            coming = spec.kind() == Kind.SERVICE && steps > 0 && fetches.containsKey(spec.image());
+            preferredSpot = spot && spec.kind() != JobKind.SERVICE;
+            coming =
+                    spec.kind() == JobKind.SERVICE
+                            && steps > 0
+                            && fetches.containsKey(spec.image());
             kept = keptFrom(spec);
-            roomShare = free.shareOf(whole);
+            roomShare = free.dominantShareOf(whole);
         }
 
         /**
@@ -148,21 +152,21 @@
         private boolean keptFrom(JobSpec spec) {
             return forLarge
                     && !isLarge(spec, whole)
-                    && (spec.kind() == Kind.SERVICE ? replicas : tasks) == 0;
+                    && (spec.kind() == JobKind.SERVICE ? replicas : tasks) == 0;
         }
 
         /** Takes a task in; true if its image has to be fetched for it. */
         private boolean take(JobSpec spec) {
-            free = free.minus(spec.perTask());
+            free = free.minus(spec.resourcesPerTask());
             tasks++;
-            replicas += spec.kind() == Kind.SERVICE ? 1 : 0;
+            replicas += spec.kind() == JobKind.SERVICE ? 1 : 0;
             if (limit != null) {
                 limit.took(spec);
             }
-            if (cached.has(spec.image()) || fetches.containsKey(spec.image())) {
+            if (cached.contains(spec.image()) || fetches.containsKey(spec.image())) {
                 return false;
             }
-            fetches.put(spec.image(), spec.imageGb() / fetchGbPerS);
+            fetches.put(spec.image(), spec.imageSizeGb() / fetchGbPerS);
             return true;
         }
 
@@ -171,18 +175,18 @@
          * share.
          */
         private double fetchSteps(JobSpec spec) {
-            if (cached.has(spec.image())) {
+            if (cached.contains(spec.image())) {
                 return 0;
             }
             double aloneS =
                     fetches.containsKey(spec.image())
                             ? fetches.getDouble(spec.image()) * fetches.size()
-                            : spec.imageGb() / fetchGbPerS * (fetches.size() + 1);
+                            : spec.imageSizeGb() / fetchGbPerS * (fetches.size() + 1);
             return 1 + Math.floor(aloneS / FETCH_STEP_S);
         }
 
         private void giveBack(JobSpec spec, boolean fetched) {
-            free = free.plus(spec.perTask());
+            free = free.plus(spec.resourcesPerTask());
             tasks--;
             if (limit != null) {
                 limit.gaveBack(spec);
@@ -256,7 +260,7 @@
         int placed = 0;
         for (Waiting job : jobs) {
             int before = round.decisions.size();
-            if (job.spec().kind() == Kind.GANG) {
+            if (job.spec().kind() == JobKind.GANG) {
                 round.placeGang(job);
             } else {
                 round.placeEach(job);
@@ -270,12 +274,12 @@
 
     private void placeEach(Waiting job) {
         Share team = teams.get(job.spec().team());
-        if (!team.allows(job.spec().perTask())) {
+        if (!team.allows(job.spec().resourcesPerTask())) {
             return;
         }
         Candidates candidates = new Candidates(seats, job, job.desperate(), false, null);
         for (int at = 0; at < job.tasks().length; at++) {
-            if (!team.allows(job.spec().perTask())) {
+            if (!team.allows(job.spec().resourcesPerTask())) {
                 return;
             }
             Choice choice = candidates.next();
@@ -284,7 +288,7 @@
                 return;
             }
             candidates.take(choice);
-            team.used = team.used.plus(job.spec().perTask());
+            team.used = team.used.plus(job.spec().resourcesPerTask());
             decisions.add(
                     new Decision(job.spec(), job.tasks()[at], choice.seat.id, choice.byTable));
         }
@@ -293,7 +297,7 @@
     private void placeGang(Waiting job) {
         JobSpec spec = job.spec();
         Share team = teams.get(spec.team());
-        Resources all = spec.perTask().times(job.tasks().length);
+        Resources all = spec.resourcesPerTask().times(job.tasks().length);
         if (!team.allows(all)) {
             return;
         }
@@ -307,7 +311,7 @@
 
     private boolean placeWhole(Waiting job, boolean roomOnly) {
         List<String> starts = new ArrayList<>();
-        if (job.spec().oneZone()) {
+        if (job.spec().requiresSingleZone()) {
             for (Seat seat : seats) {
                 if (!starts.contains(seat.zone)) {
                     starts.add(seat.zone);
@@ -466,14 +470,14 @@
 
     /** Whether a task needs so much of a machine that no second one fits beside it. */
     static boolean isLarge(JobSpec spec, Resources whole) {
-        return spec.perTask().shareOf(whole) > LARGE;
+        return spec.resourcesPerTask().dominantShareOf(whole) > LARGE;
     }
 
     private static boolean allowed(JobSpec spec, Object2IntMap<String> zones, Seat seat) {
-        if (!spec.perTask().fitsIn(seat.free)
-                || !spec.allowsType(seat.type)
+        if (!spec.resourcesPerTask().fitsIn(seat.free)
+                || !spec.allowsMachineType(seat.type)
                 || !spec.allowsZone(seat.zone)
-                || seat.spot && !spec.spot()) {
+                || seat.spot && !spec.allowsSpot()) {
             return false;
         }
         if (seat.heldFor != null && !seat.heldFor.equals(spec.id())) {
@@ -482,14 +486,16 @@
         if (seat.limit != null
                 && !seat.limit.allows(
                         spec,
-                        seat.cached.has(spec.image()) ? 0 : spec.imageGb() / seat.fetchGbPerS,
+                        seat.cached.contains(spec.image())
+                                ? 0
+                                : spec.imageSizeGb() / seat.fetchGbPerS,
                         seat.free)) {
             return false;
         }
-        if (spec.spread() && zones.getInt(seat.zone) >= spec.mostPerZone()) {
+        if (spec.spreadsAcrossZones() && zones.getInt(seat.zone) >= spec.maxTasksPerZone()) {
             return false;
         }
-        if (spec.oneZone()) {
+        if (spec.requiresSingleZone()) {
             for (Object2IntMap.Entry<String> entry : zones.object2IntEntrySet()) {
                 if (entry.getIntValue() > 0 && !entry.getKey().equals(seat.zone)) {
                     return false;
--- a/src/main/java/org/meadowhollow/coordination/placement/Preemption.java
+++ b/src/main/java/org/meadowhollow/coordination/placement/Preemption.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Priority;
-import org.meadowhollow.bookkeeping.Resources;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Priority;
+import org.meadowhollow.model.Resources;
 
 /**
  * Which tasks to stop for one that finds no room: a pure function. Only work of lower priority may
@@ -48,16 +48,16 @@
             may.sort(Comparator.comparingDouble(Running::lostS));
             Resources free = place.free();
             List<T> stopped = new ArrayList<>();
-            double loss = place.cached() ? 0 : spec.imageGb();
+            double loss = place.cached() ? 0 : spec.imageSizeGb();
             for (Running<T> running : may) {
-                if (spec.perTask().fitsIn(free)) {
+                if (spec.resourcesPerTask().fitsIn(free)) {
                     break;
                 }
                 free = free.plus(running.takes());
                 stopped.add(running.task());
                 loss += running.lostS();
             }
-            if (!stopped.isEmpty() && spec.perTask().fitsIn(free) && loss < bestLoss) {
+            if (!stopped.isEmpty() && spec.resourcesPerTask().fitsIn(free) && loss < bestLoss) {
                 best = stopped;
                 bestLoss = loss;
             }
@@ -80,7 +80,7 @@
      */
     static <T> List<Gain<T>> idleVictims(
             JobSpec spec, int most, boolean whole, List<Place<T>> places) {
-        if (!spec.priority().above(Priority.LOW)) {
+        if (!spec.priority().isHigherThan(Priority.LOW)) {
             return List.of();
         }
         List<Gain<T>> gains = new ArrayList<>();
@@ -94,18 +94,18 @@
             idle.sort(Comparator.comparingDouble(Running::lostS));
             Resources free = place.free();
             List<T> stopped = new ArrayList<>();
-            double loss = place.cached() ? 0 : spec.imageGb();
+            double loss = place.cached() ? 0 : spec.imageSizeGb();
             int next = 0;
             for (int count = 0; count < most; count++) {
-                while (!spec.perTask().fitsIn(free) && next < idle.size()) {
+                while (!spec.resourcesPerTask().fitsIn(free) && next < idle.size()) {
                     free = free.plus(idle.get(next).takes());
                     stopped.add(idle.get(next).task());
                     loss += idle.get(next++).lostS();
                 }
-                if (!spec.perTask().fitsIn(free)) {
+                if (!spec.resourcesPerTask().fitsIn(free)) {
                     break;
                 }
-                free = free.minus(spec.perTask());
+                free = free.minus(spec.resourcesPerTask());
                 gains.add(new Gain<>(place, stopped, loss));
                 stopped = new ArrayList<>();
                 loss = 0;
@@ -119,7 +119,7 @@
     }
 
     private static boolean mayStop(JobSpec spec, boolean guaranteed, Running<?> running) {
-        return spec.priority().above(running.priority())
+        return spec.priority().isHigherThan(running.priority())
                 || guaranteed && running.borrowed() && !running.team().equals(spec.team());
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/placement/RiskTable.java
+++ b/src/main/java/org/meadowhollow/coordination/placement/RiskTable.java
@@ -3,7 +3,7 @@
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 import java.time.Duration;
 import org.agrona.collections.Int2IntCounterMap;
-import org.meadowhollow.bookkeeping.Moment;
+import org.meadowhollow.model.MonotonicTime;
 
 /**
  * What one machine's past says of the losses to expect at a load: how often each violation group
@@ -60,14 +60,14 @@
     private int first;
     private int kept;
     private int samples;
-    private Moment windowsFrom;
+    private MonotonicTime windowsFrom;
 
     /**
      * Adds what one report showed: the load, and the tasks lost since the report before.
      *
      * @return the sample, for a copy's {@link #replay}
      */
-    public int add(int tasks, double share, int violations, Moment now) {
+    public int add(int tasks, double share, int violations, MonotonicTime now) {
         int sample =
                 (Math.min(MOST_COUNT, violations) << COUNT_BITS | Math.min(MOST_COUNT, tasks))
                                 << BUCKET_BITS
@@ -80,7 +80,7 @@
      * Adds a sample that another table was given by {@link #add}, at the same time, so that both
      * come to say the same.
      */
-    public void replay(int sample, Moment now) {
+    public void replay(int sample, MonotonicTime now) {
         if (!isSample(sample)) {
             throw new IllegalArgumentException("no sample: " + sample);
         }
@@ -90,7 +90,7 @@
         if (windowsFrom == null) {
             windowsFrom = now;
         }
-        if (now.since(windowsFrom).compareTo(WINDOW.multipliedBy(WINDOWS)) >= 0) {
+        if (now.elapsedSince(windowsFrom).compareTo(WINDOW.multipliedBy(WINDOWS)) >= 0) {
             if (swings()) {
                 rebuild(now);
             }
@@ -98,7 +98,7 @@
         }
     }
 
-    private void keep(int sample, Moment at) {
+    private void keep(int sample, MonotonicTime at) {
         if (kept == MOST_SAMPLES) {
             first = (first + 1) % times.length;
             kept--;
@@ -141,12 +141,12 @@
         double least = Double.MAX_VALUE;
         double most = 0;
         for (int window = 0; window < WINDOWS; window++) {
-            Moment from = windowsFrom.plus(WINDOW.multipliedBy(window));
-            Moment to = from.plus(WINDOW);
+            MonotonicTime from = windowsFrom.plus(WINDOW.multipliedBy(window));
+            MonotonicTime to = from.plus(WINDOW);
             long tasks = 0;
             long violations = 0;
             for (int at = 0; at < kept; at++) {
-                Moment when = new Moment(times[slot(at)]);
+                MonotonicTime when = new MonotonicTime(times[slot(at)]);
                 if (!when.isBefore(from) && when.isBefore(to)) {
                     tasks += tasks(loads[slot(at)]);
                     violations += violations(loads[slot(at)]);
@@ -159,8 +159,9 @@
         return most - least > SWING;
     }
 
-    private void rebuild(Moment now) {
-        while (kept > 0 && now.since(new Moment(times[first])).compareTo(RECENT) > 0) {
+    private void rebuild(MonotonicTime now) {
+        while (kept > 0
+                && now.elapsedSince(new MonotonicTime(times[first])).compareTo(RECENT) > 0) {
             first = (first + 1) % times.length;
             kept--;
         }
@@ -181,7 +182,7 @@
      * runs of equal ones, whose times within a run are lost but for the first and the last. Ages
      * are milliseconds.
      */
-    public int[] export(Moment now) {
+    public int[] export(MonotonicTime now) {
         IntArrayList out = new IntArrayList();
         out.add(samples);
         out.add(windowsFrom == null ? 0 : millis(now, windowsFrom.nanos()));
@@ -204,7 +205,7 @@
         return out.toIntArray();
     }
 
-    private static int millis(Moment now, long then) {
+    private static int millis(MonotonicTime now, long then) {
         return (int) Math.max(0, Math.min(Integer.MAX_VALUE, (now.nanos() - then) / 1_000_000));
     }
 
@@ -213,7 +214,7 @@
      *
      * @throws IllegalArgumentException if it is nothing of that kind
      */
-    public static RiskTable of(int[] exported, Moment now) {
+    public static RiskTable of(int[] exported, MonotonicTime now) {
         RiskTable table = new RiskTable();
         int counted = 0;
         int at = 3;
@@ -260,8 +261,8 @@
         return table;
     }
 
-    private static Moment before(Moment now, double millis) {
-        return new Moment(now.nanos() - (long) (millis * 1e6));
+    private static MonotonicTime before(MonotonicTime now, double millis) {
+        return new MonotonicTime(now.nanos() - (long) (millis * 1e6));
     }
 
     @Override
--- a/src/main/java/org/meadowhollow/coordination/placement/RoomMaker.java
+++ b/src/main/java/org/meadowhollow/coordination/placement/RoomMaker.java
@@ -7,16 +7,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.meadowhollow.bookkeeping.Job;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Machine;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Placement;
-import org.meadowhollow.bookkeeping.Priority;
-import org.meadowhollow.bookkeeping.Resources;
 import org.meadowhollow.coordination.calendar.SeatLimit;
 import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.model.Job;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Placement;
+import org.meadowhollow.model.Priority;
+import org.meadowhollow.model.Resources;
 
 /** Finds what to stop for waiting jobs that no new machine could serve in time. */
 public final class RoomMaker {
@@ -41,21 +41,22 @@
      * comes first.
      */
     public List<Placement> victims(
-            Job job, Object2IntMap<String> zones, boolean guaranteed, Moment now) {
+            Job job, Object2IntMap<String> zones, boolean guaranteed, MonotonicTime now) {
         JobSpec spec = job.spec();
-        if (spec.kind() == Kind.GANG && spec.tasks() > 1
-                || now.secondsSince(job.waitingSince()) < aims.patienceS(spec, guaranteed)
-                || job.roomMadeAt() != null && now.since(job.roomMadeAt()).compareTo(AGAIN) < 0) {
+        if (spec.kind() == JobKind.GANG && spec.taskCount() > 1
+                || now.secondsSince(job.pendingSince()) < aims.patienceS(spec, guaranteed)
+                || job.lastPreemptionAt() != null
+                        && now.elapsedSince(job.lastPreemptionAt()).compareTo(AGAIN) < 0) {
             return List.of();
         }
         Map<String, Resources> used = cluster.used();
         List<Preemption.Place<Placement>> places = new ArrayList<>();
         for (Machine machine : cluster.machines().values()) {
-            if (mayMakeRoom(machine, spec, zones, now) && machine.heldFor(now) == null) {
+            if (mayMakeRoom(machine, spec, zones, now) && machine.heldForGang(now) == null) {
                 places.add(
                         new Preemption.Place<>(
-                                machine.free(),
-                                machine.images().has(spec.image()),
+                                machine.freeCapacity(),
+                                machine.imageCache().contains(spec.image()),
                                 running(machine, used, now)));
             }
         }
@@ -70,10 +71,11 @@
      * @param count how many tasks found no room
      */
     public List<Placement> idleVictims(
-            Job job, Object2IntMap<String> zones, int count, Moment now) {
+            Job job, Object2IntMap<String> zones, int count, MonotonicTime now) {
         JobSpec spec = job.spec();
-        if (!spec.priority().above(Priority.LOW)
-                || job.roomMadeAt() != null && now.since(job.roomMadeAt()).compareTo(AGAIN) < 0) {
+        if (!spec.priority().isHigherThan(Priority.LOW)
+                || job.lastPreemptionAt() != null
+                        && now.elapsedSince(job.lastPreemptionAt()).compareTo(AGAIN) < 0) {
             return List.of();
         }
         Map<String, Resources> used = cluster.used();
@@ -81,20 +83,22 @@
         Map<Preemption.Place<Placement>, Machine> machines = new IdentityHashMap<>();
         for (Machine machine : cluster.machines().values()) {
             if (!mayMakeRoom(machine, spec, zones, now)
-                    || spec.oneZone() && !zones.isEmpty() && zones.getInt(machine.zone()) == 0) {
+                    || spec.requiresSingleZone()
+                            && !zones.isEmpty()
+                            && zones.getInt(machine.zone()) == 0) {
                 continue;
             }
             Preemption.Place<Placement> place =
                     new Preemption.Place<>(
-                            machine.free(),
-                            machine.images().has(spec.image()),
+                            machine.freeCapacity(),
+                            machine.imageCache().contains(spec.image()),
                             running(machine, used, now));
             byZone.computeIfAbsent(machine.zone(), unused -> new ArrayList<>()).add(place);
             machines.put(place, machine);
         }
-        boolean gang = spec.kind() == Kind.GANG;
+        boolean gang = spec.kind() == JobKind.GANG;
         List<Preemption.Gain<Placement>> best = List.of();
-        if (spec.oneZone()) {
+        if (spec.requiresSingleZone()) {
             double least = Double.MAX_VALUE;
             for (List<Preemption.Place<Placement>> places : byZone.values()) {
                 List<Preemption.Gain<Placement>> gains =
@@ -117,7 +121,7 @@
         if (gang && !victims.isEmpty()) {
             // Small tasks that come first took a little of each machine that was cleared, and the
             // gang found none whole.
-            best.forEach(gain -> machines.get(gain.place()).holdFor(job.id(), now.plus(AGAIN)));
+            best.forEach(gain -> machines.get(gain.place()).holdForGang(job.id(), now.plus(AGAIN)));
         }
         return victims;
     }
@@ -127,19 +131,19 @@
      * made for it.
      */
     private boolean mayMakeRoom(
-            Machine machine, JobSpec spec, Object2IntMap<String> zones, Moment now) {
+            Machine machine, JobSpec spec, Object2IntMap<String> zones, MonotonicTime now) {
         SeatLimit limit = cluster.outlook().limit(machine.id());
-        return (limit == null || limit.allows(spec, 0, machine.type().room()))
+        return (limit == null || limit.allows(spec, 0, machine.type().capacity()))
                 && cluster.mayTake(machine, spec, now)
-                && zones.getInt(machine.zone()) < spec.mostPerZone();
+                && zones.getInt(machine.zone()) < spec.maxTasksPerZone();
     }
 
     private List<Preemption.Running<Placement>> running(
-            Machine machine, Map<String, Resources> used, Moment now) {
+            Machine machine, Map<String, Resources> used, MonotonicTime now) {
         List<Preemption.Running<Placement>> running = new ArrayList<>();
         for (Placement placement : machine.placements()) {
             JobSpec spec = placement.job().spec();
-            if (spec.kind() == Kind.SERVICE || placement.stopping()) {
+            if (spec.kind() == JobKind.SERVICE || placement.isStopping()) {
                 continue;
             }
             double ranS =
@@ -153,8 +157,10 @@
                             placement,
                             spec.priority(),
                             spec.team(),
-                            spec.perTask(),
-                            spec.saves() ? Math.min(ranS, spec.saveS()) : ranS,
+                            spec.resourcesPerTask(),
+                            spec.usesCheckpoints()
+                                    ? Math.min(ranS, spec.checkpointDurationSeconds())
+                                    : ranS,
                             uses.gpu() > guarantee.gpu()
                                     && (guarantee.cpu() == 0 || uses.cpu() > guarantee.cpu())));
         }
--- a/src/main/java/org/meadowhollow/coordination/placement/Snapshot.java
+++ b/src/main/java/org/meadowhollow/coordination/placement/Snapshot.java
@@ -9,16 +9,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.meadowhollow.bookkeeping.Job;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Machine;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Placement;
-import org.meadowhollow.bookkeeping.Resources;
-import org.meadowhollow.bookkeeping.TaskId;
 import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.model.Job;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Placement;
+import org.meadowhollow.model.Resources;
+import org.meadowhollow.model.TaskId;
 
 /**
  * What a round decides from: the machines that can take tasks, the jobs that wait in their order,
@@ -30,14 +30,14 @@
 
     private final Cluster cluster;
     private final Platform platform;
-    private final Moment now;
+    private final MonotonicTime now;
     private final List<PlacementRound.Seat> seats = new ArrayList<>();
     private final List<PlacementRound.Waiting> waiting = new ArrayList<>();
     private final Set<TaskId> strays = new HashSet<>();
     private final Map<JobId, Boolean> guaranteed;
     private final Map<String, PlacementRound.Share> shares;
 
-    public Snapshot(Cluster cluster, Platform platform, Aims aims, Moment now) {
+    public Snapshot(Cluster cluster, Platform platform, Aims aims, MonotonicTime now) {
         this.cluster = cluster;
         this.platform = platform;
         this.now = now;
@@ -69,7 +69,7 @@
 
     private void addSeats(Aims aims) {
         for (Machine machine : cluster.machines().values()) {
-            strays.addAll(machine.strays());
+            strays.addAll(machine.orphanedTasks());
             if (cluster.usable(machine, now)) {
                 seats.add(
                         new PlacementRound.Seat(
@@ -77,18 +77,18 @@
                                         machine.id(),
                                         machine.type().name(),
                                         machine.zone(),
-                                        machine.spot(),
-                                        machine.type().room(),
-                                        machine.free(),
+                                        machine.isSpot(),
+                                        machine.type().capacity(),
+                                        machine.freeCapacity(),
                                         machine.placements().size(),
                                         replicas(machine),
-                                        machine.images(),
+                                        machine.imageCache(),
                                         fetches(machine),
-                                        machine.type().fetchGbPerS(),
+                                        machine.type().imagePullGbPerSecond(),
                                         cluster.risks().get(machine.id()),
                                         aims.isForLarge(machine.type()))
                                 .limited(cluster.outlook().limit(machine.id()))
-                                .heldFor(machine.heldFor(now)));
+                                .heldFor(machine.heldForGang(now)));
             }
         }
     }
@@ -96,9 +96,9 @@
     private void addWaiting() {
         List<Job> order = new ArrayList<>();
         for (Job job : cluster.jobs().values()) {
-            if (job.waitingCount() > 0
-                    && !job.allDone()
-                    && (job.holdUntil() == null || job.holdUntil().isBefore(now))) {
+            if (job.pendingTaskCount() > 0
+                    && !job.isComplete()
+                    && (job.backoffUntil() == null || job.backoffUntil().isBefore(now))) {
                 order.add(job);
             }
         }
@@ -117,8 +117,8 @@
                                 job.spec(),
                                 tasks,
                                 cluster.zonesOf(job),
-                                now.since(job.waitingSince()).compareTo(Aims.DESPERATE) > 0,
-                                job.failedOn()));
+                                now.elapsedSince(job.pendingSince()).compareTo(Aims.DESPERATE) > 0,
+                                job.recentlyFailedMachines()));
             }
         }
     }
@@ -128,10 +128,10 @@
         Object2DoubleOpenHashMap<String> fetches = new Object2DoubleOpenHashMap<>(0);
         for (Placement placement : machine.placements()) {
             JobSpec spec = placement.job().spec();
-            if (!machine.images().has(spec.image())) {
+            if (!machine.imageCache().contains(spec.image())) {
                 double leftS =
-                        spec.imageGb() / machine.type().fetchGbPerS()
-                                - now.secondsSince(placement.since());
+                        spec.imageSizeGb() / machine.type().imagePullGbPerSecond()
+                                - now.secondsSince(placement.placedAt());
                 fetches.put(spec.image(), Math.max(0, leftS));
             }
         }
@@ -141,27 +141,30 @@
     private static int replicas(Machine machine) {
         int count = 0;
         for (Placement placement : machine.placements()) {
-            count += placement.job().spec().kind() == Kind.SERVICE ? 1 : 0;
+            count += placement.job().spec().kind() == JobKind.SERVICE ? 1 : 0;
         }
         return count;
     }
 
     private int[] waitingTasks(Job job) {
-        if (job.spec().kind() == Kind.GANG && (job.hasBegun() || job.doneCount() > 0)) {
+        if (job.spec().kind() == JobKind.GANG
+                && (job.hasAttemptStarted() || job.completedTaskCount() > 0)) {
             return new int[0];
         }
         int most =
-                job.spec().kind() == Kind.GANG
+                job.spec().kind() == JobKind.GANG
                         ? Integer.MAX_VALUE
-                        : job.isSuspect() ? Math.max(0, 1 - job.placements().size()) : MOST_TASKS;
-        int[] tasks = new int[Math.min(most, job.waitingCount())];
+                        : job.isSuspectedFaulty()
+                                ? Math.max(0, 1 - job.placements().size())
+                                : MOST_TASKS;
+        int[] tasks = new int[Math.min(most, job.pendingTaskCount())];
         int count = 0;
-        for (int task = job.nextWaiting(0);
+        for (int task = job.nextPendingTask(0);
                 task >= 0 && count < tasks.length;
-                task = job.nextWaiting(task + 1)) {
+                task = job.nextPendingTask(task + 1)) {
             if (!strays.contains(new TaskId(job.id(), task))) {
                 tasks[count++] = task;
-            } else if (job.spec().kind() == Kind.GANG) {
+            } else if (job.spec().kind() == JobKind.GANG) {
                 return new int[0];
             }
         }
@@ -169,9 +172,9 @@
     }
 
     private static double dueAt(Job job) {
-        return Double.isNaN(job.spec().deadlineS())
+        return Double.isNaN(job.spec().deadlineSeconds())
                 ? Double.MAX_VALUE
-                : job.acceptedAtMillis() / 1000.0 + job.spec().deadlineS();
+                : job.acceptedAtMillis() / 1000.0 + job.spec().deadlineSeconds();
     }
 
     private Map<String, PlacementRound.Share> findShares() {
@@ -196,10 +199,13 @@
         Map<String, Resources> sums = new HashMap<>();
         Map<JobId, Boolean> within = new HashMap<>();
         for (Job job : byAge) {
-            if (job.cancelled()) {
+            if (job.isCancelled()) {
                 continue;
             }
-            Resources all = job.spec().perTask().times(job.spec().tasks() - job.doneCount());
+            Resources all =
+                    job.spec()
+                            .resourcesPerTask()
+                            .times(job.spec().taskCount() - job.completedTaskCount());
             Resources sum = sums.merge(job.spec().team(), all, Resources::plus);
             Platform.Team team = platform.teams().get(job.spec().team());
             Resources most = team.guaranteed();
--- a/src/main/java/org/meadowhollow/coordination/placement/Turnover.java
+++ b/src/main/java/org/meadowhollow/coordination/placement/Turnover.java
@@ -6,13 +6,13 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.PriorityQueue;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Machine;
-import org.meadowhollow.bookkeeping.MachineType;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Placement;
-import org.meadowhollow.bookkeeping.Resources;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Placement;
+import org.meadowhollow.model.Resources;
 
 /**
  * The places that tasks of arrays will leave soon. A waiting task that can still be in time on one
@@ -28,10 +28,10 @@
     /** A place that is left in some seconds. */
     private record Place(double inS, Resources takes, MachineType type, String zone, boolean spot) {
         boolean suits(JobSpec spec) {
-            return spec.perTask().fitsIn(takes)
-                    && spec.allowsType(type.name())
+            return spec.resourcesPerTask().fitsIn(takes)
+                    && spec.allowsMachineType(type.name())
                     && spec.allowsZone(zone)
-                    && (spec.spot() || !spot);
+                    && (spec.allowsSpot() || !spot);
         }
     }
 
@@ -39,40 +39,43 @@
             new PriorityQueue<>(Comparator.comparingDouble(Place::inS));
 
     /** Notes the tasks of arrays that are on machines where others can follow them. */
-    public Turnover(List<Machine> machines, Moment now) {
+    public Turnover(List<Machine> machines, MonotonicTime now) {
         for (Machine machine : machines) {
-            if (machine.draining()) {
+            if (machine.isUnschedulable()) {
                 continue;
             }
             for (Placement placement : machine.placements()) {
                 JobSpec spec = placement.job().spec();
-                if (spec.kind() == Kind.ARRAY) {
+                if (spec.kind() == JobKind.ARRAY) {
                     double leftS =
                             placement.runningSince() == null
-                                    ? runS(spec) + spec.imageGb() / machine.type().fetchGbPerS() / 2
+                                    ? runS(spec)
+                                            + spec.imageSizeGb()
+                                                    / machine.type().imagePullGbPerSecond()
+                                                    / 2
                                     : Math.max(
                                             runS(spec) - now.secondsSince(placement.runningSince()),
                                             runS(spec) / 4);
                     places.add(
                             new Place(
                                     leftS,
-                                    spec.perTask(),
+                                    spec.resourcesPerTask(),
                                     machine.type(),
                                     machine.zone(),
-                                    machine.spot()));
+                                    machine.isSpot()));
                 }
             }
         }
     }
 
     private static double runS(JobSpec spec) {
-        return spec.estimateS() * ESTIMATE_MARGIN;
+        return spec.estimatedRuntimeSeconds() * ESTIMATE_MARGIN;
     }
 
     /** Notes a task that a machine not yet up will take first. */
     public void follows(
             JobSpec spec, MachineType type, String zone, boolean spot, double readyInS) {
-        places.add(new Place(readyInS + runS(spec), spec.perTask(), type, zone, spot));
+        places.add(new Place(readyInS + runS(spec), spec.resourcesPerTask(), type, zone, spot));
     }
 
     /**
@@ -92,7 +95,7 @@
                 followed.add(
                         new Place(
                                 place.inS() + runS(spec),
-                                spec.perTask(),
+                                spec.resourcesPerTask(),
                                 place.type(),
                                 place.zone(),
                                 place.spot()));
@@ -113,12 +116,12 @@
 
     /** When a task must start to be in time; never sooner than a new machine could help. */
     private static double latestStartS(JobSpec spec, double agedS, double readyS) {
-        if (Double.isNaN(spec.deadlineS())) {
+        if (Double.isNaN(spec.deadlineSeconds())) {
             return readyS;
         }
-        double startInS = spec.deadlineS() - agedS - runS(spec);
+        double startInS = spec.deadlineSeconds() - agedS - runS(spec);
         return startInS >= readyS
                 ? startInS
-                : Math.max(readyS, startInS + spec.deadlineS() * LATE_SHARE);
+                : Math.max(readyS, startInS + spec.deadlineSeconds() * LATE_SHARE);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/platform/Cloud.java
+++ b/src/main/java/org/meadowhollow/coordination/platform/Cloud.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.MachineType;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MachineType;
 
 /** Whoever rents out the machines. */
 public interface Cloud {
--- a/src/main/java/org/meadowhollow/coordination/platform/NodeStatus.java
+++ b/src/main/java/org/meadowhollow/coordination/platform/NodeStatus.java
@@ -1,6 +1,6 @@
 package org.meadowhollow.coordination.platform;
 
-import org.meadowhollow.bookkeeping.Version;
+import org.meadowhollow.model.Revision;
 
 /**
  * What a node says of itself.
@@ -9,7 +9,7 @@
  *     before
  * @param program its version
  * @param schema of the records that it reads and writes
- * @param revision that its image of the records stands at, or {@link Version#ABSENT} while it has
+ * @param revision that its image of the records stands at, or {@link Revision#ABSENT} while it has
  *     none
  */
 public record NodeStatus(
@@ -18,4 +18,4 @@
         String zone,
         String program,
         int schema,
-        Version revision) {}
+        Revision revision) {}
--- a/src/main/java/org/meadowhollow/coordination/platform/Peers.java
+++ b/src/main/java/org/meadowhollow/coordination/platform/Peers.java
@@ -4,13 +4,13 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.meadowhollow.bookkeeping.Digests;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Term;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.storage.RecordDigests;
 
 /** The other controllers. What they are told saves time and proves nothing. */
 public interface Peers {
-    void announce(String leader, Term term);
+    void announce(String leader, FencingToken fencingToken);
 
     /** Whether the state service serves any of the others. */
     CompletableFuture<Boolean> anyServed();
@@ -53,5 +53,5 @@
      * The digests of a leader's records; empty if there is no answer or the node does not lead.
      * Fails with {@link Unreadable}.
      */
-    CompletableFuture<Optional<Digests>> digests(String leader);
+    CompletableFuture<Optional<RecordDigests>> digests(String leader);
 }
--- a/src/main/java/org/meadowhollow/coordination/platform/Platform.java
+++ b/src/main/java/org/meadowhollow/coordination/platform/Platform.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
-import org.meadowhollow.bookkeeping.Resources;
+import org.meadowhollow.model.Resources;
 
 /**
  * What the platform's settings say of a deployment.
--- a/src/main/java/org/meadowhollow/coordination/platform/TableDelta.java
+++ b/src/main/java/org/meadowhollow/coordination/platform/TableDelta.java
@@ -1,9 +1,9 @@
 package org.meadowhollow.coordination.platform;
 
 import java.util.List;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Session;
-import org.meadowhollow.bookkeeping.Term;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.WorkerIncarnation;
 
 /**
  * What a leader's risk tables have come to know since a standby last asked.
@@ -13,7 +13,8 @@
  * @param whole whether it holds whole tables, and not samples
  * @param more whether to ask again at once; with whole tables, after the last machine in it
  */
-public record TableDelta(Term term, long upTo, boolean whole, boolean more, List<Part> parts) {
+public record TableDelta(
+        FencingToken term, long upTo, boolean whole, boolean more, List<Part> parts) {
     /**
      * Of one machine.
      *
@@ -26,7 +27,7 @@
     public record Part(
             MachineId machine,
             int incarnation,
-            Session session,
+            WorkerIncarnation session,
             long seq,
             int[] table,
             long[] samples) {}
--- a/src/main/java/org/meadowhollow/coordination/platform/Testimony.java
+++ b/src/main/java/org/meadowhollow/coordination/platform/Testimony.java
@@ -1,7 +1,7 @@
 package org.meadowhollow.coordination.platform;
 
 import java.util.Set;
-import org.meadowhollow.bookkeeping.MachineId;
+import org.meadowhollow.model.MachineId;
 
 /**
  * What one other controller says of the machines that it was asked about. A hint: it decides who
--- a/src/main/java/org/meadowhollow/coordination/platform/Workers.java
+++ b/src/main/java/org/meadowhollow/coordination/platform/Workers.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import org.meadowhollow.bookkeeping.Order;
-import org.meadowhollow.bookkeeping.Report;
-import org.meadowhollow.bookkeeping.Session;
-import org.meadowhollow.bookkeeping.Term;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.Heartbeat;
+import org.meadowhollow.model.WorkerCommand;
+import org.meadowhollow.model.WorkerIncarnation;
 
 /**
  * The way straight to the workers. Starts never go this way, for a delayed one would come minutes
@@ -13,5 +13,9 @@
  */
 public interface Workers {
     /** Sends orders; the worker's report comes back whether or not they were executed. */
-    CompletableFuture<Report> send(String address, Term token, Session session, List<Order> orders);
+    CompletableFuture<Heartbeat> send(
+            String address,
+            FencingToken token,
+            WorkerIncarnation workerIncarnation,
+            List<WorkerCommand> orders);
 }
--- a/src/main/java/org/meadowhollow/coordination/serving/Served.java
+++ b/src/main/java/org/meadowhollow/coordination/serving/Served.java
@@ -10,10 +10,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Function;
-import org.meadowhollow.bookkeeping.Job;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Moment;
+import org.meadowhollow.model.Job;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.MonotonicTime;
 
 /**
  * What became of the jobs of each class and team in one leadership. A leadership begins with the
@@ -65,13 +65,13 @@
     private final Map<Group, Counts> groups =
             new TreeMap<>(Comparator.comparing(Group::jobClass).thenComparing(Group::team));
     private final Set<JobId> started = new HashSet<>();
-    private Moment toldAt;
+    private MonotonicTime toldAt;
 
     /** A job was taken in. */
     public void came(JobSpec spec) {
         Counts counts = counts(spec);
         counts.came++;
-        counts.mostTasks = Math.max(counts.mostTasks, spec.tasks());
+        counts.mostTasks = Math.max(counts.mostTasks, spec.taskCount());
     }
 
     /** A task of the job runs. */
@@ -91,7 +91,7 @@
         Counts counts = counts(spec);
         counts.cancelled += cancelled ? 1 : 0;
         counts.done += cancelled ? 0 : 1;
-        counts.late += !cancelled && tookS > spec.deadlineS() ? 1 : 0;
+        counts.late += !cancelled && tookS > spec.deadlineSeconds() ? 1 : 0;
     }
 
     /**
@@ -102,11 +102,14 @@
      * @param waitsFor says what a job that waits is waiting for
      */
     public List<String> account(
-            Collection<Job> jobs, Moment now, long wallMillis, Function<Job, String> waitsFor) {
+            Collection<Job> jobs,
+            MonotonicTime now,
+            long wallMillis,
+            Function<Job, String> waitsFor) {
         if (toldAt == null) {
             toldAt = now;
         }
-        if (now.since(toldAt).compareTo(EVERY) < 0) {
+        if (now.elapsedSince(toldAt).compareTo(EVERY) < 0) {
             return List.of();
         }
         toldAt = now;
@@ -120,10 +123,10 @@
                         });
         List<Job> large = new ArrayList<>();
         for (Job job : jobs) {
-            if (job.waitingCount() > 0) {
+            if (job.pendingTaskCount() > 0) {
                 Counts counts = counts(job.spec());
                 double ageS = (wallMillis - job.acceptedAtMillis()) / 1000.0;
-                counts.waiting += job.waitingCount();
+                counts.waiting += job.pendingTaskCount();
                 counts.oldestS = Math.max(counts.oldestS, ageS);
                 boolean left = ageS > LONG.toSeconds() && !started.contains(job.id());
                 counts.leftBehind += left ? 1 : 0;
@@ -179,7 +182,7 @@
                                                 + " of class "
                                                 + job.spec().jobClass()
                                                 + ", "
-                                                + job.spec().tasks()
+                                                + job.spec().taskCount()
                                                 + " tasks, waits for "
                                                 + (wallMillis - job.acceptedAtMillis()) / 1000
                                                 + " s: "
@@ -188,7 +191,7 @@
     }
 
     private static boolean isLarge(JobSpec spec, Counts counts) {
-        return spec.tasks() > 1 && spec.tasks() >= LARGE * counts.mostTasks;
+        return spec.taskCount() > 1 && spec.taskCount() >= LARGE * counts.mostTasks;
     }
 
     private static boolean isBehind(Counts counts) {
--- a/src/main/java/org/meadowhollow/coordination/succession/FirstDecision.java
+++ b/src/main/java/org/meadowhollow/coordination/succession/FirstDecision.java
@@ -2,8 +2,8 @@
 
 import java.util.EnumSet;
 import java.util.Set;
-import org.meadowhollow.bookkeeping.Term;
-import org.meadowhollow.bookkeeping.Version;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.Revision;
 
 /**
  * What a new leader checks before its first decision: a pure function over what is so in the turn
@@ -72,10 +72,10 @@
      */
     public record Facts(
             boolean leaseHolds,
-            Term term,
-            Term highestShown,
-            Version keyTakenAt,
-            Version recordsAt,
+            FencingToken term,
+            FencingToken highestShown,
+            Revision keyTakenAt,
+            Revision recordsAt,
             boolean typesKnown,
             boolean calendarKnown,
             boolean workersHeard,
--- a/src/main/java/org/meadowhollow/coordination/succession/Inheritance.java
+++ b/src/main/java/org/meadowhollow/coordination/succession/Inheritance.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
-import org.meadowhollow.bookkeeping.Machine;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.RecordImage;
-import org.meadowhollow.bookkeeping.Report;
-import org.meadowhollow.bookkeeping.Version;
 import org.meadowhollow.coordination.placement.RiskTable;
 import org.meadowhollow.coordination.platform.TableDelta;
+import org.meadowhollow.model.Heartbeat;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.KeyspaceReplica;
 
 /** What a standby hands to the leadership that begins on its node. Guarded by the leader's lock. */
 public final class Inheritance {
@@ -39,7 +39,7 @@
     /** What a snapshot holds and has not been handed over yet, and when that was so. */
     private final ArrayDeque<TableDelta.Part> noted = new ArrayDeque<>();
 
-    private Moment notedAt;
+    private MonotonicTime notedAt;
     private int tables;
 
     Inheritance(Map<String, RecordFollower> followers, TableCopies copies) {
@@ -56,13 +56,13 @@
      * The records by prefix, each with all changes up to a revision and maybe more; empty if one of
      * the images is missing, older than that, or of another history than the one that is served.
      */
-    public CompletableFuture<Optional<Map<String, RecordImage>>> records(Version atLeast) {
-        List<CompletableFuture<Optional<RecordImage>>> images =
+    public CompletableFuture<Optional<Map<String, KeyspaceReplica>>> records(Revision atLeast) {
+        List<CompletableFuture<Optional<KeyspaceReplica>>> images =
                 followers.values().stream().map(follower -> follower.handOver(atLeast)).toList();
         return CompletableFuture.allOf(images.toArray(CompletableFuture[]::new))
                 .thenApply(
                         unused -> {
-                            Map<String, RecordImage> byPrefix = new TreeMap<>();
+                            Map<String, KeyspaceReplica> byPrefix = new TreeMap<>();
                             images.forEach(
                                     image ->
                                             image.join()
@@ -80,14 +80,17 @@
      * The table of a machine whose first report has come, if what is there is of the machine as it
      * is now.
      */
-    public Optional<RiskTable> table(Report report, Moment now) {
+    public Optional<RiskTable> table(Heartbeat heartbeat, MonotonicTime now) {
         return inherited(
                 copies.inherit(
-                        report.machine(),
+                        heartbeat.machineId(),
                         TableFeed.incarnation(
-                                report.type(), report.zone(), report.spot(), report.address()),
-                        report.session(),
-                        report.seq(),
+                                heartbeat.machineType(),
+                                heartbeat.zone(),
+                                heartbeat.isSpot(),
+                                heartbeat.address()),
+                        heartbeat.incarnation(),
+                        heartbeat.sequenceNumber(),
                         now));
     }
 
@@ -100,9 +103,9 @@
      * Takes in the tables that were noted in the state service, where no leader handed any over
      * because all nodes ended.
      */
-    public void noted(TableSnapshots.Read snapshot, Moment now) {
+    public void noted(TableSnapshots.Read snapshot, MonotonicTime now) {
         noted.addAll(snapshot.parts());
-        notedAt = new Moment(now.nanos() - snapshot.age().toNanos());
+        notedAt = new MonotonicTime(now.nanos() - snapshot.age().toNanos());
     }
 
     /** Whether no leader handed any tables over. */
@@ -116,18 +119,18 @@
      * @return whether there are more
      */
     public boolean handOverNoted(
-            Map<MachineId, Machine> machines, Map<MachineId, RiskTable> risks, Moment now) {
+            Map<MachineId, Machine> machines, Map<MachineId, RiskTable> risks, MonotonicTime now) {
         for (int done = 0; done < MOST_AT_ONCE && !noted.isEmpty(); done++) {
             TableDelta.Part part = noted.poll();
             copies.take(List.of(part), notedAt);
             Machine machine = machines.get(part.machine());
-            if (machine != null && machine.session() != null) {
+            if (machine != null && machine.incarnation() != null) {
                 inherited(
                                 copies.inherit(
                                         machine.id(),
                                         TableFeed.incarnation(machine),
-                                        machine.session(),
-                                        machine.seq(),
+                                        machine.incarnation(),
+                                        machine.lastSequenceNumber(),
                                         now))
                         .ifPresent(table -> risks.put(machine.id(), table));
             }
@@ -143,7 +146,7 @@
     /**
      * Machines that the last leader heard of lately, and whose first report has not come here yet.
      */
-    public int awaited(Moment now) {
+    public int awaited(MonotonicTime now) {
         return copies.heardWithin(LIKELY, now);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/succession/Lives.java
+++ b/src/main/java/org/meadowhollow/coordination/succession/Lives.java
@@ -1,7 +1,7 @@
 package org.meadowhollow.coordination.succession;
 
 import java.time.Duration;
-import org.meadowhollow.bookkeeping.EventLoop;
+import org.meadowhollow.model.EventLoop;
 
 /** Numbers what is begun anew, so that timers and answers of what came before are not heeded. */
 final class Lives {
@@ -23,7 +23,7 @@
 
     /** Does some work of a life after a pause, unless another has begun by then. */
     void later(Duration pause, int life, Runnable work) {
-        loop.after(
+        loop.schedule(
                 pause,
                 () -> {
                     if (isCurrent(life)) {
--- a/src/main/java/org/meadowhollow/coordination/succession/Membership.java
+++ b/src/main/java/org/meadowhollow/coordination/succession/Membership.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import org.meadowhollow.bookkeeping.Moment;
 import org.meadowhollow.coordination.platform.NodeStatus;
+import org.meadowhollow.model.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -23,12 +23,12 @@
      */
     static final Duration FRESH = Standby.PULL.multipliedBy(5).dividedBy(2);
 
-    private record Seen(NodeStatus status, Moment at) {}
+    private record Seen(NodeStatus status, MonotonicTime at) {}
 
     private final Map<String, Seen> members = new TreeMap<>();
 
     /** A standby has asked. */
-    public void seen(NodeStatus status, Moment now) {
+    public void seen(NodeStatus status, MonotonicTime now) {
         Seen before = members.put(status.member(), new Seen(status, now));
         if (before == null || before.status().incarnation() != status.incarnation()) {
             LOG.info(
@@ -45,9 +45,9 @@
      * that stands at the latest revision; of equal ones the first by name, so that one of them is
      * meant.
      */
-    public Optional<String> heir(int schema, Moment now) {
+    public Optional<String> heir(int schema, MonotonicTime now) {
         return members.values().stream()
-                .filter(each -> now.since(each.at()).compareTo(FRESH) <= 0)
+                .filter(each -> now.elapsedSince(each.at()).compareTo(FRESH) <= 0)
                 .map(Seen::status)
                 .filter(status -> status.schema() == schema)
                 .max(
--- a/src/main/java/org/meadowhollow/coordination/succession/RecordFollower.java
+++ b/src/main/java/org/meadowhollow/coordination/succession/RecordFollower.java
@@ -7,18 +7,18 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.meadowhollow.bookkeeping.Digests;
-import org.meadowhollow.bookkeeping.EventLoop;
-import org.meadowhollow.bookkeeping.RecordImage;
-import org.meadowhollow.bookkeeping.StateException;
-import org.meadowhollow.bookkeeping.StateException.Outcome;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.StateStore.Change;
-import org.meadowhollow.bookkeeping.StateStore.Changes;
-import org.meadowhollow.bookkeeping.StateStore.Entry;
-import org.meadowhollow.bookkeeping.StateStore.Page;
-import org.meadowhollow.bookkeeping.StateStore.Urgency;
-import org.meadowhollow.bookkeeping.Version;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.KeyValueStore.Change;
+import org.meadowhollow.storage.KeyValueStore.ChangeBatch;
+import org.meadowhollow.storage.KeyValueStore.Entry;
+import org.meadowhollow.storage.KeyValueStore.Page;
+import org.meadowhollow.storage.KeyValueStore.RequestPriority;
+import org.meadowhollow.storage.KeyValueStoreException;
+import org.meadowhollow.storage.KeyValueStoreException.Outcome;
+import org.meadowhollow.storage.KeyspaceReplica;
+import org.meadowhollow.storage.RecordDigests;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -47,17 +47,17 @@
      */
     private static final int MOST_FAILURES = 3;
 
-    private final StateStore store;
+    private final KeyValueStore store;
     private final Lives lives;
     private final String prefix;
     private final long mostBytes;
-    private RecordImage image;
+    private KeyspaceReplica image;
     private int failures;
 
     /**
      * @param mostBytes of memory that the records may take, about; more are not followed
      */
-    RecordFollower(StateStore store, EventLoop loop, String prefix, long mostBytes) {
+    RecordFollower(KeyValueStore store, EventLoop loop, String prefix, long mostBytes) {
         this.store = store;
         this.lives = new Lives(loop);
         this.prefix = prefix;
@@ -74,7 +74,7 @@
     }
 
     /** The revision that the image stands at, or null while there is none. */
-    synchronized Version revision() {
+    synchronized Revision revision() {
         return image == null ? null : image.revision();
     }
 
@@ -88,8 +88,8 @@
      * Reads a page of the records, and then the next; {@code after} and {@code begun} are null for
      * the first.
      */
-    private void page(int mine, String after, RecordImage begun) {
-        store.list(prefix, after, Urgency.BACKGROUND)
+    private void page(int mine, String after, KeyspaceReplica begun) {
+        store.list(prefix, after, RequestPriority.BACKGROUND)
                 .whenComplete(
                         (page, failure) -> {
                             if (!lives.isCurrent(mine)) {
@@ -99,15 +99,15 @@
                                 lives.later(RETRY, mine, () -> page(mine, after, begun));
                                 return;
                             }
-                            RecordImage growing =
+                            KeyspaceReplica growing =
                                     begun == null
-                                            ? new RecordImage(prefix, page.revision())
+                                            ? new KeyspaceReplica(prefix, page.revision())
                                             : begun;
                             growing.addPage(page.entries());
                             if (isTooLarge(growing, mine)) {
                                 return;
                             }
-                            if (page.more()) {
+                            if (page.hasMore()) {
                                 page(
                                         mine,
                                         page.entries().get(page.entries().size() - 1).key(),
@@ -122,8 +122,8 @@
                         });
     }
 
-    private boolean isTooLarge(RecordImage growing, int mine) {
-        if (growing.bytes() <= mostBytes) {
+    private boolean isTooLarge(KeyspaceReplica growing, int mine) {
+        if (growing.estimatedBytes() <= mostBytes) {
             return false;
         }
         LOG.info(
@@ -138,32 +138,33 @@
     }
 
     private void follow(int mine) {
-        RecordImage followed;
+        KeyspaceReplica followed;
         synchronized (this) {
             followed = image;
         }
         store.watch(prefix, followed.revision(), WATCH)
                 .whenComplete(
-                        (changes, failure) -> {
+                        (changeBatch, failure) -> {
                             if (!lives.isCurrent(mine)) {
                                 return;
                             }
                             if (failure == null
-                                    && !followed.revision().isAfter(changes.revision())) {
+                                    && !followed.revision().isAfter(changeBatch.revision())) {
                                 synchronized (this) {
                                     failures = 0;
-                                    followed.apply(changes);
+                                    followed.apply(changeBatch);
                                 }
                                 if (!isTooLarge(followed, mine)) {
                                     lives.later(PAUSE, mine, () -> follow(mine));
                                 }
-                            } else if (failure == null || isLost(StateException.of(failure))) {
+                            } else if (failure == null
+                                    || isLost(KeyValueStoreException.outcomeOf(failure))) {
                                 LOG.info(
                                         "the records under {} are read anew: {}",
                                         prefix,
                                         failure == null
                                                 ? "the state service went back to "
-                                                        + changes.revision().value()
+                                                        + changeBatch.revision().value()
                                                 : failure.getMessage());
                                 lives.later(PAUSE, begin(), this::start);
                             } else {
@@ -177,8 +178,8 @@
      * loses nothing.
      */
     private synchronized boolean isLost(Outcome outcome) {
-        failures += outcome == Outcome.UNKNOWN && !store.seemsOut() ? 1 : 0;
-        return outcome == Outcome.TOO_OLD || failures >= MOST_FAILURES;
+        failures += outcome == Outcome.INDETERMINATE && !store.seemsUnavailable() ? 1 : 0;
+        return outcome == Outcome.COMPACTED || failures >= MOST_FAILURES;
     }
 
     /**
@@ -186,8 +187,8 @@
      *
      * @return empty if there is no image, or none as late as that
      */
-    CompletableFuture<Optional<RecordImage>> handOver(Version atLeast) {
-        RecordImage last;
+    CompletableFuture<Optional<KeyspaceReplica>> handOver(Revision atLeast) {
+        KeyspaceReplica last;
         synchronized (this) {
             last = image;
             stop();
@@ -197,22 +198,22 @@
         }
         return store.watch(prefix, last.revision(), Duration.ZERO)
                 .handle(
-                        (changes, failure) -> {
+                        (changeBatch, failure) -> {
                             // Guards against an image that is older than the key, and against one
                             // of a history that is not served now.
                             if (failure != null
-                                    || atLeast.isAfter(changes.revision())
-                                    || last.revision().isAfter(changes.revision())) {
+                                    || atLeast.isAfter(changeBatch.revision())
+                                    || last.revision().isAfter(changeBatch.revision())) {
                                 return Optional.empty();
                             }
-                            last.apply(changes);
+                            last.apply(changeBatch);
                             return Optional.of(last);
                         });
     }
 
     /** The digests of the image's parts, or none while there is no image. */
-    synchronized Digests digests() {
-        return image == null ? Digests.NONE : Digests.of(image);
+    synchronized RecordDigests digests() {
+        return image == null ? RecordDigests.EMPTY : RecordDigests.of(image);
     }
 
     /**
@@ -224,7 +225,7 @@
      */
     CompletableFuture<List<String>> readAgain(String part) {
         int mine;
-        RecordImage judged;
+        KeyspaceReplica judged;
         synchronized (this) {
             if (image == null) {
                 return CompletableFuture.completedFuture(List.of());
@@ -234,24 +235,25 @@
             mine = lives.next();
             judged = image;
         }
-        return store.list(part, null, Urgency.BACKGROUND)
+        return store.list(part, null, RequestPriority.BACKGROUND)
                 .thenCombine(
                         store.watch(prefix, judged.revision(), Duration.ZERO),
-                        (page, changes) -> {
+                        (page, changeBatch) -> {
                             synchronized (this) {
                                 boolean comparable =
                                         lives.isCurrent(mine)
-                                                && !page.more()
-                                                && !judged.revision().isAfter(changes.revision());
+                                                && !page.hasMore()
+                                                && !judged.revision()
+                                                        .isAfter(changeBatch.revision());
                                 List<String> wrong =
                                         comparable
-                                                ? wrong(judged, page, changes, part)
+                                                ? wrong(judged, page, changeBatch, part)
                                                 : List.<String>of();
                                 if (!wrong.isEmpty()) {
-                                    judged.replace(part, page.entries());
+                                    judged.replacePrefix(part, page.entries());
                                 }
                                 if (comparable) {
-                                    judged.apply(changes);
+                                    judged.apply(changeBatch);
                                 }
                                 return wrong;
                             }
@@ -264,7 +266,7 @@
     }
 
     private static List<String> wrong(
-            RecordImage judged, Page truth, Changes changes, String part) {
+            KeyspaceReplica judged, Page truth, ChangeBatch changeBatch, String part) {
         Map<String, Entry> have = new HashMap<>();
         judged.entries(part).forEach(entry -> have.put(entry.key(), entry));
         List<String> wrong = new ArrayList<>();
@@ -274,12 +276,12 @@
             }
         }
         wrong.addAll(have.keySet());
-        for (Change change : changes.changes()) {
+        for (Change change : changeBatch.changes()) {
             wrong.remove(change.key());
         }
         // A page that was read after the changes may have later ones in it; they will come by
         // themselves.
-        Version seen = changes.revision();
+        Revision seen = changeBatch.revision();
         wrong.removeIf(key -> truth.revision().isAfter(seen));
         return wrong;
     }
