--- a/src/main/java/org/meadowhollow/coordination/succession/Standby.java
+++ b/src/main/java/org/meadowhollow/coordination/succession/Standby.java
@@ -7,15 +7,15 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletionException;
 import java.util.function.Supplier;
-import org.meadowhollow.bookkeeping.Digests;
-import org.meadowhollow.bookkeeping.EventLoop;
-import org.meadowhollow.bookkeeping.Records;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.Term;
-import org.meadowhollow.bookkeeping.Version;
 import org.meadowhollow.coordination.platform.NodeStatus;
 import org.meadowhollow.coordination.platform.Peers;
 import org.meadowhollow.coordination.platform.TableDelta;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordDigests;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -51,14 +51,15 @@
     private static final long MOST_BYTES = 12L * 1024 * 1024;
 
     /** Parts of the records that the leader's digests cover; it knows the versions of no others. */
-    private static final List<String> AUDITED = List.of(Records.JOBS, Records.TASKS);
+    private static final List<String> AUDITED =
+            List.of(RecordCodec.JOB_PREFIX, RecordCodec.TASK_PREFIX);
 
     private final EventLoop loop;
     private final Lives lives;
     private final Peers peers;
     private final NodeStatus self;
     private final Supplier<String> leader;
-    private final Supplier<Term> highest;
+    private final Supplier<FencingToken> highest;
     private final Map<String, RecordFollower> followers = new TreeMap<>();
     private TableCopies copies = new TableCopies();
     private long wrongRecords;
@@ -70,18 +71,22 @@
      */
     public Standby(
             EventLoop loop,
-            StateStore store,
+            KeyValueStore store,
             Peers peers,
             NodeStatus self,
             Supplier<String> leader,
-            Supplier<Term> highest) {
+            Supplier<FencingToken> highest) {
         this.loop = loop;
         this.lives = new Lives(loop);
         this.peers = peers;
         this.self = self;
         this.leader = leader;
         this.highest = highest;
-        for (String prefix : List.of(Records.JOBS, Records.TASKS, Records.IMAGES)) {
+        for (String prefix :
+                List.of(
+                        RecordCodec.JOB_PREFIX,
+                        RecordCodec.TASK_PREFIX,
+                        RecordCodec.IMAGE_PREFIX)) {
             followers.put(prefix, new RecordFollower(store, loop, prefix, MOST_BYTES / 2));
         }
     }
@@ -123,13 +128,13 @@
         return name != null && !name.equals(self.member());
     }
 
-    /** The revision of the image that is furthest behind, or {@link Version#ABSENT}. */
-    private Version revision() {
-        Version least = null;
+    /** The revision of the image that is furthest behind, or {@link Revision#ABSENT}. */
+    private Revision revision() {
+        Revision least = null;
         for (RecordFollower follower : followers.values()) {
-            Version its = follower.revision();
+            Revision its = follower.revision();
             if (its == null) {
-                return Version.ABSENT;
+                return Revision.ABSENT;
             }
             least = least == null || least.isAfter(its) ? its : least;
         }
@@ -221,11 +226,11 @@
      * Under load some part nearly always differs by the changes of the last seconds; only reading
      * it again tells.
      */
-    private Optional<String> firstDiffering(Digests told) {
-        Digests here = new Digests();
+    private Optional<String> firstDiffering(RecordDigests told) {
+        RecordDigests here = new RecordDigests();
         AUDITED.forEach(prefix -> here.add(followers.get(prefix).digests()));
         return AUDITED.stream().allMatch(prefix -> followers.get(prefix).revision() != null)
-                ? told.differing(here).stream().findFirst()
+                ? told.differingParts(here).stream().findFirst()
                 : Optional.empty();
     }
 
--- a/src/main/java/org/meadowhollow/coordination/succession/TableFeed.java
+++ b/src/main/java/org/meadowhollow/coordination/succession/TableFeed.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import org.meadowhollow.bookkeeping.Machine;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Session;
-import org.meadowhollow.bookkeeping.Term;
 import org.meadowhollow.coordination.placement.RiskTable;
 import org.meadowhollow.coordination.platform.TableDelta;
 import org.meadowhollow.coordination.platform.TableQuestion;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.WorkerIncarnation;
 
 /** A leader's latest samples, for the standbys that ask for them. Guarded by the leader's lock. */
 public final class TableFeed {
@@ -31,9 +31,10 @@
     /** What a machine's name and the rest of its part take, in such numbers. */
     private static final int PART = 10;
 
-    private record Sample(MachineId machine, Session session, long seq, Moment at, int sample) {}
+    private record Sample(
+            MachineId machine, WorkerIncarnation session, long seq, MonotonicTime at, int sample) {}
 
-    private final Term term;
+    private final FencingToken fencingToken;
 
     /** By number, round the end; null where there are no standbys to ask. */
     private final Sample[] kept;
@@ -43,18 +44,23 @@
     /**
      * @param asked whether there are standbys that may ask
      */
-    public TableFeed(Term term, boolean asked) {
-        this.term = term;
+    public TableFeed(FencingToken fencingToken, boolean asked) {
+        this.fencingToken = fencingToken;
         this.kept = asked ? new Sample[MOST_KEPT] : null;
     }
 
     /** A report has shown a machine's table something. */
-    public void sampled(Machine machine, int sample, Moment now) {
+    public void sampled(Machine machine, int sample, MonotonicTime now) {
         if (kept == null) {
             return;
         }
         kept[(int) (next++ % MOST_KEPT)] =
-                new Sample(machine.id(), machine.session(), machine.seq(), now, sample);
+                new Sample(
+                        machine.id(),
+                        machine.incarnation(),
+                        machine.lastSequenceNumber(),
+                        now,
+                        sample);
     }
 
     /** What a machine's name means now; a name that is used again means something else. */
@@ -64,7 +70,7 @@
 
     static int incarnation(Machine machine) {
         return incarnation(
-                machine.type().name(), machine.zone(), machine.spot(), machine.address());
+                machine.type().name(), machine.zone(), machine.isSpot(), machine.address());
     }
 
     /** The answer to a standby, over the machines and tables as they are now. */
@@ -72,9 +78,9 @@
             TableQuestion asked,
             SortedMap<MachineId, Machine> machines,
             Map<MachineId, RiskTable> tables,
-            Moment now) {
+            MonotonicTime now) {
         boolean known =
-                asked.term().equals(term)
+                asked.term().equals(fencingToken)
                         && !asked.isForWhole()
                         && asked.after() < next
                         && asked.after() >= next - 1 - MOST_KEPT;
@@ -83,10 +89,12 @@
 
     /** All tables as they are now, for a snapshot. */
     public static List<TableDelta.Part> all(
-            SortedMap<MachineId, Machine> machines, Map<MachineId, RiskTable> tables, Moment now) {
+            SortedMap<MachineId, Machine> machines,
+            Map<MachineId, RiskTable> tables,
+            MonotonicTime now) {
         List<TableDelta.Part> parts = new ArrayList<>();
         for (Machine machine : machines.values()) {
-            if (machine.session() != null) {
+            if (machine.incarnation() != null) {
                 parts.add(part(machine, tables.get(machine.id()).export(now)));
             }
         }
@@ -97,13 +105,14 @@
         return new TableDelta.Part(
                 machine.id(),
                 incarnation(machine),
-                machine.session(),
-                machine.seq(),
+                machine.incarnation(),
+                machine.lastSequenceNumber(),
                 table,
                 new long[0]);
     }
 
-    private TableDelta samples(long after, SortedMap<MachineId, Machine> machines, Moment now) {
+    private TableDelta samples(
+            long after, SortedMap<MachineId, Machine> machines, MonotonicTime now) {
         Map<MachineId, LongArrayList> byMachine = new LinkedHashMap<>();
         long upTo = after;
         while (upTo + 1 < next
@@ -113,7 +122,7 @@
                     byMachine.computeIfAbsent(sample.machine(), unused -> new LongArrayList());
             samples.add(sample.session().value());
             samples.add(sample.seq());
-            samples.add(Math.max(0, now.since(sample.at()).toMillis()));
+            samples.add(Math.max(0, now.elapsedSince(sample.at()).toMillis()));
             samples.add(sample.sample());
         }
         List<TableDelta.Part> parts = new ArrayList<>();
@@ -125,23 +134,25 @@
                                 new TableDelta.Part(
                                         id,
                                         incarnation(machine),
-                                        machine.session(),
-                                        machine.seq(),
+                                        machine.incarnation(),
+                                        machine.lastSequenceNumber(),
                                         new int[0],
                                         samples.toLongArray()));
                     }
                 });
-        return new TableDelta(term, upTo, false, upTo + 1 < next, parts);
+        return new TableDelta(fencingToken, upTo, false, upTo + 1 < next, parts);
     }
 
     private TableDelta whole(
             TableQuestion asked,
             SortedMap<MachineId, Machine> machines,
             Map<MachineId, RiskTable> tables,
-            Moment now) {
+            MonotonicTime now) {
         // Another leader's pages are begun anew.
         boolean goesOn =
-                asked.isForWhole() && asked.term().equals(term) && !asked.afterMachine().isEmpty();
+                asked.isForWhole()
+                        && asked.term().equals(fencingToken)
+                        && !asked.afterMachine().isEmpty();
         SortedMap<MachineId, Machine> rest =
                 goesOn
                         ? machines.tailMap(new MachineId(asked.afterMachine() + '\0'))
@@ -150,14 +161,14 @@
         int numbers = 0;
         for (Machine machine : rest.values()) {
             if (numbers > MOST_NUMBERS / 2) {
-                return new TableDelta(term, next - 1, true, true, parts);
+                return new TableDelta(fencingToken, next - 1, true, true, parts);
             }
-            if (machine.session() != null) {
+            if (machine.incarnation() != null) {
                 int[] table = tables.get(machine.id()).export(now);
                 numbers += table.length + PART;
                 parts.add(part(machine, table));
             }
         }
-        return new TableDelta(term, next - 1, true, false, parts);
+        return new TableDelta(fencingToken, next - 1, true, false, parts);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/succession/TableSnapshots.java
+++ b/src/main/java/org/meadowhollow/coordination/succession/TableSnapshots.java
@@ -18,17 +18,17 @@
 import java.util.zip.Deflater;
 import java.util.zip.DeflaterOutputStream;
 import java.util.zip.InflaterInputStream;
-import org.meadowhollow.bookkeeping.EventLoop;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Records;
-import org.meadowhollow.bookkeeping.Session;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.StateStore.Entry;
-import org.meadowhollow.bookkeeping.StateStore.Urgency;
-import org.meadowhollow.bookkeeping.Transaction;
-import org.meadowhollow.bookkeeping.Version;
 import org.meadowhollow.coordination.platform.TableDelta;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.model.WorkerIncarnation;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.KeyValueStore.Entry;
+import org.meadowhollow.storage.KeyValueStore.RequestPriority;
+import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.Transaction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -65,8 +65,8 @@
 
     private static final int SETS = 2;
 
-    private final StateStore store;
-    private final Version leaderVersion;
+    private final KeyValueStore store;
+    private final Revision leaderVersion;
     private final int mostWrites;
     private final int chunkBytes;
     private List<String> chunks = List.of();
@@ -77,12 +77,13 @@
 
     private Map<String, Object> head;
     private boolean writing;
-    private Moment begunAt;
+    private MonotonicTime begunAt;
 
     /**
      * @param valueBytes that a value may have
      */
-    public TableSnapshots(StateStore store, Version leaderVersion, int mostWrites, int valueBytes) {
+    public TableSnapshots(
+            KeyValueStore store, Revision leaderVersion, int mostWrites, int valueBytes) {
         this.store = store;
         this.leaderVersion = leaderVersion;
         this.mostWrites = mostWrites;
@@ -95,7 +96,10 @@
      * @param idle whether no other records wait to be written
      */
     public void write(
-            Supplier<List<TableDelta.Part>> tables, boolean idle, Moment now, long wallMillis) {
+            Supplier<List<TableDelta.Part>> tables,
+            boolean idle,
+            MonotonicTime now,
+            long wallMillis) {
         if (writing || !idle) {
             return;
         }
@@ -103,34 +107,36 @@
             findSet();
             return;
         }
-        if (head == null || now.since(begunAt).compareTo(GIVEN_UP) > 0) {
-            if (begunAt != null && now.since(begunAt).compareTo(EVERY) < 0) {
+        if (head == null || now.elapsedSince(begunAt).compareTo(GIVEN_UP) > 0) {
+            if (begunAt != null && now.elapsedSince(begunAt).compareTo(EVERY) < 0) {
                 return;
             }
             begin(tables.get(), wallMillis);
             begunAt = now;
         }
-        Transaction transaction = new Transaction().guard(Records.LEADER, leaderVersion);
+        Transaction transaction =
+                new Transaction().requireRevision(RecordCodec.LEADER_KEY, leaderVersion);
         int bytes = 0;
         int next = written;
         while (next < chunks.size()
                 && transaction.writes().size() < mostWrites - 1
                 && bytes + chunks.get(next).length() <= MOST_BYTES) {
             bytes += chunks.get(next).length();
-            transaction.put(Records.tableChunk(set, next), Map.of("text", chunks.get(next)));
+            transaction.put(
+                    RecordCodec.riskTableChunkKey(set, next), Map.of("text", chunks.get(next)));
             next++;
         }
         boolean last = next == chunks.size();
         if (last) {
-            transaction.put(Records.TABLES_HEAD, head);
+            transaction.put(RecordCodec.RISK_TABLE_HEAD_KEY, head);
         }
         int reached = next;
         writing = true;
-        store.commit(transaction, Urgency.BACKGROUND)
+        store.commit(transaction, RequestPriority.BACKGROUND)
                 .whenComplete(
-                        (commit, failure) -> {
+                        (commitResult, failure) -> {
                             writing = false;
-                            if (failure == null && commit.applied()) {
+                            if (failure == null && commitResult.isApplied()) {
                                 written = reached;
                                 head = last ? null : head;
                             }
@@ -140,7 +146,7 @@
     /** The set that an earlier leader wrote last must stand until there is a newer one. */
     private void findSet() {
         writing = true;
-        store.get(Records.TABLES_HEAD, Urgency.BACKGROUND)
+        store.get(RecordCodec.RISK_TABLE_HEAD_KEY, RequestPriority.BACKGROUND)
                 .whenComplete(
                         (found, failure) -> {
                             writing = false;
@@ -213,7 +219,7 @@
             for (int at = 0; at < count; at++) {
                 MachineId machine = new MachineId(in.readUTF());
                 int incarnation = in.readInt();
-                Session session = new Session(in.readLong());
+                WorkerIncarnation workerIncarnation = new WorkerIncarnation(in.readLong());
                 long seq = in.readLong();
                 int length = in.readInt();
                 if (length < 0 || length > TableFeed.MOST_NUMBERS) {
@@ -225,7 +231,7 @@
                 }
                 parts.add(
                         new TableDelta.Part(
-                                machine, incarnation, session, seq, table, new long[0]));
+                                machine, incarnation, workerIncarnation, seq, table, new long[0]));
             }
             return parts;
         }
@@ -238,8 +244,8 @@
      * The newest whole set; empty if there is none, or none that can be used, which is said in a
      * line. Fails if the state service does not answer, which says nothing of what there is.
      */
-    public static CompletableFuture<Optional<Read>> read(StateStore store, EventLoop loop) {
-        return store.get(Records.TABLES_HEAD, Urgency.PLACEMENT)
+    public static CompletableFuture<Optional<Read>> read(KeyValueStore store, EventLoop loop) {
+        return store.get(RecordCodec.RISK_TABLE_HEAD_KEY, RequestPriority.PLACEMENT)
                 .thenCompose(
                         found -> {
                             if (found.isEmpty()) {
@@ -248,7 +254,9 @@
                             Map<String, Object> head = found.get().value();
                             Duration age =
                                     Duration.ofMillis(
-                                            Math.max(0, loop.wallMillis() - number(head, "at")));
+                                            Math.max(
+                                                    0,
+                                                    loop.wallClockMillis() - number(head, "at")));
                             if (number(head, "form") != FORM
                                     || age.compareTo(TableCopies.MOST_AGE) > 0) {
                                 return unusable(
@@ -259,9 +267,10 @@
                                                 + " s old");
                             }
                             return store.list(
-                                            Records.tableSet((int) number(head, "set")),
+                                            RecordCodec.riskTableSetPrefix(
+                                                    (int) number(head, "set")),
                                             null,
-                                            Urgency.PLACEMENT)
+                                            RequestPriority.PLACEMENT)
                                     .thenCompose(page -> read(head, page.entries(), age));
                         });
     }
@@ -272,7 +281,7 @@
         entries.forEach(entry -> texts.put(entry.key(), entry.value().get("text")));
         StringBuilder text = new StringBuilder();
         for (int at = 0; at < number(head, "chunks"); at++) {
-            text.append(texts.get(Records.tableChunk((int) number(head, "set"), at)));
+            text.append(texts.get(RecordCodec.riskTableChunkKey((int) number(head, "set"), at)));
         }
         try {
             byte[] body = Base64.getDecoder().decode(text.toString());
--- a/src/main/java/org/meadowhollow/coordination/succession/Takeover.java
+++ b/src/main/java/org/meadowhollow/coordination/succession/Takeover.java
@@ -2,8 +2,8 @@
 
 import java.util.Locale;
 import java.util.Set;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Term;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -14,12 +14,12 @@
 public final class Takeover {
     private static final Logger LOG = LoggerFactory.getLogger(Takeover.class);
 
-    private final Term term;
-    private final Moment noticedAt;
-    private final Moment keyAt;
-    private Moment recordsAt;
+    private final FencingToken fencingToken;
+    private final MonotonicTime noticedAt;
+    private final MonotonicTime keyAt;
+    private MonotonicTime recordsAt;
     private String records = "none";
-    private Moment firstAt;
+    private MonotonicTime firstAt;
     private String first = "";
     private Set<FirstDecision.Check> lastFailing = Set.of();
     private boolean told;
@@ -27,8 +27,8 @@
     /**
      * @param noticedAt when this node saw that nobody leads, or null if it did not come to see it
      */
-    public Takeover(Term term, Moment noticedAt, Moment keyAt) {
-        this.term = term;
+    public Takeover(FencingToken fencingToken, MonotonicTime noticedAt, MonotonicTime keyAt) {
+        this.fencingToken = fencingToken;
         this.noticedAt = noticedAt;
         this.keyAt = keyAt;
     }
@@ -36,7 +36,7 @@
     /**
      * @param from what they were read from
      */
-    public void recordsIn(String from, int count, Moment now) {
+    public void recordsIn(String from, int count, MonotonicTime now) {
         recordsAt = now;
         records = count + " from " + from;
     }
@@ -49,7 +49,7 @@
         lastFailing = failing.isEmpty() ? lastFailing : failing;
     }
 
-    public void firstRound(int reported, int needed, int placed, Moment now) {
+    public void firstRound(int reported, int needed, int placed, MonotonicTime now) {
         if (firstAt == null) {
             firstAt = now;
             first =
@@ -69,13 +69,13 @@
     }
 
     /** A round for which nearly all machines had reported; says it all with the first. */
-    public void fullRound(int tables, Moment now) {
+    public void fullRound(int tables, MonotonicTime now) {
         if (!told) {
             told = true;
             LOG.info(
                     "takeover in term {}: seen {} s before the key; after it, records in {} s ({}), first round in {} s"
                             + " ({}), full round in {} s; {} tables inherited",
-                    term,
+                    fencingToken,
                     seconds(noticedAt, keyAt),
                     seconds(keyAt, recordsAt),
                     records,
@@ -86,7 +86,7 @@
         }
     }
 
-    private static String seconds(Moment from, Moment to) {
+    private static String seconds(MonotonicTime from, MonotonicTime to) {
         return from == null || to == null
                 ? "?"
                 : String.format(Locale.ROOT, "%.2f", to.secondsSince(from));
--- a/src/main/java/org/meadowhollow/bookkeeping/EventLoop.java
+++ b/src/main/java/org/meadowhollow/model/EventLoop.java
@@ -1,13 +1,13 @@
-package org.meadowhollow.bookkeeping;
+package org.meadowhollow.model;
 
 import java.time.Duration;
 
 /** The clock and the timers that everything runs on; tests bring one with virtual time. */
 public interface EventLoop {
-    Moment now();
+    MonotonicTime now();
 
     /** The time of day in milliseconds, right within the bound that the settings give. */
-    long wallMillis();
+    long wallClockMillis();
 
-    void after(Duration pause, Runnable work);
+    void schedule(Duration pause, Runnable work);
 }
--- a/src/main/java/org/meadowhollow/bookkeeping/Cause.java
+++ b/src/main/java/org/meadowhollow/model/ExitReason.java
@@ -1,7 +1,7 @@
-package org.meadowhollow.bookkeeping;
+package org.meadowhollow.model;
 
 /** Why a task exited. */
-public enum Cause {
+public enum ExitReason {
     DONE,
     STOPPED,
     PEERS,
--- a/src/main/java/org/meadowhollow/bookkeeping/OrderLog.java
+++ b/src/main/java/org/meadowhollow/model/JobEventLog.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.bookkeeping;
+package org.meadowhollow.model;
 
 import java.util.Locale;
 import java.util.function.Consumer;
@@ -10,12 +10,12 @@
  * together. An event whose transaction got no answer is left out, and what its record says then
  * shows in a later one.
  */
-public final class OrderLog {
+public final class JobEventLog {
     /** Keeps nothing, and costs nothing. */
-    public static final OrderLog NONE = new OrderLog(null);
+    public static final JobEventLog NONE = new JobEventLog(null);
 
     /** What happened. */
-    public enum What {
+    public enum EventType {
         /** A user was told that the job will run. */
         ACCEPTED,
         /** A user was told that nothing of it starts any more. */
@@ -29,30 +29,36 @@
     }
 
     /**
-     * @param task the task's number, or -1 where the event is of the whole job
-     * @param machine where, or null
-     * @param attempt the attempt's number, or 0
+     * @param taskIndex the task's number, or -1 where the event is of the whole job
+     * @param machineName where, or null
+     * @param attemptNumber the attempt's number, or 0
      */
     public record Event(
-            Version revision,
-            What what,
-            JobId job,
+            Revision revision,
+            EventType type,
+            JobId jobId,
             String team,
-            int task,
-            String machine,
-            int attempt) {
+            int taskIndex,
+            String machineName,
+            int attemptNumber) {
         @Override
         public String toString() {
             String whole =
                     "order "
                             + revision.value()
                             + ' '
-                            + what.name().toLowerCase(Locale.ROOT)
+                            + type.name().toLowerCase(Locale.ROOT)
                             + ' '
-                            + job;
-            return (task < 0
+                            + jobId;
+            return (taskIndex < 0
                             ? whole
-                            : whole + '/' + task + " attempt " + attempt + " on " + machine)
+                            : whole
+                                    + '/'
+                                    + taskIndex
+                                    + " attempt "
+                                    + attemptNumber
+                                    + " on "
+                                    + machineName)
                     + " team "
                     + team;
         }
@@ -63,32 +69,37 @@
     /**
      * @param sink takes each event, quickly and without failing; null keeps nothing
      */
-    public OrderLog(Consumer<Event> sink) {
+    public JobEventLog(Consumer<Event> sink) {
         this.sink = sink;
     }
 
-    public boolean isOn() {
+    public boolean isEnabled() {
         return sink != null;
     }
 
-    public void job(Version revision, What what, JobId job, String team) {
+    public void logJobEvent(Revision revision, EventType eventType, JobId job, String team) {
         if (sink != null) {
-            sink.accept(new Event(revision, what, job, team, -1, null, 0));
+            sink.accept(new Event(revision, eventType, job, team, -1, null, 0));
         }
     }
 
-    void task(Version revision, What what, TaskId task, String team, Placed placed) {
+    void logTaskEvent(
+            Revision revision,
+            EventType eventType,
+            TaskId task,
+            String team,
+            TaskLocation taskLocation) {
         sink.accept(
                 new Event(
                         revision,
-                        what,
-                        task.job(),
+                        eventType,
+                        task.jobId(),
                         team,
                         task.index(),
-                        placed.machine().value(),
-                        placed.attempt().value()));
+                        taskLocation.machineId().value(),
+                        taskLocation.attemptNumber().value()));
     }
 
     /** Where a task may be running, as a record has it. */
-    record Placed(MachineId machine, Attempt attempt) {}
+    public record TaskLocation(MachineId machineId, AttemptNumber attemptNumber) {}
 }
--- a/src/main/java/org/meadowhollow/bookkeeping/JobId.java
+++ b/src/main/java/org/meadowhollow/model/JobId.java
@@ -1,14 +1,14 @@
-package org.meadowhollow.bookkeeping;
+package org.meadowhollow.model;
 
 import java.util.regex.Pattern;
 
 /** A job's name, chosen by its user. */
 public record JobId(String value) implements Comparable<JobId> {
-    private static final Pattern FORM = Pattern.compile("req-[0-9]{1,19}");
+    private static final Pattern VALID_FORM = Pattern.compile("req-[0-9]{1,19}");
 
     /** Whether users' ids always look like this; anything else can never have been accepted. */
-    public static boolean wellFormed(String text) {
-        return FORM.matcher(text).matches();
+    public static boolean isWellFormed(String text) {
+        return VALID_FORM.matcher(text).matches();
     }
 
     @Override
--- a/src/main/java/org/meadowhollow/bookkeeping/Kind.java
+++ b/src/main/java/org/meadowhollow/model/JobKind.java
@@ -1,7 +1,7 @@
-package org.meadowhollow.bookkeeping;
+package org.meadowhollow.model;
 
 /** How the tasks of a job belong together. */
-public enum Kind {
+public enum JobKind {
     /** Independent tasks, each runs to completion. */
     ARRAY,
     /** All tasks run at the same time or none does. */
--- a/src/main/java/org/meadowhollow/bookkeeping/Progress.java
+++ b/src/main/java/org/meadowhollow/model/JobPhase.java
@@ -1,10 +1,10 @@
-package org.meadowhollow.bookkeeping;
+package org.meadowhollow.model;
 
 /**
  * How far a job has come that another interface than the native one accepted; each of those has its
  * own words for it.
  */
-public enum Progress {
+public enum JobPhase {
     /** Accepted, and on no machine. */
     QUEUED,
     /** Its place is committed; its image may be on the way. */
--- a/src/main/java/org/meadowhollow/bookkeeping/MachineId.java
+++ b/src/main/java/org/meadowhollow/model/MachineId.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.bookkeeping;
+package org.meadowhollow.model;
 
 /** A machine's name as the cloud gave it. */
 public record MachineId(String value) implements Comparable<MachineId> {
--- a/src/main/java/org/meadowhollow/bookkeeping/Priority.java
+++ b/src/main/java/org/meadowhollow/model/Priority.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.bookkeeping;
+package org.meadowhollow.model;
 
 /** From most to least pressing. */
 public enum Priority {
@@ -7,7 +7,7 @@
     NORMAL,
     LOW;
 
-    public boolean above(Priority other) {
+    public boolean isHigherThan(Priority other) {
         return ordinal() < other.ordinal();
     }
 }
--- a/src/main/java/org/meadowhollow/bookkeeping/Resources.java
+++ b/src/main/java/org/meadowhollow/model/Resources.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.bookkeeping;
+package org.meadowhollow.model;
 
 /**
  * What a task takes or a machine has. Whole millionths, so that adding and taking away in any order
@@ -6,11 +6,13 @@
  */
 public record Resources(long cpu, long gpu, long memory) {
     public static final Resources NONE = new Resources(0, 0, 0);
-    private static final double UNIT = 1e6;
+    private static final double MILLIONTHS_PER_UNIT = 1e6;
 
     public static Resources of(double cpus, double gpus, double memoryGb) {
         return new Resources(
-                Math.round(cpus * UNIT), Math.round(gpus * UNIT), Math.round(memoryGb * UNIT));
+                Math.round(cpus * MILLIONTHS_PER_UNIT),
+                Math.round(gpus * MILLIONTHS_PER_UNIT),
+                Math.round(memoryGb * MILLIONTHS_PER_UNIT));
     }
 
     public Resources plus(Resources other) {
@@ -30,14 +32,14 @@
     }
 
     /** The largest share of {@code whole} that any one amount of this takes. */
-    public double shareOf(Resources whole) {
+    public double dominantShareOf(Resources whole) {
         return Math.max(
                 share(cpu, whole.cpu),
                 Math.max(share(gpu, whole.gpu), share(memory, whole.memory)));
     }
 
     /** How often this fits into {@code room}, at most {@code most} times. */
-    public int countIn(Resources room, int most) {
+    public int maxCopiesIn(Resources room, int most) {
         long count = most;
         if (cpu > 0) {
             count = Math.min(count, Math.max(0, room.cpu) / cpu);
--- a/src/main/java/org/meadowhollow/bookkeeping/TaskId.java
+++ b/src/main/java/org/meadowhollow/model/TaskId.java
@@ -1,7 +1,7 @@
-package org.meadowhollow.bookkeeping;
+package org.meadowhollow.model;
 
 /** One task of a job, numbered from 0. */
-public record TaskId(JobId job, int index) {
+public record TaskId(JobId jobId, int index) {
     /** Reads the form {@code req-000412/3}; null if the text is not of that form. */
     public static TaskId parse(String text) {
         int slash = text.indexOf('/');
@@ -21,6 +21,6 @@
 
     @Override
     public String toString() {
-        return job.value() + '/' + index;
+        return jobId.value() + '/' + index;
     }
 }
--- a/src/main/java/org/meadowhollow/bookkeeping/Session.java
+++ b/src/main/java/org/meadowhollow/model/WorkerIncarnation.java
@@ -1,8 +1,8 @@
-package org.meadowhollow.bookkeeping;
+package org.meadowhollow.model;
 
 /** A worker's life between two expiries of its lease. */
-public record Session(long value) {
-    public boolean isAfter(Session other) {
+public record WorkerIncarnation(long value) {
+    public boolean isAfter(WorkerIncarnation other) {
         return value > other.value;
     }
 
--- a/src/main/java/org/meadowhollow/bookkeeping/calendar/Window.java
+++ b/src/main/java/org/meadowhollow/model/reservation/MaintenanceWindow.java
@@ -1,17 +1,21 @@
-package org.meadowhollow.bookkeeping.calendar;
+package org.meadowhollow.model.reservation;
 
 import java.time.Duration;
 import java.util.List;
-import org.meadowhollow.bookkeeping.MachineId;
+import org.meadowhollow.model.MachineId;
 
 /**
  * Machines that are out for a time.
  *
  * @param targets names of machines, machine types or zones, as the scope says
- * @param notice how long before its start services begin to leave, one after the other
+ * @param serviceEvictionLead how long before its start services begin to leave, one after the other
  */
-public record Window(
-        String name, Scope scope, List<String> targets, Schedule schedule, Duration notice) {
+public record MaintenanceWindow(
+        String name,
+        Scope scope,
+        List<String> targets,
+        RecurringSchedule schedule,
+        Duration serviceEvictionLead) {
     /** What the targets name. */
     public enum Scope {
         MACHINE,
@@ -19,7 +23,7 @@
         ZONE
     }
 
-    public boolean covers(MachineId machine, String type, String zone) {
+    public boolean coversMachine(MachineId machine, String type, String zone) {
         return switch (scope) {
             case MACHINE -> targets.contains(machine.value());
             case TYPE -> targets.contains(type);
@@ -28,7 +32,7 @@
     }
 
     /** Whether all machines of a type in a zone are out. */
-    public boolean coversAll(String type, String zone) {
+    public boolean coversAllOfType(String type, String zone) {
         return scope == Scope.TYPE && targets.contains(type)
                 || scope == Scope.ZONE && targets.contains(zone);
     }
--- a/src/main/java/org/meadowhollow/protocol/RateBudget.java
+++ b/src/main/java/org/meadowhollow/protocol/RateBudget.java
@@ -1,7 +1,7 @@
 package org.meadowhollow.protocol;
 
 import java.time.Duration;
-import org.meadowhollow.bookkeeping.Moment;
+import org.meadowhollow.model.MonotonicTime;
 
 /**
  * A token bucket: so much a second, with bursts of one second's worth. The limit behind it is
@@ -26,8 +26,8 @@
     private final double burst;
     private double left;
     private double factor = 1;
-    private Moment filledAt;
-    private Moment refusedAt;
+    private MonotonicTime filledAt;
+    private MonotonicTime refusedAt;
 
     public RateBudget(double perSecond, double burst) {
         this.perSecond = perSecond;
@@ -39,7 +39,7 @@
      * How long until {@code amount} can be taken; an amount above the burst waits for a full
      * bucket.
      */
-    public synchronized Duration untilFree(int amount, Moment now) {
+    public synchronized Duration untilFree(int amount, MonotonicTime now) {
         fill(now);
         double missing = Math.min(amount, Math.max(1, burst * factor)) - left;
         return missing <= 0
@@ -52,21 +52,21 @@
      *
      * @param keep the share of the present rate to go on with, between 0 and 1
      */
-    public synchronized void refused(double keep, Moment now) {
+    public synchronized void refused(double keep, MonotonicTime now) {
         fill(now);
-        if (refusedAt == null || now.since(refusedAt).compareTo(SAME_REFUSAL) > 0) {
+        if (refusedAt == null || now.elapsedSince(refusedAt).compareTo(SAME_REFUSAL) > 0) {
             refusedAt = now;
             factor = Math.max(LEAST, factor * keep);
             left = Math.min(left, 0);
         }
     }
 
-    public synchronized void take(int amount, Moment now) {
+    public synchronized void take(int amount, MonotonicTime now) {
         fill(now);
         left -= amount;
     }
 
-    private void fill(Moment now) {
+    private void fill(MonotonicTime now) {
         if (filledAt != null) {
             double sinceS = now.secondsSince(filledAt);
             factor = Math.min(1, factor + sinceS * RISE);
--- a/src/main/java/org/meadowhollow/protocol/calendar/CalendarApi.java
+++ b/src/main/java/org/meadowhollow/protocol/calendar/CalendarApi.java
@@ -6,19 +6,19 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
-import org.meadowhollow.bookkeeping.StateException;
-import org.meadowhollow.bookkeeping.Version;
-import org.meadowhollow.bookkeeping.calendar.Calendar;
-import org.meadowhollow.bookkeeping.calendar.Reservation;
-import org.meadowhollow.bookkeeping.calendar.Window;
 import org.meadowhollow.coordination.admission.Admission;
 import org.meadowhollow.coordination.calendar.Admittance;
 import org.meadowhollow.coordination.calendar.CalendarDesk;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.model.reservation.MaintenanceWindow;
+import org.meadowhollow.model.reservation.Reservation;
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.Json;
 import org.meadowhollow.protocol.Malformed;
 import org.meadowhollow.protocol.tes.TesTokens;
+import org.meadowhollow.storage.CalendarSnapshot;
+import org.meadowhollow.storage.KeyValueStoreException;
 
 /**
  * What operators call: put, show, list and withdraw reservations and windows, and the plan; at
@@ -84,7 +84,7 @@
                     },
                     refused.getMessage());
         }
-        if (cause instanceof Admission.TryLater || cause instanceof StateException) {
+        if (cause instanceof Admission.TryLater || cause instanceof KeyValueStoreException) {
             return new Http.Reply(
                     503,
                     Json.encode(Fields.of("error", cause.getMessage())),
@@ -128,12 +128,12 @@
             }
             return desk.read()
                     .thenApply(
-                            calendar ->
+                            calendarSnapshot ->
                                     reply(
                                             200,
                                             Fields.of(
                                                     parts[0],
-                                                    all(calendar, windows).stream()
+                                                    all(calendarSnapshot, windows).stream()
                                                             .map(CalendarCodec::encode)
                                                             .toList())));
         }
@@ -142,8 +142,8 @@
             case "GET" ->
                     desk.read()
                             .thenApply(
-                                    calendar ->
-                                            all(calendar, windows).stream()
+                                    calendarSnapshot ->
+                                            all(calendarSnapshot, windows).stream()
                                                     .filter(held -> nameOf(held).equals(name))
                                                     .findFirst()
                                                     .map(
@@ -164,20 +164,21 @@
         };
     }
 
-    private static List<? extends Calendar.Held<?>> all(Calendar calendar, boolean windows) {
-        return windows ? calendar.windows() : calendar.reservations();
+    private static List<? extends CalendarSnapshot.CalendarEntry<?>> all(
+            CalendarSnapshot calendarSnapshot, boolean windows) {
+        return windows ? calendarSnapshot.windows() : calendarSnapshot.reservations();
     }
 
-    private static String nameOf(Calendar.Held<?> held) {
-        return held.what() instanceof Window window
+    private static String nameOf(CalendarSnapshot.CalendarEntry<?> calendarEntry) {
+        return calendarEntry.item() instanceof MaintenanceWindow window
                 ? window.name()
-                : ((Reservation) held.what()).name();
+                : ((Reservation) calendarEntry.item()).name();
     }
 
     private CompletableFuture<Http.Reply> put(String name, boolean windows, Http.Request request)
             throws Malformed {
         Fields body = new Fields(Json.decode(request.body()));
-        Version expected = expected(request);
+        Revision expected = expected(request);
         return (windows
                         ? desk.declare(CalendarCodec.window(name, body), expected)
                         : desk.reserve(CalendarCodec.reservation(name, body), expected))
@@ -194,13 +195,13 @@
      * The version that a change is meant for, in the header that HTTP has for it, with quotes or
      * without.
      */
-    private static Version expected(Http.Request request) throws Malformed {
+    private static Revision expected(Http.Request request) throws Malformed {
         String text = request.header().apply("If-Match");
         if (text == null) {
             return null;
         }
         try {
-            return new Version(Long.parseLong(text.replace("\"", "").trim()));
+            return new Revision(Long.parseLong(text.replace("\"", "").trim()));
         } catch (NumberFormatException wrong) {
             throw new Malformed("If-Match is not a version that was shown");
         }
--- a/src/main/java/org/meadowhollow/protocol/calendar/CalendarCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/calendar/CalendarCodec.java
@@ -8,16 +8,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.regex.Pattern;
-import org.meadowhollow.bookkeeping.Priority;
-import org.meadowhollow.bookkeeping.Resources;
-import org.meadowhollow.bookkeeping.calendar.Calendar;
-import org.meadowhollow.bookkeeping.calendar.Reservation;
-import org.meadowhollow.bookkeeping.calendar.Schedule;
-import org.meadowhollow.bookkeeping.calendar.Window;
 import org.meadowhollow.coordination.calendar.Plan;
 import org.meadowhollow.coordination.calendar.Recurrence;
+import org.meadowhollow.model.Priority;
+import org.meadowhollow.model.Resources;
+import org.meadowhollow.model.reservation.MaintenanceWindow;
+import org.meadowhollow.model.reservation.RecurringSchedule;
+import org.meadowhollow.model.reservation.Reservation;
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Malformed;
+import org.meadowhollow.storage.CalendarSnapshot;
 
 /**
  * Reservations and windows as operators write and read them, in JSON; {@code docs/reservations.md}
@@ -74,17 +74,17 @@
                 schedule(body));
     }
 
-    static Window window(String name, Fields body) throws Malformed {
-        Window.Scope scope = null;
+    static MaintenanceWindow window(String name, Fields body) throws Malformed {
+        MaintenanceWindow.Scope scope = null;
         List<String> targets = null;
-        for (Map.Entry<String, Window.Scope> each :
+        for (Map.Entry<String, MaintenanceWindow.Scope> each :
                 Map.of(
                                 "machines",
-                                Window.Scope.MACHINE,
+                                MaintenanceWindow.Scope.MACHINE,
                                 "machine_types",
-                                Window.Scope.TYPE,
+                                MaintenanceWindow.Scope.TYPE,
                                 "zones",
-                                Window.Scope.ZONE)
+                                MaintenanceWindow.Scope.ZONE)
                         .entrySet()) {
             if (body.has(each.getKey())) {
                 if (scope != null) {
@@ -101,7 +101,7 @@
         if (noticeS > LONGEST_S) {
             throw new Malformed("notice_s is longer than 31 days");
         }
-        return new Window(
+        return new MaintenanceWindow(
                 name(name),
                 scope,
                 targets,
@@ -109,14 +109,14 @@
                 Duration.ofMillis((long) (noticeS * 1000)));
     }
 
-    private static Schedule schedule(Fields body) throws Malformed {
+    private static RecurringSchedule schedule(Fields body) throws Malformed {
         double lengthS = body.amount("length_s");
         if (lengthS < 1 || lengthS > LONGEST_S) {
             throw new Malformed("length_s is not from 1 to " + (long) LONGEST_S);
         }
         try {
-            Schedule schedule =
-                    new Schedule(
+            RecurringSchedule schedule =
+                    new RecurringSchedule(
                             LocalDateTime.parse(body.text("start")).withNano(0),
                             ZoneId.of(body.has("time_zone") ? body.text("time_zone") : "UTC"),
                             Duration.ofMillis((long) (lengthS * 1000)),
@@ -156,12 +156,12 @@
 
     // ---- what operators read ----
 
-    static Map<String, Object> encode(Calendar.Held<?> held) {
+    static Map<String, Object> encode(CalendarSnapshot.CalendarEntry<?> calendarEntry) {
         Map<String, Object> map =
-                held.what() instanceof Window window
+                calendarEntry.item() instanceof MaintenanceWindow window
                         ? window(window)
-                        : reservation((Reservation) held.what());
-        map.put("version", held.version().value());
+                        : reservation((Reservation) calendarEntry.item());
+        map.put("version", calendarEntry.revision().value());
         return map;
     }
 
@@ -179,31 +179,31 @@
                                 .orElseThrow()
                                 .getKey(),
                         "tasks",
-                        one.tasks(),
+                        one.taskCount(),
                         "cpus",
-                        one.perTask().cpu() / 1e6,
+                        one.resourcesPerTask().cpu() / 1e6,
                         "gpus",
-                        one.perTask().gpu() / 1e6,
+                        one.resourcesPerTask().gpu() / 1e6,
                         "ram_gb",
-                        one.perTask().memory() / 1e6,
+                        one.resourcesPerTask().memory() / 1e6,
                         "machine_types",
-                        one.types(),
+                        one.allowedMachineTypes(),
                         "zone",
-                        one.zone(),
+                        one.requiredZone(),
                         "spot",
-                        one.spot(),
+                        one.allowsSpot(),
                         "image",
                         one.image(),
                         "image_gb",
-                        one.imageGb(),
+                        one.imageSizeGb(),
                         "class",
                         one.jobClass(),
                         "jobs",
-                        one.jobs());
+                        one.allowedJobs());
         return scheduled(map, one.schedule());
     }
 
-    private static Map<String, Object> window(Window one) {
+    private static Map<String, Object> window(MaintenanceWindow one) {
         String key =
                 switch (one.scope()) {
                     case MACHINE -> "machines";
@@ -217,15 +217,16 @@
                         key,
                         one.targets(),
                         "notice_s",
-                        one.notice().toMillis() / 1000.0),
+                        one.serviceEvictionLead().toMillis() / 1000.0),
                 one.schedule());
     }
 
-    private static Map<String, Object> scheduled(Map<String, Object> map, Schedule schedule) {
-        map.put("start", schedule.start().toString());
-        map.put("time_zone", schedule.zone().getId());
-        map.put("length_s", schedule.length().toMillis() / 1000.0);
-        map.put("rule", schedule.rule());
+    private static Map<String, Object> scheduled(
+            Map<String, Object> map, RecurringSchedule schedule) {
+        map.put("start", schedule.firstStart().toString());
+        map.put("time_zone", schedule.timeZone().getId());
+        map.put("length_s", schedule.duration().toMillis() / 1000.0);
+        map.put("rule", schedule.recurrenceRule());
         return map;
     }
 
@@ -241,11 +242,11 @@
                                                 "team",
                                                 slot.reservation().team(),
                                                 "from",
-                                                time(slot.when().fromMillis()),
+                                                time(slot.when().startMillis()),
                                                 "until",
-                                                time(slot.when().untilMillis()),
+                                                time(slot.when().endMillis()),
                                                 "tasks",
-                                                slot.reservation().tasks(),
+                                                slot.reservation().taskCount(),
                                                 "met",
                                                 slot.tasks(),
                                                 "machines",
@@ -265,9 +266,9 @@
                                                 "targets",
                                                 outage.window().targets(),
                                                 "from",
-                                                time(outage.when().fromMillis()),
+                                                time(outage.when().startMillis()),
                                                 "until",
-                                                time(outage.when().untilMillis())))
+                                                time(outage.when().endMillis())))
                         .toList());
     }
 
--- a/src/main/java/org/meadowhollow/protocol/cloud/CloudClient.java
+++ b/src/main/java/org/meadowhollow/protocol/cloud/CloudClient.java
@@ -7,11 +7,11 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
-import org.meadowhollow.bookkeeping.EventLoop;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.MachineType;
-import org.meadowhollow.bookkeeping.Resources;
 import org.meadowhollow.coordination.platform.Cloud;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.Resources;
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.Malformed;
@@ -172,7 +172,7 @@
             return http.send(address, method, path, body, ANSWER);
         }
         CompletableFuture<Http.Reply> answer = new CompletableFuture<>();
-        loop.after(
+        loop.schedule(
                 pause,
                 () ->
                         http.send(address, method, path, body, ANSWER)
--- a/src/main/java/org/meadowhollow/protocol/peers/PeerLink.java
+++ b/src/main/java/org/meadowhollow/protocol/peers/PeerLink.java
@@ -19,18 +19,18 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Predicate;
 import java.util.zip.CRC32C;
-import org.meadowhollow.bookkeeping.Digests;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Session;
-import org.meadowhollow.bookkeeping.Term;
-import org.meadowhollow.bookkeeping.Version;
 import org.meadowhollow.coordination.platform.NodeStatus;
 import org.meadowhollow.coordination.platform.Peers;
 import org.meadowhollow.coordination.platform.TableDelta;
 import org.meadowhollow.coordination.platform.TableQuestion;
 import org.meadowhollow.coordination.platform.Testimony;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.model.WorkerIncarnation;
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
+import org.meadowhollow.storage.RecordDigests;
 
 /**
  * Hints between controllers: who leads, in which term, whom the state service serves, and who hears
@@ -115,7 +115,7 @@
     public interface Testator {
         Optional<TableDelta> tables(TableQuestion question);
 
-        Optional<Digests> digests();
+        Optional<RecordDigests> digests();
     }
 
     private static final Testator NOBODY =
@@ -126,7 +126,7 @@
                 }
 
                 @Override
-                public Optional<Digests> digests() {
+                public Optional<RecordDigests> digests() {
                     return Optional.empty();
                 }
             };
@@ -149,7 +149,7 @@
     private volatile BooleanSupplier deaf = () -> false;
     private volatile Testator testator = NOBODY;
     private volatile Ears ears = (machines, within) -> Set.of();
-    private volatile BiConsumer<Term, String> listener = (term, member) -> {};
+    private volatile BiConsumer<FencingToken, String> listener = (fencingToken, member) -> {};
 
     /**
      * @param addresses of the other controllers, by member
@@ -200,13 +200,13 @@
         testator = now;
     }
 
-    public void listener(BiConsumer<Term, String> told) {
+    public void listener(BiConsumer<FencingToken, String> told) {
         listener = told;
     }
 
     @Override
-    public void announce(String leader, Term term) {
-        byte[] hint = encode(new LeaderHint(leader, term.value()));
+    public void announce(String leader, FencingToken fencingToken) {
+        byte[] hint = encode(new LeaderHint(leader, fencingToken.value()));
         for (String address : addresses.values()) {
             http.send(address, "POST", LEADER, hint, ANSWER);
         }
@@ -242,7 +242,7 @@
         } catch (KryoException | IllegalArgumentException | ClassCastException broken) {
             return CompletableFuture.completedFuture(Http.Reply.error(400, "not a hint"));
         }
-        listener.accept(new Term(hint.term()), hint.member());
+        listener.accept(new FencingToken(hint.term()), hint.member());
         return CompletableFuture.completedFuture(Http.Reply.of(200, Fields.of()));
     }
 
@@ -266,8 +266,8 @@
                                 asked.zone(),
                                 asked.program(),
                                 asked.schema(),
-                                new Version(asked.revision())),
-                        new Term(asked.term()),
+                                new Revision(asked.revision())),
+                        new FencingToken(asked.term()),
                         asked.after(),
                         asked.afterMachine());
         return testator.tables(question)
@@ -291,14 +291,18 @@
                         parts.stream().map(TableDelta.Part::samples).toArray(long[][]::new)));
     }
 
-    private Http.Reply digestsReply(Digests digests) {
-        String[] parts = digests.parts().keySet().toArray(String[]::new);
+    private Http.Reply digestsReply(RecordDigests recordDigests) {
+        String[] parts = recordDigests.parts().keySet().toArray(String[]::new);
         return sealed(
                 new DigestsHint(
                         parts,
-                        digests.parts().values().stream().mapToInt(Digests.Part::records).toArray(),
-                        digests.parts().values().stream().mapToLong(Digests.Part::sum).toArray(),
-                        digests.unsettled().toArray(String[]::new)));
+                        recordDigests.parts().values().stream()
+                                .mapToInt(RecordDigests.PartDigest::recordCount)
+                                .toArray(),
+                        recordDigests.parts().values().stream()
+                                .mapToLong(RecordDigests.PartDigest::hashSum)
+                                .toArray(),
+                        recordDigests.partsBeingWritten().toArray(String[]::new)));
     }
 
     private Http.Reply sealed(Object hint) {
@@ -375,16 +379,17 @@
                     new TableDelta.Part(
                             new MachineId(hint.machines()[at]),
                             hint.incarnations()[at],
-                            new Session(hint.sessions()[at]),
+                            new WorkerIncarnation(hint.sessions()[at]),
                             hint.seqs()[at],
                             hint.tables()[at],
                             hint.samples()[at]));
         }
-        return new TableDelta(new Term(hint.term()), hint.upTo(), hint.whole(), hint.more(), parts);
+        return new TableDelta(
+                new FencingToken(hint.term()), hint.upTo(), hint.whole(), hint.more(), parts);
     }
 
     @Override
-    public CompletableFuture<Optional<Digests>> digests(String leader) {
+    public CompletableFuture<Optional<RecordDigests>> digests(String leader) {
         String address = addresses.get(leader);
         if (address == null) {
             return CompletableFuture.completedFuture(Optional.empty());
@@ -395,16 +400,18 @@
                                 unseal(reply, failure, DigestsHint.class).map(PeerLink::digests));
     }
 
-    private static Digests digests(DigestsHint hint) {
+    private static RecordDigests digests(DigestsHint hint) {
         if (hint.records().length != hint.parts().length
                 || hint.sums().length != hint.parts().length) {
             throw new Unreadable("its columns differ in length");
         }
-        Map<String, Digests.Part> parts = new HashMap<>();
+        Map<String, RecordDigests.PartDigest> parts = new HashMap<>();
         for (int at = 0; at < hint.parts().length; at++) {
-            parts.put(hint.parts()[at], new Digests.Part(hint.records()[at], hint.sums()[at]));
+            parts.put(
+                    hint.parts()[at],
+                    new RecordDigests.PartDigest(hint.records()[at], hint.sums()[at]));
         }
-        return Digests.of(parts, Set.of(hint.unsettled()));
+        return RecordDigests.of(parts, Set.of(hint.unsettled()));
     }
 
     // ---- who hears the workers ----
--- a/src/main/java/org/meadowhollow/protocol/state/StateClient.java
+++ b/src/main/java/org/meadowhollow/protocol/state/StateClient.java
@@ -7,26 +7,26 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.meadowhollow.bookkeeping.EventLoop;
-import org.meadowhollow.bookkeeping.LeaseId;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.StateException;
-import org.meadowhollow.bookkeeping.StateException.Outcome;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.Transaction;
-import org.meadowhollow.bookkeeping.Version;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Revision;
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.Malformed;
 import org.meadowhollow.protocol.RateBudget;
 import org.meadowhollow.protocol.Wire;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.KeyValueStoreException;
+import org.meadowhollow.storage.KeyValueStoreException.Outcome;
+import org.meadowhollow.storage.LeaseId;
+import org.meadowhollow.storage.Transaction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
  * The state service over HTTP: within a budget of requests and of changes, the most urgent first.
  */
-public final class StateClient implements StateStore {
+public final class StateClient implements KeyValueStore {
     private static final Logger LOG = LoggerFactory.getLogger(StateClient.class);
 
     /**
@@ -86,14 +86,22 @@
             String path,
             byte[] body,
             int changes,
-            Urgency urgency,
-            Moment since,
+            RequestPriority urgency,
+            MonotonicTime since,
             CompletableFuture<Http.Reply> answer) {}
 
-    private static final List<Urgency> USERS_FIRST =
-            List.of(Urgency.LEASE, Urgency.USER, Urgency.PLACEMENT, Urgency.BACKGROUND);
-    private static final List<Urgency> LEADER_FIRST =
-            List.of(Urgency.LEASE, Urgency.PLACEMENT, Urgency.USER, Urgency.BACKGROUND);
+    private static final List<RequestPriority> USERS_FIRST =
+            List.of(
+                    RequestPriority.LEASE,
+                    RequestPriority.USER,
+                    RequestPriority.PLACEMENT,
+                    RequestPriority.BACKGROUND);
+    private static final List<RequestPriority> LEADER_FIRST =
+            List.of(
+                    RequestPriority.LEASE,
+                    RequestPriority.PLACEMENT,
+                    RequestPriority.USER,
+                    RequestPriority.BACKGROUND);
 
     private final Http.Client http;
     private final String address;
@@ -104,12 +112,12 @@
     private int waitingCount;
     private int inFlight;
     private boolean wakeSet;
-    private Moment failedAt;
+    private MonotonicTime failedAt;
 
     /** What users' calls took of the budgets beyond the leader's, while both were waiting. */
     private double usersAhead;
 
-    private Moment recordsAt;
+    private MonotonicTime recordsAt;
 
     /** Calls without an answer in time since the last one that had one. */
     private int unanswered;
@@ -127,14 +135,14 @@
         this.loop = loop;
         this.requests = requests;
         this.changes = changes;
-        for (int at = 0; at < Urgency.values().length; at++) {
+        for (int at = 0; at < RequestPriority.values().length; at++) {
             waiting.add(new ArrayDeque<>());
         }
     }
 
     @Override
-    public CompletableFuture<Optional<Entry>> get(String key, Urgency urgency) {
-        return call("GET", "/kv/" + key, null, 0, urgency)
+    public CompletableFuture<Optional<Entry>> get(String key, RequestPriority requestPriority) {
+        return call("GET", "/kv/" + key, null, 0, requestPriority)
                 .thenApply(
                         reply -> {
                             if (reply.status() == 404) {
@@ -146,10 +154,11 @@
     }
 
     @Override
-    public CompletableFuture<Page> list(String prefix, String after, int most, Urgency urgency) {
+    public CompletableFuture<Page> list(
+            String prefix, String after, int most, RequestPriority requestPriority) {
         String path =
                 "/kv?prefix=" + prefix + (after == null ? "" : "&after=" + after) + "&most=" + most;
-        return call("GET", path, null, 0, urgency)
+        return call("GET", path, null, 0, requestPriority)
                 .thenApply(
                         reply -> {
                             Fields body = body(reply);
@@ -162,19 +171,20 @@
                                         return new Page(
                                                 entries,
                                                 body.flagOr("truncated", false),
-                                                new Version(body.count("ledgerRev")));
+                                                new Revision(body.count("ledgerRev")));
                                     });
                         });
     }
 
     @Override
-    public CompletableFuture<Commit> commit(Transaction transaction, Urgency urgency) {
+    public CompletableFuture<CommitResult> commit(
+            Transaction transaction, RequestPriority requestPriority) {
         List<Map<String, Object>> guards = new ArrayList<>();
         transaction
-                .guards()
+                .conditions()
                 .forEach(
-                        (key, version) ->
-                                guards.add(Fields.of("key", key, "stamp", version.value())));
+                        (key, revision) ->
+                                guards.add(Fields.of("key", key, "stamp", revision.value())));
         List<Map<String, Object>> writes = new ArrayList<>();
         transaction
                 .writes()
@@ -196,15 +206,15 @@
                             }
                         });
         byte[] bytes = Wire.encode(Fields.of("guards", guards, "writes", writes));
-        return call("POST", "/multi", bytes, writes.size(), urgency)
+        return call("POST", "/multi", bytes, writes.size(), requestPriority)
                 .thenApply(
                         reply -> {
                             Fields body = body(reply);
                             return read(
                                     () ->
-                                            new Commit(
+                                            new CommitResult(
                                                     reply.status() == 200,
-                                                    new Version(body.count("ledgerRev")),
+                                                    new Revision(body.count("ledgerRev")),
                                                     reply.status() == 200
                                                             ? List.of()
                                                             : body.textsOrNull("failed")));
@@ -212,9 +222,9 @@
     }
 
     @Override
-    public CompletableFuture<LeaseId> grant(Duration ttl) {
+    public CompletableFuture<LeaseId> grantLease(Duration ttl) {
         byte[] bytes = Wire.encode(Fields.of("ttlMs", ttl.toMillis()));
-        return call("POST", "/grants", bytes, 0, Urgency.LEASE)
+        return call("POST", "/grants", bytes, 0, RequestPriority.LEASE)
                 .thenApply(
                         reply -> {
                             Fields body = body(reply);
@@ -223,30 +233,30 @@
     }
 
     @Override
-    public CompletableFuture<Void> renew(LeaseId lease) {
+    public CompletableFuture<Void> renewLease(LeaseId lease) {
         return call(
                         "POST",
                         "/grants/" + lease.value() + "/renew",
                         Wire.encode(Map.of()),
                         0,
-                        Urgency.LEASE)
+                        RequestPriority.LEASE)
                 .thenAccept(StateClient::leaseStands);
     }
 
     @Override
-    public CompletableFuture<Void> revoke(LeaseId lease) {
-        return call("DELETE", "/grants/" + lease.value(), null, 0, Urgency.LEASE)
+    public CompletableFuture<Void> revokeLease(LeaseId lease) {
+        return call("DELETE", "/grants/" + lease.value(), null, 0, RequestPriority.LEASE)
                 .thenAccept(reply -> {});
     }
 
     private static void leaseStands(Http.Reply reply) {
         if (reply.status() == 404) {
-            throw new StateException(Outcome.NO_SUCH_LEASE, "the lease has ended");
+            throw new KeyValueStoreException(Outcome.LEASE_EXPIRED, "the lease has ended");
         }
     }
 
     @Override
-    public CompletableFuture<Changes> watch(String prefix, Version after, Duration wait) {
+    public CompletableFuture<ChangeBatch> watch(String prefix, Revision after, Duration wait) {
         String path =
                 "/changes?prefix="
                         + prefix
@@ -260,53 +270,59 @@
                 .handle(
                         (reply, failure) -> {
                             if (failure != null) {
-                                throw new StateException(Outcome.UNKNOWN, "no answer to the watch");
+                                throw new KeyValueStoreException(
+                                        Outcome.INDETERMINATE, "no answer to the watch");
                             }
                             Fields body = body(check(reply));
                             return read(
                                     () -> {
                                         List<Change> log = new ArrayList<>();
                                         for (Fields item : body.list("log")) {
-                                            Version version = new Version(item.count("stamp"));
+                                            Revision revision = new Revision(item.count("stamp"));
                                             log.add(
                                                     item.has("remove")
                                                             ? new Change(
                                                                     item.text("remove"),
                                                                     null,
-                                                                    version)
+                                                                    revision)
                                                             : new Change(
                                                                     item.text("set"),
                                                                     item.fields("v").map(),
-                                                                    version));
+                                                                    revision));
                                         }
-                                        return new Changes(
-                                                new Version(body.count("ledgerRev")), log);
+                                        return new ChangeBatch(
+                                                new Revision(body.count("ledgerRev")), log);
                                     });
                         });
     }
 
     @Override
-    public synchronized boolean seemsOut() {
-        return failedAt != null && loop.now().since(failedAt).compareTo(OUT_FOR) < 0;
+    public synchronized boolean seemsUnavailable() {
+        return failedAt != null && loop.now().elapsedSince(failedAt).compareTo(OUT_FOR) < 0;
     }
 
     private CompletableFuture<Http.Reply> call(
-            String method, String path, byte[] body, int changeCount, Urgency urgency) {
+            String method,
+            String path,
+            byte[] body,
+            int changeCount,
+            RequestPriority requestPriority) {
         Call call =
                 new Call(
                         method,
                         path,
                         body,
                         changeCount,
-                        urgency,
+                        requestPriority,
                         loop.now(),
                         new CompletableFuture<>());
         synchronized (this) {
-            if (waitingCount >= MOST_WAITING && urgency != Urgency.LEASE) {
+            if (waitingCount >= MOST_WAITING && requestPriority != RequestPriority.LEASE) {
                 return CompletableFuture.failedFuture(
-                        new StateException(Outcome.REFUSED, "too many requests are waiting"));
+                        new KeyValueStoreException(
+                                Outcome.REJECTED, "too many requests are waiting"));
             }
-            waiting.get(urgency.ordinal()).add(call);
+            waiting.get(requestPriority.ordinal()).add(call);
             waitingCount++;
         }
         pump();
@@ -319,13 +335,15 @@
             Call next = null;
             List<Call> late = new ArrayList<>();
             synchronized (this) {
-                Moment now = loop.now();
+                MonotonicTime now = loop.now();
                 dropLate(now, late);
                 Duration pause = Duration.ZERO;
                 boolean changesHeld = false;
-                for (Urgency urgency : order()) {
-                    Call first = waiting.get(urgency.ordinal()).peek();
-                    if (first == null || inFlight >= MOST_IN_FLIGHT && urgency != Urgency.LEASE) {
+                for (RequestPriority requestPriority : order()) {
+                    Call first = waiting.get(requestPriority.ordinal()).peek();
+                    if (first == null
+                            || inFlight >= MOST_IN_FLIGHT
+                                    && requestPriority != RequestPriority.LEASE) {
                         continue;
                     }
                     Duration free = requests.untilFree(1, now);
@@ -343,14 +361,14 @@
                             continue;
                         }
                     }
-                    next = waiting.get(urgency.ordinal()).poll();
+                    next = waiting.get(requestPriority.ordinal()).poll();
                     took(next, now);
                     break;
                 }
                 if (next == null && late.isEmpty()) {
                     if (!pause.isZero() && !wakeSet) {
                         wakeSet = true;
-                        loop.after(
+                        loop.schedule(
                                 pause,
                                 () -> {
                                     synchronized (this) {
@@ -366,8 +384,8 @@
                     call ->
                             call.answer()
                                     .completeExceptionally(
-                                            new StateException(
-                                                    Outcome.REFUSED,
+                                            new KeyValueStoreException(
+                                                    Outcome.REJECTED,
                                                     "waited too long for its turn")));
             if (next != null) {
                 send(next);
@@ -375,9 +393,10 @@
         }
     }
 
-    private void dropLate(Moment now, List<Call> late) {
-        ArrayDeque<Call> users = waiting.get(Urgency.USER.ordinal());
-        while (!users.isEmpty() && now.since(users.peek().since()).compareTo(MOST_WAIT) > 0) {
+    private void dropLate(MonotonicTime now, List<Call> late) {
+        ArrayDeque<Call> users = waiting.get(RequestPriority.USER.ordinal());
+        while (!users.isEmpty()
+                && now.elapsedSince(users.peek().since()).compareTo(MOST_WAIT) > 0) {
             late.add(users.poll());
             waitingCount--;
         }
@@ -388,40 +407,40 @@
      * a node that many of them asked at once neither loaded nor wrote its records as the leader,
      * and cancelled tasks ran on past their limit.
      */
-    private List<Urgency> order() {
+    private List<RequestPriority> order() {
         return usersAhead > 0 ? LEADER_FIRST : USERS_FIRST;
     }
 
-    private void took(Call call, Moment now) {
+    private void took(Call call, MonotonicTime now) {
         waitingCount--;
         inFlight++;
         requests.take(1, now);
         changes.take(call.changes(), now);
-        boolean leader = call.urgency() == Urgency.PLACEMENT;
+        boolean leader = call.urgency() == RequestPriority.PLACEMENT;
         if (leader && call.changes() > 0) {
             recordsAt = now;
         }
-        if (leader || call.urgency() == Urgency.USER) {
+        if (leader || call.urgency() == RequestPriority.USER) {
             double cost = 1 + call.changes();
             usersAhead =
                     Math.max(
                             -MOST_AHEAD,
                             Math.min(MOST_AHEAD, usersAhead + (leader ? -cost : cost)));
         }
-        if (waiting.get(Urgency.USER.ordinal()).isEmpty()
-                || waiting.get(Urgency.PLACEMENT.ordinal()).isEmpty()) {
+        if (waiting.get(RequestPriority.USER.ordinal()).isEmpty()
+                || waiting.get(RequestPriority.PLACEMENT.ordinal()).isEmpty()) {
             usersAhead = 0;
         }
     }
 
     private void send(Call call) {
-        Moment sentAt = loop.now();
+        MonotonicTime sentAt = loop.now();
         http.send(address, call.method(), call.path(), call.body(), answerWithin())
                 .whenComplete(
                         (reply, failure) -> {
                             synchronized (this) {
                                 inFlight--;
-                                noteTime(failure, loop.now().since(sentAt));
+                                noteTime(failure, loop.now().elapsedSince(sentAt));
                             }
                             settle(call, reply, failure);
                             pump();
@@ -448,15 +467,18 @@
     private void settle(Call call, Http.Reply reply, Throwable failure) {
         if (failure != null) {
             noteFailure(failure.getMessage());
-            Outcome outcome = failure instanceof Http.NotSent ? Outcome.REFUSED : Outcome.UNKNOWN;
-            call.answer().completeExceptionally(new StateException(outcome, failure.getMessage()));
+            Outcome outcome =
+                    failure instanceof Http.NotSent ? Outcome.REJECTED : Outcome.INDETERMINATE;
+            call.answer()
+                    .completeExceptionally(
+                            new KeyValueStoreException(outcome, failure.getMessage()));
             return;
         }
         try {
             Http.Reply checked = check(reply);
             noteSuccess();
             call.answer().complete(checked);
-        } catch (StateException refused) {
+        } catch (KeyValueStoreException refused) {
             if (reply.status() == 503) {
                 noteFailure(refused.getMessage());
             } else if (reply.status() == 429) {
@@ -478,8 +500,8 @@
      * of which there are fewer. All nodes share the limits, and each alone would keep to them.
      */
     private synchronized void slowDown(boolean withChanges) {
-        Moment now = loop.now();
-        boolean leads = recordsAt != null && now.since(recordsAt).compareTo(LEADS_FOR) < 0;
+        MonotonicTime now = loop.now();
+        boolean leads = recordsAt != null && now.elapsedSince(recordsAt).compareTo(LEADS_FOR) < 0;
         (withChanges ? changes : requests).refused(leads ? LEADER_KEEPS : KEEP, now);
     }
 
@@ -494,22 +516,27 @@
         return switch (reply.status()) {
             case 200, 404, 409 -> reply;
             case 429, 503 ->
-                    throw new StateException(Outcome.REFUSED, "answered " + reply.status());
-            case 410 -> throw new StateException(Outcome.TOO_OLD, "the watch began too long ago");
+                    throw new KeyValueStoreException(
+                            Outcome.REJECTED, "answered " + reply.status());
+            case 410 ->
+                    throw new KeyValueStoreException(
+                            Outcome.COMPACTED, "the watch began too long ago");
             case 400 ->
-                    throw new StateException(
+                    throw new KeyValueStoreException(
                             new String(reply.body(), java.nio.charset.StandardCharsets.UTF_8)
                                             .contains("no such lease")
-                                    ? Outcome.NO_SUCH_LEASE
-                                    : Outcome.INVALID,
+                                    ? Outcome.LEASE_EXPIRED
+                                    : Outcome.INVALID_REQUEST,
                             "answered 400");
-            default -> throw new StateException(Outcome.UNKNOWN, "answered " + reply.status());
+            default ->
+                    throw new KeyValueStoreException(
+                            Outcome.INDETERMINATE, "answered " + reply.status());
         };
     }
 
     private static Entry entry(Fields item) throws Malformed {
         return new Entry(
-                item.text("key"), item.fields("v").map(), new Version(item.count("stamp")));
+                item.text("key"), item.fields("v").map(), new Revision(item.count("stamp")));
     }
 
     private static Fields body(Http.Reply reply) {
@@ -524,8 +551,8 @@
         try {
             return reading.get();
         } catch (Malformed broken) {
-            throw new StateException(
-                    Outcome.UNKNOWN, "the answer makes no sense: " + broken.getMessage());
+            throw new KeyValueStoreException(
+                    Outcome.INDETERMINATE, "the answer makes no sense: " + broken.getMessage());
         }
     }
 }
--- a/src/main/java/org/meadowhollow/protocol/tes/TesApi.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesApi.java
@@ -11,22 +11,22 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import java.util.random.RandomGenerator;
-import org.meadowhollow.bookkeeping.AttemptLog;
-import org.meadowhollow.bookkeeping.Companion;
-import org.meadowhollow.bookkeeping.EventLoop;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Progress;
-import org.meadowhollow.bookkeeping.StateException;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.StateStore.Urgency;
-import org.meadowhollow.bookkeeping.TaskTraces;
 import org.meadowhollow.coordination.admission.Admission;
 import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.model.AttemptRecord;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobPhase;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.SecondaryRecord;
+import org.meadowhollow.model.TaskTracer;
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.Json;
 import org.meadowhollow.protocol.Malformed;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.KeyValueStore.RequestPriority;
+import org.meadowhollow.storage.KeyValueStoreException;
 
 /**
  * The GA4GH task execution API, version 1.1, on the same admission as native jobs: any node
@@ -69,12 +69,12 @@
     private static final int FRAMING = 512;
 
     private final Admission admission;
-    private final StateStore store;
+    private final KeyValueStore store;
     private final EventLoop loop;
     private final Platform platform;
     private final TesTokens tokens;
     private final RandomGenerator random;
-    private final TaskTraces traces;
+    private final TaskTracer traces;
     private final TesListing listing;
     private final Map<String, Kept> cache =
             new LinkedHashMap<>(16, 0.75f, true) {
@@ -94,11 +94,11 @@
 
     public TesApi(
             Admission admission,
-            StateStore store,
+            KeyValueStore store,
             EventLoop loop,
             Platform platform,
             TesTokens tokens,
-            TaskTraces traces,
+            TaskTracer traces,
             RandomGenerator random) {
         this.traces = traces;
         this.admission = admission;
@@ -144,7 +144,7 @@
         if (cause instanceof Malformed || cause instanceof Admission.NeverRuns) {
             return error(400, cause.getMessage());
         }
-        if (cause instanceof Admission.TryLater || cause instanceof StateException) {
+        if (cause instanceof Admission.TryLater || cause instanceof KeyValueStoreException) {
             return comeBack(cause.getMessage());
         }
         throw new CompletionException(cause);
@@ -235,7 +235,7 @@
         }
         JobId id = repeatKey == null ? newId() : idOf(team, repeatKey);
         JobSpec spec = TesCodec.job(id, team, task, platform.zones());
-        long now = loop.wallMillis();
+        long now = loop.wallClockMillis();
         byte[] document = Json.encode(task.document());
         TesListing.Entry entry = new TesListing.Entry(id.value(), task.name(), task.tags(), now);
         Kept kept =
@@ -260,19 +260,19 @@
                             + room / 2
                             + " can be kept");
         }
-        Companion companion =
-                new Companion(
+        SecondaryRecord secondaryRecord =
+                new SecondaryRecord(
                         kept.entryKey(),
                         entry.encode(),
                         TesCodec.mostAttempts(task),
-                        traces.contextOf(request.header().apply("traceparent")));
+                        traces.traceContextOf(request.header().apply("traceparent")));
         return admission
-                .submit(spec, companion, Map.of(recordKey(id.value()), encode(kept)))
+                .submit(spec, secondaryRecord, Map.of(recordKey(id.value()), encode(kept)))
                 .thenCompose(
                         accepted ->
                                 accepted.isNew()
                                         ? CompletableFuture.completedFuture(kept)
-                                        : kept(id.value(), Urgency.USER))
+                                        : kept(id.value(), RequestPriority.USER))
                 .thenApply(
                         stands -> {
                             if (!stands.digest().equals(kept.digest())) {
@@ -335,7 +335,7 @@
     }
 
     /** What is kept of a task; fails with 404 if there is none. */
-    CompletableFuture<Kept> kept(String id, Urgency urgency) {
+    CompletableFuture<Kept> kept(String id, RequestPriority requestPriority) {
         if (!TesListing.isId(id)) {
             throw new Refused(404, "no such task");
         }
@@ -345,7 +345,7 @@
                 return CompletableFuture.completedFuture(known);
             }
         }
-        return store.get(recordKey(id), urgency)
+        return store.get(recordKey(id), requestPriority)
                 .thenApply(
                         found -> {
                             Kept kept =
@@ -361,7 +361,7 @@
     }
 
     private CompletableFuture<Kept> owned(String id, String team) {
-        return kept(id, Urgency.USER)
+        return kept(id, RequestPriority.USER)
                 .thenApply(
                         kept -> {
                             if (!kept.team().equals(team) && !team.equals(TesTokens.READERS)) {
@@ -375,7 +375,7 @@
         return owned(id, team)
                 .thenCompose(
                         kept ->
-                                store.get(kept.entryKey(), Urgency.USER)
+                                store.get(kept.entryKey(), RequestPriority.USER)
                                         .thenApply(
                                                 entry -> {
                                                     Map<String, Object> state =
@@ -419,8 +419,8 @@
         }
     }
 
-    static String stateName(Progress progress) {
-        return switch (progress) {
+    static String stateName(JobPhase jobPhase) {
+        return switch (jobPhase) {
             case QUEUED -> "QUEUED";
             case PREPARING -> "INITIALIZING";
             case RUNNING -> "RUNNING";
@@ -434,12 +434,12 @@
     }
 
     static Map<String, Object> minimal(Map<String, Object> entry) {
-        return Fields.of("id", entry.get("id"), "state", stateName(Companion.progressOf(entry)));
+        return Fields.of("id", entry.get("id"), "state", stateName(SecondaryRecord.phaseOf(entry)));
     }
 
     static Map<String, Object> whole(String id, Kept kept, Map<String, Object> entry, View view) {
         Map<String, Object> task =
-                Fields.of("id", id, "state", stateName(Companion.progressOf(entry)));
+                Fields.of("id", id, "state", stateName(SecondaryRecord.phaseOf(entry)));
         kept.document()
                 .forEach(
                         (key, value) ->
@@ -450,7 +450,7 @@
                                                 : value));
         task.put("creation_time", time(kept.createdMillis()));
         List<Object> logs = new ArrayList<>();
-        for (AttemptLog attempt : Companion.logOf(entry)) {
+        for (AttemptRecord attempt : SecondaryRecord.attemptsOf(entry)) {
             logs.add(log(attempt, view));
         }
         task.put("logs", logs);
@@ -468,8 +468,8 @@
         return shorter;
     }
 
-    private static Map<String, Object> log(AttemptLog attempt, View view) {
-        boolean completed = "DONE".equals(attempt.cause());
+    private static Map<String, Object> log(AttemptRecord attempt, View view) {
+        boolean completed = "DONE".equals(attempt.endReason());
         Map<String, Object> log =
                 Fields.of(
                         "logs",
@@ -477,24 +477,25 @@
                         "metadata",
                         Fields.of(
                                 "attempt",
-                                String.valueOf(attempt.attempt()),
+                                String.valueOf(attempt.attemptNumber()),
                                 "machine",
-                                attempt.machine(),
+                                attempt.machineName(),
                                 "cause",
-                                attempt.cause() == null ? "" : attempt.cause()),
+                                attempt.endReason() == null ? "" : attempt.endReason()),
                         "outputs",
                         List.of());
-        if (attempt.startedMillis() > 0) {
-            log.put("start_time", time(attempt.startedMillis()));
+        if (attempt.startedAtMillis() > 0) {
+            log.put("start_time", time(attempt.startedAtMillis()));
         }
-        if (attempt.endedMillis() > 0) {
-            log.put("end_time", time(attempt.endedMillis()));
+        if (attempt.endedAtMillis() > 0) {
+            log.put("end_time", time(attempt.endedAtMillis()));
         }
         if (view == View.FULL) {
             List<Object> system = new ArrayList<>();
-            system.add("placed on " + attempt.machine() + " at " + time(attempt.placedMillis()));
-            if (attempt.cause() != null && !completed) {
-                system.add("ended: " + attempt.cause());
+            system.add(
+                    "placed on " + attempt.machineName() + " at " + time(attempt.placedAtMillis()));
+            if (attempt.endReason() != null && !completed) {
+                system.add("ended: " + attempt.endReason());
             }
             log.put("system_logs", system);
         }
--- a/src/main/java/org/meadowhollow/protocol/tes/TesCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesCodec.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Priority;
-import org.meadowhollow.bookkeeping.Resources;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Priority;
+import org.meadowhollow.model.Resources;
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Malformed;
 
@@ -276,7 +276,7 @@
                 id,
                 jobClass,
                 team,
-                Kind.ARRAY,
+                JobKind.ARRAY,
                 PRIORITIES.get(priority),
                 1,
                 Resources.of(
--- a/src/main/java/org/meadowhollow/protocol/tes/TesListing.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesListing.java
@@ -9,14 +9,14 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.regex.Pattern;
-import org.meadowhollow.bookkeeping.Companion;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.StateStore.Urgency;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.SecondaryRecord;
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.Json;
 import org.meadowhollow.protocol.Malformed;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.KeyValueStore.RequestPriority;
 
 /**
  * Lists a team's tasks, the newest first, from one entry a task whose key never changes. A page
@@ -87,15 +87,17 @@
          */
         int toRead(int found) {
             boolean all = namePrefix == null && state == null && tags.isEmpty();
-            return all ? Math.min(StateStore.MOST_LISTED, most - found) : StateStore.MOST_LISTED;
+            return all
+                    ? Math.min(KeyValueStore.MAX_PAGE_SIZE, most - found)
+                    : KeyValueStore.MAX_PAGE_SIZE;
         }
     }
 
     private final TesApi api;
-    private final StateStore store;
+    private final KeyValueStore store;
     private int lists;
 
-    TesListing(TesApi api, StateStore store) {
+    TesListing(TesApi api, KeyValueStore store) {
         this.api = api;
         this.store = store;
     }
@@ -209,11 +211,11 @@
     private CompletableFuture<Http.Reply> read(
             Query query, String after, List<Map<String, Object>> found, int reads) {
         String prefix = prefix(query.team());
-        return store.list(prefix, after, query.toRead(found.size()), Urgency.BACKGROUND)
+        return store.list(prefix, after, query.toRead(found.size()), RequestPriority.BACKGROUND)
                 .thenCompose(
                         page -> {
                             String last = after;
-                            for (StateStore.Entry entry : page.entries()) {
+                            for (KeyValueStore.Entry entry : page.entries()) {
                                 if (found.size() == query.most()) {
                                     return told(query, found, last);
                                 }
@@ -222,7 +224,7 @@
                                     found.add(entry.value());
                                 }
                             }
-                            if (!page.more()) {
+                            if (!page.hasMore()) {
                                 return told(query, found, null);
                             }
                             return found.size() == query.most() || reads == 1
@@ -236,7 +238,8 @@
         if (query.namePrefix() != null
                         && !((String) entry.get("name")).startsWith(query.namePrefix())
                 || query.state() != null
-                        && !query.state().equals(TesApi.stateName(Companion.progressOf(entry)))) {
+                        && !query.state()
+                                .equals(TesApi.stateName(SecondaryRecord.phaseOf(entry)))) {
             return false;
         }
         Map<String, Object> tags = (Map<String, Object>) entry.get("tags");
@@ -259,7 +262,7 @@
             tasks.add(
                     query.view() == TesApi.View.MINIMAL
                             ? CompletableFuture.completedFuture(TesApi.minimal(entry))
-                            : api.kept((String) entry.get("id"), Urgency.BACKGROUND)
+                            : api.kept((String) entry.get("id"), RequestPriority.BACKGROUND)
                                     .thenApply(
                                             kept ->
                                                     TesApi.whole(
--- a/src/main/java/org/meadowhollow/protocol/users/SubmissionCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/users/SubmissionCodec.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 import java.util.Map;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Priority;
-import org.meadowhollow.bookkeeping.Resources;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Priority;
+import org.meadowhollow.model.Resources;
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Malformed;
 
@@ -25,7 +25,7 @@
      */
     public static JobSpec decode(Fields body) throws Malformed {
         String ref = body.text("ref");
-        if (!JobId.wellFormed(ref)) {
+        if (!JobId.isWellFormed(ref)) {
             throw new Malformed("ref is not a job id");
         }
         long tasks = body.count("chores");
@@ -69,35 +69,35 @@
                 "urgency",
                 priorityName(spec.priority()),
                 "chores",
-                (long) spec.tasks(),
+                (long) spec.taskCount(),
                 "cores",
-                spec.perTask().cpu() / 1e6,
+                spec.resourcesPerTask().cpu() / 1e6,
                 "gpus",
-                spec.perTask().gpu() / 1e6,
+                spec.resourcesPerTask().gpu() / 1e6,
                 "memGb",
-                spec.perTask().memory() / 1e6,
+                spec.resourcesPerTask().memory() / 1e6,
                 "breeds",
-                spec.types(),
+                spec.allowedMachineTypes(),
                 "field",
-                spec.zone(),
+                spec.requiredZone(),
                 "together",
-                spec.oneZone(),
+                spec.requiresSingleZone(),
                 "spread",
-                spec.spread(),
+                spec.spreadsAcrossZones(),
                 "loaners",
-                spec.spot(),
+                spec.allowsSpot(),
                 "bundle",
                 spec.image(),
                 "pullGb",
-                spec.imageGb(),
+                spec.imageSizeGb(),
                 "expectedS",
-                spec.estimateS(),
+                spec.estimatedRuntimeSeconds(),
                 "bookmarkS",
-                spec.checkpointS(),
+                spec.checkpointIntervalSeconds(),
                 "stashS",
-                spec.saveS(),
+                spec.checkpointDurationSeconds(),
                 "dueS",
-                Double.isNaN(spec.deadlineS()) ? null : spec.deadlineS());
+                Double.isNaN(spec.deadlineSeconds()) ? null : spec.deadlineSeconds());
     }
 
     private static String name(Fields body, String key) throws Malformed {
@@ -108,16 +108,16 @@
         return name;
     }
 
-    private static Kind kind(String text) throws Malformed {
+    private static JobKind kind(String text) throws Malformed {
         return switch (text) {
-            case "array" -> Kind.ARRAY;
-            case "ensemble" -> Kind.GANG;
-            case "standing" -> Kind.SERVICE;
+            case "array" -> JobKind.ARRAY;
+            case "ensemble" -> JobKind.GANG;
+            case "standing" -> JobKind.SERVICE;
             default -> throw new Malformed("shape is none of array, ensemble, standing");
         };
     }
 
-    private static String kindName(Kind kind) {
+    private static String kindName(JobKind kind) {
         return switch (kind) {
             case ARRAY -> "array";
             case GANG -> "ensemble";
--- a/src/main/java/org/meadowhollow/protocol/users/UserApi.java
+++ b/src/main/java/org/meadowhollow/protocol/users/UserApi.java
@@ -4,13 +4,13 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.StateException;
 import org.meadowhollow.coordination.admission.Admission;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.Malformed;
+import org.meadowhollow.storage.KeyValueStoreException;
 
 /** What users call: submit, poll and cancel. */
 public final class UserApi {
@@ -41,11 +41,11 @@
     }
 
     public CompletableFuture<Http.Reply> poll(String ref) {
-        return JobId.wellFormed(ref) ? found(admission.poll(new JobId(ref))) : unknown();
+        return JobId.isWellFormed(ref) ? found(admission.poll(new JobId(ref))) : unknown();
     }
 
     public CompletableFuture<Http.Reply> cancel(String ref) {
-        return JobId.wellFormed(ref) ? found(admission.cancel(new JobId(ref))) : unknown();
+        return JobId.isWellFormed(ref) ? found(admission.cancel(new JobId(ref))) : unknown();
     }
 
     private static CompletableFuture<Http.Reply> unknown() {
@@ -69,7 +69,8 @@
                     if (cause instanceof Admission.NeverRuns) {
                         return Http.Reply.error(422, cause.getMessage());
                     }
-                    if (cause instanceof Admission.TryLater || cause instanceof StateException) {
+                    if (cause instanceof Admission.TryLater
+                            || cause instanceof KeyValueStoreException) {
                         return Http.Reply.comeBack(503, COME_BACK_S, cause.getMessage());
                     }
                     throw new CompletionException(cause);
--- a/src/main/java/org/meadowhollow/protocol/workers/WorkerApi.java
+++ b/src/main/java/org/meadowhollow/protocol/workers/WorkerApi.java
@@ -2,28 +2,28 @@
 
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
-import org.meadowhollow.bookkeeping.Report;
 import org.meadowhollow.coordination.Answer;
+import org.meadowhollow.model.Heartbeat;
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.Malformed;
 
 /** Takes workers' reports and answers them. */
 public final class WorkerApi {
-    private final Function<Report, CompletableFuture<Answer>> reports;
+    private final Function<Heartbeat, CompletableFuture<Answer>> reports;
 
-    public WorkerApi(Function<Report, CompletableFuture<Answer>> reports) {
+    public WorkerApi(Function<Heartbeat, CompletableFuture<Answer>> reports) {
         this.reports = reports;
     }
 
     public CompletableFuture<Http.Reply> hello(byte[] body) {
-        Report report;
+        Heartbeat heartbeat;
         try {
-            report = WorkerCodec.report(Fields.decode(body));
+            heartbeat = WorkerCodec.report(Fields.decode(body));
         } catch (Malformed broken) {
             return CompletableFuture.completedFuture(Http.Reply.error(400, broken.getMessage()));
         }
-        return reports.apply(report).thenApply(WorkerApi::reply);
+        return reports.apply(heartbeat).thenApply(WorkerApi::reply);
     }
 
     private static Http.Reply reply(Answer answer) {
--- a/src/main/java/org/meadowhollow/protocol/workers/WorkerClient.java
+++ b/src/main/java/org/meadowhollow/protocol/workers/WorkerClient.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
-import org.meadowhollow.bookkeeping.Order;
-import org.meadowhollow.bookkeeping.Report;
-import org.meadowhollow.bookkeeping.Session;
-import org.meadowhollow.bookkeeping.Term;
 import org.meadowhollow.coordination.platform.Workers;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.Heartbeat;
+import org.meadowhollow.model.WorkerCommand;
+import org.meadowhollow.model.WorkerIncarnation;
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.Malformed;
@@ -26,15 +26,18 @@
     }
 
     @Override
-    public CompletableFuture<Report> send(
-            String address, Term token, Session session, List<Order> orders) {
+    public CompletableFuture<Heartbeat> send(
+            String address,
+            FencingToken token,
+            WorkerIncarnation workerIncarnation,
+            List<WorkerCommand> orders) {
         byte[] body =
                 Wire.encode(
                         Fields.of(
                                 "baton",
                                 token.value(),
                                 "tenure",
-                                session.value(),
+                                workerIncarnation.value(),
                                 "orders",
                                 WorkerCodec.orders(orders)));
         return http.send(address, "POST", "/orders", body, ANSWER)
--- a/src/main/java/org/meadowhollow/protocol/workers/WorkerCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/workers/WorkerCodec.java
@@ -3,15 +3,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.meadowhollow.bookkeeping.Attempt;
-import org.meadowhollow.bookkeeping.Cause;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Order;
-import org.meadowhollow.bookkeeping.Report;
-import org.meadowhollow.bookkeeping.Session;
-import org.meadowhollow.bookkeeping.TaskId;
-import org.meadowhollow.bookkeeping.TaskState;
-import org.meadowhollow.bookkeeping.Term;
+import org.meadowhollow.model.AttemptNumber;
+import org.meadowhollow.model.ExitReason;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.Heartbeat;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.TaskId;
+import org.meadowhollow.model.TaskState;
+import org.meadowhollow.model.WorkerCommand;
+import org.meadowhollow.model.WorkerIncarnation;
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Malformed;
 
@@ -19,8 +19,8 @@
 final class WorkerCodec {
     private WorkerCodec() {}
 
-    static Report report(Fields body) throws Malformed {
-        List<Report.Task> tasks = new ArrayList<>();
+    static Heartbeat report(Fields body) throws Malformed {
+        List<Heartbeat.TaskStatus> tasks = new ArrayList<>();
         for (Fields item : body.list("chores")) {
             TaskId id = TaskId.parse(item.text("chore"));
             if (id == null) {
@@ -28,46 +28,46 @@
             }
             TaskState state = state(item.text("phase"));
             tasks.add(
-                    new Report.Task(
+                    new Heartbeat.TaskStatus(
                             id,
-                            new Attempt((int) item.count("try")),
+                            new AttemptNumber((int) item.count("try")),
                             state,
                             state == TaskState.EXITED ? cause(item.textOrNull("cause")) : null));
         }
-        return new Report(
+        return new Heartbeat(
                 new MachineId(body.text("stall")),
                 body.text("endpoint"),
                 body.text("breed"),
                 body.text("field"),
                 body.flagOr("loaners", false),
-                new Session(body.count("tenure")),
+                new WorkerIncarnation(body.count("tenure")),
                 body.count("tally"),
-                new Term(body.has("baton") ? body.count("baton") : 0),
+                new FencingToken(body.has("baton") ? body.count("baton") : 0),
                 body.amountOr("warningS", Double.NaN),
                 tasks);
     }
 
-    static List<Map<String, Object>> orders(List<Order> orders) {
+    static List<Map<String, Object>> orders(List<WorkerCommand> orders) {
         List<Map<String, Object>> list = new ArrayList<>(orders.size());
-        for (Order order : orders) {
+        for (WorkerCommand workerCommand : orders) {
             Map<String, Object> map =
                     Fields.of(
                             "verb",
-                            verb(order.op()),
+                            verb(workerCommand.action()),
                             "chore",
-                            order.task().toString(),
+                            workerCommand.taskId().toString(),
                             "try",
-                            (long) order.attempt().value());
-            if (order.op() == Order.Op.STOP) {
-                map.put("leewayS", order.graceS());
+                            (long) workerCommand.attemptNumber().value());
+            if (workerCommand.action() == WorkerCommand.Action.STOP) {
+                map.put("leewayS", workerCommand.graceSeconds());
             }
             list.add(map);
         }
         return list;
     }
 
-    private static String verb(Order.Op op) {
-        return switch (op) {
+    private static String verb(WorkerCommand.Action action) {
+        return switch (action) {
             case START -> "run";
             case STOP -> "halt";
             case FORGET -> "reap";
@@ -76,26 +76,26 @@
 
     private static TaskState state(String phase) throws Malformed {
         return switch (phase) {
-            case "pulling" -> TaskState.FETCHING;
-            case "waiting" -> TaskState.WAITING;
+            case "pulling" -> TaskState.PULLING_IMAGE;
+            case "waiting" -> TaskState.WAITING_FOR_GANG;
             case "running" -> TaskState.RUNNING;
-            case "flushing" -> TaskState.SAVING;
+            case "flushing" -> TaskState.CHECKPOINTING;
             case "ended" -> TaskState.EXITED;
             default -> throw new Malformed("unknown phase " + phase);
         };
     }
 
-    private static Cause cause(String cause) {
+    private static ExitReason cause(String cause) {
         return switch (cause == null ? "" : cause) {
-            case "done" -> Cause.DONE;
-            case "stopped" -> Cause.STOPPED;
-            case "peers" -> Cause.PEERS;
-            case "incomplete" -> Cause.ALONE;
-            case "no_room" -> Cause.NO_ROOM;
-            case "in_use" -> Cause.BUSY;
-            case "unknown" -> Cause.UNKNOWN;
+            case "done" -> ExitReason.DONE;
+            case "stopped" -> ExitReason.STOPPED;
+            case "peers" -> ExitReason.PEERS;
+            case "incomplete" -> ExitReason.ALONE;
+            case "no_room" -> ExitReason.NO_ROOM;
+            case "in_use" -> ExitReason.BUSY;
+            case "unknown" -> ExitReason.UNKNOWN;
             // A cause that this version does not know is some failure.
-            default -> Cause.ERROR;
+            default -> ExitReason.ERROR;
         };
     }
 }
--- a/src/main/java/org/meadowhollow/bookkeeping/calendar/CalendarRecords.java
+++ b/src/main/java/org/meadowhollow/storage/CalendarRecordCodec.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.bookkeeping.calendar;
+package org.meadowhollow.storage;
 
 import java.time.Duration;
 import java.time.LocalDateTime;
@@ -6,33 +6,36 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.meadowhollow.bookkeeping.Priority;
-import org.meadowhollow.bookkeeping.Resources;
+import org.meadowhollow.model.Priority;
+import org.meadowhollow.model.Resources;
+import org.meadowhollow.model.reservation.MaintenanceWindow;
+import org.meadowhollow.model.reservation.RecurringSchedule;
+import org.meadowhollow.model.reservation.Reservation;
 
 /** The keys and values under which reservations and windows are kept in the state service. */
-public final class CalendarRecords {
-    public static final String PREFIX = "cal/";
+public final class CalendarRecordCodec {
+    public static final String CALENDAR_PREFIX = "cal/";
 
     /**
      * Written by every change, so that of two that were decided from the same calendar only one is
      * applied.
      */
-    public static final String STAMP = PREFIX + "stamp";
+    public static final String REVISION_KEY = CALENDAR_PREFIX + "stamp";
 
-    static final String RESERVATIONS = PREFIX + "reservation/";
-    static final String WINDOWS = PREFIX + "window/";
+    static final String RESERVATION_PREFIX = CALENDAR_PREFIX + "reservation/";
+    static final String WINDOW_PREFIX = CALENDAR_PREFIX + "window/";
 
-    private CalendarRecords() {}
+    private CalendarRecordCodec() {}
 
     public static String reservation(String name) {
-        return RESERVATIONS + name;
+        return RESERVATION_PREFIX + name;
     }
 
     public static String window(String name) {
-        return WINDOWS + name;
+        return WINDOW_PREFIX + name;
     }
 
-    static long order(Map<String, Object> record) {
+    static long acceptanceOrderOf(Map<String, Object> record) {
         return ((Number) record.get("order")).longValue();
     }
 
@@ -43,41 +46,42 @@
         Map<String, Object> map = schedule(reservation.name(), reservation.schedule(), order);
         map.put("team", reservation.team());
         map.put("priority", reservation.priority().name());
-        map.put("tasks", (long) reservation.tasks());
-        map.put("cpu", reservation.perTask().cpu());
-        map.put("gpu", reservation.perTask().gpu());
-        map.put("memory", reservation.perTask().memory());
-        map.put("types", reservation.types());
-        map.put("in", reservation.zone());
-        map.put("spot", reservation.spot());
+        map.put("tasks", (long) reservation.taskCount());
+        map.put("cpu", reservation.resourcesPerTask().cpu());
+        map.put("gpu", reservation.resourcesPerTask().gpu());
+        map.put("memory", reservation.resourcesPerTask().memory());
+        map.put("types", reservation.allowedMachineTypes());
+        map.put("in", reservation.requiredZone());
+        map.put("spot", reservation.allowsSpot());
         map.put("image", reservation.image());
-        map.put("imageGb", reservation.imageGb());
+        map.put("imageGb", reservation.imageSizeGb());
         map.put("class", reservation.jobClass());
-        map.put("jobs", reservation.jobs());
+        map.put("jobs", reservation.allowedJobs());
         return map;
     }
 
-    public static Map<String, Object> encode(Window window, long order) {
+    public static Map<String, Object> encode(MaintenanceWindow window, long order) {
         Map<String, Object> map = schedule(window.name(), window.schedule(), order);
         map.put("scope", window.scope().name());
         map.put("targets", window.targets());
-        map.put("notice", window.notice().toMillis());
+        map.put("notice", window.serviceEvictionLead().toMillis());
         return map;
     }
 
-    private static Map<String, Object> schedule(String name, Schedule schedule, long order) {
+    private static Map<String, Object> schedule(
+            String name, RecurringSchedule schedule, long order) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("name", name);
         map.put("order", order);
-        map.put("start", schedule.start().toString());
-        map.put("clocks", schedule.zone().getId());
-        map.put("length", schedule.length().toMillis());
-        map.put("rule", schedule.rule());
+        map.put("start", schedule.firstStart().toString());
+        map.put("clocks", schedule.timeZone().getId());
+        map.put("length", schedule.duration().toMillis());
+        map.put("rule", schedule.recurrenceRule());
         return map;
     }
 
-    private static Schedule schedule(Map<String, Object> map) {
-        return new Schedule(
+    private static RecurringSchedule schedule(Map<String, Object> map) {
+        return new RecurringSchedule(
                 LocalDateTime.parse((String) map.get("start")),
                 ZoneId.of((String) map.get("clocks")),
                 Duration.ofMillis(number(map, "length").longValue()),
@@ -106,10 +110,10 @@
     }
 
     @SuppressWarnings("unchecked")
-    static Window window(Map<String, Object> map) {
-        return new Window(
+    static MaintenanceWindow window(Map<String, Object> map) {
+        return new MaintenanceWindow(
                 (String) map.get("name"),
-                Window.Scope.valueOf((String) map.get("scope")),
+                MaintenanceWindow.Scope.valueOf((String) map.get("scope")),
                 (List<String>) map.get("targets"),
                 schedule(map),
                 Duration.ofMillis(number(map, "notice").longValue()));
--- a/src/main/java/org/meadowhollow/bookkeeping/StateException.java
+++ b/src/main/java/org/meadowhollow/storage/KeyValueStoreException.java
@@ -1,26 +1,26 @@
-package org.meadowhollow.bookkeeping;
+package org.meadowhollow.storage;
 
 import java.util.concurrent.CompletionException;
 
 /** The state service did not do what was asked. */
-public final class StateException extends RuntimeException {
+public final class KeyValueStoreException extends RuntimeException {
     /** What is known of the request. */
     public enum Outcome {
         /** It was refused and not executed. */
-        REFUSED,
+        REJECTED,
         /** No answer: it may have been executed, or may still be executed later. */
-        UNKNOWN,
+        INDETERMINATE,
         /** The lease has ended. */
-        NO_SUCH_LEASE,
+        LEASE_EXPIRED,
         /** The watch began too long ago. */
-        TOO_OLD,
+        COMPACTED,
         /** The request itself is wrong. */
-        INVALID
+        INVALID_REQUEST
     }
 
     private final Outcome outcome;
 
-    public StateException(Outcome outcome, String message) {
+    public KeyValueStoreException(Outcome outcome, String message) {
         super(message, null, false, false);
         this.outcome = outcome;
     }
@@ -30,11 +30,13 @@
     }
 
     /** The outcome behind a failed future; UNKNOWN for anything that is not of this kind. */
-    public static Outcome of(Throwable failure) {
+    public static Outcome outcomeOf(Throwable failure) {
         Throwable cause =
                 failure instanceof CompletionException && failure.getCause() != null
                         ? failure.getCause()
                         : failure;
-        return cause instanceof StateException state ? state.outcome : Outcome.UNKNOWN;
+        return cause instanceof KeyValueStoreException state
+                ? state.outcome
+                : Outcome.INDETERMINATE;
     }
 }
--- a/src/main/java/org/meadowhollow/bookkeeping/RecordImage.java
+++ b/src/main/java/org/meadowhollow/storage/KeyspaceReplica.java
@@ -1,31 +1,32 @@
-package org.meadowhollow.bookkeeping;
+package org.meadowhollow.storage;
 
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.meadowhollow.bookkeeping.StateStore.Change;
-import org.meadowhollow.bookkeeping.StateStore.Changes;
-import org.meadowhollow.bookkeeping.StateStore.Entry;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.KeyValueStore.Change;
+import org.meadowhollow.storage.KeyValueStore.ChangeBatch;
+import org.meadowhollow.storage.KeyValueStore.Entry;
 
 /** The records under a prefix as they stood at a revision, decoded. Guarded by whoever keeps it. */
-public final class RecordImage {
+public final class KeyspaceReplica {
     /** About what a number, a text and an item of a map or list take in memory, in bytes. */
-    private static final int NUMBER = 24;
+    private static final int NUMBER_BYTES = 24;
 
-    private static final int TEXT = 48;
-    private static final int ITEM = 40;
+    private static final int TEXT_BYTES = 48;
+    private static final int ITEM_BYTES = 40;
 
     private final String prefix;
     private final TreeMap<String, Entry> entries = new TreeMap<>();
-    private Version revision;
-    private long bytes;
+    private Revision revision;
+    private long estimatedBytes;
 
     /**
      * @param revision as of the first page that is going to be added, since what changed after it
      *     is told by changes
      */
-    public RecordImage(String prefix, Version revision) {
+    public KeyspaceReplica(String prefix, Revision revision) {
         this.prefix = prefix;
         this.revision = revision;
     }
@@ -35,7 +36,7 @@
     }
 
     /** All changes up to this one are in. */
-    public Version revision() {
+    public Revision revision() {
         return revision;
     }
 
@@ -44,8 +45,8 @@
     }
 
     /** About what the records take in memory, in bytes. */
-    public long bytes() {
-        return bytes;
+    public long estimatedBytes() {
+        return estimatedBytes;
     }
 
     /** In the order of their keys. */
@@ -63,57 +64,57 @@
     }
 
     /** Takes in changes that follow the revision; what a later page already had is not undone. */
-    public void apply(Changes changes) {
-        for (Change change : changes.changes()) {
+    public void apply(ChangeBatch changeBatch) {
+        for (Change change : changeBatch.changes()) {
             Entry known = entries.get(change.key());
-            if (known != null && known.version().isAfter(change.version())) {
+            if (known != null && known.revision().isAfter(change.revision())) {
                 continue;
             }
             if (change.value() != null) {
-                put(new Entry(change.key(), change.value(), change.version()));
+                put(new Entry(change.key(), change.value(), change.revision()));
             } else if (known != null) {
                 entries.remove(change.key());
-                bytes -= weight(known);
+                estimatedBytes -= estimateBytes(known);
             }
         }
-        revision = changes.revision();
+        revision = changeBatch.revision();
     }
 
     /** Puts what was read anew in the place of the records whose keys begin with some text. */
-    public void replace(String beginning, List<Entry> read) {
+    public void replacePrefix(String beginning, List<Entry> read) {
         List.copyOf(entries(beginning))
                 .forEach(
                         entry -> {
                             entries.remove(entry.key());
-                            bytes -= weight(entry);
+                            estimatedBytes -= estimateBytes(entry);
                         });
         addPage(read);
     }
 
     private void put(Entry entry) {
         Entry before = entries.put(entry.key(), entry);
-        bytes += weight(entry) - (before == null ? 0 : weight(before));
+        estimatedBytes += estimateBytes(entry) - (before == null ? 0 : estimateBytes(before));
     }
 
-    private static long weight(Entry entry) {
-        return TEXT + ITEM + entry.key().length() + weight(entry.value());
+    private static long estimateBytes(Entry entry) {
+        return TEXT_BYTES + ITEM_BYTES + entry.key().length() + estimateBytes(entry.value());
     }
 
-    private static long weight(Object value) {
+    private static long estimateBytes(Object value) {
         if (value instanceof Map<?, ?> map) {
-            long sum = ITEM;
+            long sum = ITEM_BYTES;
             for (Map.Entry<?, ?> item : map.entrySet()) {
-                sum += ITEM + weight(item.getValue());
+                sum += ITEM_BYTES + estimateBytes(item.getValue());
             }
             return sum;
         }
         if (value instanceof List<?> list) {
-            long sum = ITEM;
+            long sum = ITEM_BYTES;
             for (Object item : list) {
-                sum += weight(item);
+                sum += estimateBytes(item);
             }
             return sum;
         }
-        return value instanceof String text ? TEXT + text.length() : NUMBER;
+        return value instanceof String text ? TEXT_BYTES + text.length() : NUMBER_BYTES;
     }
 }
--- a/src/main/java/org/meadowhollow/bookkeeping/LeaseId.java
+++ b/src/main/java/org/meadowhollow/storage/LeaseId.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.bookkeeping;
+package org.meadowhollow.storage;
 
 /** A lease of the state service. */
 public record LeaseId(long value) {}
--- a/src/main/java/org/meadowhollow/bookkeeping/Transaction.java
+++ b/src/main/java/org/meadowhollow/storage/Transaction.java
@@ -1,7 +1,8 @@
-package org.meadowhollow.bookkeeping;
+package org.meadowhollow.storage;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
+import org.meadowhollow.model.Revision;
 
 /**
  * Changes that happen together, or not at all if a guarded key has another version than expected.
@@ -10,11 +11,11 @@
     /** A value to put under a key, attached to a lease or not; a null value removes the key. */
     public record Write(Map<String, Object> value, LeaseId lease) {}
 
-    private final Map<String, Version> guards = new LinkedHashMap<>();
+    private final Map<String, Revision> conditions = new LinkedHashMap<>();
     private final Map<String, Write> writes = new LinkedHashMap<>();
 
-    public Transaction guard(String key, Version version) {
-        guards.put(key, version);
+    public Transaction requireRevision(String key, Revision revision) {
+        conditions.put(key, revision);
         return this;
     }
 
@@ -33,8 +34,8 @@
         return this;
     }
 
-    public Map<String, Version> guards() {
-        return guards;
+    public Map<String, Revision> conditions() {
+        return conditions;
     }
 
     public Map<String, Write> writes() {
--- a/src/main/java/org/meadowhollow/transport/XnioLoop.java
+++ b/src/main/java/org/meadowhollow/transport/XnioLoop.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import org.meadowhollow.bookkeeping.EventLoop;
-import org.meadowhollow.bookkeeping.Moment;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.OptionMap;
@@ -68,17 +68,17 @@
     }
 
     @Override
-    public Moment now() {
-        return new Moment(System.nanoTime());
+    public MonotonicTime now() {
+        return new MonotonicTime(System.nanoTime());
     }
 
     @Override
-    public long wallMillis() {
+    public long wallClockMillis() {
         return System.currentTimeMillis();
     }
 
     @Override
-    public void after(Duration pause, Runnable work) {
+    public void schedule(Duration pause, Runnable work) {
         if (closed) {
             // What runs while the loop ends may still want to go on later; there is no later.
             return;
--- a/src/main/java/org/meadowhollow/transport/tracing/OtlpTraces.java
+++ b/src/main/java/org/meadowhollow/transport/tracing/OtlpTraces.java
@@ -27,10 +27,10 @@
 import java.util.HexFormat;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import org.meadowhollow.bookkeeping.AttemptLog;
-import org.meadowhollow.bookkeeping.Cause;
-import org.meadowhollow.bookkeeping.Progress;
-import org.meadowhollow.bookkeeping.TaskTraces;
+import org.meadowhollow.model.AttemptRecord;
+import org.meadowhollow.model.ExitReason;
+import org.meadowhollow.model.JobPhase;
+import org.meadowhollow.model.TaskTracer;
 
 /**
  * Sends spans by OTLP over HTTP with the OpenTelemetry SDK. A span's id is a hash of what it tells,
@@ -40,7 +40,7 @@
  * <p>What cannot be sent in time is dropped: a collector that hangs costs a bounded queue and one
  * thread.
  */
-public final class OtlpTraces implements TaskTraces {
+public final class OtlpTraces implements TaskTracer {
     private static final String PATH = "/v1/traces";
 
     /** The span of a task from its acceptance to its end, the parent of all others. */
@@ -165,7 +165,7 @@
     }
 
     @Override
-    public String contextOf(String traceparent) {
+    public String traceContextOf(String traceparent) {
         if (traceparent == null || traceparent.length() < CONTEXT_LENGTH) {
             return null;
         }
@@ -184,7 +184,7 @@
     }
 
     @Override
-    public void accepted(Traced task, long fromMillis, long untilMillis) {
+    public void onTaskAccepted(TracedTask task, long fromMillis, long untilMillis) {
         tell(
                 task,
                 whole(task),
@@ -197,35 +197,36 @@
     }
 
     @Override
-    public void attempt(Traced task, long waitedFromMillis, AttemptLog attempt) {
+    public void onAttemptEnded(TracedTask task, long waitedFromMillis, AttemptRecord attempt) {
         SpanContext parent = whole(task);
-        String suffix = " " + attempt.attempt();
+        String suffix = " " + attempt.attemptNumber();
         Attributes attributes =
                 Attributes.of(
                         ATTEMPT,
-                        (long) attempt.attempt(),
+                        (long) attempt.attemptNumber(),
                         MACHINE,
-                        attempt.machine(),
+                        attempt.machineName(),
                         CAUSE,
-                        attempt.cause());
-        String failure = Cause.DONE.name().equals(attempt.cause()) ? null : attempt.cause();
-        boolean ran = attempt.startedMillis() > 0;
+                        attempt.endReason());
+        String failure =
+                ExitReason.DONE.name().equals(attempt.endReason()) ? null : attempt.endReason();
+        boolean ran = attempt.startedAtMillis() > 0;
         tell(
                 task,
                 parent,
                 "wait" + suffix,
                 SpanKind.INTERNAL,
                 waitedFromMillis,
-                attempt.placedMillis(),
-                Attributes.of(ATTEMPT, (long) attempt.attempt()),
+                attempt.placedAtMillis(),
+                Attributes.of(ATTEMPT, (long) attempt.attemptNumber()),
                 null);
         tell(
                 task,
                 parent,
                 "prepare" + suffix,
                 SpanKind.INTERNAL,
-                attempt.placedMillis(),
-                ran ? attempt.startedMillis() : attempt.endedMillis(),
+                attempt.placedAtMillis(),
+                ran ? attempt.startedAtMillis() : attempt.endedAtMillis(),
                 attributes,
                 ran ? null : failure);
         if (ran) {
@@ -234,19 +235,19 @@
                     parent,
                     "run" + suffix,
                     SpanKind.INTERNAL,
-                    attempt.startedMillis(),
-                    attempt.endedMillis(),
+                    attempt.startedAtMillis(),
+                    attempt.endedAtMillis(),
                     attributes,
                     failure);
         }
     }
 
     @Override
-    public void ended(Traced task, Progress how, long fromMillis, long untilMillis) {
-        boolean asWished = how == Progress.DONE || how == Progress.CANCELLED;
+    public void onTaskEnded(TracedTask task, JobPhase how, long fromMillis, long untilMillis) {
+        boolean asWished = how == JobPhase.DONE || how == JobPhase.CANCELLED;
         tell(
                 task,
-                parse(task.context()),
+                parse(task.traceContext()),
                 WHOLE,
                 SpanKind.INTERNAL,
                 fromMillis,
@@ -256,8 +257,8 @@
     }
 
     /** The context of the span of the whole task, whichever node tells of it. */
-    private static SpanContext whole(Traced task) {
-        SpanContext client = parse(task.context());
+    private static SpanContext whole(TracedTask task) {
+        SpanContext client = parse(task.traceContext());
         return SpanContext.createFromRemoteParent(
                 client.getTraceId(),
                 id(task, WHOLE),
@@ -265,12 +266,12 @@
                 TraceState.getDefault());
     }
 
-    private static String id(Traced task, String name) {
+    private static String id(TracedTask task, String name) {
         try {
             byte[] hash =
                     MessageDigest.getInstance("SHA-256")
                             .digest(
-                                    (task.context() + '/' + task.id() + '/' + name)
+                                    (task.traceContext() + '/' + task.jobId() + '/' + name)
                                             .getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(hash, 0, Long.BYTES);
         } catch (NoSuchAlgorithmException impossible) {
@@ -282,7 +283,7 @@
      * @param failure why what the span tells of failed, or null
      */
     private synchronized void tell(
-            Traced task,
+            TracedTask task,
             SpanContext parent,
             String name,
             SpanKind kind,
@@ -296,7 +297,7 @@
                         .setSpanKind(kind)
                         .setParent(Context.root().with(Span.wrap(parent)))
                         .setStartTimestamp(fromMillis, TimeUnit.MILLISECONDS)
-                        .setAttribute(TASK, task.id().value())
+                        .setAttribute(TASK, task.jobId().value())
                         .setAttribute(TEAM, task.team());
         builder.setAllAttributes(attributes);
         Span span = builder.startSpan();
--- a/src/test/java/org/meadowhollow/LayersTest.java
+++ b/src/test/java/org/meadowhollow/LayersTest.java
@@ -31,7 +31,7 @@
 
     /** From the top to the bottom; a layer may use itself and those after it. */
     private static final List<String> LAYERS =
-            List.of("cli", "transport", "protocol", COORDINATION, "bookkeeping");
+            List.of("cli", "transport", "protocol", COORDINATION, "storage", "model");
 
     /**
      * The packages inside coordination; each may use itself and those before it. The classes of
--- a/src/test/java/org/meadowhollow/coordination/admission/LiveJobsTest.java
+++ b/src/test/java/org/meadowhollow/coordination/admission/LiveJobsTest.java
@@ -10,30 +10,32 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.Records;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.Version;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.RecordCodec;
 import org.meadowhollow.story.VirtualLoop;
 
 class LiveJobsTest {
     private static final JobId JOB = new JobId("req-1");
 
     private final VirtualLoop loop = new VirtualLoop();
-    private final List<CompletableFuture<StateStore.Changes>> looks = new ArrayList<>();
+    private final List<CompletableFuture<KeyValueStore.ChangeBatch>> looks = new ArrayList<>();
 
     /** Looks that are answered when the test says so, and a first page that is answered at once. */
-    private final StateStore store =
-            (StateStore)
+    private final KeyValueStore store =
+            (KeyValueStore)
                     Proxy.newProxyInstance(
-                            StateStore.class.getClassLoader(),
-                            new Class<?>[] {StateStore.class},
+                            KeyValueStore.class.getClassLoader(),
+                            new Class<?>[] {KeyValueStore.class},
                             (proxy, method, arguments) ->
                                     switch (method.getName()) {
                                         case "list" ->
                                                 CompletableFuture.completedFuture(
-                                                        new StateStore.Page(
-                                                                List.of(), false, new Version(10)));
+                                                        new KeyValueStore.Page(
+                                                                List.of(),
+                                                                false,
+                                                                new Revision(10)));
                                         case "watch" -> {
                                             looks.add(new CompletableFuture<>());
                                             yield looks.get(looks.size() - 1);
@@ -45,13 +47,13 @@
 
     private final LiveJobs live = new LiveJobs(store, loop);
 
-    private static StateStore.Change change(boolean cancelled, long version) {
-        return new StateStore.Change(
-                Records.job(JOB), Map.of("cancelled", cancelled), new Version(version));
+    private static KeyValueStore.Change change(boolean cancelled, long version) {
+        return new KeyValueStore.Change(
+                RecordCodec.job(JOB), Map.of("cancelled", cancelled), new Revision(version));
     }
 
-    private static StateStore.Changes upTo(long revision, StateStore.Change... changes) {
-        return new StateStore.Changes(new Version(revision), List.of(changes));
+    private static KeyValueStore.ChangeBatch upTo(long revision, KeyValueStore.Change... changes) {
+        return new KeyValueStore.ChangeBatch(new Revision(revision), List.of(changes));
     }
 
     /**
@@ -69,7 +71,7 @@
         looks.get(1).complete(upTo(30, change(false, 15), change(true, 20)));
         assertEquals(LiveJobs.Sight.CANCELLED, live.sight(JOB));
         for (int other = 2; live.sight(JOB) != null; other++) {
-            live.read(new JobId("req-" + other), new Version(25), false, live.mark());
+            live.read(new JobId("req-" + other), new Revision(25), false, live.mark());
         }
         assertNotNull(live.sight(new JobId("req-2")));
         looks.get(0).complete(upTo(17, change(false, 15)));
--- a/src/test/java/org/meadowhollow/coordination/calendar/PlanTest.java
+++ b/src/test/java/org/meadowhollow/coordination/calendar/PlanTest.java
@@ -19,16 +19,16 @@
 import net.jqwik.api.GenerationMode;
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
-import org.meadowhollow.bookkeeping.MachineType;
-import org.meadowhollow.bookkeeping.Priority;
-import org.meadowhollow.bookkeeping.Resources;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.Version;
-import org.meadowhollow.bookkeeping.calendar.Calendar;
-import org.meadowhollow.bookkeeping.calendar.CalendarRecords;
-import org.meadowhollow.bookkeeping.calendar.Reservation;
-import org.meadowhollow.bookkeeping.calendar.Schedule;
-import org.meadowhollow.bookkeeping.calendar.Window;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.Priority;
+import org.meadowhollow.model.Resources;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.model.reservation.MaintenanceWindow;
+import org.meadowhollow.model.reservation.RecurringSchedule;
+import org.meadowhollow.model.reservation.Reservation;
+import org.meadowhollow.storage.CalendarRecordCodec;
+import org.meadowhollow.storage.CalendarSnapshot;
+import org.meadowhollow.storage.KeyValueStore;
 
 class PlanTest {
     private static final List<MachineType> TYPES =
@@ -45,8 +45,8 @@
     private static final long HOUR = 3_600_000;
     private static final long SPAN = 24 * HOUR;
 
-    private static Schedule at(int minute, int length) {
-        return new Schedule(
+    private static RecurringSchedule at(int minute, int length) {
+        return new RecurringSchedule(
                 LocalDateTime.of(1970, 1, 1, 0, 0).plusMinutes(minute),
                 ZoneOffset.UTC,
                 Duration.ofMinutes(length),
@@ -71,16 +71,17 @@
                 at(minute, length));
     }
 
-    private static Window window(
-            String name, Window.Scope scope, String target, int minute, int length) {
-        return new Window(name, scope, List.of(target), at(minute, length), Duration.ZERO);
+    private static MaintenanceWindow window(
+            String name, MaintenanceWindow.Scope scope, String target, int minute, int length) {
+        return new MaintenanceWindow(
+                name, scope, List.of(target), at(minute, length), Duration.ZERO);
     }
 
-    private static Calendar random(Random random) {
-        Calendar calendar = Calendar.EMPTY;
+    private static CalendarSnapshot random(Random random) {
+        CalendarSnapshot calendarSnapshot = CalendarSnapshot.EMPTY;
         for (int at = random.nextInt(12); at > 0; at--) {
-            calendar =
-                    calendar.with(
+            calendarSnapshot =
+                    calendarSnapshot.with(
                             reservation(
                                     "r" + at,
                                     random.nextBoolean() ? "t" : "u",
@@ -91,23 +92,23 @@
                                     1 + random.nextInt(300)));
         }
         for (int at = random.nextInt(4); at > 0; at--) {
-            calendar =
-                    calendar.with(
+            calendarSnapshot =
+                    calendarSnapshot.with(
                             random.nextBoolean()
                                     ? window(
                                             "w" + at,
-                                            Window.Scope.ZONE,
+                                            MaintenanceWindow.Scope.ZONE,
                                             "a",
                                             random.nextInt(600),
                                             60)
                                     : window(
                                             "w" + at,
-                                            Window.Scope.TYPE,
+                                            MaintenanceWindow.Scope.TYPE,
                                             "small",
                                             random.nextInt(600),
                                             60));
         }
-        return calendar;
+        return calendarSnapshot;
     }
 
     @Property(
@@ -123,12 +124,14 @@
             Map<String, Integer> machines = new HashMap<>();
             double gpus = 0;
             for (Plan.Slot slot : plan.slots()) {
-                if (slot.when().fromMillis() <= now && now < slot.when().untilMillis()) {
+                if (slot.when().startMillis() <= now && now < slot.when().endMillis()) {
                     slot.machines()
                             .forEach((pair, count) -> machines.merge(pair, count, Integer::sum));
                     gpus +=
                             slot.reservation().team().equals("t")
-                                    ? slot.tasks() * slot.reservation().perTask().gpu() / 1e6
+                                    ? slot.tasks()
+                                            * slot.reservation().resourcesPerTask().gpu()
+                                            / 1e6
                                     : 0;
                 }
             }
@@ -137,11 +140,11 @@
                 assertTrue(machines.get(pair) <= (pair.startsWith("small") ? 3 : 1), pair);
                 for (Plan.Outage outage : plan.outages()) {
                     boolean covers =
-                            outage.window().coversAll(pair.split("/")[0], pair.split("/")[1]);
+                            outage.window().coversAllOfType(pair.split("/")[0], pair.split("/")[1]);
                     assertTrue(
                             !covers
-                                    || now < outage.when().fromMillis()
-                                    || now >= outage.when().untilMillis(),
+                                    || now < outage.when().startMillis()
+                                    || now >= outage.when().endMillis(),
                             pair);
                 }
             }
@@ -155,26 +158,29 @@
             edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
     void theSameRecordsGiveTheSamePlanInWhateverOrderTheyAreRead(@ForAll long seed) {
-        Calendar calendar = random(new Random(seed));
-        List<StateStore.Entry> entries = new ArrayList<>();
+        CalendarSnapshot calendarSnapshot = random(new Random(seed));
+        List<KeyValueStore.Entry> entries = new ArrayList<>();
         long order = 0;
-        for (Calendar.Held<Reservation> held : calendar.reservations()) {
+        for (CalendarSnapshot.CalendarEntry<Reservation> calendarEntry :
+                calendarSnapshot.reservations()) {
             entries.add(
-                    new StateStore.Entry(
-                            CalendarRecords.reservation(held.what().name()),
-                            CalendarRecords.encode(held.what(), ++order),
-                            new Version(order)));
+                    new KeyValueStore.Entry(
+                            CalendarRecordCodec.reservation(calendarEntry.item().name()),
+                            CalendarRecordCodec.encode(calendarEntry.item(), ++order),
+                            new Revision(order)));
         }
-        for (Calendar.Held<Window> held : calendar.windows()) {
+        for (CalendarSnapshot.CalendarEntry<MaintenanceWindow> calendarEntry :
+                calendarSnapshot.windows()) {
             entries.add(
-                    new StateStore.Entry(
-                            CalendarRecords.window(held.what().name()),
-                            CalendarRecords.encode(held.what(), ++order),
-                            new Version(order)));
+                    new KeyValueStore.Entry(
+                            CalendarRecordCodec.window(calendarEntry.item().name()),
+                            CalendarRecordCodec.encode(calendarEntry.item(), ++order),
+                            new Revision(order)));
         }
-        List<Plan.Slot> slots = Plan.of(calendar, SUPPLY, 0, SPAN).slots();
+        List<Plan.Slot> slots = Plan.of(calendarSnapshot, SUPPLY, 0, SPAN).slots();
         Collections.shuffle(entries, new Random(seed));
-        assertEquals(slots, Plan.of(Calendar.of(entries), SUPPLY, 0, SPAN).slots());
+        assertEquals(
+                slots, Plan.of(CalendarSnapshot.fromRecords(entries), SUPPLY, 0, SPAN).slots());
     }
 
     @Property(
@@ -184,22 +190,24 @@
             edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
     void whatIsAcceptedTakesNothingFromOthersAndLeavesNoTraceWhenItIsWithdrawn(@ForAll long seed) {
-        Calendar calendar = random(new Random(seed));
+        CalendarSnapshot calendarSnapshot = random(new Random(seed));
         Reservation asked = reservation("asked", "u", 2, 1, null, 100, 200);
-        List<Plan.Slot> before = Plan.of(calendar, SUPPLY, 0, SPAN).slots();
-        List<Plan.Slot> with = Plan.of(calendar.with(asked), SUPPLY, 0, SPAN).slots();
+        List<Plan.Slot> before = Plan.of(calendarSnapshot, SUPPLY, 0, SPAN).slots();
+        List<Plan.Slot> with = Plan.of(calendarSnapshot.with(asked), SUPPLY, 0, SPAN).slots();
         assertTrue(with.containsAll(before), "who came earlier has what it had");
         assertEquals(
                 before,
-                Plan.of(calendar.with(asked).withoutReservation("asked"), SUPPLY, 0, SPAN).slots());
-        Admittance.Verdict verdict = Admittance.judge(calendar, asked, SUPPLY, Set.of("a", "b"), 0);
+                Plan.of(calendarSnapshot.with(asked).withoutReservation("asked"), SUPPLY, 0, SPAN)
+                        .slots());
+        Admittance.Verdict verdict =
+                Admittance.judge(calendarSnapshot, asked, SUPPLY, Set.of("a", "b"), 0);
         if (verdict.nearest() != null) {
             long minute =
                     Duration.between(LocalDateTime.of(1970, 1, 1, 0, 0), verdict.nearest())
                             .toMinutes();
             assertTrue(
                     Admittance.judge(
-                                    calendar,
+                                    calendarSnapshot,
                                     reservation("asked", "u", 2, 1, null, (int) minute, 200),
                                     SUPPLY,
                                     Set.of("a", "b"),
@@ -211,13 +219,13 @@
 
     @Example
     void whatStandsAgainstAReservationIsNamedWithTheNearestStart() {
-        Calendar calendar =
-                Calendar.EMPTY
+        CalendarSnapshot calendarSnapshot =
+                CalendarSnapshot.EMPTY
                         .with(reservation("first", "t", 4, 2, null, 60, 120))
-                        .with(window("works", Window.Scope.ZONE, "a", 300, 60));
+                        .with(window("works", MaintenanceWindow.Scope.ZONE, "a", 300, 60));
         Admittance.Verdict limit =
                 Admittance.judge(
-                        calendar,
+                        calendarSnapshot,
                         reservation("more", "t", 2, 2, null, 100, 60),
                         SUPPLY,
                         Set.of("a", "b"),
@@ -226,7 +234,7 @@
         assertEquals(LocalDateTime.of(1970, 1, 1, 3, 0), limit.nearest());
         Admittance.Verdict zone =
                 Admittance.judge(
-                        calendar,
+                        calendarSnapshot,
                         reservation("in-a", "u", 1, 0, "a", 270, 60),
                         SUPPLY,
                         Set.of("a", "b"),
@@ -235,7 +243,7 @@
         assertEquals(LocalDateTime.of(1970, 1, 1, 6, 0), zone.nearest());
         Admittance.Verdict machines =
                 Admittance.judge(
-                        calendar,
+                        calendarSnapshot,
                         reservation("many", "u", 20, 2, "b", 900, 60),
                         SUPPLY,
                         Set.of("a", "b"),
@@ -245,7 +253,7 @@
         assertEquals(
                 "there is no zone z",
                 Admittance.judge(
-                                calendar,
+                                calendarSnapshot,
                                 reservation("z", "u", 1, 0, "z", 0, 1),
                                 SUPPLY,
                                 Set.of("a", "b"),
@@ -254,7 +262,7 @@
         assertEquals(
                 "it is more than the limit of team t",
                 Admittance.judge(
-                                calendar,
+                                calendarSnapshot,
                                 reservation("z", "t", 6, 2, null, 0, 1),
                                 SUPPLY,
                                 Set.of("a", "b"),
@@ -264,13 +272,16 @@
 
     @Example
     void aWindowDeclaredLaterMovesWhatItTakesOrSaysWhatIsShort() {
-        Calendar calendar =
-                Calendar.EMPTY
+        CalendarSnapshot calendarSnapshot =
+                CalendarSnapshot.EMPTY
                         .with(reservation("moves", "u", 2, 1, null, 60, 60))
                         .with(reservation("bound", "u", 1, 1, "a", 60, 60));
         List<String> notes =
                 Admittance.taken(
-                        calendar, window("works", Window.Scope.ZONE, "a", 0, 200), SUPPLY, 0);
+                        calendarSnapshot,
+                        window("works", MaintenanceWindow.Scope.ZONE, "a", 0, 200),
+                        SUPPLY,
+                        0);
         assertEquals(2, notes.size());
         assertTrue(
                 notes.stream()
@@ -283,9 +294,10 @@
                 notes.stream()
                         .anyMatch(note -> note.startsWith("moves") && note.endsWith("small/b")),
                 () -> "" + notes);
-        Calendar both =
-                calendar.with(window("works", Window.Scope.ZONE, "a", 0, 200))
-                        .with(window("more", Window.Scope.ZONE, "b", 90, 200));
+        CalendarSnapshot both =
+                calendarSnapshot
+                        .with(window("works", MaintenanceWindow.Scope.ZONE, "a", 0, 200))
+                        .with(window("more", MaintenanceWindow.Scope.ZONE, "b", 90, 200));
         assertTrue(
                 Plan.of(both, SUPPLY, 0, SPAN).slots().stream().noneMatch(Plan.Slot::isMet),
                 "two windows take all");
--- a/src/test/java/org/meadowhollow/coordination/calendar/RecurrenceTest.java
+++ b/src/test/java/org/meadowhollow/coordination/calendar/RecurrenceTest.java
@@ -10,14 +10,14 @@
 import java.time.ZoneId;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.calendar.Occurrence;
-import org.meadowhollow.bookkeeping.calendar.Schedule;
+import org.meadowhollow.model.reservation.Occurrence;
+import org.meadowhollow.model.reservation.RecurringSchedule;
 
 class RecurrenceTest {
     private static List<String> starts(
             String start, String zone, String rule, String from, String until) {
-        Schedule schedule =
-                new Schedule(
+        RecurringSchedule schedule =
+                new RecurringSchedule(
                         LocalDateTime.parse(start), ZoneId.of(zone), Duration.ofHours(2), rule);
         return Recurrence.between(
                         schedule,
@@ -25,7 +25,7 @@
                         Instant.parse(until).toEpochMilli(),
                         64)
                 .stream()
-                .map(Occurrence::fromMillis)
+                .map(Occurrence::startMillis)
                 .map(Instant::ofEpochMilli)
                 .map(Instant::toString)
                 .toList();
@@ -108,7 +108,7 @@
                             Recurrence.Unusable.class,
                             () ->
                                     Recurrence.check(
-                                            new Schedule(
+                                            new RecurringSchedule(
                                                     LocalDateTime.parse("2026-01-01T00:00"),
                                                     ZoneId.of("Asia/Amman"),
                                                     Duration.ofHours(1),
--- a/src/test/java/org/meadowhollow/coordination/fleet/AwaitedTest.java
+++ b/src/test/java/org/meadowhollow/coordination/fleet/AwaitedTest.java
@@ -5,10 +5,10 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.MachineType;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Resources;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Resources;
 
 /** How long machines that boot late or never are counted on. */
 class AwaitedTest {
@@ -16,8 +16,8 @@
             new MachineType("small", Resources.of(8, 2, 32), 50, 1, 2, 1, 10, List.of("a"));
     private final Awaited awaited = new Awaited();
 
-    private static Moment at(double seconds) {
-        return new Moment((long) (seconds * 1e9));
+    private static MonotonicTime at(double seconds) {
+        return new MonotonicTime((long) (seconds * 1e9));
     }
 
     private void rent(String id, double now) {
--- a/src/test/java/org/meadowhollow/coordination/fleet/GivingUpTest.java
+++ b/src/test/java/org/meadowhollow/coordination/fleet/GivingUpTest.java
@@ -6,19 +6,19 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.Machine;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.MachineType;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Resources;
-import org.meadowhollow.bookkeeping.Term;
 import org.meadowhollow.coordination.placement.Cluster;
 import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Resources;
 
 class GivingUpTest {
     private static final MachineType TYPE =
             new MachineType("type", Resources.of(8, 2, 32), 50, 1, 2, 1, 10, List.of("a"));
-    private static final Moment BEGUN = new Moment(0);
+    private static final MonotonicTime BEGUN = new MonotonicTime(0);
 
     /** Of thousands that are silent, the other nodes can be asked about some hundred at a time. */
     @Test
@@ -39,14 +39,14 @@
                         12,
                         10,
                         Duration.ofSeconds(8));
-        Cluster cluster = new Cluster(platform, new Term(1));
+        Cluster cluster = new Cluster(platform, new FencingToken(1));
         GivingUp givingUp =
                 new GivingUp(
                         new FailureDetector(null, cluster, platform, null, null, null, BEGUN),
                         platform);
         Machine silent = new Machine(new MachineId("vm-1"), TYPE, "a", false);
         silent.knownSince(BEGUN);
-        silent.answered(BEGUN);
+        silent.recordAnsweredHeartbeat(BEGUN);
         assertEquals(
                 List.of(), givingUp.choose(List.of(silent), BEGUN.plus(Duration.ofSeconds(100))));
     }
--- a/src/test/java/org/meadowhollow/coordination/hearing/EarshotTest.java
+++ b/src/test/java/org/meadowhollow/coordination/hearing/EarshotTest.java
@@ -6,14 +6,14 @@
 
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Moment;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MonotonicTime;
 
 class EarshotTest {
     private final Earshot earshot = new Earshot();
 
-    private static Moment at(double seconds) {
-        return new Moment((long) (seconds * 1e9));
+    private static MonotonicTime at(double seconds) {
+        return new MonotonicTime((long) (seconds * 1e9));
     }
 
     @Test
--- a/src/test/java/org/meadowhollow/coordination/leadership/KnowledgeModelTest.java
+++ b/src/test/java/org/meadowhollow/coordination/leadership/KnowledgeModelTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.meadowhollow.bookkeeping.LeaseId;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.Term;
-import org.meadowhollow.bookkeeping.Version;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.LeaseId;
 
 /**
  * All that can happen, up to a bound, to a cancellation, a worker, a leader and its successor,
@@ -99,7 +99,7 @@
             boolean refused,
             int refusals,
             boolean out) {
-        Moment now() {
+        MonotonicTime now() {
             return at(tick);
         }
 
@@ -136,8 +136,8 @@
     private int worlds;
     private int cancelledWhileRefused;
 
-    private static Moment at(int tick) {
-        return new Moment(Duration.ofSeconds((long) tick * TICK_S).toNanos());
+    private static MonotonicTime at(int tick) {
+        return new MonotonicTime(Duration.ofSeconds((long) tick * TICK_S).toNanos());
     }
 
     private Node elected(int node, Node before, int tick) {
@@ -148,11 +148,11 @@
                                         before.state(),
                                         new LeadershipEvent.Claimed(
                                                 0,
-                                                new Term(node + 1),
+                                                new FencingToken(node + 1),
                                                 new LeaseId(node + 1),
                                                 at(tick),
-                                                new StateStore.Commit(
-                                                        true, new Version(node + 1), List.of())),
+                                                new KeyValueStore.CommitResult(
+                                                        true, new Revision(node + 1), List.of())),
                                         at(tick))
                                 .next());
         return without == Without.LOADING || without == Without.KNOWLEDGE
@@ -160,7 +160,7 @@
                 : leads;
     }
 
-    private Node knowing(int node, Node leads, Moment upTo) {
+    private Node knowing(int node, Node leads, MonotonicTime upTo) {
         return leads.with(
                 steps.get(node)
                         .on(
@@ -311,7 +311,7 @@
         }
     }
 
-    private LeadershipState renewed(int node, Node leader, Moment sentAt) {
+    private LeadershipState renewed(int node, Node leader, MonotonicTime sentAt) {
         return steps.get(node)
                 .on(
                         leader.state(),
--- a/src/test/java/org/meadowhollow/coordination/leadership/LeadershipModelTest.java
+++ b/src/test/java/org/meadowhollow/coordination/leadership/LeadershipModelTest.java
@@ -16,13 +16,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.meadowhollow.bookkeeping.LeaseId;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Records;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.Term;
-import org.meadowhollow.bookkeeping.Version;
 import org.meadowhollow.coordination.succession.FirstDecision;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.LeaseId;
+import org.meadowhollow.storage.RecordCodec;
 
 /**
  * All that can happen, up to a bound, to three nodes that run {@link LeadershipStep} and {@link
@@ -45,10 +45,10 @@
     }
 
     /** A leader's decision on its way; {@code seen} counts the decisions that it knew of. */
-    private record Decide(Term term, Version guard, int seen) {}
+    private record Decide(FencingToken term, Revision guard, int seen) {}
 
     /** A node; its image stands at a revision and holds the first {@code seen} decisions. */
-    private record Node(LeadershipState state, Version imageAt, int seen, boolean decided) {
+    private record Node(LeadershipState state, Revision imageAt, int seen, boolean decided) {
         Node with(LeadershipState next) {
             return new Node(next, imageAt, seen, decided && next.holding() != null);
         }
@@ -67,7 +67,7 @@
             long counter,
             long counterAt,
             String heir,
-            Map<Long, Moment> leases,
+            Map<Long, MonotonicTime> leases,
             long nextLease,
             List<Decide> decisions) {}
 
@@ -89,8 +89,8 @@
             boolean handOver,
             Set<Long> terms,
             String broken) {
-        Moment now() {
-            return new Moment(TICK.toNanos() * ticks);
+        MonotonicTime now() {
+            return new MonotonicTime(TICK.toNanos() * ticks);
         }
     }
 
@@ -112,7 +112,7 @@
         List<Node> nodes = new ArrayList<>();
         Set<Message> messages = new HashSet<>();
         for (int node = 0; node < NODES; node++) {
-            nodes.add(new Node(LeadershipState.FIRST, Version.ABSENT, 0, false));
+            nodes.add(new Node(LeadershipState.FIRST, Revision.ABSENT, 0, false));
             if (node > 0) {
                 messages.add(new Message(node, new LeadershipEffect.Look(0, false)));
             }
@@ -128,7 +128,7 @@
                                 1,
                                 1,
                                 null,
-                                Map.of(1L, new Moment(0).plus(LeadershipStep.TTL)),
+                                Map.of(1L, new MonotonicTime(0).plus(LeadershipStep.TTL)),
                                 2,
                                 List.of()),
                         nodes,
@@ -143,10 +143,10 @@
                 0,
                 new LeadershipEvent.Claimed(
                         0,
-                        new Term(1),
+                        new FencingToken(1),
                         new LeaseId(1),
-                        new Moment(0),
-                        new StateStore.Commit(true, new Version(1), List.of())));
+                        new MonotonicTime(0),
+                        new KeyValueStore.CommitResult(true, new Revision(1), List.of())));
     }
 
     /** Goes through all worlds that can come, the nearest first; the first broken one, or null. */
@@ -235,7 +235,7 @@
                             at,
                             new Node(
                                     node.state(),
-                                    new Version(store.revision()),
+                                    new Revision(store.revision()),
                                     store.decisions().size(),
                                     node.decided())));
         }
@@ -348,12 +348,12 @@
         if (what instanceof LeadershipEffect.Look look) {
             return new LeadershipEvent.Looked(
                     look.epoch(),
-                    new StateStore.Page(
+                    new KeyValueStore.Page(
                             s.keyAt() == 0
                                     ? List.of()
                                     : List.of(
-                                            new StateStore.Entry(
-                                                    Records.LEADER,
+                                            new KeyValueStore.Entry(
+                                                    RecordCodec.LEADER_KEY,
                                                     Map.of(
                                                             "member",
                                                             s.holder(),
@@ -361,22 +361,22 @@
                                                             s.term(),
                                                             "lease",
                                                             s.keyLease()),
-                                                    new Version(s.keyAt()))),
+                                                    new Revision(s.keyAt()))),
                             false,
-                            new Version(s.revision())));
+                            new Revision(s.revision())));
         }
         if (what instanceof LeadershipEffect.Watch watch) {
             return s.revision() <= watch.after().value()
                     ? null
                     : new LeadershipEvent.Watched(
                             watch.epoch(),
-                            new StateStore.Changes(
-                                    new Version(s.revision()),
+                            new KeyValueStore.ChangeBatch(
+                                    new Revision(s.revision()),
                                     List.of(
-                                            new StateStore.Change(
-                                                    Records.LEADER,
+                                            new KeyValueStore.Change(
+                                                    RecordCodec.LEADER_KEY,
                                                     null,
-                                                    new Version(s.revision())))));
+                                                    new Revision(s.revision())))));
         }
         if (what instanceof LeadershipEffect.ReadCounter read) {
             return new LeadershipEvent.CounterRead(
@@ -385,14 +385,14 @@
                     s.counterAt() == 0
                             ? Optional.empty()
                             : Optional.of(
-                                    new StateStore.Entry(
-                                            Records.TERM,
+                                    new KeyValueStore.Entry(
+                                            RecordCodec.FENCING_TOKEN_KEY,
                                             Standing.handedOver(s.counter(), s.heir()),
-                                            new Version(s.counterAt()))),
+                                            new Revision(s.counterAt()))),
                     false);
         }
         if (what instanceof LeadershipEffect.Grant grant) {
-            Map<Long, Moment> leases = new HashMap<>(s.leases());
+            Map<Long, MonotonicTime> leases = new HashMap<>(s.leases());
             leases.put(s.nextLease(), now.plus(LeadershipStep.TTL));
             at[0] =
                     new Store(
@@ -437,11 +437,12 @@
                     claim.term(),
                     claim.lease(),
                     claim.sentAt(),
-                    new StateStore.Commit(applies, new Version(at[0].revision()), List.of()));
+                    new KeyValueStore.CommitResult(
+                            applies, new Revision(at[0].revision()), List.of()));
         }
         if (what instanceof LeadershipEffect.Renew renew) {
             boolean lives = s.leases().containsKey(renew.lease().value());
-            Map<Long, Moment> leases = new HashMap<>(s.leases());
+            Map<Long, MonotonicTime> leases = new HashMap<>(s.leases());
             leases.computeIfPresent(
                     renew.lease().value(), (lease, end) -> now.plus(LeadershipStep.TTL));
             at[0] =
@@ -485,7 +486,8 @@
                     giveUp.lease(),
                     false,
                     giveUp.heir(),
-                    new StateStore.Commit(applies, new Version(at[0].revision()), List.of()),
+                    new KeyValueStore.CommitResult(
+                            applies, new Revision(at[0].revision()), List.of()),
                     false);
         }
         if (what instanceof Decide decide) {
@@ -512,12 +514,12 @@
     }
 
     /** The clock, and whose request is executed, while a world's successors are made. */
-    private Moment now;
+    private MonotonicTime now;
 
     private String claimant;
 
     private static Store ended(Store s, long lease) {
-        Map<Long, Moment> leases = new HashMap<>(s.leases());
+        Map<Long, MonotonicTime> leases = new HashMap<>(s.leases());
         leases.remove(lease);
         boolean key = s.keyAt() != 0 && s.keyLease() == lease;
         return new Store(
--- a/src/test/java/org/meadowhollow/coordination/placement/ExpectedTest.java
+++ b/src/test/java/org/meadowhollow/coordination/placement/ExpectedTest.java
@@ -5,12 +5,12 @@
 import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Priority;
-import org.meadowhollow.bookkeeping.Resources;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Priority;
+import org.meadowhollow.model.Resources;
 
 class ExpectedTest {
     private static JobSpec gang(int number) {
@@ -18,7 +18,7 @@
                 new JobId("req-" + number),
                 "class",
                 "team",
-                Kind.GANG,
+                JobKind.GANG,
                 Priority.NORMAL,
                 2,
                 Resources.of(1, 1, 1),
@@ -35,8 +35,8 @@
                 Double.NaN);
     }
 
-    private static Moment at(double seconds) {
-        return new Moment((long) (seconds * 1e9));
+    private static MonotonicTime at(double seconds) {
+        return new MonotonicTime((long) (seconds * 1e9));
     }
 
     @Test
--- a/src/test/java/org/meadowhollow/coordination/placement/PlacementOrderTest.java
+++ b/src/test/java/org/meadowhollow/coordination/placement/PlacementOrderTest.java
@@ -13,15 +13,15 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Machine;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.MachineType;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Priority;
-import org.meadowhollow.bookkeeping.Resources;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Priority;
+import org.meadowhollow.model.Resources;
 
 /**
  * The round rates each machine once for a job. It must place a job's tasks together as it places
@@ -49,7 +49,7 @@
             Object2DoubleMap<String> fetches = new Object2DoubleOpenHashMap<>();
             for (int image = 0; image < 3; image++) {
                 if (random.nextInt(3) == 0) {
-                    machine.images().use("image-" + image, 12);
+                    machine.imageCache().recordUse("image-" + image, 12);
                 } else if (random.nextInt(3) == 0) {
                     fetches.put("image-" + image, random.nextInt(12));
                 }
@@ -60,7 +60,7 @@
                         random.nextInt(8),
                         random.nextDouble(),
                         random.nextInt(6) == 0 ? 1 : 0,
-                        new Moment(sample * 1_000_000_000L));
+                        new MonotonicTime(sample * 1_000_000_000L));
             }
             int used = random.nextInt(8);
             seats.add(
@@ -74,7 +74,7 @@
                             WHOLE.minus(Resources.of(used, used, used)),
                             used,
                             random.nextInt(used + 1),
-                            machine.images(),
+                            machine.imageCache(),
                             fetches,
                             1,
                             risk,
@@ -83,9 +83,9 @@
         return seats;
     }
 
-    private static JobSpec spec(long seed, Kind kind) {
+    private static JobSpec spec(long seed, JobKind kind) {
         Random random = new Random(seed);
-        boolean oneZone = kind == Kind.ARRAY && random.nextInt(4) == 0;
+        boolean oneZone = kind == JobKind.ARRAY && random.nextInt(4) == 0;
         return new JobSpec(
                 new JobId("req-1"),
                 "class",
@@ -114,9 +114,9 @@
     @ParameterizedTest
     @MethodSource("seeds")
     void tasksPlacedTogetherGoWhereTheyGoOneByOne(long seed) {
-        JobSpec spec = spec(seed, seed % 2 == 0 ? Kind.ARRAY : Kind.SERVICE);
+        JobSpec spec = spec(seed, seed % 2 == 0 ? JobKind.ARRAY : JobKind.SERVICE);
         boolean desperate = seed % 3 == 0;
-        int[] tasks = new int[spec.tasks()];
+        int[] tasks = new int[spec.taskCount()];
         for (int task = 0; task < tasks.length; task++) {
             tasks[task] = task;
         }
@@ -159,10 +159,10 @@
     @ParameterizedTest
     @MethodSource("seeds")
     void aGangThatFindsNoRoomLeavesEverythingAsItWas(long seed) {
-        JobSpec gang = spec(seed, Kind.GANG);
-        JobSpec array = spec(seed + 1, Kind.ARRAY);
+        JobSpec gang = spec(seed, JobKind.GANG);
+        JobSpec array = spec(seed + 1, JobKind.ARRAY);
         int[] tooMany = new int[MACHINES * 8 + 1];
-        int[] tasks = new int[array.tasks()];
+        int[] tasks = new int[array.taskCount()];
         var waiting =
                 new PlacementRound.Waiting(array, tasks, new Object2IntOpenHashMap<>(), false);
         List<PlacementRound.Decision> alone =
--- a/src/test/java/org/meadowhollow/coordination/placement/PlacementRoundTest.java
+++ b/src/test/java/org/meadowhollow/coordination/placement/PlacementRoundTest.java
@@ -10,16 +10,16 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.ImageCache;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Machine;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.MachineType;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Priority;
-import org.meadowhollow.bookkeeping.Resources;
+import org.meadowhollow.model.ImageCache;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Priority;
+import org.meadowhollow.model.Resources;
 
 class PlacementRoundTest {
     private static final Resources WHOLE = Resources.of(8, 8, 8);
@@ -33,7 +33,7 @@
     private static RiskTable learned(int losses) {
         RiskTable table = new RiskTable();
         for (int at = 0; at < 40; at++) {
-            table.add(1, 0.13, at < losses ? 1 : 0, new Moment(at * 1_000_000_000L));
+            table.add(1, 0.13, at < losses ? 1 : 0, new MonotonicTime(at * 1_000_000_000L));
         }
         return table;
     }
@@ -43,9 +43,9 @@
         fetches.add(coming);
         MachineType type = new MachineType("type", WHOLE, 50, 1, 1, 1, 1, List.of());
         ImageCache cache =
-                new Machine(new MachineId(name), type, name.substring(0, 1), false).images();
+                new Machine(new MachineId(name), type, name.substring(0, 1), false).imageCache();
         for (String image : images) {
-            cache.use(image, 1);
+            cache.recordUse(image, 1);
         }
         seats.add(
                 new PlacementRound.Seat(
@@ -65,7 +65,7 @@
                         false));
     }
 
-    private static JobSpec spec(Kind kind, int tasks, boolean oneZone) {
+    private static JobSpec spec(JobKind kind, int tasks, boolean oneZone) {
         return new JobSpec(
                 new JobId("req-1"),
                 "class",
@@ -88,7 +88,7 @@
     }
 
     /** A job whose image takes 30 s to fetch. */
-    private static JobSpec large(Kind kind, int tasks) {
+    private static JobSpec large(JobKind kind, int tasks) {
         return new JobSpec(
                 new JobId("req-1"),
                 "class",
@@ -115,7 +115,7 @@
     }
 
     private List<String> run(JobSpec spec, boolean desperate) {
-        int[] tasks = new int[spec.tasks()];
+        int[] tasks = new int[spec.taskCount()];
         for (int at = 0; at < tasks.length; at++) {
             tasks[at] = at;
         }
@@ -140,35 +140,35 @@
     void theLeastRiskComesBeforeTheMostRoom() {
         seat("a1", 0, learned(4));
         seat("a2", 0.1, learned(0));
-        assertEquals(List.of("a2 by risk"), run(spec(Kind.ARRAY, 1, false), false));
+        assertEquals(List.of("a2 by risk"), run(spec(JobKind.ARRAY, 1, false), false));
     }
 
     @Test
     void atEqualRiskTheMostRoomWins() {
         seat("a1", 0.1, learned(2));
         seat("a2", 0, learned(2));
-        assertEquals(List.of("a2 by risk"), run(spec(Kind.ARRAY, 1, false), false));
+        assertEquals(List.of("a2 by risk"), run(spec(JobKind.ARRAY, 1, false), false));
     }
 
     @Test
     void aMachineThatBreaksThePolicyIsUsedOnlyInDespair() {
         seat("a1", 0, learned(20));
-        assertEquals(List.of(), run(spec(Kind.ARRAY, 1, false), false));
-        assertEquals(List.of("a1 by room"), run(spec(Kind.ARRAY, 1, false), true));
+        assertEquals(List.of(), run(spec(JobKind.ARRAY, 1, false), false));
+        assertEquals(List.of("a1 by room"), run(spec(JobKind.ARRAY, 1, false), true));
     }
 
     @Test
     void whatTheTableHasNotSeenIsJudgedByRoomAlone() {
         seat("a1", 2, new RiskTable());
         seat("a2", 0, new RiskTable());
-        assertEquals(List.of("a2 by room"), run(spec(Kind.ARRAY, 1, false), false));
+        assertEquals(List.of("a2 by room"), run(spec(JobKind.ARRAY, 1, false), false));
     }
 
     @Test
     void aCachedImageSavesItsFetch() {
         seat("a1", 3, new RiskTable(), "image");
         seat("a2", 0, new RiskTable());
-        assertEquals(List.of("a1 by room"), run(spec(Kind.ARRAY, 1, false), false));
+        assertEquals(List.of("a1 by room"), run(spec(JobKind.ARRAY, 1, false), false));
     }
 
     @Test
@@ -176,7 +176,7 @@
         seat("a1", 0, new RiskTable());
         seat("a2", 2, new RiskTable());
         fetching(0, "other", 30);
-        JobSpec large = large(Kind.ARRAY, 1);
+        JobSpec large = large(JobKind.ARRAY, 1);
         assertEquals(List.of("a2 by room"), run(large, false), "two fetches would share a1's line");
     }
 
@@ -184,7 +184,7 @@
     void aReplicaBringsItsImageToOneMoreMachine() {
         seat("a1", 0, new RiskTable());
         seat("a2", 1, new RiskTable());
-        assertEquals(List.of("a1 by room", "a2 by room"), run(large(Kind.SERVICE, 2), false));
+        assertEquals(List.of("a1 by room", "a2 by room"), run(large(JobKind.SERVICE, 2), false));
     }
 
     @Test
@@ -197,7 +197,7 @@
                         new JobId("req-1"),
                         "class",
                         "team",
-                        Kind.GANG,
+                        JobKind.GANG,
                         Priority.NORMAL,
                         2,
                         Resources.of(1, 1, 1),
@@ -222,9 +222,10 @@
         seat("a1", 7, new RiskTable());
         seat("b1", 6, new RiskTable());
         seat("b2", 7, new RiskTable());
-        List<String> placed = run(spec(Kind.GANG, 3, true), false);
+        List<String> placed = run(spec(JobKind.GANG, 3, true), false);
         assertEquals(3, placed.size());
         assertTrue(placed.stream().allMatch(each -> each.startsWith("b")));
-        assertEquals(List.of(), run(spec(Kind.GANG, 3, true), false), "a1 alone cannot hold three");
+        assertEquals(
+                List.of(), run(spec(JobKind.GANG, 3, true), false), "a1 alone cannot hold three");
     }
 }
--- a/src/test/java/org/meadowhollow/coordination/placement/PreemptionTest.java
+++ b/src/test/java/org/meadowhollow/coordination/placement/PreemptionTest.java
@@ -4,11 +4,11 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Priority;
-import org.meadowhollow.bookkeeping.Resources;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Priority;
+import org.meadowhollow.model.Resources;
 
 class PreemptionTest {
     private static final Resources ONE = Resources.of(1, 1, 1);
@@ -18,7 +18,7 @@
                 new JobId("req-1"),
                 "class",
                 "team",
-                Kind.ARRAY,
+                JobKind.ARRAY,
                 priority,
                 1,
                 Resources.of(1, gpus, 1),
--- a/src/test/java/org/meadowhollow/coordination/placement/RiskTableTest.java
+++ b/src/test/java/org/meadowhollow/coordination/placement/RiskTableTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.Moment;
+import org.meadowhollow.model.MonotonicTime;
 
 class RiskTableTest {
     private final RiskTable table = new RiskTable();
@@ -12,7 +12,7 @@
 
     private void samples(int count, int violations) {
         for (int at = 0; at < count; at++) {
-            table.add(4, 0.5, violations, new Moment((second += 3) * 1_000_000_000L));
+            table.add(4, 0.5, violations, new MonotonicTime((second += 3) * 1_000_000_000L));
         }
     }
 
@@ -40,7 +40,7 @@
     @Test
     void isRebuiltFromTheLastTenMinutesWhenTheQualitySwings() {
         for (int at = 0; at < 40; at++) {
-            table.add(9, 0.9, 0, new Moment((second += 3) * 1_000_000_000L));
+            table.add(9, 0.9, 0, new MonotonicTime((second += 3) * 1_000_000_000L));
         }
         samples(210, 0);
         assertEquals(1, table.chanceOfNone(9, 0.9), "no swing, so nothing is forgotten");
--- a/src/test/java/org/meadowhollow/coordination/placement/TurnoverTest.java
+++ b/src/test/java/org/meadowhollow/coordination/placement/TurnoverTest.java
@@ -4,13 +4,13 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.MachineType;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Priority;
-import org.meadowhollow.bookkeeping.Resources;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Priority;
+import org.meadowhollow.model.Resources;
 
 /** A place is taken by a task that would run for 10 s, with a margin 13 s. */
 class TurnoverTest {
@@ -19,14 +19,14 @@
             new MachineType("type", ONE, 50, 1, 1, 1, 40, List.of("a"));
     private static final double READY_S = 40;
 
-    private final Turnover turnover = new Turnover(List.of(), new Moment(0));
+    private final Turnover turnover = new Turnover(List.of(), new MonotonicTime(0));
 
     private static JobSpec array(double deadlineS, boolean spot) {
         return new JobSpec(
                 new JobId("req-1"),
                 "class",
                 "team",
-                Kind.ARRAY,
+                JobKind.ARRAY,
                 Priority.NORMAL,
                 9,
                 ONE,
--- a/src/test/java/org/meadowhollow/coordination/serving/ServedTest.java
+++ b/src/test/java/org/meadowhollow/coordination/serving/ServedTest.java
@@ -6,14 +6,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.Job;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Priority;
-import org.meadowhollow.bookkeeping.Resources;
-import org.meadowhollow.bookkeeping.Version;
+import org.meadowhollow.model.Job;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Priority;
+import org.meadowhollow.model.Resources;
+import org.meadowhollow.model.Revision;
 
 class ServedTest {
     private static JobSpec spec(int number, String team) {
@@ -21,7 +21,7 @@
                 new JobId("req-%06d".formatted(number)),
                 "scan",
                 team,
-                Kind.ARRAY,
+                JobKind.ARRAY,
                 Priority.NORMAL,
                 2,
                 Resources.of(1, 1, 1),
@@ -48,11 +48,12 @@
             served.began(spec(number, "home"));
             served.ended(spec(number, "home"), number == 4, number < 3 ? 20 : 40);
             served.came(spec(10 + number, "guest"));
-            waiting.add(new Job(spec(10 + number, "guest"), 0, 100, new Version(1)));
+            waiting.add(new Job(spec(10 + number, "guest"), 0, 100, new Revision(1)));
         }
-        assertEquals(List.of(), served.account(waiting, new Moment(0), 0, job -> "room"));
+        assertEquals(List.of(), served.account(waiting, new MonotonicTime(0), 0, job -> "room"));
         List<String> lines =
-                served.account(waiting, new Moment(130_000_000_000L), 130_000, job -> "room");
+                served.account(
+                        waiting, new MonotonicTime(130_000_000_000L), 130_000, job -> "room");
         assertTrue(
                 lines.get(0).contains("of guest: 5 jobs came, 0 started")
                         && lines.get(0).contains("10 tasks wait")
@@ -78,7 +79,7 @@
                             spec.kind(),
                             spec.priority(),
                             number < 2 ? 16 : 2,
-                            spec.perTask(),
+                            spec.resourcesPerTask(),
                             null,
                             null,
                             false,
@@ -94,12 +95,15 @@
             if (number == 0 || number > 2) {
                 served.began(sized);
             }
-            jobs.add(new Job(sized, 0, 100, new Version(1)));
+            jobs.add(new Job(sized, 0, 100, new Revision(1)));
         }
-        served.account(jobs, new Moment(0), 0, job -> "room");
+        served.account(jobs, new MonotonicTime(0), 0, job -> "room");
         List<String> lines =
                 served.account(
-                        jobs, new Moment(130_000_000_000L), 130_000, job -> "its team's limit");
+                        jobs,
+                        new MonotonicTime(130_000_000_000L),
+                        130_000,
+                        job -> "its team's limit");
         assertTrue(lines.get(0).endsWith("1 of its largest jobs wait"), lines.get(0));
         assertEquals(
                 List.of(
--- a/src/test/java/org/meadowhollow/coordination/succession/FirstDecisionTest.java
+++ b/src/test/java/org/meadowhollow/coordination/succession/FirstDecisionTest.java
@@ -5,18 +5,18 @@
 import java.util.EnumSet;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.Term;
-import org.meadowhollow.bookkeeping.Version;
 import org.meadowhollow.coordination.succession.FirstDecision.Check;
 import org.meadowhollow.coordination.succession.FirstDecision.Facts;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.Revision;
 
 class FirstDecisionTest {
-    private static final Version KEY = new Version(40);
+    private static final Revision KEY = new Revision(40);
 
     private static Set<Check> failing(
             boolean lease,
             long shown,
-            Version records,
+            Revision records,
             boolean types,
             boolean calendar,
             boolean heard,
@@ -24,8 +24,8 @@
         return FirstDecision.failing(
                 new Facts(
                         lease,
-                        new Term(3),
-                        new Term(shown),
+                        new FencingToken(3),
+                        new FencingToken(shown),
                         KEY,
                         records,
                         types,
@@ -43,7 +43,7 @@
         assertEquals(Set.of(Check.RECORDS_ARE_IN), failing(true, 3, null, true, true, true, 5));
         assertEquals(
                 Set.of(Check.RECORDS_REACH_THE_KEY),
-                failing(true, 3, new Version(39), true, true, true, 5));
+                failing(true, 3, new Revision(39), true, true, true, 5));
         assertEquals(Set.of(Check.TYPES_ARE_KNOWN), failing(true, 3, KEY, false, true, true, 5));
         assertEquals(Set.of(Check.CALENDAR_IS_KNOWN), failing(true, 3, KEY, true, false, true, 5));
         assertEquals(Set.of(Check.WORKERS_ARE_HEARD), failing(true, 3, KEY, true, true, false, 5));
