--- a/src/test/java/org/meadowhollow/coordination/succession/TablesTest.java
+++ b/src/test/java/org/meadowhollow/coordination/succession/TablesTest.java
@@ -11,27 +11,27 @@
 import java.util.Random;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.Machine;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.MachineType;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Report;
-import org.meadowhollow.bookkeeping.Resources;
-import org.meadowhollow.bookkeeping.Session;
-import org.meadowhollow.bookkeeping.Term;
-import org.meadowhollow.bookkeeping.Version;
 import org.meadowhollow.coordination.placement.RiskTable;
 import org.meadowhollow.coordination.platform.NodeStatus;
 import org.meadowhollow.coordination.platform.TableDelta;
 import org.meadowhollow.coordination.succession.TableCopies.Taken;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.Heartbeat;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Resources;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.model.WorkerIncarnation;
 
 /** A leader's tables and a standby's copies of them. */
 class TablesTest {
-    private static final Term TERM = new Term(2);
+    private static final FencingToken TERM = new FencingToken(2);
     private static final MachineType TYPE =
             new MachineType("large", Resources.of(32, 8, 128), 50, 1, 8, 4, 10, List.of("a"));
     private static final NodeStatus STANDBY =
-            new NodeStatus("n1", 1, "a", "test", 1, new Version(5));
+            new NodeStatus("n1", 1, "a", "test", 1, new Revision(5));
 
     private final TreeMap<MachineId, Machine> machines = new TreeMap<>();
     private final Map<MachineId, RiskTable> tables = new HashMap<>();
@@ -41,8 +41,8 @@
     private long second;
     private long seq;
 
-    private Moment now() {
-        return new Moment(second * 1_000_000_000L);
+    private MonotonicTime now() {
+        return new MonotonicTime(second * 1_000_000_000L);
     }
 
     private void machines(int count) {
@@ -60,7 +60,7 @@
             machines.values()
                     .forEach(
                             machine -> {
-                                report(machine, new Session(1), ++seq);
+                                report(machine, new WorkerIncarnation(1), ++seq);
                                 int lost = random.nextInt(5) == 0 ? 1 : 0;
                                 feed.sampled(
                                         machine,
@@ -75,15 +75,15 @@
         }
     }
 
-    private static void report(Machine machine, Session session, long number) {
-        machine.reported(
-                new Report(
+    private static void report(Machine machine, WorkerIncarnation workerIncarnation, long number) {
+        machine.recordHeartbeat(
+                new Heartbeat(
                         machine.id(),
                         null,
                         "large",
                         "a",
                         false,
-                        session,
+                        workerIncarnation,
                         number,
                         TERM,
                         Double.NaN,
@@ -109,9 +109,11 @@
         }
     }
 
-    private Optional<RiskTable> inherit(int machine, Session session, long number) {
+    private Optional<RiskTable> inherit(
+            int machine, WorkerIncarnation workerIncarnation, long number) {
         MachineId id = new MachineId("vm-%06d".formatted(machine));
-        return copies.inherit(id, TableFeed.incarnation(machines.get(id)), session, number, now());
+        return copies.inherit(
+                id, TableFeed.incarnation(machines.get(id)), workerIncarnation, number, now());
     }
 
     @Test
@@ -126,7 +128,7 @@
         for (int at = 0; at < 300; at++) {
             assertEquals(
                     tables.get(new MachineId("vm-%06d".formatted(at))),
-                    inherit(at, new Session(1), seq + 1).orElseThrow());
+                    inherit(at, new WorkerIncarnation(1), seq + 1).orElseThrow());
         }
     }
 
@@ -140,7 +142,7 @@
         pull();
         assertEquals(
                 tables.get(new MachineId("vm-000007")),
-                inherit(7, new Session(1), seq + 1).orElseThrow());
+                inherit(7, new WorkerIncarnation(1), seq + 1).orElseThrow());
     }
 
     @Test
@@ -150,7 +152,7 @@
         pull();
         TableDelta late = answer();
         TableFeed next = new TableFeed(TERM.next(), true);
-        Term higher = TERM.next();
+        FencingToken higher = TERM.next();
         assertEquals(
                 Taken.IN,
                 copies.take(
@@ -172,7 +174,7 @@
                 new TableDelta.Part(
                         new MachineId("vm-000001"),
                         1,
-                        new Session(1),
+                        new WorkerIncarnation(1),
                         seq,
                         new int[0],
                         new long[] {1, seq, 0, -1});
@@ -186,7 +188,7 @@
         pull();
         assertEquals(
                 tables.get(new MachineId("vm-000001")),
-                inherit(1, new Session(1), seq + 1).orElseThrow());
+                inherit(1, new WorkerIncarnation(1), seq + 1).orElseThrow());
         int[] table = tables.get(new MachineId("vm-000000")).export(now());
         table[0]++;
         assertThrows(IllegalArgumentException.class, () -> RiskTable.of(table, now()));
@@ -199,16 +201,17 @@
         reports(25);
         pull();
         assertTrue(
-                inherit(0, new Session(2), 1).isPresent(), "a later session of the same machine");
+                inherit(0, new WorkerIncarnation(2), 1).isPresent(),
+                "a later session of the same machine");
         assertTrue(
-                inherit(1, new Session(1), 1).isEmpty(),
+                inherit(1, new WorkerIncarnation(1), 1).isEmpty(),
                 "a machine whose reports count from the start again");
         MachineId moved = new MachineId("vm-000002");
         assertTrue(
                 copies.inherit(
                                 moved,
                                 TableFeed.incarnation("large", "b", false, null),
-                                new Session(1),
+                                new WorkerIncarnation(1),
                                 seq + 1,
                                 now())
                         .isEmpty(),
@@ -220,10 +223,11 @@
         pull();
         assertEquals(
                 tables.get(again),
-                inherit(4, new Session(1), seq + 1).orElseThrow(),
+                inherit(4, new WorkerIncarnation(1), seq + 1).orElseThrow(),
                 "it began a table of its own");
         second += TableCopies.MOST_AGE.toSeconds() + 1;
-        assertTrue(inherit(3, new Session(1), seq + 1).isEmpty(), "what was true long ago");
+        assertTrue(
+                inherit(3, new WorkerIncarnation(1), seq + 1).isEmpty(), "what was true long ago");
     }
 
     @Test
@@ -241,13 +245,13 @@
     @Test
     void theHeirIsTheStandbyThatIsFurthestOfThoseHeardOfLately() {
         Membership members = new Membership();
-        members.seen(new NodeStatus("n3", 1, "a", "test", 1, new Version(90)), now());
+        members.seen(new NodeStatus("n3", 1, "a", "test", 1, new Revision(90)), now());
         second += Membership.FRESH.toSeconds() + 1;
         assertTrue(members.heir(1, now()).isEmpty(), "nothing is known of who is silent");
-        members.seen(new NodeStatus("n4", 1, "a", "test", 2, new Version(80)), now());
-        members.seen(new NodeStatus("n2", 1, "a", "test", 1, new Version(7)), now());
-        members.seen(new NodeStatus("n1", 1, "a", "test", 1, new Version(7)), now());
-        members.seen(new NodeStatus("n0", 1, "a", "test", 1, new Version(6)), now());
+        members.seen(new NodeStatus("n4", 1, "a", "test", 2, new Revision(80)), now());
+        members.seen(new NodeStatus("n2", 1, "a", "test", 1, new Revision(7)), now());
+        members.seen(new NodeStatus("n1", 1, "a", "test", 1, new Revision(7)), now());
+        members.seen(new NodeStatus("n0", 1, "a", "test", 1, new Revision(6)), now());
         assertEquals(
                 Optional.of("n1"),
                 members.heir(1, now()),
@@ -259,12 +263,19 @@
         RiskTable table = new RiskTable();
         for (int at = 0; at < 150; at++) {
             table.add(
-                    at / 40, 0.3, at % 50 == 0 ? 1 : 0, new Moment((second += 3) * 1_000_000_000L));
+                    at / 40,
+                    0.3,
+                    at % 50 == 0 ? 1 : 0,
+                    new MonotonicTime((second += 3) * 1_000_000_000L));
         }
         RiskTable copy = RiskTable.of(table.export(now()), now());
         for (int at = 0; at < 300; at++) {
             int sample =
-                    table.add(3, 0.3, at > 100 ? 2 : 0, new Moment((second += 3) * 1_000_000_000L));
+                    table.add(
+                            3,
+                            0.3,
+                            at > 100 ? 2 : 0,
+                            new MonotonicTime((second += 3) * 1_000_000_000L));
             copy.replay(sample, now());
             assertEquals(table, copy, "after " + at);
         }
--- a/src/test/java/org/meadowhollow/golden/GoldenFile.java
+++ b/src/test/java/org/meadowhollow/golden/GoldenFile.java
@@ -14,10 +14,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.Version;
+import org.meadowhollow.model.Revision;
 import org.meadowhollow.protocol.Malformed;
 import org.meadowhollow.protocol.Wire;
+import org.meadowhollow.storage.KeyValueStore;
 
 /**
  * A stored record or a message between controllers exactly as an earlier version of this program
@@ -86,8 +86,8 @@
     }
 
     /** The record as the state service shows it. */
-    public StateStore.Entry entry(long version) {
-        return new StateStore.Entry(key, value(), new Version(version));
+    public KeyValueStore.Entry entry(long version) {
+        return new KeyValueStore.Entry(key, value(), new Revision(version));
     }
 
     /** Fails unless a record is encoded to the same bytes, its fields in the same order. */
--- /dev/null
+++ b/src/test/java/org/meadowhollow/model/ImageCacheTest.java
@@ -0,0 +1,28 @@
+package org.meadowhollow.model;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+class ImageCacheTest {
+    @Test
+    void whatWasUsedLongestAgoMakesRoom() {
+        ImageCache cache = new ImageCache(10);
+        cache.recordUse("one", 4);
+        cache.recordUse("two", 4);
+        cache.recordUse("one", 4);
+        cache.recordUse("three", 4);
+        assertTrue(cache.contains("one") && cache.contains("three"));
+        assertFalse(cache.contains("two"));
+    }
+
+    @Test
+    void anImageLargerThanTheCacheIsThereWhileItIsUsed() {
+        ImageCache cache = new ImageCache(10);
+        cache.recordUse("small", 4);
+        cache.recordUse("huge", 12);
+        assertTrue(cache.contains("huge"));
+        assertFalse(cache.contains("small"));
+    }
+}
--- a/src/test/java/org/meadowhollow/protocol/PeerLinkTest.java
+++ b/src/test/java/org/meadowhollow/protocol/PeerLinkTest.java
@@ -14,16 +14,16 @@
 import java.util.concurrent.CompletionException;
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.Digests;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Session;
-import org.meadowhollow.bookkeeping.Term;
-import org.meadowhollow.bookkeeping.Version;
 import org.meadowhollow.coordination.platform.NodeStatus;
 import org.meadowhollow.coordination.platform.Peers.Sign;
 import org.meadowhollow.coordination.platform.TableDelta;
 import org.meadowhollow.coordination.platform.TableQuestion;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.model.WorkerIncarnation;
 import org.meadowhollow.protocol.peers.PeerLink;
+import org.meadowhollow.storage.RecordDigests;
 
 class PeerLinkTest {
     private final Set<String> refusing = new HashSet<>();
@@ -55,7 +55,7 @@
         PeerLink leader = new PeerLink(http, Map.of());
         TableDelta delta =
                 new TableDelta(
-                        new Term(3),
+                        new FencingToken(3),
                         8,
                         false,
                         false,
@@ -63,7 +63,7 @@
                                 new TableDelta.Part(
                                         new MachineId("vm-1"),
                                         5,
-                                        new Session(1),
+                                        new WorkerIncarnation(1),
                                         77,
                                         new int[0],
                                         new long[] {1, 77, 20, 3})));
@@ -75,7 +75,7 @@
                     }
 
                     @Override
-                    public Optional<Digests> digests() {
+                    public Optional<RecordDigests> digests() {
                         return Optional.empty();
                     }
                 });
@@ -94,8 +94,8 @@
                 standby.tables(
                                 "n1",
                                 new TableQuestion(
-                                        new NodeStatus("n2", 1, "a", "test", 1, new Version(4)),
-                                        new Term(3),
+                                        new NodeStatus("n2", 1, "a", "test", 1, new Revision(4)),
+                                        new FencingToken(3),
                                         7,
                                         ""))
                         .join();
--- a/src/test/java/org/meadowhollow/protocol/StateClientTest.java
+++ b/src/test/java/org/meadowhollow/protocol/StateClientTest.java
@@ -11,11 +11,11 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.LeaseId;
-import org.meadowhollow.bookkeeping.StateException;
-import org.meadowhollow.bookkeeping.StateException.Outcome;
-import org.meadowhollow.bookkeeping.StateStore.Urgency;
 import org.meadowhollow.protocol.state.StateClient;
+import org.meadowhollow.storage.KeyValueStore.RequestPriority;
+import org.meadowhollow.storage.KeyValueStoreException;
+import org.meadowhollow.storage.KeyValueStoreException.Outcome;
+import org.meadowhollow.storage.LeaseId;
 import org.meadowhollow.story.VirtualLoop;
 
 class StateClientTest {
@@ -32,16 +32,16 @@
             new StateClient(http, "state:1", loop, new RateBudget(10, 2), new RateBudget(10, 2));
 
     private Outcome outcomeOf(CompletableFuture<?> call) {
-        return call.handle((result, failure) -> StateException.of(failure)).join();
+        return call.handle((result, failure) -> KeyValueStoreException.outcomeOf(failure)).join();
     }
 
     @Test
     void requestsKeepToTheBudgetAndTheMostUrgentGoFirst() {
         for (int at = 0; at < 4; at++) {
-            client.get("background/" + at, Urgency.BACKGROUND);
+            client.get("background/" + at, RequestPriority.BACKGROUND);
         }
-        client.get("user", Urgency.USER);
-        client.grant(Duration.ofSeconds(5));
+        client.get("user", RequestPriority.USER);
+        client.grantLease(Duration.ofSeconds(5));
         assertEquals(List.of("/kv/background/0", "/kv/background/1"), sent);
         loop.run(Duration.ofMillis(101));
         assertEquals("/grants", sent.get(2));
@@ -63,40 +63,40 @@
                 new StateClient(
                         slow, "state:1", loop, new RateBudget(100, 100), new RateBudget(10, 2));
         for (int at = 0; at < 60; at++) {
-            busy.get("user/" + at, Urgency.USER);
+            busy.get("user/" + at, RequestPriority.USER);
         }
         int most = onTheirWay.size();
         assertTrue(most < 24, "fewer than may be open to one address");
-        busy.renew(new LeaseId(1));
+        busy.renewLease(new LeaseId(1));
         assertEquals(most + 1, onTheirWay.size(), "a leadership's lease does not wait for users");
         for (int at = 0; at < onTheirWay.size(); at++) {
             onTheirWay.get(at).complete(Http.Reply.of(404, Map.of()));
         }
         assertEquals(61, onTheirWay.size());
-        assertFalse(busy.seemsOut());
+        assertFalse(busy.seemsUnavailable());
     }
 
     @Test
     void answersSayWhatIsKnownOfTheRequest() {
-        assertTrue(client.get("key", Urgency.USER).join().isEmpty());
+        assertTrue(client.get("key", RequestPriority.USER).join().isEmpty());
         status = 503;
-        assertEquals(Outcome.REFUSED, outcomeOf(client.get("key", Urgency.USER)));
-        assertTrue(client.seemsOut());
+        assertEquals(Outcome.REJECTED, outcomeOf(client.get("key", RequestPriority.USER)));
+        assertTrue(client.seemsUnavailable());
         loop.run(Duration.ofSeconds(2));
         status = 400;
-        assertEquals(Outcome.NO_SUCH_LEASE, outcomeOf(client.get("key", Urgency.USER)));
+        assertEquals(Outcome.LEASE_EXPIRED, outcomeOf(client.get("key", RequestPriority.USER)));
         status = 500;
-        assertEquals(Outcome.UNKNOWN, outcomeOf(client.get("key", Urgency.USER)));
+        assertEquals(Outcome.INDETERMINATE, outcomeOf(client.get("key", RequestPriority.USER)));
     }
 
     /** With users always first, a leader that many asked neither loaded nor wrote its records. */
     @Test
     void usersAndTheLeaderTakeTurns() {
         for (int at = 0; at < 40; at++) {
-            client.get("user/" + at, Urgency.USER);
+            client.get("user/" + at, RequestPriority.USER);
         }
-        client.get("record/1", Urgency.PLACEMENT);
-        client.get("record/2", Urgency.PLACEMENT);
+        client.get("record/1", RequestPriority.PLACEMENT);
+        client.get("record/2", RequestPriority.PLACEMENT);
         loop.run(Duration.ofMillis(601));
         assertTrue(sent.containsAll(List.of("/kv/record/1", "/kv/record/2")), "sent: " + sent);
         assertTrue(
@@ -109,12 +109,12 @@
     void aUsersCallThatHasWaitedTooLongIsRefusedAndNotSent() {
         List<CompletableFuture<?>> calls = new ArrayList<>();
         for (int at = 0; at < 40; at++) {
-            calls.add(client.get("user/" + at, Urgency.USER));
+            calls.add(client.get("user/" + at, RequestPriority.USER));
         }
         loop.run(Duration.ofSeconds(10));
         assertTrue(sent.size() < 25, "sent: " + sent.size());
-        assertEquals(Outcome.REFUSED, outcomeOf(calls.get(39)));
-        client.get("late", Urgency.USER);
+        assertEquals(Outcome.REJECTED, outcomeOf(calls.get(39)));
+        client.get("late", RequestPriority.USER);
         assertEquals("/kv/late", sent.get(sent.size() - 1), "the next one goes at once");
     }
 
@@ -127,13 +127,13 @@
         status = 429;
         for (int second = 0; second < 5; second++) {
             for (int at = 0; at < 20; at++) {
-                fast.get("key", Urgency.USER);
+                fast.get("key", RequestPriority.USER);
             }
             loop.run(Duration.ofSeconds(1));
         }
         sent.clear();
         for (int at = 0; at < 20; at++) {
-            fast.get("key", Urgency.USER);
+            fast.get("key", RequestPriority.USER);
         }
         loop.run(Duration.ofSeconds(1));
         assertTrue(sent.size() < 12, "sent in a second after refusals: " + sent.size());
@@ -141,7 +141,7 @@
         loop.run(Duration.ofSeconds(12));
         sent.clear();
         for (int at = 0; at < 20; at++) {
-            fast.get("key", Urgency.USER);
+            fast.get("key", RequestPriority.USER);
         }
         assertEquals(20, sent.size());
     }
@@ -158,8 +158,8 @@
                 (address, method, path, body, timeout) -> {
                     waited.add(timeout);
                     CompletableFuture<Http.Reply> answer = new CompletableFuture<>();
-                    loop.after(takes[0], () -> answer.complete(Http.Reply.of(404, Map.of())));
-                    loop.after(
+                    loop.schedule(takes[0], () -> answer.complete(Http.Reply.of(404, Map.of())));
+                    loop.schedule(
                             timeout,
                             () ->
                                     answer.completeExceptionally(
@@ -171,22 +171,22 @@
                         slow, "state:1", loop, new RateBudget(100, 100), new RateBudget(10, 2));
         List<CompletableFuture<?>> calls = new ArrayList<>();
         for (int at = 0; at < 5; at++) {
-            calls.add(asking.get("key/" + at, Urgency.USER));
+            calls.add(asking.get("key/" + at, RequestPriority.USER));
             loop.run(Duration.ofMillis(4000));
         }
-        assertEquals(Outcome.UNKNOWN, outcomeOf(calls.get(2)));
+        assertEquals(Outcome.INDETERMINATE, outcomeOf(calls.get(2)));
         assertTrue(
                 calls.get(3).join().equals(Optional.empty())
                         && calls.get(4).join().equals(Optional.empty()),
                 "answered after 2 s");
-        assertFalse(asking.seemsOut());
+        assertFalse(asking.seemsUnavailable());
         assertTrue(
                 waited.get(4).compareTo(Duration.ofMillis(3500)) < 0,
                 "sooner than users give up, and than a lease ends");
         takes[0] = Duration.ofMillis(5);
-        asking.get("key/5", Urgency.USER);
+        asking.get("key/5", RequestPriority.USER);
         loop.run(Duration.ofMillis(10));
-        asking.get("key/6", Urgency.USER);
+        asking.get("key/6", RequestPriority.USER);
         assertEquals(waited.get(0), waited.get(6), "a dead line is noticed as soon as before");
     }
 }
--- a/src/test/java/org/meadowhollow/protocol/SubmissionTest.java
+++ b/src/test/java/org/meadowhollow/protocol/SubmissionTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Priority;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Priority;
 import org.meadowhollow.protocol.users.SubmissionCodec;
 
 class SubmissionTest {
@@ -70,11 +70,11 @@
     @Test
     void aSubmissionIsReadAsTheProtocolSays() throws Malformed {
         JobSpec spec = decode(body());
-        assertEquals(Kind.GANG, spec.kind());
+        assertEquals(JobKind.GANG, spec.kind());
         assertEquals(Priority.HIGH, spec.priority());
-        assertEquals(16, spec.tasks());
-        assertEquals(1_000_000, spec.perTask().gpu());
-        assertEquals(Double.NaN, spec.deadlineS());
+        assertEquals(16, spec.taskCount());
+        assertEquals(1_000_000, spec.resourcesPerTask().gpu());
+        assertEquals(Double.NaN, spec.deadlineSeconds());
     }
 
     @Test
--- a/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerFilesMain.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerFilesMain.java
@@ -2,8 +2,8 @@
 
 import java.io.IOException;
 import java.time.Duration;
-import org.meadowhollow.bookkeeping.Term;
 import org.meadowhollow.golden.GoldenFile;
+import org.meadowhollow.model.FencingToken;
 
 /**
  * Writes the golden files of the messages between controllers. To be run again only for a message
@@ -15,7 +15,7 @@
     public static void main(String[] unused) throws IOException {
         GoldenPeers peer = new GoldenPeers();
         peer.says(true, false);
-        peer.link.announce("n1", new Term(42));
+        peer.link.announce("n1", new FencingToken(42));
         write("peer-leader", peer, 0);
         peer.link.hearing(GoldenPeers.MACHINES, Duration.ofMillis(6500));
         write("peer-hearing-question", peer, 1);
--- a/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerMessagesTest.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerMessagesTest.java
@@ -17,17 +17,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.meadowhollow.bookkeeping.Digests;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Session;
-import org.meadowhollow.bookkeeping.Term;
-import org.meadowhollow.bookkeeping.Version;
 import org.meadowhollow.coordination.platform.NodeStatus;
 import org.meadowhollow.coordination.platform.Peers.Sign;
 import org.meadowhollow.coordination.platform.TableDelta;
 import org.meadowhollow.coordination.platform.TableQuestion;
 import org.meadowhollow.coordination.platform.Testimony;
 import org.meadowhollow.golden.GoldenFile;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.model.WorkerIncarnation;
+import org.meadowhollow.storage.RecordDigests;
 
 /**
  * Messages between controllers as an earlier version sent them: each is taken in, every field is
@@ -50,10 +50,11 @@
         GoldenFile file = GoldenFile.read("peer-leader");
         assertEquals("POST /leader", file.key());
         List<String> told = new ArrayList<>();
-        peer.link.listener((term, member) -> told.add(member + " in " + term.value()));
+        peer.link.listener(
+                (fencingToken, member) -> told.add(member + " in " + fencingToken.value()));
         peer.handle("POST", "/leader", file.bytes());
         assertEquals(List.of("n1 in 42"), told);
-        peer.link.announce("n1", new Term(42));
+        peer.link.announce("n1", new FencingToken(42));
         assertSent(file);
     }
 
@@ -135,7 +136,7 @@
                     }
 
                     @Override
-                    public Optional<Digests> digests() {
+                    public Optional<RecordDigests> digests() {
                         return Optional.empty();
                     }
                 });
@@ -149,8 +150,8 @@
                                         "b",
                                         "2.1.0",
                                         1,
-                                        new Version(123_456)),
-                                new Term(42),
+                                        new Revision(123_456)),
+                                new FencingToken(42),
                                 99,
                                 "vm-000002")),
                 asked);
@@ -169,7 +170,7 @@
             TableDelta.Part part) {
         assertEquals(new MachineId(machine), part.machine());
         assertEquals(incarnation, part.incarnation());
-        assertEquals(new Session(session), part.session());
+        assertEquals(new WorkerIncarnation(session), part.session());
         assertEquals(seq, part.seq());
         assertArrayEquals(table, part.table());
         assertArrayEquals(samples, part.samples());
@@ -180,7 +181,7 @@
         GoldenFile file = GoldenFile.read("peer-tables");
         peer.answer = file.bytes();
         TableDelta delta = peer.link.tables("n1", GoldenPeers.QUESTION).join().orElseThrow();
-        assertEquals(new Term(42), delta.term());
+        assertEquals(new FencingToken(42), delta.term());
         assertEquals(1234, delta.upTo());
         assertTrue(delta.whole());
         assertFalse(delta.more());
@@ -205,17 +206,17 @@
         GoldenFile file = GoldenFile.read("peer-digests");
         assertEquals("GET /digests", file.key());
         peer.answer = file.bytes();
-        Digests digests = peer.link.digests("n1").join().orElseThrow();
+        RecordDigests recordDigests = peer.link.digests("n1").join().orElseThrow();
         assertEquals("GET /digests", peer.sent.get(0).method() + ' ' + peer.sent.get(0).path());
         assertEquals(
                 new HashMap<>(
                         Map.of(
                                 "job/req-0",
-                                new Digests.Part(3, 0x0123456789abcdefL),
+                                new RecordDigests.PartDigest(3, 0x0123456789abcdefL),
                                 "task/req-0",
-                                new Digests.Part(70_000, -2))),
-                new HashMap<>(digests.parts()));
-        assertEquals(Set.of("job/req-1"), digests.unsettled());
+                                new RecordDigests.PartDigest(70_000, -2))),
+                new HashMap<>(recordDigests.parts()));
+        assertEquals(Set.of("job/req-1"), recordDigests.partsBeingWritten());
         peer.says(true, false);
         file.assertSameBytes(peer.handle("GET", "/digests", null));
     }
@@ -223,7 +224,7 @@
     /** What is sent now of what the files hold. */
     private byte[] sentNow(String name) {
         peer.says(true, name.equals("peer-deaf"));
-        peer.link.announce("n1", new Term(42));
+        peer.link.announce("n1", new FencingToken(42));
         peer.link.hearing(GoldenPeers.MACHINES, Duration.ofMillis(6500));
         peer.answer = GoldenFile.read("peer-tables").bytes();
         peer.link.tables("n1", GoldenPeers.QUESTION);
--- a/src/test/java/org/meadowhollow/protocol/peers/GoldenPeers.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/GoldenPeers.java
@@ -9,15 +9,15 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import org.meadowhollow.bookkeeping.Digests;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.Session;
-import org.meadowhollow.bookkeeping.Term;
-import org.meadowhollow.bookkeeping.Version;
 import org.meadowhollow.coordination.platform.NodeStatus;
 import org.meadowhollow.coordination.platform.TableDelta;
 import org.meadowhollow.coordination.platform.TableQuestion;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.model.WorkerIncarnation;
 import org.meadowhollow.protocol.Http;
+import org.meadowhollow.storage.RecordDigests;
 
 /**
  * What the golden messages between controllers say, and a controller whose messages are seen and
@@ -32,8 +32,8 @@
     static final TableQuestion QUESTION =
             new TableQuestion(
                     new NodeStatus(
-                            "n2", 0x1122334455667788L, "b", "2.1.0", 1, new Version(123_456)),
-                    new Term(42),
+                            "n2", 0x1122334455667788L, "b", "2.1.0", 1, new Revision(123_456)),
+                    new FencingToken(42),
                     99,
                     "vm-000002");
 
@@ -56,7 +56,7 @@
 
     static TableDelta delta() {
         return new TableDelta(
-                new Term(42),
+                new FencingToken(42),
                 1234,
                 true,
                 false,
@@ -64,24 +64,24 @@
                         new TableDelta.Part(
                                 new MachineId("vm-000001"),
                                 -5,
-                                new Session(1),
+                                new WorkerIncarnation(1),
                                 77,
                                 new int[] {1, -2, 300},
                                 new long[0]),
                         new TableDelta.Part(
                                 new MachineId("vm-000002"),
                                 6,
-                                new Session(4_294_967_297L),
+                                new WorkerIncarnation(4_294_967_297L),
                                 78,
                                 new int[0],
                                 new long[] {1, 77, 20, -3})));
     }
 
-    static Digests digests() {
-        Map<String, Digests.Part> parts = new LinkedHashMap<>();
-        parts.put("job/req-0", new Digests.Part(3, 0x0123456789abcdefL));
-        parts.put("task/req-0", new Digests.Part(70_000, -2));
-        return Digests.of(new HashMap<>(parts), Set.of("job/req-1"));
+    static RecordDigests digests() {
+        Map<String, RecordDigests.PartDigest> parts = new LinkedHashMap<>();
+        parts.put("job/req-0", new RecordDigests.PartDigest(3, 0x0123456789abcdefL));
+        parts.put("task/req-0", new RecordDigests.PartDigest(70_000, -2));
+        return RecordDigests.of(new HashMap<>(parts), Set.of("job/req-1"));
     }
 
     /** Makes the controller say these things of itself. */
@@ -96,7 +96,7 @@
                     }
 
                     @Override
-                    public Optional<Digests> digests() {
+                    public Optional<RecordDigests> digests() {
                         return Optional.of(GoldenPeers.digests());
                     }
                 });
--- a/src/test/java/org/meadowhollow/bookkeeping/GoldenFilesMain.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenFilesMain.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.bookkeeping;
+package org.meadowhollow.storage;
 
 import java.io.IOException;
 import java.time.Duration;
@@ -8,13 +8,27 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.meadowhollow.bookkeeping.calendar.CalendarRecords;
-import org.meadowhollow.bookkeeping.calendar.Reservation;
-import org.meadowhollow.bookkeeping.calendar.Schedule;
-import org.meadowhollow.bookkeeping.calendar.Window;
 import org.meadowhollow.coordination.leadership.Standing;
 import org.meadowhollow.coordination.platform.TableDelta;
 import org.meadowhollow.golden.GoldenFile;
+import org.meadowhollow.model.AttemptNumber;
+import org.meadowhollow.model.ExitReason;
+import org.meadowhollow.model.Job;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Priority;
+import org.meadowhollow.model.Resources;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.model.SecondaryRecord;
+import org.meadowhollow.model.TaskShard;
+import org.meadowhollow.model.WorkerIncarnation;
+import org.meadowhollow.model.reservation.MaintenanceWindow;
+import org.meadowhollow.model.reservation.RecurringSchedule;
+import org.meadowhollow.model.reservation.Reservation;
 
 /**
  * Writes the golden files of the stored records. To be run again only for a kind of record that is
@@ -22,8 +36,8 @@
  * the stored data.
  */
 final class GoldenFilesMain {
-    private static final Moment NOW = new Moment(0);
-    private static final Version VERSION = new Version(1);
+    private static final MonotonicTime NOW = new MonotonicTime(0);
+    private static final Revision VERSION = new Revision(1);
 
     private GoldenFilesMain() {}
 
@@ -41,7 +55,7 @@
                 new JobId("req-000101"),
                 "batch",
                 "team",
-                Kind.ARRAY,
+                JobKind.ARRAY,
                 Priority.PRODUCTION,
                 250,
                 new Resources(1_500_000, 1_000_000, 4_250_000),
@@ -63,7 +77,7 @@
                 new JobId("req-000102"),
                 "train",
                 "other",
-                Kind.GANG,
+                JobKind.GANG,
                 Priority.HIGH,
                 4,
                 new Resources(2_000_000, 2_000_000, 8_000_000),
@@ -85,7 +99,7 @@
                 new JobId("req-000103"),
                 "web",
                 "team",
-                Kind.SERVICE,
+                JobKind.SERVICE,
                 Priority.NORMAL,
                 3,
                 new Resources(500_000, 0, 1_000_000),
@@ -107,7 +121,7 @@
                 new JobId("req-000104"),
                 "batch",
                 "team",
-                Kind.ARRAY,
+                JobKind.ARRAY,
                 Priority.LOW,
                 2,
                 new Resources(1_000_000, 0, 1_000_000),
@@ -129,7 +143,7 @@
                 new JobId("tes-00112233445566778899aabbcc"),
                 "tes",
                 "team",
-                Kind.ARRAY,
+                JobKind.ARRAY,
                 Priority.NORMAL,
                 1,
                 Resources.of(1, 1, 4),
@@ -146,8 +160,8 @@
                 Double.NaN);
     }
 
-    private static Companion companion(String trace) {
-        return new Companion(
+    private static SecondaryRecord companion(String trace) {
+        return new SecondaryRecord(
                 "tesx/0123456789abcdef/9998299999998-tes-00112233445566778899aabbcc",
                 Map.of(
                         "id",
@@ -163,17 +177,24 @@
     }
 
     private static void jobs() throws IOException {
-        job("job-array", Records.job(fullArray(), 1_700_000_000_000L, 100, false), "req-000101");
-        job("job-gang", Records.job(gang(), 1_700_000_000_100L, 100, false), "req-000102");
-        job("job-service", Records.job(service(), 1_700_000_000_200L, 100, false), "req-000103");
+        job(
+                "job-array",
+                RecordCodec.job(fullArray(), 1_700_000_000_000L, 100, false),
+                "req-000101");
+        job("job-gang", RecordCodec.job(gang(), 1_700_000_000_100L, 100, false), "req-000102");
+        job(
+                "job-service",
+                RecordCodec.job(service(), 1_700_000_000_200L, 100, false),
+                "req-000103");
         job(
                 "job-cancelled",
-                Records.cancelled(Records.job(cancelled(), 1_700_000_000_300L, 100, false)),
+                RecordCodec.withCancellation(
+                        RecordCodec.job(cancelled(), 1_700_000_000_300L, 100, false)),
                 "req-000104");
         job(
                 "job-accompanied",
                 GoldenFile.sorted(
-                        Records.job(
+                        RecordCodec.job(
                                 accompanied(),
                                 1_700_000_000_400L,
                                 100,
@@ -184,86 +205,108 @@
     }
 
     private static void job(String name, Map<String, Object> record, String id) throws IOException {
-        GoldenFile.write(name, Records.job(new JobId(id)), record);
+        GoldenFile.write(name, RecordCodec.job(new JobId(id)), record);
     }
 
-    private static void chunk(String name, Chunk chunk) throws IOException {
-        GoldenFile.write(name, Records.chunk(chunk), Records.encode(chunk));
+    private static void chunk(String name, TaskShard taskShard) throws IOException {
+        GoldenFile.write(name, RecordCodec.shardKey(taskShard), RecordCodec.encodeShard(taskShard));
     }
 
     private static void chunks() throws IOException {
         Job array = new Job(fullArray(), 0, 100, VERSION);
-        array.restoreDone(0, 150);
-        array.complete(152);
-        array.complete(199);
-        array.place(160, new Attempt(2), new MachineId("vm-000001"), new Session(1), NOW);
-        array.place(
-                161, new Attempt(7), new MachineId("vm-000003"), new Session(4_294_967_297L), NOW);
-        array.chunk(0).attempted(300);
-        chunk("chunk-done", array.chunk(0));
-        chunk("chunk-mixed", array.chunk(1));
+        array.restoreCompletedTasks(0, 150);
+        array.markTaskComplete(152);
+        array.markTaskComplete(199);
+        array.addPlacement(
+                160,
+                new AttemptNumber(2),
+                new MachineId("vm-000001"),
+                new WorkerIncarnation(1),
+                NOW);
+        array.addPlacement(
+                161,
+                new AttemptNumber(7),
+                new MachineId("vm-000003"),
+                new WorkerIncarnation(4_294_967_297L),
+                NOW);
+        array.shard(0).recordAttempt(300);
+        chunk("chunk-done", array.shard(0));
+        chunk("chunk-mixed", array.shard(1));
         Job gang = new Job(gang(), 0, 100, VERSION);
         for (int task = 0; task < 4; task++) {
-            gang.place(
+            gang.addPlacement(
                     task,
-                    new Attempt(3),
+                    new AttemptNumber(3),
                     new MachineId("vm-%06d".formatted(1 + task % 2)),
-                    new Session(1),
+                    new WorkerIncarnation(1),
                     NOW);
         }
-        chunk("chunk-gang", gang.chunk(0));
+        chunk("chunk-gang", gang.shard(0));
         Job task = new Job(accompanied(), 0, 100, VERSION, companion(null));
         long millis = 1_700_000_001_000L;
         int number = 0;
-        List<String> words = new ArrayList<>(List.of(Companion.PREEMPTED, Companion.LOST));
-        for (Cause cause :
+        List<String> words =
+                new ArrayList<>(
+                        List.of(SecondaryRecord.PREEMPTED_REASON, SecondaryRecord.LOST_REASON));
+        for (ExitReason exitReason :
                 List.of(
-                        Cause.PEERS,
-                        Cause.ALONE,
-                        Cause.ERROR,
-                        Cause.NO_ROOM,
-                        Cause.BUSY,
-                        Cause.UNKNOWN,
-                        Cause.DONE)) {
-            words.add(cause.name());
+                        ExitReason.PEERS,
+                        ExitReason.ALONE,
+                        ExitReason.ERROR,
+                        ExitReason.NO_ROOM,
+                        ExitReason.BUSY,
+                        ExitReason.UNKNOWN,
+                        ExitReason.DONE)) {
+            words.add(exitReason.name());
         }
         for (String word : words) {
-            Attempt attempt = new Attempt(++number);
-            task.companion().placed(attempt, new MachineId("vm-%06d".formatted(number)), millis);
-            task.companion().started(attempt, millis + 100);
-            task.companion().over(attempt, word, millis + 200);
+            AttemptNumber attemptNumber = new AttemptNumber(++number);
+            task.secondaryRecord()
+                    .recordPlacement(
+                            attemptNumber, new MachineId("vm-%06d".formatted(number)), millis);
+            task.secondaryRecord().recordStart(attemptNumber, millis + 100);
+            task.secondaryRecord().recordAttemptEnd(attemptNumber, word, millis + 200);
             millis += 1000;
         }
-        task.place(0, new Attempt(10), new MachineId("vm-000010"), new Session(1), NOW);
-        task.companion().placed(new Attempt(10), new MachineId("vm-000010"), millis);
-        chunk("chunk-accompanied", task.chunk(0));
+        task.addPlacement(
+                0,
+                new AttemptNumber(10),
+                new MachineId("vm-000010"),
+                new WorkerIncarnation(1),
+                NOW);
+        task.secondaryRecord()
+                .recordPlacement(new AttemptNumber(10), new MachineId("vm-000010"), millis);
+        chunk("chunk-accompanied", task.shard(0));
         GoldenFile.write(
                 "entry",
-                task.companion().key(),
-                GoldenFile.sorted(task.companion().encode(task.progress())));
+                task.secondaryRecord().key(),
+                GoldenFile.sorted(task.secondaryRecord().encode(task.phase())));
     }
 
     private static void others() throws IOException {
         Job done = new Job(gang(), 0, 100, VERSION);
-        done.restoreDone(0, 4);
-        GoldenFile.write("ended-done", Records.ended(new JobId("req-000105")), Records.ended(done));
+        done.restoreCompletedTasks(0, 4);
+        GoldenFile.write(
+                "ended-done", RecordCodec.ended(new JobId("req-000105")), RecordCodec.ended(done));
         Job stopped = new Job(service(), 0, 100, VERSION);
-        stopped.complete(1);
+        stopped.markTaskComplete(1);
         stopped.cancel(NOW);
         GoldenFile.write(
-                "ended-cancelled", Records.ended(new JobId("req-000106")), Records.ended(stopped));
+                "ended-cancelled",
+                RecordCodec.ended(new JobId("req-000106")),
+                RecordCodec.ended(stopped));
         GoldenFile.write(
                 "image",
-                Records.imageKey("registry/image:1"),
-                Records.image(
+                RecordCodec.imageKey("registry/image:1"),
+                RecordCodec.encodeImageLocations(
                                 2.5,
                                 List.of(new MachineId("vm-000001"), new MachineId("vm-000002")),
                                 16 * 1024)
-                        .map());
+                        .fields());
         GoldenFile.write(
                 "types",
-                Records.TYPES,
-                Records.types(
+                RecordCodec.MACHINE_TYPES_KEY,
+                RecordCodec.types(
                         List.of(
                                 new MachineType(
                                         "small",
@@ -287,18 +330,25 @@
 
     private static void leadership() throws IOException {
         GoldenStore store = new GoldenStore();
-        store.put(Records.TERM, Map.of("term", 41L));
+        store.put(RecordCodec.FENCING_TOKEN_KEY, Map.of("term", 41L));
         GoldenStore.candidate("n1", store, new GoldenStore.Noted()).start();
-        GoldenFile.write("term", Records.TERM, store.get(Records.TERM));
-        GoldenFile.write("leader", Records.LEADER, GoldenFile.sorted(store.get(Records.LEADER)));
-        GoldenFile.write("term-resigned", Records.TERM, Standing.resigned(42, "n1", "n2"));
+        GoldenFile.write(
+                "term", RecordCodec.FENCING_TOKEN_KEY, store.get(RecordCodec.FENCING_TOKEN_KEY));
+        GoldenFile.write(
+                "leader",
+                RecordCodec.LEADER_KEY,
+                GoldenFile.sorted(store.get(RecordCodec.LEADER_KEY)));
+        GoldenFile.write(
+                "term-resigned", RecordCodec.FENCING_TOKEN_KEY, Standing.resigned(42, "n1", "n2"));
         store = new GoldenStore();
-        store.put(Records.TERM, Map.of("term", 41L));
+        store.put(RecordCodec.FENCING_TOKEN_KEY, Map.of("term", 41L));
         var leaving = GoldenStore.candidate("n1", store, new GoldenStore.Noted());
         leaving.start();
         GoldenStore.handOver(leaving, "n2");
         GoldenFile.write(
-                "term-handed-over", Records.TERM, GoldenFile.sorted(store.get(Records.TERM)));
+                "term-handed-over",
+                RecordCodec.FENCING_TOKEN_KEY,
+                GoldenFile.sorted(store.get(RecordCodec.FENCING_TOKEN_KEY)));
     }
 
     private static void tables() throws IOException {
@@ -307,14 +357,14 @@
                         new TableDelta.Part(
                                 new MachineId("vm-000001"),
                                 -77,
-                                new Session(1),
+                                new WorkerIncarnation(1),
                                 12,
                                 new int[] {1, 2, -3},
                                 new long[0]),
                         new TableDelta.Part(
                                 new MachineId("vm-000002"),
                                 78,
-                                new Session(4_294_967_297L),
+                                new WorkerIncarnation(4_294_967_297L),
                                 13,
                                 new int[] {
                                     1_928_374_655,
@@ -339,12 +389,12 @@
                 GoldenStore.withSnapshot(parts, Optional.empty(), 1_700_000_000_000L, 160);
         GoldenFile.write(
                 "table-head",
-                Records.TABLES_HEAD,
-                GoldenFile.sorted(store.get(Records.TABLES_HEAD)));
+                RecordCodec.RISK_TABLE_HEAD_KEY,
+                GoldenFile.sorted(store.get(RecordCodec.RISK_TABLE_HEAD_KEY)));
         for (int at = 0;
-                at < ((Number) store.get(Records.TABLES_HEAD).get("chunks")).intValue();
+                at < ((Number) store.get(RecordCodec.RISK_TABLE_HEAD_KEY).get("chunks")).intValue();
                 at++) {
-            String key = Records.tableChunk(1, at);
+            String key = RecordCodec.riskTableChunkKey(1, at);
             GoldenFile.write("table-chunk-" + at, key, store.get(key));
         }
     }
@@ -364,15 +414,15 @@
                         2.5,
                         "batch",
                         List.of("req-000101", "req-000999"),
-                        new Schedule(
+                        new RecurringSchedule(
                                 LocalDateTime.of(2030, 3, 31, 1, 30),
                                 ZoneId.of("Europe/Berlin"),
                                 Duration.ofMinutes(90),
                                 "FREQ=DAILY;COUNT=10"));
         GoldenFile.write(
                 "reservation",
-                CalendarRecords.reservation(full.name()),
-                CalendarRecords.encode(full, 3));
+                CalendarRecordCodec.reservation(full.name()),
+                CalendarRecordCodec.encode(full, 3));
         Reservation plain =
                 new Reservation(
                         "once",
@@ -387,32 +437,32 @@
                         0,
                         null,
                         null,
-                        new Schedule(
+                        new RecurringSchedule(
                                 LocalDateTime.of(2030, 1, 1, 0, 0, 1),
                                 ZoneId.of("UTC"),
                                 Duration.ofMillis(1500),
                                 null));
         GoldenFile.write(
                 "reservation-plain",
-                CalendarRecords.reservation(plain.name()),
-                CalendarRecords.encode(plain, 4));
-        for (Window.Scope scope : Window.Scope.values()) {
-            Window window =
-                    new Window(
+                CalendarRecordCodec.reservation(plain.name()),
+                CalendarRecordCodec.encode(plain, 4));
+        for (MaintenanceWindow.Scope scope : MaintenanceWindow.Scope.values()) {
+            MaintenanceWindow window =
+                    new MaintenanceWindow(
                             "window-" + scope.ordinal(),
                             scope,
                             List.of("x", "y"),
-                            new Schedule(
+                            new RecurringSchedule(
                                     LocalDateTime.of(2031, 2, 3, 4, 5),
                                     ZoneId.of("America/New_York"),
                                     Duration.ofHours(2),
-                                    scope == Window.Scope.TYPE ? null : "FREQ=WEEKLY"),
+                                    scope == MaintenanceWindow.Scope.TYPE ? null : "FREQ=WEEKLY"),
                             Duration.ofSeconds(90));
             GoldenFile.write(
                     "window-" + List.of("machine", "type", "zone").get(scope.ordinal()),
-                    CalendarRecords.window(window.name()),
-                    CalendarRecords.encode(window, 5 + scope.ordinal()));
+                    CalendarRecordCodec.window(window.name()),
+                    CalendarRecordCodec.encode(window, 5 + scope.ordinal()));
         }
-        GoldenFile.write("calendar-stamp", CalendarRecords.STAMP, Map.of());
+        GoldenFile.write("calendar-stamp", CalendarRecordCodec.REVISION_KEY, Map.of());
     }
 }
--- a/src/test/java/org/meadowhollow/bookkeeping/GoldenRecordsTest.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenRecordsTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.bookkeeping;
+package org.meadowhollow.storage;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -28,14 +28,31 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.meadowhollow.bookkeeping.calendar.Calendar;
-import org.meadowhollow.bookkeeping.calendar.CalendarRecords;
-import org.meadowhollow.bookkeeping.calendar.Reservation;
-import org.meadowhollow.bookkeeping.calendar.Window;
 import org.meadowhollow.coordination.leadership.Standing;
 import org.meadowhollow.coordination.platform.TableDelta;
 import org.meadowhollow.coordination.succession.TableSnapshots;
 import org.meadowhollow.golden.GoldenFile;
+import org.meadowhollow.model.AttemptNumber;
+import org.meadowhollow.model.AttemptRecord;
+import org.meadowhollow.model.ExitReason;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.Job;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobPhase;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Placement;
+import org.meadowhollow.model.Priority;
+import org.meadowhollow.model.Resources;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.model.SecondaryRecord;
+import org.meadowhollow.model.TaskShard;
+import org.meadowhollow.model.WorkerIncarnation;
+import org.meadowhollow.model.reservation.MaintenanceWindow;
+import org.meadowhollow.model.reservation.Reservation;
 
 /**
  * Stored records as an earlier version wrote them: each is read, every field is what it was, and
@@ -44,36 +61,36 @@
  * writes a file.
  */
 class GoldenRecordsTest {
-    private static final Moment NOW = new Moment(0);
-    private static final Version VERSION = new Version(9);
+    private static final MonotonicTime NOW = new MonotonicTime(0);
+    private static final Revision VERSION = new Revision(9);
     private static final long TABLES_AT = 1_700_000_000_000L;
 
     private static Job job(GoldenFile file) {
-        JobId id = Records.jobOfKey(file.key());
-        assertEquals(file.key(), Records.job(id));
-        Job job = Records.job(id, file.value(), VERSION, NOW);
+        JobId id = RecordCodec.jobIdOfKey(file.key());
+        assertEquals(file.key(), RecordCodec.job(id));
+        Job job = RecordCodec.job(id, file.value(), VERSION, NOW);
         assertEquals(id, job.id());
-        assertEquals(VERSION, job.version());
+        assertEquals(VERSION, job.recordRevision());
         return job;
     }
 
     private static Map<String, Object> encoded(Job job) {
         Map<String, Object> record =
-                Records.job(
+                RecordCodec.job(
                         job.spec(),
                         job.acceptedAtMillis(),
-                        job.chunkSize(),
+                        job.shardSize(),
                         false,
-                        job.companion());
-        return job.cancelled() ? Records.cancelled(record) : record;
+                        job.secondaryRecord());
+        return job.isCancelled() ? RecordCodec.withCancellation(record) : record;
     }
 
     private static void assertJob(
             JobSpec expected, long acceptedAtMillis, boolean cancelled, Job job) {
         assertEquals(expected, job.spec());
         assertEquals(acceptedAtMillis, job.acceptedAtMillis());
-        assertEquals(100, job.chunkSize());
-        assertEquals(cancelled, job.cancelled());
+        assertEquals(100, job.shardSize());
+        assertEquals(cancelled, job.isCancelled());
     }
 
     // ---- jobs ----
@@ -88,7 +105,7 @@
                         new JobId("req-000101"),
                         "batch",
                         "team",
-                        Kind.ARRAY,
+                        JobKind.ARRAY,
                         Priority.PRODUCTION,
                         250,
                         new Resources(1_500_000, 1_000_000, 4_250_000),
@@ -106,11 +123,11 @@
                 1_700_000_000_000L,
                 false,
                 job);
-        assertNull(job.companion());
-        assertNull(Records.companionKey(file.value()));
-        assertEquals("team", Records.teamOf(file.value()));
-        assertEquals(250, Records.tasksOf(file.value()));
-        assertFalse(Records.isCancelled(file.value()));
+        assertNull(job.secondaryRecord());
+        assertNull(RecordCodec.secondaryRecordKey(file.value()));
+        assertEquals("team", RecordCodec.teamOf(file.value()));
+        assertEquals(250, RecordCodec.taskCountOf(file.value()));
+        assertFalse(RecordCodec.isCancelled(file.value()));
         file.assertSameBytes(encoded(job));
     }
 
@@ -123,7 +140,7 @@
                         new JobId("req-000102"),
                         "train",
                         "other",
-                        Kind.GANG,
+                        JobKind.GANG,
                         Priority.HIGH,
                         4,
                         new Resources(2_000_000, 2_000_000, 8_000_000),
@@ -153,7 +170,7 @@
                         new JobId("req-000103"),
                         "web",
                         "team",
-                        Kind.SERVICE,
+                        JobKind.SERVICE,
                         Priority.NORMAL,
                         3,
                         new Resources(500_000, 0, 1_000_000),
@@ -183,7 +200,7 @@
                         new JobId("req-000104"),
                         "batch",
                         "team",
-                        Kind.ARRAY,
+                        JobKind.ARRAY,
                         Priority.LOW,
                         2,
                         new Resources(1_000_000, 0, 1_000_000),
@@ -201,7 +218,7 @@
                 1_700_000_000_300L,
                 true,
                 job);
-        assertTrue(Records.isCancelled(file.value()));
+        assertTrue(RecordCodec.isCancelled(file.value()));
         file.assertSameBytes(encoded(job));
     }
 
@@ -219,7 +236,7 @@
                         new JobId("tes-00112233445566778899aabbcc"),
                         "tes",
                         "team",
-                        Kind.ARRAY,
+                        JobKind.ARRAY,
                         Priority.NORMAL,
                         1,
                         new Resources(1_000_000, 1_000_000, 4_000_000),
@@ -238,8 +255,8 @@
                 false,
                 job);
         String key = "tesx/0123456789abcdef/9998299999998-tes-00112233445566778899aabbcc";
-        assertEquals(key, job.companion().key());
-        assertEquals(key, Records.companionKey(file.value()));
+        assertEquals(key, job.secondaryRecord().key());
+        assertEquals(key, RecordCodec.secondaryRecordKey(file.value()));
         assertEquals(
                 Map.of(
                         "key",
@@ -258,33 +275,35 @@
                         12L,
                         "trace",
                         "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"),
-                job.companion().record());
+                job.secondaryRecord().encodeReference());
         assertEquals(
                 "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01",
-                job.companion().traced(job.id(), "team").context());
+                job.secondaryRecord().tracedTask(job.id(), "team").traceContext());
         // Only the twelfth attempt is the last one.
-        job.companion().over(new Attempt(11), Companion.LOST, 1);
-        assertFalse(job.isGivenUp());
-        job.companion().over(new Attempt(12), Companion.LOST, 1);
-        assertTrue(job.isGivenUp());
+        job.secondaryRecord()
+                .recordAttemptEnd(new AttemptNumber(11), SecondaryRecord.LOST_REASON, 1);
+        assertFalse(job.hasExhaustedAttempts());
+        job.secondaryRecord()
+                .recordAttemptEnd(new AttemptNumber(12), SecondaryRecord.LOST_REASON, 1);
+        assertTrue(job.hasExhaustedAttempts());
         file.assertSameFields(encoded(job));
     }
 
     // ---- tasks ----
 
-    private static Chunk loaded(GoldenFile file, Job job, int index) {
-        assertTrue(Records.load(file.entry(7), Map.of(job.id(), job), NOW));
-        Chunk chunk = job.chunk(index);
-        assertEquals(new Version(7), chunk.version());
-        assertEquals(file.key(), Records.chunk(chunk));
-        return chunk;
+    private static TaskShard loaded(GoldenFile file, Job job, int index) {
+        assertTrue(RecordCodec.restoreShard(file.entry(7), Map.of(job.id(), job), NOW));
+        TaskShard taskShard = job.shard(index);
+        assertEquals(new Revision(7), taskShard.recordRevision());
+        assertEquals(file.key(), RecordCodec.shardKey(taskShard));
+        return taskShard;
     }
 
     private static void assertPlaced(
             int attempt, String machine, long session, Placement placement) {
-        assertEquals(new Attempt(attempt), placement.attempt());
-        assertEquals(new MachineId(machine), placement.machine());
-        assertEquals(new Session(session), placement.session());
+        assertEquals(new AttemptNumber(attempt), placement.attemptNumber());
+        assertEquals(new MachineId(machine), placement.machineId());
+        assertEquals(new WorkerIncarnation(session), placement.incarnation());
     }
 
     @Test
@@ -292,13 +311,13 @@
         GoldenFile file = GoldenFile.read("chunk-done");
         assertEquals("task/req-000101/0", file.key());
         Job job = job(GoldenFile.read("job-array"));
-        Chunk chunk = loaded(file, job, 0);
-        assertEquals(300, chunk.lastAttempt());
+        TaskShard taskShard = loaded(file, job, 0);
+        assertEquals(300, taskShard.highestAttempt());
         BitSet done = new BitSet();
         done.set(0, 100);
-        assertEquals(done, job.doneTasks());
+        assertEquals(done, job.completedTasks());
         assertTrue(job.placements().isEmpty());
-        file.assertSameBytes(Records.encode(chunk));
+        file.assertSameBytes(RecordCodec.encodeShard(taskShard));
     }
 
     @Test
@@ -306,17 +325,17 @@
         GoldenFile file = GoldenFile.read("chunk-mixed");
         assertEquals("task/req-000101/1", file.key());
         Job job = job(GoldenFile.read("job-array"));
-        Chunk chunk = loaded(file, job, 1);
-        assertEquals(7, chunk.lastAttempt());
+        TaskShard taskShard = loaded(file, job, 1);
+        assertEquals(7, taskShard.highestAttempt());
         BitSet done = new BitSet();
         done.set(100, 150);
         done.set(152);
         done.set(199);
-        assertEquals(done, job.doneTasks());
+        assertEquals(done, job.completedTasks());
         assertEquals(2, job.placements().size());
         assertPlaced(2, "vm-000001", 1, job.placement(160));
         assertPlaced(7, "vm-000003", 4_294_967_297L, job.placement(161));
-        file.assertSameBytes(Records.encode(chunk));
+        file.assertSameBytes(RecordCodec.encodeShard(taskShard));
     }
 
     @Test
@@ -324,15 +343,15 @@
         GoldenFile file = GoldenFile.read("chunk-gang");
         assertEquals("task/req-000102/0", file.key());
         Job job = job(GoldenFile.read("job-gang"));
-        Chunk chunk = loaded(file, job, 0);
-        assertEquals(3, chunk.lastAttempt());
-        assertEquals(new Attempt(3), job.gangAttempt());
-        assertTrue(job.doneTasks().isEmpty());
+        TaskShard taskShard = loaded(file, job, 0);
+        assertEquals(3, taskShard.highestAttempt());
+        assertEquals(new AttemptNumber(3), job.gangAttemptNumber());
+        assertTrue(job.completedTasks().isEmpty());
         assertEquals(4, job.placements().size());
         for (int task = 0; task < 4; task++) {
             assertPlaced(3, task % 2 == 0 ? "vm-000001" : "vm-000002", 1, job.placement(task));
         }
-        file.assertSameBytes(Records.encode(chunk));
+        file.assertSameBytes(RecordCodec.encodeShard(taskShard));
     }
 
     /** What is stored of why an attempt ended, by attempt; the tenth has not. */
@@ -349,13 +368,13 @@
                     "DONE",
                     null);
 
-    private static void assertLog(List<AttemptLog> log) {
+    private static void assertLog(List<AttemptRecord> log) {
         assertEquals(ENDS.size(), log.size());
         for (int at = 0; at < ENDS.size(); at++) {
             long placed = 1_700_000_001_000L + 1000 * at;
             boolean over = ENDS.get(at) != null;
             assertEquals(
-                    new AttemptLog(
+                    new AttemptRecord(
                             at + 1,
                             "vm-%06d".formatted(at + 1),
                             placed,
@@ -371,13 +390,13 @@
         GoldenFile file = GoldenFile.read("chunk-accompanied");
         assertEquals("task/tes-00112233445566778899aabbcc/0", file.key());
         Job job = accompanied();
-        Chunk chunk = loaded(file, job, 0);
-        assertEquals(10, chunk.lastAttempt());
-        assertTrue(job.doneTasks().isEmpty());
+        TaskShard taskShard = loaded(file, job, 0);
+        assertEquals(10, taskShard.highestAttempt());
+        assertTrue(job.completedTasks().isEmpty());
         assertEquals(1, job.placements().size());
         assertPlaced(10, "vm-000010", 1, job.placement(0));
-        assertLog(Companion.logOf(Map.of("log", file.value().get("log"))));
-        file.assertSameBytes(Records.encode(chunk));
+        assertLog(SecondaryRecord.attemptsOf(Map.of("log", file.value().get("log"))));
+        file.assertSameBytes(RecordCodec.encodeShard(taskShard));
     }
 
     /**
@@ -390,30 +409,32 @@
         Job job = accompanied();
         List<String> words =
                 Stream.concat(
-                                Stream.of(Companion.PREEMPTED, Companion.LOST),
                                 Stream.of(
-                                                Cause.PEERS,
-                                                Cause.ALONE,
-                                                Cause.ERROR,
-                                                Cause.NO_ROOM,
-                                                Cause.BUSY,
-                                                Cause.UNKNOWN,
-                                                Cause.DONE)
-                                        .map(Cause::name))
+                                        SecondaryRecord.PREEMPTED_REASON,
+                                        SecondaryRecord.LOST_REASON),
+                                Stream.of(
+                                                ExitReason.PEERS,
+                                                ExitReason.ALONE,
+                                                ExitReason.ERROR,
+                                                ExitReason.NO_ROOM,
+                                                ExitReason.BUSY,
+                                                ExitReason.UNKNOWN,
+                                                ExitReason.DONE)
+                                        .map(ExitReason::name))
                         .toList();
         for (int at = 0; at < 10; at++) {
-            Attempt attempt = new Attempt(at + 1);
+            AttemptNumber attemptNumber = new AttemptNumber(at + 1);
             MachineId machine = new MachineId("vm-%06d".formatted(at + 1));
             long placed = 1_700_000_001_000L + 1000 * at;
-            job.companion().placed(attempt, machine, placed);
+            job.secondaryRecord().recordPlacement(attemptNumber, machine, placed);
             if (at < 9) {
-                job.companion().started(attempt, placed + 100);
-                job.companion().over(attempt, words.get(at), placed + 200);
+                job.secondaryRecord().recordStart(attemptNumber, placed + 100);
+                job.secondaryRecord().recordAttemptEnd(attemptNumber, words.get(at), placed + 200);
             } else {
-                job.place(0, attempt, machine, new Session(1), NOW);
+                job.addPlacement(0, attemptNumber, machine, new WorkerIncarnation(1), NOW);
             }
         }
-        file.assertSameBytes(Records.encode(job.chunk(0)));
+        file.assertSameBytes(RecordCodec.encodeShard(job.shard(0)));
     }
 
     // ---- the list of another interface ----
@@ -422,52 +443,55 @@
     void anEntryOfAnotherInterface() {
         GoldenFile file = GoldenFile.read("entry");
         Job job = accompanied();
-        assertEquals(file.key(), job.companion().key());
+        assertEquals(file.key(), job.secondaryRecord().key());
         Map<String, Object> value = file.value();
         assertEquals(Set.of("id", "name", "tags", "created", "progress", "log"), value.keySet());
         assertEquals("tes-00112233445566778899aabbcc", value.get("id"));
         assertEquals("align", value.get("name"));
         assertEquals(Map.of("night", "1", "run", "x"), value.get("tags"));
         assertEquals(1_700_000_000_001L, value.get("created"));
-        assertEquals(Progress.PREPARING, Companion.progressOf(value));
-        assertLog(Companion.logOf(value));
+        assertEquals(JobPhase.PREPARING, SecondaryRecord.phaseOf(value));
+        assertLog(SecondaryRecord.attemptsOf(value));
         loaded(GoldenFile.read("chunk-accompanied"), job, 0);
-        file.assertSameFields(job.companion().encode(job.progress()));
+        file.assertSameFields(job.secondaryRecord().encode(job.phase()));
     }
 
     static Stream<Arguments> progress() {
         return Stream.of(
-                Arguments.of("QUEUED", Progress.QUEUED),
-                Arguments.of("PREPARING", Progress.PREPARING),
-                Arguments.of("RUNNING", Progress.RUNNING),
-                Arguments.of("CANCELING", Progress.CANCELING),
-                Arguments.of("DONE", Progress.DONE),
-                Arguments.of("CANCELLED", Progress.CANCELLED),
-                Arguments.of("FAILED", Progress.FAILED),
-                Arguments.of("LOST", Progress.LOST),
-                Arguments.of("PREEMPTED", Progress.PREEMPTED));
+                Arguments.of("QUEUED", JobPhase.QUEUED),
+                Arguments.of("PREPARING", JobPhase.PREPARING),
+                Arguments.of("RUNNING", JobPhase.RUNNING),
+                Arguments.of("CANCELING", JobPhase.CANCELING),
+                Arguments.of("DONE", JobPhase.DONE),
+                Arguments.of("CANCELLED", JobPhase.CANCELLED),
+                Arguments.of("FAILED", JobPhase.FAILED),
+                Arguments.of("LOST", JobPhase.LOST),
+                Arguments.of("PREEMPTED", JobPhase.PREEMPTED));
     }
 
     @ParameterizedTest
     @MethodSource("progress")
-    void anEntrySaysHowFarItsTaskIs(String word, Progress progress) {
+    void anEntrySaysHowFarItsTaskIs(String word, JobPhase jobPhase) {
         Map<String, Object> stored = new LinkedHashMap<>(GoldenFile.read("entry").value());
         stored.put("progress", word);
-        assertEquals(progress, Companion.progressOf(stored));
+        assertEquals(jobPhase, SecondaryRecord.phaseOf(stored));
         Job job = accompanied();
         loaded(GoldenFile.read("chunk-accompanied"), job, 0);
         assertEquals(
-                GoldenFile.sorted(stored), GoldenFile.sorted(job.companion().encode(progress)));
+                GoldenFile.sorted(stored),
+                GoldenFile.sorted(job.secondaryRecord().encode(jobPhase)));
     }
 
     @Test
     void anEntryOfATaskThatWasAcceptedOrIsToBeCancelled() {
         Map<String, Object> stored = new HashMap<>(GoldenFile.read("entry").value());
         stored.put("progress", "CANCELING");
-        assertEquals(stored, Companion.canceling(GoldenFile.read("entry").value()));
+        assertEquals(
+                stored,
+                SecondaryRecord.withCancellationRequested(GoldenFile.read("entry").value()));
         stored.put("progress", "QUEUED");
         stored.put("log", List.of());
-        assertEquals(stored, accompanied().companion().accepted());
+        assertEquals(stored, accompanied().secondaryRecord().encodeAccepted());
     }
 
     /** Words that are stored, all of them; a new one comes behind the others here. */
@@ -475,13 +499,13 @@
     void wordsOfEnumsThatAreStored() {
         assertEquals(
                 List.of("ARRAY", "GANG", "SERVICE"),
-                Stream.of(Kind.values()).map(Kind::name).toList());
+                Stream.of(JobKind.values()).map(JobKind::name).toList());
         assertEquals(
                 List.of("PRODUCTION", "HIGH", "NORMAL", "LOW"),
                 Stream.of(Priority.values()).map(Priority::name).toList());
         assertEquals(
                 List.of("DONE", "STOPPED", "PEERS", "ALONE", "ERROR", "NO_ROOM", "BUSY", "UNKNOWN"),
-                Stream.of(Cause.values()).map(Cause::name).toList());
+                Stream.of(ExitReason.values()).map(ExitReason::name).toList());
         assertEquals(
                 List.of(
                         "QUEUED",
@@ -493,12 +517,14 @@
                         "FAILED",
                         "LOST",
                         "PREEMPTED"),
-                Stream.of(Progress.values()).map(Progress::name).toList());
+                Stream.of(JobPhase.values()).map(JobPhase::name).toList());
         assertEquals(
                 List.of("MACHINE", "TYPE", "ZONE"),
-                Stream.of(Window.Scope.values()).map(Window.Scope::name).toList());
-        assertEquals("PREEMPTED", Companion.PREEMPTED);
-        assertEquals("LOST", Companion.LOST);
+                Stream.of(MaintenanceWindow.Scope.values())
+                        .map(MaintenanceWindow.Scope::name)
+                        .toList());
+        assertEquals("PREEMPTED", SecondaryRecord.PREEMPTED_REASON);
+        assertEquals("LOST", SecondaryRecord.LOST_REASON);
     }
 
     // ---- ends, images, types ----
@@ -506,54 +532,54 @@
     @Test
     void theEndOfAJobThatIsDone() {
         GoldenFile file = GoldenFile.read("ended-done");
-        assertEquals(file.key(), Records.ended(new JobId("req-000105")));
+        assertEquals(file.key(), RecordCodec.ended(new JobId("req-000105")));
         assertEquals("ended/req-000105", file.key());
-        assertFalse(Records.isCancelled(file.value()));
-        assertEquals(4, Records.tasksOf(file.value()));
-        assertEquals(4, Records.doneOf(file.value()));
+        assertFalse(RecordCodec.isCancelled(file.value()));
+        assertEquals(4, RecordCodec.taskCountOf(file.value()));
+        assertEquals(4, RecordCodec.completedTaskCountOf(file.value()));
         Job job = job(GoldenFile.read("job-gang"));
-        job.restoreDone(0, 4);
-        file.assertSameBytes(Records.ended(job));
+        job.restoreCompletedTasks(0, 4);
+        file.assertSameBytes(RecordCodec.ended(job));
     }
 
     @Test
     void theEndOfAJobThatWasCancelled() {
         GoldenFile file = GoldenFile.read("ended-cancelled");
-        assertEquals(file.key(), Records.ended(new JobId("req-000106")));
-        assertTrue(Records.isCancelled(file.value()));
-        assertEquals(3, Records.tasksOf(file.value()));
-        assertEquals(1, Records.doneOf(file.value()));
+        assertEquals(file.key(), RecordCodec.ended(new JobId("req-000106")));
+        assertTrue(RecordCodec.isCancelled(file.value()));
+        assertEquals(3, RecordCodec.taskCountOf(file.value()));
+        assertEquals(1, RecordCodec.completedTaskCountOf(file.value()));
         Job job = job(GoldenFile.read("job-service"));
-        job.complete(1);
+        job.markTaskComplete(1);
         job.cancel(NOW);
-        file.assertSameBytes(Records.ended(job));
+        file.assertSameBytes(RecordCodec.ended(job));
     }
 
     @Test
     void whichMachinesHaveAnImage() {
         GoldenFile file = GoldenFile.read("image");
         assertEquals("image/registry/image:1", file.key());
-        assertEquals("registry/image:1", Records.imageOfKey(file.key()));
-        assertEquals(file.key(), Records.imageKey("registry/image:1"));
-        assertEquals(2.5, Records.imageGb(file.value()));
+        assertEquals("registry/image:1", RecordCodec.imageOfKey(file.key()));
+        assertEquals(file.key(), RecordCodec.imageKey("registry/image:1"));
+        assertEquals(2.5, RecordCodec.imageSizeGbOf(file.value()));
         // The latest come first in the record.
         assertEquals(
                 List.of(new MachineId("vm-000002"), new MachineId("vm-000001")),
-                Records.imageMachines(file.value()));
+                RecordCodec.machinesWithImage(file.value()));
         file.assertSameBytes(
-                Records.image(
-                                Records.imageGb(file.value()),
+                RecordCodec.encodeImageLocations(
+                                RecordCodec.imageSizeGbOf(file.value()),
                                 List.of(new MachineId("vm-000001"), new MachineId("vm-000002")),
                                 16 * 1024)
-                        .map());
+                        .fields());
     }
 
     @Test
     void machineTypes() {
         GoldenFile file = GoldenFile.read("types");
         assertEquals("meta/types", file.key());
-        assertEquals(file.key(), Records.TYPES);
-        List<MachineType> types = Records.types(file.value());
+        assertEquals(file.key(), RecordCodec.MACHINE_TYPES_KEY);
+        List<MachineType> types = RecordCodec.types(file.value());
         assertEquals(
                 List.of(
                         new MachineType(
@@ -575,7 +601,7 @@
                                 10.75,
                                 List.of("a"))),
                 types);
-        file.assertSameBytes(Records.types(types));
+        file.assertSameBytes(RecordCodec.types(types));
     }
 
     // ---- who leads ----
@@ -594,7 +620,7 @@
         before.put("meta/term", Map.of("term", 41L));
         GoldenStore.Noted first = new GoldenStore.Noted();
         GoldenStore.candidate("n1", before, first).start();
-        assertEquals(List.of(new Term(42)), first.elected);
+        assertEquals(List.of(new FencingToken(42)), first.elected);
         term.assertSameBytes(before.get("meta/term"));
         leader.assertSameFields(before.get("meta/leader"));
     }
@@ -610,7 +636,7 @@
         assertEquals(List.of("n1"), noted.following);
         assertEquals(List.of(), noted.elected);
         assertEquals("n1", follower.leader());
-        assertEquals(new Term(42), follower.highest());
+        assertEquals(new FencingToken(42), follower.highest());
     }
 
     @Test
@@ -619,11 +645,11 @@
         store.put(GoldenFile.read("term"));
         GoldenStore.Noted noted = new GoldenStore.Noted();
         GoldenStore.candidate("n2", store, noted).start();
-        assertEquals(List.of(new Term(43)), noted.elected);
-        assertEquals(Map.of("term", 43L), store.get(Records.TERM));
+        assertEquals(List.of(new FencingToken(43)), noted.elected);
+        assertEquals(Map.of("term", 43L), store.get(RecordCodec.FENCING_TOKEN_KEY));
         assertEquals(
                 Map.of("member", "n2", "term", 43L, "lease", GoldenStore.LEASE),
-                store.get(Records.LEADER));
+                store.get(RecordCodec.LEADER_KEY));
     }
 
     @Test
@@ -656,8 +682,8 @@
         var leaving = GoldenStore.candidate("n1", store, new GoldenStore.Noted());
         leaving.start();
         leaving.handOver("n2");
-        assertNull(store.get(Records.LEADER));
-        file.assertSameFields(store.get(Records.TERM));
+        assertNull(store.get(RecordCodec.LEADER_KEY));
+        file.assertSameFields(store.get(RecordCodec.FENCING_TOKEN_KEY));
     }
 
     // ---- risk tables ----
@@ -706,7 +732,7 @@
     void aSnapshotOfRiskTables() throws IOException {
         GoldenFile head = GoldenFile.read("table-head");
         assertEquals("table/head", head.key());
-        assertEquals(head.key(), Records.TABLES_HEAD);
+        assertEquals(head.key(), RecordCodec.RISK_TABLE_HEAD_KEY);
         assertEquals("table/1/0", GoldenFile.read("table-chunk-0").key());
         assertEquals("table/1/1", GoldenFile.read("table-chunk-1").key());
         byte[] body = body(tables(), 1, TABLE_FILES.size());
@@ -728,13 +754,13 @@
         assertEquals(2, parts.size());
         assertEquals(new MachineId("vm-000001"), parts.get(0).machine());
         assertEquals(-77, parts.get(0).incarnation());
-        assertEquals(new Session(1), parts.get(0).session());
+        assertEquals(new WorkerIncarnation(1), parts.get(0).session());
         assertEquals(12, parts.get(0).seq());
         assertArrayEquals(new int[] {1, 2, -3}, parts.get(0).table());
         assertArrayEquals(new long[0], parts.get(0).samples());
         assertEquals(new MachineId("vm-000002"), parts.get(1).machine());
         assertEquals(78, parts.get(1).incarnation());
-        assertEquals(new Session(4_294_967_297L), parts.get(1).session());
+        assertEquals(new WorkerIncarnation(4_294_967_297L), parts.get(1).session());
         assertEquals(13, parts.get(1).seq());
         assertArrayEquals(
                 new int[] {
@@ -759,7 +785,7 @@
         assertArrayEquals(new long[0], parts.get(1).samples());
 
         GoldenStore again = GoldenStore.withSnapshot(parts, Optional.empty(), TABLES_AT, 160);
-        Map<String, Object> written = again.get(Records.TABLES_HEAD);
+        Map<String, Object> written = again.get(RecordCodec.RISK_TABLE_HEAD_KEY);
         int chunks = ((Number) written.get("chunks")).intValue();
         byte[] bodyAgain = body(again, 1, chunks);
         assertArrayEquals(inflated(body), inflated(bodyAgain));
@@ -793,62 +819,63 @@
 
     // ---- the calendar ----
 
-    private static Calendar calendar(String... files) {
-        return Calendar.of(Stream.of(files).map(name -> GoldenFile.read(name).entry(5)).toList());
+    private static CalendarSnapshot calendar(String... files) {
+        return CalendarSnapshot.fromRecords(
+                Stream.of(files).map(name -> GoldenFile.read(name).entry(5)).toList());
     }
 
     @Test
     void aReservationWithEveryOptionalField() {
         GoldenFile file = GoldenFile.read("reservation");
         assertEquals("cal/reservation/nightly", file.key());
-        Calendar.Held<Reservation> held =
-                calendar("reservation").reservation("nightly").orElseThrow();
-        assertEquals(3, held.order());
-        assertEquals(new Version(5), held.version());
-        Reservation is = held.what();
+        CalendarSnapshot.CalendarEntry<Reservation> calendarEntry =
+                calendar("reservation").findReservation("nightly").orElseThrow();
+        assertEquals(3, calendarEntry.acceptanceOrder());
+        assertEquals(new Revision(5), calendarEntry.revision());
+        Reservation is = calendarEntry.item();
         assertEquals("nightly", is.name());
         assertEquals("team", is.team());
         assertEquals(Priority.HIGH, is.priority());
-        assertEquals(6, is.tasks());
-        assertEquals(new Resources(1_000_000, 2_000_000, 3_000_000), is.perTask());
-        assertEquals(List.of("large"), is.types());
-        assertEquals("b", is.zone());
-        assertTrue(is.spot());
+        assertEquals(6, is.taskCount());
+        assertEquals(new Resources(1_000_000, 2_000_000, 3_000_000), is.resourcesPerTask());
+        assertEquals(List.of("large"), is.allowedMachineTypes());
+        assertEquals("b", is.requiredZone());
+        assertTrue(is.allowsSpot());
         assertEquals("registry/image:1", is.image());
-        assertEquals(2.5, is.imageGb());
+        assertEquals(2.5, is.imageSizeGb());
         assertEquals("batch", is.jobClass());
-        assertEquals(List.of("req-000101", "req-000999"), is.jobs());
-        assertEquals(LocalDateTime.of(2030, 3, 31, 1, 30), is.schedule().start());
-        assertEquals(ZoneId.of("Europe/Berlin"), is.schedule().zone());
-        assertEquals(Duration.ofMinutes(90), is.schedule().length());
-        assertEquals("FREQ=DAILY;COUNT=10", is.schedule().rule());
-        assertEquals(file.key(), CalendarRecords.reservation(is.name()));
-        file.assertSameBytes(CalendarRecords.encode(is, held.order()));
+        assertEquals(List.of("req-000101", "req-000999"), is.allowedJobs());
+        assertEquals(LocalDateTime.of(2030, 3, 31, 1, 30), is.schedule().firstStart());
+        assertEquals(ZoneId.of("Europe/Berlin"), is.schedule().timeZone());
+        assertEquals(Duration.ofMinutes(90), is.schedule().duration());
+        assertEquals("FREQ=DAILY;COUNT=10", is.schedule().recurrenceRule());
+        assertEquals(file.key(), CalendarRecordCodec.reservation(is.name()));
+        file.assertSameBytes(CalendarRecordCodec.encode(is, calendarEntry.acceptanceOrder()));
     }
 
     @Test
     void aReservationWithoutOptionalFields() {
         GoldenFile file = GoldenFile.read("reservation-plain");
-        Calendar.Held<Reservation> held =
-                calendar("reservation-plain").reservation("once").orElseThrow();
-        Reservation is = held.what();
-        assertEquals(4, held.order());
+        CalendarSnapshot.CalendarEntry<Reservation> calendarEntry =
+                calendar("reservation-plain").findReservation("once").orElseThrow();
+        Reservation is = calendarEntry.item();
+        assertEquals(4, calendarEntry.acceptanceOrder());
         assertEquals("other", is.team());
         assertEquals(Priority.PRODUCTION, is.priority());
-        assertEquals(1, is.tasks());
-        assertEquals(new Resources(1, 0, 0), is.perTask());
-        assertNull(is.types());
-        assertNull(is.zone());
-        assertFalse(is.spot());
+        assertEquals(1, is.taskCount());
+        assertEquals(new Resources(1, 0, 0), is.resourcesPerTask());
+        assertNull(is.allowedMachineTypes());
+        assertNull(is.requiredZone());
+        assertFalse(is.allowsSpot());
         assertEquals("", is.image());
-        assertEquals(0, is.imageGb());
+        assertEquals(0, is.imageSizeGb());
         assertNull(is.jobClass());
-        assertNull(is.jobs());
-        assertEquals(LocalDateTime.of(2030, 1, 1, 0, 0, 1), is.schedule().start());
-        assertEquals(ZoneId.of("UTC"), is.schedule().zone());
-        assertEquals(Duration.ofMillis(1500), is.schedule().length());
-        assertNull(is.schedule().rule());
-        file.assertSameBytes(CalendarRecords.encode(is, held.order()));
+        assertNull(is.allowedJobs());
+        assertEquals(LocalDateTime.of(2030, 1, 1, 0, 0, 1), is.schedule().firstStart());
+        assertEquals(ZoneId.of("UTC"), is.schedule().timeZone());
+        assertEquals(Duration.ofMillis(1500), is.schedule().duration());
+        assertNull(is.schedule().recurrenceRule());
+        file.assertSameBytes(CalendarRecordCodec.encode(is, calendarEntry.acceptanceOrder()));
     }
 
     static Stream<Arguments> windows() {
@@ -856,42 +883,52 @@
                 Arguments.of(
                         "window-machine",
                         "cal/window/window-0",
-                        Window.Scope.MACHINE,
+                        MaintenanceWindow.Scope.MACHINE,
                         5,
                         "FREQ=WEEKLY"),
-                Arguments.of("window-type", "cal/window/window-1", Window.Scope.TYPE, 6, null),
                 Arguments.of(
-                        "window-zone", "cal/window/window-2", Window.Scope.ZONE, 7, "FREQ=WEEKLY"));
+                        "window-type",
+                        "cal/window/window-1",
+                        MaintenanceWindow.Scope.TYPE,
+                        6,
+                        null),
+                Arguments.of(
+                        "window-zone",
+                        "cal/window/window-2",
+                        MaintenanceWindow.Scope.ZONE,
+                        7,
+                        "FREQ=WEEKLY"));
     }
 
     @ParameterizedTest
     @MethodSource("windows")
-    void aWindow(String name, String key, Window.Scope scope, long order, String rule) {
+    void aWindow(String name, String key, MaintenanceWindow.Scope scope, long order, String rule) {
         GoldenFile file = GoldenFile.read(name);
         assertEquals(key, file.key());
         String named = key.substring("cal/window/".length());
-        Calendar.Held<Window> held = calendar(name).window(named).orElseThrow();
-        Window is = held.what();
-        assertEquals(order, held.order());
+        CalendarSnapshot.CalendarEntry<MaintenanceWindow> calendarEntry =
+                calendar(name).findWindow(named).orElseThrow();
+        MaintenanceWindow is = calendarEntry.item();
+        assertEquals(order, calendarEntry.acceptanceOrder());
         assertEquals(named, is.name());
         assertEquals(scope, is.scope());
         assertEquals(List.of("x", "y"), is.targets());
-        assertEquals(Duration.ofSeconds(90), is.notice());
-        assertEquals(LocalDateTime.of(2031, 2, 3, 4, 5), is.schedule().start());
-        assertEquals(ZoneId.of("America/New_York"), is.schedule().zone());
-        assertEquals(Duration.ofHours(2), is.schedule().length());
-        assertEquals(rule, is.schedule().rule());
-        assertEquals(key, CalendarRecords.window(is.name()));
-        file.assertSameBytes(CalendarRecords.encode(is, order));
+        assertEquals(Duration.ofSeconds(90), is.serviceEvictionLead());
+        assertEquals(LocalDateTime.of(2031, 2, 3, 4, 5), is.schedule().firstStart());
+        assertEquals(ZoneId.of("America/New_York"), is.schedule().timeZone());
+        assertEquals(Duration.ofHours(2), is.schedule().duration());
+        assertEquals(rule, is.schedule().recurrenceRule());
+        assertEquals(key, CalendarRecordCodec.window(is.name()));
+        file.assertSameBytes(CalendarRecordCodec.encode(is, order));
     }
 
     @Test
     void theStampOfTheCalendarAndTheOrderOfItsEntries() {
         GoldenFile file = GoldenFile.read("calendar-stamp");
         assertEquals("cal/stamp", file.key());
-        assertEquals(CalendarRecords.STAMP, file.key());
+        assertEquals(CalendarRecordCodec.REVISION_KEY, file.key());
         file.assertSameBytes(Map.of());
-        Calendar calendar =
+        CalendarSnapshot calendarSnapshot =
                 calendar(
                         "reservation-plain",
                         "window-zone",
@@ -899,23 +936,27 @@
                         "reservation",
                         "window-type",
                         "window-machine");
-        assertEquals(new Version(5), calendar.stamp());
+        assertEquals(new Revision(5), calendarSnapshot.revision());
         assertEquals(
                 List.of("nightly", "once"),
-                calendar.reservations().stream().map(held -> held.what().name()).toList());
+                calendarSnapshot.reservations().stream()
+                        .map(calendarEntry -> calendarEntry.item().name())
+                        .toList());
         assertEquals(
                 List.of("window-0", "window-1", "window-2"),
-                calendar.windows().stream().map(held -> held.what().name()).toList());
+                calendarSnapshot.windows().stream()
+                        .map(calendarEntry -> calendarEntry.item().name())
+                        .toList());
     }
 
     @Test
     void theFormOfTheRecords() {
-        assertEquals(1, Records.SCHEMA);
-        assertEquals(100, Records.chunkSize(16 * 1024));
-        assertEquals("job/", Records.JOBS);
-        assertEquals("task/", Records.TASKS);
-        assertEquals("image/", Records.IMAGES);
-        assertEquals("table/", Records.TABLES);
-        assertEquals("cal/", CalendarRecords.PREFIX);
+        assertEquals(1, RecordCodec.SCHEMA_VERSION);
+        assertEquals(100, RecordCodec.shardSize(16 * 1024));
+        assertEquals("job/", RecordCodec.JOB_PREFIX);
+        assertEquals("task/", RecordCodec.TASK_PREFIX);
+        assertEquals("image/", RecordCodec.IMAGE_PREFIX);
+        assertEquals("table/", RecordCodec.RISK_TABLE_PREFIX);
+        assertEquals("cal/", CalendarRecordCodec.CALENDAR_PREFIX);
     }
 }
--- a/src/test/java/org/meadowhollow/bookkeeping/GoldenStore.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenStore.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.bookkeeping;
+package org.meadowhollow.storage;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -18,12 +18,17 @@
 import org.meadowhollow.coordination.platform.Testimony;
 import org.meadowhollow.coordination.succession.TableSnapshots;
 import org.meadowhollow.golden.GoldenFile;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Revision;
 
 /**
  * A store that answers at once, with a clock that stands still, to see what production code reads
  * from golden files and what it writes. Nothing that waits for time to pass ever goes on.
  */
-final class GoldenStore implements StateStore {
+final class GoldenStore implements KeyValueStore {
     /** The lease that is granted first. */
     static final long LEASE = 77;
 
@@ -32,12 +37,13 @@
 
     /** What came of an election. */
     static final class Noted implements Leadership.Listener {
-        final List<Term> elected = new ArrayList<>();
+        final List<FencingToken> elected = new ArrayList<>();
         final List<String> following = new ArrayList<>();
 
         @Override
-        public void elected(Term term, Version leaderVersion, Moment noticedAt) {
-            elected.add(term);
+        public void elected(
+                FencingToken fencingToken, Revision leaderVersion, MonotonicTime noticedAt) {
+            elected.add(fencingToken);
         }
 
         @Override
@@ -50,14 +56,14 @@
     }
 
     /** A clock that shows the start of the steady time, and a given time of day. */
-    record Still(long wallMillis) implements EventLoop {
+    record Still(long wallClockMillis) implements EventLoop {
         @Override
-        public Moment now() {
-            return new Moment(0);
+        public MonotonicTime now() {
+            return new MonotonicTime(0);
         }
 
         @Override
-        public void after(Duration pause, Runnable work) {}
+        public void schedule(Duration pause, Runnable work) {}
     }
 
     void put(GoldenFile file) {
@@ -65,7 +71,7 @@
     }
 
     void put(String key, Map<String, Object> value) {
-        entries.put(key, new Entry(key, value, new Version(++revision)));
+        entries.put(key, new Entry(key, value, new Revision(++revision)));
     }
 
     /** The record under a key, or null. */
@@ -74,7 +80,7 @@
     }
 
     /** A controller that stands for leader, alone. */
-    static Leadership candidate(String member, StateStore store, Leadership.Listener listener) {
+    static Leadership candidate(String member, KeyValueStore store, Leadership.Listener listener) {
         Platform platform =
                 new Platform(
                         member,
@@ -118,32 +124,34 @@
             int valueBytes) {
         GoldenStore store = new GoldenStore();
         before.ifPresent(store::put);
-        TableSnapshots snapshots = new TableSnapshots(store, Version.ABSENT, 100, valueBytes);
+        TableSnapshots snapshots = new TableSnapshots(store, Revision.ABSENT, 100, valueBytes);
         // First it looks which set was written last, then it writes.
         for (int time = 0; time < 2; time++) {
-            snapshots.write(() -> parts, true, new Moment(0), wallMillis);
+            snapshots.write(() -> parts, true, new MonotonicTime(0), wallMillis);
         }
         return store;
     }
 
     @Override
-    public CompletableFuture<Optional<Entry>> get(String key, Urgency urgency) {
+    public CompletableFuture<Optional<Entry>> get(String key, RequestPriority requestPriority) {
         return CompletableFuture.completedFuture(Optional.ofNullable(entries.get(key)));
     }
 
     @Override
-    public CompletableFuture<Page> list(String prefix, String after, int most, Urgency urgency) {
+    public CompletableFuture<Page> list(
+            String prefix, String after, int most, RequestPriority requestPriority) {
         return CompletableFuture.completedFuture(
                 new Page(
                         entries.values().stream()
                                 .filter(entry -> entry.key().startsWith(prefix))
                                 .toList(),
                         false,
-                        new Version(revision)));
+                        new Revision(revision)));
     }
 
     @Override
-    public CompletableFuture<Commit> commit(Transaction transaction, Urgency urgency) {
+    public CompletableFuture<CommitResult> commit(
+            Transaction transaction, RequestPriority requestPriority) {
         revision++;
         transaction
                 .writes()
@@ -157,42 +165,42 @@
                                         new Entry(
                                                 key,
                                                 new HashMap<>(write.value()),
-                                                new Version(revision)));
+                                                new Revision(revision)));
                             }
                         });
         return CompletableFuture.completedFuture(
-                new Commit(true, new Version(revision), List.of()));
+                new CommitResult(true, new Revision(revision), List.of()));
     }
 
     @Override
-    public CompletableFuture<LeaseId> grant(Duration ttl) {
+    public CompletableFuture<LeaseId> grantLease(Duration ttl) {
         return CompletableFuture.completedFuture(new LeaseId(LEASE));
     }
 
     @Override
-    public CompletableFuture<Void> renew(LeaseId lease) {
+    public CompletableFuture<Void> renewLease(LeaseId lease) {
         return new CompletableFuture<>();
     }
 
     @Override
-    public CompletableFuture<Void> revoke(LeaseId lease) {
+    public CompletableFuture<Void> revokeLease(LeaseId lease) {
         return new CompletableFuture<>();
     }
 
     @Override
-    public CompletableFuture<Changes> watch(String prefix, Version after, Duration wait) {
+    public CompletableFuture<ChangeBatch> watch(String prefix, Revision after, Duration wait) {
         return new CompletableFuture<>();
     }
 
     @Override
-    public boolean seemsOut() {
+    public boolean seemsUnavailable() {
         return false;
     }
 
     /** Nobody else is there. */
     private static final class NoPeers implements Peers {
         @Override
-        public void announce(String leader, Term term) {}
+        public void announce(String leader, FencingToken fencingToken) {}
 
         @Override
         public CompletableFuture<Boolean> anyServed() {
@@ -217,7 +225,7 @@
         }
 
         @Override
-        public CompletableFuture<Optional<Digests>> digests(String leader) {
+        public CompletableFuture<Optional<RecordDigests>> digests(String leader) {
             return new CompletableFuture<>();
         }
     }
--- a/src/test/java/org/meadowhollow/bookkeeping/LedgerTest.java
+++ b/src/test/java/org/meadowhollow/storage/RecordWriterTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.bookkeeping;
+package org.meadowhollow.storage;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,17 +9,31 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.StateException.Outcome;
-import org.meadowhollow.bookkeeping.StateStore.Urgency;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.Job;
+import org.meadowhollow.model.JobEventListeners;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Priority;
+import org.meadowhollow.model.Resources;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.model.WorkerIncarnation;
+import org.meadowhollow.storage.KeyValueStore.RequestPriority;
+import org.meadowhollow.storage.KeyValueStoreException.Outcome;
 
 /**
  * In which order a leader's records are written when there are more than the state service takes.
  */
-class LedgerTest {
+class RecordWriterTest {
     private static final int MOST_WRITES = 12;
 
     private record Sent(
-            Transaction transaction, Urgency urgency, CompletableFuture<StateStore.Commit> answer) {
+            Transaction transaction,
+            RequestPriority urgency,
+            CompletableFuture<KeyValueStore.CommitResult> answer) {
         boolean writes(String prefix) {
             return transaction.writes().keySet().stream().anyMatch(key -> key.startsWith(prefix));
         }
@@ -27,56 +41,56 @@
 
     private final List<Sent> sent = new ArrayList<>();
     private final List<Runnable> timers = new ArrayList<>();
-    private final StateStore store =
-            (StateStore)
+    private final KeyValueStore store =
+            (KeyValueStore)
                     Proxy.newProxyInstance(
-                            StateStore.class.getClassLoader(),
-                            new Class<?>[] {StateStore.class},
+                            KeyValueStore.class.getClassLoader(),
+                            new Class<?>[] {KeyValueStore.class},
                             (proxy, method, arguments) -> {
                                 assertEquals("commit", method.getName());
                                 sent.add(
                                         new Sent(
                                                 (Transaction) arguments[0],
-                                                (Urgency) arguments[1],
+                                                (RequestPriority) arguments[1],
                                                 new CompletableFuture<>()));
                                 return sent.get(sent.size() - 1).answer();
                             });
     private final EventLoop loop =
             new EventLoop() {
                 @Override
-                public Moment now() {
-                    return new Moment(0);
+                public MonotonicTime now() {
+                    return new MonotonicTime(0);
                 }
 
                 @Override
-                public long wallMillis() {
+                public long wallClockMillis() {
                     return 0;
                 }
 
                 @Override
-                public void after(Duration pause, Runnable work) {
+                public void schedule(Duration pause, Runnable work) {
                     timers.add(work);
                 }
             };
-    private final Ledger ledger =
-            new Ledger(
+    private final RecordWriter recordWriter =
+            new RecordWriter(
                     store,
                     loop,
                     MOST_WRITES,
-                    new Version(1),
-                    Observers.NONE,
-                    new Ledger.Listener() {
+                    new Revision(1),
+                    JobEventListeners.NONE,
+                    new RecordWriter.Listener() {
                         @Override
-                        public void ended(Job job) {}
+                        public void onJobEndPersisted(Job job) {}
 
                         @Override
-                        public void saved(Job job) {}
+                        public void onTasksPersisted(Job job) {}
 
                         @Override
-                        public void changedElsewhere(JobId id) {}
+                        public void onConcurrentJobChange(JobId id) {}
 
                         @Override
-                        public void deposed() {}
+                        public void onLeadershipLost() {}
                     });
 
     private static Job job(int number, Priority priority) {
@@ -85,7 +99,7 @@
                         new JobId("req-%06d".formatted(number)),
                         "class",
                         "team",
-                        Kind.ARRAY,
+                        JobKind.ARRAY,
                         priority,
                         1,
                         Resources.of(1, 1, 1),
@@ -100,14 +114,19 @@
                         0,
                         0,
                         Double.NaN);
-        Job job = new Job(spec, 0, 100, new Version(1));
-        job.place(0, job.nextAttempt(0), new MachineId("vm-000001"), new Session(1), new Moment(0));
+        Job job = new Job(spec, 0, 100, new Revision(1));
+        job.addPlacement(
+                0,
+                job.nextAttemptNumber(0),
+                new MachineId("vm-000001"),
+                new WorkerIncarnation(1),
+                new MonotonicTime(0));
         return job;
     }
 
     private void starts(int first, int count, Priority priority) {
         for (int number = first; number < first + count; number++) {
-            ledger.changed(job(number, priority).chunkOf(0));
+            recordWriter.markDirty(job(number, priority).shardOfTask(0));
         }
     }
 
@@ -115,10 +134,10 @@
     @Test
     void startsDoNotWaitBehindTheEndsOfOtherJobs() {
         for (int number = 0; number < 50; number++) {
-            ledger.ending(job(number, Priority.NORMAL));
+            recordWriter.endPending(job(number, Priority.NORMAL));
         }
         starts(100, 3, Priority.NORMAL);
-        ledger.flush();
+        recordWriter.flush();
         assertTrue(sent.get(0).writes("task/req-000100") && sent.get(0).writes("ended/"));
     }
 
@@ -129,10 +148,10 @@
     void recordsOfTheLowestPriorityGoBehindAllOthers() {
         starts(0, 30, Priority.LOW);
         starts(100, 5, Priority.NORMAL);
-        ledger.flush();
-        assertEquals(Urgency.PLACEMENT, sent.get(0).urgency());
+        recordWriter.flush();
+        assertEquals(RequestPriority.PLACEMENT, sent.get(0).urgency());
         assertEquals(5, sent.get(0).transaction().writes().size());
-        assertEquals(Urgency.BACKGROUND, sent.get(1).urgency());
+        assertEquals(RequestPriority.BACKGROUND, sent.get(1).urgency());
         assertEquals(MOST_WRITES, sent.get(1).transaction().writes().size());
     }
 
@@ -140,13 +159,16 @@
     @Test
     void aRefusedTransactionComesAgainInSmallerOnes() {
         starts(0, 40, Priority.NORMAL);
-        ledger.flush();
+        recordWriter.flush();
         sent.get(0)
                 .answer()
-                .completeExceptionally(new StateException(Outcome.REFUSED, "answered 429"));
+                .completeExceptionally(
+                        new KeyValueStoreException(Outcome.REJECTED, "answered 429"));
         timers.forEach(Runnable::run);
         assertEquals(MOST_WRITES / 2, sent.get(2).transaction().writes().size());
-        sent.get(2).answer().complete(new StateStore.Commit(true, new Version(5), List.of()));
+        sent.get(2)
+                .answer()
+                .complete(new KeyValueStore.CommitResult(true, new Revision(5), List.of()));
         assertEquals(MOST_WRITES / 2 + 1, sent.get(3).transaction().writes().size());
     }
 
@@ -157,15 +179,17 @@
     @Test
     void whatIsOnlyClearedAwayGoesBehindWhatIsWaitedFor() {
         for (int number = 0; number < 12; number++) {
-            ledger.leftover("task/req-%06d/0".formatted(number));
+            recordWriter.addObsoleteKey("task/req-%06d/0".formatted(number));
         }
         starts(100, 3, Priority.NORMAL);
-        ledger.flush();
-        assertEquals(Urgency.PLACEMENT, sent.get(0).urgency());
+        recordWriter.flush();
+        assertEquals(RequestPriority.PLACEMENT, sent.get(0).urgency());
         assertEquals(3, sent.get(0).transaction().writes().size(), "starts alone");
         assertEquals(1, sent.size());
-        sent.get(0).answer().complete(new StateStore.Commit(true, new Version(5), List.of()));
-        assertEquals(Urgency.BACKGROUND, sent.get(1).urgency());
+        sent.get(0)
+                .answer()
+                .complete(new KeyValueStore.CommitResult(true, new Revision(5), List.of()));
+        assertEquals(RequestPriority.BACKGROUND, sent.get(1).urgency());
         assertEquals(
                 12, sent.get(1).transaction().writes().size(), "and the rest behind users' calls");
     }
@@ -180,16 +204,19 @@
         for (int number = 0; number < 6; number++) {
             Job job = job(number, Priority.NORMAL);
             ends.add(job);
-            ledger.changed(job.chunkOf(0));
+            recordWriter.markDirty(job.shardOfTask(0));
         }
-        ledger.flush();
-        sent.get(0).answer().complete(new StateStore.Commit(true, new Version(5), List.of()));
-        ends.forEach(ledger::ending);
-        ledger.flush();
+        recordWriter.flush();
+        sent.get(0)
+                .answer()
+                .complete(new KeyValueStore.CommitResult(true, new Revision(5), List.of()));
+        ends.forEach(recordWriter::endPending);
+        recordWriter.flush();
         for (int at = 1; at < 3; at++) {
             sent.get(at)
                     .answer()
-                    .completeExceptionally(new StateException(Outcome.REFUSED, "answered 429"));
+                    .completeExceptionally(
+                            new KeyValueStoreException(Outcome.REJECTED, "answered 429"));
         }
         assertEquals(3, sent.size(), "nothing is cleared away while no end is written");
         // As the answers come, everything goes through, but for every third transaction.
@@ -200,11 +227,13 @@
                     sent.get(at)
                             .answer()
                             .completeExceptionally(
-                                    new StateException(Outcome.REFUSED, "answered 429"));
+                                    new KeyValueStoreException(Outcome.REJECTED, "answered 429"));
                 } else {
                     sent.get(at)
                             .answer()
-                            .complete(new StateStore.Commit(true, new Version(6 + at), List.of()));
+                            .complete(
+                                    new KeyValueStore.CommitResult(
+                                            true, new Revision(6 + at), List.of()));
                 }
             }
         }
--- a/src/test/java/org/meadowhollow/story/CalendarStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/CalendarStoriesTest.java
@@ -13,11 +13,11 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Priority;
-import org.meadowhollow.bookkeeping.TaskId;
 import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Priority;
+import org.meadowhollow.model.TaskId;
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.Json;
@@ -39,7 +39,7 @@
     /** A time of day some seconds from now. */
     private String in(long seconds) {
         return LocalDateTime.ofEpochSecond(
-                        world.loop().wallMillis() / 1000 + seconds, 0, ZoneOffset.UTC)
+                        world.loop().wallClockMillis() / 1000 + seconds, 0, ZoneOffset.UTC)
                 .toString();
     }
 
@@ -112,7 +112,7 @@
             double gpus,
             double estimateS,
             double saveS) {
-        JobSpec spec = World.spec(number, Kind.ARRAY, tasks, gpus);
+        JobSpec spec = World.spec(number, JobKind.ARRAY, tasks, gpus);
         return new JobSpec(
                 spec.id(),
                 jobClass,
@@ -120,14 +120,14 @@
                 spec.kind(),
                 priority,
                 tasks,
-                spec.perTask(),
+                spec.resourcesPerTask(),
                 null,
                 null,
                 false,
                 false,
                 false,
                 spec.image(),
-                spec.imageGb(),
+                spec.imageSizeGb(),
                 estimateS,
                 saveS > 0 ? 10 : 0,
                 saveS,
@@ -152,7 +152,7 @@
 
     private int running(JobSpec spec) {
         int count = 0;
-        for (int task = 0; task < spec.tasks(); task++) {
+        for (int task = 0; task < spec.taskCount(); task++) {
             count += world.on(new TaskId(spec.id(), task)).isEmpty() ? 0 : 1;
         }
         return count;
@@ -342,11 +342,11 @@
     void whatRunsIntoAWindowIsWarnedAndStoppedInTimeAndServicesLeaveOneByOne() {
         JobSpec work = job(1, "long", Priority.HIGH, gpus() / 2, 1, 1000, 5);
         assertTrue(world.submit(0, work, HOUR));
-        JobSpec service = World.spec(2, Kind.SERVICE, 4, 0);
+        JobSpec service = World.spec(2, JobKind.SERVICE, 4, 0);
         assertTrue(world.submit(0, service, HOUR));
         world.runS(20);
         assertEquals(4, running(service));
-        long began = world.loop().wallMillis();
+        long began = world.loop().wallClockMillis();
         body(window("patches", "zones", "a", 240, 600, 180), 201);
         int least = 4;
         for (int second = 0; second < 235; second++) {
@@ -361,7 +361,7 @@
                         .filter(worker -> worker.zone().equals("a"))
                         .allMatch(worker -> worker.running().isEmpty()),
                 "all is gone when it begins");
-        assertTrue(world.loop().wallMillis() - began < 260_000);
+        assertTrue(world.loop().wallClockMillis() - began < 260_000);
     }
 
     @Test
@@ -440,16 +440,16 @@
 
     @Test
     void aGangThatAWindowStopsGoesWholeAndComesBackElsewhere() {
-        JobSpec spec = World.spec(1, Kind.GANG, 4, 1);
+        JobSpec spec = World.spec(1, JobKind.GANG, 4, 1);
         JobSpec gang =
                 new JobSpec(
                         spec.id(),
                         "gang",
                         "team",
-                        Kind.GANG,
+                        JobKind.GANG,
                         Priority.HIGH,
                         4,
-                        spec.perTask(),
+                        spec.resourcesPerTask(),
                         null,
                         null,
                         true,
--- a/src/test/java/org/meadowhollow/story/CloseLookStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/CloseLookStoriesTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
 import org.meadowhollow.coordination.admission.Admission.JobState;
 import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
 
 /**
  * Users who ask at all nodes within milliseconds, and transactions of which only the answer is
@@ -38,7 +38,11 @@
         List<JobSpec> jobs = new ArrayList<>();
         for (int number = 0; number < 9; number++) {
             JobSpec job =
-                    World.spec(number, number % 3 == 0 ? Kind.GANG : Kind.ARRAY, 1 + number % 2, 1);
+                    World.spec(
+                            number,
+                            number % 3 == 0 ? JobKind.GANG : JobKind.ARRAY,
+                            1 + number % 2,
+                            1);
             jobs.add(job);
             // Each node knows some of the jobs as live before they end, so that it answers from
             // what it keeps.
@@ -78,7 +82,7 @@
     void onlyTheAnswerOfATransactionIsLostAndOthersReadWhatItWrote(String what, int by) {
         int leader = world.leader();
         int node = what.equals("ended") ? leader : other(leader, by);
-        JobSpec job = World.spec(1, Kind.ARRAY, 2, 1);
+        JobSpec job = World.spec(1, JobKind.ARRAY, 2, 1);
         if (!what.equals("accepted")) {
             assertTrue(world.submit(other(node, 1), job, SHORT));
             world.runS(what.equals("ended") ? 8 : 4);
@@ -129,7 +133,7 @@
         world.cancelAtEnd(1, seed);
         List<JobSpec> jobs = new ArrayList<>();
         for (int number = 0; number < 6; number++) {
-            JobSpec job = World.spec(number, Kind.ARRAY, 1 + number % 3, 1);
+            JobSpec job = World.spec(number, JobKind.ARRAY, 1 + number % 3, 1);
             jobs.add(job);
             assertTrue(world.submit(number % 3, job, SHORT));
         }
@@ -148,7 +152,7 @@
     /** Looks that get no answer for long left everyone who asked about a live job without one. */
     @Test
     void whereLooksGetNoAnswerUsersAreAnsweredAllTheSame() {
-        JobSpec job = World.spec(1, Kind.SERVICE, 2, 1);
+        JobSpec job = World.spec(1, JobKind.SERVICE, 2, 1);
         int node = other(world.leader(), 1);
         assertTrue(world.submit(node, job, null));
         assertTrue(world.poll(node, job.id()).isPresent());
@@ -169,7 +173,7 @@
      */
     @Test
     void aQuestionThatMeetsTheMoveToTheFinalRecordIsAnsweredAllTheSame() {
-        JobSpec job = World.spec(1, Kind.ARRAY, 1, 1);
+        JobSpec job = World.spec(1, JobKind.ARRAY, 1, 1);
         int node = other(world.leader(), 1);
         assertTrue(world.submit(node, job, SHORT));
         world.poll(node, job.id());
@@ -180,7 +184,7 @@
         int before = world.answered();
         for (int step = 0; step < 40 && !world.judge().isOver(job.id()); step++) {
             for (int at = 0; at < 250; at++) {
-                world.loop().after(Duration.ofMillis(at), () -> world.asks(node, job.id()));
+                world.loop().schedule(Duration.ofMillis(at), () -> world.asks(node, job.id()));
             }
             world.run(Duration.ofMillis(250));
         }
@@ -191,7 +195,7 @@
     /** A cancellation has read the live record, and its write comes after the job's end. */
     @Test
     void aCancellationThatIsWrittenAfterTheEndChangesNothing() {
-        JobSpec job = World.spec(1, Kind.ARRAY, 1, 1);
+        JobSpec job = World.spec(1, JobKind.ARRAY, 1, 1);
         int node = other(world.leader(), 1);
         assertTrue(world.submit(node, job, SHORT));
         world.runS(9);
--- a/src/test/java/org/meadowhollow/story/CrowdStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/CrowdStoriesTest.java
@@ -8,13 +8,13 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Priority;
-import org.meadowhollow.bookkeeping.Resources;
-import org.meadowhollow.bookkeeping.TaskId;
 import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Priority;
+import org.meadowhollow.model.Resources;
+import org.meadowhollow.model.TaskId;
 
 /** Many who ask, guests who fill everything, jobs with a mistake, and machines that never come. */
 class CrowdStoriesTest extends Story {
@@ -25,19 +25,19 @@
                 spec.team(),
                 spec.kind(),
                 priority,
-                spec.tasks(),
+                spec.taskCount(),
                 each,
-                spec.types(),
-                spec.zone(),
-                spec.oneZone(),
-                spec.spread(),
-                spec.spot(),
+                spec.allowedMachineTypes(),
+                spec.requiredZone(),
+                spec.requiresSingleZone(),
+                spec.spreadsAcrossZones(),
+                spec.allowsSpot(),
                 spec.image(),
-                spec.imageGb(),
-                spec.estimateS(),
-                spec.checkpointS(),
-                spec.saveS(),
-                spec.deadlineS());
+                spec.imageSizeGb(),
+                spec.estimatedRuntimeSeconds(),
+                spec.checkpointIntervalSeconds(),
+                spec.checkpointDurationSeconds(),
+                spec.deadlineSeconds());
     }
 
     /** With a deadline, by which it comes before work of the same priority that has none. */
@@ -48,24 +48,24 @@
                 spec.team(),
                 spec.kind(),
                 spec.priority(),
-                spec.tasks(),
-                spec.perTask(),
-                spec.types(),
-                spec.zone(),
-                spec.oneZone(),
-                spec.spread(),
-                spec.spot(),
+                spec.taskCount(),
+                spec.resourcesPerTask(),
+                spec.allowedMachineTypes(),
+                spec.requiredZone(),
+                spec.requiresSingleZone(),
+                spec.spreadsAcrossZones(),
+                spec.allowsSpot(),
                 spec.image(),
-                spec.imageGb(),
-                spec.estimateS(),
-                spec.checkpointS(),
-                spec.saveS(),
+                spec.imageSizeGb(),
+                spec.estimatedRuntimeSeconds(),
+                spec.checkpointIntervalSeconds(),
+                spec.checkpointDurationSeconds(),
                 60);
     }
 
     @Test
     void askingManyTimesAsOftenCostsTheStateServiceNoMore() {
-        JobSpec job = World.spec(1, Kind.SERVICE, 2, 1);
+        JobSpec job = World.spec(1, JobKind.SERVICE, 2, 1);
         assertTrue(world.submit(0, job, null));
         world.poll(1, job.id());
         world.runS(1);
@@ -94,7 +94,8 @@
     void whatIsKeptInMemoryIsNeverToldOlderThanWhatAnotherNodeTold() {
         List<JobSpec> jobs = new ArrayList<>();
         for (int number = 0; number < 12; number++) {
-            JobSpec job = World.spec(number, number % 2 == 0 ? Kind.SERVICE : Kind.ARRAY, 1, 1);
+            JobSpec job =
+                    World.spec(number, number % 2 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 1, 1);
             jobs.add(job);
             assertTrue(world.submit(number % 3, job, SHORT));
             for (int node = 0; node < 3; node++) {
@@ -119,7 +120,9 @@
         assertEquals(48, world.starts(), "all machines are full of it");
         JobSpec gang =
                 withPriority(
-                        World.spec(2, Kind.GANG, 3, 8), Priority.NORMAL, Resources.of(30, 8, 120));
+                        World.spec(2, JobKind.GANG, 3, 8),
+                        Priority.NORMAL,
+                        Resources.of(30, 8, 120));
         assertTrue(world.submit(1, gang, LONG));
         for (int number = 3; number < 9; number++) {
             assertTrue(world.submit(2, due(array(number, 3)), LONG));
@@ -192,7 +195,7 @@
                 submitAgain(node, job, world.loop().now(), inTime);
                 if (random.nextInt(4) == 0) {
                     world.loop()
-                            .after(
+                            .schedule(
                                     Duration.ofMillis(500 + random.nextInt(12_000)),
                                     () -> world.cancels(other(node, 1), job.id()));
                 }
@@ -217,7 +220,7 @@
     }
 
     /** As users do: again after a second, until there is an answer. */
-    private void submitAgain(int node, JobSpec job, Moment since, List<Boolean> inTime) {
+    private void submitAgain(int node, JobSpec job, MonotonicTime since, List<Boolean> inTime) {
         world.submits(node, job, SHORT)
                 .whenComplete(
                         (state, failure) -> {
@@ -225,12 +228,12 @@
                                 inTime.add(
                                         world.loop()
                                                         .now()
-                                                        .since(since)
+                                                        .elapsedSince(since)
                                                         .compareTo(Duration.ofSeconds(1))
                                                 <= 0);
                             } else {
                                 world.loop()
-                                        .after(
+                                        .schedule(
                                                 Duration.ofSeconds(1),
                                                 () ->
                                                         submitAgain(
--- a/src/test/java/org/meadowhollow/story/FakeStore.java
+++ b/src/test/java/org/meadowhollow/story/FakeStore.java
@@ -12,17 +12,17 @@
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.meadowhollow.bookkeeping.EventLoop;
-import org.meadowhollow.bookkeeping.LeaseId;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Records;
-import org.meadowhollow.bookkeeping.StateException;
-import org.meadowhollow.bookkeeping.StateException.Outcome;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.Transaction;
-import org.meadowhollow.bookkeeping.Version;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Revision;
 import org.meadowhollow.protocol.Malformed;
 import org.meadowhollow.protocol.Wire;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.KeyValueStoreException;
+import org.meadowhollow.storage.KeyValueStoreException.Outcome;
+import org.meadowhollow.storage.LeaseId;
+import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.Transaction;
 
 /**
  * The state service in memory; each node has its own line to it, which can be cut or lose answers.
@@ -42,9 +42,9 @@
     private final Duration usual;
     private Duration latency;
     private final TreeMap<String, Stored> keys = new TreeMap<>();
-    private final Map<Long, Moment> leases = new HashMap<>();
+    private final Map<Long, MonotonicTime> leases = new HashMap<>();
     private final Map<Long, Duration> ttls = new HashMap<>();
-    private final List<StateStore.Change> log = new ArrayList<>();
+    private final List<KeyValueStore.Change> log = new ArrayList<>();
     private long revision;
     private long nextLease;
     private boolean out;
@@ -52,7 +52,7 @@
     private Runnable onPut;
     private int limit;
     private double room;
-    private Moment roomAt;
+    private MonotonicTime roomAt;
     private int changes;
     private int refused;
 
@@ -97,7 +97,7 @@
             roomAt = loop.now();
             if (room < writes) {
                 refused++;
-                throw new StateException(Outcome.REFUSED, "too many changes");
+                throw new KeyValueStoreException(Outcome.REJECTED, "too many changes");
             }
             room -= writes;
         }
@@ -144,7 +144,7 @@
         if (out) {
             return;
         }
-        for (Map.Entry<Long, Moment> lease : Map.copyOf(leases).entrySet()) {
+        for (Map.Entry<Long, MonotonicTime> lease : Map.copyOf(leases).entrySet()) {
             if (lease.getValue().isBefore(loop.now())) {
                 end(lease.getKey());
             }
@@ -163,16 +163,16 @@
 
     private void remove(String key) {
         if (keys.remove(key) != null) {
-            log.add(new StateStore.Change(key, null, new Version(revision)));
+            log.add(new KeyValueStore.Change(key, null, new Revision(revision)));
         }
     }
 
-    private StateStore.Commit commit(Transaction transaction) {
+    private KeyValueStore.CommitResult commit(Transaction transaction) {
         expire();
         spend(transaction.writes().size());
         List<String> failed = new ArrayList<>();
         transaction
-                .guards()
+                .conditions()
                 .forEach(
                         (key, version) -> {
                             Stored stored = keys.get(key);
@@ -182,11 +182,11 @@
                         });
         for (Transaction.Write write : transaction.writes().values()) {
             if (write.lease() != null && !leases.containsKey(write.lease().value())) {
-                throw new StateException(Outcome.NO_SUCH_LEASE, "no such lease");
+                throw new KeyValueStoreException(Outcome.LEASE_EXPIRED, "no such lease");
             }
         }
         if (!failed.isEmpty()) {
-            return new StateStore.Commit(false, new Version(revision), failed);
+            return new KeyValueStore.CommitResult(false, new Revision(revision), failed);
         }
         revision++;
         transaction
@@ -194,7 +194,7 @@
                 .forEach(
                         (key, write) -> {
                             if (write.value() != null && key.equals(awaitedKey)) {
-                                loop.after(latency.multipliedBy(2), onPut);
+                                loop.schedule(latency.multipliedBy(2), onPut);
                             }
                             if (write.value() == null) {
                                 remove(key);
@@ -206,13 +206,13 @@
                                                 revision,
                                                 write.lease() == null ? 0 : write.lease().value()));
                                 log.add(
-                                        new StateStore.Change(
+                                        new KeyValueStore.Change(
                                                 key,
                                                 decode(Wire.encode(write.value())),
-                                                new Version(revision)));
+                                                new Revision(revision)));
                             }
                         });
-        return new StateStore.Commit(true, new Version(revision), List.of());
+        return new KeyValueStore.CommitResult(true, new Revision(revision), List.of());
     }
 
     private static Map<String, Object> decode(byte[] value) {
@@ -224,7 +224,7 @@
     }
 
     /** One node's line to the store. */
-    final class Line implements StateStore {
+    final class Line implements KeyValueStore {
         private boolean cut;
         private boolean losesAnswers;
         private String hidden = "/";
@@ -395,22 +395,22 @@
                     () -> {
                         expire();
                         if (cut || out) {
-                            fail(answer, Outcome.REFUSED);
+                            fail(answer, Outcome.REJECTED);
                             return;
                         }
                         try {
                             T result = work.get();
                             if (!losesAnswers) {
-                                loop.after(latency, () -> complete(answer, result));
+                                loop.schedule(latency, () -> complete(answer, result));
                             }
-                        } catch (StateException refused) {
+                        } catch (KeyValueStoreException refused) {
                             fail(answer, refused.outcome());
                         }
                     };
             if (holding) {
                 held.add(execute);
             } else {
-                loop.after(latency, execute);
+                loop.schedule(latency, execute);
             }
             copies.accept(
                     () -> {
@@ -418,12 +418,12 @@
                         if (!cut && !out) {
                             try {
                                 T unused = work.get();
-                            } catch (StateException refused) {
+                            } catch (KeyValueStoreException refused) {
                                 // Nobody waits for it.
                             }
                         }
                     });
-            loop.after(timeout(), () -> fail(answer, Outcome.UNKNOWN));
+            loop.schedule(timeout(), () -> fail(answer, Outcome.INDETERMINATE));
             return answer;
         }
 
@@ -441,13 +441,14 @@
                     () -> {
                         if (!dead) {
                             answer.completeExceptionally(
-                                    new StateException(outcome, "the fake store says " + outcome));
+                                    new KeyValueStoreException(
+                                            outcome, "the fake store says " + outcome));
                         }
                     });
         }
 
         @Override
-        public CompletableFuture<Optional<Entry>> get(String key, Urgency urgency) {
+        public CompletableFuture<Optional<Entry>> get(String key, RequestPriority requestPriority) {
             reads++;
             return call(
                     () ->
@@ -457,17 +458,17 @@
                                                     new Entry(
                                                             key,
                                                             decode(stored.value()),
-                                                            new Version(stored.version()))));
+                                                            new Revision(stored.version()))));
         }
 
         @Override
         public CompletableFuture<Page> list(
-                String prefix, String after, int most, Urgency urgency) {
-            pages += prefix.equals(Records.LEADER) ? 0 : 1;
+                String prefix, String after, int most, RequestPriority requestPriority) {
+            pages += prefix.equals(RecordCodec.LEADER_KEY) ? 0 : 1;
             return call(
                     () -> {
                         if (prefix.startsWith(hidden)) {
-                            throw new StateException(Outcome.REFUSED, "hidden");
+                            throw new KeyValueStoreException(Outcome.REJECTED, "hidden");
                         }
                         List<Entry> entries = new ArrayList<>();
                         for (Map.Entry<String, Stored> each :
@@ -480,40 +481,41 @@
                                     new Entry(
                                             each.getKey(),
                                             decode(each.getValue().value()),
-                                            new Version(each.getValue().version())));
+                                            new Revision(each.getValue().version())));
                         }
                         return new Page(
                                 List.copyOf(entries.subList(0, Math.min(most, entries.size()))),
                                 entries.size() > most,
-                                new Version(revision));
+                                new Revision(revision));
                     });
         }
 
         @Override
-        public CompletableFuture<Commit> commit(Transaction transaction, Urgency urgency) {
+        public CompletableFuture<CommitResult> commit(
+                Transaction transaction, RequestPriority requestPriority) {
             mostWrites = Math.max(mostWrites, transaction.writes().size());
             if (lateBy != null || lateShare > 0 && late.nextDouble() < lateShare) {
-                CompletableFuture<Commit> never = new CompletableFuture<>();
-                loop.after(timeout(), () -> fail(never, Outcome.UNKNOWN));
+                CompletableFuture<CommitResult> never = new CompletableFuture<>();
+                loop.schedule(timeout(), () -> fail(never, Outcome.INDETERMINATE));
                 waitingCommits++;
-                loop.after(
+                loop.schedule(
                         lateBy != null ? lateBy : Duration.ofMillis(2000 + late.nextInt(10_000)),
                         () -> {
                             waitingCommits--;
                             try {
                                 FakeStore.this.commit(transaction);
                                 lateCommits++;
-                            } catch (StateException refused) {
+                            } catch (KeyValueStoreException refused) {
                                 // Nobody hears of it.
                             }
                         });
                 return never;
             }
             if (unansweredShare > 0 && unanswered.nextDouble() < unansweredShare) {
-                CompletableFuture<Commit> never = new CompletableFuture<>();
+                CompletableFuture<CommitResult> never = new CompletableFuture<>();
                 call(() -> FakeStore.this.commit(transaction))
-                        .thenAccept(done -> lostCommits += done.applied() ? 1 : 0);
-                loop.after(timeout(), () -> fail(never, Outcome.UNKNOWN));
+                        .thenAccept(done -> lostCommits += done.isApplied() ? 1 : 0);
+                loop.schedule(timeout(), () -> fail(never, Outcome.INDETERMINATE));
                 return never;
             }
             boolean heldBefore = holding;
@@ -526,7 +528,7 @@
         }
 
         @Override
-        public CompletableFuture<LeaseId> grant(Duration ttl) {
+        public CompletableFuture<LeaseId> grantLease(Duration ttl) {
             return call(
                     () -> {
                         leases.put(++nextLease, loop.now().plus(ttl));
@@ -536,11 +538,12 @@
         }
 
         @Override
-        public CompletableFuture<Void> renew(LeaseId lease) {
+        public CompletableFuture<Void> renewLease(LeaseId lease) {
             return call(
                     () -> {
                         if (!leases.containsKey(lease.value())) {
-                            throw new StateException(Outcome.NO_SUCH_LEASE, "the lease has ended");
+                            throw new KeyValueStoreException(
+                                    Outcome.LEASE_EXPIRED, "the lease has ended");
                         }
                         leases.put(lease.value(), loop.now().plus(ttls.get(lease.value())));
                         return null;
@@ -548,7 +551,7 @@
         }
 
         @Override
-        public CompletableFuture<Void> revoke(LeaseId lease) {
+        public CompletableFuture<Void> revokeLease(LeaseId lease) {
             return call(
                     () -> {
                         leases.computeIfPresent(lease.value(), (id, until) -> loop.now());
@@ -558,11 +561,11 @@
         }
 
         @Override
-        public CompletableFuture<Changes> watch(String prefix, Version after, Duration wait) {
+        public CompletableFuture<ChangeBatch> watch(String prefix, Revision after, Duration wait) {
             watches++;
-            CompletableFuture<Changes> answer = new CompletableFuture<>();
+            CompletableFuture<ChangeBatch> answer = new CompletableFuture<>();
             if (cut || out) {
-                loop.after(latency, () -> fail(answer, Outcome.REFUSED));
+                loop.schedule(latency, () -> fail(answer, Outcome.REJECTED));
             } else {
                 look(answer, prefix, after, loop.now().plus(wait));
             }
@@ -570,19 +573,23 @@
         }
 
         private void look(
-                CompletableFuture<Changes> answer, String prefix, Version after, Moment until) {
+                CompletableFuture<ChangeBatch> answer,
+                String prefix,
+                Revision after,
+                MonotonicTime until) {
             expire();
-            if (failsWatches && !prefix.equals(Records.LEADER)) {
-                loop.after(latency, () -> fail(answer, Outcome.UNKNOWN));
+            if (failsWatches && !prefix.equals(RecordCodec.LEADER_KEY)) {
+                loop.schedule(latency, () -> fail(answer, Outcome.INDETERMINATE));
                 return;
             }
-            if (goesBack && !prefix.equals(Records.LEADER)) {
-                loop.after(
+            if (goesBack && !prefix.equals(RecordCodec.LEADER_KEY)) {
+                loop.schedule(
                         latency,
                         () ->
                                 complete(
                                         answer,
-                                        new Changes(new Version(after.value() - 1), List.of())));
+                                        new ChangeBatch(
+                                                new Revision(after.value() - 1), List.of())));
                 return;
             }
             List<Change> found = new ArrayList<>();
@@ -593,15 +600,15 @@
                     && !log.isEmpty()
                     && log.size() > MOST_LOG
                     && log.get(log.size() - MOST_LOG)
-                            .version()
-                            .isAfter(new Version(after.value() + 1))) {
-                loop.after(latency, () -> fail(answer, Outcome.TOO_OLD));
+                            .revision()
+                            .isAfter(new Revision(after.value() + 1))) {
+                loop.schedule(latency, () -> fail(answer, Outcome.COMPACTED));
                 return;
             }
             if (!cut && !out && !blind) {
                 // The log is in the order of versions, and a watcher is mostly near its end.
                 int from = log.size();
-                while (from > 0 && log.get(from - 1).version().isAfter(after)) {
+                while (from > 0 && log.get(from - 1).revision().isAfter(after)) {
                     from--;
                 }
                 for (Change change : log.subList(from, log.size())) {
@@ -612,16 +619,17 @@
             }
             if (!found.isEmpty() || until.isBefore(loop.now())) {
                 // Who sees nothing cannot be told how far the store has come.
-                Changes changes =
-                        new Changes(cut || out || blind ? after : new Version(revision), found);
-                loop.after(latency, () -> complete(answer, changes));
+                ChangeBatch changeBatch =
+                        new ChangeBatch(
+                                cut || out || blind ? after : new Revision(revision), found);
+                loop.schedule(latency, () -> complete(answer, changeBatch));
             } else if (!dead) {
-                loop.after(Duration.ofMillis(50), () -> look(answer, prefix, after, until));
+                loop.schedule(Duration.ofMillis(50), () -> look(answer, prefix, after, until));
             }
         }
 
         @Override
-        public boolean seemsOut() {
+        public boolean seemsUnavailable() {
             return out || cut;
         }
     }
--- a/src/test/java/org/meadowhollow/story/FakeWorker.java
+++ b/src/test/java/org/meadowhollow/story/FakeWorker.java
@@ -8,19 +8,19 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import org.meadowhollow.bookkeeping.Attempt;
-import org.meadowhollow.bookkeeping.Cause;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.MachineType;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Order;
-import org.meadowhollow.bookkeeping.Report;
-import org.meadowhollow.bookkeeping.Session;
-import org.meadowhollow.bookkeeping.TaskId;
-import org.meadowhollow.bookkeeping.TaskState;
-import org.meadowhollow.bookkeeping.Term;
 import org.meadowhollow.coordination.Answer;
+import org.meadowhollow.model.AttemptNumber;
+import org.meadowhollow.model.ExitReason;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.Heartbeat;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.TaskId;
+import org.meadowhollow.model.TaskState;
+import org.meadowhollow.model.WorkerCommand;
+import org.meadowhollow.model.WorkerIncarnation;
 
 /** A machine's worker, as the protocol describes it. */
 final class FakeWorker implements Judge.Place {
@@ -39,19 +39,19 @@
 
     /** A task here; it runs once its image has come. */
     private static final class Task {
-        private final Attempt attempt;
-        private TaskState state = TaskState.FETCHING;
-        private Cause cause;
-        private final Moment runsAt;
+        private final AttemptNumber attemptNumber;
+        private TaskState state = TaskState.PULLING_IMAGE;
+        private ExitReason exitReason;
+        private final MonotonicTime runsAt;
 
         /** When it began to run; a gang's task waits for the others before. */
-        private Moment runningSince;
+        private MonotonicTime runningSince;
 
         /** Since when a running gang's task misses another one. */
-        private Moment missingSince;
+        private MonotonicTime missingSince;
 
-        Task(Attempt attempt, Moment runsAt) {
-            this.attempt = attempt;
+        Task(AttemptNumber attemptNumber, MonotonicTime runsAt) {
+            this.attemptNumber = attemptNumber;
             this.runsAt = runsAt;
         }
     }
@@ -61,10 +61,10 @@
     private final String type;
     private final String zone;
     private final Map<TaskId, Task> tasks = new LinkedHashMap<>();
-    private Session session = new Session(1);
+    private WorkerIncarnation workerIncarnation = new WorkerIncarnation(1);
     private long seq;
-    private Term token = Term.NONE;
-    private Moment answeredSentAt;
+    private FencingToken token = FencingToken.NONE;
+    private MonotonicTime answeredSentAt;
     private int node;
     private CompletableFuture<Answer> inFlight;
     private boolean hung;
@@ -162,37 +162,37 @@
         return hung;
     }
 
-    Term token() {
+    FencingToken token() {
         return token;
     }
 
-    Session session() {
-        return session;
+    WorkerIncarnation session() {
+        return workerIncarnation;
     }
 
     /** The machine is back at once, under its name and address, and begins anew. */
     void reboot() {
         tasks.clear();
-        session = new Session(1);
+        workerIncarnation = new WorkerIncarnation(1);
         seq = 0;
-        token = Term.NONE;
+        token = FencingToken.NONE;
         inFlight = null;
         answeredSentAt = world.loop().now();
     }
 
     /** Makes a task exit with an error. */
     void fail(TaskId task) {
-        exit(tasks.get(task), Cause.ERROR);
+        exit(tasks.get(task), ExitReason.ERROR);
     }
 
     /** Makes a task exit because it found another one of its gang gone. */
     void missPeers(TaskId task) {
-        exit(tasks.get(task), Cause.PEERS);
+        exit(tasks.get(task), ExitReason.PEERS);
     }
 
     /** Makes a task give up waiting for its gang. */
     void giveUp(TaskId task) {
-        exit(tasks.get(task), Cause.ALONE);
+        exit(tasks.get(task), ExitReason.ALONE);
     }
 
     boolean holds(TaskId task) {
@@ -201,11 +201,11 @@
 
     /** Makes a task complete, as its gang does. */
     void complete(TaskId task) {
-        exit(tasks.get(task), Cause.DONE);
+        exit(tasks.get(task), ExitReason.DONE);
     }
 
     private boolean leaseIsOver() {
-        return world.loop().now().since(answeredSentAt).compareTo(LEASE) > 0;
+        return world.loop().now().elapsedSince(answeredSentAt).compareTo(LEASE) > 0;
     }
 
     /** Tasks that are on the machine in the protocol's sense: with their image, and not exited. */
@@ -219,7 +219,7 @@
         }
         tasks.forEach(
                 (task, held) -> {
-                    if (held.state != TaskState.EXITED && held.state != TaskState.FETCHING) {
+                    if (held.state != TaskState.EXITED && held.state != TaskState.PULLING_IMAGE) {
                         all.add(task);
                     }
                 });
@@ -237,20 +237,20 @@
                         .toList();
     }
 
-    Attempt attempt(TaskId task) {
-        return tasks.get(task).attempt;
+    AttemptNumber attempt(TaskId task) {
+        return tasks.get(task).attemptNumber;
     }
 
-    private static void exit(Task task, Cause cause) {
+    private static void exit(Task task, ExitReason exitReason) {
         task.state = TaskState.EXITED;
-        task.cause = cause;
+        task.exitReason = exitReason;
     }
 
     private void tick() {
         if (gone) {
             return;
         }
-        world.loop().after(REPORT, this::tick);
+        world.loop().schedule(REPORT, this::tick);
         if (!hung) {
             advance();
             report();
@@ -259,29 +259,29 @@
 
     /** What time has brought: the end of the lease, images that have come, tasks that are done. */
     void advance() {
-        Moment now = world.loop().now();
+        MonotonicTime now = world.loop().now();
         if (leaseIsOver()) {
             tasks.clear();
-            session = new Session(session.value() + 1);
+            workerIncarnation = new WorkerIncarnation(workerIncarnation.value() + 1);
             answeredSentAt = now;
         }
         tasks.forEach(
                 (id, task) -> {
-                    boolean gang = world.spec(id.job()).kind() == Kind.GANG;
-                    if (task.state == TaskState.FETCHING && task.runsAt.isBefore(now)) {
-                        task.state = gang ? TaskState.WAITING : TaskState.RUNNING;
+                    boolean gang = world.spec(id.jobId()).kind() == JobKind.GANG;
+                    if (task.state == TaskState.PULLING_IMAGE && task.runsAt.isBefore(now)) {
+                        task.state = gang ? TaskState.WAITING_FOR_GANG : TaskState.RUNNING;
                         task.runningSince = gang ? null : now;
                         world.started(this, id);
                     }
                     if (gang) {
                         advanceGang(id, task, now);
                     }
-                    Duration runs = world.runTime(id.job());
+                    Duration runs = world.runTime(id.jobId());
                     if (task.state == TaskState.RUNNING
                             && runs != null
-                            && now.since(task.runningSince).compareTo(runs) > 0
-                            && world.mayComplete(id.job())) {
-                        exit(task, Cause.DONE);
+                            && now.elapsedSince(task.runningSince).compareTo(runs) > 0
+                            && world.mayComplete(id.jobId())) {
+                        exit(task, ExitReason.DONE);
                         world.completed(id);
                     }
                 });
@@ -291,18 +291,18 @@
      * A gang's tasks start together, give up waiting for one another, and exit when one of them is
      * gone.
      */
-    private void advanceGang(TaskId id, Task task, Moment now) {
-        boolean whole = world.isWhole(id.job(), task.attempt);
-        if (task.state == TaskState.WAITING && whole) {
+    private void advanceGang(TaskId id, Task task, MonotonicTime now) {
+        boolean whole = world.isWhole(id.jobId(), task.attemptNumber);
+        if (task.state == TaskState.WAITING_FOR_GANG && whole) {
             task.state = TaskState.RUNNING;
             task.runningSince = now;
-        } else if (task.state == TaskState.WAITING
-                && now.since(task.runsAt).compareTo(GANG_WAIT) > 0) {
-            exit(task, Cause.ALONE);
+        } else if (task.state == TaskState.WAITING_FOR_GANG
+                && now.elapsedSince(task.runsAt).compareTo(GANG_WAIT) > 0) {
+            exit(task, ExitReason.ALONE);
         } else if (task.state == TaskState.RUNNING && !whole) {
             task.missingSince = task.missingSince == null ? now : task.missingSince;
-            if (now.since(task.missingSince).compareTo(GANG_PEER) > 0) {
-                exit(task, Cause.PEERS);
+            if (now.elapsedSince(task.missingSince).compareTo(GANG_PEER) > 0) {
+                exit(task, ExitReason.PEERS);
             }
         } else {
             task.missingSince = null;
@@ -310,42 +310,54 @@
     }
 
     /** Whether a gang's task is here in an attempt and can take part in it, or has completed. */
-    boolean takesPart(TaskId id, Attempt attempt) {
+    boolean takesPart(TaskId id, AttemptNumber attemptNumber) {
         Task task = tasks.get(id);
         return !hung
                 && !gone
                 && !leaseIsOver()
                 && task != null
-                && task.attempt.equals(attempt)
-                && (task.state == TaskState.WAITING
+                && task.attemptNumber.equals(attemptNumber)
+                && (task.state == TaskState.WAITING_FOR_GANG
                         || task.state == TaskState.RUNNING
-                        || task.cause == Cause.DONE);
+                        || task.exitReason == ExitReason.DONE);
     }
 
-    Report snapshot() {
-        List<Report.Task> list = new ArrayList<>();
+    Heartbeat snapshot() {
+        List<Heartbeat.TaskStatus> list = new ArrayList<>();
         tasks.forEach(
-                (id, task) -> list.add(new Report.Task(id, task.attempt, task.state, task.cause)));
-        return new Report(
-                id, id.value() + ":9000", type, zone, false, session, ++seq, token, noticeS, list);
+                (id, task) ->
+                        list.add(
+                                new Heartbeat.TaskStatus(
+                                        id, task.attemptNumber, task.state, task.exitReason)));
+        return new Heartbeat(
+                id,
+                id.value() + ":9000",
+                type,
+                zone,
+                false,
+                workerIncarnation,
+                ++seq,
+                token,
+                noticeS,
+                list);
     }
 
     private void report() {
         if (inFlight != null) {
             return;
         }
-        Report report = snapshot();
-        Moment sentAt = world.loop().now();
-        Session reporting = session;
+        Heartbeat heartbeat = snapshot();
+        MonotonicTime sentAt = world.loop().now();
+        WorkerIncarnation reporting = workerIncarnation;
         CompletableFuture<Answer> answer =
-                reaches(node) && !mute ? world.deliver(node, report) : new CompletableFuture<>();
+                reaches(node) && !mute ? world.deliver(node, heartbeat) : new CompletableFuture<>();
         if (answer == null) {
             tryNext();
             return;
         }
         inFlight = answer;
         world.loop()
-                .after(
+                .schedule(
                         ANSWER,
                         () -> {
                             if (inFlight == answer) {
@@ -357,7 +369,7 @@
                 given -> {
                     if (inFlight == answer) {
                         inFlight = null;
-                        if (!hung && !gone && session.equals(reporting)) {
+                        if (!hung && !gone && workerIncarnation.equals(reporting)) {
                             world.judged(() -> answered(given, sentAt));
                         }
                     }
@@ -371,7 +383,7 @@
 
     private void reportAfter(Duration pause) {
         world.loop()
-                .after(
+                .schedule(
                         pause,
                         () -> {
                             if (!hung && !gone) {
@@ -381,7 +393,7 @@
                         });
     }
 
-    private void answered(Answer answer, Moment sentAt) {
+    private void answered(Answer answer, MonotonicTime sentAt) {
         if (answer instanceof Answer.Elsewhere elsewhere) {
             if (elsewhere.member() == null) {
                 tryNext();
@@ -405,45 +417,47 @@
     }
 
     /** A direct command; null when there is no answer. */
-    Report direct(Term given, Session expected, List<Order> orders) {
+    Heartbeat direct(FencingToken given, WorkerIncarnation expected, List<WorkerCommand> orders) {
         if (gone || hung || deaf) {
             return null;
         }
         advance();
         if (!token.isAfter(given)) {
             token = given;
-            if (session.equals(expected)) {
+            if (workerIncarnation.equals(expected)) {
                 execute(orders);
             }
         }
         return snapshot();
     }
 
-    private void execute(List<Order> orders) {
-        for (Order order : orders) {
-            Task task = tasks.get(order.task());
-            boolean same = task != null && task.attempt.equals(order.attempt());
-            switch (order.op()) {
+    private void execute(List<WorkerCommand> orders) {
+        for (WorkerCommand workerCommand : orders) {
+            Task task = tasks.get(workerCommand.taskId());
+            boolean same = task != null && task.attemptNumber.equals(workerCommand.attemptNumber());
+            switch (workerCommand.action()) {
                 case START -> {
                     if (!same) {
                         if (task != null && task.state != TaskState.EXITED) {
                             throw new AssertionError(
-                                    "started " + order + " beside another attempt");
+                                    "started " + workerCommand + " beside another attempt");
                         }
-                        world.toldToStart(order.task());
+                        world.toldToStart(workerCommand.taskId());
                         tasks.put(
-                                order.task(),
-                                new Task(order.attempt(), world.loop().now().plus(world.fetch())));
+                                workerCommand.taskId(),
+                                new Task(
+                                        workerCommand.attemptNumber(),
+                                        world.loop().now().plus(world.fetch())));
                     }
                 }
                 case STOP -> {
                     if (same && task.state != TaskState.EXITED) {
-                        exit(task, Cause.STOPPED);
+                        exit(task, ExitReason.STOPPED);
                     }
                 }
                 case FORGET -> {
                     if (same && task.state == TaskState.EXITED) {
-                        tasks.remove(order.task());
+                        tasks.remove(workerCommand.taskId());
                     }
                 }
             }
--- a/src/test/java/org/meadowhollow/story/GangStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/GangStoriesTest.java
@@ -7,24 +7,24 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.TaskId;
 import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.TaskId;
 
 /** Tasks that run together, or apart over zones. */
 class GangStoriesTest extends Story {
     /** A gang of large tasks that are on their machines and wait for their image. */
     private JobSpec fetchingGang(int tasks, Duration fetch) {
         world.fetch(fetch);
-        JobSpec gang = World.spec(1, Kind.GANG, tasks, 8);
+        JobSpec gang = World.spec(1, JobKind.GANG, tasks, 8);
         assertTrue(world.submit(0, gang, LONG));
         world.runS(10);
         return gang;
     }
 
     private void assertFirstAttempt(JobSpec gang) {
-        for (int task = 0; task < gang.tasks(); task++) {
+        for (int task = 0; task < gang.taskCount(); task++) {
             TaskId each = new TaskId(gang.id(), task);
             assertEquals(
                     1, holder(each).attempt(each).value(), "the fetches of the others went on");
@@ -41,7 +41,7 @@
 
     private int countOn(JobSpec job) {
         int count = 0;
-        for (int task = 0; task < job.tasks(); task++) {
+        for (int task = 0; task < job.taskCount(); task++) {
             count += world.on(new TaskId(job.id(), task)).size();
         }
         return count;
@@ -49,8 +49,8 @@
 
     @Test
     void aGangRunsWholeOrNotAtAll() {
-        JobSpec tooLarge = World.spec(1, Kind.GANG, 6, 8);
-        JobSpec fits = World.spec(2, Kind.GANG, 3, 8);
+        JobSpec tooLarge = World.spec(1, JobKind.GANG, 6, 8);
+        JobSpec fits = World.spec(2, JobKind.GANG, 3, 8);
         assertTrue(world.submit(0, fits, LONG));
         assertTrue(world.submit(0, tooLarge, LONG));
         world.cloudOut(true);
@@ -100,7 +100,7 @@
 
     @Test
     void tasksOfAGangThatReportTheirEndTogetherEndItOnce() {
-        JobSpec gang = World.spec(1, Kind.GANG, 3, 8);
+        JobSpec gang = World.spec(1, JobKind.GANG, 3, 8);
         JobSpec after = array(2, 2);
         assertTrue(world.submit(0, gang, SHORT));
         world.runS(25);
@@ -113,8 +113,8 @@
 
     @Test
     void replicasSpreadOverZonesAndGangsKeepTogether() {
-        JobSpec spread = zoned(World.spec(1, Kind.SERVICE, 5, 2), false, true);
-        JobSpec together = zoned(World.spec(2, Kind.GANG, 2, 8), true, false);
+        JobSpec spread = zoned(World.spec(1, JobKind.SERVICE, 5, 2), false, true);
+        JobSpec together = zoned(World.spec(2, JobKind.GANG, 2, 8), true, false);
         assertTrue(world.submit(0, together, LONG));
         assertTrue(world.submit(0, spread, null));
         world.runS(15);
@@ -127,7 +127,7 @@
 
     @Test
     void aGangThatLosesATaskStartsAnewAsAWhole() {
-        JobSpec job = World.spec(1, Kind.GANG, 3, 8);
+        JobSpec job = World.spec(1, JobKind.GANG, 3, 8);
         assertTrue(world.submit(0, job, LONG));
         world.runS(12);
         assertEquals(3, world.starts());
@@ -149,11 +149,11 @@
      */
     @Test
     void aTaskIsLostBeforeTheNextLeaderHearsThatTheGangHasBegun() {
-        JobSpec gang = World.spec(1, Kind.GANG, 3, 8);
+        JobSpec gang = World.spec(1, JobKind.GANG, 3, 8);
         assertTrue(world.submit(0, gang, Duration.ofHours(2)));
         world.runS(10);
         assertTrue(
-                world.submit(0, withTeam(World.spec(2, Kind.SERVICE, 3, 8), "other"), null),
+                world.submit(0, withTeam(World.spec(2, JobKind.SERVICE, 3, 8), "other"), null),
                 "fills the other machines");
         world.runS(10);
         assertEquals(6, world.starts());
--- a/src/test/java/org/meadowhollow/story/GoldenStoreTest.java
+++ b/src/test/java/org/meadowhollow/story/GoldenStoreTest.java
@@ -10,16 +10,16 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.Attempt;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Order;
-import org.meadowhollow.bookkeeping.Session;
-import org.meadowhollow.bookkeeping.TaskId;
-import org.meadowhollow.bookkeeping.Term;
 import org.meadowhollow.coordination.admission.Admission.Phase;
 import org.meadowhollow.golden.GoldenFile;
+import org.meadowhollow.model.AttemptNumber;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.TaskId;
+import org.meadowhollow.model.WorkerCommand;
+import org.meadowhollow.model.WorkerIncarnation;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.Json;
 import org.meadowhollow.protocol.Malformed;
@@ -112,9 +112,11 @@
         world.workers()
                 .get(machine)
                 .direct(
-                        new Term(42),
-                        new Session(1),
-                        List.of(Order.start(new TaskId(job, task), new Attempt(attempt))));
+                        new FencingToken(42),
+                        new WorkerIncarnation(1),
+                        List.of(
+                                WorkerCommand.start(
+                                        new TaskId(job, task), new AttemptNumber(attempt))));
     }
 
     private void assertEnds(JobId id, Phase phase, int done) {
@@ -128,7 +130,7 @@
                         "cancelled",
                         phase == Phase.CANCELLED,
                         "tasks",
-                        (long) world.spec(id).tasks(),
+                        (long) world.spec(id).taskCount(),
                         "done",
                         (long) done),
                 world.store().value("ended/" + id.value()));
@@ -145,9 +147,10 @@
         for (int task = 0; task < 4; task++) {
             assertEquals(1, world.on(new TaskId(GANG, task)).size());
             assertEquals(
-                    new Attempt(3), world.workers().get(task % 2).attempt(new TaskId(GANG, task)));
+                    new AttemptNumber(3),
+                    world.workers().get(task % 2).attempt(new TaskId(GANG, task)));
         }
-        assertEquals(new Attempt(2), world.workers().get(0).attempt(new TaskId(ARRAY, 160)));
+        assertEquals(new AttemptNumber(2), world.workers().get(0).attempt(new TaskId(ARRAY, 160)));
         world.runS(240);
         assertEnds(ARRAY, Phase.DONE, 250);
         assertEnds(GANG, Phase.DONE, 4);
@@ -202,8 +205,8 @@
     @Test
     void jobsThatEndedBeforeAreToldOfAndNotRunAgain() {
         fill("term", "leader");
-        JobSpec done = World.spec(105, Kind.GANG, 4, 1);
-        JobSpec cancelled = World.spec(106, Kind.SERVICE, 3, 1);
+        JobSpec done = World.spec(105, JobKind.GANG, 4, 1);
+        JobSpec cancelled = World.spec(106, JobKind.SERVICE, 3, 1);
         for (int task = 0; task < 4; task++) {
             world.judge().complete(new TaskId(done.id(), task));
         }
--- a/src/test/java/org/meadowhollow/story/HearingTest.java
+++ b/src/test/java/org/meadowhollow/story/HearingTest.java
@@ -9,10 +9,10 @@
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.TaskId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.TaskId;
 
 /** A leader that hears few workers or none: who leads then, and what happens to the machines. */
 class HearingTest {
@@ -34,7 +34,7 @@
         }
         world.runS(12);
         lastOfFirst = world.workers().get(MACHINES - 1).id();
-        service = World.spec(1, Kind.SERVICE, REPLICAS, 4);
+        service = World.spec(1, JobKind.SERVICE, REPLICAS, 4);
         assertTrue(world.submit(0, service, Duration.ofHours(1)));
         world.runS(10);
         first = world.leader();
--- a/src/test/java/org/meadowhollow/story/JobStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/JobStoriesTest.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.TaskId;
 import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.TaskId;
 import org.meadowhollow.protocol.users.SubmissionCodec;
 
 /** What becomes of jobs, and what their users are told. */
@@ -54,7 +54,7 @@
 
     @Test
     void aCancelledJobIsGoneAndStaysCancelled() {
-        JobSpec job = World.spec(1, Kind.SERVICE, 5, 1);
+        JobSpec job = World.spec(1, JobKind.SERVICE, 5, 1);
         assertTrue(world.submit(0, job, null));
         world.runS(10);
         assertTrue(world.cancel(2, job.id()));
@@ -168,10 +168,11 @@
 
     @Test
     void whatCanNeverRunIsRefused() {
-        assertFalse(world.submit(0, World.spec(1, Kind.ARRAY, 1, 9), SHORT), "no machine has nine");
+        assertFalse(
+                world.submit(0, World.spec(1, JobKind.ARRAY, 1, 9), SHORT), "no machine has nine");
         assertFalse(world.submit(0, withTeam(array(2, 1), "nobody"), SHORT));
         world.team("small", 0, 3);
-        assertFalse(world.submit(0, withTeam(World.spec(3, Kind.GANG, 4, 1), "small"), SHORT));
+        assertFalse(world.submit(0, withTeam(World.spec(3, JobKind.GANG, 4, 1), "small"), SHORT));
         assertTrue(
                 world.submit(0, withTeam(array(4, 4), "small"), SHORT),
                 "an array runs a task at a time");
@@ -183,40 +184,43 @@
      */
     @Test
     void aGangThatMayNotBeWhereItMustBeIsRefusedAndWhatMayRunIsNot() {
-        JobSpec gang = World.spec(1, Kind.GANG, 3, 1);
+        JobSpec gang = World.spec(1, JobKind.GANG, 3, 1);
         assertFalse(world.submit(0, zoned(gang, true, true), SHORT), "together and spread");
         assertFalse(
                 world.submit(0, inZone(zoned(gang, false, true), "a"), SHORT),
                 "in one zone and spread");
         assertFalse(world.submit(0, inZone(gang, "c"), SHORT), "nowhere");
         assertTrue(
-                world.submit(0, zoned(World.spec(2, Kind.GANG, 1, 1), true, true), SHORT),
+                world.submit(0, zoned(World.spec(2, JobKind.GANG, 1, 1), true, true), SHORT),
                 "one task is whole");
         assertTrue(
                 world.submit(0, inZone(zoned(array(3, 4), false, true), "b"), SHORT),
                 "an array runs half by half");
         assertTrue(
                 world.submit(
-                        0, inZone(zoned(World.spec(4, Kind.GANG, 3, 1), true, false), "a"), SHORT));
+                        0,
+                        inZone(zoned(World.spec(4, JobKind.GANG, 3, 1), true, false), "a"),
+                        SHORT));
         world.runS(60);
         for (int number = 2; number <= 4; number++) {
             assertEquals(Phase.DONE, phase(array(number, 1)), "job " + number);
         }
         for (int node = 0; node < 3; node++) {
             Map<String, Object> body =
-                    new HashMap<>(SubmissionCodec.encode(World.spec(5 + node, Kind.ARRAY, 1, 1)));
+                    new HashMap<>(
+                            SubmissionCodec.encode(World.spec(5 + node, JobKind.ARRAY, 1, 1)));
             body.remove("loaners");
             assertEquals(400, world.posts(node, body), "lacks a field");
             assertEquals(
                     422,
-                    world.posts(node, SubmissionCodec.encode(World.spec(9, Kind.ARRAY, 1, 9))),
+                    world.posts(node, SubmissionCodec.encode(World.spec(9, JobKind.ARRAY, 1, 9))),
                     "fits no machine");
             assertEquals(
                     422,
                     world.posts(
                             node,
                             SubmissionCodec.encode(
-                                    withTypes(World.spec(10, Kind.ARRAY, 1, 1), List.of()))));
+                                    withTypes(World.spec(10, JobKind.ARRAY, 1, 1), List.of()))));
         }
     }
 
@@ -224,7 +228,7 @@
     @Test
     void aRepeatOfAnAcceptedJobIsNeverRefusedAlsoAfterTeamsLookDifferent() {
         world.team("small", 0, 3);
-        JobSpec gang = withTeam(World.spec(1, Kind.GANG, 3, 1), "small");
+        JobSpec gang = withTeam(World.spec(1, JobKind.GANG, 3, 1), "small");
         assertTrue(world.submit(0, gang, SHORT));
         world.team("small", 0, 1);
         for (int node = 0; node < 3; node++) {
--- a/src/test/java/org/meadowhollow/story/Judge.java
+++ b/src/test/java/org/meadowhollow/story/Judge.java
@@ -13,15 +13,15 @@
 import java.util.Set;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.MachineType;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Resources;
-import org.meadowhollow.bookkeeping.TaskId;
 import org.meadowhollow.coordination.admission.Admission.Phase;
 import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Resources;
+import org.meadowhollow.model.TaskId;
 
 /**
  * Holds what workers and users saw against the protocol's rules, and against what is promised for
@@ -60,7 +60,7 @@
         List<TaskId> running();
     }
 
-    private record Told(Phase phase, Moment at) {}
+    private record Told(Phase phase, MonotonicTime at) {}
 
     private final Duration cancelWithin;
     private final Map<String, Platform.Team> teams;
@@ -69,13 +69,13 @@
     private final List<MachineType> types;
     private final Set<JobId> submitted = new HashSet<>();
     private final Set<JobId> cancelAsked = new HashSet<>();
-    private final Map<JobId, Moment> accepted = new LinkedHashMap<>();
+    private final Map<JobId, MonotonicTime> accepted = new LinkedHashMap<>();
     private final Map<JobId, Told> ends = new HashMap<>();
     private final Set<TaskId> completed = new HashSet<>();
-    private final Map<JobId, Moment> begunAt = new HashMap<>();
-    private final Map<JobId, Moment> answeredAt = new HashMap<>();
-    private final Map<JobId, Moment> neglectedSince = new HashMap<>();
-    private Moment calmSince;
+    private final Map<JobId, MonotonicTime> begunAt = new HashMap<>();
+    private final Map<JobId, MonotonicTime> answeredAt = new HashMap<>();
+    private final Map<JobId, MonotonicTime> neglectedSince = new HashMap<>();
+    private MonotonicTime calmSince;
     private int startsAfterCancellation;
 
     Judge(
@@ -108,19 +108,25 @@
     boolean canRun(JobSpec spec) {
         Platform.Team team = teams.get(spec.team());
         Resources atOnce =
-                spec.kind() == Kind.ARRAY ? spec.perTask() : spec.perTask().times(spec.tasks());
+                spec.kind() == JobKind.ARRAY
+                        ? spec.resourcesPerTask()
+                        : spec.resourcesPerTask().times(spec.taskCount());
         if (team == null || !within(atOnce, team.most())) {
             return false;
         }
         Set<String> zones = new HashSet<>();
         for (MachineType type : types) {
-            if (spec.allowsType(type.name()) && spec.perTask().fitsIn(type.room())) {
+            if (spec.allowsMachineType(type.name())
+                    && spec.resourcesPerTask().fitsIn(type.capacity())) {
                 type.zones().stream().filter(spec::allowsZone).forEach(zones::add);
             }
         }
-        boolean inOneZone = spec.oneZone() || zones.size() == 1;
+        boolean inOneZone = spec.requiresSingleZone() || zones.size() == 1;
         return !zones.isEmpty()
-                && !(spec.kind() == Kind.GANG && spec.spread() && inOneZone && spec.tasks() > 1);
+                && !(spec.kind() == JobKind.GANG
+                        && spec.spreadsAcrossZones()
+                        && inOneZone
+                        && spec.taskCount() > 1);
     }
 
     private static boolean within(Resources used, Resources most) {
@@ -135,9 +141,9 @@
      * @param sentAt when the question was sent: what was told only after that may be newer than the
      *     answer
      */
-    void answered(JobId id, Phase phase, Moment sentAt, Moment now) {
+    void answered(JobId id, Phase phase, MonotonicTime sentAt, MonotonicTime now) {
         answeredAt.put(id, now);
-        Moment since = accepted.get(id);
+        MonotonicTime since = accepted.get(id);
         if (phase == null) {
             assertTrue(since == null || !since.isBefore(sentAt), "forgotten: " + id);
             return;
@@ -154,7 +160,7 @@
                 phase != Phase.CANCELLED || cancelAsked.contains(id),
                 "went_back: " + id + " cancelled by nobody");
         if (phase == Phase.DONE) {
-            for (int task = 0; task < specs.apply(id).tasks(); task++) {
+            for (int task = 0; task < specs.apply(id).taskCount(); task++) {
                 assertTrue(
                         completed.contains(new TaskId(id, task)),
                         "not_done: task " + task + " of " + id);
@@ -191,7 +197,7 @@
 
     /** A worker has taken an order to start a task. */
     void toldToStart(TaskId task) {
-        startsAfterCancellation += isCancelled(task.job()) ? 1 : 0;
+        startsAfterCancellation += isCancelled(task.jobId()) ? 1 : 0;
     }
 
     /**
@@ -203,40 +209,41 @@
     }
 
     /** A task has its image now and is on its machine. */
-    void started(Place place, TaskId task, Moment now) {
-        JobSpec spec = specs.apply(task.job());
-        begunAt.putIfAbsent(task.job(), now);
+    void started(Place place, TaskId task, MonotonicTime now) {
+        JobSpec spec = specs.apply(task.jobId());
+        begunAt.putIfAbsent(task.jobId(), now);
         assertTrue(
-                spec.allowsZone(place.zone()) && spec.allowsType(place.machineType().name()),
+                spec.allowsZone(place.zone()) && spec.allowsMachineType(place.machineType().name()),
                 "wrong_place: " + task);
         int inZone = 0;
         for (Place other : places.get()) {
             for (TaskId running : other.running()) {
                 assertTrue(other == place || !running.equals(task), "ran_twice: " + task);
-                if (running.job().equals(task.job())) {
+                if (running.jobId().equals(task.jobId())) {
                     inZone += other.zone().equals(place.zone()) ? 1 : 0;
                     assertTrue(
-                            !spec.oneZone() || other.zone().equals(place.zone()),
+                            !spec.requiresSingleZone() || other.zone().equals(place.zone()),
                             "wrong_place: " + task);
                 }
             }
         }
         assertTrue(
-                !spec.spread() || inZone <= spec.mostPerZone(),
+                !spec.spreadsAcrossZones() || inZone <= spec.maxTasksPerZone(),
                 "wrong_place: too many in a zone: " + task);
     }
 
     // ---- at each step ----
 
-    void check(Moment now) {
+    void check(MonotonicTime now) {
         Map<String, Resources> used = new HashMap<>();
         for (Place place : places.get()) {
             for (TaskId task : place.running()) {
-                JobSpec spec = specs.apply(task.job());
-                used.merge(spec.team(), spec.perTask(), Resources::plus);
+                JobSpec spec = specs.apply(task.jobId());
+                used.merge(spec.team(), spec.resourcesPerTask(), Resources::plus);
                 assertTrue(
-                        !isCancelled(task.job())
-                                || now.since(ends.get(task.job()).at()).compareTo(cancelWithin)
+                        !isCancelled(task.jobId())
+                                || now.elapsedSince(ends.get(task.jobId()).at())
+                                                .compareTo(cancelWithin)
                                         <= 0,
                         "ran_cancelled: " + task);
             }
@@ -252,7 +259,7 @@
     // ---- once all troubles are over ----
 
     /** All troubles are over. */
-    void calm(Moment now) {
+    void calm(MonotonicTime now) {
         calmSince = now;
     }
 
@@ -261,17 +268,19 @@
         return accepted.keySet().stream().filter(id -> !isOver(id)).toList();
     }
 
-    private void checkCalm(JobId id, Map<String, Resources> used, Moment now) {
-        Moment answered = answeredAt.getOrDefault(id, calmSince);
-        Moment since = Moment.later(answered, calmSince);
-        assertTrue(now.since(since).compareTo(NO_ANSWER) <= 0, "forgotten: no answer about " + id);
+    private void checkCalm(JobId id, Map<String, Resources> used, MonotonicTime now) {
+        MonotonicTime answered = answeredAt.getOrDefault(id, calmSince);
+        MonotonicTime since = MonotonicTime.latestOf(answered, calmSince);
+        assertTrue(
+                now.elapsedSince(since).compareTo(NO_ANSWER) <= 0,
+                "forgotten: no answer about " + id);
         if (!hasRoom(specs.apply(id), used)) {
             neglectedSince.remove(id);
             return;
         }
-        Moment neglected = neglectedSince.computeIfAbsent(id, unused -> now);
+        MonotonicTime neglected = neglectedSince.computeIfAbsent(id, unused -> now);
         assertTrue(
-                now.since(neglected).compareTo(NEGLECTED) <= 0,
+                now.elapsedSince(neglected).compareTo(NEGLECTED) <= 0,
                 "neglected: " + id + " waits beside room for it");
     }
 
@@ -283,52 +292,52 @@
         Map<String, Integer> zones = new HashMap<>();
         int held = 0;
         int done = 0;
-        for (int task = 0; task < spec.tasks(); task++) {
+        for (int task = 0; task < spec.taskCount(); task++) {
             done += completed.contains(new TaskId(spec.id(), task)) ? 1 : 0;
         }
         for (Place place : places.get()) {
             int here =
                     (int)
                             place.held().stream()
-                                    .filter(task -> task.job().equals(spec.id()))
+                                    .filter(task -> task.jobId().equals(spec.id()))
                                     .count();
             held += here;
             if (here > 0) {
                 zones.merge(place.zone(), here, Integer::sum);
             }
         }
-        boolean gang = spec.kind() == Kind.GANG;
-        int needed = gang ? spec.tasks() : 1;
-        if (held + done >= spec.tasks()
+        boolean gang = spec.kind() == JobKind.GANG;
+        int needed = gang ? spec.taskCount() : 1;
+        if (held + done >= spec.taskCount()
                 || gang && held > 0
                 || !within(
                         used.getOrDefault(spec.team(), Resources.NONE)
-                                .plus(spec.perTask().times(needed)),
+                                .plus(spec.resourcesPerTask().times(needed)),
                         teams.get(spec.team()).most())) {
             return false;
         }
         Map<String, Integer> room = new HashMap<>();
         for (Place place : places.get()) {
             boolean elsewhere =
-                    spec.oneZone()
+                    spec.requiresSingleZone()
                             && zones.keySet().stream().anyMatch(zone -> !zone.equals(place.zone()));
             if (place.inTouch()
-                    && spec.allowsType(place.machineType().name())
+                    && spec.allowsMachineType(place.machineType().name())
                     && spec.allowsZone(place.zone())
                     && !elsewhere) {
-                Resources free = place.machineType().room();
+                Resources free = place.machineType().capacity();
                 for (TaskId task : place.held()) {
-                    free = free.minus(specs.apply(task.job()).perTask());
+                    free = free.minus(specs.apply(task.jobId()).resourcesPerTask());
                 }
-                int most = spec.mostPerZone() - zones.getOrDefault(place.zone(), 0);
+                int most = spec.maxTasksPerZone() - zones.getOrDefault(place.zone(), 0);
                 room.merge(
                         place.zone(),
-                        spec.perTask().countIn(free, spec.tasks()),
+                        spec.resourcesPerTask().maxCopiesIn(free, spec.taskCount()),
                         (one, other) -> Math.min(most, one + other));
                 room.computeIfPresent(place.zone(), (zone, count) -> Math.min(most, count));
             }
         }
-        return (spec.oneZone()
+        return (spec.requiresSingleZone()
                         ? room.values().stream().mapToInt(Integer::intValue).max().orElse(0)
                         : room.values().stream().mapToInt(Integer::intValue).sum())
                 >= needed;
@@ -346,18 +355,20 @@
         wanted.forEach(
                 id ->
                         largest.merge(
-                                specs.apply(id).jobClass(), specs.apply(id).tasks(), Math::max));
+                                specs.apply(id).jobClass(),
+                                specs.apply(id).taskCount(),
+                                Math::max));
         for (JobId id : wanted) {
             JobSpec spec = specs.apply(id);
             groups.computeIfAbsent("class " + spec.jobClass(), unused -> new ArrayList<>()).add(id);
             groups.computeIfAbsent("team " + spec.team(), unused -> new ArrayList<>()).add(id);
-            if (spec.tasks() == largest.get(spec.jobClass())) {
+            if (spec.taskCount() == largest.get(spec.jobClass())) {
                 groups.computeIfAbsent("largest of " + spec.jobClass(), unused -> new ArrayList<>())
                         .add(id);
-                Moment from =
+                MonotonicTime from =
                         calmSince == null
                                 ? accepted.get(id)
-                                : Moment.later(calmSince, accepted.get(id));
+                                : MonotonicTime.latestOf(calmSince, accepted.get(id));
                 assertTrue(
                         begunAt.containsKey(id)
                                 && begunAt.get(id).isBefore(from.plus(LARGEST_BEGIN)),
@@ -374,7 +385,7 @@
     }
 
     private boolean isServed(JobId id) {
-        return specs.apply(id).kind() == Kind.SERVICE
+        return specs.apply(id).kind() == JobKind.SERVICE
                 ? begunAt.containsKey(id)
                 : isOver(id) && ends.get(id).phase() == Phase.DONE;
     }
--- a/src/test/java/org/meadowhollow/story/JudgeTest.java
+++ b/src/test/java/org/meadowhollow/story/JudgeTest.java
@@ -12,15 +12,15 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.MachineType;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Resources;
-import org.meadowhollow.bookkeeping.TaskId;
 import org.meadowhollow.coordination.admission.Admission.Phase;
 import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Resources;
+import org.meadowhollow.model.TaskId;
 
 /** Each check of the judge sees a fault that is planted, and lets pass what is right beside it. */
 class JudgeTest {
@@ -46,8 +46,8 @@
                     specs::get,
                     () -> places);
 
-    private static Moment at(double seconds) {
-        return new Moment((long) (seconds * 1e9));
+    private static MonotonicTime at(double seconds) {
+        return new MonotonicTime((long) (seconds * 1e9));
     }
 
     private JobSpec job(JobSpec spec) {
@@ -57,7 +57,7 @@
         return spec;
     }
 
-    private JobSpec accepted(int number, Kind kind, int tasks) {
+    private JobSpec accepted(int number, JobKind kind, int tasks) {
         JobSpec spec = job(World.spec(number, kind, tasks, 1));
         judge.answered(spec.id(), Phase.QUEUED, at(0), at(1));
         return spec;
@@ -81,7 +81,7 @@
     @Test
     void whatUsersAreTold() {
         sees("invented", () -> judge.answered(UNKNOWN, Phase.QUEUED, at(0), at(1)));
-        JobSpec job = accepted(1, Kind.ARRAY, 2);
+        JobSpec job = accepted(1, JobKind.ARRAY, 2);
         assertDoesNotThrow(
                 () -> judge.answered(job.id(), null, at(0.5), at(2)),
                 "asked before anybody was told");
@@ -105,31 +105,31 @@
     void whatIsAcceptedThoughItCannotRun() {
         for (JobSpec wrong :
                 List.of(
-                        World.spec(1, Kind.ARRAY, 1, 9),
-                        Story.withTeam(World.spec(2, Kind.ARRAY, 1, 1), "nobody"),
-                        World.spec(3, Kind.GANG, 5, 1),
-                        Story.inZone(World.spec(4, Kind.ARRAY, 1, 1), "c"),
-                        Story.zoned(World.spec(5, Kind.GANG, 2, 1), true, true))) {
+                        World.spec(1, JobKind.ARRAY, 1, 9),
+                        Story.withTeam(World.spec(2, JobKind.ARRAY, 1, 1), "nobody"),
+                        World.spec(3, JobKind.GANG, 5, 1),
+                        Story.inZone(World.spec(4, JobKind.ARRAY, 1, 1), "c"),
+                        Story.zoned(World.spec(5, JobKind.GANG, 2, 1), true, true))) {
             job(wrong);
             sees("wrongly accepted", () -> judge.answered(wrong.id(), Phase.QUEUED, at(0), at(1)));
         }
-        accepted(6, Kind.ARRAY, 50);
+        accepted(6, JobKind.ARRAY, 50);
     }
 
     @Test
     void whereTasksStart() {
-        JobSpec array = accepted(1, Kind.ARRAY, 4);
+        JobSpec array = accepted(1, JobKind.ARRAY, 4);
         Stand first = place("a", task(array, 0));
         Stand second = place("b");
         sees("ran_twice", () -> judge.started(second, task(array, 0), at(2)));
         judge.started(second, task(array, 1), at(2));
-        JobSpec bound = job(Story.inZone(World.spec(2, Kind.ARRAY, 1, 1), "a"));
+        JobSpec bound = job(Story.inZone(World.spec(2, JobKind.ARRAY, 1, 1), "a"));
         sees("wrong_place", () -> judge.started(second, task(bound, 0), at(2)));
-        JobSpec together = job(Story.zoned(World.spec(3, Kind.ARRAY, 2, 1), true, false));
+        JobSpec together = job(Story.zoned(World.spec(3, JobKind.ARRAY, 2, 1), true, false));
         places.clear();
         place("a", task(together, 0));
         sees("wrong_place", () -> judge.started(second, task(together, 1), at(2)));
-        JobSpec spread = job(Story.zoned(World.spec(4, Kind.ARRAY, 3, 1), false, true));
+        JobSpec spread = job(Story.zoned(World.spec(4, JobKind.ARRAY, 3, 1), false, true));
         places.clear();
         Stand third = place("a", task(spread, 0), task(spread, 1), task(spread, 2));
         sees("wrong_place", () -> judge.started(third, task(spread, 2), at(2)));
@@ -138,7 +138,7 @@
 
     @Test
     void limitsAndCancellations() {
-        JobSpec job = accepted(1, Kind.ARRAY, 5);
+        JobSpec job = accepted(1, JobKind.ARRAY, 5);
         place("a", task(job, 0), task(job, 1), task(job, 2), task(job, 3));
         judge.check(at(2));
         place("b", task(job, 4));
@@ -155,7 +155,7 @@
 
     @Test
     void afterAllTroubles() {
-        JobSpec job = accepted(1, Kind.ARRAY, 2);
+        JobSpec job = accepted(1, JobKind.ARRAY, 2);
         place("a");
         judge.calm(at(10));
         judge.check(at(10));
@@ -167,7 +167,7 @@
         places.clear();
         place("a", task(job, 0), task(job, 1));
         assertDoesNotThrow(() -> judge.check(at(100.2)), "all its tasks are placed");
-        JobSpec full = accepted(2, Kind.GANG, 3);
+        JobSpec full = accepted(2, JobKind.GANG, 3);
         judge.answered(job.id(), Phase.QUEUED, at(189), at(190));
         judge.answered(full.id(), Phase.QUEUED, at(189), at(190));
         assertDoesNotThrow(() -> judge.check(at(195)), "its team has no more than four");
@@ -178,11 +178,11 @@
         judge.calm(at(0));
         List<JobSpec> jobs = new ArrayList<>();
         for (int number = 0; number < 5; number++) {
-            jobs.add(accepted(number, Kind.ARRAY, number < 4 ? 1 : 2));
+            jobs.add(accepted(number, JobKind.ARRAY, number < 4 ? 1 : 2));
         }
         Stand place = place("a");
         for (int number = 3; number < 5; number++) {
-            for (int task = 0; task < jobs.get(number).tasks(); task++) {
+            for (int task = 0; task < jobs.get(number).taskCount(); task++) {
                 judge.started(place, task(jobs.get(number), task), at(200));
                 judge.complete(task(jobs.get(number), task));
             }
@@ -193,7 +193,7 @@
         judge.complete(task(jobs.get(2), 0));
         judge.answered(jobs.get(2).id(), Phase.DONE, at(310), at(311));
         judge.served();
-        JobSpec large = accepted(5, Kind.ARRAY, 2);
+        JobSpec large = accepted(5, JobKind.ARRAY, 2);
         sees("the largest have to begin in time", judge::served);
         judge.started(place, task(large, 0), at(241.5));
         sees("the largest have to begin in time", judge::served);
--- a/src/test/java/org/meadowhollow/story/LeaderStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/LeaderStoriesTest.java
@@ -6,10 +6,10 @@
 
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.TaskId;
 import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.TaskId;
 
 /** Leaders that crash, are deposed, or lose the state service. */
 class LeaderStoriesTest extends Story {
@@ -144,7 +144,7 @@
 
     @Test
     void aLeaderCutFromTheStateServiceLetsGoInTimeForACancellation() {
-        JobSpec job = World.spec(1, Kind.SERVICE, 4, 1);
+        JobSpec job = World.spec(1, JobKind.SERVICE, 4, 1);
         assertTrue(world.submit(0, job, null));
         world.runS(15);
         int old = world.leader();
@@ -159,7 +159,7 @@
 
     @Test
     void aLeaderThatHearsNothingOfItsDepositionStillFallsSilent() {
-        JobSpec job = World.spec(1, Kind.SERVICE, 4, 1);
+        JobSpec job = World.spec(1, JobKind.SERVICE, 4, 1);
         assertTrue(world.submit(0, job, null));
         world.runS(15);
         int old = world.leader();
