--- a/src/test/java/org/meadowhollow/story/LimitStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/LimitStoriesTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Term;
 import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
 
 /**
  * Teams at their limits and zones that jobs are bound to, while tasks are called off on machines
@@ -44,7 +44,7 @@
     }
 
     private JobSpec filling(int number, String team, int tasks) {
-        JobSpec job = withTeam(World.spec(number, Kind.SERVICE, tasks, 1), team);
+        JobSpec job = withTeam(World.spec(number, JobKind.SERVICE, tasks, 1), team);
         assertTrue(world.submit(0, job, null));
         return job;
     }
@@ -108,7 +108,7 @@
         world.team("team", 0, 8);
         List<FakeWorker> first = world.workers();
         first.forEach(worker -> worker.deaf(true));
-        JobSpec job = World.spec(1, Kind.ARRAY, 8, 1);
+        JobSpec job = World.spec(1, JobKind.ARRAY, 8, 1);
         assertTrue(world.submit(0, job, HOURS));
         world.runS(3);
         assertEquals(1, world.store().size("task/"), "its places are committed");
@@ -137,7 +137,8 @@
             case RESIGNED -> world.node(leader).handOver();
             case ENDED -> world.crash(leader);
             case DEPOSED ->
-                    world.node(leader).heardOf(new Term(world.term() + 1), "n" + other(leader, 1));
+                    world.node(leader)
+                            .heardOf(new FencingToken(world.term() + 1), "n" + other(leader, 1));
             default -> world.bounce(leader, Duration.ofMillis(200));
         }
     }
@@ -151,7 +152,8 @@
     void jobsCalledOffInTheSecondsInWhichWorkChangesHandsAreGone(Handing how) {
         List<JobSpec> jobs = new ArrayList<>();
         for (int number = 1; number <= 24; number++) {
-            JobSpec job = number % 6 == 0 ? World.spec(number, Kind.GANG, 2, 1) : array(number, 1);
+            JobSpec job =
+                    number % 6 == 0 ? World.spec(number, JobKind.GANG, 2, 1) : array(number, 1);
             jobs.add(job);
             world.submits(number % 3, job, HOURS);
         }
@@ -220,7 +222,7 @@
      */
     @ParameterizedTest
     @CsvSource({"ARRAY, true", "ARRAY, false", "GANG, true", "GANG, false", "SERVICE, true"})
-    void aJobBoundToOneZoneLosesMachinesThere(Kind kind, boolean together) {
+    void aJobBoundToOneZoneLosesMachinesThere(JobKind kind, boolean together) {
         JobSpec plain = World.spec(1, kind, 3, 8);
         JobSpec job = together ? zoned(plain, true, false) : inZone(plain, "a");
         assertTrue(world.submit(0, job, HOURS));
@@ -248,11 +250,12 @@
      */
     @Test
     void anArrayThatIsTogetherStaysWhereOneOfItsTasksMayBe() {
-        JobSpec job = zoned(World.spec(1, Kind.ARRAY, 2, 8), true, false);
+        JobSpec job = zoned(World.spec(1, JobKind.ARRAY, 2, 8), true, false);
         assertTrue(world.submit(0, job, HOURS));
         world.runS(10);
         FakeWorker hung = placeOf(job, 0);
-        JobSpec fills = inZone(withTeam(World.spec(2, Kind.SERVICE, 1, 8), "other"), hung.zone());
+        JobSpec fills =
+                inZone(withTeam(World.spec(2, JobKind.SERVICE, 1, 8), "other"), hung.zone());
         assertTrue(world.submit(0, fills, null));
         world.runS(5);
         assertTrue(allRun(fills));
@@ -279,7 +282,7 @@
     @ValueSource(ints = {50, 150, 600, 1900})
     void machinesUpAtOnceGetWorkWhileWritesLagAndTheLeaderEnds(int bootMillis) {
         world.boots(Duration.ofMillis(bootMillis), Duration.ofSeconds(20));
-        JobSpec job = World.spec(1, Kind.ARRAY, 48, 1);
+        JobSpec job = World.spec(1, JobKind.ARRAY, 48, 1);
         assertTrue(world.submit(0, job, Duration.ofSeconds(40)));
         world.runS(5);
         int before = world.workers().size();
@@ -287,7 +290,7 @@
         for (int node = 0; node < 3; node++) {
             world.line(node).lateWrites(0.7, 1_000_003L * (node + 1));
         }
-        JobSpec more = World.spec(2, Kind.ARRAY, 40, 4);
+        JobSpec more = World.spec(2, JobKind.ARRAY, 40, 4);
         world.submits(other(leader, 1), more, Duration.ofSeconds(20));
         for (int step = 0; step < 80 && world.workers().size() == before; step++) {
             world.run(Duration.ofMillis(250));
--- a/src/test/java/org/meadowhollow/story/LoadMain.java
+++ b/src/test/java/org/meadowhollow/story/LoadMain.java
@@ -23,7 +23,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.IntFunction;
-import org.meadowhollow.bookkeeping.Kind;
+import org.meadowhollow.model.JobKind;
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.Json;
@@ -201,7 +201,8 @@
                                     "/submissions",
                                     Wire.encode(
                                             SubmissionCodec.encode(
-                                                    World.spec(from + at + 1, Kind.ARRAY, 1, 1)))));
+                                                    World.spec(
+                                                            from + at + 1, JobKind.ARRAY, 1, 1)))));
             load(
                     "native poll",
                     REQUESTS,
--- a/src/test/java/org/meadowhollow/story/LoopbackTest.java
+++ b/src/test/java/org/meadowhollow/story/LoopbackTest.java
@@ -31,22 +31,22 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Observers;
-import org.meadowhollow.bookkeeping.OrderLog;
-import org.meadowhollow.bookkeeping.Records;
-import org.meadowhollow.bookkeeping.TaskId;
 import org.meadowhollow.cli.Controller;
 import org.meadowhollow.cli.Settings;
 import org.meadowhollow.cli.TesOptions;
+import org.meadowhollow.model.JobEventListeners;
+import org.meadowhollow.model.JobEventLog;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.TaskId;
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.Json;
 import org.meadowhollow.protocol.Wire;
 import org.meadowhollow.protocol.tes.TesTokens;
 import org.meadowhollow.protocol.users.SubmissionCodec;
+import org.meadowhollow.storage.RecordCodec;
 import org.meadowhollow.transport.HttpServer;
 import org.meadowhollow.transport.XnioLoop;
 import org.meadowhollow.transport.tracing.OtlpTraces;
@@ -69,7 +69,7 @@
 
     @TempDir private Path folder;
     private final Object signal = new Object();
-    private final List<OrderLog.Event> events = new ArrayList<>();
+    private final List<JobEventLog.Event> events = new ArrayList<>();
     private final List<Span> spans = new ArrayList<>();
     private final Map<String, Controller> nodes = new LinkedHashMap<>();
     private final Map<String, String> fronts = new LinkedHashMap<>();
@@ -133,8 +133,8 @@
                                             null,
                                             null))
                             .observers(
-                                    new Observers(
-                                            new OrderLog(this::note),
+                                    new JobEventListeners(
+                                            new JobEventLog(this::note),
                                             OtlpTraces.to(
                                                     URI.create("http://127.0.0.1:" + collector),
                                                     name)))
@@ -237,7 +237,7 @@
                 new Http.Reply(200, new byte[0], 0, "application/x-protobuf"));
     }
 
-    private void note(OrderLog.Event event) {
+    private void note(JobEventLog.Event event) {
         synchronized (signal) {
             events.add(event);
             signal.notifyAll();
@@ -250,7 +250,7 @@
         }
     }
 
-    private List<OrderLog.Event> events() {
+    private List<JobEventLog.Event> events() {
         synchronized (signal) {
             return events.stream()
                     .sorted(Comparator.comparingLong(event -> event.revision().value()))
@@ -321,7 +321,7 @@
     }
 
     private JobId submit(int node, int number) throws Exception {
-        JobSpec job = World.spec(number, Kind.ARRAY, 1, 1);
+        JobSpec job = World.spec(number, JobKind.ARRAY, 1, 1);
         assertEquals(
                 201,
                 plain(node, "POST", "/submissions", Wire.encode(SubmissionCodec.encode(job)))
@@ -346,12 +346,12 @@
     }
 
     private String leader() {
-        Map<String, Object> record = loop.call(() -> store.value(Records.LEADER));
+        Map<String, Object> record = loop.call(() -> store.value(RecordCodec.LEADER_KEY));
         return record == null ? null : (String) record.get("member");
     }
 
-    private long count(OrderLog.What what) {
-        return events().stream().filter(event -> event.what() == what).count();
+    private long count(JobEventLog.EventType eventType) {
+        return events().stream().filter(event -> event.type() == eventType).count();
     }
 
     @Test
@@ -382,13 +382,13 @@
         String leader = leader();
         nodes.remove(leader).close();
         await("another leader", () -> leader() != null && !leader().equals(leader));
-        assertEquals(LIMIT, count(OrderLog.What.PLACED), "nothing is placed again");
+        assertEquals(LIMIT, count(JobEventLog.EventType.PLACED), "nothing is placed again");
         loop.call(
                 () -> {
                     workers.forEach(LoopbackWorker::endAll);
                     return null;
                 });
-        await("the end of all", () -> count(OrderLog.What.ENDED) == came.size());
+        await("the end of all", () -> count(JobEventLog.EventType.ENDED) == came.size());
         for (int node = 0; node < 2; node++) {
             for (int at = 0; at < 4; at++) {
                 assertEquals(at < 3 ? "COMPLETE" : "CANCELED", state(node, tasks.get(at)));
@@ -412,8 +412,8 @@
         OrderRules.check(events(), LIMIT);
         List<JobId> placed =
                 events().stream()
-                        .filter(event -> event.what() == OrderLog.What.PLACED)
-                        .map(OrderLog.Event::job)
+                        .filter(event -> event.type() == JobEventLog.EventType.PLACED)
+                        .map(JobEventLog.Event::jobId)
                         .toList();
         List<JobId> wanted = new ArrayList<>(came);
         wanted.remove(new JobId(tasks.get(3)));
--- a/src/test/java/org/meadowhollow/story/LoopbackWorker.java
+++ b/src/test/java/org/meadowhollow/story/LoopbackWorker.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import org.meadowhollow.bookkeeping.TaskId;
+import org.meadowhollow.model.TaskId;
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.Malformed;
@@ -105,7 +105,7 @@
 
     private void tick() {
         if (!closed) {
-            loop.after(REPORT, this::tick);
+            loop.schedule(REPORT, this::tick);
             report();
         }
     }
@@ -150,7 +150,7 @@
     private void moveOn(String leader) {
         List<String> all = List.copyOf(nodes.keySet());
         node = leader != null ? leader : all.get((all.indexOf(node) + 1) % all.size());
-        loop.after(NEXT, this::report);
+        loop.schedule(NEXT, this::report);
     }
 
     private byte[] snapshot() {
@@ -235,7 +235,7 @@
             }
         }
         if (news) {
-            loop.after(NEXT, this::report);
+            loop.schedule(NEXT, this::report);
         }
     }
 
--- a/src/test/java/org/meadowhollow/story/MachineStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/MachineStoriesTest.java
@@ -6,19 +6,19 @@
 import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.Cause;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Report;
-import org.meadowhollow.bookkeeping.TaskId;
-import org.meadowhollow.bookkeeping.TaskState;
 import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.model.ExitReason;
+import org.meadowhollow.model.Heartbeat;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.TaskId;
+import org.meadowhollow.model.TaskState;
 
 /** Machines that hang, fall silent, are taken back, rented and returned. */
 class MachineStoriesTest extends Story {
     /** A service of one replica, which is on its machine. */
     private JobSpec runningReplica() {
-        JobSpec job = World.spec(1, Kind.SERVICE, 1, 1);
+        JobSpec job = World.spec(1, JobKind.SERVICE, 1, 1);
         assertTrue(world.submit(0, job, null));
         world.runS(10);
         return job;
@@ -86,7 +86,7 @@
 
     @Test
     void manySilentMachinesAreNotGivenUpAtOnce() {
-        JobSpec job = zoned(World.spec(1, Kind.SERVICE, 4, 8), false, false);
+        JobSpec job = zoned(World.spec(1, JobKind.SERVICE, 4, 8), false, false);
         assertTrue(world.submit(0, job, null));
         world.runS(10);
         int before = world.workers().size();
@@ -101,24 +101,24 @@
     void aReportThatComesLateIsDropped() {
         JobSpec job = runningReplica();
         FakeWorker place = placeOf(job, 0);
-        Report now = place.snapshot();
-        Report late =
-                new Report(
-                        now.machine(),
+        Heartbeat now = place.snapshot();
+        Heartbeat late =
+                new Heartbeat(
+                        now.machineId(),
                         now.address(),
-                        now.type(),
+                        now.machineType(),
                         now.zone(),
-                        now.spot(),
-                        now.session(),
+                        now.isSpot(),
+                        now.incarnation(),
                         1,
-                        now.token(),
+                        now.fencingToken(),
                         Double.NaN,
                         List.of(
-                                new Report.Task(
+                                new Heartbeat.TaskStatus(
                                         new TaskId(job.id(), 0),
                                         place.attempt(new TaskId(job.id(), 0)),
                                         TaskState.EXITED,
-                                        Cause.ERROR)));
+                                        ExitReason.ERROR)));
         world.deliver(world.leader(), late);
         world.runS(15);
         assertEquals(1, world.starts());
--- a/src/test/java/org/meadowhollow/story/MeetingStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/MeetingStoriesTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Records;
 import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.storage.RecordCodec;
 
 /**
  * Cancellations that the one who answers the workers has not heard of: the state service refuses
@@ -25,10 +25,10 @@
         List<JobSpec> jobs =
                 List.of(
                         array(1, 12),
-                        World.spec(2, Kind.GANG, 4, 2),
-                        World.spec(3, Kind.SERVICE, 3, 1));
+                        World.spec(2, JobKind.GANG, 4, 2),
+                        World.spec(3, JobKind.SERVICE, 3, 1));
         for (JobSpec job : jobs) {
-            assertTrue(world.submit(0, job, job.kind() == Kind.SERVICE ? null : HOURS));
+            assertTrue(world.submit(0, job, job.kind() == JobKind.SERVICE ? null : HOURS));
         }
         world.runS(15);
         jobs.forEach(job -> assertTrue(allRun(job), job.id() + " should run"));
@@ -50,7 +50,7 @@
      */
     private void goneInTime(List<JobSpec> jobs) {
         for (JobSpec job : jobs) {
-            for (int task = 0; task < job.tasks(); task++) {
+            for (int task = 0; task < job.taskCount(); task++) {
                 assertEquals(null, placeOf(job, task), "task " + task + " of " + job.id());
             }
         }
@@ -58,7 +58,7 @@
 
     private void hideRecords() {
         for (int node = 0; node < 3; node++) {
-            world.line(node).hide(Records.TASKS);
+            world.line(node).hide(RecordCodec.TASK_PREFIX);
         }
     }
 
@@ -190,7 +190,7 @@
         assertTrue(world.cancel(other(leader, 1), job.id()));
         // All jobs are read instead, which shows it cancelled at once.
         world.runS(20);
-        assertEquals(0, world.store().size(Records.JOBS), "its end is written");
+        assertEquals(0, world.store().size(RecordCodec.JOB_PREFIX), "its end is written");
     }
 
     @Test
@@ -226,7 +226,8 @@
         world.crash(leader);
         assertTrue(world.cancel(other(leader, 1), job.id()));
         world.runS(15);
-        assertEquals(0, world.store().size(Records.TASKS), "what it left is cleared away");
+        assertEquals(
+                0, world.store().size(RecordCodec.TASK_PREFIX), "what it left is cleared away");
     }
 
     /**
@@ -236,7 +237,7 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4, 6, 9, 12})
     void jobsWhoseTasksEndFarApartAcrossAChangeOfLeaderAreDoneOnceAndWhole(int quartersOfASecond) {
-        JobSpec job = World.spec(1, Kind.ARRAY, 2, 8);
+        JobSpec job = World.spec(1, JobKind.ARRAY, 2, 8);
         assertTrue(world.submit(0, job, SHORT));
         for (int step = 0; step < 80 && placeOf(job, 1) == null; step++) {
             world.runS(0.25);
@@ -261,7 +262,10 @@
         world.runS(30);
         assertEquals(Phase.DONE, phase(job));
         assertEquals(2, world.starts(), "no finished task runs again");
-        assertEquals(0, world.store().size(Records.JOBS) + world.store().size(Records.TASKS));
+        assertEquals(
+                0,
+                world.store().size(RecordCodec.JOB_PREFIX)
+                        + world.store().size(RecordCodec.TASK_PREFIX));
     }
 
     /**
@@ -272,7 +276,7 @@
     @ValueSource(ints = {20, 35, 60})
     void aZoneWithWorkersAndItsLeaderIsCutOffForLongerThanTheLease(int cutS) {
         List<JobSpec> jobs = longJobs();
-        JobSpec stays = World.spec(4, Kind.SERVICE, 6, 2);
+        JobSpec stays = World.spec(4, JobKind.SERVICE, 6, 2);
         assertTrue(world.submit(0, stays, null));
         world.runS(8);
         assertTrue(allRun(stays));
@@ -296,7 +300,7 @@
                                                                         && worker.running().stream()
                                                                                 .anyMatch(
                                                                                         task ->
-                                                                                                task.job()
+                                                                                                task.jobId()
                                                                                                         .equals(
                                                                                                                 job
                                                                                                                         .id())))),
@@ -312,7 +316,10 @@
         // have gone on answering.
         world.runS(30);
         assertTrue(allRun(stays));
-        assertEquals(2, world.store().size(Records.JOBS) + world.store().size(Records.TASKS));
+        assertEquals(
+                2,
+                world.store().size(RecordCodec.JOB_PREFIX)
+                        + world.store().size(RecordCodec.TASK_PREFIX));
     }
 
     /**
@@ -322,8 +329,8 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 2, 5, 8, 11})
     void whatALeaderWroteIsCarriedOutAfterItsNewerWrites(int fromS) {
-        JobSpec first = World.spec(1, Kind.ARRAY, 6, 1);
-        JobSpec second = World.spec(2, Kind.GANG, 2, 2);
+        JobSpec first = World.spec(1, JobKind.ARRAY, 6, 1);
+        JobSpec second = World.spec(2, JobKind.GANG, 2, 2);
         assertTrue(world.submit(0, first, SHORT));
         world.runS(fromS);
         int leader = world.leader();
@@ -336,7 +343,10 @@
         assertTrue(world.line(leader).lateCommits() > 0, "executed after newer ones");
         assertEquals(fromS % 2 == 0 ? Phase.CANCELLED : Phase.DONE, phase(first));
         assertEquals(fromS % 2 == 0 ? Phase.DONE : Phase.CANCELLED, phase(second));
-        assertEquals(0, world.store().size(Records.JOBS) + world.store().size(Records.TASKS));
+        assertEquals(
+                0,
+                world.store().size(RecordCodec.JOB_PREFIX)
+                        + world.store().size(RecordCodec.TASK_PREFIX));
     }
 
     /**
@@ -344,7 +354,7 @@
      */
     @Test
     void aStartThatIsWrittenAfterTheEndOfItsTaskIsRefused() {
-        JobSpec job = World.spec(1, Kind.ARRAY, 2, 8);
+        JobSpec job = World.spec(1, JobKind.ARRAY, 2, 8);
         int leader = world.leader();
         world.line(leader).lateWritesBy(Duration.ofSeconds(9));
         assertTrue(world.submit(other(leader, 1), job, Duration.ofSeconds(3)));
@@ -363,7 +373,7 @@
         assertTrue(world.line(leader).lateCommits() > 0);
         assertEquals(null, placeOf(job, 0), "its task had ended");
         assertEquals(leader, world.leader());
-        Map<String, Object> record = world.store().value(Records.TASKS + job.id() + "/0");
+        Map<String, Object> record = world.store().value(RecordCodec.TASK_PREFIX + job.id() + "/0");
         assertEquals(
                 1,
                 ((List<?>) record.get("placed")).size(),
@@ -395,7 +405,10 @@
         for (int node = 0; node < 3; node++) {
             assertEquals(Phase.CANCELLED, world.poll(node, job.id()).orElseThrow().phase());
         }
-        assertEquals(0, world.store().size(Records.JOBS) + world.store().size(Records.TASKS));
+        assertEquals(
+                0,
+                world.store().size(RecordCodec.JOB_PREFIX)
+                        + world.store().size(RecordCodec.TASK_PREFIX));
     }
 
     /**
@@ -409,7 +422,7 @@
         int leader = world.leader();
         assertTrue(world.submit(other(leader, 1), job, HOURS));
         world.runS(1.5);
-        assertEquals(1, world.store().size(Records.TASKS), "its places are committed");
+        assertEquals(1, world.store().size(RecordCodec.TASK_PREFIX), "its places are committed");
         world.peersCut(true);
         world.line(leader).cut(true);
         assertTrue(world.cancel(other(leader, 1), job.id()));
--- a/src/test/java/org/meadowhollow/story/MonthOfNightsTest.java
+++ b/src/test/java/org/meadowhollow/story/MonthOfNightsTest.java
@@ -13,10 +13,10 @@
 import java.util.Map;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Priority;
-import org.meadowhollow.bookkeeping.TaskId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Priority;
+import org.meadowhollow.model.TaskId;
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.Json;
@@ -53,7 +53,7 @@
         world.loop()
                 .skip(
                         Duration.between(
-                                Instant.ofEpochMilli(world.loop().wallMillis()),
+                                Instant.ofEpochMilli(world.loop().wallClockMillis()),
                                 FIRST.atStartOfDay(ZONE).toInstant()));
         world.runS(15);
         if (reserved) {
@@ -99,12 +99,12 @@
             world.loop()
                     .skip(
                             Duration.between(
-                                    Instant.ofEpochMilli(world.loop().wallMillis()),
+                                    Instant.ofEpochMilli(world.loop().wallClockMillis()),
                                     two.minusSeconds(600)));
             List<JobSpec> background = new ArrayList<>();
             for (int at = 0; at < 6; at++) {
                 double estimate = 100 + random.nextInt(800);
-                JobSpec spec = World.spec(++number, Kind.ARRAY, 8, 1);
+                JobSpec spec = World.spec(++number, JobKind.ARRAY, 8, 1);
                 JobSpec other =
                         new JobSpec(
                                 spec.id(),
@@ -113,7 +113,7 @@
                                 spec.kind(),
                                 random.nextBoolean() ? Priority.NORMAL : Priority.HIGH,
                                 8,
-                                spec.perTask(),
+                                spec.resourcesPerTask(),
                                 null,
                                 null,
                                 false,
@@ -136,9 +136,9 @@
                 world.runS(random.nextInt(60));
             }
             fault(world, faults ? random.nextInt(5) : -1);
-            double leftS = (two.toEpochMilli() - world.loop().wallMillis()) / 1000.0;
+            double leftS = (two.toEpochMilli() - world.loop().wallClockMillis()) / 1000.0;
             world.runS(Math.max(0, leftS));
-            JobSpec run = World.spec(++number, Kind.ARRAY, TASKS, 1);
+            JobSpec run = World.spec(++number, JobKind.ARRAY, TASKS, 1);
             run =
                     new JobSpec(
                             run.id(),
@@ -147,7 +147,7 @@
                             run.kind(),
                             Priority.HIGH,
                             TASKS,
-                            run.perTask(),
+                            run.resourcesPerTask(),
                             null,
                             null,
                             false,
--- a/src/test/java/org/meadowhollow/story/MuteMachineStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/MuteMachineStoriesTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.TaskId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.TaskId;
 
 /**
  * Machines that can open no connection to any controller, while direct commands reach them, and
@@ -37,7 +37,7 @@
         world.runS(4);
         List<FakeWorker> mute = muteZone("a");
         world.runS(8);
-        JobSpec job = World.spec(1, Kind.ARRAY, 12, 2);
+        JobSpec job = World.spec(1, JobKind.ARRAY, 12, 2);
         assertTrue(world.submit(0, job, HOURS));
         // Before the lease of those that are mute is over, which would prove that nothing was
         // started there.
@@ -53,7 +53,7 @@
      */
     @Test
     void aMuteMachineIsNotReturnedForItsSilence() {
-        JobSpec job = World.spec(1, Kind.SERVICE, 6, 1);
+        JobSpec job = World.spec(1, JobKind.SERVICE, 6, 1);
         assertTrue(world.submit(0, job, null));
         world.runS(10);
         FakeWorker mute = placeOf(job, 0);
@@ -73,8 +73,8 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 4, 6})
     void aMuteZoneKeepsItsMachinesAndItsCancelledTasksGo(int leaderEndsAfterS) {
-        JobSpec goes = World.spec(1, Kind.SERVICE, 12, 1);
-        JobSpec stays = World.spec(2, Kind.SERVICE, 12, 1);
+        JobSpec goes = World.spec(1, JobKind.SERVICE, 12, 1);
+        JobSpec stays = World.spec(2, JobKind.SERVICE, 12, 1);
         assertTrue(world.submit(0, goes, null));
         assertTrue(world.submit(0, stays, null));
         world.runS(10);
@@ -93,7 +93,7 @@
                                                 worker.running().stream()
                                                         .anyMatch(
                                                                 task ->
-                                                                        task.job()
+                                                                        task.jobId()
                                                                                 .equals(
                                                                                         goes
                                                                                                 .id()))),
@@ -129,11 +129,11 @@
     @ParameterizedTest
     @CsvSource({"6, true", "14, true", "25, true", "6, false", "14, false"})
     void anOrderThatWasHeldUpIsCarriedOutWhenThereIsANewAttempt(int heldS, boolean leaderEnds) {
-        JobSpec job = World.spec(1, Kind.GANG, 3, 8);
+        JobSpec job = World.spec(1, JobKind.GANG, 3, 8);
         assertTrue(world.submit(0, job, HOURS));
         world.runS(10);
         assertTrue(
-                world.submit(0, withTeam(World.spec(2, Kind.SERVICE, 3, 8), "other"), null),
+                world.submit(0, withTeam(World.spec(2, JobKind.SERVICE, 3, 8), "other"), null),
                 "fills the other machines");
         world.mostMachines(0);
         world.runS(10);
@@ -183,7 +183,7 @@
     @ValueSource(ints = {1, 2, 3})
     void machinesThatAreDeafAcrossLeadersHoldTheirTasksForAsLongAsTheyMayRun(int leaders) {
         world.team("team", 0, 6);
-        JobSpec job = World.spec(1, Kind.SERVICE, 6, 1);
+        JobSpec job = World.spec(1, JobKind.SERVICE, 6, 1);
         assertTrue(world.submit(0, job, null));
         world.runS(10);
         List<FakeWorker> deaf = world.workers().subList(0, 3);
--- a/src/test/java/org/meadowhollow/story/NotedTraces.java
+++ b/src/test/java/org/meadowhollow/story/NotedTraces.java
@@ -2,12 +2,12 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.meadowhollow.bookkeeping.AttemptLog;
-import org.meadowhollow.bookkeeping.Progress;
-import org.meadowhollow.bookkeeping.TaskTraces;
+import org.meadowhollow.model.AttemptRecord;
+import org.meadowhollow.model.JobPhase;
+import org.meadowhollow.model.TaskTracer;
 
 /** Notes what is told of traced tasks; takes any context. */
-final class NotedTraces implements TaskTraces {
+final class NotedTraces implements TaskTracer {
     private final List<String> told = new ArrayList<>();
 
     List<String> told() {
@@ -15,38 +15,40 @@
     }
 
     @Override
-    public String contextOf(String traceparent) {
+    public String traceContextOf(String traceparent) {
         return traceparent;
     }
 
     @Override
-    public void accepted(Traced task, long fromMillis, long untilMillis) {
+    public void onTaskAccepted(TracedTask task, long fromMillis, long untilMillis) {
         note(task, "accepted", fromMillis, untilMillis);
     }
 
     @Override
-    public void attempt(Traced task, long waitedFromMillis, AttemptLog attempt) {
+    public void onAttemptEnded(TracedTask task, long waitedFromMillis, AttemptRecord attempt) {
         note(
                 task,
-                "attempt " + attempt.attempt() + ' ' + attempt.cause(),
+                "attempt " + attempt.attemptNumber() + ' ' + attempt.endReason(),
                 waitedFromMillis,
-                attempt.placedMillis(),
-                attempt.startedMillis() == 0 ? attempt.placedMillis() : attempt.startedMillis(),
-                attempt.endedMillis());
+                attempt.placedAtMillis(),
+                attempt.startedAtMillis() == 0
+                        ? attempt.placedAtMillis()
+                        : attempt.startedAtMillis(),
+                attempt.endedAtMillis());
     }
 
     @Override
-    public void ended(Traced task, Progress how, long fromMillis, long untilMillis) {
+    public void onTaskEnded(TracedTask task, JobPhase how, long fromMillis, long untilMillis) {
         note(task, "ended " + how, fromMillis, untilMillis);
     }
 
-    private void note(Traced task, String what, long... times) {
+    private void note(TracedTask task, String what, long... times) {
         for (int at = 1; at < times.length; at++) {
             if (times[at] < times[at - 1]) {
                 throw new AssertionError(what + " goes back in time");
             }
         }
-        told.add(task.context() + ' ' + what);
+        told.add(task.traceContext() + ' ' + what);
     }
 
     @Override
--- a/src/test/java/org/meadowhollow/story/OldReportStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/OldReportStoriesTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Report;
-import org.meadowhollow.bookkeeping.Session;
-import org.meadowhollow.bookkeeping.TaskId;
 import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.model.Heartbeat;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.TaskId;
+import org.meadowhollow.model.WorkerIncarnation;
 
 /**
  * What a new leader may conclude from the first report that it hears of a machine, which may be old
@@ -28,8 +28,8 @@
     @Test
     void allNodesAreAwayForLongerThanTheLeaseAndNothingStartsInASessionThatItWasNotPlacedIn() {
         world.team("team", 0, 6);
-        JobSpec running = World.spec(1, Kind.SERVICE, 6, 1);
-        JobSpec next = World.spec(2, Kind.ARRAY, 6, 1);
+        JobSpec running = World.spec(1, JobKind.SERVICE, 6, 1);
+        JobSpec next = World.spec(2, JobKind.ARRAY, 6, 1);
         assertTrue(world.submit(0, running, null));
         world.runS(10);
         assertTrue(world.submit(1, next, LONG));
@@ -38,7 +38,7 @@
         assertEquals(6, world.starts());
         assertTrue(
                 world.workers().stream()
-                        .allMatch(worker -> worker.session().equals(new Session(2))),
+                        .allMatch(worker -> worker.session().equals(new WorkerIncarnation(2))),
                 "all leases have run out");
         world.restartAll();
         world.runS(20);
@@ -57,14 +57,14 @@
     void anExitThatWasTakenBackProvesNothingToTheNextLeader() {
         world.team("team", 0, 24);
         world.fetch(Duration.ofSeconds(30));
-        JobSpec gang = World.spec(1, Kind.GANG, 3, 8);
+        JobSpec gang = World.spec(1, JobKind.GANG, 3, 8);
         assertTrue(world.submit(0, gang, HOURS));
         world.runS(10);
         TaskId first = new TaskId(gang.id(), 0);
         FakeWorker worker =
                 world.workers().stream().filter(one -> one.holds(first)).findFirst().orElseThrow();
         assertTrue(
-                world.submit(0, withTeam(World.spec(3, Kind.SERVICE, 3, 4), "other"), null),
+                world.submit(0, withTeam(World.spec(3, JobKind.SERVICE, 3, 4), "other"), null),
                 "keeps the other machines");
         worker.giveUp(first);
         world.keepForNext(worker);
@@ -95,7 +95,7 @@
     @Test
     void anExitInAnEarlierSessionIsNotTheEndOfTheSameAttemptInTheNext() {
         world.fetch(Duration.ofSeconds(40));
-        JobSpec gang = World.spec(1, Kind.GANG, 6, 8);
+        JobSpec gang = World.spec(1, JobKind.GANG, 6, 8);
         assertTrue(world.submit(0, gang, HOURS));
         world.runS(8);
         world.cloudOut(true);
@@ -111,7 +111,7 @@
         world.runS(40);
         assertTrue(allRun(gang));
         assertEquals(1, worker.attempt(first).value());
-        assertEquals(new Session(2), worker.session());
+        assertEquals(new WorkerIncarnation(2), worker.session());
         worker.hang(true);
         world.cloudOut(false);
         world.machine(World.LARGE, "b");
@@ -135,7 +135,7 @@
     void anOldReportWithoutATaskDoesNotProveThatItNeverStarts() {
         world.team("team", 0, 12);
         world.workers().forEach(world::keepForNext);
-        JobSpec job = World.spec(1, Kind.SERVICE, 12, 1);
+        JobSpec job = World.spec(1, JobKind.SERVICE, 12, 1);
         assertTrue(world.submit(0, job, null));
         world.runS(10);
         List<FakeWorker> silent = world.workers().subList(0, 3);
@@ -165,7 +165,8 @@
     void aHigherSessionOfAFormerLifeDoesNotProveTheSessionOverInWhichATaskRuns() {
         FakeWorker first = world.machine(World.SMALL, "a");
         JobSpec fills =
-                withTypes(withTeam(World.spec(2, Kind.SERVICE, 1, 2), "other"), List.of("small"));
+                withTypes(
+                        withTeam(World.spec(2, JobKind.SERVICE, 1, 2), "other"), List.of("small"));
         assertTrue(world.submit(0, fills, null));
         world.runS(10);
         assertEquals(first, placeOf(fills, 0));
@@ -174,13 +175,13 @@
         world.runS(25);
         worker.hang(false);
         world.runS(8);
-        assertEquals(new Session(2), worker.session());
-        Report former = worker.snapshot();
+        assertEquals(new WorkerIncarnation(2), worker.session());
+        Heartbeat former = worker.snapshot();
         int leader = world.leader();
         worker.reboot();
         world.crash(leader);
         world.runS(12);
-        JobSpec job = withTypes(World.spec(1, Kind.SERVICE, 1, 1), List.of("small"));
+        JobSpec job = withTypes(World.spec(1, JobKind.SERVICE, 1, 1), List.of("small"));
         assertTrue(world.submit(world.leader(), job, null));
         world.runS(8);
         assertEquals(worker, placeOf(job, 0), "in the first session of its new life");
@@ -204,7 +205,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"before the start", "while it ran", "of an earlier session"})
     void anOldReportReachesEveryNodeJustAsALeaderBegins(String when) {
-        JobSpec job = World.spec(1, Kind.SERVICE, 6, 1);
+        JobSpec job = World.spec(1, JobKind.SERVICE, 6, 1);
         if (when.equals("before the start")) {
             world.workers().forEach(world::keepForNext);
         }
@@ -240,11 +241,11 @@
      */
     @Test
     void whatMachinesThatAreGoneOnceReportedHoldsNobodyUp() {
-        JobSpec job = World.spec(1, Kind.ARRAY, 2, 8);
+        JobSpec job = World.spec(1, JobKind.ARRAY, 2, 8);
         assertTrue(world.submit(0, job, LONG));
         world.runS(10);
         assertTrue(
-                world.submit(0, withTeam(World.spec(2, Kind.SERVICE, 4, 8), "other"), null),
+                world.submit(0, withTeam(World.spec(2, JobKind.SERVICE, 4, 8), "other"), null),
                 "fills the other machines");
         world.runS(10);
         List<FakeWorker> gone = List.of(placeOf(job, 0), placeOf(job, 1));
--- a/src/test/java/org/meadowhollow/story/OrderRules.java
+++ b/src/test/java/org/meadowhollow/story/OrderRules.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.OrderLog;
-import org.meadowhollow.bookkeeping.TaskId;
+import org.meadowhollow.model.JobEventLog;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.TaskId;
 
 /**
  * What the ordering log shows of the rules: nothing twice at a time, nothing before or after its
@@ -23,36 +23,39 @@
      * @param events in the order of the state service
      * @param most tasks that may be placed at a time
      */
-    static void check(List<OrderLog.Event> events, int most) {
+    static void check(List<JobEventLog.Event> events, int most) {
         Set<JobId> accepted = new HashSet<>();
         Set<JobId> closed = new HashSet<>();
         Map<TaskId, String> placed = new HashMap<>();
-        for (OrderLog.Event event : events) {
-            TaskId task = new TaskId(event.job(), event.task());
-            switch (event.what()) {
-                case ACCEPTED -> assertTrue(accepted.add(event.job()), "accepted twice: " + event);
+        for (JobEventLog.Event event : events) {
+            TaskId task = new TaskId(event.jobId(), event.taskIndex());
+            switch (event.type()) {
+                case ACCEPTED ->
+                        assertTrue(accepted.add(event.jobId()), "accepted twice: " + event);
                 case CANCELLED ->
                         assertTrue(
-                                accepted.contains(event.job()) && closed.add(event.job()),
+                                accepted.contains(event.jobId()) && closed.add(event.jobId()),
                                 () -> "" + event);
                 case PLACED -> {
                     assertTrue(
-                            accepted.contains(event.job()) && !closed.contains(event.job()),
+                            accepted.contains(event.jobId()) && !closed.contains(event.jobId()),
                             () -> "" + event);
                     assertEquals(
-                            null, placed.put(task, event.machine()), "twice at a time: " + event);
+                            null,
+                            placed.put(task, event.machineName()),
+                            "twice at a time: " + event);
                     assertTrue(placed.size() <= most, "over the limit: " + event);
                 }
                 case GONE ->
                         assertEquals(
-                                event.machine(),
+                                event.machineName(),
                                 placed.remove(task),
                                 "gone from elsewhere: " + event);
                 case ENDED -> {
-                    closed.add(event.job());
+                    closed.add(event.jobId());
                     assertTrue(
                             placed.keySet().stream()
-                                    .noneMatch(left -> left.job().equals(event.job())),
+                                    .noneMatch(left -> left.jobId().equals(event.jobId())),
                             () -> "ended too soon: " + event);
                 }
             }
--- a/src/test/java/org/meadowhollow/story/RandomTroubleTest.java
+++ b/src/test/java/org/meadowhollow/story/RandomTroubleTest.java
@@ -11,11 +11,11 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Priority;
 import org.meadowhollow.coordination.admission.Admission.JobState;
 import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Priority;
 
 /**
  * Troubles of all kinds at random times, from fixed seeds; the world checks the rules at every
@@ -65,7 +65,7 @@
         world.runS(settlesS);
         // Replicas would fill the team's limit for ever.
         for (JobSpec job : jobs) {
-            if (job.kind() == Kind.SERVICE) {
+            if (job.kind() == JobKind.SERVICE) {
                 assertTrue(world.cancel(0, job.id()));
             }
         }
@@ -155,14 +155,14 @@
         List<JobSpec> jobs = new ArrayList<>();
         for (int meeting = 0; meeting < 10; meeting++) {
             for (int at = 0; at < 3; at++) {
-                Kind kind = Kind.values()[random.nextInt(3)];
+                JobKind kind = JobKind.values()[random.nextInt(3)];
                 JobSpec job =
                         World.spec(jobs.size(), kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
                 jobs.add(job);
                 world.submit(
                         random.nextInt(3),
                         job,
-                        kind == Kind.SERVICE
+                        kind == JobKind.SERVICE
                                 ? null
                                 : Duration.ofSeconds(
                                         random.nextBoolean() ? 300 : 5 + random.nextInt(40)));
@@ -248,7 +248,7 @@
     }
 
     private static JobSpec anyJob(World world, Random random, int number) {
-        Kind kind = Kind.values()[random.nextInt(3)];
+        JobKind kind = JobKind.values()[random.nextInt(3)];
         JobSpec plain = World.spec(number, kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
         JobSpec job =
                 new JobSpec(
@@ -257,23 +257,23 @@
                         random.nextInt(3) == 0 ? "other" : "team",
                         kind,
                         Priority.values()[random.nextInt(3)],
-                        plain.tasks(),
-                        plain.perTask(),
+                        plain.taskCount(),
+                        plain.resourcesPerTask(),
                         null,
                         random.nextInt(6) == 0 ? "a" : null,
                         random.nextInt(4) == 0,
                         false,
                         false,
                         plain.image(),
-                        plain.imageGb(),
-                        plain.estimateS(),
+                        plain.imageSizeGb(),
+                        plain.estimatedRuntimeSeconds(),
                         0,
                         0,
                         Double.NaN);
         world.submit(
                 random.nextInt(3),
                 job,
-                kind == Kind.SERVICE
+                kind == JobKind.SERVICE
                         ? null
                         : Duration.ofSeconds(random.nextBoolean() ? 200 : 5 + random.nextInt(40)));
         return job;
@@ -287,14 +287,16 @@
         int node = random.nextInt(3);
         switch (random.nextInt(16)) {
             case 0, 1, 2, 3 -> {
-                Kind kind = Kind.values()[random.nextInt(3)];
+                JobKind kind = JobKind.values()[random.nextInt(3)];
                 JobSpec job = World.spec(step, kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
                 // Without an answer it may have been accepted all the same.
                 jobs.add(job);
                 world.submit(
                         node,
                         job,
-                        kind == Kind.SERVICE ? null : Duration.ofSeconds(5 + random.nextInt(40)));
+                        kind == JobKind.SERVICE
+                                ? null
+                                : Duration.ofSeconds(5 + random.nextInt(40)));
             }
             case 4, 5 -> {
                 if (!jobs.isEmpty()) {
--- a/src/test/java/org/meadowhollow/story/ScaleTest.java
+++ b/src/test/java/org/meadowhollow/story/ScaleTest.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Records;
 import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.storage.RecordCodec;
 
 /**
  * What a large deployment must bear; it counts messages and records, not seconds of a machine's
@@ -34,7 +34,7 @@
         world.runS(12);
         world.cloudOut(true);
         for (int number = 0; number < JOBS; number++) {
-            JobSpec job = World.spec(number, Kind.ARRAY, TASKS, 1);
+            JobSpec job = World.spec(number, JobKind.ARRAY, TASKS, 1);
             jobs.add(job);
             assertTrue(world.submit(number % 3, job, Duration.ofSeconds(60)));
         }
@@ -74,7 +74,7 @@
             assertTrue(
                     world.submit(
                             dead,
-                            World.spec(JOBS + 1 + second, Kind.ARRAY, 2, 1),
+                            World.spec(JOBS + 1 + second, JobKind.ARRAY, 2, 1),
                             Duration.ofSeconds(3)));
             world.runS(0.75);
         }
@@ -83,7 +83,7 @@
         assertTrue(
                 asked <= 3 * 11,
                 asked + " watches of three prefixes in 20 s, at most one each in 2 s");
-        JobSpec waiting = World.spec(JOBS, Kind.ARRAY, 1, 1);
+        JobSpec waiting = World.spec(JOBS, JobKind.ARRAY, 1, 1);
         world.crash(dead);
         assertTrue(world.submit(follower, waiting, Duration.ofSeconds(20)));
         for (int step = 0; step < 40 && (world.leader() < 0 || world.leader() == dead); step++) {
@@ -93,7 +93,7 @@
         world.runS(1);
         assertEquals(
                 1,
-                world.store().size(Records.TASKS + waiting.id().value()),
+                world.store().size(RecordCodec.TASK_PREFIX + waiting.id().value()),
                 "placed within a second or so");
         assertEquals(pages[next], world.line(next).pages(), "it has all records in hand");
     }
--- a/src/test/java/org/meadowhollow/story/StandbyStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/StandbyStoriesTest.java
@@ -13,16 +13,16 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Records;
-import org.meadowhollow.bookkeeping.Term;
-import org.meadowhollow.bookkeeping.Version;
 import org.meadowhollow.coordination.admission.Admission.Phase;
 import org.meadowhollow.coordination.platform.NodeStatus;
 import org.meadowhollow.coordination.platform.Peers;
 import org.meadowhollow.coordination.platform.TableDelta;
 import org.meadowhollow.coordination.platform.TableQuestion;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.RecordCodec;
 
 /** What a warm standby follows, what it takes over, and what must not mislead it. */
 class StandbyStoriesTest extends Story {
@@ -37,7 +37,7 @@
         world.standby();
         world.runS(5);
         // Keeps the machines, with room on each for more.
-        assertTrue(world.submit(0, World.spec(9, Kind.ARRAY, 6, 4), Duration.ofHours(1)));
+        assertTrue(world.submit(0, World.spec(9, JobKind.ARRAY, 6, 4), Duration.ofHours(1)));
         world.runS(30);
     }
 
@@ -58,7 +58,10 @@
     private long learnt(int node) {
         TableQuestion whole =
                 new TableQuestion(
-                        new NodeStatus("test", 1, "a", "", 0, Version.ABSENT), Term.NONE, -1, "");
+                        new NodeStatus("test", 1, "a", "", 0, Revision.ABSENT),
+                        FencingToken.NONE,
+                        -1,
+                        "");
         return world.node(node).tables(whole).map(TableDelta::parts).orElse(List.of()).stream()
                 .filter(part -> part.table()[0] >= LEAST_SAMPLES)
                 .count();
@@ -95,7 +98,7 @@
         world.runS(10);
         int dead = world.leader();
         for (int node = 0; node < 3; node++) {
-            world.line(node).hide(Records.TASKS);
+            world.line(node).hide(RecordCodec.TASK_PREFIX);
         }
         JobSpec lately = array(2, 4);
         assertTrue(world.submit(other(dead), lately, SHORT));
@@ -167,7 +170,7 @@
         List<FakeWorker> late = world.workers().subList(0, machines);
         late.forEach(worker -> worker.hang(true));
         world.crash(dead);
-        assertTrue(world.submit(other(dead), World.spec(1, Kind.ARRAY, 6, 4), LONG));
+        assertTrue(world.submit(other(dead), World.spec(1, JobKind.ARRAY, 6, 4), LONG));
         untilAnotherLeads(dead);
         return late;
     }
@@ -177,7 +180,9 @@
         takenOverWithout(4);
         world.runS(1.5);
         assertEquals(
-                0, world.store().size(Records.TASKS + "req-000001"), "two of six have reported");
+                0,
+                world.store().size(RecordCodec.TASK_PREFIX + "req-000001"),
+                "two of six have reported");
     }
 
     @Test
@@ -199,12 +204,12 @@
     @Test
     void aTermIsAboveAllThatWorkersHaveShown() {
         world.crashAll();
-        world.store().put(Records.TERM, Map.of("term", 50L));
+        world.store().put(RecordCodec.FENCING_TOKEN_KEY, Map.of("term", 50L));
         world.restartAll();
         world.runS(10);
         assertEquals(51, world.term());
         world.crashAll();
-        world.store().put(Records.TERM, Map.of("term", 1L));
+        world.store().put(RecordCodec.FENCING_TOKEN_KEY, Map.of("term", 1L));
         world.restartAll();
         world.runS(6);
         assertTrue(world.term() > 51, "answers of a lower one would be dropped");
@@ -215,7 +220,7 @@
         int dead = world.leader();
         int heir = other(dead);
         world.crash(3 - dead - heir);
-        world.line(heir).blindTo(Records.JOBS);
+        world.line(heir).blindTo(RecordCodec.JOB_PREFIX);
         JobSpec job = array(1, 5);
         assertTrue(world.submit(dead, job, Duration.ofSeconds(60)));
         world.runS(10);
@@ -265,7 +270,7 @@
     void aRecordThatAStandbyHasWrongIsFoundByTheAudit() {
         JobSpec job = array(1, 4);
         int standby = other(world.leader());
-        world.line(standby).skip(Records.job(job.id()));
+        world.line(standby).skip(RecordCodec.job(job.id()));
         assertTrue(world.submit(world.leader(), job, LONG));
         world.runS(130);
         world.line(standby).skip(null);
@@ -352,7 +357,7 @@
         world.runS(6);
         world.restartAll();
         for (int node = 0; node < 3; node++) {
-            world.line(node).hide(Records.TABLES);
+            world.line(node).hide(RecordCodec.RISK_TABLE_PREFIX);
         }
         world.runS(10);
         for (int node = 0; node < 3; node++) {
@@ -365,20 +370,20 @@
     @Test
     void aSnapshotThatIsNotWholeIsNotUsed() {
         world.runS(3 * LEARNT_S);
-        Map<String, Object> head = world.store().value(Records.TABLES_HEAD);
+        Map<String, Object> head = world.store().value(RecordCodec.RISK_TABLE_HEAD_KEY);
         int set = (int) (long) head.get("set");
-        Map<String, Object> older = world.store().value(Records.tableChunk(1 - set, 0));
-        Map<String, Object> newest = world.store().value(Records.tableChunk(set, 0));
+        Map<String, Object> older = world.store().value(RecordCodec.riskTableChunkKey(1 - set, 0));
+        Map<String, Object> newest = world.store().value(RecordCodec.riskTableChunkKey(set, 0));
         world.crashAll();
-        world.store().put(Records.tableChunk(set, 0), older);
+        world.store().put(RecordCodec.riskTableChunkKey(set, 0), older);
         world.restartAll();
         world.runS(20);
         assertEquals(0, learnt(world.leader()), "another chunk is there than the head says");
         world.crashAll();
-        world.store().put(Records.tableChunk(set, 0), newest);
+        world.store().put(RecordCodec.riskTableChunkKey(set, 0), newest);
         Map<String, Object> unknown = new HashMap<>(head);
         unknown.put("form", 2L);
-        world.store().put(Records.TABLES_HEAD, unknown);
+        world.store().put(RecordCodec.RISK_TABLE_HEAD_KEY, unknown);
         world.restartAll();
         world.runS(20);
         assertEquals(0, learnt(world.leader()), "a form that is not known");
--- a/src/test/java/org/meadowhollow/story/StateServer.java
+++ b/src/test/java/org/meadowhollow/story/StateServer.java
@@ -5,26 +5,26 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
-import org.meadowhollow.bookkeeping.LeaseId;
-import org.meadowhollow.bookkeeping.StateException;
-import org.meadowhollow.bookkeeping.StateException.Outcome;
-import org.meadowhollow.bookkeeping.StateStore;
-import org.meadowhollow.bookkeeping.StateStore.Urgency;
-import org.meadowhollow.bookkeeping.Transaction;
-import org.meadowhollow.bookkeeping.Version;
+import org.meadowhollow.model.Revision;
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.Malformed;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.KeyValueStore.RequestPriority;
+import org.meadowhollow.storage.KeyValueStoreException;
+import org.meadowhollow.storage.KeyValueStoreException.Outcome;
+import org.meadowhollow.storage.LeaseId;
+import org.meadowhollow.storage.Transaction;
 
 /** The state service as the protocol has it, over HTTP; what it keeps is the stories' store. */
 final class StateServer implements Http.Service {
-    private final StateStore store;
+    private final KeyValueStore store;
     private final Runnable changed;
 
     /**
      * @param changed is told after each request that may have changed something
      */
-    StateServer(StateStore store, Runnable changed) {
+    StateServer(KeyValueStore store, Runnable changed) {
         this.store = store;
         this.changed = changed;
     }
@@ -43,10 +43,12 @@
     private static Http.Reply refusal(Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
         Outcome outcome =
-                cause instanceof StateException refused ? refused.outcome() : Outcome.UNKNOWN;
+                cause instanceof KeyValueStoreException refused
+                        ? refused.outcome()
+                        : Outcome.INDETERMINATE;
         return switch (outcome) {
-            case NO_SUCH_LEASE -> Http.Reply.error(400, "no such lease");
-            case REFUSED -> Http.Reply.error(503, "out");
+            case LEASE_EXPIRED -> Http.Reply.error(400, "no such lease");
+            case REJECTED -> Http.Reply.error(503, "out");
             default -> Http.Reply.error(500, "failed");
         };
     }
@@ -54,7 +56,7 @@
     private CompletableFuture<Http.Reply> route(Http.Request request) throws Malformed {
         String path = request.path();
         if (path.startsWith("/kv/")) {
-            return store.get(path.substring("/kv/".length()), Urgency.USER)
+            return store.get(path.substring("/kv/".length()), RequestPriority.USER)
                     .thenApply(
                             found ->
                                     found.map(entry -> Http.Reply.of(200, entry(entry)))
@@ -68,7 +70,7 @@
                                     path.substring(
                                             "/grants/".length(),
                                             path.length() - (renews ? "/renew".length() : 0))));
-            return (renews ? store.renew(lease) : store.revoke(lease))
+            return (renews ? store.renewLease(lease) : store.revokeLease(lease))
                     .handle(
                             (done, failure) ->
                                     Http.Reply.of(failure == null ? 200 : 404, Fields.of()))
@@ -80,7 +82,7 @@
                                     one(request, "prefix"),
                                     one(request, "after"),
                                     Integer.parseInt(one(request, "most")),
-                                    Urgency.USER)
+                                    RequestPriority.USER)
                             .thenApply(
                                     page ->
                                             Http.Reply.of(
@@ -91,30 +93,31 @@
                                                                     .map(StateServer::entry)
                                                                     .toList(),
                                                             "truncated",
-                                                            page.more(),
+                                                            page.hasMore(),
                                                             "ledgerRev",
                                                             page.revision().value())));
             case "/changes" ->
                     store.watch(
                                     one(request, "prefix"),
-                                    new Version(Long.parseLong(one(request, "after"))),
+                                    new Revision(Long.parseLong(one(request, "after"))),
                                     Duration.ofMillis(Long.parseLong(one(request, "blockMs"))))
                             .thenApply(StateServer::changes);
             case "/multi" ->
-                    store.commit(transaction(Fields.decode(request.body())), Urgency.USER)
+                    store.commit(transaction(Fields.decode(request.body())), RequestPriority.USER)
                             .thenApply(
-                                    commit -> {
+                                    commitResult -> {
                                         changed.run();
                                         return Http.Reply.of(
-                                                commit.applied() ? 200 : 409,
+                                                commitResult.isApplied() ? 200 : 409,
                                                 Fields.of(
                                                         "ledgerRev",
-                                                        commit.revision().value(),
+                                                        commitResult.revision().value(),
                                                         "failed",
-                                                        commit.failed()));
+                                                        commitResult.conflictingKeys()));
                                     });
             case "/grants" ->
-                    store.grant(Duration.ofMillis(Fields.decode(request.body()).count("ttlMs")))
+                    store.grantLease(
+                                    Duration.ofMillis(Fields.decode(request.body()).count("ttlMs")))
                             .thenApply(
                                     lease ->
                                             Http.Reply.of(200, Fields.of("tether", lease.value())));
@@ -127,18 +130,18 @@
         return values == null ? null : values.get(0);
     }
 
-    private static Map<String, Object> entry(StateStore.Entry entry) {
-        return Fields.of("key", entry.key(), "v", entry.value(), "stamp", entry.version().value());
+    private static Map<String, Object> entry(KeyValueStore.Entry entry) {
+        return Fields.of("key", entry.key(), "v", entry.value(), "stamp", entry.revision().value());
     }
 
-    private static Http.Reply changes(StateStore.Changes changes) {
+    private static Http.Reply changes(KeyValueStore.ChangeBatch changeBatch) {
         return Http.Reply.of(
                 200,
                 Fields.of(
                         "ledgerRev",
-                        changes.revision().value(),
+                        changeBatch.revision().value(),
                         "log",
-                        changes.changes().stream()
+                        changeBatch.changes().stream()
                                 .map(
                                         change ->
                                                 change.value() == null
@@ -146,21 +149,21 @@
                                                                 "remove",
                                                                 change.key(),
                                                                 "stamp",
-                                                                change.version().value())
+                                                                change.revision().value())
                                                         : Fields.of(
                                                                 "set",
                                                                 change.key(),
                                                                 "v",
                                                                 change.value(),
                                                                 "stamp",
-                                                                change.version().value()))
+                                                                change.revision().value()))
                                 .toList()));
     }
 
     private static Transaction transaction(Fields body) throws Malformed {
         Transaction transaction = new Transaction();
         for (Fields guard : body.list("guards")) {
-            transaction.guard(guard.text("key"), new Version(guard.count("stamp")));
+            transaction.requireRevision(guard.text("key"), new Revision(guard.count("stamp")));
         }
         for (Fields write : body.list("writes")) {
             if (write.has("remove")) {
--- a/src/test/java/org/meadowhollow/story/Story.java
+++ b/src/test/java/org/meadowhollow/story/Story.java
@@ -3,11 +3,11 @@
 import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.Priority;
-import org.meadowhollow.bookkeeping.TaskId;
 import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Priority;
+import org.meadowhollow.model.TaskId;
 
 /**
  * A small deployment for stories of what happens while things fail; {@link World} checks the
@@ -31,7 +31,7 @@
     }
 
     static JobSpec array(int number, int tasks) {
-        return World.spec(number, Kind.ARRAY, tasks, 1);
+        return World.spec(number, JobKind.ARRAY, tasks, 1);
     }
 
     Phase phase(JobSpec spec) {
@@ -56,19 +56,19 @@
                 spec.team(),
                 spec.kind(),
                 Priority.HIGH,
-                spec.tasks(),
-                spec.perTask(),
+                spec.taskCount(),
+                spec.resourcesPerTask(),
                 List.of("large"),
-                spec.zone(),
+                spec.requiredZone(),
                 oneZone,
                 spread,
-                spec.spot(),
+                spec.allowsSpot(),
                 spec.image(),
-                spec.imageGb(),
-                spec.estimateS(),
-                spec.checkpointS(),
-                spec.saveS(),
-                spec.deadlineS());
+                spec.imageSizeGb(),
+                spec.estimatedRuntimeSeconds(),
+                spec.checkpointIntervalSeconds(),
+                spec.checkpointDurationSeconds(),
+                spec.deadlineSeconds());
     }
 
     static JobSpec withTeam(JobSpec spec, String team) {
@@ -78,19 +78,19 @@
                 team,
                 spec.kind(),
                 spec.priority(),
-                spec.tasks(),
-                spec.perTask(),
-                spec.types(),
-                spec.zone(),
-                spec.oneZone(),
-                spec.spread(),
-                spec.spot(),
+                spec.taskCount(),
+                spec.resourcesPerTask(),
+                spec.allowedMachineTypes(),
+                spec.requiredZone(),
+                spec.requiresSingleZone(),
+                spec.spreadsAcrossZones(),
+                spec.allowsSpot(),
                 spec.image(),
-                spec.imageGb(),
-                spec.estimateS(),
-                spec.checkpointS(),
-                spec.saveS(),
-                spec.deadlineS());
+                spec.imageSizeGb(),
+                spec.estimatedRuntimeSeconds(),
+                spec.checkpointIntervalSeconds(),
+                spec.checkpointDurationSeconds(),
+                spec.deadlineSeconds());
     }
 
     static JobSpec inZone(JobSpec spec, String zone) {
@@ -100,19 +100,19 @@
                 spec.team(),
                 spec.kind(),
                 spec.priority(),
-                spec.tasks(),
-                spec.perTask(),
-                spec.types(),
+                spec.taskCount(),
+                spec.resourcesPerTask(),
+                spec.allowedMachineTypes(),
                 zone,
-                spec.oneZone(),
-                spec.spread(),
-                spec.spot(),
+                spec.requiresSingleZone(),
+                spec.spreadsAcrossZones(),
+                spec.allowsSpot(),
                 spec.image(),
-                spec.imageGb(),
-                spec.estimateS(),
-                spec.checkpointS(),
-                spec.saveS(),
-                spec.deadlineS());
+                spec.imageSizeGb(),
+                spec.estimatedRuntimeSeconds(),
+                spec.checkpointIntervalSeconds(),
+                spec.checkpointDurationSeconds(),
+                spec.deadlineSeconds());
     }
 
     static JobSpec withTypes(JobSpec spec, List<String> types) {
@@ -122,23 +122,23 @@
                 spec.team(),
                 spec.kind(),
                 spec.priority(),
-                spec.tasks(),
-                spec.perTask(),
+                spec.taskCount(),
+                spec.resourcesPerTask(),
                 types,
-                spec.zone(),
-                spec.oneZone(),
-                spec.spread(),
-                spec.spot(),
+                spec.requiredZone(),
+                spec.requiresSingleZone(),
+                spec.spreadsAcrossZones(),
+                spec.allowsSpot(),
                 spec.image(),
-                spec.imageGb(),
-                spec.estimateS(),
-                spec.checkpointS(),
-                spec.saveS(),
-                spec.deadlineS());
+                spec.imageSizeGb(),
+                spec.estimatedRuntimeSeconds(),
+                spec.checkpointIntervalSeconds(),
+                spec.checkpointDurationSeconds(),
+                spec.deadlineSeconds());
     }
 
     boolean allRun(JobSpec job) {
-        for (int task = 0; task < job.tasks(); task++) {
+        for (int task = 0; task < job.taskCount(); task++) {
             if (placeOf(job, task) == null) {
                 return false;
             }
--- a/src/test/java/org/meadowhollow/story/TakeoverTest.java
+++ b/src/test/java/org/meadowhollow/story/TakeoverTest.java
@@ -7,9 +7,9 @@
 import java.time.Duration;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.TaskId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.TaskId;
 
 /** How soon another node leads, and what must not make it lead. */
 class TakeoverTest {
@@ -57,7 +57,7 @@
     @Test
     void aLeaderBusyForLongerThanItsTimersWaitRenewsInBetween() {
         // With all machines full, no report is held for a start to come.
-        JobSpec filling = World.spec(1, Kind.ARRAY, MACHINES * 8, 1);
+        JobSpec filling = World.spec(1, JobKind.ARRAY, MACHINES * 8, 1);
         assertTrue(world.submit(0, filling, Duration.ofMinutes(5)));
         world.runS(10);
         long term = world.term();
@@ -86,7 +86,7 @@
 
     @Test
     void aLeaderThatIsWronglyReplacedStopsLeadingAndNothingRunsTwice() {
-        JobSpec job = World.spec(1, Kind.ARRAY, 40, 1);
+        JobSpec job = World.spec(1, JobKind.ARRAY, 40, 1);
         int first = world.leader();
         assertTrue(world.submit(first, job, Duration.ofSeconds(20)));
         world.runS(1);
@@ -130,7 +130,7 @@
         world.workers().get(0).hang(true);
         int dead = world.leader();
         world.crash(dead);
-        JobSpec job = World.spec(1, Kind.ARRAY, 1, 1);
+        JobSpec job = World.spec(1, JobKind.ARRAY, 1, 1);
         assertTrue(world.submit((dead + 1) % 3, job, Duration.ofSeconds(60)));
         for (int step = 0; step < 40 && (world.leader() < 0 || world.leader() == dead); step++) {
             world.runS(0.25);
--- a/src/test/java/org/meadowhollow/story/TesFuzzTest.java
+++ b/src/test/java/org/meadowhollow/story/TesFuzzTest.java
@@ -24,7 +24,7 @@
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.statistics.Statistics;
-import org.meadowhollow.bookkeeping.JobId;
+import org.meadowhollow.model.JobId;
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.Json;
@@ -345,7 +345,7 @@
                     !refused.getMessage().contains(other) || other.length() < 4,
                     "a token is never told");
         }
-        String context = CONTEXTS.contextOf(one);
+        String context = CONTEXTS.traceContextOf(one);
         assertTrue(context == null || context.length() == 55);
     }
 
--- a/src/test/java/org/meadowhollow/story/TesStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/TesStoriesTest.java
@@ -18,17 +18,17 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.ToIntFunction;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.OrderLog;
-import org.meadowhollow.bookkeeping.Records;
-import org.meadowhollow.bookkeeping.TaskId;
 import org.meadowhollow.coordination.admission.Admission;
+import org.meadowhollow.model.JobEventLog;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.TaskId;
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.Json;
 import org.meadowhollow.protocol.Malformed;
+import org.meadowhollow.storage.RecordCodec;
 
 /** Tasks that come by the task execution API, beside native jobs, while things fail. */
 class TesStoriesTest extends Story {
@@ -218,7 +218,7 @@
         int other = (world.leader() + 1) % 3;
         world.line(other).holdCommits();
         world.loop()
-                .after(
+                .schedule(
                         Duration.ofSeconds(1),
                         () -> world.workers().forEach(worker -> worker.hang(false)));
         Http.Reply unanswered = ask(other, "POST", "/tasks/" + id + ":cancel", Map.of());
@@ -241,7 +241,7 @@
 
     @Test
     void aCancellationThatComesAfterTheEndChangesNothing() {
-        JobSpec job = World.spec(1, Kind.ARRAY, 1, 1);
+        JobSpec job = World.spec(1, JobKind.ARRAY, 1, 1);
         assertTrue(world.submit(0, job, SHORT));
         String id = created(SHORT);
         world.runS(6);
@@ -255,7 +255,9 @@
         assertEquals("COMPLETE", state(0, id));
         assertEquals(Admission.Phase.DONE, world.poll(0, job.id()).orElseThrow().phase());
         assertEquals(
-                0, world.store().size(Records.JOBS), "no record of a job that is over comes back");
+                0,
+                world.store().size(RecordCodec.JOB_PREFIX),
+                "no record of a job that is over comes back");
         assertEquals(2, world.starts());
     }
 
@@ -368,7 +370,7 @@
                 404, ask(0, "GET", "/tasks/tes-00000000000000000000000000", Map.of()).status());
         assertEquals(
                 404, ask(0, "GET", "/tasks/req-1", Map.of()).status(), "a native job is no task");
-        assertFalse(JobId.wellFormed(id), "and a task no native job");
+        assertFalse(JobId.isWellFormed(id), "and a task no native job");
     }
 
     @Test
@@ -618,7 +620,7 @@
         world.team("team", 0, 4);
         List<JobId> came = new ArrayList<>();
         for (int at = 1; at <= 6; at++) {
-            JobSpec job = World.spec(at, Kind.ARRAY, 2, 1);
+            JobSpec job = World.spec(at, JobKind.ARRAY, 2, 1);
             assertTrue(world.submit(at % 3, job, SHORT));
             came.add(job.id());
             came.add(new JobId(created(SHORT)));
@@ -631,26 +633,28 @@
         world.restartAll();
         world.runS(150);
         assertEquals(18, world.starts());
-        List<OrderLog.Event> events = world.events();
+        List<JobEventLog.Event> events = world.events();
         assertEquals(
                 came,
                 events.stream()
-                        .filter(event -> event.what() == OrderLog.What.ACCEPTED)
-                        .map(OrderLog.Event::job)
+                        .filter(event -> event.type() == JobEventLog.EventType.ACCEPTED)
+                        .map(JobEventLog.Event::jobId)
                         .filter(job -> !job.equals(cancelled))
                         .toList());
         assertEquals(
                 came,
                 events.stream()
-                        .filter(event -> event.what() == OrderLog.What.PLACED)
-                        .map(OrderLog.Event::job)
+                        .filter(event -> event.type() == JobEventLog.EventType.PLACED)
+                        .map(JobEventLog.Event::jobId)
                         .distinct()
                         .toList(),
                 "first come, first placed, by either way");
         OrderRules.check(events, 4);
         assertEquals(
                 came.size() + 1,
-                events.stream().filter(event -> event.what() == OrderLog.What.ENDED).count());
+                events.stream()
+                        .filter(event -> event.type() == JobEventLog.EventType.ENDED)
+                        .count());
     }
 
     private String createdTraced(String parameters, Duration runs) {
@@ -770,7 +774,7 @@
     void aTaskOfATeamBelowItsGuaranteeGoesFirstLikeANativeJob() {
         world.team("other", 2, 0);
         for (int at = 1; at <= 40; at++) {
-            assertTrue(world.submit(0, World.spec(at, Kind.ARRAY, 2, 1), LONG));
+            assertTrue(world.submit(0, World.spec(at, JobKind.ARRAY, 2, 1), LONG));
         }
         world.cloudOut(true);
         // All machines that were rented are up, and full.
--- a/src/test/java/org/meadowhollow/story/Trouble.java
+++ b/src/test/java/org/meadowhollow/story/Trouble.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Random;
 import java.util.function.BiConsumer;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Records;
-import org.meadowhollow.bookkeeping.Term;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.storage.RecordCodec;
 
 /** A trouble that begins, and ends when it is told to, for days on which troubles meet. */
 enum Trouble {
@@ -138,7 +138,7 @@
             }
             case RECORDS_HIDDEN -> {
                 for (int each = 0; each < 3; each++) {
-                    world.line(each).hide(Records.TASKS);
+                    world.line(each).hide(RecordCodec.TASK_PREFIX);
                 }
                 return () -> {
                     for (int each = 0; each < 3; each++) {
@@ -212,7 +212,7 @@
             case DEPOSED_BY_A_HINT -> {
                 if (world.leader() >= 0 && world.node(world.leader()) != null) {
                     world.node(world.leader())
-                            .heardOf(new Term(world.term() + 1), "n" + random.nextInt(3));
+                            .heardOf(new FencingToken(world.term() + 1), "n" + random.nextInt(3));
                 }
                 return () -> {};
             }
--- a/src/test/java/org/meadowhollow/story/VirtualLoop.java
+++ b/src/test/java/org/meadowhollow/story/VirtualLoop.java
@@ -2,8 +2,8 @@
 
 import java.time.Duration;
 import java.util.PriorityQueue;
-import org.meadowhollow.bookkeeping.EventLoop;
-import org.meadowhollow.bookkeeping.Moment;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.MonotonicTime;
 
 /** A loop whose time only moves when a test says so. */
 public final class VirtualLoop implements EventLoop {
@@ -20,12 +20,12 @@
     private long order;
 
     @Override
-    public Moment now() {
-        return new Moment(nanos);
+    public MonotonicTime now() {
+        return new MonotonicTime(nanos);
     }
 
     @Override
-    public long wallMillis() {
+    public long wallClockMillis() {
         return nanos / 1_000_000 + wallAheadMillis;
     }
 
@@ -35,7 +35,7 @@
     }
 
     @Override
-    public void after(Duration pause, Runnable work) {
+    public void schedule(Duration pause, Runnable work) {
         due.add(new Due(nanos + Math.max(0, pause.toNanos()), order++, work));
     }
 
--- a/src/test/java/org/meadowhollow/story/World.java
+++ b/src/test/java/org/meadowhollow/story/World.java
@@ -18,27 +18,6 @@
 import java.util.function.Function;
 import java.util.function.UnaryOperator;
 import java.util.stream.IntStream;
-import org.meadowhollow.bookkeeping.Attempt;
-import org.meadowhollow.bookkeeping.Catalog;
-import org.meadowhollow.bookkeeping.Digests;
-import org.meadowhollow.bookkeeping.EventLoop;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.JobSpec;
-import org.meadowhollow.bookkeeping.Kind;
-import org.meadowhollow.bookkeeping.MachineId;
-import org.meadowhollow.bookkeeping.MachineType;
-import org.meadowhollow.bookkeeping.Moment;
-import org.meadowhollow.bookkeeping.Observers;
-import org.meadowhollow.bookkeeping.Order;
-import org.meadowhollow.bookkeeping.OrderLog;
-import org.meadowhollow.bookkeeping.Priority;
-import org.meadowhollow.bookkeeping.Records;
-import org.meadowhollow.bookkeeping.Report;
-import org.meadowhollow.bookkeeping.Resources;
-import org.meadowhollow.bookkeeping.Session;
-import org.meadowhollow.bookkeeping.TaskId;
-import org.meadowhollow.bookkeeping.Term;
-import org.meadowhollow.bookkeeping.Version;
 import org.meadowhollow.coordination.Answer;
 import org.meadowhollow.coordination.CalendarSettings;
 import org.meadowhollow.coordination.Node;
@@ -54,6 +33,25 @@
 import org.meadowhollow.coordination.platform.Testimony;
 import org.meadowhollow.coordination.platform.Workers;
 import org.meadowhollow.coordination.succession.StandbySettings;
+import org.meadowhollow.model.AttemptNumber;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.Heartbeat;
+import org.meadowhollow.model.JobEventListeners;
+import org.meadowhollow.model.JobEventLog;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.MachineTypeCatalog;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Priority;
+import org.meadowhollow.model.Resources;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.model.TaskId;
+import org.meadowhollow.model.WorkerCommand;
+import org.meadowhollow.model.WorkerIncarnation;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.Malformed;
 import org.meadowhollow.protocol.Wire;
@@ -62,6 +60,8 @@
 import org.meadowhollow.protocol.tes.TesTokens;
 import org.meadowhollow.protocol.users.SubmissionCodec;
 import org.meadowhollow.protocol.users.UserApi;
+import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordDigests;
 
 /**
  * A deployment in memory and in virtual time: three nodes, the state service, a cloud and workers.
@@ -99,8 +99,8 @@
     private AssertionError wrong;
 
     private final Map<JobId, Phase> lookedClosely = new HashMap<>();
-    private final Map<MachineId, Moment> rentedAt = new HashMap<>();
-    private final List<Report> kept = new ArrayList<>();
+    private final Map<MachineId, MonotonicTime> rentedAt = new HashMap<>();
+    private final List<Heartbeat> kept = new ArrayList<>();
     private Random keeping;
     private double keptShare;
     private Random cancelling;
@@ -114,9 +114,10 @@
     private List<Runnable> heldOrders;
 
     private int nextAsked;
-    private final List<OrderLog.Event> events = new ArrayList<>();
+    private final List<JobEventLog.Event> events = new ArrayList<>();
     private final NotedTraces traces = new NotedTraces();
-    private final Observers observers = new Observers(new OrderLog(events::add), traces);
+    private final JobEventListeners jobEventListeners =
+            new JobEventListeners(new JobEventLog(events::add), traces);
     private Duration fetch = Duration.ofSeconds(2);
     private final List<FakeWorker> returned = new ArrayList<>();
     private final Set<MachineId> taken = new HashSet<>();
@@ -176,7 +177,7 @@
             silent = false;
             line = store.new Line().readBy(this::whenAwake).copied(World.this::again);
             FakeStore.Line mine = line;
-            Catalog catalog = new Catalog();
+            MachineTypeCatalog machineTypeCatalog = new MachineTypeCatalog();
             Platform platform =
                     new Platform(
                             name,
@@ -202,12 +203,19 @@
                             new Offer(),
                             new Hints(this),
                             platform,
-                            catalog,
-                            observers,
+                            machineTypeCatalog,
+                            jobEventListeners,
                             calendar,
                             standby,
                             new Random(nextSeed++));
-            admission = new Admission(mine, own, catalog, platform, observers, node::counts);
+            admission =
+                    new Admission(
+                            mine,
+                            own,
+                            machineTypeCatalog,
+                            platform,
+                            jobEventListeners,
+                            node::counts);
             tes =
                     new TesApi(
                             admission,
@@ -219,7 +227,8 @@
                             new Random(nextSeed++));
             desk =
                     new CalendarApi(
-                            new CalendarDesk(mine, own, catalog, platform, calendar.most()),
+                            new CalendarDesk(
+                                    mine, own, machineTypeCatalog, platform, calendar.most()),
                             operators());
             node.start();
         }
@@ -255,23 +264,23 @@
         }
 
         @Override
-        public Moment now() {
+        public MonotonicTime now() {
             return loop.now();
         }
 
         @Override
-        public long wallMillis() {
-            return loop.wallMillis();
+        public long wallClockMillis() {
+            return loop.wallClockMillis();
         }
 
         @Override
-        public void after(Duration pause, Runnable work) {
-            loop.after(pause.plus(member.busy), () -> member.whenAwake(work));
+        public void schedule(Duration pause, Runnable work) {
+            loop.schedule(pause.plus(member.busy), () -> member.whenAwake(work));
         }
     }
 
     World() {
-        store.whenPut(Records.LEADER, this::leaderBegins);
+        store.whenPut(RecordCodec.LEADER_KEY, this::leaderBegins);
         team("team", 0, 0);
         team("other", 0, 0);
         for (String name : List.of("n0", "n1", "n2")) {
@@ -405,7 +414,7 @@
 
     private void again(Runnable delivery) {
         if (copies != null && copies.nextInt(4) == 0) {
-            loop.after(LATE.get(copies.nextInt(LATE.size())), delivery);
+            loop.schedule(LATE.get(copies.nextInt(LATE.size())), delivery);
         }
     }
 
@@ -413,7 +422,7 @@
     void bounce(int node, Duration pause) {
         if (members.get(node).node != null && members.get(node).frozen == null) {
             crash(node);
-            loop.after(pause, () -> restart(node));
+            loop.schedule(pause, () -> restart(node));
         }
     }
 
@@ -471,7 +480,11 @@
                 id,
                 unknown -> {
                     judge.submits(id);
-                    return Records.job(id, store.value(Records.job(id)), Version.ABSENT, loop.now())
+                    return RecordCodec.job(
+                                    id,
+                                    store.value(RecordCodec.job(id)),
+                                    Revision.ABSENT,
+                                    loop.now())
                             .spec();
                 });
     }
@@ -541,7 +554,7 @@
     }
 
     /** What all nodes wrote, in the order of the state service. */
-    List<OrderLog.Event> events() {
+    List<JobEventLog.Event> events() {
         return events.stream()
                 .sorted(Comparator.comparingLong(event -> event.revision().value()))
                 .toList();
@@ -702,13 +715,13 @@
     }
 
     private void leaderBegins() {
-        List<Report> due = List.copyOf(kept);
+        List<Heartbeat> due = List.copyOf(kept);
         kept.clear();
-        for (Report report : due) {
+        for (Heartbeat heartbeat : due) {
             for (Member member : members) {
                 if (member.node != null && member.frozen == null) {
                     deliveredToNext++;
-                    member.node.report(report);
+                    member.node.report(heartbeat);
                 }
             }
         }
@@ -723,12 +736,13 @@
         for (int at = 0; at < jobs.size(); at++) {
             JobSpec job = jobs.get(at);
             int node = at % members.size();
-            loop.after(Duration.ofMillis(200L * at / jobs.size()), () -> cancels(node, job.id()));
+            loop.schedule(
+                    Duration.ofMillis(200L * at / jobs.size()), () -> cancels(node, job.id()));
             workers().stream()
                     .filter(
                             worker ->
                                     worker.running().stream()
-                                            .anyMatch(task -> task.job().equals(job.id())))
+                                            .anyMatch(task -> task.jobId().equals(job.id())))
                     .forEach(hanging::add);
         }
         hanging.stream()
@@ -736,7 +750,7 @@
                 .forEach(
                         worker -> {
                             worker.hang(true);
-                            loop.after(hang, () -> worker.hang(false));
+                            loop.schedule(hang, () -> worker.hang(false));
                         });
     }
 
@@ -761,9 +775,9 @@
         for (int node = 0; node < members.size(); node++) {
             int asked = node;
             for (int time = 1; time <= 3; time++) {
-                loop.after(Duration.ofMillis(2L * time + node), () -> asks(asked, id));
+                loop.schedule(Duration.ofMillis(2L * time + node), () -> asks(asked, id));
             }
-            loop.after(Duration.ofMillis(3 + node), () -> resubmits(asked, spec(id)));
+            loop.schedule(Duration.ofMillis(3 + node), () -> resubmits(asked, spec(id)));
         }
     }
 
@@ -779,7 +793,7 @@
                                                                 worker.running().stream()
                                                                         .anyMatch(
                                                                                 task ->
-                                                                                        task.job()
+                                                                                        task.jobId()
                                                                                                 .equals(
                                                                                                         spec
                                                                                                                 .id()))))
@@ -811,10 +825,10 @@
                             node,
                             422,
                             SubmissionCodec.encode(
-                                    spec(900_000 + random.nextInt(1000), Kind.ARRAY, 1, 9)));
+                                    spec(900_000 + random.nextInt(1000), JobKind.ARRAY, 1, 9)));
             default -> {
                 Map<String, Object> body =
-                        new HashMap<>(SubmissionCodec.encode(spec(910_000, Kind.ARRAY, 1, 1)));
+                        new HashMap<>(SubmissionCodec.encode(spec(910_000, JobKind.ARRAY, 1, 1)));
                 List<String> needed =
                         body.keySet().stream()
                                 .filter(key -> body.get(key) != null)
@@ -856,7 +870,7 @@
 
     private void askAll() {
         judge.unfinished().forEach(id -> asks(nextAsked++ % members.size(), id));
-        loop.after(Duration.ofSeconds(5), this::askAll);
+        loop.schedule(Duration.ofSeconds(5), this::askAll);
     }
 
     /** Rented machines are up after such a time, and the cloud's list is so late. */
@@ -919,7 +933,7 @@
 
     // ---- users ----
 
-    static JobSpec spec(int number, Kind kind, int tasks, double gpus) {
+    static JobSpec spec(int number, JobKind kind, int tasks, double gpus) {
         return new JobSpec(
                 new JobId("req-%06d".formatted(number)),
                 "class",
@@ -1013,7 +1027,7 @@
     /** Holds each answer against what was told before its question was sent. */
     private CompletableFuture<Optional<JobState>> judged(
             JobId id, CompletableFuture<Optional<JobState>> answer) {
-        Moment sentAt = loop.now();
+        MonotonicTime sentAt = loop.now();
         answer.thenAccept(
                 state ->
                         judged(
@@ -1105,7 +1119,7 @@
     /** A gang runs, and so completes, only while each of its tasks is on a machine. */
     boolean mayComplete(JobId id) {
         JobSpec spec = spec(id);
-        for (int task = 0; spec.kind() == Kind.GANG && task < spec.tasks(); task++) {
+        for (int task = 0; spec.kind() == JobKind.GANG && task < spec.taskCount(); task++) {
             TaskId each = new TaskId(id, task);
             if (!judge.isCompleted(each) && on(each).isEmpty()) {
                 return false;
@@ -1115,10 +1129,11 @@
     }
 
     /** Whether all tasks of a gang's attempt are there. */
-    boolean isWhole(JobId id, Attempt attempt) {
-        for (int task = 0; task < spec(id).tasks(); task++) {
+    boolean isWhole(JobId id, AttemptNumber attemptNumber) {
+        for (int task = 0; task < spec(id).taskCount(); task++) {
             TaskId each = new TaskId(id, task);
-            if (workers.values().stream().noneMatch(worker -> worker.takesPart(each, attempt))) {
+            if (workers.values().stream()
+                    .noneMatch(worker -> worker.takesPart(each, attemptNumber))) {
                 return false;
             }
         }
@@ -1127,21 +1142,22 @@
 
     void completed(TaskId task) {
         judge.complete(task);
-        JobSpec spec = spec(task.job());
+        JobSpec spec = spec(task.jobId());
         boolean ends =
-                spec.kind() == Kind.GANG
+                spec.kind() == JobKind.GANG
                         || !judge.isOver(spec.id())
-                                && IntStream.range(0, spec.tasks())
+                                && IntStream.range(0, spec.taskCount())
                                         .allMatch(
                                                 at -> judge.isCompleted(new TaskId(spec.id(), at)));
         if (ends && cancelling != null && cancelling.nextDouble() < cancelledAtEnd) {
             int node = cancelling.nextInt(members.size());
-            loop.after(Duration.ofMillis(cancelling.nextInt(400)), () -> cancels(node, spec.id()));
+            loop.schedule(
+                    Duration.ofMillis(cancelling.nextInt(400)), () -> cancels(node, spec.id()));
         }
-        if (spec.kind() == Kind.GANG) {
+        if (spec.kind() == JobKind.GANG) {
             // The tasks of a gang complete together.
-            for (int other = 0; other < spec.tasks(); other++) {
-                TaskId each = new TaskId(task.job(), other);
+            for (int other = 0; other < spec.taskCount(); other++) {
+                TaskId each = new TaskId(task.jobId(), other);
                 if (judge.complete(each)) {
                     on(each).forEach(worker -> worker.complete(each));
                 }
@@ -1161,42 +1177,42 @@
     // ---- the network ----
 
     /** Hands a report to a node; null when there is no answer. */
-    CompletableFuture<Answer> deliver(int node, Report report) {
+    CompletableFuture<Answer> deliver(int node, Heartbeat heartbeat) {
         Member member = members.get(node);
         if (member.node == null && !member.silent) {
             return null;
         }
         CompletableFuture<Answer> answer = new CompletableFuture<>();
-        if (member.node == null || member.mute || !member.hears(report.zone())) {
+        if (member.node == null || member.mute || !member.hears(heartbeat.zone())) {
             return answer;
         }
         Node asked = member.node;
         reports++;
         if (keeping != null && keeping.nextDouble() < keptShare && kept.size() < MOST_KEPT) {
-            kept.add(report);
+            kept.add(heartbeat);
         }
         if (lateReports != null && lateReports.nextDouble() < lateShare) {
-            loop.after(
+            loop.schedule(
                     Duration.ofMillis(2000 + lateReports.nextInt(40_000)),
                     () -> {
                         if (member.node != null && member.frozen == null) {
-                            member.node.report(report);
+                            member.node.report(heartbeat);
                         }
                     });
         }
         again(
                 () -> {
                     if (member.node != null && member.frozen == null) {
-                        member.node.report(report);
+                        member.node.report(heartbeat);
                     }
                 });
         member.whenAwake(
                 () ->
-                        asked.report(report)
+                        asked.report(heartbeat)
                                 .thenAccept(
                                         given -> {
                                             if (member.node == asked
-                                                    && member.hears(report.zone())) {
+                                                    && member.hears(heartbeat.zone())) {
                                                 answer.complete(given);
                                             }
                                         }));
@@ -1211,10 +1227,15 @@
         }
 
         @Override
-        public CompletableFuture<Report> send(
-                String address, Term token, Session session, List<Order> orders) {
-            for (Order order : orders) {
-                assertTrue(order.op() != Order.Op.START, "a start went out directly: " + order);
+        public CompletableFuture<Heartbeat> send(
+                String address,
+                FencingToken token,
+                WorkerIncarnation workerIncarnation,
+                List<WorkerCommand> orders) {
+            for (WorkerCommand workerCommand : orders) {
+                assertTrue(
+                        workerCommand.action() != WorkerCommand.Action.START,
+                        "a start went out directly: " + workerCommand);
             }
             directs++;
             again(
@@ -1223,10 +1244,10 @@
                                 workers.get(
                                         new MachineId(address.substring(0, address.indexOf(':'))));
                         if (worker != null) {
-                            worker.direct(token, session, orders);
+                            worker.direct(token, workerIncarnation, orders);
                         }
                     });
-            CompletableFuture<Report> answer = new CompletableFuture<>();
+            CompletableFuture<Heartbeat> answer = new CompletableFuture<>();
             Node sender = member.node;
             if (heldOrders != null && !orders.isEmpty()) {
                 heldOrders.add(
@@ -1236,27 +1257,27 @@
                                             new MachineId(
                                                     address.substring(0, address.indexOf(':'))));
                             if (worker != null) {
-                                worker.direct(token, session, orders);
+                                worker.direct(token, workerIncarnation, orders);
                             }
                         });
                 return answer;
             }
-            loop.after(
+            loop.schedule(
                     Duration.ofMillis(5),
                     () -> {
                         FakeWorker worker =
                                 workers.get(
                                         new MachineId(address.substring(0, address.indexOf(':'))));
-                        Report report =
+                        Heartbeat heartbeat =
                                 worker == null
                                                 || !member.hears(worker.zone())
                                                 || !worker.reaches(members.indexOf(member))
                                         ? null
-                                        : worker.direct(token, session, orders);
+                                        : worker.direct(token, workerIncarnation, orders);
                         member.whenAwake(
                                 () -> {
-                                    if (report != null && member.node == sender) {
-                                        answer.complete(report);
+                                    if (heartbeat != null && member.node == sender) {
+                                        answer.complete(heartbeat);
                                     } else {
                                         answer.completeExceptionally(
                                                 new IllegalStateException("no answer"));
@@ -1285,7 +1306,7 @@
         @Override
         public CompletableFuture<Boolean> anyServed() {
             CompletableFuture<Boolean> any = new CompletableFuture<>();
-            loop.after(
+            loop.schedule(
                     Duration.ofMillis(5),
                     () ->
                             any.complete(
@@ -1296,7 +1317,8 @@
                                                                     && reaches(member)
                                                                     && !member.refusesPeers
                                                                     && member.node != null
-                                                                    && !member.line.seemsOut())));
+                                                                    && !member.line
+                                                                            .seemsUnavailable())));
             return any;
         }
 
@@ -1304,7 +1326,7 @@
         public CompletableFuture<Sign> signOf(String name) {
             CompletableFuture<Sign> sign = new CompletableFuture<>();
             Member asked = members.get(indexOf(name));
-            loop.after(
+            loop.schedule(
                     Duration.ofMillis(5),
                     () -> {
                         boolean othersAnswer =
@@ -1339,7 +1361,7 @@
         public CompletableFuture<List<Testimony>> hearing(
                 List<MachineId> machines, Duration within) {
             CompletableFuture<List<Testimony>> answers = new CompletableFuture<>();
-            loop.after(
+            loop.schedule(
                     Duration.ofMillis(5),
                     () ->
                             answers.complete(
@@ -1355,7 +1377,8 @@
                                                                     : new Testimony(
                                                                             other.name,
                                                                             true,
-                                                                            !other.line.seemsOut(),
+                                                                            !other.line
+                                                                                    .seemsUnavailable(),
                                                                             other.node.heardAmong(
                                                                                     machines,
                                                                                     within)))
@@ -1370,7 +1393,7 @@
         }
 
         @Override
-        public CompletableFuture<Optional<Digests>> digests(String leader) {
+        public CompletableFuture<Optional<RecordDigests>> digests(String leader) {
             return told(leader, Duration.ofMillis(5), Node::digests);
         }
 
@@ -1389,15 +1412,15 @@
                                 ? Optional.empty()
                                 : what.apply(asked.node);
             } catch (Peers.Unreadable broken) {
-                loop.after(late, () -> answer.completeExceptionally(broken));
+                loop.schedule(late, () -> answer.completeExceptionally(broken));
                 return answer;
             }
-            loop.after(late, () -> from.whenAwake(() -> answer.complete(given)));
+            loop.schedule(late, () -> from.whenAwake(() -> answer.complete(given)));
             return answer;
         }
 
         @Override
-        public void announce(String leader, Term term) {
+        public void announce(String leader, FencingToken fencingToken) {
             Runnable told =
                     () -> {
                         for (Member member : members) {
@@ -1408,25 +1431,25 @@
                                 member.whenAwake(
                                         () -> {
                                             if (member.node != null) {
-                                                member.node.heardOf(term, leader);
+                                                member.node.heardOf(fencingToken, leader);
                                             }
                                         });
                             }
                         }
                     };
-            loop.after(Duration.ofMillis(5), told);
+            loop.schedule(Duration.ofMillis(5), told);
             again(told);
         }
     }
 
     private boolean isListed(MachineId id) {
         return !rentedAt.containsKey(id)
-                || loop.now().since(rentedAt.get(id)).compareTo(listLag) > 0;
+                || loop.now().elapsedSince(rentedAt.get(id)).compareTo(listLag) > 0;
     }
 
     private final class Offer implements Cloud {
         private <T> CompletableFuture<T> after(CompletableFuture<T> answer, Runnable work) {
-            loop.after(
+            loop.schedule(
                     Duration.ofMillis(200),
                     () -> {
                         if (cloudOut) {
@@ -1465,7 +1488,7 @@
                                 neverUp--;
                                 continue;
                             }
-                            loop.after(
+                            loop.schedule(
                                     boot,
                                     () ->
                                             workers.put(
@@ -1475,7 +1498,7 @@
                         }
                         rentals.put(request, ids);
                         // A machine that is up at once may report before its rental is answered.
-                        loop.after(
+                        loop.schedule(
                                 RENTAL_ANSWER,
                                 () ->
                                         answer.complete(
--- a/src/test/java/org/meadowhollow/transport/tracing/OtlpTracesTest.java
+++ b/src/test/java/org/meadowhollow/transport/tracing/OtlpTracesTest.java
@@ -25,10 +25,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.bookkeeping.AttemptLog;
-import org.meadowhollow.bookkeeping.JobId;
-import org.meadowhollow.bookkeeping.Progress;
-import org.meadowhollow.bookkeeping.TaskTraces.Traced;
+import org.meadowhollow.model.AttemptRecord;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobPhase;
+import org.meadowhollow.model.TaskTracer.TracedTask;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.transport.HttpServer;
 import org.meadowhollow.transport.XnioLoop;
@@ -100,16 +100,17 @@
 
     @Test
     void theSpansOfATaskHangTogetherThoughTwoNodesTellThem() {
-        Traced task = new Traced(CONTEXT, new JobId("tes-1"), "team");
+        TracedTask task = new TracedTask(CONTEXT, new JobId("tes-1"), "team");
         try (OtlpTraces first = traces("n0");
                 OtlpTraces second = traces("n1")) {
-            first.accepted(task, 1000, 1010);
-            second.attempt(task, 1005, new AttemptLog(1, "m1", 2000, 3000, 4000, "ERROR"));
-            second.attempt(task, 4000, new AttemptLog(2, "m2", 5000, 0, 6000, "LOST"));
-            second.attempt(task, 6000, new AttemptLog(3, "m3", 7000, 7500, 7400, "DONE"));
-            second.ended(task, Progress.DONE, 1005, 9000);
+            first.onTaskAccepted(task, 1000, 1010);
+            second.onAttemptEnded(
+                    task, 1005, new AttemptRecord(1, "m1", 2000, 3000, 4000, "ERROR"));
+            second.onAttemptEnded(task, 4000, new AttemptRecord(2, "m2", 5000, 0, 6000, "LOST"));
+            second.onAttemptEnded(task, 6000, new AttemptRecord(3, "m3", 7000, 7500, 7400, "DONE"));
+            second.onTaskEnded(task, JobPhase.DONE, 1005, 9000);
             // What a successor tells again is the same span.
-            first.ended(task, Progress.DONE, 1005, 9000);
+            first.onTaskEnded(task, JobPhase.DONE, 1005, 9000);
         }
         Map<String, Span> byId =
                 spans().stream()
@@ -156,10 +157,10 @@
     @Test
     void onlyAContextThatIsWholeAndWantedIsKept() {
         try (OtlpTraces traces = traces("n0")) {
-            assertEquals(CONTEXT, traces.contextOf(CONTEXT));
+            assertEquals(CONTEXT, traces.traceContextOf(CONTEXT));
             assertEquals(
                     CONTEXT.replaceFirst("00", "cc"),
-                    traces.contextOf(CONTEXT.replaceFirst("00", "cc") + "-more"),
+                    traces.traceContextOf(CONTEXT.replaceFirst("00", "cc") + "-more"),
                     "a later version may add to it");
             for (String none :
                     new String[] {
@@ -172,20 +173,20 @@
                         "\u0000".repeat(55),
                         "00-" + TRACE.toUpperCase(java.util.Locale.ROOT) + '-' + CLIENT + "-01"
                     }) {
-                assertNull(traces.contextOf(none), none);
+                assertNull(traces.traceContextOf(none), none);
             }
         }
     }
 
     @Test
     void aCollectorThatIsGoneHoldsNobodyUp() {
-        Traced task = new Traced(CONTEXT, new JobId("tes-1"), "team");
+        TracedTask task = new TracedTask(CONTEXT, new JobId("tes-1"), "team");
         int port = collector.port();
         collector.close();
         long begun = System.nanoTime();
         try (OtlpTraces traces = OtlpTraces.to(URI.create("http://127.0.0.1:" + port), "n0")) {
             for (int at = 0; at < 5000; at++) {
-                traces.ended(task, Progress.DONE, 1, 2);
+                traces.onTaskEnded(task, JobPhase.DONE, 1, 2);
             }
             assertTrue(
                     System.nanoTime() - begun < Duration.ofSeconds(5).toNanos(),
