--- a/src/main/java/org/meadowhollow/cli/Controller.java
+++ b/src/main/java/org/meadowhollow/cli/Controller.java
@@ -15,11 +15,11 @@
 import org.meadowhollow.coordination.Node;
 import org.meadowhollow.coordination.admission.Admission;
 import org.meadowhollow.coordination.calendar.CalendarDesk;
+import org.meadowhollow.coordination.failover.StandbySettings;
 import org.meadowhollow.coordination.fleet.SilenceWatch;
 import org.meadowhollow.coordination.platform.Platform;
 import org.meadowhollow.coordination.platform.TableDelta;
 import org.meadowhollow.coordination.platform.TableQuestion;
-import org.meadowhollow.coordination.succession.StandbySettings;
 import org.meadowhollow.model.JobEventListeners;
 import org.meadowhollow.model.MachineTypeCatalog;
 import org.meadowhollow.protocol.NodeApi;
@@ -253,7 +253,7 @@
         private RandomGenerator random = RandomGenerator.getDefault();
         private TesOptions tes;
         private CalendarOptions calendar;
-        private StandbySettings standby = StandbySettings.OFF;
+        private StandbySettings standby = StandbySettings.DISABLED;
         private JobEventListeners jobEventListeners = JobEventListeners.NONE;
 
         private Builder(Settings settings) {
--- a/src/main/java/org/meadowhollow/coordination/Leader.java
+++ b/src/main/java/org/meadowhollow/coordination/Leader.java
@@ -13,6 +13,12 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.Collectors;
 import org.meadowhollow.coordination.admission.Admission;
+import org.meadowhollow.coordination.failover.FailoverPreconditions;
+import org.meadowhollow.coordination.failover.FailoverTimeline;
+import org.meadowhollow.coordination.failover.HandoverState;
+import org.meadowhollow.coordination.failover.Membership;
+import org.meadowhollow.coordination.failover.RiskTablePublisher;
+import org.meadowhollow.coordination.failover.RiskTableSnapshotStore;
 import org.meadowhollow.coordination.fleet.FailureDetector;
 import org.meadowhollow.coordination.fleet.Fleet;
 import org.meadowhollow.coordination.fleet.GivingUp;
@@ -33,12 +39,6 @@
 import org.meadowhollow.coordination.platform.TableQuestion;
 import org.meadowhollow.coordination.platform.Workers;
 import org.meadowhollow.coordination.serving.Served;
-import org.meadowhollow.coordination.succession.FirstDecision;
-import org.meadowhollow.coordination.succession.Inheritance;
-import org.meadowhollow.coordination.succession.Membership;
-import org.meadowhollow.coordination.succession.TableFeed;
-import org.meadowhollow.coordination.succession.TableSnapshots;
-import org.meadowhollow.coordination.succession.Takeover;
 import org.meadowhollow.model.AttemptNumber;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.ExitReason;
@@ -177,10 +177,10 @@
     private final GivingUp givingUp;
     private final CalendarKeeper calendar;
     private final Revision leaderVersion;
-    private final Inheritance inheritance;
-    private final Takeover takeover;
-    private final TableFeed feed;
-    private final TableSnapshots snapshots;
+    private final HandoverState handoverState;
+    private final FailoverTimeline failoverTimeline;
+    private final RiskTablePublisher feed;
+    private final RiskTableSnapshotStore snapshots;
     private final Membership members = new Membership();
     private final Object2IntOpenHashMap<MachineId> faults = new Object2IntOpenHashMap<>();
     private final Expected expected = new Expected();
@@ -213,7 +213,7 @@
             Revision leaderVersion,
             JobEventListeners jobEventListeners,
             CalendarSettings calendarSettings,
-            Inheritance inheritance,
+            HandoverState handoverState,
             MonotonicTime noticedAt) {
         this.loop = loop;
         this.store = store;
@@ -223,12 +223,13 @@
         this.leadership = leadership;
         this.fencingToken = fencingToken;
         this.leaderVersion = leaderVersion;
-        this.inheritance = inheritance;
+        this.handoverState = handoverState;
         this.begunAt = loop.now();
-        this.takeover = new Takeover(fencingToken, noticedAt, begunAt);
-        this.feed = new TableFeed(fencingToken, inheritance.isWarm());
+        this.failoverTimeline = new FailoverTimeline(fencingToken, noticedAt, begunAt);
+        this.feed = new RiskTablePublisher(fencingToken, handoverState.isWarm());
         this.snapshots =
-                new TableSnapshots(store, leaderVersion, platform.txnOps(), platform.valueBytes());
+                new RiskTableSnapshotStore(
+                        store, leaderVersion, platform.txnOps(), platform.valueBytes());
         this.cluster = new Cluster(platform, fencingToken);
         this.jobs = cluster.jobs();
         this.machines = cluster.machines();
@@ -250,12 +251,12 @@
                         images,
                         fencingToken,
                         leaderVersion,
-                        inheritance,
-                        takeover);
+                        handoverState,
+                        failoverTimeline);
         this.silence = new SilenceWatch(this, cluster, platform, fencingToken, begunAt);
         this.reconciliation =
                 new Reconciliation(
-                        this, cluster, images, leadership, fencingToken, inheritance, feed);
+                        this, cluster, images, leadership, fencingToken, handoverState, feed);
         this.detector =
                 new FailureDetector(this, cluster, platform, loop, peers, leadership, begunAt);
         this.givingUp = new GivingUp(detector, platform);
@@ -279,7 +280,7 @@
         calendar.start();
         fleet.start();
         loop.schedule(ROUND, this::round);
-        if (inheritance.isWarm()) {
+        if (handoverState.isWarm()) {
             loop.schedule(EARLY, this::early);
         }
         loop.schedule(HOLD_SWEEP, this::sweepHeld);
@@ -304,7 +305,7 @@
     }
 
     void keepUp() {
-        leadership.keepUp();
+        leadership.renewIfDue();
     }
 
     @Override
@@ -351,7 +352,7 @@
 
     @Override
     public void onLeadershipLost() {
-        leadership.lost();
+        leadership.stepDown();
     }
 
     // ---- reports ----
@@ -363,12 +364,13 @@
      */
     public synchronized CompletableFuture<Answer> report(Heartbeat heartbeat) {
         MonotonicTime now = loop.now();
-        leadership.keepUp();
+        leadership.renewIfDue();
         if (heartbeat.fencingToken().isAfter(fencingToken)) {
-            leadership.heardOf(heartbeat.fencingToken(), null);
-            return CompletableFuture.completedFuture(new Answer.Elsewhere(leadership.leader()));
+            leadership.observeToken(heartbeat.fencingToken(), null);
+            return CompletableFuture.completedFuture(
+                    new Answer.Elsewhere(leadership.lastKnownLeader()));
         }
-        if (!leadership.mayAnswer()) {
+        if (!leadership.canRenewWorkerLeases()) {
             return early.hold(heartbeat, now.plus(MOST_EARLY));
         }
         Machine machine = machine(heartbeat);
@@ -385,7 +387,7 @@
         List<WorkerCommand> orders = reconciliation.orders(machine, heartbeat, now);
         recordWriter.flush();
         if (orders.isEmpty()
-                && leadership.mayStart()
+                && leadership.canDecide()
                 && machine.hasFreeCapacity()
                 && cluster.usable(machine, now)) {
             return held.hold(heartbeat, now.plus(holdFor()));
@@ -446,7 +448,7 @@
      * @param upTo when the request was sent whose answer showed the last of them
      */
     synchronized void knows(MonotonicTime upTo) {
-        leadership.knows(fencingToken, upTo);
+        leadership.advanceFreshness(fencingToken, upTo);
         if (!early.isEmpty()) {
             loop.schedule(Duration.ZERO, this::answerEarly);
         }
@@ -723,7 +725,7 @@
             return;
         }
         if (heartbeat.fencingToken().isAfter(fencingToken)) {
-            leadership.heardOf(heartbeat.fencingToken(), null);
+            leadership.observeToken(heartbeat.fencingToken(), null);
             return;
         }
         MonotonicTime now = loop.now();
@@ -776,7 +778,7 @@
                 return;
             }
             MonotonicTime now = loop.now();
-            leadership.keepUp();
+            leadership.renewIfDue();
             detector.round(now);
             silence.round(now);
             if (mayDecide(now)) {
@@ -790,9 +792,11 @@
                     .forEach(LOG::info);
             recordWriter.flush();
             images.write(machines.values(), now);
-            if (tablesSettled && leadership.mayStart()) {
-                snapshots.write(
-                        () -> TableFeed.all(cluster.machines(), cluster.risks(), now),
+            if (tablesSettled && leadership.canDecide()) {
+                snapshots.writeNext(
+                        () ->
+                                RiskTablePublisher.exportAll(
+                                        cluster.machines(), cluster.risks(), now),
                         recordWriter.dirtyShardCount() == 0,
                         now,
                         loop.wallClockMillis());
@@ -823,7 +827,7 @@
                 return;
             }
             tablesAsked = true;
-            tablesSettled = !inheritance.lacksTables();
+            tablesSettled = !handoverState.hasNoTables();
         }
         if (!tablesSettled()) {
             readNotedTables();
@@ -831,7 +835,7 @@
     }
 
     private void readNotedTables() {
-        TableSnapshots.read(store, loop)
+        RiskTableSnapshotStore.read(store, loop)
                 .whenComplete(
                         (read, failure) -> {
                             if (failure != null) {
@@ -841,7 +845,9 @@
                                 return;
                             }
                             synchronized (this) {
-                                read.ifPresent(snapshot -> inheritance.noted(snapshot, loop.now()));
+                                read.ifPresent(
+                                        snapshot ->
+                                                handoverState.snapshotTables(snapshot, loop.now()));
                             }
                             handOverNoted();
                         });
@@ -854,17 +860,17 @@
     /** Hands over what was noted in the state service, some tables at a time. */
     private void handOverNoted() {
         synchronized (this) {
-            leadership.keepUp();
+            leadership.renewIfDue();
             if (closed) {
                 return;
             }
-            if (inheritance.handOverNoted(machines, cluster.risks(), loop.now())) {
+            if (handoverState.handOverSnapshotTables(machines, cluster.risks(), loop.now())) {
                 loop.schedule(EARLY, this::handOverNoted);
             } else {
                 tablesSettled = true;
                 LOG.info(
                         "{} tables of machines were noted in the state service and go on",
-                        inheritance.tables());
+                        handoverState.inheritedTableCount());
             }
         }
     }
@@ -877,12 +883,12 @@
         if (begun) {
             return mayAct() && calendar.isReady();
         }
-        Set<FirstDecision.Check> failing =
-                FirstDecision.failing(
-                        new FirstDecision.Facts(
-                                leadership.mayStart(),
+        Set<FailoverPreconditions.Precondition> failing =
+                FailoverPreconditions.findUnmet(
+                        new FailoverPreconditions.Facts(
+                                leadership.canDecide(),
                                 fencingToken,
-                                leadership.highest(),
+                                leadership.highestObservedToken(),
                                 leaderVersion,
                                 loading.revision(),
                                 !machineTypeCatalog.isEmpty(),
@@ -890,7 +896,7 @@
                                 detector.hearing() != Deafness.Hearing.DEAF,
                                 heard(),
                                 needed(now)));
-        takeover.waitsFor(failing);
+        failoverTimeline.onPreconditionsUnmet(failing);
         begun = failing.isEmpty();
         return begun;
     }
@@ -910,7 +916,7 @@
         if (hasGathered(now)) {
             return 0;
         }
-        int awaited = inheritance.awaited(now);
+        int awaited = handoverState.countExpectedMachines(now);
         return awaited == 0 ? Integer.MAX_VALUE : (int) Math.ceil(ENOUGH * (awaited + heard()));
     }
 
@@ -921,7 +927,7 @@
      */
     @Override
     public synchronized boolean mayAct() {
-        return leadership.mayStart() && detector.hearing() != Deafness.Hearing.DEAF;
+        return leadership.canDecide() && detector.hearing() != Deafness.Hearing.DEAF;
     }
 
     /** Whether what is silent is so for its own reasons, as far as can be told. */
@@ -1001,8 +1007,8 @@
                         byIdle.get(true),
                         Math.max(0, recordsInRound() - recordWriter.dirtyShardCount()));
         carryOut(idleOutcome.decisions(), now);
-        if (!takeover.isTold()) {
-            takeover.firstRound(
+        if (!failoverTimeline.isLogged()) {
+            failoverTimeline.onFirstRound(
                     heard(),
                     needed(now),
                     outcome.decisions().size() + idleOutcome.decisions().size(),
@@ -1013,7 +1019,7 @@
             // stopped or given up for it.
             return;
         }
-        takeover.fullRound(inheritance.tables(), now);
+        failoverTimeline.onFullRound(handoverState.inheritedTableCount(), now);
         List<Fleet.Need> needs = new ArrayList<>();
         int preempting = 0;
         int makingRoom = 0;
@@ -1261,11 +1267,12 @@
      * What the tables have come to know since a standby last asked; empty until the records are in.
      */
     synchronized Optional<TableDelta> tables(TableQuestion asked) {
-        if (closed || !loading.isDone() || !inheritance.isWarm()) {
+        if (closed || !loading.isDone() || !handoverState.isWarm()) {
             return Optional.empty();
         }
-        members.seen(asked.from(), loop.now());
-        return Optional.of(feed.answer(asked, cluster.machines(), cluster.risks(), loop.now()));
+        members.recordStatus(asked.from(), loop.now());
+        return Optional.of(
+                feed.answerRequest(asked, cluster.machines(), cluster.risks(), loop.now()));
     }
 
     synchronized Optional<RecordDigests> digests() {
@@ -1279,7 +1286,7 @@
 
     /** The standby that could take over best, as far as is known. */
     synchronized Optional<String> heir() {
-        return members.heir(RecordCodec.SCHEMA_VERSION, loop.now());
+        return members.preferredSuccessor(RecordCodec.SCHEMA_VERSION, loop.now());
     }
 
     /** Counts of a live job for display; empty when it is not known here. */
--- a/src/main/java/org/meadowhollow/coordination/Loading.java
+++ b/src/main/java/org/meadowhollow/coordination/Loading.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import org.meadowhollow.coordination.failover.FailoverTimeline;
+import org.meadowhollow.coordination.failover.HandoverState;
 import org.meadowhollow.coordination.placement.Aims;
 import org.meadowhollow.coordination.placement.Cluster;
 import org.meadowhollow.coordination.placement.Expected;
-import org.meadowhollow.coordination.succession.Inheritance;
-import org.meadowhollow.coordination.succession.Takeover;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Job;
@@ -59,8 +59,8 @@
     private final ImageNotes images;
     private final FencingToken fencingToken;
     private final Revision keyTakenAt;
-    private final Inheritance inheritance;
-    private final Takeover takeover;
+    private final HandoverState handoverState;
+    private final FailoverTimeline failoverTimeline;
     private int records;
     private Revision revision;
     private boolean loaded;
@@ -79,8 +79,8 @@
             ImageNotes images,
             FencingToken fencingToken,
             Revision keyTakenAt,
-            Inheritance inheritance,
-            Takeover takeover) {
+            HandoverState handoverState,
+            FailoverTimeline failoverTimeline) {
         this.leader = leader;
         this.store = store;
         this.loop = loop;
@@ -91,18 +91,18 @@
         this.images = images;
         this.fencingToken = fencingToken;
         this.keyTakenAt = keyTakenAt;
-        this.inheritance = inheritance;
-        this.takeover = takeover;
+        this.handoverState = handoverState;
+        this.failoverTimeline = failoverTimeline;
     }
 
     /** Takes the records in that this node has followed, or else reads them page by page. */
     void start() {
-        if (!inheritance.isWarm()) {
+        if (!handoverState.isWarm()) {
             loadJobs(this::loadTasks);
             return;
         }
-        inheritance
-                .records(keyTakenAt)
+        handoverState
+                .takeRecords(keyTakenAt)
                 .thenAccept(
                         images -> {
                             synchronized (leader) {
@@ -247,7 +247,7 @@
         }
         loaded = true;
         revision = reached;
-        takeover.recordsIn(from, records, loop.now());
+        failoverTimeline.onRecordsLoaded(from, records, loop.now());
         LOG.info(
                 "term {} has loaded {} jobs with {} tasks that may be running",
                 fencingToken,
--- a/src/main/java/org/meadowhollow/coordination/Node.java
+++ b/src/main/java/org/meadowhollow/coordination/Node.java
@@ -7,6 +7,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.random.RandomGenerator;
 import org.meadowhollow.coordination.admission.Admission;
+import org.meadowhollow.coordination.failover.HandoverState;
+import org.meadowhollow.coordination.failover.StandbySettings;
+import org.meadowhollow.coordination.failover.WarmStandby;
 import org.meadowhollow.coordination.hearing.Earshot;
 import org.meadowhollow.coordination.leadership.Leadership;
 import org.meadowhollow.coordination.platform.Cloud;
@@ -16,9 +19,6 @@
 import org.meadowhollow.coordination.platform.TableDelta;
 import org.meadowhollow.coordination.platform.TableQuestion;
 import org.meadowhollow.coordination.platform.Workers;
-import org.meadowhollow.coordination.succession.Inheritance;
-import org.meadowhollow.coordination.succession.Standby;
-import org.meadowhollow.coordination.succession.StandbySettings;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Heartbeat;
@@ -95,7 +95,7 @@
     private final Earshot earshot = new Earshot();
 
     /** Null unless this node keeps warm what a successor needs. */
-    private final Standby standby;
+    private final WarmStandby warmStandby;
 
     private Leader leader;
     private boolean sweeping;
@@ -127,9 +127,9 @@
         this.machineTypeCatalog = machineTypeCatalog;
         this.peers = peers;
         this.leadership = new Leadership(store, loop, peers, platform, earshot, random, this);
-        this.standby =
-                standbySettings.on()
-                        ? new Standby(
+        this.warmStandby =
+                standbySettings.enabled()
+                        ? new WarmStandby(
                                 loop,
                                 store,
                                 peers,
@@ -137,18 +137,18 @@
                                         platform.member(),
                                         random.nextLong(),
                                         standbySettings.zone(),
-                                        standbySettings.program(),
+                                        standbySettings.programVersion(),
                                         RecordCodec.SCHEMA_VERSION,
                                         Revision.ABSENT),
-                                leadership::leader,
-                                leadership::highest)
+                                leadership::lastKnownLeader,
+                                leadership::highestObservedToken)
                         : null;
     }
 
     public void start() {
         leadership.start();
-        if (standby != null) {
-            standby.start();
+        if (warmStandby != null) {
+            warmStandby.start();
         }
         readTypes();
         watchState();
@@ -300,7 +300,7 @@
                         leaderVersion,
                         jobEventListeners,
                         calendar,
-                        standby == null ? Inheritance.NONE : standby.handOver(),
+                        warmStandby == null ? HandoverState.EMPTY : warmStandby.handOver(),
                         noticedAt);
         synchronized (this) {
             if (leader != null) {
@@ -315,17 +315,17 @@
     }
 
     @Override
-    public void deposed(String why) {
+    public void leadershipLost(String why) {
         List<String> addresses = List.of();
         synchronized (this) {
             if (leader != null) {
-                addresses = leadership.isDeaf() ? leader.someAddresses(MOST_ASKED) : addresses;
+                addresses = leadership.isIsolated() ? leader.someAddresses(MOST_ASKED) : addresses;
                 leader.close();
                 leader = null;
             }
         }
-        if (standby != null && !isClosed()) {
-            standby.start();
+        if (warmStandby != null && !isClosed()) {
+            warmStandby.start();
         }
         listenAgain(addresses);
     }
@@ -335,10 +335,10 @@
      * that does not lead.
      */
     private void listenAgain(List<String> addresses) {
-        if (isClosed() || addresses.isEmpty() || !leadership.isDeaf()) {
+        if (isClosed() || addresses.isEmpty() || !leadership.isIsolated()) {
             return;
         }
-        FencingToken shown = leadership.term();
+        FencingToken shown = leadership.fencingToken();
         addresses.forEach(
                 address ->
                         workers.send(address, shown, new WorkerIncarnation(1), List.of())
@@ -347,7 +347,7 @@
                                             LOG.info(
                                                     "worker {} answers this node again",
                                                     heartbeat.machineId());
-                                            leadership.hearsAgain();
+                                            leadership.restoreWorkerContact();
                                         }));
         loop.schedule(LISTEN_AGAIN, () -> listenAgain(addresses));
     }
@@ -378,7 +378,7 @@
 
     /** Records that audits found wrong in what this node follows. */
     public long wrongRecords() {
-        return standby == null ? 0 : standby.wrongRecords();
+        return warmStandby == null ? 0 : warmStandby.mismatchedRecordCount();
     }
 
     /**
@@ -411,16 +411,17 @@
      */
     public CompletableFuture<Answer> report(Heartbeat heartbeat) {
         earshot.heard(heartbeat.machineId(), loop.now());
-        if (leadership.isDeaf()) {
-            leadership.hearsAgain();
+        if (leadership.isIsolated()) {
+            leadership.restoreWorkerContact();
         }
         Leader now = leader();
         if (now != null) {
             return now.report(heartbeat);
         }
-        leadership.heardOf(heartbeat.fencingToken(), null);
-        boolean mayBeGone = leadership.arrived(heartbeat.machineId(), heartbeat.fencingToken());
-        String other = leadership.leader();
+        leadership.observeToken(heartbeat.fencingToken(), null);
+        boolean mayBeGone =
+                leadership.recordWorkerArrival(heartbeat.machineId(), heartbeat.fencingToken());
+        String other = leadership.lastKnownLeader();
         boolean known = other != null && !platform.member().equals(other) && !mayBeGone;
         if (known || store.seemsUnavailable()) {
             return CompletableFuture.completedFuture(new Answer.Elsewhere(known ? other : null));
@@ -459,7 +460,7 @@
     }
 
     public void heardOf(FencingToken fencingToken, String member) {
-        leadership.heardOf(fencingToken, member);
+        leadership.observeToken(fencingToken, member);
     }
 
     public Optional<Admission.JobState> counts(JobId id) {
@@ -469,8 +470,8 @@
 
     public synchronized void close() {
         closed = true;
-        if (standby != null) {
-            standby.close();
+        if (warmStandby != null) {
+            warmStandby.close();
         }
         if (leader != null) {
             leader.close();
--- a/src/main/java/org/meadowhollow/coordination/Reconciliation.java
+++ b/src/main/java/org/meadowhollow/coordination/Reconciliation.java
@@ -5,10 +5,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import org.meadowhollow.coordination.failover.HandoverState;
+import org.meadowhollow.coordination.failover.RiskTablePublisher;
 import org.meadowhollow.coordination.leadership.Leadership;
 import org.meadowhollow.coordination.placement.Cluster;
-import org.meadowhollow.coordination.succession.Inheritance;
-import org.meadowhollow.coordination.succession.TableFeed;
 import org.meadowhollow.model.ExitReason;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Heartbeat;
@@ -37,8 +37,8 @@
     private final ImageNotes images;
     private final Leadership leadership;
     private final FencingToken fencingToken;
-    private final Inheritance inheritance;
-    private final TableFeed feed;
+    private final HandoverState handoverState;
+    private final RiskTablePublisher feed;
 
     Reconciliation(
             Leader leader,
@@ -46,14 +46,14 @@
             ImageNotes images,
             Leadership leadership,
             FencingToken fencingToken,
-            Inheritance inheritance,
-            TableFeed feed) {
+            HandoverState handoverState,
+            RiskTablePublisher feed) {
         this.leader = leader;
         this.cluster = cluster;
         this.images = images;
         this.leadership = leadership;
         this.fencingToken = fencingToken;
-        this.inheritance = inheritance;
+        this.handoverState = handoverState;
         this.feed = feed;
     }
 
@@ -64,8 +64,8 @@
             return false;
         }
         if (machine.incarnation() == null) {
-            inheritance
-                    .table(heartbeat, now)
+            handoverState
+                    .takeTable(heartbeat, now)
                     .ifPresent(table -> cluster.risks().put(machine.id(), table));
         }
         machine.recordHeartbeat(heartbeat);
@@ -151,7 +151,7 @@
                                 machine.allocated().dominantShareOf(machine.type().capacity()),
                                 machine.takeLostTaskCount(),
                                 now);
-        feed.sampled(machine, sample, now);
+        feed.recordSample(machine, sample, now);
         return true;
     }
 
@@ -246,7 +246,7 @@
      * would be one that no record knows of.
      */
     private boolean mayStart(Placement placement, Machine machine, Heartbeat heartbeat) {
-        return leadership.maySendStarts()
+        return leadership.canStartTasks()
                 && placement.isCommitted()
                 && !machine.releasing()
                 && placement.incarnation().equals(heartbeat.incarnation())
--- a/src/main/java/org/meadowhollow/coordination/succession/RecordFollower.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/ChangeFeedFollower.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.succession;
+package org.meadowhollow.coordination.failover;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -24,79 +24,81 @@
 
 /**
  * Follows the records under a prefix: reads them once, then asks for what has changed, at most
- * every {@link #PAUSE} while there are changes and every {@link #WATCH} while there are none.
+ * every {@link #POLL_INTERVAL} while there are changes and every {@link #WATCH_TIMEOUT} while there
+ * are none.
  */
-final class RecordFollower {
-    private static final Logger LOG = LoggerFactory.getLogger(RecordFollower.class);
+final class ChangeFeedFollower {
+    private static final Logger LOG = LoggerFactory.getLogger(ChangeFeedFollower.class);
 
     /**
      * A leader writes thirty records a second and more; answered one by one they would take all
      * requests there are.
      */
-    static final Duration PAUSE = Duration.ofSeconds(2);
+    static final Duration POLL_INTERVAL = Duration.ofSeconds(2);
 
-    private static final Duration WATCH = Duration.ofSeconds(20);
-    private static final Duration RETRY = Duration.ofSeconds(3);
+    private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(20);
+    private static final Duration RETRY_DELAY = Duration.ofSeconds(3);
 
     /** Records that do not fit are not tried again soon. */
-    private static final Duration TOO_LARGE_FOR = Duration.ofMinutes(5);
+    private static final Duration OVERSIZE_RETRY_DELAY = Duration.ofMinutes(5);
 
     /**
      * Changes asked for in vain before the records are read anew: their answer may be too large to
      * come.
      */
-    private static final int MOST_FAILURES = 3;
+    private static final int MAX_FAILURES = 3;
 
     private final KeyValueStore store;
-    private final Lives lives;
+    private final GenerationCounter generations;
     private final String prefix;
-    private final long mostBytes;
-    private KeyspaceReplica image;
+    private final long maxBytes;
+    private KeyspaceReplica replica;
     private int failures;
 
     /**
      * @param mostBytes of memory that the records may take, about; more are not followed
      */
-    RecordFollower(KeyValueStore store, EventLoop loop, String prefix, long mostBytes) {
+    ChangeFeedFollower(KeyValueStore store, EventLoop loop, String prefix, long mostBytes) {
         this.store = store;
-        this.lives = new Lives(loop);
+        this.generations = new GenerationCounter(loop);
         this.prefix = prefix;
-        this.mostBytes = mostBytes;
+        this.maxBytes = mostBytes;
     }
 
     void start() {
-        page(begin(), null, null);
+        readPage(startNewGeneration(), null, null);
     }
 
     synchronized void stop() {
-        lives.next();
-        image = null;
+        generations.startNext();
+        replica = null;
     }
 
     /** The revision that the image stands at, or null while there is none. */
     synchronized Revision revision() {
-        return image == null ? null : image.revision();
+        return replica == null ? null : replica.revision();
     }
 
-    private synchronized int begin() {
-        image = null;
+    private synchronized int startNewGeneration() {
+        replica = null;
         failures = 0;
-        return lives.next();
+        return generations.startNext();
     }
 
     /**
      * Reads a page of the records, and then the next; {@code after} and {@code begun} are null for
      * the first.
      */
-    private void page(int mine, String after, KeyspaceReplica begun) {
+    private void readPage(int mine, String after, KeyspaceReplica begun) {
         store.list(prefix, after, RequestPriority.BACKGROUND)
                 .whenComplete(
                         (page, failure) -> {
-                            if (!lives.isCurrent(mine)) {
+                            if (!generations.isCurrent(mine)) {
                                 return;
                             }
                             if (failure != null) {
-                                lives.later(RETRY, mine, () -> page(mine, after, begun));
+                                generations.runLater(
+                                        RETRY_DELAY, mine, () -> readPage(mine, after, begun));
                                 return;
                             }
                             KeyspaceReplica growing =
@@ -104,48 +106,48 @@
                                             ? new KeyspaceReplica(prefix, page.revision())
                                             : begun;
                             growing.addPage(page.entries());
-                            if (isTooLarge(growing, mine)) {
+                            if (abandonIfTooLarge(growing, mine)) {
                                 return;
                             }
                             if (page.hasMore()) {
-                                page(
+                                readPage(
                                         mine,
                                         page.entries().get(page.entries().size() - 1).key(),
                                         growing);
                                 return;
                             }
                             synchronized (this) {
-                                image = growing;
+                                replica = growing;
                                 failures = 0;
                             }
-                            lives.later(PAUSE, mine, () -> follow(mine));
+                            generations.runLater(POLL_INTERVAL, mine, () -> watchChanges(mine));
                         });
     }
 
-    private boolean isTooLarge(KeyspaceReplica growing, int mine) {
-        if (growing.estimatedBytes() <= mostBytes) {
+    private boolean abandonIfTooLarge(KeyspaceReplica growing, int mine) {
+        if (growing.estimatedBytes() <= maxBytes) {
             return false;
         }
         LOG.info(
                 "the records under {} take more than {} bytes and are not followed",
                 prefix,
-                mostBytes);
+                maxBytes);
         synchronized (this) {
-            image = null;
+            replica = null;
         }
-        lives.later(TOO_LARGE_FOR, mine, () -> page(mine, null, null));
+        generations.runLater(OVERSIZE_RETRY_DELAY, mine, () -> readPage(mine, null, null));
         return true;
     }
 
-    private void follow(int mine) {
+    private void watchChanges(int mine) {
         KeyspaceReplica followed;
         synchronized (this) {
-            followed = image;
+            followed = replica;
         }
-        store.watch(prefix, followed.revision(), WATCH)
+        store.watch(prefix, followed.revision(), WATCH_TIMEOUT)
                 .whenComplete(
                         (changeBatch, failure) -> {
-                            if (!lives.isCurrent(mine)) {
+                            if (!generations.isCurrent(mine)) {
                                 return;
                             }
                             if (failure == null
@@ -154,11 +156,13 @@
                                     failures = 0;
                                     followed.apply(changeBatch);
                                 }
-                                if (!isTooLarge(followed, mine)) {
-                                    lives.later(PAUSE, mine, () -> follow(mine));
+                                if (!abandonIfTooLarge(followed, mine)) {
+                                    generations.runLater(
+                                            POLL_INTERVAL, mine, () -> watchChanges(mine));
                                 }
                             } else if (failure == null
-                                    || isLost(KeyValueStoreException.outcomeOf(failure))) {
+                                    || countFailureAndCheckReload(
+                                            KeyValueStoreException.outcomeOf(failure))) {
                                 LOG.info(
                                         "the records under {} are read anew: {}",
                                         prefix,
@@ -166,9 +170,10 @@
                                                 ? "the state service went back to "
                                                         + changeBatch.revision().value()
                                                 : failure.getMessage());
-                                lives.later(PAUSE, begin(), this::start);
+                                generations.runLater(
+                                        POLL_INTERVAL, startNewGeneration(), this::start);
                             } else {
-                                lives.later(RETRY, mine, () -> follow(mine));
+                                generations.runLater(RETRY_DELAY, mine, () -> watchChanges(mine));
                             }
                         });
     }
@@ -177,9 +182,9 @@
      * Whether to read anew rather than to ask again; an outage in which every request is refused
      * loses nothing.
      */
-    private synchronized boolean isLost(Outcome outcome) {
+    private synchronized boolean countFailureAndCheckReload(Outcome outcome) {
         failures += outcome == Outcome.INDETERMINATE && !store.seemsUnavailable() ? 1 : 0;
-        return outcome == Outcome.COMPACTED || failures >= MOST_FAILURES;
+        return outcome == Outcome.COMPACTED || failures >= MAX_FAILURES;
     }
 
     /**
@@ -190,7 +195,7 @@
     CompletableFuture<Optional<KeyspaceReplica>> handOver(Revision atLeast) {
         KeyspaceReplica last;
         synchronized (this) {
-            last = image;
+            last = replica;
             stop();
         }
         if (last == null) {
@@ -213,7 +218,7 @@
 
     /** The digests of the image's parts, or none while there is no image. */
     synchronized RecordDigests digests() {
-        return image == null ? RecordDigests.EMPTY : RecordDigests.of(image);
+        return replica == null ? RecordDigests.EMPTY : RecordDigests.of(replica);
     }
 
     /**
@@ -223,17 +228,17 @@
      * @return the keys that were wrong in the image; empty if it was right, or nothing could be
      *     told
      */
-    CompletableFuture<List<String>> readAgain(String part) {
+    CompletableFuture<List<String>> verifyAndRepair(String part) {
         int mine;
         KeyspaceReplica judged;
         synchronized (this) {
-            if (image == null) {
+            if (replica == null) {
                 return CompletableFuture.completedFuture(List.of());
             }
             // The following rests meanwhile, so that all changes since the image's revision come by
             // here.
-            mine = lives.next();
-            judged = image;
+            mine = generations.startNext();
+            judged = replica;
         }
         return store.list(part, null, RequestPriority.BACKGROUND)
                 .thenCombine(
@@ -241,13 +246,13 @@
                         (page, changeBatch) -> {
                             synchronized (this) {
                                 boolean comparable =
-                                        lives.isCurrent(mine)
+                                        generations.isCurrent(mine)
                                                 && !page.hasMore()
                                                 && !judged.revision()
                                                         .isAfter(changeBatch.revision());
                                 List<String> wrong =
                                         comparable
-                                                ? wrong(judged, page, changeBatch, part)
+                                                ? findMismatches(judged, page, changeBatch, part)
                                                 : List.<String>of();
                                 if (!wrong.isEmpty()) {
                                     judged.replacePrefix(part, page.entries());
@@ -260,12 +265,12 @@
                         })
                 .handle(
                         (wrong, failure) -> {
-                            lives.later(PAUSE, mine, () -> follow(mine));
+                            generations.runLater(POLL_INTERVAL, mine, () -> watchChanges(mine));
                             return failure == null ? wrong : List.of();
                         });
     }
 
-    private static List<String> wrong(
+    private static List<String> findMismatches(
             KeyspaceReplica judged, Page truth, ChangeBatch changeBatch, String part) {
         Map<String, Entry> have = new HashMap<>();
         judged.entries(part).forEach(entry -> have.put(entry.key(), entry));
--- a/src/main/java/org/meadowhollow/coordination/succession/Lives.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/GenerationCounter.java
@@ -1,28 +1,28 @@
-package org.meadowhollow.coordination.succession;
+package org.meadowhollow.coordination.failover;
 
 import java.time.Duration;
 import org.meadowhollow.model.EventLoop;
 
 /** Numbers what is begun anew, so that timers and answers of what came before are not heeded. */
-final class Lives {
+final class GenerationCounter {
     private final EventLoop loop;
-    private int last;
+    private int current;
 
-    Lives(EventLoop loop) {
+    GenerationCounter(EventLoop loop) {
         this.loop = loop;
     }
 
     /** Ends what runs; the number of what begins. */
-    synchronized int next() {
-        return ++last;
+    synchronized int startNext() {
+        return ++current;
     }
 
     synchronized boolean isCurrent(int life) {
-        return life == last;
+        return life == current;
     }
 
     /** Does some work of a life after a pause, unless another has begun by then. */
-    void later(Duration pause, int life, Runnable work) {
+    void runLater(Duration pause, int life, Runnable work) {
         loop.schedule(
                 pause,
                 () -> {
--- a/src/main/java/org/meadowhollow/coordination/succession/Inheritance.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/HandoverState.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.succession;
+package org.meadowhollow.coordination.failover;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -17,34 +17,35 @@
 import org.meadowhollow.storage.KeyspaceReplica;
 
 /** What a standby hands to the leadership that begins on its node. Guarded by the leader's lock. */
-public final class Inheritance {
+public final class HandoverState {
     /** Of a node that followed nothing. */
-    public static final Inheritance NONE = new Inheritance(Map.of(), new TableCopies());
+    public static final HandoverState EMPTY = new HandoverState(Map.of(), new RiskTableReplica());
 
     /**
      * Machines that the last leader heard of within this time, before it ended, are likely to
      * report again.
      */
-    private static final Duration LIKELY = Standby.PULL.multipliedBy(3);
+    private static final Duration RECENT_HEARTBEAT_WINDOW =
+            WarmStandby.PULL_INTERVAL.multipliedBy(3);
 
     /**
      * Tables of a snapshot that are made at a time: a starved node must come to renew its lease in
      * between.
      */
-    private static final int MOST_AT_ONCE = 50;
+    private static final int MAX_TABLES_PER_BATCH = 50;
 
-    private final Map<String, RecordFollower> followers;
-    private final TableCopies copies;
+    private final Map<String, ChangeFeedFollower> followers;
+    private final RiskTableReplica tableReplica;
 
     /** What a snapshot holds and has not been handed over yet, and when that was so. */
-    private final ArrayDeque<TableDelta.Part> noted = new ArrayDeque<>();
+    private final ArrayDeque<TableDelta.Part> snapshotTables = new ArrayDeque<>();
 
-    private MonotonicTime notedAt;
-    private int tables;
+    private MonotonicTime snapshotTakenAt;
+    private int inheritedTableCount;
 
-    Inheritance(Map<String, RecordFollower> followers, TableCopies copies) {
+    HandoverState(Map<String, ChangeFeedFollower> followers, RiskTableReplica copies) {
         this.followers = followers;
-        this.copies = copies;
+        this.tableReplica = copies;
     }
 
     /** Whether anything was followed, so that a leader need not begin from nothing. */
@@ -56,7 +57,7 @@
      * The records by prefix, each with all changes up to a revision and maybe more; empty if one of
      * the images is missing, older than that, or of another history than the one that is served.
      */
-    public CompletableFuture<Optional<Map<String, KeyspaceReplica>>> records(Revision atLeast) {
+    public CompletableFuture<Optional<Map<String, KeyspaceReplica>>> takeRecords(Revision atLeast) {
         List<CompletableFuture<Optional<KeyspaceReplica>>> images =
                 followers.values().stream().map(follower -> follower.handOver(atLeast)).toList();
         return CompletableFuture.allOf(images.toArray(CompletableFuture[]::new))
@@ -80,11 +81,11 @@
      * The table of a machine whose first report has come, if what is there is of the machine as it
      * is now.
      */
-    public Optional<RiskTable> table(Heartbeat heartbeat, MonotonicTime now) {
-        return inherited(
-                copies.inherit(
+    public Optional<RiskTable> takeTable(Heartbeat heartbeat, MonotonicTime now) {
+        return countInherited(
+                tableReplica.takeTable(
                         heartbeat.machineId(),
-                        TableFeed.incarnation(
+                        RiskTablePublisher.identityHash(
                                 heartbeat.machineType(),
                                 heartbeat.zone(),
                                 heartbeat.isSpot(),
@@ -94,8 +95,8 @@
                         now));
     }
 
-    private Optional<RiskTable> inherited(Optional<RiskTable> table) {
-        tables += table.isPresent() ? 1 : 0;
+    private Optional<RiskTable> countInherited(Optional<RiskTable> table) {
+        inheritedTableCount += table.isPresent() ? 1 : 0;
         return table;
     }
 
@@ -103,14 +104,14 @@
      * Takes in the tables that were noted in the state service, where no leader handed any over
      * because all nodes ended.
      */
-    public void noted(TableSnapshots.Read snapshot, MonotonicTime now) {
-        noted.addAll(snapshot.parts());
-        notedAt = new MonotonicTime(now.nanos() - snapshot.age().toNanos());
+    public void snapshotTables(RiskTableSnapshotStore.StoredTables snapshot, MonotonicTime now) {
+        snapshotTables.addAll(snapshot.parts());
+        snapshotTakenAt = new MonotonicTime(now.nanos() - snapshot.age().toNanos());
     }
 
     /** Whether no leader handed any tables over. */
-    public boolean lacksTables() {
-        return isWarm() && tables == 0 && copies.size() == 0;
+    public boolean hasNoTables() {
+        return isWarm() && inheritedTableCount == 0 && tableReplica.size() == 0;
     }
 
     /**
@@ -118,35 +119,35 @@
      *
      * @return whether there are more
      */
-    public boolean handOverNoted(
+    public boolean handOverSnapshotTables(
             Map<MachineId, Machine> machines, Map<MachineId, RiskTable> risks, MonotonicTime now) {
-        for (int done = 0; done < MOST_AT_ONCE && !noted.isEmpty(); done++) {
-            TableDelta.Part part = noted.poll();
-            copies.take(List.of(part), notedAt);
+        for (int done = 0; done < MAX_TABLES_PER_BATCH && !snapshotTables.isEmpty(); done++) {
+            TableDelta.Part part = snapshotTables.poll();
+            tableReplica.apply(List.of(part), snapshotTakenAt);
             Machine machine = machines.get(part.machine());
             if (machine != null && machine.incarnation() != null) {
-                inherited(
-                                copies.inherit(
+                countInherited(
+                                tableReplica.takeTable(
                                         machine.id(),
-                                        TableFeed.incarnation(machine),
+                                        RiskTablePublisher.identityHash(machine),
                                         machine.incarnation(),
                                         machine.lastSequenceNumber(),
                                         now))
                         .ifPresent(table -> risks.put(machine.id(), table));
             }
         }
-        return !noted.isEmpty();
+        return !snapshotTables.isEmpty();
     }
 
     /** Tables that were handed over so far. */
-    public int tables() {
-        return tables;
+    public int inheritedTableCount() {
+        return inheritedTableCount;
     }
 
     /**
      * Machines that the last leader heard of lately, and whose first report has not come here yet.
      */
-    public int awaited(MonotonicTime now) {
-        return copies.heardWithin(LIKELY, now);
+    public int countExpectedMachines(MonotonicTime now) {
+        return tableReplica.countUpdatedWithin(RECENT_HEARTBEAT_WINDOW, now);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/succession/Membership.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/Membership.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.succession;
+package org.meadowhollow.coordination.failover;
 
 import java.time.Duration;
 import java.util.Comparator;
@@ -21,15 +21,16 @@
      * Two questions that a standby did not get through; of one that has been silent for longer
      * nothing is known.
      */
-    static final Duration FRESH = Standby.PULL.multipliedBy(5).dividedBy(2);
+    static final Duration MAX_STATUS_AGE = WarmStandby.PULL_INTERVAL.multipliedBy(5).dividedBy(2);
 
-    private record Seen(NodeStatus status, MonotonicTime at) {}
+    private record ReceivedStatus(NodeStatus status, MonotonicTime receivedAt) {}
 
-    private final Map<String, Seen> members = new TreeMap<>();
+    private final Map<String, ReceivedStatus> statusByMember = new TreeMap<>();
 
     /** A standby has asked. */
-    public void seen(NodeStatus status, MonotonicTime now) {
-        Seen before = members.put(status.member(), new Seen(status, now));
+    public void recordStatus(NodeStatus status, MonotonicTime now) {
+        ReceivedStatus before =
+                statusByMember.put(status.member(), new ReceivedStatus(status, now));
         if (before == null || before.status().incarnation() != status.incarnation()) {
             LOG.info(
                     "{} in {} follows, program {}, records of schema {}",
@@ -45,10 +46,10 @@
      * that stands at the latest revision; of equal ones the first by name, so that one of them is
      * meant.
      */
-    public Optional<String> heir(int schema, MonotonicTime now) {
-        return members.values().stream()
-                .filter(each -> now.elapsedSince(each.at()).compareTo(FRESH) <= 0)
-                .map(Seen::status)
+    public Optional<String> preferredSuccessor(int schema, MonotonicTime now) {
+        return statusByMember.values().stream()
+                .filter(each -> now.elapsedSince(each.receivedAt()).compareTo(MAX_STATUS_AGE) <= 0)
+                .map(ReceivedStatus::status)
                 .filter(status -> status.schema() == schema)
                 .max(
                         Comparator.<NodeStatus>comparingLong(status -> status.revision().value())
--- a/src/main/java/org/meadowhollow/coordination/succession/TableFeed.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTablePublisher.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.succession;
+package org.meadowhollow.coordination.failover;
 
 import it.unimi.dsi.fastutil.longs.LongArrayList;
 import java.util.ArrayList;
@@ -17,44 +17,48 @@
 import org.meadowhollow.model.WorkerIncarnation;
 
 /** A leader's latest samples, for the standbys that ask for them. Guarded by the leader's lock. */
-public final class TableFeed {
+public final class RiskTablePublisher {
     /**
      * Samples kept: some twenty seconds of a thousand machines. Who asks later gets whole tables.
      */
-    static final int MOST_KEPT = 8192;
+    static final int MAX_SAMPLES = 8192;
 
     /**
      * Numbers in an answer at most; each takes one to three bytes, and an answer may have 60 KiB.
      */
-    static final int MOST_NUMBERS = 16 * 1024;
+    static final int MAX_NUMBERS_PER_ANSWER = 16 * 1024;
 
     /** What a machine's name and the rest of its part take, in such numbers. */
-    private static final int PART = 10;
+    private static final int PART_OVERHEAD = 10;
 
     private record Sample(
-            MachineId machine, WorkerIncarnation session, long seq, MonotonicTime at, int sample) {}
+            MachineId machine,
+            WorkerIncarnation workerIncarnation,
+            long seq,
+            MonotonicTime observedAt,
+            int value) {}
 
     private final FencingToken fencingToken;
 
     /** By number, round the end; null where there are no standbys to ask. */
-    private final Sample[] kept;
+    private final Sample[] sampleRing;
 
-    private long next;
+    private long nextSampleNumber;
 
     /**
      * @param asked whether there are standbys that may ask
      */
-    public TableFeed(FencingToken fencingToken, boolean asked) {
+    public RiskTablePublisher(FencingToken fencingToken, boolean asked) {
         this.fencingToken = fencingToken;
-        this.kept = asked ? new Sample[MOST_KEPT] : null;
+        this.sampleRing = asked ? new Sample[MAX_SAMPLES] : null;
     }
 
     /** A report has shown a machine's table something. */
-    public void sampled(Machine machine, int sample, MonotonicTime now) {
-        if (kept == null) {
+    public void recordSample(Machine machine, int sample, MonotonicTime now) {
+        if (sampleRing == null) {
             return;
         }
-        kept[(int) (next++ % MOST_KEPT)] =
+        sampleRing[(int) (nextSampleNumber++ % MAX_SAMPLES)] =
                 new Sample(
                         machine.id(),
                         machine.incarnation(),
@@ -64,17 +68,17 @@
     }
 
     /** What a machine's name means now; a name that is used again means something else. */
-    static int incarnation(String type, String zone, boolean spot, String address) {
+    static int identityHash(String type, String zone, boolean spot, String address) {
         return List.of(type, zone, spot, String.valueOf(address)).hashCode();
     }
 
-    static int incarnation(Machine machine) {
-        return incarnation(
+    static int identityHash(Machine machine) {
+        return identityHash(
                 machine.type().name(), machine.zone(), machine.isSpot(), machine.address());
     }
 
     /** The answer to a standby, over the machines and tables as they are now. */
-    public TableDelta answer(
+    public TableDelta answerRequest(
             TableQuestion asked,
             SortedMap<MachineId, Machine> machines,
             Map<MachineId, RiskTable> tables,
@@ -82,48 +86,51 @@
         boolean known =
                 asked.term().equals(fencingToken)
                         && !asked.isForWhole()
-                        && asked.after() < next
-                        && asked.after() >= next - 1 - MOST_KEPT;
-        return known ? samples(asked.after(), machines, now) : whole(asked, machines, tables, now);
+                        && asked.after() < nextSampleNumber
+                        && asked.after() >= nextSampleNumber - 1 - MAX_SAMPLES;
+        return known
+                ? samplesSince(asked.after(), machines, now)
+                : fullTablesPage(asked, machines, tables, now);
     }
 
     /** All tables as they are now, for a snapshot. */
-    public static List<TableDelta.Part> all(
+    public static List<TableDelta.Part> exportAll(
             SortedMap<MachineId, Machine> machines,
             Map<MachineId, RiskTable> tables,
             MonotonicTime now) {
         List<TableDelta.Part> parts = new ArrayList<>();
         for (Machine machine : machines.values()) {
             if (machine.incarnation() != null) {
-                parts.add(part(machine, tables.get(machine.id()).export(now)));
+                parts.add(buildPart(machine, tables.get(machine.id()).export(now)));
             }
         }
         return parts;
     }
 
-    private static TableDelta.Part part(Machine machine, int[] table) {
+    private static TableDelta.Part buildPart(Machine machine, int[] table) {
         return new TableDelta.Part(
                 machine.id(),
-                incarnation(machine),
+                identityHash(machine),
                 machine.incarnation(),
                 machine.lastSequenceNumber(),
                 table,
                 new long[0]);
     }
 
-    private TableDelta samples(
+    private TableDelta samplesSince(
             long after, SortedMap<MachineId, Machine> machines, MonotonicTime now) {
         Map<MachineId, LongArrayList> byMachine = new LinkedHashMap<>();
         long upTo = after;
-        while (upTo + 1 < next
-                && (upTo - after) * TableDelta.SAMPLE + byMachine.size() * PART < MOST_NUMBERS) {
-            Sample sample = kept[(int) (++upTo % MOST_KEPT)];
+        while (upTo + 1 < nextSampleNumber
+                && (upTo - after) * TableDelta.SAMPLE + byMachine.size() * PART_OVERHEAD
+                        < MAX_NUMBERS_PER_ANSWER) {
+            Sample sample = sampleRing[(int) (++upTo % MAX_SAMPLES)];
             LongArrayList samples =
                     byMachine.computeIfAbsent(sample.machine(), unused -> new LongArrayList());
-            samples.add(sample.session().value());
+            samples.add(sample.workerIncarnation().value());
             samples.add(sample.seq());
-            samples.add(Math.max(0, now.elapsedSince(sample.at()).toMillis()));
-            samples.add(sample.sample());
+            samples.add(Math.max(0, now.elapsedSince(sample.observedAt()).toMillis()));
+            samples.add(sample.value());
         }
         List<TableDelta.Part> parts = new ArrayList<>();
         byMachine.forEach(
@@ -133,17 +140,17 @@
                         parts.add(
                                 new TableDelta.Part(
                                         id,
-                                        incarnation(machine),
+                                        identityHash(machine),
                                         machine.incarnation(),
                                         machine.lastSequenceNumber(),
                                         new int[0],
                                         samples.toLongArray()));
                     }
                 });
-        return new TableDelta(fencingToken, upTo, false, upTo + 1 < next, parts);
+        return new TableDelta(fencingToken, upTo, false, upTo + 1 < nextSampleNumber, parts);
     }
 
-    private TableDelta whole(
+    private TableDelta fullTablesPage(
             TableQuestion asked,
             SortedMap<MachineId, Machine> machines,
             Map<MachineId, RiskTable> tables,
@@ -160,15 +167,15 @@
         List<TableDelta.Part> parts = new ArrayList<>();
         int numbers = 0;
         for (Machine machine : rest.values()) {
-            if (numbers > MOST_NUMBERS / 2) {
-                return new TableDelta(fencingToken, next - 1, true, true, parts);
+            if (numbers > MAX_NUMBERS_PER_ANSWER / 2) {
+                return new TableDelta(fencingToken, nextSampleNumber - 1, true, true, parts);
             }
             if (machine.incarnation() != null) {
                 int[] table = tables.get(machine.id()).export(now);
-                numbers += table.length + PART;
-                parts.add(part(machine, table));
+                numbers += table.length + PART_OVERHEAD;
+                parts.add(buildPart(machine, table));
             }
         }
-        return new TableDelta(fencingToken, next - 1, true, false, parts);
+        return new TableDelta(fencingToken, nextSampleNumber - 1, true, false, parts);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/succession/TableCopies.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTableReplica.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.succession;
+package org.meadowhollow.coordination.failover;
 
 import java.time.Duration;
 import java.util.HashMap;
@@ -18,55 +18,55 @@
  * Copies of a leader's risk tables, kept up to date by its answers. Hints: a wrong one costs a
  * worse place, no more.
  */
-final class TableCopies {
+final class RiskTableReplica {
     /** Tables kept; bounds memory, at a few kilobytes each. */
-    private static final int MOST_TABLES = 2000;
+    private static final int MAX_TABLES = 2000;
 
     /** Older copies tell of a machine as it was; the tables themselves are rebuilt from as much. */
-    static final Duration MOST_AGE = RiskTable.RECENT;
+    static final Duration MAX_AGE = RiskTable.RECENT;
 
-    private record Copy(
+    private record ReplicatedTable(
             RiskTable table,
-            int incarnation,
-            WorkerIncarnation session,
+            int identityHash,
+            WorkerIncarnation workerIncarnation,
             long seq,
-            MonotonicTime at) {}
+            MonotonicTime updatedAt) {}
 
     /** What became of an answer. */
-    enum Taken {
-        IN,
-        MORE,
-        DEPOSED,
-        BROKEN
+    enum ApplyResult {
+        UP_TO_DATE,
+        MORE_AVAILABLE,
+        STALE_LEADER,
+        INCONSISTENT
     }
 
-    private final Map<MachineId, Copy> copies = new HashMap<>();
+    private final Map<MachineId, ReplicatedTable> tablesByMachine = new HashMap<>();
     private FencingToken fencingToken = FencingToken.NONE;
-    private long upTo = -1;
+    private long appliedUpTo = -1;
 
     /** The machine after which whole tables go on, or empty. */
-    private String wholeAfter = "";
+    private String fullSyncCursor = "";
 
-    private long firstPageUpTo;
+    private long fullSyncStartedAt;
 
     int size() {
-        return copies.size();
+        return tablesByMachine.size();
     }
 
     /**
      * Machines that the leader has heard of within a time before now, and that have not been
      * inherited yet.
      */
-    int heardWithin(Duration span, MonotonicTime now) {
+    int countUpdatedWithin(Duration span, MonotonicTime now) {
         int count = 0;
-        for (Copy copy : copies.values()) {
-            count += now.elapsedSince(copy.at()).compareTo(span) <= 0 ? 1 : 0;
+        for (ReplicatedTable replicatedTable : tablesByMachine.values()) {
+            count += now.elapsedSince(replicatedTable.updatedAt()).compareTo(span) <= 0 ? 1 : 0;
         }
         return count;
     }
 
-    TableQuestion question(NodeStatus from) {
-        return new TableQuestion(from, fencingToken, upTo, wholeAfter);
+    TableQuestion nextRequest(NodeStatus from) {
+        return new TableQuestion(from, fencingToken, appliedUpTo, fullSyncCursor);
     }
 
     /**
@@ -75,59 +75,66 @@
      * @param highest the highest term that this node has heard of: what a leader says that it
      *     deposed is not believed
      */
-    Taken take(TableDelta delta, FencingToken highest, MonotonicTime now) {
+    ApplyResult apply(TableDelta delta, FencingToken highest, MonotonicTime now) {
         if (highest.isAfter(delta.term())) {
-            return Taken.DEPOSED;
+            return ApplyResult.STALE_LEADER;
         }
         // Samples that do not follow what is here are worth nothing; a late answer to an earlier
         // question is one.
-        boolean follows = delta.term().equals(fencingToken) && upTo >= 0;
-        if (!delta.whole() && (!follows || delta.upTo() < upTo)) {
-            askForWhole();
-            return Taken.BROKEN;
+        boolean follows = delta.term().equals(fencingToken) && appliedUpTo >= 0;
+        if (!delta.whole() && (!follows || delta.upTo() < appliedUpTo)) {
+            requestFullSync();
+            return ApplyResult.INCONSISTENT;
         }
         try {
             for (TableDelta.Part part : delta.parts()) {
-                takePart(part, delta.whole(), now);
+                applyPart(part, delta.whole(), now);
             }
         } catch (IllegalArgumentException broken) {
-            askForWhole();
-            return Taken.BROKEN;
+            requestFullSync();
+            return ApplyResult.INCONSISTENT;
         }
         boolean unfinished = delta.whole() && delta.more() && !delta.parts().isEmpty();
-        if (delta.whole() && (wholeAfter.isEmpty() || !delta.term().equals(fencingToken))) {
-            firstPageUpTo = delta.upTo();
+        if (delta.whole() && (fullSyncCursor.isEmpty() || !delta.term().equals(fencingToken))) {
+            fullSyncStartedAt = delta.upTo();
         }
         fencingToken = delta.term();
-        wholeAfter =
+        fullSyncCursor =
                 unfinished ? delta.parts().get(delta.parts().size() - 1).machine().value() : "";
         // What came between the pages is missing in the earlier ones.
-        upTo = unfinished ? -1 : delta.whole() ? firstPageUpTo : delta.upTo();
+        appliedUpTo = unfinished ? -1 : delta.whole() ? fullSyncStartedAt : delta.upTo();
         if (delta.whole() && !unfinished) {
-            copies.values().removeIf(copy -> now.elapsedSince(copy.at()).compareTo(MOST_AGE) > 0);
+            tablesByMachine
+                    .values()
+                    .removeIf(
+                            replicatedTable ->
+                                    now.elapsedSince(replicatedTable.updatedAt()).compareTo(MAX_AGE)
+                                            > 0);
         }
-        return delta.more() || upTo < delta.upTo() ? Taken.MORE : Taken.IN;
+        return delta.more() || appliedUpTo < delta.upTo()
+                ? ApplyResult.MORE_AVAILABLE
+                : ApplyResult.UP_TO_DATE;
     }
 
     /** Takes in tables as they were some time ago, from a snapshot. */
-    void take(List<TableDelta.Part> parts, MonotonicTime then) {
-        parts.forEach(part -> takePart(part, true, then));
+    void apply(List<TableDelta.Part> parts, MonotonicTime then) {
+        parts.forEach(part -> applyPart(part, true, then));
     }
 
-    void askForWhole() {
-        upTo = -1;
-        wholeAfter = "";
+    void requestFullSync() {
+        appliedUpTo = -1;
+        fullSyncCursor = "";
     }
 
-    private void takePart(TableDelta.Part part, boolean whole, MonotonicTime now) {
-        Copy known = copies.get(part.machine());
-        if (known == null && copies.size() >= MOST_TABLES) {
+    private void applyPart(TableDelta.Part part, boolean whole, MonotonicTime now) {
+        ReplicatedTable known = tablesByMachine.get(part.machine());
+        if (known == null && tablesByMachine.size() >= MAX_TABLES) {
             return;
         }
         if (whole) {
-            copies.put(
+            tablesByMachine.put(
                     part.machine(),
-                    new Copy(
+                    new ReplicatedTable(
                             RiskTable.of(part.table(), now),
                             part.incarnation(),
                             part.session(),
@@ -139,9 +146,10 @@
             throw new IllegalArgumentException("half a sample");
         }
         // A name that is used again begins a table of its own.
-        boolean same = known != null && known.incarnation() == part.incarnation();
+        boolean same = known != null && known.identityHash() == part.incarnation();
         RiskTable table = same ? known.table() : new RiskTable();
-        WorkerIncarnation workerIncarnation = same ? known.session() : new WorkerIncarnation(0);
+        WorkerIncarnation workerIncarnation =
+                same ? known.workerIncarnation() : new WorkerIncarnation(0);
         long seq = same ? known.seq() : 0;
         for (int at = 0; at < part.samples().length; at += TableDelta.SAMPLE) {
             WorkerIncarnation itsSession = new WorkerIncarnation(part.samples()[at]);
@@ -157,8 +165,9 @@
                 seq = itsSeq;
             }
         }
-        copies.put(
-                part.machine(), new Copy(table, part.incarnation(), workerIncarnation, seq, now));
+        tablesByMachine.put(
+                part.machine(),
+                new ReplicatedTable(table, part.incarnation(), workerIncarnation, seq, now));
     }
 
     /**
@@ -167,21 +176,22 @@
      * @return empty if there is none, if the name meant another machine, or if it is too old to
      *     tell anything
      */
-    Optional<RiskTable> inherit(
+    Optional<RiskTable> takeTable(
             MachineId machine,
             int incarnation,
             WorkerIncarnation workerIncarnation,
             long seq,
             MonotonicTime now) {
-        Copy copy = copies.remove(machine);
+        ReplicatedTable replicatedTable = tablesByMachine.remove(machine);
         boolean isOlder =
-                copy != null
-                        && (workerIncarnation.isAfter(copy.session())
-                                || workerIncarnation.equals(copy.session()) && seq >= copy.seq());
+                replicatedTable != null
+                        && (workerIncarnation.isAfter(replicatedTable.workerIncarnation())
+                                || workerIncarnation.equals(replicatedTable.workerIncarnation())
+                                        && seq >= replicatedTable.seq());
         return isOlder
-                        && copy.incarnation() == incarnation
-                        && now.elapsedSince(copy.at()).compareTo(MOST_AGE) <= 0
-                ? Optional.of(copy.table())
+                        && replicatedTable.identityHash() == incarnation
+                        && now.elapsedSince(replicatedTable.updatedAt()).compareTo(MAX_AGE) <= 0
+                ? Optional.of(replicatedTable.table())
                 : Optional.empty();
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/succession/TableSnapshots.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTableSnapshotStore.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.succession;
+package org.meadowhollow.coordination.failover;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -37,57 +37,57 @@
  * chunks are written in turn, and the record that names the newer one is written last, so that a
  * set that is half written is never read. Guarded by the leader's lock.
  */
-public final class TableSnapshots {
-    private static final Logger LOG = LoggerFactory.getLogger(TableSnapshots.class);
+public final class RiskTableSnapshotStore {
+    private static final Logger LOG = LoggerFactory.getLogger(RiskTableSnapshotStore.class);
 
     /**
      * How much a full stop forgets at most: a tenth of what a table is rebuilt from, for a few
      * changes each time.
      */
-    static final Duration EVERY = Duration.ofSeconds(60);
+    static final Duration SNAPSHOT_INTERVAL = Duration.ofSeconds(60);
 
     /** A set that is not written by then is given up; there is more urgent work. */
-    private static final Duration GIVEN_UP = EVERY.multipliedBy(2);
+    private static final Duration WRITE_TIMEOUT = SNAPSHOT_INTERVAL.multipliedBy(2);
 
     /** The form of what is written; another one is not read. */
-    static final int FORM = 1;
+    static final int FORMAT_VERSION = 1;
 
     /** Machines in a set at most; bounds its chunks. */
-    private static final int MOST_MACHINES = 2000;
+    private static final int MAX_MACHINES = 2000;
 
     /**
      * Text that one transaction may hold, in bytes: the protocol's 64 KiB, less room for framing.
      */
-    private static final int MOST_BYTES = 48 * 1024;
+    private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
     /** Bytes of a value that are not its text. */
-    private static final int FRAMING = 64;
+    private static final int FRAMING_BYTES = 64;
 
-    private static final int SETS = 2;
+    private static final int SET_COUNT = 2;
 
     private final KeyValueStore store;
-    private final Revision leaderVersion;
-    private final int mostWrites;
-    private final int chunkBytes;
+    private final Revision leaderKeyRevision;
+    private final int maxWrites;
+    private final int maxChunkBytes;
     private List<String> chunks = List.of();
-    private int written;
+    private int chunksWritten;
 
     /** The set that was begun last, by whomever; -1 while that is not known. */
-    private int set = -1;
+    private int currentSet = -1;
 
-    private Map<String, Object> head;
-    private boolean writing;
-    private MonotonicTime begunAt;
+    private Map<String, Object> pendingHead;
+    private boolean requestInFlight;
+    private MonotonicTime setBegunAt;
 
     /**
      * @param valueBytes that a value may have
      */
-    public TableSnapshots(
+    public RiskTableSnapshotStore(
             KeyValueStore store, Revision leaderVersion, int mostWrites, int valueBytes) {
         this.store = store;
-        this.leaderVersion = leaderVersion;
-        this.mostWrites = mostWrites;
-        this.chunkBytes = Math.min(valueBytes, MOST_BYTES) - FRAMING;
+        this.leaderKeyRevision = leaderVersion;
+        this.maxWrites = mostWrites;
+        this.maxChunkBytes = Math.min(valueBytes, MAX_TRANSACTION_BYTES) - FRAMING_BYTES;
     }
 
     /**
@@ -95,85 +95,86 @@
      *
      * @param idle whether no other records wait to be written
      */
-    public void write(
+    public void writeNext(
             Supplier<List<TableDelta.Part>> tables,
             boolean idle,
             MonotonicTime now,
             long wallMillis) {
-        if (writing || !idle) {
+        if (requestInFlight || !idle) {
             return;
         }
-        if (set < 0) {
+        if (currentSet < 0) {
             findSet();
             return;
         }
-        if (head == null || now.elapsedSince(begunAt).compareTo(GIVEN_UP) > 0) {
-            if (begunAt != null && now.elapsedSince(begunAt).compareTo(EVERY) < 0) {
+        if (pendingHead == null || now.elapsedSince(setBegunAt).compareTo(WRITE_TIMEOUT) > 0) {
+            if (setBegunAt != null
+                    && now.elapsedSince(setBegunAt).compareTo(SNAPSHOT_INTERVAL) < 0) {
                 return;
             }
-            begin(tables.get(), wallMillis);
-            begunAt = now;
+            beginSet(tables.get(), wallMillis);
+            setBegunAt = now;
         }
         Transaction transaction =
-                new Transaction().requireRevision(RecordCodec.LEADER_KEY, leaderVersion);
+                new Transaction().requireRevision(RecordCodec.LEADER_KEY, leaderKeyRevision);
         int bytes = 0;
-        int next = written;
+        int next = chunksWritten;
         while (next < chunks.size()
-                && transaction.writes().size() < mostWrites - 1
-                && bytes + chunks.get(next).length() <= MOST_BYTES) {
+                && transaction.writes().size() < maxWrites - 1
+                && bytes + chunks.get(next).length() <= MAX_TRANSACTION_BYTES) {
             bytes += chunks.get(next).length();
             transaction.put(
-                    RecordCodec.riskTableChunkKey(set, next), Map.of("text", chunks.get(next)));
+                    RecordCodec.riskTableChunkKey(currentSet, next),
+                    Map.of("text", chunks.get(next)));
             next++;
         }
         boolean last = next == chunks.size();
         if (last) {
-            transaction.put(RecordCodec.RISK_TABLE_HEAD_KEY, head);
+            transaction.put(RecordCodec.RISK_TABLE_HEAD_KEY, pendingHead);
         }
         int reached = next;
-        writing = true;
+        requestInFlight = true;
         store.commit(transaction, RequestPriority.BACKGROUND)
                 .whenComplete(
                         (commitResult, failure) -> {
-                            writing = false;
+                            requestInFlight = false;
                             if (failure == null && commitResult.isApplied()) {
-                                written = reached;
-                                head = last ? null : head;
+                                chunksWritten = reached;
+                                pendingHead = last ? null : pendingHead;
                             }
                         });
     }
 
     /** The set that an earlier leader wrote last must stand until there is a newer one. */
     private void findSet() {
-        writing = true;
+        requestInFlight = true;
         store.get(RecordCodec.RISK_TABLE_HEAD_KEY, RequestPriority.BACKGROUND)
                 .whenComplete(
                         (found, failure) -> {
-                            writing = false;
+                            requestInFlight = false;
                             if (failure == null) {
-                                set =
-                                        found.map(entry -> (int) number(entry.value(), "set"))
+                                currentSet =
+                                        found.map(entry -> (int) readNumber(entry.value(), "set"))
                                                 .orElse(0);
                             }
                         });
     }
 
-    private void begin(List<TableDelta.Part> parts, long wallMillis) {
-        byte[] body =
-                encode(parts.size() > MOST_MACHINES ? parts.subList(0, MOST_MACHINES) : parts);
+    private void beginSet(List<TableDelta.Part> parts, long wallMillis) {
+        byte[] body = encode(parts.size() > MAX_MACHINES ? parts.subList(0, MAX_MACHINES) : parts);
         String text = Base64.getEncoder().encodeToString(body);
         chunks = new ArrayList<>();
-        for (int at = 0; at < text.length(); at += chunkBytes) {
-            chunks.add(text.substring(at, Math.min(text.length(), at + chunkBytes)));
+        for (int at = 0; at < text.length(); at += maxChunkBytes) {
+            chunks.add(text.substring(at, Math.min(text.length(), at + maxChunkBytes)));
         }
-        set = (set + 1) % SETS;
-        written = 0;
-        head =
+        currentSet = (currentSet + 1) % SET_COUNT;
+        chunksWritten = 0;
+        pendingHead =
                 Map.of(
                         "form",
-                        (long) FORM,
+                        (long) FORMAT_VERSION,
                         "set",
-                        (long) set,
+                        (long) currentSet,
                         "chunks",
                         (long) chunks.size(),
                         "at",
@@ -214,7 +215,7 @@
     private static List<TableDelta.Part> decode(byte[] body) throws IOException {
         try (DataInputStream in =
                 new DataInputStream(new InflaterInputStream(new ByteArrayInputStream(body)))) {
-            int count = Math.min(MOST_MACHINES, in.readInt());
+            int count = Math.min(MAX_MACHINES, in.readInt());
             List<TableDelta.Part> parts = new ArrayList<>();
             for (int at = 0; at < count; at++) {
                 MachineId machine = new MachineId(in.readUTF());
@@ -222,7 +223,7 @@
                 WorkerIncarnation workerIncarnation = new WorkerIncarnation(in.readLong());
                 long seq = in.readLong();
                 int length = in.readInt();
-                if (length < 0 || length > TableFeed.MOST_NUMBERS) {
+                if (length < 0 || length > RiskTablePublisher.MAX_NUMBERS_PER_ANSWER) {
                     throw new IOException("a table of " + length + " numbers");
                 }
                 int[] table = new int[length];
@@ -238,68 +239,73 @@
     }
 
     /** Tables, and how old they are. */
-    public record Read(List<TableDelta.Part> parts, Duration age) {}
+    public record StoredTables(List<TableDelta.Part> parts, Duration age) {}
 
     /**
      * The newest whole set; empty if there is none, or none that can be used, which is said in a
      * line. Fails if the state service does not answer, which says nothing of what there is.
      */
-    public static CompletableFuture<Optional<Read>> read(KeyValueStore store, EventLoop loop) {
+    public static CompletableFuture<Optional<StoredTables>> read(
+            KeyValueStore store, EventLoop loop) {
         return store.get(RecordCodec.RISK_TABLE_HEAD_KEY, RequestPriority.PLACEMENT)
                 .thenCompose(
                         found -> {
                             if (found.isEmpty()) {
-                                return CompletableFuture.completedFuture(Optional.<Read>empty());
+                                return CompletableFuture.completedFuture(
+                                        Optional.<StoredTables>empty());
                             }
                             Map<String, Object> head = found.get().value();
                             Duration age =
                                     Duration.ofMillis(
                                             Math.max(
                                                     0,
-                                                    loop.wallClockMillis() - number(head, "at")));
-                            if (number(head, "form") != FORM
-                                    || age.compareTo(TableCopies.MOST_AGE) > 0) {
+                                                    loop.wallClockMillis()
+                                                            - readNumber(head, "at")));
+                            if (readNumber(head, "form") != FORMAT_VERSION
+                                    || age.compareTo(RiskTableReplica.MAX_AGE) > 0) {
                                 return unusable(
                                         "it has form "
-                                                + number(head, "form")
+                                                + readNumber(head, "form")
                                                 + " and is "
                                                 + age.toSeconds()
                                                 + " s old");
                             }
                             return store.list(
                                             RecordCodec.riskTableSetPrefix(
-                                                    (int) number(head, "set")),
+                                                    (int) readNumber(head, "set")),
                                             null,
                                             RequestPriority.PLACEMENT)
                                     .thenCompose(page -> read(head, page.entries(), age));
                         });
     }
 
-    private static CompletableFuture<Optional<Read>> read(
+    private static CompletableFuture<Optional<StoredTables>> read(
             Map<String, Object> head, List<Entry> entries, Duration age) {
         Map<String, Object> texts = new HashMap<>();
         entries.forEach(entry -> texts.put(entry.key(), entry.value().get("text")));
         StringBuilder text = new StringBuilder();
-        for (int at = 0; at < number(head, "chunks"); at++) {
-            text.append(texts.get(RecordCodec.riskTableChunkKey((int) number(head, "set"), at)));
+        for (int at = 0; at < readNumber(head, "chunks"); at++) {
+            text.append(
+                    texts.get(RecordCodec.riskTableChunkKey((int) readNumber(head, "set"), at)));
         }
         try {
             byte[] body = Base64.getDecoder().decode(text.toString());
-            if (checksum(body) != number(head, "checksum")) {
+            if (checksum(body) != readNumber(head, "checksum")) {
                 return unusable("its checksum is wrong");
             }
-            return CompletableFuture.completedFuture(Optional.of(new Read(decode(body), age)));
+            return CompletableFuture.completedFuture(
+                    Optional.of(new StoredTables(decode(body), age)));
         } catch (IOException | IllegalArgumentException broken) {
             return unusable("it makes no sense");
         }
     }
 
-    private static CompletableFuture<Optional<Read>> unusable(String why) {
+    private static CompletableFuture<Optional<StoredTables>> unusable(String why) {
         LOG.info("the snapshot of the tables is not used: {}", why);
         return CompletableFuture.completedFuture(Optional.empty());
     }
 
-    private static long number(Map<String, Object> record, String name) {
+    private static long readNumber(Map<String, Object> record, String name) {
         return ((Number) record.get(name)).longValue();
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/succession/Standby.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/WarmStandby.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.succession;
+package org.meadowhollow.coordination.failover;
 
 import java.time.Duration;
 import java.util.List;
@@ -23,53 +23,53 @@
  * Keeps warm what a successor needs, on a node that does not lead: the records, from the state
  * service, and the risk tables, from the leader. All of it but the records are hints.
  */
-public final class Standby {
-    private static final Logger LOG = LoggerFactory.getLogger(Standby.class);
+public final class WarmStandby {
+    private static final Logger LOG = LoggerFactory.getLogger(WarmStandby.class);
 
     /**
      * A node that has just started has more urgent work, and so has one that has just lost its
      * lease.
      */
-    static final Duration FIRST = Duration.ofSeconds(8);
+    static final Duration START_DELAY = Duration.ofSeconds(8);
 
     /** How often a leader is asked for samples: three reports of each machine, or so. */
-    static final Duration PULL = Duration.ofSeconds(8);
+    static final Duration PULL_INTERVAL = Duration.ofSeconds(8);
 
     /**
      * Between two pages: a whole set of tables takes some pages, and what a leader spends on them
      * is bounded.
      */
-    private static final Duration MORE = Duration.ofSeconds(1);
+    private static final Duration NEXT_PAGE_DELAY = Duration.ofSeconds(1);
 
     /** An audit costs one message and, where something seems to differ, one page of records. */
-    static final Duration AUDIT = Duration.ofSeconds(60);
+    static final Duration AUDIT_INTERVAL = Duration.ofSeconds(60);
 
     /**
      * Bytes that all records may take, about: a fifth of the heap that the smallest controllers
      * have.
      */
-    private static final long MOST_BYTES = 12L * 1024 * 1024;
+    private static final long MAX_RECORD_BYTES = 12L * 1024 * 1024;
 
     /** Parts of the records that the leader's digests cover; it knows the versions of no others. */
-    private static final List<String> AUDITED =
+    private static final List<String> AUDITED_PREFIXES =
             List.of(RecordCodec.JOB_PREFIX, RecordCodec.TASK_PREFIX);
 
     private final EventLoop loop;
-    private final Lives lives;
+    private final GenerationCounter generations;
     private final Peers peers;
-    private final NodeStatus self;
-    private final Supplier<String> leader;
-    private final Supplier<FencingToken> highest;
-    private final Map<String, RecordFollower> followers = new TreeMap<>();
-    private TableCopies copies = new TableCopies();
-    private long wrongRecords;
+    private final NodeStatus ownStatus;
+    private final Supplier<String> leaderSupplier;
+    private final Supplier<FencingToken> highestTokenSupplier;
+    private final Map<String, ChangeFeedFollower> followers = new TreeMap<>();
+    private RiskTableReplica tableReplica = new RiskTableReplica();
+    private long mismatchedRecordCount;
 
     /**
      * @param self what this node says of itself, but for the revision
      * @param leader the member that leads as far as is known, or null
      * @param highest the highest term that this node has heard of
      */
-    public Standby(
+    public WarmStandby(
             EventLoop loop,
             KeyValueStore store,
             Peers peers,
@@ -77,17 +77,18 @@
             Supplier<String> leader,
             Supplier<FencingToken> highest) {
         this.loop = loop;
-        this.lives = new Lives(loop);
+        this.generations = new GenerationCounter(loop);
         this.peers = peers;
-        this.self = self;
-        this.leader = leader;
-        this.highest = highest;
+        this.ownStatus = self;
+        this.leaderSupplier = leader;
+        this.highestTokenSupplier = highest;
         for (String prefix :
                 List.of(
                         RecordCodec.JOB_PREFIX,
                         RecordCodec.TASK_PREFIX,
                         RecordCodec.IMAGE_PREFIX)) {
-            followers.put(prefix, new RecordFollower(store, loop, prefix, MOST_BYTES / 2));
+            followers.put(
+                    prefix, new ChangeFeedFollower(store, loop, prefix, MAX_RECORD_BYTES / 2));
         }
     }
 
@@ -95,43 +96,43 @@
     public void start() {
         int mine;
         synchronized (this) {
-            mine = lives.next();
-            copies = new TableCopies();
+            mine = generations.startNext();
+            tableReplica = new RiskTableReplica();
         }
-        lives.later(
-                FIRST,
+        generations.runLater(
+                START_DELAY,
                 mine,
                 () -> {
-                    followers.values().forEach(RecordFollower::start);
-                    pull(mine);
+                    followers.values().forEach(ChangeFeedFollower::start);
+                    pullTables(mine);
                 });
-        lives.later(AUDIT, mine, () -> audit(mine));
+        generations.runLater(AUDIT_INTERVAL, mine, () -> audit(mine));
     }
 
     /** Ends the following; what was followed goes to the leadership that begins. */
-    public synchronized Inheritance handOver() {
-        lives.next();
-        return new Inheritance(followers, copies);
+    public synchronized HandoverState handOver() {
+        generations.startNext();
+        return new HandoverState(followers, tableReplica);
     }
 
     public synchronized void close() {
-        lives.next();
-        followers.values().forEach(RecordFollower::stop);
+        generations.startNext();
+        followers.values().forEach(ChangeFeedFollower::stop);
     }
 
     /** Records that audits found wrong in the images since this node began; none is right. */
-    public synchronized long wrongRecords() {
-        return wrongRecords;
+    public synchronized long mismatchedRecordCount() {
+        return mismatchedRecordCount;
     }
 
-    private boolean isOther(String name) {
-        return name != null && !name.equals(self.member());
+    private boolean isOtherMember(String name) {
+        return name != null && !name.equals(ownStatus.member());
     }
 
     /** The revision of the image that is furthest behind, or {@link Revision#ABSENT}. */
-    private Revision revision() {
+    private Revision oldestRevision() {
         Revision least = null;
-        for (RecordFollower follower : followers.values()) {
+        for (ChangeFeedFollower follower : followers.values()) {
             Revision its = follower.revision();
             if (its == null) {
                 return Revision.ABSENT;
@@ -141,30 +142,30 @@
         return least;
     }
 
-    private NodeStatus status() {
+    private NodeStatus currentStatus() {
         return new NodeStatus(
-                self.member(),
-                self.incarnation(),
-                self.zone(),
-                self.program(),
-                self.schema(),
-                revision());
+                ownStatus.member(),
+                ownStatus.incarnation(),
+                ownStatus.zone(),
+                ownStatus.program(),
+                ownStatus.schema(),
+                oldestRevision());
     }
 
-    private void pull(int mine) {
-        String asked = leader.get();
-        if (!isOther(asked)) {
-            lives.later(PULL, mine, () -> pull(mine));
+    private void pullTables(int mine) {
+        String asked = leaderSupplier.get();
+        if (!isOtherMember(asked)) {
+            generations.runLater(PULL_INTERVAL, mine, () -> pullTables(mine));
             return;
         }
-        TableCopies filled;
+        RiskTableReplica filled;
         synchronized (this) {
-            filled = copies;
+            filled = tableReplica;
         }
-        peers.tables(asked, filled.question(status()))
+        peers.tables(asked, filled.nextRequest(currentStatus()))
                 .whenComplete(
                         (delta, failure) -> {
-                            if (!lives.isCurrent(mine)) {
+                            if (!generations.isCurrent(mine)) {
                                 return;
                             }
                             boolean more;
@@ -172,16 +173,19 @@
                                 more =
                                         failure == null
                                                 && delta.isPresent()
-                                                && take(filled, asked, delta.get());
+                                                && applyDelta(filled, asked, delta.get());
                             }
                             if (failure != null) {
-                                filled.askForWhole();
+                                filled.requestFullSync();
                                 LOG.info(
                                         "what {} says of its tables cannot be read and is asked for anew: {}",
                                         asked,
                                         reason(failure));
                             }
-                            lives.later(more ? MORE : PULL, mine, () -> pull(mine));
+                            generations.runLater(
+                                    more ? NEXT_PAGE_DELAY : PULL_INTERVAL,
+                                    mine,
+                                    () -> pullTables(mine));
                         });
     }
 
@@ -189,35 +193,37 @@
         return (failure instanceof CompletionException ? failure.getCause() : failure).getMessage();
     }
 
-    private boolean take(TableCopies filled, String asked, TableDelta delta) {
-        TableCopies.Taken taken = filled.take(delta, highest.get(), loop.now());
-        if (taken == TableCopies.Taken.DEPOSED) {
+    private boolean applyDelta(RiskTableReplica filled, String asked, TableDelta delta) {
+        RiskTableReplica.ApplyResult applyResult =
+                filled.apply(delta, highestTokenSupplier.get(), loop.now());
+        if (applyResult == RiskTableReplica.ApplyResult.STALE_LEADER) {
             LOG.info(
                     "tables of term {} came from {}, which does not lead any more: dropped",
                     delta.term(),
                     asked);
-        } else if (taken == TableCopies.Taken.BROKEN) {
+        } else if (applyResult == RiskTableReplica.ApplyResult.INCONSISTENT) {
             LOG.info(
                     "tables from {} do not follow those that are here and are asked for anew",
                     asked);
         }
-        return taken == TableCopies.Taken.MORE || taken == TableCopies.Taken.BROKEN;
+        return applyResult == RiskTableReplica.ApplyResult.MORE_AVAILABLE
+                || applyResult == RiskTableReplica.ApplyResult.INCONSISTENT;
     }
 
     // ---- the audit ----
 
     private void audit(int mine) {
-        lives.later(AUDIT, mine, () -> audit(mine));
-        String asked = leader.get();
-        if (!isOther(asked)) {
+        generations.runLater(AUDIT_INTERVAL, mine, () -> audit(mine));
+        String asked = leaderSupplier.get();
+        if (!isOtherMember(asked)) {
             return;
         }
         peers.digests(asked)
                 .whenComplete(
                         (told, failure) -> {
-                            if (lives.isCurrent(mine) && failure == null) {
-                                told.flatMap(this::firstDiffering)
-                                        .ifPresent(part -> readAgain(mine, part));
+                            if (generations.isCurrent(mine) && failure == null) {
+                                told.flatMap(this::findFirstDifference)
+                                        .ifPresent(part -> verifyAndRepair(mine, part));
                             }
                         });
     }
@@ -226,30 +232,31 @@
      * Under load some part nearly always differs by the changes of the last seconds; only reading
      * it again tells.
      */
-    private Optional<String> firstDiffering(RecordDigests told) {
+    private Optional<String> findFirstDifference(RecordDigests told) {
         RecordDigests here = new RecordDigests();
-        AUDITED.forEach(prefix -> here.add(followers.get(prefix).digests()));
-        return AUDITED.stream().allMatch(prefix -> followers.get(prefix).revision() != null)
+        AUDITED_PREFIXES.forEach(prefix -> here.add(followers.get(prefix).digests()));
+        return AUDITED_PREFIXES.stream()
+                        .allMatch(prefix -> followers.get(prefix).revision() != null)
                 ? told.differingParts(here).stream().findFirst()
                 : Optional.empty();
     }
 
-    private void readAgain(int mine, String part) {
+    private void verifyAndRepair(int mine, String part) {
         String prefix = part.substring(0, part.indexOf('/') + 1);
         followers
                 .get(prefix)
-                .readAgain(part)
+                .verifyAndRepair(part)
                 .thenAccept(
                         wrong -> {
-                            if (lives.isCurrent(mine) && !wrong.isEmpty()) {
+                            if (generations.isCurrent(mine) && !wrong.isEmpty()) {
                                 synchronized (this) {
-                                    wrongRecords += wrong.size();
+                                    mismatchedRecordCount += wrong.size();
                                 }
                                 LOG.error(
                                         "{} records under {} were wrong here and are read again, {} since the start; the first is {}",
                                         wrong.size(),
                                         part,
-                                        wrongRecords(),
+                                        mismatchedRecordCount(),
                                         wrong.get(0));
                             }
                         });
--- a/src/main/java/org/meadowhollow/coordination/succession/package-info.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/package-info.java
@@ -4,4 +4,4 @@
  * the records are hints. Reads the state service and asks the leader; writes nothing and decides
  * nothing that the lease decides.
  */
-package org.meadowhollow.coordination.succession;
+package org.meadowhollow.coordination.failover;
--- a/src/main/java/org/meadowhollow/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/FailureDetector.java
@@ -249,7 +249,7 @@
                                 now.elapsedSince(deafSince),
                                 answeredAbout,
                                 answers,
-                                leadership.mayResignAlone(TRY_AGAIN));
+                                leadership.canResignWithoutSuccessor(TRY_AGAIN));
             }
         }
         if (next != null) {
--- a/src/main/java/org/meadowhollow/coordination/leadership/Leadership.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/Leadership.java
@@ -23,30 +23,30 @@
 /**
  * Who leads: the holder of a leased key in the state service. The term comes from a counter that
  * only grows, raised in the same transaction that takes the key. What follows from what is decided
- * by {@link LeadershipStep}, under a short lock; this does what it asks for.
+ * by {@link LeadershipStateMachine}, under a short lock; this does what it asks for.
  */
 public final class Leadership {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
-    private static final Duration RENEWAL_CHECK = Duration.ofMillis(500);
-    private static final Duration RETRY = Duration.ofMillis(400);
+    private static final Duration RENEWAL_CHECK_INTERVAL = Duration.ofMillis(500);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(400);
 
     /** A watch of the leader's key; it returns at once when the key goes. */
-    private static final Duration WATCH = Duration.ofSeconds(20);
+    private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(20);
 
     /**
      * For what a worker takes to notice that its lease is over. An answer that is held back or late
      * needs none: a lease counts from when its report was sent, which is before it was taken in
      * here.
      */
-    private static final Duration MARGIN = Duration.ofSeconds(1);
+    private static final Duration LEASE_END_MARGIN = Duration.ofSeconds(1);
 
     /**
      * Workers that must have come here within some seconds for this node to count as one that hears
      * them. Those of a silent leader go round all nodes, one every 5 s and more.
      */
-    private static final int LEAST_HEARD = 3;
+    private static final int MIN_REACHING_WORKERS = 3;
 
-    private static final Duration HEARD_WITHIN = Duration.ofSeconds(6);
+    private static final Duration REACHING_WORKERS_WINDOW = Duration.ofSeconds(6);
 
     /** What follows from a change of leadership. */
     public interface Listener {
@@ -59,7 +59,7 @@
         void elected(FencingToken fencingToken, Revision leaderVersion, MonotonicTime noticedAt);
 
         /** This member does not lead any more. */
-        void deposed(String why);
+        void leadershipLost(String why);
 
         /** Another member leads, as far as is known. */
         void following(String leader);
@@ -69,12 +69,12 @@
     private final EventLoop loop;
     private final Peers peers;
     private final String member;
-    private final LeadershipStep steps;
-    private final Duration answerFor;
-    private final Earshot earshot;
+    private final LeadershipStateMachine stateMachine;
+    private final Duration workerLeaseRenewalBound;
+    private final Earshot heartbeatTracker;
     private final RandomGenerator random;
     private final Listener listener;
-    private LeadershipState state = LeadershipState.FIRST;
+    private LeadershipState state = LeadershipState.INITIAL;
 
     public Leadership(
             KeyValueStore store,
@@ -88,28 +88,29 @@
         this.loop = loop;
         this.peers = peers;
         this.member = platform.member();
-        this.steps = new LeadershipStep(member);
-        this.earshot = earshot;
-        this.answerFor = platform.cancelWithin().minus(platform.lease()).minus(MARGIN);
+        this.stateMachine = new LeadershipStateMachine(member);
+        this.heartbeatTracker = earshot;
+        this.workerLeaseRenewalBound =
+                platform.cancelWithin().minus(platform.lease()).minus(LEASE_END_MARGIN);
         this.random = random;
         this.listener = listener;
     }
 
     public void start() {
-        on(new LeadershipEvent.Started());
+        handle(new LeadershipEvent.Started());
     }
 
     /** Whether new starts may go out: the lease certainly holds. */
-    public synchronized boolean mayStart() {
-        return LeadershipStep.mayStart(state, loop.now());
+    public synchronized boolean canDecide() {
+        return LeadershipStateMachine.canDecide(state, loop.now());
     }
 
     /**
      * Whether starts may be sent to workers: the lease certainly holds, and no cancellation of a
      * moment ago is unknown here.
      */
-    public synchronized boolean maySendStarts() {
-        return LeadershipStep.maySendStarts(state, loop.now());
+    public synchronized boolean canStartTasks() {
+        return LeadershipStateMachine.canStartTasks(state, loop.now());
     }
 
     /**
@@ -117,8 +118,9 @@
      * so long that all leases it renewed are over before a cancellation it never heard of is due.
      * Before it has loaded it may not.
      */
-    public synchronized boolean mayAnswer() {
-        return LeadershipStep.mayAnswer(answerFor, state, loop.now());
+    public synchronized boolean canRenewWorkerLeases() {
+        return LeadershipStateMachine.canRenewWorkerLeases(
+                workerLeaseRenewalBound, state, loop.now());
     }
 
     /**
@@ -126,49 +128,50 @@
      *
      * @param upTo when the request was sent whose answer showed the last of them
      */
-    public void knows(FencingToken fencingToken, MonotonicTime upTo) {
-        on(new LeadershipEvent.TookIn(fencingToken, upTo));
+    public void advanceFreshness(FencingToken fencingToken, MonotonicTime upTo) {
+        handle(new LeadershipEvent.FreshnessAdvanced(fencingToken, upTo));
     }
 
     /** The term of this node's last leadership. */
-    public synchronized FencingToken term() {
-        return state.term();
+    public synchronized FencingToken fencingToken() {
+        return state.fencingToken();
     }
 
     /** The highest term heard of, by whomever it was shown. */
-    public synchronized FencingToken highest() {
-        return state.known().term();
+    public synchronized FencingToken highestObservedToken() {
+        return state.observedLeader().highestToken();
     }
 
     /** The leader last heard of, or null. */
-    public synchronized String leader() {
-        return state.known().leader();
+    public synchronized String lastKnownLeader() {
+        return state.observedLeader().leader();
     }
 
     /** Whether this node gave its lease up for want of hearing, and has heard nobody since. */
-    public synchronized boolean isDeaf() {
-        return state.deaf();
+    public synchronized boolean isIsolated() {
+        return state.isolated();
     }
 
     /** Whether giving up without knowing of a node that hears has not been tried for a time. */
-    public synchronized boolean mayResignAlone(Duration pause) {
-        return state.resignedAloneAt() == null
-                || loop.now().elapsedSince(state.resignedAloneAt()).compareTo(pause) >= 0;
+    public synchronized boolean canResignWithoutSuccessor(Duration pause) {
+        return state.resignedWithoutSuccessorAt() == null
+                || loop.now().elapsedSince(state.resignedWithoutSuccessorAt()).compareTo(pause)
+                        >= 0;
     }
 
     /** A peer or a worker told of a term; a higher one than ours ends our leadership. */
-    public void heardOf(FencingToken other, String otherLeader) {
-        on(new LeadershipEvent.Heard(other, otherLeader));
+    public void observeToken(FencingToken other, String otherLeader) {
+        handle(new LeadershipEvent.TokenObserved(other, otherLeader));
     }
 
     /** Gives the leadership up, when a write has shown that it is lost. */
-    public void lost() {
-        on(new LeadershipEvent.Lost());
+    public void stepDown() {
+        handle(new LeadershipEvent.LeaderKeyLost());
     }
 
     /** A worker was heard of again, so this node may stand like any other. */
-    public void hearsAgain() {
-        on(new LeadershipEvent.HearsAgain());
+    public void restoreWorkerContact() {
+        handle(new LeadershipEvent.WorkerContactRestored());
     }
 
     /**
@@ -180,7 +183,7 @@
      * @param heir a node that hears them, or null if none is known
      */
     public void resign(String heir) {
-        on(new LeadershipEvent.GivingUp(true, heir));
+        handle(new LeadershipEvent.ReleaseRequested(true, heir));
     }
 
     /**
@@ -190,7 +193,7 @@
      * @param heir the node that is to take it, or null if it does not matter which
      */
     public void handOver(String heir) {
-        on(new LeadershipEvent.GivingUp(false, heir));
+        handle(new LeadershipEvent.ReleaseRequested(false, heir));
     }
 
     /**
@@ -203,13 +206,13 @@
      * @return whether it is better to wait for what comes of this than to send the worker back to
      *     the leader
      */
-    public boolean arrived(MachineId worker, FencingToken shown) {
+    public boolean recordWorkerArrival(MachineId worker, FencingToken shown) {
         synchronized (this) {
-            if (!steps.mayBeGone(state, shown, loop.now())) {
+            if (!stateMachine.leaderMayHaveFailed(state, shown, loop.now())) {
                 return false;
             }
         }
-        on(new LeadershipEvent.Arrived(worker, shown));
+        handle(new LeadershipEvent.WorkerArrived(worker, shown));
         return true;
     }
 
@@ -219,220 +222,245 @@
      * lease lasts, and while its timer waited the leadership went round from one starved node to
      * the next, each of which had to load everything anew.
      */
-    public void keepUp() {
+    public void renewIfDue() {
         synchronized (this) {
-            if (state.holding() == null
-                    || !state.holding().isDue(loop.now(), LeadershipStep.RENEW)) {
+            if (state.heldLeadership() == null
+                    || !state.heldLeadership()
+                            .isRenewalDue(loop.now(), LeadershipStateMachine.RENEWAL_INTERVAL)) {
                 return;
             }
         }
-        on(new LeadershipEvent.WorkGoesOn());
+        handle(new LeadershipEvent.RenewalCheckpointReached());
     }
 
     // ---- what steps ask for ----
 
-    private void on(LeadershipEvent event) {
-        LeadershipStep.Step step;
+    private void handle(LeadershipEvent event) {
+        LeadershipStateMachine.Transition transition;
         synchronized (this) {
-            step = steps.on(state, event, loop.now());
-            state = step.next();
+            transition = stateMachine.apply(state, event, loop.now());
+            state = transition.next();
         }
-        step.effects().forEach(this::carryOut);
+        transition.effects().forEach(this::perform);
     }
 
-    private synchronized boolean current(int expected) {
+    private synchronized boolean isCurrentEpoch(int expected) {
         return state.epoch() == expected;
     }
 
-    private void later(Duration pause, int expected, Runnable work) {
+    private void runAfterJitteredDelay(Duration pause, int expected, Runnable work) {
         Duration jittered =
                 pause.plus(Duration.ofNanos((long) (pause.toNanos() * random.nextDouble() * 0.5)));
         loop.schedule(
                 jittered,
                 () -> {
-                    if (current(expected)) {
+                    if (isCurrentEpoch(expected)) {
                         work.run();
                     }
                 });
     }
 
-    private void carryOut(LeadershipEffect effect) {
-        if (effect instanceof LeadershipEffect.Look look) {
-            if (look.later()) {
-                later(RETRY, look.epoch(), () -> look(look.epoch()));
+    private void perform(LeadershipEffect effect) {
+        if (effect instanceof LeadershipEffect.ReadLeaderKey readLeaderKey) {
+            if (readLeaderKey.afterDelay()) {
+                runAfterJitteredDelay(
+                        RETRY_DELAY,
+                        readLeaderKey.epoch(),
+                        () -> readLeaderKey(readLeaderKey.epoch()));
             } else {
-                look(look.epoch());
+                readLeaderKey(readLeaderKey.epoch());
             }
-        } else if (effect instanceof LeadershipEffect.Watch watch) {
-            store.watch(RecordCodec.LEADER_KEY, watch.after(), WATCH)
+        } else if (effect instanceof LeadershipEffect.WatchLeaderKey watchLeaderKey) {
+            store.watch(RecordCodec.LEADER_KEY, watchLeaderKey.afterRevision(), WATCH_TIMEOUT)
                     .whenComplete(
                             (changeBatch, failure) ->
-                                    on(
-                                            new LeadershipEvent.Watched(
-                                                    watch.epoch(),
+                                    handle(
+                                            new LeadershipEvent.LeaderKeyWatchEnded(
+                                                    watchLeaderKey.epoch(),
                                                     failure == null ? changeBatch : null)));
-        } else if (effect instanceof LeadershipEffect.ReadCounter read) {
+        } else if (effect instanceof LeadershipEffect.ReadTokenCounter read) {
             store.get(RecordCodec.FENCING_TOKEN_KEY, RequestPriority.LEASE)
                     .whenComplete(
                             (counter, failure) ->
-                                    on(
-                                            new LeadershipEvent.CounterRead(
+                                    handle(
+                                            new LeadershipEvent.TokenCounterRead(
                                                     read.epoch(),
-                                                    read.seen(),
+                                                    read.leaderKeyRevision(),
                                                     failure == null ? counter : null,
-                                                    earshot.count(HEARD_WITHIN, loop.now())
-                                                            >= LEAST_HEARD)));
-        } else if (effect instanceof LeadershipEffect.Grant grant) {
+                                                    heartbeatTracker.count(
+                                                                    REACHING_WORKERS_WINDOW,
+                                                                    loop.now())
+                                                            >= MIN_REACHING_WORKERS)));
+        } else if (effect instanceof LeadershipEffect.GrantLease grantLease) {
             MonotonicTime sentAt = loop.now();
-            store.grantLease(LeadershipStep.TTL)
+            store.grantLease(LeadershipStateMachine.LEASE_TTL)
                     .whenComplete(
                             (lease, failure) ->
-                                    on(
-                                            new LeadershipEvent.Granted(
-                                                    grant.epoch(),
-                                                    grant.seen(),
-                                                    grant.counter(),
+                                    handle(
+                                            new LeadershipEvent.LeaseGrantCompleted(
+                                                    grantLease.epoch(),
+                                                    grantLease.leaderKeyRevision(),
+                                                    grantLease.counter(),
                                                     failure == null ? lease : null,
                                                     sentAt)));
-        } else if (effect instanceof LeadershipEffect.Claim claim) {
-            store.commit(transaction(claim), RequestPriority.LEASE)
+        } else if (effect instanceof LeadershipEffect.ClaimLeaderKey claimLeaderKey) {
+            store.commit(buildTransaction(claimLeaderKey), RequestPriority.LEASE)
                     .whenComplete(
                             (commitResult, failure) ->
-                                    on(
-                                            new LeadershipEvent.Claimed(
-                                                    claim.epoch(),
-                                                    claim.term(),
-                                                    claim.lease(),
-                                                    claim.sentAt(),
+                                    handle(
+                                            new LeadershipEvent.LeaderKeyClaimCompleted(
+                                                    claimLeaderKey.epoch(),
+                                                    claimLeaderKey.fencingToken(),
+                                                    claimLeaderKey.lease(),
+                                                    claimLeaderKey.sentAt(),
                                                     failure == null ? commitResult : null)));
-        } else if (effect instanceof LeadershipEffect.TickLater tick) {
-            loop.schedule(RENEWAL_CHECK, () -> on(new LeadershipEvent.Tick(tick.epoch())));
-        } else if (effect instanceof LeadershipEffect.Renew renew) {
-            store.renewLease(renew.lease())
+        } else if (effect instanceof LeadershipEffect.ScheduleRenewalCheck tick) {
+            loop.schedule(
+                    RENEWAL_CHECK_INTERVAL,
+                    () -> handle(new LeadershipEvent.RenewalTimerFired(tick.epoch())));
+        } else if (effect instanceof LeadershipEffect.RenewLease renewLease) {
+            store.renewLease(renewLease.lease())
                     .whenComplete(
                             (unused, failure) ->
-                                    on(
-                                            new LeadershipEvent.Renewed(
-                                                    renew.epoch(),
-                                                    renew.sentAt(),
+                                    handle(
+                                            new LeadershipEvent.RenewalCompleted(
+                                                    renewLease.epoch(),
+                                                    renewLease.sentAt(),
                                                     failure == null
-                                                            ? LeadershipEvent.Renewal.DONE
+                                                            ? LeadershipEvent.RenewalOutcome.RENEWED
                                                             : KeyValueStoreException.outcomeOf(
                                                                                     failure)
                                                                             == Outcome.LEASE_EXPIRED
-                                                                    ? LeadershipEvent.Renewal
-                                                                            .LEASE_ENDED
-                                                                    : LeadershipEvent.Renewal
+                                                                    ? LeadershipEvent.RenewalOutcome
+                                                                            .LEASE_EXPIRED
+                                                                    : LeadershipEvent.RenewalOutcome
                                                                             .UNKNOWN)));
-        } else if (effect instanceof LeadershipEffect.GiveUp giveUp) {
-            giveUp(giveUp);
-        } else if (effect instanceof LeadershipEffect.Revoke revoke) {
-            store.revokeLease(revoke.lease());
-        } else if (effect instanceof LeadershipEffect.RevokeOf revoke) {
+        } else if (effect instanceof LeadershipEffect.ReleaseLeaderKey releaseLeaderKey) {
+            releaseLeaderKey(releaseLeaderKey);
+        } else if (effect instanceof LeadershipEffect.RevokeOwnLease revokeOwnLease) {
+            store.revokeLease(revokeOwnLease.lease());
+        } else if (effect instanceof LeadershipEffect.RevokeSuspectLease revoke) {
             LOG.info(
                     "{} workers have left {}, which refuses connections: its lease is ended",
-                    revoke.left(),
+                    revoke.departureCount(),
                     revoke.suspect());
             store.revokeLease(revoke.lease())
                     .whenComplete(
                             (unused, failure) -> {
                                 if (failure != null) {
-                                    on(
-                                            new LeadershipEvent.NotRevoked(
+                                    handle(
+                                            new LeadershipEvent.RevocationFailed(
                                                     revoke.epoch(),
                                                     revoke.suspect(),
                                                     revoke.lease()));
                                 }
                             });
-        } else if (effect instanceof LeadershipEffect.Ask ask) {
-            if (ask.pause().isZero()) {
-                ask(ask);
+        } else if (effect instanceof LeadershipEffect.ProbeSuspect probeSuspect) {
+            if (probeSuspect.delay().isZero()) {
+                probeSuspect(probeSuspect);
             } else {
-                loop.schedule(ask.pause(), () -> ask(ask));
+                loop.schedule(probeSuspect.delay(), () -> probeSuspect(probeSuspect));
             }
-        } else if (effect instanceof LeadershipEffect.Elected elected) {
-            LOG.info("elected: {} leads in term {}", member, elected.term());
-            listener.elected(elected.term(), elected.leaderVersion(), elected.noticedAt());
-            peers.announce(member, elected.term());
-        } else if (effect instanceof LeadershipEffect.Deposed deposed) {
-            LOG.info("leadership of term {} lost: {}", deposed.term(), deposed.why());
-            listener.deposed(deposed.why());
-        } else if (effect instanceof LeadershipEffect.Following following) {
-            listener.following(following.leader());
+        } else if (effect instanceof LeadershipEffect.NotifyElected notifyElected) {
+            LOG.info("elected: {} leads in term {}", member, notifyElected.fencingToken());
+            listener.elected(
+                    notifyElected.fencingToken(),
+                    notifyElected.leaderKeyRevision(),
+                    notifyElected.vacantSince());
+            peers.announce(member, notifyElected.fencingToken());
+        } else if (effect instanceof LeadershipEffect.NotifyLeadershipLost notifyLeadershipLost) {
+            LOG.info(
+                    "leadership of term {} lost: {}",
+                    notifyLeadershipLost.fencingToken(),
+                    notifyLeadershipLost.reason());
+            listener.leadershipLost(notifyLeadershipLost.reason());
+        } else if (effect instanceof LeadershipEffect.NotifyFollowing notifyFollowing) {
+            listener.following(notifyFollowing.leader());
         }
     }
 
-    private void look(int epoch) {
+    private void readLeaderKey(int epoch) {
         store.list(RecordCodec.LEADER_KEY, null, RequestPriority.LEASE)
                 .whenComplete(
                         (page, failure) ->
-                                on(
-                                        new LeadershipEvent.Looked(
+                                handle(
+                                        new LeadershipEvent.LeaderKeyRead(
                                                 epoch, failure == null ? page : null)));
     }
 
-    private void ask(LeadershipEffect.Ask ask) {
-        peers.signOf(ask.suspect())
+    private void probeSuspect(LeadershipEffect.ProbeSuspect probeSuspect) {
+        peers.signOf(probeSuspect.suspect())
                 .thenAccept(
                         sign ->
-                                on(
-                                        new LeadershipEvent.Told(
-                                                ask.epoch(),
-                                                ask.suspect(),
-                                                ask.asked(),
-                                                ask.refused(),
+                                handle(
+                                        new LeadershipEvent.ProbeCompleted(
+                                                probeSuspect.epoch(),
+                                                probeSuspect.suspect(),
+                                                probeSuspect.probesSent(),
+                                                probeSuspect.consecutiveRefusals(),
                                                 sign)));
     }
 
-    private void giveUp(LeadershipEffect.GiveUp giveUp) {
+    private void releaseLeaderKey(LeadershipEffect.ReleaseLeaderKey releaseLeaderKey) {
         LOG.info(
                 "term {} {} its lease {}{}",
-                giveUp.term(),
-                giveUp.forWantOfHearing()
+                releaseLeaderKey.fencingToken(),
+                releaseLeaderKey.becauseIsolated()
                         ? "hears hardly any worker and gives"
                         : "is to end and hands",
-                giveUp.forWantOfHearing() ? "up" : "over",
-                giveUp.heir() == null ? "" : " to " + giveUp.heir());
-        store.commit(transaction(giveUp), RequestPriority.LEASE)
+                releaseLeaderKey.becauseIsolated() ? "up" : "over",
+                releaseLeaderKey.preferredSuccessor() == null
+                        ? ""
+                        : " to " + releaseLeaderKey.preferredSuccessor());
+        store.commit(buildTransaction(releaseLeaderKey), RequestPriority.LEASE)
                 .whenComplete(
                         (commitResult, failure) ->
-                                on(
-                                        new LeadershipEvent.GivenUp(
-                                                giveUp.epoch(),
-                                                giveUp.lease(),
-                                                giveUp.forWantOfHearing(),
-                                                giveUp.heir(),
+                                handle(
+                                        new LeadershipEvent.ReleaseCompleted(
+                                                releaseLeaderKey.epoch(),
+                                                releaseLeaderKey.lease(),
+                                                releaseLeaderKey.becauseIsolated(),
+                                                releaseLeaderKey.preferredSuccessor(),
                                                 failure == null ? commitResult : null,
                                                 failure != null
                                                         && KeyValueStoreException.outcomeOf(failure)
                                                                 == Outcome.REJECTED)));
     }
 
-    private Transaction transaction(LeadershipEffect.Claim claim) {
+    private Transaction buildTransaction(LeadershipEffect.ClaimLeaderKey claimLeaderKey) {
         return new Transaction()
-                .requireRevision(RecordCodec.LEADER_KEY, claim.leader())
-                .requireRevision(RecordCodec.FENCING_TOKEN_KEY, claim.counter())
-                .put(RecordCodec.FENCING_TOKEN_KEY, Map.of("term", claim.term().value()))
+                .requireRevision(RecordCodec.LEADER_KEY, claimLeaderKey.expectedLeaderKeyRevision())
+                .requireRevision(
+                        RecordCodec.FENCING_TOKEN_KEY, claimLeaderKey.expectedCounterRevision())
+                .put(
+                        RecordCodec.FENCING_TOKEN_KEY,
+                        Map.of("term", claimLeaderKey.fencingToken().value()))
                 .put(
                         RecordCodec.LEADER_KEY,
                         Map.of(
                                 "member",
                                 member,
                                 "term",
-                                claim.term().value(),
+                                claimLeaderKey.fencingToken().value(),
                                 "lease",
-                                claim.lease().value()),
-                        claim.lease());
+                                claimLeaderKey.lease().value()),
+                        claimLeaderKey.lease());
     }
 
-    private Transaction transaction(LeadershipEffect.GiveUp giveUp) {
+    private Transaction buildTransaction(LeadershipEffect.ReleaseLeaderKey releaseLeaderKey) {
         return new Transaction()
-                .requireRevision(RecordCodec.LEADER_KEY, giveUp.leader())
+                .requireRevision(
+                        RecordCodec.LEADER_KEY, releaseLeaderKey.expectedLeaderKeyRevision())
                 .delete(RecordCodec.LEADER_KEY)
                 .put(
                         RecordCodec.FENCING_TOKEN_KEY,
-                        giveUp.forWantOfHearing()
-                                ? Standing.resigned(giveUp.term().value(), member, giveUp.heir())
-                                : Standing.handedOver(giveUp.term().value(), giveUp.heir()));
+                        releaseLeaderKey.becauseIsolated()
+                                ? CandidacyPolicy.resignationRecord(
+                                        releaseLeaderKey.fencingToken().value(),
+                                        member,
+                                        releaseLeaderKey.preferredSuccessor())
+                                : CandidacyPolicy.handoverRecord(
+                                        releaseLeaderKey.fencingToken().value(),
+                                        releaseLeaderKey.preferredSuccessor()));
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipEffect.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipEffect.java
@@ -11,60 +11,63 @@
 /** What a step asks for; those with an epoch are answered by an event with the same one. */
 sealed interface LeadershipEffect {
     /** Read the leader's key, after a pause if {@code later}. */
-    record Look(int epoch, boolean later) implements LeadershipEffect {}
+    record ReadLeaderKey(int epoch, boolean afterDelay) implements LeadershipEffect {}
 
     /** Wait until the leader's key changes. */
-    record Watch(int epoch, Revision after) implements LeadershipEffect {}
+    record WatchLeaderKey(int epoch, Revision afterRevision) implements LeadershipEffect {}
 
-    record ReadCounter(int epoch, Revision seen) implements LeadershipEffect {}
+    record ReadTokenCounter(int epoch, Revision leaderKeyRevision) implements LeadershipEffect {}
 
-    record Grant(int epoch, Revision seen, Optional<KeyValueStore.Entry> counter)
+    record GrantLease(int epoch, Revision leaderKeyRevision, Optional<KeyValueStore.Entry> counter)
             implements LeadershipEffect {}
 
     /**
      * Take the key and raise the term.
      *
-     * @param leader the version that the leader's key must have
-     * @param counter the version that the record of terms must have
+     * @param expectedLeaderKeyRevision the version that the leader's key must have
+     * @param expectedCounterRevision the version that the record of terms must have
      */
-    record Claim(
+    record ClaimLeaderKey(
             int epoch,
-            Revision leader,
-            Revision counter,
-            FencingToken term,
+            Revision expectedLeaderKeyRevision,
+            Revision expectedCounterRevision,
+            FencingToken fencingToken,
             LeaseId lease,
             MonotonicTime sentAt)
             implements LeadershipEffect {}
 
     /** Let a tick come. */
-    record TickLater(int epoch) implements LeadershipEffect {}
+    record ScheduleRenewalCheck(int epoch) implements LeadershipEffect {}
 
-    record Renew(int epoch, LeaseId lease, MonotonicTime sentAt) implements LeadershipEffect {}
+    record RenewLease(int epoch, LeaseId lease, MonotonicTime sentAt) implements LeadershipEffect {}
 
     /** Remove the key, and note in the record of terms who should take it. */
-    record GiveUp(
+    record ReleaseLeaderKey(
             int epoch,
             LeaseId lease,
-            Revision leader,
-            FencingToken term,
-            boolean forWantOfHearing,
-            String heir)
+            Revision expectedLeaderKeyRevision,
+            FencingToken fencingToken,
+            boolean becauseIsolated,
+            String preferredSuccessor)
             implements LeadershipEffect {}
 
     /** End an own lease that is of no use any more. */
-    record Revoke(LeaseId lease) implements LeadershipEffect {}
+    record RevokeOwnLease(LeaseId lease) implements LeadershipEffect {}
 
     /** End the lease of a leader whose process has ended. */
-    record RevokeOf(int epoch, String suspect, LeaseId lease, int left)
+    record RevokeSuspectLease(int epoch, String suspect, LeaseId lease, int departureCount)
             implements LeadershipEffect {}
 
-    record Ask(int epoch, String suspect, int asked, int refused, Duration pause)
+    record ProbeSuspect(
+            int epoch, String suspect, int probesSent, int consecutiveRefusals, Duration delay)
             implements LeadershipEffect {}
 
-    record Elected(FencingToken term, Revision leaderVersion, MonotonicTime noticedAt)
+    record NotifyElected(
+            FencingToken fencingToken, Revision leaderKeyRevision, MonotonicTime vacantSince)
             implements LeadershipEffect {}
 
-    record Deposed(FencingToken term, String why) implements LeadershipEffect {}
+    record NotifyLeadershipLost(FencingToken fencingToken, String reason)
+            implements LeadershipEffect {}
 
-    record Following(String leader) implements LeadershipEffect {}
+    record NotifyFollowing(String leader) implements LeadershipEffect {}
 }
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipEvent.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipEvent.java
@@ -18,24 +18,28 @@
      *
      * @param page null if it could not be
      */
-    record Looked(int epoch, KeyValueStore.Page page) implements LeadershipEvent {}
+    record LeaderKeyRead(int epoch, KeyValueStore.Page page) implements LeadershipEvent {}
 
     /**
      * The watch of the leader's key has ended.
      *
      * @param changes null if it failed
      */
-    record Watched(int epoch, KeyValueStore.ChangeBatch changes) implements LeadershipEvent {}
+    record LeaderKeyWatchEnded(int epoch, KeyValueStore.ChangeBatch changes)
+            implements LeadershipEvent {}
 
     /**
      * The record of terms was read.
      *
-     * @param seen the version of the leader's key for which it was
+     * @param leaderKeyRevision the version of the leader's key for which it was
      * @param counter null if it could not be
-     * @param hears whether workers have come to this node lately
+     * @param workersReachNode whether workers have come to this node lately
      */
-    record CounterRead(
-            int epoch, Revision seen, Optional<KeyValueStore.Entry> counter, boolean hears)
+    record TokenCounterRead(
+            int epoch,
+            Revision leaderKeyRevision,
+            Optional<KeyValueStore.Entry> counter,
+            boolean workersReachNode)
             implements LeadershipEvent {}
 
     /**
@@ -43,9 +47,9 @@
      *
      * @param lease null if there is none
      */
-    record Granted(
+    record LeaseGrantCompleted(
             int epoch,
-            Revision seen,
+            Revision leaderKeyRevision,
             Optional<KeyValueStore.Entry> counter,
             LeaseId lease,
             MonotonicTime sentAt)
@@ -56,74 +60,82 @@
      *
      * @param commit null if that was not answered
      */
-    record Claimed(
+    record LeaderKeyClaimCompleted(
             int epoch,
-            FencingToken term,
+            FencingToken fencingToken,
             LeaseId lease,
             MonotonicTime sentAt,
             KeyValueStore.CommitResult commit)
             implements LeadershipEvent {}
 
     /** A timer's turn, by which a renewal may be due. */
-    record Tick(int epoch) implements LeadershipEvent {}
+    record RenewalTimerFired(int epoch) implements LeadershipEvent {}
 
     /** Long work has come to a point at which a renewal may be sent. */
-    record WorkGoesOn() implements LeadershipEvent {}
+    record RenewalCheckpointReached() implements LeadershipEvent {}
 
-    enum Renewal {
-        DONE,
-        LEASE_ENDED,
+    enum RenewalOutcome {
+        RENEWED,
+        LEASE_EXPIRED,
         UNKNOWN
     }
 
-    record Renewed(int epoch, MonotonicTime sentAt, Renewal renewal) implements LeadershipEvent {}
+    record RenewalCompleted(int epoch, MonotonicTime sentAt, RenewalOutcome outcome)
+            implements LeadershipEvent {}
 
     /**
      * All changes of jobs up to a moment are known here.
      *
-     * @param term of the leadership that knows them
-     * @param upTo when the request was sent whose answer showed the last of them
+     * @param fencingToken of the leadership that knows them
+     * @param freshAsOf when the request was sent whose answer showed the last of them
      */
-    record TookIn(FencingToken term, MonotonicTime upTo) implements LeadershipEvent {}
+    record FreshnessAdvanced(FencingToken fencingToken, MonotonicTime freshAsOf)
+            implements LeadershipEvent {}
 
     /** A peer or a worker told of a term. */
-    record Heard(FencingToken term, String leader) implements LeadershipEvent {}
+    record TokenObserved(FencingToken fencingToken, String leader) implements LeadershipEvent {}
 
     /** A write has shown that the key is not this node's any more. */
-    record Lost() implements LeadershipEvent {}
+    record LeaderKeyLost() implements LeadershipEvent {}
 
     /**
      * The lease is to be given up.
      *
-     * @param forWantOfHearing whether because hardly any worker is heard, or else because the
+     * @param becauseIsolated whether because hardly any worker is heard, or else because the
      *     process is to end
-     * @param heir the node that is to take it, or null
+     * @param preferredSuccessor the node that is to take it, or null
      */
-    record GivingUp(boolean forWantOfHearing, String heir) implements LeadershipEvent {}
+    record ReleaseRequested(boolean becauseIsolated, String preferredSuccessor)
+            implements LeadershipEvent {}
 
     /**
      * @param commit null if that was not answered, or refused
      * @param refused whether it is certain that nothing was and will be executed
      */
-    record GivenUp(
+    record ReleaseCompleted(
             int epoch,
             LeaseId lease,
-            boolean forWantOfHearing,
-            String heir,
+            boolean becauseIsolated,
+            String preferredSuccessor,
             KeyValueStore.CommitResult commit,
             boolean refused)
             implements LeadershipEvent {}
 
     /** A worker has come that has left the leader. */
-    record Arrived(MachineId worker, FencingToken shown) implements LeadershipEvent {}
+    record WorkerArrived(MachineId worker, FencingToken shownToken) implements LeadershipEvent {}
 
     /** A leader that may have ended was asked, or could not be. */
-    record Told(int epoch, String suspect, int asked, int refused, Peers.Sign sign)
+    record ProbeCompleted(
+            int epoch,
+            String suspect,
+            int probesSent,
+            int consecutiveRefusals,
+            Peers.Sign probeResult)
             implements LeadershipEvent {}
 
     /** Another leader's lease could not be ended. */
-    record NotRevoked(int epoch, String suspect, LeaseId lease) implements LeadershipEvent {}
+    record RevocationFailed(int epoch, String suspect, LeaseId lease) implements LeadershipEvent {}
 
     /** A worker was heard of again. */
-    record HearsAgain() implements LeadershipEvent {}
+    record WorkerContactRestored() implements LeadershipEvent {}
 }
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipState.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipState.java
@@ -10,30 +10,32 @@
 import org.meadowhollow.storage.LeaseId;
 
 /**
- * What a node knows of who leads; {@link LeadershipStep} makes the next one of it.
+ * What a node knows of who leads; {@link LeadershipStateMachine} makes the next one of it.
  *
  * @param epoch raised by the end of each leadership, so that what was begun before is not heeded
  *     after
- * @param term of this node's last leadership
- * @param holding null unless this node leads
- * @param deaf whether this node gave its lease up for want of hearing, and has heard nobody since
- * @param resignedAloneAt when it last did so without knowing of a node that hears, or null
+ * @param fencingToken of this node's last leadership
+ * @param heldLeadership null unless this node leads
+ * @param isolated whether this node gave its lease up for want of hearing, and has heard nobody
+ *     since
+ * @param resignedWithoutSuccessorAt when it last did so without knowing of a node that hears, or
+ *     null
  */
 record LeadershipState(
         int epoch,
-        FencingToken term,
-        Holding holding,
-        Known known,
+        FencingToken fencingToken,
+        HeldLeadership heldLeadership,
+        ObservedLeader observedLeader,
         Suspicion suspicion,
-        boolean deaf,
-        MonotonicTime resignedAloneAt) {
+        boolean isolated,
+        MonotonicTime resignedWithoutSuccessorAt) {
     /** Of a node that has just started. */
-    static final LeadershipState FIRST =
+    static final LeadershipState INITIAL =
             new LeadershipState(
                     0,
                     FencingToken.NONE,
                     null,
-                    new Known(null, FencingToken.NONE, null, null),
+                    new ObservedLeader(null, FencingToken.NONE, null, null),
                     Suspicion.NONE,
                     false,
                     null);
@@ -41,58 +43,67 @@
     /**
      * The key and the lease of this node's leadership.
      *
-     * @param leaseSentAt when the last answered renewal was sent, from when on the lease counts
-     * @param renewalSentAt when the last renewal was sent, or null if one is to be sent at once
-     * @param version the revision of the transaction that took the key
-     * @param knownAt the moment up to which all changes of jobs are known here, or null while they
-     *     are not loaded
+     * @param leaseValidFrom when the last answered renewal was sent, from when on the lease counts
+     * @param lastRenewalSentAt when the last renewal was sent, or null if one is to be sent at once
+     * @param leaderKeyRevision the revision of the transaction that took the key
+     * @param freshAsOf the moment up to which all changes of jobs are known here, or null while
+     *     they are not loaded
      */
-    record Holding(
+    record HeldLeadership(
             LeaseId lease,
-            MonotonicTime leaseSentAt,
-            MonotonicTime renewalSentAt,
+            MonotonicTime leaseValidFrom,
+            MonotonicTime lastRenewalSentAt,
             boolean renewing,
-            Revision version,
+            Revision leaderKeyRevision,
             boolean resigning,
-            MonotonicTime knownAt) {
-        Holding renewing(MonotonicTime now) {
-            return new Holding(lease, leaseSentAt, now, true, version, resigning, knownAt);
+            MonotonicTime freshAsOf) {
+        HeldLeadership renewing(MonotonicTime now) {
+            return new HeldLeadership(
+                    lease, leaseValidFrom, now, true, leaderKeyRevision, resigning, freshAsOf);
         }
 
-        Holding renewed(MonotonicTime sentAt) {
-            return new Holding(
+        HeldLeadership renewed(MonotonicTime sentAt) {
+            return new HeldLeadership(
                     lease,
-                    MonotonicTime.latestOf(leaseSentAt, sentAt),
-                    renewalSentAt,
+                    MonotonicTime.latestOf(leaseValidFrom, sentAt),
+                    lastRenewalSentAt,
                     false,
-                    version,
+                    leaderKeyRevision,
                     resigning,
-                    knownAt);
+                    freshAsOf);
         }
 
-        Holding notRenewed() {
-            return new Holding(lease, leaseSentAt, null, false, version, resigning, knownAt);
+        HeldLeadership renewalFailed() {
+            return new HeldLeadership(
+                    lease, leaseValidFrom, null, false, leaderKeyRevision, resigning, freshAsOf);
         }
 
-        Holding resigning(boolean now) {
-            return new Holding(lease, leaseSentAt, renewalSentAt, renewing, version, now, knownAt);
+        HeldLeadership resigning(boolean now) {
+            return new HeldLeadership(
+                    lease,
+                    leaseValidFrom,
+                    lastRenewalSentAt,
+                    renewing,
+                    leaderKeyRevision,
+                    now,
+                    freshAsOf);
         }
 
-        Holding knowing(MonotonicTime upTo) {
-            return new Holding(
+        HeldLeadership withFreshness(MonotonicTime upTo) {
+            return new HeldLeadership(
                     lease,
-                    leaseSentAt,
-                    renewalSentAt,
+                    leaseValidFrom,
+                    lastRenewalSentAt,
                     renewing,
-                    version,
+                    leaderKeyRevision,
                     resigning,
-                    knownAt == null ? upTo : MonotonicTime.latestOf(knownAt, upTo));
+                    freshAsOf == null ? upTo : MonotonicTime.latestOf(freshAsOf, upTo));
         }
 
-        boolean isDue(MonotonicTime now, Duration every) {
+        boolean isRenewalDue(MonotonicTime now, Duration every) {
             return !renewing
-                    && (renewalSentAt == null
-                            || now.elapsedSince(renewalSentAt).compareTo(every) >= 0);
+                    && (lastRenewalSentAt == null
+                            || now.elapsedSince(lastRenewalSentAt).compareTo(every) >= 0);
         }
     }
 
@@ -100,86 +111,116 @@
      * The leader last heard of.
      *
      * @param leader its name, or null
-     * @param term the highest term heard of
+     * @param highestToken the highest term heard of
      * @param lease of its key, or null
-     * @param freeSince since when the key is known to be free, or null
+     * @param vacantSince since when the key is known to be free, or null
      */
-    record Known(String leader, FencingToken term, LeaseId lease, MonotonicTime freeSince) {
-        Known nobody(MonotonicTime now) {
-            return new Known(null, term, null, freeSince == null ? now : freeSince);
+    record ObservedLeader(
+            String leader, FencingToken highestToken, LeaseId lease, MonotonicTime vacantSince) {
+        ObservedLeader withoutLeader(MonotonicTime now) {
+            return new ObservedLeader(
+                    null, highestToken, null, vacantSince == null ? now : vacantSince);
         }
 
-        Known leader(String name) {
-            return new Known(name, term, lease, freeSince);
+        ObservedLeader leader(String name) {
+            return new ObservedLeader(name, highestToken, lease, vacantSince);
         }
     }
 
     /**
      * Of the leader, that its process has ended.
      *
-     * @param deserters workers that have left it, as many as are needed to tell
+     * @param departedWorkers workers that have left it, as many as are needed to tell
      * @param left how many have, in all
-     * @param asking whether it is being asked
-     * @param trustedAt when it last answered, or null
+     * @param probing whether it is being asked
+     * @param lastAnsweredAt when it last answered, or null
      */
-    record Suspicion(Set<MachineId> deserters, int left, boolean asking, MonotonicTime trustedAt) {
+    record Suspicion(
+            Set<MachineId> departedWorkers,
+            int left,
+            boolean probing,
+            MonotonicTime lastAnsweredAt) {
         static final Suspicion NONE = new Suspicion(Set.of(), 0, false, null);
 
         Suspicion left(MachineId worker, int enough) {
-            if (deserters.size() >= enough || deserters.contains(worker)) {
-                return new Suspicion(deserters, left + 1, asking, trustedAt);
+            if (departedWorkers.size() >= enough || departedWorkers.contains(worker)) {
+                return new Suspicion(departedWorkers, left + 1, probing, lastAnsweredAt);
             }
-            Set<MachineId> more = new HashSet<>(deserters);
+            Set<MachineId> more = new HashSet<>(departedWorkers);
             more.add(worker);
-            return new Suspicion(more, left + 1, asking, trustedAt);
+            return new Suspicion(more, left + 1, probing, lastAnsweredAt);
         }
 
-        Suspicion asking(boolean now) {
-            return new Suspicion(deserters, left, now, trustedAt);
+        Suspicion probing(boolean now) {
+            return new Suspicion(departedWorkers, left, now, lastAnsweredAt);
         }
 
-        Suspicion ofNobody() {
-            return new Suspicion(Set.of(), 0, asking, trustedAt);
+        Suspicion withoutDepartures() {
+            return new Suspicion(Set.of(), 0, probing, lastAnsweredAt);
         }
     }
 
-    LeadershipState with(Holding now) {
-        return new LeadershipState(epoch, term, now, known, suspicion, deaf, resignedAloneAt);
+    LeadershipState with(HeldLeadership now) {
+        return new LeadershipState(
+                epoch,
+                fencingToken,
+                now,
+                observedLeader,
+                suspicion,
+                isolated,
+                resignedWithoutSuccessorAt);
     }
 
-    LeadershipState with(Known now) {
-        return new LeadershipState(epoch, term, holding, now, suspicion, deaf, resignedAloneAt);
+    LeadershipState with(ObservedLeader now) {
+        return new LeadershipState(
+                epoch,
+                fencingToken,
+                heldLeadership,
+                now,
+                suspicion,
+                isolated,
+                resignedWithoutSuccessorAt);
     }
 
     LeadershipState with(Suspicion now) {
-        return new LeadershipState(epoch, term, holding, known, now, deaf, resignedAloneAt);
+        return new LeadershipState(
+                epoch,
+                fencingToken,
+                heldLeadership,
+                observedLeader,
+                now,
+                isolated,
+                resignedWithoutSuccessorAt);
     }
 
-    LeadershipState deaf(boolean now, MonotonicTime aloneAt) {
-        return new LeadershipState(epoch, term, holding, known, suspicion, now, aloneAt);
+    LeadershipState isolated(boolean now, MonotonicTime aloneAt) {
+        return new LeadershipState(
+                epoch, fencingToken, heldLeadership, observedLeader, suspicion, now, aloneAt);
     }
 
     /** The leadership is over. */
-    LeadershipState over(String member) {
+    LeadershipState steppedDown(String member) {
         return new LeadershipState(
                 epoch + 1,
-                term,
+                fencingToken,
                 null,
-                member.equals(known.leader()) ? known.leader(null) : known,
+                member.equals(observedLeader.leader())
+                        ? observedLeader.leader(null)
+                        : observedLeader,
                 suspicion,
-                deaf,
-                resignedAloneAt);
+                isolated,
+                resignedWithoutSuccessorAt);
     }
 
     /** The key is this node's. */
-    LeadershipState elected(String member, FencingToken now, Holding held) {
+    LeadershipState elected(String member, FencingToken now, HeldLeadership held) {
         return new LeadershipState(
                 epoch,
                 now,
                 held,
-                new Known(member, now, known.lease(), null),
+                new ObservedLeader(member, now, observedLeader.lease(), null),
                 suspicion,
-                deaf,
-                resignedAloneAt);
+                isolated,
+                resignedWithoutSuccessorAt);
     }
 }
--- a/src/test/java/org/meadowhollow/LayersTest.java
+++ b/src/test/java/org/meadowhollow/LayersTest.java
@@ -46,7 +46,7 @@
                     "hearing",
                     "serving",
                     "leadership",
-                    "succession",
+                    "failover",
                     "fleet");
 
     private static final Path SOURCES = Path.of("src/main/java", ROOT.split("\\."));
--- a/src/test/java/org/meadowhollow/coordination/succession/TablesTest.java
+++ b/src/test/java/org/meadowhollow/coordination/failover/RiskTableReplicationTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.succession;
+package org.meadowhollow.coordination.failover;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -11,10 +11,10 @@
 import java.util.Random;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
+import org.meadowhollow.coordination.failover.RiskTableReplica.ApplyResult;
 import org.meadowhollow.coordination.placement.RiskTable;
 import org.meadowhollow.coordination.platform.NodeStatus;
 import org.meadowhollow.coordination.platform.TableDelta;
-import org.meadowhollow.coordination.succession.TableCopies.Taken;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Heartbeat;
 import org.meadowhollow.model.Machine;
@@ -26,7 +26,7 @@
 import org.meadowhollow.model.WorkerIncarnation;
 
 /** A leader's tables and a standby's copies of them. */
-class TablesTest {
+class RiskTableReplicationTest {
     private static final FencingToken TERM = new FencingToken(2);
     private static final MachineType TYPE =
             new MachineType("large", Resources.of(32, 8, 128), 50, 1, 8, 4, 10, List.of("a"));
@@ -35,8 +35,8 @@
 
     private final TreeMap<MachineId, Machine> machines = new TreeMap<>();
     private final Map<MachineId, RiskTable> tables = new HashMap<>();
-    private final TableFeed feed = new TableFeed(TERM, true);
-    private final TableCopies copies = new TableCopies();
+    private final RiskTablePublisher feed = new RiskTablePublisher(TERM, true);
+    private final RiskTableReplica copies = new RiskTableReplica();
     private final Random random = new Random(11);
     private long second;
     private long seq;
@@ -62,7 +62,7 @@
                             machine -> {
                                 report(machine, new WorkerIncarnation(1), ++seq);
                                 int lost = random.nextInt(5) == 0 ? 1 : 0;
-                                feed.sampled(
+                                feed.recordSample(
                                         machine,
                                         tables.get(machine.id())
                                                 .add(
@@ -91,7 +91,7 @@
     }
 
     private TableDelta answer() {
-        return feed.answer(copies.question(STANDBY), machines, tables, now());
+        return feed.answerRequest(copies.nextRequest(STANDBY), machines, tables, now());
     }
 
     /**
@@ -100,11 +100,11 @@
      */
     private int pull() {
         for (int answers = 1; ; answers++) {
-            Taken taken = copies.take(answer(), TERM, now());
-            if (taken == Taken.IN) {
+            ApplyResult applyResult = copies.apply(answer(), TERM, now());
+            if (applyResult == ApplyResult.UP_TO_DATE) {
                 return answers;
             }
-            assertEquals(Taken.MORE, taken);
+            assertEquals(ApplyResult.MORE_AVAILABLE, applyResult);
             reports(1);
         }
     }
@@ -112,8 +112,12 @@
     private Optional<RiskTable> inherit(
             int machine, WorkerIncarnation workerIncarnation, long number) {
         MachineId id = new MachineId("vm-%06d".formatted(machine));
-        return copies.inherit(
-                id, TableFeed.incarnation(machines.get(id)), workerIncarnation, number, now());
+        return copies.takeTable(
+                id,
+                RiskTablePublisher.identityHash(machines.get(id)),
+                workerIncarnation,
+                number,
+                now());
     }
 
     @Test
@@ -137,7 +141,7 @@
         machines(100);
         reports(3);
         pull();
-        reports(TableFeed.MOST_KEPT / 100 + 2);
+        reports(RiskTablePublisher.MAX_SAMPLES / 100 + 2);
         assertTrue(answer().whole());
         pull();
         assertEquals(
@@ -151,17 +155,17 @@
         reports(3);
         pull();
         TableDelta late = answer();
-        TableFeed next = new TableFeed(TERM.next(), true);
+        RiskTablePublisher next = new RiskTablePublisher(TERM.next(), true);
         FencingToken higher = TERM.next();
         assertEquals(
-                Taken.IN,
-                copies.take(
-                        next.answer(copies.question(STANDBY), machines, tables, now()),
+                ApplyResult.UP_TO_DATE,
+                copies.apply(
+                        next.answerRequest(copies.nextRequest(STANDBY), machines, tables, now()),
                         higher,
                         now()));
-        assertEquals(Taken.DEPOSED, copies.take(late, higher, now()));
+        assertEquals(ApplyResult.STALE_LEADER, copies.apply(late, higher, now()));
         // Even where nothing has been heard of the higher term but the tables themselves.
-        assertEquals(Taken.BROKEN, copies.take(late, TERM, now()));
+        assertEquals(ApplyResult.INCONSISTENT, copies.apply(late, TERM, now()));
     }
 
     @Test
@@ -179,12 +183,12 @@
                         new int[0],
                         new long[] {1, seq, 0, -1});
         assertEquals(
-                Taken.BROKEN,
-                copies.take(
+                ApplyResult.INCONSISTENT,
+                copies.apply(
                         new TableDelta(TERM, answer().upTo(), false, false, List.of(damaged)),
                         TERM,
                         now()));
-        assertTrue(copies.question(STANDBY).isForWhole());
+        assertTrue(copies.nextRequest(STANDBY).isForWhole());
         pull();
         assertEquals(
                 tables.get(new MachineId("vm-000001")),
@@ -208,9 +212,9 @@
                 "a machine whose reports count from the start again");
         MachineId moved = new MachineId("vm-000002");
         assertTrue(
-                copies.inherit(
+                copies.takeTable(
                                 moved,
-                                TableFeed.incarnation("large", "b", false, null),
+                                RiskTablePublisher.identityHash("large", "b", false, null),
                                 new WorkerIncarnation(1),
                                 seq + 1,
                                 now())
@@ -225,7 +229,7 @@
                 tables.get(again),
                 inherit(4, new WorkerIncarnation(1), seq + 1).orElseThrow(),
                 "it began a table of its own");
-        second += TableCopies.MOST_AGE.toSeconds() + 1;
+        second += RiskTableReplica.MAX_AGE.toSeconds() + 1;
         assertTrue(
                 inherit(3, new WorkerIncarnation(1), seq + 1).isEmpty(), "what was true long ago");
     }
@@ -235,7 +239,7 @@
         machines(2100);
         reports(1);
         for (int answers = 0;
-                answers < 20 && copies.take(answer(), TERM, now()) == Taken.MORE;
+                answers < 20 && copies.apply(answer(), TERM, now()) == ApplyResult.MORE_AVAILABLE;
                 answers++) {
             assertTrue(copies.size() > 0);
         }
@@ -245,16 +249,18 @@
     @Test
     void theHeirIsTheStandbyThatIsFurthestOfThoseHeardOfLately() {
         Membership members = new Membership();
-        members.seen(new NodeStatus("n3", 1, "a", "test", 1, new Revision(90)), now());
-        second += Membership.FRESH.toSeconds() + 1;
-        assertTrue(members.heir(1, now()).isEmpty(), "nothing is known of who is silent");
-        members.seen(new NodeStatus("n4", 1, "a", "test", 2, new Revision(80)), now());
-        members.seen(new NodeStatus("n2", 1, "a", "test", 1, new Revision(7)), now());
-        members.seen(new NodeStatus("n1", 1, "a", "test", 1, new Revision(7)), now());
-        members.seen(new NodeStatus("n0", 1, "a", "test", 1, new Revision(6)), now());
+        members.recordStatus(new NodeStatus("n3", 1, "a", "test", 1, new Revision(90)), now());
+        second += Membership.MAX_STATUS_AGE.toSeconds() + 1;
+        assertTrue(
+                members.preferredSuccessor(1, now()).isEmpty(),
+                "nothing is known of who is silent");
+        members.recordStatus(new NodeStatus("n4", 1, "a", "test", 2, new Revision(80)), now());
+        members.recordStatus(new NodeStatus("n2", 1, "a", "test", 1, new Revision(7)), now());
+        members.recordStatus(new NodeStatus("n1", 1, "a", "test", 1, new Revision(7)), now());
+        members.recordStatus(new NodeStatus("n0", 1, "a", "test", 1, new Revision(6)), now());
         assertEquals(
                 Optional.of("n1"),
-                members.heir(1, now()),
+                members.preferredSuccessor(1, now()),
                 "of two equally good ones the first is meant");
     }
 
--- a/src/test/java/org/meadowhollow/coordination/leadership/KnowledgeModelTest.java
+++ b/src/test/java/org/meadowhollow/coordination/leadership/CancellationFreshnessModelTest.java
@@ -21,13 +21,13 @@
 
 /**
  * All that can happen, up to a bound, to a cancellation, a worker, a leader and its successor,
- * which run {@link LeadershipStep}: the state service refuses the leader alone, several times, and
- * is then out for all and stays so; looks and renewals are executed and answered at any later time,
- * or lost; the worker reports to whom it likes. What must hold: the task of a cancelled job is gone
- * in time, and a successor may count on an old leader's silence after that time. The times are
- * shorter than any deployment's, so that all worlds can be gone through.
+ * which run {@link LeadershipStateMachine}: the state service refuses the leader alone, several
+ * times, and is then out for all and stays so; looks and renewals are executed and answered at any
+ * later time, or lost; the worker reports to whom it likes. What must hold: the task of a cancelled
+ * job is gone in time, and a successor may count on an old leader's silence after that time. The
+ * times are shorter than any deployment's, so that all worlds can be gone through.
  */
-class KnowledgeModelTest {
+class CancellationFreshnessModelTest {
     private static final int TICK_S = 2;
     private static final int CANCEL_S = 14;
     private static final int LEASE_S = 6;
@@ -42,7 +42,7 @@
     private static final int MOST_WORLDS = 400_000;
 
     /** What is taken away to see that it is needed; all of it is how the sources were before. */
-    private enum Without {
+    private enum RemovedSafeguard {
         NOTHING,
         /** A renewal counts as knowledge. */
         KNOWLEDGE,
@@ -85,7 +85,7 @@
      * @param workerLease when the worker's lease ends
      * @param shown whether the worker has shown the new leader's term
      */
-    private record World(
+    private record ModelState(
             int tick,
             Node old,
             Node next,
@@ -103,8 +103,8 @@
             return at(tick);
         }
 
-        World with(int node, Node now, Set<Message> rest) {
-            return new World(
+        ModelState with(int node, Node now, Set<Message> rest) {
+            return new ModelState(
                     tick,
                     node == 0 ? now : old,
                     node == 1 ? now : next,
@@ -129,10 +129,10 @@
         }
     }
 
-    private Without without = Without.NOTHING;
+    private RemovedSafeguard removedSafeguard = RemovedSafeguard.NOTHING;
     private Successor successor;
-    private final List<LeadershipStep> steps =
-            List.of(new LeadershipStep("n0"), new LeadershipStep("n1"));
+    private final List<LeadershipStateMachine> steps =
+            List.of(new LeadershipStateMachine("n0"), new LeadershipStateMachine("n1"));
     private int worlds;
     private int cancelledWhileRefused;
 
@@ -144,9 +144,9 @@
         Node leads =
                 before.with(
                         steps.get(node)
-                                .on(
+                                .apply(
                                         before.state(),
-                                        new LeadershipEvent.Claimed(
+                                        new LeadershipEvent.LeaderKeyClaimCompleted(
                                                 0,
                                                 new FencingToken(node + 1),
                                                 new LeaseId(node + 1),
@@ -155,7 +155,8 @@
                                                         true, new Revision(node + 1), List.of())),
                                         at(tick))
                                 .next());
-        return without == Without.LOADING || without == Without.KNOWLEDGE
+        return removedSafeguard == RemovedSafeguard.LOADING
+                        || removedSafeguard == RemovedSafeguard.KNOWLEDGE
                 ? knowing(node, leads, at(tick))
                 : leads;
     }
@@ -163,19 +164,20 @@
     private Node knowing(int node, Node leads, MonotonicTime upTo) {
         return leads.with(
                 steps.get(node)
-                        .on(
+                        .apply(
                                 leads.state(),
-                                new LeadershipEvent.TookIn(leads.state().term(), upTo),
+                                new LeadershipEvent.FreshnessAdvanced(
+                                        leads.state().fencingToken(), upTo),
                                 upTo)
                         .next());
     }
 
     /** The worlds that come next. */
-    private void successors(World w, Consumer<World> to) {
+    private void successors(ModelState w, Consumer<ModelState> to) {
         if (w.tick() < MOST_TICKS) {
             // A worker whose lease is over kills its tasks.
             to.accept(
-                    new World(
+                    new ModelState(
                             w.tick() + 1,
                             w.old(),
                             w.next(),
@@ -193,7 +195,7 @@
         boolean troubled = successor != Successor.TAKES_THE_KEY;
         if (!w.out() && troubled) {
             to.accept(
-                    new World(
+                    new ModelState(
                             w.tick(),
                             w.old(),
                             w.next(),
@@ -209,7 +211,7 @@
                             true));
             if (w.refused() || w.refusals() < MOST_REFUSALS) {
                 to.accept(
-                        new World(
+                        new ModelState(
                                 w.tick(),
                                 w.old(),
                                 w.next(),
@@ -227,7 +229,7 @@
             if (w.cancelledAt() < 0) {
                 cancelledWhileRefused += w.refused() ? 1 : 0;
                 to.accept(
-                        new World(
+                        new ModelState(
                                 w.tick(),
                                 w.old(),
                                 w.next(),
@@ -248,7 +250,7 @@
                     && w.successorAt() < 0
                     && w.keyLease() <= w.tick() * TICK_S) {
                 to.accept(
-                        new World(
+                        new ModelState(
                                 w.tick(),
                                 w.old(),
                                 elected(1, w.next(), w.tick()),
@@ -265,7 +267,7 @@
             }
         }
         for (int node = 0; node < 2; node++) {
-            if (w.node(node).state().holding() != null
+            if (w.node(node).state().heldLeadership() != null
                     && (node == 0 || successor == Successor.ANSWERS)) {
                 leads(w, node, to);
             }
@@ -278,7 +280,7 @@
     }
 
     /** What a leader may do now: look, renew, and answer a report of the worker. */
-    private void leads(World w, int node, Consumer<World> to) {
+    private void leads(ModelState w, int node, Consumer<ModelState> to) {
         Node leader = w.node(node);
         for (boolean renewal : node == 0 ? new boolean[] {true, false} : new boolean[] {false}) {
             if (w.messages().stream()
@@ -290,11 +292,11 @@
         }
         // The successor renews at each turn; it is the old leader's renewals that are looked at.
         Node fresh = node == 0 ? leader : leader.with(renewed(node, leader, w.now()));
-        if (LeadershipStep.mayAnswer(ANSWER_FOR, fresh.state(), w.now())
+        if (LeadershipStateMachine.canRenewWorkerLeases(ANSWER_FOR, fresh.state(), w.now())
                 && !w.gone()
                 && !(node == 0 && w.shown())) {
             to.accept(
-                    new World(
+                    new ModelState(
                             w.tick(),
                             w.old(),
                             w.next(),
@@ -313,14 +315,16 @@
 
     private LeadershipState renewed(int node, Node leader, MonotonicTime sentAt) {
         return steps.get(node)
-                .on(
+                .apply(
                         leader.state(),
-                        new LeadershipEvent.Renewed(0, sentAt, LeadershipEvent.Renewal.DONE),
+                        new LeadershipEvent.RenewalCompleted(
+                                0, sentAt, LeadershipEvent.RenewalOutcome.RENEWED),
                         sentAt)
                 .next();
     }
 
-    private void travels(World w, Message message, Set<Message> rest, Consumer<World> to) {
+    private void travels(
+            ModelState w, Message message, Set<Message> rest, Consumer<ModelState> to) {
         int node = message.node();
         Node leader = w.node(node);
         if (message.renewal()) {
@@ -328,16 +332,18 @@
             if (w.served(node) && w.successorAt() < 0 && w.keyLease() > w.tick() * TICK_S) {
                 Node held = leader.with(renewed(node, leader, at(message.sentAt())));
                 Node next =
-                        without == Without.KNOWLEDGE
+                        removedSafeguard == RemovedSafeguard.KNOWLEDGE
                                 ? knowing(node, held, at(message.sentAt()))
                                 : held;
                 to.accept(
-                        new World(
+                        new ModelState(
                                 w.tick(),
                                 next,
                                 w.next(),
                                 rest,
-                                (int) (w.tick() * TICK_S + LeadershipStep.TTL.toSeconds()),
+                                (int)
+                                        (w.tick() * TICK_S
+                                                + LeadershipStateMachine.LEASE_TTL.toSeconds()),
                                 w.successorAt(),
                                 w.cancelledAt(),
                                 w.workerLease(),
@@ -360,11 +366,13 @@
                     knowing(
                             node,
                             told,
-                            without == Without.SENDING ? w.now() : at(message.sentAt()));
+                            removedSafeguard == RemovedSafeguard.SENDING
+                                    ? w.now()
+                                    : at(message.sentAt()));
             to.accept(
                     w.with(
                             node,
-                            without == Without.LEASE
+                            removedSafeguard == RemovedSafeguard.LEASE
                                     ? knows.with(renewed(node, knows, w.now()))
                                     : knows,
                             rest));
@@ -372,7 +380,7 @@
     }
 
     /** A lease that lasts too long is broken at once, for the worker may hear nothing more. */
-    private static String broken(World w) {
+    private static String broken(ModelState w) {
         return w.gone()
                 ? null
                 : w.cancelledAt() >= 0 && w.workerLease() > w.cancelledAt() + CANCEL_S
@@ -389,12 +397,12 @@
             successor = each;
             String found =
                     exploreFrom(
-                            new World(
+                            new ModelState(
                                     0,
-                                    elected(0, new Node(LeadershipState.FIRST, false), 0),
-                                    new Node(LeadershipState.FIRST, false),
+                                    elected(0, new Node(LeadershipState.INITIAL, false), 0),
+                                    new Node(LeadershipState.INITIAL, false),
                                     Set.of(),
-                                    (int) LeadershipStep.TTL.toSeconds(),
+                                    (int) LeadershipStateMachine.LEASE_TTL.toSeconds(),
                                     -1,
                                     -1,
                                     LEASE_S,
@@ -410,9 +418,9 @@
         return null;
     }
 
-    private String exploreFrom(World first) {
-        Set<World> seen = new HashSet<>(Set.of(first));
-        ArrayDeque<World> next = new ArrayDeque<>(seen);
+    private String exploreFrom(ModelState first) {
+        Set<ModelState> seen = new HashSet<>(Set.of(first));
+        ArrayDeque<ModelState> next = new ArrayDeque<>(seen);
         String[] found = {null};
         for (int count = 0; !next.isEmpty() && found[0] == null && count < MOST_WORLDS; count++) {
             worlds++;
@@ -437,8 +445,8 @@
 
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NOTHING")
-    void eachClauseIsNeeded(Without clause) {
-        without = clause;
+    void eachClauseIsNeeded(RemovedSafeguard clause) {
+        removedSafeguard = clause;
         assertNotNull(explore(), "after " + worlds + " worlds");
     }
 }
