--- a/src/test/java/org/meadowhollow/coordination/leadership/LeadershipModelTest.java
+++ b/src/test/java/org/meadowhollow/coordination/leadership/LeadershipModelTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.meadowhollow.coordination.succession.FirstDecision;
+import org.meadowhollow.coordination.failover.FailoverPreconditions;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.Revision;
@@ -25,18 +25,18 @@
 import org.meadowhollow.storage.RecordCodec;
 
 /**
- * All that can happen, up to a bound, to three nodes that run {@link LeadershipStep} and {@link
- * FirstDecision} against one state service: requests that are answered, lost, or executed late,
- * answers that come late, leases that run out, a leader that hands over, announcements in any
- * order. A decision is a transaction, and an image is what a node has seen of those before.
- * Announcements go to the first node alone, at any time; the others hear of none.
+ * All that can happen, up to a bound, to three nodes that run {@link LeadershipStateMachine} and
+ * {@link FailoverPreconditions} against one state service: requests that are answered, lost, or
+ * executed late, answers that come late, leases that run out, a leader that hands over,
+ * announcements in any order. A decision is a transaction, and an image is what a node has seen of
+ * those before. Announcements go to the first node alone, at any time; the others hear of none.
  */
 class LeadershipModelTest {
     private static final int NODES = 3;
     private static final Duration TICK = Duration.ofSeconds(3);
 
     /** What is taken away to see that it is needed. */
-    private enum Without {
+    private enum RemovedSafeguard {
         NOTHING,
         DECISIONS_GUARD,
         CLAIMS_COUNTER_GUARD,
@@ -45,12 +45,12 @@
     }
 
     /** A leader's decision on its way; {@code seen} counts the decisions that it knew of. */
-    private record Decide(FencingToken term, Revision guard, int seen) {}
+    private record PendingDecision(FencingToken term, Revision guard, int seen) {}
 
     /** A node; its image stands at a revision and holds the first {@code seen} decisions. */
     private record Node(LeadershipState state, Revision imageAt, int seen, boolean decided) {
         Node with(LeadershipState next) {
-            return new Node(next, imageAt, seen, decided && next.holding() != null);
+            return new Node(next, imageAt, seen, decided && next.heldLeadership() != null);
         }
     }
 
@@ -69,7 +69,7 @@
             String heir,
             Map<Long, MonotonicTime> leases,
             long nextLease,
-            List<Decide> decisions) {}
+            List<PendingDecision> decisions) {}
 
     /**
      * On its way: to the state service if it is an effect or a decision, to the node if it is an
@@ -80,7 +80,7 @@
     /**
      * @param trouble how many more requests or answers may be late or lost
      */
-    private record World(
+    private record ModelState(
             Store store,
             List<Node> nodes,
             Set<Message> messages,
@@ -97,28 +97,28 @@
     private static final int MOST_TICKS = 2;
     private static final int MOST_STATES = 400_000;
 
-    private Without without = Without.NOTHING;
-    private final List<LeadershipStep> steps = new ArrayList<>();
+    private RemovedSafeguard removedSafeguard = RemovedSafeguard.NOTHING;
+    private final List<LeadershipStateMachine> steps = new ArrayList<>();
     private int states;
 
     LeadershipModelTest() {
         for (int node = 0; node < NODES; node++) {
-            steps.add(new LeadershipStep("n" + node));
+            steps.add(new LeadershipStateMachine("n" + node));
         }
     }
 
     /** The first node has just taken the key, the others are about to look. */
-    private World first(int trouble) {
+    private ModelState first(int trouble) {
         List<Node> nodes = new ArrayList<>();
         Set<Message> messages = new HashSet<>();
         for (int node = 0; node < NODES; node++) {
-            nodes.add(new Node(LeadershipState.FIRST, Revision.ABSENT, 0, false));
+            nodes.add(new Node(LeadershipState.INITIAL, Revision.ABSENT, 0, false));
             if (node > 0) {
-                messages.add(new Message(node, new LeadershipEffect.Look(0, false)));
+                messages.add(new Message(node, new LeadershipEffect.ReadLeaderKey(0, false)));
             }
         }
-        World world =
-                new World(
+        ModelState modelState =
+                new ModelState(
                         new Store(
                                 1,
                                 "n0",
@@ -128,7 +128,10 @@
                                 1,
                                 1,
                                 null,
-                                Map.of(1L, new MonotonicTime(0).plus(LeadershipStep.TTL)),
+                                Map.of(
+                                        1L,
+                                        new MonotonicTime(0)
+                                                .plus(LeadershipStateMachine.LEASE_TTL)),
                                 2,
                                 List.of()),
                         nodes,
@@ -139,9 +142,9 @@
                         Set.of(),
                         null);
         return stepped(
-                world,
+                modelState,
                 0,
-                new LeadershipEvent.Claimed(
+                new LeadershipEvent.LeaderKeyClaimCompleted(
                         0,
                         new FencingToken(1),
                         new LeaseId(1),
@@ -151,15 +154,15 @@
 
     /** Goes through all worlds that can come, the nearest first; the first broken one, or null. */
     private String explore(int mostTicks, int trouble, int mostStates) {
-        Set<World> seen = new HashSet<>();
-        ArrayDeque<World> next = new ArrayDeque<>();
+        Set<ModelState> seen = new HashSet<>();
+        ArrayDeque<ModelState> next = new ArrayDeque<>();
         next.add(first(trouble));
         while (!next.isEmpty() && states < mostStates) {
-            World world = next.poll();
+            ModelState modelState = next.poll();
             states++;
             String[] broken = {null};
             successors(
-                    world,
+                    modelState,
                     mostTicks,
                     to -> {
                         broken[0] = broken[0] == null ? to.broken() : broken[0];
@@ -181,57 +184,61 @@
 
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NOTHING")
-    void eachClauseIsNeeded(Without clause) {
-        without = clause;
+    void eachClauseIsNeeded(RemovedSafeguard clause) {
+        removedSafeguard = clause;
         assertNotNull(explore(MOST_TICKS, 1, MOST_STATES), "after " + states + " worlds");
     }
 
-    private void successors(World world, int mostTicks, Consumer<World> to) {
-        if (world.ticks() < mostTicks) {
+    private void successors(ModelState modelState, int mostTicks, Consumer<ModelState> to) {
+        if (modelState.ticks() < mostTicks) {
             to.accept(
                     checked(
-                            new World(
-                                    world.store(),
-                                    world.nodes(),
-                                    world.messages(),
-                                    world.ticks() + 1,
-                                    world.trouble(),
-                                    world.handOver(),
-                                    world.terms(),
+                            new ModelState(
+                                    modelState.store(),
+                                    modelState.nodes(),
+                                    modelState.messages(),
+                                    modelState.ticks() + 1,
+                                    modelState.trouble(),
+                                    modelState.handOver(),
+                                    modelState.terms(),
                                     null)));
         }
-        world.store()
+        modelState
+                .store()
                 .leases()
                 .forEach(
                         (lease, end) -> {
-                            if (!world.now().isBefore(end)) {
+                            if (!modelState.now().isBefore(end)) {
                                 to.accept(
-                                        with(world, ended(world.store(), lease), world.messages()));
+                                        with(
+                                                modelState,
+                                                ended(modelState.store(), lease),
+                                                modelState.messages()));
                             }
                         });
         for (int node = 0; node < NODES; node++) {
-            own(world, node, to);
+            own(modelState, node, to);
         }
-        for (Message message : world.messages()) {
-            Set<Message> rest = new HashSet<>(world.messages());
+        for (Message message : modelState.messages()) {
+            Set<Message> rest = new HashSet<>(modelState.messages());
             rest.remove(message);
-            deliver(world, message, rest, to);
+            deliver(modelState, message, rest, to);
         }
     }
 
     /** What a node does by itself: follow, hand over, decide. */
-    private void own(World world, int at, Consumer<World> to) {
-        Node node = world.nodes().get(at);
-        Store store = world.store();
-        LeadershipState.Holding held = node.state().holding();
+    private void own(ModelState modelState, int at, Consumer<ModelState> to) {
+        Node node = modelState.nodes().get(at);
+        Store store = modelState.store();
+        LeadershipState.HeldLeadership held = node.state().heldLeadership();
         if (held == null) {
             return;
         }
         // What a standby follows may be as old as can be; a leader catches up sooner or later.
-        if (held.version().isAfter(node.imageAt())) {
+        if (held.leaderKeyRevision().isAfter(node.imageAt())) {
             to.accept(
                     replaced(
-                            world,
+                            modelState,
                             at,
                             new Node(
                                     node.state(),
@@ -239,115 +246,135 @@
                                     store.decisions().size(),
                                     node.decided())));
         }
-        if (world.handOver()) {
+        if (modelState.handOver()) {
             to.accept(
                     stepped(
-                            new World(
+                            new ModelState(
                                     store,
-                                    world.nodes(),
-                                    world.messages(),
-                                    world.ticks(),
-                                    world.trouble(),
+                                    modelState.nodes(),
+                                    modelState.messages(),
+                                    modelState.ticks(),
+                                    modelState.trouble(),
                                     false,
-                                    world.terms(),
+                                    modelState.terms(),
                                     null),
                             at,
-                            new LeadershipEvent.GivingUp(false, "n" + (at + 1) % NODES)));
+                            new LeadershipEvent.ReleaseRequested(false, "n" + (at + 1) % NODES)));
         }
         boolean holds =
-                without == Without.LEASE_CHECK
-                        || LeadershipStep.mayStart(node.state(), world.now());
-        Set<FirstDecision.Check> failing =
-                FirstDecision.failing(
-                        new FirstDecision.Facts(
+                removedSafeguard == RemovedSafeguard.LEASE_CHECK
+                        || LeadershipStateMachine.canDecide(node.state(), modelState.now());
+        Set<FailoverPreconditions.Precondition> failing =
+                FailoverPreconditions.findUnmet(
+                        new FailoverPreconditions.Facts(
                                 holds,
-                                node.state().term(),
-                                node.state().known().term(),
-                                held.version(),
+                                node.state().fencingToken(),
+                                node.state().observedLeader().highestToken(),
+                                held.leaderKeyRevision(),
                                 node.imageAt(),
                                 true,
                                 true,
                                 true,
                                 1,
                                 1));
-        if (without == Without.IMAGE_CHECK) {
-            failing.remove(FirstDecision.Check.RECORDS_REACH_THE_KEY);
+        if (removedSafeguard == RemovedSafeguard.IMAGE_CHECK) {
+            failing.remove(FailoverPreconditions.Precondition.RECORDS_COVER_LEADER_KEY);
         }
         if (!node.decided() && failing.isEmpty()) {
-            Set<Message> more = new HashSet<>(world.messages());
-            more.add(new Message(at, new Decide(node.state().term(), held.version(), node.seen())));
+            Set<Message> more = new HashSet<>(modelState.messages());
+            more.add(
+                    new Message(
+                            at,
+                            new PendingDecision(
+                                    node.state().fencingToken(),
+                                    held.leaderKeyRevision(),
+                                    node.seen())));
             to.accept(
                     replaced(
-                            with(world, store, more),
+                            with(modelState, store, more),
                             at,
                             new Node(node.state(), node.imageAt(), node.seen(), true)));
         }
     }
 
-    private void deliver(World world, Message message, Set<Message> rest, Consumer<World> to) {
+    private void deliver(
+            ModelState modelState, Message message, Set<Message> rest, Consumer<ModelState> to) {
         int node = message.node();
         if (message.what() instanceof LeadershipEvent event) {
-            to.accept(stepped(with(world, world.store(), rest), node, event));
+            to.accept(stepped(with(modelState, modelState.store(), rest), node, event));
             return;
         }
-        now = world.now();
+        now = modelState.now();
         claimant = "n" + node;
-        Store[] after = {world.store()};
+        Store[] after = {modelState.store()};
         LeadershipEvent answer =
-                message.what() instanceof Late late
-                        ? execute(late.what(), after)
+                message.what() instanceof AbandonedRequest abandonedRequest
+                        ? execute(abandonedRequest.what(), after)
                         : execute(message.what(), after);
-        if (message.what() instanceof LeadershipEffect.Watch && answer == null) {
+        if (message.what() instanceof LeadershipEffect.WatchLeaderKey && answer == null) {
             return;
         }
-        World executed = with(world, after[0], rest);
-        if (message.what() instanceof Late || message.what() instanceof Decide) {
+        ModelState executed = with(modelState, after[0], rest);
+        if (message.what() instanceof AbandonedRequest
+                || message.what() instanceof PendingDecision) {
             to.accept(executed);
             return;
         }
         to.accept(stepped(executed, node, answer));
         boolean matters =
-                message.what() instanceof LeadershipEffect.Claim
-                        || message.what() instanceof LeadershipEffect.Renew
-                        || message.what() instanceof LeadershipEffect.GiveUp;
-        if (matters && world.trouble() > 0) {
+                message.what() instanceof LeadershipEffect.ClaimLeaderKey
+                        || message.what() instanceof LeadershipEffect.RenewLease
+                        || message.what() instanceof LeadershipEffect.ReleaseLeaderKey;
+        if (matters && modelState.trouble() > 0) {
             Set<Message> withAnswer = new HashSet<>(rest);
             withAnswer.add(new Message(node, answer));
-            to.accept(troubled(with(world, after[0], withAnswer)));
+            to.accept(troubled(with(modelState, after[0], withAnswer)));
             Set<Message> withLate = new HashSet<>(rest);
-            withLate.add(new Message(node, new Late(message.what())));
+            withLate.add(new Message(node, new AbandonedRequest(message.what())));
             to.accept(
                     troubled(
                             stepped(
-                                    with(world, world.store(), withLate),
+                                    with(modelState, modelState.store(), withLate),
                                     node,
                                     failed(message.what()))));
         }
     }
 
     /** A request that its node has given up. */
-    private record Late(Object what) {}
+    private record AbandonedRequest(Object what) {}
 
     private static LeadershipEvent failed(Object what) {
-        if (what instanceof LeadershipEffect.Claim claim) {
-            return new LeadershipEvent.Claimed(
-                    claim.epoch(), claim.term(), claim.lease(), claim.sentAt(), null);
+        if (what instanceof LeadershipEffect.ClaimLeaderKey claimLeaderKey) {
+            return new LeadershipEvent.LeaderKeyClaimCompleted(
+                    claimLeaderKey.epoch(),
+                    claimLeaderKey.fencingToken(),
+                    claimLeaderKey.lease(),
+                    claimLeaderKey.sentAt(),
+                    null);
         }
-        if (what instanceof LeadershipEffect.Renew renew) {
-            return new LeadershipEvent.Renewed(
-                    renew.epoch(), renew.sentAt(), LeadershipEvent.Renewal.UNKNOWN);
+        if (what instanceof LeadershipEffect.RenewLease renewLease) {
+            return new LeadershipEvent.RenewalCompleted(
+                    renewLease.epoch(),
+                    renewLease.sentAt(),
+                    LeadershipEvent.RenewalOutcome.UNKNOWN);
         }
-        LeadershipEffect.GiveUp giveUp = (LeadershipEffect.GiveUp) what;
-        return new LeadershipEvent.GivenUp(
-                giveUp.epoch(), giveUp.lease(), false, giveUp.heir(), null, false);
+        LeadershipEffect.ReleaseLeaderKey releaseLeaderKey =
+                (LeadershipEffect.ReleaseLeaderKey) what;
+        return new LeadershipEvent.ReleaseCompleted(
+                releaseLeaderKey.epoch(),
+                releaseLeaderKey.lease(),
+                false,
+                releaseLeaderKey.preferredSuccessor(),
+                null,
+                false);
     }
 
     /** What the state service does and answers; null where a watch has nothing to tell. */
     private LeadershipEvent execute(Object what, Store[] at) {
         Store s = at[0];
-        if (what instanceof LeadershipEffect.Look look) {
-            return new LeadershipEvent.Looked(
-                    look.epoch(),
+        if (what instanceof LeadershipEffect.ReadLeaderKey readLeaderKey) {
+            return new LeadershipEvent.LeaderKeyRead(
+                    readLeaderKey.epoch(),
                     new KeyValueStore.Page(
                             s.keyAt() == 0
                                     ? List.of()
@@ -365,11 +392,11 @@
                             false,
                             new Revision(s.revision())));
         }
-        if (what instanceof LeadershipEffect.Watch watch) {
-            return s.revision() <= watch.after().value()
+        if (what instanceof LeadershipEffect.WatchLeaderKey watchLeaderKey) {
+            return s.revision() <= watchLeaderKey.afterRevision().value()
                     ? null
-                    : new LeadershipEvent.Watched(
-                            watch.epoch(),
+                    : new LeadershipEvent.LeaderKeyWatchEnded(
+                            watchLeaderKey.epoch(),
                             new KeyValueStore.ChangeBatch(
                                     new Revision(s.revision()),
                                     List.of(
@@ -378,22 +405,22 @@
                                                     null,
                                                     new Revision(s.revision())))));
         }
-        if (what instanceof LeadershipEffect.ReadCounter read) {
-            return new LeadershipEvent.CounterRead(
+        if (what instanceof LeadershipEffect.ReadTokenCounter read) {
+            return new LeadershipEvent.TokenCounterRead(
                     read.epoch(),
-                    read.seen(),
+                    read.leaderKeyRevision(),
                     s.counterAt() == 0
                             ? Optional.empty()
                             : Optional.of(
                                     new KeyValueStore.Entry(
                                             RecordCodec.FENCING_TOKEN_KEY,
-                                            Standing.handedOver(s.counter(), s.heir()),
+                                            CandidacyPolicy.handoverRecord(s.counter(), s.heir()),
                                             new Revision(s.counterAt()))),
                     false);
         }
-        if (what instanceof LeadershipEffect.Grant grant) {
+        if (what instanceof LeadershipEffect.GrantLease grantLease) {
             Map<Long, MonotonicTime> leases = new HashMap<>(s.leases());
-            leases.put(s.nextLease(), now.plus(LeadershipStep.TTL));
+            leases.put(s.nextLease(), now.plus(LeadershipStateMachine.LEASE_TTL));
             at[0] =
                     new Store(
                             s.revision(),
@@ -407,15 +434,19 @@
                             leases,
                             s.nextLease() + 1,
                             s.decisions());
-            return new LeadershipEvent.Granted(
-                    grant.epoch(), grant.seen(), grant.counter(), new LeaseId(s.nextLease()), now);
+            return new LeadershipEvent.LeaseGrantCompleted(
+                    grantLease.epoch(),
+                    grantLease.leaderKeyRevision(),
+                    grantLease.counter(),
+                    new LeaseId(s.nextLease()),
+                    now);
         }
-        if (what instanceof LeadershipEffect.Claim claim) {
+        if (what instanceof LeadershipEffect.ClaimLeaderKey claimLeaderKey) {
             boolean applies =
-                    claim.leader().value() == s.keyAt()
-                            && s.leases().containsKey(claim.lease().value())
-                            && (claim.counter().value() == s.counterAt()
-                                    || without == Without.CLAIMS_COUNTER_GUARD);
+                    claimLeaderKey.expectedLeaderKeyRevision().value() == s.keyAt()
+                            && s.leases().containsKey(claimLeaderKey.lease().value())
+                            && (claimLeaderKey.expectedCounterRevision().value() == s.counterAt()
+                                    || removedSafeguard == RemovedSafeguard.CLAIMS_COUNTER_GUARD);
             long revision = s.revision() + 1;
             at[0] =
                     !applies
@@ -423,28 +454,29 @@
                             : new Store(
                                     revision,
                                     claimant,
-                                    claim.term().value(),
+                                    claimLeaderKey.fencingToken().value(),
                                     revision,
-                                    claim.lease().value(),
-                                    claim.term().value(),
+                                    claimLeaderKey.lease().value(),
+                                    claimLeaderKey.fencingToken().value(),
                                     revision,
                                     null,
                                     s.leases(),
                                     s.nextLease(),
                                     s.decisions());
-            return new LeadershipEvent.Claimed(
-                    claim.epoch(),
-                    claim.term(),
-                    claim.lease(),
-                    claim.sentAt(),
+            return new LeadershipEvent.LeaderKeyClaimCompleted(
+                    claimLeaderKey.epoch(),
+                    claimLeaderKey.fencingToken(),
+                    claimLeaderKey.lease(),
+                    claimLeaderKey.sentAt(),
                     new KeyValueStore.CommitResult(
                             applies, new Revision(at[0].revision()), List.of()));
         }
-        if (what instanceof LeadershipEffect.Renew renew) {
-            boolean lives = s.leases().containsKey(renew.lease().value());
+        if (what instanceof LeadershipEffect.RenewLease renewLease) {
+            boolean lives = s.leases().containsKey(renewLease.lease().value());
             Map<Long, MonotonicTime> leases = new HashMap<>(s.leases());
             leases.computeIfPresent(
-                    renew.lease().value(), (lease, end) -> now.plus(LeadershipStep.TTL));
+                    renewLease.lease().value(),
+                    (lease, end) -> now.plus(LeadershipStateMachine.LEASE_TTL));
             at[0] =
                     new Store(
                             s.revision(),
@@ -458,13 +490,15 @@
                             leases,
                             s.nextLease(),
                             s.decisions());
-            return new LeadershipEvent.Renewed(
-                    renew.epoch(),
-                    renew.sentAt(),
-                    lives ? LeadershipEvent.Renewal.DONE : LeadershipEvent.Renewal.LEASE_ENDED);
+            return new LeadershipEvent.RenewalCompleted(
+                    renewLease.epoch(),
+                    renewLease.sentAt(),
+                    lives
+                            ? LeadershipEvent.RenewalOutcome.RENEWED
+                            : LeadershipEvent.RenewalOutcome.LEASE_EXPIRED);
         }
-        if (what instanceof LeadershipEffect.GiveUp giveUp) {
-            boolean applies = giveUp.leader().value() == s.keyAt();
+        if (what instanceof LeadershipEffect.ReleaseLeaderKey releaseLeaderKey) {
+            boolean applies = releaseLeaderKey.expectedLeaderKeyRevision().value() == s.keyAt();
             long revision = s.revision() + 1;
             at[0] =
                     !applies
@@ -475,25 +509,26 @@
                                     0,
                                     0,
                                     0,
-                                    giveUp.term().value(),
+                                    releaseLeaderKey.fencingToken().value(),
                                     revision,
-                                    giveUp.heir(),
+                                    releaseLeaderKey.preferredSuccessor(),
                                     s.leases(),
                                     s.nextLease(),
                                     s.decisions());
-            return new LeadershipEvent.GivenUp(
-                    giveUp.epoch(),
-                    giveUp.lease(),
+            return new LeadershipEvent.ReleaseCompleted(
+                    releaseLeaderKey.epoch(),
+                    releaseLeaderKey.lease(),
                     false,
-                    giveUp.heir(),
+                    releaseLeaderKey.preferredSuccessor(),
                     new KeyValueStore.CommitResult(
                             applies, new Revision(at[0].revision()), List.of()),
                     false);
         }
-        if (what instanceof Decide decide) {
-            if (decide.guard().value() == s.keyAt() || without == Without.DECISIONS_GUARD) {
-                List<Decide> more = new ArrayList<>(s.decisions());
-                more.add(decide);
+        if (what instanceof PendingDecision pendingDecision) {
+            if (pendingDecision.guard().value() == s.keyAt()
+                    || removedSafeguard == RemovedSafeguard.DECISIONS_GUARD) {
+                List<PendingDecision> more = new ArrayList<>(s.decisions());
+                more.add(pendingDecision);
                 at[0] =
                         new Store(
                                 s.revision() + 1,
@@ -538,87 +573,90 @@
 
     // ---- worlds ----
 
-    private World with(World world, Store store, Set<Message> messages) {
+    private ModelState with(ModelState modelState, Store store, Set<Message> messages) {
         return checked(
-                new World(
+                new ModelState(
                         store,
-                        world.nodes(),
+                        modelState.nodes(),
                         messages,
-                        world.ticks(),
-                        world.trouble(),
-                        world.handOver(),
-                        world.terms(),
-                        world.broken()));
+                        modelState.ticks(),
+                        modelState.trouble(),
+                        modelState.handOver(),
+                        modelState.terms(),
+                        modelState.broken()));
     }
 
-    private static World troubled(World world) {
-        return new World(
-                world.store(),
-                world.nodes(),
-                world.messages(),
-                world.ticks(),
-                world.trouble() - 1,
-                world.handOver(),
-                world.terms(),
-                world.broken());
+    private static ModelState troubled(ModelState modelState) {
+        return new ModelState(
+                modelState.store(),
+                modelState.nodes(),
+                modelState.messages(),
+                modelState.ticks(),
+                modelState.trouble() - 1,
+                modelState.handOver(),
+                modelState.terms(),
+                modelState.broken());
     }
 
-    private World replaced(World world, int at, Node node) {
-        List<Node> nodes = new ArrayList<>(world.nodes());
+    private ModelState replaced(ModelState modelState, int at, Node node) {
+        List<Node> nodes = new ArrayList<>(modelState.nodes());
         nodes.set(at, node);
         return checked(
-                new World(
-                        world.store(),
+                new ModelState(
+                        modelState.store(),
                         nodes,
-                        world.messages(),
-                        world.ticks(),
-                        world.trouble(),
-                        world.handOver(),
-                        world.terms(),
-                        world.broken()));
+                        modelState.messages(),
+                        modelState.ticks(),
+                        modelState.trouble(),
+                        modelState.handOver(),
+                        modelState.terms(),
+                        modelState.broken()));
     }
 
-    private World stepped(World world, int at, LeadershipEvent event) {
-        LeadershipStep.Step step =
-                steps.get(at).on(world.nodes().get(at).state(), event, world.now());
-        Set<Message> messages = new HashSet<>(world.messages());
-        Set<Long> terms = new HashSet<>(world.terms());
-        String broken = world.broken();
-        for (LeadershipEffect effect : step.effects()) {
-            if (effect instanceof LeadershipEffect.Elected elected) {
+    private ModelState stepped(ModelState modelState, int at, LeadershipEvent event) {
+        LeadershipStateMachine.Transition transition =
+                steps.get(at).apply(modelState.nodes().get(at).state(), event, modelState.now());
+        Set<Message> messages = new HashSet<>(modelState.messages());
+        Set<Long> terms = new HashSet<>(modelState.terms());
+        String broken = modelState.broken();
+        for (LeadershipEffect effect : transition.effects()) {
+            if (effect instanceof LeadershipEffect.NotifyElected notifyElected) {
                 broken =
-                        terms.add(elected.term().value())
+                        terms.add(notifyElected.fencingToken().value())
                                 ? broken
-                                : "term " + elected.term() + " came twice";
+                                : "term " + notifyElected.fencingToken() + " came twice";
                 if (at != 0) {
                     messages.add(
-                            new Message(0, new LeadershipEvent.Heard(elected.term(), "n" + at)));
+                            new Message(
+                                    0,
+                                    new LeadershipEvent.TokenObserved(
+                                            notifyElected.fencingToken(), "n" + at)));
                 }
-            } else if (effect instanceof LeadershipEffect.TickLater tick) {
-                messages.add(new Message(at, new LeadershipEvent.Tick(tick.epoch())));
-            } else if (!(effect instanceof LeadershipEffect.Deposed
-                    || effect instanceof LeadershipEffect.Following
-                    || effect instanceof LeadershipEffect.Revoke)) {
+            } else if (effect instanceof LeadershipEffect.ScheduleRenewalCheck tick) {
+                messages.add(new Message(at, new LeadershipEvent.RenewalTimerFired(tick.epoch())));
+            } else if (!(effect instanceof LeadershipEffect.NotifyLeadershipLost
+                    || effect instanceof LeadershipEffect.NotifyFollowing
+                    || effect instanceof LeadershipEffect.RevokeOwnLease)) {
                 messages.add(new Message(at, effect));
             }
         }
-        World next =
-                new World(
-                        world.store(),
-                        world.nodes(),
+        ModelState next =
+                new ModelState(
+                        modelState.store(),
+                        modelState.nodes(),
                         messages,
-                        world.ticks(),
-                        world.trouble(),
-                        world.handOver(),
+                        modelState.ticks(),
+                        modelState.trouble(),
+                        modelState.handOver(),
                         terms,
                         broken);
-        return replaced(next, at, world.nodes().get(at).with(step.next()));
+        return replaced(next, at, modelState.nodes().get(at).with(transition.next()));
     }
 
     /** What must never be. */
-    private World checked(World world) {
-        String broken = world.broken();
-        List<Decide> decisions = world.store().decisions();
+    private ModelState checked(ModelState modelState) {
+        String broken = modelState.broken();
+        List<PendingDecision> decisions = modelState.store().decisions();
         for (int at = 0; at < decisions.size(); at++) {
             for (int before = 0; before < at; before++) {
                 if (decisions.get(before).term().isAfter(decisions.get(at).term())) {
@@ -630,24 +668,24 @@
             }
         }
         int leading = 0;
-        for (Node node : world.nodes()) {
+        for (Node node : modelState.nodes()) {
             boolean decides =
-                    without == Without.LEASE_CHECK
-                            ? node.state().holding() != null
-                            : LeadershipStep.mayStart(node.state(), world.now());
+                    removedSafeguard == RemovedSafeguard.LEASE_CHECK
+                            ? node.state().heldLeadership() != null
+                            : LeadershipStateMachine.canDecide(node.state(), modelState.now());
             leading += decides ? 1 : 0;
         }
         broken = leading > 1 ? "two nodes may decide at once" : broken;
         return broken == null
-                ? world
-                : new World(
-                        world.store(),
-                        world.nodes(),
-                        world.messages(),
-                        world.ticks(),
-                        world.trouble(),
-                        world.handOver(),
-                        world.terms(),
+                ? modelState
+                : new ModelState(
+                        modelState.store(),
+                        modelState.nodes(),
+                        modelState.messages(),
+                        modelState.ticks(),
+                        modelState.trouble(),
+                        modelState.handOver(),
+                        modelState.terms(),
                         broken);
     }
 }
--- a/src/test/java/org/meadowhollow/storage/GoldenFilesMain.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenFilesMain.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.meadowhollow.coordination.leadership.Standing;
+import org.meadowhollow.coordination.leadership.CandidacyPolicy;
 import org.meadowhollow.coordination.platform.TableDelta;
 import org.meadowhollow.golden.GoldenFile;
 import org.meadowhollow.model.AttemptNumber;
@@ -339,7 +339,9 @@
                 RecordCodec.LEADER_KEY,
                 GoldenFile.sorted(store.get(RecordCodec.LEADER_KEY)));
         GoldenFile.write(
-                "term-resigned", RecordCodec.FENCING_TOKEN_KEY, Standing.resigned(42, "n1", "n2"));
+                "term-resigned",
+                RecordCodec.FENCING_TOKEN_KEY,
+                CandidacyPolicy.resignationRecord(42, "n1", "n2"));
         store = new GoldenStore();
         store.put(RecordCodec.FENCING_TOKEN_KEY, Map.of("term", 41L));
         var leaving = GoldenStore.candidate("n1", store, new GoldenStore.Noted());
--- a/src/test/java/org/meadowhollow/storage/GoldenRecordsTest.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenRecordsTest.java
@@ -28,9 +28,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.meadowhollow.coordination.leadership.Standing;
+import org.meadowhollow.coordination.failover.RiskTableSnapshotStore;
+import org.meadowhollow.coordination.leadership.CandidacyPolicy;
 import org.meadowhollow.coordination.platform.TableDelta;
-import org.meadowhollow.coordination.succession.TableSnapshots;
 import org.meadowhollow.golden.GoldenFile;
 import org.meadowhollow.model.AttemptNumber;
 import org.meadowhollow.model.AttemptRecord;
@@ -635,8 +635,8 @@
         follower.start();
         assertEquals(List.of("n1"), noted.following);
         assertEquals(List.of(), noted.elected);
-        assertEquals("n1", follower.leader());
-        assertEquals(new FencingToken(42), follower.highest());
+        assertEquals("n1", follower.lastKnownLeader());
+        assertEquals(new FencingToken(42), follower.highestObservedToken());
     }
 
     @Test
@@ -657,17 +657,23 @@
         GoldenFile file = GoldenFile.read("term-resigned");
         assertEquals(Map.of("term", 42L, "deaf", "n1", "heir", "n2"), file.value());
         assertEquals(
-                Duration.ZERO, Standing.after(file.value(), "n2", false, false), "it was named");
-        assertEquals(Duration.ofSeconds(1), Standing.after(file.value(), "n3", true, false));
-        assertEquals(Duration.ofSeconds(6), Standing.after(file.value(), "n3", false, false));
+                Duration.ZERO,
+                CandidacyPolicy.candidacyDelay(file.value(), "n2", false, false),
+                "it was named");
+        assertEquals(
+                Duration.ofSeconds(1),
+                CandidacyPolicy.candidacyDelay(file.value(), "n3", true, false));
+        assertEquals(
+                Duration.ofSeconds(6),
+                CandidacyPolicy.candidacyDelay(file.value(), "n3", false, false));
         assertEquals(
                 Duration.ofSeconds(4),
-                Standing.after(file.value(), "n1", false, false),
+                CandidacyPolicy.candidacyDelay(file.value(), "n1", false, false),
                 "it gave up");
-        file.assertSameBytes(Standing.resigned(42, "n1", "n2"));
+        file.assertSameBytes(CandidacyPolicy.resignationRecord(42, "n1", "n2"));
         Map<String, Object> nobody = new LinkedHashMap<>(file.value());
         nobody.remove("heir");
-        assertEquals(nobody, Standing.resigned(42, "n1", null));
+        assertEquals(nobody, CandidacyPolicy.resignationRecord(42, "n1", null));
     }
 
     @Test
@@ -675,8 +681,12 @@
         GoldenFile file = GoldenFile.read("term-handed-over");
         assertEquals(Map.of("term", 42L, "heir", "n2"), file.value());
         assertEquals(
-                Duration.ZERO, Standing.after(file.value(), "n2", false, false), "it was named");
-        assertEquals(Duration.ofSeconds(1), Standing.after(file.value(), "n3", false, false));
+                Duration.ZERO,
+                CandidacyPolicy.candidacyDelay(file.value(), "n2", false, false),
+                "it was named");
+        assertEquals(
+                Duration.ofSeconds(1),
+                CandidacyPolicy.candidacyDelay(file.value(), "n3", false, false));
         GoldenStore store = new GoldenStore();
         store.put("meta/term", Map.of("term", 41L));
         var leaving = GoldenStore.candidate("n1", store, new GoldenStore.Noted());
@@ -718,8 +728,8 @@
     }
 
     private static List<TableDelta.Part> parts(GoldenStore store) {
-        Optional<TableSnapshots.Read> read =
-                TableSnapshots.read(store, new GoldenStore.Still(TABLES_AT + 2500)).join();
+        Optional<RiskTableSnapshotStore.StoredTables> read =
+                RiskTableSnapshotStore.read(store, new GoldenStore.Still(TABLES_AT + 2500)).join();
         assertEquals(Duration.ofMillis(2500), read.orElseThrow().age());
         return read.get().parts();
     }
--- a/src/test/java/org/meadowhollow/storage/GoldenStore.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenStore.java
@@ -9,6 +9,7 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
+import org.meadowhollow.coordination.failover.RiskTableSnapshotStore;
 import org.meadowhollow.coordination.hearing.Earshot;
 import org.meadowhollow.coordination.leadership.Leadership;
 import org.meadowhollow.coordination.platform.Peers;
@@ -16,7 +17,6 @@
 import org.meadowhollow.coordination.platform.TableDelta;
 import org.meadowhollow.coordination.platform.TableQuestion;
 import org.meadowhollow.coordination.platform.Testimony;
-import org.meadowhollow.coordination.succession.TableSnapshots;
 import org.meadowhollow.golden.GoldenFile;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.FencingToken;
@@ -47,7 +47,7 @@
         }
 
         @Override
-        public void deposed(String why) {}
+        public void leadershipLost(String why) {}
 
         @Override
         public void following(String leader) {
@@ -124,10 +124,11 @@
             int valueBytes) {
         GoldenStore store = new GoldenStore();
         before.ifPresent(store::put);
-        TableSnapshots snapshots = new TableSnapshots(store, Revision.ABSENT, 100, valueBytes);
+        RiskTableSnapshotStore snapshots =
+                new RiskTableSnapshotStore(store, Revision.ABSENT, 100, valueBytes);
         // First it looks which set was written last, then it writes.
         for (int time = 0; time < 2; time++) {
-            snapshots.write(() -> parts, true, new MonotonicTime(0), wallMillis);
+            snapshots.writeNext(() -> parts, true, new MonotonicTime(0), wallMillis);
         }
         return store;
     }
