--- a/src/main/java/org/meadowhollow/cli/Controller.java
+++ b/src/main/java/org/meadowhollow/cli/Controller.java
@@ -11,15 +11,15 @@
 import java.util.concurrent.TimeoutException;
 import java.util.random.RandomGenerator;
 import javax.net.ssl.SSLContext;
-import org.meadowhollow.coordination.CalendarSettings;
-import org.meadowhollow.coordination.Node;
+import org.meadowhollow.coordination.ControllerNode;
 import org.meadowhollow.coordination.admission.Admission;
+import org.meadowhollow.coordination.api.DeploymentSettings;
+import org.meadowhollow.coordination.api.RiskTableDelta;
+import org.meadowhollow.coordination.api.RiskTableRequest;
 import org.meadowhollow.coordination.calendar.CalendarDesk;
 import org.meadowhollow.coordination.failover.StandbySettings;
 import org.meadowhollow.coordination.fleet.SilenceWatch;
-import org.meadowhollow.coordination.platform.Platform;
-import org.meadowhollow.coordination.platform.TableDelta;
-import org.meadowhollow.coordination.platform.TableQuestion;
+import org.meadowhollow.coordination.reservation.ReservationSettings;
 import org.meadowhollow.model.JobEventListeners;
 import org.meadowhollow.model.MachineTypeCatalog;
 import org.meadowhollow.protocol.NodeApi;
@@ -91,7 +91,7 @@
     /** Null unless reservations and windows are taken. */
     private final HttpServer calendar;
 
-    private final Node node;
+    private final ControllerNode controllerNode;
     private final JobEventListeners jobEventListeners;
 
     private Controller(
@@ -106,7 +106,7 @@
             RandomGenerator random) {
         this.loop = loop;
         this.jobEventListeners = jobEventListeners;
-        Platform platform = settings.platform();
+        DeploymentSettings deploymentSettings = settings.platform();
         ByteBufferPool buffers = buffers();
         HttpClient http = new HttpClient(loop, buffers);
         StateClient state =
@@ -114,49 +114,61 @@
                         http,
                         settings.state(),
                         loop,
-                        budget(platform.stateRps()),
-                        budget(platform.stateWriteRps()));
+                        budget(deploymentSettings.storeRequestsPerSecond()),
+                        budget(deploymentSettings.storeWritesPerSecond()));
         CloudClient cloud =
-                new CloudClient(http, settings.cloud(), loop, budget(platform.cloudRps()));
+                new CloudClient(
+                        http,
+                        settings.cloud(),
+                        loop,
+                        budget(deploymentSettings.cloudRequestsPerSecond()));
         PeerLink peers = new PeerLink(http, settings.peers());
         MachineTypeCatalog machineTypeCatalog = new MachineTypeCatalog();
-        Node started =
-                new Node(
+        ControllerNode started =
+                new ControllerNode(
                         loop,
                         state,
                         new WorkerClient(http),
                         cloud,
                         peers,
-                        platform,
+                        deploymentSettings,
                         machineTypeCatalog,
                         jobEventListeners,
                         calendarOptions == null
-                                ? CalendarSettings.OFF
-                                : new CalendarSettings(
+                                ? ReservationSettings.OFF
+                                : new ReservationSettings(
                                         true, calendarOptions.most(), settings.skew()),
                         standby,
                         random);
-        node = started;
+        controllerNode = started;
         peers.testator(
                 new PeerLink.Testator() {
                     @Override
-                    public Optional<TableDelta> tables(TableQuestion question) {
-                        return started.tables(question);
+                    public Optional<RiskTableDelta> tables(RiskTableRequest question) {
+                        return started.riskTableDelta(question);
                     }
 
                     @Override
                     public Optional<RecordDigests> digests() {
-                        return started.digests();
+                        return started.recordDigests();
                     }
                 });
-        peers.listener(node::heardOf);
+        peers.listener(controllerNode::observeLeader);
         peers.served(() -> !state.seemsUnavailable());
-        peers.hearing(node::isHardOfHearing, node::heardAmong);
+        peers.hearing(controllerNode::isMissingHeartbeats, controllerNode::recentlyHeardMachines);
         Admission admission =
                 new Admission(
-                        state, loop, machineTypeCatalog, platform, jobEventListeners, node::counts);
+                        state,
+                        loop,
+                        machineTypeCatalog,
+                        deploymentSettings,
+                        jobEventListeners,
+                        controllerNode::liveJobState);
         NodeApi api =
-                new NodeApi(new UserApi(admission), new WorkerApi(node::report), node::isReady);
+                new NodeApi(
+                        new UserApi(admission),
+                        new WorkerApi(controllerNode::handleHeartbeat),
+                        controllerNode::isReadyForUsers);
         front =
                 new HttpServer(
                         loop,
@@ -164,7 +176,7 @@
                         settings.listen().host(),
                         settings.listen().port(),
                         mostCallers(settings),
-                        idle(platform),
+                        idle(deploymentSettings),
                         api);
         tes =
                 tesOptions == null
@@ -175,13 +187,13 @@
                                 tesOptions.listen().host(),
                                 tesOptions.listen().port(),
                                 mostCallers(settings) / TES_SHARE,
-                                idle(platform),
+                                idle(deploymentSettings),
                                 tesKeys,
                                 new TesApi(
                                         admission,
                                         state,
                                         loop,
-                                        platform,
+                                        deploymentSettings,
                                         tesOptions.tokens(),
                                         jobEventListeners.tracer(),
                                         random));
@@ -194,14 +206,14 @@
                                 calendarOptions.listen().host(),
                                 calendarOptions.listen().port(),
                                 MOST_OPERATORS,
-                                idle(platform),
+                                idle(deploymentSettings),
                                 calendarKeys,
                                 new CalendarApi(
                                         new CalendarDesk(
                                                 state,
                                                 loop,
                                                 machineTypeCatalog,
-                                                platform,
+                                                deploymentSettings,
                                                 calendarOptions.most()),
                                         calendarOptions.tokens()));
         back =
@@ -213,7 +225,7 @@
                         0,
                         PEERS_IDLE,
                         peers);
-        node.start();
+        controllerNode.start();
     }
 
     /**
@@ -230,8 +242,8 @@
         return settings.sockets() == 0 ? 0 : Math.max(least, settings.sockets() - reserve);
     }
 
-    private static Duration idle(Platform platform) {
-        Duration reports = platform.reportEvery().multipliedBy(IDLE_REPORTS);
+    private static Duration idle(DeploymentSettings deploymentSettings) {
+        Duration reports = deploymentSettings.heartbeatInterval().multipliedBy(IDLE_REPORTS);
         return reports.compareTo(LEAST_IDLE) > 0 ? reports : LEAST_IDLE;
     }
 
@@ -354,7 +366,7 @@
         CompletableFuture<Void> over = new CompletableFuture<>();
         loop.call(
                 () -> {
-                    node.handOver();
+                    controllerNode.handOver();
                     untilOver(over);
                     return over;
                 });
@@ -368,7 +380,7 @@
     }
 
     private void untilOver(CompletableFuture<Void> over) {
-        if (node.leads()) {
+        if (controllerNode.isLeader()) {
             loop.schedule(LOOK_AGAIN, () -> untilOver(over));
         } else {
             over.complete(null);
@@ -385,7 +397,7 @@
         }
         front.close();
         back.close();
-        node.close();
+        controllerNode.close();
         loop.close();
         jobEventListeners.tracer().close();
     }
--- a/src/main/java/org/meadowhollow/cli/Settings.java
+++ b/src/main/java/org/meadowhollow/cli/Settings.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
-import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.model.Resources;
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Json;
@@ -30,7 +30,7 @@
         String state,
         String zone,
         int sockets,
-        Platform platform,
+        DeploymentSettings platform,
         Duration skew) {
 
     /** An address of this machine. */
@@ -83,12 +83,12 @@
                 : 0;
     }
 
-    private static Platform platform(String member, Fields settings) throws Malformed {
-        Map<String, Platform.Team> teams = new LinkedHashMap<>();
+    private static DeploymentSettings platform(String member, Fields settings) throws Malformed {
+        Map<String, DeploymentSettings.TeamQuota> teams = new LinkedHashMap<>();
         for (Fields team : settings.list("teams")) {
             teams.put(
                     team.text("name"),
-                    new Platform.Team(
+                    new DeploymentSettings.TeamQuota(
                             team.text("name"),
                             Resources.of(team.amountOr("cpus", 0), team.amountOr("gpus", 0), 0),
                             Resources.of(
@@ -96,10 +96,10 @@
                                     team.amountOr("gpus_max", 0),
                                     0)));
         }
-        List<Platform.Objective> objectives = new ArrayList<>();
+        List<DeploymentSettings.ServiceLevelTarget> objectives = new ArrayList<>();
         for (Fields objective : settings.list("objectives")) {
             objectives.add(
-                    new Platform.Objective(
+                    new DeploymentSettings.ServiceLevelTarget(
                             objective.text("kind"),
                             objective.textOrNull("class"),
                             objective.amountOr("within_s", Double.NaN)));
@@ -113,7 +113,7 @@
         if (cancel.compareTo(lease) <= 0) {
             throw new Malformed("cancel_s must be longer than lease_s");
         }
-        return new Platform(
+        return new DeploymentSettings(
                 member,
                 zones == null ? List.of() : zones,
                 teams,
--- a/src/main/java/org/meadowhollow/cli/TesOptions.java
+++ b/src/main/java/org/meadowhollow/cli/TesOptions.java
@@ -58,7 +58,7 @@
             }
             for (String team : known.teams()) {
                 if (!team.equals(TesTokens.READERS)
-                        && !settings.platform().teams().containsKey(team)) {
+                        && !settings.platform().teamQuotas().containsKey(team)) {
                     throw new Settings.Unusable("--tes-token: there is no team " + team);
                 }
             }
--- a/src/main/java/org/meadowhollow/coordination/Node.java
+++ b/src/main/java/org/meadowhollow/coordination/ControllerNode.java
@@ -7,18 +7,20 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.random.RandomGenerator;
 import org.meadowhollow.coordination.admission.Admission;
+import org.meadowhollow.coordination.api.CloudProvider;
+import org.meadowhollow.coordination.api.ControllerStatus;
+import org.meadowhollow.coordination.api.DeploymentSettings;
+import org.meadowhollow.coordination.api.HeartbeatResponse;
+import org.meadowhollow.coordination.api.PeerGateway;
+import org.meadowhollow.coordination.api.RiskTableDelta;
+import org.meadowhollow.coordination.api.RiskTableRequest;
+import org.meadowhollow.coordination.api.WorkerGateway;
 import org.meadowhollow.coordination.failover.HandoverState;
 import org.meadowhollow.coordination.failover.StandbySettings;
 import org.meadowhollow.coordination.failover.WarmStandby;
 import org.meadowhollow.coordination.hearing.Earshot;
 import org.meadowhollow.coordination.leadership.Leadership;
-import org.meadowhollow.coordination.platform.Cloud;
-import org.meadowhollow.coordination.platform.NodeStatus;
-import org.meadowhollow.coordination.platform.Peers;
-import org.meadowhollow.coordination.platform.Platform;
-import org.meadowhollow.coordination.platform.TableDelta;
-import org.meadowhollow.coordination.platform.TableQuestion;
-import org.meadowhollow.coordination.platform.Workers;
+import org.meadowhollow.coordination.reservation.ReservationSettings;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Heartbeat;
@@ -38,15 +40,15 @@
 import org.slf4j.LoggerFactory;
 
 /** A controller node: follows the leader, and leads when elected. */
-public final class Node implements Leadership.Listener {
-    private static final Logger LOG = LoggerFactory.getLogger(Node.class);
-    private static final Duration RETRY = Duration.ofSeconds(1);
+public final class ControllerNode implements Leadership.Listener {
+    private static final Logger LOG = LoggerFactory.getLogger(ControllerNode.class);
+    private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
     /**
      * How long another node's word holds that the state service serves it; a few probes of the
      * balancer.
      */
-    private static final Duration SERVED_FOR = Duration.ofSeconds(3);
+    private static final Duration PEER_REACHES_STORE_VALIDITY = Duration.ofSeconds(3);
 
     /**
      * How long a report waits here for a leader to be known; well below the 4 s that a worker waits
@@ -54,87 +56,95 @@
      * each time on a new connection, while these have to find a leader; and the new one would hear
      * of most of them late.
      */
-    private static final Duration MOST_ORPHANED = Duration.ofMillis(2500);
+    private static final Duration MAX_LEADER_WAIT = Duration.ofMillis(2500);
 
-    private static final Duration SWEEP = Duration.ofMillis(500);
+    private static final Duration SWEEP_INTERVAL = Duration.ofMillis(500);
 
     /**
      * Workers that a deaf node asks whether they can be reached again, and how often; one answer
      * will do.
      */
-    private static final int MOST_ASKED = 3;
+    private static final int MAX_WORKERS_PROBED = 3;
 
-    private static final Duration LISTEN_AGAIN = Duration.ofSeconds(4);
+    private static final Duration WORKER_PROBE_INTERVAL = Duration.ofSeconds(4);
 
     /** How often a node looks how late it comes to its own work. */
-    private static final Duration LOAD_CHECK = Duration.ofMillis(500);
+    private static final Duration LOAD_CHECK_INTERVAL = Duration.ofMillis(500);
 
     /** Later than this a node is short of time; a pause of the collector is shorter. */
-    private static final Duration LATE = Duration.ofMillis(300);
+    private static final Duration LATE_THRESHOLD = Duration.ofMillis(300);
 
     /**
      * Looks in a row that were late before a leader sends users elsewhere, about what the
      * balancer's probes need.
      */
-    private static final int LATE_LOOKS = 3;
+    private static final int LATE_CHECKS_BEFORE_SHEDDING = 3;
 
     /** For how long it does; the balancer lets no node back sooner than after a few seconds. */
-    private static final Duration SHED_FOR = Duration.ofSeconds(10);
+    private static final Duration LOAD_SHEDDING_DURATION = Duration.ofSeconds(10);
 
     private final EventLoop loop;
     private final KeyValueStore store;
-    private final Workers workers;
-    private final Cloud cloud;
-    private final Platform platform;
+    private final WorkerGateway workerGateway;
+    private final CloudProvider cloudProvider;
+    private final DeploymentSettings deploymentSettings;
     private final MachineTypeCatalog machineTypeCatalog;
     private final JobEventListeners jobEventListeners;
-    private final CalendarSettings calendar;
+    private final ReservationSettings reservationSettings;
     private final Leadership leadership;
-    private final Peers peers;
-    private final HeldReports orphans = new HeldReports();
-    private final Earshot earshot = new Earshot();
+    private final PeerGateway peerGateway;
+    private final DeferredHeartbeats heartbeatsAwaitingLeader = new DeferredHeartbeats();
+    private final Earshot heartbeatTracker = new Earshot();
 
     /** Null unless this node keeps warm what a successor needs. */
     private final WarmStandby warmStandby;
 
-    private Leader leader;
+    private LeaderService leaderService;
     private boolean sweeping;
-    private MonotonicTime othersServedAt;
+    private MonotonicTime peerReachedStoreAt;
     private boolean closed;
-    private boolean cloudSilent;
-    private int lateLooks;
-    private MonotonicTime shedUntil;
+    private boolean cloudFailureLogged;
+    private int consecutiveLateChecks;
+    private MonotonicTime sheddingUntil;
 
-    public Node(
+    public ControllerNode(
             EventLoop loop,
             KeyValueStore store,
-            Workers workers,
-            Cloud cloud,
-            Peers peers,
-            Platform platform,
+            WorkerGateway workerGateway,
+            CloudProvider cloudProvider,
+            PeerGateway peerGateway,
+            DeploymentSettings deploymentSettings,
             MachineTypeCatalog machineTypeCatalog,
             JobEventListeners jobEventListeners,
-            CalendarSettings calendar,
+            ReservationSettings calendar,
             StandbySettings standbySettings,
             RandomGenerator random) {
-        this.calendar = calendar;
+        this.reservationSettings = calendar;
         this.jobEventListeners = jobEventListeners;
         this.loop = loop;
         this.store = store;
-        this.workers = workers;
-        this.cloud = cloud;
-        this.platform = platform;
+        this.workerGateway = workerGateway;
+        this.cloudProvider = cloudProvider;
+        this.deploymentSettings = deploymentSettings;
         this.machineTypeCatalog = machineTypeCatalog;
-        this.peers = peers;
-        this.leadership = new Leadership(store, loop, peers, platform, earshot, random, this);
+        this.peerGateway = peerGateway;
+        this.leadership =
+                new Leadership(
+                        store,
+                        loop,
+                        peerGateway,
+                        deploymentSettings,
+                        heartbeatTracker,
+                        random,
+                        this);
         this.warmStandby =
                 standbySettings.enabled()
                         ? new WarmStandby(
                                 loop,
                                 store,
-                                peers,
-                                new NodeStatus(
-                                        platform.member(),
+                                peerGateway,
+                                new ControllerStatus(
+                                        deploymentSettings.member(),
                                         random.nextLong(),
                                         standbySettings.zone(),
                                         standbySettings.programVersion(),
@@ -150,8 +160,8 @@
         if (warmStandby != null) {
             warmStandby.start();
         }
-        readTypes();
-        watchState();
+        loadMachineTypes();
+        probeStoreDuringOutage();
         watchLoad(loop.now());
     }
 
@@ -165,32 +175,34 @@
             return;
         }
         MonotonicTime now = loop.now();
-        boolean late = now.elapsedSince(last).compareTo(LOAD_CHECK.plus(LATE)) > 0;
+        boolean late =
+                now.elapsedSince(last).compareTo(LOAD_CHECK_INTERVAL.plus(LATE_THRESHOLD)) > 0;
         boolean ask;
         synchronized (this) {
-            lateLooks = late ? lateLooks + 1 : 0;
-            if (lateLooks >= LATE_LOOKS && leader != null) {
-                if (shedUntil == null || shedUntil.isBefore(now)) {
+            consecutiveLateChecks = late ? consecutiveLateChecks + 1 : 0;
+            if (consecutiveLateChecks >= LATE_CHECKS_BEFORE_SHEDDING && leaderService != null) {
+                if (sheddingUntil == null || sheddingUntil.isBefore(now)) {
                     LOG.info(
                             "this node leads and is short of time: users are sent to others for {} s",
-                            SHED_FOR.toSeconds());
+                            LOAD_SHEDDING_DURATION.toSeconds());
                 }
-                shedUntil = now.plus(SHED_FOR);
+                sheddingUntil = now.plus(LOAD_SHEDDING_DURATION);
             }
-            ask = shedUntil != null && now.isBefore(shedUntil);
+            ask = sheddingUntil != null && now.isBefore(sheddingUntil);
         }
         if (ask) {
-            askOthers();
+            askPeersAboutStore();
         }
-        loop.schedule(LOAD_CHECK, () -> watchLoad(now));
+        loop.schedule(LOAD_CHECK_INTERVAL, () -> watchLoad(now));
     }
 
-    private void askOthers() {
-        peers.anyServed()
+    private void askPeersAboutStore() {
+        peerGateway
+                .anyPeerReachesStore()
                 .thenAccept(
                         served -> {
                             if (served) {
-                                othersServed();
+                                onPeerReachesStore();
                             }
                         });
     }
@@ -199,19 +211,19 @@
      * While the state service does not serve this node: whether it is back, and whether it serves
      * others.
      */
-    private void watchState() {
+    private void probeStoreDuringOutage() {
         if (isClosed()) {
             return;
         }
-        loop.schedule(RETRY, this::watchState);
+        loop.schedule(RETRY_DELAY, this::probeStoreDuringOutage);
         if (store.seemsUnavailable()) {
             store.get(RecordCodec.FENCING_TOKEN_KEY, RequestPriority.BACKGROUND);
-            askOthers();
+            askPeersAboutStore();
         }
     }
 
-    private synchronized void othersServed() {
-        othersServedAt = loop.now();
+    private synchronized void onPeerReachesStore() {
+        peerReachedStoreAt = loop.now();
     }
 
     /**
@@ -219,16 +231,22 @@
      * others; in an outage for all it stays, for a node that leaves is let back late. A leader that
      * is short of time sends them to the others as well, for reports and its lease come first.
      */
-    public synchronized boolean isReady() {
-        boolean shedding = leader != null && shedUntil != null && loop.now().isBefore(shedUntil);
+    public synchronized boolean isReadyForUsers() {
+        boolean shedding =
+                leaderService != null
+                        && sheddingUntil != null
+                        && loop.now().isBefore(sheddingUntil);
         return !machineTypeCatalog.isEmpty()
                 && !((store.seemsUnavailable() || shedding)
-                        && othersServedAt != null
-                        && loop.now().elapsedSince(othersServedAt).compareTo(SERVED_FOR) < 0);
+                        && peerReachedStoreAt != null
+                        && loop.now()
+                                        .elapsedSince(peerReachedStoreAt)
+                                        .compareTo(PEER_REACHES_STORE_VALIDITY)
+                                < 0);
     }
 
     /** The types as an earlier node noted them, so that a node can start while the cloud is out. */
-    private void readTypes() {
+    private void loadMachineTypes() {
         store.get(RecordCodec.MACHINE_TYPES_KEY, RequestPriority.USER)
                 .whenComplete(
                         (entry, failure) -> {
@@ -236,7 +254,7 @@
                                 return;
                             }
                             if (failure != null) {
-                                loop.schedule(RETRY, this::readTypes);
+                                loop.schedule(RETRY_DELAY, this::loadMachineTypes);
                             } else if (entry.isPresent()) {
                                 machineTypeCatalog.replaceAll(
                                         RecordCodec.types(entry.get().value()));
@@ -244,26 +262,27 @@
                                         "the state service names {} machine types",
                                         RecordCodec.types(entry.get().value()).size());
                             } else {
-                                askTypes();
+                                fetchMachineTypes();
                             }
                         });
     }
 
-    private void askTypes() {
-        cloud.types()
+    private void fetchMachineTypes() {
+        cloudProvider
+                .listMachineTypes()
                 .whenComplete(
                         (types, failure) -> {
                             if (isClosed()) {
                                 return;
                             }
                             if (failure != null || types.isEmpty()) {
-                                if (!cloudSilent) {
+                                if (!cloudFailureLogged) {
                                     LOG.info(
                                             "the cloud does not name its machine types: {}; trying on",
                                             failure == null ? "it has none" : failure.getMessage());
                                 }
-                                cloudSilent = true;
-                                loop.schedule(RETRY, this::readTypes);
+                                cloudFailureLogged = true;
+                                loop.schedule(RETRY_DELAY, this::loadMachineTypes);
                                 return;
                             }
                             machineTypeCatalog.replaceAll(types);
@@ -286,31 +305,31 @@
     @Override
     public void elected(
             FencingToken fencingToken, Revision leaderVersion, MonotonicTime noticedAt) {
-        Leader begun =
-                new Leader(
+        LeaderService begun =
+                new LeaderService(
                         loop,
                         store,
-                        workers,
-                        cloud,
-                        peers,
-                        platform,
+                        workerGateway,
+                        cloudProvider,
+                        peerGateway,
+                        deploymentSettings,
                         machineTypeCatalog,
                         leadership,
                         fencingToken,
                         leaderVersion,
                         jobEventListeners,
-                        calendar,
+                        reservationSettings,
                         warmStandby == null ? HandoverState.EMPTY : warmStandby.handOver(),
                         noticedAt);
         synchronized (this) {
-            if (leader != null) {
-                leader.close();
+            if (leaderService != null) {
+                leaderService.close();
             }
-            leader = begun;
+            leaderService = begun;
         }
         begun.start();
-        for (HeldReports.Held each : takeOrphans()) {
-            begun.report(each.report()).thenAccept(each.answer()::complete);
+        for (DeferredHeartbeats.DeferredHeartbeat each : takeHeartbeatsAwaitingLeader()) {
+            begun.handleHeartbeat(each.heartbeat()).thenAccept(each.response()::complete);
         }
     }
 
@@ -318,30 +337,34 @@
     public void leadershipLost(String why) {
         List<String> addresses = List.of();
         synchronized (this) {
-            if (leader != null) {
-                addresses = leadership.isIsolated() ? leader.someAddresses(MOST_ASKED) : addresses;
-                leader.close();
-                leader = null;
+            if (leaderService != null) {
+                addresses =
+                        leadership.isIsolated()
+                                ? leaderService.sampleAddresses(MAX_WORKERS_PROBED)
+                                : addresses;
+                leaderService.close();
+                leaderService = null;
             }
         }
         if (warmStandby != null && !isClosed()) {
             warmStandby.start();
         }
-        listenAgain(addresses);
+        probeWorkersWhileIsolated(addresses);
     }
 
     /**
      * While this node is deaf: whether some workers answer it again, since none comes to a node
      * that does not lead.
      */
-    private void listenAgain(List<String> addresses) {
+    private void probeWorkersWhileIsolated(List<String> addresses) {
         if (isClosed() || addresses.isEmpty() || !leadership.isIsolated()) {
             return;
         }
         FencingToken shown = leadership.fencingToken();
         addresses.forEach(
                 address ->
-                        workers.send(address, shown, new WorkerIncarnation(1), List.of())
+                        workerGateway
+                                .sendCommands(address, shown, new WorkerIncarnation(1), List.of())
                                 .thenAccept(
                                         heartbeat -> {
                                             LOG.info(
@@ -349,12 +372,12 @@
                                                     heartbeat.machineId());
                                             leadership.restoreWorkerContact();
                                         }));
-        loop.schedule(LISTEN_AGAIN, () -> listenAgain(addresses));
+        loop.schedule(WORKER_PROBE_INTERVAL, () -> probeWorkersWhileIsolated(addresses));
     }
 
     /** Whether this node leads and misses the reports of more workers than fail by themselves. */
-    public boolean isHardOfHearing() {
-        Leader now = leader();
+    public boolean isMissingHeartbeats() {
+        LeaderService now = leader();
         return now != null && !now.hearsWell();
     }
 
@@ -362,22 +385,22 @@
      * What this node's tables have come to know, for a standby that asks; empty if it does not
      * lead.
      */
-    public Optional<TableDelta> tables(TableQuestion question) {
-        Leader now = leader();
-        return now == null ? Optional.empty() : now.tables(question);
+    public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest question) {
+        LeaderService now = leader();
+        return now == null ? Optional.empty() : now.riskTableDelta(question);
     }
 
     /**
      * The digests of the records as this node knows them; empty if it does not lead, or has not
      * loaded them.
      */
-    public Optional<RecordDigests> digests() {
-        Leader now = leader();
-        return now == null ? Optional.empty() : now.digests();
+    public Optional<RecordDigests> recordDigests() {
+        LeaderService now = leader();
+        return now == null ? Optional.empty() : now.recordDigests();
     }
 
     /** Records that audits found wrong in what this node follows. */
-    public long wrongRecords() {
+    public long divergentRecordCount() {
         return warmStandby == null ? 0 : warmStandby.mismatchedRecordCount();
     }
 
@@ -385,87 +408,89 @@
      * Gives the lease to the standby that could take over best, because this node is about to end.
      */
     public void handOver() {
-        Leader now = leader();
+        LeaderService now = leader();
         if (now != null) {
-            leadership.handOver(now.heir().orElse(null));
+            leadership.handOver(now.preferredSuccessor().orElse(null));
         }
     }
 
     /** Whether this node leads. */
-    public boolean leads() {
+    public boolean isLeader() {
         return leader() != null;
     }
 
     /** Those of some machines whose reports have come to this node within a time. */
-    public Set<MachineId> heardAmong(List<MachineId> machines, Duration within) {
-        return earshot.among(machines, within, loop.now());
+    public Set<MachineId> recentlyHeardMachines(List<MachineId> machines, Duration within) {
+        return heartbeatTracker.among(machines, within, loop.now());
     }
 
-    private synchronized Leader leader() {
-        return leader;
+    private synchronized LeaderService leader() {
+        return leaderService;
     }
 
     /**
      * Answers a worker's report, or sends it to the leader; while none is known, the worker waits a
      * little.
      */
-    public CompletableFuture<Answer> report(Heartbeat heartbeat) {
-        earshot.heard(heartbeat.machineId(), loop.now());
+    public CompletableFuture<HeartbeatResponse> handleHeartbeat(Heartbeat heartbeat) {
+        heartbeatTracker.heard(heartbeat.machineId(), loop.now());
         if (leadership.isIsolated()) {
             leadership.restoreWorkerContact();
         }
-        Leader now = leader();
+        LeaderService now = leader();
         if (now != null) {
-            return now.report(heartbeat);
+            return now.handleHeartbeat(heartbeat);
         }
         leadership.observeToken(heartbeat.fencingToken(), null);
         boolean mayBeGone =
                 leadership.recordWorkerArrival(heartbeat.machineId(), heartbeat.fencingToken());
         String other = leadership.lastKnownLeader();
-        boolean known = other != null && !platform.member().equals(other) && !mayBeGone;
+        boolean known = other != null && !deploymentSettings.member().equals(other) && !mayBeGone;
         if (known || store.seemsUnavailable()) {
-            return CompletableFuture.completedFuture(new Answer.Elsewhere(known ? other : null));
+            return CompletableFuture.completedFuture(
+                    new HeartbeatResponse.Redirect(known ? other : null));
         }
-        return orphaned(heartbeat);
+        return deferUntilLeaderKnown(heartbeat);
     }
 
-    private synchronized CompletableFuture<Answer> orphaned(Heartbeat heartbeat) {
+    private synchronized CompletableFuture<HeartbeatResponse> deferUntilLeaderKnown(
+            Heartbeat heartbeat) {
         if (!sweeping) {
             sweeping = true;
-            loop.schedule(SWEEP, this::sweepOrphans);
+            loop.schedule(SWEEP_INTERVAL, this::redirectExpired);
         }
-        return orphans.hold(heartbeat, loop.now().plus(MOST_ORPHANED));
+        return heartbeatsAwaitingLeader.defer(heartbeat, loop.now().plus(MAX_LEADER_WAIT));
     }
 
-    private void sweepOrphans() {
-        List<HeldReports.Held> due;
+    private void redirectExpired() {
+        List<DeferredHeartbeats.DeferredHeartbeat> due;
         synchronized (this) {
-            due = orphans.due(loop.now());
-            sweeping = !closed && !orphans.isEmpty();
+            due = heartbeatsAwaitingLeader.takeDue(loop.now());
+            sweeping = !closed && !heartbeatsAwaitingLeader.isEmpty();
             if (sweeping) {
-                loop.schedule(SWEEP, this::sweepOrphans);
+                loop.schedule(SWEEP_INTERVAL, this::redirectExpired);
             }
         }
-        HeldReports.sendOn(due, null);
+        DeferredHeartbeats.redirectAll(due, null);
     }
 
-    private synchronized List<HeldReports.Held> takeOrphans() {
-        return orphans.takeAll();
+    private synchronized List<DeferredHeartbeats.DeferredHeartbeat> takeHeartbeatsAwaitingLeader() {
+        return heartbeatsAwaitingLeader.takeAll();
     }
 
     @Override
     public void following(String other) {
-        boolean isOther = !platform.member().equals(other);
-        HeldReports.sendOn(takeOrphans(), isOther ? other : null);
+        boolean isOther = !deploymentSettings.member().equals(other);
+        DeferredHeartbeats.redirectAll(takeHeartbeatsAwaitingLeader(), isOther ? other : null);
     }
 
-    public void heardOf(FencingToken fencingToken, String member) {
+    public void observeLeader(FencingToken fencingToken, String member) {
         leadership.observeToken(fencingToken, member);
     }
 
-    public Optional<Admission.JobState> counts(JobId id) {
-        Leader now = leader();
-        return now == null ? Optional.empty() : now.counts(id);
+    public Optional<Admission.JobState> liveJobState(JobId id) {
+        LeaderService now = leader();
+        return now == null ? Optional.empty() : now.liveJobState(id);
     }
 
     public synchronized void close() {
@@ -473,9 +498,9 @@
         if (warmStandby != null) {
             warmStandby.close();
         }
-        if (leader != null) {
-            leader.close();
+        if (leaderService != null) {
+            leaderService.close();
         }
-        HeldReports.sendOn(orphans.takeAll(), null);
+        DeferredHeartbeats.redirectAll(heartbeatsAwaitingLeader.takeAll(), null);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/Reconciliation.java
+++ b/src/main/java/org/meadowhollow/coordination/HeartbeatReconciler.java
@@ -26,39 +26,39 @@
  * Compares what a worker reports with what the records say, and finds the orders that bring them
  * together. Guarded by the leader's lock.
  */
-final class Reconciliation {
-    private static final Logger LOG = LoggerFactory.getLogger(Reconciliation.class);
+final class HeartbeatReconciler {
+    private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReconciler.class);
 
     /** Orders in one answer; keeps it below the protocol's 64 KiB. */
-    private static final int MOST_ORDERS = 400;
+    private static final int MAX_COMMANDS = 400;
 
-    private final Leader leader;
+    private final LeaderService leaderService;
     private final Cluster cluster;
-    private final ImageNotes images;
+    private final ImageCacheRecorder imageCacheRecorder;
     private final Leadership leadership;
     private final FencingToken fencingToken;
     private final HandoverState handoverState;
-    private final RiskTablePublisher feed;
+    private final RiskTablePublisher riskTablePublisher;
 
-    Reconciliation(
-            Leader leader,
+    HeartbeatReconciler(
+            LeaderService leaderService,
             Cluster cluster,
-            ImageNotes images,
+            ImageCacheRecorder images,
             Leadership leadership,
             FencingToken fencingToken,
             HandoverState handoverState,
             RiskTablePublisher feed) {
-        this.leader = leader;
+        this.leaderService = leaderService;
         this.cluster = cluster;
-        this.images = images;
+        this.imageCacheRecorder = images;
         this.leadership = leadership;
         this.fencingToken = fencingToken;
         this.handoverState = handoverState;
-        this.feed = feed;
+        this.riskTablePublisher = feed;
     }
 
     /** Takes a report's news in; false if it is older than what is known. */
-    boolean take(Machine machine, Heartbeat heartbeat, MonotonicTime now) {
+    boolean applyHeartbeat(Machine machine, Heartbeat heartbeat, MonotonicTime now) {
         if (machine.incarnation() != null
                 && !heartbeat.isNewerThan(machine.incarnation(), machine.lastSequenceNumber())) {
             return false;
@@ -69,7 +69,7 @@
                     .ifPresent(table -> cluster.risks().put(machine.id(), table));
         }
         machine.recordHeartbeat(heartbeat);
-        if (!leader.isLoaded()) {
+        if (!leaderService.isLoaded()) {
             return true;
         }
         if (!Double.isNaN(heartbeat.preemptionNoticeSeconds())
@@ -96,7 +96,7 @@
                     // the next one will tell.
                     continue;
                 }
-                leader.lost(machine, placement, "the worker's lease ran out", now);
+                leaderService.lost(machine, placement, "the worker's lease ran out", now);
             } else if (placement.incarnation().isAfter(heartbeat.incarnation())) {
                 if (heartbeat.fencingToken().equals(fencingToken)
                         && heartbeat.sequenceNumber() > placement.startSentSequenceNumber()) {
@@ -104,15 +104,15 @@
                     // and sessions only grow: the
                     // machine has begun anew. Without this its task would be waited for, and its
                     // job with it, for ever.
-                    leader.lost(machine, placement, "its machine has begun anew", now);
+                    leaderService.lost(machine, placement, "its machine has begun anew", now);
                 }
                 // Otherwise it is a copy from before the placement: the same attempt of a gang may
                 // have ended here then.
             } else if (taskStatus != null
                     && taskStatus.attemptNumber().equals(placement.attemptNumber())) {
                 if (taskStatus.state() == TaskState.EXITED
-                        && isOver(placement, taskStatus.exitReason(), heartbeat)) {
-                    leader.exited(machine, placement, taskStatus.exitReason(), now);
+                        && isFinalExit(placement, taskStatus.exitReason(), heartbeat)) {
+                    leaderService.onTaskExited(machine, placement, taskStatus.exitReason(), now);
                 } else {
                     if (placement.reportedState() != taskStatus.state()) {
                         LOG.debug(
@@ -123,11 +123,11 @@
                     }
                     placement.reportedState(taskStatus.state(), now);
                     if (taskStatus.state() == TaskState.RUNNING) {
-                        leader.began(placement);
+                        leaderService.onTaskRunning(placement);
                     }
                     if (taskStatus.state() != TaskState.PULLING_IMAGE
                             && taskStatus.state() != TaskState.EXITED) {
-                        images.has(
+                        imageCacheRecorder.recordCachedImage(
                                 machine,
                                 placement.job().spec().image(),
                                 placement.job().spec().imageSizeGb());
@@ -151,7 +151,7 @@
                                 machine.allocated().dominantShareOf(machine.type().capacity()),
                                 machine.takeLostTaskCount(),
                                 now);
-        feed.recordSample(machine, sample, now);
+        riskTablePublisher.recordSample(machine, sample, now);
         return true;
     }
 
@@ -165,14 +165,14 @@
         return null;
     }
 
-    List<WorkerCommand> orders(Machine machine, Heartbeat heartbeat, MonotonicTime now) {
+    List<WorkerCommand> commandsFor(Machine machine, Heartbeat heartbeat, MonotonicTime now) {
         List<WorkerCommand> orders = new ArrayList<>();
         Map<TaskId, Heartbeat.TaskStatus> listed = new HashMap<>();
         // All that is listed counts as listed, however many orders there is room for: what seems
         // not to be there is let go.
         heartbeat.tasks().forEach(taskStatus -> listed.put(taskStatus.taskId(), taskStatus));
         for (Heartbeat.TaskStatus taskStatus : heartbeat.tasks()) {
-            if (orders.size() >= MOST_ORDERS) {
+            if (orders.size() >= MAX_COMMANDS) {
                 break;
             }
             Placement placement = placementOf(machine, taskStatus);
@@ -216,10 +216,10 @@
                 continue;
             }
             if (placement.isStopping() || placement.job().isCancelled()) {
-                if (neverStarts(placement, machine, heartbeat)) {
-                    leader.remove(machine, placement, now, true);
+                if (canNeverStart(placement, machine, heartbeat)) {
+                    leaderService.removePlacement(machine, placement, now, true);
                 }
-            } else if (orders.size() < MOST_ORDERS && mayStart(placement, machine, heartbeat)) {
+            } else if (orders.size() < MAX_COMMANDS && mayStart(placement, machine, heartbeat)) {
                 placement.recordStartSent(heartbeat.sequenceNumber());
                 orders.add(WorkerCommand.start(placement.taskId(), placement.attemptNumber()));
             }
@@ -233,7 +233,7 @@
      * report without the task proves that no answer with its start will be heeded, once the worker
      * has shown our token, which shuts out the answers of earlier leaders.
      */
-    private boolean neverStarts(Placement placement, Machine machine, Heartbeat heartbeat) {
+    private boolean canNeverStart(Placement placement, Machine machine, Heartbeat heartbeat) {
         return heartbeat.fencingToken().equals(fencingToken)
                 && heartbeat.incarnation().equals(placement.incarnation())
                 && heartbeat.sequenceNumber() > placement.startSentSequenceNumber()
@@ -250,7 +250,7 @@
                 && placement.isCommitted()
                 && !machine.releasing()
                 && placement.incarnation().equals(heartbeat.incarnation())
-                && wholeGangCommitted(placement);
+                && isWholeGangCommitted(placement);
     }
 
     /**
@@ -260,7 +260,7 @@
      * Where it is not wanted any more, its exit is proof only if nobody can have taken it back: an
      * old report that reached the next leader first let a cancelled gang end while it ran.
      */
-    private boolean isOver(Placement placement, ExitReason exitReason, Heartbeat heartbeat) {
+    private boolean isFinalExit(Placement placement, ExitReason exitReason, Heartbeat heartbeat) {
         if (exitReason != ExitReason.ALONE) {
             return true;
         }
@@ -269,7 +269,7 @@
                 && heartbeat.sequenceNumber() > placement.startSentSequenceNumber();
     }
 
-    private static boolean wholeGangCommitted(Placement placement) {
+    private static boolean isWholeGangCommitted(Placement placement) {
         if (placement.job().spec().kind() != JobKind.GANG) {
             return true;
         }
--- a/src/main/java/org/meadowhollow/coordination/Leader.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderService.java
@@ -13,6 +13,13 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.Collectors;
 import org.meadowhollow.coordination.admission.Admission;
+import org.meadowhollow.coordination.api.CloudProvider;
+import org.meadowhollow.coordination.api.DeploymentSettings;
+import org.meadowhollow.coordination.api.HeartbeatResponse;
+import org.meadowhollow.coordination.api.PeerGateway;
+import org.meadowhollow.coordination.api.RiskTableDelta;
+import org.meadowhollow.coordination.api.RiskTableRequest;
+import org.meadowhollow.coordination.api.WorkerGateway;
 import org.meadowhollow.coordination.failover.FailoverPreconditions;
 import org.meadowhollow.coordination.failover.FailoverTimeline;
 import org.meadowhollow.coordination.failover.HandoverState;
@@ -32,12 +39,7 @@
 import org.meadowhollow.coordination.placement.PlacementRound;
 import org.meadowhollow.coordination.placement.RoomMaker;
 import org.meadowhollow.coordination.placement.Snapshot;
-import org.meadowhollow.coordination.platform.Cloud;
-import org.meadowhollow.coordination.platform.Peers;
-import org.meadowhollow.coordination.platform.Platform;
-import org.meadowhollow.coordination.platform.TableDelta;
-import org.meadowhollow.coordination.platform.TableQuestion;
-import org.meadowhollow.coordination.platform.Workers;
+import org.meadowhollow.coordination.reservation.ReservationSettings;
 import org.meadowhollow.coordination.serving.Served;
 import org.meadowhollow.model.AttemptNumber;
 import org.meadowhollow.model.EventLoop;
@@ -75,236 +77,266 @@
  * One leadership: everything that the leader of one term knows and does. A new term begins with a
  * new object, so nothing that an old term believed can leak into it.
  */
-final class Leader implements RecordWriter.Listener, TermHolder {
-    private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
+final class LeaderService implements RecordWriter.Listener, TermHolder {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaderService.class);
 
     /** The design's round. */
-    private static final Duration ROUND = Duration.ofSeconds(1);
+    private static final Duration ROUND_INTERVAL = Duration.ofSeconds(1);
 
     /** Jobs in a round for which others are stopped: what is stopped must be seen to help first. */
-    private static final int MOST_PREEMPTING = 4;
+    private static final int MAX_PREEMPTING_JOBS = 4;
 
     /**
      * Jobs in a round for which idle work is stopped; each is a look at all machines, and what is
      * stopped saves first.
      */
-    private static final int MOST_MAKING_ROOM = 8;
+    private static final int MAX_JOBS_DISPLACING_BEST_EFFORT = 8;
 
     /**
      * How long a report of a machine with room is held: less than the three quarters of a report's
      * interval after which the next goes out, and well below the 4 s that a worker waits for its
      * answer.
      */
-    private static final double HOLD_REPORTS = 0.6;
+    private static final double DEFERRAL_SHARE_OF_INTERVAL = 0.6;
 
-    private static final Duration MOST_HOLD = Duration.ofMillis(2500);
+    private static final Duration MAX_DEFERRAL = Duration.ofMillis(2500);
 
     /**
      * How long a report waits while no lease may be renewed, below the 4 s that a worker waits.
      * Sent on at once, hundreds of workers went round all nodes every second throughout an outage.
      */
-    private static final Duration MOST_EARLY = Duration.ofSeconds(3);
+    private static final Duration MAX_FRESHNESS_WAIT = Duration.ofSeconds(3);
 
     /**
      * Direct answers that can overtake a report on its way: one for each task that is stopped
      * meanwhile.
      */
-    private static final int MOST_OVERTAKEN = 16;
+    private static final int MAX_OVERTAKEN_HEARTBEATS = 16;
 
-    private static final Duration HOLD_SWEEP = Duration.ofMillis(250);
+    private static final Duration DEFERRAL_SWEEP_INTERVAL = Duration.ofMillis(250);
 
     /** Reports come up to a quarter late, and a worker turns to the next node a second later. */
-    private static final double LATEST_REPORT = 1.25;
+    private static final double LATEST_HEARTBEAT_FACTOR = 1.25;
 
-    private static final double NEXT_NODE_S = 1;
+    private static final double NEXT_NODE_SECONDS = 1;
 
     /**
      * The share of the known machines whose reports make a full round. Among hundreds some are
      * always hung, dead or about to be taken, and are listed for long after; waiting for them took
      * each takeover the whole time.
      */
-    private static final double NEARLY_ALL = 0.9;
+    private static final double FULL_ROUND_SHARE = 0.9;
 
     /**
      * The share of the machines that the last leader heard of which a warm leader's first round
      * needs. Most of them have waited at this node for a leader; for the rest it knows the tables
      * and what may run there.
      */
-    private static final double ENOUGH = 0.5;
+    private static final double WARM_FIRST_ROUND_SHARE = 0.5;
 
     /**
      * After the state service did not say which tables are noted there; until it does, none is
      * written over.
      */
-    private static final Duration READ_AGAIN = Duration.ofSeconds(2);
+    private static final Duration SNAPSHOT_READ_RETRY = Duration.ofSeconds(2);
 
     /** How often a warm leader looks whether its first round can be. */
-    private static final Duration EARLY = Duration.ofMillis(200);
+    private static final Duration WARM_CHECK_INTERVAL = Duration.ofMillis(200);
 
     /** Failures of a job's tasks after which it has to wait before the next start. */
-    private static final int FAILURES_BEFORE_HOLD = 3;
+    private static final int FAILURES_BEFORE_BACKOFF = 3;
 
-    private static final int MOST_HOLD_S = 60;
+    private static final int MAX_BACKOFF_SECONDS = 60;
 
     /** Failures of different tasks on a machine after which it counts as faulty. */
-    private static final int FAULTY_AFTER = 3;
+    private static final int FAILURES_BEFORE_CORDON = 3;
 
     private final EventLoop loop;
     private final KeyValueStore store;
-    private final Workers workers;
-    private final Platform platform;
+    private final WorkerGateway workerGateway;
+    private final DeploymentSettings deploymentSettings;
     private final MachineTypeCatalog machineTypeCatalog;
     private final Leadership leadership;
-    private final Fleet fleet;
+    private final Fleet autoscaler;
     private final RecordWriter recordWriter;
-    private final ImageNotes images;
-    private final HeldReports held = new HeldReports();
+    private final ImageCacheRecorder imageCacheRecorder;
+    private final DeferredHeartbeats deferredHeartbeats = new DeferredHeartbeats();
 
     /** Those that came while this leader did not know which jobs are cancelled. */
-    private final HeldReports early = new HeldReports();
+    private final DeferredHeartbeats early = new DeferredHeartbeats();
 
     private final FencingToken fencingToken;
-    private final MonotonicTime begunAt;
+    private final MonotonicTime startedAt;
     private final Cluster cluster;
     private final Map<JobId, Job> jobs;
     private final Map<MachineId, Machine> machines;
-    private final Aims aims;
-    private final RoomMaker rooms;
-    private final Loading loading;
-    private final SilenceWatch silence;
-    private final Reconciliation reconciliation;
-    private final FailureDetector detector;
-    private final GivingUp givingUp;
-    private final CalendarKeeper calendar;
-    private final Revision leaderVersion;
+    private final Aims objectives;
+    private final RoomMaker preemptionPlanner;
+    private final StateRecovery stateRecovery;
+    private final SilenceWatch heartbeatTimeoutMonitor;
+    private final HeartbeatReconciler heartbeatReconciler;
+    private final FailureDetector failureDetector;
+    private final GivingUp unreachableReturnPolicy;
+    private final ReservationEnforcer reservationEnforcer;
+    private final Revision leaderKeyRevision;
     private final HandoverState handoverState;
     private final FailoverTimeline failoverTimeline;
-    private final RiskTablePublisher feed;
-    private final RiskTableSnapshotStore snapshots;
-    private final Membership members = new Membership();
-    private final Object2IntOpenHashMap<MachineId> faults = new Object2IntOpenHashMap<>();
-    private final Expected expected = new Expected();
-    private final Served served = new Served();
+    private final RiskTablePublisher riskTablePublisher;
+    private final RiskTableSnapshotStore riskTableSnapshots;
+    private final Membership membership = new Membership();
+    private final Object2IntOpenHashMap<MachineId> failuresByMachine =
+            new Object2IntOpenHashMap<>();
+    private final Expected arrivalForecast = new Expected();
+    private final Served fairnessMetrics = new Served();
     private boolean listed;
-    private boolean gathered;
-    private boolean begun;
+    private boolean fullRoundGathered;
+    private boolean firstRoundAllowed;
 
     /**
      * Whether all tables are here that there are: a snapshot of fewer would take the place of a
      * better one.
      */
-    private boolean tablesSettled;
+    private boolean riskTablesSettled;
 
-    private boolean tablesAsked;
+    private boolean riskTablesRequested;
     private boolean closed;
-    private long byTable;
-    private long byRoom;
+    private long placedByRisk;
+    private long placedByCapacity;
 
-    public Leader(
+    public LeaderService(
             EventLoop loop,
             KeyValueStore store,
-            Workers workers,
-            Cloud cloud,
-            Peers peers,
-            Platform platform,
+            WorkerGateway workerGateway,
+            CloudProvider cloudProvider,
+            PeerGateway peerGateway,
+            DeploymentSettings deploymentSettings,
             MachineTypeCatalog machineTypeCatalog,
             Leadership leadership,
             FencingToken fencingToken,
             Revision leaderVersion,
             JobEventListeners jobEventListeners,
-            CalendarSettings calendarSettings,
+            ReservationSettings reservationSettings,
             HandoverState handoverState,
             MonotonicTime noticedAt) {
         this.loop = loop;
         this.store = store;
-        this.workers = workers;
-        this.platform = platform;
+        this.workerGateway = workerGateway;
+        this.deploymentSettings = deploymentSettings;
         this.machineTypeCatalog = machineTypeCatalog;
         this.leadership = leadership;
         this.fencingToken = fencingToken;
-        this.leaderVersion = leaderVersion;
+        this.leaderKeyRevision = leaderVersion;
         this.handoverState = handoverState;
-        this.begunAt = loop.now();
-        this.failoverTimeline = new FailoverTimeline(fencingToken, noticedAt, begunAt);
-        this.feed = new RiskTablePublisher(fencingToken, handoverState.isWarm());
-        this.snapshots =
+        this.startedAt = loop.now();
+        this.failoverTimeline = new FailoverTimeline(fencingToken, noticedAt, startedAt);
+        this.riskTablePublisher = new RiskTablePublisher(fencingToken, handoverState.isWarm());
+        this.riskTableSnapshots =
                 new RiskTableSnapshotStore(
-                        store, leaderVersion, platform.txnOps(), platform.valueBytes());
-        this.cluster = new Cluster(platform, fencingToken);
+                        store,
+                        leaderVersion,
+                        deploymentSettings.maxTransactionOperations(),
+                        deploymentSettings.maxValueBytes());
+        this.cluster = new Cluster(deploymentSettings, fencingToken);
         this.jobs = cluster.jobs();
         this.machines = cluster.machines();
-        this.aims = new Aims(platform, machineTypeCatalog);
-        this.rooms = new RoomMaker(cluster, platform, aims);
+        this.objectives = new Aims(deploymentSettings, machineTypeCatalog);
+        this.preemptionPlanner = new RoomMaker(cluster, deploymentSettings, objectives);
         this.recordWriter =
                 new RecordWriter(
-                        store, loop, platform.txnOps(), leaderVersion, jobEventListeners, this);
-        this.images = new ImageNotes(store, leaderVersion, platform);
-        this.loading =
-                new Loading(
+                        store,
+                        loop,
+                        deploymentSettings.maxTransactionOperations(),
+                        leaderVersion,
+                        jobEventListeners,
+                        this);
+        this.imageCacheRecorder = new ImageCacheRecorder(store, leaderVersion, deploymentSettings);
+        this.stateRecovery =
+                new StateRecovery(
                         this,
                         store,
                         loop,
                         cluster,
-                        aims,
-                        expected,
+                        objectives,
+                        arrivalForecast,
                         recordWriter,
-                        images,
+                        imageCacheRecorder,
                         fencingToken,
                         leaderVersion,
                         handoverState,
                         failoverTimeline);
-        this.silence = new SilenceWatch(this, cluster, platform, fencingToken, begunAt);
-        this.reconciliation =
-                new Reconciliation(
-                        this, cluster, images, leadership, fencingToken, handoverState, feed);
-        this.detector =
-                new FailureDetector(this, cluster, platform, loop, peers, leadership, begunAt);
-        this.givingUp = new GivingUp(detector, platform);
-        this.calendar =
-                new CalendarKeeper(
+        this.heartbeatTimeoutMonitor =
+                new SilenceWatch(this, cluster, deploymentSettings, fencingToken, startedAt);
+        this.heartbeatReconciler =
+                new HeartbeatReconciler(
+                        this,
+                        cluster,
+                        imageCacheRecorder,
+                        leadership,
+                        fencingToken,
+                        handoverState,
+                        riskTablePublisher);
+        this.failureDetector =
+                new FailureDetector(
+                        this,
+                        cluster,
+                        deploymentSettings,
+                        loop,
+                        peerGateway,
+                        leadership,
+                        startedAt);
+        this.unreachableReturnPolicy = new GivingUp(failureDetector, deploymentSettings);
+        this.reservationEnforcer =
+                new ReservationEnforcer(
                         this,
                         cluster,
-                        aims,
+                        objectives,
                         machineTypeCatalog,
-                        platform,
+                        deploymentSettings,
                         store,
                         loop,
-                        calendarSettings);
-        this.fleet =
-                new Fleet(this, cloud, platform, machineTypeCatalog, loop, fencingToken, givingUp);
+                        reservationSettings);
+        this.autoscaler =
+                new Fleet(
+                        this,
+                        cloudProvider,
+                        deploymentSettings,
+                        machineTypeCatalog,
+                        loop,
+                        fencingToken,
+                        unreachableReturnPolicy);
     }
 
     /** Loads all live jobs, then begins its rounds. */
     public void start() {
-        loading.start();
-        calendar.start();
-        fleet.start();
-        loop.schedule(ROUND, this::round);
+        stateRecovery.start();
+        reservationEnforcer.start();
+        autoscaler.start();
+        loop.schedule(ROUND_INTERVAL, this::runRound);
         if (handoverState.isWarm()) {
-            loop.schedule(EARLY, this::early);
+            loop.schedule(WARM_CHECK_INTERVAL, this::early);
         }
-        loop.schedule(HOLD_SWEEP, this::sweepHeld);
+        loop.schedule(DEFERRAL_SWEEP_INTERVAL, this::sweepDeferred);
     }
 
     public void close() {
-        List<HeldReports.Held> unanswered;
+        List<DeferredHeartbeats.DeferredHeartbeat> unanswered;
         synchronized (this) {
             closed = true;
             recordWriter.close();
-            fleet.close();
-            unanswered = new ArrayList<>(held.takeAll());
+            autoscaler.close();
+            unanswered = new ArrayList<>(deferredHeartbeats.takeAll());
             unanswered.addAll(early.takeAll());
         }
         // Whoever leads now may renew their leases; this leader must not.
-        HeldReports.sendOn(unanswered, null);
+        DeferredHeartbeats.redirectAll(unanswered, null);
     }
 
     /** A job was taken in, from a user or from the records. */
-    void came(Job job) {
-        served.came(job.spec());
+    void onJobAdmitted(Job job) {
+        fairnessMetrics.came(job.spec());
     }
 
-    void keepUp() {
+    void renewLeadershipIfDue() {
         leadership.renewIfDue();
     }
 
@@ -318,7 +350,7 @@
     @Override
     public synchronized void onJobEndPersisted(Job job) {
         jobs.remove(job.id());
-        served.ended(
+        fairnessMetrics.ended(
                 job.spec(),
                 job.isCancelled(),
                 (loop.wallClockMillis() - job.acceptedAtMillis()) / 1000.0);
@@ -336,7 +368,7 @@
                                     return;
                                 }
                                 if (entry.isPresent()) {
-                                    loading.takeJob(
+                                    stateRecovery.applyJobRecord(
                                             entry.get().key(),
                                             entry.get().value(),
                                             entry.get().revision());
@@ -362,37 +394,39 @@
      * room. While this leader cannot know of all cancellations nothing is answered that would renew
      * a lease, so reports wait until it does, or for as long as they can.
      */
-    public synchronized CompletableFuture<Answer> report(Heartbeat heartbeat) {
+    public synchronized CompletableFuture<HeartbeatResponse> handleHeartbeat(Heartbeat heartbeat) {
         MonotonicTime now = loop.now();
         leadership.renewIfDue();
         if (heartbeat.fencingToken().isAfter(fencingToken)) {
             leadership.observeToken(heartbeat.fencingToken(), null);
             return CompletableFuture.completedFuture(
-                    new Answer.Elsewhere(leadership.lastKnownLeader()));
+                    new HeartbeatResponse.Redirect(leadership.lastKnownLeader()));
         }
         if (!leadership.canRenewWorkerLeases()) {
-            return early.hold(heartbeat, now.plus(MOST_EARLY));
+            return early.defer(heartbeat, now.plus(MAX_FRESHNESS_WAIT));
         }
-        Machine machine = machine(heartbeat);
+        Machine machine = findOrRegister(heartbeat);
         if (machine == null) {
             // What is not known as a machine gets no orders, so its lease is not renewed either.
-            return CompletableFuture.completedFuture(new Answer.Elsewhere(null));
+            return CompletableFuture.completedFuture(new HeartbeatResponse.Redirect(null));
         }
-        if (!reconciliation.take(machine, heartbeat, now)) {
-            return CompletableFuture.completedFuture(stale(machine, heartbeat, now));
+        if (!heartbeatReconciler.applyHeartbeat(machine, heartbeat, now)) {
+            return CompletableFuture.completedFuture(
+                    respondToStaleHeartbeat(machine, heartbeat, now));
         }
-        held.drop(heartbeat.machineId());
-        givingUp.reported(machine, now);
+        deferredHeartbeats.discardEarlier(heartbeat.machineId());
+        unreachableReturnPolicy.reported(machine, now);
         machine.recordAnsweredHeartbeat(now);
-        List<WorkerCommand> orders = reconciliation.orders(machine, heartbeat, now);
+        List<WorkerCommand> orders = heartbeatReconciler.commandsFor(machine, heartbeat, now);
         recordWriter.flush();
         if (orders.isEmpty()
                 && leadership.canDecide()
                 && machine.hasFreeCapacity()
                 && cluster.usable(machine, now)) {
-            return held.hold(heartbeat, now.plus(holdFor()));
+            return deferredHeartbeats.defer(heartbeat, now.plus(deferralTime()));
         }
-        return CompletableFuture.completedFuture(new Answer.Orders(fencingToken, orders));
+        return CompletableFuture.completedFuture(
+                new HeartbeatResponse.Commands(fencingToken, orders));
     }
 
     /**
@@ -401,44 +435,50 @@
      * comes from a machine that has begun anew: its lease must not be renewed, for its tasks are
      * taken for lost by its silence.
      */
-    private Answer stale(Machine machine, Heartbeat heartbeat, MonotonicTime now) {
+    private HeartbeatResponse respondToStaleHeartbeat(
+            Machine machine, Heartbeat heartbeat, MonotonicTime now) {
         if (heartbeat.fencingToken().equals(fencingToken)
                 && heartbeat.incarnation().equals(machine.incarnation())
-                && machine.lastSequenceNumber() - heartbeat.sequenceNumber() <= MOST_OVERTAKEN) {
+                && machine.lastSequenceNumber() - heartbeat.sequenceNumber()
+                        <= MAX_OVERTAKEN_HEARTBEATS) {
             machine.recordContact(now);
-            return new Answer.Orders(fencingToken, List.of());
+            return new HeartbeatResponse.Commands(fencingToken, List.of());
         }
-        return new Answer.Elsewhere(null);
+        return new HeartbeatResponse.Redirect(null);
     }
 
-    private Duration holdFor() {
-        Duration share = Duration.ofNanos((long) (platform.reportEvery().toNanos() * HOLD_REPORTS));
-        return share.compareTo(MOST_HOLD) < 0 ? share : MOST_HOLD;
+    private Duration deferralTime() {
+        Duration share =
+                Duration.ofNanos(
+                        (long)
+                                (deploymentSettings.heartbeatInterval().toNanos()
+                                        * DEFERRAL_SHARE_OF_INTERVAL));
+        return share.compareTo(MAX_DEFERRAL) < 0 ? share : MAX_DEFERRAL;
     }
 
-    private void sweepHeld() {
-        List<HeldReports.Held> due;
-        List<HeldReports.Held> tooEarly;
+    private void sweepDeferred() {
+        List<DeferredHeartbeats.DeferredHeartbeat> due;
+        List<DeferredHeartbeats.DeferredHeartbeat> tooEarly;
         synchronized (this) {
             if (closed) {
                 return;
             }
-            due = held.due(loop.now());
-            tooEarly = early.due(loop.now());
+            due = deferredHeartbeats.takeDue(loop.now());
+            tooEarly = early.takeDue(loop.now());
         }
-        loop.schedule(HOLD_SWEEP, this::sweepHeld);
-        due.forEach(this::answer);
-        tooEarly.forEach(this::sendOn);
+        loop.schedule(DEFERRAL_SWEEP_INTERVAL, this::sweepDeferred);
+        due.forEach(this::answerDeferred);
+        tooEarly.forEach(this::applyAndRedirect);
     }
 
     /** Sends a worker on whose lease may not be renewed; what it reports is news all the same. */
-    private void sendOn(HeldReports.Held waited) {
+    private void applyAndRedirect(DeferredHeartbeats.DeferredHeartbeat waited) {
         synchronized (this) {
             MonotonicTime now = loop.now();
-            Machine machine = closed ? null : machine(waited.report());
-            takeNews(machine, waited.report(), now);
+            Machine machine = closed ? null : findOrRegister(waited.heartbeat());
+            applyWithoutLeaseRenewal(machine, waited.heartbeat(), now);
         }
-        waited.answer().complete(new Answer.Elsewhere(null));
+        waited.response().complete(new HeartbeatResponse.Redirect(null));
     }
 
     /**
@@ -447,63 +487,65 @@
      *
      * @param upTo when the request was sent whose answer showed the last of them
      */
-    synchronized void knows(MonotonicTime upTo) {
+    synchronized void onCancellationsKnownUpTo(MonotonicTime upTo) {
         leadership.advanceFreshness(fencingToken, upTo);
         if (!early.isEmpty()) {
-            loop.schedule(Duration.ZERO, this::answerEarly);
+            loop.schedule(Duration.ZERO, this::answerThoseAwaitingFreshness);
         }
     }
 
-    private void answerEarly() {
-        List<HeldReports.Held> waiting;
+    private void answerThoseAwaitingFreshness() {
+        List<DeferredHeartbeats.DeferredHeartbeat> waiting;
         synchronized (this) {
             waiting = early.takeAll();
         }
-        waiting.forEach(each -> report(each.report()).thenAccept(each.answer()::complete));
+        waiting.forEach(
+                each -> handleHeartbeat(each.heartbeat()).thenAccept(each.response()::complete));
     }
 
     /** Answers a report that was held, with the orders that there are by now. */
-    private void answer(HeldReports.Held late) {
-        Answer.Orders answer;
+    private void answerDeferred(DeferredHeartbeats.DeferredHeartbeat late) {
+        HeartbeatResponse.Commands answer;
         synchronized (this) {
-            Machine machine = machines.get(late.report().machineId());
+            Machine machine = machines.get(late.heartbeat().machineId());
             answer =
-                    new Answer.Orders(
+                    new HeartbeatResponse.Commands(
                             fencingToken,
                             closed || machine == null
                                     ? List.of()
-                                    : reconciliation.orders(machine, late.report(), loop.now()));
+                                    : heartbeatReconciler.commandsFor(
+                                            machine, late.heartbeat(), loop.now()));
             recordWriter.flush();
         }
-        late.answer().complete(answer);
+        late.response().complete(answer);
     }
 
     @Override
     public void onTasksPersisted(Job job) {
-        List<HeldReports.Held> waiting = new ArrayList<>();
+        List<DeferredHeartbeats.DeferredHeartbeat> waiting = new ArrayList<>();
         synchronized (this) {
             for (Placement placement : job.placements()) {
-                HeldReports.Held report =
+                DeferredHeartbeats.DeferredHeartbeat report =
                         placement.startSentSequenceNumber() < 0 && placement.isCommitted()
-                                ? held.take(placement.machineId())
+                                ? deferredHeartbeats.take(placement.machineId())
                                 : null;
                 if (report != null) {
                     waiting.add(report);
                 }
             }
         }
-        waiting.forEach(this::answer);
+        waiting.forEach(this::answerDeferred);
     }
 
-    private Machine machine(Heartbeat heartbeat) {
+    private Machine findOrRegister(Heartbeat heartbeat) {
         Machine machine = machines.get(heartbeat.machineId());
         if (machine == null) {
             MachineType type = machineTypeCatalog.typeNamed(heartbeat.machineType());
-            if (type == null || fleet.isGone(heartbeat.machineId())) {
+            if (type == null || autoscaler.isGone(heartbeat.machineId())) {
                 return null;
             }
             machine =
-                    add(
+                    registerMachine(
                             new Machine(
                                     heartbeat.machineId(),
                                     type,
@@ -514,22 +556,24 @@
         return machine;
     }
 
-    private Machine add(Machine machine) {
+    private Machine registerMachine(Machine machine) {
         machine.knownSince(loop.now());
         cluster.add(machine);
-        images.met(machine);
+        imageCacheRecorder.onMachineRegistered(machine);
         return machine;
     }
 
     // ---- the end of placements ----
 
-    void exited(Machine machine, Placement placement, ExitReason exitReason, MonotonicTime now) {
+    void onTaskExited(
+            Machine machine, Placement placement, ExitReason exitReason, MonotonicTime now) {
         Job job = placement.job();
         int task = placement.taskId().index();
         if (exitReason == ExitReason.DONE) {
             job.resetFailures();
             if (placement.runningSince() != null) {
-                calendar.ran(job.spec(), now.secondsSince(placement.runningSince()));
+                reservationEnforcer.recordRuntime(
+                        job.spec(), now.secondsSince(placement.runningSince()));
             }
             if (job.spec().kind() == JobKind.GANG) {
                 // The tasks of a gang complete together, so one that is done speaks for all.
@@ -549,15 +593,15 @@
             if (exitReason == ExitReason.ERROR
                     || exitReason == ExitReason.UNKNOWN
                     || exitReason == ExitReason.NO_ROOM) {
-                failed(machine, job, exitReason, now);
+                onTaskFailed(machine, job, exitReason, now);
             }
         }
-        attemptOver(
+        recordAttemptEnd(
                 placement,
                 exitReason == ExitReason.STOPPED
                         ? SecondaryRecord.PREEMPTED_REASON
                         : exitReason.name());
-        long change = remove(machine, placement, now, true);
+        long change = removePlacement(machine, placement, now, true);
         machine.unpersistedExits()
                 .put(
                         placement.taskId(),
@@ -568,15 +612,21 @@
         }
     }
 
-    private void failed(Machine machine, Job job, ExitReason exitReason, MonotonicTime now) {
+    private void onTaskFailed(Machine machine, Job job, ExitReason exitReason, MonotonicTime now) {
         int failures = job.recordTaskFailure(machine.id());
-        if (failures >= FAILURES_BEFORE_HOLD) {
-            int hold = Math.min(MOST_HOLD_S, 1 << Math.min(10, failures - FAILURES_BEFORE_HOLD));
+        if (failures >= FAILURES_BEFORE_BACKOFF) {
+            int hold =
+                    Math.min(
+                            MAX_BACKOFF_SECONDS,
+                            1 << Math.min(10, failures - FAILURES_BEFORE_BACKOFF));
             job.backoffUntil(now.plus(Duration.ofSeconds(hold)));
         } else if (exitReason == ExitReason.ERROR
-                && faults.addTo(machine.id(), 1) + 1 >= FAULTY_AFTER
+                && failuresByMachine.addTo(machine.id(), 1) + 1 >= FAILURES_BEFORE_CORDON
                 && !machine.isUnschedulable()) {
-            LOG.info("machine {} is taken out: {} tasks failed on it", machine.id(), FAULTY_AFTER);
+            LOG.info(
+                    "machine {} is taken out: {} tasks failed on it",
+                    machine.id(),
+                    FAILURES_BEFORE_CORDON);
             machine.cordon();
         }
     }
@@ -593,10 +643,10 @@
             machine.recordLostTasks(1);
         }
         boolean taken = machine != null && machine.preemptionDeadline() != null;
-        attemptOver(
+        recordAttemptEnd(
                 placement, taken ? SecondaryRecord.PREEMPTED_REASON : SecondaryRecord.LOST_REASON);
         // A gang that has not begun waits on for a replacement with the attempt's number.
-        remove(
+        removePlacement(
                 machine,
                 placement,
                 now,
@@ -604,7 +654,7 @@
     }
 
     /** Notes the end of an attempt for those who ask about the job through another interface. */
-    private void attemptOver(Placement placement, String cause) {
+    private void recordAttemptEnd(Placement placement, String cause) {
         SecondaryRecord secondaryRecord = placement.job().secondaryRecord();
         if (secondaryRecord != null) {
             secondaryRecord.recordAttemptEnd(
@@ -613,8 +663,8 @@
     }
 
     /** A worker has reported a task as running. */
-    void began(Placement placement) {
-        served.began(placement.job().spec());
+    void onTaskRunning(Placement placement) {
+        fairnessMetrics.began(placement.job().spec());
         SecondaryRecord secondaryRecord = placement.job().secondaryRecord();
         if (secondaryRecord != null
                 && secondaryRecord.recordStart(placement.attemptNumber(), loop.wallClockMillis())) {
@@ -629,7 +679,7 @@
             // Its other tasks were lost before this leader heard that the gang had begun, so the
             // attempt cannot be completed;
             // it would keep its machine, and the gang would wait, for ever.
-            stopOthers(job, new TaskId(job.id(), job.nextPendingTask(0)));
+            stopRestOfGang(job, new TaskId(job.id(), job.nextPendingTask(0)));
         }
     }
 
@@ -637,7 +687,8 @@
      * @param endsAttempt whether a gang's attempt is over with this task; its others must then be
      *     gone before the next
      */
-    long remove(Machine machine, Placement placement, MonotonicTime now, boolean endsAttempt) {
+    long removePlacement(
+            Machine machine, Placement placement, MonotonicTime now, boolean endsAttempt) {
         if (machine != null) {
             machine.placements().remove(placement);
         }
@@ -646,7 +697,7 @@
         job.pendingSince(now);
         recordWriter.markDirty(job.shardOfTask(placement.taskId().index()));
         if (endsAttempt && job.spec().kind() == JobKind.GANG && !job.isComplete()) {
-            stopOthers(job, placement.taskId());
+            stopRestOfGang(job, placement.taskId());
         }
         if ((job.isCancelled() || job.hasExhaustedAttempts()) && job.placements().isEmpty()) {
             recordWriter.endPending(job);
@@ -654,17 +705,17 @@
         return change;
     }
 
-    private void stopOthers(Job gang, TaskId lost) {
+    private void stopRestOfGang(Job gang, TaskId lost) {
         for (Placement other : List.copyOf(gang.placements())) {
             if (!other.isStopping()) {
-                stop(other, 0, "its gang lost task " + lost);
+                stopTask(other, 0, "its gang lost task " + lost);
             }
         }
     }
 
-    void stopAll(Job job, double graceS, String why) {
+    void stopAllTasks(Job job, double graceS, String why) {
         for (Placement placement : List.copyOf(job.placements())) {
-            stop(placement, graceS, why);
+            stopTask(placement, graceS, why);
         }
         if (job.placements().isEmpty()) {
             recordWriter.endPending(job);
@@ -672,7 +723,7 @@
         }
     }
 
-    private void stop(Placement placement, double graceS, String why) {
+    private void stopTask(Placement placement, double graceS, String why) {
         MonotonicTime now = loop.now();
         if (!placement.isStopping()) {
             LOG.info(
@@ -686,7 +737,7 @@
         Machine machine = machines.get(placement.machineId());
         if (!placement.isCommitted()) {
             // Its start was never sent and cannot be: nothing to wait for.
-            remove(machine, placement, now, true);
+            removePlacement(machine, placement, now, true);
             return;
         }
         if (machine != null && machine.address() != null) {
@@ -704,11 +755,12 @@
             Machine machine, WorkerIncarnation workerIncarnation, List<WorkerCommand> orders) {
         WorkerIncarnation knownSession = machine.incarnation();
         long knownSeq = machine.lastSequenceNumber();
-        workers.send(machine.address(), fencingToken, workerIncarnation, orders)
+        workerGateway
+                .sendCommands(machine.address(), fencingToken, workerIncarnation, orders)
                 .whenComplete(
                         (heartbeat, failure) -> {
                             if (failure == null) {
-                                direct(heartbeat, machine, knownSession, knownSeq);
+                                onDirectResponse(heartbeat, machine, knownSession, knownSeq);
                             }
                         });
     }
@@ -719,7 +771,7 @@
      * @param knownSession of the machine that was asked, when it was, or null
      * @param knownSeq the number of its latest report then
      */
-    private synchronized void direct(
+    private synchronized void onDirectResponse(
             Heartbeat heartbeat, Machine asked, WorkerIncarnation knownSession, long knownSeq) {
         if (closed) {
             return;
@@ -729,13 +781,13 @@
             return;
         }
         MonotonicTime now = loop.now();
-        Machine machine = machine(heartbeat);
+        Machine machine = findOrRegister(heartbeat);
         if (machine == asked
                 && knownSession != null
                 && !heartbeat.isNewerThan(knownSession, knownSeq)) {
-            begunAnew(machine, now);
+            onIncarnationReset(machine, now);
         } else {
-            takeNews(machine, heartbeat, now);
+            applyWithoutLeaseRenewal(machine, heartbeat, now);
         }
     }
 
@@ -743,9 +795,9 @@
      * Takes in a report that renews no lease, unless it is of no machine known here or older than
      * what is known.
      */
-    private void takeNews(Machine machine, Heartbeat heartbeat, MonotonicTime now) {
-        if (machine != null && reconciliation.take(machine, heartbeat, now)) {
-            givingUp.reported(machine, now);
+    private void applyWithoutLeaseRenewal(Machine machine, Heartbeat heartbeat, MonotonicTime now) {
+        if (machine != null && heartbeatReconciler.applyHeartbeat(machine, heartbeat, now)) {
+            unreachableReturnPolicy.reported(machine, now);
             machine.recordContact(now);
             recordWriter.flush();
         }
@@ -758,7 +810,7 @@
      * returned, which proves all of them gone. Without this all its reports counted as copies, it
      * as silent, and a leader most of whose machines were back in this way as deaf.
      */
-    private static void begunAnew(Machine machine, MonotonicTime now) {
+    private static void onIncarnationReset(Machine machine, MonotonicTime now) {
         if (!machine.isIncarnationReset()) {
             LOG.info("machine {} has begun anew and is to be returned", machine.id());
             machine.markIncarnationReset();
@@ -768,32 +820,33 @@
 
     // ---- rounds ----
 
-    private void round() {
+    private void runRound() {
         synchronized (this) {
             if (closed) {
                 return;
             }
-            loop.schedule(ROUND, this::round);
-            if (!loading.isDone()) {
+            loop.schedule(ROUND_INTERVAL, this::runRound);
+            if (!stateRecovery.isComplete()) {
                 return;
             }
             MonotonicTime now = loop.now();
             leadership.renewIfDue();
-            detector.round(now);
-            silence.round(now);
-            if (mayDecide(now)) {
-                place(now);
+            failureDetector.round(now);
+            heartbeatTimeoutMonitor.round(now);
+            if (maySchedule(now)) {
+                scheduleRound(now);
             }
-            served.account(
+            fairnessMetrics
+                    .account(
                             jobs.values(),
                             now,
                             loop.wallClockMillis(),
                             job -> cluster.waitsFor(job, now))
                     .forEach(LOG::info);
             recordWriter.flush();
-            images.write(machines.values(), now);
-            if (tablesSettled && leadership.canDecide()) {
-                snapshots.writeNext(
+            imageCacheRecorder.writeIfDue(machines.values(), now);
+            if (riskTablesSettled && leadership.canDecide()) {
+                riskTableSnapshots.writeNext(
                         () ->
                                 RiskTablePublisher.exportAll(
                                         cluster.machines(), cluster.risks(), now),
@@ -802,8 +855,8 @@
                         loop.wallClockMillis());
             }
         }
-        detector.act();
-        fleet.act();
+        failureDetector.act();
+        autoscaler.act();
     }
 
     /**
@@ -816,31 +869,31 @@
                 return;
             }
             MonotonicTime now = loop.now();
-            if (loading.isDone() && !begun && mayDecide(now)) {
-                place(now);
+            if (stateRecovery.isComplete() && !firstRoundAllowed && maySchedule(now)) {
+                scheduleRound(now);
                 recordWriter.flush();
             }
-            if (!begun) {
-                loop.schedule(EARLY, this::early);
+            if (!firstRoundAllowed) {
+                loop.schedule(WARM_CHECK_INTERVAL, this::early);
             }
-            if (!loading.isDone() || tablesAsked) {
+            if (!stateRecovery.isComplete() || riskTablesRequested) {
                 return;
             }
-            tablesAsked = true;
-            tablesSettled = !handoverState.hasNoTables();
+            riskTablesRequested = true;
+            riskTablesSettled = !handoverState.hasNoTables();
         }
-        if (!tablesSettled()) {
-            readNotedTables();
+        if (!riskTablesSettled()) {
+            readStoredRiskTables();
         }
     }
 
-    private void readNotedTables() {
+    private void readStoredRiskTables() {
         RiskTableSnapshotStore.read(store, loop)
                 .whenComplete(
                         (read, failure) -> {
                             if (failure != null) {
                                 if (!isClosed()) {
-                                    loop.schedule(READ_AGAIN, this::readNotedTables);
+                                    loop.schedule(SNAPSHOT_READ_RETRY, this::readStoredRiskTables);
                                 }
                                 return;
                             }
@@ -849,25 +902,25 @@
                                         snapshot ->
                                                 handoverState.snapshotTables(snapshot, loop.now()));
                             }
-                            handOverNoted();
+                            restoreStoredRiskTables();
                         });
     }
 
-    private synchronized boolean tablesSettled() {
-        return tablesSettled;
+    private synchronized boolean riskTablesSettled() {
+        return riskTablesSettled;
     }
 
     /** Hands over what was noted in the state service, some tables at a time. */
-    private void handOverNoted() {
+    private void restoreStoredRiskTables() {
         synchronized (this) {
             leadership.renewIfDue();
             if (closed) {
                 return;
             }
             if (handoverState.handOverSnapshotTables(machines, cluster.risks(), loop.now())) {
-                loop.schedule(EARLY, this::handOverNoted);
+                loop.schedule(WARM_CHECK_INTERVAL, this::restoreStoredRiskTables);
             } else {
-                tablesSettled = true;
+                riskTablesSettled = true;
                 LOG.info(
                         "{} tables of machines were noted in the state service and go on",
                         handoverState.inheritedTableCount());
@@ -879,9 +932,9 @@
      * Whether a round may decide: for the first one all checks hold, for later ones those that can
      * fail again.
      */
-    private boolean mayDecide(MonotonicTime now) {
-        if (begun) {
-            return mayAct() && calendar.isReady();
+    private boolean maySchedule(MonotonicTime now) {
+        if (firstRoundAllowed) {
+            return mayAct() && reservationEnforcer.isReady();
         }
         Set<FailoverPreconditions.Precondition> failing =
                 FailoverPreconditions.findUnmet(
@@ -889,19 +942,19 @@
                                 leadership.canDecide(),
                                 fencingToken,
                                 leadership.highestObservedToken(),
-                                leaderVersion,
-                                loading.revision(),
+                                leaderKeyRevision,
+                                stateRecovery.recoveredRevision(),
                                 !machineTypeCatalog.isEmpty(),
-                                calendar.isReady(),
-                                detector.hearing() != Deafness.Hearing.DEAF,
-                                heard(),
-                                needed(now)));
+                                reservationEnforcer.isReady(),
+                                failureDetector.hearing() != Deafness.Hearing.DEAF,
+                                heardMachineCount(),
+                                heartbeatsNeeded(now)));
         failoverTimeline.onPreconditionsUnmet(failing);
-        begun = failing.isEmpty();
-        return begun;
+        firstRoundAllowed = failing.isEmpty();
+        return firstRoundAllowed;
     }
 
-    private int heard() {
+    private int heardMachineCount() {
         return (int)
                 machines.values().stream()
                         .filter(machine -> machine.lastContactAt() != null)
@@ -912,12 +965,14 @@
      * Machines whose reports the first round needs; what then is only placed, and not rented or
      * made room for.
      */
-    private int needed(MonotonicTime now) {
-        if (hasGathered(now)) {
+    private int heartbeatsNeeded(MonotonicTime now) {
+        if (hasGatheredFullRound(now)) {
             return 0;
         }
         int awaited = handoverState.countExpectedMachines(now);
-        return awaited == 0 ? Integer.MAX_VALUE : (int) Math.ceil(ENOUGH * (awaited + heard()));
+        return awaited == 0
+                ? Integer.MAX_VALUE
+                : (int) Math.ceil(WARM_FIRST_ROUND_SHARE * (awaited + heardMachineCount()));
     }
 
     /**
@@ -927,22 +982,22 @@
      */
     @Override
     public synchronized boolean mayAct() {
-        return leadership.canDecide() && detector.hearing() != Deafness.Hearing.DEAF;
+        return leadership.canDecide() && failureDetector.hearing() != Deafness.Hearing.DEAF;
     }
 
     /** Whether what is silent is so for its own reasons, as far as can be told. */
     @Override
     public synchronized boolean hearsWell() {
-        return detector.hearing() == Deafness.Hearing.GOOD;
+        return failureDetector.hearing() == Deafness.Hearing.GOOD;
     }
 
     @Override
     public synchronized boolean isSilent(Machine machine, MonotonicTime now) {
-        return detector.isLate(machine, now);
+        return failureDetector.isLate(machine, now);
     }
 
     /** Some workers' addresses, to see later whether this node hears them again. */
-    synchronized List<String> someAddresses(int most) {
+    synchronized List<String> sampleAddresses(int most) {
         return machines.values().stream()
                 .map(Machine::address)
                 .filter(Objects::nonNull)
@@ -955,18 +1010,20 @@
      * from the few machines that happened to report first. What was listed but is silent is not
      * waited for any longer.
      */
-    private boolean hasGathered(MonotonicTime now) {
-        if (!gathered) {
-            double reportS = platform.reportEvery().toNanos() / 1e9;
-            gathered =
-                    now.secondsSince(begunAt) > reportS * LATEST_REPORT + NEXT_NODE_S
+    private boolean hasGatheredFullRound(MonotonicTime now) {
+        if (!fullRoundGathered) {
+            double reportS = deploymentSettings.heartbeatInterval().toNanos() / 1e9;
+            fullRoundGathered =
+                    now.secondsSince(startedAt)
+                                    > reportS * LATEST_HEARTBEAT_FACTOR + NEXT_NODE_SECONDS
                             || listed && nearlyAllHeard();
         }
-        return gathered;
+        return fullRoundGathered;
     }
 
     private boolean nearlyAllHeard() {
-        return heard() >= NEARLY_ALL * (machines.size() + cluster.unseen().size());
+        return heardMachineCount()
+                >= FULL_ROUND_SHARE * (machines.size() + cluster.unseen().size());
     }
 
     /** Stops a task so that it can save what it did. */
@@ -976,17 +1033,17 @@
         if (job.spec().kind() == JobKind.GANG) {
             // An orderly stop saves only if all tasks hear of it together.
             for (Placement each : List.copyOf(job.placements())) {
-                stop(each, job.spec().checkpointDurationSeconds(), why);
+                stopTask(each, job.spec().checkpointDurationSeconds(), why);
             }
         } else {
-            stop(placement, job.spec().checkpointDurationSeconds(), why);
+            stopTask(placement, job.spec().checkpointDurationSeconds(), why);
         }
     }
 
-    private void place(MonotonicTime now) {
-        boolean full = hasGathered(now);
-        calendar.look(now);
-        Snapshot snapshot = new Snapshot(cluster, platform, aims, now);
+    private void scheduleRound(MonotonicTime now) {
+        boolean full = hasGatheredFullRound(now);
+        reservationEnforcer.refreshView(now);
+        Snapshot snapshot = new Snapshot(cluster, deploymentSettings, objectives, now);
         Map<Boolean, List<PlacementRound.Waiting>> byIdle =
                 snapshot.waiting().stream()
                         .collect(
@@ -994,10 +1051,11 @@
                                         waiting -> waiting.spec().priority() == Priority.LOW));
         PlacementRound.Outcome outcome =
                 PlacementRound.run(
-                        snapshot.seats(), snapshot.shares(), byIdle.get(false), mostJobs());
-        carryOut(outcome.decisions(), now);
+                        snapshot.seats(), snapshot.shares(), byIdle.get(false), maxJobsPerRound());
+        applyPlacements(outcome.decisions(), now);
         List<Fleet.Need> likelyNeeds = new ArrayList<>();
-        Set<MachineId> reserved = full ? reserve(snapshot, likelyNeeds, now) : Set.of();
+        Set<MachineId> reserved =
+                full ? reserveForPredictedJobs(snapshot, likelyNeeds, now) : Set.of();
         // Idle work takes what neither others nor those that are likely to come need: it would soon
         // be stopped again.
         PlacementRound.Outcome idleOutcome =
@@ -1005,12 +1063,12 @@
                         snapshot.seats(),
                         snapshot.shares(),
                         byIdle.get(true),
-                        Math.max(0, recordsInRound() - recordWriter.dirtyShardCount()));
-        carryOut(idleOutcome.decisions(), now);
+                        Math.max(0, recordWritesPerRound() - recordWriter.dirtyShardCount()));
+        applyPlacements(idleOutcome.decisions(), now);
         if (!failoverTimeline.isLogged()) {
             failoverTimeline.onFirstRound(
-                    heard(),
-                    needed(now),
+                    heardMachineCount(),
+                    heartbeatsNeeded(now),
                     outcome.decisions().size() + idleOutcome.decisions().size(),
                     now);
         }
@@ -1023,7 +1081,7 @@
         List<Fleet.Need> needs = new ArrayList<>();
         int preempting = 0;
         int makingRoom = 0;
-        long idle = idleTasks();
+        long idle = bestEffortTaskCount();
         for (PlacementRound.Waiting waiting : snapshot.waiting()) {
             Integer count =
                     (waiting.spec().priority() == Priority.LOW ? idleOutcome : outcome)
@@ -1033,8 +1091,9 @@
                 continue;
             }
             Job job = jobs.get(waiting.spec().id());
-            if (idle > 0 && makingRoom < MOST_MAKING_ROOM) {
-                List<Placement> victims = rooms.idleVictims(job, waiting.zones(), count, now);
+            if (idle > 0 && makingRoom < MAX_JOBS_DISPLACING_BEST_EFFORT) {
+                List<Placement> victims =
+                        preemptionPlanner.idleVictims(job, waiting.zones(), count, now);
                 if (!victims.isEmpty()) {
                     victims.forEach(
                             victim -> stopSaving(victim, "idle work gives way to " + job.id()));
@@ -1047,12 +1106,13 @@
                     new Fleet.Need(
                             job.spec(),
                             count,
-                            onlyZone(waiting),
+                            requiredZone(waiting),
                             (loop.wallClockMillis() - job.acceptedAtMillis()) / 1000.0));
-            giveUpIncomplete(job, now);
-            if (preempting < MOST_PREEMPTING) {
+            abandonIncompleteGang(job, now);
+            if (preempting < MAX_PREEMPTING_JOBS) {
                 List<Placement> victims =
-                        rooms.victims(job, waiting.zones(), snapshot.isGuaranteed(job.id()), now);
+                        preemptionPlanner.victims(
+                                job, waiting.zones(), snapshot.isGuaranteed(job.id()), now);
                 victims.forEach(victim -> stopSaving(victim, "room is needed for " + job.id()));
                 if (!victims.isEmpty()) {
                     job.lastPreemptionAt(now);
@@ -1060,15 +1120,15 @@
                 }
             }
         }
-        calendar.carryOut(now);
+        reservationEnforcer.enforce(now);
         needs.addAll(likelyNeeds);
         reserved.addAll(cluster.outlook().kept());
-        needs.addAll(calendar.needs());
-        fleet.needs(needs, reserved);
+        needs.addAll(reservationEnforcer.capacityDemand());
+        autoscaler.needs(needs, reserved);
     }
 
     /** Notes what a round decided; the starts go out once their records are written. */
-    private void carryOut(List<PlacementRound.Decision> decisions, MonotonicTime now) {
+    private void applyPlacements(List<PlacementRound.Decision> decisions, MonotonicTime now) {
         Map<JobId, AttemptNumber> attempts = new HashMap<>();
         for (PlacementRound.Decision decision : decisions) {
             Job job = jobs.get(decision.spec().id());
@@ -1092,9 +1152,9 @@
             machine.idleSince(null);
             recordWriter.markDirty(job.shardOfTask(decision.task()));
             if (decision.byTable()) {
-                byTable++;
+                placedByRisk++;
             } else {
-                byRoom++;
+                placedByCapacity++;
             }
             LOG.debug(
                     "task {} attempt {} goes to {} by {}",
@@ -1107,8 +1167,8 @@
             LOG.info(
                     "placed {} tasks; so far {} by risk, {} by room alone",
                     decisions.size(),
-                    byTable,
-                    byRoom);
+                    placedByRisk,
+                    placedByCapacity);
         }
     }
 
@@ -1117,9 +1177,10 @@
      * finds none is rented for. Returns the machines that it would take, which are not to be
      * returned.
      */
-    private Set<MachineId> reserve(Snapshot left, List<Fleet.Need> needs, MonotonicTime now) {
+    private Set<MachineId> reserveForPredictedJobs(
+            Snapshot left, List<Fleet.Need> needs, MonotonicTime now) {
         List<PlacementRound.Waiting> likely = new ArrayList<>();
-        for (JobSpec spec : expected.likely(now)) {
+        for (JobSpec spec : arrivalForecast.likely(now)) {
             int[] tasks = new int[spec.taskCount()];
             likely.add(
                     new PlacementRound.Waiting(spec, tasks, new Object2IntOpenHashMap<>(), true));
@@ -1138,24 +1199,24 @@
     }
 
     /** Jobs to place in a round: what a round decides should be written before the next one. */
-    private int mostJobs() {
-        return Math.max(0, recordsInRound() - recordWriter.urgentDirtyShardCount());
+    private int maxJobsPerRound() {
+        return Math.max(0, recordWritesPerRound() - recordWriter.urgentDirtyShardCount());
     }
 
     /** Tasks of the lowest priority that may be running, and could make room. */
-    private long idleTasks() {
+    private long bestEffortTaskCount() {
         return jobs.values().stream()
                 .filter(job -> job.spec().priority() == Priority.LOW)
                 .mapToLong(job -> job.placements().size())
                 .sum();
     }
 
-    private int recordsInRound() {
-        return (int) (platform.stateWriteRps() * ROUND.toSeconds());
+    private int recordWritesPerRound() {
+        return (int) (deploymentSettings.storeWritesPerSecond() * ROUND_INTERVAL.toSeconds());
     }
 
     /** The zone that a job with tasks in place is bound to, or null. */
-    private static String onlyZone(PlacementRound.Waiting job) {
+    private static String requiredZone(PlacementRound.Waiting job) {
         return job.spec().requiresSingleZone() && !job.zones().isEmpty()
                 ? job.zones().keySet().iterator().next()
                 : job.spec().requiredZone();
@@ -1165,11 +1226,13 @@
      * Ends an attempt of a gang that no replacement was found for, so that it does not hold its
      * machines.
      */
-    private void giveUpIncomplete(Job job, MonotonicTime now) {
+    private void abandonIncompleteGang(Job job, MonotonicTime now) {
         if (job.spec().kind() == JobKind.GANG
-                && now.elapsedSince(job.pendingSince()).compareTo(platform.gangWait()) > 0) {
+                && now.elapsedSince(job.pendingSince())
+                                .compareTo(deploymentSettings.gangStartTimeout())
+                        > 0) {
             int missing = job.nextPendingTask(0);
-            stopOthers(job, new TaskId(job.id(), missing));
+            stopRestOfGang(job, new TaskId(job.id(), missing));
         }
     }
 
@@ -1182,7 +1245,7 @@
 
     @Override
     public synchronized double readyS(JobSpec spec) {
-        return aims.readyS(spec);
+        return objectives.readyS(spec);
     }
 
     @Override
@@ -1192,29 +1255,29 @@
 
     @Override
     public synchronized double largestImageGb() {
-        return aims.largestImageGb();
+        return objectives.largestImageGb();
     }
 
     @Override
     public synchronized boolean isLoaded() {
-        return loading.isDone();
+        return stateRecovery.isComplete();
     }
 
     /**
      * Takes in what the cloud lists: machines not yet heard of, their addresses, and failed ones.
      */
     @Override
-    public synchronized void listed(List<Cloud.Listed> list) {
+    public synchronized void listed(List<CloudProvider.ListedMachine> list) {
         listed = true;
         MonotonicTime now = loop.now();
-        detector.listed(now);
-        for (Cloud.Listed item : list) {
+        failureDetector.listed(now);
+        for (CloudProvider.ListedMachine item : list) {
             Machine machine = machines.get(item.id());
             if (machine == null
-                    && item.phase() == Cloud.Phase.RUNNING
+                    && item.phase() == CloudProvider.MachinePhase.RUNNING
                     && machineTypeCatalog.typeNamed(item.type()) != null) {
                 machine =
-                        add(
+                        registerMachine(
                                 new Machine(
                                         item.id(),
                                         machineTypeCatalog.typeNamed(item.type()),
@@ -1226,11 +1289,11 @@
                 if (machine.address() == null) {
                     machine.address(item.address());
                 }
-                if (item.phase() == Cloud.Phase.FAILED) {
+                if (item.phase() == CloudProvider.MachinePhase.FAILED) {
                     machine.cordon();
                 }
             }
-            if (item.phase() == Cloud.Phase.FAILED) {
+            if (item.phase() == CloudProvider.MachinePhase.FAILED) {
                 gone(item.id(), "the cloud lists its machine as failed", false);
             }
         }
@@ -1254,8 +1317,8 @@
             if (forget) {
                 machines.remove(id);
                 cluster.risks().remove(id);
-                silence.forget(id);
-                faults.removeInt(id);
+                heartbeatTimeoutMonitor.forget(id);
+                failuresByMachine.removeInt(id);
             }
         }
         recordWriter.flush();
@@ -1266,17 +1329,18 @@
     /**
      * What the tables have come to know since a standby last asked; empty until the records are in.
      */
-    synchronized Optional<TableDelta> tables(TableQuestion asked) {
-        if (closed || !loading.isDone() || !handoverState.isWarm()) {
+    synchronized Optional<RiskTableDelta> riskTableDelta(RiskTableRequest asked) {
+        if (closed || !stateRecovery.isComplete() || !handoverState.isWarm()) {
             return Optional.empty();
         }
-        members.recordStatus(asked.from(), loop.now());
+        membership.recordStatus(asked.requester(), loop.now());
         return Optional.of(
-                feed.answerRequest(asked, cluster.machines(), cluster.risks(), loop.now()));
+                riskTablePublisher.answerRequest(
+                        asked, cluster.machines(), cluster.risks(), loop.now()));
     }
 
-    synchronized Optional<RecordDigests> digests() {
-        if (closed || !loading.isDone()) {
+    synchronized Optional<RecordDigests> recordDigests() {
+        if (closed || !stateRecovery.isComplete()) {
             return Optional.empty();
         }
         RecordDigests recordDigests = new RecordDigests();
@@ -1285,14 +1349,14 @@
     }
 
     /** The standby that could take over best, as far as is known. */
-    synchronized Optional<String> heir() {
-        return members.preferredSuccessor(RecordCodec.SCHEMA_VERSION, loop.now());
+    synchronized Optional<String> preferredSuccessor() {
+        return membership.preferredSuccessor(RecordCodec.SCHEMA_VERSION, loop.now());
     }
 
     /** Counts of a live job for display; empty when it is not known here. */
-    public synchronized Optional<Admission.JobState> counts(JobId id) {
+    public synchronized Optional<Admission.JobState> liveJobState(JobId id) {
         Job job = jobs.get(id);
-        if (job == null || !loading.isDone()) {
+        if (job == null || !stateRecovery.isComplete()) {
             return Optional.empty();
         }
         int running = 0;
--- a/src/main/java/org/meadowhollow/coordination/CalendarKeeper.java
+++ b/src/main/java/org/meadowhollow/coordination/ReservationEnforcer.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.coordination.calendar.CalendarDesk;
 import org.meadowhollow.coordination.calendar.Diary;
 import org.meadowhollow.coordination.calendar.Estimates;
@@ -16,7 +17,7 @@
 import org.meadowhollow.coordination.fleet.Fleet;
 import org.meadowhollow.coordination.placement.Aims;
 import org.meadowhollow.coordination.placement.Cluster;
-import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.coordination.reservation.ReservationSettings;
 import org.meadowhollow.model.AttemptNumber;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.Job;
@@ -36,61 +37,61 @@
  * Keeps a leader's rounds in step with the calendar: what the round may use, who is warned, who is
  * stopped, and what is rented ahead. Guarded by the leader's lock; does nothing while it is off.
  */
-final class CalendarKeeper {
-    private static final Logger LOG = LoggerFactory.getLogger(CalendarKeeper.class);
+final class ReservationEnforcer {
+    private static final Logger LOG = LoggerFactory.getLogger(ReservationEnforcer.class);
 
     /**
      * Nobody is stopped sooner than this after having been warned. Mostly the warning comes two
      * minutes ahead; a window that begins at once, or a takeover, which forgets who was warned,
      * leaves this much.
      */
-    private static final Duration LEAST_WARNING = Duration.ofSeconds(30);
+    private static final Duration MIN_WARNING = Duration.ofSeconds(30);
 
     /**
      * One replica of a service at a time leaves, and the next one only after this, so that the
      * service stays up.
      */
-    private static final Duration BETWEEN_MOVES = Duration.ofSeconds(20);
+    private static final Duration REPLICA_MOVE_INTERVAL = Duration.ofSeconds(20);
 
-    private static final int MOST_NOTED = 10_000;
+    private static final int MAX_REMEMBERED = 10_000;
 
-    private record Warned(TaskId task, AttemptNumber attempt) {}
+    private record WarnedAttempt(TaskId task, AttemptNumber attempt) {}
 
-    private final Leader leader;
+    private final LeaderService leaderService;
     private final Cluster cluster;
-    private final Aims aims;
+    private final Aims objectives;
     private final MachineTypeCatalog machineTypeCatalog;
-    private final Platform platform;
+    private final DeploymentSettings deploymentSettings;
     private final EventLoop loop;
-    private final CalendarSettings settings;
-    private final Diary diary;
-    private final Estimates estimates = new Estimates();
-    private final Map<Warned, MonotonicTime> warned = new HashMap<>();
-    private final Map<JobId, MonotonicTime> moved = new HashMap<>();
-    private final Set<String> noted = new HashSet<>();
-
-    CalendarKeeper(
-            Leader leader,
+    private final ReservationSettings reservationSettings;
+    private final Diary reservationCalendar;
+    private final Estimates runtimeEstimator = new Estimates();
+    private final Map<WarnedAttempt, MonotonicTime> warnedAt = new HashMap<>();
+    private final Map<JobId, MonotonicTime> lastMoveByService = new HashMap<>();
+    private final Set<String> loggedNotices = new HashSet<>();
+
+    ReservationEnforcer(
+            LeaderService leaderService,
             Cluster cluster,
             Aims aims,
             MachineTypeCatalog machineTypeCatalog,
-            Platform platform,
+            DeploymentSettings deploymentSettings,
             KeyValueStore store,
             EventLoop loop,
-            CalendarSettings settings) {
-        this.leader = leader;
+            ReservationSettings settings) {
+        this.leaderService = leaderService;
         this.cluster = cluster;
-        this.aims = aims;
+        this.objectives = aims;
         this.machineTypeCatalog = machineTypeCatalog;
-        this.platform = platform;
+        this.deploymentSettings = deploymentSettings;
         this.loop = loop;
-        this.settings = settings;
-        this.diary = new Diary(store, loop, leader::isClosed);
+        this.reservationSettings = settings;
+        this.reservationCalendar = new Diary(store, loop, leaderService::isClosed);
     }
 
     void start() {
-        if (settings.on()) {
-            diary.start();
+        if (reservationSettings.enabled()) {
+            reservationCalendar.start();
         }
     }
 
@@ -99,26 +100,30 @@
      * promised.
      */
     boolean isReady() {
-        return !settings.on() || diary.isKnown();
+        return !reservationSettings.enabled() || reservationCalendar.isKnown();
     }
 
     /** A task was done that ran for some seconds. */
-    void ran(JobSpec spec, double ranS) {
-        if (settings.on()) {
-            estimates.ran(spec, ranS);
+    void recordRuntime(JobSpec spec, double ranS) {
+        if (reservationSettings.enabled()) {
+            runtimeEstimator.ran(spec, ranS);
         }
     }
 
     /** Finds out what the calendar means for the round that begins. */
-    void look(MonotonicTime now) {
-        if (!settings.on()) {
+    void refreshView(MonotonicTime now) {
+        if (!reservationSettings.enabled()) {
             return;
         }
-        Supply supply = CalendarDesk.supply(machineTypeCatalog, platform, settings.most());
-        Plan plan = diary.plan(supply, loop.wallClockMillis());
+        Supply supply =
+                CalendarDesk.supply(
+                        machineTypeCatalog,
+                        deploymentSettings,
+                        reservationSettings.machineLimits());
+        Plan plan = reservationCalendar.plan(supply, loop.wallClockMillis());
         if (plan == null) {
             cluster.outlook(Outlook.NONE);
-            warned.clear();
+            warnedAt.clear();
             return;
         }
         List<Machine> heard =
@@ -137,15 +142,17 @@
                         heard,
                         machine -> cluster.usable(machine, now),
                         waiting,
-                        estimates,
+                        runtimeEstimator,
                         supply,
-                        aims::readyS,
+                        objectives::readyS,
                         new Outlook.Clocks(
-                                now, loop.wallClockMillis(), settings.skew().toMillis())));
+                                now,
+                                loop.wallClockMillis(),
+                                reservationSettings.maxClockSkew().toMillis())));
     }
 
     /** What to rent for slots that begin before long. */
-    List<Fleet.Need> needs() {
+    List<Fleet.Need> capacityDemand() {
         List<Fleet.Need> needs = new ArrayList<>();
         for (Outlook.Missing missing : cluster.outlook().missing()) {
             needs.add(
@@ -154,7 +161,7 @@
                             missing.tasks(),
                             missing.zone(),
                             0));
-            note(
+            logOnce(
                     "reservation "
                             + missing.reservation().name()
                             + " has no machines yet for "
@@ -165,33 +172,33 @@
     }
 
     /** Warns those who would run into a window or a slot, and stops who has to go now. */
-    void carryOut(MonotonicTime now) {
+    void enforce(MonotonicTime now) {
         Outlook outlook = cluster.outlook();
         for (Outlook.Spill spill : outlook.spills()) {
             Placement placement = spill.placement();
-            Warned key = new Warned(placement.taskId(), placement.attemptNumber());
-            MonotonicTime since = warned.get(key);
+            WarnedAttempt key = new WarnedAttempt(placement.taskId(), placement.attemptNumber());
+            MonotonicTime since = warnedAt.get(key);
             if (since == null) {
-                if (warned.size() < MOST_NOTED) {
-                    warned.put(key, now);
+                if (warnedAt.size() < MAX_REMEMBERED) {
+                    warnedAt.put(key, now);
                     LOG.info(
                             "task {} attempt {} on {} will be stopped in {} s unless it is done: {}",
                             placement.taskId(),
                             placement.attemptNumber(),
                             placement.machineId(),
-                            Math.max(LEAST_WARNING.toSeconds(), Math.round(spill.latestInS())),
+                            Math.max(MIN_WARNING.toSeconds(), Math.round(spill.latestInS())),
                             spill.why());
                 }
             } else if (spill.stopInS() <= 0
-                    && now.elapsedSince(since).compareTo(LEAST_WARNING) >= 0
-                    && (spill.latestInS() <= 0 || mayMove(placement.job(), now))) {
-                leader.stopSaving(placement, spill.why());
-                moved.put(placement.job().id(), now);
+                    && now.elapsedSince(since).compareTo(MIN_WARNING) >= 0
+                    && (spill.latestInS() <= 0 || mayStopReplica(placement.job(), now))) {
+                leaderService.stopSaving(placement, spill.why());
+                lastMoveByService.put(placement.job().id(), now);
             }
         }
         outlook.unused()
-                .forEach(name -> note("reservation " + name + " is not used and given back"));
-        warned.keySet()
+                .forEach(name -> logOnce("reservation " + name + " is not used and given back"));
+        warnedAt.keySet()
                 .removeIf(
                         key ->
                                 outlook.spills().stream()
@@ -203,22 +210,25 @@
                                                                 && spill.placement()
                                                                         .attemptNumber()
                                                                         .equals(key.attempt())));
-        moved.values().removeIf(at -> now.elapsedSince(at).compareTo(BETWEEN_MOVES) > 0);
+        lastMoveByService
+                .values()
+                .removeIf(at -> now.elapsedSince(at).compareTo(REPLICA_MOVE_INTERVAL) > 0);
     }
 
     /** Whether a replica can leave while all others of its service run. */
-    private boolean mayMove(Job job, MonotonicTime now) {
-        MonotonicTime last = moved.get(job.id());
+    private boolean mayStopReplica(Job job, MonotonicTime now) {
+        MonotonicTime last = lastMoveByService.get(job.id());
         return job.spec().kind() != JobKind.SERVICE
                 || job.pendingTaskCount() == 0
-                        && (last == null || now.elapsedSince(last).compareTo(BETWEEN_MOVES) >= 0)
+                        && (last == null
+                                || now.elapsedSince(last).compareTo(REPLICA_MOVE_INTERVAL) >= 0)
                         && job.placements().stream()
                                 .allMatch(one -> one.runningSince() != null && !one.isStopping());
     }
 
     /** Says what operators should know once, and not in every round. */
-    private void note(String what) {
-        if (noted.size() < MOST_NOTED && noted.add(what)) {
+    private void logOnce(String what) {
+        if (loggedNotices.size() < MAX_REMEMBERED && loggedNotices.add(what)) {
             LOG.info("{}", what);
         }
     }
--- a/src/main/java/org/meadowhollow/coordination/Loading.java
+++ b/src/main/java/org/meadowhollow/coordination/StateRecovery.java
@@ -32,65 +32,65 @@
  * Brings what the state service holds into a new leader's memory, page by page, and then follows
  * what users change. Guarded by the leader's lock.
  */
-final class Loading {
-    private static final Logger LOG = LoggerFactory.getLogger(Loading.class);
-    private static final Duration RETRY = Duration.ofMillis(500);
+final class StateRecovery {
+    private static final Logger LOG = LoggerFactory.getLogger(StateRecovery.class);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(500);
 
     /**
      * A watch's answer shows that all was known up to when the watch was sent. Its length is
      * therefore how old that is at most, which is taken off the time for which workers are answered
      * in an outage.
      */
-    private static final Duration WATCH = Duration.ofSeconds(1);
+    private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(1);
 
     /**
      * How long watches may fail, while other calls may be answered, before all jobs are read
      * instead.
      */
-    private static final Duration BLIND = Duration.ofSeconds(6);
+    private static final Duration MAX_WATCH_FAILURE = Duration.ofSeconds(6);
 
-    private final Leader leader;
+    private final LeaderService leaderService;
     private final KeyValueStore store;
     private final EventLoop loop;
     private final Cluster cluster;
-    private final Aims aims;
-    private final Expected expected;
+    private final Aims objectives;
+    private final Expected arrivalForecast;
     private final RecordWriter recordWriter;
-    private final ImageNotes images;
+    private final ImageCacheRecorder imageCacheRecorder;
     private final FencingToken fencingToken;
-    private final Revision keyTakenAt;
+    private final Revision leaderKeyRevision;
     private final HandoverState handoverState;
     private final FailoverTimeline failoverTimeline;
-    private int records;
-    private Revision revision;
+    private int recordCount;
+    private Revision recoveredRevision;
     private boolean loaded;
 
     /** When the last look that was answered was begun. */
-    private MonotonicTime lookedAt;
+    private MonotonicTime lastWatchSentAt;
 
-    Loading(
-            Leader leader,
+    StateRecovery(
+            LeaderService leaderService,
             KeyValueStore store,
             EventLoop loop,
             Cluster cluster,
             Aims aims,
             Expected expected,
             RecordWriter recordWriter,
-            ImageNotes images,
+            ImageCacheRecorder images,
             FencingToken fencingToken,
             Revision keyTakenAt,
             HandoverState handoverState,
             FailoverTimeline failoverTimeline) {
-        this.leader = leader;
+        this.leaderService = leaderService;
         this.store = store;
         this.loop = loop;
         this.cluster = cluster;
-        this.aims = aims;
-        this.expected = expected;
+        this.objectives = aims;
+        this.arrivalForecast = expected;
         this.recordWriter = recordWriter;
-        this.images = images;
+        this.imageCacheRecorder = images;
         this.fencingToken = fencingToken;
-        this.keyTakenAt = keyTakenAt;
+        this.leaderKeyRevision = keyTakenAt;
         this.handoverState = handoverState;
         this.failoverTimeline = failoverTimeline;
     }
@@ -102,11 +102,11 @@
             return;
         }
         handoverState
-                .takeRecords(keyTakenAt)
+                .takeRecords(leaderKeyRevision)
                 .thenAccept(
                         images -> {
-                            synchronized (leader) {
-                                if (leader.isClosed()) {
+                            synchronized (leaderService) {
+                                if (leaderService.isClosed()) {
                                     return;
                                 }
                                 if (images.isEmpty()) {
@@ -115,20 +115,21 @@
                                             fencingToken);
                                     loadJobs(this::loadTasks);
                                 } else {
-                                    take(images.get());
+                                    restoreFromReplica(images.get());
                                 }
                             }
                         });
     }
 
-    private void take(Map<String, KeyspaceReplica> followed) {
+    private void restoreFromReplica(Map<String, KeyspaceReplica> followed) {
         KeyspaceReplica jobs = followed.get(RecordCodec.JOB_PREFIX);
-        jobs.entries().forEach(entry -> takeJob(entry.key(), entry.value(), entry.revision()));
-        leader.keepUp();
-        takeTasks(followed.get(RecordCodec.TASK_PREFIX).entries());
-        leader.keepUp();
-        takeImages(List.copyOf(followed.get(RecordCodec.IMAGE_PREFIX).entries()));
-        followed.values().forEach(image -> records += image.size());
+        jobs.entries()
+                .forEach(entry -> applyJobRecord(entry.key(), entry.value(), entry.revision()));
+        leaderService.renewLeadershipIfDue();
+        restoreTasks(followed.get(RecordCodec.TASK_PREFIX).entries());
+        leaderService.renewLeadershipIfDue();
+        restoreImageCaches(List.copyOf(followed.get(RecordCodec.IMAGE_PREFIX).entries()));
+        followed.values().forEach(image -> recordCount += image.size());
         loaded(
                 jobs.revision(),
                 "the image",
@@ -139,12 +140,12 @@
     }
 
     /** The revision up to which all is in, or null before that. */
-    Revision revision() {
-        return revision;
+    Revision recoveredRevision() {
+        return recoveredRevision;
     }
 
     /** Whether all that a predecessor wrote is known. */
-    boolean isDone() {
+    boolean isComplete() {
         return loaded;
     }
 
@@ -152,7 +153,7 @@
      * Reads all records under a prefix, page by page, then goes on with the revision of the first
      * page.
      */
-    private void read(
+    private void readPages(
             String prefix,
             String after,
             Revision first,
@@ -161,21 +162,22 @@
         store.list(prefix, after, RequestPriority.PLACEMENT)
                 .whenComplete(
                         (page, failure) -> {
-                            synchronized (leader) {
-                                if (leader.isClosed()) {
+                            synchronized (leaderService) {
+                                if (leaderService.isClosed()) {
                                     return;
                                 }
                                 if (failure != null) {
                                     loop.schedule(
-                                            RETRY, () -> read(prefix, after, first, take, then));
+                                            RETRY_DELAY,
+                                            () -> readPages(prefix, after, first, take, then));
                                     return;
                                 }
-                                records += page.entries().size();
+                                recordCount += page.entries().size();
                                 take.accept(page.entries());
-                                leader.keepUp();
+                                leaderService.renewLeadershipIfDue();
                                 Revision from = first == null ? page.revision() : first;
                                 if (page.hasMore()) {
-                                    read(
+                                    readPages(
                                             prefix,
                                             page.entries().get(page.entries().size() - 1).key(),
                                             from,
@@ -189,21 +191,28 @@
     }
 
     private void loadJobs(Consumer<Revision> then) {
-        read(
+        readPages(
                 RecordCodec.JOB_PREFIX,
                 null,
                 null,
                 jobRecords ->
                         jobRecords.forEach(
-                                entry -> takeJob(entry.key(), entry.value(), entry.revision())),
+                                entry ->
+                                        applyJobRecord(
+                                                entry.key(), entry.value(), entry.revision())),
                 then);
     }
 
     private void loadTasks(Revision watchFrom) {
-        read(RecordCodec.TASK_PREFIX, null, null, this::takeTasks, unused -> loadImages(watchFrom));
+        readPages(
+                RecordCodec.TASK_PREFIX,
+                null,
+                null,
+                this::restoreTasks,
+                unused -> loadImages(watchFrom));
     }
 
-    private void takeTasks(Collection<KeyValueStore.Entry> tasks) {
+    private void restoreTasks(Collection<KeyValueStore.Entry> tasks) {
         for (KeyValueStore.Entry entry : tasks) {
             if (!RecordCodec.restoreShard(entry, cluster.jobs(), loop.now())) {
                 recordWriter.addObsoleteKey(entry.key());
@@ -212,17 +221,17 @@
     }
 
     private void loadImages(Revision watchFrom) {
-        read(
+        readPages(
                 RecordCodec.IMAGE_PREFIX,
                 null,
                 null,
-                this::takeImages,
+                this::restoreImageCaches,
                 unused -> loaded(watchFrom, "pages", watchFrom));
     }
 
-    private void takeImages(List<KeyValueStore.Entry> notes) {
-        images.load(notes, loop.now());
-        cluster.machines().values().forEach(images::met);
+    private void restoreImageCaches(List<KeyValueStore.Entry> notes) {
+        imageCacheRecorder.restore(notes, loop.now());
+        cluster.machines().values().forEach(imageCacheRecorder::onMachineRegistered);
     }
 
     /**
@@ -238,7 +247,7 @@
                 placed++;
             }
             if (job.isCancelled()) {
-                leader.stopAll(job, 0, "its user cancelled the job");
+                leaderService.stopAllTasks(job, 0, "its user cancelled the job");
             } else if (job.isComplete()) {
                 // The predecessor noted the end of the last attempt but did not get to write the
                 // job's end.
@@ -246,31 +255,31 @@
             }
         }
         loaded = true;
-        revision = reached;
-        failoverTimeline.onRecordsLoaded(from, records, loop.now());
+        recoveredRevision = reached;
+        failoverTimeline.onRecordsLoaded(from, recordCount, loop.now());
         LOG.info(
                 "term {} has loaded {} jobs with {} tasks that may be running",
                 fencingToken,
                 cluster.jobs().size(),
                 placed);
-        look(watchFrom);
+        watchFromNow(watchFrom);
     }
 
     /** Asks for what has changed by now, which is answered at once, and goes on to watch. */
-    private void look(Revision after) {
+    private void watchFromNow(Revision after) {
         watch(after, Duration.ZERO);
     }
 
     private void watch(Revision after, Duration wait) {
         MonotonicTime sentAt = loop.now();
-        if (lookedAt == null) {
-            lookedAt = sentAt;
+        if (lastWatchSentAt == null) {
+            lastWatchSentAt = sentAt;
         }
         store.watch(RecordCodec.JOB_PREFIX, after, wait)
                 .whenComplete(
                         (changeBatch, failure) -> {
-                            synchronized (leader) {
-                                if (leader.isClosed()) {
+                            synchronized (leaderService) {
+                                if (leaderService.isClosed()) {
                                     return;
                                 }
                                 if (failure == null && after.isAfter(changeBatch.revision())) {
@@ -278,31 +287,31 @@
                                             "the state service shows changes up to {}, and has shown {}: not taken in",
                                             changeBatch.revision(),
                                             after);
-                                    loop.schedule(RETRY, () -> look(after));
+                                    loop.schedule(RETRY_DELAY, () -> watchFromNow(after));
                                 } else if (failure == null) {
                                     for (KeyValueStore.Change change : changeBatch.changes()) {
                                         if (change.value() != null) {
-                                            takeJob(
+                                            applyJobRecord(
                                                     change.key(),
                                                     change.value(),
                                                     change.revision());
                                         }
                                     }
-                                    lookedAt = sentAt;
-                                    leader.knows(sentAt);
-                                    watch(changeBatch.revision(), WATCH);
+                                    lastWatchSentAt = sentAt;
+                                    leaderService.onCancellationsKnownUpTo(sentAt);
+                                    watch(changeBatch.revision(), WATCH_TIMEOUT);
                                 } else if (KeyValueStoreException.outcomeOf(failure)
                                                 == Outcome.COMPACTED
-                                        || isBlind(sentAt)) {
+                                        || watchesKeepFailing(sentAt)) {
                                     MonotonicTime begun = loop.now();
-                                    lookedAt = begun;
+                                    lastWatchSentAt = begun;
                                     loadJobs(
                                             from -> {
-                                                leader.knows(begun);
-                                                look(from);
+                                                leaderService.onCancellationsKnownUpTo(begun);
+                                                watchFromNow(from);
                                             });
                                 } else {
-                                    loop.schedule(RETRY, () -> look(after));
+                                    loop.schedule(RETRY_DELAY, () -> watchFromNow(after));
                                 }
                             }
                         });
@@ -312,11 +321,12 @@
      * Whether other calls are answered, but watches have not been for long: their answer may be too
      * large to take.
      */
-    private boolean isBlind(MonotonicTime now) {
-        return !store.seemsUnavailable() && now.elapsedSince(lookedAt).compareTo(BLIND) > 0;
+    private boolean watchesKeepFailing(MonotonicTime now) {
+        return !store.seemsUnavailable()
+                && now.elapsedSince(lastWatchSentAt).compareTo(MAX_WATCH_FAILURE) > 0;
     }
 
-    void takeJob(String key, Map<String, Object> record, Revision version) {
+    void applyJobRecord(String key, Map<String, Object> record, Revision version) {
         JobId id = RecordCodec.jobIdOfKey(key);
         Job job = cluster.jobs().get(id);
         MonotonicTime now = loop.now();
@@ -324,8 +334,8 @@
             job = RecordCodec.job(id, record, version, now);
             job.pendingSince(now);
             cluster.jobs().put(id, job);
-            aims.note(job.spec());
-            leader.came(job);
+            objectives.note(job.spec());
+            leaderService.onJobAdmitted(job);
             LOG.info(
                     "job {}: {} of {} tasks of about {} s for team {}, class {}, due in {} s",
                     id,
@@ -335,12 +345,12 @@
                     job.spec().team(),
                     job.spec().jobClass(),
                     job.spec().deadlineSeconds());
-            if (aims.needsReserve(job.spec())) {
+            if (objectives.needsReserve(job.spec())) {
                 long ageMillis = Math.max(0, loop.wallClockMillis() - job.acceptedAtMillis());
-                expected.came(
+                arrivalForecast.came(
                         job.spec(),
                         new MonotonicTime(now.nanos() - ageMillis * 1_000_000),
-                        Duration.ofMillis((long) (aims.readyS(job.spec()) * 1000)));
+                        Duration.ofMillis((long) (objectives.readyS(job.spec()) * 1000)));
             }
             if (job.isCancelled() && loaded) {
                 // Taken in and cancelled between two looks: there is nothing to stop, but its end
@@ -356,7 +366,7 @@
         job.recordRevision(version);
         if (RecordCodec.isCancelled(record) && !job.isCancelled()) {
             job.cancel(now);
-            leader.stopAll(job, 0, "its user cancelled the job");
+            leaderService.stopAllTasks(job, 0, "its user cancelled the job");
         }
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/admission/Admission.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/Admission.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.JobEventListeners;
 import org.meadowhollow.model.JobEventLog;
@@ -83,7 +83,7 @@
     private final KeyValueStore store;
     private final EventLoop loop;
     private final MachineTypeCatalog machineTypeCatalog;
-    private final Platform platform;
+    private final DeploymentSettings deploymentSettings;
     private final JobEventListeners jobEventListeners;
     private final Counts counts;
     private final LiveJobs live;
@@ -99,14 +99,14 @@
             KeyValueStore store,
             EventLoop loop,
             MachineTypeCatalog machineTypeCatalog,
-            Platform platform,
+            DeploymentSettings deploymentSettings,
             JobEventListeners jobEventListeners,
             Counts counts) {
         this.jobEventListeners = jobEventListeners;
         this.store = store;
         this.loop = loop;
         this.machineTypeCatalog = machineTypeCatalog;
-        this.platform = platform;
+        this.deploymentSettings = deploymentSettings;
         this.counts = counts;
         this.live = new LiveJobs(store, loop);
     }
@@ -172,7 +172,7 @@
                 RecordCodec.job(
                         spec,
                         now,
-                        RecordCodec.shardSize(platform.valueBytes()),
+                        RecordCodec.shardSize(deploymentSettings.maxValueBytes()),
                         false,
                         secondaryRecord);
         Transaction accept =
@@ -439,16 +439,16 @@
     }
 
     private String whyNever(JobSpec spec) {
-        Platform.Team team = platform.teams().get(spec.team());
-        if (team == null) {
+        DeploymentSettings.TeamQuota teamQuota = deploymentSettings.teamQuotas().get(spec.team());
+        if (teamQuota == null) {
             return "there is no team " + spec.team();
         }
         Resources atOnce =
                 spec.kind() == JobKind.ARRAY
                         ? spec.resourcesPerTask()
                         : spec.resourcesPerTask().times(spec.taskCount());
-        if (team.most().cpu() > 0 && atOnce.cpu() > team.most().cpu()
-                || team.most().gpu() > 0 && atOnce.gpu() > team.most().gpu()) {
+        if (teamQuota.limit().cpu() > 0 && atOnce.cpu() > teamQuota.limit().cpu()
+                || teamQuota.limit().gpu() > 0 && atOnce.gpu() > teamQuota.limit().gpu()) {
             return "the job needs more than the limit of team " + spec.team();
         }
         Set<String> zones = new HashSet<>();
@@ -459,7 +459,8 @@
             }
         }
         if (zones.isEmpty()) {
-            return spec.requiredZone() == null || platform.zones().contains(spec.requiredZone())
+            return spec.requiredZone() == null
+                            || deploymentSettings.zones().contains(spec.requiredZone())
                     ? "a task fits no machine type that the job allows"
                     : "there is no zone " + spec.requiredZone();
         }
--- a/src/main/java/org/meadowhollow/coordination/platform/Cloud.java
+++ b/src/main/java/org/meadowhollow/coordination/api/CloudProvider.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.platform;
+package org.meadowhollow.coordination.api;
 
 import java.util.List;
 import java.util.Optional;
@@ -7,19 +7,19 @@
 import org.meadowhollow.model.MachineType;
 
 /** Whoever rents out the machines. */
-public interface Cloud {
+public interface CloudProvider {
     /** A machine in the cloud's list, which is late. */
-    record Listed(
+    record ListedMachine(
             MachineId id,
             String address,
             String type,
             String zone,
             boolean spot,
-            Phase phase,
-            double ageS) {}
+            MachinePhase phase,
+            double ageSeconds) {}
 
     /** What the cloud says of a machine. */
-    enum Phase {
+    enum MachinePhase {
         BOOTING,
         RUNNING,
         FAILED
@@ -28,24 +28,24 @@
     /**
      * The cloud has answered that a request was not executed, because it is out or too many came.
      */
-    final class Refused extends RuntimeException {
-        public Refused(String why) {
+    final class RequestRefusedException extends RuntimeException {
+        public RequestRefusedException(String why) {
             super(why, null, false, false);
         }
     }
 
-    CompletableFuture<List<MachineType>> types();
+    CompletableFuture<List<MachineType>> listMachineTypes();
 
     /** Rents up to {@code count} machines; empty when there are none of this kind. */
-    CompletableFuture<Optional<List<MachineId>>> rent(
+    CompletableFuture<Optional<List<MachineId>>> rentMachines(
             String request, String type, String zone, boolean spot, int count);
 
     /**
      * Returns machines; once this completes, they and all on them are gone. Fails with {@link
-     * Refused} if it certainly was not executed; after any other failure it may be executed at any
-     * later time.
+     * RequestRefusedException} if it certainly was not executed; after any other failure it may be
+     * executed at any later time.
      */
-    CompletableFuture<Void> release(List<MachineId> machines);
+    CompletableFuture<Void> releaseMachines(List<MachineId> machines);
 
-    CompletableFuture<List<Listed>> list();
+    CompletableFuture<List<ListedMachine>> listMachines();
 }
--- a/src/main/java/org/meadowhollow/coordination/Answer.java
+++ b/src/main/java/org/meadowhollow/coordination/api/HeartbeatResponse.java
@@ -1,13 +1,14 @@
-package org.meadowhollow.coordination;
+package org.meadowhollow.coordination.api;
 
 import java.util.List;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.WorkerCommand;
 
 /** What a worker's report is answered: orders under a token, or another member to report to. */
-public sealed interface Answer {
-    record Orders(FencingToken token, List<WorkerCommand> orders) implements Answer {}
+public sealed interface HeartbeatResponse {
+    record Commands(FencingToken token, List<WorkerCommand> commands)
+            implements HeartbeatResponse {}
 
     /** {@code member} is null when the leader is not known. */
-    record Elsewhere(String member) implements Answer {}
+    record Redirect(String member) implements HeartbeatResponse {}
 }
--- a/src/main/java/org/meadowhollow/coordination/platform/Workers.java
+++ b/src/main/java/org/meadowhollow/coordination/api/WorkerGateway.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.platform;
+package org.meadowhollow.coordination.api;
 
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -11,9 +11,9 @@
  * The way straight to the workers. Starts never go this way, for a delayed one would come minutes
  * late.
  */
-public interface Workers {
+public interface WorkerGateway {
     /** Sends orders; the worker's report comes back whether or not they were executed. */
-    CompletableFuture<Heartbeat> send(
+    CompletableFuture<Heartbeat> sendCommands(
             String address,
             FencingToken token,
             WorkerIncarnation workerIncarnation,
--- a/src/main/java/org/meadowhollow/coordination/calendar/CalendarDesk.java
+++ b/src/main/java/org/meadowhollow/coordination/calendar/CalendarDesk.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
 import org.meadowhollow.coordination.admission.Admission;
-import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.MachineType;
 import org.meadowhollow.model.MachineTypeCatalog;
@@ -84,7 +84,7 @@
     private final KeyValueStore store;
     private final EventLoop loop;
     private final MachineTypeCatalog machineTypeCatalog;
-    private final Platform platform;
+    private final DeploymentSettings deploymentSettings;
     private final Map<String, Integer> most;
 
     /**
@@ -94,19 +94,24 @@
             KeyValueStore store,
             EventLoop loop,
             MachineTypeCatalog machineTypeCatalog,
-            Platform platform,
+            DeploymentSettings deploymentSettings,
             Map<String, Integer> most) {
         this.store = store;
         this.loop = loop;
         this.machineTypeCatalog = machineTypeCatalog;
-        this.platform = platform;
+        this.deploymentSettings = deploymentSettings;
         this.most = Map.copyOf(most);
     }
 
     public static Supply supply(
-            MachineTypeCatalog machineTypeCatalog, Platform platform, Map<String, Integer> most) {
+            MachineTypeCatalog machineTypeCatalog,
+            DeploymentSettings deploymentSettings,
+            Map<String, Integer> most) {
         Map<String, Resources> limits = new HashMap<>();
-        platform.teams().values().forEach(team -> limits.put(team.name(), team.most()));
+        deploymentSettings
+                .teamQuotas()
+                .values()
+                .forEach(teamQuota -> limits.put(teamQuota.name(), teamQuota.limit()));
         List<MachineType> types = new ArrayList<>();
         machineTypeCatalog.types().forEach(types::add);
         return new Supply(types, limits, most);
@@ -117,7 +122,7 @@
         if (machineTypeCatalog.isEmpty()) {
             throw new Admission.TryLater("the machine types are not known yet");
         }
-        return supply(machineTypeCatalog, platform, most);
+        return supply(machineTypeCatalog, deploymentSettings, most);
     }
 
     /** The calendar, whose stamp is no newer than anything else in it. */
@@ -185,7 +190,7 @@
                                     calendarSnapshot,
                                     asked,
                                     supply(),
-                                    Set.copyOf(platform.zones()),
+                                    Set.copyOf(deploymentSettings.zones()),
                                     loop.wallClockMillis());
                     if (verdict.never() != null) {
                         throw new Refused(Refused.Why.NEVER, verdict.never());
@@ -221,7 +226,7 @@
                     }
                     check(calendarSnapshot, held, expected);
                     if (asked.scope() == MaintenanceWindow.Scope.ZONE
-                            && !platform.zones().containsAll(asked.targets())) {
+                            && !deploymentSettings.zones().containsAll(asked.targets())) {
                         throw new Refused(Refused.Why.NEVER, "there is no such zone");
                     }
                     List<String> notes =
--- a/src/main/java/org/meadowhollow/coordination/failover/HandoverState.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/HandoverState.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
+import org.meadowhollow.coordination.api.RiskTableDelta;
 import org.meadowhollow.coordination.placement.RiskTable;
-import org.meadowhollow.coordination.platform.TableDelta;
 import org.meadowhollow.model.Heartbeat;
 import org.meadowhollow.model.Machine;
 import org.meadowhollow.model.MachineId;
@@ -38,7 +38,7 @@
     private final RiskTableReplica tableReplica;
 
     /** What a snapshot holds and has not been handed over yet, and when that was so. */
-    private final ArrayDeque<TableDelta.Part> snapshotTables = new ArrayDeque<>();
+    private final ArrayDeque<RiskTableDelta.MachineEntry> snapshotTables = new ArrayDeque<>();
 
     private MonotonicTime snapshotTakenAt;
     private int inheritedTableCount;
@@ -122,9 +122,9 @@
     public boolean handOverSnapshotTables(
             Map<MachineId, Machine> machines, Map<MachineId, RiskTable> risks, MonotonicTime now) {
         for (int done = 0; done < MAX_TABLES_PER_BATCH && !snapshotTables.isEmpty(); done++) {
-            TableDelta.Part part = snapshotTables.poll();
-            tableReplica.apply(List.of(part), snapshotTakenAt);
-            Machine machine = machines.get(part.machine());
+            RiskTableDelta.MachineEntry machineEntry = snapshotTables.poll();
+            tableReplica.apply(List.of(machineEntry), snapshotTakenAt);
+            Machine machine = machines.get(machineEntry.machine());
             if (machine != null && machine.incarnation() != null) {
                 countInherited(
                                 tableReplica.takeTable(
--- a/src/main/java/org/meadowhollow/coordination/failover/Membership.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/Membership.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import org.meadowhollow.coordination.platform.NodeStatus;
+import org.meadowhollow.coordination.api.ControllerStatus;
 import org.meadowhollow.model.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -23,21 +23,21 @@
      */
     static final Duration MAX_STATUS_AGE = WarmStandby.PULL_INTERVAL.multipliedBy(5).dividedBy(2);
 
-    private record ReceivedStatus(NodeStatus status, MonotonicTime receivedAt) {}
+    private record ReceivedStatus(ControllerStatus status, MonotonicTime receivedAt) {}
 
     private final Map<String, ReceivedStatus> statusByMember = new TreeMap<>();
 
     /** A standby has asked. */
-    public void recordStatus(NodeStatus status, MonotonicTime now) {
+    public void recordStatus(ControllerStatus status, MonotonicTime now) {
         ReceivedStatus before =
                 statusByMember.put(status.member(), new ReceivedStatus(status, now));
-        if (before == null || before.status().incarnation() != status.incarnation()) {
+        if (before == null || before.status().processIncarnation() != status.processIncarnation()) {
             LOG.info(
                     "{} in {} follows, program {}, records of schema {}",
                     status.member(),
                     status.zone(),
-                    status.program(),
-                    status.schema());
+                    status.softwareVersion(),
+                    status.schemaVersion());
         }
     }
 
@@ -50,10 +50,11 @@
         return statusByMember.values().stream()
                 .filter(each -> now.elapsedSince(each.receivedAt()).compareTo(MAX_STATUS_AGE) <= 0)
                 .map(ReceivedStatus::status)
-                .filter(status -> status.schema() == schema)
+                .filter(status -> status.schemaVersion() == schema)
                 .max(
-                        Comparator.<NodeStatus>comparingLong(status -> status.revision().value())
-                                .thenComparing(NodeStatus::member, Comparator.reverseOrder()))
-                .map(NodeStatus::member);
+                        Comparator.<ControllerStatus>comparingLong(
+                                        status -> status.replicaRevision().value())
+                                .thenComparing(ControllerStatus::member, Comparator.reverseOrder()))
+                .map(ControllerStatus::member);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/failover/RiskTablePublisher.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTablePublisher.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
+import org.meadowhollow.coordination.api.RiskTableDelta;
+import org.meadowhollow.coordination.api.RiskTableRequest;
 import org.meadowhollow.coordination.placement.RiskTable;
-import org.meadowhollow.coordination.platform.TableDelta;
-import org.meadowhollow.coordination.platform.TableQuestion;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Machine;
 import org.meadowhollow.model.MachineId;
@@ -78,27 +78,27 @@
     }
 
     /** The answer to a standby, over the machines and tables as they are now. */
-    public TableDelta answerRequest(
-            TableQuestion asked,
+    public RiskTableDelta answerRequest(
+            RiskTableRequest asked,
             SortedMap<MachineId, Machine> machines,
             Map<MachineId, RiskTable> tables,
             MonotonicTime now) {
         boolean known =
-                asked.term().equals(fencingToken)
-                        && !asked.isForWhole()
-                        && asked.after() < nextSampleNumber
-                        && asked.after() >= nextSampleNumber - 1 - MAX_SAMPLES;
+                asked.token().equals(fencingToken)
+                        && !asked.isForFullTables()
+                        && asked.afterSample() < nextSampleNumber
+                        && asked.afterSample() >= nextSampleNumber - 1 - MAX_SAMPLES;
         return known
-                ? samplesSince(asked.after(), machines, now)
+                ? samplesSince(asked.afterSample(), machines, now)
                 : fullTablesPage(asked, machines, tables, now);
     }
 
     /** All tables as they are now, for a snapshot. */
-    public static List<TableDelta.Part> exportAll(
+    public static List<RiskTableDelta.MachineEntry> exportAll(
             SortedMap<MachineId, Machine> machines,
             Map<MachineId, RiskTable> tables,
             MonotonicTime now) {
-        List<TableDelta.Part> parts = new ArrayList<>();
+        List<RiskTableDelta.MachineEntry> parts = new ArrayList<>();
         for (Machine machine : machines.values()) {
             if (machine.incarnation() != null) {
                 parts.add(buildPart(machine, tables.get(machine.id()).export(now)));
@@ -107,8 +107,8 @@
         return parts;
     }
 
-    private static TableDelta.Part buildPart(Machine machine, int[] table) {
-        return new TableDelta.Part(
+    private static RiskTableDelta.MachineEntry buildPart(Machine machine, int[] table) {
+        return new RiskTableDelta.MachineEntry(
                 machine.id(),
                 identityHash(machine),
                 machine.incarnation(),
@@ -117,12 +117,13 @@
                 new long[0]);
     }
 
-    private TableDelta samplesSince(
+    private RiskTableDelta samplesSince(
             long after, SortedMap<MachineId, Machine> machines, MonotonicTime now) {
         Map<MachineId, LongArrayList> byMachine = new LinkedHashMap<>();
         long upTo = after;
         while (upTo + 1 < nextSampleNumber
-                && (upTo - after) * TableDelta.SAMPLE + byMachine.size() * PART_OVERHEAD
+                && (upTo - after) * RiskTableDelta.NUMBERS_PER_SAMPLE
+                                + byMachine.size() * PART_OVERHEAD
                         < MAX_NUMBERS_PER_ANSWER) {
             Sample sample = sampleRing[(int) (++upTo % MAX_SAMPLES)];
             LongArrayList samples =
@@ -132,13 +133,13 @@
             samples.add(Math.max(0, now.elapsedSince(sample.observedAt()).toMillis()));
             samples.add(sample.value());
         }
-        List<TableDelta.Part> parts = new ArrayList<>();
+        List<RiskTableDelta.MachineEntry> parts = new ArrayList<>();
         byMachine.forEach(
                 (id, samples) -> {
                     Machine machine = machines.get(id);
                     if (machine != null) {
                         parts.add(
-                                new TableDelta.Part(
+                                new RiskTableDelta.MachineEntry(
                                         id,
                                         identityHash(machine),
                                         machine.incarnation(),
@@ -147,28 +148,28 @@
                                         samples.toLongArray()));
                     }
                 });
-        return new TableDelta(fencingToken, upTo, false, upTo + 1 < nextSampleNumber, parts);
+        return new RiskTableDelta(fencingToken, upTo, false, upTo + 1 < nextSampleNumber, parts);
     }
 
-    private TableDelta fullTablesPage(
-            TableQuestion asked,
+    private RiskTableDelta fullTablesPage(
+            RiskTableRequest asked,
             SortedMap<MachineId, Machine> machines,
             Map<MachineId, RiskTable> tables,
             MonotonicTime now) {
         // Another leader's pages are begun anew.
         boolean goesOn =
-                asked.isForWhole()
-                        && asked.term().equals(fencingToken)
+                asked.isForFullTables()
+                        && asked.token().equals(fencingToken)
                         && !asked.afterMachine().isEmpty();
         SortedMap<MachineId, Machine> rest =
                 goesOn
                         ? machines.tailMap(new MachineId(asked.afterMachine() + '\0'))
                         : new TreeMap<>(machines);
-        List<TableDelta.Part> parts = new ArrayList<>();
+        List<RiskTableDelta.MachineEntry> parts = new ArrayList<>();
         int numbers = 0;
         for (Machine machine : rest.values()) {
             if (numbers > MAX_NUMBERS_PER_ANSWER / 2) {
-                return new TableDelta(fencingToken, nextSampleNumber - 1, true, true, parts);
+                return new RiskTableDelta(fencingToken, nextSampleNumber - 1, true, true, parts);
             }
             if (machine.incarnation() != null) {
                 int[] table = tables.get(machine.id()).export(now);
@@ -176,6 +177,6 @@
                 parts.add(buildPart(machine, table));
             }
         }
-        return new TableDelta(fencingToken, nextSampleNumber - 1, true, false, parts);
+        return new RiskTableDelta(fencingToken, nextSampleNumber - 1, true, false, parts);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/failover/RiskTableReplica.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTableReplica.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import org.meadowhollow.coordination.api.ControllerStatus;
+import org.meadowhollow.coordination.api.RiskTableDelta;
+import org.meadowhollow.coordination.api.RiskTableRequest;
 import org.meadowhollow.coordination.placement.RiskTable;
-import org.meadowhollow.coordination.platform.NodeStatus;
-import org.meadowhollow.coordination.platform.TableDelta;
-import org.meadowhollow.coordination.platform.TableQuestion;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.MachineId;
 import org.meadowhollow.model.MonotonicTime;
@@ -65,8 +65,8 @@
         return count;
     }
 
-    TableQuestion nextRequest(NodeStatus from) {
-        return new TableQuestion(from, fencingToken, appliedUpTo, fullSyncCursor);
+    RiskTableRequest nextRequest(ControllerStatus from) {
+        return new RiskTableRequest(from, fencingToken, appliedUpTo, fullSyncCursor);
     }
 
     /**
@@ -75,35 +75,36 @@
      * @param highest the highest term that this node has heard of: what a leader says that it
      *     deposed is not believed
      */
-    ApplyResult apply(TableDelta delta, FencingToken highest, MonotonicTime now) {
-        if (highest.isAfter(delta.term())) {
+    ApplyResult apply(RiskTableDelta delta, FencingToken highest, MonotonicTime now) {
+        if (highest.isAfter(delta.token())) {
             return ApplyResult.STALE_LEADER;
         }
         // Samples that do not follow what is here are worth nothing; a late answer to an earlier
         // question is one.
-        boolean follows = delta.term().equals(fencingToken) && appliedUpTo >= 0;
-        if (!delta.whole() && (!follows || delta.upTo() < appliedUpTo)) {
+        boolean follows = delta.token().equals(fencingToken) && appliedUpTo >= 0;
+        if (!delta.fullTables() && (!follows || delta.lastSample() < appliedUpTo)) {
             requestFullSync();
             return ApplyResult.INCONSISTENT;
         }
         try {
-            for (TableDelta.Part part : delta.parts()) {
-                applyPart(part, delta.whole(), now);
+            for (RiskTableDelta.MachineEntry machineEntry : delta.entries()) {
+                applyPart(machineEntry, delta.fullTables(), now);
             }
         } catch (IllegalArgumentException broken) {
             requestFullSync();
             return ApplyResult.INCONSISTENT;
         }
-        boolean unfinished = delta.whole() && delta.more() && !delta.parts().isEmpty();
-        if (delta.whole() && (fullSyncCursor.isEmpty() || !delta.term().equals(fencingToken))) {
-            fullSyncStartedAt = delta.upTo();
+        boolean unfinished = delta.fullTables() && delta.hasMore() && !delta.entries().isEmpty();
+        if (delta.fullTables()
+                && (fullSyncCursor.isEmpty() || !delta.token().equals(fencingToken))) {
+            fullSyncStartedAt = delta.lastSample();
         }
-        fencingToken = delta.term();
+        fencingToken = delta.token();
         fullSyncCursor =
-                unfinished ? delta.parts().get(delta.parts().size() - 1).machine().value() : "";
+                unfinished ? delta.entries().get(delta.entries().size() - 1).machine().value() : "";
         // What came between the pages is missing in the earlier ones.
-        appliedUpTo = unfinished ? -1 : delta.whole() ? fullSyncStartedAt : delta.upTo();
-        if (delta.whole() && !unfinished) {
+        appliedUpTo = unfinished ? -1 : delta.fullTables() ? fullSyncStartedAt : delta.lastSample();
+        if (delta.fullTables() && !unfinished) {
             tablesByMachine
                     .values()
                     .removeIf(
@@ -111,14 +112,14 @@
                                     now.elapsedSince(replicatedTable.updatedAt()).compareTo(MAX_AGE)
                                             > 0);
         }
-        return delta.more() || appliedUpTo < delta.upTo()
+        return delta.hasMore() || appliedUpTo < delta.lastSample()
                 ? ApplyResult.MORE_AVAILABLE
                 : ApplyResult.UP_TO_DATE;
     }
 
     /** Takes in tables as they were some time ago, from a snapshot. */
-    void apply(List<TableDelta.Part> parts, MonotonicTime then) {
-        parts.forEach(part -> applyPart(part, true, then));
+    void apply(List<RiskTableDelta.MachineEntry> parts, MonotonicTime then) {
+        parts.forEach(machineEntry -> applyPart(machineEntry, true, then));
     }
 
     void requestFullSync() {
@@ -126,48 +127,53 @@
         fullSyncCursor = "";
     }
 
-    private void applyPart(TableDelta.Part part, boolean whole, MonotonicTime now) {
-        ReplicatedTable known = tablesByMachine.get(part.machine());
+    private void applyPart(
+            RiskTableDelta.MachineEntry machineEntry, boolean whole, MonotonicTime now) {
+        ReplicatedTable known = tablesByMachine.get(machineEntry.machine());
         if (known == null && tablesByMachine.size() >= MAX_TABLES) {
             return;
         }
         if (whole) {
             tablesByMachine.put(
-                    part.machine(),
+                    machineEntry.machine(),
                     new ReplicatedTable(
-                            RiskTable.of(part.table(), now),
-                            part.incarnation(),
-                            part.session(),
-                            part.seq(),
+                            RiskTable.of(machineEntry.table(), now),
+                            machineEntry.machineIdentityHash(),
+                            machineEntry.workerIncarnation(),
+                            machineEntry.sequenceNumber(),
                             now));
             return;
         }
-        if (part.samples().length % TableDelta.SAMPLE != 0) {
+        if (machineEntry.samples().length % RiskTableDelta.NUMBERS_PER_SAMPLE != 0) {
             throw new IllegalArgumentException("half a sample");
         }
         // A name that is used again begins a table of its own.
-        boolean same = known != null && known.identityHash() == part.incarnation();
+        boolean same = known != null && known.identityHash() == machineEntry.machineIdentityHash();
         RiskTable table = same ? known.table() : new RiskTable();
         WorkerIncarnation workerIncarnation =
                 same ? known.workerIncarnation() : new WorkerIncarnation(0);
         long seq = same ? known.seq() : 0;
-        for (int at = 0; at < part.samples().length; at += TableDelta.SAMPLE) {
-            WorkerIncarnation itsSession = new WorkerIncarnation(part.samples()[at]);
-            long itsSeq = part.samples()[at + 1];
+        for (int at = 0;
+                at < machineEntry.samples().length;
+                at += RiskTableDelta.NUMBERS_PER_SAMPLE) {
+            WorkerIncarnation itsSession = new WorkerIncarnation(machineEntry.samples()[at]);
+            long itsSeq = machineEntry.samples()[at + 1];
             // Whole tables that came page by page may have some of them already.
             if (itsSession.isAfter(workerIncarnation)
                     || itsSession.equals(workerIncarnation) && itsSeq > seq) {
                 table.replay(
-                        (int) part.samples()[at + 3],
+                        (int) machineEntry.samples()[at + 3],
                         new MonotonicTime(
-                                now.nanos() - Math.max(0, part.samples()[at + 2]) * 1_000_000));
+                                now.nanos()
+                                        - Math.max(0, machineEntry.samples()[at + 2]) * 1_000_000));
                 workerIncarnation = itsSession;
                 seq = itsSeq;
             }
         }
         tablesByMachine.put(
-                part.machine(),
-                new ReplicatedTable(table, part.incarnation(), workerIncarnation, seq, now));
+                machineEntry.machine(),
+                new ReplicatedTable(
+                        table, machineEntry.machineIdentityHash(), workerIncarnation, seq, now));
     }
 
     /**
--- a/src/main/java/org/meadowhollow/coordination/failover/RiskTableSnapshotStore.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTableSnapshotStore.java
@@ -18,7 +18,7 @@
 import java.util.zip.Deflater;
 import java.util.zip.DeflaterOutputStream;
 import java.util.zip.InflaterInputStream;
-import org.meadowhollow.coordination.platform.TableDelta;
+import org.meadowhollow.coordination.api.RiskTableDelta;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.MachineId;
 import org.meadowhollow.model.MonotonicTime;
@@ -96,7 +96,7 @@
      * @param idle whether no other records wait to be written
      */
     public void writeNext(
-            Supplier<List<TableDelta.Part>> tables,
+            Supplier<List<RiskTableDelta.MachineEntry>> tables,
             boolean idle,
             MonotonicTime now,
             long wallMillis) {
@@ -160,7 +160,7 @@
                         });
     }
 
-    private void beginSet(List<TableDelta.Part> parts, long wallMillis) {
+    private void beginSet(List<RiskTableDelta.MachineEntry> parts, long wallMillis) {
         byte[] body = encode(parts.size() > MAX_MACHINES ? parts.subList(0, MAX_MACHINES) : parts);
         String text = Base64.getEncoder().encodeToString(body);
         chunks = new ArrayList<>();
@@ -189,18 +189,18 @@
         return sum.getValue();
     }
 
-    static byte[] encode(List<TableDelta.Part> parts) {
+    static byte[] encode(List<RiskTableDelta.MachineEntry> parts) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         Deflater fast = new Deflater(Deflater.BEST_SPEED);
         try (DataOutputStream out = new DataOutputStream(new DeflaterOutputStream(bytes, fast))) {
             out.writeInt(parts.size());
-            for (TableDelta.Part part : parts) {
-                out.writeUTF(part.machine().value());
-                out.writeInt(part.incarnation());
-                out.writeLong(part.session().value());
-                out.writeLong(part.seq());
-                out.writeInt(part.table().length);
-                for (int number : part.table()) {
+            for (RiskTableDelta.MachineEntry machineEntry : parts) {
+                out.writeUTF(machineEntry.machine().value());
+                out.writeInt(machineEntry.machineIdentityHash());
+                out.writeLong(machineEntry.workerIncarnation().value());
+                out.writeLong(machineEntry.sequenceNumber());
+                out.writeInt(machineEntry.table().length);
+                for (int number : machineEntry.table()) {
                     out.writeInt(number);
                 }
             }
@@ -212,11 +212,11 @@
         return bytes.toByteArray();
     }
 
-    private static List<TableDelta.Part> decode(byte[] body) throws IOException {
+    private static List<RiskTableDelta.MachineEntry> decode(byte[] body) throws IOException {
         try (DataInputStream in =
                 new DataInputStream(new InflaterInputStream(new ByteArrayInputStream(body)))) {
             int count = Math.min(MAX_MACHINES, in.readInt());
-            List<TableDelta.Part> parts = new ArrayList<>();
+            List<RiskTableDelta.MachineEntry> parts = new ArrayList<>();
             for (int at = 0; at < count; at++) {
                 MachineId machine = new MachineId(in.readUTF());
                 int incarnation = in.readInt();
@@ -231,7 +231,7 @@
                     table[number] = in.readInt();
                 }
                 parts.add(
-                        new TableDelta.Part(
+                        new RiskTableDelta.MachineEntry(
                                 machine, incarnation, workerIncarnation, seq, table, new long[0]));
             }
             return parts;
@@ -239,7 +239,7 @@
     }
 
     /** Tables, and how old they are. */
-    public record StoredTables(List<TableDelta.Part> parts, Duration age) {}
+    public record StoredTables(List<RiskTableDelta.MachineEntry> parts, Duration age) {}
 
     /**
      * The newest whole set; empty if there is none, or none that can be used, which is said in a
--- a/src/main/java/org/meadowhollow/coordination/failover/WarmStandby.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/WarmStandby.java
@@ -7,9 +7,9 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletionException;
 import java.util.function.Supplier;
-import org.meadowhollow.coordination.platform.NodeStatus;
-import org.meadowhollow.coordination.platform.Peers;
-import org.meadowhollow.coordination.platform.TableDelta;
+import org.meadowhollow.coordination.api.ControllerStatus;
+import org.meadowhollow.coordination.api.PeerGateway;
+import org.meadowhollow.coordination.api.RiskTableDelta;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Revision;
@@ -56,8 +56,8 @@
 
     private final EventLoop loop;
     private final GenerationCounter generations;
-    private final Peers peers;
-    private final NodeStatus ownStatus;
+    private final PeerGateway peerGateway;
+    private final ControllerStatus ownStatus;
     private final Supplier<String> leaderSupplier;
     private final Supplier<FencingToken> highestTokenSupplier;
     private final Map<String, ChangeFeedFollower> followers = new TreeMap<>();
@@ -72,13 +72,13 @@
     public WarmStandby(
             EventLoop loop,
             KeyValueStore store,
-            Peers peers,
-            NodeStatus self,
+            PeerGateway peerGateway,
+            ControllerStatus self,
             Supplier<String> leader,
             Supplier<FencingToken> highest) {
         this.loop = loop;
         this.generations = new GenerationCounter(loop);
-        this.peers = peers;
+        this.peerGateway = peerGateway;
         this.ownStatus = self;
         this.leaderSupplier = leader;
         this.highestTokenSupplier = highest;
@@ -142,13 +142,13 @@
         return least;
     }
 
-    private NodeStatus currentStatus() {
-        return new NodeStatus(
+    private ControllerStatus currentStatus() {
+        return new ControllerStatus(
                 ownStatus.member(),
-                ownStatus.incarnation(),
+                ownStatus.processIncarnation(),
                 ownStatus.zone(),
-                ownStatus.program(),
-                ownStatus.schema(),
+                ownStatus.softwareVersion(),
+                ownStatus.schemaVersion(),
                 oldestRevision());
     }
 
@@ -162,7 +162,8 @@
         synchronized (this) {
             filled = tableReplica;
         }
-        peers.tables(asked, filled.nextRequest(currentStatus()))
+        peerGateway
+                .fetchRiskTables(asked, filled.nextRequest(currentStatus()))
                 .whenComplete(
                         (delta, failure) -> {
                             if (!generations.isCurrent(mine)) {
@@ -193,13 +194,13 @@
         return (failure instanceof CompletionException ? failure.getCause() : failure).getMessage();
     }
 
-    private boolean applyDelta(RiskTableReplica filled, String asked, TableDelta delta) {
+    private boolean applyDelta(RiskTableReplica filled, String asked, RiskTableDelta delta) {
         RiskTableReplica.ApplyResult applyResult =
                 filled.apply(delta, highestTokenSupplier.get(), loop.now());
         if (applyResult == RiskTableReplica.ApplyResult.STALE_LEADER) {
             LOG.info(
                     "tables of term {} came from {}, which does not lead any more: dropped",
-                    delta.term(),
+                    delta.token(),
                     asked);
         } else if (applyResult == RiskTableReplica.ApplyResult.INCONSISTENT) {
             LOG.info(
@@ -218,7 +219,8 @@
         if (!isOtherMember(asked)) {
             return;
         }
-        peers.digests(asked)
+        peerGateway
+                .fetchDigests(asked)
                 .whenComplete(
                         (told, failure) -> {
                             if (generations.isCurrent(mine) && failure == null) {
--- a/src/main/java/org/meadowhollow/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/FailureDetector.java
@@ -8,13 +8,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.meadowhollow.coordination.api.DeploymentSettings;
+import org.meadowhollow.coordination.api.PeerGateway;
+import org.meadowhollow.coordination.api.PeerReachabilityReport;
 import org.meadowhollow.coordination.hearing.Deafness;
 import org.meadowhollow.coordination.hearing.Deafness.Hearing;
 import org.meadowhollow.coordination.leadership.Leadership;
 import org.meadowhollow.coordination.placement.Cluster;
-import org.meadowhollow.coordination.platform.Peers;
-import org.meadowhollow.coordination.platform.Platform;
-import org.meadowhollow.coordination.platform.Testimony;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.Machine;
 import org.meadowhollow.model.MachineId;
@@ -73,9 +73,9 @@
 
     private final TermHolder leader;
     private final Cluster cluster;
-    private final Platform platform;
+    private final DeploymentSettings deploymentSettings;
     private final EventLoop loop;
-    private final Peers peers;
+    private final PeerGateway peerGateway;
     private final Leadership leadership;
     private final MonotonicTime begunAt;
     private final Map<MachineId, MonotonicTime> askedAt = new HashMap<>();
@@ -87,22 +87,22 @@
     private Question question;
     private boolean asking;
     private int answeredAbout;
-    private List<Testimony> answers = List.of();
+    private List<PeerReachabilityReport> answers = List.of();
     private MonotonicTime answersAt;
 
     public FailureDetector(
             TermHolder leader,
             Cluster cluster,
-            Platform platform,
+            DeploymentSettings deploymentSettings,
             EventLoop loop,
-            Peers peers,
+            PeerGateway peerGateway,
             Leadership leadership,
             MonotonicTime begunAt) {
         this.leader = leader;
         this.cluster = cluster;
-        this.platform = platform;
+        this.deploymentSettings = deploymentSettings;
         this.loop = loop;
-        this.peers = peers;
+        this.peerGateway = peerGateway;
         this.leadership = leadership;
         this.begunAt = begunAt;
     }
@@ -156,7 +156,8 @@
     }
 
     private Duration reportDue() {
-        return Duration.ofNanos((long) (platform.reportEvery().toNanos() * LATEST_REPORT))
+        return Duration.ofNanos(
+                        (long) (deploymentSettings.heartbeatInterval().toNanos() * LATEST_REPORT))
                 .plus(NEXT_NODE);
     }
 
@@ -199,7 +200,10 @@
         return lastListAt != null
                 && lastListAt
                                 .elapsedSince(shownAt)
-                                .compareTo(platform.listLag().multipliedBy(LISTS_LATE_BY))
+                                .compareTo(
+                                        deploymentSettings
+                                                .cloudListingDelay()
+                                                .multipliedBy(LISTS_LATE_BY))
                         > 0;
     }
 
@@ -253,14 +257,16 @@
             }
         }
         if (next != null) {
-            peers.hearing(next.machines(), WITNESSED).thenAccept(given -> answered(next, given));
+            peerGateway
+                    .queryRecentHeartbeats(next.machines(), WITNESSED)
+                    .thenAccept(given -> answered(next, given));
         }
         if (verdict != null && verdict.resigns()) {
             leadership.resign(verdict.heir());
         }
     }
 
-    private void answered(Question asked, List<Testimony> given) {
+    private void answered(Question asked, List<PeerReachabilityReport> given) {
         synchronized (leader) {
             MonotonicTime now = loop.now();
             asking = false;
@@ -268,7 +274,7 @@
             answersAt = now;
             answeredAbout = asked.machines().size();
             Set<MachineId> heard = new HashSet<>();
-            given.forEach(each -> heard.addAll(each.heard()));
+            given.forEach(each -> heard.addAll(each.recentlyHeard()));
             for (MachineId machine : asked.machines()) {
                 if (!askedAt.containsKey(machine)) {
                     // Heard of in the meantime.
--- a/src/main/java/org/meadowhollow/coordination/fleet/Fleet.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/Fleet.java
@@ -11,9 +11,9 @@
 import java.util.Set;
 import java.util.concurrent.CompletionException;
 import java.util.function.IntConsumer;
+import org.meadowhollow.coordination.api.CloudProvider;
+import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.coordination.placement.Turnover;
-import org.meadowhollow.coordination.platform.Cloud;
-import org.meadowhollow.coordination.platform.Platform;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.JobKind;
@@ -82,8 +82,8 @@
     }
 
     private final TermHolder leader;
-    private final Cloud cloud;
-    private final Platform platform;
+    private final CloudProvider cloudProvider;
+    private final DeploymentSettings deploymentSettings;
     private final MachineTypeCatalog machineTypeCatalog;
     private final EventLoop loop;
     private final FencingToken fencingToken;
@@ -103,15 +103,15 @@
 
     public Fleet(
             TermHolder leader,
-            Cloud cloud,
-            Platform platform,
+            CloudProvider cloudProvider,
+            DeploymentSettings deploymentSettings,
             MachineTypeCatalog machineTypeCatalog,
             EventLoop loop,
             FencingToken fencingToken,
             GivingUp givingUp) {
         this.leader = leader;
-        this.cloud = cloud;
-        this.platform = platform;
+        this.cloudProvider = cloudProvider;
+        this.deploymentSettings = deploymentSettings;
         this.machineTypeCatalog = machineTypeCatalog;
         this.loop = loop;
         this.fencingToken = fencingToken;
@@ -145,8 +145,9 @@
             return;
         }
         // A list is late anyway; asking at half that lag finds what there is to find.
-        Duration next = platform.listLag().dividedBy(2);
-        cloud.list()
+        Duration next = deploymentSettings.cloudListingDelay().dividedBy(2);
+        cloudProvider
+                .listMachines()
                 .whenComplete(
                         (list, failure) -> {
                             if (failure == null) {
@@ -156,10 +157,10 @@
                         });
     }
 
-    private void listed(List<Cloud.Listed> list) {
-        List<Cloud.Listed> live = new ArrayList<>();
+    private void listed(List<CloudProvider.ListedMachine> list) {
+        List<CloudProvider.ListedMachine> live = new ArrayList<>();
         synchronized (this) {
-            for (Cloud.Listed item : list) {
+            for (CloudProvider.ListedMachine item : list) {
                 if (released.containsKey(item.id())) {
                     continue;
                 }
@@ -168,14 +169,15 @@
                 if (type == null) {
                     continue;
                 }
-                if (item.phase() == Cloud.Phase.BOOTING) {
+                if (item.phase() == CloudProvider.MachinePhase.BOOTING) {
                     awaited.listed(
                             item.id(),
                             type,
                             item.zone(),
                             item.spot(),
-                            new MonotonicTime(loop.now().nanos() - (long) (item.ageS() * 1e9)));
-                } else if (item.phase() == Cloud.Phase.FAILED) {
+                            new MonotonicTime(
+                                    loop.now().nanos() - (long) (item.ageSeconds() * 1e9)));
+                } else if (item.phase() == CloudProvider.MachinePhase.FAILED) {
                     awaited.forget(item.id());
                 }
             }
@@ -184,10 +186,10 @@
         returnFailed(live);
     }
 
-    private void returnFailed(List<Cloud.Listed> list) {
+    private void returnFailed(List<CloudProvider.ListedMachine> list) {
         List<MachineId> failed = new ArrayList<>();
-        for (Cloud.Listed item : list) {
-            if (item.phase() == Cloud.Phase.FAILED) {
+        for (CloudProvider.ListedMachine item : list) {
+            if (item.phase() == CloudProvider.MachinePhase.FAILED) {
                 failed.add(item.id());
             }
         }
@@ -242,7 +244,7 @@
         }
         // A cancelled task that does not go is made to: the return proves it gone in time for its
         // limit.
-        Duration half = platform.cancelWithin().dividedBy(2);
+        Duration half = deploymentSettings.cancellationBound().dividedBy(2);
         if (machine.placements().stream()
                 .anyMatch(
                         placement ->
@@ -430,7 +432,8 @@
                 source.type(),
                 source.zone(),
                 request);
-        cloud.rent(request, source.type(), source.zone(), source.spot(), most)
+        cloudProvider
+                .rentMachines(request, source.type(), source.zone(), source.spot(), most)
                 .whenComplete(
                         (rented, failure) -> {
                             synchronized (this) {
@@ -486,7 +489,8 @@
                 leader.machineList().stream().filter(one -> set.contains(one.id())).toList();
         machines.forEach(machine -> machine.releasing(true));
         LOG.info("returning {}: {}", batch, why);
-        cloud.release(batch)
+        cloudProvider
+                .releaseMachines(batch)
                 .whenComplete(
                         (unused, failure) -> {
                             synchronized (this) {
@@ -509,7 +513,8 @@
                                 batch.forEach(
                                         id -> leader.gone(id, "its machine was returned", true));
                             } else {
-                                if (!(cause(failure) instanceof Cloud.Refused)) {
+                                if (!(cause(failure)
+                                        instanceof CloudProvider.RequestRefusedException)) {
                                     // It may still be executed late, so nothing is placed there;
                                     // the next round tries again.
                                     machines.forEach(Machine::cordon);
--- a/src/main/java/org/meadowhollow/coordination/fleet/GivingUp.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/GivingUp.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.coordination.hearing.Deafness;
-import org.meadowhollow.coordination.platform.Platform;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.Machine;
 import org.meadowhollow.model.MachineId;
@@ -64,14 +64,14 @@
     private static final int LATE_AGAIN = 2;
 
     private final FailureDetector detector;
-    private final Platform platform;
+    private final DeploymentSettings deploymentSettings;
     private final ArrayDeque<MonotonicTime> returned = new ArrayDeque<>();
     private final ArrayDeque<MonotonicTime> lateReports = new ArrayDeque<>();
     private MonotonicTime suspendedUntil;
 
-    public GivingUp(FailureDetector detector, Platform platform) {
+    public GivingUp(FailureDetector detector, DeploymentSettings deploymentSettings) {
         this.detector = detector;
-        this.platform = platform;
+        this.deploymentSettings = deploymentSettings;
     }
 
     private static double seconds(Duration span) {
@@ -79,7 +79,7 @@
     }
 
     private double givenUpS() {
-        return seconds(platform.reportEvery()) * GIVE_UP_REPORTS;
+        return seconds(deploymentSettings.heartbeatInterval()) * GIVE_UP_REPORTS;
     }
 
     /**
@@ -98,14 +98,15 @@
                         "machines that were silent for more than {} s report again: none is returned for silence alone"
                                 + " for {} s",
                         givenUpS(),
-                        platform.lease().toSeconds());
+                        deploymentSettings.workerLease().toSeconds());
             }
-            suspendedUntil = now.plus(platform.lease());
+            suspendedUntil = now.plus(deploymentSettings.workerLease());
         }
     }
 
     private void forgetBefore(ArrayDeque<MonotonicTime> times, MonotonicTime now) {
-        while (!times.isEmpty() && now.elapsedSince(times.peek()).compareTo(platform.lease()) > 0) {
+        while (!times.isEmpty()
+                && now.elapsedSince(times.peek()).compareTo(deploymentSettings.workerLease()) > 0) {
             times.poll();
         }
     }
@@ -147,7 +148,7 @@
                 });
         forgetBefore(returned, now);
         int mostNow = Math.max(1, (int) (count * Deafness.DOUBTFUL)) - returned.size();
-        double lastResortS = seconds(platform.lease()) * LAST_RESORT_LEASES;
+        double lastResortS = seconds(deploymentSettings.workerLease()) * LAST_RESORT_LEASES;
         return candidates.stream()
                 .filter(
                         machine ->
@@ -185,9 +186,11 @@
             // that never comes up.
             return Math.max(
                     machine.type().bootSeconds() * Awaited.PATIENCE,
-                    seconds(platform.lease()) * GIVE_UP_LEASES);
+                    seconds(deploymentSettings.workerLease()) * GIVE_UP_LEASES);
         }
-        return isWaitedFor(machine) ? givenUpS() : seconds(platform.lease()) * GIVE_UP_LEASES;
+        return isWaitedFor(machine)
+                ? givenUpS()
+                : seconds(deploymentSettings.workerLease()) * GIVE_UP_LEASES;
     }
 
     /**
--- a/src/main/java/org/meadowhollow/coordination/fleet/SilenceWatch.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/SilenceWatch.java
@@ -4,8 +4,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.coordination.placement.Cluster;
-import org.meadowhollow.coordination.platform.Platform;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.Machine;
@@ -35,7 +35,7 @@
 
     private final TermHolder leader;
     private final Cluster cluster;
-    private final Platform platform;
+    private final DeploymentSettings deploymentSettings;
     private final FencingToken fencingToken;
     private final MonotonicTime begunAt;
     private final Map<MachineId, MonotonicTime> probedAt = new HashMap<>();
@@ -44,12 +44,12 @@
     public SilenceWatch(
             TermHolder leader,
             Cluster cluster,
-            Platform platform,
+            DeploymentSettings deploymentSettings,
             FencingToken fencingToken,
             MonotonicTime begunAt) {
         this.leader = leader;
         this.cluster = cluster;
-        this.platform = platform;
+        this.deploymentSettings = deploymentSettings;
         this.fencingToken = fencingToken;
         this.begunAt = begunAt;
     }
@@ -74,7 +74,7 @@
         MonotonicTime lastHeard =
                 machine.lastContactAt() == null ? begunAt : machine.lastContactAt();
         double silentS = now.secondsSince(lastHeard);
-        double reportS = platform.reportEvery().toNanos() / 1e9;
+        double reportS = deploymentSettings.heartbeatInterval().toNanos() / 1e9;
         if (silentS > Cluster.SILENT_REPORTS * reportS
                 && machine.address() != null
                 && probes < MOST_PROBES) {
@@ -134,12 +134,15 @@
      */
     private boolean leaseCertainlyOver(Machine machine, MonotonicTime now) {
         if (machine.highestFencingToken().equals(fencingToken) && machine.lastContactAt() != null) {
-            return now.elapsedSince(machine.lastContactAt()).compareTo(slack(platform.lease())) > 0;
+            return now.elapsedSince(machine.lastContactAt())
+                            .compareTo(slack(deploymentSettings.workerLease()))
+                    > 0;
         }
-        return now.elapsedSince(begunAt).compareTo(slack(platform.cancelWithin())) > 0
+        return now.elapsedSince(begunAt).compareTo(slack(deploymentSettings.cancellationBound()))
+                        > 0
                 && (machine.lastContactAt() == null
                         || now.elapsedSince(machine.lastContactAt())
-                                        .compareTo(slack(platform.lease()))
+                                        .compareTo(slack(deploymentSettings.workerLease()))
                                 > 0);
     }
 
@@ -150,7 +153,9 @@
     /** Placements on machines that neither the cloud's list nor any report has shown. */
     private void expireUnseen(MonotonicTime now) {
         if (!cluster.unseen().isEmpty()
-                && now.elapsedSince(begunAt).compareTo(slack(platform.cancelWithin())) > 0) {
+                && now.elapsedSince(begunAt)
+                                .compareTo(slack(deploymentSettings.cancellationBound()))
+                        > 0) {
             for (List<Placement> placements : List.copyOf(cluster.unseen().values())) {
                 for (Placement placement : List.copyOf(placements)) {
                     leader.lost(
--- a/src/main/java/org/meadowhollow/coordination/fleet/TermHolder.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/TermHolder.java
@@ -1,7 +1,7 @@
 package org.meadowhollow.coordination.fleet;
 
 import java.util.List;
-import org.meadowhollow.coordination.platform.Cloud;
+import org.meadowhollow.coordination.api.CloudProvider;
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.Machine;
 import org.meadowhollow.model.MachineId;
@@ -42,7 +42,7 @@
     /** Whether a kind of machine is closed in a zone by the calendar. */
     boolean isOut(String type, String zone);
 
-    void listed(List<Cloud.Listed> list);
+    void listed(List<CloudProvider.ListedMachine> list);
 
     /** Takes a machine, and all that was on it, as gone. */
     void gone(MachineId id, String why, boolean forget);
--- a/src/main/java/org/meadowhollow/coordination/hearing/Deafness.java
+++ b/src/main/java/org/meadowhollow/coordination/hearing/Deafness.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.List;
-import org.meadowhollow.coordination.platform.Testimony;
+import org.meadowhollow.coordination.api.PeerReachabilityReport;
 
 /**
  * Tells a leader that has lost its workers from workers that are lost. Many machines silent at once
@@ -77,14 +77,15 @@
      * @param mayTry whether it has not given up on its own evidence lately
      */
     public static Verdict judge(
-            Duration deafFor, int asked, List<Testimony> others, boolean mayTry) {
-        Testimony best = null;
+            Duration deafFor, int asked, List<PeerReachabilityReport> others, boolean mayTry) {
+        PeerReachabilityReport best = null;
         boolean allAnswered = true;
-        for (Testimony other : others) {
+        for (PeerReachabilityReport other : others) {
             allAnswered &= other.answered();
-            if (other.served()
-                    && other.heard().size() >= Math.min(LEAST_WITNESSED, Math.max(1, asked))
-                    && (best == null || other.heard().size() > best.heard().size())) {
+            if (other.reachesStore()
+                    && other.recentlyHeard().size() >= Math.min(LEAST_WITNESSED, Math.max(1, asked))
+                    && (best == null
+                            || other.recentlyHeard().size() > best.recentlyHeard().size())) {
                 best = other;
             }
         }
