--- a/src/main/java/org/meadowhollow/coordination/leadership/Leadership.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/Leadership.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 import java.util.Map;
 import java.util.random.RandomGenerator;
+import org.meadowhollow.coordination.api.DeploymentSettings;
+import org.meadowhollow.coordination.api.PeerGateway;
 import org.meadowhollow.coordination.hearing.Earshot;
-import org.meadowhollow.coordination.platform.Peers;
-import org.meadowhollow.coordination.platform.Platform;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.MachineId;
@@ -67,7 +67,7 @@
 
     private final KeyValueStore store;
     private final EventLoop loop;
-    private final Peers peers;
+    private final PeerGateway peerGateway;
     private final String member;
     private final LeadershipStateMachine stateMachine;
     private final Duration workerLeaseRenewalBound;
@@ -79,19 +79,22 @@
     public Leadership(
             KeyValueStore store,
             EventLoop loop,
-            Peers peers,
-            Platform platform,
+            PeerGateway peerGateway,
+            DeploymentSettings deploymentSettings,
             Earshot earshot,
             RandomGenerator random,
             Listener listener) {
         this.store = store;
         this.loop = loop;
-        this.peers = peers;
-        this.member = platform.member();
+        this.peerGateway = peerGateway;
+        this.member = deploymentSettings.member();
         this.stateMachine = new LeadershipStateMachine(member);
         this.heartbeatTracker = earshot;
         this.workerLeaseRenewalBound =
-                platform.cancelWithin().minus(platform.lease()).minus(LEASE_END_MARGIN);
+                deploymentSettings
+                        .cancellationBound()
+                        .minus(deploymentSettings.workerLease())
+                        .minus(LEASE_END_MARGIN);
         this.random = random;
         this.listener = listener;
     }
@@ -367,7 +370,7 @@
                     notifyElected.fencingToken(),
                     notifyElected.leaderKeyRevision(),
                     notifyElected.vacantSince());
-            peers.announce(member, notifyElected.fencingToken());
+            peerGateway.announceLeader(member, notifyElected.fencingToken());
         } else if (effect instanceof LeadershipEffect.NotifyLeadershipLost notifyLeadershipLost) {
             LOG.info(
                     "leadership of term {} lost: {}",
@@ -389,16 +392,17 @@
     }
 
     private void probeSuspect(LeadershipEffect.ProbeSuspect probeSuspect) {
-        peers.signOf(probeSuspect.suspect())
+        peerGateway
+                .probe(probeSuspect.suspect())
                 .thenAccept(
-                        sign ->
+                        probeResult ->
                                 handle(
                                         new LeadershipEvent.ProbeCompleted(
                                                 probeSuspect.epoch(),
                                                 probeSuspect.suspect(),
                                                 probeSuspect.probesSent(),
                                                 probeSuspect.consecutiveRefusals(),
-                                                sign)));
+                                                probeResult)));
     }
 
     private void releaseLeaderKey(LeadershipEffect.ReleaseLeaderKey releaseLeaderKey) {
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipEvent.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipEvent.java
@@ -1,7 +1,7 @@
 package org.meadowhollow.coordination.leadership;
 
 import java.util.Optional;
-import org.meadowhollow.coordination.platform.Peers;
+import org.meadowhollow.coordination.api.PeerGateway;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.MachineId;
 import org.meadowhollow.model.MonotonicTime;
@@ -130,7 +130,7 @@
             String suspect,
             int probesSent,
             int consecutiveRefusals,
-            Peers.Sign probeResult)
+            PeerGateway.ProbeResult probeResult)
             implements LeadershipEvent {}
 
     /** Another leader's lease could not be ended. */
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipStateMachine.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipStateMachine.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
+import org.meadowhollow.coordination.api.PeerGateway;
 import org.meadowhollow.coordination.leadership.LeadershipState.HeldLeadership;
 import org.meadowhollow.coordination.leadership.LeadershipState.ObservedLeader;
 import org.meadowhollow.coordination.leadership.LeadershipState.Suspicion;
-import org.meadowhollow.coordination.platform.Peers;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.Revision;
@@ -467,8 +467,9 @@
             LeadershipState state,
             LeadershipEvent.ProbeCompleted probeCompleted,
             MonotonicTime now) {
-        boolean trusted = probeCompleted.probeResult() == Peers.Sign.ANSWERS;
-        boolean refuses = probeCompleted.probeResult() == Peers.Sign.REFUSES;
+        boolean trusted = probeCompleted.probeResult() == PeerGateway.ProbeResult.HEALTHY;
+        boolean refuses =
+                probeCompleted.probeResult() == PeerGateway.ProbeResult.CONNECTION_REFUSED;
         Suspicion suspicion = state.suspicion();
         if (probeCompleted.epoch() != state.epoch()
                 || !probeCompleted.suspect().equals(state.observedLeader().leader())
--- a/src/main/java/org/meadowhollow/coordination/placement/Aims.java
+++ b/src/main/java/org/meadowhollow/coordination/placement/Aims.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.HashSet;
 import java.util.Set;
-import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.MachineType;
@@ -14,13 +14,13 @@
     /** A task without a machine that passes goes by room alone after this long (DESIGN's value). */
     static final Duration DESPERATE = Duration.ofSeconds(30);
 
-    private final Platform platform;
+    private final DeploymentSettings deploymentSettings;
     private final MachineTypeCatalog machineTypeCatalog;
     private final Set<String> largeFor = new HashSet<>();
     private double largestImageGb;
 
-    public Aims(Platform platform, MachineTypeCatalog machineTypeCatalog) {
-        this.platform = platform;
+    public Aims(DeploymentSettings deploymentSettings, MachineTypeCatalog machineTypeCatalog) {
+        this.deploymentSettings = deploymentSettings;
         this.machineTypeCatalog = machineTypeCatalog;
     }
 
@@ -55,10 +55,12 @@
     /** How long a job can wait before only a running task's place can still serve it in time. */
     double patienceS(JobSpec spec, boolean guaranteed) {
         double withinS = Double.MAX_VALUE;
-        for (Platform.Objective objective : platform.objectives()) {
-            if (objective.kind().equals("wait") && spec.jobClass().equals(objective.jobClass())
-                    || objective.kind().equals("guarantee") && guaranteed) {
-                withinS = Math.min(withinS, objective.withinS());
+        for (DeploymentSettings.ServiceLevelTarget serviceLevelTarget :
+                deploymentSettings.serviceLevelTargets()) {
+            if (serviceLevelTarget.kind().equals("wait")
+                            && spec.jobClass().equals(serviceLevelTarget.jobClass())
+                    || serviceLevelTarget.kind().equals("guarantee") && guaranteed) {
+                withinS = Math.min(withinS, serviceLevelTarget.thresholdSeconds());
             }
         }
         return withinS == Double.MAX_VALUE ? DESPERATE.toSeconds() : withinS - readyS(spec);
--- a/src/main/java/org/meadowhollow/coordination/placement/Cluster.java
+++ b/src/main/java/org/meadowhollow/coordination/placement/Cluster.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
+import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.coordination.calendar.Outlook;
-import org.meadowhollow.coordination.platform.Platform;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Job;
 import org.meadowhollow.model.JobId;
@@ -27,7 +27,7 @@
     /** Reports missed in a row before a machine counts as silent. */
     public static final double SILENT_REPORTS = 2.0;
 
-    private final Platform platform;
+    private final DeploymentSettings deploymentSettings;
     private final FencingToken fencingToken;
     private final Map<JobId, Job> jobs = new TreeMap<>();
     private final SortedMap<MachineId, Machine> machines = new TreeMap<>();
@@ -36,8 +36,8 @@
 
     private Outlook outlook = Outlook.NONE;
 
-    public Cluster(Platform platform, FencingToken fencingToken) {
-        this.platform = platform;
+    public Cluster(DeploymentSettings deploymentSettings, FencingToken fencingToken) {
+        this.deploymentSettings = deploymentSettings;
         this.fencingToken = fencingToken;
     }
 
@@ -99,7 +99,7 @@
                 && machine.highestFencingToken().equals(fencingToken)
                 && machine.incarnation() != null
                 && now.secondsSince(machine.lastAnsweredHeartbeatAt())
-                        < SILENT_REPORTS * platform.reportEvery().toNanos() / 1e9;
+                        < SILENT_REPORTS * deploymentSettings.heartbeatInterval().toNanos() / 1e9;
     }
 
     /** Whether a machine can take tasks of a job now, if it has room. */
@@ -115,7 +115,7 @@
     /** What keeps a job that waits from being placed, for those who read the log. */
     public String waitsFor(Job job, MonotonicTime now) {
         JobSpec spec = job.spec();
-        Resources most = platform.teams().get(spec.team()).most();
+        Resources most = deploymentSettings.teamQuotas().get(spec.team()).limit();
         Resources then =
                 used().getOrDefault(spec.team(), Resources.NONE)
                         .plus(
@@ -156,7 +156,7 @@
             if (machine != null) {
                 zones.addTo(machine.zone(), 1);
             } else {
-                platform.zones().forEach(zone -> zones.addTo(zone, 1));
+                deploymentSettings.zones().forEach(zone -> zones.addTo(zone, 1));
             }
         }
         return zones;
--- a/src/main/java/org/meadowhollow/coordination/placement/RoomMaker.java
+++ b/src/main/java/org/meadowhollow/coordination/placement/RoomMaker.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.coordination.calendar.SeatLimit;
-import org.meadowhollow.coordination.platform.Platform;
 import org.meadowhollow.model.Job;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
@@ -27,12 +27,12 @@
     private static final Duration AGAIN = Duration.ofSeconds(10);
 
     private final Cluster cluster;
-    private final Platform platform;
+    private final DeploymentSettings deploymentSettings;
     private final Aims aims;
 
-    public RoomMaker(Cluster cluster, Platform platform, Aims aims) {
+    public RoomMaker(Cluster cluster, DeploymentSettings deploymentSettings, Aims aims) {
         this.cluster = cluster;
-        this.platform = platform;
+        this.deploymentSettings = deploymentSettings;
         this.aims = aims;
     }
 
@@ -150,7 +150,7 @@
                     placement.runningSince() == null
                             ? 0
                             : now.secondsSince(placement.runningSince());
-            Resources guarantee = platform.teams().get(spec.team()).guaranteed();
+            Resources guarantee = deploymentSettings.teamQuotas().get(spec.team()).guaranteed();
             Resources uses = used.get(spec.team());
             running.add(
                     new Preemption.Running<>(
--- a/src/main/java/org/meadowhollow/coordination/placement/Snapshot.java
+++ b/src/main/java/org/meadowhollow/coordination/placement/Snapshot.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.model.Job;
 import org.meadowhollow.model.JobId;
 import org.meadowhollow.model.JobKind;
@@ -29,7 +29,7 @@
     private static final int MOST_TASKS = 2000;
 
     private final Cluster cluster;
-    private final Platform platform;
+    private final DeploymentSettings deploymentSettings;
     private final MonotonicTime now;
     private final List<PlacementRound.Seat> seats = new ArrayList<>();
     private final List<PlacementRound.Waiting> waiting = new ArrayList<>();
@@ -37,9 +37,10 @@
     private final Map<JobId, Boolean> guaranteed;
     private final Map<String, PlacementRound.Share> shares;
 
-    public Snapshot(Cluster cluster, Platform platform, Aims aims, MonotonicTime now) {
+    public Snapshot(
+            Cluster cluster, DeploymentSettings deploymentSettings, Aims aims, MonotonicTime now) {
         this.cluster = cluster;
-        this.platform = platform;
+        this.deploymentSettings = deploymentSettings;
         this.now = now;
         this.guaranteed = findGuaranteed();
         this.shares = findShares();
@@ -180,11 +181,12 @@
     private Map<String, PlacementRound.Share> findShares() {
         Map<String, Resources> used = cluster.used();
         Map<String, PlacementRound.Share> shares = new HashMap<>();
-        for (Platform.Team team : platform.teams().values()) {
+        for (DeploymentSettings.TeamQuota teamQuota : deploymentSettings.teamQuotas().values()) {
             shares.put(
-                    team.name(),
+                    teamQuota.name(),
                     new PlacementRound.Share(
-                            used.getOrDefault(team.name(), Resources.NONE), team.most()));
+                            used.getOrDefault(teamQuota.name(), Resources.NONE),
+                            teamQuota.limit()));
         }
         return shares;
     }
@@ -207,8 +209,9 @@
                             .resourcesPerTask()
                             .times(job.spec().taskCount() - job.completedTaskCount());
             Resources sum = sums.merge(job.spec().team(), all, Resources::plus);
-            Platform.Team team = platform.teams().get(job.spec().team());
-            Resources most = team.guaranteed();
+            DeploymentSettings.TeamQuota teamQuota =
+                    deploymentSettings.teamQuotas().get(job.spec().team());
+            Resources most = teamQuota.guaranteed();
             within.put(
                     job.id(),
                     (most.cpu() > 0 || most.gpu() > 0)
--- a/src/main/java/org/meadowhollow/protocol/cloud/CloudClient.java
+++ b/src/main/java/org/meadowhollow/protocol/cloud/CloudClient.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
-import org.meadowhollow.coordination.platform.Cloud;
+import org.meadowhollow.coordination.api.CloudProvider;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.MachineId;
 import org.meadowhollow.model.MachineType;
@@ -19,7 +19,7 @@
 import org.meadowhollow.protocol.Wire;
 
 /** The cloud over HTTP, within a budget of requests. */
-public final class CloudClient implements Cloud {
+public final class CloudClient implements CloudProvider {
     /** The cloud's own machinery is slow; past this no answer will come. */
     private static final Duration ANSWER = Duration.ofSeconds(5);
 
@@ -38,7 +38,7 @@
     }
 
     @Override
-    public CompletableFuture<List<MachineType>> types() {
+    public CompletableFuture<List<MachineType>> listMachineTypes() {
         return call("GET", "/machine_types", null)
                 .thenApply(
                         reply ->
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public CompletableFuture<Optional<List<MachineId>>> rent(
+    public CompletableFuture<Optional<List<MachineId>>> rentMachines(
             String request, String type, String zone, boolean spot, int count) {
         byte[] bytes =
                 Wire.encode(
@@ -111,25 +111,26 @@
     }
 
     @Override
-    public CompletableFuture<Void> release(List<MachineId> machines) {
+    public CompletableFuture<Void> releaseMachines(List<MachineId> machines) {
         byte[] bytes =
                 Wire.encode(Map.of("stalls", machines.stream().map(MachineId::value).toList()));
         return call("POST", "/rentals/release", bytes)
                 .thenAccept(
                         reply -> {
                             if (reply.status() == 429 || reply.status() == 503) {
-                                throw new Cloud.Refused("the cloud answered " + reply.status());
+                                throw new CloudProvider.RequestRefusedException(
+                                        "the cloud answered " + reply.status());
                             }
                             read(reply, body -> body);
                         });
     }
 
     @Override
-    public CompletableFuture<List<Listed>> list() {
+    public CompletableFuture<List<ListedMachine>> listMachines() {
         return page("", new ArrayList<>());
     }
 
-    private CompletableFuture<List<Listed>> page(String after, List<Listed> all) {
+    private CompletableFuture<List<ListedMachine>> page(String after, List<ListedMachine> all) {
         return call("GET", "/rentals?after=" + after + "&most=" + PAGE, null)
                 .thenCompose(
                         reply -> {
@@ -139,7 +140,7 @@
                                             body -> {
                                                 for (Fields item : body.list("stalls")) {
                                                     all.add(
-                                                            new Listed(
+                                                            new ListedMachine(
                                                                     new MachineId(item.text("ref")),
                                                                     item.textOrNull("endpoint"),
                                                                     item.text("breed"),
@@ -156,11 +157,11 @@
                         });
     }
 
-    private static Phase phase(String text) throws Malformed {
+    private static MachinePhase phase(String text) throws Malformed {
         return switch (text) {
-            case "booting" -> Phase.BOOTING;
-            case "running" -> Phase.RUNNING;
-            case "failed" -> Phase.FAILED;
+            case "booting" -> MachinePhase.BOOTING;
+            case "running" -> MachinePhase.RUNNING;
+            case "failed" -> MachinePhase.FAILED;
             default -> throw new Malformed("unknown phase " + text);
         };
     }
--- a/src/main/java/org/meadowhollow/protocol/peers/PeerLink.java
+++ b/src/main/java/org/meadowhollow/protocol/peers/PeerLink.java
@@ -19,11 +19,11 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Predicate;
 import java.util.zip.CRC32C;
-import org.meadowhollow.coordination.platform.NodeStatus;
-import org.meadowhollow.coordination.platform.Peers;
-import org.meadowhollow.coordination.platform.TableDelta;
-import org.meadowhollow.coordination.platform.TableQuestion;
-import org.meadowhollow.coordination.platform.Testimony;
+import org.meadowhollow.coordination.api.ControllerStatus;
+import org.meadowhollow.coordination.api.PeerGateway;
+import org.meadowhollow.coordination.api.PeerReachabilityReport;
+import org.meadowhollow.coordination.api.RiskTableDelta;
+import org.meadowhollow.coordination.api.RiskTableRequest;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.MachineId;
 import org.meadowhollow.model.Revision;
@@ -36,7 +36,7 @@
  * Hints between controllers: who leads, in which term, whom the state service serves, and who hears
  * which workers.
  */
-public final class PeerLink implements Peers, Http.Handler {
+public final class PeerLink implements PeerGateway, Http.Handler {
     private static final String LEADER = "/leader";
     private static final String SERVED = "/served";
     private static final String HEARING = "/hearing";
@@ -113,7 +113,7 @@
 
     /** What a leading node tells its standbys; all answers are empty while it does not lead. */
     public interface Testator {
-        Optional<TableDelta> tables(TableQuestion question);
+        Optional<RiskTableDelta> tables(RiskTableRequest question);
 
         Optional<RecordDigests> digests();
     }
@@ -121,7 +121,7 @@
     private static final Testator NOBODY =
             new Testator() {
                 @Override
-                public Optional<TableDelta> tables(TableQuestion question) {
+                public Optional<RiskTableDelta> tables(RiskTableRequest question) {
                     return Optional.empty();
                 }
 
@@ -205,7 +205,7 @@
     }
 
     @Override
-    public void announce(String leader, FencingToken fencingToken) {
+    public void announceLeader(String leader, FencingToken fencingToken) {
         byte[] hint = encode(new LeaderHint(leader, fencingToken.value()));
         for (String address : addresses.values()) {
             http.send(address, "POST", LEADER, hint, ANSWER);
@@ -258,9 +258,9 @@
         if (asked.form() != FORM) {
             return Http.Reply.error(400, "a question of an unknown form");
         }
-        TableQuestion question =
-                new TableQuestion(
-                        new NodeStatus(
+        RiskTableRequest question =
+                new RiskTableRequest(
+                        new ControllerStatus(
                                 asked.member(),
                                 asked.incarnation(),
                                 asked.zone(),
@@ -275,20 +275,32 @@
                 .orElseGet(() -> Http.Reply.error(404, "this node does not lead"));
     }
 
-    private Http.Reply tablesReply(TableDelta delta) {
-        List<TableDelta.Part> parts = delta.parts();
+    private Http.Reply tablesReply(RiskTableDelta delta) {
+        List<RiskTableDelta.MachineEntry> parts = delta.entries();
         return sealed(
                 new TablesHint(
-                        delta.term().value(),
-                        delta.upTo(),
-                        delta.whole(),
-                        delta.more(),
-                        parts.stream().map(part -> part.machine().value()).toArray(String[]::new),
-                        parts.stream().mapToInt(TableDelta.Part::incarnation).toArray(),
-                        parts.stream().mapToLong(part -> part.session().value()).toArray(),
-                        parts.stream().mapToLong(TableDelta.Part::seq).toArray(),
-                        parts.stream().map(TableDelta.Part::table).toArray(int[][]::new),
-                        parts.stream().map(TableDelta.Part::samples).toArray(long[][]::new)));
+                        delta.token().value(),
+                        delta.lastSample(),
+                        delta.fullTables(),
+                        delta.hasMore(),
+                        parts.stream()
+                                .map(machineEntry -> machineEntry.machine().value())
+                                .toArray(String[]::new),
+                        parts.stream()
+                                .mapToInt(RiskTableDelta.MachineEntry::machineIdentityHash)
+                                .toArray(),
+                        parts.stream()
+                                .mapToLong(machineEntry -> machineEntry.workerIncarnation().value())
+                                .toArray(),
+                        parts.stream()
+                                .mapToLong(RiskTableDelta.MachineEntry::sequenceNumber)
+                                .toArray(),
+                        parts.stream()
+                                .map(RiskTableDelta.MachineEntry::table)
+                                .toArray(int[][]::new),
+                        parts.stream()
+                                .map(RiskTableDelta.MachineEntry::samples)
+                                .toArray(long[][]::new)));
     }
 
     private Http.Reply digestsReply(RecordDigests recordDigests) {
@@ -327,36 +339,37 @@
         try {
             SealedHint hint = (SealedHint) decode(reply.body());
             if (hint.form() != FORM) {
-                throw new Unreadable("its form " + hint.form() + " is not known");
+                throw new UnreadableResponseException("its form " + hint.form() + " is not known");
             }
             if (hint.checksum() != checksum(hint.body())) {
-                throw new Unreadable("it is damaged");
+                throw new UnreadableResponseException("it is damaged");
             }
             return Optional.of(type.cast(decode(hint.body())));
         } catch (KryoException | IllegalArgumentException | ClassCastException broken) {
-            throw new Unreadable("it makes no sense");
+            throw new UnreadableResponseException("it makes no sense");
         }
     }
 
     @Override
-    public CompletableFuture<Optional<TableDelta>> tables(String leader, TableQuestion question) {
+    public CompletableFuture<Optional<RiskTableDelta>> fetchRiskTables(
+            String leader, RiskTableRequest question) {
         String address = addresses.get(leader);
         if (address == null) {
             return CompletableFuture.completedFuture(Optional.empty());
         }
-        NodeStatus from = question.from();
+        ControllerStatus from = question.requester();
         byte[] body =
                 encode(
                         new TablesQuestionHint(
                                 FORM,
                                 from.member(),
-                                from.incarnation(),
+                                from.processIncarnation(),
                                 from.zone(),
-                                from.program(),
-                                from.schema(),
-                                from.revision().value(),
-                                question.term().value(),
-                                question.after(),
+                                from.softwareVersion(),
+                                from.schemaVersion(),
+                                from.replicaRevision().value(),
+                                question.token().value(),
+                                question.afterSample(),
                                 question.afterMachine()));
         return http.send(address, "POST", TABLES, body, ANSWER)
                 .handle(
@@ -364,19 +377,19 @@
                                 unseal(reply, failure, TablesHint.class).map(PeerLink::delta));
     }
 
-    private static TableDelta delta(TablesHint hint) {
+    private static RiskTableDelta delta(TablesHint hint) {
         int count = hint.machines().length;
         if (hint.incarnations().length != count
                 || hint.sessions().length != count
                 || hint.seqs().length != count
                 || hint.tables().length != count
                 || hint.samples().length != count) {
-            throw new Unreadable("its columns differ in length");
+            throw new UnreadableResponseException("its columns differ in length");
         }
-        List<TableDelta.Part> parts = new ArrayList<>(count);
+        List<RiskTableDelta.MachineEntry> parts = new ArrayList<>(count);
         for (int at = 0; at < count; at++) {
             parts.add(
-                    new TableDelta.Part(
+                    new RiskTableDelta.MachineEntry(
                             new MachineId(hint.machines()[at]),
                             hint.incarnations()[at],
                             new WorkerIncarnation(hint.sessions()[at]),
@@ -384,12 +397,12 @@
                             hint.tables()[at],
                             hint.samples()[at]));
         }
-        return new TableDelta(
+        return new RiskTableDelta(
                 new FencingToken(hint.term()), hint.upTo(), hint.whole(), hint.more(), parts);
     }
 
     @Override
-    public CompletableFuture<Optional<RecordDigests>> digests(String leader) {
+    public CompletableFuture<Optional<RecordDigests>> fetchDigests(String leader) {
         String address = addresses.get(leader);
         if (address == null) {
             return CompletableFuture.completedFuture(Optional.empty());
@@ -403,7 +416,7 @@
     private static RecordDigests digests(DigestsHint hint) {
         if (hint.records().length != hint.parts().length
                 || hint.sums().length != hint.parts().length) {
-            throw new Unreadable("its columns differ in length");
+            throw new UnreadableResponseException("its columns differ in length");
         }
         Map<String, RecordDigests.PartDigest> parts = new HashMap<>();
         for (int at = 0; at < hint.parts().length; at++) {
@@ -437,13 +450,14 @@
     }
 
     @Override
-    public CompletableFuture<List<Testimony>> hearing(List<MachineId> machines, Duration within) {
+    public CompletableFuture<List<PeerReachabilityReport>> queryRecentHeartbeats(
+            List<MachineId> machines, Duration within) {
         byte[] question =
                 encode(
                         new HearingQuestion(
                                 machines.stream().map(MachineId::value).toArray(String[]::new),
                                 within.toMillis()));
-        List<CompletableFuture<Testimony>> answers = new ArrayList<>();
+        List<CompletableFuture<PeerReachabilityReport>> answers = new ArrayList<>();
         addresses.forEach(
                 (member, address) ->
                         answers.add(
@@ -452,12 +466,14 @@
                                                 (reply, failure) ->
                                                         failure == null
                                                                 ? testimony(member, machines, reply)
-                                                                : Testimony.none(member))));
+                                                                : PeerReachabilityReport.unanswered(
+                                                                        member))));
         return CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new))
                 .thenApply(unused -> answers.stream().map(CompletableFuture::join).toList());
     }
 
-    private Testimony testimony(String member, List<MachineId> machines, Http.Reply reply) {
+    private PeerReachabilityReport testimony(
+            String member, List<MachineId> machines, Http.Reply reply) {
         try {
             if (reply.status() == 200 && decode(reply.body()) instanceof HearingHint hint) {
                 BitSet bits = BitSet.valueOf(hint.heard());
@@ -467,16 +483,16 @@
                         at = bits.nextSetBit(at + 1)) {
                     heard.add(machines.get(at));
                 }
-                return new Testimony(member, true, hint.served(), heard);
+                return new PeerReachabilityReport(member, true, hint.served(), heard);
             }
         } catch (KryoException | IllegalArgumentException broken) {
             // Another version's answer tells nothing, like none.
         }
-        return Testimony.none(member);
+        return PeerReachabilityReport.unanswered(member);
     }
 
     @Override
-    public CompletableFuture<Boolean> anyServed() {
+    public CompletableFuture<Boolean> anyPeerReachesStore() {
         return any(
                 addresses.values().stream()
                         .map(
@@ -493,12 +509,12 @@
     }
 
     @Override
-    public CompletableFuture<Sign> signOf(String member) {
+    public CompletableFuture<ProbeResult> probe(String member) {
         return ask(member)
                 .thenCompose(
-                        sign -> {
-                            if (sign != Sign.REFUSES) {
-                                return CompletableFuture.completedFuture(sign);
+                        probeResult -> {
+                            if (probeResult != ProbeResult.CONNECTION_REFUSED) {
+                                return CompletableFuture.completedFuture(probeResult);
                             }
                             // A packet filter between the controllers refuses connections to all of
                             // them.
@@ -510,15 +526,17 @@
                                                                     .thenApply(
                                                                             its ->
                                                                                     its
-                                                                                                    == Sign
-                                                                                                            .ANSWERS
+                                                                                                    == ProbeResult
+                                                                                                            .HEALTHY
                                                                                             || its
-                                                                                                    == Sign
-                                                                                                            .DEAF))
+                                                                                                    == ProbeResult
+                                                                                                            .ISOLATED))
                                             .toList())
                                     .thenApply(
                                             othersAnswer ->
-                                                    othersAnswer ? Sign.REFUSES : Sign.SILENT);
+                                                    othersAnswer
+                                                            ? ProbeResult.CONNECTION_REFUSED
+                                                            : ProbeResult.UNRESPONSIVE);
                         });
     }
 
@@ -538,19 +556,21 @@
         return any;
     }
 
-    private CompletableFuture<Sign> ask(String member) {
+    private CompletableFuture<ProbeResult> ask(String member) {
         String address = addresses.get(member);
         if (address == null) {
-            return CompletableFuture.completedFuture(Sign.SILENT);
+            return CompletableFuture.completedFuture(ProbeResult.UNRESPONSIVE);
         }
         return http.send(address, "GET", SERVED, null, SIGN)
                 .handle(
                         (reply, failure) ->
                                 failure == null
-                                        ? says(reply, ServedHint::deaf) ? Sign.DEAF : Sign.ANSWERS
+                                        ? says(reply, ServedHint::deaf)
+                                                ? ProbeResult.ISOLATED
+                                                : ProbeResult.HEALTHY
                                         : failure instanceof Http.Refused
-                                                ? Sign.REFUSES
-                                                : Sign.SILENT);
+                                                ? ProbeResult.CONNECTION_REFUSED
+                                                : ProbeResult.UNRESPONSIVE);
     }
 
     private boolean says(Http.Reply reply, Predicate<ServedHint> what) {
--- a/src/main/java/org/meadowhollow/protocol/tes/TesApi.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesApi.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CompletionException;
 import java.util.random.RandomGenerator;
 import org.meadowhollow.coordination.admission.Admission;
-import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.model.AttemptRecord;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.JobId;
@@ -71,7 +71,7 @@
     private final Admission admission;
     private final KeyValueStore store;
     private final EventLoop loop;
-    private final Platform platform;
+    private final DeploymentSettings deploymentSettings;
     private final TesTokens tokens;
     private final RandomGenerator random;
     private final TaskTracer traces;
@@ -96,7 +96,7 @@
             Admission admission,
             KeyValueStore store,
             EventLoop loop,
-            Platform platform,
+            DeploymentSettings deploymentSettings,
             TesTokens tokens,
             TaskTracer traces,
             RandomGenerator random) {
@@ -104,7 +104,7 @@
         this.admission = admission;
         this.store = store;
         this.loop = loop;
-        this.platform = platform;
+        this.deploymentSettings = deploymentSettings;
         this.tokens = tokens;
         this.random = random;
         this.listing = new TesListing(this, store);
@@ -205,7 +205,7 @@
     private Map<String, Object> serviceInfo() {
         return Fields.of(
                 "id",
-                "org.meadowhollow." + platform.member(),
+                "org.meadowhollow." + deploymentSettings.member(),
                 "name",
                 "meadowhollow",
                 "type",
@@ -234,7 +234,7 @@
             throw new Malformed("Idempotency-Key is empty or longer than " + LONGEST_KEY);
         }
         JobId id = repeatKey == null ? newId() : idOf(team, repeatKey);
-        JobSpec spec = TesCodec.job(id, team, task, platform.zones());
+        JobSpec spec = TesCodec.job(id, team, task, deploymentSettings.zones());
         long now = loop.wallClockMillis();
         byte[] document = Json.encode(task.document());
         TesListing.Entry entry = new TesListing.Entry(id.value(), task.name(), task.tags(), now);
@@ -245,7 +245,7 @@
                         TesListing.key(team, now, id),
                         digest(document),
                         task.document());
-        int room = platform.valueBytes() - FRAMING;
+        int room = deploymentSettings.maxValueBytes() - FRAMING;
         // The job's own record holds the entry as well, with what it takes to place the task.
         if (document.length > room || 2 * entry.bytes() > room) {
             throw new Refused(
--- a/src/main/java/org/meadowhollow/protocol/workers/WorkerApi.java
+++ b/src/main/java/org/meadowhollow/protocol/workers/WorkerApi.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
-import org.meadowhollow.coordination.Answer;
+import org.meadowhollow.coordination.api.HeartbeatResponse;
 import org.meadowhollow.model.Heartbeat;
 import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
@@ -10,9 +10,9 @@
 
 /** Takes workers' reports and answers them. */
 public final class WorkerApi {
-    private final Function<Heartbeat, CompletableFuture<Answer>> reports;
+    private final Function<Heartbeat, CompletableFuture<HeartbeatResponse>> reports;
 
-    public WorkerApi(Function<Heartbeat, CompletableFuture<Answer>> reports) {
+    public WorkerApi(Function<Heartbeat, CompletableFuture<HeartbeatResponse>> reports) {
         this.reports = reports;
     }
 
@@ -26,17 +26,17 @@
         return reports.apply(heartbeat).thenApply(WorkerApi::reply);
     }
 
-    private static Http.Reply reply(Answer answer) {
-        if (answer instanceof Answer.Orders orders) {
+    private static Http.Reply reply(HeartbeatResponse heartbeatResponse) {
+        if (heartbeatResponse instanceof HeartbeatResponse.Commands commands) {
             return Http.Reply.of(
                     200,
                     Fields.of(
                             "baton",
-                            orders.token().value(),
+                            commands.token().value(),
                             "orders",
-                            WorkerCodec.orders(orders.orders())));
+                            WorkerCodec.orders(commands.commands())));
         }
-        String member = ((Answer.Elsewhere) answer).member();
+        String member = ((HeartbeatResponse.Redirect) heartbeatResponse).member();
         return Http.Reply.of(421, member == null ? Fields.of() : Fields.of("herder", member));
     }
 }
--- a/src/main/java/org/meadowhollow/protocol/workers/WorkerClient.java
+++ b/src/main/java/org/meadowhollow/protocol/workers/WorkerClient.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
-import org.meadowhollow.coordination.platform.Workers;
+import org.meadowhollow.coordination.api.WorkerGateway;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Heartbeat;
 import org.meadowhollow.model.WorkerCommand;
@@ -15,7 +15,7 @@
 import org.meadowhollow.protocol.Wire;
 
 /** Direct commands to workers. */
-public final class WorkerClient implements Workers {
+public final class WorkerClient implements WorkerGateway {
     /** A worker answers at once; a hung one answers much later or never. */
     private static final Duration ANSWER = Duration.ofSeconds(3);
 
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public CompletableFuture<Heartbeat> send(
+    public CompletableFuture<Heartbeat> sendCommands(
             String address,
             FencingToken token,
             WorkerIncarnation workerIncarnation,
--- a/src/test/java/org/meadowhollow/LayersTest.java
+++ b/src/test/java/org/meadowhollow/LayersTest.java
@@ -39,9 +39,9 @@
      */
     private static final List<String> COORDINATION_PACKAGES =
             List.of(
-                    "platform",
+                    "api",
                     "admission",
-                    "calendar",
+                    "reservation", "calendar",
                     "placement",
                     "hearing",
                     "serving",
--- a/src/test/java/org/meadowhollow/coordination/failover/RiskTableReplicationTest.java
+++ b/src/test/java/org/meadowhollow/coordination/failover/RiskTableReplicationTest.java
@@ -11,10 +11,10 @@
 import java.util.Random;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
+import org.meadowhollow.coordination.api.ControllerStatus;
+import org.meadowhollow.coordination.api.RiskTableDelta;
 import org.meadowhollow.coordination.failover.RiskTableReplica.ApplyResult;
 import org.meadowhollow.coordination.placement.RiskTable;
-import org.meadowhollow.coordination.platform.NodeStatus;
-import org.meadowhollow.coordination.platform.TableDelta;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Heartbeat;
 import org.meadowhollow.model.Machine;
@@ -30,8 +30,8 @@
     private static final FencingToken TERM = new FencingToken(2);
     private static final MachineType TYPE =
             new MachineType("large", Resources.of(32, 8, 128), 50, 1, 8, 4, 10, List.of("a"));
-    private static final NodeStatus STANDBY =
-            new NodeStatus("n1", 1, "a", "test", 1, new Revision(5));
+    private static final ControllerStatus STANDBY =
+            new ControllerStatus("n1", 1, "a", "test", 1, new Revision(5));
 
     private final TreeMap<MachineId, Machine> machines = new TreeMap<>();
     private final Map<MachineId, RiskTable> tables = new HashMap<>();
@@ -90,7 +90,7 @@
                         List.of()));
     }
 
-    private TableDelta answer() {
+    private RiskTableDelta answer() {
         return feed.answerRequest(copies.nextRequest(STANDBY), machines, tables, now());
     }
 
@@ -142,7 +142,7 @@
         reports(3);
         pull();
         reports(RiskTablePublisher.MAX_SAMPLES / 100 + 2);
-        assertTrue(answer().whole());
+        assertTrue(answer().fullTables());
         pull();
         assertEquals(
                 tables.get(new MachineId("vm-000007")),
@@ -154,7 +154,7 @@
         machines(3);
         reports(3);
         pull();
-        TableDelta late = answer();
+        RiskTableDelta late = answer();
         RiskTablePublisher next = new RiskTablePublisher(TERM.next(), true);
         FencingToken higher = TERM.next();
         assertEquals(
@@ -174,8 +174,8 @@
         reports(25);
         pull();
         reports(1);
-        TableDelta.Part damaged =
-                new TableDelta.Part(
+        RiskTableDelta.MachineEntry damaged =
+                new RiskTableDelta.MachineEntry(
                         new MachineId("vm-000001"),
                         1,
                         new WorkerIncarnation(1),
@@ -185,10 +185,11 @@
         assertEquals(
                 ApplyResult.INCONSISTENT,
                 copies.apply(
-                        new TableDelta(TERM, answer().upTo(), false, false, List.of(damaged)),
+                        new RiskTableDelta(
+                                TERM, answer().lastSample(), false, false, List.of(damaged)),
                         TERM,
                         now()));
-        assertTrue(copies.nextRequest(STANDBY).isForWhole());
+        assertTrue(copies.nextRequest(STANDBY).isForFullTables());
         pull();
         assertEquals(
                 tables.get(new MachineId("vm-000001")),
@@ -249,15 +250,17 @@
     @Test
     void theHeirIsTheStandbyThatIsFurthestOfThoseHeardOfLately() {
         Membership members = new Membership();
-        members.recordStatus(new NodeStatus("n3", 1, "a", "test", 1, new Revision(90)), now());
+        members.recordStatus(
+                new ControllerStatus("n3", 1, "a", "test", 1, new Revision(90)), now());
         second += Membership.MAX_STATUS_AGE.toSeconds() + 1;
         assertTrue(
                 members.preferredSuccessor(1, now()).isEmpty(),
                 "nothing is known of who is silent");
-        members.recordStatus(new NodeStatus("n4", 1, "a", "test", 2, new Revision(80)), now());
-        members.recordStatus(new NodeStatus("n2", 1, "a", "test", 1, new Revision(7)), now());
-        members.recordStatus(new NodeStatus("n1", 1, "a", "test", 1, new Revision(7)), now());
-        members.recordStatus(new NodeStatus("n0", 1, "a", "test", 1, new Revision(6)), now());
+        members.recordStatus(
+                new ControllerStatus("n4", 1, "a", "test", 2, new Revision(80)), now());
+        members.recordStatus(new ControllerStatus("n2", 1, "a", "test", 1, new Revision(7)), now());
+        members.recordStatus(new ControllerStatus("n1", 1, "a", "test", 1, new Revision(7)), now());
+        members.recordStatus(new ControllerStatus("n0", 1, "a", "test", 1, new Revision(6)), now());
         assertEquals(
                 Optional.of("n1"),
                 members.preferredSuccessor(1, now()),
--- a/src/test/java/org/meadowhollow/coordination/fleet/GivingUpTest.java
+++ b/src/test/java/org/meadowhollow/coordination/fleet/GivingUpTest.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.coordination.placement.Cluster;
-import org.meadowhollow.coordination.platform.Platform;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Machine;
 import org.meadowhollow.model.MachineId;
@@ -23,8 +23,8 @@
     /** Of thousands that are silent, the other nodes can be asked about some hundred at a time. */
     @Test
     void aMachineThatNobodyHasBeenAskedAboutIsKept() {
-        Platform platform =
-                new Platform(
+        DeploymentSettings deploymentSettings =
+                new DeploymentSettings(
                         "n0",
                         List.of("a"),
                         Map.of(),
@@ -39,11 +39,12 @@
                         12,
                         10,
                         Duration.ofSeconds(8));
-        Cluster cluster = new Cluster(platform, new FencingToken(1));
+        Cluster cluster = new Cluster(deploymentSettings, new FencingToken(1));
         GivingUp givingUp =
                 new GivingUp(
-                        new FailureDetector(null, cluster, platform, null, null, null, BEGUN),
-                        platform);
+                        new FailureDetector(
+                                null, cluster, deploymentSettings, null, null, null, BEGUN),
+                        deploymentSettings);
         Machine silent = new Machine(new MachineId("vm-1"), TYPE, "a", false);
         silent.knownSince(BEGUN);
         silent.recordAnsweredHeartbeat(BEGUN);
--- a/src/test/java/org/meadowhollow/protocol/PeerLinkTest.java
+++ b/src/test/java/org/meadowhollow/protocol/PeerLinkTest.java
@@ -14,10 +14,10 @@
 import java.util.concurrent.CompletionException;
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.coordination.platform.NodeStatus;
-import org.meadowhollow.coordination.platform.Peers.Sign;
-import org.meadowhollow.coordination.platform.TableDelta;
-import org.meadowhollow.coordination.platform.TableQuestion;
+import org.meadowhollow.coordination.api.ControllerStatus;
+import org.meadowhollow.coordination.api.PeerGateway.ProbeResult;
+import org.meadowhollow.coordination.api.RiskTableDelta;
+import org.meadowhollow.coordination.api.RiskTableRequest;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.MachineId;
 import org.meadowhollow.model.Revision;
@@ -41,26 +41,30 @@
 
     @Test
     void aNodeThatAloneRefusesIsToldFromAFilterBetweenAll() {
-        assertEquals(Sign.ANSWERS, link.signOf("n1").join());
+        assertEquals(ProbeResult.HEALTHY, link.probe("n1").join());
         refusing.add("a:1");
-        assertEquals(Sign.REFUSES, link.signOf("n1").join());
+        assertEquals(ProbeResult.CONNECTION_REFUSED, link.probe("n1").join());
         refusing.add("a:2");
-        assertEquals(Sign.REFUSES, link.signOf("n1").join(), "the third one answers");
+        assertEquals(
+                ProbeResult.CONNECTION_REFUSED, link.probe("n1").join(), "the third one answers");
         refusing.add("a:3");
-        assertEquals(Sign.SILENT, link.signOf("n1").join(), "all refuse, so the line is at fault");
+        assertEquals(
+                ProbeResult.UNRESPONSIVE,
+                link.probe("n1").join(),
+                "all refuse, so the line is at fault");
     }
 
     /** Asks another node for its tables; the answer is changed on its way. */
-    private Optional<TableDelta> tables(UnaryOperator<byte[]> onItsWay) {
+    private Optional<RiskTableDelta> tables(UnaryOperator<byte[]> onItsWay) {
         PeerLink leader = new PeerLink(http, Map.of());
-        TableDelta delta =
-                new TableDelta(
+        RiskTableDelta delta =
+                new RiskTableDelta(
                         new FencingToken(3),
                         8,
                         false,
                         false,
                         List.of(
-                                new TableDelta.Part(
+                                new RiskTableDelta.MachineEntry(
                                         new MachineId("vm-1"),
                                         5,
                                         new WorkerIncarnation(1),
@@ -70,7 +74,7 @@
         leader.testator(
                 new PeerLink.Testator() {
                     @Override
-                    public Optional<TableDelta> tables(TableQuestion question) {
+                    public Optional<RiskTableDelta> tables(RiskTableRequest question) {
                         return Optional.of(delta);
                     }
 
@@ -90,11 +94,12 @@
                                                                 onItsWay.apply(reply.body()),
                                                                 0)),
                         Map.of("n1", "a:1"));
-        Optional<TableDelta> got =
-                standby.tables(
+        Optional<RiskTableDelta> got =
+                standby.fetchRiskTables(
                                 "n1",
-                                new TableQuestion(
-                                        new NodeStatus("n2", 1, "a", "test", 1, new Revision(4)),
+                                new RiskTableRequest(
+                                        new ControllerStatus(
+                                                "n2", 1, "a", "test", 1, new Revision(4)),
                                         new FencingToken(3),
                                         7,
                                         ""))
@@ -102,7 +107,7 @@
         got.ifPresent(
                 each ->
                         assertArrayEquals(
-                                delta.parts().get(0).samples(), each.parts().get(0).samples()));
+                                delta.entries().get(0).samples(), each.entries().get(0).samples()));
         return got;
     }
 
@@ -132,7 +137,7 @@
     @Test
     void silenceIsNoRefusal() {
         silent.add("a:1");
-        assertEquals(Sign.SILENT, link.signOf("n1").join());
-        assertEquals(Sign.SILENT, link.signOf("nobody").join());
+        assertEquals(ProbeResult.UNRESPONSIVE, link.probe("n1").join());
+        assertEquals(ProbeResult.UNRESPONSIVE, link.probe("nobody").join());
     }
 }
--- a/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerFilesMain.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerFilesMain.java
@@ -15,11 +15,11 @@
     public static void main(String[] unused) throws IOException {
         GoldenPeers peer = new GoldenPeers();
         peer.says(true, false);
-        peer.link.announce("n1", new FencingToken(42));
+        peer.link.announceLeader("n1", new FencingToken(42));
         write("peer-leader", peer, 0);
-        peer.link.hearing(GoldenPeers.MACHINES, Duration.ofMillis(6500));
+        peer.link.queryRecentHeartbeats(GoldenPeers.MACHINES, Duration.ofMillis(6500));
         write("peer-hearing-question", peer, 1);
-        peer.link.tables("n1", GoldenPeers.QUESTION);
+        peer.link.fetchRiskTables("n1", GoldenPeers.QUESTION);
         write("peer-tables-question", peer, 2);
         GoldenFile.write("peer-served", "GET /served", peer.handle("GET", "/served", null));
         GoldenFile.write(
--- a/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerMessagesTest.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerMessagesTest.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.meadowhollow.coordination.platform.NodeStatus;
-import org.meadowhollow.coordination.platform.Peers.Sign;
-import org.meadowhollow.coordination.platform.TableDelta;
-import org.meadowhollow.coordination.platform.TableQuestion;
-import org.meadowhollow.coordination.platform.Testimony;
+import org.meadowhollow.coordination.api.ControllerStatus;
+import org.meadowhollow.coordination.api.PeerGateway.ProbeResult;
+import org.meadowhollow.coordination.api.PeerReachabilityReport;
+import org.meadowhollow.coordination.api.RiskTableDelta;
+import org.meadowhollow.coordination.api.RiskTableRequest;
 import org.meadowhollow.golden.GoldenFile;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.MachineId;
@@ -54,7 +54,7 @@
                 (fencingToken, member) -> told.add(member + " in " + fencingToken.value()));
         peer.handle("POST", "/leader", file.bytes());
         assertEquals(List.of("n1 in 42"), told);
-        peer.link.announce("n1", new FencingToken(42));
+        peer.link.announceLeader("n1", new FencingToken(42));
         assertSent(file);
     }
 
@@ -63,8 +63,8 @@
         GoldenFile file = GoldenFile.read("peer-served");
         assertEquals("GET /served", file.key());
         peer.answer = file.bytes();
-        assertTrue(peer.link.anyServed().join());
-        assertEquals(Sign.ANSWERS, peer.link.signOf("n1").join());
+        assertTrue(peer.link.anyPeerReachesStore().join());
+        assertEquals(ProbeResult.HEALTHY, peer.link.probe("n1").join());
         assertEquals("GET /served", peer.sent.get(0).method() + ' ' + peer.sent.get(0).path());
         peer.says(true, false);
         file.assertSameBytes(peer.handle("GET", "/served", null));
@@ -74,8 +74,8 @@
     void aNodeThatIsNotServedAndLeadsDeaf() {
         GoldenFile file = GoldenFile.read("peer-deaf");
         peer.answer = file.bytes();
-        assertFalse(peer.link.anyServed().join());
-        assertEquals(Sign.DEAF, peer.link.signOf("n1").join());
+        assertFalse(peer.link.anyPeerReachesStore().join());
+        assertEquals(ProbeResult.ISOLATED, peer.link.probe("n1").join());
         peer.says(false, true);
         file.assertSameBytes(peer.handle("GET", "/served", null));
     }
@@ -101,7 +101,7 @@
                         new MachineId("vm-000003")),
                 asked);
         assertEquals(List.of(Duration.ofMillis(6500)), within);
-        peer.link.hearing(asked, within.get(0));
+        peer.link.queryRecentHeartbeats(asked, within.get(0));
         assertSent(file);
     }
 
@@ -111,12 +111,14 @@
         peer.answer = file.bytes();
         assertEquals(
                 List.of(
-                        new Testimony(
+                        new PeerReachabilityReport(
                                 "n1",
                                 true,
                                 true,
                                 Set.of(new MachineId("vm-000001"), new MachineId("vm-000003")))),
-                peer.link.hearing(GoldenPeers.MACHINES, Duration.ofMillis(6500)).join());
+                peer.link
+                        .queryRecentHeartbeats(GoldenPeers.MACHINES, Duration.ofMillis(6500))
+                        .join());
         peer.says(true, false);
         file.assertSameBytes(
                 peer.handle("POST", "/hearing", GoldenFile.read("peer-hearing-question").bytes()));
@@ -126,11 +128,11 @@
     void aQuestionAboutTables() {
         GoldenFile file = GoldenFile.read("peer-tables-question");
         assertEquals("POST /tables", file.key());
-        List<TableQuestion> asked = new ArrayList<>();
+        List<RiskTableRequest> asked = new ArrayList<>();
         peer.link.testator(
                 new PeerLink.Testator() {
                     @Override
-                    public Optional<TableDelta> tables(TableQuestion question) {
+                    public Optional<RiskTableDelta> tables(RiskTableRequest question) {
                         asked.add(question);
                         return Optional.of(GoldenPeers.delta());
                     }
@@ -143,8 +145,8 @@
         peer.handle("POST", "/tables", file.bytes());
         assertEquals(
                 List.of(
-                        new TableQuestion(
-                                new NodeStatus(
+                        new RiskTableRequest(
+                                new ControllerStatus(
                                         "n2",
                                         0x1122334455667788L,
                                         "b",
@@ -156,7 +158,7 @@
                                 "vm-000002")),
                 asked);
         peer.answer = GoldenFile.read("peer-tables").bytes();
-        peer.link.tables("n1", asked.get(0)).join();
+        peer.link.fetchRiskTables("n1", asked.get(0)).join();
         assertSent(file);
     }
 
@@ -167,27 +169,34 @@
             long seq,
             int[] table,
             long[] samples,
-            TableDelta.Part part) {
-        assertEquals(new MachineId(machine), part.machine());
-        assertEquals(incarnation, part.incarnation());
-        assertEquals(new WorkerIncarnation(session), part.session());
-        assertEquals(seq, part.seq());
-        assertArrayEquals(table, part.table());
-        assertArrayEquals(samples, part.samples());
+            RiskTableDelta.MachineEntry machineEntry) {
+        assertEquals(new MachineId(machine), machineEntry.machine());
+        assertEquals(incarnation, machineEntry.machineIdentityHash());
+        assertEquals(new WorkerIncarnation(session), machineEntry.workerIncarnation());
+        assertEquals(seq, machineEntry.sequenceNumber());
+        assertArrayEquals(table, machineEntry.table());
+        assertArrayEquals(samples, machineEntry.samples());
     }
 
     @Test
     void anAnswerAboutTables() {
         GoldenFile file = GoldenFile.read("peer-tables");
         peer.answer = file.bytes();
-        TableDelta delta = peer.link.tables("n1", GoldenPeers.QUESTION).join().orElseThrow();
-        assertEquals(new FencingToken(42), delta.term());
-        assertEquals(1234, delta.upTo());
-        assertTrue(delta.whole());
-        assertFalse(delta.more());
-        assertEquals(2, delta.parts().size());
+        RiskTableDelta delta =
+                peer.link.fetchRiskTables("n1", GoldenPeers.QUESTION).join().orElseThrow();
+        assertEquals(new FencingToken(42), delta.token());
+        assertEquals(1234, delta.lastSample());
+        assertTrue(delta.fullTables());
+        assertFalse(delta.hasMore());
+        assertEquals(2, delta.entries().size());
         assertPart(
-                "vm-000001", -5, 1, 77, new int[] {1, -2, 300}, new long[0], delta.parts().get(0));
+                "vm-000001",
+                -5,
+                1,
+                77,
+                new int[] {1, -2, 300},
+                new long[0],
+                delta.entries().get(0));
         assertPart(
                 "vm-000002",
                 6,
@@ -195,7 +204,7 @@
                 78,
                 new int[0],
                 new long[] {1, 77, 20, -3},
-                delta.parts().get(1));
+                delta.entries().get(1));
         peer.says(true, false);
         file.assertSameBytes(
                 peer.handle("POST", "/tables", GoldenFile.read("peer-tables-question").bytes()));
@@ -206,7 +215,7 @@
         GoldenFile file = GoldenFile.read("peer-digests");
         assertEquals("GET /digests", file.key());
         peer.answer = file.bytes();
-        RecordDigests recordDigests = peer.link.digests("n1").join().orElseThrow();
+        RecordDigests recordDigests = peer.link.fetchDigests("n1").join().orElseThrow();
         assertEquals("GET /digests", peer.sent.get(0).method() + ' ' + peer.sent.get(0).path());
         assertEquals(
                 new HashMap<>(
@@ -224,10 +233,10 @@
     /** What is sent now of what the files hold. */
     private byte[] sentNow(String name) {
         peer.says(true, name.equals("peer-deaf"));
-        peer.link.announce("n1", new FencingToken(42));
-        peer.link.hearing(GoldenPeers.MACHINES, Duration.ofMillis(6500));
+        peer.link.announceLeader("n1", new FencingToken(42));
+        peer.link.queryRecentHeartbeats(GoldenPeers.MACHINES, Duration.ofMillis(6500));
         peer.answer = GoldenFile.read("peer-tables").bytes();
-        peer.link.tables("n1", GoldenPeers.QUESTION);
+        peer.link.fetchRiskTables("n1", GoldenPeers.QUESTION);
         return switch (name) {
             case "peer-leader" -> peer.sent.get(0).body();
             case "peer-hearing-question" -> peer.sent.get(1).body();
--- a/src/test/java/org/meadowhollow/protocol/peers/GoldenPeers.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/GoldenPeers.java
@@ -9,9 +9,9 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import org.meadowhollow.coordination.platform.NodeStatus;
-import org.meadowhollow.coordination.platform.TableDelta;
-import org.meadowhollow.coordination.platform.TableQuestion;
+import org.meadowhollow.coordination.api.ControllerStatus;
+import org.meadowhollow.coordination.api.RiskTableDelta;
+import org.meadowhollow.coordination.api.RiskTableRequest;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.MachineId;
 import org.meadowhollow.model.Revision;
@@ -29,9 +29,9 @@
                     new MachineId("vm-000001"),
                     new MachineId("vm-000002"),
                     new MachineId("vm-000003"));
-    static final TableQuestion QUESTION =
-            new TableQuestion(
-                    new NodeStatus(
+    static final RiskTableRequest QUESTION =
+            new RiskTableRequest(
+                    new ControllerStatus(
                             "n2", 0x1122334455667788L, "b", "2.1.0", 1, new Revision(123_456)),
                     new FencingToken(42),
                     99,
@@ -54,21 +54,21 @@
         return CompletableFuture.completedFuture(new Http.Reply(200, answer, 0));
     }
 
-    static TableDelta delta() {
-        return new TableDelta(
+    static RiskTableDelta delta() {
+        return new RiskTableDelta(
                 new FencingToken(42),
                 1234,
                 true,
                 false,
                 List.of(
-                        new TableDelta.Part(
+                        new RiskTableDelta.MachineEntry(
                                 new MachineId("vm-000001"),
                                 -5,
                                 new WorkerIncarnation(1),
                                 77,
                                 new int[] {1, -2, 300},
                                 new long[0]),
-                        new TableDelta.Part(
+                        new RiskTableDelta.MachineEntry(
                                 new MachineId("vm-000002"),
                                 6,
                                 new WorkerIncarnation(4_294_967_297L),
@@ -91,7 +91,7 @@
         link.testator(
                 new PeerLink.Testator() {
                     @Override
-                    public Optional<TableDelta> tables(TableQuestion question) {
+                    public Optional<RiskTableDelta> tables(RiskTableRequest question) {
                         return Optional.of(delta());
                     }
 
--- a/src/test/java/org/meadowhollow/storage/GoldenFilesMain.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenFilesMain.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import org.meadowhollow.coordination.api.RiskTableDelta;
 import org.meadowhollow.coordination.leadership.CandidacyPolicy;
-import org.meadowhollow.coordination.platform.TableDelta;
 import org.meadowhollow.golden.GoldenFile;
 import org.meadowhollow.model.AttemptNumber;
 import org.meadowhollow.model.ExitReason;
@@ -354,16 +354,16 @@
     }
 
     private static void tables() throws IOException {
-        List<TableDelta.Part> parts =
+        List<RiskTableDelta.MachineEntry> parts =
                 List.of(
-                        new TableDelta.Part(
+                        new RiskTableDelta.MachineEntry(
                                 new MachineId("vm-000001"),
                                 -77,
                                 new WorkerIncarnation(1),
                                 12,
                                 new int[] {1, 2, -3},
                                 new long[0]),
-                        new TableDelta.Part(
+                        new RiskTableDelta.MachineEntry(
                                 new MachineId("vm-000002"),
                                 78,
                                 new WorkerIncarnation(4_294_967_297L),
--- a/src/test/java/org/meadowhollow/storage/GoldenRecordsTest.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenRecordsTest.java
@@ -28,9 +28,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
+import org.meadowhollow.coordination.api.RiskTableDelta;
 import org.meadowhollow.coordination.failover.RiskTableSnapshotStore;
 import org.meadowhollow.coordination.leadership.CandidacyPolicy;
-import org.meadowhollow.coordination.platform.TableDelta;
 import org.meadowhollow.golden.GoldenFile;
 import org.meadowhollow.model.AttemptNumber;
 import org.meadowhollow.model.AttemptRecord;
@@ -727,7 +727,7 @@
         return sum.getValue();
     }
 
-    private static List<TableDelta.Part> parts(GoldenStore store) {
+    private static List<RiskTableDelta.MachineEntry> parts(GoldenStore store) {
         Optional<RiskTableSnapshotStore.StoredTables> read =
                 RiskTableSnapshotStore.read(store, new GoldenStore.Still(TABLES_AT + 2500)).join();
         assertEquals(Duration.ofMillis(2500), read.orElseThrow().age());
@@ -760,18 +760,18 @@
                         checksum(body)),
                 head.value());
 
-        List<TableDelta.Part> parts = parts(tables());
+        List<RiskTableDelta.MachineEntry> parts = parts(tables());
         assertEquals(2, parts.size());
         assertEquals(new MachineId("vm-000001"), parts.get(0).machine());
-        assertEquals(-77, parts.get(0).incarnation());
-        assertEquals(new WorkerIncarnation(1), parts.get(0).session());
-        assertEquals(12, parts.get(0).seq());
+        assertEquals(-77, parts.get(0).machineIdentityHash());
+        assertEquals(new WorkerIncarnation(1), parts.get(0).workerIncarnation());
+        assertEquals(12, parts.get(0).sequenceNumber());
         assertArrayEquals(new int[] {1, 2, -3}, parts.get(0).table());
         assertArrayEquals(new long[0], parts.get(0).samples());
         assertEquals(new MachineId("vm-000002"), parts.get(1).machine());
-        assertEquals(78, parts.get(1).incarnation());
-        assertEquals(new WorkerIncarnation(4_294_967_297L), parts.get(1).session());
-        assertEquals(13, parts.get(1).seq());
+        assertEquals(78, parts.get(1).machineIdentityHash());
+        assertEquals(new WorkerIncarnation(4_294_967_297L), parts.get(1).workerIncarnation());
+        assertEquals(13, parts.get(1).sequenceNumber());
         assertArrayEquals(
                 new int[] {
                     1_928_374_655,
--- a/src/test/java/org/meadowhollow/storage/GoldenStore.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenStore.java
@@ -9,14 +9,14 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
+import org.meadowhollow.coordination.api.DeploymentSettings;
+import org.meadowhollow.coordination.api.PeerGateway;
+import org.meadowhollow.coordination.api.PeerReachabilityReport;
+import org.meadowhollow.coordination.api.RiskTableDelta;
+import org.meadowhollow.coordination.api.RiskTableRequest;
 import org.meadowhollow.coordination.failover.RiskTableSnapshotStore;
 import org.meadowhollow.coordination.hearing.Earshot;
 import org.meadowhollow.coordination.leadership.Leadership;
-import org.meadowhollow.coordination.platform.Peers;
-import org.meadowhollow.coordination.platform.Platform;
-import org.meadowhollow.coordination.platform.TableDelta;
-import org.meadowhollow.coordination.platform.TableQuestion;
-import org.meadowhollow.coordination.platform.Testimony;
 import org.meadowhollow.golden.GoldenFile;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.FencingToken;
@@ -81,8 +81,8 @@
 
     /** A controller that stands for leader, alone. */
     static Leadership candidate(String member, KeyValueStore store, Leadership.Listener listener) {
-        Platform platform =
-                new Platform(
+        DeploymentSettings deploymentSettings =
+                new DeploymentSettings(
                         member,
                         List.of("a", "b"),
                         Map.of(),
@@ -101,7 +101,7 @@
                 store,
                 new Still(0),
                 new NoPeers(),
-                platform,
+                deploymentSettings,
                 new Earshot(),
                 new Random(1),
                 listener);
@@ -118,7 +118,7 @@
      * @param valueBytes that a chunk may have
      */
     static GoldenStore withSnapshot(
-            List<TableDelta.Part> parts,
+            List<RiskTableDelta.MachineEntry> parts,
             Optional<GoldenFile> before,
             long wallMillis,
             int valueBytes) {
@@ -199,34 +199,34 @@
     }
 
     /** Nobody else is there. */
-    private static final class NoPeers implements Peers {
+    private static final class NoPeers implements PeerGateway {
         @Override
-        public void announce(String leader, FencingToken fencingToken) {}
+        public void announceLeader(String leader, FencingToken fencingToken) {}
 
         @Override
-        public CompletableFuture<Boolean> anyServed() {
+        public CompletableFuture<Boolean> anyPeerReachesStore() {
             return new CompletableFuture<>();
         }
 
         @Override
-        public CompletableFuture<Sign> signOf(String member) {
+        public CompletableFuture<ProbeResult> probe(String member) {
             return new CompletableFuture<>();
         }
 
         @Override
-        public CompletableFuture<List<Testimony>> hearing(
+        public CompletableFuture<List<PeerReachabilityReport>> queryRecentHeartbeats(
                 List<MachineId> machines, Duration within) {
             return new CompletableFuture<>();
         }
 
         @Override
-        public CompletableFuture<Optional<TableDelta>> tables(
-                String leader, TableQuestion question) {
+        public CompletableFuture<Optional<RiskTableDelta>> fetchRiskTables(
+                String leader, RiskTableRequest question) {
             return new CompletableFuture<>();
         }
 
         @Override
-        public CompletableFuture<Optional<RecordDigests>> digests(String leader) {
+        public CompletableFuture<Optional<RecordDigests>> fetchDigests(String leader) {
             return new CompletableFuture<>();
         }
     }
--- a/src/test/java/org/meadowhollow/story/FakeWorker.java
+++ b/src/test/java/org/meadowhollow/story/FakeWorker.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import org.meadowhollow.coordination.Answer;
+import org.meadowhollow.coordination.api.HeartbeatResponse;
 import org.meadowhollow.model.AttemptNumber;
 import org.meadowhollow.model.ExitReason;
 import org.meadowhollow.model.FencingToken;
@@ -66,7 +66,7 @@
     private FencingToken token = FencingToken.NONE;
     private MonotonicTime answeredSentAt;
     private int node;
-    private CompletableFuture<Answer> inFlight;
+    private CompletableFuture<HeartbeatResponse> inFlight;
     private boolean hung;
     private boolean gone;
     private boolean deaf;
@@ -349,7 +349,7 @@
         Heartbeat heartbeat = snapshot();
         MonotonicTime sentAt = world.loop().now();
         WorkerIncarnation reporting = workerIncarnation;
-        CompletableFuture<Answer> answer =
+        CompletableFuture<HeartbeatResponse> answer =
                 reaches(node) && !mute ? world.deliver(node, heartbeat) : new CompletableFuture<>();
         if (answer == null) {
             tryNext();
@@ -393,27 +393,27 @@
                         });
     }
 
-    private void answered(Answer answer, MonotonicTime sentAt) {
-        if (answer instanceof Answer.Elsewhere elsewhere) {
-            if (elsewhere.member() == null) {
+    private void answered(HeartbeatResponse heartbeatResponse, MonotonicTime sentAt) {
+        if (heartbeatResponse instanceof HeartbeatResponse.Redirect redirect) {
+            if (redirect.member() == null) {
                 tryNext();
             } else {
-                node = world.indexOf(elsewhere.member());
+                node = world.indexOf(redirect.member());
                 reportAfter(CHANGE);
             }
             return;
         }
-        Answer.Orders orders = (Answer.Orders) answer;
-        if (deaf || token.isAfter(orders.token())) {
+        HeartbeatResponse.Commands commands = (HeartbeatResponse.Commands) heartbeatResponse;
+        if (deaf || token.isAfter(commands.token())) {
             return;
         }
-        if (orders.token().isAfter(token)) {
+        if (commands.token().isAfter(token)) {
             // A higher token is a change, which goes out at once, though not before half a second.
             reportAfter(CHANGE);
         }
-        token = orders.token();
+        token = commands.token();
         answeredSentAt = sentAt;
-        execute(orders.orders());
+        execute(commands.commands());
     }
 
     /** A direct command; null when there is no answer. */
--- a/src/test/java/org/meadowhollow/story/Judge.java
+++ b/src/test/java/org/meadowhollow/story/Judge.java
@@ -14,7 +14,7 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import org.meadowhollow.coordination.admission.Admission.Phase;
-import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.model.JobId;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
@@ -63,7 +63,7 @@
     private record Told(Phase phase, MonotonicTime at) {}
 
     private final Duration cancelWithin;
-    private final Map<String, Platform.Team> teams;
+    private final Map<String, DeploymentSettings.TeamQuota> teams;
     private final Function<JobId, JobSpec> specs;
     private final Supplier<? extends Collection<? extends Place>> places;
     private final List<MachineType> types;
@@ -80,7 +80,7 @@
 
     Judge(
             Duration cancelWithin,
-            Map<String, Platform.Team> teams,
+            Map<String, DeploymentSettings.TeamQuota> teams,
             List<MachineType> types,
             Function<JobId, JobSpec> specs,
             Supplier<? extends Collection<? extends Place>> places) {
@@ -106,12 +106,12 @@
      * fields rule out.
      */
     boolean canRun(JobSpec spec) {
-        Platform.Team team = teams.get(spec.team());
+        DeploymentSettings.TeamQuota teamQuota = teams.get(spec.team());
         Resources atOnce =
                 spec.kind() == JobKind.ARRAY
                         ? spec.resourcesPerTask()
                         : spec.resourcesPerTask().times(spec.taskCount());
-        if (team == null || !within(atOnce, team.most())) {
+        if (teamQuota == null || !within(atOnce, teamQuota.limit())) {
             return false;
         }
         Set<String> zones = new HashSet<>();
@@ -250,7 +250,7 @@
         }
         used.forEach(
                 (team, sum) ->
-                        assertTrue(within(sum, teams.get(team).most()), "quota: team " + team));
+                        assertTrue(within(sum, teams.get(team).limit()), "quota: team " + team));
         if (calmSince != null) {
             unfinished().forEach(id -> checkCalm(id, used, now));
         }
@@ -313,7 +313,7 @@
                 || !within(
                         used.getOrDefault(spec.team(), Resources.NONE)
                                 .plus(spec.resourcesPerTask().times(needed)),
-                        teams.get(spec.team()).most())) {
+                        teams.get(spec.team()).limit())) {
             return false;
         }
         Map<String, Integer> room = new HashMap<>();
--- a/src/test/java/org/meadowhollow/story/JudgeTest.java
+++ b/src/test/java/org/meadowhollow/story/JudgeTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
 import org.meadowhollow.coordination.admission.Admission.Phase;
-import org.meadowhollow.coordination.platform.Platform;
+import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.model.JobId;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
@@ -36,7 +36,7 @@
     }
 
     private final Map<JobId, JobSpec> specs = new HashMap<>();
-    private final Map<String, Platform.Team> teams = new HashMap<>();
+    private final Map<String, DeploymentSettings.TeamQuota> teams = new HashMap<>();
     private final List<Stand> places = new ArrayList<>();
     private final Judge judge =
             new Judge(
@@ -51,7 +51,9 @@
     }
 
     private JobSpec job(JobSpec spec) {
-        teams.putIfAbsent("team", new Platform.Team("team", Resources.NONE, Resources.of(0, 4, 0)));
+        teams.putIfAbsent(
+                "team",
+                new DeploymentSettings.TeamQuota("team", Resources.NONE, Resources.of(0, 4, 0)));
         specs.put(spec.id(), spec);
         judge.submits(spec.id());
         return spec;
--- a/src/test/java/org/meadowhollow/story/LimitStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/LimitStoriesTest.java
@@ -138,7 +138,8 @@
             case ENDED -> world.crash(leader);
             case DEPOSED ->
                     world.node(leader)
-                            .heardOf(new FencingToken(world.term() + 1), "n" + other(leader, 1));
+                            .observeLeader(
+                                    new FencingToken(world.term() + 1), "n" + other(leader, 1));
             default -> world.bounce(leader, Duration.ofMillis(200));
         }
     }
--- a/src/test/java/org/meadowhollow/story/RandomTroubleTest.java
+++ b/src/test/java/org/meadowhollow/story/RandomTroubleTest.java
@@ -44,7 +44,7 @@
         }
         ends(world, jobs, 30, 400);
         for (int node = 0; node < 3; node++) {
-            assertEquals(0, world.node(node).wrongRecords());
+            assertEquals(0, world.node(node).divergentRecordCount());
         }
     }
 
--- a/src/test/java/org/meadowhollow/story/StandbyStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/StandbyStoriesTest.java
@@ -14,10 +14,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.meadowhollow.coordination.admission.Admission.Phase;
-import org.meadowhollow.coordination.platform.NodeStatus;
-import org.meadowhollow.coordination.platform.Peers;
-import org.meadowhollow.coordination.platform.TableDelta;
-import org.meadowhollow.coordination.platform.TableQuestion;
+import org.meadowhollow.coordination.api.ControllerStatus;
+import org.meadowhollow.coordination.api.PeerGateway;
+import org.meadowhollow.coordination.api.RiskTableDelta;
+import org.meadowhollow.coordination.api.RiskTableRequest;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
@@ -45,7 +45,7 @@
     void noImageWasWrong() {
         long wrong = 0;
         for (int node = 0; node < 3; node++) {
-            wrong += world.node(node) == null ? 0 : world.node(node).wrongRecords();
+            wrong += world.node(node) == null ? 0 : world.node(node).divergentRecordCount();
         }
         assertEquals(wrongExpected, wrong);
     }
@@ -56,14 +56,19 @@
 
     /** Tables of a leader that have seen enough to say something. */
     private long learnt(int node) {
-        TableQuestion whole =
-                new TableQuestion(
-                        new NodeStatus("test", 1, "a", "", 0, Revision.ABSENT),
+        RiskTableRequest whole =
+                new RiskTableRequest(
+                        new ControllerStatus("test", 1, "a", "", 0, Revision.ABSENT),
                         FencingToken.NONE,
                         -1,
                         "");
-        return world.node(node).tables(whole).map(TableDelta::parts).orElse(List.of()).stream()
-                .filter(part -> part.table()[0] >= LEAST_SAMPLES)
+        return world
+                .node(node)
+                .riskTableDelta(whole)
+                .map(RiskTableDelta::entries)
+                .orElse(List.of())
+                .stream()
+                .filter(machineEntry -> machineEntry.table()[0] >= LEAST_SAMPLES)
                 .count();
     }
 
@@ -316,8 +321,8 @@
     void tablesThatCannotBeReadAreAskedForAnewAndHoldUpNothing() {
         world.tables(
                 delta -> {
-                    if (!delta.whole()) {
-                        throw new Peers.Unreadable("damaged");
+                    if (!delta.fullTables()) {
+                        throw new PeerGateway.UnreadableResponseException("damaged");
                     }
                     return delta;
                 },
@@ -331,7 +336,7 @@
         world.restart(first);
         world.tables(
                 delta -> {
-                    throw new Peers.Unreadable("damaged");
+                    throw new PeerGateway.UnreadableResponseException("damaged");
                 },
                 Duration.ofMillis(5));
         world.runS(LEARNT_S);
--- a/src/test/java/org/meadowhollow/story/Trouble.java
+++ b/src/test/java/org/meadowhollow/story/Trouble.java
@@ -212,7 +212,8 @@
             case DEPOSED_BY_A_HINT -> {
                 if (world.leader() >= 0 && world.node(world.leader()) != null) {
                     world.node(world.leader())
-                            .heardOf(new FencingToken(world.term() + 1), "n" + random.nextInt(3));
+                            .observeLeader(
+                                    new FencingToken(world.term() + 1), "n" + random.nextInt(3));
                 }
                 return () -> {};
             }
--- a/src/test/java/org/meadowhollow/story/World.java
+++ b/src/test/java/org/meadowhollow/story/World.java
@@ -18,21 +18,21 @@
 import java.util.function.Function;
 import java.util.function.UnaryOperator;
 import java.util.stream.IntStream;
-import org.meadowhollow.coordination.Answer;
-import org.meadowhollow.coordination.CalendarSettings;
-import org.meadowhollow.coordination.Node;
+import org.meadowhollow.coordination.ControllerNode;
 import org.meadowhollow.coordination.admission.Admission;
 import org.meadowhollow.coordination.admission.Admission.JobState;
 import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.coordination.api.CloudProvider;
+import org.meadowhollow.coordination.api.DeploymentSettings;
+import org.meadowhollow.coordination.api.HeartbeatResponse;
+import org.meadowhollow.coordination.api.PeerGateway;
+import org.meadowhollow.coordination.api.PeerReachabilityReport;
+import org.meadowhollow.coordination.api.RiskTableDelta;
+import org.meadowhollow.coordination.api.RiskTableRequest;
+import org.meadowhollow.coordination.api.WorkerGateway;
 import org.meadowhollow.coordination.calendar.CalendarDesk;
 import org.meadowhollow.coordination.failover.StandbySettings;
-import org.meadowhollow.coordination.platform.Cloud;
-import org.meadowhollow.coordination.platform.Peers;
-import org.meadowhollow.coordination.platform.Platform;
-import org.meadowhollow.coordination.platform.TableDelta;
-import org.meadowhollow.coordination.platform.TableQuestion;
-import org.meadowhollow.coordination.platform.Testimony;
-import org.meadowhollow.coordination.platform.Workers;
+import org.meadowhollow.coordination.reservation.ReservationSettings;
 import org.meadowhollow.model.AttemptNumber;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.FencingToken;
@@ -91,7 +91,7 @@
     private final Map<String, List<MachineId>> rentals = new HashMap<>();
     private final Map<JobId, JobSpec> specs = new HashMap<>();
     private final Map<JobId, Duration> runTimes = new HashMap<>();
-    private final Map<String, Platform.Team> teams = new HashMap<>();
+    private final Map<String, DeploymentSettings.TeamQuota> teams = new HashMap<>();
     private final Judge judge =
             new Judge(CANCEL, teams, List.of(SMALL, LARGE), this::spec, workers::values);
 
@@ -129,9 +129,9 @@
     private double lateShare;
     private int answered;
     private boolean closeLooks;
-    private CalendarSettings calendar = CalendarSettings.OFF;
+    private ReservationSettings calendar = ReservationSettings.OFF;
     private StandbySettings standby = StandbySettings.DISABLED;
-    private UnaryOperator<TableDelta> tablesChange = UnaryOperator.identity();
+    private UnaryOperator<RiskTableDelta> tablesChange = UnaryOperator.identity();
     private Duration tablesLate = Duration.ofMillis(5);
     private boolean cloudOut;
     private boolean peersCut;
@@ -145,7 +145,7 @@
     private final class Member {
         private final String name;
         private FakeStore.Line line;
-        private Node node;
+        private ControllerNode controllerNode;
         private Admission admission;
         private TesApi tes;
         private CalendarApi desk;
@@ -178,8 +178,8 @@
             line = store.new Line().readBy(this::whenAwake).copied(World.this::again);
             FakeStore.Line mine = line;
             MachineTypeCatalog machineTypeCatalog = new MachineTypeCatalog();
-            Platform platform =
-                    new Platform(
+            DeploymentSettings deploymentSettings =
+                    new DeploymentSettings(
                             name,
                             List.of("a", "b"),
                             teams,
@@ -195,14 +195,14 @@
                             10,
                             Duration.ofSeconds(8));
             EventLoop own = new OwnLoop(this);
-            node =
-                    new Node(
+            controllerNode =
+                    new ControllerNode(
                             own,
                             mine,
                             new Direct(this),
                             new Offer(),
                             new Hints(this),
-                            platform,
+                            deploymentSettings,
                             machineTypeCatalog,
                             jobEventListeners,
                             calendar,
@@ -213,24 +213,28 @@
                             mine,
                             own,
                             machineTypeCatalog,
-                            platform,
+                            deploymentSettings,
                             jobEventListeners,
-                            node::counts);
+                            controllerNode::liveJobState);
             tes =
                     new TesApi(
                             admission,
                             mine,
                             own,
-                            platform,
+                            deploymentSettings,
                             tokens(),
                             traces,
                             new Random(nextSeed++));
             desk =
                     new CalendarApi(
                             new CalendarDesk(
-                                    mine, own, machineTypeCatalog, platform, calendar.most()),
+                                    mine,
+                                    own,
+                                    machineTypeCatalog,
+                                    deploymentSettings,
+                                    calendar.machineLimits()),
                             operators());
-            node.start();
+            controllerNode.start();
         }
 
         void whenAwake(Runnable work) {
@@ -247,8 +251,8 @@
 
         void crash() {
             line.die();
-            node.close();
-            node = null;
+            controllerNode.close();
+            controllerNode = null;
         }
     }
 
@@ -328,7 +332,7 @@
             Map<String, List<String>> query,
             Map<String, String> headers,
             byte[] body) {
-        if (members.get(node).node == null) {
+        if (members.get(node).controllerNode == null) {
             return null;
         }
         CompletableFuture<Http.Reply> answer =
@@ -375,7 +379,7 @@
      * @param most machines that there are to reserve from, by type or type and zone
      */
     void calendar(Map<String, Integer> most) {
-        calendar = new CalendarSettings(true, most, Duration.ofMillis(100));
+        calendar = new ReservationSettings(true, most, Duration.ofMillis(100));
         crashAll();
         restartAll();
     }
@@ -389,13 +393,13 @@
     }
 
     /** What becomes of what a leader says of its tables, and how long it takes. */
-    void tables(UnaryOperator<TableDelta> change, Duration late) {
+    void tables(UnaryOperator<RiskTableDelta> change, Duration late) {
         tablesChange = change;
         tablesLate = late;
     }
 
-    Node node(int node) {
-        return members.get(node).node;
+    ControllerNode node(int node) {
+        return members.get(node).controllerNode;
     }
 
     /**
@@ -420,7 +424,7 @@
 
     /** A node's process ends and is back, with nothing remembered. */
     void bounce(int node, Duration pause) {
-        if (members.get(node).node != null && members.get(node).frozen == null) {
+        if (members.get(node).controllerNode != null && members.get(node).frozen == null) {
             crash(node);
             loop.schedule(pause, () -> restart(node));
         }
@@ -496,7 +500,7 @@
     World team(String name, double guaranteedGpus, double mostGpus) {
         teams.put(
                 name,
-                new Platform.Team(
+                new DeploymentSettings.TeamQuota(
                         name, Resources.of(0, guaranteedGpus, 0), Resources.of(0, mostGpus, 0)));
         return this;
     }
@@ -572,13 +576,13 @@
     // ---- troubles ----
 
     void crash(int node) {
-        if (members.get(node).node != null) {
+        if (members.get(node).controllerNode != null) {
             members.get(node).crash();
         }
     }
 
     void restart(int node) {
-        if (members.get(node).node == null) {
+        if (members.get(node).controllerNode == null) {
             members.get(node).start();
         }
     }
@@ -719,9 +723,9 @@
         kept.clear();
         for (Heartbeat heartbeat : due) {
             for (Member member : members) {
-                if (member.node != null && member.frozen == null) {
+                if (member.controllerNode != null && member.frozen == null) {
                     deliveredToNext++;
-                    member.node.report(heartbeat);
+                    member.controllerNode.handleHeartbeat(heartbeat);
                 }
             }
         }
@@ -1059,14 +1063,14 @@
 
     /** Sends a request that nobody waits for; it fails where no node listens. */
     private <T> CompletableFuture<T> request(int node, Ask<T> request) {
-        return members.get(node).node != null && members.get(node).frozen == null
+        return members.get(node).controllerNode != null && members.get(node).frozen == null
                 ? request.of(members.get(node).admission)
                 : CompletableFuture.failedFuture(new IllegalStateException("down"));
     }
 
     /** Waits five seconds for an answer; empty if none or a refusal came. */
     private <T> Optional<T> await(int node, Ask<T> ask) {
-        if (members.get(node).node == null || members.get(node).frozen != null) {
+        if (members.get(node).controllerNode == null || members.get(node).frozen != null) {
             return Optional.empty();
         }
         CompletableFuture<T> answer = ask.of(members.get(node).admission);
@@ -1177,16 +1181,16 @@
     // ---- the network ----
 
     /** Hands a report to a node; null when there is no answer. */
-    CompletableFuture<Answer> deliver(int node, Heartbeat heartbeat) {
+    CompletableFuture<HeartbeatResponse> deliver(int node, Heartbeat heartbeat) {
         Member member = members.get(node);
-        if (member.node == null && !member.silent) {
+        if (member.controllerNode == null && !member.silent) {
             return null;
         }
-        CompletableFuture<Answer> answer = new CompletableFuture<>();
-        if (member.node == null || member.mute || !member.hears(heartbeat.zone())) {
+        CompletableFuture<HeartbeatResponse> answer = new CompletableFuture<>();
+        if (member.controllerNode == null || member.mute || !member.hears(heartbeat.zone())) {
             return answer;
         }
-        Node asked = member.node;
+        ControllerNode asked = member.controllerNode;
         reports++;
         if (keeping != null && keeping.nextDouble() < keptShare && kept.size() < MOST_KEPT) {
             kept.add(heartbeat);
@@ -1195,23 +1199,23 @@
             loop.schedule(
                     Duration.ofMillis(2000 + lateReports.nextInt(40_000)),
                     () -> {
-                        if (member.node != null && member.frozen == null) {
-                            member.node.report(heartbeat);
+                        if (member.controllerNode != null && member.frozen == null) {
+                            member.controllerNode.handleHeartbeat(heartbeat);
                         }
                     });
         }
         again(
                 () -> {
-                    if (member.node != null && member.frozen == null) {
-                        member.node.report(heartbeat);
+                    if (member.controllerNode != null && member.frozen == null) {
+                        member.controllerNode.handleHeartbeat(heartbeat);
                     }
                 });
         member.whenAwake(
                 () ->
-                        asked.report(heartbeat)
+                        asked.handleHeartbeat(heartbeat)
                                 .thenAccept(
                                         given -> {
-                                            if (member.node == asked
+                                            if (member.controllerNode == asked
                                                     && member.hears(heartbeat.zone())) {
                                                 answer.complete(given);
                                             }
@@ -1219,7 +1223,7 @@
         return answer;
     }
 
-    private final class Direct implements Workers {
+    private final class Direct implements WorkerGateway {
         private final Member member;
 
         Direct(Member member) {
@@ -1227,7 +1231,7 @@
         }
 
         @Override
-        public CompletableFuture<Heartbeat> send(
+        public CompletableFuture<Heartbeat> sendCommands(
                 String address,
                 FencingToken token,
                 WorkerIncarnation workerIncarnation,
@@ -1248,7 +1252,7 @@
                         }
                     });
             CompletableFuture<Heartbeat> answer = new CompletableFuture<>();
-            Node sender = member.node;
+            ControllerNode sender = member.controllerNode;
             if (heldOrders != null && !orders.isEmpty()) {
                 heldOrders.add(
                         () -> {
@@ -1276,7 +1280,7 @@
                                         : worker.direct(token, workerIncarnation, orders);
                         member.whenAwake(
                                 () -> {
-                                    if (heartbeat != null && member.node == sender) {
+                                    if (heartbeat != null && member.controllerNode == sender) {
                                         answer.complete(heartbeat);
                                     } else {
                                         answer.completeExceptionally(
@@ -1289,10 +1293,10 @@
     }
 
     boolean isReady(int node) {
-        return members.get(node).node.isReady();
+        return members.get(node).controllerNode.isReadyForUsers();
     }
 
-    private final class Hints implements Peers {
+    private final class Hints implements PeerGateway {
         private final Member from;
 
         Hints(Member from) {
@@ -1304,7 +1308,7 @@
         }
 
         @Override
-        public CompletableFuture<Boolean> anyServed() {
+        public CompletableFuture<Boolean> anyPeerReachesStore() {
             CompletableFuture<Boolean> any = new CompletableFuture<>();
             loop.schedule(
                     Duration.ofMillis(5),
@@ -1316,15 +1320,15 @@
                                                             member != from
                                                                     && reaches(member)
                                                                     && !member.refusesPeers
-                                                                    && member.node != null
+                                                                    && member.controllerNode != null
                                                                     && !member.line
                                                                             .seemsUnavailable())));
             return any;
         }
 
         @Override
-        public CompletableFuture<Sign> signOf(String name) {
-            CompletableFuture<Sign> sign = new CompletableFuture<>();
+        public CompletableFuture<ProbeResult> probe(String name) {
+            CompletableFuture<ProbeResult> sign = new CompletableFuture<>();
             Member asked = members.get(indexOf(name));
             loop.schedule(
                     Duration.ofMillis(5),
@@ -1336,31 +1340,31 @@
                                                         other != from
                                                                 && other != asked
                                                                 && reaches(other)
-                                                                && other.node != null
+                                                                && other.controllerNode != null
                                                                 && !other.refusesPeers);
                         boolean refuses =
                                 reaches(asked)
                                         && (asked.refusesPeers
-                                                || asked.node == null && !asked.silent);
+                                                || asked.controllerNode == null && !asked.silent);
                         sign.complete(
                                 refuses && othersAnswer
-                                        ? Sign.REFUSES
+                                        ? ProbeResult.CONNECTION_REFUSED
                                         : refuses
                                                         || !reaches(asked)
-                                                        || asked.node == null
+                                                        || asked.controllerNode == null
                                                         || asked.frozen != null
-                                                ? Sign.SILENT
-                                                : asked.node.isHardOfHearing()
-                                                        ? Sign.DEAF
-                                                        : Sign.ANSWERS);
+                                                ? ProbeResult.UNRESPONSIVE
+                                                : asked.controllerNode.isMissingHeartbeats()
+                                                        ? ProbeResult.ISOLATED
+                                                        : ProbeResult.HEALTHY);
                     });
             return sign;
         }
 
         @Override
-        public CompletableFuture<List<Testimony>> hearing(
+        public CompletableFuture<List<PeerReachabilityReport>> queryRecentHeartbeats(
                 List<MachineId> machines, Duration within) {
-            CompletableFuture<List<Testimony>> answers = new CompletableFuture<>();
+            CompletableFuture<List<PeerReachabilityReport>> answers = new CompletableFuture<>();
             loop.schedule(
                     Duration.ofMillis(5),
                     () ->
@@ -1371,35 +1375,41 @@
                                                     other ->
                                                             !reaches(other)
                                                                             || other.refusesPeers
-                                                                            || other.node == null
+                                                                            || other.controllerNode
+                                                                                    == null
                                                                             || other.frozen != null
-                                                                    ? Testimony.none(other.name)
-                                                                    : new Testimony(
+                                                                    ? PeerReachabilityReport
+                                                                            .unanswered(other.name)
+                                                                    : new PeerReachabilityReport(
                                                                             other.name,
                                                                             true,
                                                                             !other.line
                                                                                     .seemsUnavailable(),
-                                                                            other.node.heardAmong(
-                                                                                    machines,
-                                                                                    within)))
+                                                                            other.controllerNode
+                                                                                    .recentlyHeardMachines(
+                                                                                            machines,
+                                                                                            within)))
                                             .toList()));
             return answers;
         }
 
         @Override
-        public CompletableFuture<Optional<TableDelta>> tables(
-                String leader, TableQuestion question) {
-            return told(leader, tablesLate, node -> node.tables(question).map(tablesChange));
+        public CompletableFuture<Optional<RiskTableDelta>> fetchRiskTables(
+                String leader, RiskTableRequest question) {
+            return told(
+                    leader,
+                    tablesLate,
+                    controllerNode -> controllerNode.riskTableDelta(question).map(tablesChange));
         }
 
         @Override
-        public CompletableFuture<Optional<RecordDigests>> digests(String leader) {
-            return told(leader, Duration.ofMillis(5), Node::digests);
+        public CompletableFuture<Optional<RecordDigests>> fetchDigests(String leader) {
+            return told(leader, Duration.ofMillis(5), ControllerNode::recordDigests);
         }
 
         /** What another node says now, heard a little later. */
         private <T> CompletableFuture<Optional<T>> told(
-                String name, Duration late, Function<Node, Optional<T>> what) {
+                String name, Duration late, Function<ControllerNode, Optional<T>> what) {
             CompletableFuture<Optional<T>> answer = new CompletableFuture<>();
             Member asked = members.get(indexOf(name));
             Optional<T> given;
@@ -1407,11 +1417,11 @@
                 given =
                         !reaches(asked)
                                         || asked.refusesPeers
-                                        || asked.node == null
+                                        || asked.controllerNode == null
                                         || asked.frozen != null
                                 ? Optional.empty()
-                                : what.apply(asked.node);
-            } catch (Peers.Unreadable broken) {
+                                : what.apply(asked.controllerNode);
+            } catch (PeerGateway.UnreadableResponseException broken) {
                 loop.schedule(late, () -> answer.completeExceptionally(broken));
                 return answer;
             }
@@ -1420,18 +1430,19 @@
         }
 
         @Override
-        public void announce(String leader, FencingToken fencingToken) {
+        public void announceLeader(String leader, FencingToken fencingToken) {
             Runnable told =
                     () -> {
                         for (Member member : members) {
                             if (reaches(member)
                                     && !member.refusesPeers
                                     && member != from
-                                    && member.node != null) {
+                                    && member.controllerNode != null) {
                                 member.whenAwake(
                                         () -> {
-                                            if (member.node != null) {
-                                                member.node.heardOf(fencingToken, leader);
+                                            if (member.controllerNode != null) {
+                                                member.controllerNode.observeLeader(
+                                                        fencingToken, leader);
                                             }
                                         });
                             }
@@ -1447,13 +1458,14 @@
                 || loop.now().elapsedSince(rentedAt.get(id)).compareTo(listLag) > 0;
     }
 
-    private final class Offer implements Cloud {
+    private final class Offer implements CloudProvider {
         private <T> CompletableFuture<T> after(CompletableFuture<T> answer, Runnable work) {
             loop.schedule(
                     Duration.ofMillis(200),
                     () -> {
                         if (cloudOut) {
-                            answer.completeExceptionally(new Cloud.Refused("trouble"));
+                            answer.completeExceptionally(
+                                    new CloudProvider.RequestRefusedException("trouble"));
                         } else {
                             work.run();
                         }
@@ -1462,13 +1474,13 @@
         }
 
         @Override
-        public CompletableFuture<List<MachineType>> types() {
+        public CompletableFuture<List<MachineType>> listMachineTypes() {
             CompletableFuture<List<MachineType>> answer = new CompletableFuture<>();
             return after(answer, () -> answer.complete(List.of(SMALL, LARGE)));
         }
 
         @Override
-        public CompletableFuture<Optional<List<MachineId>>> rent(
+        public CompletableFuture<Optional<List<MachineId>>> rentMachines(
                 String request, String type, String zone, boolean spot, int count) {
             CompletableFuture<Optional<List<MachineId>>> answer = new CompletableFuture<>();
             return after(
@@ -1509,7 +1521,7 @@
         }
 
         @Override
-        public CompletableFuture<Void> release(List<MachineId> machines) {
+        public CompletableFuture<Void> releaseMachines(List<MachineId> machines) {
             CompletableFuture<Void> answer = new CompletableFuture<>();
             again(() -> returnAll(machines));
             return after(
@@ -1531,8 +1543,8 @@
         }
 
         @Override
-        public CompletableFuture<List<Listed>> list() {
-            CompletableFuture<List<Listed>> answer = new CompletableFuture<>();
+        public CompletableFuture<List<ListedMachine>> listMachines() {
+            CompletableFuture<List<ListedMachine>> answer = new CompletableFuture<>();
             return after(
                     answer,
                     () ->
@@ -1544,15 +1556,15 @@
                                                                     && isListed(worker.id()))
                                             .map(
                                                     worker ->
-                                                            new Listed(
+                                                            new ListedMachine(
                                                                     worker.id(),
                                                                     worker.id().value() + ":9000",
                                                                     worker.type(),
                                                                     worker.zone(),
                                                                     false,
                                                                     failed.contains(worker.id())
-                                                                            ? Phase.FAILED
-                                                                            : Phase.RUNNING,
+                                                                            ? MachinePhase.FAILED
+                                                                            : MachinePhase.RUNNING,
                                                                     60))
                                             .toList()));
         }
