--- a/src/main/java/org/meadowhollow/cli/Controller.java
+++ b/src/main/java/org/meadowhollow/cli/Controller.java
@@ -16,17 +16,17 @@
 import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.coordination.api.RiskTableDelta;
 import org.meadowhollow.coordination.api.RiskTableRequest;
-import org.meadowhollow.coordination.calendar.CalendarDesk;
 import org.meadowhollow.coordination.failover.StandbySettings;
 import org.meadowhollow.coordination.fleet.SilenceWatch;
+import org.meadowhollow.coordination.reservation.ReservationService;
 import org.meadowhollow.coordination.reservation.ReservationSettings;
 import org.meadowhollow.model.JobEventListeners;
 import org.meadowhollow.model.MachineTypeCatalog;
 import org.meadowhollow.protocol.NodeApi;
 import org.meadowhollow.protocol.RateBudget;
-import org.meadowhollow.protocol.calendar.CalendarApi;
 import org.meadowhollow.protocol.cloud.CloudClient;
 import org.meadowhollow.protocol.peers.PeerLink;
+import org.meadowhollow.protocol.reservation.ReservationApi;
 import org.meadowhollow.protocol.state.StateClient;
 import org.meadowhollow.protocol.tes.TesApi;
 import org.meadowhollow.protocol.users.UserApi;
@@ -99,7 +99,7 @@
             Settings settings,
             TesOptions tesOptions,
             SSLContext tesKeys,
-            CalendarOptions calendarOptions,
+            ReservationOptions reservationOptions,
             SSLContext calendarKeys,
             StandbySettings standby,
             JobEventListeners jobEventListeners,
@@ -134,10 +134,10 @@
                         deploymentSettings,
                         machineTypeCatalog,
                         jobEventListeners,
-                        calendarOptions == null
+                        reservationOptions == null
                                 ? ReservationSettings.OFF
                                 : new ReservationSettings(
-                                        true, calendarOptions.most(), settings.skew()),
+                                        true, reservationOptions.maxMachines(), settings.skew()),
                         standby,
                         random);
         controllerNode = started;
@@ -198,24 +198,24 @@
                                         jobEventListeners.tracer(),
                                         random));
         calendar =
-                calendarOptions == null
+                reservationOptions == null
                         ? null
                         : new HttpServer(
                                 loop,
                                 buffers,
-                                calendarOptions.listen().host(),
-                                calendarOptions.listen().port(),
+                                reservationOptions.listenEndpoint().host(),
+                                reservationOptions.listenEndpoint().port(),
                                 MOST_OPERATORS,
                                 idle(deploymentSettings),
                                 calendarKeys,
-                                new CalendarApi(
-                                        new CalendarDesk(
+                                new ReservationApi(
+                                        new ReservationService(
                                                 state,
                                                 loop,
                                                 machineTypeCatalog,
                                                 deploymentSettings,
-                                                calendarOptions.most()),
-                                        calendarOptions.tokens()));
+                                                reservationOptions.maxMachines()),
+                                        reservationOptions.tokens()));
         back =
                 new HttpServer(
                         loop,
@@ -264,7 +264,7 @@
         private final Settings settings;
         private RandomGenerator random = RandomGenerator.getDefault();
         private TesOptions tes;
-        private CalendarOptions calendar;
+        private ReservationOptions calendar;
         private StandbySettings standby = StandbySettings.DISABLED;
         private JobEventListeners jobEventListeners = JobEventListeners.NONE;
 
@@ -286,7 +286,7 @@
         /**
          * Plans around reservations and windows, and takes them; null, as by default, does neither.
          */
-        public Builder calendar(CalendarOptions options) {
+        public Builder calendar(ReservationOptions options) {
             calendar = options;
             return this;
         }
@@ -316,9 +316,10 @@
                             ? null
                             : PemKeys.context(tes.chain(), tes.key());
             SSLContext calendarKeys =
-                    calendar == null || calendar.chain() == null
+                    calendar == null || calendar.certificateChainFile() == null
                             ? null
-                            : PemKeys.context(calendar.chain(), calendar.key());
+                            : PemKeys.context(
+                                    calendar.certificateChainFile(), calendar.privateKeyFile());
             XnioLoop loop = new XnioLoop();
             try {
                 // Built where it runs, so that one thread alone loads classes and reads files while
--- a/src/main/java/org/meadowhollow/cli/Main.java
+++ b/src/main/java/org/meadowhollow/cli/Main.java
@@ -11,7 +11,7 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.concurrent.Callable;
-import org.meadowhollow.cli.calendar.CalendarCommand;
+import org.meadowhollow.cli.reservation.ReservationCommand;
 import org.meadowhollow.model.JobEventListeners;
 import org.meadowhollow.model.JobEventLog;
 import org.meadowhollow.model.TaskTracer;
@@ -207,9 +207,9 @@
         // for beans that nobody reads; without a server for them they go on without.
         System.setProperty("javax.management.builder.initial", "none");
         System.setProperty("jboss.threads.eqe.register-mbean", "false");
-        if (CalendarCommand.isMeant(args)) {
+        if (ReservationCommand.handles(args)) {
             System.exit(
-                    CalendarCommand.run(
+                    ReservationCommand.run(
                             args,
                             System.getenv(),
                             new PrintWriter(System.out, true),
@@ -240,7 +240,7 @@
         }
         Settings settings;
         TesOptions tes;
-        CalendarOptions calendar;
+        ReservationOptions calendar;
         URI traces;
         try {
             settings = Settings.read(config);
@@ -253,7 +253,7 @@
                             System.getenv(),
                             settings);
             calendar =
-                    CalendarOptions.of(
+                    ReservationOptions.fromFlags(
                             given.matchedOptionValue(CALENDAR_LISTEN, null),
                             given.matchedOptionValue(CALENDAR_TOKEN, List.of()),
                             given.matchedOptionValue(CALENDAR_CERT, null),
--- a/src/main/java/org/meadowhollow/cli/Rehearsal.java
+++ b/src/main/java/org/meadowhollow/cli/Rehearsal.java
@@ -23,7 +23,7 @@
 
     /** Loaded by those who trace, and by operators' commands, and by no node that only runs. */
     private static final List<String> OTHERS =
-            List.of(OWN_CLASSES + "transport/tracing/", OWN_CLASSES + "cli/calendar/");
+            List.of(OWN_CLASSES + "transport/tracing/", OWN_CLASSES + "cli/reservation/");
 
     private static final String CLASS = ".class";
 
--- a/src/main/java/org/meadowhollow/cli/CalendarOptions.java
+++ b/src/main/java/org/meadowhollow/cli/ReservationOptions.java
@@ -7,28 +7,28 @@
 import java.util.List;
 import java.util.Map;
 import org.meadowhollow.protocol.Malformed;
-import org.meadowhollow.protocol.calendar.CalendarApi;
+import org.meadowhollow.protocol.reservation.ReservationApi;
 import org.meadowhollow.protocol.tes.TesTokens;
 
 /**
  * Where a controller takes reservations and windows, and what there is to reserve, as its
  * operator's flags say.
  *
- * @param chain the certificate's file, or null for plain connections
- * @param key the file of the certificate's key, or null with it
- * @param most machines that the operators will have at a time, by {@code type/zone} or type
+ * @param certificateChainFile the certificate's file, or null for plain connections
+ * @param privateKeyFile the file of the certificate's key, or null with it
+ * @param maxMachines machines that the operators will have at a time, by {@code type/zone} or type
  */
-public record CalendarOptions(
-        Settings.Endpoint listen,
+public record ReservationOptions(
+        Settings.Endpoint listenEndpoint,
         TesTokens tokens,
-        Path chain,
-        Path key,
-        Map<String, Integer> most) {
+        Path certificateChainFile,
+        Path privateKeyFile,
+        Map<String, Integer> maxMachines) {
     /**
      * Holds tokens like the flag, separated by blanks, where a command line could be read by
      * others.
      */
-    static final String TOKENS = "MEADOWHOLLOW_CALENDAR_TOKENS";
+    static final String TOKENS_VARIABLE = "MEADOWHOLLOW_CALENDAR_TOKENS";
 
     /**
      * Checks what the operator gave.
@@ -37,7 +37,7 @@
      * @return null if there is to be no calendar
      * @throws Settings.Unusable in one line, which names the flag
      */
-    static CalendarOptions of(
+    static ReservationOptions fromFlags(
             String listen,
             List<String> tokens,
             Path chain,
@@ -57,32 +57,36 @@
             throw new Settings.Unusable("--calendar-cert and --calendar-key go together");
         }
         List<String> all = new ArrayList<>(tokens);
-        Arrays.stream(variables.getOrDefault(TOKENS, "").split("\\s+"))
+        Arrays.stream(variables.getOrDefault(TOKENS_VARIABLE, "").split("\\s+"))
                 .filter(each -> !each.isEmpty())
                 .forEach(all::add);
         try {
             TesTokens known = TesTokens.of(all);
             if (known.isEmpty()) {
                 throw new Settings.Unusable(
-                        "--calendar-listen needs a --calendar-token or " + TOKENS);
+                        "--calendar-listen needs a --calendar-token or " + TOKENS_VARIABLE);
             }
             for (String name : known.teams()) {
-                if (!name.equals(CalendarApi.OPERATOR) && !name.equals(TesTokens.READERS)) {
+                if (!name.equals(ReservationApi.OPERATOR) && !name.equals(TesTokens.READERS)) {
                     throw new Settings.Unusable(
                             "--calendar-token is for neither "
-                                    + CalendarApi.OPERATOR
+                                    + ReservationApi.OPERATOR
                                     + " nor "
                                     + TesTokens.READERS);
                 }
             }
-            return new CalendarOptions(
-                    Settings.endpoint(listen, "--calendar-listen"), known, chain, key, most(most));
+            return new ReservationOptions(
+                    Settings.endpoint(listen, "--calendar-listen"),
+                    known,
+                    chain,
+                    key,
+                    maxMachines(most));
         } catch (Malformed wrong) {
             throw new Settings.Unusable(wrong.getMessage());
         }
     }
 
-    private static Map<String, Integer> most(List<String> entries) throws Settings.Unusable {
+    private static Map<String, Integer> maxMachines(List<String> entries) throws Settings.Unusable {
         Map<String, Integer> most = new HashMap<>();
         for (String entry : entries) {
             int equals = entry.lastIndexOf('=');
--- a/src/main/java/org/meadowhollow/cli/calendar/PlanPage.java
+++ b/src/main/java/org/meadowhollow/cli/reservation/PlanRenderer.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.cli.calendar;
+package org.meadowhollow.cli.reservation;
 
 import com.github.mustachejava.DefaultMustacheFactory;
 import com.github.mustachejava.Mustache;
@@ -17,19 +17,19 @@
 import org.meadowhollow.protocol.Malformed;
 
 /** A plan as a node tells it, from templates: a table in plain text, or a page. */
-final class PlanPage {
-    private static final DateTimeFormatter TIME =
+final class PlanRenderer {
+    private static final DateTimeFormatter TIME_FORMAT =
             DateTimeFormatter.ofPattern("EEE d MMM HH:mm", Locale.ENGLISH);
 
-    private PlanPage() {}
+    private PlanRenderer() {}
 
     /** A line of the plan; the fields are what the templates name. */
-    private static Map<String, Object> line(
+    private static Map<String, Object> planLine(
             Fields told, String what, String detail, String note, boolean bad, ZoneId zone)
             throws Malformed {
         Map<String, Object> line = new LinkedHashMap<>();
-        line.put("from", TIME.format(Instant.parse(told.text("from")).atZone(zone)));
-        line.put("until", TIME.format(Instant.parse(told.text("until")).atZone(zone)));
+        line.put("from", TIME_FORMAT.format(Instant.parse(told.text("from")).atZone(zone)));
+        line.put("until", TIME_FORMAT.format(Instant.parse(told.text("until")).atZone(zone)));
         line.put("order", told.text("from"));
         line.put("what", what);
         line.put("detail", detail);
@@ -69,7 +69,7 @@
                     .map()
                     .forEach((pair, count) -> machines.add(count + " x " + pair));
             lines.add(
-                    line(
+                    planLine(
                             slot,
                             "reservation " + slot.text("reservation"),
                             "team "
@@ -86,7 +86,7 @@
         }
         for (Fields outage : told.list("outages")) {
             lines.add(
-                    line(
+                    planLine(
                             outage,
                             "window " + outage.text("window"),
                             outage.text("scope").toLowerCase(Locale.ROOT)
@@ -101,7 +101,7 @@
                 Comparator.comparing((Map<String, Object> line) -> (String) line.get("order"))
                         .thenComparing(line -> (String) line.get("what")));
         Mustache template =
-                new DefaultMustacheFactory("org/meadowhollow/cli/calendar")
+                new DefaultMustacheFactory("org/meadowhollow/cli/reservation")
                         .compile(html ? "plan.html" : "plan.txt");
         StringWriter page = new StringWriter();
         Map<String, Object> scope = new LinkedHashMap<>();
--- a/src/main/java/org/meadowhollow/cli/calendar/CalendarCommand.java
+++ b/src/main/java/org/meadowhollow/cli/reservation/ReservationCommand.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.cli.calendar;
+package org.meadowhollow.cli.reservation;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -27,35 +27,35 @@
 @Command(
         name = "meadowhollow",
         subcommands = {
-            CalendarCommand.Reserve.class,
-            CalendarCommand.Windows.class,
-            CalendarCommand.ShowPlan.class
+            ReservationCommand.ReserveCommand.class,
+            ReservationCommand.WindowCommand.class,
+            ReservationCommand.PlanCommand.class
         })
-public final class CalendarCommand {
-    private static final String NODE = "MEADOWHOLLOW_CALENDAR_URL";
-    private static final String TOKEN = "MEADOWHOLLOW_CALENDAR_TOKEN";
-    private static final Duration ANSWER = Duration.ofSeconds(10);
+public final class ReservationCommand {
+    private static final String NODE_URL_VARIABLE = "MEADOWHOLLOW_CALENDAR_URL";
+    private static final String TOKEN_VARIABLE = "MEADOWHOLLOW_CALENDAR_TOKEN";
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(10);
 
     /** How often a node's word to come back is followed before it is told to the operator. */
-    private static final int MOST_TRIES = 5;
+    private static final int MAX_ATTEMPTS = 5;
 
-    private static final Duration LONGEST_PAUSE = Duration.ofSeconds(5);
+    private static final Duration MAX_RETRY_DELAY = Duration.ofSeconds(5);
 
-    private final Map<String, String> variables;
+    private final Map<String, String> environment;
 
     /** The request was answered otherwise than hoped for, or not at all. */
-    private static final class Failed extends Exception {
-        Failed(String why) {
+    private static final class CommandFailedException extends Exception {
+        CommandFailedException(String why) {
             super(why, null, false, false);
         }
     }
 
-    private CalendarCommand(Map<String, String> variables) {
-        this.variables = variables;
+    private ReservationCommand(Map<String, String> variables) {
+        this.environment = variables;
     }
 
     /** Whether a command line is for these commands. */
-    public static boolean isMeant(String[] args) {
+    public static boolean handles(String[] args) {
         return args.length > 0 && List.of("reserve", "window", "plan").contains(args[0]);
     }
 
@@ -67,7 +67,7 @@
      */
     public static int run(
             String[] args, Map<String, String> variables, PrintWriter out, PrintWriter err) {
-        CommandLine command = new CommandLine(new CalendarCommand(variables));
+        CommandLine command = new CommandLine(new ReservationCommand(variables));
         command.setOut(out).setErr(err);
         command.setExecutionExceptionHandler(
                 (failure, line, parsed) -> {
@@ -78,16 +78,16 @@
     }
 
     /** What all of them need. */
-    private static final class Common {
+    private static final class NodeOptions {
         @Option(
                 names = "--node",
                 paramLabel = "URL",
                 description =
                         "a node's --calendar-listen address"
                                 + " (default: the variable "
-                                + NODE
+                                + NODE_URL_VARIABLE
                                 + "); the token is in "
-                                + TOKEN)
+                                + TOKEN_VARIABLE)
         private String node;
 
         @Option(
@@ -96,17 +96,22 @@
                 description = "Show this help message and exit.")
         private boolean help;
 
-        private Map<String, Object> ask(
-                CalendarCommand command,
+        private Map<String, Object> sendRequest(
+                ReservationCommand command,
                 String method,
                 String path,
                 Long version,
                 Map<String, Object> body)
-                throws Failed {
-            String base = node != null ? node : command.variables.get(NODE);
-            String token = command.variables.get(TOKEN);
+                throws CommandFailedException {
+            String base = node != null ? node : command.environment.get(NODE_URL_VARIABLE);
+            String token = command.environment.get(TOKEN_VARIABLE);
             if (base == null || token == null) {
-                throw new Failed("--node or " + NODE + ", and " + TOKEN + ", are needed");
+                throw new CommandFailedException(
+                        "--node or "
+                                + NODE_URL_VARIABLE
+                                + ", and "
+                                + TOKEN_VARIABLE
+                                + ", are needed");
             }
             HttpRequest.Builder request;
             try {
@@ -116,10 +121,10 @@
                                                 (base.contains("://") ? base : "http://" + base)
                                                         + "/calendar/v1/"
                                                         + path))
-                                .timeout(ANSWER)
+                                .timeout(RESPONSE_TIMEOUT)
                                 .header("Authorization", "Bearer " + token);
             } catch (IllegalArgumentException wrong) {
-                throw new Failed(base + " is not a node's address");
+                throw new CommandFailedException(base + " is not a node's address");
             }
             if (version != null) {
                 request.header("If-Match", String.valueOf(version));
@@ -129,13 +134,14 @@
                     body == null
                             ? HttpRequest.BodyPublishers.noBody()
                             : HttpRequest.BodyPublishers.ofByteArray(Json.encode(body)));
-            return answer(request.build());
+            return sendWithRetries(request.build());
         }
 
         /** Every request can be repeated without harm, so that one the node can't take now is. */
-        private static Map<String, Object> answer(HttpRequest request) throws Failed {
+        private static Map<String, Object> sendWithRetries(HttpRequest request)
+                throws CommandFailedException {
             String why = "no answer";
-            for (int attempt = 0; attempt < MOST_TRIES; attempt++) {
+            for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
                 try {
                     HttpResponse<byte[]> reply =
                             HttpClient.newHttpClient()
@@ -146,13 +152,13 @@
                     }
                     why = reply.statusCode() + ", " + told.get("error");
                     if (reply.statusCode() != 503) {
-                        throw new Failed(why);
+                        throw new CommandFailedException(why);
                     }
                     Duration pause =
                             Duration.ofSeconds(
                                     reply.headers().firstValueAsLong("Retry-After").orElse(1));
                     Thread.sleep(
-                            (pause.compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : pause)
+                            (pause.compareTo(MAX_RETRY_DELAY) > 0 ? MAX_RETRY_DELAY : pause)
                                     .toMillis());
                 } catch (IOException | Malformed lost) {
                     why =
@@ -165,12 +171,12 @@
                     break;
                 }
             }
-            throw new Failed(why);
+            throw new CommandFailedException(why);
         }
     }
 
     /** The parts of a schedule. */
-    private static final class When {
+    private static final class ScheduleOptions {
         @Option(
                 names = "--start",
                 paramLabel = "TIME",
@@ -193,12 +199,12 @@
                 description = "how it repeats, by RFC 5545, like FREQ=DAILY" + " (default: once)")
         private String rule;
 
-        private void put(Map<String, Object> body) throws Failed {
+        private void put(Map<String, Object> body) throws CommandFailedException {
             put(body, "start", start);
             put(body, "time_zone", zone);
             put(body, "rule", rule);
             if (length != null) {
-                body.put("length_s", seconds(length, "--length"));
+                body.put("length_s", parseSeconds(length, "--length"));
             }
         }
 
@@ -208,24 +214,25 @@
             }
         }
 
-        private static double seconds(String duration, String flag) throws Failed {
+        private static double parseSeconds(String duration, String flag)
+                throws CommandFailedException {
             try {
                 return Duration.parse(duration).toMillis() / 1000.0;
             } catch (DateTimeParseException wrong) {
-                throw new Failed(flag + " is not a duration like PT2H30M");
+                throw new CommandFailedException(flag + " is not a duration like PT2H30M");
             }
         }
     }
 
     /** What reservations and windows have in common. */
-    private abstract static class Entries implements Callable<Integer> {
-        @CommandLine.ParentCommand private CalendarCommand parent;
+    private abstract static class EntryCommand implements Callable<Integer> {
+        @CommandLine.ParentCommand private ReservationCommand parent;
         @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
-        @Mixin private Common common;
-        @Mixin private When when;
+        @Mixin private NodeOptions nodeOptions;
+        @Mixin private ScheduleOptions scheduleOptions;
 
         @Parameters(index = "0", paramLabel = "put|show|list|withdraw")
-        private String what;
+        private String action;
 
         @Parameters(index = "1", arity = "0..1", paramLabel = "NAME")
         private String name;
@@ -236,28 +243,30 @@
                 description = "the version that is meant, to change one")
         private Long version;
 
-        abstract String path();
+        abstract String collectionPath();
 
-        abstract void fields(Map<String, Object> body) throws Failed;
+        abstract void addFields(Map<String, Object> body) throws CommandFailedException;
 
         @Override
         public Integer call() throws Exception {
-            if ((name == null) != what.equals("list")
-                    || !List.of("put", "show", "list", "withdraw").contains(what)) {
+            if ((name == null) != action.equals("list")
+                    || !List.of("put", "show", "list", "withdraw").contains(action)) {
                 throw new CommandLine.ParameterException(
                         spec.commandLine(), "put, show or withdraw a NAME, or list");
             }
-            String path = name == null ? path() : path() + '/' + name;
+            String path = name == null ? collectionPath() : collectionPath() + '/' + name;
             Map<String, Object> body = null;
-            if (what.equals("put")) {
+            if (action.equals("put")) {
                 body = new LinkedHashMap<>();
-                when.put(body);
-                fields(body);
+                scheduleOptions.put(body);
+                addFields(body);
             }
             Map<String, Object> told =
-                    common.ask(
+                    nodeOptions.sendRequest(
                             parent,
-                            what.equals("put") ? "PUT" : what.equals("withdraw") ? "DELETE" : "GET",
+                            action.equals("put")
+                                    ? "PUT"
+                                    : action.equals("withdraw") ? "DELETE" : "GET",
                             path,
                             version,
                             body);
@@ -268,7 +277,7 @@
 
     /** Reservations. */
     @Command(name = "reserve", description = "Reserves room for some jobs of a team.")
-    static final class Reserve extends Entries {
+    static final class ReserveCommand extends EntryCommand {
         @Option(names = "--team", paramLabel = "TEAM")
         private String team;
 
@@ -329,12 +338,12 @@
         private Double imageGb;
 
         @Override
-        String path() {
+        String collectionPath() {
             return "reservations";
         }
 
         @Override
-        void fields(Map<String, Object> body) {
+        void addFields(Map<String, Object> body) {
             Map<String, Object> all = new LinkedHashMap<>();
             all.put("team", team);
             all.put("tasks", tasks);
@@ -349,13 +358,13 @@
             all.put("spot", spot);
             all.put("image", image);
             all.put("image_gb", imageGb);
-            all.forEach((key, value) -> When.put(body, key, value));
+            all.forEach((key, value) -> ScheduleOptions.put(body, key, value));
         }
     }
 
     /** Maintenance windows. */
     @Command(name = "window", description = "Declares when machines are out.")
-    static final class Windows extends Entries {
+    static final class WindowCommand extends EntryCommand {
         @Option(
                 names = "--machine",
                 paramLabel = "NAME",
@@ -381,27 +390,27 @@
         private String notice;
 
         @Override
-        String path() {
+        String collectionPath() {
             return "windows";
         }
 
         @Override
-        void fields(Map<String, Object> body) throws Failed {
-            When.put(body, "machines", machines);
-            When.put(body, "machine_types", types);
-            When.put(body, "zones", zones);
+        void addFields(Map<String, Object> body) throws CommandFailedException {
+            ScheduleOptions.put(body, "machines", machines);
+            ScheduleOptions.put(body, "machine_types", types);
+            ScheduleOptions.put(body, "zones", zones);
             if (notice != null) {
-                body.put("notice_s", When.seconds(notice, "--notice"));
+                body.put("notice_s", ScheduleOptions.parseSeconds(notice, "--notice"));
             }
         }
     }
 
     /** Who has what when. */
     @Command(name = "plan", description = "Prints who has what when, as text or as a page.")
-    static final class ShowPlan implements Callable<Integer> {
-        @CommandLine.ParentCommand private CalendarCommand parent;
+    static final class PlanCommand implements Callable<Integer> {
+        @CommandLine.ParentCommand private ReservationCommand parent;
         @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
-        @Mixin private Common common;
+        @Mixin private NodeOptions nodeOptions;
 
         @Option(names = "--hours", paramLabel = "N", description = "how far ahead (default: 48)")
         private int hours = 48;
@@ -417,8 +426,9 @@
 
         @Override
         public Integer call() throws Exception {
-            Map<String, Object> plan = common.ask(parent, "GET", "plan?hours=" + hours, null, null);
-            spec.commandLine().getOut().print(PlanPage.render(plan, zone, html));
+            Map<String, Object> plan =
+                    nodeOptions.sendRequest(parent, "GET", "plan?hours=" + hours, null, null);
+            spec.commandLine().getOut().print(PlanRenderer.render(plan, zone, html));
             spec.commandLine().getOut().flush();
             return CommandLine.ExitCode.OK;
         }
--- a/src/main/java/org/meadowhollow/coordination/HeartbeatReconciler.java
+++ b/src/main/java/org/meadowhollow/coordination/HeartbeatReconciler.java
@@ -8,7 +8,7 @@
 import org.meadowhollow.coordination.failover.HandoverState;
 import org.meadowhollow.coordination.failover.RiskTablePublisher;
 import org.meadowhollow.coordination.leadership.Leadership;
-import org.meadowhollow.coordination.placement.Cluster;
+import org.meadowhollow.coordination.scheduling.ClusterState;
 import org.meadowhollow.model.ExitReason;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Heartbeat;
@@ -33,7 +33,7 @@
     private static final int MAX_COMMANDS = 400;
 
     private final LeaderService leaderService;
-    private final Cluster cluster;
+    private final ClusterState clusterState;
     private final ImageCacheRecorder imageCacheRecorder;
     private final Leadership leadership;
     private final FencingToken fencingToken;
@@ -42,14 +42,14 @@
 
     HeartbeatReconciler(
             LeaderService leaderService,
-            Cluster cluster,
+            ClusterState clusterState,
             ImageCacheRecorder images,
             Leadership leadership,
             FencingToken fencingToken,
             HandoverState handoverState,
             RiskTablePublisher feed) {
         this.leaderService = leaderService;
-        this.cluster = cluster;
+        this.clusterState = clusterState;
         this.imageCacheRecorder = images;
         this.leadership = leadership;
         this.fencingToken = fencingToken;
@@ -66,7 +66,7 @@
         if (machine.incarnation() == null) {
             handoverState
                     .takeTable(heartbeat, now)
-                    .ifPresent(table -> cluster.risks().put(machine.id(), table));
+                    .ifPresent(table -> clusterState.riskTables().put(machine.id(), table));
         }
         machine.recordHeartbeat(heartbeat);
         if (!leaderService.isLoaded()) {
@@ -144,9 +144,10 @@
         }
         machine.unpersistedExits().keySet().removeIf(task -> !listed.containsKey(task));
         int sample =
-                cluster.risks()
+                clusterState
+                        .riskTables()
                         .get(machine.id())
-                        .add(
+                        .recordSample(
                                 machine.placements().size(),
                                 machine.allocated().dominantShareOf(machine.type().capacity()),
                                 machine.takeLostTaskCount(),
--- a/src/main/java/org/meadowhollow/coordination/LeaderService.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderService.java
@@ -33,14 +33,14 @@
 import org.meadowhollow.coordination.fleet.TermHolder;
 import org.meadowhollow.coordination.hearing.Deafness;
 import org.meadowhollow.coordination.leadership.Leadership;
-import org.meadowhollow.coordination.placement.Aims;
-import org.meadowhollow.coordination.placement.Cluster;
-import org.meadowhollow.coordination.placement.Expected;
-import org.meadowhollow.coordination.placement.PlacementRound;
-import org.meadowhollow.coordination.placement.RoomMaker;
-import org.meadowhollow.coordination.placement.Snapshot;
+import org.meadowhollow.coordination.metrics.FairnessMetrics;
 import org.meadowhollow.coordination.reservation.ReservationSettings;
-import org.meadowhollow.coordination.serving.Served;
+import org.meadowhollow.coordination.scheduling.ArrivalForecast;
+import org.meadowhollow.coordination.scheduling.ClusterState;
+import org.meadowhollow.coordination.scheduling.PlacementRound;
+import org.meadowhollow.coordination.scheduling.PreemptionPlanner;
+import org.meadowhollow.coordination.scheduling.SchedulingSnapshot;
+import org.meadowhollow.coordination.scheduling.ServiceLevelObjectives;
 import org.meadowhollow.model.AttemptNumber;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.ExitReason;
@@ -167,11 +167,11 @@
 
     private final FencingToken fencingToken;
     private final MonotonicTime startedAt;
-    private final Cluster cluster;
+    private final ClusterState clusterState;
     private final Map<JobId, Job> jobs;
     private final Map<MachineId, Machine> machines;
-    private final Aims objectives;
-    private final RoomMaker preemptionPlanner;
+    private final ServiceLevelObjectives objectives;
+    private final PreemptionPlanner preemptionPlanner;
     private final StateRecovery stateRecovery;
     private final SilenceWatch heartbeatTimeoutMonitor;
     private final HeartbeatReconciler heartbeatReconciler;
@@ -186,8 +186,8 @@
     private final Membership membership = new Membership();
     private final Object2IntOpenHashMap<MachineId> failuresByMachine =
             new Object2IntOpenHashMap<>();
-    private final Expected arrivalForecast = new Expected();
-    private final Served fairnessMetrics = new Served();
+    private final ArrivalForecast arrivalForecast = new ArrivalForecast();
+    private final FairnessMetrics fairnessMetrics = new FairnessMetrics();
     private boolean listed;
     private boolean fullRoundGathered;
     private boolean firstRoundAllowed;
@@ -236,11 +236,12 @@
                         leaderVersion,
                         deploymentSettings.maxTransactionOperations(),
                         deploymentSettings.maxValueBytes());
-        this.cluster = new Cluster(deploymentSettings, fencingToken);
-        this.jobs = cluster.jobs();
-        this.machines = cluster.machines();
-        this.objectives = new Aims(deploymentSettings, machineTypeCatalog);
-        this.preemptionPlanner = new RoomMaker(cluster, deploymentSettings, objectives);
+        this.clusterState = new ClusterState(deploymentSettings, fencingToken);
+        this.jobs = clusterState.jobs();
+        this.machines = clusterState.machines();
+        this.objectives = new ServiceLevelObjectives(deploymentSettings, machineTypeCatalog);
+        this.preemptionPlanner =
+                new PreemptionPlanner(clusterState, deploymentSettings, objectives);
         this.recordWriter =
                 new RecordWriter(
                         store,
@@ -255,7 +256,7 @@
                         this,
                         store,
                         loop,
-                        cluster,
+                        clusterState,
                         objectives,
                         arrivalForecast,
                         recordWriter,
@@ -265,11 +266,11 @@
                         handoverState,
                         failoverTimeline);
         this.heartbeatTimeoutMonitor =
-                new SilenceWatch(this, cluster, deploymentSettings, fencingToken, startedAt);
+                new SilenceWatch(this, clusterState, deploymentSettings, fencingToken, startedAt);
         this.heartbeatReconciler =
                 new HeartbeatReconciler(
                         this,
-                        cluster,
+                        clusterState,
                         imageCacheRecorder,
                         leadership,
                         fencingToken,
@@ -278,7 +279,7 @@
         this.failureDetector =
                 new FailureDetector(
                         this,
-                        cluster,
+                        clusterState,
                         deploymentSettings,
                         loop,
                         peerGateway,
@@ -288,7 +289,7 @@
         this.reservationEnforcer =
                 new ReservationEnforcer(
                         this,
-                        cluster,
+                        clusterState,
                         objectives,
                         machineTypeCatalog,
                         deploymentSettings,
@@ -333,7 +334,7 @@
 
     /** A job was taken in, from a user or from the records. */
     void onJobAdmitted(Job job) {
-        fairnessMetrics.came(job.spec());
+        fairnessMetrics.onJobAdmitted(job.spec());
     }
 
     void renewLeadershipIfDue() {
@@ -350,7 +351,7 @@
     @Override
     public synchronized void onJobEndPersisted(Job job) {
         jobs.remove(job.id());
-        fairnessMetrics.ended(
+        fairnessMetrics.onJobEnded(
                 job.spec(),
                 job.isCancelled(),
                 (loop.wallClockMillis() - job.acceptedAtMillis()) / 1000.0);
@@ -422,7 +423,7 @@
         if (orders.isEmpty()
                 && leadership.canDecide()
                 && machine.hasFreeCapacity()
-                && cluster.usable(machine, now)) {
+                && clusterState.isSchedulable(machine, now)) {
             return deferredHeartbeats.defer(heartbeat, now.plus(deferralTime()));
         }
         return CompletableFuture.completedFuture(
@@ -558,7 +559,7 @@
 
     private Machine registerMachine(Machine machine) {
         machine.knownSince(loop.now());
-        cluster.add(machine);
+        clusterState.addMachine(machine);
         imageCacheRecorder.onMachineRegistered(machine);
         return machine;
     }
@@ -664,7 +665,7 @@
 
     /** A worker has reported a task as running. */
     void onTaskRunning(Placement placement) {
-        fairnessMetrics.began(placement.job().spec());
+        fairnessMetrics.onTaskRunning(placement.job().spec());
         SecondaryRecord secondaryRecord = placement.job().secondaryRecord();
         if (secondaryRecord != null
                 && secondaryRecord.recordStart(placement.attemptNumber(), loop.wallClockMillis())) {
@@ -837,11 +838,11 @@
                 scheduleRound(now);
             }
             fairnessMetrics
-                    .account(
+                    .reportIfDue(
                             jobs.values(),
                             now,
                             loop.wallClockMillis(),
-                            job -> cluster.waitsFor(job, now))
+                            job -> clusterState.describePendingReason(job, now))
                     .forEach(LOG::info);
             recordWriter.flush();
             imageCacheRecorder.writeIfDue(machines.values(), now);
@@ -849,7 +850,7 @@
                 riskTableSnapshots.writeNext(
                         () ->
                                 RiskTablePublisher.exportAll(
-                                        cluster.machines(), cluster.risks(), now),
+                                        clusterState.machines(), clusterState.riskTables(), now),
                         recordWriter.dirtyShardCount() == 0,
                         now,
                         loop.wallClockMillis());
@@ -917,7 +918,8 @@
             if (closed) {
                 return;
             }
-            if (handoverState.handOverSnapshotTables(machines, cluster.risks(), loop.now())) {
+            if (handoverState.handOverSnapshotTables(
+                    machines, clusterState.riskTables(), loop.now())) {
                 loop.schedule(WARM_CHECK_INTERVAL, this::restoreStoredRiskTables);
             } else {
                 riskTablesSettled = true;
@@ -1023,7 +1025,8 @@
 
     private boolean nearlyAllHeard() {
         return heardMachineCount()
-                >= FULL_ROUND_SHARE * (machines.size() + cluster.unseen().size());
+                >= FULL_ROUND_SHARE
+                        * (machines.size() + clusterState.placementsOnUnseenMachines().size());
     }
 
     /** Stops a task so that it can save what it did. */
@@ -1043,25 +1046,30 @@
     private void scheduleRound(MonotonicTime now) {
         boolean full = hasGatheredFullRound(now);
         reservationEnforcer.refreshView(now);
-        Snapshot snapshot = new Snapshot(cluster, deploymentSettings, objectives, now);
-        Map<Boolean, List<PlacementRound.Waiting>> byIdle =
-                snapshot.waiting().stream()
+        SchedulingSnapshot schedulingSnapshot =
+                new SchedulingSnapshot(clusterState, deploymentSettings, objectives, now);
+        Map<Boolean, List<PlacementRound.PendingJob>> byIdle =
+                schedulingSnapshot.pendingJobs().stream()
                         .collect(
                                 Collectors.partitioningBy(
-                                        waiting -> waiting.spec().priority() == Priority.LOW));
+                                        pendingJob ->
+                                                pendingJob.spec().priority() == Priority.LOW));
         PlacementRound.Outcome outcome =
                 PlacementRound.run(
-                        snapshot.seats(), snapshot.shares(), byIdle.get(false), maxJobsPerRound());
+                        schedulingSnapshot.candidates(),
+                        schedulingSnapshot.usageByTeam(),
+                        byIdle.get(false),
+                        maxJobsPerRound());
         applyPlacements(outcome.decisions(), now);
         List<Fleet.Need> likelyNeeds = new ArrayList<>();
         Set<MachineId> reserved =
-                full ? reserveForPredictedJobs(snapshot, likelyNeeds, now) : Set.of();
+                full ? reserveForPredictedJobs(schedulingSnapshot, likelyNeeds, now) : Set.of();
         // Idle work takes what neither others nor those that are likely to come need: it would soon
         // be stopped again.
         PlacementRound.Outcome idleOutcome =
                 PlacementRound.run(
-                        snapshot.seats(),
-                        snapshot.shares(),
+                        schedulingSnapshot.candidates(),
+                        schedulingSnapshot.usageByTeam(),
                         byIdle.get(true),
                         Math.max(0, recordWritesPerRound() - recordWriter.dirtyShardCount()));
         applyPlacements(idleOutcome.decisions(), now);
@@ -1082,18 +1090,19 @@
         int preempting = 0;
         int makingRoom = 0;
         long idle = bestEffortTaskCount();
-        for (PlacementRound.Waiting waiting : snapshot.waiting()) {
+        for (PlacementRound.PendingJob pendingJob : schedulingSnapshot.pendingJobs()) {
             Integer count =
-                    (waiting.spec().priority() == Priority.LOW ? idleOutcome : outcome)
-                            .unplaced()
-                            .get(waiting.spec().id());
+                    (pendingJob.spec().priority() == Priority.LOW ? idleOutcome : outcome)
+                            .unplacedTasksByJob()
+                            .get(pendingJob.spec().id());
             if (count == null) {
                 continue;
             }
-            Job job = jobs.get(waiting.spec().id());
+            Job job = jobs.get(pendingJob.spec().id());
             if (idle > 0 && makingRoom < MAX_JOBS_DISPLACING_BEST_EFFORT) {
                 List<Placement> victims =
-                        preemptionPlanner.idleVictims(job, waiting.zones(), count, now);
+                        preemptionPlanner.planBestEffortPreemption(
+                                job, pendingJob.tasksByZone(), count, now);
                 if (!victims.isEmpty()) {
                     victims.forEach(
                             victim -> stopSaving(victim, "idle work gives way to " + job.id()));
@@ -1106,13 +1115,16 @@
                     new Fleet.Need(
                             job.spec(),
                             count,
-                            requiredZone(waiting),
+                            requiredZone(pendingJob),
                             (loop.wallClockMillis() - job.acceptedAtMillis()) / 1000.0));
             abandonIncompleteGang(job, now);
             if (preempting < MAX_PREEMPTING_JOBS) {
                 List<Placement> victims =
-                        preemptionPlanner.victims(
-                                job, waiting.zones(), snapshot.isGuaranteed(job.id()), now);
+                        preemptionPlanner.planPreemption(
+                                job,
+                                pendingJob.tasksByZone(),
+                                schedulingSnapshot.isWithinGuaranteedQuota(job.id()),
+                                now);
                 victims.forEach(victim -> stopSaving(victim, "room is needed for " + job.id()));
                 if (!victims.isEmpty()) {
                     job.lastPreemptionAt(now);
@@ -1122,7 +1134,7 @@
         }
         reservationEnforcer.enforce(now);
         needs.addAll(likelyNeeds);
-        reserved.addAll(cluster.outlook().kept());
+        reserved.addAll(clusterState.reservationView().reservedMachines());
         needs.addAll(reservationEnforcer.capacityDemand());
         autoscaler.needs(needs, reserved);
     }
@@ -1151,7 +1163,7 @@
             machine.placements().add(placement);
             machine.idleSince(null);
             recordWriter.markDirty(job.shardOfTask(decision.task()));
-            if (decision.byTable()) {
+            if (decision.byRiskTable()) {
                 placedByRisk++;
             } else {
                 placedByCapacity++;
@@ -1161,7 +1173,7 @@
                     placement.taskId(),
                     attemptNumber,
                     machine.id(),
-                    decision.byTable() ? "risk" : "room");
+                    decision.byRiskTable() ? "risk" : "room");
         }
         if (!decisions.isEmpty()) {
             LOG.info(
@@ -1178,19 +1190,20 @@
      * returned.
      */
     private Set<MachineId> reserveForPredictedJobs(
-            Snapshot left, List<Fleet.Need> needs, MonotonicTime now) {
-        List<PlacementRound.Waiting> likely = new ArrayList<>();
-        for (JobSpec spec : arrivalForecast.likely(now)) {
+            SchedulingSnapshot left, List<Fleet.Need> needs, MonotonicTime now) {
+        List<PlacementRound.PendingJob> likely = new ArrayList<>();
+        for (JobSpec spec : arrivalForecast.predictedJobs(now)) {
             int[] tasks = new int[spec.taskCount()];
             likely.add(
-                    new PlacementRound.Waiting(spec, tasks, new Object2IntOpenHashMap<>(), true));
+                    new PlacementRound.PendingJob(
+                            spec, tasks, new Object2IntOpenHashMap<>(), true));
         }
         PlacementRound.Outcome outcome =
-                PlacementRound.run(left.seats(), left.shares(), likely, likely.size());
+                PlacementRound.run(left.candidates(), left.usageByTeam(), likely, likely.size());
         Set<MachineId> reserved = new HashSet<>();
         outcome.decisions().forEach(decision -> reserved.add(decision.machine()));
-        for (PlacementRound.Waiting job : likely) {
-            Integer count = outcome.unplaced().get(job.spec().id());
+        for (PlacementRound.PendingJob job : likely) {
+            Integer count = outcome.unplacedTasksByJob().get(job.spec().id());
             if (count != null) {
                 needs.add(new Fleet.Need(job.spec(), count, job.spec().requiredZone(), 0));
             }
@@ -1216,9 +1229,9 @@
     }
 
     /** The zone that a job with tasks in place is bound to, or null. */
-    private static String requiredZone(PlacementRound.Waiting job) {
-        return job.spec().requiresSingleZone() && !job.zones().isEmpty()
-                ? job.zones().keySet().iterator().next()
+    private static String requiredZone(PlacementRound.PendingJob job) {
+        return job.spec().requiresSingleZone() && !job.tasksByZone().isEmpty()
+                ? job.tasksByZone().keySet().iterator().next()
                 : job.spec().requiredZone();
     }
 
@@ -1245,12 +1258,12 @@
 
     @Override
     public synchronized double readyS(JobSpec spec) {
-        return objectives.readyS(spec);
+        return objectives.startupDelaySeconds(spec);
     }
 
     @Override
     public synchronized boolean isOut(String type, String zone) {
-        return cluster.outlook().isOut(type, zone);
+        return clusterState.reservationView().isInOutageWindow(type, zone);
     }
 
     @Override
@@ -1307,16 +1320,16 @@
         List<Placement> placements =
                 machine != null
                         ? List.copyOf(machine.placements())
-                        : cluster.unseen().getOrDefault(id, List.of());
+                        : clusterState.placementsOnUnseenMachines().getOrDefault(id, List.of());
         for (Placement placement : List.copyOf(placements)) {
             lost(machine, placement, why, now);
         }
-        cluster.unseen().remove(id);
+        clusterState.placementsOnUnseenMachines().remove(id);
         if (machine != null) {
             machine.orphanedTasks().clear();
             if (forget) {
                 machines.remove(id);
-                cluster.risks().remove(id);
+                clusterState.riskTables().remove(id);
                 heartbeatTimeoutMonitor.forget(id);
                 failuresByMachine.removeInt(id);
             }
@@ -1336,7 +1349,7 @@
         membership.recordStatus(asked.requester(), loop.now());
         return Optional.of(
                 riskTablePublisher.answerRequest(
-                        asked, cluster.machines(), cluster.risks(), loop.now()));
+                        asked, clusterState.machines(), clusterState.riskTables(), loop.now()));
     }
 
     synchronized Optional<RecordDigests> recordDigests() {
--- a/src/main/java/org/meadowhollow/coordination/ReservationEnforcer.java
+++ b/src/main/java/org/meadowhollow/coordination/ReservationEnforcer.java
@@ -8,16 +8,16 @@
 import java.util.Map;
 import java.util.Set;
 import org.meadowhollow.coordination.api.DeploymentSettings;
-import org.meadowhollow.coordination.calendar.CalendarDesk;
-import org.meadowhollow.coordination.calendar.Diary;
-import org.meadowhollow.coordination.calendar.Estimates;
-import org.meadowhollow.coordination.calendar.Outlook;
-import org.meadowhollow.coordination.calendar.Plan;
-import org.meadowhollow.coordination.calendar.Supply;
 import org.meadowhollow.coordination.fleet.Fleet;
-import org.meadowhollow.coordination.placement.Aims;
-import org.meadowhollow.coordination.placement.Cluster;
+import org.meadowhollow.coordination.reservation.ReservableCapacity;
+import org.meadowhollow.coordination.reservation.ReservationCalendarReplica;
+import org.meadowhollow.coordination.reservation.ReservationPlan;
+import org.meadowhollow.coordination.reservation.ReservationService;
 import org.meadowhollow.coordination.reservation.ReservationSettings;
+import org.meadowhollow.coordination.reservation.ReservationView;
+import org.meadowhollow.coordination.reservation.RuntimeEstimator;
+import org.meadowhollow.coordination.scheduling.ClusterState;
+import org.meadowhollow.coordination.scheduling.ServiceLevelObjectives;
 import org.meadowhollow.model.AttemptNumber;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.Job;
@@ -58,35 +58,36 @@
     private record WarnedAttempt(TaskId task, AttemptNumber attempt) {}
 
     private final LeaderService leaderService;
-    private final Cluster cluster;
-    private final Aims objectives;
+    private final ClusterState clusterState;
+    private final ServiceLevelObjectives objectives;
     private final MachineTypeCatalog machineTypeCatalog;
     private final DeploymentSettings deploymentSettings;
     private final EventLoop loop;
     private final ReservationSettings reservationSettings;
-    private final Diary reservationCalendar;
-    private final Estimates runtimeEstimator = new Estimates();
+    private final ReservationCalendarReplica reservationCalendar;
+    private final RuntimeEstimator runtimeEstimator = new RuntimeEstimator();
     private final Map<WarnedAttempt, MonotonicTime> warnedAt = new HashMap<>();
     private final Map<JobId, MonotonicTime> lastMoveByService = new HashMap<>();
     private final Set<String> loggedNotices = new HashSet<>();
 
     ReservationEnforcer(
             LeaderService leaderService,
-            Cluster cluster,
-            Aims aims,
+            ClusterState clusterState,
+            ServiceLevelObjectives serviceLevelObjectives,
             MachineTypeCatalog machineTypeCatalog,
             DeploymentSettings deploymentSettings,
             KeyValueStore store,
             EventLoop loop,
             ReservationSettings settings) {
         this.leaderService = leaderService;
-        this.cluster = cluster;
-        this.objectives = aims;
+        this.clusterState = clusterState;
+        this.objectives = serviceLevelObjectives;
         this.machineTypeCatalog = machineTypeCatalog;
         this.deploymentSettings = deploymentSettings;
         this.loop = loop;
         this.reservationSettings = settings;
-        this.reservationCalendar = new Diary(store, loop, leaderService::isClosed);
+        this.reservationCalendar =
+                new ReservationCalendarReplica(store, loop, leaderService::isClosed);
     }
 
     void start() {
@@ -100,13 +101,13 @@
      * promised.
      */
     boolean isReady() {
-        return !reservationSettings.enabled() || reservationCalendar.isKnown();
+        return !reservationSettings.enabled() || reservationCalendar.isLoaded();
     }
 
     /** A task was done that ran for some seconds. */
     void recordRuntime(JobSpec spec, double ranS) {
         if (reservationSettings.enabled()) {
-            runtimeEstimator.ran(spec, ranS);
+            runtimeEstimator.recordRuntime(spec, ranS);
         }
     }
 
@@ -115,37 +116,38 @@
         if (!reservationSettings.enabled()) {
             return;
         }
-        Supply supply =
-                CalendarDesk.supply(
+        ReservableCapacity reservableCapacity =
+                ReservationService.reservableCapacity(
                         machineTypeCatalog,
                         deploymentSettings,
                         reservationSettings.machineLimits());
-        Plan plan = reservationCalendar.plan(supply, loop.wallClockMillis());
-        if (plan == null) {
-            cluster.outlook(Outlook.NONE);
+        ReservationPlan reservationPlan =
+                reservationCalendar.plan(reservableCapacity, loop.wallClockMillis());
+        if (reservationPlan == null) {
+            clusterState.reservationView(ReservationView.EMPTY);
             warnedAt.clear();
             return;
         }
         List<Machine> heard =
-                cluster.machines().values().stream()
+                clusterState.machines().values().stream()
                         .filter(machine -> machine.lastContactAt() != null)
                         .toList();
         Map<JobSpec, Integer> waiting = new HashMap<>();
-        for (Job job : cluster.jobs().values()) {
+        for (Job job : clusterState.jobs().values()) {
             if (job.pendingTaskCount() > 0) {
                 waiting.put(job.spec(), job.pendingTaskCount());
             }
         }
-        cluster.outlook(
-                Outlook.of(
-                        plan,
+        clusterState.reservationView(
+                ReservationView.of(
+                        reservationPlan,
                         heard,
-                        machine -> cluster.usable(machine, now),
+                        machine -> clusterState.isSchedulable(machine, now),
                         waiting,
                         runtimeEstimator,
-                        supply,
-                        objectives::readyS,
-                        new Outlook.Clocks(
+                        reservableCapacity,
+                        objectives::startupDelaySeconds,
+                        new ReservationView.RoundClocks(
                                 now,
                                 loop.wallClockMillis(),
                                 reservationSettings.maxClockSkew().toMillis())));
@@ -154,18 +156,19 @@
     /** What to rent for slots that begin before long. */
     List<Fleet.Need> capacityDemand() {
         List<Fleet.Need> needs = new ArrayList<>();
-        for (Outlook.Missing missing : cluster.outlook().missing()) {
+        for (ReservationView.CapacityShortfall capacityShortfall :
+                clusterState.reservationView().shortfalls()) {
             needs.add(
                     new Fleet.Need(
-                            missing.reservation().toPlaceholderJobSpec(),
-                            missing.tasks(),
-                            missing.zone(),
+                            capacityShortfall.reservation().toPlaceholderJobSpec(),
+                            capacityShortfall.tasks(),
+                            capacityShortfall.zone(),
                             0));
             logOnce(
                     "reservation "
-                            + missing.reservation().name()
+                            + capacityShortfall.reservation().name()
                             + " has no machines yet for "
-                            + missing.tasks()
+                            + capacityShortfall.tasks()
                             + " of its tasks");
         }
         return needs;
@@ -173,9 +176,9 @@
 
     /** Warns those who would run into a window or a slot, and stops who has to go now. */
     void enforce(MonotonicTime now) {
-        Outlook outlook = cluster.outlook();
-        for (Outlook.Spill spill : outlook.spills()) {
-            Placement placement = spill.placement();
+        ReservationView reservationView = clusterState.reservationView();
+        for (ReservationView.PlannedEviction plannedEviction : reservationView.plannedEvictions()) {
+            Placement placement = plannedEviction.placement();
             WarnedAttempt key = new WarnedAttempt(placement.taskId(), placement.attemptNumber());
             MonotonicTime since = warnedAt.get(key);
             if (since == null) {
@@ -186,28 +189,34 @@
                             placement.taskId(),
                             placement.attemptNumber(),
                             placement.machineId(),
-                            Math.max(MIN_WARNING.toSeconds(), Math.round(spill.latestInS())),
-                            spill.why());
+                            Math.max(
+                                    MIN_WARNING.toSeconds(),
+                                    Math.round(plannedEviction.latestStopInSeconds())),
+                            plannedEviction.reason());
                 }
-            } else if (spill.stopInS() <= 0
+            } else if (plannedEviction.stopInSeconds() <= 0
                     && now.elapsedSince(since).compareTo(MIN_WARNING) >= 0
-                    && (spill.latestInS() <= 0 || mayStopReplica(placement.job(), now))) {
-                leaderService.stopSaving(placement, spill.why());
+                    && (plannedEviction.latestStopInSeconds() <= 0
+                            || mayStopReplica(placement.job(), now))) {
+                leaderService.stopSaving(placement, plannedEviction.reason());
                 lastMoveByService.put(placement.job().id(), now);
             }
         }
-        outlook.unused()
+        reservationView
+                .unusedReservations()
                 .forEach(name -> logOnce("reservation " + name + " is not used and given back"));
         warnedAt.keySet()
                 .removeIf(
                         key ->
-                                outlook.spills().stream()
+                                reservationView.plannedEvictions().stream()
                                         .noneMatch(
-                                                spill ->
-                                                        spill.placement()
+                                                plannedEviction ->
+                                                        plannedEviction
+                                                                        .placement()
                                                                         .taskId()
                                                                         .equals(key.task())
-                                                                && spill.placement()
+                                                                && plannedEviction
+                                                                        .placement()
                                                                         .attemptNumber()
                                                                         .equals(key.attempt())));
         lastMoveByService
--- a/src/main/java/org/meadowhollow/coordination/StateRecovery.java
+++ b/src/main/java/org/meadowhollow/coordination/StateRecovery.java
@@ -8,9 +8,9 @@
 import java.util.function.Consumer;
 import org.meadowhollow.coordination.failover.FailoverTimeline;
 import org.meadowhollow.coordination.failover.HandoverState;
-import org.meadowhollow.coordination.placement.Aims;
-import org.meadowhollow.coordination.placement.Cluster;
-import org.meadowhollow.coordination.placement.Expected;
+import org.meadowhollow.coordination.scheduling.ArrivalForecast;
+import org.meadowhollow.coordination.scheduling.ClusterState;
+import org.meadowhollow.coordination.scheduling.ServiceLevelObjectives;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Job;
@@ -52,9 +52,9 @@
     private final LeaderService leaderService;
     private final KeyValueStore store;
     private final EventLoop loop;
-    private final Cluster cluster;
-    private final Aims objectives;
-    private final Expected arrivalForecast;
+    private final ClusterState clusterState;
+    private final ServiceLevelObjectives objectives;
+    private final ArrivalForecast arrivalForecast;
     private final RecordWriter recordWriter;
     private final ImageCacheRecorder imageCacheRecorder;
     private final FencingToken fencingToken;
@@ -72,9 +72,9 @@
             LeaderService leaderService,
             KeyValueStore store,
             EventLoop loop,
-            Cluster cluster,
-            Aims aims,
-            Expected expected,
+            ClusterState clusterState,
+            ServiceLevelObjectives serviceLevelObjectives,
+            ArrivalForecast expected,
             RecordWriter recordWriter,
             ImageCacheRecorder images,
             FencingToken fencingToken,
@@ -84,8 +84,8 @@
         this.leaderService = leaderService;
         this.store = store;
         this.loop = loop;
-        this.cluster = cluster;
-        this.objectives = aims;
+        this.clusterState = clusterState;
+        this.objectives = serviceLevelObjectives;
         this.arrivalForecast = expected;
         this.recordWriter = recordWriter;
         this.imageCacheRecorder = images;
@@ -214,7 +214,7 @@
 
     private void restoreTasks(Collection<KeyValueStore.Entry> tasks) {
         for (KeyValueStore.Entry entry : tasks) {
-            if (!RecordCodec.restoreShard(entry, cluster.jobs(), loop.now())) {
+            if (!RecordCodec.restoreShard(entry, clusterState.jobs(), loop.now())) {
                 recordWriter.addObsoleteKey(entry.key());
             }
         }
@@ -231,7 +231,7 @@
 
     private void restoreImageCaches(List<KeyValueStore.Entry> notes) {
         imageCacheRecorder.restore(notes, loop.now());
-        cluster.machines().values().forEach(imageCacheRecorder::onMachineRegistered);
+        clusterState.machines().values().forEach(imageCacheRecorder::onMachineRegistered);
     }
 
     /**
@@ -240,10 +240,10 @@
      */
     private void loaded(Revision watchFrom, String from, Revision reached) {
         int placed = 0;
-        for (Job job : cluster.jobs().values()) {
+        for (Job job : clusterState.jobs().values()) {
             recordWriter.markRestored(job);
             for (Placement placement : job.placements()) {
-                cluster.restore(placement);
+                clusterState.restorePlacement(placement);
                 placed++;
             }
             if (job.isCancelled()) {
@@ -260,7 +260,7 @@
         LOG.info(
                 "term {} has loaded {} jobs with {} tasks that may be running",
                 fencingToken,
-                cluster.jobs().size(),
+                clusterState.jobs().size(),
                 placed);
         watchFromNow(watchFrom);
     }
@@ -328,13 +328,13 @@
 
     void applyJobRecord(String key, Map<String, Object> record, Revision version) {
         JobId id = RecordCodec.jobIdOfKey(key);
-        Job job = cluster.jobs().get(id);
+        Job job = clusterState.jobs().get(id);
         MonotonicTime now = loop.now();
         if (job == null) {
             job = RecordCodec.job(id, record, version, now);
             job.pendingSince(now);
-            cluster.jobs().put(id, job);
-            objectives.note(job.spec());
+            clusterState.jobs().put(id, job);
+            objectives.recordJob(job.spec());
             leaderService.onJobAdmitted(job);
             LOG.info(
                     "job {}: {} of {} tasks of about {} s for team {}, class {}, due in {} s",
@@ -345,12 +345,13 @@
                     job.spec().team(),
                     job.spec().jobClass(),
                     job.spec().deadlineSeconds());
-            if (objectives.needsReserve(job.spec())) {
+            if (objectives.needsSpareMachines(job.spec())) {
                 long ageMillis = Math.max(0, loop.wallClockMillis() - job.acceptedAtMillis());
-                arrivalForecast.came(
+                arrivalForecast.recordArrival(
                         job.spec(),
                         new MonotonicTime(now.nanos() - ageMillis * 1_000_000),
-                        Duration.ofMillis((long) (objectives.readyS(job.spec()) * 1000)));
+                        Duration.ofMillis(
+                                (long) (objectives.startupDelaySeconds(job.spec()) * 1000)));
             }
             if (job.isCancelled() && loaded) {
                 // Taken in and cancelled between two looks: there is nothing to stop, but its end
--- a/src/main/java/org/meadowhollow/coordination/failover/HandoverState.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/HandoverState.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import org.meadowhollow.coordination.api.RiskTableDelta;
-import org.meadowhollow.coordination.placement.RiskTable;
+import org.meadowhollow.coordination.scheduling.RiskTable;
 import org.meadowhollow.model.Heartbeat;
 import org.meadowhollow.model.Machine;
 import org.meadowhollow.model.MachineId;
--- a/src/main/java/org/meadowhollow/coordination/failover/RiskTablePublisher.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTablePublisher.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import org.meadowhollow.coordination.api.RiskTableDelta;
 import org.meadowhollow.coordination.api.RiskTableRequest;
-import org.meadowhollow.coordination.placement.RiskTable;
+import org.meadowhollow.coordination.scheduling.RiskTable;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Machine;
 import org.meadowhollow.model.MachineId;
@@ -101,7 +101,7 @@
         List<RiskTableDelta.MachineEntry> parts = new ArrayList<>();
         for (Machine machine : machines.values()) {
             if (machine.incarnation() != null) {
-                parts.add(buildPart(machine, tables.get(machine.id()).export(now)));
+                parts.add(buildPart(machine, tables.get(machine.id()).exportState(now)));
             }
         }
         return parts;
@@ -172,7 +172,7 @@
                 return new RiskTableDelta(fencingToken, nextSampleNumber - 1, true, true, parts);
             }
             if (machine.incarnation() != null) {
-                int[] table = tables.get(machine.id()).export(now);
+                int[] table = tables.get(machine.id()).exportState(now);
                 numbers += table.length + PART_OVERHEAD;
                 parts.add(buildPart(machine, table));
             }
--- a/src/main/java/org/meadowhollow/coordination/failover/RiskTableReplica.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTableReplica.java
@@ -8,7 +8,7 @@
 import org.meadowhollow.coordination.api.ControllerStatus;
 import org.meadowhollow.coordination.api.RiskTableDelta;
 import org.meadowhollow.coordination.api.RiskTableRequest;
-import org.meadowhollow.coordination.placement.RiskTable;
+import org.meadowhollow.coordination.scheduling.RiskTable;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.MachineId;
 import org.meadowhollow.model.MonotonicTime;
@@ -23,7 +23,7 @@
     private static final int MAX_TABLES = 2000;
 
     /** Older copies tell of a machine as it was; the tables themselves are rebuilt from as much. */
-    static final Duration MAX_AGE = RiskTable.RECENT;
+    static final Duration MAX_AGE = RiskTable.SAMPLE_RETENTION;
 
     private record ReplicatedTable(
             RiskTable table,
@@ -137,7 +137,7 @@
             tablesByMachine.put(
                     machineEntry.machine(),
                     new ReplicatedTable(
-                            RiskTable.of(machineEntry.table(), now),
+                            RiskTable.fromExportedState(machineEntry.table(), now),
                             machineEntry.machineIdentityHash(),
                             machineEntry.workerIncarnation(),
                             machineEntry.sequenceNumber(),
@@ -161,7 +161,7 @@
             // Whole tables that came page by page may have some of them already.
             if (itsSession.isAfter(workerIncarnation)
                     || itsSession.equals(workerIncarnation) && itsSeq > seq) {
-                table.replay(
+                table.replaySample(
                         (int) machineEntry.samples()[at + 3],
                         new MonotonicTime(
                                 now.nanos()
--- a/src/main/java/org/meadowhollow/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/FailureDetector.java
@@ -14,7 +14,7 @@
 import org.meadowhollow.coordination.hearing.Deafness;
 import org.meadowhollow.coordination.hearing.Deafness.Hearing;
 import org.meadowhollow.coordination.leadership.Leadership;
-import org.meadowhollow.coordination.placement.Cluster;
+import org.meadowhollow.coordination.scheduling.ClusterState;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.Machine;
 import org.meadowhollow.model.MachineId;
@@ -72,7 +72,7 @@
     private record Question(List<MachineId> machines) {}
 
     private final TermHolder leader;
-    private final Cluster cluster;
+    private final ClusterState clusterState;
     private final DeploymentSettings deploymentSettings;
     private final EventLoop loop;
     private final PeerGateway peerGateway;
@@ -92,14 +92,14 @@
 
     public FailureDetector(
             TermHolder leader,
-            Cluster cluster,
+            ClusterState clusterState,
             DeploymentSettings deploymentSettings,
             EventLoop loop,
             PeerGateway peerGateway,
             Leadership leadership,
             MonotonicTime begunAt) {
         this.leader = leader;
-        this.cluster = cluster;
+        this.clusterState = clusterState;
         this.deploymentSettings = deploymentSettings;
         this.loop = loop;
         this.peerGateway = peerGateway;
@@ -114,10 +114,10 @@
     /** One look at all machines. What follows from it is done by {@link #act}. */
     public void round(MonotonicTime now) {
         List<Machine> late = new ArrayList<>();
-        int known = cluster.unseen().size();
+        int known = clusterState.placementsOnUnseenMachines().size();
         boolean allDue = now.elapsedSince(begunAt).compareTo(reportDue().plus(NO_ANSWER)) > 0;
-        int lateCount = allDue ? cluster.unseen().size() : 0;
-        for (Machine machine : cluster.machines().values()) {
+        int lateCount = allDue ? clusterState.placementsOnUnseenMachines().size() : 0;
+        for (Machine machine : clusterState.machines().values()) {
             if (machine.releasing()) {
                 continue;
             }
--- a/src/main/java/org/meadowhollow/coordination/fleet/Fleet.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/Fleet.java
@@ -13,7 +13,7 @@
 import java.util.function.IntConsumer;
 import org.meadowhollow.coordination.api.CloudProvider;
 import org.meadowhollow.coordination.api.DeploymentSettings;
-import org.meadowhollow.coordination.placement.Turnover;
+import org.meadowhollow.coordination.scheduling.ReleaseForecast;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.JobKind;
@@ -296,7 +296,7 @@
                                                         rental.spot()),
                                                 new Resources[] {rental.type().capacity()},
                                                 rental.readyInS(now))));
-        Turnover turnover = new Turnover(machines, now);
+        ReleaseForecast releaseForecast = new ReleaseForecast(machines, now);
         Map<String, Integer> perZone = new HashMap<>();
         for (Machine machine : machines) {
             perZone.merge(machine.zone(), 1, Integer::sum);
@@ -323,7 +323,9 @@
                     Source source = source(spec, only, inZone, perZone, now);
                     if (mayFollow && (source == null || isDear(spec, source))) {
                         mayFollow = false;
-                        left -= turnover.take(spec, left, need.agedS(), leader.readyS(spec));
+                        left -=
+                                releaseForecast.claimReleases(
+                                        spec, left, need.agedS(), leader.readyS(spec));
                         continue;
                     }
                     if (source == null) {
@@ -339,7 +341,7 @@
                 inZone.merge(found.source().zone(), 1, Integer::sum);
                 if (spec.kind() == JobKind.ARRAY) {
                     MachineType type = machineTypeCatalog.typeNamed(found.source().type());
-                    turnover.follows(
+                    releaseForecast.addReleaseOnBootingMachine(
                             spec,
                             type,
                             found.source().zone(),
--- a/src/main/java/org/meadowhollow/coordination/fleet/SilenceWatch.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/SilenceWatch.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import org.meadowhollow.coordination.api.DeploymentSettings;
-import org.meadowhollow.coordination.placement.Cluster;
+import org.meadowhollow.coordination.scheduling.ClusterState;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.Machine;
@@ -34,7 +34,7 @@
     public static final int MOST_HANGING = 3 * MOST_PROBES;
 
     private final TermHolder leader;
-    private final Cluster cluster;
+    private final ClusterState clusterState;
     private final DeploymentSettings deploymentSettings;
     private final FencingToken fencingToken;
     private final MonotonicTime begunAt;
@@ -43,12 +43,12 @@
 
     public SilenceWatch(
             TermHolder leader,
-            Cluster cluster,
+            ClusterState clusterState,
             DeploymentSettings deploymentSettings,
             FencingToken fencingToken,
             MonotonicTime begunAt) {
         this.leader = leader;
-        this.cluster = cluster;
+        this.clusterState = clusterState;
         this.deploymentSettings = deploymentSettings;
         this.fencingToken = fencingToken;
         this.begunAt = begunAt;
@@ -57,7 +57,7 @@
     /** One round over all machines. */
     public void round(MonotonicTime now) {
         probes = 0;
-        for (Machine machine : List.copyOf(cluster.machines().values())) {
+        for (Machine machine : List.copyOf(clusterState.machines().values())) {
             watchOver(machine, now);
         }
         expireUnseen(now);
@@ -75,7 +75,7 @@
                 machine.lastContactAt() == null ? begunAt : machine.lastContactAt();
         double silentS = now.secondsSince(lastHeard);
         double reportS = deploymentSettings.heartbeatInterval().toNanos() / 1e9;
-        if (silentS > Cluster.SILENT_REPORTS * reportS
+        if (silentS > ClusterState.MISSED_HEARTBEATS_UNTIL_SILENT * reportS
                 && machine.address() != null
                 && probes < MOST_PROBES) {
             MonotonicTime probed = probedAt.get(machine.id());
@@ -152,11 +152,12 @@
 
     /** Placements on machines that neither the cloud's list nor any report has shown. */
     private void expireUnseen(MonotonicTime now) {
-        if (!cluster.unseen().isEmpty()
+        if (!clusterState.placementsOnUnseenMachines().isEmpty()
                 && now.elapsedSince(begunAt)
                                 .compareTo(slack(deploymentSettings.cancellationBound()))
                         > 0) {
-            for (List<Placement> placements : List.copyOf(cluster.unseen().values())) {
+            for (List<Placement> placements :
+                    List.copyOf(clusterState.placementsOnUnseenMachines().values())) {
                 for (Placement placement : List.copyOf(placements)) {
                     leader.lost(
                             null,
@@ -165,7 +166,7 @@
                             now);
                 }
             }
-            cluster.unseen().clear();
+            clusterState.placementsOnUnseenMachines().clear();
         }
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/calendar/Recurrence.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/Recurrence.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.calendar;
+package org.meadowhollow.coordination.reservation;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -22,22 +22,22 @@
  */
 public final class Recurrence {
     /** Steps of a rule looked at for one expansion; a rule that names hardly any day ends here. */
-    private static final int MOST_STEPS = 5000;
+    private static final int MAX_RULE_STEPS = 5000;
 
-    private static final Set<Freq> FREQUENCIES =
+    private static final Set<Freq> SUPPORTED_FREQUENCIES =
             Set.of(Freq.DAILY, Freq.WEEKLY, Freq.MONTHLY, Freq.YEARLY);
 
     /**
      * A rule's days are looked for from a day before, for clocks differ by less than that from any
      * other.
      */
-    private static final Duration DAY = Duration.ofDays(1);
+    private static final Duration CLOCK_DIFFERENCE_MARGIN = Duration.ofDays(1);
 
     private Recurrence() {}
 
     /** The schedule cannot be followed; the text says why. */
-    public static final class Unusable extends Exception {
-        Unusable(String why) {
+    public static final class InvalidScheduleException extends Exception {
+        InvalidScheduleException(String why) {
             super(why);
         }
     }
@@ -45,32 +45,34 @@
     /**
      * Checks a rule.
      *
-     * @throws Unusable naming what is wrong with it
+     * @throws InvalidScheduleException naming what is wrong with it
      */
-    public static void check(RecurringSchedule schedule) throws Unusable {
+    public static void validate(RecurringSchedule schedule) throws InvalidScheduleException {
         if (schedule.recurrenceRule() == null) {
             return;
         }
-        RecurrenceRule rule = parse(schedule.recurrenceRule());
-        if (!FREQUENCIES.contains(rule.getFreq())) {
-            throw new Unusable("rule repeats more often than daily");
+        RecurrenceRule rule = parseRule(schedule.recurrenceRule());
+        if (!SUPPORTED_FREQUENCIES.contains(rule.getFreq())) {
+            throw new InvalidScheduleException("rule repeats more often than daily");
         }
         try {
-            rule.iterator(floating(schedule.firstStart()));
+            rule.iterator(toFloatingDateTime(schedule.firstStart()));
         } catch (IllegalArgumentException wrong) {
-            throw new Unusable("rule does not go with its start: " + wrong.getMessage());
+            throw new InvalidScheduleException(
+                    "rule does not go with its start: " + wrong.getMessage());
         }
     }
 
-    private static RecurrenceRule parse(String text) throws Unusable {
+    private static RecurrenceRule parseRule(String text) throws InvalidScheduleException {
         try {
             return new RecurrenceRule(text, RecurrenceRule.RfcMode.RFC5545_STRICT);
         } catch (InvalidRecurrenceRuleException | IllegalArgumentException wrong) {
-            throw new Unusable("rule is not one of RFC 5545: " + wrong.getMessage());
+            throw new InvalidScheduleException(
+                    "rule is not one of RFC 5545: " + wrong.getMessage());
         }
     }
 
-    private static DateTime floating(LocalDateTime time) {
+    private static DateTime toFloatingDateTime(LocalDateTime time) {
         return new DateTime(
                 time.getYear(),
                 time.getMonthValue() - 1,
@@ -80,7 +82,7 @@
                 time.getSecond());
     }
 
-    private static LocalDateTime local(DateTime time) {
+    private static LocalDateTime toLocalDateTime(DateTime time) {
         return LocalDateTime.of(
                 time.getYear(),
                 time.getMonth() + 1,
@@ -95,50 +97,54 @@
      *
      * @param schedule that was checked
      */
-    public static List<Occurrence> between(
+    public static List<Occurrence> occurrencesBetween(
             RecurringSchedule schedule, long fromMillis, long untilMillis, int most) {
         List<Occurrence> found = new ArrayList<>();
         if (schedule.recurrenceRule() == null) {
-            add(found, schedule, schedule.firstStart(), fromMillis, untilMillis);
+            addIfOverlapping(found, schedule, schedule.firstStart(), fromMillis, untilMillis);
             return found;
         }
         try {
             RecurrenceRuleIterator times =
-                    parse(schedule.recurrenceRule()).iterator(floating(schedule.firstStart()));
+                    parseRule(schedule.recurrenceRule())
+                            .iterator(toFloatingDateTime(schedule.firstStart()));
             LocalDateTime early =
                     LocalDateTime.ofInstant(
-                            Instant.ofEpochMilli(fromMillis).minus(schedule.duration()).minus(DAY),
+                            Instant.ofEpochMilli(fromMillis)
+                                    .minus(schedule.duration())
+                                    .minus(CLOCK_DIFFERENCE_MARGIN),
                             schedule.timeZone());
             if (early.isAfter(schedule.firstStart())) {
-                times.fastForward(floating(early));
+                times.fastForward(toFloatingDateTime(early));
             }
             for (int step = 0;
-                    step < MOST_STEPS && times.hasNext() && found.size() < most;
+                    step < MAX_RULE_STEPS && times.hasNext() && found.size() < most;
                     step++) {
-                LocalDateTime next = local(times.nextDateTime());
-                if (startOf(schedule, next) >= untilMillis + DAY.toMillis()) {
+                LocalDateTime next = toLocalDateTime(times.nextDateTime());
+                if (startEpochMillis(schedule, next)
+                        >= untilMillis + CLOCK_DIFFERENCE_MARGIN.toMillis()) {
                     break;
                 }
-                add(found, schedule, next, fromMillis, untilMillis);
+                addIfOverlapping(found, schedule, next, fromMillis, untilMillis);
             }
-        } catch (Unusable | IllegalArgumentException | ArithmeticException spent) {
+        } catch (InvalidScheduleException | IllegalArgumentException | ArithmeticException spent) {
             // A rule that was checked and has no more days, or none that the library finds.
             return found;
         }
         return found;
     }
 
-    private static long startOf(RecurringSchedule schedule, LocalDateTime local) {
+    private static long startEpochMillis(RecurringSchedule schedule, LocalDateTime local) {
         return ZonedDateTime.of(local, schedule.timeZone()).toInstant().toEpochMilli();
     }
 
-    private static void add(
+    private static void addIfOverlapping(
             List<Occurrence> found,
             RecurringSchedule schedule,
             LocalDateTime local,
             long from,
             long until) {
-        long start = startOf(schedule, local);
+        long start = startEpochMillis(schedule, local);
         long end = start + schedule.duration().toMillis();
         if (start < until && end > from) {
             found.add(new Occurrence(start, end));
--- a/src/main/java/org/meadowhollow/coordination/calendar/Admittance.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservationAdmission.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.calendar;
+package org.meadowhollow.coordination.reservation;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -20,63 +20,67 @@
  * Whether a reservation can be promised, and what a window takes from those that were: pure
  * functions.
  */
-public final class Admittance {
+public final class ReservationAdmission {
     /** How far ahead times are promised; a rule that goes on is looked at again as time passes. */
-    public static final Duration HORIZON = Duration.ofDays(35);
+    public static final Duration ADMISSION_HORIZON = Duration.ofDays(35);
 
     /** Entries of a calendar: as many as one list of the state service, and its stamp, can hold. */
-    public static final int MOST_ENTRIES = 999;
+    public static final int MAX_ENTRIES = 999;
 
     /** Other starts that are tried for one that cannot be met. */
-    private static final int MOST_STARTS = 50;
+    private static final int MAX_STARTS_TRIED = 50;
 
-    private Admittance() {}
+    private ReservationAdmission() {}
 
     /**
      * The answer to a request.
      *
-     * @param never why it can never be met, or null
-     * @param against what stands against it now; empty if it can be met
-     * @param nearest a later start of its first time at which all could be met, or null if none was
-     *     found
+     * @param infeasibleReason why it can never be met, or null
+     * @param conflicts what stands against it now; empty if it can be met
+     * @param nearestStart a later start of its first time at which all could be met, or null if
+     *     none was found
      */
-    public record Verdict(String never, List<String> against, LocalDateTime nearest) {
-        public boolean isMet() {
-            return never == null && against.isEmpty();
+    public record AdmissionResult(
+            String infeasibleReason, List<String> conflicts, LocalDateTime nearestStart) {
+        public boolean isAdmitted() {
+            return infeasibleReason == null && conflicts.isEmpty();
         }
     }
 
-    public static Verdict judge(
+    public static AdmissionResult evaluate(
             CalendarSnapshot calendarSnapshot,
             Reservation asked,
-            Supply supply,
+            ReservableCapacity reservableCapacity,
             Set<String> zones,
             long now) {
-        String never = whyNever(asked, supply, zones);
+        String never = findInfeasibleReason(asked, reservableCapacity, zones);
         if (never != null) {
-            return new Verdict(never, List.of(), null);
+            return new AdmissionResult(never, List.of(), null);
         }
-        List<String> against = against(calendarSnapshot, asked, supply, now);
-        return new Verdict(
+        List<String> against = findConflicts(calendarSnapshot, asked, reservableCapacity, now);
+        return new AdmissionResult(
                 null,
                 against,
-                against.isEmpty() ? null : nearest(calendarSnapshot, asked, supply, now));
+                against.isEmpty()
+                        ? null
+                        : findNearestStart(calendarSnapshot, asked, reservableCapacity, now));
     }
 
-    private static String whyNever(Reservation asked, Supply supply, Set<String> zones) {
-        if (!supply.limits().containsKey(asked.team())) {
+    private static String findInfeasibleReason(
+            Reservation asked, ReservableCapacity reservableCapacity, Set<String> zones) {
+        if (!reservableCapacity.teamLimits().containsKey(asked.team())) {
             return "there is no team " + asked.team();
         }
         if (asked.requiredZone() != null && !zones.contains(asked.requiredZone())) {
             return "there is no zone " + asked.requiredZone();
         }
-        Resources limit = supply.limits().get(asked.team());
+        Resources limit = reservableCapacity.teamLimits().get(asked.team());
         Resources all = asked.resourcesPerTask().times(asked.taskCount());
         if (limit.cpu() > 0 && all.cpu() > limit.cpu()
                 || limit.gpu() > 0 && all.gpu() > limit.gpu()) {
             return "it is more than the limit of team " + asked.team();
         }
-        for (MachineType type : supply.types()) {
+        for (MachineType type : reservableCapacity.machineTypes()) {
             if ((asked.allowedMachineTypes() == null
                             || asked.allowedMachineTypes().contains(type.name()))
                     && asked.resourcesPerTask().fitsIn(type.capacity())
@@ -92,19 +96,27 @@
      * What stands against it, and against those accepted before it, since it comes last, nothing
      * changes for them.
      */
-    private static List<String> against(
-            CalendarSnapshot calendarSnapshot, Reservation asked, Supply supply, long now) {
-        Plan plan = Plan.of(calendarSnapshot.with(asked), supply, now, now + HORIZON.toMillis());
+    private static List<String> findConflicts(
+            CalendarSnapshot calendarSnapshot,
+            Reservation asked,
+            ReservableCapacity reservableCapacity,
+            long now) {
+        ReservationPlan reservationPlan =
+                ReservationPlan.of(
+                        calendarSnapshot.with(asked),
+                        reservableCapacity,
+                        now,
+                        now + ADMISSION_HORIZON.toMillis());
         Set<String> all = new LinkedHashSet<>();
         boolean any = false;
-        for (Plan.Slot slot : plan.slots()) {
+        for (ReservationPlan.Slot slot : reservationPlan.slots()) {
             if (slot.reservation().name().equals(asked.name())) {
                 any = true;
-                all.addAll(slot.against());
+                all.addAll(slot.conflicts());
             }
         }
         if (!any) {
-            all.add("no time of it lies within the next " + HORIZON.toDays() + " days");
+            all.add("no time of it lies within the next " + ADMISSION_HORIZON.toDays() + " days");
         }
         return List.copyOf(all);
     }
@@ -113,26 +125,30 @@
      * Whatever stands against a time ends when some other entry does, so only those moments are
      * tried.
      */
-    private static LocalDateTime nearest(
-            CalendarSnapshot calendarSnapshot, Reservation asked, Supply supply, long now) {
+    private static LocalDateTime findNearestStart(
+            CalendarSnapshot calendarSnapshot,
+            Reservation asked,
+            ReservableCapacity reservableCapacity,
+            long now) {
         List<Occurrence> own =
-                Recurrence.between(asked.schedule(), now, now + HORIZON.toMillis(), 1);
+                Recurrence.occurrencesBetween(
+                        asked.schedule(), now, now + ADMISSION_HORIZON.toMillis(), 1);
         if (own.isEmpty()) {
             return null;
         }
         long start = own.get(0).startMillis();
         TreeSet<Long> ends = new TreeSet<>();
-        Plan plan =
-                Plan.of(
+        ReservationPlan reservationPlan =
+                ReservationPlan.of(
                         calendarSnapshot.withoutReservation(asked.name()),
-                        supply,
+                        reservableCapacity,
                         now,
-                        now + HORIZON.toMillis());
-        plan.outages().forEach(outage -> ends.add(outage.when().endMillis()));
-        plan.slots().forEach(slot -> ends.add(slot.when().endMillis()));
+                        now + ADMISSION_HORIZON.toMillis());
+        reservationPlan.outages().forEach(outage -> ends.add(outage.occurrence().endMillis()));
+        reservationPlan.slots().forEach(slot -> ends.add(slot.occurrence().endMillis()));
         int tried = 0;
         for (long end : ends.tailSet(start, false)) {
-            if (tried++ == MOST_STARTS) {
+            if (tried++ == MAX_STARTS_TRIED) {
                 return null;
             }
             RecurringSchedule was = asked.schedule();
@@ -154,7 +170,7 @@
                             asked.allowedJobs(),
                             new RecurringSchedule(
                                     moved, was.timeZone(), was.duration(), was.recurrenceRule()));
-            if (against(calendarSnapshot, other, supply, now).isEmpty()) {
+            if (findConflicts(calendarSnapshot, other, reservableCapacity, now).isEmpty()) {
                 return moved;
             }
         }
@@ -166,23 +182,30 @@
      * were met and are short with it, or are met from other machines. A window is never refused for
      * it.
      */
-    public static List<String> taken(
-            CalendarSnapshot calendarSnapshot, MaintenanceWindow window, Supply supply, long now) {
-        long until = now + HORIZON.toMillis();
-        List<Plan.Slot> before = Plan.of(calendarSnapshot, supply, now, until).slots();
-        List<Plan.Slot> after = Plan.of(calendarSnapshot.with(window), supply, now, until).slots();
+    public static List<String> describeAffectedReservations(
+            CalendarSnapshot calendarSnapshot,
+            MaintenanceWindow window,
+            ReservableCapacity reservableCapacity,
+            long now) {
+        long until = now + ADMISSION_HORIZON.toMillis();
+        List<ReservationPlan.Slot> before =
+                ReservationPlan.of(calendarSnapshot, reservableCapacity, now, until).slots();
+        List<ReservationPlan.Slot> after =
+                ReservationPlan.of(calendarSnapshot.with(window), reservableCapacity, now, until)
+                        .slots();
         List<String> told = new ArrayList<>();
         for (int at = 0; at < before.size(); at++) {
-            Plan.Slot was = before.get(at);
-            Plan.Slot is = after.get(at);
+            ReservationPlan.Slot was = before.get(at);
+            ReservationPlan.Slot is = after.get(at);
             String which =
                     was.reservation().name()
                             + " at "
-                            + Instant.ofEpochMilli(was.when().startMillis());
-            if (was.isMet() && !is.isMet()) {
-                told.add(which + " is short: " + String.join("; ", is.against()));
-            } else if (!was.machines().equals(is.machines())) {
-                told.add(which + " moves to " + String.join(", ", is.machines().keySet()));
+                            + Instant.ofEpochMilli(was.occurrence().startMillis());
+            if (was.isFulfilled() && !is.isFulfilled()) {
+                told.add(which + " is short: " + String.join("; ", is.conflicts()));
+            } else if (!was.machinesByTypeZone().equals(is.machinesByTypeZone())) {
+                told.add(
+                        which + " moves to " + String.join(", ", is.machinesByTypeZone().keySet()));
             }
         }
         return told;
--- a/src/main/java/org/meadowhollow/coordination/calendar/Diary.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservationCalendarReplica.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.calendar;
+package org.meadowhollow.coordination.reservation;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -19,42 +19,42 @@
  * A leader's view of the calendar: read once, then followed by what changes, and the plan made from
  * it, which is made anew only when the calendar has changed or much of its span is past.
  */
-public final class Diary {
-    private static final Duration RETRY = Duration.ofSeconds(1);
-    private static final Duration WATCH = Duration.ofSeconds(20);
+public final class ReservationCalendarReplica {
+    private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
+    private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(20);
 
     /**
      * The plan's span: what another clock may not take for past, and well beyond the time for which
      * room is kept.
      */
-    private static final Duration BACK = Duration.ofMinutes(10);
+    private static final Duration PLAN_LOOKBACK = Duration.ofMinutes(10);
 
-    private static final Duration AHEAD = Duration.ofHours(6);
-    private static final Duration REPLAN = Duration.ofHours(1);
+    private static final Duration PLAN_LOOKAHEAD = Duration.ofHours(6);
+    private static final Duration REPLAN_INTERVAL = Duration.ofHours(1);
 
     private final KeyValueStore store;
     private final EventLoop loop;
-    private final BooleanSupplier over;
+    private final BooleanSupplier leadershipEnded;
     private final Map<String, KeyValueStore.Entry> entries = new TreeMap<>();
-    private boolean known;
-    private Plan plan;
-    private long plannedAt;
+    private boolean loaded;
+    private ReservationPlan reservationPlan;
+    private long plannedAtWallMillis;
 
     /**
      * @param over whether the leadership is, and with it the need to follow
      */
-    public Diary(KeyValueStore store, EventLoop loop, BooleanSupplier over) {
+    public ReservationCalendarReplica(KeyValueStore store, EventLoop loop, BooleanSupplier over) {
         this.store = store;
         this.loop = loop;
-        this.over = over;
+        this.leadershipEnded = over;
     }
 
     public void start() {
-        read(null, null, new ArrayList<>());
+        loadPage(null, null, new ArrayList<>());
     }
 
-    private void read(String after, Revision first, List<KeyValueStore.Entry> all) {
-        if (over.getAsBoolean()) {
+    private void loadPage(String after, Revision first, List<KeyValueStore.Entry> all) {
+        if (leadershipEnded.getAsBoolean()) {
             return;
         }
         store.list(
@@ -65,52 +65,52 @@
                 .whenComplete(
                         (page, failure) -> {
                             if (failure != null) {
-                                loop.schedule(RETRY, this::start);
+                                loop.schedule(RETRY_DELAY, this::start);
                                 return;
                             }
                             all.addAll(page.entries());
                             Revision from = first == null ? page.revision() : first;
                             if (page.hasMore()) {
-                                read(
+                                loadPage(
                                         page.entries().get(page.entries().size() - 1).key(),
                                         from,
                                         all);
                             } else {
-                                take(all);
-                                watch(from);
+                                apply(all);
+                                watchChanges(from);
                             }
                         });
     }
 
-    private synchronized void take(List<KeyValueStore.Entry> all) {
+    private synchronized void apply(List<KeyValueStore.Entry> all) {
         entries.clear();
         all.forEach(entry -> entries.put(entry.key(), entry));
-        known = true;
-        plan = null;
+        loaded = true;
+        reservationPlan = null;
     }
 
-    private void watch(Revision after) {
-        if (over.getAsBoolean()) {
+    private void watchChanges(Revision after) {
+        if (leadershipEnded.getAsBoolean()) {
             return;
         }
-        store.watch(CalendarRecordCodec.CALENDAR_PREFIX, after, WATCH)
+        store.watch(CalendarRecordCodec.CALENDAR_PREFIX, after, WATCH_TIMEOUT)
                 .whenComplete(
                         (changeBatch, failure) -> {
                             if (failure == null) {
-                                take(changeBatch);
-                                watch(changeBatch.revision());
+                                apply(changeBatch);
+                                watchChanges(changeBatch.revision());
                             } else {
                                 loop.schedule(
-                                        RETRY,
+                                        RETRY_DELAY,
                                         KeyValueStoreException.outcomeOf(failure)
                                                         == Outcome.COMPACTED
                                                 ? this::start
-                                                : () -> watch(after));
+                                                : () -> watchChanges(after));
                             }
                         });
     }
 
-    private synchronized void take(KeyValueStore.ChangeBatch changeBatch) {
+    private synchronized void apply(KeyValueStore.ChangeBatch changeBatch) {
         for (KeyValueStore.Change change : changeBatch.changes()) {
             KeyValueStore.Entry was = entries.get(change.key());
             // Pages that were read after the first one may hold later changes already.
@@ -124,30 +124,32 @@
                         change.key(),
                         new KeyValueStore.Entry(change.key(), change.value(), change.revision()));
             }
-            plan = null;
+            reservationPlan = null;
         }
     }
 
     /** Whether the calendar has been read; nothing may be placed before. */
-    public synchronized boolean isKnown() {
-        return known;
+    public synchronized boolean isLoaded() {
+        return loaded;
     }
 
     /** What is planned around a time of day; null while nothing is reserved or declared. */
-    public synchronized Plan plan(Supply supply, long wallMillis) {
+    public synchronized ReservationPlan plan(
+            ReservableCapacity reservableCapacity, long wallMillis) {
         if (entries.isEmpty()) {
             return null;
         }
         // Also when the time of day goes back, as it may by its bound at a takeover.
-        if (plan == null || Math.abs(wallMillis - plannedAt) > REPLAN.toMillis()) {
-            plan =
-                    Plan.of(
+        if (reservationPlan == null
+                || Math.abs(wallMillis - plannedAtWallMillis) > REPLAN_INTERVAL.toMillis()) {
+            reservationPlan =
+                    ReservationPlan.of(
                             CalendarSnapshot.fromRecords(List.copyOf(entries.values())),
-                            supply,
-                            wallMillis - BACK.toMillis(),
-                            wallMillis + AHEAD.toMillis());
-            plannedAt = wallMillis;
+                            reservableCapacity,
+                            wallMillis - PLAN_LOOKBACK.toMillis(),
+                            wallMillis + PLAN_LOOKAHEAD.toMillis());
+            plannedAtWallMillis = wallMillis;
         }
-        return plan;
+        return reservationPlan;
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/calendar/Plan.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservationPlan.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.calendar;
+package org.meadowhollow.coordination.reservation;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -20,56 +20,60 @@
  * from the cheapest machines that its rules allow and that no window takes; one that a later window
  * takes its machines from thus moves to others, or is short.
  */
-public final class Plan {
+public final class ReservationPlan {
     /** Times of one entry within a plan. */
-    static final int MOST_EACH = 64;
+    static final int MAX_OCCURRENCES_PER_ENTRY = 64;
 
     /** A window's time. */
-    public record Outage(MaintenanceWindow window, Occurrence when) {}
+    public record Outage(MaintenanceWindow window, Occurrence occurrence) {}
 
     /**
      * A reservation's time.
      *
-     * @param machines how many of each {@code type/zone} it takes
-     * @param tasks that these have room for
-     * @param against what stands against the rest, empty if there is none
+     * @param machinesByTypeZone how many of each {@code type/zone} it takes
+     * @param fulfilledTasks that these have room for
+     * @param conflicts what stands against the rest, empty if there is none
      */
     public record Slot(
             Reservation reservation,
-            Occurrence when,
-            Map<String, Integer> machines,
-            int tasks,
-            List<String> against) {
-        public boolean isMet() {
-            return tasks >= reservation.taskCount();
+            Occurrence occurrence,
+            Map<String, Integer> machinesByTypeZone,
+            int fulfilledTasks,
+            List<String> conflicts) {
+        public boolean isFulfilled() {
+            return fulfilledTasks >= reservation.taskCount();
         }
 
         /** Whether the slot has machines of a type in a zone. */
-        public boolean takes(String type, String zone) {
-            return machines.containsKey(type + '/' + zone);
+        public boolean includes(String type, String zone) {
+            return machinesByTypeZone.containsKey(type + '/' + zone);
         }
     }
 
-    private record Use(Occurrence when, String holder, long amount) {}
+    private record Usage(Occurrence occurrence, String reservationName, long amount) {}
 
     /** Amounts in use over time; looked up by day, so that a far night costs nothing. */
-    private static final class Track {
-        private static final long DAY = 86_400_000;
-        private final TreeMap<Long, List<Use>> days = new TreeMap<>();
+    private static final class UsageTimeline {
+        private static final long DAY_MILLIS = 86_400_000;
+        private final TreeMap<Long, List<Usage>> usagesByDay = new TreeMap<>();
 
         void add(Occurrence when, String holder, long amount) {
-            Use use = new Use(when, holder, amount);
-            for (long day = when.startMillis() / DAY; day <= (when.endMillis() - 1) / DAY; day++) {
-                days.computeIfAbsent(day, unused -> new ArrayList<>()).add(use);
+            Usage usage = new Usage(when, holder, amount);
+            for (long day = when.startMillis() / DAY_MILLIS;
+                    day <= (when.endMillis() - 1) / DAY_MILLIS;
+                    day++) {
+                usagesByDay.computeIfAbsent(day, unused -> new ArrayList<>()).add(usage);
             }
         }
 
-        List<Use> during(Occurrence when) {
-            List<Use> all = new ArrayList<>();
-            for (long day = when.startMillis() / DAY; day <= (when.endMillis() - 1) / DAY; day++) {
-                for (Use use : days.getOrDefault(day, List.of())) {
-                    if (use.when().overlaps(when) && !all.contains(use)) {
-                        all.add(use);
+        List<Usage> usagesDuring(Occurrence when) {
+            List<Usage> all = new ArrayList<>();
+            for (long day = when.startMillis() / DAY_MILLIS;
+                    day <= (when.endMillis() - 1) / DAY_MILLIS;
+                    day++) {
+                for (Usage usage : usagesByDay.getOrDefault(day, List.of())) {
+                    if (usage.occurrence().overlaps(when) && !all.contains(usage)) {
+                        all.add(usage);
                     }
                 }
             }
@@ -79,16 +83,17 @@
         /**
          * The largest sum at any moment: it is reached at the start of one of them, or of the span.
          */
-        long peak(Occurrence when) {
-            List<Use> uses = during(when);
+        long peakDuring(Occurrence when) {
+            List<Usage> uses = usagesDuring(when);
             long peak = 0;
-            for (Use at : uses) {
-                long moment = Math.max(at.when().startMillis(), when.startMillis());
+            for (Usage at : uses) {
+                long moment = Math.max(at.occurrence().startMillis(), when.startMillis());
                 long sum = 0;
-                for (Use use : uses) {
+                for (Usage usage : uses) {
                     sum +=
-                            use.when().startMillis() <= moment && moment < use.when().endMillis()
-                                    ? use.amount()
+                            usage.occurrence().startMillis() <= moment
+                                            && moment < usage.occurrence().endMillis()
+                                    ? usage.amount()
                                     : 0;
                 }
                 peak = Math.max(peak, sum);
@@ -100,7 +105,7 @@
     private final List<Outage> outages;
     private final List<Slot> slots;
 
-    private Plan(List<Outage> outages, List<Slot> slots) {
+    private ReservationPlan(List<Outage> outages, List<Slot> slots) {
         this.outages = outages;
         this.slots = slots;
     }
@@ -115,70 +120,90 @@
         return slots;
     }
 
-    public static Plan of(
-            CalendarSnapshot calendarSnapshot, Supply supply, long fromMillis, long untilMillis) {
+    public static ReservationPlan of(
+            CalendarSnapshot calendarSnapshot,
+            ReservableCapacity reservableCapacity,
+            long fromMillis,
+            long untilMillis) {
         List<Outage> outages = new ArrayList<>();
         for (CalendarSnapshot.CalendarEntry<MaintenanceWindow> calendarEntry :
                 calendarSnapshot.windows()) {
             for (Occurrence when :
-                    Recurrence.between(
-                            calendarEntry.item().schedule(), fromMillis, untilMillis, MOST_EACH)) {
+                    Recurrence.occurrencesBetween(
+                            calendarEntry.item().schedule(),
+                            fromMillis,
+                            untilMillis,
+                            MAX_OCCURRENCES_PER_ENTRY)) {
                 outages.add(new Outage(calendarEntry.item(), when));
             }
         }
         outages.sort(
-                Comparator.<Outage>comparingLong(outage -> outage.when().startMillis())
+                Comparator.<Outage>comparingLong(outage -> outage.occurrence().startMillis())
                         .thenComparing(outage -> outage.window().name()));
-        Making making = new Making(supply, outages);
+        PlanBuilder planBuilder = new PlanBuilder(reservableCapacity, outages);
         List<Slot> slots = new ArrayList<>();
         for (CalendarSnapshot.CalendarEntry<Reservation> calendarEntry :
                 calendarSnapshot.reservations()) {
             for (Occurrence when :
-                    Recurrence.between(
-                            calendarEntry.item().schedule(), fromMillis, untilMillis, MOST_EACH)) {
-                slots.add(making.slot(calendarEntry.item(), when));
+                    Recurrence.occurrencesBetween(
+                            calendarEntry.item().schedule(),
+                            fromMillis,
+                            untilMillis,
+                            MAX_OCCURRENCES_PER_ENTRY)) {
+                slots.add(planBuilder.planSlot(calendarEntry.item(), when));
             }
         }
         slots.sort(
-                Comparator.<Slot>comparingLong(slot -> slot.when().startMillis())
+                Comparator.<Slot>comparingLong(slot -> slot.occurrence().startMillis())
                         .thenComparing(slot -> slot.reservation().name()));
-        return new Plan(List.copyOf(outages), List.copyOf(slots));
+        return new ReservationPlan(List.copyOf(outages), List.copyOf(slots));
     }
 
     /** The state of a plan that is being made. */
-    private static final class Making {
-        private final Supply supply;
+    private static final class PlanBuilder {
+        private final ReservableCapacity capacity;
         private final List<Outage> outages;
-        private final Map<String, Track> machines = new HashMap<>();
-        private final Map<String, Track> cpus = new HashMap<>();
-        private final Map<String, Track> gpus = new HashMap<>();
+        private final Map<String, UsageTimeline> machineUsage = new HashMap<>();
+        private final Map<String, UsageTimeline> cpuUsageByTeam = new HashMap<>();
+        private final Map<String, UsageTimeline> gpuUsageByTeam = new HashMap<>();
 
-        Making(Supply supply, List<Outage> outages) {
-            this.supply = supply;
+        PlanBuilder(ReservableCapacity reservableCapacity, List<Outage> outages) {
+            this.capacity = reservableCapacity;
             this.outages = outages;
         }
 
-        Slot slot(Reservation reservation, Occurrence when) {
+        Slot planSlot(Reservation reservation, Occurrence when) {
             List<String> against = new ArrayList<>();
-            int most = Math.min(reservation.taskCount(), withinLimit(reservation, when, against));
+            int most =
+                    Math.min(
+                            reservation.taskCount(),
+                            countTasksWithinTeamLimit(reservation, when, against));
             Map<String, Integer> taken = new LinkedHashMap<>();
             int tasks = 0;
-            for (MachineType type : byPrice(reservation)) {
+            for (MachineType type : eligibleTypesByPrice(reservation)) {
                 for (String zone : type.zones()) {
                     if (tasks < most
                             && (reservation.requiredZone() == null
                                     || reservation.requiredZone().equals(zone))) {
-                        tasks += take(reservation, when, type, zone, most - tasks, taken, against);
+                        tasks +=
+                                allocate(
+                                        reservation,
+                                        when,
+                                        type,
+                                        zone,
+                                        most - tasks,
+                                        taken,
+                                        against);
                     }
                 }
             }
             if (tasks > 0) {
-                track(cpus, reservation.team())
+                timelineFor(cpuUsageByTeam, reservation.team())
                         .add(
                                 when,
                                 reservation.name(),
                                 reservation.resourcesPerTask().times(tasks).cpu());
-                track(gpus, reservation.team())
+                timelineFor(gpuUsageByTeam, reservation.team())
                         .add(
                                 when,
                                 reservation.name(),
@@ -194,8 +219,8 @@
                             : List.of());
         }
 
-        private List<MachineType> byPrice(Reservation reservation) {
-            return supply.types().stream()
+        private List<MachineType> eligibleTypesByPrice(Reservation reservation) {
+            return capacity.machineTypes().stream()
                     .filter(
                             type ->
                                     (reservation.allowedMachineTypes() == null
@@ -219,34 +244,45 @@
                     .toList();
         }
 
-        private int withinLimit(Reservation reservation, Occurrence when, List<String> against) {
-            Resources limit = supply.limits().getOrDefault(reservation.team(), Resources.NONE);
+        private int countTasksWithinTeamLimit(
+                Reservation reservation, Occurrence when, List<String> against) {
+            Resources limit =
+                    capacity.teamLimits().getOrDefault(reservation.team(), Resources.NONE);
             Resources left =
                     new Resources(
                             limit.cpu() == 0
                                     ? Long.MAX_VALUE
-                                    : limit.cpu() - track(cpus, reservation.team()).peak(when),
+                                    : limit.cpu()
+                                            - timelineFor(cpuUsageByTeam, reservation.team())
+                                                    .peakDuring(when),
                             limit.gpu() == 0
                                     ? Long.MAX_VALUE
-                                    : limit.gpu() - track(gpus, reservation.team()).peak(when),
+                                    : limit.gpu()
+                                            - timelineFor(gpuUsageByTeam, reservation.team())
+                                                    .peakDuring(when),
                             Long.MAX_VALUE);
             int most = reservation.resourcesPerTask().maxCopiesIn(left, reservation.taskCount());
             if (most < reservation.taskCount()) {
                 against.add(
                         "the limit of team "
                                 + reservation.team()
-                                + among(track(cpus, reservation.team()), when));
+                                + describeHolders(
+                                        timelineFor(cpuUsageByTeam, reservation.team()), when));
             }
             return most;
         }
 
-        private static String among(Track track, Occurrence when) {
+        private static String describeHolders(UsageTimeline usageTimeline, Occurrence when) {
             List<String> names =
-                    track.during(when).stream().map(Use::holder).distinct().sorted().toList();
+                    usageTimeline.usagesDuring(when).stream()
+                            .map(Usage::reservationName)
+                            .distinct()
+                            .sorted()
+                            .toList();
             return names.isEmpty() ? "" : ", with " + String.join(", ", names);
         }
 
-        private int take(
+        private int allocate(
                 Reservation reservation,
                 Occurrence when,
                 MachineType type,
@@ -255,7 +291,7 @@
                 Map<String, Integer> taken,
                 List<String> against) {
             for (Outage outage : outages) {
-                if (outage.when().overlaps(when)
+                if (outage.occurrence().overlaps(when)
                         && outage.window().coversAllOfType(type.name(), zone)) {
                     against.add(
                             "window "
@@ -270,11 +306,11 @@
             int each = reservation.resourcesPerTask().maxCopiesIn(type.capacity(), tasks);
             int wanted = (tasks + each - 1) / each;
             String pair = type.name() + '/' + zone;
-            int most = supply.mostOf(type.name(), zone);
+            int most = capacity.maxMachinesOf(type.name(), zone);
             long left =
                     most == Integer.MAX_VALUE
                             ? wanted
-                            : Math.max(0, most - track(machines, pair).peak(when));
+                            : Math.max(0, most - timelineFor(machineUsage, pair).peakDuring(when));
             int got = (int) Math.min(wanted, left);
             if (got < wanted) {
                 against.add(
@@ -284,17 +320,17 @@
                                 + type.name()
                                 + " in "
                                 + zone
-                                + among(track(machines, pair), when));
+                                + describeHolders(timelineFor(machineUsage, pair), when));
             }
             if (got > 0) {
-                track(machines, pair).add(when, reservation.name(), got);
+                timelineFor(machineUsage, pair).add(when, reservation.name(), got);
                 taken.put(pair, got);
             }
             return Math.min(tasks, got * each);
         }
 
-        private static Track track(Map<String, Track> tracks, String key) {
-            return tracks.computeIfAbsent(key, unused -> new Track());
+        private static UsageTimeline timelineFor(Map<String, UsageTimeline> tracks, String key) {
+            return tracks.computeIfAbsent(key, unused -> new UsageTimeline());
         }
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/calendar/CalendarDesk.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservationService.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.calendar;
+package org.meadowhollow.coordination.reservation;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -33,64 +33,64 @@
  * change guards and writes one key, so that of two changes that were decided from the same calendar
  * one is decided again.
  */
-public final class CalendarDesk {
-    private static final Logger LOG = LoggerFactory.getLogger(CalendarDesk.class);
-    private static final int MOST_TRIES = 5;
-    private static final Duration RETRY = Duration.ofMillis(200);
+public final class ReservationService {
+    private static final Logger LOG = LoggerFactory.getLogger(ReservationService.class);
+    private static final int MAX_ATTEMPTS = 5;
+    private static final Duration RETRY_DELAY = Duration.ofMillis(200);
 
     /** What became of a request. */
-    public enum Result {
+    public enum ChangeResult {
         CREATED,
         CHANGED,
-        SAME
+        UNCHANGED
     }
 
     /**
-     * @param version of the entry as it is now
+     * @param revision of the entry as it is now
      * @param notes what it does to others, for the operator to read
      */
-    public record Done(Result result, Revision version, List<String> notes) {}
+    public record ChangeOutcome(ChangeResult result, Revision revision, List<String> notes) {}
 
     /** The request is not carried out; the text says why. */
-    public static final class Refused extends RuntimeException {
+    public static final class RejectedException extends RuntimeException {
         /** Why, in general. */
-        public enum Why {
-            NEVER,
-            NOT_MET,
-            CONFLICT,
-            ABSENT,
-            FULL
+        public enum Reason {
+            INFEASIBLE,
+            INSUFFICIENT_CAPACITY,
+            REVISION_MISMATCH,
+            NOT_FOUND,
+            CALENDAR_FULL
         }
 
-        private final Why why;
+        private final Reason reason;
 
-        Refused(Why why, String text) {
+        RejectedException(Reason reason, String text) {
             super(text, null, false, false);
-            this.why = why;
+            this.reason = reason;
         }
 
-        public Why why() {
-            return why;
+        public Reason reason() {
+            return reason;
         }
     }
 
-    private record Change(
+    private record PendingChange(
             String key,
             Map<String, Object> value,
-            Revision was,
-            Result result,
+            Revision expectedRevision,
+            ChangeResult result,
             List<String> notes) {}
 
     private final KeyValueStore store;
     private final EventLoop loop;
     private final MachineTypeCatalog machineTypeCatalog;
     private final DeploymentSettings deploymentSettings;
-    private final Map<String, Integer> most;
+    private final Map<String, Integer> maxMachines;
 
     /**
-     * @param most machines that the operators will have at a time, as in {@link Supply}
+     * @param most machines that the operators will have at a time, as in {@link ReservableCapacity}
      */
-    public CalendarDesk(
+    public ReservationService(
             KeyValueStore store,
             EventLoop loop,
             MachineTypeCatalog machineTypeCatalog,
@@ -100,10 +100,10 @@
         this.loop = loop;
         this.machineTypeCatalog = machineTypeCatalog;
         this.deploymentSettings = deploymentSettings;
-        this.most = Map.copyOf(most);
+        this.maxMachines = Map.copyOf(most);
     }
 
-    public static Supply supply(
+    public static ReservableCapacity reservableCapacity(
             MachineTypeCatalog machineTypeCatalog,
             DeploymentSettings deploymentSettings,
             Map<String, Integer> most) {
@@ -114,26 +114,26 @@
                 .forEach(teamQuota -> limits.put(teamQuota.name(), teamQuota.limit()));
         List<MachineType> types = new ArrayList<>();
         machineTypeCatalog.types().forEach(types::add);
-        return new Supply(types, limits, most);
+        return new ReservableCapacity(types, limits, most);
     }
 
     /** Fails with {@link Admission.TryLater} while the machine types are not known. */
-    private Supply supply() {
+    private ReservableCapacity reservableCapacity() {
         if (machineTypeCatalog.isEmpty()) {
             throw new Admission.TryLater("the machine types are not known yet");
         }
-        return supply(machineTypeCatalog, deploymentSettings, most);
+        return reservableCapacity(machineTypeCatalog, deploymentSettings, maxMachines);
     }
 
     /** The calendar, whose stamp is no newer than anything else in it. */
-    public CompletableFuture<CalendarSnapshot> read() {
+    public CompletableFuture<CalendarSnapshot> readCalendar() {
         // The stamp first: read with the rest, it could be newer than an entry before it, and a
         // change that was decided
         // from the old entry would be applied.
         return store.get(CalendarRecordCodec.REVISION_KEY, RequestPriority.USER)
                 .thenCompose(
                         stamp ->
-                                page(null, new ArrayList<>())
+                                readPages(null, new ArrayList<>())
                                         .thenApply(
                                                 entries -> {
                                                     CalendarSnapshot calendarSnapshot =
@@ -146,7 +146,7 @@
                                                 }));
     }
 
-    private CompletableFuture<List<KeyValueStore.Entry>> page(
+    private CompletableFuture<List<KeyValueStore.Entry>> readPages(
             String after, List<KeyValueStore.Entry> all) {
         return store.list(
                         CalendarRecordCodec.CALENDAR_PREFIX,
@@ -157,18 +157,21 @@
                         page -> {
                             all.addAll(page.entries());
                             return page.hasMore()
-                                    ? page(page.entries().get(page.entries().size() - 1).key(), all)
+                                    ? readPages(
+                                            page.entries().get(page.entries().size() - 1).key(),
+                                            all)
                                     : CompletableFuture.completedFuture(all);
                         });
     }
 
     /** The plan of some time ahead. */
-    public CompletableFuture<Plan> plan(Duration ahead) {
-        return read().thenApply(
+    public CompletableFuture<ReservationPlan> planAhead(Duration ahead) {
+        return readCalendar()
+                .thenApply(
                         calendarSnapshot ->
-                                Plan.of(
+                                ReservationPlan.of(
                                         calendarSnapshot,
-                                        supply(),
+                                        reservableCapacity(),
                                         loop.wallClockMillis(),
                                         loop.wallClockMillis() + ahead.toMillis()));
     }
@@ -176,39 +179,42 @@
     /**
      * @param expected the version that is to be changed, or null for a new reservation
      */
-    public CompletableFuture<Done> reserve(Reservation asked, Revision expected) {
-        return change(
+    public CompletableFuture<ChangeOutcome> reserve(Reservation asked, Revision expected) {
+        return applyChange(
                 calendarSnapshot -> {
                     Optional<CalendarSnapshot.CalendarEntry<Reservation>> held =
                             calendarSnapshot.findReservation(asked.name());
                     if (held.isPresent() && held.get().item().equals(asked)) {
-                        return same(held.get());
+                        return unchanged(held.get());
                     }
-                    check(calendarSnapshot, held, expected);
-                    Admittance.Verdict verdict =
-                            Admittance.judge(
+                    checkExpectedRevision(calendarSnapshot, held, expected);
+                    ReservationAdmission.AdmissionResult admissionResult =
+                            ReservationAdmission.evaluate(
                                     calendarSnapshot,
                                     asked,
-                                    supply(),
+                                    reservableCapacity(),
                                     Set.copyOf(deploymentSettings.zones()),
                                     loop.wallClockMillis());
-                    if (verdict.never() != null) {
-                        throw new Refused(Refused.Why.NEVER, verdict.never());
+                    if (admissionResult.infeasibleReason() != null) {
+                        throw new RejectedException(
+                                RejectedException.Reason.INFEASIBLE,
+                                admissionResult.infeasibleReason());
                     }
-                    if (!verdict.isMet()) {
-                        throw new Refused(
-                                Refused.Why.NOT_MET,
-                                String.join("; ", verdict.against())
-                                        + (verdict.nearest() == null
+                    if (!admissionResult.isAdmitted()) {
+                        throw new RejectedException(
+                                RejectedException.Reason.INSUFFICIENT_CAPACITY,
+                                String.join("; ", admissionResult.conflicts())
+                                        + (admissionResult.nearestStart() == null
                                                 ? "; no later start was found"
                                                 : "; the nearest start that could be met is "
-                                                        + verdict.nearest()));
+                                                        + admissionResult.nearestStart()));
                     }
-                    return new Change(
+                    return new PendingChange(
                             CalendarRecordCodec.reservation(asked.name()),
-                            CalendarRecordCodec.encode(asked, next(calendarSnapshot)),
-                            versionOf(held),
-                            result(held),
+                            CalendarRecordCodec.encode(
+                                    asked, nextAcceptanceOrder(calendarSnapshot)),
+                            revisionOf(held),
+                            resultFor(held),
                             List.of());
                 });
     }
@@ -216,27 +222,33 @@
     /**
      * @param expected the version that is to be changed, or null for a new window
      */
-    public CompletableFuture<Done> declare(MaintenanceWindow asked, Revision expected) {
-        return change(
+    public CompletableFuture<ChangeOutcome> declareWindow(
+            MaintenanceWindow asked, Revision expected) {
+        return applyChange(
                 calendarSnapshot -> {
                     Optional<CalendarSnapshot.CalendarEntry<MaintenanceWindow>> held =
                             calendarSnapshot.findWindow(asked.name());
                     if (held.isPresent() && held.get().item().equals(asked)) {
-                        return same(held.get());
+                        return unchanged(held.get());
                     }
-                    check(calendarSnapshot, held, expected);
+                    checkExpectedRevision(calendarSnapshot, held, expected);
                     if (asked.scope() == MaintenanceWindow.Scope.ZONE
                             && !deploymentSettings.zones().containsAll(asked.targets())) {
-                        throw new Refused(Refused.Why.NEVER, "there is no such zone");
+                        throw new RejectedException(
+                                RejectedException.Reason.INFEASIBLE, "there is no such zone");
                     }
                     List<String> notes =
-                            Admittance.taken(
-                                    calendarSnapshot, asked, supply(), loop.wallClockMillis());
-                    return new Change(
+                            ReservationAdmission.describeAffectedReservations(
+                                    calendarSnapshot,
+                                    asked,
+                                    reservableCapacity(),
+                                    loop.wallClockMillis());
+                    return new PendingChange(
                             CalendarRecordCodec.window(asked.name()),
-                            CalendarRecordCodec.encode(asked, next(calendarSnapshot)),
-                            versionOf(held),
-                            result(held),
+                            CalendarRecordCodec.encode(
+                                    asked, nextAcceptanceOrder(calendarSnapshot)),
+                            revisionOf(held),
+                            resultFor(held),
                             notes);
                 });
     }
@@ -246,65 +258,71 @@
      *
      * @param expected the version that is to go, or null for any
      */
-    public CompletableFuture<Done> withdraw(String name, boolean window, Revision expected) {
-        return change(
+    public CompletableFuture<ChangeOutcome> withdraw(
+            String name, boolean window, Revision expected) {
+        return applyChange(
                 calendarSnapshot -> {
                     Optional<? extends CalendarSnapshot.CalendarEntry<?>> held =
                             window
                                     ? calendarSnapshot.findWindow(name)
                                     : calendarSnapshot.findReservation(name);
                     if (held.isEmpty()) {
-                        return new Change(null, null, Revision.ABSENT, Result.SAME, List.of());
+                        return new PendingChange(
+                                null, null, Revision.ABSENT, ChangeResult.UNCHANGED, List.of());
                     }
                     if (expected != null && !expected.equals(held.get().revision())) {
-                        throw conflict(held.get().revision());
+                        throw revisionMismatch(held.get().revision());
                     }
-                    return new Change(
+                    return new PendingChange(
                             window
                                     ? CalendarRecordCodec.window(name)
                                     : CalendarRecordCodec.reservation(name),
                             null,
                             held.get().revision(),
-                            Result.CHANGED,
+                            ChangeResult.CHANGED,
                             List.of());
                 });
     }
 
-    private static Change same(CalendarSnapshot.CalendarEntry<?> calendarEntry) {
-        return new Change(null, null, calendarEntry.revision(), Result.SAME, List.of());
+    private static PendingChange unchanged(CalendarSnapshot.CalendarEntry<?> calendarEntry) {
+        return new PendingChange(
+                null, null, calendarEntry.revision(), ChangeResult.UNCHANGED, List.of());
     }
 
-    private static Refused conflict(Revision is) {
-        return new Refused(Refused.Why.CONFLICT, "its version is " + is.value() + " by now");
+    private static RejectedException revisionMismatch(Revision is) {
+        return new RejectedException(
+                RejectedException.Reason.REVISION_MISMATCH,
+                "its version is " + is.value() + " by now");
     }
 
-    private static <T> void check(
+    private static <T> void checkExpectedRevision(
             CalendarSnapshot calendarSnapshot,
             Optional<CalendarSnapshot.CalendarEntry<T>> held,
             Revision expected) {
         if (held.isPresent() && !held.get().revision().equals(expected)) {
-            throw conflict(held.get().revision());
+            throw revisionMismatch(held.get().revision());
         }
         if (held.isEmpty() && expected != null) {
-            throw new Refused(Refused.Why.ABSENT, "there is none to change");
+            throw new RejectedException(
+                    RejectedException.Reason.NOT_FOUND, "there is none to change");
         }
-        if (held.isEmpty() && calendarSnapshot.size() >= Admittance.MOST_ENTRIES) {
-            throw new Refused(
-                    Refused.Why.FULL,
-                    "there are " + Admittance.MOST_ENTRIES + " entries; withdraw some");
+        if (held.isEmpty() && calendarSnapshot.size() >= ReservationAdmission.MAX_ENTRIES) {
+            throw new RejectedException(
+                    RejectedException.Reason.CALENDAR_FULL,
+                    "there are " + ReservationAdmission.MAX_ENTRIES + " entries; withdraw some");
         }
     }
 
-    private static <T> Revision versionOf(Optional<CalendarSnapshot.CalendarEntry<T>> held) {
+    private static <T> Revision revisionOf(Optional<CalendarSnapshot.CalendarEntry<T>> held) {
         return held.map(CalendarSnapshot.CalendarEntry::revision).orElse(Revision.ABSENT);
     }
 
-    private static <T> Result result(Optional<CalendarSnapshot.CalendarEntry<T>> held) {
-        return held.isPresent() ? Result.CHANGED : Result.CREATED;
+    private static <T> ChangeResult resultFor(Optional<CalendarSnapshot.CalendarEntry<T>> held) {
+        return held.isPresent() ? ChangeResult.CHANGED : ChangeResult.CREATED;
     }
 
     /** Who comes later is later: the last of the orders, and one more. */
-    private static long next(CalendarSnapshot calendarSnapshot) {
+    private static long nextAcceptanceOrder(CalendarSnapshot calendarSnapshot) {
         long last = 0;
         for (CalendarSnapshot.CalendarEntry<?> calendarEntry : calendarSnapshot.reservations()) {
             last = Math.max(last, calendarEntry.acceptanceOrder());
@@ -315,29 +333,37 @@
         return last + 1;
     }
 
-    private CompletableFuture<Done> change(Function<CalendarSnapshot, Change> decide) {
-        return attempt(decide, 1);
+    private CompletableFuture<ChangeOutcome> applyChange(
+            Function<CalendarSnapshot, PendingChange> decide) {
+        return attemptChange(decide, 1);
     }
 
-    private CompletableFuture<Done> attempt(Function<CalendarSnapshot, Change> decide, int tries) {
-        return read().thenCompose(
+    private CompletableFuture<ChangeOutcome> attemptChange(
+            Function<CalendarSnapshot, PendingChange> decide, int tries) {
+        return readCalendar()
+                .thenCompose(
                         calendarSnapshot -> {
-                            Change change = decide.apply(calendarSnapshot);
-                            if (change.key() == null) {
+                            PendingChange pendingChange = decide.apply(calendarSnapshot);
+                            if (pendingChange.key() == null) {
                                 return CompletableFuture.completedFuture(
-                                        new Done(change.result(), change.was(), change.notes()));
+                                        new ChangeOutcome(
+                                                pendingChange.result(),
+                                                pendingChange.expectedRevision(),
+                                                pendingChange.notes()));
                             }
                             Transaction transaction =
                                     new Transaction()
                                             .requireRevision(
                                                     CalendarRecordCodec.REVISION_KEY,
                                                     calendarSnapshot.revision())
-                                            .requireRevision(change.key(), change.was())
+                                            .requireRevision(
+                                                    pendingChange.key(),
+                                                    pendingChange.expectedRevision())
                                             .put(CalendarRecordCodec.REVISION_KEY, Map.of());
-                            if (change.value() == null) {
-                                transaction.delete(change.key());
+                            if (pendingChange.value() == null) {
+                                transaction.delete(pendingChange.key());
                             } else {
-                                transaction.put(change.key(), change.value());
+                                transaction.put(pendingChange.key(), pendingChange.value());
                             }
                             return store.commit(transaction, RequestPriority.USER)
                                     .handle(
@@ -345,43 +371,45 @@
                                                 if (failure == null && commitResult.isApplied()) {
                                                     LOG.info(
                                                             "the calendar's {} is {}; {}",
-                                                            change.key(),
-                                                            change.value() == null
+                                                            pendingChange.key(),
+                                                            pendingChange.value() == null
                                                                     ? "withdrawn"
-                                                                    : change.result(),
-                                                            change.notes());
+                                                                    : pendingChange.result(),
+                                                            pendingChange.notes());
                                                     return CompletableFuture.completedFuture(
-                                                            new Done(
-                                                                    change.result(),
+                                                            new ChangeOutcome(
+                                                                    pendingChange.result(),
                                                                     commitResult.revision(),
-                                                                    change.notes()));
+                                                                    pendingChange.notes()));
                                                 }
                                                 // Not applied, or not known: what is there by now
                                                 // decides, and the guards keep a late one out.
-                                                if (tries == MOST_TRIES
+                                                if (tries == MAX_ATTEMPTS
                                                         || failure != null
                                                                 && KeyValueStoreException.outcomeOf(
                                                                                 failure)
                                                                         == Outcome
                                                                                 .INVALID_REQUEST) {
-                                                    return CompletableFuture.<Done>failedFuture(
-                                                            new Admission.TryLater(
-                                                                    "the calendar keeps changing, or"
-                                                                            + " the state service gives no answer"));
+                                                    return CompletableFuture
+                                                            .<ChangeOutcome>failedFuture(
+                                                                    new Admission.TryLater(
+                                                                            "the calendar keeps changing, or"
+                                                                                    + " the state service gives no answer"));
                                                 }
-                                                CompletableFuture<Done> later =
+                                                CompletableFuture<ChangeOutcome> later =
                                                         new CompletableFuture<>();
                                                 loop.schedule(
-                                                        RETRY,
+                                                        RETRY_DELAY,
                                                         () ->
-                                                                attempt(decide, tries + 1)
+                                                                attemptChange(decide, tries + 1)
                                                                         .whenComplete(
-                                                                                (done, lost) -> {
+                                                                                (changeOutcome,
+                                                                                        lost) -> {
                                                                                     if (lost
                                                                                             == null) {
                                                                                         later
                                                                                                 .complete(
-                                                                                                        done);
+                                                                                                        changeOutcome);
                                                                                     } else {
                                                                                         later
                                                                                                 .completeExceptionally(
--- a/src/main/java/org/meadowhollow/coordination/calendar/package-info.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/package-info.java
@@ -2,4 +2,4 @@
  * Reservations and maintenance windows: when they recur, whether they can be promised, and what
  * they mean for a round.
  */
-package org.meadowhollow.coordination.calendar;
+package org.meadowhollow.coordination.reservation;
--- a/src/main/java/org/meadowhollow/coordination/placement/Expected.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/ArrivalForecast.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.placement;
+package org.meadowhollow.coordination.scheduling;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -12,14 +12,14 @@
  * lately, in twice the time that a new machine takes. Kept for tasks that need a machine of their
  * own, since others nearly always find some room.
  */
-public final class Expected {
+public final class ArrivalForecast {
     /** Jobs kept at most; bounds memory and what a round spends on them. */
-    private static final int MOST_KEPT = 64;
+    private static final int MAX_ARRIVALS = 64;
 
     /** Arrivals come in bunches, so twice the time that a new machine takes is looked back. */
-    private static final int WINDOWS = 2;
+    private static final int LOOKBACK_FACTOR = 2;
 
-    private record Arrival(JobSpec spec, MonotonicTime at, Duration ready) {}
+    private record Arrival(JobSpec spec, MonotonicTime arrivedAt, Duration startupDelay) {}
 
     private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
 
@@ -28,19 +28,21 @@
      *
      * @param ready how long a new machine takes until it can run one of the job's tasks
      */
-    public void came(JobSpec spec, MonotonicTime at, Duration ready) {
+    public void recordArrival(JobSpec spec, MonotonicTime at, Duration ready) {
         arrivals.add(new Arrival(spec, at, ready));
-        if (arrivals.size() > MOST_KEPT) {
+        if (arrivals.size() > MAX_ARRIVALS) {
             arrivals.poll();
         }
     }
 
     /** The jobs to keep room for, the latest first. */
-    public List<JobSpec> likely(MonotonicTime now) {
+    public List<JobSpec> predictedJobs(MonotonicTime now) {
         arrivals.removeIf(
                 arrival ->
-                        now.elapsedSince(arrival.at())
-                                        .compareTo(arrival.ready().multipliedBy(WINDOWS))
+                        now.elapsedSince(arrival.arrivedAt())
+                                        .compareTo(
+                                                arrival.startupDelay()
+                                                        .multipliedBy(LOOKBACK_FACTOR))
                                 > 0);
         List<JobSpec> specs = new ArrayList<>();
         arrivals.descendingIterator().forEachRemaining(arrival -> specs.add(arrival.spec()));
--- a/src/main/java/org/meadowhollow/coordination/placement/Cluster.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/ClusterState.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.placement;
+package org.meadowhollow.coordination.scheduling;
 
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.ArrayList;
@@ -8,7 +8,7 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 import org.meadowhollow.coordination.api.DeploymentSettings;
-import org.meadowhollow.coordination.calendar.Outlook;
+import org.meadowhollow.coordination.reservation.ReservationView;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Job;
 import org.meadowhollow.model.JobId;
@@ -23,20 +23,20 @@
 /**
  * The jobs and machines of one leadership, as far as it knows them; guarded by the leader's lock.
  */
-public final class Cluster {
+public final class ClusterState {
     /** Reports missed in a row before a machine counts as silent. */
-    public static final double SILENT_REPORTS = 2.0;
+    public static final double MISSED_HEARTBEATS_UNTIL_SILENT = 2.0;
 
     private final DeploymentSettings deploymentSettings;
     private final FencingToken fencingToken;
     private final Map<JobId, Job> jobs = new TreeMap<>();
     private final SortedMap<MachineId, Machine> machines = new TreeMap<>();
-    private final Map<MachineId, RiskTable> risks = new HashMap<>();
-    private final Map<MachineId, List<Placement>> unseen = new HashMap<>();
+    private final Map<MachineId, RiskTable> riskTables = new HashMap<>();
+    private final Map<MachineId, List<Placement>> placementsOnUnseenMachines = new HashMap<>();
 
-    private Outlook outlook = Outlook.NONE;
+    private ReservationView reservationView = ReservationView.EMPTY;
 
-    public Cluster(DeploymentSettings deploymentSettings, FencingToken fencingToken) {
+    public ClusterState(DeploymentSettings deploymentSettings, FencingToken fencingToken) {
         this.deploymentSettings = deploymentSettings;
         this.fencingToken = fencingToken;
     }
@@ -50,40 +50,41 @@
     }
 
     /** What the calendar means for the round. */
-    public Outlook outlook() {
-        return outlook;
+    public ReservationView reservationView() {
+        return reservationView;
     }
 
-    public void outlook(Outlook now) {
-        outlook = now;
+    public void reservationView(ReservationView now) {
+        reservationView = now;
     }
 
     /** What each machine's past says of it. */
-    public Map<MachineId, RiskTable> risks() {
-        return risks;
+    public Map<MachineId, RiskTable> riskTables() {
+        return riskTables;
     }
 
     /** What may be running on machines that neither a list nor a report has shown. */
-    public Map<MachineId, List<Placement>> unseen() {
-        return unseen;
+    public Map<MachineId, List<Placement>> placementsOnUnseenMachines() {
+        return placementsOnUnseenMachines;
     }
 
-    public void add(Machine machine) {
+    public void addMachine(Machine machine) {
         machines.put(machine.id(), machine);
-        risks.put(machine.id(), new RiskTable());
-        List<Placement> known = unseen.remove(machine.id());
+        riskTables.put(machine.id(), new RiskTable());
+        List<Placement> known = placementsOnUnseenMachines.remove(machine.id());
         if (known != null) {
             machine.placements().addAll(known);
         }
     }
 
     /** Takes in what a predecessor committed. */
-    public void restore(Placement placement) {
+    public void restorePlacement(Placement placement) {
         Machine machine = machines.get(placement.machineId());
         if (machine != null) {
             machine.placements().add(placement);
         } else {
-            unseen.computeIfAbsent(placement.machineId(), unused -> new ArrayList<>())
+            placementsOnUnseenMachines
+                    .computeIfAbsent(placement.machineId(), unused -> new ArrayList<>())
                     .add(placement);
         }
     }
@@ -93,19 +94,21 @@
      * so one that only answers direct commands cannot: tasks that were placed there waited for as
      * long as it found no controller.
      */
-    public boolean usable(Machine machine, MonotonicTime now) {
+    public boolean isSchedulable(Machine machine, MonotonicTime now) {
         return !machine.isUnschedulable()
                 && machine.lastAnsweredHeartbeatAt() != null
                 && machine.highestFencingToken().equals(fencingToken)
                 && machine.incarnation() != null
                 && now.secondsSince(machine.lastAnsweredHeartbeatAt())
-                        < SILENT_REPORTS * deploymentSettings.heartbeatInterval().toNanos() / 1e9;
+                        < MISSED_HEARTBEATS_UNTIL_SILENT
+                                * deploymentSettings.heartbeatInterval().toNanos()
+                                / 1e9;
     }
 
     /** Whether a machine can take tasks of a job now, if it has room. */
-    boolean mayTake(Machine machine, JobSpec spec, MonotonicTime now) {
+    boolean isEligibleFor(Machine machine, JobSpec spec, MonotonicTime now) {
         JobId heldFor = machine.heldForGang(now);
-        return usable(machine, now)
+        return isSchedulable(machine, now)
                 && (heldFor == null || heldFor.equals(spec.id()))
                 && spec.allowsMachineType(machine.type().name())
                 && spec.allowsZone(machine.zone())
@@ -113,11 +116,12 @@
     }
 
     /** What keeps a job that waits from being placed, for those who read the log. */
-    public String waitsFor(Job job, MonotonicTime now) {
+    public String describePendingReason(Job job, MonotonicTime now) {
         JobSpec spec = job.spec();
         Resources most = deploymentSettings.teamQuotas().get(spec.team()).limit();
         Resources then =
-                used().getOrDefault(spec.team(), Resources.NONE)
+                usageByTeam()
+                        .getOrDefault(spec.team(), Resources.NONE)
                         .plus(
                                 spec.kind() == JobKind.ARRAY
                                         ? spec.resourcesPerTask()
@@ -133,7 +137,7 @@
         }
         Object2IntOpenHashMap<String> room = new Object2IntOpenHashMap<>();
         for (Machine machine : machines.values()) {
-            if (mayTake(machine, spec, now)
+            if (isEligibleFor(machine, spec, now)
                     && spec.resourcesPerTask().fitsIn(machine.freeCapacity())) {
                 room.addTo(spec.requiresSingleZone() ? machine.zone() : "any zone", 1);
             }
@@ -148,7 +152,7 @@
     }
 
     /** How many of a job's tasks may be in each zone. */
-    Object2IntOpenHashMap<String> zonesOf(Job job) {
+    Object2IntOpenHashMap<String> countTasksByZone(Job job) {
         Object2IntOpenHashMap<String> zones = new Object2IntOpenHashMap<>();
         for (Placement placement : job.placements()) {
             Machine machine = machines.get(placement.machineId());
@@ -163,17 +167,17 @@
     }
 
     /** What each team's tasks use. */
-    Map<String, Resources> used() {
+    Map<String, Resources> usageByTeam() {
         Map<String, Resources> used = new HashMap<>();
         // By machine, not by job: a task counts until it is proven gone, even when its job is over.
         for (Machine machine : machines.values()) {
-            countUse(machine.placements(), used);
+            addUsage(machine.placements(), used);
         }
-        unseen.values().forEach(placements -> countUse(placements, used));
+        placementsOnUnseenMachines.values().forEach(placements -> addUsage(placements, used));
         return used;
     }
 
-    private static void countUse(List<Placement> placements, Map<String, Resources> used) {
+    private static void addUsage(List<Placement> placements, Map<String, Resources> used) {
         for (Placement placement : placements) {
             used.merge(
                     placement.job().spec().team(),
--- a/src/main/java/org/meadowhollow/coordination/placement/RoomMaker.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/PreemptionPlanner.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.placement;
+package org.meadowhollow.coordination.scheduling;
 
 import it.unimi.dsi.fastutil.objects.Object2IntMap;
 import java.time.Duration;
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.meadowhollow.coordination.api.DeploymentSettings;
-import org.meadowhollow.coordination.calendar.SeatLimit;
+import org.meadowhollow.coordination.reservation.MachineReservationLimit;
 import org.meadowhollow.model.Job;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
@@ -19,48 +19,53 @@
 import org.meadowhollow.model.Resources;
 
 /** Finds what to stop for waiting jobs that no new machine could serve in time. */
-public final class RoomMaker {
+public final class PreemptionPlanner {
     /**
      * Time for a stop to take effect and the room to be used before more is stopped for the same
      * job.
      */
-    private static final Duration AGAIN = Duration.ofSeconds(10);
+    private static final Duration PREEMPTION_COOLDOWN = Duration.ofSeconds(10);
 
-    private final Cluster cluster;
+    private final ClusterState clusterState;
     private final DeploymentSettings deploymentSettings;
-    private final Aims aims;
+    private final ServiceLevelObjectives objectives;
 
-    public RoomMaker(Cluster cluster, DeploymentSettings deploymentSettings, Aims aims) {
-        this.cluster = cluster;
+    public PreemptionPlanner(
+            ClusterState clusterState,
+            DeploymentSettings deploymentSettings,
+            ServiceLevelObjectives serviceLevelObjectives) {
+        this.clusterState = clusterState;
         this.deploymentSettings = deploymentSettings;
-        this.aims = aims;
+        this.objectives = serviceLevelObjectives;
     }
 
     /**
      * The tasks to stop for one of the job's; their room goes to it in a later round, in which it
      * comes first.
      */
-    public List<Placement> victims(
+    public List<Placement> planPreemption(
             Job job, Object2IntMap<String> zones, boolean guaranteed, MonotonicTime now) {
         JobSpec spec = job.spec();
         if (spec.kind() == JobKind.GANG && spec.taskCount() > 1
-                || now.secondsSince(job.pendingSince()) < aims.patienceS(spec, guaranteed)
+                || now.secondsSince(job.pendingSince())
+                        < objectives.waitBudgetSeconds(spec, guaranteed)
                 || job.lastPreemptionAt() != null
-                        && now.elapsedSince(job.lastPreemptionAt()).compareTo(AGAIN) < 0) {
+                        && now.elapsedSince(job.lastPreemptionAt()).compareTo(PREEMPTION_COOLDOWN)
+                                < 0) {
             return List.of();
         }
-        Map<String, Resources> used = cluster.used();
-        List<Preemption.Place<Placement>> places = new ArrayList<>();
-        for (Machine machine : cluster.machines().values()) {
-            if (mayMakeRoom(machine, spec, zones, now) && machine.heldForGang(now) == null) {
+        Map<String, Resources> used = clusterState.usageByTeam();
+        List<VictimSelector.PreemptionCandidate<Placement>> places = new ArrayList<>();
+        for (Machine machine : clusterState.machines().values()) {
+            if (canPreemptOn(machine, spec, zones, now) && machine.heldForGang(now) == null) {
                 places.add(
-                        new Preemption.Place<>(
+                        new VictimSelector.PreemptionCandidate<>(
                                 machine.freeCapacity(),
                                 machine.imageCache().contains(spec.image()),
-                                running(machine, used, now)));
+                                listPreemptibleTasks(machine, used, now)));
             }
         }
-        return Preemption.victims(spec, guaranteed, places);
+        return VictimSelector.selectVictims(spec, guaranteed, places);
     }
 
     /**
@@ -70,40 +75,44 @@
      *
      * @param count how many tasks found no room
      */
-    public List<Placement> idleVictims(
+    public List<Placement> planBestEffortPreemption(
             Job job, Object2IntMap<String> zones, int count, MonotonicTime now) {
         JobSpec spec = job.spec();
         if (!spec.priority().isHigherThan(Priority.LOW)
                 || job.lastPreemptionAt() != null
-                        && now.elapsedSince(job.lastPreemptionAt()).compareTo(AGAIN) < 0) {
+                        && now.elapsedSince(job.lastPreemptionAt()).compareTo(PREEMPTION_COOLDOWN)
+                                < 0) {
             return List.of();
         }
-        Map<String, Resources> used = cluster.used();
-        Map<String, List<Preemption.Place<Placement>>> byZone = new TreeMap<>();
-        Map<Preemption.Place<Placement>, Machine> machines = new IdentityHashMap<>();
-        for (Machine machine : cluster.machines().values()) {
-            if (!mayMakeRoom(machine, spec, zones, now)
+        Map<String, Resources> used = clusterState.usageByTeam();
+        Map<String, List<VictimSelector.PreemptionCandidate<Placement>>> byZone = new TreeMap<>();
+        Map<VictimSelector.PreemptionCandidate<Placement>, Machine> machines =
+                new IdentityHashMap<>();
+        for (Machine machine : clusterState.machines().values()) {
+            if (!canPreemptOn(machine, spec, zones, now)
                     || spec.requiresSingleZone()
                             && !zones.isEmpty()
                             && zones.getInt(machine.zone()) == 0) {
                 continue;
             }
-            Preemption.Place<Placement> place =
-                    new Preemption.Place<>(
+            VictimSelector.PreemptionCandidate<Placement> preemptionCandidate =
+                    new VictimSelector.PreemptionCandidate<>(
                             machine.freeCapacity(),
                             machine.imageCache().contains(spec.image()),
-                            running(machine, used, now));
-            byZone.computeIfAbsent(machine.zone(), unused -> new ArrayList<>()).add(place);
-            machines.put(place, machine);
+                            listPreemptibleTasks(machine, used, now));
+            byZone.computeIfAbsent(machine.zone(), unused -> new ArrayList<>())
+                    .add(preemptionCandidate);
+            machines.put(preemptionCandidate, machine);
         }
         boolean gang = spec.kind() == JobKind.GANG;
-        List<Preemption.Gain<Placement>> best = List.of();
+        List<VictimSelector.FreedSlot<Placement>> best = List.of();
         if (spec.requiresSingleZone()) {
             double least = Double.MAX_VALUE;
-            for (List<Preemption.Place<Placement>> places : byZone.values()) {
-                List<Preemption.Gain<Placement>> gains =
-                        Preemption.idleVictims(spec, count, gang, places);
-                double lostS = gains.stream().mapToDouble(Preemption.Gain::lostS).sum();
+            for (List<VictimSelector.PreemptionCandidate<Placement>> places : byZone.values()) {
+                List<VictimSelector.FreedSlot<Placement>> gains =
+                        VictimSelector.selectBestEffortVictims(spec, count, gang, places);
+                double lostS =
+                        gains.stream().mapToDouble(VictimSelector.FreedSlot::lostWorkSeconds).sum();
                 if (!gains.isEmpty() && lostS < least) {
                     best = gains;
                     least = lostS;
@@ -111,17 +120,21 @@
             }
         } else {
             best =
-                    Preemption.idleVictims(
+                    VictimSelector.selectBestEffortVictims(
                             spec,
                             count,
                             gang,
                             byZone.values().stream().flatMap(List::stream).toList());
         }
-        List<Placement> victims = best.stream().flatMap(gain -> gain.stopped().stream()).toList();
+        List<Placement> victims =
+                best.stream().flatMap(freedSlot -> freedSlot.victims().stream()).toList();
         if (gang && !victims.isEmpty()) {
             // Small tasks that come first took a little of each machine that was cleared, and the
             // gang found none whole.
-            best.forEach(gain -> machines.get(gain.place()).holdForGang(job.id(), now.plus(AGAIN)));
+            best.forEach(
+                    freedSlot ->
+                            machines.get(freedSlot.candidate())
+                                    .holdForGang(job.id(), now.plus(PREEMPTION_COOLDOWN)));
         }
         return victims;
     }
@@ -130,17 +143,17 @@
      * Whether the job could use room on a machine; what the calendar keeps it from needs no room
      * made for it.
      */
-    private boolean mayMakeRoom(
+    private boolean canPreemptOn(
             Machine machine, JobSpec spec, Object2IntMap<String> zones, MonotonicTime now) {
-        SeatLimit limit = cluster.outlook().limit(machine.id());
+        MachineReservationLimit limit = clusterState.reservationView().limitFor(machine.id());
         return (limit == null || limit.allows(spec, 0, machine.type().capacity()))
-                && cluster.mayTake(machine, spec, now)
+                && clusterState.isEligibleFor(machine, spec, now)
                 && zones.getInt(machine.zone()) < spec.maxTasksPerZone();
     }
 
-    private List<Preemption.Running<Placement>> running(
+    private List<VictimSelector.RunningTask<Placement>> listPreemptibleTasks(
             Machine machine, Map<String, Resources> used, MonotonicTime now) {
-        List<Preemption.Running<Placement>> running = new ArrayList<>();
+        List<VictimSelector.RunningTask<Placement>> running = new ArrayList<>();
         for (Placement placement : machine.placements()) {
             JobSpec spec = placement.job().spec();
             if (spec.kind() == JobKind.SERVICE || placement.isStopping()) {
@@ -153,7 +166,7 @@
             Resources guarantee = deploymentSettings.teamQuotas().get(spec.team()).guaranteed();
             Resources uses = used.get(spec.team());
             running.add(
-                    new Preemption.Running<>(
+                    new VictimSelector.RunningTask<>(
                             placement,
                             spec.priority(),
                             spec.team(),
--- a/src/main/java/org/meadowhollow/coordination/placement/Turnover.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/ReleaseForecast.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.placement;
+package org.meadowhollow.coordination.scheduling;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -18,28 +18,33 @@
  * The places that tasks of arrays will leave soon. A waiting task that can still be in time on one
  * of them needs no machine of its own, which would hardly be ready sooner.
  */
-public final class Turnover {
+public final class ReleaseForecast {
     /** Owners' estimates are often wrong by half. */
-    private static final double ESTIMATE_MARGIN = 1.3;
+    private static final double RUNTIME_ESTIMATE_MARGIN = 1.3;
 
     /** A job that is late in any case should not become later than this share of its time. */
-    private static final double LATE_SHARE = 0.5;
+    private static final double MAX_ADDED_DELAY_SHARE = 0.5;
 
     /** A place that is left in some seconds. */
-    private record Place(double inS, Resources takes, MachineType type, String zone, boolean spot) {
-        boolean suits(JobSpec spec) {
-            return spec.resourcesPerTask().fitsIn(takes)
+    private record ExpectedRelease(
+            double releasedInSeconds,
+            Resources resources,
+            MachineType type,
+            String zone,
+            boolean spot) {
+        boolean canRun(JobSpec spec) {
+            return spec.resourcesPerTask().fitsIn(resources)
                     && spec.allowsMachineType(type.name())
                     && spec.allowsZone(zone)
                     && (spec.allowsSpot() || !spot);
         }
     }
 
-    private final PriorityQueue<Place> places =
-            new PriorityQueue<>(Comparator.comparingDouble(Place::inS));
+    private final PriorityQueue<ExpectedRelease> releases =
+            new PriorityQueue<>(Comparator.comparingDouble(ExpectedRelease::releasedInSeconds));
 
     /** Notes the tasks of arrays that are on machines where others can follow them. */
-    public Turnover(List<Machine> machines, MonotonicTime now) {
+    public ReleaseForecast(List<Machine> machines, MonotonicTime now) {
         for (Machine machine : machines) {
             if (machine.isUnschedulable()) {
                 continue;
@@ -49,15 +54,16 @@
                 if (spec.kind() == JobKind.ARRAY) {
                     double leftS =
                             placement.runningSince() == null
-                                    ? runS(spec)
+                                    ? expectedRuntimeSeconds(spec)
                                             + spec.imageSizeGb()
                                                     / machine.type().imagePullGbPerSecond()
                                                     / 2
                                     : Math.max(
-                                            runS(spec) - now.secondsSince(placement.runningSince()),
-                                            runS(spec) / 4);
-                    places.add(
-                            new Place(
+                                            expectedRuntimeSeconds(spec)
+                                                    - now.secondsSince(placement.runningSince()),
+                                            expectedRuntimeSeconds(spec) / 4);
+                    releases.add(
+                            new ExpectedRelease(
                                     leftS,
                                     spec.resourcesPerTask(),
                                     machine.type(),
@@ -68,14 +74,20 @@
         }
     }
 
-    private static double runS(JobSpec spec) {
-        return spec.estimatedRuntimeSeconds() * ESTIMATE_MARGIN;
+    private static double expectedRuntimeSeconds(JobSpec spec) {
+        return spec.estimatedRuntimeSeconds() * RUNTIME_ESTIMATE_MARGIN;
     }
 
     /** Notes a task that a machine not yet up will take first. */
-    public void follows(
+    public void addReleaseOnBootingMachine(
             JobSpec spec, MachineType type, String zone, boolean spot, double readyInS) {
-        places.add(new Place(readyInS + runS(spec), spec.resourcesPerTask(), type, zone, spot));
+        releases.add(
+                new ExpectedRelease(
+                        readyInS + expectedRuntimeSeconds(spec),
+                        spec.resourcesPerTask(),
+                        type,
+                        zone,
+                        spot));
     }
 
     /**
@@ -84,44 +96,46 @@
      * @param agedS how long ago the job was submitted
      * @param readyS how long a new machine takes until it could run a task
      */
-    public int take(JobSpec spec, int tasks, double agedS, double readyS) {
-        double startInS = latestStartS(spec, agedS, readyS);
-        Deque<Place> unsuited = new ArrayDeque<>();
-        List<Place> followed = new ArrayList<>();
+    public int claimReleases(JobSpec spec, int tasks, double agedS, double readyS) {
+        double startInS = latestStartInSeconds(spec, agedS, readyS);
+        Deque<ExpectedRelease> unsuited = new ArrayDeque<>();
+        List<ExpectedRelease> followed = new ArrayList<>();
         int taken = 0;
-        while (taken < tasks && !places.isEmpty() && places.peek().inS() <= startInS) {
-            Place place = places.poll();
-            if (place.suits(spec)) {
+        while (taken < tasks
+                && !releases.isEmpty()
+                && releases.peek().releasedInSeconds() <= startInS) {
+            ExpectedRelease expectedRelease = releases.poll();
+            if (expectedRelease.canRun(spec)) {
                 followed.add(
-                        new Place(
-                                place.inS() + runS(spec),
+                        new ExpectedRelease(
+                                expectedRelease.releasedInSeconds() + expectedRuntimeSeconds(spec),
                                 spec.resourcesPerTask(),
-                                place.type(),
-                                place.zone(),
-                                place.spot()));
+                                expectedRelease.type(),
+                                expectedRelease.zone(),
+                                expectedRelease.spot()));
                 taken++;
             } else {
-                unsuited.add(place);
+                unsuited.add(expectedRelease);
             }
-            if (places.isEmpty() || places.peek().inS() > startInS) {
+            if (releases.isEmpty() || releases.peek().releasedInSeconds() > startInS) {
                 // One place can serve several tasks, one after the other.
-                places.addAll(followed);
+                releases.addAll(followed);
                 followed.clear();
             }
         }
-        places.addAll(unsuited);
-        places.addAll(followed);
+        releases.addAll(unsuited);
+        releases.addAll(followed);
         return taken;
     }
 
     /** When a task must start to be in time; never sooner than a new machine could help. */
-    private static double latestStartS(JobSpec spec, double agedS, double readyS) {
+    private static double latestStartInSeconds(JobSpec spec, double agedS, double readyS) {
         if (Double.isNaN(spec.deadlineSeconds())) {
             return readyS;
         }
-        double startInS = spec.deadlineSeconds() - agedS - runS(spec);
+        double startInS = spec.deadlineSeconds() - agedS - expectedRuntimeSeconds(spec);
         return startInS >= readyS
                 ? startInS
-                : Math.max(readyS, startInS + spec.deadlineSeconds() * LATE_SHARE);
+                : Math.max(readyS, startInS + spec.deadlineSeconds() * MAX_ADDED_DELAY_SHARE);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/placement/Snapshot.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/SchedulingSnapshot.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.placement;
+package org.meadowhollow.coordination.scheduling;
 
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 import java.util.ArrayList;
@@ -24,57 +24,60 @@
  * What a round decides from: the machines that can take tasks, the jobs that wait in their order,
  * and the teams.
  */
-public final class Snapshot {
+public final class SchedulingSnapshot {
     /** Tasks of one job looked at in a round: more than fit on any fleet at once, and bounded. */
-    private static final int MOST_TASKS = 2000;
+    private static final int MAX_TASKS_PER_JOB = 2000;
 
-    private final Cluster cluster;
+    private final ClusterState clusterState;
     private final DeploymentSettings deploymentSettings;
     private final MonotonicTime now;
-    private final List<PlacementRound.Seat> seats = new ArrayList<>();
-    private final List<PlacementRound.Waiting> waiting = new ArrayList<>();
-    private final Set<TaskId> strays = new HashSet<>();
-    private final Map<JobId, Boolean> guaranteed;
-    private final Map<String, PlacementRound.Share> shares;
-
-    public Snapshot(
-            Cluster cluster, DeploymentSettings deploymentSettings, Aims aims, MonotonicTime now) {
-        this.cluster = cluster;
+    private final List<PlacementRound.MachineCandidate> candidates = new ArrayList<>();
+    private final List<PlacementRound.PendingJob> pendingJobs = new ArrayList<>();
+    private final Set<TaskId> orphanedTasks = new HashSet<>();
+    private final Map<JobId, Boolean> withinGuaranteedQuota;
+    private final Map<String, PlacementRound.TeamUsage> usageByTeam;
+
+    public SchedulingSnapshot(
+            ClusterState clusterState,
+            DeploymentSettings deploymentSettings,
+            ServiceLevelObjectives serviceLevelObjectives,
+            MonotonicTime now) {
+        this.clusterState = clusterState;
         this.deploymentSettings = deploymentSettings;
         this.now = now;
-        this.guaranteed = findGuaranteed();
-        this.shares = findShares();
-        addSeats(aims);
-        addWaiting();
+        this.withinGuaranteedQuota = findJobsWithinGuaranteedQuota();
+        this.usageByTeam = computeUsageByTeam();
+        addCandidates(serviceLevelObjectives);
+        addPendingJobs();
     }
 
-    public List<PlacementRound.Seat> seats() {
-        return seats;
+    public List<PlacementRound.MachineCandidate> candidates() {
+        return candidates;
     }
 
-    public List<PlacementRound.Waiting> waiting() {
-        return waiting;
+    public List<PlacementRound.PendingJob> pendingJobs() {
+        return pendingJobs;
     }
 
-    public Map<String, PlacementRound.Share> shares() {
-        return shares;
+    public Map<String, PlacementRound.TeamUsage> usageByTeam() {
+        return usageByTeam;
     }
 
     /**
      * Whether a job fits into its team's guarantee together with the team's earlier unfinished
      * jobs.
      */
-    public boolean isGuaranteed(JobId job) {
-        return guaranteed.getOrDefault(job, false);
+    public boolean isWithinGuaranteedQuota(JobId job) {
+        return withinGuaranteedQuota.getOrDefault(job, false);
     }
 
-    private void addSeats(Aims aims) {
-        for (Machine machine : cluster.machines().values()) {
-            strays.addAll(machine.orphanedTasks());
-            if (cluster.usable(machine, now)) {
-                seats.add(
-                        new PlacementRound.Seat(
-                                        seats.size(),
+    private void addCandidates(ServiceLevelObjectives serviceLevelObjectives) {
+        for (Machine machine : clusterState.machines().values()) {
+            orphanedTasks.addAll(machine.orphanedTasks());
+            if (clusterState.isSchedulable(machine, now)) {
+                candidates.add(
+                        new PlacementRound.MachineCandidate(
+                                        candidates.size(),
                                         machine.id(),
                                         machine.type().name(),
                                         machine.zone(),
@@ -82,21 +85,22 @@
                                         machine.type().capacity(),
                                         machine.freeCapacity(),
                                         machine.placements().size(),
-                                        replicas(machine),
+                                        countServiceReplicas(machine),
                                         machine.imageCache(),
-                                        fetches(machine),
+                                        remainingPullSecondsByImage(machine),
                                         machine.type().imagePullGbPerSecond(),
-                                        cluster.risks().get(machine.id()),
-                                        aims.isForLarge(machine.type()))
-                                .limited(cluster.outlook().limit(machine.id()))
-                                .heldFor(machine.heldForGang(now)));
+                                        clusterState.riskTables().get(machine.id()),
+                                        serviceLevelObjectives.hasLargeTasksFor(machine.type()))
+                                .withReservationLimit(
+                                        clusterState.reservationView().limitFor(machine.id()))
+                                .heldForGang(machine.heldForGang(now)));
             }
         }
     }
 
-    private void addWaiting() {
+    private void addPendingJobs() {
         List<Job> order = new ArrayList<>();
-        for (Job job : cluster.jobs().values()) {
+        for (Job job : clusterState.jobs().values()) {
             if (job.pendingTaskCount() > 0
                     && !job.isComplete()
                     && (job.backoffUntil() == null || job.backoffUntil().isBefore(now))) {
@@ -104,28 +108,35 @@
             }
         }
         order.sort(
-                Comparator.<Job, Boolean>comparing(job -> !cluster.outlook().isDue(job.spec()))
-                        .thenComparing(job -> !isGuaranteed(job.id()))
+                Comparator.<Job, Boolean>comparing(
+                                job ->
+                                        !clusterState
+                                                .reservationView()
+                                                .hasActiveReservation(job.spec()))
+                        .thenComparing(job -> !isWithinGuaranteedQuota(job.id()))
                         .thenComparing(job -> job.spec().priority())
-                        .thenComparingDouble(job -> dueAt(job))
+                        .thenComparingDouble(job -> deadlineEpochSeconds(job))
                         .thenComparing(Job::acceptedAtMillis)
                         .thenComparing(Job::id));
         for (Job job : order) {
-            int[] tasks = waitingTasks(job);
+            int[] tasks = findPlaceableTasks(job);
             if (tasks.length > 0) {
-                waiting.add(
-                        new PlacementRound.Waiting(
+                pendingJobs.add(
+                        new PlacementRound.PendingJob(
                                 job.spec(),
                                 tasks,
-                                cluster.zonesOf(job),
-                                now.elapsedSince(job.pendingSince()).compareTo(Aims.DESPERATE) > 0,
+                                clusterState.countTasksByZone(job),
+                                now.elapsedSince(job.pendingSince())
+                                                .compareTo(
+                                                        ServiceLevelObjectives.RISK_IGNORED_AFTER)
+                                        > 0,
                                 job.recentlyFailedMachines()));
             }
         }
     }
 
     /** The images on their way to a machine, each with the seconds that it will still take. */
-    private Object2DoubleOpenHashMap<String> fetches(Machine machine) {
+    private Object2DoubleOpenHashMap<String> remainingPullSecondsByImage(Machine machine) {
         Object2DoubleOpenHashMap<String> fetches = new Object2DoubleOpenHashMap<>(0);
         for (Placement placement : machine.placements()) {
             JobSpec spec = placement.job().spec();
@@ -139,7 +150,7 @@
         return fetches;
     }
 
-    private static int replicas(Machine machine) {
+    private static int countServiceReplicas(Machine machine) {
         int count = 0;
         for (Placement placement : machine.placements()) {
             count += placement.job().spec().kind() == JobKind.SERVICE ? 1 : 0;
@@ -147,7 +158,7 @@
         return count;
     }
 
-    private int[] waitingTasks(Job job) {
+    private int[] findPlaceableTasks(Job job) {
         if (job.spec().kind() == JobKind.GANG
                 && (job.hasAttemptStarted() || job.completedTaskCount() > 0)) {
             return new int[0];
@@ -157,13 +168,13 @@
                         ? Integer.MAX_VALUE
                         : job.isSuspectedFaulty()
                                 ? Math.max(0, 1 - job.placements().size())
-                                : MOST_TASKS;
+                                : MAX_TASKS_PER_JOB;
         int[] tasks = new int[Math.min(most, job.pendingTaskCount())];
         int count = 0;
         for (int task = job.nextPendingTask(0);
                 task >= 0 && count < tasks.length;
                 task = job.nextPendingTask(task + 1)) {
-            if (!strays.contains(new TaskId(job.id(), task))) {
+            if (!orphanedTasks.contains(new TaskId(job.id(), task))) {
                 tasks[count++] = task;
             } else if (job.spec().kind() == JobKind.GANG) {
                 return new int[0];
@@ -172,19 +183,19 @@
         return count == tasks.length ? tasks : Arrays.copyOf(tasks, count);
     }
 
-    private static double dueAt(Job job) {
+    private static double deadlineEpochSeconds(Job job) {
         return Double.isNaN(job.spec().deadlineSeconds())
                 ? Double.MAX_VALUE
                 : job.acceptedAtMillis() / 1000.0 + job.spec().deadlineSeconds();
     }
 
-    private Map<String, PlacementRound.Share> findShares() {
-        Map<String, Resources> used = cluster.used();
-        Map<String, PlacementRound.Share> shares = new HashMap<>();
+    private Map<String, PlacementRound.TeamUsage> computeUsageByTeam() {
+        Map<String, Resources> used = clusterState.usageByTeam();
+        Map<String, PlacementRound.TeamUsage> shares = new HashMap<>();
         for (DeploymentSettings.TeamQuota teamQuota : deploymentSettings.teamQuotas().values()) {
             shares.put(
                     teamQuota.name(),
-                    new PlacementRound.Share(
+                    new PlacementRound.TeamUsage(
                             used.getOrDefault(teamQuota.name(), Resources.NONE),
                             teamQuota.limit()));
         }
@@ -195,8 +206,8 @@
      * The jobs that fit into their team's guarantee together with the team's earlier unfinished
      * jobs.
      */
-    private Map<JobId, Boolean> findGuaranteed() {
-        List<Job> byAge = new ArrayList<>(cluster.jobs().values());
+    private Map<JobId, Boolean> findJobsWithinGuaranteedQuota() {
+        List<Job> byAge = new ArrayList<>(clusterState.jobs().values());
         byAge.sort(Comparator.comparingLong(Job::acceptedAtMillis).thenComparing(Job::id));
         Map<String, Resources> sums = new HashMap<>();
         Map<JobId, Boolean> within = new HashMap<>();
--- a/src/main/java/org/meadowhollow/coordination/placement/Aims.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/ServiceLevelObjectives.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.placement;
+package org.meadowhollow.coordination.scheduling;
 
 import java.time.Duration;
 import java.util.HashSet;
@@ -10,26 +10,27 @@
 import org.meadowhollow.model.MachineTypeCatalog;
 
 /** What the objectives and the machine types mean for the jobs that have come so far. */
-public final class Aims {
+public final class ServiceLevelObjectives {
     /** A task without a machine that passes goes by room alone after this long (DESIGN's value). */
-    static final Duration DESPERATE = Duration.ofSeconds(30);
+    static final Duration RISK_IGNORED_AFTER = Duration.ofSeconds(30);
 
     private final DeploymentSettings deploymentSettings;
     private final MachineTypeCatalog machineTypeCatalog;
-    private final Set<String> largeFor = new HashSet<>();
+    private final Set<String> typesWithLargeTasks = new HashSet<>();
     private double largestImageGb;
 
-    public Aims(DeploymentSettings deploymentSettings, MachineTypeCatalog machineTypeCatalog) {
+    public ServiceLevelObjectives(
+            DeploymentSettings deploymentSettings, MachineTypeCatalog machineTypeCatalog) {
         this.deploymentSettings = deploymentSettings;
         this.machineTypeCatalog = machineTypeCatalog;
     }
 
     /** Notes the machine types that a job's tasks need most of, and the size of its image. */
-    public void note(JobSpec spec) {
+    public void recordJob(JobSpec spec) {
         largestImageGb = Math.max(largestImageGb, spec.imageSizeGb());
         for (MachineType type : machineTypeCatalog.types()) {
-            if (isLarge(spec, type)) {
-                largeFor.add(type.name());
+            if (isLargeTask(spec, type)) {
+                typesWithLargeTasks.add(type.name());
             }
         }
     }
@@ -39,13 +40,13 @@
                 && spec.resourcesPerTask().fitsIn(type.capacity());
     }
 
-    private static boolean isLarge(JobSpec spec, MachineType type) {
-        return fits(spec, type) && PlacementRound.isLarge(spec, type.capacity());
+    private static boolean isLargeTask(JobSpec spec, MachineType type) {
+        return fits(spec, type) && PlacementRound.isLargeTask(spec, type.capacity());
     }
 
     /** Whether tasks that need most of such a machine are about. */
-    boolean isForLarge(MachineType type) {
-        return largeFor.contains(type.name());
+    boolean hasLargeTasksFor(MachineType type) {
+        return typesWithLargeTasks.contains(type.name());
     }
 
     public double largestImageGb() {
@@ -53,7 +54,7 @@
     }
 
     /** How long a job can wait before only a running task's place can still serve it in time. */
-    double patienceS(JobSpec spec, boolean guaranteed) {
+    double waitBudgetSeconds(JobSpec spec, boolean guaranteed) {
         double withinS = Double.MAX_VALUE;
         for (DeploymentSettings.ServiceLevelTarget serviceLevelTarget :
                 deploymentSettings.serviceLevelTargets()) {
@@ -63,11 +64,13 @@
                 withinS = Math.min(withinS, serviceLevelTarget.thresholdSeconds());
             }
         }
-        return withinS == Double.MAX_VALUE ? DESPERATE.toSeconds() : withinS - readyS(spec);
+        return withinS == Double.MAX_VALUE
+                ? RISK_IGNORED_AFTER.toSeconds()
+                : withinS - startupDelaySeconds(spec);
     }
 
     /** How long a new machine takes at best until it can run one of the job's tasks. */
-    public double readyS(JobSpec spec) {
+    public double startupDelaySeconds(JobSpec spec) {
         double readyS = Double.MAX_VALUE;
         for (MachineType type : machineTypeCatalog.types()) {
             if (fits(spec, type)) {
@@ -82,11 +85,11 @@
     }
 
     /** Whether a job needs machines of its own and could not be started in time on new ones. */
-    public boolean needsReserve(JobSpec spec) {
+    public boolean needsSpareMachines(JobSpec spec) {
         boolean large = false;
         for (MachineType type : machineTypeCatalog.types()) {
-            large |= isLarge(spec, type);
+            large |= isLargeTask(spec, type);
         }
-        return large && spec.kind() != JobKind.SERVICE && patienceS(spec, false) < 0;
+        return large && spec.kind() != JobKind.SERVICE && waitBudgetSeconds(spec, false) < 0;
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/placement/package-info.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/package-info.java
@@ -3,4 +3,4 @@
  * from what a leader knows of jobs and machines ({@code Cluster}), with the clock passed in; sends
  * and writes nothing.
  */
-package org.meadowhollow.coordination.placement;
+package org.meadowhollow.coordination.scheduling;
