--- a/src/main/java/org/meadowhollow/protocol/calendar/CalendarApi.java
+++ b/src/main/java/org/meadowhollow/protocol/reservation/ReservationApi.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.protocol.calendar;
+package org.meadowhollow.protocol.reservation;
 
 import java.time.Duration;
 import java.util.List;
@@ -7,8 +7,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import org.meadowhollow.coordination.admission.Admission;
-import org.meadowhollow.coordination.calendar.Admittance;
-import org.meadowhollow.coordination.calendar.CalendarDesk;
+import org.meadowhollow.coordination.reservation.ReservationAdmission;
+import org.meadowhollow.coordination.reservation.ReservationService;
 import org.meadowhollow.model.Revision;
 import org.meadowhollow.model.reservation.MaintenanceWindow;
 import org.meadowhollow.model.reservation.Reservation;
@@ -24,27 +24,27 @@
  * What operators call: put, show, list and withdraw reservations and windows, and the plan; at
  * every node.
  */
-public final class CalendarApi implements Http.Service {
+public final class ReservationApi implements Http.Service {
     /** The name that tokens of those who may change the calendar have, in place of a team's. */
     public static final String OPERATOR = "operator";
 
-    private static final String ROOT = "/calendar/v1/";
+    private static final String PATH_PREFIX = "/calendar/v1/";
     private static final String JSON_TYPE = "application/json";
-    private static final int COME_BACK_S = 1;
-    private static final int DEFAULT_HOURS = 48;
+    private static final int RETRY_AFTER_SECONDS = 1;
+    private static final int DEFAULT_PLAN_HOURS = 48;
 
-    private final CalendarDesk desk;
+    private final ReservationService reservationService;
     private final TesTokens tokens;
 
-    public CalendarApi(CalendarDesk desk, TesTokens tokens) {
-        this.desk = desk;
+    public ReservationApi(ReservationService desk, TesTokens tokens) {
+        this.reservationService = desk;
         this.tokens = tokens;
     }
 
-    private static final class Wrong extends RuntimeException {
+    private static final class HttpStatusException extends RuntimeException {
         private final int status;
 
-        Wrong(int status, String why) {
+        HttpStatusException(int status, String why) {
             super(why, null, false, false);
             this.status = status;
         }
@@ -60,35 +60,35 @@
         CompletableFuture<Http.Reply> reply;
         try {
             reply = route(request);
-        } catch (Malformed | Wrong wrong) {
+        } catch (Malformed | HttpStatusException wrong) {
             reply = CompletableFuture.failedFuture(wrong);
         }
-        return reply.exceptionally(CalendarApi::failure);
+        return reply.exceptionally(ReservationApi::errorReply);
     }
 
-    private static Http.Reply failure(Throwable failure) {
+    private static Http.Reply errorReply(Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-        if (cause instanceof Wrong wrong) {
-            return reply(wrong.status, wrong.getMessage());
+        if (cause instanceof HttpStatusException httpStatusException) {
+            return reply(httpStatusException.status, httpStatusException.getMessage());
         }
         if (cause instanceof Malformed) {
             return reply(400, cause.getMessage());
         }
-        if (cause instanceof CalendarDesk.Refused refused) {
+        if (cause instanceof ReservationService.RejectedException rejectedException) {
             return reply(
-                    switch (refused.why()) {
-                        case NEVER -> 422;
-                        case NOT_MET, FULL -> 409;
-                        case CONFLICT -> 412;
-                        case ABSENT -> 404;
+                    switch (rejectedException.reason()) {
+                        case INFEASIBLE -> 422;
+                        case INSUFFICIENT_CAPACITY, CALENDAR_FULL -> 409;
+                        case REVISION_MISMATCH -> 412;
+                        case NOT_FOUND -> 404;
                     },
-                    refused.getMessage());
+                    rejectedException.getMessage());
         }
         if (cause instanceof Admission.TryLater || cause instanceof KeyValueStoreException) {
             return new Http.Reply(
                     503,
                     Json.encode(Fields.of("error", cause.getMessage())),
-                    COME_BACK_S,
+                    RETRY_AFTER_SECONDS,
                     JSON_TYPE);
         }
         throw new CompletionException(cause);
@@ -103,68 +103,78 @@
     }
 
     private CompletableFuture<Http.Reply> route(Http.Request request) throws Malformed {
-        if (!request.path().startsWith(ROOT)) {
-            throw new Wrong(404, "no such path");
+        if (!request.path().startsWith(PATH_PREFIX)) {
+            throw new HttpStatusException(404, "no such path");
         }
         String who =
                 tokens.teamOf(request.header().apply("Authorization"))
-                        .orElseThrow(() -> new Wrong(401, "no token, or one that is not known"));
+                        .orElseThrow(
+                                () ->
+                                        new HttpStatusException(
+                                                401, "no token, or one that is not known"));
         boolean reads = request.method().equals("GET");
         if (!reads && !who.equals(OPERATOR)) {
-            throw new Wrong(403, "this token may only read");
+            throw new HttpStatusException(403, "this token may only read");
         }
-        String[] parts = request.path().substring(ROOT.length()).split("/", -1);
+        String[] parts = request.path().substring(PATH_PREFIX.length()).split("/", -1);
         if (parts.length == 1 && parts[0].equals("plan") && reads) {
-            return desk.plan(Duration.ofHours(hours(request)))
-                    .thenApply(plan -> reply(200, CalendarCodec.encode(plan)));
+            return reservationService
+                    .planAhead(Duration.ofHours(parsePlanHours(request)))
+                    .thenApply(
+                            reservationPlan ->
+                                    reply(200, ReservationCodec.encode(reservationPlan)));
         }
         boolean windows = parts[0].equals("windows");
         if (parts.length > 2 || !windows && !parts[0].equals("reservations")) {
-            throw new Wrong(404, "no such path");
+            throw new HttpStatusException(404, "no such path");
         }
         if (parts.length == 1) {
             if (!reads) {
-                throw new Wrong(405, "wrong method");
+                throw new HttpStatusException(405, "wrong method");
             }
-            return desk.read()
+            return reservationService
+                    .readCalendar()
                     .thenApply(
                             calendarSnapshot ->
                                     reply(
                                             200,
                                             Fields.of(
                                                     parts[0],
-                                                    all(calendarSnapshot, windows).stream()
-                                                            .map(CalendarCodec::encode)
+                                                    entriesOf(calendarSnapshot, windows).stream()
+                                                            .map(ReservationCodec::encode)
                                                             .toList())));
         }
-        String name = CalendarCodec.name(parts[1]);
+        String name = ReservationCodec.requireValidName(parts[1]);
         return switch (request.method()) {
             case "GET" ->
-                    desk.read()
+                    reservationService
+                            .readCalendar()
                             .thenApply(
                                     calendarSnapshot ->
-                                            all(calendarSnapshot, windows).stream()
+                                            entriesOf(calendarSnapshot, windows).stream()
                                                     .filter(held -> nameOf(held).equals(name))
                                                     .findFirst()
                                                     .map(
                                                             held ->
                                                                     reply(
                                                                             200,
-                                                                            CalendarCodec.encode(
+                                                                            ReservationCodec.encode(
                                                                                     held)))
                                                     .orElseThrow(
                                                             () ->
-                                                                    new Wrong(
+                                                                    new HttpStatusException(
                                                                             404,
                                                                             "there is none of this name")));
-            case "PUT" -> put(name, windows, request);
+            case "PUT" -> putEntry(name, windows, request);
             case "DELETE" ->
-                    desk.withdraw(name, windows, expected(request)).thenApply(CalendarApi::done);
-            default -> throw new Wrong(405, "wrong method");
+                    reservationService
+                            .withdraw(name, windows, parseExpectedRevision(request))
+                            .thenApply(ReservationApi::changeReply);
+            default -> throw new HttpStatusException(405, "wrong method");
         };
     }
 
-    private static List<? extends CalendarSnapshot.CalendarEntry<?>> all(
+    private static List<? extends CalendarSnapshot.CalendarEntry<?>> entriesOf(
             CalendarSnapshot calendarSnapshot, boolean windows) {
         return windows ? calendarSnapshot.windows() : calendarSnapshot.reservations();
     }
@@ -175,27 +185,33 @@
                 : ((Reservation) calendarEntry.item()).name();
     }
 
-    private CompletableFuture<Http.Reply> put(String name, boolean windows, Http.Request request)
-            throws Malformed {
+    private CompletableFuture<Http.Reply> putEntry(
+            String name, boolean windows, Http.Request request) throws Malformed {
         Fields body = new Fields(Json.decode(request.body()));
-        Revision expected = expected(request);
+        Revision expected = parseExpectedRevision(request);
         return (windows
-                        ? desk.declare(CalendarCodec.window(name, body), expected)
-                        : desk.reserve(CalendarCodec.reservation(name, body), expected))
-                .thenApply(CalendarApi::done);
+                        ? reservationService.declareWindow(
+                                ReservationCodec.window(name, body), expected)
+                        : reservationService.reserve(
+                                ReservationCodec.reservation(name, body), expected))
+                .thenApply(ReservationApi::changeReply);
     }
 
-    private static Http.Reply done(CalendarDesk.Done done) {
+    private static Http.Reply changeReply(ReservationService.ChangeOutcome changeOutcome) {
         return reply(
-                done.result() == CalendarDesk.Result.CREATED ? 201 : 200,
-                Fields.of("version", done.version().value(), "notes", done.notes()));
+                changeOutcome.result() == ReservationService.ChangeResult.CREATED ? 201 : 200,
+                Fields.of(
+                        "version",
+                        changeOutcome.revision().value(),
+                        "notes",
+                        changeOutcome.notes()));
     }
 
     /**
      * The version that a change is meant for, in the header that HTTP has for it, with quotes or
      * without.
      */
-    private static Revision expected(Http.Request request) throws Malformed {
+    private static Revision parseExpectedRevision(Http.Request request) throws Malformed {
         String text = request.header().apply("If-Match");
         if (text == null) {
             return null;
@@ -207,19 +223,20 @@
         }
     }
 
-    private static int hours(Http.Request request) throws Malformed {
+    private static int parsePlanHours(Http.Request request) throws Malformed {
         String text =
                 Optional.ofNullable(request.query().get("hours"))
                         .map(values -> values.get(0))
                         .orElse(null);
         try {
-            int hours = text == null ? DEFAULT_HOURS : Integer.parseInt(text);
-            if (hours >= 1 && hours <= Admittance.HORIZON.toHours()) {
+            int hours = text == null ? DEFAULT_PLAN_HOURS : Integer.parseInt(text);
+            if (hours >= 1 && hours <= ReservationAdmission.ADMISSION_HORIZON.toHours()) {
                 return hours;
             }
         } catch (NumberFormatException notANumber) {
             // One message for every wrong number.
         }
-        throw new Malformed("hours is not from 1 to " + Admittance.HORIZON.toHours());
+        throw new Malformed(
+                "hours is not from 1 to " + ReservationAdmission.ADMISSION_HORIZON.toHours());
     }
 }
--- a/src/main/java/org/meadowhollow/protocol/calendar/CalendarCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/reservation/ReservationCodec.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.protocol.calendar;
+package org.meadowhollow.protocol.reservation;
 
 import java.time.DateTimeException;
 import java.time.Duration;
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.regex.Pattern;
-import org.meadowhollow.coordination.calendar.Plan;
-import org.meadowhollow.coordination.calendar.Recurrence;
+import org.meadowhollow.coordination.reservation.Recurrence;
+import org.meadowhollow.coordination.reservation.ReservationPlan;
 import org.meadowhollow.model.Priority;
 import org.meadowhollow.model.Resources;
 import org.meadowhollow.model.reservation.MaintenanceWindow;
@@ -23,13 +23,13 @@
  * Reservations and windows as operators write and read them, in JSON; {@code docs/reservations.md}
  * has the fields.
  */
-final class CalendarCodec {
-    private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9-]{0,39}");
-    private static final int LONGEST = 200;
-    private static final int MOST_LISTED = 100;
-    private static final long MOST_TASKS = 100_000;
-    private static final double LONGEST_S = Duration.ofDays(31).toSeconds();
-    private static final Map<String, Priority> PRIORITIES =
+final class ReservationCodec {
+    private static final Pattern NAME_PATTERN = Pattern.compile("[a-z0-9][a-z0-9-]{0,39}");
+    private static final int MAX_TEXT_LENGTH = 200;
+    private static final int MAX_LIST_SIZE = 100;
+    private static final long MAX_TASKS = 100_000;
+    private static final double MAX_DURATION_SECONDS = Duration.ofDays(31).toSeconds();
+    private static final Map<String, Priority> PRIORITY_BY_WORD =
             Map.of(
                     "critical",
                     Priority.PRODUCTION,
@@ -40,10 +40,10 @@
                     "idle",
                     Priority.LOW);
 
-    private CalendarCodec() {}
+    private ReservationCodec() {}
 
-    static String name(String text) throws Malformed {
-        if (!NAME.matcher(text).matches()) {
+    static String requireValidName(String text) throws Malformed {
+        if (!NAME_PATTERN.matcher(text).matches()) {
             throw new Malformed("a name is up to 40 small letters, digits and hyphens");
         }
         return text;
@@ -51,27 +51,27 @@
 
     static Reservation reservation(String name, Fields body) throws Malformed {
         long tasks = body.count("tasks");
-        if (tasks < 1 || tasks > MOST_TASKS) {
-            throw new Malformed("tasks is not from 1 to " + MOST_TASKS);
+        if (tasks < 1 || tasks > MAX_TASKS) {
+            throw new Malformed("tasks is not from 1 to " + MAX_TASKS);
         }
         String priority = body.has("priority") ? body.text("priority") : "normal";
-        if (!PRIORITIES.containsKey(priority)) {
+        if (!PRIORITY_BY_WORD.containsKey(priority)) {
             throw new Malformed("priority is none of critical, urgent, normal, idle");
         }
         return new Reservation(
-                name(name),
-                bounded(body, "team"),
-                PRIORITIES.get(priority),
+                requireValidName(name),
+                readBoundedText(body, "team"),
+                PRIORITY_BY_WORD.get(priority),
                 (int) tasks,
                 Resources.of(body.amount("cpus"), body.amountOr("gpus", 0), body.amount("ram_gb")),
-                names(body, "machine_types"),
+                readNamesOrNull(body, "machine_types"),
                 body.textOrNull("zone"),
                 body.flagOr("spot", false),
-                body.has("image") ? bounded(body, "image") : "",
+                body.has("image") ? readBoundedText(body, "image") : "",
                 body.amountOr("image_gb", 0),
-                body.has("class") ? bounded(body, "class") : null,
-                names(body, "jobs"),
-                schedule(body));
+                body.has("class") ? readBoundedText(body, "class") : null,
+                readNamesOrNull(body, "jobs"),
+                decodeSchedule(body));
     }
 
     static MaintenanceWindow window(String name, Fields body) throws Malformed {
@@ -91,28 +91,28 @@
                     throw new Malformed("a window names either machines, machine_types or zones");
                 }
                 scope = each.getValue();
-                targets = names(body, each.getKey());
+                targets = readNamesOrNull(body, each.getKey());
             }
         }
         if (scope == null || targets.isEmpty()) {
             throw new Malformed("a window names machines, machine_types or zones");
         }
         double noticeS = body.amountOr("notice_s", 0);
-        if (noticeS > LONGEST_S) {
+        if (noticeS > MAX_DURATION_SECONDS) {
             throw new Malformed("notice_s is longer than 31 days");
         }
         return new MaintenanceWindow(
-                name(name),
+                requireValidName(name),
                 scope,
                 targets,
-                schedule(body),
+                decodeSchedule(body),
                 Duration.ofMillis((long) (noticeS * 1000)));
     }
 
-    private static RecurringSchedule schedule(Fields body) throws Malformed {
+    private static RecurringSchedule decodeSchedule(Fields body) throws Malformed {
         double lengthS = body.amount("length_s");
-        if (lengthS < 1 || lengthS > LONGEST_S) {
-            throw new Malformed("length_s is not from 1 to " + (long) LONGEST_S);
+        if (lengthS < 1 || lengthS > MAX_DURATION_SECONDS) {
+            throw new Malformed("length_s is not from 1 to " + (long) MAX_DURATION_SECONDS);
         }
         try {
             RecurringSchedule schedule =
@@ -120,10 +120,10 @@
                             LocalDateTime.parse(body.text("start")).withNano(0),
                             ZoneId.of(body.has("time_zone") ? body.text("time_zone") : "UTC"),
                             Duration.ofMillis((long) (lengthS * 1000)),
-                            body.has("rule") ? bounded(body, "rule") : null);
-            Recurrence.check(schedule);
+                            body.has("rule") ? readBoundedText(body, "rule") : null);
+            Recurrence.validate(schedule);
             return schedule;
-        } catch (Recurrence.Unusable wrong) {
+        } catch (Recurrence.InvalidScheduleException wrong) {
             throw new Malformed(wrong.getMessage());
         } catch (DateTimeException wrong) {
             throw new Malformed(
@@ -131,25 +131,25 @@
         }
     }
 
-    private static String bounded(Fields body, String key) throws Malformed {
+    private static String readBoundedText(Fields body, String key) throws Malformed {
         String text = body.text(key);
-        if (text.isEmpty() || text.length() > LONGEST) {
-            throw new Malformed(key + " is empty or longer than " + LONGEST);
+        if (text.isEmpty() || text.length() > MAX_TEXT_LENGTH) {
+            throw new Malformed(key + " is empty or longer than " + MAX_TEXT_LENGTH);
         }
         return text;
     }
 
-    private static List<String> names(Fields body, String key) throws Malformed {
+    private static List<String> readNamesOrNull(Fields body, String key) throws Malformed {
         List<String> names = body.textsOrNull(key);
         if (names != null
-                && (names.size() > MOST_LISTED
-                        || names.stream().anyMatch(one -> one.length() > LONGEST))) {
+                && (names.size() > MAX_LIST_SIZE
+                        || names.stream().anyMatch(one -> one.length() > MAX_TEXT_LENGTH))) {
             throw new Malformed(
                     key
                             + " holds more than "
-                            + MOST_LISTED
+                            + MAX_LIST_SIZE
                             + " names, or one longer than "
-                            + LONGEST);
+                            + MAX_TEXT_LENGTH);
         }
         return names == null ? null : List.copyOf(names);
     }
@@ -173,7 +173,7 @@
                         "team",
                         one.team(),
                         "priority",
-                        PRIORITIES.entrySet().stream()
+                        PRIORITY_BY_WORD.entrySet().stream()
                                 .filter(each -> each.getValue() == one.priority())
                                 .findFirst()
                                 .orElseThrow()
@@ -200,7 +200,7 @@
                         one.jobClass(),
                         "jobs",
                         one.allowedJobs());
-        return scheduled(map, one.schedule());
+        return putSchedule(map, one.schedule());
     }
 
     private static Map<String, Object> window(MaintenanceWindow one) {
@@ -210,7 +210,7 @@
                     case TYPE -> "machine_types";
                     case ZONE -> "zones";
                 };
-        return scheduled(
+        return putSchedule(
                 Fields.of(
                         "name",
                         one.name(),
@@ -221,7 +221,7 @@
                 one.schedule());
     }
 
-    private static Map<String, Object> scheduled(
+    private static Map<String, Object> putSchedule(
             Map<String, Object> map, RecurringSchedule schedule) {
         map.put("start", schedule.firstStart().toString());
         map.put("time_zone", schedule.timeZone().getId());
@@ -230,10 +230,10 @@
         return map;
     }
 
-    static Map<String, Object> encode(Plan plan) {
+    static Map<String, Object> encode(ReservationPlan reservationPlan) {
         return Fields.of(
                 "slots",
-                plan.slots().stream()
+                reservationPlan.slots().stream()
                         .map(
                                 slot ->
                                         Fields.of(
@@ -242,20 +242,20 @@
                                                 "team",
                                                 slot.reservation().team(),
                                                 "from",
-                                                time(slot.when().startMillis()),
+                                                formatTime(slot.occurrence().startMillis()),
                                                 "until",
-                                                time(slot.when().endMillis()),
+                                                formatTime(slot.occurrence().endMillis()),
                                                 "tasks",
                                                 slot.reservation().taskCount(),
                                                 "met",
-                                                slot.tasks(),
+                                                slot.fulfilledTasks(),
                                                 "machines",
-                                                slot.machines(),
+                                                slot.machinesByTypeZone(),
                                                 "against",
-                                                slot.against()))
+                                                slot.conflicts()))
                         .toList(),
                 "outages",
-                plan.outages().stream()
+                reservationPlan.outages().stream()
                         .map(
                                 outage ->
                                         Fields.of(
@@ -266,13 +266,13 @@
                                                 "targets",
                                                 outage.window().targets(),
                                                 "from",
-                                                time(outage.when().startMillis()),
+                                                formatTime(outage.occurrence().startMillis()),
                                                 "until",
-                                                time(outage.when().endMillis())))
+                                                formatTime(outage.occurrence().endMillis())))
                         .toList());
     }
 
-    private static String time(long millis) {
+    private static String formatTime(long millis) {
         return Instant.ofEpochMilli(millis).toString();
     }
 }
--- a/src/test/java/org/meadowhollow/LayersTest.java
+++ b/src/test/java/org/meadowhollow/LayersTest.java
@@ -41,10 +41,10 @@
             List.of(
                     "api",
                     "admission",
-                    "reservation", "calendar",
-                    "placement",
+                    "reservation",
+                    "scheduling",
                     "hearing",
-                    "serving",
+                    "metrics",
                     "leadership",
                     "failover",
                     "fleet");
--- a/src/test/java/org/meadowhollow/cli/ControllerTest.java
+++ b/src/test/java/org/meadowhollow/cli/ControllerTest.java
@@ -149,8 +149,8 @@
 
     @Test
     void theCalendarIsTakenOnAListenerOfItsOwn() throws Exception {
-        CalendarOptions options =
-                CalendarOptions.of(
+        ReservationOptions options =
+                ReservationOptions.fromFlags(
                         "127.0.0.1:0",
                         List.of("operator=" + HASH),
                         null,
@@ -173,7 +173,7 @@
                                     "/calendar/v1/windows/w",
                                     new byte[70_000])));
         }
-        assertNull(CalendarOptions.of(null, List.of(), null, null, List.of(), Map.of()));
+        assertNull(ReservationOptions.fromFlags(null, List.of(), null, null, List.of(), Map.of()));
         for (String[] wrong :
                 new String[][] {
                     {null, "operator=" + HASH, "t=4", "--calendar-listen"},
@@ -185,7 +185,7 @@
                     assertThrows(
                             Settings.Unusable.class,
                             () ->
-                                    CalendarOptions.of(
+                                    ReservationOptions.fromFlags(
                                             wrong[0],
                                             List.of(wrong[1]),
                                             null,
--- a/src/test/java/org/meadowhollow/cli/calendar/CalendarCommandTest.java
+++ b/src/test/java/org/meadowhollow/cli/reservation/ReservationCommandTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.cli.calendar;
+package org.meadowhollow.cli.reservation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -23,7 +23,7 @@
 import org.meadowhollow.transport.XnioLoop;
 
 /** The commands against a node that notes what it is asked and answers as it is told. */
-class CalendarCommandTest {
+class ReservationCommandTest {
     private final List<String> asked = new ArrayList<>();
     private final List<Http.Reply> answers = new ArrayList<>();
     private final StringWriter out = new StringWriter();
@@ -77,7 +77,7 @@
     }
 
     private int run(String... args) {
-        return CalendarCommand.run(
+        return ReservationCommand.run(
                 args,
                 Map.of(
                         "MEADOWHOLLOW_CALENDAR_URL",
--- a/src/test/java/org/meadowhollow/coordination/failover/RiskTableReplicationTest.java
+++ b/src/test/java/org/meadowhollow/coordination/failover/RiskTableReplicationTest.java
@@ -14,7 +14,7 @@
 import org.meadowhollow.coordination.api.ControllerStatus;
 import org.meadowhollow.coordination.api.RiskTableDelta;
 import org.meadowhollow.coordination.failover.RiskTableReplica.ApplyResult;
-import org.meadowhollow.coordination.placement.RiskTable;
+import org.meadowhollow.coordination.scheduling.RiskTable;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Heartbeat;
 import org.meadowhollow.model.Machine;
@@ -65,7 +65,7 @@
                                 feed.recordSample(
                                         machine,
                                         tables.get(machine.id())
-                                                .add(
+                                                .recordSample(
                                                         random.nextInt(9),
                                                         random.nextDouble(),
                                                         lost,
@@ -194,10 +194,13 @@
         assertEquals(
                 tables.get(new MachineId("vm-000001")),
                 inherit(1, new WorkerIncarnation(1), seq + 1).orElseThrow());
-        int[] table = tables.get(new MachineId("vm-000000")).export(now());
+        int[] table = tables.get(new MachineId("vm-000000")).exportState(now());
         table[0]++;
-        assertThrows(IllegalArgumentException.class, () -> RiskTable.of(table, now()));
-        assertThrows(IllegalArgumentException.class, () -> RiskTable.of(new int[] {0, 0}, now()));
+        assertThrows(
+                IllegalArgumentException.class, () -> RiskTable.fromExportedState(table, now()));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> RiskTable.fromExportedState(new int[] {0, 0}, now()));
     }
 
     @Test
@@ -271,21 +274,21 @@
     void aRestoredTableGoesOnAsTheOneThatItWasMadeOf() {
         RiskTable table = new RiskTable();
         for (int at = 0; at < 150; at++) {
-            table.add(
+            table.recordSample(
                     at / 40,
                     0.3,
                     at % 50 == 0 ? 1 : 0,
                     new MonotonicTime((second += 3) * 1_000_000_000L));
         }
-        RiskTable copy = RiskTable.of(table.export(now()), now());
+        RiskTable copy = RiskTable.fromExportedState(table.exportState(now()), now());
         for (int at = 0; at < 300; at++) {
             int sample =
-                    table.add(
+                    table.recordSample(
                             3,
                             0.3,
                             at > 100 ? 2 : 0,
                             new MonotonicTime((second += 3) * 1_000_000_000L));
-            copy.replay(sample, now());
+            copy.replaySample(sample, now());
             assertEquals(table, copy, "after " + at);
         }
     }
--- a/src/test/java/org/meadowhollow/coordination/fleet/GivingUpTest.java
+++ b/src/test/java/org/meadowhollow/coordination/fleet/GivingUpTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.meadowhollow.coordination.api.DeploymentSettings;
-import org.meadowhollow.coordination.placement.Cluster;
+import org.meadowhollow.coordination.scheduling.ClusterState;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Machine;
 import org.meadowhollow.model.MachineId;
@@ -39,11 +39,11 @@
                         12,
                         10,
                         Duration.ofSeconds(8));
-        Cluster cluster = new Cluster(deploymentSettings, new FencingToken(1));
+        ClusterState clusterState = new ClusterState(deploymentSettings, new FencingToken(1));
         GivingUp givingUp =
                 new GivingUp(
                         new FailureDetector(
-                                null, cluster, deploymentSettings, null, null, null, BEGUN),
+                                null, clusterState, deploymentSettings, null, null, null, BEGUN),
                         deploymentSettings);
         Machine silent = new Machine(new MachineId("vm-1"), TYPE, "a", false);
         silent.knownSince(BEGUN);
--- a/src/test/java/org/meadowhollow/coordination/serving/ServedTest.java
+++ b/src/test/java/org/meadowhollow/coordination/metrics/FairnessMetricsTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.serving;
+package org.meadowhollow.coordination.metrics;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,7 +15,7 @@
 import org.meadowhollow.model.Resources;
 import org.meadowhollow.model.Revision;
 
-class ServedTest {
+class FairnessMetricsTest {
     private static JobSpec spec(int number, String team) {
         return new JobSpec(
                 new JobId("req-%06d".formatted(number)),
@@ -40,19 +40,21 @@
 
     @Test
     void teamsAreCountedApartAndOneThatFallsBehindIsNamed() {
-        Served served = new Served();
+        FairnessMetrics fairnessMetrics = new FairnessMetrics();
         List<Job> waiting = new ArrayList<>();
         for (int number = 0; number < 5; number++) {
-            served.came(spec(number, "home"));
-            served.began(spec(number, "home"));
-            served.began(spec(number, "home"));
-            served.ended(spec(number, "home"), number == 4, number < 3 ? 20 : 40);
-            served.came(spec(10 + number, "guest"));
+            fairnessMetrics.onJobAdmitted(spec(number, "home"));
+            fairnessMetrics.onTaskRunning(spec(number, "home"));
+            fairnessMetrics.onTaskRunning(spec(number, "home"));
+            fairnessMetrics.onJobEnded(spec(number, "home"), number == 4, number < 3 ? 20 : 40);
+            fairnessMetrics.onJobAdmitted(spec(10 + number, "guest"));
             waiting.add(new Job(spec(10 + number, "guest"), 0, 100, new Revision(1)));
         }
-        assertEquals(List.of(), served.account(waiting, new MonotonicTime(0), 0, job -> "room"));
+        assertEquals(
+                List.of(),
+                fairnessMetrics.reportIfDue(waiting, new MonotonicTime(0), 0, job -> "room"));
         List<String> lines =
-                served.account(
+                fairnessMetrics.reportIfDue(
                         waiting, new MonotonicTime(130_000_000_000L), 130_000, job -> "room");
         assertTrue(
                 lines.get(0).contains("of guest: 5 jobs came, 0 started")
@@ -67,7 +69,7 @@
 
     @Test
     void theLargestJobsOfAClassAreCountedAndSayWhatTheyWaitFor() {
-        Served served = new Served();
+        FairnessMetrics fairnessMetrics = new FairnessMetrics();
         List<Job> jobs = new ArrayList<>();
         for (int number = 0; number < 8; number++) {
             JobSpec spec = spec(number, "home");
@@ -91,15 +93,15 @@
                             0,
                             0,
                             30);
-            served.came(sized);
+            fairnessMetrics.onJobAdmitted(sized);
             if (number == 0 || number > 2) {
-                served.began(sized);
+                fairnessMetrics.onTaskRunning(sized);
             }
             jobs.add(new Job(sized, 0, 100, new Revision(1)));
         }
-        served.account(jobs, new MonotonicTime(0), 0, job -> "room");
+        fairnessMetrics.reportIfDue(jobs, new MonotonicTime(0), 0, job -> "room");
         List<String> lines =
-                served.account(
+                fairnessMetrics.reportIfDue(
                         jobs,
                         new MonotonicTime(130_000_000_000L),
                         130_000,
--- a/src/test/java/org/meadowhollow/coordination/calendar/RecurrenceTest.java
+++ b/src/test/java/org/meadowhollow/coordination/reservation/RecurrenceTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.calendar;
+package org.meadowhollow.coordination.reservation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -19,7 +19,7 @@
         RecurringSchedule schedule =
                 new RecurringSchedule(
                         LocalDateTime.parse(start), ZoneId.of(zone), Duration.ofHours(2), rule);
-        return Recurrence.between(
+        return Recurrence.occurrencesBetween(
                         schedule,
                         Instant.parse(from).toEpochMilli(),
                         Instant.parse(until).toEpochMilli(),
@@ -103,18 +103,20 @@
                         "FREQ=DAILY;BYDAY=XX",
                         "FREQ=DAILY;COUNT=-1",
                         "FREQ=DAILY;UNTIL=20260101T000000Z")) {
-            Recurrence.Unusable unusable =
+            Recurrence.InvalidScheduleException invalidScheduleException =
                     assertThrows(
-                            Recurrence.Unusable.class,
+                            Recurrence.InvalidScheduleException.class,
                             () ->
-                                    Recurrence.check(
+                                    Recurrence.validate(
                                             new RecurringSchedule(
                                                     LocalDateTime.parse("2026-01-01T00:00"),
                                                     ZoneId.of("Asia/Amman"),
                                                     Duration.ofHours(1),
                                                     wrong)),
                             wrong);
-            assertTrue(unusable.getMessage().startsWith("rule"), unusable.getMessage());
+            assertTrue(
+                    invalidScheduleException.getMessage().startsWith("rule"),
+                    invalidScheduleException.getMessage());
         }
         assertEquals(
                 List.of(),
--- a/src/test/java/org/meadowhollow/coordination/calendar/PlanTest.java
+++ b/src/test/java/org/meadowhollow/coordination/reservation/ReservationPlanTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.calendar;
+package org.meadowhollow.coordination.reservation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -30,15 +30,15 @@
 import org.meadowhollow.storage.CalendarSnapshot;
 import org.meadowhollow.storage.KeyValueStore;
 
-class PlanTest {
+class ReservationPlanTest {
     private static final List<MachineType> TYPES =
             List.of(
                     new MachineType(
                             "small", Resources.of(8, 2, 32), 50, 1, 2, 1, 30, List.of("a", "b")),
                     new MachineType(
                             "large", Resources.of(32, 8, 128), 50, 1, 7, 4, 30, List.of("a")));
-    private static final Supply SUPPLY =
-            new Supply(
+    private static final ReservableCapacity SUPPLY =
+            new ReservableCapacity(
                     TYPES,
                     Map.of("t", Resources.of(0, 10, 0), "u", Resources.NONE),
                     Map.of("small", 3, "large/a", 1));
@@ -118,18 +118,19 @@
             edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
     void noPlanGivesMoreThanThereIs(@ForAll long seed) {
-        Plan plan = Plan.of(random(new Random(seed)), SUPPLY, 0, SPAN);
+        ReservationPlan reservationPlan =
+                ReservationPlan.of(random(new Random(seed)), SUPPLY, 0, SPAN);
         for (long minute = 0; minute < 15 * 60; minute += 7) {
             long now = minute * 60_000;
             Map<String, Integer> machines = new HashMap<>();
             double gpus = 0;
-            for (Plan.Slot slot : plan.slots()) {
-                if (slot.when().startMillis() <= now && now < slot.when().endMillis()) {
-                    slot.machines()
+            for (ReservationPlan.Slot slot : reservationPlan.slots()) {
+                if (slot.occurrence().startMillis() <= now && now < slot.occurrence().endMillis()) {
+                    slot.machinesByTypeZone()
                             .forEach((pair, count) -> machines.merge(pair, count, Integer::sum));
                     gpus +=
                             slot.reservation().team().equals("t")
-                                    ? slot.tasks()
+                                    ? slot.fulfilledTasks()
                                             * slot.reservation().resourcesPerTask().gpu()
                                             / 1e6
                                     : 0;
@@ -138,13 +139,13 @@
             assertTrue(gpus <= 10, "over the limit of the team");
             for (String pair : machines.keySet()) {
                 assertTrue(machines.get(pair) <= (pair.startsWith("small") ? 3 : 1), pair);
-                for (Plan.Outage outage : plan.outages()) {
+                for (ReservationPlan.Outage outage : reservationPlan.outages()) {
                     boolean covers =
                             outage.window().coversAllOfType(pair.split("/")[0], pair.split("/")[1]);
                     assertTrue(
                             !covers
-                                    || now < outage.when().startMillis()
-                                    || now >= outage.when().endMillis(),
+                                    || now < outage.occurrence().startMillis()
+                                    || now >= outage.occurrence().endMillis(),
                             pair);
                 }
             }
@@ -177,10 +178,12 @@
                             CalendarRecordCodec.encode(calendarEntry.item(), ++order),
                             new Revision(order)));
         }
-        List<Plan.Slot> slots = Plan.of(calendarSnapshot, SUPPLY, 0, SPAN).slots();
+        List<ReservationPlan.Slot> slots =
+                ReservationPlan.of(calendarSnapshot, SUPPLY, 0, SPAN).slots();
         Collections.shuffle(entries, new Random(seed));
         assertEquals(
-                slots, Plan.of(CalendarSnapshot.fromRecords(entries), SUPPLY, 0, SPAN).slots());
+                slots,
+                ReservationPlan.of(CalendarSnapshot.fromRecords(entries), SUPPLY, 0, SPAN).slots());
     }
 
     @Property(
@@ -192,27 +195,35 @@
     void whatIsAcceptedTakesNothingFromOthersAndLeavesNoTraceWhenItIsWithdrawn(@ForAll long seed) {
         CalendarSnapshot calendarSnapshot = random(new Random(seed));
         Reservation asked = reservation("asked", "u", 2, 1, null, 100, 200);
-        List<Plan.Slot> before = Plan.of(calendarSnapshot, SUPPLY, 0, SPAN).slots();
-        List<Plan.Slot> with = Plan.of(calendarSnapshot.with(asked), SUPPLY, 0, SPAN).slots();
+        List<ReservationPlan.Slot> before =
+                ReservationPlan.of(calendarSnapshot, SUPPLY, 0, SPAN).slots();
+        List<ReservationPlan.Slot> with =
+                ReservationPlan.of(calendarSnapshot.with(asked), SUPPLY, 0, SPAN).slots();
         assertTrue(with.containsAll(before), "who came earlier has what it had");
         assertEquals(
                 before,
-                Plan.of(calendarSnapshot.with(asked).withoutReservation("asked"), SUPPLY, 0, SPAN)
+                ReservationPlan.of(
+                                calendarSnapshot.with(asked).withoutReservation("asked"),
+                                SUPPLY,
+                                0,
+                                SPAN)
                         .slots());
-        Admittance.Verdict verdict =
-                Admittance.judge(calendarSnapshot, asked, SUPPLY, Set.of("a", "b"), 0);
-        if (verdict.nearest() != null) {
+        ReservationAdmission.AdmissionResult admissionResult =
+                ReservationAdmission.evaluate(calendarSnapshot, asked, SUPPLY, Set.of("a", "b"), 0);
+        if (admissionResult.nearestStart() != null) {
             long minute =
-                    Duration.between(LocalDateTime.of(1970, 1, 1, 0, 0), verdict.nearest())
+                    Duration.between(
+                                    LocalDateTime.of(1970, 1, 1, 0, 0),
+                                    admissionResult.nearestStart())
                             .toMinutes();
             assertTrue(
-                    Admittance.judge(
+                    ReservationAdmission.evaluate(
                                     calendarSnapshot,
                                     reservation("asked", "u", 2, 1, null, (int) minute, 200),
                                     SUPPLY,
                                     Set.of("a", "b"),
                                     0)
-                            .isMet(),
+                            .isAdmitted(),
                     "the start that is named can be met");
         }
     }
@@ -223,51 +234,51 @@
                 CalendarSnapshot.EMPTY
                         .with(reservation("first", "t", 4, 2, null, 60, 120))
                         .with(window("works", MaintenanceWindow.Scope.ZONE, "a", 300, 60));
-        Admittance.Verdict limit =
-                Admittance.judge(
+        ReservationAdmission.AdmissionResult limit =
+                ReservationAdmission.evaluate(
                         calendarSnapshot,
                         reservation("more", "t", 2, 2, null, 100, 60),
                         SUPPLY,
                         Set.of("a", "b"),
                         0);
-        assertEquals(List.of("the limit of team t, with first"), limit.against());
-        assertEquals(LocalDateTime.of(1970, 1, 1, 3, 0), limit.nearest());
-        Admittance.Verdict zone =
-                Admittance.judge(
+        assertEquals(List.of("the limit of team t, with first"), limit.conflicts());
+        assertEquals(LocalDateTime.of(1970, 1, 1, 3, 0), limit.nearestStart());
+        ReservationAdmission.AdmissionResult zone =
+                ReservationAdmission.evaluate(
                         calendarSnapshot,
                         reservation("in-a", "u", 1, 0, "a", 270, 60),
                         SUPPLY,
                         Set.of("a", "b"),
                         0);
-        assertTrue(zone.against().contains("window works takes small in a"), () -> "" + zone);
-        assertEquals(LocalDateTime.of(1970, 1, 1, 6, 0), zone.nearest());
-        Admittance.Verdict machines =
-                Admittance.judge(
+        assertTrue(zone.conflicts().contains("window works takes small in a"), () -> "" + zone);
+        assertEquals(LocalDateTime.of(1970, 1, 1, 6, 0), zone.nearestStart());
+        ReservationAdmission.AdmissionResult machines =
+                ReservationAdmission.evaluate(
                         calendarSnapshot,
                         reservation("many", "u", 20, 2, "b", 900, 60),
                         SUPPLY,
                         Set.of("a", "b"),
                         0);
-        assertEquals(List.of("there are 3 of small in b"), machines.against());
-        assertEquals(null, machines.nearest());
+        assertEquals(List.of("there are 3 of small in b"), machines.conflicts());
+        assertEquals(null, machines.nearestStart());
         assertEquals(
                 "there is no zone z",
-                Admittance.judge(
+                ReservationAdmission.evaluate(
                                 calendarSnapshot,
                                 reservation("z", "u", 1, 0, "z", 0, 1),
                                 SUPPLY,
                                 Set.of("a", "b"),
                                 0)
-                        .never());
+                        .infeasibleReason());
         assertEquals(
                 "it is more than the limit of team t",
-                Admittance.judge(
+                ReservationAdmission.evaluate(
                                 calendarSnapshot,
                                 reservation("z", "t", 6, 2, null, 0, 1),
                                 SUPPLY,
                                 Set.of("a", "b"),
                                 0)
-                        .never());
+                        .infeasibleReason());
     }
 
     @Example
@@ -277,7 +288,7 @@
                         .with(reservation("moves", "u", 2, 1, null, 60, 60))
                         .with(reservation("bound", "u", 1, 1, "a", 60, 60));
         List<String> notes =
-                Admittance.taken(
+                ReservationAdmission.describeAffectedReservations(
                         calendarSnapshot,
                         window("works", MaintenanceWindow.Scope.ZONE, "a", 0, 200),
                         SUPPLY,
@@ -299,7 +310,8 @@
                         .with(window("works", MaintenanceWindow.Scope.ZONE, "a", 0, 200))
                         .with(window("more", MaintenanceWindow.Scope.ZONE, "b", 90, 200));
         assertTrue(
-                Plan.of(both, SUPPLY, 0, SPAN).slots().stream().noneMatch(Plan.Slot::isMet),
+                ReservationPlan.of(both, SUPPLY, 0, SPAN).slots().stream()
+                        .noneMatch(ReservationPlan.Slot::isFulfilled),
                 "two windows take all");
     }
 }
--- a/src/test/java/org/meadowhollow/coordination/placement/ExpectedTest.java
+++ b/src/test/java/org/meadowhollow/coordination/scheduling/ArrivalForecastTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.placement;
+package org.meadowhollow.coordination.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -12,7 +12,7 @@
 import org.meadowhollow.model.Priority;
 import org.meadowhollow.model.Resources;
 
-class ExpectedTest {
+class ArrivalForecastTest {
     private static JobSpec gang(int number) {
         return new JobSpec(
                 new JobId("req-" + number),
@@ -41,11 +41,11 @@
 
     @Test
     void whatCameWithinTwiceTheTimeOfANewMachineIsLikelyToComeAgain() {
-        Expected expected = new Expected();
-        expected.came(gang(1), at(0), Duration.ofSeconds(10));
-        expected.came(gang(2), at(15), Duration.ofSeconds(10));
-        assertEquals(List.of(gang(2), gang(1)), expected.likely(at(19)));
-        assertEquals(List.of(gang(2)), expected.likely(at(21)));
-        assertEquals(List.of(), expected.likely(at(36)));
+        ArrivalForecast arrivalForecast = new ArrivalForecast();
+        arrivalForecast.recordArrival(gang(1), at(0), Duration.ofSeconds(10));
+        arrivalForecast.recordArrival(gang(2), at(15), Duration.ofSeconds(10));
+        assertEquals(List.of(gang(2), gang(1)), arrivalForecast.predictedJobs(at(19)));
+        assertEquals(List.of(gang(2)), arrivalForecast.predictedJobs(at(21)));
+        assertEquals(List.of(), arrivalForecast.predictedJobs(at(36)));
     }
 }
--- a/src/test/java/org/meadowhollow/coordination/placement/PlacementOrderTest.java
+++ b/src/test/java/org/meadowhollow/coordination/scheduling/PlacementOrderTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.placement;
+package org.meadowhollow.coordination.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -36,9 +36,9 @@
         return LongStream.rangeClosed(1, 200);
     }
 
-    private static List<PlacementRound.Seat> seats(long seed) {
+    private static List<PlacementRound.MachineCandidate> seats(long seed) {
         Random random = new Random(seed);
-        List<PlacementRound.Seat> seats = new ArrayList<>();
+        List<PlacementRound.MachineCandidate> seats = new ArrayList<>();
         boolean forLarge = random.nextBoolean();
         for (int at = 0; at < MACHINES; at++) {
             MachineId id = new MachineId("vm-" + at);
@@ -56,7 +56,7 @@
             }
             RiskTable risk = new RiskTable();
             for (int sample = 0, samples = random.nextInt(60); sample < samples; sample++) {
-                risk.add(
+                risk.recordSample(
                         random.nextInt(8),
                         random.nextDouble(),
                         random.nextInt(6) == 0 ? 1 : 0,
@@ -64,7 +64,7 @@
             }
             int used = random.nextInt(8);
             seats.add(
-                    new PlacementRound.Seat(
+                    new PlacementRound.MachineCandidate(
                             at,
                             id,
                             "type",
@@ -107,8 +107,8 @@
                 Double.NaN);
     }
 
-    private static Map<String, PlacementRound.Share> teams() {
-        return Map.of("team", new PlacementRound.Share(Resources.NONE, Resources.NONE));
+    private static Map<String, PlacementRound.TeamUsage> teams() {
+        return Map.of("team", new PlacementRound.TeamUsage(Resources.NONE, Resources.NONE));
     }
 
     @ParameterizedTest
@@ -125,7 +125,7 @@
                                 seats(seed),
                                 teams(),
                                 List.of(
-                                        new PlacementRound.Waiting(
+                                        new PlacementRound.PendingJob(
                                                 spec,
                                                 tasks,
                                                 new Object2IntOpenHashMap<>(),
@@ -133,7 +133,7 @@
                                 1)
                         .decisions();
 
-        List<PlacementRound.Seat> seats = seats(seed);
+        List<PlacementRound.MachineCandidate> seats = seats(seed);
         List<PlacementRound.Decision> oneByOne = new ArrayList<>();
         Object2IntOpenHashMap<String> zones = new Object2IntOpenHashMap<>();
         for (int task : tasks) {
@@ -142,14 +142,16 @@
                                     seats,
                                     teams(),
                                     List.of(
-                                            new PlacementRound.Waiting(
+                                            new PlacementRound.PendingJob(
                                                     spec, new int[] {task}, zones, desperate)),
                                     1)
                             .decisions();
             for (PlacementRound.Decision decision : next) {
                 seats.stream()
-                        .filter(seat -> seat.id().equals(decision.machine()))
-                        .forEach(seat -> zones.addTo(seat.zone(), 1));
+                        .filter(
+                                machineCandidate ->
+                                        machineCandidate.machineId().equals(decision.machine()))
+                        .forEach(machineCandidate -> zones.addTo(machineCandidate.zone(), 1));
             }
             oneByOne.addAll(next);
         }
@@ -163,20 +165,20 @@
         JobSpec array = spec(seed + 1, JobKind.ARRAY);
         int[] tooMany = new int[MACHINES * 8 + 1];
         int[] tasks = new int[array.taskCount()];
-        var waiting =
-                new PlacementRound.Waiting(array, tasks, new Object2IntOpenHashMap<>(), false);
+        var pendingJob =
+                new PlacementRound.PendingJob(array, tasks, new Object2IntOpenHashMap<>(), false);
         List<PlacementRound.Decision> alone =
-                PlacementRound.run(seats(seed), teams(), List.of(waiting), 1).decisions();
+                PlacementRound.run(seats(seed), teams(), List.of(pendingJob), 1).decisions();
         var outcome =
                 PlacementRound.run(
                         seats(seed),
                         teams(),
                         List.of(
-                                new PlacementRound.Waiting(
+                                new PlacementRound.PendingJob(
                                         gang, tooMany, new Object2IntOpenHashMap<>(), false),
-                                waiting),
+                                pendingJob),
                         1);
         assertEquals(alone, outcome.decisions());
-        assertTrue(outcome.unplaced().containsKey(gang.id()));
+        assertTrue(outcome.unplacedTasksByJob().containsKey(gang.id()));
     }
 }
--- a/src/test/java/org/meadowhollow/coordination/placement/PlacementRoundTest.java
+++ b/src/test/java/org/meadowhollow/coordination/scheduling/PlacementRoundTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.placement;
+package org.meadowhollow.coordination.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -23,7 +23,7 @@
 
 class PlacementRoundTest {
     private static final Resources WHOLE = Resources.of(8, 8, 8);
-    private final List<PlacementRound.Seat> seats = new ArrayList<>();
+    private final List<PlacementRound.MachineCandidate> seats = new ArrayList<>();
     private final List<Object2DoubleMap<String>> fetches = new ArrayList<>();
 
     /**
@@ -33,7 +33,8 @@
     private static RiskTable learned(int losses) {
         RiskTable table = new RiskTable();
         for (int at = 0; at < 40; at++) {
-            table.add(1, 0.13, at < losses ? 1 : 0, new MonotonicTime(at * 1_000_000_000L));
+            table.recordSample(
+                    1, 0.13, at < losses ? 1 : 0, new MonotonicTime(at * 1_000_000_000L));
         }
         return table;
     }
@@ -48,7 +49,7 @@
             cache.recordUse(image, 1);
         }
         seats.add(
-                new PlacementRound.Seat(
+                new PlacementRound.MachineCandidate(
                         seats.size(),
                         new MachineId(name),
                         "type",
@@ -119,20 +120,21 @@
         for (int at = 0; at < tasks.length; at++) {
             tasks[at] = at;
         }
-        Map<String, PlacementRound.Share> teams =
-                Map.of("team", new PlacementRound.Share(Resources.NONE, Resources.NONE));
+        Map<String, PlacementRound.TeamUsage> teams =
+                Map.of("team", new PlacementRound.TeamUsage(Resources.NONE, Resources.NONE));
         return PlacementRound.run(
                         seats,
                         teams,
                         List.of(
-                                new PlacementRound.Waiting(
+                                new PlacementRound.PendingJob(
                                         spec, tasks, new Object2IntOpenHashMap<>(), desperate)),
                         100)
                 .decisions()
                 .stream()
                 .map(
                         decision ->
-                                decision.machine() + (decision.byTable() ? " by risk" : " by room"))
+                                decision.machine()
+                                        + (decision.byRiskTable() ? " by risk" : " by room"))
                 .toList();
     }
 
--- a/src/test/java/org/meadowhollow/coordination/placement/RiskTableTest.java
+++ b/src/test/java/org/meadowhollow/coordination/scheduling/RiskTableTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.placement;
+package org.meadowhollow.coordination.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,40 +12,41 @@
 
     private void samples(int count, int violations) {
         for (int at = 0; at < count; at++) {
-            table.add(4, 0.5, violations, new MonotonicTime((second += 3) * 1_000_000_000L));
+            table.recordSample(
+                    4, 0.5, violations, new MonotonicTime((second += 3) * 1_000_000_000L));
         }
     }
 
     @Test
     void saysNothingBeforeItHasSeenEnough() {
-        samples(RiskTable.LEAST_SAMPLES - 1, 0);
-        assertTrue(Double.isNaN(table.chanceOfNone(4, 0.5)));
+        samples(RiskTable.MIN_SAMPLES - 1, 0);
+        assertTrue(Double.isNaN(table.noViolationProbability(4, 0.5)));
         samples(1, 0);
-        assertEquals(1, table.chanceOfNone(4, 0.5));
+        assertEquals(1, table.noViolationProbability(4, 0.5));
     }
 
     @Test
     void saysNothingOfLoadsItHasNotSeen() {
         samples(40, 0);
-        assertTrue(Double.isNaN(table.chanceOfNone(9, 0.9)));
+        assertTrue(Double.isNaN(table.noViolationProbability(9, 0.9)));
     }
 
     @Test
     void predictsFromHowOftenTasksWereLost() {
         samples(30, 0);
         samples(10, 1);
-        assertEquals(0.75, table.chanceOfNone(4, 0.5));
+        assertEquals(0.75, table.noViolationProbability(4, 0.5));
     }
 
     @Test
     void isRebuiltFromTheLastTenMinutesWhenTheQualitySwings() {
         for (int at = 0; at < 40; at++) {
-            table.add(9, 0.9, 0, new MonotonicTime((second += 3) * 1_000_000_000L));
+            table.recordSample(9, 0.9, 0, new MonotonicTime((second += 3) * 1_000_000_000L));
         }
         samples(210, 0);
-        assertEquals(1, table.chanceOfNone(9, 0.9), "no swing, so nothing is forgotten");
+        assertEquals(1, table.noViolationProbability(9, 0.9), "no swing, so nothing is forgotten");
         samples(50, 4);
-        assertTrue(Double.isNaN(table.chanceOfNone(9, 0.9)));
-        assertTrue(table.chanceOfNone(4, 0.5) < 0.9);
+        assertTrue(Double.isNaN(table.noViolationProbability(9, 0.9)));
+        assertTrue(table.noViolationProbability(4, 0.5) < 0.9);
     }
 }
--- a/src/test/java/org/meadowhollow/coordination/placement/PreemptionTest.java
+++ b/src/test/java/org/meadowhollow/coordination/scheduling/VictimSelectorTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.placement;
+package org.meadowhollow.coordination.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -10,7 +10,7 @@
 import org.meadowhollow.model.Priority;
 import org.meadowhollow.model.Resources;
 
-class PreemptionTest {
+class VictimSelectorTest {
     private static final Resources ONE = Resources.of(1, 1, 1);
 
     private static JobSpec spec(Priority priority, double gpus) {
@@ -35,25 +35,31 @@
                 Double.NaN);
     }
 
-    private static Preemption.Running<String> running(
+    private static VictimSelector.RunningTask<String> running(
             String task, Priority priority, double lostS, boolean borrowed) {
-        return new Preemption.Running<>(task, priority, "other", ONE, lostS, borrowed);
+        return new VictimSelector.RunningTask<>(task, priority, "other", ONE, lostS, borrowed);
     }
 
-    private static Preemption.Place<String> full(List<Preemption.Running<String>> running) {
-        return new Preemption.Place<>(Resources.NONE, true, running);
+    private static VictimSelector.PreemptionCandidate<String> full(
+            List<VictimSelector.RunningTask<String>> running) {
+        return new VictimSelector.PreemptionCandidate<>(Resources.NONE, true, running);
     }
 
     @Test
     void onlyLowerPriorityGivesWay() {
-        var place =
+        var preemptionCandidate =
                 full(
                         List.of(
                                 running("same", Priority.HIGH, 1, true),
                                 running("low", Priority.LOW, 9, true)));
         assertEquals(
-                List.of("low"), Preemption.victims(spec(Priority.HIGH, 1), false, List.of(place)));
-        assertEquals(List.of(), Preemption.victims(spec(Priority.LOW, 1), false, List.of(place)));
+                List.of("low"),
+                VictimSelector.selectVictims(
+                        spec(Priority.HIGH, 1), false, List.of(preemptionCandidate)));
+        assertEquals(
+                List.of(),
+                VictimSelector.selectVictims(
+                        spec(Priority.LOW, 1), false, List.of(preemptionCandidate)));
     }
 
     @Test
@@ -62,7 +68,7 @@
         var borrowed = full(List.of(running("borrowed", Priority.HIGH, 5, true)));
         assertEquals(
                 List.of("borrowed"),
-                Preemption.victims(spec(Priority.LOW, 1), true, List.of(own, borrowed)));
+                VictimSelector.selectVictims(spec(Priority.LOW, 1), true, List.of(own, borrowed)));
     }
 
     @Test
@@ -75,12 +81,13 @@
                                 running("newer", Priority.LOW, 1, true)));
         assertEquals(
                 List.of("newer"),
-                Preemption.victims(spec(Priority.HIGH, 1), false, List.of(dear, cheap)));
+                VictimSelector.selectVictims(spec(Priority.HIGH, 1), false, List.of(dear, cheap)));
         assertEquals(
                 List.of("newer", "new"),
-                Preemption.victims(spec(Priority.HIGH, 2), false, List.of(dear, cheap)));
+                VictimSelector.selectVictims(spec(Priority.HIGH, 2), false, List.of(dear, cheap)));
         assertEquals(
-                List.of(), Preemption.victims(spec(Priority.HIGH, 3), false, List.of(dear, cheap)));
+                List.of(),
+                VictimSelector.selectVictims(spec(Priority.HIGH, 3), false, List.of(dear, cheap)));
     }
 
     @Test
@@ -102,9 +109,10 @@
     }
 
     private static List<String> stopped(
-            Priority priority, int tasks, List<Preemption.Place<String>> places) {
-        return Preemption.idleVictims(spec(priority, 1), tasks, true, places).stream()
-                .flatMap(gain -> gain.stopped().stream())
+            Priority priority, int tasks, List<VictimSelector.PreemptionCandidate<String>> places) {
+        return VictimSelector.selectBestEffortVictims(spec(priority, 1), tasks, true, places)
+                .stream()
+                .flatMap(freedSlot -> freedSlot.victims().stream())
                 .toList();
     }
 }
--- a/src/test/java/org/meadowhollow/story/World.java
+++ b/src/test/java/org/meadowhollow/story/World.java
@@ -30,8 +30,8 @@
 import org.meadowhollow.coordination.api.RiskTableDelta;
 import org.meadowhollow.coordination.api.RiskTableRequest;
 import org.meadowhollow.coordination.api.WorkerGateway;
-import org.meadowhollow.coordination.calendar.CalendarDesk;
 import org.meadowhollow.coordination.failover.StandbySettings;
+import org.meadowhollow.coordination.reservation.ReservationService;
 import org.meadowhollow.coordination.reservation.ReservationSettings;
 import org.meadowhollow.model.AttemptNumber;
 import org.meadowhollow.model.EventLoop;
@@ -55,7 +55,7 @@
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.Malformed;
 import org.meadowhollow.protocol.Wire;
-import org.meadowhollow.protocol.calendar.CalendarApi;
+import org.meadowhollow.protocol.reservation.ReservationApi;
 import org.meadowhollow.protocol.tes.TesApi;
 import org.meadowhollow.protocol.tes.TesTokens;
 import org.meadowhollow.protocol.users.SubmissionCodec;
@@ -148,7 +148,7 @@
         private ControllerNode controllerNode;
         private Admission admission;
         private TesApi tes;
-        private CalendarApi desk;
+        private ReservationApi desk;
 
         /** The zones whose workers it cannot hear or reach. */
         private final Set<String> cutZones = new HashSet<>();
@@ -226,8 +226,8 @@
                             traces,
                             new Random(nextSeed++));
             desk =
-                    new CalendarApi(
-                            new CalendarDesk(
+                    new ReservationApi(
+                            new ReservationService(
                                     mine,
                                     own,
                                     machineTypeCatalog,
