--- a/src/main/java/org/meadowhollow/cli/Controller.java
+++ b/src/main/java/org/meadowhollow/cli/Controller.java
@@ -12,12 +12,12 @@
 import java.util.random.RandomGenerator;
 import javax.net.ssl.SSLContext;
 import org.meadowhollow.coordination.ControllerNode;
-import org.meadowhollow.coordination.admission.Admission;
+import org.meadowhollow.coordination.admission.AdmissionService;
 import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.coordination.api.RiskTableDelta;
 import org.meadowhollow.coordination.api.RiskTableRequest;
 import org.meadowhollow.coordination.failover.StandbySettings;
-import org.meadowhollow.coordination.fleet.SilenceWatch;
+import org.meadowhollow.coordination.fleet.HeartbeatTimeoutMonitor;
 import org.meadowhollow.coordination.reservation.ReservationService;
 import org.meadowhollow.coordination.reservation.ReservationSettings;
 import org.meadowhollow.model.JobEventListeners;
@@ -156,8 +156,8 @@
         peers.listener(controllerNode::observeLeader);
         peers.served(() -> !state.seemsUnavailable());
         peers.hearing(controllerNode::isMissingHeartbeats, controllerNode::recentlyHeardMachines);
-        Admission admission =
-                new Admission(
+        AdmissionService admissionService =
+                new AdmissionService(
                         state,
                         loop,
                         machineTypeCatalog,
@@ -166,7 +166,7 @@
                         controllerNode::liveJobState);
         NodeApi api =
                 new NodeApi(
-                        new UserApi(admission),
+                        new UserApi(admissionService),
                         new WorkerApi(controllerNode::handleHeartbeat),
                         controllerNode::isReadyForUsers);
         front =
@@ -190,7 +190,7 @@
                                 idle(deploymentSettings),
                                 tesKeys,
                                 new TesApi(
-                                        admission,
+                                        admissionService,
                                         state,
                                         loop,
                                         deploymentSettings,
@@ -237,7 +237,7 @@
         int reserve =
                 OWN_SOCKETS
                         + HttpClient.MOST_OPEN * (2 + settings.peers().size())
-                        + SilenceWatch.MOST_HANGING;
+                        + HeartbeatTimeoutMonitor.MAX_PROBES_IN_FLIGHT;
         int least = (int) (settings.sockets() * LEAST_FOR_CALLERS);
         return settings.sockets() == 0 ? 0 : Math.max(least, settings.sockets() - reserve);
     }
--- a/src/main/java/org/meadowhollow/coordination/ControllerNode.java
+++ b/src/main/java/org/meadowhollow/coordination/ControllerNode.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.random.RandomGenerator;
-import org.meadowhollow.coordination.admission.Admission;
+import org.meadowhollow.coordination.admission.AdmissionService;
 import org.meadowhollow.coordination.api.CloudProvider;
 import org.meadowhollow.coordination.api.ControllerStatus;
 import org.meadowhollow.coordination.api.DeploymentSettings;
@@ -18,7 +18,7 @@
 import org.meadowhollow.coordination.failover.HandoverState;
 import org.meadowhollow.coordination.failover.StandbySettings;
 import org.meadowhollow.coordination.failover.WarmStandby;
-import org.meadowhollow.coordination.hearing.Earshot;
+import org.meadowhollow.coordination.heartbeat.HeartbeatTracker;
 import org.meadowhollow.coordination.leadership.Leadership;
 import org.meadowhollow.coordination.reservation.ReservationSettings;
 import org.meadowhollow.model.EventLoop;
@@ -94,7 +94,7 @@
     private final Leadership leadership;
     private final PeerGateway peerGateway;
     private final DeferredHeartbeats heartbeatsAwaitingLeader = new DeferredHeartbeats();
-    private final Earshot heartbeatTracker = new Earshot();
+    private final HeartbeatTracker heartbeatTracker = new HeartbeatTracker();
 
     /** Null unless this node keeps warm what a successor needs. */
     private final WarmStandby warmStandby;
@@ -378,7 +378,7 @@
     /** Whether this node leads and misses the reports of more workers than fail by themselves. */
     public boolean isMissingHeartbeats() {
         LeaderService now = leader();
-        return now != null && !now.hearsWell();
+        return now != null && !now.isReachabilityHealthy();
     }
 
     /**
@@ -421,7 +421,7 @@
 
     /** Those of some machines whose reports have come to this node within a time. */
     public Set<MachineId> recentlyHeardMachines(List<MachineId> machines, Duration within) {
-        return heartbeatTracker.among(machines, within, loop.now());
+        return heartbeatTracker.recentAmong(machines, within, loop.now());
     }
 
     private synchronized LeaderService leader() {
@@ -433,7 +433,7 @@
      * little.
      */
     public CompletableFuture<HeartbeatResponse> handleHeartbeat(Heartbeat heartbeat) {
-        heartbeatTracker.heard(heartbeat.machineId(), loop.now());
+        heartbeatTracker.recordHeartbeat(heartbeat.machineId(), loop.now());
         if (leadership.isIsolated()) {
             leadership.restoreWorkerContact();
         }
@@ -488,7 +488,7 @@
         leadership.observeToken(fencingToken, member);
     }
 
-    public Optional<Admission.JobState> liveJobState(JobId id) {
+    public Optional<AdmissionService.JobStatus> liveJobState(JobId id) {
         LeaderService now = leader();
         return now == null ? Optional.empty() : now.liveJobState(id);
     }
--- a/src/main/java/org/meadowhollow/coordination/HeartbeatReconciler.java
+++ b/src/main/java/org/meadowhollow/coordination/HeartbeatReconciler.java
@@ -69,7 +69,7 @@
                     .ifPresent(table -> clusterState.riskTables().put(machine.id(), table));
         }
         machine.recordHeartbeat(heartbeat);
-        if (!leaderService.isLoaded()) {
+        if (!leaderService.isStateRecovered()) {
             return true;
         }
         if (!Double.isNaN(heartbeat.preemptionNoticeSeconds())
@@ -96,7 +96,7 @@
                     // the next one will tell.
                     continue;
                 }
-                leaderService.lost(machine, placement, "the worker's lease ran out", now);
+                leaderService.markTaskLost(machine, placement, "the worker's lease ran out", now);
             } else if (placement.incarnation().isAfter(heartbeat.incarnation())) {
                 if (heartbeat.fencingToken().equals(fencingToken)
                         && heartbeat.sequenceNumber() > placement.startSentSequenceNumber()) {
@@ -104,7 +104,8 @@
                     // and sessions only grow: the
                     // machine has begun anew. Without this its task would be waited for, and its
                     // job with it, for ever.
-                    leaderService.lost(machine, placement, "its machine has begun anew", now);
+                    leaderService.markTaskLost(
+                            machine, placement, "its machine has begun anew", now);
                 }
                 // Otherwise it is a copy from before the placement: the same attempt of a gang may
                 // have ended here then.
--- a/src/main/java/org/meadowhollow/coordination/LeaderService.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderService.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.Collectors;
-import org.meadowhollow.coordination.admission.Admission;
+import org.meadowhollow.coordination.admission.AdmissionService;
 import org.meadowhollow.coordination.api.CloudProvider;
 import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.coordination.api.HeartbeatResponse;
@@ -26,12 +26,12 @@
 import org.meadowhollow.coordination.failover.Membership;
 import org.meadowhollow.coordination.failover.RiskTablePublisher;
 import org.meadowhollow.coordination.failover.RiskTableSnapshotStore;
+import org.meadowhollow.coordination.fleet.Autoscaler;
 import org.meadowhollow.coordination.fleet.FailureDetector;
-import org.meadowhollow.coordination.fleet.Fleet;
-import org.meadowhollow.coordination.fleet.GivingUp;
-import org.meadowhollow.coordination.fleet.SilenceWatch;
-import org.meadowhollow.coordination.fleet.TermHolder;
-import org.meadowhollow.coordination.hearing.Deafness;
+import org.meadowhollow.coordination.fleet.HeartbeatTimeoutMonitor;
+import org.meadowhollow.coordination.fleet.LeadershipContext;
+import org.meadowhollow.coordination.fleet.UnreachableMachineReturnPolicy;
+import org.meadowhollow.coordination.heartbeat.LeaderReachability;
 import org.meadowhollow.coordination.leadership.Leadership;
 import org.meadowhollow.coordination.metrics.FairnessMetrics;
 import org.meadowhollow.coordination.reservation.ReservationSettings;
@@ -77,7 +77,7 @@
  * One leadership: everything that the leader of one term knows and does. A new term begins with a
  * new object, so nothing that an old term believed can leak into it.
  */
-final class LeaderService implements RecordWriter.Listener, TermHolder {
+final class LeaderService implements RecordWriter.Listener, LeadershipContext {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderService.class);
 
     /** The design's round. */
@@ -157,7 +157,7 @@
     private final DeploymentSettings deploymentSettings;
     private final MachineTypeCatalog machineTypeCatalog;
     private final Leadership leadership;
-    private final Fleet autoscaler;
+    private final Autoscaler autoscaler;
     private final RecordWriter recordWriter;
     private final ImageCacheRecorder imageCacheRecorder;
     private final DeferredHeartbeats deferredHeartbeats = new DeferredHeartbeats();
@@ -173,10 +173,10 @@
     private final ServiceLevelObjectives objectives;
     private final PreemptionPlanner preemptionPlanner;
     private final StateRecovery stateRecovery;
-    private final SilenceWatch heartbeatTimeoutMonitor;
+    private final HeartbeatTimeoutMonitor heartbeatTimeoutMonitor;
     private final HeartbeatReconciler heartbeatReconciler;
     private final FailureDetector failureDetector;
-    private final GivingUp unreachableReturnPolicy;
+    private final UnreachableMachineReturnPolicy unreachableReturnPolicy;
     private final ReservationEnforcer reservationEnforcer;
     private final Revision leaderKeyRevision;
     private final HandoverState handoverState;
@@ -266,7 +266,8 @@
                         handoverState,
                         failoverTimeline);
         this.heartbeatTimeoutMonitor =
-                new SilenceWatch(this, clusterState, deploymentSettings, fencingToken, startedAt);
+                new HeartbeatTimeoutMonitor(
+                        this, clusterState, deploymentSettings, fencingToken, startedAt);
         this.heartbeatReconciler =
                 new HeartbeatReconciler(
                         this,
@@ -285,7 +286,8 @@
                         peerGateway,
                         leadership,
                         startedAt);
-        this.unreachableReturnPolicy = new GivingUp(failureDetector, deploymentSettings);
+        this.unreachableReturnPolicy =
+                new UnreachableMachineReturnPolicy(failureDetector, deploymentSettings);
         this.reservationEnforcer =
                 new ReservationEnforcer(
                         this,
@@ -297,7 +299,7 @@
                         loop,
                         reservationSettings);
         this.autoscaler =
-                new Fleet(
+                new Autoscaler(
                         this,
                         cloudProvider,
                         deploymentSettings,
@@ -416,7 +418,7 @@
                     respondToStaleHeartbeat(machine, heartbeat, now));
         }
         deferredHeartbeats.discardEarlier(heartbeat.machineId());
-        unreachableReturnPolicy.reported(machine, now);
+        unreachableReturnPolicy.onHeartbeat(machine, now);
         machine.recordAnsweredHeartbeat(now);
         List<WorkerCommand> orders = heartbeatReconciler.commandsFor(machine, heartbeat, now);
         recordWriter.flush();
@@ -542,7 +544,7 @@
         Machine machine = machines.get(heartbeat.machineId());
         if (machine == null) {
             MachineType type = machineTypeCatalog.typeNamed(heartbeat.machineType());
-            if (type == null || autoscaler.isGone(heartbeat.machineId())) {
+            if (type == null || autoscaler.isReturned(heartbeat.machineId())) {
                 return null;
             }
             machine =
@@ -633,7 +635,7 @@
     }
 
     @Override
-    public void lost(Machine machine, Placement placement, String why, MonotonicTime now) {
+    public void markTaskLost(Machine machine, Placement placement, String why, MonotonicTime now) {
         LOG.info(
                 "task {} attempt {} on {} is lost: {}",
                 placement.taskId(),
@@ -742,7 +744,7 @@
             return;
         }
         if (machine != null && machine.address() != null) {
-            send(
+            sendCommands(
                     machine,
                     placement.incarnation(),
                     List.of(
@@ -752,7 +754,7 @@
     }
 
     @Override
-    public void send(
+    public void sendCommands(
             Machine machine, WorkerIncarnation workerIncarnation, List<WorkerCommand> orders) {
         WorkerIncarnation knownSession = machine.incarnation();
         long knownSeq = machine.lastSequenceNumber();
@@ -798,7 +800,7 @@
      */
     private void applyWithoutLeaseRenewal(Machine machine, Heartbeat heartbeat, MonotonicTime now) {
         if (machine != null && heartbeatReconciler.applyHeartbeat(machine, heartbeat, now)) {
-            unreachableReturnPolicy.reported(machine, now);
+            unreachableReturnPolicy.onHeartbeat(machine, now);
             machine.recordContact(now);
             recordWriter.flush();
         }
@@ -832,8 +834,8 @@
             }
             MonotonicTime now = loop.now();
             leadership.renewIfDue();
-            failureDetector.round(now);
-            heartbeatTimeoutMonitor.round(now);
+            failureDetector.evaluate(now);
+            heartbeatTimeoutMonitor.checkAllMachines(now);
             if (maySchedule(now)) {
                 scheduleRound(now);
             }
@@ -856,8 +858,8 @@
                         loop.wallClockMillis());
             }
         }
-        failureDetector.act();
-        autoscaler.act();
+        failureDetector.queryPeersAndMaybeResign();
+        autoscaler.scaleOutAndIn();
     }
 
     /**
@@ -936,7 +938,7 @@
      */
     private boolean maySchedule(MonotonicTime now) {
         if (firstRoundAllowed) {
-            return mayAct() && reservationEnforcer.isReady();
+            return canActAsLeader() && reservationEnforcer.isReady();
         }
         Set<FailoverPreconditions.Precondition> failing =
                 FailoverPreconditions.findUnmet(
@@ -948,7 +950,8 @@
                                 stateRecovery.recoveredRevision(),
                                 !machineTypeCatalog.isEmpty(),
                                 reservationEnforcer.isReady(),
-                                failureDetector.hearing() != Deafness.Hearing.DEAF,
+                                failureDetector.reachability()
+                                        != LeaderReachability.Reachability.ISOLATED,
                                 heardMachineCount(),
                                 heartbeatsNeeded(now)));
         failoverTimeline.onPreconditionsUnmet(failing);
@@ -983,19 +986,20 @@
      * it comes too early or hits what is healthy.
      */
     @Override
-    public synchronized boolean mayAct() {
-        return leadership.canDecide() && failureDetector.hearing() != Deafness.Hearing.DEAF;
+    public synchronized boolean canActAsLeader() {
+        return leadership.canDecide()
+                && failureDetector.reachability() != LeaderReachability.Reachability.ISOLATED;
     }
 
     /** Whether what is silent is so for its own reasons, as far as can be told. */
     @Override
-    public synchronized boolean hearsWell() {
-        return failureDetector.hearing() == Deafness.Hearing.GOOD;
+    public synchronized boolean isReachabilityHealthy() {
+        return failureDetector.reachability() == LeaderReachability.Reachability.HEALTHY;
     }
 
     @Override
-    public synchronized boolean isSilent(Machine machine, MonotonicTime now) {
-        return failureDetector.isLate(machine, now);
+    public synchronized boolean isHeartbeatOverdue(Machine machine, MonotonicTime now) {
+        return failureDetector.isHeartbeatOverdue(machine, now);
     }
 
     /** Some workers' addresses, to see later whether this node hears them again. */
@@ -1031,7 +1035,7 @@
 
     /** Stops a task so that it can save what it did. */
     @Override
-    public void stopSaving(Placement placement, String why) {
+    public void stopWithCheckpoint(Placement placement, String why) {
         Job job = placement.job();
         if (job.spec().kind() == JobKind.GANG) {
             // An orderly stop saves only if all tasks hear of it together.
@@ -1061,7 +1065,7 @@
                         byIdle.get(false),
                         maxJobsPerRound());
         applyPlacements(outcome.decisions(), now);
-        List<Fleet.Need> likelyNeeds = new ArrayList<>();
+        List<Autoscaler.CapacityDemand> likelyNeeds = new ArrayList<>();
         Set<MachineId> reserved =
                 full ? reserveForPredictedJobs(schedulingSnapshot, likelyNeeds, now) : Set.of();
         // Idle work takes what neither others nor those that are likely to come need: it would soon
@@ -1086,7 +1090,7 @@
             return;
         }
         failoverTimeline.onFullRound(handoverState.inheritedTableCount(), now);
-        List<Fleet.Need> needs = new ArrayList<>();
+        List<Autoscaler.CapacityDemand> needs = new ArrayList<>();
         int preempting = 0;
         int makingRoom = 0;
         long idle = bestEffortTaskCount();
@@ -1105,14 +1109,16 @@
                                 job, pendingJob.tasksByZone(), count, now);
                 if (!victims.isEmpty()) {
                     victims.forEach(
-                            victim -> stopSaving(victim, "idle work gives way to " + job.id()));
+                            victim ->
+                                    stopWithCheckpoint(
+                                            victim, "idle work gives way to " + job.id()));
                     job.lastPreemptionAt(now);
                     idle -= victims.size();
                     makingRoom++;
                 }
             }
             needs.add(
-                    new Fleet.Need(
+                    new Autoscaler.CapacityDemand(
                             job.spec(),
                             count,
                             requiredZone(pendingJob),
@@ -1125,7 +1131,8 @@
                                 pendingJob.tasksByZone(),
                                 schedulingSnapshot.isWithinGuaranteedQuota(job.id()),
                                 now);
-                victims.forEach(victim -> stopSaving(victim, "room is needed for " + job.id()));
+                victims.forEach(
+                        victim -> stopWithCheckpoint(victim, "room is needed for " + job.id()));
                 if (!victims.isEmpty()) {
                     job.lastPreemptionAt(now);
                     preempting++;
@@ -1136,7 +1143,7 @@
         needs.addAll(likelyNeeds);
         reserved.addAll(clusterState.reservationView().reservedMachines());
         needs.addAll(reservationEnforcer.capacityDemand());
-        autoscaler.needs(needs, reserved);
+        autoscaler.capacityDemand(needs, reserved);
     }
 
     /** Notes what a round decided; the starts go out once their records are written. */
@@ -1190,7 +1197,7 @@
      * returned.
      */
     private Set<MachineId> reserveForPredictedJobs(
-            SchedulingSnapshot left, List<Fleet.Need> needs, MonotonicTime now) {
+            SchedulingSnapshot left, List<Autoscaler.CapacityDemand> needs, MonotonicTime now) {
         List<PlacementRound.PendingJob> likely = new ArrayList<>();
         for (JobSpec spec : arrivalForecast.predictedJobs(now)) {
             int[] tasks = new int[spec.taskCount()];
@@ -1205,7 +1212,9 @@
         for (PlacementRound.PendingJob job : likely) {
             Integer count = outcome.unplacedTasksByJob().get(job.spec().id());
             if (count != null) {
-                needs.add(new Fleet.Need(job.spec(), count, job.spec().requiredZone(), 0));
+                needs.add(
+                        new Autoscaler.CapacityDemand(
+                                job.spec(), count, job.spec().requiredZone(), 0));
             }
         }
         return reserved;
@@ -1252,17 +1261,17 @@
     // ---- for the fleet ----
 
     @Override
-    public synchronized List<Machine> machineList() {
+    public synchronized List<Machine> snapshotMachines() {
         return List.copyOf(machines.values());
     }
 
     @Override
-    public synchronized double readyS(JobSpec spec) {
+    public synchronized double startupDelaySeconds(JobSpec spec) {
         return objectives.startupDelaySeconds(spec);
     }
 
     @Override
-    public synchronized boolean isOut(String type, String zone) {
+    public synchronized boolean isInOutageWindow(String type, String zone) {
         return clusterState.reservationView().isInOutageWindow(type, zone);
     }
 
@@ -1272,7 +1281,7 @@
     }
 
     @Override
-    public synchronized boolean isLoaded() {
+    public synchronized boolean isStateRecovered() {
         return stateRecovery.isComplete();
     }
 
@@ -1280,10 +1289,10 @@
      * Takes in what the cloud lists: machines not yet heard of, their addresses, and failed ones.
      */
     @Override
-    public synchronized void listed(List<CloudProvider.ListedMachine> list) {
+    public synchronized void applyMachineList(List<CloudProvider.ListedMachine> list) {
         listed = true;
         MonotonicTime now = loop.now();
-        failureDetector.listed(now);
+        failureDetector.recordMachineList(now);
         for (CloudProvider.ListedMachine item : list) {
             Machine machine = machines.get(item.id());
             if (machine == null
@@ -1307,14 +1316,14 @@
                 }
             }
             if (item.phase() == CloudProvider.MachinePhase.FAILED) {
-                gone(item.id(), "the cloud lists its machine as failed", false);
+                markMachineGone(item.id(), "the cloud lists its machine as failed", false);
             }
         }
     }
 
     /** Takes a machine, and all that was on it, as gone. */
     @Override
-    public synchronized void gone(MachineId id, String why, boolean forget) {
+    public synchronized void markMachineGone(MachineId id, String why, boolean forget) {
         MonotonicTime now = loop.now();
         Machine machine = machines.get(id);
         List<Placement> placements =
@@ -1322,7 +1331,7 @@
                         ? List.copyOf(machine.placements())
                         : clusterState.placementsOnUnseenMachines().getOrDefault(id, List.of());
         for (Placement placement : List.copyOf(placements)) {
-            lost(machine, placement, why, now);
+            markTaskLost(machine, placement, why, now);
         }
         clusterState.placementsOnUnseenMachines().remove(id);
         if (machine != null) {
@@ -1367,7 +1376,7 @@
     }
 
     /** Counts of a live job for display; empty when it is not known here. */
-    public synchronized Optional<Admission.JobState> liveJobState(JobId id) {
+    public synchronized Optional<AdmissionService.JobStatus> liveJobState(JobId id) {
         Job job = jobs.get(id);
         if (job == null || !stateRecovery.isComplete()) {
             return Optional.empty();
@@ -1379,9 +1388,11 @@
             }
         }
         return Optional.of(
-                new Admission.JobState(
+                new AdmissionService.JobStatus(
                         id,
-                        running > 0 ? Admission.Phase.RUNNING : Admission.Phase.QUEUED,
+                        running > 0
+                                ? AdmissionService.Phase.RUNNING
+                                : AdmissionService.Phase.QUEUED,
                         job.completedTaskCount(),
                         running));
     }
--- a/src/main/java/org/meadowhollow/coordination/ReservationEnforcer.java
+++ b/src/main/java/org/meadowhollow/coordination/ReservationEnforcer.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.meadowhollow.coordination.api.DeploymentSettings;
-import org.meadowhollow.coordination.fleet.Fleet;
+import org.meadowhollow.coordination.fleet.Autoscaler;
 import org.meadowhollow.coordination.reservation.ReservableCapacity;
 import org.meadowhollow.coordination.reservation.ReservationCalendarReplica;
 import org.meadowhollow.coordination.reservation.ReservationPlan;
@@ -154,12 +154,12 @@
     }
 
     /** What to rent for slots that begin before long. */
-    List<Fleet.Need> capacityDemand() {
-        List<Fleet.Need> needs = new ArrayList<>();
+    List<Autoscaler.CapacityDemand> capacityDemand() {
+        List<Autoscaler.CapacityDemand> needs = new ArrayList<>();
         for (ReservationView.CapacityShortfall capacityShortfall :
                 clusterState.reservationView().shortfalls()) {
             needs.add(
-                    new Fleet.Need(
+                    new Autoscaler.CapacityDemand(
                             capacityShortfall.reservation().toPlaceholderJobSpec(),
                             capacityShortfall.tasks(),
                             capacityShortfall.zone(),
@@ -198,7 +198,7 @@
                     && now.elapsedSince(since).compareTo(MIN_WARNING) >= 0
                     && (plannedEviction.latestStopInSeconds() <= 0
                             || mayStopReplica(placement.job(), now))) {
-                leaderService.stopSaving(placement, plannedEviction.reason());
+                leaderService.stopWithCheckpoint(placement, plannedEviction.reason());
                 lastMoveByService.put(placement.job().id(), now);
             }
         }
--- a/src/main/java/org/meadowhollow/coordination/admission/Admission.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/AdmissionService.java
@@ -34,19 +34,19 @@
  * What users ask for, answered by any node straight from the state service, so that it goes on
  * while the leadership changes and no answer is older than another node's.
  */
-public final class Admission {
-    private static final Logger LOG = LoggerFactory.getLogger(Admission.class);
+public final class AdmissionService {
+    private static final Logger LOG = LoggerFactory.getLogger(AdmissionService.class);
 
     /** Users wait 5 s for an answer; by then a retry of ours must have ended. */
-    private static final Duration PATIENCE = Duration.ofMillis(3500);
+    private static final Duration RETRY_DEADLINE = Duration.ofMillis(3500);
 
-    private static final Duration RETRY = Duration.ofMillis(200);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(200);
 
     /** Final states kept in memory; they never change, so they need no second look. */
-    private static final int MOST_CACHED = 4000;
+    private static final int MAX_CACHED_FINAL_STATUSES = 4000;
 
     /** A job's state as users see it. */
-    public record JobState(JobId id, Phase phase, int done, int running) {}
+    public record JobStatus(JobId id, Phase phase, int done, int running) {}
 
     /** The phases that users see. */
     public enum Phase {
@@ -57,61 +57,61 @@
     }
 
     /** Counts of a live job, from whoever knows them. */
-    public interface Counts {
-        Optional<JobState> of(JobId id);
+    public interface LiveStatusSource {
+        Optional<JobStatus> statusOf(JobId id);
     }
 
     /** The request cannot be decided now. */
-    public static final class TryLater extends RuntimeException {
-        public TryLater(String why) {
+    public static final class TemporarilyUnavailableException extends RuntimeException {
+        public TemporarilyUnavailableException(String why) {
             super(why, null, false, false);
         }
     }
 
     /** The job can never run. */
-    public static final class NeverRuns extends RuntimeException {
-        public NeverRuns(String why) {
+    public static final class UnschedulableJobException extends RuntimeException {
+        public UnschedulableJobException(String why) {
             super(why, null, false, false);
         }
     }
 
     /** A submission's outcome: the job's state, and whether it is new. */
-    public record Accepted(JobState state, boolean isNew) {}
+    public record SubmissionResult(JobStatus status, boolean isNew) {}
 
-    private record Found(Map<String, Object> record, Revision version, boolean ended) {}
+    private record StoredJob(Map<String, Object> record, Revision revision, boolean ended) {}
 
     private final KeyValueStore store;
     private final EventLoop loop;
     private final MachineTypeCatalog machineTypeCatalog;
     private final DeploymentSettings deploymentSettings;
     private final JobEventListeners jobEventListeners;
-    private final Counts counts;
-    private final LiveJobs live;
-    private final Map<JobId, JobState> over =
+    private final LiveStatusSource liveStatusSource;
+    private final JobStatusCache statusCache;
+    private final Map<JobId, JobStatus> finalStatuses =
             new LinkedHashMap<>() {
                 @Override
-                protected boolean removeEldestEntry(Map.Entry<JobId, JobState> eldest) {
-                    return size() > MOST_CACHED;
+                protected boolean removeEldestEntry(Map.Entry<JobId, JobStatus> eldest) {
+                    return size() > MAX_CACHED_FINAL_STATUSES;
                 }
             };
 
-    public Admission(
+    public AdmissionService(
             KeyValueStore store,
             EventLoop loop,
             MachineTypeCatalog machineTypeCatalog,
             DeploymentSettings deploymentSettings,
             JobEventListeners jobEventListeners,
-            Counts counts) {
+            LiveStatusSource liveStatusSource) {
         this.jobEventListeners = jobEventListeners;
         this.store = store;
         this.loop = loop;
         this.machineTypeCatalog = machineTypeCatalog;
         this.deploymentSettings = deploymentSettings;
-        this.counts = counts;
-        this.live = new LiveJobs(store, loop);
+        this.liveStatusSource = liveStatusSource;
+        this.statusCache = new JobStatusCache(store, loop);
     }
 
-    public CompletableFuture<Accepted> submit(JobSpec spec) {
+    public CompletableFuture<SubmissionResult> submit(JobSpec spec) {
         return submit(spec, null, Map.of());
     }
 
@@ -121,49 +121,51 @@
      * @param secondaryRecord kept beside the job for as long as it lives, or null
      * @param records keys of this job alone, to write with it
      */
-    public CompletableFuture<Accepted> submit(
+    public CompletableFuture<SubmissionResult> submit(
             JobSpec spec,
             SecondaryRecord secondaryRecord,
             Map<String, Map<String, Object>> records) {
-        JobState known = cached(spec.id());
+        JobStatus known = cachedFinalStatus(spec.id());
         if (known != null) {
-            return CompletableFuture.completedFuture(new Accepted(known, false));
+            return CompletableFuture.completedFuture(new SubmissionResult(known, false));
         }
         if (machineTypeCatalog.isEmpty()) {
             return CompletableFuture.failedFuture(
-                    new TryLater("the machine types are not known yet"));
+                    new TemporarilyUnavailableException("the machine types are not known yet"));
         }
-        String never = whyNever(spec);
+        String never = unschedulableReason(spec);
         if (never != null) {
             // The job may have been accepted before, when the answer was another one.
-            return find(spec.id())
+            return readJob(spec.id())
                     .thenApply(
                             found -> {
                                 if (found.isPresent()) {
-                                    return new Accepted(state(spec.id(), found.get()), false);
+                                    return new SubmissionResult(
+                                            toStatus(spec.id(), found.get()), false);
                                 }
                                 LOG.info("refused {}: {}", spec.id(), never);
-                                throw new NeverRuns(never);
+                                throw new UnschedulableJobException(never);
                             });
         }
         if (store.seemsUnavailable()) {
-            return CompletableFuture.failedFuture(new TryLater("the state service is out"));
+            return CompletableFuture.failedFuture(
+                    new TemporarilyUnavailableException("the state service is out"));
         }
-        if (secondaryRecord == null && live.sight(spec.id()) != null) {
+        if (secondaryRecord == null && statusCache.cachedStatus(spec.id()) != null) {
             // Repeated while the job lives: a transaction that must fail would cost a change of the
             // state service's budget.
-            return poll(spec.id())
+            return getStatus(spec.id())
                     .thenCompose(
                             found ->
                                     found.isPresent()
                                             ? CompletableFuture.completedFuture(
-                                                    new Accepted(found.get(), false))
-                                            : accept(spec, null, Map.of()));
+                                                    new SubmissionResult(found.get(), false))
+                                            : writeNewJob(spec, null, Map.of()));
         }
-        return accept(spec, secondaryRecord, records);
+        return writeNewJob(spec, secondaryRecord, records);
     }
 
-    private CompletableFuture<Accepted> accept(
+    private CompletableFuture<SubmissionResult> writeNewJob(
             JobSpec spec,
             SecondaryRecord secondaryRecord,
             Map<String, Map<String, Object>> records) {
@@ -184,7 +186,7 @@
             accept.put(secondaryRecord.key(), secondaryRecord.encodeAccepted());
         }
         records.forEach(accept::put);
-        return commit(accept, loop.now())
+        return commitWithRetry(accept, loop.now())
                 .thenCompose(
                         commitResult -> {
                             if (commitResult.isApplied()) {
@@ -206,84 +208,96 @@
                                             .onTaskAccepted(task, now, loop.wallClockMillis());
                                 }
                                 return CompletableFuture.completedFuture(
-                                        new Accepted(
-                                                new JobState(spec.id(), Phase.QUEUED, 0, 0), true));
+                                        new SubmissionResult(
+                                                new JobStatus(spec.id(), Phase.QUEUED, 0, 0),
+                                                true));
                             }
-                            return find(spec.id())
+                            return readJob(spec.id())
                                     .thenApply(
                                             found ->
-                                                    new Accepted(
-                                                            state(
+                                                    new SubmissionResult(
+                                                            toStatus(
                                                                     spec.id(),
                                                                     found.orElseThrow(
                                                                             () ->
-                                                                                    new TryLater(
+                                                                                    new TemporarilyUnavailableException(
                                                                                             "the job's record moved"))),
                                                             false));
                         });
     }
 
     /** Empty when a read has confirmed that there is no such job. */
-    public CompletableFuture<Optional<JobState>> poll(JobId id) {
-        JobState known = cached(id);
+    public CompletableFuture<Optional<JobStatus>> getStatus(JobId id) {
+        JobStatus known = cachedFinalStatus(id);
         if (known != null) {
             return CompletableFuture.completedFuture(Optional.of(known));
         }
-        if (live.sight(id) == null) {
-            return find(id).thenApply(found -> found.map(record -> state(id, record)));
+        if (statusCache.cachedStatus(id) == null) {
+            return readJob(id).thenApply(found -> found.map(record -> toStatus(id, record)));
         }
-        return live.readBarrier()
+        return statusCache
+                .readBarrier()
                 .thenCompose(
                         now -> {
-                            LiveJobs.Sight sight = live.sight(id);
-                            return sight == LiveJobs.Sight.LIVE || sight == LiveJobs.Sight.CANCELLED
+                            JobStatusCache.CachedStatus cachedStatus = statusCache.cachedStatus(id);
+                            return cachedStatus == JobStatusCache.CachedStatus.LIVE
+                                            || cachedStatus == JobStatusCache.CachedStatus.CANCELLED
                                     ? CompletableFuture.completedFuture(
                                             Optional.of(
-                                                    alive(id, sight == LiveJobs.Sight.CANCELLED)))
-                                    : (sight == LiveJobs.Sight.MOVED ? findEnded(id) : find(id))
+                                                    liveStatus(
+                                                            id,
+                                                            cachedStatus
+                                                                    == JobStatusCache.CachedStatus
+                                                                            .CANCELLED)))
+                                    : (cachedStatus == JobStatusCache.CachedStatus.FINISHED
+                                                    ? readFinishedJob(id)
+                                                    : readJob(id))
                                             .thenApply(
                                                     found ->
-                                                            found.map(record -> state(id, record)));
+                                                            found.map(
+                                                                    record ->
+                                                                            toStatus(id, record)));
                         });
     }
 
     /** Empty when there is no such job. */
-    public CompletableFuture<Optional<JobState>> cancel(JobId id) {
-        JobState known = cached(id);
+    public CompletableFuture<Optional<JobStatus>> cancel(JobId id) {
+        JobStatus known = cachedFinalStatus(id);
         if (known != null) {
             return CompletableFuture.completedFuture(Optional.of(known));
         }
         return cancel(id, loop.now());
     }
 
-    private CompletableFuture<Optional<JobState>> cancel(JobId id, MonotonicTime begun) {
-        return find(id).thenCompose(
+    private CompletableFuture<Optional<JobStatus>> cancel(JobId id, MonotonicTime begun) {
+        return readJob(id)
+                .thenCompose(
                         found -> {
                             if (found.isEmpty()
                                     || found.get().ended()
                                     || RecordCodec.isCancelled(found.get().record())) {
                                 return CompletableFuture.completedFuture(
-                                        found.map(record -> state(id, record)));
+                                        found.map(record -> toStatus(id, record)));
                             }
                             Transaction cancel =
                                     new Transaction()
                                             .requireRevision(
-                                                    RecordCodec.job(id), found.get().version())
+                                                    RecordCodec.job(id), found.get().revision())
                                             .put(
                                                     RecordCodec.job(id),
                                                     RecordCodec.withCancellation(
                                                             found.get().record()));
-                            return withCompanion(cancel, found.get().record())
-                                    .thenCompose(whole -> commit(whole, begun))
+                            return withSecondaryRecord(cancel, found.get().record())
+                                    .thenCompose(whole -> commitWithRetry(whole, begun))
                                     .thenCompose(
                                             commitResult -> {
                                                 if (!commitResult.isApplied()) {
                                                     if (loop.now()
                                                                     .elapsedSince(begun)
-                                                                    .compareTo(PATIENCE)
+                                                                    .compareTo(RETRY_DEADLINE)
                                                             > 0) {
                                                         return CompletableFuture.failedFuture(
-                                                                new TryLater(
+                                                                new TemporarilyUnavailableException(
                                                                         "the job's record keeps changing"));
                                                     }
                                                     return cancel(id, begun);
@@ -299,7 +313,7 @@
                                                                         found.get().record()));
                                                 return CompletableFuture.completedFuture(
                                                         Optional.of(
-                                                                new JobState(
+                                                                new JobStatus(
                                                                         id,
                                                                         Phase.CANCELLED,
                                                                         0,
@@ -312,7 +326,7 @@
      * Notes the cancellation beside the job as well, so that nobody is told an older state
      * afterwards.
      */
-    private CompletableFuture<Transaction> withCompanion(
+    private CompletableFuture<Transaction> withSecondaryRecord(
             Transaction cancel, Map<String, Object> jobRecord) {
         String key = RecordCodec.secondaryRecordKey(jobRecord);
         if (key == null) {
@@ -337,7 +351,7 @@
     /**
      * A transaction that may have been applied unanswered is guarded, so it can be sent once more.
      */
-    private CompletableFuture<KeyValueStore.CommitResult> commit(
+    private CompletableFuture<KeyValueStore.CommitResult> commitWithRetry(
             Transaction transaction, MonotonicTime begun) {
         return store.commit(transaction, RequestPriority.USER)
                 .handle(
@@ -349,16 +363,18 @@
                                     || store.seemsUnavailable()
                                             && KeyValueStoreException.outcomeOf(failure)
                                                     == Outcome.REJECTED
-                                    || loop.now().elapsedSince(begun).compareTo(PATIENCE) > 0) {
+                                    || loop.now().elapsedSince(begun).compareTo(RETRY_DEADLINE)
+                                            > 0) {
                                 return CompletableFuture.<KeyValueStore.CommitResult>failedFuture(
-                                        new TryLater("the state service gave no answer"));
+                                        new TemporarilyUnavailableException(
+                                                "the state service gave no answer"));
                             }
                             CompletableFuture<KeyValueStore.CommitResult> again =
                                     new CompletableFuture<>();
                             loop.schedule(
-                                    RETRY,
+                                    RETRY_DELAY,
                                     () ->
-                                            commit(transaction, begun)
+                                            commitWithRetry(transaction, begun)
                                                     .whenComplete(
                                                             (later, lost) -> {
                                                                 if (lost == null) {
@@ -377,68 +393,72 @@
      * A job moves only from its live record to its final one, so this order of reads misses
      * nothing.
      */
-    private CompletableFuture<Optional<Found>> find(JobId id) {
-        LiveJobs.Mark sent = live.mark();
+    private CompletableFuture<Optional<StoredJob>> readJob(JobId id) {
+        JobStatusCache.CacheVersion sent = statusCache.beginRead();
         return store.get(RecordCodec.job(id), RequestPriority.USER)
                 .thenCompose(
                         found -> {
                             if (found.isPresent()) {
                                 KeyValueStore.Entry entry = found.get();
-                                live.read(
+                                statusCache.recordRead(
                                         id,
                                         entry.revision(),
                                         RecordCodec.isCancelled(entry.value()),
                                         sent);
                                 return CompletableFuture.completedFuture(
                                         Optional.of(
-                                                new Found(entry.value(), entry.revision(), false)));
+                                                new StoredJob(
+                                                        entry.value(), entry.revision(), false)));
                             }
-                            return findEnded(id);
+                            return readFinishedJob(id);
                         });
     }
 
-    private CompletableFuture<Optional<Found>> findEnded(JobId id) {
+    private CompletableFuture<Optional<StoredJob>> readFinishedJob(JobId id) {
         return store.get(RecordCodec.ended(id), RequestPriority.USER)
                 .thenApply(
                         ended ->
                                 ended.map(
-                                        entry -> new Found(entry.value(), entry.revision(), true)));
+                                        entry ->
+                                                new StoredJob(
+                                                        entry.value(), entry.revision(), true)));
     }
 
-    private JobState state(JobId id, Found found) {
-        boolean cancelled = RecordCodec.isCancelled(found.record());
-        if (found.ended()) {
-            JobState state =
-                    new JobState(
+    private JobStatus toStatus(JobId id, StoredJob storedJob) {
+        boolean cancelled = RecordCodec.isCancelled(storedJob.record());
+        if (storedJob.ended()) {
+            JobStatus state =
+                    new JobStatus(
                             id,
                             cancelled ? Phase.CANCELLED : Phase.DONE,
-                            RecordCodec.completedTaskCountOf(found.record()),
+                            RecordCodec.completedTaskCountOf(storedJob.record()),
                             0);
-            synchronized (over) {
-                over.put(id, state);
+            synchronized (finalStatuses) {
+                finalStatuses.put(id, state);
             }
             return state;
         }
-        return alive(id, cancelled);
+        return liveStatus(id, cancelled);
     }
 
-    private JobState alive(JobId id, boolean cancelled) {
+    private JobStatus liveStatus(JobId id, boolean cancelled) {
         if (cancelled) {
-            return new JobState(id, Phase.CANCELLED, 0, 0);
+            return new JobStatus(id, Phase.CANCELLED, 0, 0);
         }
         // Only the record says whether the job is over; the counts beside it are for display.
-        return counts.of(id)
+        return liveStatusSource
+                .statusOf(id)
                 .filter(state -> state.phase() != Phase.DONE && state.phase() != Phase.CANCELLED)
-                .orElse(new JobState(id, Phase.QUEUED, 0, 0));
+                .orElse(new JobStatus(id, Phase.QUEUED, 0, 0));
     }
 
-    private JobState cached(JobId id) {
-        synchronized (over) {
-            return over.get(id);
+    private JobStatus cachedFinalStatus(JobId id) {
+        synchronized (finalStatuses) {
+            return finalStatuses.get(id);
         }
     }
 
-    private String whyNever(JobSpec spec) {
+    private String unschedulableReason(JobSpec spec) {
         DeploymentSettings.TeamQuota teamQuota = deploymentSettings.teamQuotas().get(spec.team());
         if (teamQuota == null) {
             return "there is no team " + spec.team();
--- a/src/main/java/org/meadowhollow/coordination/fleet/Fleet.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/Autoscaler.java
@@ -28,98 +28,98 @@
 import org.slf4j.LoggerFactory;
 
 /** Rents machines for the work that waits, and returns those that are idle, faulty or silent. */
-public final class Fleet {
-    private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
+public final class Autoscaler {
+    private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
 
     /** The cloud's limit of machines in one request. */
-    private static final int MOST_RENTED = 50;
+    private static final int MAX_MACHINES_PER_RENT_REQUEST = 50;
 
-    private static final int MOST_RELEASED = 100;
+    private static final int MAX_MACHINES_PER_RETURN_REQUEST = 100;
 
     /** Messages can arrive minutes late. */
-    private static final Duration FORGET_RETURNED = Duration.ofMinutes(30);
+    private static final Duration RETURNED_MACHINE_RETENTION = Duration.ofMinutes(30);
 
-    private static final boolean[] ORDINARY = {false};
-    private static final boolean[] SPOT_FIRST = {true, false};
+    private static final boolean[] ON_DEMAND_ONLY = {false};
+    private static final boolean[] SPOT_THEN_ON_DEMAND = {true, false};
 
     /** Makes any difference in price count for more than a zone with fewer machines. */
-    private static final double ZONE_WEIGHT = 1000;
+    private static final double COST_WEIGHT_OVER_ZONE_SPREAD = 1000;
 
     /**
      * After a refusal the same kind is left alone for this long at first, and for twice that each
      * time.
      */
-    private static final Duration FIRST_PAUSE = Duration.ofSeconds(4);
+    private static final Duration INITIAL_BACKOFF = Duration.ofSeconds(4);
 
-    private static final Duration LONGEST_PAUSE = Duration.ofSeconds(30);
+    private static final Duration MAX_BACKOFF = Duration.ofSeconds(30);
 
     /**
      * An idle machine is kept for this long at least, also before any job has shown what its image
      * costs to fetch: a machine costs a minute in any case, and its return takes some seconds, with
      * a round and calls that fail.
      */
-    private static final double LEAST_KEPT_S = 50;
+    private static final double MIN_IDLE_RETENTION_SECONDS = 50;
 
     /**
      * A machine that costs this much more for a task than the cheapest kind is rented only for what
      * would be late.
      */
-    private static final double DEAR = 2;
+    private static final double EXPENSIVE_COST_RATIO = 2;
 
     /**
      * Waiting tasks of a job that found no machine.
      *
-     * @param zone the only one that will do, or null
-     * @param agedS how long ago the job was submitted
+     * @param requiredZone the only one that will do, or null
+     * @param ageSeconds how long ago the job was submitted
      */
-    public record Need(JobSpec spec, int tasks, String zone, double agedS) {}
+    public record CapacityDemand(JobSpec spec, int tasks, String requiredZone, double ageSeconds) {}
 
-    private record Source(String type, String zone, boolean spot) {}
+    private record CapacityPool(String type, String zone, boolean spot) {}
 
-    private static final class Pause {
+    private static final class Backoff {
         private MonotonicTime until;
-        private Duration length = FIRST_PAUSE;
+        private Duration duration = INITIAL_BACKOFF;
     }
 
-    private final TermHolder leader;
+    private final LeadershipContext leader;
     private final CloudProvider cloudProvider;
     private final DeploymentSettings deploymentSettings;
     private final MachineTypeCatalog machineTypeCatalog;
     private final EventLoop loop;
     private final FencingToken fencingToken;
-    private final GivingUp givingUp;
-    private final Awaited awaited = new Awaited();
-    private final Map<Source, Pause> pauses = new HashMap<>();
+    private final UnreachableMachineReturnPolicy returnPolicy;
+    private final PendingRentals pendingRentals = new PendingRentals();
+    private final Map<CapacityPool, Backoff> backoffs = new HashMap<>();
 
     /** Returned machines, for as long as a late list or report may still name them. */
-    private final Map<MachineId, MonotonicTime> released = new LinkedHashMap<>();
+    private final Map<MachineId, MonotonicTime> returnedAt = new LinkedHashMap<>();
 
-    private List<Need> needs = List.of();
-    private Set<MachineId> reserved = Set.of();
-    private int counter;
-    private int renting;
-    private boolean releasing;
+    private List<CapacityDemand> capacityDemand = List.of();
+    private Set<MachineId> retainedMachines = Set.of();
+    private int rentRequestCounter;
+    private int rentRequestsInFlight;
+    private boolean returnInFlight;
     private boolean closed;
 
-    public Fleet(
-            TermHolder leader,
+    public Autoscaler(
+            LeadershipContext leader,
             CloudProvider cloudProvider,
             DeploymentSettings deploymentSettings,
             MachineTypeCatalog machineTypeCatalog,
             EventLoop loop,
             FencingToken fencingToken,
-            GivingUp givingUp) {
+            UnreachableMachineReturnPolicy unreachableMachineReturnPolicy) {
         this.leader = leader;
         this.cloudProvider = cloudProvider;
         this.deploymentSettings = deploymentSettings;
         this.machineTypeCatalog = machineTypeCatalog;
         this.loop = loop;
         this.fencingToken = fencingToken;
-        this.givingUp = givingUp;
+        this.returnPolicy = unreachableMachineReturnPolicy;
     }
 
     public void start() {
-        list();
+        pollMachineList();
     }
 
     public synchronized void close() {
@@ -130,17 +130,17 @@
      * Takes in what a round found: what to rent for, and the machines to keep for what is likely to
      * come.
      */
-    public synchronized void needs(List<Need> now, Set<MachineId> keep) {
-        needs = now;
-        reserved = keep;
+    public synchronized void capacityDemand(List<CapacityDemand> now, Set<MachineId> keep) {
+        capacityDemand = now;
+        retainedMachines = keep;
     }
 
     /** Whether a machine was returned for certain, so that a late report of it means nothing. */
-    public synchronized boolean isGone(MachineId id) {
-        return released.containsKey(id);
+    public synchronized boolean isReturned(MachineId id) {
+        return returnedAt.containsKey(id);
     }
 
-    private void list() {
+    private void pollMachineList() {
         if (leader.isClosed()) {
             return;
         }
@@ -151,17 +151,17 @@
                 .whenComplete(
                         (list, failure) -> {
                             if (failure == null) {
-                                listed(list);
+                                processMachineList(list);
                             }
-                            loop.schedule(next, this::list);
+                            loop.schedule(next, this::pollMachineList);
                         });
     }
 
-    private void listed(List<CloudProvider.ListedMachine> list) {
+    private void processMachineList(List<CloudProvider.ListedMachine> list) {
         List<CloudProvider.ListedMachine> live = new ArrayList<>();
         synchronized (this) {
             for (CloudProvider.ListedMachine item : list) {
-                if (released.containsKey(item.id())) {
+                if (returnedAt.containsKey(item.id())) {
                     continue;
                 }
                 live.add(item);
@@ -170,7 +170,7 @@
                     continue;
                 }
                 if (item.phase() == CloudProvider.MachinePhase.BOOTING) {
-                    awaited.listed(
+                    pendingRentals.recordListedAsBooting(
                             item.id(),
                             type,
                             item.zone(),
@@ -178,22 +178,22 @@
                             new MonotonicTime(
                                     loop.now().nanos() - (long) (item.ageSeconds() * 1e9)));
                 } else if (item.phase() == CloudProvider.MachinePhase.FAILED) {
-                    awaited.forget(item.id());
+                    pendingRentals.forget(item.id());
                 }
             }
         }
-        leader.listed(live);
-        returnFailed(live);
+        leader.applyMachineList(live);
+        returnFailedMachines(live);
     }
 
-    private void returnFailed(List<CloudProvider.ListedMachine> list) {
+    private void returnFailedMachines(List<CloudProvider.ListedMachine> list) {
         List<MachineId> failed = new ArrayList<>();
         for (CloudProvider.ListedMachine item : list) {
             if (item.phase() == CloudProvider.MachinePhase.FAILED) {
                 failed.add(item.id());
             }
         }
-        release(failed, "failed", returned -> {});
+        returnMachines(failed, "failed", returned -> {});
     }
 
     /**
@@ -202,40 +202,42 @@
      * knows. Nor while hardly any machine is heard: all of them seem useless then, and all that
      * waits seems to need others.
      */
-    public void act() {
-        List<Machine> machines = leader.machineList();
-        if (!leader.isLoaded() || machineTypeCatalog.isEmpty() || !leader.mayAct()) {
+    public void scaleOutAndIn() {
+        List<Machine> machines = leader.snapshotMachines();
+        if (!leader.isStateRecovered()
+                || machineTypeCatalog.isEmpty()
+                || !leader.canActAsLeader()) {
             return;
         }
         MonotonicTime now = loop.now();
         List<MachineId> unwanted = new ArrayList<>();
-        Map<Source, Integer> wanted;
+        Map<CapacityPool, Integer> wanted;
         synchronized (this) {
             if (closed) {
                 return;
             }
             for (Machine machine : machines) {
                 if (machine.lastContactAt() != null) {
-                    awaited.cameUp(machine.id(), machine.lastContactAt());
+                    pendingRentals.recordBooted(machine.id(), machine.lastContactAt());
                 }
             }
-            if (leader.hearsWell()) {
-                unwanted.addAll(awaited.givenUp(now));
+            if (leader.isReachabilityHealthy()) {
+                unwanted.addAll(pendingRentals.abandonedRentals(now));
             }
-            wanted = renting > 0 ? Map.of() : wanted(machines, now);
+            wanted = rentRequestsInFlight > 0 ? Map.of() : planScaleOut(machines, now);
         }
-        List<MachineId> silent = givingUp.choose(machines, now);
+        List<MachineId> silent = returnPolicy.selectForReturn(machines, now);
         for (Machine machine : machines) {
-            if (unwanted(machine, now)) {
+            if (shouldReturn(machine, now)) {
                 unwanted.add(machine.id());
             }
         }
-        wanted.forEach(this::rent);
-        release(silent, "silent", returned -> givingUp.returned(returned, loop.now()));
-        release(unwanted, "idle or faulty", returned -> {});
+        wanted.forEach(this::rentMachines);
+        returnMachines(silent, "silent", returned -> returnPolicy.returned(returned, loop.now()));
+        returnMachines(unwanted, "idle or faulty", returned -> {});
     }
 
-    private boolean unwanted(Machine machine, MonotonicTime now) {
+    private boolean shouldReturn(Machine machine, MonotonicTime now) {
         if (machine.releasing()) {
             return false;
         }
@@ -263,8 +265,9 @@
             return false;
         }
         return machine.isUnschedulable()
-                || !reserved.contains(machine.id())
-                        && now.secondsSince(machine.idleSince()) > keepS(machine.type());
+                || !retainedMachines.contains(machine.id())
+                        && now.secondsSince(machine.idleSince())
+                                > idleRetentionSeconds(machine.type());
     }
 
     /**
@@ -272,9 +275,9 @@
      * its image fetched. Who keeps for the time that it costs to come back never pays more than
      * double.
      */
-    private double keepS(MachineType type) {
+    private double idleRetentionSeconds(MachineType type) {
         return Math.max(
-                LEAST_KEPT_S,
+                MIN_IDLE_RETENTION_SECONDS,
                 type.bootSeconds() + leader.largestImageGb() / type.imagePullGbPerSecond());
     }
 
@@ -282,36 +285,37 @@
      * What to rent: the needs that neither the machines that are booting nor each other's new ones
      * take.
      */
-    private Map<Source, Integer> wanted(List<Machine> machines, MonotonicTime now) {
-        record Bin(Source source, Resources[] free, double readyInS) {}
+    private Map<CapacityPool, Integer> planScaleOut(List<Machine> machines, MonotonicTime now) {
+        record Bin(CapacityPool source, Resources[] free, double readyInS) {}
         List<Bin> bins = new ArrayList<>();
-        awaited.counted(now)
+        pendingRentals
+                .expectedRentals(now)
                 .forEach(
                         rental ->
                                 bins.add(
                                         new Bin(
-                                                new Source(
+                                                new CapacityPool(
                                                         rental.type().name(),
                                                         rental.zone(),
                                                         rental.spot()),
                                                 new Resources[] {rental.type().capacity()},
-                                                rental.readyInS(now))));
+                                                rental.secondsUntilReady(now))));
         ReleaseForecast releaseForecast = new ReleaseForecast(machines, now);
         Map<String, Integer> perZone = new HashMap<>();
         for (Machine machine : machines) {
             perZone.merge(machine.zone(), 1, Integer::sum);
         }
-        Map<Source, Integer> wanted = new LinkedHashMap<>();
-        for (Need need : needs) {
-            JobSpec spec = need.spec();
+        Map<CapacityPool, Integer> wanted = new LinkedHashMap<>();
+        for (CapacityDemand capacityDemand : capacityDemand) {
+            JobSpec spec = capacityDemand.spec();
             Map<String, Integer> inZone = new HashMap<>();
-            String only = need.zone();
-            int left = need.tasks();
+            String only = capacityDemand.requiredZone();
+            int left = capacityDemand.tasks();
             boolean mayFollow = spec.kind() == JobKind.ARRAY;
             while (left > 0) {
                 Bin found = null;
                 for (Bin bin : bins) {
-                    if (fits(spec, bin.source(), only)
+                    if (canHost(spec, bin.source(), only)
                             && spec.resourcesPerTask().fitsIn(bin.free()[0])
                             && inZone.getOrDefault(bin.source().zone(), 0)
                                     < spec.maxTasksPerZone()) {
@@ -320,22 +324,29 @@
                     }
                 }
                 if (found == null) {
-                    Source source = source(spec, only, inZone, perZone, now);
-                    if (mayFollow && (source == null || isDear(spec, source))) {
+                    CapacityPool capacityPool = findCheapestPool(spec, only, inZone, perZone, now);
+                    if (mayFollow && (capacityPool == null || isExpensive(spec, capacityPool))) {
                         mayFollow = false;
                         left -=
                                 releaseForecast.claimReleases(
-                                        spec, left, need.agedS(), leader.readyS(spec));
+                                        spec,
+                                        left,
+                                        capacityDemand.ageSeconds(),
+                                        leader.startupDelaySeconds(spec));
                         continue;
                     }
-                    if (source == null) {
+                    if (capacityPool == null) {
                         break;
                     }
-                    MachineType type = machineTypeCatalog.typeNamed(source.type());
-                    found = new Bin(source, new Resources[] {type.capacity()}, type.bootSeconds());
+                    MachineType type = machineTypeCatalog.typeNamed(capacityPool.type());
+                    found =
+                            new Bin(
+                                    capacityPool,
+                                    new Resources[] {type.capacity()},
+                                    type.bootSeconds());
                     bins.add(found);
-                    wanted.merge(source, 1, Integer::sum);
-                    perZone.merge(source.zone(), 1, Integer::sum);
+                    wanted.merge(capacityPool, 1, Integer::sum);
+                    perZone.merge(capacityPool.zone(), 1, Integer::sum);
                 }
                 found.free()[0] = found.free()[0].minus(spec.resourcesPerTask());
                 inZone.merge(found.source().zone(), 1, Integer::sum);
@@ -357,59 +368,64 @@
         return wanted;
     }
 
-    private boolean isDear(JobSpec spec, Source source) {
+    private boolean isExpensive(JobSpec spec, CapacityPool capacityPool) {
         double cheapest = Double.MAX_VALUE;
         for (MachineType type : machineTypeCatalog.types()) {
             if (spec.allowsMachineType(type.name())
                     && spec.resourcesPerTask().fitsIn(type.capacity())) {
-                cheapest = Math.min(cheapest, costOf(spec, type, spec.allowsSpot()));
+                cheapest = Math.min(cheapest, hourlyCostPerTask(spec, type, spec.allowsSpot()));
             }
         }
-        return costOf(spec, machineTypeCatalog.typeNamed(source.type()), source.spot())
-                > cheapest * DEAR;
+        return hourlyCostPerTask(
+                        spec,
+                        machineTypeCatalog.typeNamed(capacityPool.type()),
+                        capacityPool.spot())
+                > cheapest * EXPENSIVE_COST_RATIO;
     }
 
     /** The hourly cost of a task on a machine that it shares with others of its kind. */
-    private static double costOf(JobSpec spec, MachineType type, boolean spot) {
+    private static double hourlyCostPerTask(JobSpec spec, MachineType type, boolean spot) {
         int each =
                 spec.kind() == JobKind.GANG
                         ? 1
-                        : spec.resourcesPerTask().maxCopiesIn(type.capacity(), MOST_RENTED);
+                        : spec.resourcesPerTask()
+                                .maxCopiesIn(type.capacity(), MAX_MACHINES_PER_RENT_REQUEST);
         return (spot ? type.hourlySpotPrice() : type.hourlyPrice()) / Math.max(1, each);
     }
 
-    private boolean fits(JobSpec spec, Source source, String zone) {
-        return spec.allowsMachineType(source.type())
-                && (!source.spot() || spec.allowsSpot())
-                && (zone == null || zone.equals(source.zone()))
+    private boolean canHost(JobSpec spec, CapacityPool capacityPool, String zone) {
+        return spec.allowsMachineType(capacityPool.type())
+                && (!capacityPool.spot() || spec.allowsSpot())
+                && (zone == null || zone.equals(capacityPool.zone()))
                 && spec.resourcesPerTask()
-                        .fitsIn(machineTypeCatalog.typeNamed(source.type()).capacity());
+                        .fitsIn(machineTypeCatalog.typeNamed(capacityPool.type()).capacity());
     }
 
     /** The cheapest place to rent for a task; among equals, the zone with the fewest machines. */
-    private Source source(
+    private CapacityPool findCheapestPool(
             JobSpec spec,
             String only,
             Map<String, Integer> inZone,
             Map<String, Integer> perZone,
             MonotonicTime now) {
-        Source best = null;
+        CapacityPool best = null;
         double bestCost = 0;
         for (MachineType type : machineTypeCatalog.types()) {
             for (String zone : type.zones()) {
-                for (boolean spot : spec.allowsSpot() ? SPOT_FIRST : ORDINARY) {
-                    Source source = new Source(type.name(), zone, spot);
-                    Pause pause = pauses.get(source);
-                    if (!fits(spec, source, only)
-                            || leader.isOut(type.name(), zone)
-                            || pause != null && now.isBefore(pause.until)
+                for (boolean spot : spec.allowsSpot() ? SPOT_THEN_ON_DEMAND : ON_DEMAND_ONLY) {
+                    CapacityPool capacityPool = new CapacityPool(type.name(), zone, spot);
+                    Backoff backoff = backoffs.get(capacityPool);
+                    if (!canHost(spec, capacityPool, only)
+                            || leader.isInOutageWindow(type.name(), zone)
+                            || backoff != null && now.isBefore(backoff.until)
                             || inZone.getOrDefault(zone, 0) >= spec.maxTasksPerZone()) {
                         continue;
                     }
                     double cost =
-                            costOf(spec, type, spot) * ZONE_WEIGHT + perZone.getOrDefault(zone, 0);
+                            hourlyCostPerTask(spec, type, spot) * COST_WEIGHT_OVER_ZONE_SPREAD
+                                    + perZone.getOrDefault(zone, 0);
                     if (best == null || cost < bestCost) {
-                        best = source;
+                        best = capacityPool;
                         bestCost = cost;
                     }
                 }
@@ -418,44 +434,50 @@
         return best;
     }
 
-    private void rent(Source source, int count) {
+    private void rentMachines(CapacityPool capacityPool, int count) {
         String request;
         synchronized (this) {
             // Term and counter together are never used again, by this node or any other.
-            request = "r-" + fencingToken + '-' + (++counter);
-            renting++;
+            request = "r-" + fencingToken + '-' + (++rentRequestCounter);
+            rentRequestsInFlight++;
         }
         MonotonicTime sentAt = loop.now();
-        int most = Math.min(MOST_RENTED, count);
+        int most = Math.min(MAX_MACHINES_PER_RENT_REQUEST, count);
         LOG.info(
                 "renting {} {} {} in {} as {}",
                 most,
-                source.spot() ? "spot" : "ordinary",
-                source.type(),
-                source.zone(),
+                capacityPool.spot() ? "spot" : "ordinary",
+                capacityPool.type(),
+                capacityPool.zone(),
                 request);
         cloudProvider
-                .rentMachines(request, source.type(), source.zone(), source.spot(), most)
+                .rentMachines(
+                        request,
+                        capacityPool.type(),
+                        capacityPool.zone(),
+                        capacityPool.spot(),
+                        most)
                 .whenComplete(
                         (rented, failure) -> {
                             synchronized (this) {
-                                renting--;
+                                rentRequestsInFlight--;
                                 if (failure != null
                                         || rented.isEmpty()
                                         || rented.get().size() < most) {
-                                    pause(
-                                            source,
+                                    backOff(
+                                            capacityPool,
                                             failure != null ? failure.getMessage() : "no capacity");
                                 } else {
-                                    pauses.remove(source);
+                                    backoffs.remove(capacityPool);
                                 }
                                 if (failure == null && rented.isPresent()) {
-                                    MachineType type = machineTypeCatalog.typeNamed(source.type());
-                                    awaited.rented(
+                                    MachineType type =
+                                            machineTypeCatalog.typeNamed(capacityPool.type());
+                                    pendingRentals.recordRented(
                                             rented.get(),
                                             type,
-                                            source.zone(),
-                                            source.spot(),
+                                            capacityPool.zone(),
+                                            capacityPool.spot(),
                                             sentAt,
                                             loop.now());
                                 }
@@ -463,32 +485,36 @@
                         });
     }
 
-    private void pause(Source source, String why) {
-        Pause pause = pauses.computeIfAbsent(source, unused -> new Pause());
-        pause.until = loop.now().plus(pause.length);
+    private void backOff(CapacityPool capacityPool, String why) {
+        Backoff backoff = backoffs.computeIfAbsent(capacityPool, unused -> new Backoff());
+        backoff.until = loop.now().plus(backoff.duration);
         LOG.info(
                 "no more {} in {} for {} s: {}",
-                source.type(),
-                source.zone(),
-                pause.length.toSeconds(),
+                capacityPool.type(),
+                capacityPool.zone(),
+                backoff.duration.toSeconds(),
                 why);
-        Duration twice = pause.length.multipliedBy(2);
-        pause.length = twice.compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : twice;
+        Duration twice = backoff.duration.multipliedBy(2);
+        backoff.duration = twice.compareTo(MAX_BACKOFF) > 0 ? MAX_BACKOFF : twice;
     }
 
     /** Returns machines that nothing is placed on any more, or that have given no sign for long. */
-    private void release(List<MachineId> ids, String why, IntConsumer returned) {
+    private void returnMachines(List<MachineId> ids, String why, IntConsumer returned) {
         List<MachineId> batch;
         synchronized (this) {
-            if (releasing || ids.isEmpty() || closed) {
+            if (returnInFlight || ids.isEmpty() || closed) {
                 return;
             }
-            releasing = true;
-            batch = ids.stream().sorted(Comparator.naturalOrder()).limit(MOST_RELEASED).toList();
+            returnInFlight = true;
+            batch =
+                    ids.stream()
+                            .sorted(Comparator.naturalOrder())
+                            .limit(MAX_MACHINES_PER_RETURN_REQUEST)
+                            .toList();
         }
         Set<MachineId> set = new HashSet<>(batch);
         List<Machine> machines =
-                leader.machineList().stream().filter(one -> set.contains(one.id())).toList();
+                leader.snapshotMachines().stream().filter(one -> set.contains(one.id())).toList();
         machines.forEach(machine -> machine.releasing(true));
         LOG.info("returning {}: {}", batch, why);
         cloudProvider
@@ -496,26 +522,29 @@
                 .whenComplete(
                         (unused, failure) -> {
                             synchronized (this) {
-                                releasing = false;
+                                returnInFlight = false;
                                 if (failure == null) {
                                     MonotonicTime now = loop.now();
-                                    released.values()
+                                    returnedAt
+                                            .values()
                                             .removeIf(
                                                     at ->
                                                             now.elapsedSince(at)
                                                                             .compareTo(
-                                                                                    FORGET_RETURNED)
+                                                                                    RETURNED_MACHINE_RETENTION)
                                                                     > 0);
-                                    batch.forEach(id -> released.put(id, now));
-                                    batch.forEach(awaited::forget);
+                                    batch.forEach(id -> returnedAt.put(id, now));
+                                    batch.forEach(pendingRentals::forget);
                                 }
                             }
                             if (failure == null) {
                                 returned.accept(batch.size());
                                 batch.forEach(
-                                        id -> leader.gone(id, "its machine was returned", true));
+                                        id ->
+                                                leader.markMachineGone(
+                                                        id, "its machine was returned", true));
                             } else {
-                                if (!(cause(failure)
+                                if (!(unwrapCompletionException(failure)
                                         instanceof CloudProvider.RequestRefusedException)) {
                                     // It may still be executed late, so nothing is placed there;
                                     // the next round tries again.
@@ -526,7 +555,7 @@
                         });
     }
 
-    private static Throwable cause(Throwable failure) {
+    private static Throwable unwrapCompletionException(Throwable failure) {
         return failure instanceof CompletionException && failure.getCause() != null
                 ? failure.getCause()
                 : failure;
--- a/src/main/java/org/meadowhollow/coordination/fleet/SilenceWatch.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/HeartbeatTimeoutMonitor.java
@@ -18,9 +18,9 @@
  * Watches over machines that are silent, on notice or idle. What was on a silent one counts as
  * running until its worker's lease has certainly ended. Guarded by the leader's lock.
  */
-public final class SilenceWatch {
+public final class HeartbeatTimeoutMonitor {
     /** Clock drift and timer steps on top of a worker's lease. */
-    private static final double LEASE_SLACK = 1.001;
+    private static final double CLOCK_DRIFT_FACTOR = 1.001;
 
     private static final Duration LEASE_MARGIN = Duration.ofMillis(500);
 
@@ -28,21 +28,21 @@
      * Machines asked directly in a round. Behind a cut hundreds are silent at once, and each
      * question takes a socket for as long as it hangs, which users and workers need as well.
      */
-    private static final int MOST_PROBES = 100;
+    private static final int MAX_PROBES_PER_ROUND = 100;
 
     /** Questions that may hang at a time: each for 3 s, before the connection is given up. */
-    public static final int MOST_HANGING = 3 * MOST_PROBES;
+    public static final int MAX_PROBES_IN_FLIGHT = 3 * MAX_PROBES_PER_ROUND;
 
-    private final TermHolder leader;
+    private final LeadershipContext leader;
     private final ClusterState clusterState;
     private final DeploymentSettings deploymentSettings;
     private final FencingToken fencingToken;
-    private final MonotonicTime begunAt;
-    private final Map<MachineId, MonotonicTime> probedAt = new HashMap<>();
-    private int probes;
+    private final MonotonicTime leadershipBeganAt;
+    private final Map<MachineId, MonotonicTime> lastProbedAt = new HashMap<>();
+    private int probesThisRound;
 
-    public SilenceWatch(
-            TermHolder leader,
+    public HeartbeatTimeoutMonitor(
+            LeadershipContext leader,
             ClusterState clusterState,
             DeploymentSettings deploymentSettings,
             FencingToken fencingToken,
@@ -51,38 +51,38 @@
         this.clusterState = clusterState;
         this.deploymentSettings = deploymentSettings;
         this.fencingToken = fencingToken;
-        this.begunAt = begunAt;
+        this.leadershipBeganAt = begunAt;
     }
 
     /** One round over all machines. */
-    public void round(MonotonicTime now) {
-        probes = 0;
+    public void checkAllMachines(MonotonicTime now) {
+        probesThisRound = 0;
         for (Machine machine : List.copyOf(clusterState.machines().values())) {
-            watchOver(machine, now);
+            checkMachine(machine, now);
         }
-        expireUnseen(now);
+        expireUnobservedPlacements(now);
     }
 
     public void forget(MachineId machine) {
-        probedAt.remove(machine);
+        lastProbedAt.remove(machine);
     }
 
     /**
      * Asks a silent machine, takes its tasks as gone once that is proven, and drains it on notice.
      */
-    private void watchOver(Machine machine, MonotonicTime now) {
+    private void checkMachine(Machine machine, MonotonicTime now) {
         MonotonicTime lastHeard =
-                machine.lastContactAt() == null ? begunAt : machine.lastContactAt();
+                machine.lastContactAt() == null ? leadershipBeganAt : machine.lastContactAt();
         double silentS = now.secondsSince(lastHeard);
         double reportS = deploymentSettings.heartbeatInterval().toNanos() / 1e9;
         if (silentS > ClusterState.MISSED_HEARTBEATS_UNTIL_SILENT * reportS
                 && machine.address() != null
-                && probes < MOST_PROBES) {
-            MonotonicTime probed = probedAt.get(machine.id());
+                && probesThisRound < MAX_PROBES_PER_ROUND) {
+            MonotonicTime probed = lastProbedAt.get(machine.id());
             if (probed == null || now.secondsSince(probed) > reportS) {
-                probes++;
-                probedAt.put(machine.id(), now);
-                leader.send(
+                probesThisRound++;
+                lastProbedAt.put(machine.id(), now);
+                leader.sendCommands(
                         machine,
                         machine.incarnation() == null
                                 ? new WorkerIncarnation(1)
@@ -94,9 +94,9 @@
         // ever heard of it, and the
         // tasks that it lists would be held up by it until it is returned for its silence.
         if (!(machine.placements().isEmpty() && machine.orphanedTasks().isEmpty())
-                && leaseCertainlyOver(machine, now)) {
+                && isLeaseCertainlyExpired(machine, now)) {
             for (Placement placement : List.copyOf(machine.placements())) {
-                leader.lost(
+                leader.markTaskLost(
                         machine,
                         placement,
                         "the machine has been silent for longer than its lease",
@@ -109,7 +109,7 @@
                 if (!placement.isStopping()
                         && (placement.job().spec().usesCheckpoints()
                                 || placement.job().spec().kind() == JobKind.SERVICE)) {
-                    leader.stopSaving(
+                    leader.stopWithCheckpoint(
                             placement, "machine " + placement.machineId() + " is being taken back");
                 }
             }
@@ -118,7 +118,7 @@
         // lost.
         if (machine.placements().isEmpty()
                 && machine.orphanedTasks().isEmpty()
-                && !leader.isSilent(machine, now)) {
+                && !leader.isHeartbeatOverdue(machine, now)) {
             if (machine.idleSince() == null) {
                 machine.idleSince(now);
             }
@@ -132,34 +132,36 @@
      * by our answers alone; for any other an earlier leader may have gone on answering, though not
      * for longer than its limit after its last renewal, which was before our term began.
      */
-    private boolean leaseCertainlyOver(Machine machine, MonotonicTime now) {
+    private boolean isLeaseCertainlyExpired(Machine machine, MonotonicTime now) {
         if (machine.highestFencingToken().equals(fencingToken) && machine.lastContactAt() != null) {
             return now.elapsedSince(machine.lastContactAt())
-                            .compareTo(slack(deploymentSettings.workerLease()))
+                            .compareTo(withDriftMargin(deploymentSettings.workerLease()))
                     > 0;
         }
-        return now.elapsedSince(begunAt).compareTo(slack(deploymentSettings.cancellationBound()))
+        return now.elapsedSince(leadershipBeganAt)
+                                .compareTo(withDriftMargin(deploymentSettings.cancellationBound()))
                         > 0
                 && (machine.lastContactAt() == null
                         || now.elapsedSince(machine.lastContactAt())
-                                        .compareTo(slack(deploymentSettings.workerLease()))
+                                        .compareTo(
+                                                withDriftMargin(deploymentSettings.workerLease()))
                                 > 0);
     }
 
-    private static Duration slack(Duration span) {
-        return Duration.ofNanos((long) (span.toNanos() * LEASE_SLACK)).plus(LEASE_MARGIN);
+    private static Duration withDriftMargin(Duration span) {
+        return Duration.ofNanos((long) (span.toNanos() * CLOCK_DRIFT_FACTOR)).plus(LEASE_MARGIN);
     }
 
     /** Placements on machines that neither the cloud's list nor any report has shown. */
-    private void expireUnseen(MonotonicTime now) {
+    private void expireUnobservedPlacements(MonotonicTime now) {
         if (!clusterState.placementsOnUnseenMachines().isEmpty()
-                && now.elapsedSince(begunAt)
-                                .compareTo(slack(deploymentSettings.cancellationBound()))
+                && now.elapsedSince(leadershipBeganAt)
+                                .compareTo(withDriftMargin(deploymentSettings.cancellationBound()))
                         > 0) {
             for (List<Placement> placements :
                     List.copyOf(clusterState.placementsOnUnseenMachines().values())) {
                 for (Placement placement : List.copyOf(placements)) {
-                    leader.lost(
+                    leader.markTaskLost(
                             null,
                             placement,
                             "its machine has not been seen for longer than any lease",
--- a/src/main/java/org/meadowhollow/coordination/fleet/TermHolder.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/LeadershipContext.java
@@ -11,48 +11,49 @@
 import org.meadowhollow.model.WorkerIncarnation;
 
 /** The leader of a term, as far as the care for its machines has to do with it. */
-public interface TermHolder {
+public interface LeadershipContext {
     boolean isClosed();
 
     /** Whether all that earlier leaders recorded is known. */
-    boolean isLoaded();
+    boolean isStateRecovered();
 
     /**
      * Whether to place, stop, rent and return: the lease certainly holds, and the workers are
      * heard.
      */
-    boolean mayAct();
+    boolean canActAsLeader();
 
     /** Whether what is silent is so for its own reasons, as far as can be told. */
-    boolean hearsWell();
+    boolean isReachabilityHealthy();
 
     /** Whether a machine's report is overdue. */
-    boolean isSilent(Machine machine, MonotonicTime now);
+    boolean isHeartbeatOverdue(Machine machine, MonotonicTime now);
 
-    List<Machine> machineList();
+    List<Machine> snapshotMachines();
 
     /**
      * Seconds that a task of a job's kind takes on a machine that is still to be rented, until it
      * runs.
      */
-    double readyS(JobSpec spec);
+    double startupDelaySeconds(JobSpec spec);
 
     double largestImageGb();
 
     /** Whether a kind of machine is closed in a zone by the calendar. */
-    boolean isOut(String type, String zone);
+    boolean isInOutageWindow(String type, String zone);
 
-    void listed(List<CloudProvider.ListedMachine> list);
+    void applyMachineList(List<CloudProvider.ListedMachine> list);
 
     /** Takes a machine, and all that was on it, as gone. */
-    void gone(MachineId id, String why, boolean forget);
+    void markMachineGone(MachineId id, String why, boolean forget);
 
     /** Takes a task as gone that is proven to be, and was not stopped. */
-    void lost(Machine machine, Placement placement, String why, MonotonicTime now);
+    void markTaskLost(Machine machine, Placement placement, String why, MonotonicTime now);
 
     /** Stops a task so that it can save what it did. */
-    void stopSaving(Placement placement, String why);
+    void stopWithCheckpoint(Placement placement, String why);
 
     /** Sends orders straight to a worker. */
-    void send(Machine machine, WorkerIncarnation workerIncarnation, List<WorkerCommand> orders);
+    void sendCommands(
+            Machine machine, WorkerIncarnation workerIncarnation, List<WorkerCommand> orders);
 }
--- a/src/main/java/org/meadowhollow/coordination/fleet/GivingUp.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/UnreachableMachineReturnPolicy.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.meadowhollow.coordination.api.DeploymentSettings;
-import org.meadowhollow.coordination.hearing.Deafness;
+import org.meadowhollow.coordination.heartbeat.LeaderReachability;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.Machine;
 import org.meadowhollow.model.MachineId;
@@ -29,21 +29,21 @@
  * what is not returned for silence alone waits for the cloud's word, or for {@link
  * #LAST_RESORT_LEASES}.
  */
-public final class GivingUp {
-    private static final Logger LOG = LoggerFactory.getLogger(GivingUp.class);
+public final class UnreachableMachineReturnPolicy {
+    private static final Logger LOG = LoggerFactory.getLogger(UnreachableMachineReturnPolicy.class);
 
     /**
      * A silent machine is given up after this many leases: its tasks are gone, but it may yet go
      * on.
      */
-    private static final double GIVE_UP_LEASES = 1.5;
+    private static final double RETURN_AFTER_LEASES = 1.5;
 
     /**
      * A machine that others wait for is given up after this many reports: two in a row at their
      * latest (a quarter late each), and time for a direct question. Its return proves its tasks
      * gone before its lease does.
      */
-    private static final double GIVE_UP_REPORTS = 2.7;
+    private static final double RETURN_AFTER_HEARTBEATS = 2.7;
 
     /**
      * Where silence has a common cause, a machine is given up after this many leases, by which any
@@ -52,59 +52,61 @@
     private static final double LAST_RESORT_LEASES = 10;
 
     /** Above this share of silent machines a zone is cut off, rather than its machines dead. */
-    private static final double MOST_OF_ZONE = 0.5;
+    private static final double PARTITIONED_ZONE_SHARE = 0.5;
 
     /** In a zone with fewer machines than this, the share tells nothing. */
-    private static final int LEAST_IN_ZONE = 4;
+    private static final int MIN_MACHINES_IN_ZONE = 4;
 
     /**
      * Machines that report after they seemed dead; one is a machine that hung, more speak against
      * the listener, which may have stood still itself.
      */
-    private static final int LATE_AGAIN = 2;
+    private static final int LATE_HEARTBEATS_TO_SUSPEND = 2;
 
     private final FailureDetector detector;
     private final DeploymentSettings deploymentSettings;
     private final ArrayDeque<MonotonicTime> returned = new ArrayDeque<>();
-    private final ArrayDeque<MonotonicTime> lateReports = new ArrayDeque<>();
+    private final ArrayDeque<MonotonicTime> lateHeartbeats = new ArrayDeque<>();
     private MonotonicTime suspendedUntil;
 
-    public GivingUp(FailureDetector detector, DeploymentSettings deploymentSettings) {
+    public UnreachableMachineReturnPolicy(
+            FailureDetector detector, DeploymentSettings deploymentSettings) {
         this.detector = detector;
         this.deploymentSettings = deploymentSettings;
     }
 
-    private static double seconds(Duration span) {
+    private static double toSeconds(Duration span) {
         return span.toNanos() / 1e9;
     }
 
-    private double givenUpS() {
-        return seconds(deploymentSettings.heartbeatInterval()) * GIVE_UP_REPORTS;
+    private double urgentSilenceLimitSeconds() {
+        return toSeconds(deploymentSettings.heartbeatInterval()) * RETURN_AFTER_HEARTBEATS;
     }
 
     /**
      * A report has come: if it is from a machine that was about to be given up, others may be heard
      * again as well.
      */
-    public void reported(Machine machine, MonotonicTime now) {
-        if (machine.lastContactAt() == null || detector.silentS(machine, now) <= givenUpS()) {
+    public void onHeartbeat(Machine machine, MonotonicTime now) {
+        if (machine.lastContactAt() == null
+                || detector.silentSeconds(machine, now) <= urgentSilenceLimitSeconds()) {
             return;
         }
-        forgetBefore(lateReports, now);
-        lateReports.add(now);
-        if (lateReports.size() >= LATE_AGAIN) {
+        dropOlderThanLease(lateHeartbeats, now);
+        lateHeartbeats.add(now);
+        if (lateHeartbeats.size() >= LATE_HEARTBEATS_TO_SUSPEND) {
             if (suspendedUntil == null || suspendedUntil.isBefore(now)) {
                 LOG.info(
                         "machines that were silent for more than {} s report again: none is returned for silence alone"
                                 + " for {} s",
-                        givenUpS(),
+                        urgentSilenceLimitSeconds(),
                         deploymentSettings.workerLease().toSeconds());
             }
             suspendedUntil = now.plus(deploymentSettings.workerLease());
         }
     }
 
-    private void forgetBefore(ArrayDeque<MonotonicTime> times, MonotonicTime now) {
+    private void dropOlderThanLease(ArrayDeque<MonotonicTime> times, MonotonicTime now) {
         while (!times.isEmpty()
                 && now.elapsedSince(times.peek()).compareTo(deploymentSettings.workerLease()) > 0) {
             times.poll();
@@ -112,7 +114,7 @@
     }
 
     /** The silent machines to return now, the longest silent first. */
-    List<MachineId> choose(List<Machine> machines, MonotonicTime now) {
+    List<MachineId> selectForReturn(List<Machine> machines, MonotonicTime now) {
         List<Machine> candidates = new ArrayList<>();
         Map<String, Integer> known = new HashMap<>();
         Map<String, Integer> silent = new HashMap<>();
@@ -123,11 +125,12 @@
             }
             count++;
             known.merge(machine.zone(), 1, Integer::sum);
-            double silentS = detector.silentS(machine, now);
-            if (silentS > givenUpS() && !detector.isUnlisted(machine)) {
+            double silentS = detector.silentSeconds(machine, now);
+            if (silentS > urgentSilenceLimitSeconds()
+                    && !detector.isMissingFromMachineList(machine)) {
                 silent.merge(machine.zone(), 1, Integer::sum);
             }
-            if (silentS > limitS(machine)) {
+            if (silentS > silenceLimitSeconds(machine)) {
                 candidates.add(machine);
             }
         }
@@ -135,32 +138,34 @@
             return List.of();
         }
         boolean common =
-                detector.hearing() != Deafness.Hearing.GOOD
+                detector.reachability() != LeaderReachability.Reachability.HEALTHY
                         || suspendedUntil != null && now.isBefore(suspendedUntil);
         Set<String> cutOff = new HashSet<>();
         known.forEach(
                 (zone, all) -> {
                     if (known.size() > 1
-                            && all >= LEAST_IN_ZONE
-                            && silent.getOrDefault(zone, 0) > MOST_OF_ZONE * all) {
+                            && all >= MIN_MACHINES_IN_ZONE
+                            && silent.getOrDefault(zone, 0) > PARTITIONED_ZONE_SHARE * all) {
                         cutOff.add(zone);
                     }
                 });
-        forgetBefore(returned, now);
-        int mostNow = Math.max(1, (int) (count * Deafness.DOUBTFUL)) - returned.size();
-        double lastResortS = seconds(deploymentSettings.workerLease()) * LAST_RESORT_LEASES;
+        dropOlderThanLease(returned, now);
+        int mostNow =
+                Math.max(1, (int) (count * LeaderReachability.DEGRADED_OVERDUE_SHARE))
+                        - returned.size();
+        double lastResortS = toSeconds(deploymentSettings.workerLease()) * LAST_RESORT_LEASES;
         return candidates.stream()
                 .filter(
                         machine ->
                                 !common && !cutOff.contains(machine.zone())
-                                        || detector.silentS(machine, now) > lastResortS)
+                                        || detector.silentSeconds(machine, now) > lastResortS)
                 .filter(
                         machine ->
-                                detector.unheardByAll(machine, now)
-                                        && !heardElsewhere(machine, now))
+                                detector.isUnseenByAllPeers(machine, now)
+                                        && !isSeenByPeer(machine, now))
                 .sorted(
                         Comparator.comparingDouble(
-                                        (Machine machine) -> -detector.silentS(machine, now))
+                                        (Machine machine) -> -detector.silentSeconds(machine, now))
                                 .thenComparing(Machine::id))
                 .limit(Math.max(0, mostNow))
                 .map(Machine::id)
@@ -174,29 +179,29 @@
         }
     }
 
-    private boolean heardElsewhere(Machine machine, MonotonicTime now) {
-        MonotonicTime at = detector.elsewhereAt(machine);
-        return at != null && now.secondsSince(at) <= givenUpS();
+    private boolean isSeenByPeer(Machine machine, MonotonicTime now) {
+        MonotonicTime at = detector.seenByPeerAt(machine);
+        return at != null && now.secondsSince(at) <= urgentSilenceLimitSeconds();
     }
 
     /** How long a machine may be silent before it is given up. */
-    private double limitS(Machine machine) {
+    private double silenceLimitSeconds(Machine machine) {
         if (machine.lastContactAt() == null) {
             // Not one word since this leader began or the cloud listed it as running: as for one
             // that never comes up.
             return Math.max(
-                    machine.type().bootSeconds() * Awaited.PATIENCE,
-                    seconds(deploymentSettings.workerLease()) * GIVE_UP_LEASES);
+                    machine.type().bootSeconds() * PendingRentals.ABANDON_BOOT_FACTOR,
+                    toSeconds(deploymentSettings.workerLease()) * RETURN_AFTER_LEASES);
         }
-        return isWaitedFor(machine)
-                ? givenUpS()
-                : seconds(deploymentSettings.workerLease()) * GIVE_UP_LEASES;
+        return blocksServiceOrGang(machine)
+                ? urgentSilenceLimitSeconds()
+                : toSeconds(deploymentSettings.workerLease()) * RETURN_AFTER_LEASES;
     }
 
     /**
      * Whether a service or a gang is held up while nobody knows if the machine's tasks still run.
      */
-    private static boolean isWaitedFor(Machine machine) {
+    private static boolean blocksServiceOrGang(Machine machine) {
         return machine.placements().stream()
                 .anyMatch(placement -> placement.job().spec().kind() != JobKind.ARRAY);
     }
--- a/src/main/java/org/meadowhollow/coordination/hearing/Earshot.java
+++ b/src/main/java/org/meadowhollow/coordination/heartbeat/HeartbeatTracker.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.hearing;
+package org.meadowhollow.coordination.heartbeat;
 
 import java.time.Duration;
 import java.util.Collection;
@@ -15,29 +15,30 @@
  * shows that the worker was alive and that the way from it to this node was open; that none came
  * shows nothing.
  */
-public final class Earshot {
+public final class HeartbeatTracker {
     /**
      * Longer than any window that is asked for: a worker whose leader is silent goes round all
      * nodes well within it.
      */
-    private static final Duration KEPT = Duration.ofSeconds(60);
+    private static final Duration RETENTION = Duration.ofSeconds(60);
 
     /**
      * Machines remembered, some hundred bytes each; the one heard longest ago is forgotten first.
      */
-    private static final int MOST = 20_000;
+    private static final int MAX_TRACKED_MACHINES = 20_000;
 
     /** In the order of their last reports. */
-    private final LinkedHashMap<MachineId, MonotonicTime> heardAt = new LinkedHashMap<>();
+    private final LinkedHashMap<MachineId, MonotonicTime> lastHeartbeatAt = new LinkedHashMap<>();
 
     /** A report of a machine has come. */
-    public synchronized void heard(MachineId machine, MonotonicTime now) {
-        heardAt.remove(machine);
-        heardAt.put(machine, now);
-        Iterator<MonotonicTime> oldest = heardAt.values().iterator();
+    public synchronized void recordHeartbeat(MachineId machine, MonotonicTime now) {
+        lastHeartbeatAt.remove(machine);
+        lastHeartbeatAt.put(machine, now);
+        Iterator<MonotonicTime> oldest = lastHeartbeatAt.values().iterator();
         while (oldest.hasNext()) {
             MonotonicTime at = oldest.next();
-            if (heardAt.size() <= MOST && now.elapsedSince(at).compareTo(KEPT) <= 0) {
+            if (lastHeartbeatAt.size() <= MAX_TRACKED_MACHINES
+                    && now.elapsedSince(at).compareTo(RETENTION) <= 0) {
                 break;
             }
             oldest.remove();
@@ -45,20 +46,20 @@
     }
 
     /** How many machines were heard within a time of at most 60 s before now. */
-    public synchronized int count(Duration within, MonotonicTime now) {
+    public synchronized int countRecent(Duration within, MonotonicTime now) {
         int count = 0;
-        for (MonotonicTime at : heardAt.values()) {
+        for (MonotonicTime at : lastHeartbeatAt.values()) {
             count += now.elapsedSince(at).compareTo(within) <= 0 ? 1 : 0;
         }
         return count;
     }
 
     /** Those of some machines that were heard within a time of at most 60 s before now. */
-    public synchronized Set<MachineId> among(
+    public synchronized Set<MachineId> recentAmong(
             Collection<MachineId> machines, Duration within, MonotonicTime now) {
         Set<MachineId> heard = new HashSet<>();
         for (MachineId machine : machines) {
-            MonotonicTime at = heardAt.get(machine);
+            MonotonicTime at = lastHeartbeatAt.get(machine);
             if (at != null && now.elapsedSince(at).compareTo(within) <= 0) {
                 heard.add(machine);
             }
@@ -67,7 +68,7 @@
     }
 
     /** All that is remembered, for tests of the bound. */
-    synchronized Map<MachineId, MonotonicTime> all() {
-        return Map.copyOf(heardAt);
+    synchronized Map<MachineId, MonotonicTime> trackedMachines() {
+        return Map.copyOf(lastHeartbeatAt);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/hearing/Deafness.java
+++ b/src/main/java/org/meadowhollow/coordination/heartbeat/LeaderReachability.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination.hearing;
+package org.meadowhollow.coordination.heartbeat;
 
 import java.time.Duration;
 import java.util.List;
@@ -9,59 +9,62 @@
  * speak against the listener; the other controllers, to whom workers turn when their leader gives
  * no answer, can tell. Pure functions.
  */
-public final class Deafness {
+public final class LeaderReachability {
     /**
      * The share of the known machines above which silence has a common cause: a wave of spot
      * machines or a zone with fewer machines stays below it, and so did every independent failure
      * seen.
      */
-    public static final double DOUBTFUL = 0.25;
+    public static final double DEGRADED_OVERDUE_SHARE = 0.25;
 
     /**
      * The share above which it is the listener: the loss of the larger of two or three zones stays
      * below it.
      */
-    static final double MOSTLY = 0.75;
+    static final double ISOLATED_OVERDUE_SHARE = 0.75;
 
     /** Fewer machines than this tell nothing. */
-    static final int LEAST_KNOWN = 3;
+    static final int MIN_KNOWN_MACHINES = 3;
 
     /** Machines that must have come to another node: one or two lose a connection now and then. */
-    static final int LEAST_WITNESSED = 3;
+    static final int MIN_MACHINES_SEEN_BY_PEER = 3;
 
     /**
      * How long others have for an answer before a deaf leader goes by its own evidence alone:
      * workers reach the next node 5 s after their leader fell silent, and the leader notes its own
      * deafness about as soon.
      */
-    static final Duration WAIT_FOR_OTHERS = Duration.ofSeconds(3);
+    static final Duration PEER_ANSWER_TIMEOUT = Duration.ofSeconds(3);
 
     /** How well a leader hears its workers. */
-    public enum Hearing {
-        GOOD,
-        DOUBTFUL,
-        DEAF
+    public enum Reachability {
+        HEALTHY,
+        DEGRADED,
+        ISOLATED
     }
 
     /**
      * What follows for the leadership; {@code heir} is the node to hand it to, null where none is
      * known.
      */
-    public record Verdict(boolean resigns, String heir) {
-        private static final Verdict STAY = new Verdict(false, null);
+    public record ResignationDecision(boolean resigns, String preferredSuccessor) {
+        private static final ResignationDecision KEEP_LEADERSHIP =
+                new ResignationDecision(false, null);
     }
 
-    private Deafness() {}
+    private LeaderReachability() {}
 
     /**
      * @param known machines that should report
      * @param late those of them whose report is overdue
      */
-    public static Hearing of(int known, int late) {
-        if (known < LEAST_KNOWN || late <= DOUBTFUL * known) {
-            return Hearing.GOOD;
+    public static Reachability classify(int known, int late) {
+        if (known < MIN_KNOWN_MACHINES || late <= DEGRADED_OVERDUE_SHARE * known) {
+            return Reachability.HEALTHY;
         }
-        return late < MOSTLY * known ? Hearing.DOUBTFUL : Hearing.DEAF;
+        return late < ISOLATED_OVERDUE_SHARE * known
+                ? Reachability.DEGRADED
+                : Reachability.ISOLATED;
     }
 
     /**
@@ -76,25 +79,26 @@
      *     first round of answers
      * @param mayTry whether it has not given up on its own evidence lately
      */
-    public static Verdict judge(
+    public static ResignationDecision decideResignation(
             Duration deafFor, int asked, List<PeerReachabilityReport> others, boolean mayTry) {
         PeerReachabilityReport best = null;
         boolean allAnswered = true;
         for (PeerReachabilityReport other : others) {
             allAnswered &= other.answered();
             if (other.reachesStore()
-                    && other.recentlyHeard().size() >= Math.min(LEAST_WITNESSED, Math.max(1, asked))
+                    && other.recentlyHeard().size()
+                            >= Math.min(MIN_MACHINES_SEEN_BY_PEER, Math.max(1, asked))
                     && (best == null
                             || other.recentlyHeard().size() > best.recentlyHeard().size())) {
                 best = other;
             }
         }
         if (best != null) {
-            return new Verdict(true, best.member());
+            return new ResignationDecision(true, best.member());
         }
         boolean alone = !others.isEmpty() && !allAnswered;
-        return alone && mayTry && deafFor.compareTo(WAIT_FOR_OTHERS) >= 0
-                ? new Verdict(true, null)
-                : Verdict.STAY;
+        return alone && mayTry && deafFor.compareTo(PEER_ANSWER_TIMEOUT) >= 0
+                ? new ResignationDecision(true, null)
+                : ResignationDecision.KEEP_LEADERSHIP;
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/leadership/Leadership.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/Leadership.java
@@ -5,7 +5,7 @@
 import java.util.random.RandomGenerator;
 import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.coordination.api.PeerGateway;
-import org.meadowhollow.coordination.hearing.Earshot;
+import org.meadowhollow.coordination.heartbeat.HeartbeatTracker;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.MachineId;
@@ -71,7 +71,7 @@
     private final String member;
     private final LeadershipStateMachine stateMachine;
     private final Duration workerLeaseRenewalBound;
-    private final Earshot heartbeatTracker;
+    private final HeartbeatTracker heartbeatTracker;
     private final RandomGenerator random;
     private final Listener listener;
     private LeadershipState state = LeadershipState.INITIAL;
@@ -81,7 +81,7 @@
             EventLoop loop,
             PeerGateway peerGateway,
             DeploymentSettings deploymentSettings,
-            Earshot earshot,
+            HeartbeatTracker earshot,
             RandomGenerator random,
             Listener listener) {
         this.store = store;
@@ -290,7 +290,7 @@
                                                     read.epoch(),
                                                     read.leaderKeyRevision(),
                                                     failure == null ? counter : null,
-                                                    heartbeatTracker.count(
+                                                    heartbeatTracker.countRecent(
                                                                     REACHING_WORKERS_WINDOW,
                                                                     loop.now())
                                                             >= MIN_REACHING_WORKERS)));
--- a/src/main/java/org/meadowhollow/coordination/reservation/ReservationService.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservationService.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
-import org.meadowhollow.coordination.admission.Admission;
+import org.meadowhollow.coordination.admission.AdmissionService;
 import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.MachineType;
@@ -117,10 +117,14 @@
         return new ReservableCapacity(types, limits, most);
     }
 
-    /** Fails with {@link Admission.TryLater} while the machine types are not known. */
+    /**
+     * Fails with {@link AdmissionService.TemporarilyUnavailableException} while the machine types
+     * are not known.
+     */
     private ReservableCapacity reservableCapacity() {
         if (machineTypeCatalog.isEmpty()) {
-            throw new Admission.TryLater("the machine types are not known yet");
+            throw new AdmissionService.TemporarilyUnavailableException(
+                    "the machine types are not known yet");
         }
         return reservableCapacity(machineTypeCatalog, deploymentSettings, maxMachines);
     }
@@ -392,7 +396,8 @@
                                                                                 .INVALID_REQUEST) {
                                                     return CompletableFuture
                                                             .<ChangeOutcome>failedFuture(
-                                                                    new Admission.TryLater(
+                                                                    new AdmissionService
+                                                                            .TemporarilyUnavailableException(
                                                                             "the calendar keeps changing, or"
                                                                                     + " the state service gives no answer"));
                                                 }
--- a/src/main/java/org/meadowhollow/protocol/reservation/ReservationApi.java
+++ b/src/main/java/org/meadowhollow/protocol/reservation/ReservationApi.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
-import org.meadowhollow.coordination.admission.Admission;
+import org.meadowhollow.coordination.admission.AdmissionService;
 import org.meadowhollow.coordination.reservation.ReservationAdmission;
 import org.meadowhollow.coordination.reservation.ReservationService;
 import org.meadowhollow.model.Revision;
@@ -84,7 +84,8 @@
                     },
                     rejectedException.getMessage());
         }
-        if (cause instanceof Admission.TryLater || cause instanceof KeyValueStoreException) {
+        if (cause instanceof AdmissionService.TemporarilyUnavailableException
+                || cause instanceof KeyValueStoreException) {
             return new Http.Reply(
                     503,
                     Json.encode(Fields.of("error", cause.getMessage())),
--- a/src/main/java/org/meadowhollow/protocol/tes/TesApi.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesApi.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import java.util.random.RandomGenerator;
-import org.meadowhollow.coordination.admission.Admission;
+import org.meadowhollow.coordination.admission.AdmissionService;
 import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.model.AttemptRecord;
 import org.meadowhollow.model.EventLoop;
@@ -68,7 +68,7 @@
     /** Bytes around the fields of a record. */
     private static final int FRAMING = 512;
 
-    private final Admission admission;
+    private final AdmissionService admissionService;
     private final KeyValueStore store;
     private final EventLoop loop;
     private final DeploymentSettings deploymentSettings;
@@ -93,7 +93,7 @@
             Map<String, Object> document) {}
 
     public TesApi(
-            Admission admission,
+            AdmissionService admissionService,
             KeyValueStore store,
             EventLoop loop,
             DeploymentSettings deploymentSettings,
@@ -101,7 +101,7 @@
             TaskTracer traces,
             RandomGenerator random) {
         this.traces = traces;
-        this.admission = admission;
+        this.admissionService = admissionService;
         this.store = store;
         this.loop = loop;
         this.deploymentSettings = deploymentSettings;
@@ -141,10 +141,12 @@
         if (cause instanceof Refused refused) {
             return error(refused.status, refused.getMessage());
         }
-        if (cause instanceof Malformed || cause instanceof Admission.NeverRuns) {
+        if (cause instanceof Malformed
+                || cause instanceof AdmissionService.UnschedulableJobException) {
             return error(400, cause.getMessage());
         }
-        if (cause instanceof Admission.TryLater || cause instanceof KeyValueStoreException) {
+        if (cause instanceof AdmissionService.TemporarilyUnavailableException
+                || cause instanceof KeyValueStoreException) {
             return comeBack(cause.getMessage());
         }
         throw new CompletionException(cause);
@@ -266,11 +268,11 @@
                         entry.encode(),
                         TesCodec.mostAttempts(task),
                         traces.traceContextOf(request.header().apply("traceparent")));
-        return admission
+        return admissionService
                 .submit(spec, secondaryRecord, Map.of(recordKey(id.value()), encode(kept)))
                 .thenCompose(
-                        accepted ->
-                                accepted.isNew()
+                        submissionResult ->
+                                submissionResult.isNew()
                                         ? CompletableFuture.completedFuture(kept)
                                         : kept(id.value(), RequestPriority.USER))
                 .thenApply(
@@ -381,8 +383,8 @@
                                                     Map<String, Object> state =
                                                             entry.orElseThrow(
                                                                             () ->
-                                                                                    new Admission
-                                                                                            .TryLater(
+                                                                                    new AdmissionService
+                                                                                            .TemporarilyUnavailableException(
                                                                                             "the task's entry is missing"))
                                                                     .value();
                                                     return ok(
@@ -396,7 +398,7 @@
         mayWrite(team);
         // A task that is over stays as it is, and the request has nothing left to do.
         return owned(id, team)
-                .thenCompose(kept -> admission.cancel(new JobId(id)))
+                .thenCompose(kept -> admissionService.cancel(new JobId(id)))
                 .thenApply(state -> ok(Map.of()));
     }
 
--- a/src/main/java/org/meadowhollow/protocol/users/UserApi.java
+++ b/src/main/java/org/meadowhollow/protocol/users/UserApi.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
-import org.meadowhollow.coordination.admission.Admission;
+import org.meadowhollow.coordination.admission.AdmissionService;
 import org.meadowhollow.model.JobId;
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.protocol.Fields;
@@ -17,10 +17,10 @@
     /** The protocol's shortest pause before a retry, in seconds. */
     private static final int COME_BACK_S = 1;
 
-    private final Admission admission;
+    private final AdmissionService admissionService;
 
-    public UserApi(Admission admission) {
-        this.admission = admission;
+    public UserApi(AdmissionService admissionService) {
+        this.admissionService = admissionService;
     }
 
     public CompletableFuture<Http.Reply> submit(byte[] body) {
@@ -31,21 +31,23 @@
             return CompletableFuture.completedFuture(Http.Reply.error(400, broken.getMessage()));
         }
         return answered(
-                admission
+                admissionService
                         .submit(spec)
                         .thenApply(
-                                accepted ->
+                                submissionResult ->
                                         Http.Reply.of(
-                                                accepted.isNew() ? 201 : 200,
-                                                body(accepted.state()))));
+                                                submissionResult.isNew() ? 201 : 200,
+                                                body(submissionResult.status()))));
     }
 
     public CompletableFuture<Http.Reply> poll(String ref) {
-        return JobId.isWellFormed(ref) ? found(admission.poll(new JobId(ref))) : unknown();
+        return JobId.isWellFormed(ref)
+                ? found(admissionService.getStatus(new JobId(ref)))
+                : unknown();
     }
 
     public CompletableFuture<Http.Reply> cancel(String ref) {
-        return JobId.isWellFormed(ref) ? found(admission.cancel(new JobId(ref))) : unknown();
+        return JobId.isWellFormed(ref) ? found(admissionService.cancel(new JobId(ref))) : unknown();
     }
 
     private static CompletableFuture<Http.Reply> unknown() {
@@ -53,7 +55,7 @@
     }
 
     private static CompletableFuture<Http.Reply> found(
-            CompletableFuture<Optional<Admission.JobState>> state) {
+            CompletableFuture<Optional<AdmissionService.JobStatus>> state) {
         return answered(
                 state.thenApply(
                         job ->
@@ -66,10 +68,10 @@
                 failure -> {
                     Throwable cause =
                             failure instanceof CompletionException ? failure.getCause() : failure;
-                    if (cause instanceof Admission.NeverRuns) {
+                    if (cause instanceof AdmissionService.UnschedulableJobException) {
                         return Http.Reply.error(422, cause.getMessage());
                     }
-                    if (cause instanceof Admission.TryLater
+                    if (cause instanceof AdmissionService.TemporarilyUnavailableException
                             || cause instanceof KeyValueStoreException) {
                         return Http.Reply.comeBack(503, COME_BACK_S, cause.getMessage());
                     }
@@ -77,7 +79,7 @@
                 });
     }
 
-    private static Map<String, Object> body(Admission.JobState state) {
+    private static Map<String, Object> body(AdmissionService.JobStatus state) {
         String phase =
                 switch (state.phase()) {
                     case QUEUED -> "pending";
--- a/src/test/java/org/meadowhollow/LayersTest.java
+++ b/src/test/java/org/meadowhollow/LayersTest.java
@@ -43,7 +43,7 @@
                     "admission",
                     "reservation",
                     "scheduling",
-                    "hearing",
+                    "heartbeat",
                     "metrics",
                     "leadership",
                     "failover",
--- a/src/test/java/org/meadowhollow/coordination/admission/LiveJobsTest.java
+++ b/src/test/java/org/meadowhollow/coordination/admission/JobStatusCacheTest.java
@@ -16,7 +16,7 @@
 import org.meadowhollow.storage.RecordCodec;
 import org.meadowhollow.story.VirtualLoop;
 
-class LiveJobsTest {
+class JobStatusCacheTest {
     private static final JobId JOB = new JobId("req-1");
 
     private final VirtualLoop loop = new VirtualLoop();
@@ -45,7 +45,7 @@
                                                         method.getName());
                                     });
 
-    private final LiveJobs live = new LiveJobs(store, loop);
+    private final JobStatusCache cache = new JobStatusCache(store, loop);
 
     private static KeyValueStore.Change change(boolean cancelled, long version) {
         return new KeyValueStore.Change(
@@ -62,19 +62,19 @@
      */
     @Test
     void aLookThatIsAnsweredLateBringsNothingOlderBack() {
-        live.mark();
-        live.readBarrier();
+        cache.beginRead();
+        cache.readBarrier();
         loop.run(Duration.ofMillis(250));
-        live.readBarrier();
+        cache.readBarrier();
         loop.run(Duration.ofMillis(250));
         assertEquals(2, looks.size());
         looks.get(1).complete(upTo(30, change(false, 15), change(true, 20)));
-        assertEquals(LiveJobs.Sight.CANCELLED, live.sight(JOB));
-        for (int other = 2; live.sight(JOB) != null; other++) {
-            live.read(new JobId("req-" + other), new Revision(25), false, live.mark());
+        assertEquals(JobStatusCache.CachedStatus.CANCELLED, cache.cachedStatus(JOB));
+        for (int other = 2; cache.cachedStatus(JOB) != null; other++) {
+            cache.recordRead(new JobId("req-" + other), new Revision(25), false, cache.beginRead());
         }
-        assertNotNull(live.sight(new JobId("req-2")));
+        assertNotNull(cache.cachedStatus(new JobId("req-2")));
         looks.get(0).complete(upTo(17, change(false, 15)));
-        assertEquals(null, live.sight(JOB), "it was cancelled since");
+        assertEquals(null, cache.cachedStatus(JOB), "it was cancelled since");
     }
 }
--- a/src/test/java/org/meadowhollow/coordination/fleet/AwaitedTest.java
+++ b/src/test/java/org/meadowhollow/coordination/fleet/PendingRentalsTest.java
@@ -11,34 +11,37 @@
 import org.meadowhollow.model.Resources;
 
 /** How long machines that boot late or never are counted on. */
-class AwaitedTest {
+class PendingRentalsTest {
     private static final MachineType TYPE =
             new MachineType("small", Resources.of(8, 2, 32), 50, 1, 2, 1, 10, List.of("a"));
-    private final Awaited awaited = new Awaited();
+    private final PendingRentals pendingRentals = new PendingRentals();
 
     private static MonotonicTime at(double seconds) {
         return new MonotonicTime((long) (seconds * 1e9));
     }
 
     private void rent(String id, double now) {
-        awaited.rented(List.of(new MachineId(id)), TYPE, "a", false, at(now), at(now));
+        pendingRentals.recordRented(List.of(new MachineId(id)), TYPE, "a", false, at(now), at(now));
     }
 
     @Test
     void whatIsOverdueIsReplacedTwiceAndThenWaitedFor() {
         rent("vm-1", 0);
-        assertEquals(1, awaited.counted(at(14)).size());
-        assertEquals(0, awaited.counted(at(16)).size());
+        assertEquals(1, pendingRentals.expectedRentals(at(14)).size());
+        assertEquals(0, pendingRentals.expectedRentals(at(16)).size());
         rent("vm-2", 16);
-        assertEquals(0, awaited.counted(at(32)).size());
+        assertEquals(0, pendingRentals.expectedRentals(at(32)).size());
         assertEquals(
                 List.of(new MachineId("vm-1")),
-                awaited.givenUp(at(32)),
+                pendingRentals.abandonedRentals(at(32)),
                 "it was replaced, and is late by far");
-        awaited.forget(new MachineId("vm-1"));
+        pendingRentals.forget(new MachineId("vm-1"));
         rent("vm-3", 32);
-        assertEquals(1, awaited.counted(at(60)).size(), "renting without end helps nobody");
-        assertEquals(2, awaited.givenUp(at(73)).size());
+        assertEquals(
+                1,
+                pendingRentals.expectedRentals(at(60)).size(),
+                "renting without end helps nobody");
+        assertEquals(2, pendingRentals.abandonedRentals(at(73)).size());
     }
 
     @Test
@@ -47,9 +50,9 @@
             rent("vm-" + number, 0);
         }
         for (int number = 0; number < 6; number++) {
-            awaited.cameUp(new MachineId("vm-" + number), at(25 + number));
+            pendingRentals.recordBooted(new MachineId("vm-" + number), at(25 + number));
         }
-        assertEquals(2, awaited.counted(at(36)).size());
-        assertTrue(awaited.counted(at(39)).isEmpty());
+        assertEquals(2, pendingRentals.expectedRentals(at(36)).size());
+        assertTrue(pendingRentals.expectedRentals(at(39)).isEmpty());
     }
 }
--- a/src/test/java/org/meadowhollow/coordination/fleet/GivingUpTest.java
+++ b/src/test/java/org/meadowhollow/coordination/fleet/UnreachableMachineReturnPolicyTest.java
@@ -15,7 +15,7 @@
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.Resources;
 
-class GivingUpTest {
+class UnreachableMachineReturnPolicyTest {
     private static final MachineType TYPE =
             new MachineType("type", Resources.of(8, 2, 32), 50, 1, 2, 1, 10, List.of("a"));
     private static final MonotonicTime BEGUN = new MonotonicTime(0);
@@ -40,8 +40,8 @@
                         10,
                         Duration.ofSeconds(8));
         ClusterState clusterState = new ClusterState(deploymentSettings, new FencingToken(1));
-        GivingUp givingUp =
-                new GivingUp(
+        UnreachableMachineReturnPolicy unreachableMachineReturnPolicy =
+                new UnreachableMachineReturnPolicy(
                         new FailureDetector(
                                 null, clusterState, deploymentSettings, null, null, null, BEGUN),
                         deploymentSettings);
@@ -49,6 +49,8 @@
         silent.knownSince(BEGUN);
         silent.recordAnsweredHeartbeat(BEGUN);
         assertEquals(
-                List.of(), givingUp.choose(List.of(silent), BEGUN.plus(Duration.ofSeconds(100))));
+                List.of(),
+                unreachableMachineReturnPolicy.selectForReturn(
+                        List.of(silent), BEGUN.plus(Duration.ofSeconds(100))));
     }
 }
--- a/src/test/java/org/meadowhollow/storage/GoldenStore.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenStore.java
@@ -15,7 +15,7 @@
 import org.meadowhollow.coordination.api.RiskTableDelta;
 import org.meadowhollow.coordination.api.RiskTableRequest;
 import org.meadowhollow.coordination.failover.RiskTableSnapshotStore;
-import org.meadowhollow.coordination.hearing.Earshot;
+import org.meadowhollow.coordination.heartbeat.HeartbeatTracker;
 import org.meadowhollow.coordination.leadership.Leadership;
 import org.meadowhollow.golden.GoldenFile;
 import org.meadowhollow.model.EventLoop;
@@ -102,7 +102,7 @@
                 new Still(0),
                 new NoPeers(),
                 deploymentSettings,
-                new Earshot(),
+                new HeartbeatTracker(),
                 new Random(1),
                 listener);
     }
--- a/src/test/java/org/meadowhollow/story/CalendarStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/CalendarStoriesTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.coordination.admission.AdmissionService.Phase;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.Priority;
--- a/src/test/java/org/meadowhollow/story/CloseLookStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/CloseLookStoriesTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.meadowhollow.coordination.admission.Admission.JobState;
-import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.coordination.admission.AdmissionService.JobStatus;
+import org.meadowhollow.coordination.admission.AdmissionService.Phase;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
 
@@ -90,7 +90,7 @@
         world.line(node).loseCommitAnswers(1, 7);
         int before = world.line(node).lostCommits();
         world.closeLooks(true);
-        CompletableFuture<Optional<JobState>> answer =
+        CompletableFuture<Optional<JobStatus>> answer =
                 what.equals("accepted")
                         ? world.submits(node, job, SHORT)
                         : what.equals("called off") ? world.cancels(node, job.id()) : null;
@@ -200,7 +200,7 @@
         assertTrue(world.submit(node, job, SHORT));
         world.runS(9);
         world.line(node).holdCommits();
-        CompletableFuture<Optional<JobState>> answer = world.cancels(node, job.id());
+        CompletableFuture<Optional<JobStatus>> answer = world.cancels(node, job.id());
         for (int step = 0; step < 40 && world.store().size("ended/") == 0; step++) {
             world.run(Duration.ofMillis(250));
         }
--- a/src/test/java/org/meadowhollow/story/GoldenStoreTest.java
+++ b/src/test/java/org/meadowhollow/story/GoldenStoreTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.coordination.admission.AdmissionService.Phase;
 import org.meadowhollow.golden.GoldenFile;
 import org.meadowhollow.model.AttemptNumber;
 import org.meadowhollow.model.FencingToken;
--- a/src/test/java/org/meadowhollow/story/JobStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/JobStoriesTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.coordination.admission.AdmissionService.Phase;
 import org.meadowhollow.model.JobId;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
--- a/src/test/java/org/meadowhollow/story/Judge.java
+++ b/src/test/java/org/meadowhollow/story/Judge.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.coordination.admission.AdmissionService.Phase;
 import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.model.JobId;
 import org.meadowhollow.model.JobKind;
--- a/src/test/java/org/meadowhollow/story/JudgeTest.java
+++ b/src/test/java/org/meadowhollow/story/JudgeTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
-import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.coordination.admission.AdmissionService.Phase;
 import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.model.JobId;
 import org.meadowhollow.model.JobKind;
--- a/src/test/java/org/meadowhollow/story/LeaderStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/LeaderStoriesTest.java
@@ -6,7 +6,7 @@
 
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.coordination.admission.AdmissionService.Phase;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.TaskId;
--- a/src/test/java/org/meadowhollow/story/LimitStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/LimitStoriesTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.coordination.admission.AdmissionService.Phase;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
--- a/src/test/java/org/meadowhollow/story/MeetingStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/MeetingStoriesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.coordination.admission.AdmissionService.Phase;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.storage.RecordCodec;
--- a/src/test/java/org/meadowhollow/story/OldReportStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/OldReportStoriesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.coordination.admission.AdmissionService.Phase;
 import org.meadowhollow.model.Heartbeat;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
--- a/src/test/java/org/meadowhollow/story/RandomTroubleTest.java
+++ b/src/test/java/org/meadowhollow/story/RandomTroubleTest.java
@@ -11,8 +11,8 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.meadowhollow.coordination.admission.Admission.JobState;
-import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.coordination.admission.AdmissionService.JobStatus;
+import org.meadowhollow.coordination.admission.AdmissionService.Phase;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.Priority;
@@ -71,7 +71,7 @@
         }
         world.runS(runsS);
         for (JobSpec job : jobs) {
-            Phase phase = world.poll(0, job.id()).map(JobState::phase).orElse(null);
+            Phase phase = world.poll(0, job.id()).map(JobStatus::phase).orElse(null);
             assertTrue(
                     phase == null || phase == Phase.CANCELLED || phase == Phase.DONE,
                     job.id() + " is " + phase + " long after all troubles");
--- a/src/test/java/org/meadowhollow/story/ScaleTest.java
+++ b/src/test/java/org/meadowhollow/story/ScaleTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.coordination.admission.AdmissionService.Phase;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.storage.RecordCodec;
--- a/src/test/java/org/meadowhollow/story/StandbyStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/StandbyStoriesTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.coordination.admission.AdmissionService.Phase;
 import org.meadowhollow.coordination.api.ControllerStatus;
 import org.meadowhollow.coordination.api.PeerGateway;
 import org.meadowhollow.coordination.api.RiskTableDelta;
--- a/src/test/java/org/meadowhollow/story/Story.java
+++ b/src/test/java/org/meadowhollow/story/Story.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
-import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.coordination.admission.AdmissionService.Phase;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.Priority;
--- a/src/test/java/org/meadowhollow/story/TesStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/TesStoriesTest.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.ToIntFunction;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.coordination.admission.Admission;
+import org.meadowhollow.coordination.admission.AdmissionService;
 import org.meadowhollow.model.JobEventLog;
 import org.meadowhollow.model.JobId;
 import org.meadowhollow.model.JobKind;
@@ -253,7 +253,7 @@
         world.line(other).hold(false);
         world.runS(10);
         assertEquals("COMPLETE", state(0, id));
-        assertEquals(Admission.Phase.DONE, world.poll(0, job.id()).orElseThrow().phase());
+        assertEquals(AdmissionService.Phase.DONE, world.poll(0, job.id()).orElseThrow().phase());
         assertEquals(
                 0,
                 world.store().size(RecordCodec.JOB_PREFIX),
--- a/src/test/java/org/meadowhollow/story/World.java
+++ b/src/test/java/org/meadowhollow/story/World.java
@@ -19,9 +19,9 @@
 import java.util.function.UnaryOperator;
 import java.util.stream.IntStream;
 import org.meadowhollow.coordination.ControllerNode;
-import org.meadowhollow.coordination.admission.Admission;
-import org.meadowhollow.coordination.admission.Admission.JobState;
-import org.meadowhollow.coordination.admission.Admission.Phase;
+import org.meadowhollow.coordination.admission.AdmissionService;
+import org.meadowhollow.coordination.admission.AdmissionService.JobStatus;
+import org.meadowhollow.coordination.admission.AdmissionService.Phase;
 import org.meadowhollow.coordination.api.CloudProvider;
 import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.coordination.api.HeartbeatResponse;
@@ -146,7 +146,7 @@
         private final String name;
         private FakeStore.Line line;
         private ControllerNode controllerNode;
-        private Admission admission;
+        private AdmissionService admissionService;
         private TesApi tes;
         private ReservationApi desk;
 
@@ -208,8 +208,8 @@
                             calendar,
                             standby,
                             new Random(nextSeed++));
-            admission =
-                    new Admission(
+            admissionService =
+                    new AdmissionService(
                             mine,
                             own,
                             machineTypeCatalog,
@@ -218,7 +218,7 @@
                             controllerNode::liveJobState);
             tes =
                     new TesApi(
-                            admission,
+                            admissionService,
                             mine,
                             own,
                             deploymentSettings,
@@ -847,8 +847,8 @@
     private void refused(int node, int status, Map<String, Object> body) {
         request(
                 node,
-                admission ->
-                        new UserApi(admission)
+                admissionService ->
+                        new UserApi(admissionService)
                                 .submit(Wire.encode(body))
                                 .thenAccept(
                                         reply ->
@@ -885,7 +885,9 @@
 
     /** Sends a body as a user does, and gives the status; 0 without an answer. */
     int posts(int node, Map<String, Object> body) {
-        return await(node, admission -> new UserApi(admission).submit(Wire.encode(body)))
+        return await(
+                        node,
+                        admissionService -> new UserApi(admissionService).submit(Wire.encode(body)))
                 .map(Http.Reply::status)
                 .orElse(0);
     }
@@ -967,18 +969,21 @@
         again(() -> resubmits(node, spec));
         return await(
                         node,
-                        admission ->
+                        admissionService ->
                                 judged(
                                         spec.id(),
-                                        admission
+                                        admissionService
                                                 .submit(spec)
                                                 .thenApply(
-                                                        accepted -> Optional.of(accepted.state()))))
+                                                        submissionResult ->
+                                                                Optional.of(
+                                                                        submissionResult
+                                                                                .status()))))
                 .isPresent();
     }
 
     /** Submits without waiting for the answer. */
-    CompletableFuture<Optional<JobState>> submits(int node, JobSpec spec, Duration runTime) {
+    CompletableFuture<Optional<JobStatus>> submits(int node, JobSpec spec, Duration runTime) {
         specs.put(spec.id(), spec);
         runTimes.put(spec.id(), runTime);
         judge.submits(spec.id());
@@ -986,24 +991,30 @@
     }
 
     /** Submits a job once more, without waiting for the answer. */
-    CompletableFuture<Optional<JobState>> resubmits(int node, JobSpec spec) {
+    CompletableFuture<Optional<JobStatus>> resubmits(int node, JobSpec spec) {
         return request(
                 node,
-                admission ->
+                admissionService ->
                         judged(
                                 spec.id(),
-                                admission
+                                admissionService
                                         .submit(spec)
-                                        .thenApply(accepted -> Optional.of(accepted.state()))));
+                                        .thenApply(
+                                                submissionResult ->
+                                                        Optional.of(submissionResult.status()))));
     }
 
-    Optional<JobState> poll(int node, JobId id) {
-        return await(node, admission -> judged(id, admission.poll(id))).flatMap(state -> state);
+    Optional<JobStatus> poll(int node, JobId id) {
+        return await(node, admissionService -> judged(id, admissionService.getStatus(id)))
+                .flatMap(state -> state);
     }
 
     /** Asks about a job without waiting for the answer. */
     void asks(int node, JobId id) {
-        request(node, admission -> judged(id, admission.poll(id)).thenAccept(state -> answered++));
+        request(
+                node,
+                admissionService ->
+                        judged(id, admissionService.getStatus(id)).thenAccept(state -> answered++));
     }
 
     /** Answers to those who did not wait. */
@@ -1014,13 +1025,13 @@
     boolean cancel(int node, JobId id) {
         judge.asksToCancel(id);
         again(() -> cancels(node, id));
-        return await(node, admission -> judged(id, admission.cancel(id))).isPresent();
+        return await(node, admissionService -> judged(id, admissionService.cancel(id))).isPresent();
     }
 
     /** Asks for a job's cancellation without waiting for the answer. */
-    CompletableFuture<Optional<JobState>> cancels(int node, JobId id) {
+    CompletableFuture<Optional<JobStatus>> cancels(int node, JobId id) {
         judge.asksToCancel(id);
-        return request(node, admission -> judged(id, admission.cancel(id)));
+        return request(node, admissionService -> judged(id, admissionService.cancel(id)));
     }
 
     /** What users and workers saw, by the protocol's rules. */
@@ -1029,14 +1040,14 @@
     }
 
     /** Holds each answer against what was told before its question was sent. */
-    private CompletableFuture<Optional<JobState>> judged(
-            JobId id, CompletableFuture<Optional<JobState>> answer) {
+    private CompletableFuture<Optional<JobStatus>> judged(
+            JobId id, CompletableFuture<Optional<JobStatus>> answer) {
         MonotonicTime sentAt = loop.now();
         answer.thenAccept(
                 state ->
                         judged(
                                 () -> {
-                                    Phase phase = state.map(JobState::phase).orElse(null);
+                                    Phase phase = state.map(JobStatus::phase).orElse(null);
                                     judge.answered(id, phase, sentAt, loop.now());
                                     if (closeLooks && phase != null) {
                                         lookClosely(id, phase);
@@ -1058,13 +1069,13 @@
     }
 
     private interface Ask<T> {
-        CompletableFuture<T> of(Admission admission);
+        CompletableFuture<T> of(AdmissionService admissionService);
     }
 
     /** Sends a request that nobody waits for; it fails where no node listens. */
     private <T> CompletableFuture<T> request(int node, Ask<T> request) {
         return members.get(node).controllerNode != null && members.get(node).frozen == null
-                ? request.of(members.get(node).admission)
+                ? request.of(members.get(node).admissionService)
                 : CompletableFuture.failedFuture(new IllegalStateException("down"));
     }
 
@@ -1073,7 +1084,7 @@
         if (members.get(node).controllerNode == null || members.get(node).frozen != null) {
             return Optional.empty();
         }
-        CompletableFuture<T> answer = ask.of(members.get(node).admission);
+        CompletableFuture<T> answer = ask.of(members.get(node).admissionService);
         for (int step = 0; step < 20 && !answer.isDone(); step++) {
             run(STEP);
         }
