--- a/src/main/java/org/meadowhollow/cli/Rehearsal.java
+++ b/src/main/java/org/meadowhollow/cli/ClassArchiveTraining.java
@@ -10,41 +10,44 @@
 import java.util.List;
 import java.util.jar.JarEntry;
 import java.util.jar.JarFile;
-import org.meadowhollow.protocol.rehearsal.StandIn;
+import org.meadowhollow.protocol.training.PlatformStub;
 import org.meadowhollow.transport.HttpServer;
-import org.meadowhollow.transport.XnioLoop;
+import org.meadowhollow.transport.XnioEventLoop;
 
 /**
  * Run once by the build, to load the classes that a controller needs so that the JVM can archive
  * them. Starting from that archive costs a fraction of a cold start, which matters after a crash.
  */
-final class Rehearsal {
-    private static final String OWN_CLASSES = "org/meadowhollow/";
+final class ClassArchiveTraining {
+    private static final String OWN_CLASS_PATH_PREFIX = "org/meadowhollow/";
 
     /** Loaded by those who trace, and by operators' commands, and by no node that only runs. */
-    private static final List<String> OTHERS =
-            List.of(OWN_CLASSES + "transport/tracing/", OWN_CLASSES + "cli/reservation/");
+    private static final List<String> EXCLUDED_PATH_PREFIXES =
+            List.of(
+                    OWN_CLASS_PATH_PREFIX + "transport/tracing/",
+                    OWN_CLASS_PATH_PREFIX + "cli/reservation/");
 
-    private static final String CLASS = ".class";
+    private static final String CLASS_FILE_SUFFIX = ".class";
 
-    private Rehearsal() {}
+    private ClassArchiveTraining() {}
 
     /**
      * Lets a controller lead and run one job among stand-ins, then loads the rest of its own
      * classes by name.
      */
-    static void run() throws IOException, Settings.Unusable, ClassNotFoundException {
+    static void run()
+            throws IOException, Settings.InvalidSettingsException, ClassNotFoundException {
         Path file = Files.createTempFile("meadowhollow", ".json");
-        XnioLoop outside = new XnioLoop();
+        XnioEventLoop outside = new XnioEventLoop();
         try (HttpServer standIn =
                 new HttpServer(
                         outside,
-                        Controller.buffers(),
+                        Controller.newBufferPool(),
                         "127.0.0.1",
                         0,
                         0,
                         Duration.ofMinutes(1),
-                        new StandIn())) {
+                        new PlatformStub())) {
             Files.writeString(
                     file,
                     """
@@ -58,7 +61,7 @@
                       "cloud":{"rps":8.0,"list_lag_s":10.0}}}"""
                             .formatted(standIn.port()));
             try (Controller controller = Controller.builder(Settings.read(file)).start()) {
-                rehearse(controller.port());
+                exerciseController(controller.port());
             }
         } finally {
             outside.close();
@@ -67,22 +70,23 @@
         loadOwnClasses();
     }
 
-    private static void rehearse(int port) throws IOException {
-        ask(port, "GET", "/ready", new byte[0]);
+    private static void exerciseController(int port) throws IOException {
+        sendRequest(port, "GET", "/ready", new byte[0]);
         // Waits until the controller leads, and is answered by it.
-        ask(port, "POST", "/hello", StandIn.report(1, 0, null));
-        ask(port, "POST", "/submissions", StandIn.submission());
-        ask(port, "GET", "/submissions/req-1", new byte[0]);
+        sendRequest(port, "POST", "/hello", PlatformStub.heartbeatBody(1, 0, null));
+        sendRequest(port, "POST", "/submissions", PlatformStub.submissionBody());
+        sendRequest(port, "GET", "/submissions/req-1", new byte[0]);
         // These two are held until the task can start, or for a while.
-        ask(port, "POST", "/hello", StandIn.report(2, 1, null));
-        ask(port, "POST", "/hello", StandIn.report(3, 1, null));
-        ask(port, "POST", "/hello", StandIn.report(4, 1, "running"));
-        ask(port, "POST", "/hello", StandIn.report(5, 1, "ended"));
-        ask(port, "POST", "/submissions/req-1/cancel", new byte[0]);
-        ask(port, "POST", "/submissions", new byte[0]);
+        sendRequest(port, "POST", "/hello", PlatformStub.heartbeatBody(2, 1, null));
+        sendRequest(port, "POST", "/hello", PlatformStub.heartbeatBody(3, 1, null));
+        sendRequest(port, "POST", "/hello", PlatformStub.heartbeatBody(4, 1, "running"));
+        sendRequest(port, "POST", "/hello", PlatformStub.heartbeatBody(5, 1, "ended"));
+        sendRequest(port, "POST", "/submissions/req-1/cancel", new byte[0]);
+        sendRequest(port, "POST", "/submissions", new byte[0]);
     }
 
-    private static void ask(int port, String method, String path, byte[] body) throws IOException {
+    private static void sendRequest(int port, String method, String path, byte[] body)
+            throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.getOutputStream()
                     .write(
@@ -103,7 +107,7 @@
     private static void loadOwnClasses() throws IOException, ClassNotFoundException {
         Path own =
                 Path.of(
-                        Rehearsal.class
+                        ClassArchiveTraining.class
                                 .getProtectionDomain()
                                 .getCodeSource()
                                 .getLocation()
@@ -111,11 +115,12 @@
         try (JarFile jar = new JarFile(own.toFile())) {
             for (JarEntry entry : (Iterable<JarEntry>) jar.stream()::iterator) {
                 String name = entry.getName();
-                if (name.startsWith(OWN_CLASSES)
-                        && OTHERS.stream().noneMatch(name::startsWith)
-                        && name.endsWith(CLASS)) {
+                if (name.startsWith(OWN_CLASS_PATH_PREFIX)
+                        && EXCLUDED_PATH_PREFIXES.stream().noneMatch(name::startsWith)
+                        && name.endsWith(CLASS_FILE_SUFFIX)) {
                     Class.forName(
-                            name.substring(0, name.length() - CLASS.length()).replace('/', '.'));
+                            name.substring(0, name.length() - CLASS_FILE_SUFFIX.length())
+                                    .replace('/', '.'));
                 }
             }
         }
--- a/src/main/java/org/meadowhollow/cli/Controller.java
+++ b/src/main/java/org/meadowhollow/cli/Controller.java
@@ -22,71 +22,71 @@
 import org.meadowhollow.coordination.reservation.ReservationSettings;
 import org.meadowhollow.model.JobEventListeners;
 import org.meadowhollow.model.MachineTypeCatalog;
-import org.meadowhollow.protocol.NodeApi;
-import org.meadowhollow.protocol.RateBudget;
+import org.meadowhollow.protocol.AdaptiveRateLimiter;
+import org.meadowhollow.protocol.PublicApiRouter;
 import org.meadowhollow.protocol.cloud.CloudClient;
-import org.meadowhollow.protocol.peers.PeerLink;
+import org.meadowhollow.protocol.jobs.JobApi;
+import org.meadowhollow.protocol.keyvalue.KeyValueStoreClient;
+import org.meadowhollow.protocol.peers.PeerClient;
 import org.meadowhollow.protocol.reservation.ReservationApi;
-import org.meadowhollow.protocol.state.StateClient;
 import org.meadowhollow.protocol.tes.TesApi;
-import org.meadowhollow.protocol.users.UserApi;
-import org.meadowhollow.protocol.workers.WorkerApi;
+import org.meadowhollow.protocol.workers.HeartbeatApi;
 import org.meadowhollow.protocol.workers.WorkerClient;
 import org.meadowhollow.storage.RecordDigests;
 import org.meadowhollow.transport.HttpClient;
 import org.meadowhollow.transport.HttpServer;
-import org.meadowhollow.transport.PemKeys;
-import org.meadowhollow.transport.XnioLoop;
+import org.meadowhollow.transport.PemKeyManager;
+import org.meadowhollow.transport.XnioEventLoop;
 
 /** One controller node, to start and to close; the daemon is a thin shell around it. */
 public final class Controller implements AutoCloseable {
     /** Bytes of a network buffer; nearly every message fits into one. */
-    private static final int BUFFER = 8 * 1024;
+    private static final int BUFFER_BYTES = 8 * 1024;
 
-    private static final int MOST_BUFFERS = 64;
+    private static final int MAX_POOLED_BUFFERS = 64;
 
     /**
      * The limits of the state service and the cloud hold for all nodes together. The leader does
      * most of the work and may take most of them; the rest is left to what the others do for users.
      */
-    private static final double SHARE = 0.7;
+    private static final double RATE_SHARE_PER_NODE = 0.7;
 
     /** Longer than the pause between two hints while there is anything to say. */
-    private static final Duration PEERS_IDLE = Duration.ofMinutes(2);
+    private static final Duration PEER_IDLE_TIMEOUT = Duration.ofMinutes(2);
 
     /**
      * Workers report and users poll every few seconds, so that whoever says nothing for this many
      * reports is gone or behind a cut; but at least for so long, since a slow caller loses a
      * request on a connection that is closed.
      */
-    private static final int IDLE_REPORTS = 6;
+    private static final int IDLE_HEARTBEATS = 6;
 
-    private static final Duration LEAST_IDLE = Duration.ofSeconds(20);
+    private static final Duration MIN_IDLE_TIMEOUT = Duration.ofSeconds(20);
 
     /** While a lease is handed over. */
-    private static final Duration LOOK_AGAIN = Duration.ofMillis(20);
+    private static final Duration HANDOVER_POLL_INTERVAL = Duration.ofMillis(20);
 
     /** Sockets and files that the process itself needs beside its connections. */
-    private static final int OWN_SOCKETS = 64;
+    private static final int RESERVED_FILE_DESCRIPTORS = 64;
 
     /** The least share of its sockets that a process leaves to those who come to it. */
-    private static final double LEAST_FOR_CALLERS = 0.5;
+    private static final double MIN_CALLER_SHARE = 0.5;
 
     /**
      * The share of callers' connections that clients of the task execution API may take beside
      * them.
      */
-    private static final int TES_SHARE = 8;
+    private static final int TES_CONNECTIONS_DIVISOR = 8;
 
     /** Connections of those who plan by hand or by a script. */
-    private static final int MOST_OPERATORS = 16;
+    private static final int MAX_OPERATOR_CONNECTIONS = 16;
 
-    private final XnioLoop loop;
-    private final HttpServer front;
-    private final HttpServer back;
+    private final XnioEventLoop loop;
+    private final HttpServer publicServer;
+    private final HttpServer peerServer;
 
     /** Null unless the task execution API is served. */
-    private final HttpServer tes;
+    private final HttpServer tesServer;
 
     /** Null unless reservations and windows are taken. */
     private final HttpServer calendar;
@@ -95,7 +95,7 @@
     private final JobEventListeners jobEventListeners;
 
     private Controller(
-            XnioLoop loop,
+            XnioEventLoop loop,
             Settings settings,
             TesOptions tesOptions,
             SSLContext tesKeys,
@@ -106,23 +106,23 @@
             RandomGenerator random) {
         this.loop = loop;
         this.jobEventListeners = jobEventListeners;
-        DeploymentSettings deploymentSettings = settings.platform();
-        ByteBufferPool buffers = buffers();
+        DeploymentSettings deploymentSettings = settings.deployment();
+        ByteBufferPool buffers = newBufferPool();
         HttpClient http = new HttpClient(loop, buffers);
-        StateClient state =
-                new StateClient(
+        KeyValueStoreClient state =
+                new KeyValueStoreClient(
                         http,
-                        settings.state(),
+                        settings.storeAddress(),
                         loop,
-                        budget(deploymentSettings.storeRequestsPerSecond()),
-                        budget(deploymentSettings.storeWritesPerSecond()));
+                        newRateLimiter(deploymentSettings.storeRequestsPerSecond()),
+                        newRateLimiter(deploymentSettings.storeWritesPerSecond()));
         CloudClient cloud =
                 new CloudClient(
                         http,
-                        settings.cloud(),
+                        settings.cloudAddress(),
                         loop,
-                        budget(deploymentSettings.cloudRequestsPerSecond()));
-        PeerLink peers = new PeerLink(http, settings.peers());
+                        newRateLimiter(deploymentSettings.cloudRequestsPerSecond()));
+        PeerClient peers = new PeerClient(http, settings.peerAddresses());
         MachineTypeCatalog machineTypeCatalog = new MachineTypeCatalog();
         ControllerNode started =
                 new ControllerNode(
@@ -137,24 +137,26 @@
                         reservationOptions == null
                                 ? ReservationSettings.OFF
                                 : new ReservationSettings(
-                                        true, reservationOptions.maxMachines(), settings.skew()),
+                                        true,
+                                        reservationOptions.maxMachines(),
+                                        settings.clockSkewBound()),
                         standby,
                         random);
         controllerNode = started;
-        peers.testator(
-                new PeerLink.Testator() {
+        peers.handoverSource(
+                new PeerClient.HandoverSource() {
                     @Override
-                    public Optional<RiskTableDelta> tables(RiskTableRequest question) {
+                    public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest question) {
                         return started.riskTableDelta(question);
                     }
 
                     @Override
-                    public Optional<RecordDigests> digests() {
+                    public Optional<RecordDigests> recordDigests() {
                         return started.recordDigests();
                     }
                 });
-        peers.listener(controllerNode::observeLeader);
-        peers.served(() -> !state.seemsUnavailable());
+        peers.leaderListener(controllerNode::observeLeader);
+        peers.storeReachable(() -> !state.seemsUnavailable());
         peers.hearing(controllerNode::isMissingHeartbeats, controllerNode::recentlyHeardMachines);
         AdmissionService admissionService =
                 new AdmissionService(
@@ -164,21 +166,21 @@
                         deploymentSettings,
                         jobEventListeners,
                         controllerNode::liveJobState);
-        NodeApi api =
-                new NodeApi(
-                        new UserApi(admissionService),
-                        new WorkerApi(controllerNode::handleHeartbeat),
+        PublicApiRouter api =
+                new PublicApiRouter(
+                        new JobApi(admissionService),
+                        new HeartbeatApi(controllerNode::handleHeartbeat),
                         controllerNode::isReadyForUsers);
-        front =
+        publicServer =
                 new HttpServer(
                         loop,
                         buffers,
-                        settings.listen().host(),
-                        settings.listen().port(),
-                        mostCallers(settings),
-                        idle(deploymentSettings),
+                        settings.publicEndpoint().host(),
+                        settings.publicEndpoint().port(),
+                        maxCallerConnections(settings),
+                        callerIdleTimeout(deploymentSettings),
                         api);
-        tes =
+        tesServer =
                 tesOptions == null
                         ? null
                         : new HttpServer(
@@ -186,8 +188,8 @@
                                 buffers,
                                 tesOptions.listen().host(),
                                 tesOptions.listen().port(),
-                                mostCallers(settings) / TES_SHARE,
-                                idle(deploymentSettings),
+                                maxCallerConnections(settings) / TES_CONNECTIONS_DIVISOR,
+                                callerIdleTimeout(deploymentSettings),
                                 tesKeys,
                                 new TesApi(
                                         admissionService,
@@ -205,8 +207,8 @@
                                 buffers,
                                 reservationOptions.listenEndpoint().host(),
                                 reservationOptions.listenEndpoint().port(),
-                                MOST_OPERATORS,
-                                idle(deploymentSettings),
+                                MAX_OPERATOR_CONNECTIONS,
+                                callerIdleTimeout(deploymentSettings),
                                 calendarKeys,
                                 new ReservationApi(
                                         new ReservationService(
@@ -216,14 +218,14 @@
                                                 deploymentSettings,
                                                 reservationOptions.maxMachines()),
                                         reservationOptions.tokens()));
-        back =
+        peerServer =
                 new HttpServer(
                         loop,
                         buffers,
-                        settings.back().host(),
-                        settings.back().port(),
+                        settings.peerEndpoint().host(),
+                        settings.peerEndpoint().port(),
                         0,
-                        PEERS_IDLE,
+                        PEER_IDLE_TIMEOUT,
                         peers);
         controllerNode.start();
     }
@@ -233,26 +235,29 @@
      * opens itself, so that it can always reach the state service, the cloud, its peers and some
      * silent workers.
      */
-    static int mostCallers(Settings settings) {
+    static int maxCallerConnections(Settings settings) {
         int reserve =
-                OWN_SOCKETS
-                        + HttpClient.MOST_OPEN * (2 + settings.peers().size())
+                RESERVED_FILE_DESCRIPTORS
+                        + HttpClient.MAX_OPEN_PER_ADDRESS * (2 + settings.peerAddresses().size())
                         + HeartbeatTimeoutMonitor.MAX_PROBES_IN_FLIGHT;
-        int least = (int) (settings.sockets() * LEAST_FOR_CALLERS);
-        return settings.sockets() == 0 ? 0 : Math.max(least, settings.sockets() - reserve);
+        int least = (int) (settings.fileDescriptorLimit() * MIN_CALLER_SHARE);
+        return settings.fileDescriptorLimit() == 0
+                ? 0
+                : Math.max(least, settings.fileDescriptorLimit() - reserve);
     }
 
-    private static Duration idle(DeploymentSettings deploymentSettings) {
-        Duration reports = deploymentSettings.heartbeatInterval().multipliedBy(IDLE_REPORTS);
-        return reports.compareTo(LEAST_IDLE) > 0 ? reports : LEAST_IDLE;
+    private static Duration callerIdleTimeout(DeploymentSettings deploymentSettings) {
+        Duration reports = deploymentSettings.heartbeatInterval().multipliedBy(IDLE_HEARTBEATS);
+        return reports.compareTo(MIN_IDLE_TIMEOUT) > 0 ? reports : MIN_IDLE_TIMEOUT;
     }
 
-    static ByteBufferPool buffers() {
-        return new DefaultByteBufferPool(false, BUFFER, MOST_BUFFERS, 0);
+    static ByteBufferPool newBufferPool() {
+        return new DefaultByteBufferPool(false, BUFFER_BYTES, MAX_POOLED_BUFFERS, 0);
     }
 
-    private static RateBudget budget(double perSecond) {
-        return new RateBudget(perSecond * SHARE, perSecond * SHARE);
+    private static AdaptiveRateLimiter newRateLimiter(double perSecond) {
+        return new AdaptiveRateLimiter(
+                perSecond * RATE_SHARE_PER_NODE, perSecond * RATE_SHARE_PER_NODE);
     }
 
     public static Builder builder(Settings settings) {
@@ -305,26 +310,26 @@
          * Are told what happens to jobs; by default nobody is. The traces are closed with the
          * controller.
          */
-        public Builder observers(JobEventListeners told) {
+        public Builder eventListeners(JobEventListeners told) {
             jobEventListeners = told;
             return this;
         }
 
         public Controller start() throws IOException {
             SSLContext keys =
-                    tes == null || tes.chain() == null
+                    tes == null || tes.certificateFile() == null
                             ? null
-                            : PemKeys.context(tes.chain(), tes.key());
+                            : PemKeyManager.sslContext(tes.certificateFile(), tes.privateKeyFile());
             SSLContext calendarKeys =
                     calendar == null || calendar.certificateChainFile() == null
                             ? null
-                            : PemKeys.context(
+                            : PemKeyManager.sslContext(
                                     calendar.certificateChainFile(), calendar.privateKeyFile());
-            XnioLoop loop = new XnioLoop();
+            XnioEventLoop loop = new XnioEventLoop();
             try {
                 // Built where it runs, so that one thread alone loads classes and reads files while
                 // it starts.
-                return loop.call(
+                return loop.callAndWait(
                         () ->
                                 new Controller(
                                         loop,
@@ -344,12 +349,12 @@
     }
 
     public int port() {
-        return front.port();
+        return publicServer.port();
     }
 
     /** The port of the task execution API, or -1 if it is not served. */
     public int tesPort() {
-        return tes == null ? -1 : tes.port();
+        return tesServer == null ? -1 : tesServer.port();
     }
 
     /** The port for reservations and windows, or -1 if none are taken. */
@@ -365,10 +370,10 @@
      */
     public void handOver(Duration most) {
         CompletableFuture<Void> over = new CompletableFuture<>();
-        loop.call(
+        loop.callAndWait(
                 () -> {
                     controllerNode.handOver();
-                    untilOver(over);
+                    completeWhenNotLeading(over);
                     return over;
                 });
         try {
@@ -380,9 +385,9 @@
         }
     }
 
-    private void untilOver(CompletableFuture<Void> over) {
+    private void completeWhenNotLeading(CompletableFuture<Void> over) {
         if (controllerNode.isLeader()) {
-            loop.schedule(LOOK_AGAIN, () -> untilOver(over));
+            loop.schedule(HANDOVER_POLL_INTERVAL, () -> completeWhenNotLeading(over));
         } else {
             over.complete(null);
         }
@@ -390,14 +395,14 @@
 
     @Override
     public void close() {
-        if (tes != null) {
-            tes.close();
+        if (tesServer != null) {
+            tesServer.close();
         }
         if (calendar != null) {
             calendar.close();
         }
-        front.close();
-        back.close();
+        publicServer.close();
+        peerServer.close();
         controllerNode.close();
         loop.close();
         jobEventListeners.tracer().close();
--- a/src/main/java/org/meadowhollow/cli/Main.java
+++ b/src/main/java/org/meadowhollow/cli/Main.java
@@ -15,7 +15,7 @@
 import org.meadowhollow.model.JobEventListeners;
 import org.meadowhollow.model.JobEventLog;
 import org.meadowhollow.model.TaskTracer;
-import org.meadowhollow.transport.tracing.OtlpTraces;
+import org.meadowhollow.transport.tracing.OtlpTaskTracer;
 import org.slf4j.LoggerFactory;
 import org.slf4j.bridge.SLF4JBridgeHandler;
 import picocli.CommandLine;
@@ -27,8 +27,8 @@
  * longer than all the rest of the command, at every start.
  */
 public final class Main implements Callable<Integer> {
-    private static final Set<String> LEVELS = Set.of("error", "info", "debug");
-    private static final Set<String> SCHEMES = Set.of("http", "https");
+    private static final Set<String> LOG_LEVELS = Set.of("error", "info", "debug");
+    private static final Set<String> COLLECTOR_URL_SCHEMES = Set.of("http", "https");
     private static final String CONFIG = "--config";
     private static final String CHECK = "--check";
     private static final String TES_LISTEN = "--tes-listen";
@@ -45,14 +45,14 @@
     private static final String STANDBY = "--standby";
 
     /** A hand-over takes one change in the state service. */
-    private static final Duration HAND_OVER = Duration.ofSeconds(2);
+    private static final Duration HANDOVER_TIMEOUT = Duration.ofSeconds(2);
 
-    private static final String REHEARSE = "--rehearse";
+    private static final String TRAIN_CLASS_ARCHIVE = "--rehearse";
 
     private final CommandSpec spec =
             CommandSpec.wrapWithoutInspection(this)
                     .name("meadowhollow")
-                    .versionProvider(new Version())
+                    .versionProvider(new ManifestVersionProvider())
                     .addOption(
                             OptionSpec.builder(CONFIG)
                                     .paramLabel("FILE")
@@ -147,7 +147,7 @@
                                             "keep warm what is needed to take over while another node leads, and hand the lead"
                                                     + " over when told to end")
                                     .build())
-                    .addOption(OptionSpec.builder(REHEARSE).hidden(true).build())
+                    .addOption(OptionSpec.builder(TRAIN_CLASS_ARCHIVE).hidden(true).build())
                     .addOption(
                             OptionSpec.builder("-h", "--help")
                                     .usageHelp(true)
@@ -167,14 +167,14 @@
                         "",
                         "meadowhollow reserve, window and plan work with the calendar of a running node; see their --help.",
                         "The variable LOG_LEVEL (error, info or debug) sets how much goes to standard error.",
-                        TesOptions.TOKENS
+                        TesOptions.TOKENS_VARIABLE
                                 + " holds tokens as "
                                 + TES_TOKEN
                                 + " takes them, separated by blanks.");
     }
 
     /** The version that the build wrote into the manifest. */
-    static final class Version implements CommandLine.IVersionProvider {
+    static final class ManifestVersionProvider implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
             String version = Main.class.getPackage().getImplementationVersion();
@@ -186,7 +186,7 @@
      * Wrong flags get one line. A class of its own, for the archive of classes takes no lambda of
      * this kind.
      */
-    static final class OneLine implements CommandLine.IParameterExceptionHandler {
+    static final class OneLineErrorHandler implements CommandLine.IParameterExceptionHandler {
         @Override
         public int handleParseException(CommandLine.ParameterException wrong, String[] args) {
             System.err.println("meadowhollow: " + wrong.getMessage() + " (see --help)");
@@ -196,7 +196,7 @@
 
     public static void main(String[] args) {
         String level = System.getenv().getOrDefault("LOG_LEVEL", "info").toLowerCase(Locale.ROOT);
-        if (!LEVELS.contains(level)) {
+        if (!LOG_LEVELS.contains(level)) {
             System.err.println("meadowhollow: LOG_LEVEL is none of error, info, debug");
             System.exit(CommandLine.ExitCode.USAGE);
         }
@@ -216,21 +216,21 @@
                             new PrintWriter(System.err, true)));
         }
         CommandLine command = new CommandLine(new Main().spec);
-        command.setParameterExceptionHandler(new OneLine());
+        command.setParameterExceptionHandler(new OneLineErrorHandler());
         int code = command.execute(args);
-        if (code != RUNNING) {
+        if (code != KEEP_RUNNING) {
             System.exit(code);
         }
     }
 
     /** Not an exit code: the controller's own threads keep the process going. */
-    private static final int RUNNING = -1;
+    private static final int KEEP_RUNNING = -1;
 
     @Override
     public Integer call() throws Exception {
         CommandLine.ParseResult given = spec.commandLine().getParseResult();
-        if (given.hasMatchedOption(REHEARSE)) {
-            Rehearsal.run();
+        if (given.hasMatchedOption(TRAIN_CLASS_ARCHIVE)) {
+            ClassArchiveTraining.run();
             return CommandLine.ExitCode.OK;
         }
         Path config = given.matchedOptionValue(CONFIG, null);
@@ -245,7 +245,7 @@
         try {
             settings = Settings.read(config);
             tes =
-                    TesOptions.of(
+                    TesOptions.parse(
                             given.matchedOptionValue(TES_LISTEN, null),
                             given.matchedOptionValue(TES_TOKEN, List.of()),
                             given.matchedOptionValue(TES_CERT, null),
@@ -260,9 +260,9 @@
                             given.matchedOptionValue(CALENDAR_KEY, null),
                             given.matchedOptionValue(CALENDAR_MOST, List.of()),
                             System.getenv());
-            traces = traces(given.matchedOptionValue(TRACE_OTLP, null));
-        } catch (Settings.Unusable unusable) {
-            System.err.println("meadowhollow: " + unusable.getMessage());
+            traces = parseCollectorUrl(given.matchedOptionValue(TRACE_OTLP, null));
+        } catch (Settings.InvalidSettingsException invalidSettingsException) {
+            System.err.println("meadowhollow: " + invalidSettingsException.getMessage());
             return CommandLine.ExitCode.USAGE;
         }
         if (given.hasMatchedOption(CHECK)) {
@@ -280,49 +280,51 @@
                     Controller.builder(settings)
                             .tes(tes)
                             .calendar(calendar)
-                            .observers(
+                            .eventListeners(
                                     new JobEventListeners(
                                             order,
                                             traces == null
                                                     ? TaskTracer.NONE
-                                                    : traced(
-                                                            traces, settings.platform().member())));
+                                                    : createTracer(
+                                                            traces,
+                                                            settings.deployment().member())));
             boolean standby = given.hasMatchedOption(STANDBY);
             if (standby) {
-                builder.standby(new Version().getVersion()[0]);
+                builder.standby(new ManifestVersionProvider().getVersion()[0]);
             }
             Controller controller = builder.start();
             if (standby) {
                 Runtime.getRuntime()
                         .addShutdownHook(
-                                new Thread(() -> controller.handOver(HAND_OVER), "hand-over"));
+                                new Thread(
+                                        () -> controller.handOver(HANDOVER_TIMEOUT), "hand-over"));
             }
             // The log counts milliseconds from the start, for formatting the time of day made every
             // start a fifth
             // longer. This line tells what the count was at which time.
             LoggerFactory.getLogger(Main.class)
-                    .info("{} runs, at {}", settings.platform().member(), Instant.now());
+                    .info("{} runs, at {}", settings.deployment().member(), Instant.now());
         } catch (IOException | RuntimeException failure) {
             System.err.println("meadowhollow: cannot start: " + failure.getMessage());
             return CommandLine.ExitCode.SOFTWARE;
         }
-        return RUNNING;
+        return KEEP_RUNNING;
     }
 
     /**
      * Only a process that traces loads what this names, and has its library log where all else
      * does.
      */
-    private static TaskTracer traced(URI collector, String member) {
+    private static TaskTracer createTracer(URI collector, String member) {
         SLF4JBridgeHandler.removeHandlersForRootLogger();
         SLF4JBridgeHandler.install();
-        return OtlpTraces.to(collector, member);
+        return OtlpTaskTracer.exportingTo(collector, member);
     }
 
     /**
-     * @throws Settings.Unusable in one line, which names the flag
+     * @throws Settings.InvalidSettingsException in one line, which names the flag
      */
-    static URI traces(String url) throws Settings.Unusable {
+    static URI parseCollectorUrl(String url) throws Settings.InvalidSettingsException {
         if (url == null) {
             return null;
         }
@@ -330,13 +332,13 @@
             URI uri = new URI(url);
             if (uri.getHost() != null
                     && uri.getUserInfo() == null
-                    && SCHEMES.contains(uri.getScheme())) {
+                    && COLLECTOR_URL_SCHEMES.contains(uri.getScheme())) {
                 return uri;
             }
         } catch (URISyntaxException notAnAddress) {
             // One message for every wrong address.
         }
-        throw new Settings.Unusable(
+        throw new Settings.InvalidSettingsException(
                 TRACE_OTLP + " is not of the form http://HOST:PORT or https://HOST:PORT");
     }
 }
--- a/src/main/java/org/meadowhollow/cli/ReservationOptions.java
+++ b/src/main/java/org/meadowhollow/cli/ReservationOptions.java
@@ -6,9 +6,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.meadowhollow.protocol.Malformed;
+import org.meadowhollow.protocol.MalformedMessageException;
 import org.meadowhollow.protocol.reservation.ReservationApi;
-import org.meadowhollow.protocol.tes.TesTokens;
+import org.meadowhollow.protocol.tes.BearerTokens;
 
 /**
  * Where a controller takes reservations and windows, and what there is to reserve, as its
@@ -20,7 +20,7 @@
  */
 public record ReservationOptions(
         Settings.Endpoint listenEndpoint,
-        TesTokens tokens,
+        BearerTokens tokens,
         Path certificateChainFile,
         Path privateKeyFile,
         Map<String, Integer> maxMachines) {
@@ -35,7 +35,7 @@
      *
      * @param variables the environment
      * @return null if there is to be no calendar
-     * @throws Settings.Unusable in one line, which names the flag
+     * @throws Settings.InvalidSettingsException in one line, which names the flag
      */
     static ReservationOptions fromFlags(
             String listen,
@@ -44,49 +44,52 @@
             Path key,
             List<String> most,
             Map<String, String> variables)
-            throws Settings.Unusable {
+            throws Settings.InvalidSettingsException {
         if (listen == null) {
             if (!tokens.isEmpty() || chain != null || key != null || !most.isEmpty()) {
-                throw new Settings.Unusable(
+                throw new Settings.InvalidSettingsException(
                         "--calendar-token, --calendar-cert, --calendar-key and --calendar-most go"
                                 + " with --calendar-listen");
             }
             return null;
         }
         if ((chain == null) != (key == null)) {
-            throw new Settings.Unusable("--calendar-cert and --calendar-key go together");
+            throw new Settings.InvalidSettingsException(
+                    "--calendar-cert and --calendar-key go together");
         }
         List<String> all = new ArrayList<>(tokens);
         Arrays.stream(variables.getOrDefault(TOKENS_VARIABLE, "").split("\\s+"))
                 .filter(each -> !each.isEmpty())
                 .forEach(all::add);
         try {
-            TesTokens known = TesTokens.of(all);
+            BearerTokens known = BearerTokens.parse(all);
             if (known.isEmpty()) {
-                throw new Settings.Unusable(
+                throw new Settings.InvalidSettingsException(
                         "--calendar-listen needs a --calendar-token or " + TOKENS_VARIABLE);
             }
             for (String name : known.teams()) {
-                if (!name.equals(ReservationApi.OPERATOR) && !name.equals(TesTokens.READERS)) {
-                    throw new Settings.Unusable(
+                if (!name.equals(ReservationApi.OPERATOR)
+                        && !name.equals(BearerTokens.READ_ONLY_TEAM)) {
+                    throw new Settings.InvalidSettingsException(
                             "--calendar-token is for neither "
                                     + ReservationApi.OPERATOR
                                     + " nor "
-                                    + TesTokens.READERS);
+                                    + BearerTokens.READ_ONLY_TEAM);
                 }
             }
             return new ReservationOptions(
-                    Settings.endpoint(listen, "--calendar-listen"),
+                    Settings.parseEndpoint(listen, "--calendar-listen"),
                     known,
                     chain,
                     key,
                     maxMachines(most));
-        } catch (Malformed wrong) {
-            throw new Settings.Unusable(wrong.getMessage());
+        } catch (MalformedMessageException wrong) {
+            throw new Settings.InvalidSettingsException(wrong.getMessage());
         }
     }
 
-    private static Map<String, Integer> maxMachines(List<String> entries) throws Settings.Unusable {
+    private static Map<String, Integer> maxMachines(List<String> entries)
+            throws Settings.InvalidSettingsException {
         Map<String, Integer> most = new HashMap<>();
         for (String entry : entries) {
             int equals = entry.lastIndexOf('=');
@@ -99,7 +102,8 @@
             } catch (NumberFormatException notANumber) {
                 // One message for every wrong entry.
             }
-            throw new Settings.Unusable("--calendar-most is not of the form TYPE=N or TYPE/ZONE=N");
+            throw new Settings.InvalidSettingsException(
+                    "--calendar-most is not of the form TYPE=N or TYPE/ZONE=N");
         }
         return most;
     }
--- a/src/main/java/org/meadowhollow/cli/TesOptions.java
+++ b/src/main/java/org/meadowhollow/cli/TesOptions.java
@@ -5,66 +5,70 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
-import org.meadowhollow.protocol.Malformed;
-import org.meadowhollow.protocol.tes.TesTokens;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.tes.BearerTokens;
 
 /**
  * Where and how a controller serves the task execution API, as its operator's flags and variables
  * say.
  *
- * @param chain the certificate's file, or null for plain connections
- * @param key the file of the certificate's key, or null with it
+ * @param certificateFile the certificate's file, or null for plain connections
+ * @param privateKeyFile the file of the certificate's key, or null with it
  */
-public record TesOptions(Settings.Endpoint listen, TesTokens tokens, Path chain, Path key) {
+public record TesOptions(
+        Settings.Endpoint listen, BearerTokens tokens, Path certificateFile, Path privateKeyFile) {
     /**
      * Holds tokens like the flag, separated by blanks, where a command line could be read by
      * others.
      */
-    static final String TOKENS = "MEADOWHOLLOW_TES_TOKENS";
+    static final String TOKENS_VARIABLE = "MEADOWHOLLOW_TES_TOKENS";
 
     /**
      * Checks what the operator gave.
      *
      * @param variables the environment
      * @return null if the API is not to be served
-     * @throws Settings.Unusable in one line, which names the flag
+     * @throws Settings.InvalidSettingsException in one line, which names the flag
      */
-    static TesOptions of(
+    static TesOptions parse(
             String listen,
             List<String> tokens,
             Path chain,
             Path key,
             Map<String, String> variables,
             Settings settings)
-            throws Settings.Unusable {
+            throws Settings.InvalidSettingsException {
         List<String> all = new ArrayList<>(tokens);
-        Arrays.stream(variables.getOrDefault(TOKENS, "").split("\\s+"))
+        Arrays.stream(variables.getOrDefault(TOKENS_VARIABLE, "").split("\\s+"))
                 .filter(each -> !each.isEmpty())
                 .forEach(all::add);
         if (listen == null) {
             if (!tokens.isEmpty() || chain != null || key != null) {
-                throw new Settings.Unusable(
+                throw new Settings.InvalidSettingsException(
                         "--tes-token, --tes-cert and --tes-key go with --tes-listen");
             }
             return null;
         }
         if ((chain == null) != (key == null)) {
-            throw new Settings.Unusable("--tes-cert and --tes-key go together");
+            throw new Settings.InvalidSettingsException("--tes-cert and --tes-key go together");
         }
         try {
-            TesTokens known = TesTokens.of(all);
+            BearerTokens known = BearerTokens.parse(all);
             if (known.isEmpty()) {
-                throw new Settings.Unusable("--tes-listen needs a --tes-token or " + TOKENS);
+                throw new Settings.InvalidSettingsException(
+                        "--tes-listen needs a --tes-token or " + TOKENS_VARIABLE);
             }
             for (String team : known.teams()) {
-                if (!team.equals(TesTokens.READERS)
-                        && !settings.platform().teamQuotas().containsKey(team)) {
-                    throw new Settings.Unusable("--tes-token: there is no team " + team);
+                if (!team.equals(BearerTokens.READ_ONLY_TEAM)
+                        && !settings.deployment().teamQuotas().containsKey(team)) {
+                    throw new Settings.InvalidSettingsException(
+                            "--tes-token: there is no team " + team);
                 }
             }
-            return new TesOptions(Settings.endpoint(listen, "--tes-listen"), known, chain, key);
-        } catch (Malformed wrong) {
-            throw new Settings.Unusable(wrong.getMessage());
+            return new TesOptions(
+                    Settings.parseEndpoint(listen, "--tes-listen"), known, chain, key);
+        } catch (MalformedMessageException wrong) {
+            throw new Settings.InvalidSettingsException(wrong.getMessage());
         }
     }
 }
--- a/src/main/java/org/meadowhollow/cli/reservation/PlanRenderer.java
+++ b/src/main/java/org/meadowhollow/cli/reservation/PlanRenderer.java
@@ -13,8 +13,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import org.meadowhollow.protocol.Fields;
-import org.meadowhollow.protocol.Malformed;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessageReader;
 
 /** A plan as a node tells it, from templates: a table in plain text, or a page. */
 final class PlanRenderer {
@@ -25,12 +25,12 @@
 
     /** A line of the plan; the fields are what the templates name. */
     private static Map<String, Object> planLine(
-            Fields told, String what, String detail, String note, boolean bad, ZoneId zone)
-            throws Malformed {
+            MessageReader told, String what, String detail, String note, boolean bad, ZoneId zone)
+            throws MalformedMessageException {
         Map<String, Object> line = new LinkedHashMap<>();
-        line.put("from", TIME_FORMAT.format(Instant.parse(told.text("from")).atZone(zone)));
-        line.put("until", TIME_FORMAT.format(Instant.parse(told.text("until")).atZone(zone)));
-        line.put("order", told.text("from"));
+        line.put("from", TIME_FORMAT.format(Instant.parse(told.string("from")).atZone(zone)));
+        line.put("until", TIME_FORMAT.format(Instant.parse(told.string("until")).atZone(zone)));
+        line.put("order", told.string("from"));
         line.put("what", what);
         line.put("detail", detail);
         line.put("note", note);
@@ -50,48 +50,49 @@
     /**
      * @param plan the body of a node's answer
      * @param zoneId whose clocks the times are told by
-     * @throws Malformed if the answer or the time zone makes no sense
+     * @throws MalformedMessageException if the answer or the time zone makes no sense
      */
-    static String render(Map<String, Object> plan, String zoneId, boolean html) throws Malformed {
+    static String render(Map<String, Object> plan, String zoneId, boolean html)
+            throws MalformedMessageException {
         ZoneId zone;
         try {
             zone = ZoneId.of(zoneId);
         } catch (DateTimeException unknown) {
-            throw new Malformed("there is no time zone " + zoneId);
+            throw new MalformedMessageException("there is no time zone " + zoneId);
         }
-        Fields told = new Fields(plan);
+        MessageReader told = new MessageReader(plan);
         List<Map<String, Object>> lines = new ArrayList<>();
-        for (Fields slot : told.list("slots")) {
-            long met = slot.count("met");
-            long tasks = slot.count("tasks");
+        for (MessageReader slot : told.nestedList("slots")) {
+            long met = slot.nonNegativeLong("met");
+            long tasks = slot.nonNegativeLong("tasks");
             List<String> machines = new ArrayList<>();
-            slot.fields("machines")
+            slot.nested("machines")
                     .map()
                     .forEach((pair, count) -> machines.add(count + " x " + pair));
             lines.add(
                     planLine(
                             slot,
-                            "reservation " + slot.text("reservation"),
+                            "reservation " + slot.string("reservation"),
                             "team "
-                                    + slot.text("team")
+                                    + slot.string("team")
                                     + ", "
                                     + met
                                     + " of "
                                     + tasks
                                     + " tasks, "
                                     + String.join(" + ", machines),
-                            met < tasks ? String.join("; ", slot.textsOrNull("against")) : "",
+                            met < tasks ? String.join("; ", slot.stringListOrNull("against")) : "",
                             met < tasks,
                             zone));
         }
-        for (Fields outage : told.list("outages")) {
+        for (MessageReader outage : told.nestedList("outages")) {
             lines.add(
                     planLine(
                             outage,
-                            "window " + outage.text("window"),
-                            outage.text("scope").toLowerCase(Locale.ROOT)
+                            "window " + outage.string("window"),
+                            outage.string("scope").toLowerCase(Locale.ROOT)
                                     + " "
-                                    + String.join(", ", outage.textsOrNull("targets"))
+                                    + String.join(", ", outage.stringListOrNull("targets"))
                                     + " out",
                             "",
                             false,
--- a/src/main/java/org/meadowhollow/cli/reservation/ReservationCommand.java
+++ b/src/main/java/org/meadowhollow/cli/reservation/ReservationCommand.java
@@ -12,8 +12,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import org.meadowhollow.protocol.Json;
-import org.meadowhollow.protocol.Malformed;
+import org.meadowhollow.protocol.JsonCodec;
+import org.meadowhollow.protocol.MalformedMessageException;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -133,7 +133,7 @@
                     method,
                     body == null
                             ? HttpRequest.BodyPublishers.noBody()
-                            : HttpRequest.BodyPublishers.ofByteArray(Json.encode(body)));
+                            : HttpRequest.BodyPublishers.ofByteArray(JsonCodec.encode(body)));
             return sendWithRetries(request.build());
         }
 
@@ -146,7 +146,7 @@
                     HttpResponse<byte[]> reply =
                             HttpClient.newHttpClient()
                                     .send(request, HttpResponse.BodyHandlers.ofByteArray());
-                    Map<String, Object> told = Json.decode(reply.body());
+                    Map<String, Object> told = JsonCodec.decode(reply.body());
                     if (reply.statusCode() / 100 == 2) {
                         return told;
                     }
@@ -160,7 +160,7 @@
                     Thread.sleep(
                             (pause.compareTo(MAX_RETRY_DELAY) > 0 ? MAX_RETRY_DELAY : pause)
                                     .toMillis());
-                } catch (IOException | Malformed lost) {
+                } catch (IOException | MalformedMessageException lost) {
                     why =
                             "no answer from "
                                     + request.uri().getAuthority()
@@ -270,7 +270,7 @@
                             path,
                             version,
                             body);
-            spec.commandLine().getOut().println(new String(Json.encode(told)));
+            spec.commandLine().getOut().println(new String(JsonCodec.encode(told)));
             return CommandLine.ExitCode.OK;
         }
     }
--- a/src/main/java/org/meadowhollow/protocol/Http.java
+++ b/src/main/java/org/meadowhollow/protocol/Http.java
@@ -9,30 +9,30 @@
 /** What the protocols need of HTTP; the transport layer supplies it. */
 public interface Http {
     /** An answer: a status, a body, and the headers that matter here. */
-    record Reply(int status, byte[] body, int retryAfterS, String type) {
-        private static final String MESSAGE_PACK = "application/msgpack";
+    record Reply(int status, byte[] body, int retryAfterSeconds, String contentType) {
+        private static final String MESSAGE_PACK_CONTENT_TYPE = "application/msgpack";
 
         public Reply(int status, byte[] body, int retryAfterS) {
-            this(status, body, retryAfterS, MESSAGE_PACK);
+            this(status, body, retryAfterS, MESSAGE_PACK_CONTENT_TYPE);
         }
 
         public static Reply of(int status, Map<String, ?> body) {
-            return new Reply(status, Wire.encode(body), 0);
+            return new Reply(status, MessagePackCodec.encode(body), 0);
         }
 
         /** An answer that tells the caller when to come back. */
-        public static Reply comeBack(int status, int afterS, String why) {
-            return new Reply(status, Wire.encode(Map.of("error", why)), afterS);
+        public static Reply retryLater(int status, int afterS, String why) {
+            return new Reply(status, MessagePackCodec.encode(Map.of("error", why)), afterS);
         }
 
         public static Reply error(int status, String why) {
-            return new Reply(status, Wire.encode(Map.of("error", why)), 0);
+            return new Reply(status, MessagePackCodec.encode(Map.of("error", why)), 0);
         }
     }
 
     /** The request never reached the other side. */
-    class NotSent extends RuntimeException {
-        public NotSent(String message) {
+    class RequestNotSentException extends RuntimeException {
+        public RequestNotSentException(String message) {
             super(message, null, false, false);
         }
     }
@@ -41,20 +41,23 @@
      * The other side's machine answered that nobody listens there, or that no more connections are
      * taken.
      */
-    final class Refused extends NotSent {
-        public Refused(String message) {
+    final class ConnectionRefusedException extends RequestNotSentException {
+        public ConnectionRefusedException(String message) {
             super(message);
         }
     }
 
     /** The request went out but no answer came: it may have been executed, or may be yet. */
-    final class NoAnswer extends RuntimeException {
-        public NoAnswer(String message) {
+    final class NoResponseException extends RuntimeException {
+        public NoResponseException(String message) {
             super(message, null, false, false);
         }
     }
 
-    /** Sends a request to an address; fails with {@link NotSent} or {@link NoAnswer}. */
+    /**
+     * Sends a request to an address; fails with {@link RequestNotSentException} or {@link
+     * NoResponseException}.
+     */
     interface Client {
         CompletableFuture<Reply> send(
                 String address, String method, String path, byte[] body, Duration timeout);
@@ -74,17 +77,17 @@
             byte[] body) {}
 
     /** Answers the requests that arrive at one listening address. */
-    interface Service {
+    interface RequestHandler {
         CompletableFuture<Reply> answer(Request request);
 
         /** The answer to a body that is too large or was cut short. */
-        default Reply refusal() {
+        default Reply invalidBodyReply() {
             return Reply.error(400, "the body is too large or was cut short");
         }
     }
 
     /** A service that needs no more than method, path and body. */
-    interface Handler extends Service {
+    interface SimpleRequestHandler extends RequestHandler {
         CompletableFuture<Reply> handle(String method, String path, byte[] body);
 
         @Override
--- a/src/main/java/org/meadowhollow/protocol/Json.java
+++ b/src/main/java/org/meadowhollow/protocol/JsonCodec.java
@@ -8,50 +8,52 @@
 import java.util.List;
 import java.util.Map;
 
-/** JSON objects from and to maps with the same kinds of values as {@link Wire} gives. */
-public final class Json {
+/**
+ * JSON objects from and to maps with the same kinds of values as {@link MessagePackCodec} gives.
+ */
+public final class JsonCodec {
     /**
      * Far deeper than anything that is read here. The library's own bound is a thousand, for which
      * the stack of a node as it is deployed does not suffice.
      */
-    private static final int MAX_DEPTH = 32;
+    private static final int MAX_NESTING_DEPTH = 32;
 
-    private static final JSON JSON_IO =
+    private static final JSON JACKSON =
             JSON.builder(
                             JsonFactory.builder()
                                     .streamReadConstraints(
                                             StreamReadConstraints.builder()
-                                                    .maxNestingDepth(MAX_DEPTH)
+                                                    .maxNestingDepth(MAX_NESTING_DEPTH)
                                                     .build())
                                     .build())
                     .build();
 
-    private Json() {}
+    private JsonCodec() {}
 
     /**
      * Reads an object, nested at most 32 levels deep. The length of numbers is bounded by the
      * library, the size by who hands the bytes over.
      *
-     * @throws Malformed if the bytes are no JSON object
+     * @throws MalformedMessageException if the bytes are no JSON object
      */
-    public static Map<String, Object> decode(byte[] bytes) throws Malformed {
+    public static Map<String, Object> decode(byte[] bytes) throws MalformedMessageException {
         try {
-            Map<String, Object> map = JSON_IO.mapFrom(bytes);
+            Map<String, Object> map = JACKSON.mapFrom(bytes);
             if (map != null) {
-                return widened(map);
+                return normalize(map);
             }
         } catch (IOException | ClassCastException broken) {
-            throw new Malformed("not a JSON object");
+            throw new MalformedMessageException("not a JSON object");
         } catch (IllegalArgumentException broken) {
-            throw new Malformed(broken.getMessage());
+            throw new MalformedMessageException(broken.getMessage());
         }
         // The word null alone.
-        throw new Malformed("not a JSON object");
+        throw new MalformedMessageException("not a JSON object");
     }
 
     public static byte[] encode(Map<String, ?> map) {
         try {
-            return JSON_IO.asBytes(map);
+            return JACKSON.asBytes(map);
         } catch (IOException impossible) {
             throw new IllegalStateException(
                     "maps of plain values can always be written", impossible);
@@ -59,14 +61,14 @@
     }
 
     /** Whole numbers come as int or long; the checks know one kind. */
-    private static Map<String, Object> widened(Map<String, Object> map) {
+    private static Map<String, Object> normalize(Map<String, Object> map) {
         Map<String, Object> wide = new LinkedHashMap<>();
-        map.forEach((key, value) -> wide.put(whole(key), widened(value)));
+        map.forEach((key, value) -> wide.put(requirePairedSurrogates(key), normalize(value)));
         return wide;
     }
 
     /** JSON can name half of a character, which no other encoding can hold. */
-    private static String whole(String text) {
+    private static String requirePairedSurrogates(String text) {
         for (int at = 0; at < text.length(); at++) {
             char unit = text.charAt(at);
             boolean paired =
@@ -82,18 +84,18 @@
     }
 
     @SuppressWarnings("unchecked")
-    private static Object widened(Object value) {
+    private static Object normalize(Object value) {
         if (value instanceof Integer number) {
             return number.longValue();
         }
         if (value instanceof String text) {
-            return whole(text);
+            return requirePairedSurrogates(text);
         }
         if (value instanceof Map<?, ?> map) {
-            return widened((Map<String, Object>) map);
+            return normalize((Map<String, Object>) map);
         }
         if (value instanceof List<?> list) {
-            return list.stream().map(Json::widened).toList();
+            return list.stream().map(JsonCodec::normalize).toList();
         }
         return value;
     }
--- a/src/main/java/org/meadowhollow/protocol/Wire.java
+++ b/src/main/java/org/meadowhollow/protocol/MessagePackCodec.java
@@ -12,13 +12,13 @@
 import org.msgpack.value.ValueType;
 
 /** MessagePack bodies as maps keyed by text, lists, text, numbers, booleans and null. */
-public final class Wire {
+public final class MessagePackCodec {
     /**
      * Deeper nesting than any message of the protocol has; guards the stack against hostile bodies.
      */
-    private static final int MAX_DEPTH = 16;
+    private static final int MAX_NESTING_DEPTH = 16;
 
-    private Wire() {}
+    private MessagePackCodec() {}
 
     public static byte[] encode(Map<String, ?> body) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
@@ -57,41 +57,43 @@
     }
 
     /** Decodes a body that must be one map with nothing after it. */
-    public static Map<String, Object> decode(byte[] body) throws Malformed {
+    public static Map<String, Object> decode(byte[] body) throws MalformedMessageException {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(body)) {
             if (!unpacker.hasNext() || unpacker.getNextFormat().getValueType() != ValueType.MAP) {
-                throw new Malformed("the body is not a map");
+                throw new MalformedMessageException("the body is not a map");
             }
-            Map<String, Object> map = map(unpacker, body.length, 1);
+            Map<String, Object> map = unpackMap(unpacker, body.length, 1);
             if (unpacker.hasNext()) {
-                throw new Malformed("the body goes on after its map");
+                throw new MalformedMessageException("the body goes on after its map");
             }
             return map;
         } catch (IOException | MessagePackException broken) {
-            throw new Malformed("the body is not MessagePack");
+            throw new MalformedMessageException("the body is not MessagePack");
         }
     }
 
-    private static Map<String, Object> map(MessageUnpacker unpacker, int most, int depth)
-            throws IOException, Malformed {
+    private static Map<String, Object> unpackMap(MessageUnpacker unpacker, int most, int depth)
+            throws IOException, MalformedMessageException {
         int size = unpacker.unpackMapHeader();
         // A header may promise far more than the body holds; each entry takes two bytes at least.
-        if (size > most / 2 || depth > MAX_DEPTH) {
-            throw new Malformed(
-                    depth > MAX_DEPTH ? "the body is nested too deeply" : "the body is cut short");
+        if (size > most / 2 || depth > MAX_NESTING_DEPTH) {
+            throw new MalformedMessageException(
+                    depth > MAX_NESTING_DEPTH
+                            ? "the body is nested too deeply"
+                            : "the body is cut short");
         }
         Map<String, Object> map = new LinkedHashMap<>(size * 2);
         for (int at = 0; at < size; at++) {
             if (unpacker.getNextFormat().getValueType() != ValueType.STRING) {
-                throw new Malformed("a key is not text");
+                throw new MalformedMessageException("a key is not text");
             }
-            map.put(unpacker.unpackString(), value(unpacker, most, depth + 1));
+            map.put(unpacker.unpackString(), unpackValue(unpacker, most, depth + 1));
         }
         return map;
     }
 
-    private static Object value(MessageUnpacker unpacker, int most, int depth)
-            throws IOException, Malformed {
+    private static Object unpackValue(MessageUnpacker unpacker, int most, int depth)
+            throws IOException, MalformedMessageException {
         switch (unpacker.getNextFormat().getValueType()) {
             case NIL -> {
                 unpacker.unpackNil();
@@ -111,22 +113,23 @@
             }
             case ARRAY -> {
                 int size = unpacker.unpackArrayHeader();
-                if (size > most || depth > MAX_DEPTH) {
-                    throw new Malformed(
-                            depth > MAX_DEPTH
+                if (size > most || depth > MAX_NESTING_DEPTH) {
+                    throw new MalformedMessageException(
+                            depth > MAX_NESTING_DEPTH
                                     ? "the body is nested too deeply"
                                     : "the body is cut short");
                 }
                 List<Object> list = new ArrayList<>(size);
                 for (int at = 0; at < size; at++) {
-                    list.add(value(unpacker, most, depth + 1));
+                    list.add(unpackValue(unpacker, most, depth + 1));
                 }
                 return list;
             }
             case MAP -> {
-                return map(unpacker, most, depth);
+                return unpackMap(unpacker, most, depth);
             }
-            default -> throw new Malformed("binary and extension values are not used");
+            default ->
+                    throw new MalformedMessageException("binary and extension values are not used");
         }
     }
 }
--- /dev/null
+++ b/src/main/java/org/meadowhollow/protocol/MessageReader.java
@@ -0,0 +1,131 @@
+package org.meadowhollow.protocol;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** Checked access to the fields of a decoded map. An absent field equals null. */
+public record MessageReader(Map<String, Object> map) {
+    /** Starts a map to be sent, filled by pairs of key and value. */
+    public static Map<String, Object> mapOf(Object... pairs) {
+        Map<String, Object> map = new LinkedHashMap<>(pairs.length);
+        for (int at = 0; at < pairs.length; at += 2) {
+            map.put((String) pairs[at], pairs[at + 1]);
+        }
+        return map;
+    }
+
+    public static MessageReader decode(byte[] body) throws MalformedMessageException {
+        return new MessageReader(MessagePackCodec.decode(body));
+    }
+
+    public boolean has(String key) {
+        return map.get(key) != null;
+    }
+
+    public String string(String key) throws MalformedMessageException {
+        return requirePresent(key, stringOrNull(key));
+    }
+
+    public String stringOrNull(String key) throws MalformedMessageException {
+        return valueOfType(key, String.class, "text");
+    }
+
+    public boolean booleanValue(String key) throws MalformedMessageException {
+        return requirePresent(key, valueOfType(key, Boolean.class, "true or false"));
+    }
+
+    public boolean booleanOr(String key, boolean otherwise) throws MalformedMessageException {
+        Boolean flag = valueOfType(key, Boolean.class, "true or false");
+        return flag == null ? otherwise : flag;
+    }
+
+    public long nonNegativeLong(String key) throws MalformedMessageException {
+        Object value = requirePresent(key, map.get(key));
+        if (value instanceof Long number && number >= 0) {
+            return number;
+        }
+        throw new MalformedMessageException(key + " is not a whole number from 0 on");
+    }
+
+    /** A decimal amount that is finite and not negative. */
+    public double nonNegativeDouble(String key) throws MalformedMessageException {
+        double amount = nonNegativeDoubleOr(key, Double.NaN);
+        requirePresent(key, Double.isNaN(amount) ? null : amount);
+        return amount;
+    }
+
+    public double nonNegativeDoubleOr(String key, double otherwise)
+            throws MalformedMessageException {
+        Object value = map.get(key);
+        if (value == null) {
+            return otherwise;
+        }
+        if (value instanceof Number number) {
+            double amount = number.doubleValue();
+            if (amount >= 0 && amount < 1e12) {
+                return amount;
+            }
+        }
+        throw new MalformedMessageException(key + " is not an amount from 0 on");
+    }
+
+    public MessageReader nested(String key) throws MalformedMessageException {
+        return toReader(key, requirePresent(key, map.get(key)));
+    }
+
+    /** The maps in a list; an absent list is empty. */
+    public List<MessageReader> nestedList(String key) throws MalformedMessageException {
+        List<MessageReader> all = new ArrayList<>();
+        for (Object item : rawList(key)) {
+            all.add(toReader(key, item));
+        }
+        return all;
+    }
+
+    /** The texts in a list; null when the list is absent. */
+    public List<String> stringListOrNull(String key) throws MalformedMessageException {
+        if (!has(key)) {
+            return null;
+        }
+        List<String> all = new ArrayList<>();
+        for (Object item : rawList(key)) {
+            if (!(item instanceof String text)) {
+                throw new MalformedMessageException(key + " holds something other than text");
+            }
+            all.add(text);
+        }
+        return all;
+    }
+
+    public List<?> rawList(String key) throws MalformedMessageException {
+        List<?> list = valueOfType(key, List.class, "a list");
+        return list == null ? List.of() : list;
+    }
+
+    @SuppressWarnings("unchecked")
+    private static MessageReader toReader(String key, Object value)
+            throws MalformedMessageException {
+        if (value instanceof Map<?, ?> inner) {
+            return new MessageReader((Map<String, Object>) inner);
+        }
+        throw new MalformedMessageException(key + " is not a map");
+    }
+
+    private <T> T valueOfType(String key, Class<T> type, String what)
+            throws MalformedMessageException {
+        Object value = map.get(key);
+        if (value == null || type.isInstance(value)) {
+            return type.cast(value);
+        }
+        throw new MalformedMessageException(key + " is not " + what);
+    }
+
+    private static <T> T requirePresent(String key, T value) throws MalformedMessageException {
+        if (value == null) {
+            throw new MalformedMessageException(key + " is missing");
+        }
+        return value;
+    }
+}
--- a/src/main/java/org/meadowhollow/protocol/cloud/CloudClient.java
+++ b/src/main/java/org/meadowhollow/protocol/cloud/CloudClient.java
@@ -12,56 +12,63 @@
 import org.meadowhollow.model.MachineId;
 import org.meadowhollow.model.MachineType;
 import org.meadowhollow.model.Resources;
-import org.meadowhollow.protocol.Fields;
+import org.meadowhollow.protocol.AdaptiveRateLimiter;
 import org.meadowhollow.protocol.Http;
-import org.meadowhollow.protocol.Malformed;
-import org.meadowhollow.protocol.RateBudget;
-import org.meadowhollow.protocol.Wire;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessagePackCodec;
+import org.meadowhollow.protocol.MessageReader;
 
 /** The cloud over HTTP, within a budget of requests. */
 public final class CloudClient implements CloudProvider {
     /** The cloud's own machinery is slow; past this no answer will come. */
-    private static final Duration ANSWER = Duration.ofSeconds(5);
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(5);
 
-    private static final int PAGE = 500;
+    private static final int PAGE_SIZE = 500;
 
     private final Http.Client http;
     private final String address;
     private final EventLoop loop;
-    private final RateBudget budget;
+    private final AdaptiveRateLimiter requestLimiter;
 
-    public CloudClient(Http.Client http, String address, EventLoop loop, RateBudget budget) {
+    public CloudClient(
+            Http.Client http, String address, EventLoop loop, AdaptiveRateLimiter budget) {
         this.http = http;
         this.address = address;
         this.loop = loop;
-        this.budget = budget;
+        this.requestLimiter = budget;
     }
 
     @Override
     public CompletableFuture<List<MachineType>> listMachineTypes() {
-        return call("GET", "/machine_types", null)
+        return sendWithinLimit("GET", "/machine_types", null)
                 .thenApply(
                         reply ->
-                                read(
+                                parseBody(
                                         reply,
                                         body -> {
                                             List<MachineType> types = new ArrayList<>();
-                                            for (Fields item : body.list("breeds")) {
-                                                List<String> zones = item.textsOrNull("fields");
+                                            for (MessageReader item : body.nestedList("breeds")) {
+                                                List<String> zones =
+                                                        item.stringListOrNull("fields");
                                                 types.add(
                                                         new MachineType(
-                                                                item.text("label"),
+                                                                item.string("label"),
                                                                 Resources.of(
-                                                                        item.amount("cores"),
-                                                                        item.amount("gpus"),
-                                                                        item.amount("memGb")),
-                                                                item.amount("cacheGb"),
-                                                                item.amount("fetchGbPerS"),
-                                                                item.amount("hourly"),
-                                                                item.amountOr(
+                                                                        item.nonNegativeDouble(
+                                                                                "cores"),
+                                                                        item.nonNegativeDouble(
+                                                                                "gpus"),
+                                                                        item.nonNegativeDouble(
+                                                                                "memGb")),
+                                                                item.nonNegativeDouble("cacheGb"),
+                                                                item.nonNegativeDouble(
+                                                                        "fetchGbPerS"),
+                                                                item.nonNegativeDouble("hourly"),
+                                                                item.nonNegativeDoubleOr(
                                                                         "spotPrice",
-                                                                        item.amount("hourly")),
-                                                                item.amount("readyS"),
+                                                                        item.nonNegativeDouble(
+                                                                                "hourly")),
+                                                                item.nonNegativeDouble("readyS"),
                                                                 zones == null ? List.of() : zones));
                                             }
                                             return types;
@@ -72,8 +79,8 @@
     public CompletableFuture<Optional<List<MachineId>>> rentMachines(
             String request, String type, String zone, boolean spot, int count) {
         byte[] bytes =
-                Wire.encode(
-                        Fields.of(
+                MessagePackCodec.encode(
+                        MessageReader.mapOf(
                                 "hire",
                                 request,
                                 "breed",
@@ -84,17 +91,17 @@
                                 spot,
                                 "count",
                                 (long) count));
-        return call("POST", "/rentals", bytes)
+        return sendWithinLimit("POST", "/rentals", bytes)
                 .thenApply(
                         reply -> {
-                            if (reply.status() == 503 && noCapacity(reply)) {
+                            if (reply.status() == 503 && isNoCapacity(reply)) {
                                 return Optional.<List<MachineId>>empty();
                             }
-                            return read(
+                            return parseBody(
                                     reply,
                                     body -> {
                                         List<MachineId> ids = new ArrayList<>();
-                                        for (String id : body.textsOrNull("stalls")) {
+                                        for (String id : body.stringListOrNull("stalls")) {
                                             ids.add(new MachineId(id));
                                         }
                                         return Optional.of(ids);
@@ -102,10 +109,10 @@
                         });
     }
 
-    private static boolean noCapacity(Http.Reply reply) {
+    private static boolean isNoCapacity(Http.Reply reply) {
         try {
-            return "no capacity".equals(Fields.decode(reply.body()).textOrNull("error"));
-        } catch (Malformed broken) {
+            return "no capacity".equals(MessageReader.decode(reply.body()).stringOrNull("error"));
+        } catch (MalformedMessageException broken) {
             return false;
         }
     }
@@ -113,70 +120,77 @@
     @Override
     public CompletableFuture<Void> releaseMachines(List<MachineId> machines) {
         byte[] bytes =
-                Wire.encode(Map.of("stalls", machines.stream().map(MachineId::value).toList()));
-        return call("POST", "/rentals/release", bytes)
+                MessagePackCodec.encode(
+                        Map.of("stalls", machines.stream().map(MachineId::value).toList()));
+        return sendWithinLimit("POST", "/rentals/release", bytes)
                 .thenAccept(
                         reply -> {
                             if (reply.status() == 429 || reply.status() == 503) {
                                 throw new CloudProvider.RequestRefusedException(
                                         "the cloud answered " + reply.status());
                             }
-                            read(reply, body -> body);
+                            parseBody(reply, body -> body);
                         });
     }
 
     @Override
     public CompletableFuture<List<ListedMachine>> listMachines() {
-        return page("", new ArrayList<>());
+        return fetchRemainingPages("", new ArrayList<>());
     }
 
-    private CompletableFuture<List<ListedMachine>> page(String after, List<ListedMachine> all) {
-        return call("GET", "/rentals?after=" + after + "&most=" + PAGE, null)
+    private CompletableFuture<List<ListedMachine>> fetchRemainingPages(
+            String after, List<ListedMachine> all) {
+        return sendWithinLimit("GET", "/rentals?after=" + after + "&most=" + PAGE_SIZE, null)
                 .thenCompose(
                         reply -> {
                             boolean more =
-                                    read(
+                                    parseBody(
                                             reply,
                                             body -> {
-                                                for (Fields item : body.list("stalls")) {
+                                                for (MessageReader item :
+                                                        body.nestedList("stalls")) {
                                                     all.add(
                                                             new ListedMachine(
-                                                                    new MachineId(item.text("ref")),
-                                                                    item.textOrNull("endpoint"),
-                                                                    item.text("breed"),
-                                                                    item.text("field"),
-                                                                    item.flagOr("loaners", false),
-                                                                    phase(item.text("phase")),
-                                                                    item.amountOr("heldS", 0)));
+                                                                    new MachineId(
+                                                                            item.string("ref")),
+                                                                    item.stringOrNull("endpoint"),
+                                                                    item.string("breed"),
+                                                                    item.string("field"),
+                                                                    item.booleanOr(
+                                                                            "loaners", false),
+                                                                    decodePhase(
+                                                                            item.string("phase")),
+                                                                    item.nonNegativeDoubleOr(
+                                                                            "heldS", 0)));
                                                 }
-                                                return body.flagOr("truncated", false);
+                                                return body.booleanOr("truncated", false);
                                             });
                             return more && !all.isEmpty()
-                                    ? page(all.get(all.size() - 1).id().value(), all)
+                                    ? fetchRemainingPages(all.get(all.size() - 1).id().value(), all)
                                     : CompletableFuture.completedFuture(all);
                         });
     }
 
-    private static MachinePhase phase(String text) throws Malformed {
+    private static MachinePhase decodePhase(String text) throws MalformedMessageException {
         return switch (text) {
             case "booting" -> MachinePhase.BOOTING;
             case "running" -> MachinePhase.RUNNING;
             case "failed" -> MachinePhase.FAILED;
-            default -> throw new Malformed("unknown phase " + text);
+            default -> throw new MalformedMessageException("unknown phase " + text);
         };
     }
 
-    private CompletableFuture<Http.Reply> call(String method, String path, byte[] body) {
-        Duration pause = budget.untilFree(1, loop.now());
-        budget.take(1, loop.now());
+    private CompletableFuture<Http.Reply> sendWithinLimit(String method, String path, byte[] body) {
+        Duration pause = requestLimiter.delayUntilAvailable(1, loop.now());
+        requestLimiter.consume(1, loop.now());
         if (pause.isZero()) {
-            return http.send(address, method, path, body, ANSWER);
+            return http.send(address, method, path, body, RESPONSE_TIMEOUT);
         }
         CompletableFuture<Http.Reply> answer = new CompletableFuture<>();
         loop.schedule(
                 pause,
                 () ->
-                        http.send(address, method, path, body, ANSWER)
+                        http.send(address, method, path, body, RESPONSE_TIMEOUT)
                                 .whenComplete(
                                         (reply, failure) -> {
                                             if (failure == null) {
@@ -188,17 +202,17 @@
         return answer;
     }
 
-    private interface Reading<T> {
-        T of(Fields body) throws Malformed;
+    private interface BodyParser<T> {
+        T parse(MessageReader body) throws MalformedMessageException;
     }
 
-    private static <T> T read(Http.Reply reply, Reading<T> reading) {
+    private static <T> T parseBody(Http.Reply reply, BodyParser<T> bodyParser) {
         try {
             if (reply.status() != 200) {
-                throw new Malformed("the cloud answered " + reply.status());
+                throw new MalformedMessageException("the cloud answered " + reply.status());
             }
-            return reading.of(Fields.decode(reply.body()));
-        } catch (Malformed broken) {
+            return bodyParser.parse(MessageReader.decode(reply.body()));
+        } catch (MalformedMessageException broken) {
             throw new CompletionException(broken);
         }
     }
--- a/src/main/java/org/meadowhollow/protocol/users/UserApi.java
+++ b/src/main/java/org/meadowhollow/protocol/jobs/JobApi.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.protocol.users;
+package org.meadowhollow.protocol.jobs;
 
 import java.util.Map;
 import java.util.Optional;
@@ -7,63 +7,66 @@
 import org.meadowhollow.coordination.admission.AdmissionService;
 import org.meadowhollow.model.JobId;
 import org.meadowhollow.model.JobSpec;
-import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
-import org.meadowhollow.protocol.Malformed;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessageReader;
 import org.meadowhollow.storage.KeyValueStoreException;
 
 /** What users call: submit, poll and cancel. */
-public final class UserApi {
+public final class JobApi {
     /** The protocol's shortest pause before a retry, in seconds. */
-    private static final int COME_BACK_S = 1;
+    private static final int RETRY_AFTER_SECONDS = 1;
 
     private final AdmissionService admissionService;
 
-    public UserApi(AdmissionService admissionService) {
+    public JobApi(AdmissionService admissionService) {
         this.admissionService = admissionService;
     }
 
     public CompletableFuture<Http.Reply> submit(byte[] body) {
         JobSpec spec;
         try {
-            spec = SubmissionCodec.decode(Fields.decode(body));
-        } catch (Malformed broken) {
+            spec = SubmissionCodec.decode(MessageReader.decode(body));
+        } catch (MalformedMessageException broken) {
             return CompletableFuture.completedFuture(Http.Reply.error(400, broken.getMessage()));
         }
-        return answered(
+        return mapFailuresToReplies(
                 admissionService
                         .submit(spec)
                         .thenApply(
                                 submissionResult ->
                                         Http.Reply.of(
                                                 submissionResult.isNew() ? 201 : 200,
-                                                body(submissionResult.status()))));
+                                                encodeState(submissionResult.status()))));
     }
 
     public CompletableFuture<Http.Reply> poll(String ref) {
         return JobId.isWellFormed(ref)
-                ? found(admissionService.getStatus(new JobId(ref)))
-                : unknown();
+                ? replyWithState(admissionService.getStatus(new JobId(ref)))
+                : jobNotFound();
     }
 
     public CompletableFuture<Http.Reply> cancel(String ref) {
-        return JobId.isWellFormed(ref) ? found(admissionService.cancel(new JobId(ref))) : unknown();
+        return JobId.isWellFormed(ref)
+                ? replyWithState(admissionService.cancel(new JobId(ref)))
+                : jobNotFound();
     }
 
-    private static CompletableFuture<Http.Reply> unknown() {
+    private static CompletableFuture<Http.Reply> jobNotFound() {
         return CompletableFuture.completedFuture(Http.Reply.error(404, "no such job"));
     }
 
-    private static CompletableFuture<Http.Reply> found(
+    private static CompletableFuture<Http.Reply> replyWithState(
             CompletableFuture<Optional<AdmissionService.JobStatus>> state) {
-        return answered(
+        return mapFailuresToReplies(
                 state.thenApply(
                         job ->
-                                job.map(known -> Http.Reply.of(200, body(known)))
+                                job.map(known -> Http.Reply.of(200, encodeState(known)))
                                         .orElseGet(() -> Http.Reply.error(404, "no such job"))));
     }
 
-    private static CompletableFuture<Http.Reply> answered(CompletableFuture<Http.Reply> reply) {
+    private static CompletableFuture<Http.Reply> mapFailuresToReplies(
+            CompletableFuture<Http.Reply> reply) {
         return reply.exceptionally(
                 failure -> {
                     Throwable cause =
@@ -73,13 +76,13 @@
                     }
                     if (cause instanceof AdmissionService.TemporarilyUnavailableException
                             || cause instanceof KeyValueStoreException) {
-                        return Http.Reply.comeBack(503, COME_BACK_S, cause.getMessage());
+                        return Http.Reply.retryLater(503, RETRY_AFTER_SECONDS, cause.getMessage());
                     }
                     throw new CompletionException(cause);
                 });
     }
 
-    private static Map<String, Object> body(AdmissionService.JobStatus state) {
+    private static Map<String, Object> encodeState(AdmissionService.JobStatus state) {
         String phase =
                 switch (state.phase()) {
                     case QUEUED -> "pending";
@@ -87,7 +90,7 @@
                     case DONE -> "done";
                     case CANCELLED -> "aborted";
                 };
-        return Fields.of(
+        return MessageReader.mapOf(
                 "ref",
                 state.id().value(),
                 "phase",
--- a/src/main/java/org/meadowhollow/protocol/users/SubmissionCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/jobs/SubmissionCodec.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.protocol.users;
+package org.meadowhollow.protocol.jobs;
 
 import java.util.List;
 import java.util.Map;
@@ -7,13 +7,13 @@
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.Priority;
 import org.meadowhollow.model.Resources;
-import org.meadowhollow.protocol.Fields;
-import org.meadowhollow.protocol.Malformed;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessageReader;
 
 /** A submission between its wire names and a {@link JobSpec}. */
 public final class SubmissionCodec {
-    private static final int MOST_TASKS = 100_000;
-    private static final int LONGEST_NAME = 200;
+    private static final int MAX_TASKS = 100_000;
+    private static final int MAX_NAME_LENGTH = 200;
 
     private SubmissionCodec() {}
 
@@ -21,43 +21,46 @@
      * Reads a submission. Only {@code breeds}, {@code field} and {@code dueS} may be null, and so
      * may be left out.
      *
-     * @throws Malformed if a field is missing, of another type or out of its range
+     * @throws MalformedMessageException if a field is missing, of another type or out of its range
      */
-    public static JobSpec decode(Fields body) throws Malformed {
-        String ref = body.text("ref");
+    public static JobSpec decode(MessageReader body) throws MalformedMessageException {
+        String ref = body.string("ref");
         if (!JobId.isWellFormed(ref)) {
-            throw new Malformed("ref is not a job id");
+            throw new MalformedMessageException("ref is not a job id");
         }
-        long tasks = body.count("chores");
-        if (tasks < 1 || tasks > MOST_TASKS) {
-            throw new Malformed("chores is not from 1 to " + MOST_TASKS);
+        long tasks = body.nonNegativeLong("chores");
+        if (tasks < 1 || tasks > MAX_TASKS) {
+            throw new MalformedMessageException("chores is not from 1 to " + MAX_TASKS);
         }
         Resources perTask =
-                Resources.of(body.amount("cores"), body.amount("gpus"), body.amount("memGb"));
-        List<String> types = body.textsOrNull("breeds");
+                Resources.of(
+                        body.nonNegativeDouble("cores"),
+                        body.nonNegativeDouble("gpus"),
+                        body.nonNegativeDouble("memGb"));
+        List<String> types = body.stringListOrNull("breeds");
         return new JobSpec(
                 new JobId(ref),
-                name(body, "herd"),
-                name(body, "crew"),
-                kind(body.text("shape")),
-                priority(body.text("urgency")),
+                requireValidName(body, "herd"),
+                requireValidName(body, "crew"),
+                decodeKind(body.string("shape")),
+                decodePriority(body.string("urgency")),
                 (int) tasks,
                 perTask,
                 types == null ? null : List.copyOf(types),
-                body.textOrNull("field"),
-                body.flag("together"),
-                body.flag("spread"),
-                body.flag("loaners"),
-                name(body, "bundle"),
-                body.amount("pullGb"),
-                body.amount("expectedS"),
-                body.amount("bookmarkS"),
-                body.amount("stashS"),
-                body.amountOr("dueS", Double.NaN));
+                body.stringOrNull("field"),
+                body.booleanValue("together"),
+                body.booleanValue("spread"),
+                body.booleanValue("loaners"),
+                requireValidName(body, "bundle"),
+                body.nonNegativeDouble("pullGb"),
+                body.nonNegativeDouble("expectedS"),
+                body.nonNegativeDouble("bookmarkS"),
+                body.nonNegativeDouble("stashS"),
+                body.nonNegativeDoubleOr("dueS", Double.NaN));
     }
 
     public static Map<String, Object> encode(JobSpec spec) {
-        return Fields.of(
+        return MessageReader.mapOf(
                 "ref",
                 spec.id().value(),
                 "herd",
@@ -65,9 +68,9 @@
                 "crew",
                 spec.team(),
                 "shape",
-                kindName(spec.kind()),
+                wireWordOfKind(spec.kind()),
                 "urgency",
-                priorityName(spec.priority()),
+                wireWordOfPriority(spec.priority()),
                 "chores",
                 (long) spec.taskCount(),
                 "cores",
@@ -100,24 +103,27 @@
                 Double.isNaN(spec.deadlineSeconds()) ? null : spec.deadlineSeconds());
     }
 
-    private static String name(Fields body, String key) throws Malformed {
-        String name = body.text(key);
-        if (name.isEmpty() || name.length() > LONGEST_NAME) {
-            throw new Malformed(key + " is empty or too long");
+    private static String requireValidName(MessageReader body, String key)
+            throws MalformedMessageException {
+        String name = body.string(key);
+        if (name.isEmpty() || name.length() > MAX_NAME_LENGTH) {
+            throw new MalformedMessageException(key + " is empty or too long");
         }
         return name;
     }
 
-    private static JobKind kind(String text) throws Malformed {
+    private static JobKind decodeKind(String text) throws MalformedMessageException {
         return switch (text) {
             case "array" -> JobKind.ARRAY;
             case "ensemble" -> JobKind.GANG;
             case "standing" -> JobKind.SERVICE;
-            default -> throw new Malformed("shape is none of array, ensemble, standing");
+            default ->
+                    throw new MalformedMessageException(
+                            "shape is none of array, ensemble, standing");
         };
     }
 
-    private static String kindName(JobKind kind) {
+    private static String wireWordOfKind(JobKind kind) {
         return switch (kind) {
             case ARRAY -> "array";
             case GANG -> "ensemble";
@@ -125,17 +131,19 @@
         };
     }
 
-    private static Priority priority(String text) throws Malformed {
+    private static Priority decodePriority(String text) throws MalformedMessageException {
         return switch (text) {
             case "critical" -> Priority.PRODUCTION;
             case "urgent" -> Priority.HIGH;
             case "normal" -> Priority.NORMAL;
             case "idle" -> Priority.LOW;
-            default -> throw new Malformed("urgency is none of critical, urgent, normal, idle");
+            default ->
+                    throw new MalformedMessageException(
+                            "urgency is none of critical, urgent, normal, idle");
         };
     }
 
-    private static String priorityName(Priority priority) {
+    private static String wireWordOfPriority(Priority priority) {
         return switch (priority) {
             case PRODUCTION -> "critical";
             case HIGH -> "urgent";
--- a/src/main/java/org/meadowhollow/protocol/state/StateClient.java
+++ b/src/main/java/org/meadowhollow/protocol/keyvalue/KeyValueStoreClient.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.protocol.state;
+package org.meadowhollow.protocol.keyvalue;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -10,11 +10,11 @@
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.Revision;
-import org.meadowhollow.protocol.Fields;
+import org.meadowhollow.protocol.AdaptiveRateLimiter;
 import org.meadowhollow.protocol.Http;
-import org.meadowhollow.protocol.Malformed;
-import org.meadowhollow.protocol.RateBudget;
-import org.meadowhollow.protocol.Wire;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessagePackCodec;
+import org.meadowhollow.protocol.MessageReader;
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.KeyValueStoreException;
 import org.meadowhollow.storage.KeyValueStoreException.Outcome;
@@ -26,27 +26,27 @@
 /**
  * The state service over HTTP: within a budget of requests and of changes, the most urgent first.
  */
-public final class StateClient implements KeyValueStore {
-    private static final Logger LOG = LoggerFactory.getLogger(StateClient.class);
+public final class KeyValueStoreClient implements KeyValueStore {
+    private static final Logger LOG = LoggerFactory.getLogger(KeyValueStoreClient.class);
 
     /**
      * Most answers take a few milliseconds and a few take some hundred; past this the line is
      * mostly dead.
      */
-    private static final Duration ANSWER = Duration.ofMillis(1500);
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(1500);
 
     /**
      * For how long answers are waited for once some in a row have not come in time: less than a
      * leader's lease, and than users wait. A state service that took 1.5 s for each was as good as
      * out for all, for as long as it was slow.
      */
-    private static final Duration SLOW_ANSWER = Duration.ofMillis(3200);
+    private static final Duration SLOW_RESPONSE_TIMEOUT = Duration.ofMillis(3200);
 
     /** Calls in a row without an answer in time, after which answers are waited for longer. */
-    private static final int SLOW_AFTER = 3;
+    private static final int TIMEOUTS_UNTIL_SLOW = 3;
 
     /** Room for bursts of users' calls; past it a caller is better told at once to come back. */
-    private static final int MOST_WAITING = 256;
+    private static final int MAX_QUEUED = 256;
 
     /**
      * Requests on their way at a time: at some milliseconds each far more than the budget allows,
@@ -54,41 +54,41 @@
      * its turn instead of opening a connection for each, or failing for want of one, which looked
      * like an outage of the state service.
      */
-    private static final int MOST_IN_FLIGHT = 12;
+    private static final int MAX_IN_FLIGHT = 12;
 
     /** How long after a failure, with no success since, the store counts as out. */
-    private static final Duration OUT_FOR = Duration.ofSeconds(3);
+    private static final Duration UNAVAILABLE_WINDOW = Duration.ofSeconds(3);
 
     /**
      * A user's call that has waited for so long is not sent any more: most users have given up by
      * then and ask again, and a queue in which every call comes too late serves nobody.
      */
-    private static final Duration MOST_WAIT = Duration.ofMillis(1500);
+    private static final Duration MAX_USER_QUEUE_TIME = Duration.ofMillis(1500);
 
     /**
      * How far the calls of users and those of the leader may run ahead of each other's fair half.
      */
-    private static final double MOST_AHEAD = 24;
+    private static final double MAX_USER_SURPLUS = 24;
 
     /**
      * The share of its rate that a node keeps when it is refused; the leader, whose records others
      * wait for, keeps more.
      */
-    private static final double KEEP = 0.7;
+    private static final double RATE_KEPT_ON_REFUSAL = 0.7;
 
-    private static final double LEADER_KEEPS = 0.9;
+    private static final double LEADER_RATE_KEPT_ON_REFUSAL = 0.9;
 
     /** A node whose records were written so lately leads. */
-    private static final Duration LEADS_FOR = Duration.ofSeconds(5);
+    private static final Duration LEADER_WRITE_WINDOW = Duration.ofSeconds(5);
 
-    private record Call(
+    private record QueuedRequest(
             String method,
             String path,
             byte[] body,
-            int changes,
+            int writeCount,
             RequestPriority urgency,
-            MonotonicTime since,
-            CompletableFuture<Http.Reply> answer) {}
+            MonotonicTime enqueuedAt,
+            CompletableFuture<Http.Reply> reply) {}
 
     private static final List<RequestPriority> USERS_FIRST =
             List.of(
@@ -106,50 +106,50 @@
     private final Http.Client http;
     private final String address;
     private final EventLoop loop;
-    private final RateBudget requests;
-    private final RateBudget changes;
-    private final List<ArrayDeque<Call>> waiting = new ArrayList<>();
-    private int waitingCount;
+    private final AdaptiveRateLimiter requestLimiter;
+    private final AdaptiveRateLimiter writeLimiter;
+    private final List<ArrayDeque<QueuedRequest>> queues = new ArrayList<>();
+    private int queuedCount;
     private int inFlight;
-    private boolean wakeSet;
-    private MonotonicTime failedAt;
+    private boolean wakeUpScheduled;
+    private MonotonicTime lastFailureAt;
 
     /** What users' calls took of the budgets beyond the leader's, while both were waiting. */
-    private double usersAhead;
+    private double userSurplus;
 
-    private MonotonicTime recordsAt;
+    private MonotonicTime lastLeaderWriteAt;
 
     /** Calls without an answer in time since the last one that had one. */
-    private int unanswered;
+    private int consecutiveTimeouts;
 
-    private boolean slow;
+    private boolean storeIsSlow;
 
-    public StateClient(
+    public KeyValueStoreClient(
             Http.Client http,
             String address,
             EventLoop loop,
-            RateBudget requests,
-            RateBudget changes) {
+            AdaptiveRateLimiter requests,
+            AdaptiveRateLimiter changes) {
         this.http = http;
         this.address = address;
         this.loop = loop;
-        this.requests = requests;
-        this.changes = changes;
+        this.requestLimiter = requests;
+        this.writeLimiter = changes;
         for (int at = 0; at < RequestPriority.values().length; at++) {
-            waiting.add(new ArrayDeque<>());
+            queues.add(new ArrayDeque<>());
         }
     }
 
     @Override
     public CompletableFuture<Optional<Entry>> get(String key, RequestPriority requestPriority) {
-        return call("GET", "/kv/" + key, null, 0, requestPriority)
+        return enqueue("GET", "/kv/" + key, null, 0, requestPriority)
                 .thenApply(
                         reply -> {
                             if (reply.status() == 404) {
                                 return Optional.<Entry>empty();
                             }
-                            Fields body = body(reply);
-                            return read(() -> Optional.of(entry(body)));
+                            MessageReader body = decodeBody(reply);
+                            return parseBody(() -> Optional.of(decodeEntry(body)));
                         });
     }
 
@@ -158,20 +158,20 @@
             String prefix, String after, int most, RequestPriority requestPriority) {
         String path =
                 "/kv?prefix=" + prefix + (after == null ? "" : "&after=" + after) + "&most=" + most;
-        return call("GET", path, null, 0, requestPriority)
+        return enqueue("GET", path, null, 0, requestPriority)
                 .thenApply(
                         reply -> {
-                            Fields body = body(reply);
-                            return read(
+                            MessageReader body = decodeBody(reply);
+                            return parseBody(
                                     () -> {
                                         List<Entry> entries = new ArrayList<>();
-                                        for (Fields item : body.list("items")) {
-                                            entries.add(entry(item));
+                                        for (MessageReader item : body.nestedList("items")) {
+                                            entries.add(decodeEntry(item));
                                         }
                                         return new Page(
                                                 entries,
-                                                body.flagOr("truncated", false),
-                                                new Revision(body.count("ledgerRev")));
+                                                body.booleanOr("truncated", false),
+                                                new Revision(body.nonNegativeLong("ledgerRev")));
                                     });
                         });
     }
@@ -184,19 +184,21 @@
                 .conditions()
                 .forEach(
                         (key, revision) ->
-                                guards.add(Fields.of("key", key, "stamp", revision.value())));
+                                guards.add(
+                                        MessageReader.mapOf(
+                                                "key", key, "stamp", revision.value())));
         List<Map<String, Object>> writes = new ArrayList<>();
         transaction
                 .writes()
                 .forEach(
                         (key, write) -> {
                             if (write.value() == null) {
-                                writes.add(Fields.of("remove", key));
+                                writes.add(MessageReader.mapOf("remove", key));
                             } else if (write.lease() == null) {
-                                writes.add(Fields.of("set", key, "v", write.value()));
+                                writes.add(MessageReader.mapOf("set", key, "v", write.value()));
                             } else {
                                 writes.add(
-                                        Fields.of(
+                                        MessageReader.mapOf(
                                                 "set",
                                                 key,
                                                 "v",
@@ -205,51 +207,52 @@
                                                 write.lease().value()));
                             }
                         });
-        byte[] bytes = Wire.encode(Fields.of("guards", guards, "writes", writes));
-        return call("POST", "/multi", bytes, writes.size(), requestPriority)
+        byte[] bytes =
+                MessagePackCodec.encode(MessageReader.mapOf("guards", guards, "writes", writes));
+        return enqueue("POST", "/multi", bytes, writes.size(), requestPriority)
                 .thenApply(
                         reply -> {
-                            Fields body = body(reply);
-                            return read(
+                            MessageReader body = decodeBody(reply);
+                            return parseBody(
                                     () ->
                                             new CommitResult(
                                                     reply.status() == 200,
-                                                    new Revision(body.count("ledgerRev")),
+                                                    new Revision(body.nonNegativeLong("ledgerRev")),
                                                     reply.status() == 200
                                                             ? List.of()
-                                                            : body.textsOrNull("failed")));
+                                                            : body.stringListOrNull("failed")));
                         });
     }
 
     @Override
     public CompletableFuture<LeaseId> grantLease(Duration ttl) {
-        byte[] bytes = Wire.encode(Fields.of("ttlMs", ttl.toMillis()));
-        return call("POST", "/grants", bytes, 0, RequestPriority.LEASE)
+        byte[] bytes = MessagePackCodec.encode(MessageReader.mapOf("ttlMs", ttl.toMillis()));
+        return enqueue("POST", "/grants", bytes, 0, RequestPriority.LEASE)
                 .thenApply(
                         reply -> {
-                            Fields body = body(reply);
-                            return read(() -> new LeaseId(body.count("tether")));
+                            MessageReader body = decodeBody(reply);
+                            return parseBody(() -> new LeaseId(body.nonNegativeLong("tether")));
                         });
     }
 
     @Override
     public CompletableFuture<Void> renewLease(LeaseId lease) {
-        return call(
+        return enqueue(
                         "POST",
                         "/grants/" + lease.value() + "/renew",
-                        Wire.encode(Map.of()),
+                        MessagePackCodec.encode(Map.of()),
                         0,
                         RequestPriority.LEASE)
-                .thenAccept(StateClient::leaseStands);
+                .thenAccept(KeyValueStoreClient::requireLeaseExists);
     }
 
     @Override
     public CompletableFuture<Void> revokeLease(LeaseId lease) {
-        return call("DELETE", "/grants/" + lease.value(), null, 0, RequestPriority.LEASE)
+        return enqueue("DELETE", "/grants/" + lease.value(), null, 0, RequestPriority.LEASE)
                 .thenAccept(reply -> {});
     }
 
-    private static void leaseStands(Http.Reply reply) {
+    private static void requireLeaseExists(Http.Reply reply) {
         if (reply.status() == 404) {
             throw new KeyValueStoreException(Outcome.LEASE_EXPIRED, "the lease has ended");
         }
@@ -265,50 +268,53 @@
                         + "&blockMs="
                         + wait.toMillis();
         // A watch waits by design, so it has a time-out of its own and stays out of the queue.
-        requests.take(1, loop.now());
-        return http.send(address, "GET", path, null, wait.plus(answerWithin()))
+        requestLimiter.consume(1, loop.now());
+        return http.send(address, "GET", path, null, wait.plus(responseTimeout()))
                 .handle(
                         (reply, failure) -> {
                             if (failure != null) {
                                 throw new KeyValueStoreException(
                                         Outcome.INDETERMINATE, "no answer to the watch");
                             }
-                            Fields body = body(check(reply));
-                            return read(
+                            MessageReader body = decodeBody(requireServed(reply));
+                            return parseBody(
                                     () -> {
                                         List<Change> log = new ArrayList<>();
-                                        for (Fields item : body.list("log")) {
-                                            Revision revision = new Revision(item.count("stamp"));
+                                        for (MessageReader item : body.nestedList("log")) {
+                                            Revision revision =
+                                                    new Revision(item.nonNegativeLong("stamp"));
                                             log.add(
                                                     item.has("remove")
                                                             ? new Change(
-                                                                    item.text("remove"),
+                                                                    item.string("remove"),
                                                                     null,
                                                                     revision)
                                                             : new Change(
-                                                                    item.text("set"),
-                                                                    item.fields("v").map(),
+                                                                    item.string("set"),
+                                                                    item.nested("v").map(),
                                                                     revision));
                                         }
                                         return new ChangeBatch(
-                                                new Revision(body.count("ledgerRev")), log);
+                                                new Revision(body.nonNegativeLong("ledgerRev")),
+                                                log);
                                     });
                         });
     }
 
     @Override
     public synchronized boolean seemsUnavailable() {
-        return failedAt != null && loop.now().elapsedSince(failedAt).compareTo(OUT_FOR) < 0;
+        return lastFailureAt != null
+                && loop.now().elapsedSince(lastFailureAt).compareTo(UNAVAILABLE_WINDOW) < 0;
     }
 
-    private CompletableFuture<Http.Reply> call(
+    private CompletableFuture<Http.Reply> enqueue(
             String method,
             String path,
             byte[] body,
             int changeCount,
             RequestPriority requestPriority) {
-        Call call =
-                new Call(
+        QueuedRequest queuedRequest =
+                new QueuedRequest(
                         method,
                         path,
                         body,
@@ -317,72 +323,76 @@
                         loop.now(),
                         new CompletableFuture<>());
         synchronized (this) {
-            if (waitingCount >= MOST_WAITING && requestPriority != RequestPriority.LEASE) {
+            if (queuedCount >= MAX_QUEUED && requestPriority != RequestPriority.LEASE) {
                 return CompletableFuture.failedFuture(
                         new KeyValueStoreException(
                                 Outcome.REJECTED, "too many requests are waiting"));
             }
-            waiting.get(requestPriority.ordinal()).add(call);
-            waitingCount++;
+            queues.get(requestPriority.ordinal()).add(queuedRequest);
+            queuedCount++;
         }
-        pump();
-        return call.answer();
+        dispatchQueued();
+        return queuedRequest.reply();
     }
 
     /** Sends what the budgets allow, most urgent first, and sets a wake-up for the rest. */
-    private void pump() {
+    private void dispatchQueued() {
         while (true) {
-            Call next = null;
-            List<Call> late = new ArrayList<>();
+            QueuedRequest next = null;
+            List<QueuedRequest> late = new ArrayList<>();
             synchronized (this) {
                 MonotonicTime now = loop.now();
-                dropLate(now, late);
+                removeExpiredUserRequests(now, late);
                 Duration pause = Duration.ZERO;
                 boolean changesHeld = false;
-                for (RequestPriority requestPriority : order()) {
-                    Call first = waiting.get(requestPriority.ordinal()).peek();
+                for (RequestPriority requestPriority : dispatchOrder()) {
+                    QueuedRequest first = queues.get(requestPriority.ordinal()).peek();
                     if (first == null
-                            || inFlight >= MOST_IN_FLIGHT
+                            || inFlight >= MAX_IN_FLIGHT
                                     && requestPriority != RequestPriority.LEASE) {
                         continue;
                     }
-                    Duration free = requests.untilFree(1, now);
+                    Duration free = requestLimiter.delayUntilAvailable(1, now);
                     if (!free.isZero()) {
                         pause = free;
                         break;
                     }
-                    if (first.changes() > 0) {
+                    if (first.writeCount() > 0) {
                         // Once a call waits for changes no later one may take them, or a large one
                         // would never go.
-                        free = changesHeld ? pause : changes.untilFree(first.changes(), now);
+                        free =
+                                changesHeld
+                                        ? pause
+                                        : writeLimiter.delayUntilAvailable(first.writeCount(), now);
                         if (!free.isZero()) {
                             pause = free;
                             changesHeld = true;
                             continue;
                         }
                     }
-                    next = waiting.get(requestPriority.ordinal()).poll();
-                    took(next, now);
+                    next = queues.get(requestPriority.ordinal()).poll();
+                    recordDispatch(next, now);
                     break;
                 }
                 if (next == null && late.isEmpty()) {
-                    if (!pause.isZero() && !wakeSet) {
-                        wakeSet = true;
+                    if (!pause.isZero() && !wakeUpScheduled) {
+                        wakeUpScheduled = true;
                         loop.schedule(
                                 pause,
                                 () -> {
                                     synchronized (this) {
-                                        wakeSet = false;
+                                        wakeUpScheduled = false;
                                     }
-                                    pump();
+                                    dispatchQueued();
                                 });
                     }
                     return;
                 }
             }
             late.forEach(
-                    call ->
-                            call.answer()
+                    queuedRequest ->
+                            queuedRequest
+                                    .reply()
                                     .completeExceptionally(
                                             new KeyValueStoreException(
                                                     Outcome.REJECTED,
@@ -393,12 +403,12 @@
         }
     }
 
-    private void dropLate(MonotonicTime now, List<Call> late) {
-        ArrayDeque<Call> users = waiting.get(RequestPriority.USER.ordinal());
+    private void removeExpiredUserRequests(MonotonicTime now, List<QueuedRequest> late) {
+        ArrayDeque<QueuedRequest> users = queues.get(RequestPriority.USER.ordinal());
         while (!users.isEmpty()
-                && now.elapsedSince(users.peek().since()).compareTo(MOST_WAIT) > 0) {
+                && now.elapsedSince(users.peek().enqueuedAt()).compareTo(MAX_USER_QUEUE_TIME) > 0) {
             late.add(users.poll());
-            waitingCount--;
+            queuedCount--;
         }
     }
 
@@ -407,112 +417,124 @@
      * a node that many of them asked at once neither loaded nor wrote its records as the leader,
      * and cancelled tasks ran on past their limit.
      */
-    private List<RequestPriority> order() {
-        return usersAhead > 0 ? LEADER_FIRST : USERS_FIRST;
+    private List<RequestPriority> dispatchOrder() {
+        return userSurplus > 0 ? LEADER_FIRST : USERS_FIRST;
     }
 
-    private void took(Call call, MonotonicTime now) {
-        waitingCount--;
+    private void recordDispatch(QueuedRequest queuedRequest, MonotonicTime now) {
+        queuedCount--;
         inFlight++;
-        requests.take(1, now);
-        changes.take(call.changes(), now);
-        boolean leader = call.urgency() == RequestPriority.PLACEMENT;
-        if (leader && call.changes() > 0) {
-            recordsAt = now;
+        requestLimiter.consume(1, now);
+        writeLimiter.consume(queuedRequest.writeCount(), now);
+        boolean leader = queuedRequest.urgency() == RequestPriority.PLACEMENT;
+        if (leader && queuedRequest.writeCount() > 0) {
+            lastLeaderWriteAt = now;
         }
-        if (leader || call.urgency() == RequestPriority.USER) {
-            double cost = 1 + call.changes();
-            usersAhead =
+        if (leader || queuedRequest.urgency() == RequestPriority.USER) {
+            double cost = 1 + queuedRequest.writeCount();
+            userSurplus =
                     Math.max(
-                            -MOST_AHEAD,
-                            Math.min(MOST_AHEAD, usersAhead + (leader ? -cost : cost)));
+                            -MAX_USER_SURPLUS,
+                            Math.min(MAX_USER_SURPLUS, userSurplus + (leader ? -cost : cost)));
         }
-        if (waiting.get(RequestPriority.USER.ordinal()).isEmpty()
-                || waiting.get(RequestPriority.PLACEMENT.ordinal()).isEmpty()) {
-            usersAhead = 0;
+        if (queues.get(RequestPriority.USER.ordinal()).isEmpty()
+                || queues.get(RequestPriority.PLACEMENT.ordinal()).isEmpty()) {
+            userSurplus = 0;
         }
     }
 
-    private void send(Call call) {
+    private void send(QueuedRequest queuedRequest) {
         MonotonicTime sentAt = loop.now();
-        http.send(address, call.method(), call.path(), call.body(), answerWithin())
+        http.send(
+                        address,
+                        queuedRequest.method(),
+                        queuedRequest.path(),
+                        queuedRequest.body(),
+                        responseTimeout())
                 .whenComplete(
                         (reply, failure) -> {
                             synchronized (this) {
                                 inFlight--;
-                                noteTime(failure, loop.now().elapsedSince(sentAt));
+                                recordLatency(failure, loop.now().elapsedSince(sentAt));
                             }
-                            settle(call, reply, failure);
-                            pump();
+                            completeRequest(queuedRequest, reply, failure);
+                            dispatchQueued();
                         });
     }
 
-    private synchronized Duration answerWithin() {
-        return slow ? SLOW_ANSWER : ANSWER;
+    private synchronized Duration responseTimeout() {
+        return storeIsSlow ? SLOW_RESPONSE_TIMEOUT : RESPONSE_TIMEOUT;
     }
 
     /**
      * Whether the state service is slow: it gave no answer in time again and again, and none soon
      * since.
      */
-    private void noteTime(Throwable failure, Duration took) {
+    private void recordLatency(Throwable failure, Duration took) {
         if (failure == null) {
-            unanswered = 0;
-            slow &= took.multipliedBy(2).compareTo(ANSWER) > 0;
-        } else if (!(failure instanceof Http.NotSent) && took.compareTo(ANSWER) >= 0) {
-            slow |= ++unanswered >= SLOW_AFTER;
+            consecutiveTimeouts = 0;
+            storeIsSlow &= took.multipliedBy(2).compareTo(RESPONSE_TIMEOUT) > 0;
+        } else if (!(failure instanceof Http.RequestNotSentException)
+                && took.compareTo(RESPONSE_TIMEOUT) >= 0) {
+            storeIsSlow |= ++consecutiveTimeouts >= TIMEOUTS_UNTIL_SLOW;
         }
     }
 
-    private void settle(Call call, Http.Reply reply, Throwable failure) {
+    private void completeRequest(QueuedRequest queuedRequest, Http.Reply reply, Throwable failure) {
         if (failure != null) {
-            noteFailure(failure.getMessage());
+            recordFailure(failure.getMessage());
             Outcome outcome =
-                    failure instanceof Http.NotSent ? Outcome.REJECTED : Outcome.INDETERMINATE;
-            call.answer()
+                    failure instanceof Http.RequestNotSentException
+                            ? Outcome.REJECTED
+                            : Outcome.INDETERMINATE;
+            queuedRequest
+                    .reply()
                     .completeExceptionally(
                             new KeyValueStoreException(outcome, failure.getMessage()));
             return;
         }
         try {
-            Http.Reply checked = check(reply);
-            noteSuccess();
-            call.answer().complete(checked);
+            Http.Reply checked = requireServed(reply);
+            recordSuccess();
+            queuedRequest.reply().complete(checked);
         } catch (KeyValueStoreException refused) {
             if (reply.status() == 503) {
-                noteFailure(refused.getMessage());
+                recordFailure(refused.getMessage());
             } else if (reply.status() == 429) {
-                slowDown(call.changes() > 0);
+                reduceRate(queuedRequest.writeCount() > 0);
             }
-            call.answer().completeExceptionally(refused);
+            queuedRequest.reply().completeExceptionally(refused);
         }
     }
 
-    private synchronized void noteFailure(String why) {
-        if (failedAt == null) {
+    private synchronized void recordFailure(String why) {
+        if (lastFailureAt == null) {
             LOG.info("the state service at {} does not serve us: {}; trying on", address, why);
         }
-        failedAt = loop.now();
+        lastFailureAt = loop.now();
     }
 
     /**
      * Which of the two limits refused is not said; a call with changes is mostly refused for these,
      * of which there are fewer. All nodes share the limits, and each alone would keep to them.
      */
-    private synchronized void slowDown(boolean withChanges) {
+    private synchronized void reduceRate(boolean withChanges) {
         MonotonicTime now = loop.now();
-        boolean leads = recordsAt != null && now.elapsedSince(recordsAt).compareTo(LEADS_FOR) < 0;
-        (withChanges ? changes : requests).refused(leads ? LEADER_KEEPS : KEEP, now);
+        boolean leads =
+                lastLeaderWriteAt != null
+                        && now.elapsedSince(lastLeaderWriteAt).compareTo(LEADER_WRITE_WINDOW) < 0;
+        (withChanges ? writeLimiter : requestLimiter)
+                .recordRefusal(leads ? LEADER_RATE_KEPT_ON_REFUSAL : RATE_KEPT_ON_REFUSAL, now);
     }
 
-    private synchronized void noteSuccess() {
-        if (failedAt != null) {
+    private synchronized void recordSuccess() {
+        if (lastFailureAt != null) {
             LOG.info("the state service serves us again");
         }
-        failedAt = null;
+        lastFailureAt = null;
     }
 
-    private static Http.Reply check(Http.Reply reply) {
+    private static Http.Reply requireServed(Http.Reply reply) {
         return switch (reply.status()) {
             case 200, 404, 409 -> reply;
             case 429, 503 ->
@@ -534,23 +556,25 @@
         };
     }
 
-    private static Entry entry(Fields item) throws Malformed {
+    private static Entry decodeEntry(MessageReader item) throws MalformedMessageException {
         return new Entry(
-                item.text("key"), item.fields("v").map(), new Revision(item.count("stamp")));
+                item.string("key"),
+                item.nested("v").map(),
+                new Revision(item.nonNegativeLong("stamp")));
     }
 
-    private static Fields body(Http.Reply reply) {
-        return read(() -> Fields.decode(reply.body()));
+    private static MessageReader decodeBody(Http.Reply reply) {
+        return parseBody(() -> MessageReader.decode(reply.body()));
     }
 
-    private interface Reading<T> {
-        T get() throws Malformed;
+    private interface BodyParser<T> {
+        T parse() throws MalformedMessageException;
     }
 
-    private static <T> T read(Reading<T> reading) {
+    private static <T> T parseBody(BodyParser<T> bodyParser) {
         try {
-            return reading.get();
-        } catch (Malformed broken) {
+            return bodyParser.parse();
+        } catch (MalformedMessageException broken) {
             throw new KeyValueStoreException(
                     Outcome.INDETERMINATE, "the answer makes no sense: " + broken.getMessage());
         }
--- a/src/main/java/org/meadowhollow/protocol/peers/PeerLink.java
+++ b/src/main/java/org/meadowhollow/protocol/peers/PeerClient.java
@@ -28,56 +28,56 @@
 import org.meadowhollow.model.MachineId;
 import org.meadowhollow.model.Revision;
 import org.meadowhollow.model.WorkerIncarnation;
-import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
+import org.meadowhollow.protocol.MessageReader;
 import org.meadowhollow.storage.RecordDigests;
 
 /**
  * Hints between controllers: who leads, in which term, whom the state service serves, and who hears
  * which workers.
  */
-public final class PeerLink implements PeerGateway, Http.Handler {
-    private static final String LEADER = "/leader";
-    private static final String SERVED = "/served";
-    private static final String HEARING = "/hearing";
-    private static final String TABLES = "/tables";
-    private static final String DIGESTS = "/digests";
+public final class PeerClient implements PeerGateway, Http.SimpleRequestHandler {
+    private static final String LEADER_PATH = "/leader";
+    private static final String STATUS_PATH = "/served";
+    private static final String RECENT_HEARTBEATS_PATH = "/hearing";
+    private static final String RISK_TABLES_PATH = "/tables";
+    private static final String DIGESTS_PATH = "/digests";
 
     /** The form of what standbys are told; one that is not known is not read. */
-    static final int FORM = 1;
+    static final int FORMAT_VERSION = 1;
 
-    private static final Duration ANSWER = Duration.ofSeconds(2);
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(2);
 
     /** A node that is up but slow must not be taken for one that is silent too soon. */
-    private static final Duration SIGN = Duration.ofSeconds(1);
+    private static final Duration PROBE_TIMEOUT = Duration.ofSeconds(1);
 
     /**
      * Bytes; most hints are a name and a number, and a question about machines names some hundred.
      */
-    private static final int FIRST_BYTES = 512;
+    private static final int INITIAL_BUFFER_BYTES = 512;
 
-    private static final int MOST_BYTES = 60 * 1024;
+    private static final int MAX_MESSAGE_BYTES = 60 * 1024;
 
     /** Machines that one question may name. */
-    private static final int MOST_MACHINES = 1000;
+    private static final int MAX_MACHINES_PER_REQUEST = 1000;
 
     /** What one controller tells another. */
-    record LeaderHint(String member, long term) {}
+    record LeaderMessage(String member, long term) {}
 
     /**
      * Whether the state service serves a controller, and whether it leads and misses many workers'
      * reports.
      */
-    record ServedHint(boolean served, boolean deaf) {}
+    record StatusMessage(boolean served, boolean deaf) {}
 
     /** Which of some machines have reported to a controller within a time. */
-    record HearingQuestion(String[] machines, long withinMillis) {}
+    record RecentHeartbeatsRequest(String[] machines, long withinMillis) {}
 
     /** The answer: a bit for each machine asked about, in their order. */
-    record HearingHint(boolean served, long[] heard) {}
+    record RecentHeartbeatsMessage(boolean served, long[] heard) {}
 
     /** A question about a leader's tables, and what the node that asks says of itself. */
-    record TablesQuestionHint(
+    record RiskTablesRequest(
             int form,
             String member,
             long incarnation,
@@ -93,10 +93,10 @@
      * An answer of which a receiver can tell whether it knows its form and whether it is whole,
      * before it reads it.
      */
-    record SealedHint(int form, int checksum, byte[] body) {}
+    record ChecksummedMessage(int form, int checksum, byte[] body) {}
 
     /** The answer about tables: the columns of its parts. */
-    record TablesHint(
+    record RiskTablesMessage(
             long term,
             long upTo,
             boolean whole,
@@ -109,31 +109,31 @@
             long[][] samples) {}
 
     /** The digests of a leader's records. */
-    record DigestsHint(String[] parts, int[] records, long[] sums, String[] unsettled) {}
+    record DigestsMessage(String[] parts, int[] records, long[] sums, String[] unsettled) {}
 
     /** What a leading node tells its standbys; all answers are empty while it does not lead. */
-    public interface Testator {
-        Optional<RiskTableDelta> tables(RiskTableRequest question);
+    public interface HandoverSource {
+        Optional<RiskTableDelta> riskTableDelta(RiskTableRequest question);
 
-        Optional<RecordDigests> digests();
+        Optional<RecordDigests> recordDigests();
     }
 
-    private static final Testator NOBODY =
-            new Testator() {
+    private static final HandoverSource NOT_LEADING =
+            new HandoverSource() {
                 @Override
-                public Optional<RiskTableDelta> tables(RiskTableRequest question) {
+                public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest question) {
                     return Optional.empty();
                 }
 
                 @Override
-                public Optional<RecordDigests> digests() {
+                public Optional<RecordDigests> recordDigests() {
                     return Optional.empty();
                 }
             };
 
     /** Those of some machines that have reported to this node within a time. */
-    public interface Ears {
-        Set<MachineId> among(List<MachineId> machines, Duration within);
+    public interface HeartbeatQuery {
+        Set<MachineId> recentlyHeard(List<MachineId> machines, Duration within);
     }
 
     private final Http.Client http;
@@ -145,16 +145,16 @@
      */
     private Kryo kryo;
 
-    private volatile BooleanSupplier served = () -> false;
-    private volatile BooleanSupplier deaf = () -> false;
-    private volatile Testator testator = NOBODY;
-    private volatile Ears ears = (machines, within) -> Set.of();
-    private volatile BiConsumer<FencingToken, String> listener = (fencingToken, member) -> {};
+    private volatile BooleanSupplier storeReachable = () -> false;
+    private volatile BooleanSupplier isolated = () -> false;
+    private volatile HandoverSource handoverSource = NOT_LEADING;
+    private volatile HeartbeatQuery heartbeatQuery = (machines, within) -> Set.of();
+    private volatile BiConsumer<FencingToken, String> leaderListener = (fencingToken, member) -> {};
 
     /**
      * @param addresses of the other controllers, by member
      */
-    public PeerLink(Http.Client http, Map<String, String> addresses) {
+    public PeerClient(Http.Client http, Map<String, String> addresses) {
         this.http = http;
         this.addresses = Map.copyOf(addresses);
     }
@@ -163,99 +163,103 @@
         if (kryo == null) {
             kryo = new Kryo();
             kryo.setRegistrationRequired(true);
-            kryo.register(LeaderHint.class);
-            kryo.register(ServedHint.class);
+            kryo.register(LeaderMessage.class);
+            kryo.register(StatusMessage.class);
             kryo.register(String[].class);
             kryo.register(long[].class);
-            kryo.register(HearingQuestion.class);
-            kryo.register(HearingHint.class);
+            kryo.register(RecentHeartbeatsRequest.class);
+            kryo.register(RecentHeartbeatsMessage.class);
             kryo.register(byte[].class);
             kryo.register(int[].class);
             kryo.register(int[][].class);
             kryo.register(long[][].class);
-            kryo.register(TablesQuestionHint.class);
-            kryo.register(SealedHint.class);
-            kryo.register(TablesHint.class);
-            kryo.register(DigestsHint.class);
+            kryo.register(RiskTablesRequest.class);
+            kryo.register(ChecksummedMessage.class);
+            kryo.register(RiskTablesMessage.class);
+            kryo.register(DigestsMessage.class);
         }
         return kryo;
     }
 
     /** Says to others whether the state service serves this controller. */
-    public void served(BooleanSupplier now) {
-        served = now;
+    public void storeReachable(BooleanSupplier now) {
+        storeReachable = now;
     }
 
     /**
      * Says to others whether this node leads and misses many reports, and which workers have come
      * to it.
      */
-    public void hearing(BooleanSupplier deafNow, Ears heard) {
-        deaf = deafNow;
-        ears = heard;
+    public void hearing(BooleanSupplier deafNow, HeartbeatQuery heard) {
+        isolated = deafNow;
+        heartbeatQuery = heard;
     }
 
     /** Answers standbys while this node leads. */
-    public void testator(Testator now) {
-        testator = now;
+    public void handoverSource(HandoverSource now) {
+        handoverSource = now;
     }
 
-    public void listener(BiConsumer<FencingToken, String> told) {
-        listener = told;
+    public void leaderListener(BiConsumer<FencingToken, String> told) {
+        leaderListener = told;
     }
 
     @Override
     public void announceLeader(String leader, FencingToken fencingToken) {
-        byte[] hint = encode(new LeaderHint(leader, fencingToken.value()));
+        byte[] hint = encode(new LeaderMessage(leader, fencingToken.value()));
         for (String address : addresses.values()) {
-            http.send(address, "POST", LEADER, hint, ANSWER);
+            http.send(address, "POST", LEADER_PATH, hint, RESPONSE_TIMEOUT);
         }
     }
 
     @Override
     public CompletableFuture<Http.Reply> handle(String method, String path, byte[] body) {
-        if (method.equals("GET") && path.equals(SERVED)) {
+        if (method.equals("GET") && path.equals(STATUS_PATH)) {
             return CompletableFuture.completedFuture(
                     new Http.Reply(
                             200,
-                            encode(new ServedHint(served.getAsBoolean(), deaf.getAsBoolean())),
+                            encode(
+                                    new StatusMessage(
+                                            storeReachable.getAsBoolean(),
+                                            isolated.getAsBoolean())),
                             0));
         }
-        if (method.equals("POST") && path.equals(HEARING)) {
-            return CompletableFuture.completedFuture(heardOf(body));
+        if (method.equals("POST") && path.equals(RECENT_HEARTBEATS_PATH)) {
+            return CompletableFuture.completedFuture(answerRecentHeartbeats(body));
         }
-        if (method.equals("POST") && path.equals(TABLES)) {
-            return CompletableFuture.completedFuture(tablesOf(body));
+        if (method.equals("POST") && path.equals(RISK_TABLES_PATH)) {
+            return CompletableFuture.completedFuture(answerRiskTables(body));
         }
-        if (method.equals("GET") && path.equals(DIGESTS)) {
+        if (method.equals("GET") && path.equals(DIGESTS_PATH)) {
             return CompletableFuture.completedFuture(
-                    testator.digests()
+                    handoverSource
+                            .recordDigests()
                             .map(this::digestsReply)
                             .orElseGet(() -> Http.Reply.error(404, "this node does not lead")));
         }
-        if (!method.equals("POST") || !path.equals(LEADER)) {
+        if (!method.equals("POST") || !path.equals(LEADER_PATH)) {
             return CompletableFuture.completedFuture(Http.Reply.error(404, "no such path"));
         }
-        LeaderHint hint;
+        LeaderMessage hint;
         try {
-            hint = (LeaderHint) decode(body);
+            hint = (LeaderMessage) decode(body);
         } catch (KryoException | IllegalArgumentException | ClassCastException broken) {
             return CompletableFuture.completedFuture(Http.Reply.error(400, "not a hint"));
         }
-        listener.accept(new FencingToken(hint.term()), hint.member());
-        return CompletableFuture.completedFuture(Http.Reply.of(200, Fields.of()));
+        leaderListener.accept(new FencingToken(hint.term()), hint.member());
+        return CompletableFuture.completedFuture(Http.Reply.of(200, MessageReader.mapOf()));
     }
 
     // ---- what standbys are told ----
 
-    private Http.Reply tablesOf(byte[] body) {
-        TablesQuestionHint asked;
+    private Http.Reply answerRiskTables(byte[] body) {
+        RiskTablesRequest asked;
         try {
-            asked = (TablesQuestionHint) decode(body);
+            asked = (RiskTablesRequest) decode(body);
         } catch (KryoException | IllegalArgumentException | ClassCastException broken) {
             return Http.Reply.error(400, "not a question");
         }
-        if (asked.form() != FORM) {
+        if (asked.form() != FORMAT_VERSION) {
             return Http.Reply.error(400, "a question of an unknown form");
         }
         RiskTableRequest question =
@@ -270,15 +274,16 @@
                         new FencingToken(asked.term()),
                         asked.after(),
                         asked.afterMachine());
-        return testator.tables(question)
-                .map(this::tablesReply)
+        return handoverSource
+                .riskTableDelta(question)
+                .map(this::riskTablesReply)
                 .orElseGet(() -> Http.Reply.error(404, "this node does not lead"));
     }
 
-    private Http.Reply tablesReply(RiskTableDelta delta) {
+    private Http.Reply riskTablesReply(RiskTableDelta delta) {
         List<RiskTableDelta.MachineEntry> parts = delta.entries();
-        return sealed(
-                new TablesHint(
+        return checksummedReply(
+                new RiskTablesMessage(
                         delta.token().value(),
                         delta.lastSample(),
                         delta.fullTables(),
@@ -305,8 +310,8 @@
 
     private Http.Reply digestsReply(RecordDigests recordDigests) {
         String[] parts = recordDigests.parts().keySet().toArray(String[]::new);
-        return sealed(
-                new DigestsHint(
+        return checksummedReply(
+                new DigestsMessage(
                         parts,
                         recordDigests.parts().values().stream()
                                 .mapToInt(RecordDigests.PartDigest::recordCount)
@@ -317,9 +322,10 @@
                         recordDigests.partsBeingWritten().toArray(String[]::new)));
     }
 
-    private Http.Reply sealed(Object hint) {
+    private Http.Reply checksummedReply(Object hint) {
         byte[] body = encode(hint);
-        return new Http.Reply(200, encode(new SealedHint(FORM, checksum(body), body)), 0);
+        return new Http.Reply(
+                200, encode(new ChecksummedMessage(FORMAT_VERSION, checksum(body), body)), 0);
     }
 
     private static int checksum(byte[] body) {
@@ -332,13 +338,13 @@
      * Empty if there is none: no answer, a node that does not lead, or one that knows no such
      * question.
      */
-    private <T> Optional<T> unseal(Http.Reply reply, Throwable failure, Class<T> type) {
+    private <T> Optional<T> verifyAndDecode(Http.Reply reply, Throwable failure, Class<T> type) {
         if (failure != null || reply.status() != 200) {
             return Optional.empty();
         }
         try {
-            SealedHint hint = (SealedHint) decode(reply.body());
-            if (hint.form() != FORM) {
+            ChecksummedMessage hint = (ChecksummedMessage) decode(reply.body());
+            if (hint.form() != FORMAT_VERSION) {
                 throw new UnreadableResponseException("its form " + hint.form() + " is not known");
             }
             if (hint.checksum() != checksum(hint.body())) {
@@ -360,8 +366,8 @@
         ControllerStatus from = question.requester();
         byte[] body =
                 encode(
-                        new TablesQuestionHint(
-                                FORM,
+                        new RiskTablesRequest(
+                                FORMAT_VERSION,
                                 from.member(),
                                 from.processIncarnation(),
                                 from.zone(),
@@ -371,13 +377,14 @@
                                 question.token().value(),
                                 question.afterSample(),
                                 question.afterMachine()));
-        return http.send(address, "POST", TABLES, body, ANSWER)
+        return http.send(address, "POST", RISK_TABLES_PATH, body, RESPONSE_TIMEOUT)
                 .handle(
                         (reply, failure) ->
-                                unseal(reply, failure, TablesHint.class).map(PeerLink::delta));
+                                verifyAndDecode(reply, failure, RiskTablesMessage.class)
+                                        .map(PeerClient::decodeDelta));
     }
 
-    private static RiskTableDelta delta(TablesHint hint) {
+    private static RiskTableDelta decodeDelta(RiskTablesMessage hint) {
         int count = hint.machines().length;
         if (hint.incarnations().length != count
                 || hint.sessions().length != count
@@ -407,13 +414,14 @@
         if (address == null) {
             return CompletableFuture.completedFuture(Optional.empty());
         }
-        return http.send(address, "GET", DIGESTS, null, ANSWER)
+        return http.send(address, "GET", DIGESTS_PATH, null, RESPONSE_TIMEOUT)
                 .handle(
                         (reply, failure) ->
-                                unseal(reply, failure, DigestsHint.class).map(PeerLink::digests));
+                                verifyAndDecode(reply, failure, DigestsMessage.class)
+                                        .map(PeerClient::digests));
     }
 
-    private static RecordDigests digests(DigestsHint hint) {
+    private static RecordDigests digests(DigestsMessage hint) {
         if (hint.records().length != hint.parts().length
                 || hint.sums().length != hint.parts().length) {
             throw new UnreadableResponseException("its columns differ in length");
@@ -429,24 +437,29 @@
 
     // ---- who hears the workers ----
 
-    private Http.Reply heardOf(byte[] body) {
-        HearingQuestion asked;
+    private Http.Reply answerRecentHeartbeats(byte[] body) {
+        RecentHeartbeatsRequest asked;
         try {
-            asked = (HearingQuestion) decode(body);
+            asked = (RecentHeartbeatsRequest) decode(body);
         } catch (KryoException | IllegalArgumentException | ClassCastException broken) {
             return Http.Reply.error(400, "not a question");
         }
-        if (asked.machines().length > MOST_MACHINES) {
+        if (asked.machines().length > MAX_MACHINES_PER_REQUEST) {
             return Http.Reply.error(400, "too many machines");
         }
         List<MachineId> machines = Arrays.stream(asked.machines()).map(MachineId::new).toList();
-        Set<MachineId> heard = ears.among(machines, Duration.ofMillis(asked.withinMillis()));
+        Set<MachineId> heard =
+                heartbeatQuery.recentlyHeard(machines, Duration.ofMillis(asked.withinMillis()));
         BitSet bits = new BitSet();
         for (int at = 0; at < machines.size(); at++) {
             bits.set(at, heard.contains(machines.get(at)));
         }
         return new Http.Reply(
-                200, encode(new HearingHint(served.getAsBoolean(), bits.toLongArray())), 0);
+                200,
+                encode(
+                        new RecentHeartbeatsMessage(
+                                storeReachable.getAsBoolean(), bits.toLongArray())),
+                0);
     }
 
     @Override
@@ -454,28 +467,35 @@
             List<MachineId> machines, Duration within) {
         byte[] question =
                 encode(
-                        new HearingQuestion(
+                        new RecentHeartbeatsRequest(
                                 machines.stream().map(MachineId::value).toArray(String[]::new),
                                 within.toMillis()));
         List<CompletableFuture<PeerReachabilityReport>> answers = new ArrayList<>();
         addresses.forEach(
                 (member, address) ->
                         answers.add(
-                                http.send(address, "POST", HEARING, question, SIGN)
+                                http.send(
+                                                address,
+                                                "POST",
+                                                RECENT_HEARTBEATS_PATH,
+                                                question,
+                                                PROBE_TIMEOUT)
                                         .handle(
                                                 (reply, failure) ->
                                                         failure == null
-                                                                ? testimony(member, machines, reply)
+                                                                ? decodeReachability(
+                                                                        member, machines, reply)
                                                                 : PeerReachabilityReport.unanswered(
                                                                         member))));
         return CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new))
                 .thenApply(unused -> answers.stream().map(CompletableFuture::join).toList());
     }
 
-    private PeerReachabilityReport testimony(
+    private PeerReachabilityReport decodeReachability(
             String member, List<MachineId> machines, Http.Reply reply) {
         try {
-            if (reply.status() == 200 && decode(reply.body()) instanceof HearingHint hint) {
+            if (reply.status() == 200
+                    && decode(reply.body()) instanceof RecentHeartbeatsMessage hint) {
                 BitSet bits = BitSet.valueOf(hint.heard());
                 Set<MachineId> heard = new HashSet<>();
                 for (int at = bits.nextSetBit(0);
@@ -493,24 +513,29 @@
 
     @Override
     public CompletableFuture<Boolean> anyPeerReachesStore() {
-        return any(
+        return anyTrue(
                 addresses.values().stream()
                         .map(
                                 address ->
-                                        http.send(address, "GET", SERVED, null, ANSWER)
+                                        http.send(
+                                                        address,
+                                                        "GET",
+                                                        STATUS_PATH,
+                                                        null,
+                                                        RESPONSE_TIMEOUT)
                                                 .handle(
                                                         (reply, failure) ->
                                                                 failure == null
-                                                                        && says(
+                                                                        && statusMatches(
                                                                                 reply,
-                                                                                ServedHint
+                                                                                StatusMessage
                                                                                         ::served)))
                         .toList());
     }
 
     @Override
     public CompletableFuture<ProbeResult> probe(String member) {
-        return ask(member)
+        return probeDirectly(member)
                 .thenCompose(
                         probeResult -> {
                             if (probeResult != ProbeResult.CONNECTION_REFUSED) {
@@ -518,20 +543,21 @@
                             }
                             // A packet filter between the controllers refuses connections to all of
                             // them.
-                            return any(addresses.keySet().stream()
-                                            .filter(other -> !other.equals(member))
-                                            .map(
-                                                    other ->
-                                                            ask(other)
-                                                                    .thenApply(
-                                                                            its ->
-                                                                                    its
-                                                                                                    == ProbeResult
-                                                                                                            .HEALTHY
-                                                                                            || its
-                                                                                                    == ProbeResult
-                                                                                                            .ISOLATED))
-                                            .toList())
+                            return anyTrue(
+                                            addresses.keySet().stream()
+                                                    .filter(other -> !other.equals(member))
+                                                    .map(
+                                                            other ->
+                                                                    probeDirectly(other)
+                                                                            .thenApply(
+                                                                                    its ->
+                                                                                            its
+                                                                                                            == ProbeResult
+                                                                                                                    .HEALTHY
+                                                                                                    || its
+                                                                                                            == ProbeResult
+                                                                                                                    .ISOLATED))
+                                                    .toList())
                                     .thenApply(
                                             othersAnswer ->
                                                     othersAnswer
@@ -541,7 +567,7 @@
     }
 
     /** Whether any of the answers is yes, as soon as one is. */
-    private static CompletableFuture<Boolean> any(List<CompletableFuture<Boolean>> answers) {
+    private static CompletableFuture<Boolean> anyTrue(List<CompletableFuture<Boolean>> answers) {
         CompletableFuture<Boolean> any = new CompletableFuture<>();
         answers.forEach(
                 answer ->
@@ -556,27 +582,27 @@
         return any;
     }
 
-    private CompletableFuture<ProbeResult> ask(String member) {
+    private CompletableFuture<ProbeResult> probeDirectly(String member) {
         String address = addresses.get(member);
         if (address == null) {
             return CompletableFuture.completedFuture(ProbeResult.UNRESPONSIVE);
         }
-        return http.send(address, "GET", SERVED, null, SIGN)
+        return http.send(address, "GET", STATUS_PATH, null, PROBE_TIMEOUT)
                 .handle(
                         (reply, failure) ->
                                 failure == null
-                                        ? says(reply, ServedHint::deaf)
+                                        ? statusMatches(reply, StatusMessage::deaf)
                                                 ? ProbeResult.ISOLATED
                                                 : ProbeResult.HEALTHY
-                                        : failure instanceof Http.Refused
+                                        : failure instanceof Http.ConnectionRefusedException
                                                 ? ProbeResult.CONNECTION_REFUSED
                                                 : ProbeResult.UNRESPONSIVE);
     }
 
-    private boolean says(Http.Reply reply, Predicate<ServedHint> what) {
+    private boolean statusMatches(Http.Reply reply, Predicate<StatusMessage> what) {
         try {
             return reply.status() == 200
-                    && decode(reply.body()) instanceof ServedHint hint
+                    && decode(reply.body()) instanceof StatusMessage hint
                     && what.test(hint);
         } catch (KryoException | IllegalArgumentException broken) {
             return false;
@@ -584,7 +610,7 @@
     }
 
     private synchronized byte[] encode(Object hint) {
-        Output output = new Output(FIRST_BYTES, MOST_BYTES);
+        Output output = new Output(INITIAL_BUFFER_BYTES, MAX_MESSAGE_BYTES);
         kryo().writeClassAndObject(output, hint);
         return output.toBytes();
     }
--- a/src/main/java/org/meadowhollow/protocol/reservation/ReservationApi.java
+++ b/src/main/java/org/meadowhollow/protocol/reservation/ReservationApi.java
@@ -12,11 +12,11 @@
 import org.meadowhollow.model.Revision;
 import org.meadowhollow.model.reservation.MaintenanceWindow;
 import org.meadowhollow.model.reservation.Reservation;
-import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
-import org.meadowhollow.protocol.Json;
-import org.meadowhollow.protocol.Malformed;
-import org.meadowhollow.protocol.tes.TesTokens;
+import org.meadowhollow.protocol.JsonCodec;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessageReader;
+import org.meadowhollow.protocol.tes.BearerTokens;
 import org.meadowhollow.storage.CalendarSnapshot;
 import org.meadowhollow.storage.KeyValueStoreException;
 
@@ -24,7 +24,7 @@
  * What operators call: put, show, list and withdraw reservations and windows, and the plan; at
  * every node.
  */
-public final class ReservationApi implements Http.Service {
+public final class ReservationApi implements Http.RequestHandler {
     /** The name that tokens of those who may change the calendar have, in place of a team's. */
     public static final String OPERATOR = "operator";
 
@@ -34,9 +34,9 @@
     private static final int DEFAULT_PLAN_HOURS = 48;
 
     private final ReservationService reservationService;
-    private final TesTokens tokens;
+    private final BearerTokens tokens;
 
-    public ReservationApi(ReservationService desk, TesTokens tokens) {
+    public ReservationApi(ReservationService desk, BearerTokens tokens) {
         this.reservationService = desk;
         this.tokens = tokens;
     }
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public Http.Reply refusal() {
+    public Http.Reply invalidBodyReply() {
         return reply(413, "the body is larger than 64 KiB or was cut short");
     }
 
@@ -60,7 +60,7 @@
         CompletableFuture<Http.Reply> reply;
         try {
             reply = route(request);
-        } catch (Malformed | HttpStatusException wrong) {
+        } catch (MalformedMessageException | HttpStatusException wrong) {
             reply = CompletableFuture.failedFuture(wrong);
         }
         return reply.exceptionally(ReservationApi::errorReply);
@@ -71,7 +71,7 @@
         if (cause instanceof HttpStatusException httpStatusException) {
             return reply(httpStatusException.status, httpStatusException.getMessage());
         }
-        if (cause instanceof Malformed) {
+        if (cause instanceof MalformedMessageException) {
             return reply(400, cause.getMessage());
         }
         if (cause instanceof ReservationService.RejectedException rejectedException) {
@@ -88,7 +88,7 @@
                 || cause instanceof KeyValueStoreException) {
             return new Http.Reply(
                     503,
-                    Json.encode(Fields.of("error", cause.getMessage())),
+                    JsonCodec.encode(MessageReader.mapOf("error", cause.getMessage())),
                     RETRY_AFTER_SECONDS,
                     JSON_TYPE);
         }
@@ -96,14 +96,15 @@
     }
 
     private static Http.Reply reply(int status, String why) {
-        return reply(status, Fields.of("error", why));
+        return reply(status, MessageReader.mapOf("error", why));
     }
 
     private static Http.Reply reply(int status, Map<String, Object> body) {
-        return new Http.Reply(status, Json.encode(body), 0, JSON_TYPE);
+        return new Http.Reply(status, JsonCodec.encode(body), 0, JSON_TYPE);
     }
 
-    private CompletableFuture<Http.Reply> route(Http.Request request) throws Malformed {
+    private CompletableFuture<Http.Reply> route(Http.Request request)
+            throws MalformedMessageException {
         if (!request.path().startsWith(PATH_PREFIX)) {
             throw new HttpStatusException(404, "no such path");
         }
@@ -139,7 +140,7 @@
                             calendarSnapshot ->
                                     reply(
                                             200,
-                                            Fields.of(
+                                            MessageReader.mapOf(
                                                     parts[0],
                                                     entriesOf(calendarSnapshot, windows).stream()
                                                             .map(ReservationCodec::encode)
@@ -187,8 +188,8 @@
     }
 
     private CompletableFuture<Http.Reply> putEntry(
-            String name, boolean windows, Http.Request request) throws Malformed {
-        Fields body = new Fields(Json.decode(request.body()));
+            String name, boolean windows, Http.Request request) throws MalformedMessageException {
+        MessageReader body = new MessageReader(JsonCodec.decode(request.body()));
         Revision expected = parseExpectedRevision(request);
         return (windows
                         ? reservationService.declareWindow(
@@ -201,7 +202,7 @@
     private static Http.Reply changeReply(ReservationService.ChangeOutcome changeOutcome) {
         return reply(
                 changeOutcome.result() == ReservationService.ChangeResult.CREATED ? 201 : 200,
-                Fields.of(
+                MessageReader.mapOf(
                         "version",
                         changeOutcome.revision().value(),
                         "notes",
@@ -212,7 +213,8 @@
      * The version that a change is meant for, in the header that HTTP has for it, with quotes or
      * without.
      */
-    private static Revision parseExpectedRevision(Http.Request request) throws Malformed {
+    private static Revision parseExpectedRevision(Http.Request request)
+            throws MalformedMessageException {
         String text = request.header().apply("If-Match");
         if (text == null) {
             return null;
@@ -220,11 +222,11 @@
         try {
             return new Revision(Long.parseLong(text.replace("\"", "").trim()));
         } catch (NumberFormatException wrong) {
-            throw new Malformed("If-Match is not a version that was shown");
+            throw new MalformedMessageException("If-Match is not a version that was shown");
         }
     }
 
-    private static int parsePlanHours(Http.Request request) throws Malformed {
+    private static int parsePlanHours(Http.Request request) throws MalformedMessageException {
         String text =
                 Optional.ofNullable(request.query().get("hours"))
                         .map(values -> values.get(0))
@@ -237,7 +239,7 @@
         } catch (NumberFormatException notANumber) {
             // One message for every wrong number.
         }
-        throw new Malformed(
+        throw new MalformedMessageException(
                 "hours is not from 1 to " + ReservationAdmission.ADMISSION_HORIZON.toHours());
     }
 }
--- a/src/main/java/org/meadowhollow/protocol/reservation/ReservationCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/reservation/ReservationCodec.java
@@ -15,8 +15,8 @@
 import org.meadowhollow.model.reservation.MaintenanceWindow;
 import org.meadowhollow.model.reservation.RecurringSchedule;
 import org.meadowhollow.model.reservation.Reservation;
-import org.meadowhollow.protocol.Fields;
-import org.meadowhollow.protocol.Malformed;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessageReader;
 import org.meadowhollow.storage.CalendarSnapshot;
 
 /**
@@ -42,39 +42,46 @@
 
     private ReservationCodec() {}
 
-    static String requireValidName(String text) throws Malformed {
+    static String requireValidName(String text) throws MalformedMessageException {
         if (!NAME_PATTERN.matcher(text).matches()) {
-            throw new Malformed("a name is up to 40 small letters, digits and hyphens");
+            throw new MalformedMessageException(
+                    "a name is up to 40 small letters, digits and hyphens");
         }
         return text;
     }
 
-    static Reservation reservation(String name, Fields body) throws Malformed {
-        long tasks = body.count("tasks");
+    static Reservation reservation(String name, MessageReader body)
+            throws MalformedMessageException {
+        long tasks = body.nonNegativeLong("tasks");
         if (tasks < 1 || tasks > MAX_TASKS) {
-            throw new Malformed("tasks is not from 1 to " + MAX_TASKS);
+            throw new MalformedMessageException("tasks is not from 1 to " + MAX_TASKS);
         }
-        String priority = body.has("priority") ? body.text("priority") : "normal";
+        String priority = body.has("priority") ? body.string("priority") : "normal";
         if (!PRIORITY_BY_WORD.containsKey(priority)) {
-            throw new Malformed("priority is none of critical, urgent, normal, idle");
+            throw new MalformedMessageException(
+                    "priority is none of critical, urgent, normal, idle");
         }
         return new Reservation(
                 requireValidName(name),
                 readBoundedText(body, "team"),
                 PRIORITY_BY_WORD.get(priority),
                 (int) tasks,
-                Resources.of(body.amount("cpus"), body.amountOr("gpus", 0), body.amount("ram_gb")),
+                Resources.of(
+                        body.nonNegativeDouble("cpus"),
+                        body.nonNegativeDoubleOr("gpus", 0),
+                        body.nonNegativeDouble("ram_gb")),
                 readNamesOrNull(body, "machine_types"),
-                body.textOrNull("zone"),
-                body.flagOr("spot", false),
+                body.stringOrNull("zone"),
+                body.booleanOr("spot", false),
                 body.has("image") ? readBoundedText(body, "image") : "",
-                body.amountOr("image_gb", 0),
+                body.nonNegativeDoubleOr("image_gb", 0),
                 body.has("class") ? readBoundedText(body, "class") : null,
                 readNamesOrNull(body, "jobs"),
                 decodeSchedule(body));
     }
 
-    static MaintenanceWindow window(String name, Fields body) throws Malformed {
+    static MaintenanceWindow window(String name, MessageReader body)
+            throws MalformedMessageException {
         MaintenanceWindow.Scope scope = null;
         List<String> targets = null;
         for (Map.Entry<String, MaintenanceWindow.Scope> each :
@@ -88,18 +95,19 @@
                         .entrySet()) {
             if (body.has(each.getKey())) {
                 if (scope != null) {
-                    throw new Malformed("a window names either machines, machine_types or zones");
+                    throw new MalformedMessageException(
+                            "a window names either machines, machine_types or zones");
                 }
                 scope = each.getValue();
                 targets = readNamesOrNull(body, each.getKey());
             }
         }
         if (scope == null || targets.isEmpty()) {
-            throw new Malformed("a window names machines, machine_types or zones");
+            throw new MalformedMessageException("a window names machines, machine_types or zones");
         }
-        double noticeS = body.amountOr("notice_s", 0);
+        double noticeS = body.nonNegativeDoubleOr("notice_s", 0);
         if (noticeS > MAX_DURATION_SECONDS) {
-            throw new Malformed("notice_s is longer than 31 days");
+            throw new MalformedMessageException("notice_s is longer than 31 days");
         }
         return new MaintenanceWindow(
                 requireValidName(name),
@@ -109,42 +117,47 @@
                 Duration.ofMillis((long) (noticeS * 1000)));
     }
 
-    private static RecurringSchedule decodeSchedule(Fields body) throws Malformed {
-        double lengthS = body.amount("length_s");
+    private static RecurringSchedule decodeSchedule(MessageReader body)
+            throws MalformedMessageException {
+        double lengthS = body.nonNegativeDouble("length_s");
         if (lengthS < 1 || lengthS > MAX_DURATION_SECONDS) {
-            throw new Malformed("length_s is not from 1 to " + (long) MAX_DURATION_SECONDS);
+            throw new MalformedMessageException(
+                    "length_s is not from 1 to " + (long) MAX_DURATION_SECONDS);
         }
         try {
             RecurringSchedule schedule =
                     new RecurringSchedule(
-                            LocalDateTime.parse(body.text("start")).withNano(0),
-                            ZoneId.of(body.has("time_zone") ? body.text("time_zone") : "UTC"),
+                            LocalDateTime.parse(body.string("start")).withNano(0),
+                            ZoneId.of(body.has("time_zone") ? body.string("time_zone") : "UTC"),
                             Duration.ofMillis((long) (lengthS * 1000)),
                             body.has("rule") ? readBoundedText(body, "rule") : null);
             Recurrence.validate(schedule);
             return schedule;
         } catch (Recurrence.InvalidScheduleException wrong) {
-            throw new Malformed(wrong.getMessage());
+            throw new MalformedMessageException(wrong.getMessage());
         } catch (DateTimeException wrong) {
-            throw new Malformed(
+            throw new MalformedMessageException(
                     "start is not of the form 2026-12-31T02:00, or time_zone is not one that is known");
         }
     }
 
-    private static String readBoundedText(Fields body, String key) throws Malformed {
-        String text = body.text(key);
+    private static String readBoundedText(MessageReader body, String key)
+            throws MalformedMessageException {
+        String text = body.string(key);
         if (text.isEmpty() || text.length() > MAX_TEXT_LENGTH) {
-            throw new Malformed(key + " is empty or longer than " + MAX_TEXT_LENGTH);
+            throw new MalformedMessageException(
+                    key + " is empty or longer than " + MAX_TEXT_LENGTH);
         }
         return text;
     }
 
-    private static List<String> readNamesOrNull(Fields body, String key) throws Malformed {
-        List<String> names = body.textsOrNull(key);
+    private static List<String> readNamesOrNull(MessageReader body, String key)
+            throws MalformedMessageException {
+        List<String> names = body.stringListOrNull(key);
         if (names != null
                 && (names.size() > MAX_LIST_SIZE
                         || names.stream().anyMatch(one -> one.length() > MAX_TEXT_LENGTH))) {
-            throw new Malformed(
+            throw new MalformedMessageException(
                     key
                             + " holds more than "
                             + MAX_LIST_SIZE
@@ -167,7 +180,7 @@
 
     private static Map<String, Object> reservation(Reservation one) {
         Map<String, Object> map =
-                Fields.of(
+                MessageReader.mapOf(
                         "name",
                         one.name(),
                         "team",
@@ -211,7 +224,7 @@
                     case ZONE -> "zones";
                 };
         return putSchedule(
-                Fields.of(
+                MessageReader.mapOf(
                         "name",
                         one.name(),
                         key,
@@ -231,12 +244,12 @@
     }
 
     static Map<String, Object> encode(ReservationPlan reservationPlan) {
-        return Fields.of(
+        return MessageReader.mapOf(
                 "slots",
                 reservationPlan.slots().stream()
                         .map(
                                 slot ->
-                                        Fields.of(
+                                        MessageReader.mapOf(
                                                 "reservation",
                                                 slot.reservation().name(),
                                                 "team",
@@ -258,7 +271,7 @@
                 reservationPlan.outages().stream()
                         .map(
                                 outage ->
-                                        Fields.of(
+                                        MessageReader.mapOf(
                                                 "window",
                                                 outage.window().name(),
                                                 "scope",
--- a/src/main/java/org/meadowhollow/protocol/tes/TesTokens.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/BearerTokens.java
@@ -7,33 +7,33 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Optional;
-import org.meadowhollow.protocol.Malformed;
+import org.meadowhollow.protocol.MalformedMessageException;
 
 /**
  * Which team a bearer token belongs to. Tokens are known by their SHA-256 only, and compared in
  * constant time.
  */
-public final class TesTokens {
+public final class BearerTokens {
     /**
      * Whoever has a token of this team may read the tasks of all teams and do nothing else; workers
      * do.
      */
-    public static final String READERS = "*";
+    public static final String READ_ONLY_TEAM = "*";
 
-    private static final String BEARER = "Bearer ";
+    private static final String BEARER_PREFIX = "Bearer ";
     private static final int HASH_BYTES = 32;
 
-    private record Known(String team, byte[] hash) {}
+    private record HashedToken(String team, byte[] hash) {}
 
-    private final List<Known> known = new ArrayList<>();
+    private final List<HashedToken> hashedTokens = new ArrayList<>();
 
     /**
      * @param entries each a team's name, {@code =}, and the SHA-256 of a token of that team as 64
      *     hex digits
-     * @throws Malformed naming the entry that is not of this form, without its hash
+     * @throws MalformedMessageException naming the entry that is not of this form, without its hash
      */
-    public static TesTokens of(List<String> entries) throws Malformed {
-        TesTokens tokens = new TesTokens();
+    public static BearerTokens parse(List<String> entries) throws MalformedMessageException {
+        BearerTokens tokens = new BearerTokens();
         for (String entry : entries) {
             int equals = entry.lastIndexOf('=');
             String team = equals < 1 ? "" : entry.substring(0, equals);
@@ -44,22 +44,22 @@
                 hash = new byte[0];
             }
             if (team.isEmpty() || hash.length != HASH_BYTES) {
-                throw new Malformed(
+                throw new MalformedMessageException(
                         "a token is not of the form TEAM=SHA256"
                                 + (team.isEmpty() ? "" : " (team " + team + ")"));
             }
-            tokens.known.add(new Known(team, hash));
+            tokens.hashedTokens.add(new HashedToken(team, hash));
         }
         return tokens;
     }
 
     public boolean isEmpty() {
-        return known.isEmpty();
+        return hashedTokens.isEmpty();
     }
 
     /** The teams that have a token. */
     public List<String> teams() {
-        return known.stream().map(Known::team).distinct().toList();
+        return hashedTokens.stream().map(HashedToken::team).distinct().toList();
     }
 
     /**
@@ -68,12 +68,13 @@
      */
     public Optional<String> teamOf(String authorization) {
         if (authorization == null
-                || !authorization.regionMatches(true, 0, BEARER, 0, BEARER.length())) {
+                || !authorization.regionMatches(
+                        true, 0, BEARER_PREFIX, 0, BEARER_PREFIX.length())) {
             return Optional.empty();
         }
-        byte[] hash = sha256(authorization.substring(BEARER.length()).trim());
+        byte[] hash = sha256(authorization.substring(BEARER_PREFIX.length()).trim());
         String team = null;
-        for (Known each : known) {
+        for (HashedToken each : hashedTokens) {
             if (MessageDigest.isEqual(each.hash(), hash)) {
                 team = each.team();
             }
