--- a/src/main/java/org/meadowhollow/protocol/tes/TesApi.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesApi.java
@@ -20,10 +20,10 @@
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.SecondaryRecord;
 import org.meadowhollow.model.TaskTracer;
-import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
-import org.meadowhollow.protocol.Json;
-import org.meadowhollow.protocol.Malformed;
+import org.meadowhollow.protocol.JsonCodec;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessageReader;
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
 import org.meadowhollow.storage.KeyValueStoreException;
@@ -33,12 +33,12 @@
  * answers, from the state service alone, so that no answer is older than another node's. {@code
  * docs/tes.md} has the ways that were weighed.
  */
-public final class TesApi implements Http.Service {
+public final class TesApi implements Http.RequestHandler {
     private static final String ROOT = "/ga4gh/tes/v1";
     private static final String TASKS = ROOT + "/tasks";
-    private static final String CANCEL = ":cancel";
+    private static final String CANCEL_SUFFIX = ":cancel";
     private static final String JSON_TYPE = "application/json";
-    private static final int COME_BACK_S = 1;
+    private static final int RETRY_AFTER_SECONDS = 1;
 
     /** The states that the API names; the first and PAUSED never occur here. */
     static final List<String> STATES =
@@ -60,32 +60,32 @@
      */
     private static final int ID_DIGITS = 26;
 
-    private static final int LONGEST_KEY = 200;
+    private static final int MAX_IDEMPOTENCY_KEY_LENGTH = 200;
 
     /** Tasks, which never change once accepted, that are kept in memory: some kilobytes each. */
-    private static final int MOST_CACHED = 256;
+    private static final int MAX_CACHED_TASKS = 256;
 
     /** Bytes around the fields of a record. */
-    private static final int FRAMING = 512;
+    private static final int RECORD_OVERHEAD_BYTES = 512;
 
     private final AdmissionService admissionService;
     private final KeyValueStore store;
     private final EventLoop loop;
     private final DeploymentSettings deploymentSettings;
-    private final TesTokens tokens;
+    private final BearerTokens tokens;
     private final RandomGenerator random;
-    private final TaskTracer traces;
-    private final TesListing listing;
-    private final Map<String, Kept> cache =
+    private final TaskTracer tracer;
+    private final TesTaskListing listing;
+    private final Map<String, StoredTask> taskCache =
             new LinkedHashMap<>(16, 0.75f, true) {
                 @Override
-                protected boolean removeEldestEntry(Map.Entry<String, Kept> eldest) {
-                    return size() > MOST_CACHED;
+                protected boolean removeEldestEntry(Map.Entry<String, StoredTask> eldest) {
+                    return size() > MAX_CACHED_TASKS;
                 }
             };
 
     /** What is kept of a task for ever, as its client sent it. */
-    record Kept(
+    record StoredTask(
             String team,
             long createdMillis,
             String entryKey,
@@ -97,32 +97,32 @@
             KeyValueStore store,
             EventLoop loop,
             DeploymentSettings deploymentSettings,
-            TesTokens tokens,
+            BearerTokens tokens,
             TaskTracer traces,
             RandomGenerator random) {
-        this.traces = traces;
+        this.tracer = traces;
         this.admissionService = admissionService;
         this.store = store;
         this.loop = loop;
         this.deploymentSettings = deploymentSettings;
         this.tokens = tokens;
         this.random = random;
-        this.listing = new TesListing(this, store);
+        this.listing = new TesTaskListing(this, store);
     }
 
     /** The request cannot be answered as it was asked; the text says why. */
-    static final class Refused extends RuntimeException {
+    static final class HttpStatusException extends RuntimeException {
         private final int status;
 
-        Refused(int status, String why) {
+        HttpStatusException(int status, String why) {
             super(why, null, false, false);
             this.status = status;
         }
     }
 
     @Override
-    public Http.Reply refusal() {
-        return error(413, "the body is larger than 64 KiB or was cut short");
+    public Http.Reply invalidBodyReply() {
+        return errorReply(413, "the body is larger than 64 KiB or was cut short");
     }
 
     @Override
@@ -130,132 +130,144 @@
         CompletableFuture<Http.Reply> reply;
         try {
             reply = route(request);
-        } catch (Malformed | Refused refused) {
+        } catch (MalformedMessageException | HttpStatusException refused) {
             reply = CompletableFuture.failedFuture(refused);
         }
-        return reply.exceptionally(TesApi::failure);
+        return reply.exceptionally(TesApi::failureReply);
     }
 
-    private static Http.Reply failure(Throwable failure) {
+    private static Http.Reply failureReply(Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-        if (cause instanceof Refused refused) {
-            return error(refused.status, refused.getMessage());
+        if (cause instanceof HttpStatusException httpStatusException) {
+            return errorReply(httpStatusException.status, httpStatusException.getMessage());
         }
-        if (cause instanceof Malformed
+        if (cause instanceof MalformedMessageException
                 || cause instanceof AdmissionService.UnschedulableJobException) {
-            return error(400, cause.getMessage());
+            return errorReply(400, cause.getMessage());
         }
         if (cause instanceof AdmissionService.TemporarilyUnavailableException
                 || cause instanceof KeyValueStoreException) {
-            return comeBack(cause.getMessage());
+            return retryLater(cause.getMessage());
         }
         throw new CompletionException(cause);
     }
 
-    static Http.Reply comeBack(String why) {
+    static Http.Reply retryLater(String why) {
         return new Http.Reply(
                 503,
-                Json.encode(Fields.of("status_code", 503, "msg", why)),
-                COME_BACK_S,
+                JsonCodec.encode(MessageReader.mapOf("status_code", 503, "msg", why)),
+                RETRY_AFTER_SECONDS,
                 JSON_TYPE);
     }
 
-    private static Http.Reply error(int status, String why) {
+    private static Http.Reply errorReply(int status, String why) {
         return new Http.Reply(
-                status, Json.encode(Fields.of("status_code", status, "msg", why)), 0, JSON_TYPE);
+                status,
+                JsonCodec.encode(MessageReader.mapOf("status_code", status, "msg", why)),
+                0,
+                JSON_TYPE);
     }
 
-    static Http.Reply ok(Map<String, Object> body) {
-        return new Http.Reply(200, Json.encode(body), 0, JSON_TYPE);
+    static Http.Reply okReply(Map<String, Object> body) {
+        return new Http.Reply(200, JsonCodec.encode(body), 0, JSON_TYPE);
     }
 
-    private CompletableFuture<Http.Reply> route(Http.Request request) throws Malformed {
+    private CompletableFuture<Http.Reply> route(Http.Request request)
+            throws MalformedMessageException {
         String path = request.path();
         if (path.equals(ROOT + "/service-info")) {
-            allow(request, "GET");
-            return CompletableFuture.completedFuture(ok(serviceInfo()));
+            requireMethod(request, "GET");
+            return CompletableFuture.completedFuture(okReply(serviceInfo()));
         }
         if (!path.equals(TASKS) && !path.startsWith(TASKS + "/")) {
-            throw new Refused(404, "no such path");
+            throw new HttpStatusException(404, "no such path");
         }
         String team =
                 tokens.teamOf(request.header().apply("Authorization"))
-                        .orElseThrow(() -> new Refused(401, "no token, or one that is not known"));
+                        .orElseThrow(
+                                () ->
+                                        new HttpStatusException(
+                                                401, "no token, or one that is not known"));
         if (path.equals(TASKS)) {
             if (request.method().equals("POST")) {
                 return create(request, team);
             }
-            allow(request, "GET");
+            requireMethod(request, "GET");
             return listing.list(team, request.query());
         }
         String id = path.substring(TASKS.length() + 1);
-        if (id.endsWith(CANCEL)) {
-            allow(request, "POST");
-            return cancel(id.substring(0, id.length() - CANCEL.length()), team);
+        if (id.endsWith(CANCEL_SUFFIX)) {
+            requireMethod(request, "POST");
+            return cancel(id.substring(0, id.length() - CANCEL_SUFFIX.length()), team);
         }
-        allow(request, "GET");
-        View view = View.of(request.query());
+        requireMethod(request, "GET");
+        View view = View.fromQuery(request.query());
         return get(id, team, view);
     }
 
-    private static void allow(Http.Request request, String method) {
+    private static void requireMethod(Http.Request request, String method) {
         if (!request.method().equals(method)) {
-            throw new Refused(405, "wrong method");
+            throw new HttpStatusException(405, "wrong method");
         }
     }
 
     private Map<String, Object> serviceInfo() {
-        return Fields.of(
+        return MessageReader.mapOf(
                 "id",
                 "org.meadowhollow." + deploymentSettings.member(),
                 "name",
                 "meadowhollow",
                 "type",
-                Fields.of("group", "org.ga4gh", "artifact", "tes", "version", "1.1.0"),
+                MessageReader.mapOf("group", "org.ga4gh", "artifact", "tes", "version", "1.1.0"),
                 "description",
                 "Tasks on the cluster that meadowhollow schedules",
                 "organization",
-                Fields.of("name", "meadowhollow", "url", "urn:meadowhollow"),
+                MessageReader.mapOf("name", "meadowhollow", "url", "urn:meadowhollow"),
                 "version",
                 Optional.ofNullable(TesApi.class.getPackage().getImplementationVersion())
                         .orElse("not packaged"),
                 "storage",
                 List.of(),
                 "tesResources_backend_parameters",
-                TesCodec.PARAMETERS);
+                TesCodec.SUPPORTED_PARAMETERS);
     }
 
     // ---- one task ----
 
     private CompletableFuture<Http.Reply> create(Http.Request request, String team)
-            throws Malformed {
-        mayWrite(team);
-        TesCodec.Task task = TesCodec.decode(new Fields(Json.decode(request.body())));
+            throws MalformedMessageException {
+        requireWriteAccess(team);
+        TesCodec.TaskRequest taskRequest =
+                TesCodec.decode(new MessageReader(JsonCodec.decode(request.body())));
         String repeatKey = request.header().apply("Idempotency-Key");
-        if (repeatKey != null && (repeatKey.isEmpty() || repeatKey.length() > LONGEST_KEY)) {
-            throw new Malformed("Idempotency-Key is empty or longer than " + LONGEST_KEY);
+        if (repeatKey != null
+                && (repeatKey.isEmpty() || repeatKey.length() > MAX_IDEMPOTENCY_KEY_LENGTH)) {
+            throw new MalformedMessageException(
+                    "Idempotency-Key is empty or longer than " + MAX_IDEMPOTENCY_KEY_LENGTH);
         }
-        JobId id = repeatKey == null ? newId() : idOf(team, repeatKey);
-        JobSpec spec = TesCodec.job(id, team, task, deploymentSettings.zones());
+        JobId id = repeatKey == null ? randomId() : idForIdempotencyKey(team, repeatKey);
+        JobSpec spec = TesCodec.toJobSpec(id, team, taskRequest, deploymentSettings.zones());
         long now = loop.wallClockMillis();
-        byte[] document = Json.encode(task.document());
-        TesListing.Entry entry = new TesListing.Entry(id.value(), task.name(), task.tags(), now);
-        Kept kept =
-                new Kept(
+        byte[] document = JsonCodec.encode(taskRequest.document());
+        TesTaskListing.ListedTask listedTask =
+                new TesTaskListing.ListedTask(
+                        id.value(), taskRequest.name(), taskRequest.tags(), now);
+        StoredTask storedTask =
+                new StoredTask(
                         team,
                         now,
-                        TesListing.key(team, now, id),
+                        TesTaskListing.entryKey(team, now, id),
                         digest(document),
-                        task.document());
-        int room = deploymentSettings.maxValueBytes() - FRAMING;
+                        taskRequest.document());
+        int room = deploymentSettings.maxValueBytes() - RECORD_OVERHEAD_BYTES;
         // The job's own record holds the entry as well, with what it takes to place the task.
-        if (document.length > room || 2 * entry.bytes() > room) {
-            throw new Refused(
+        if (document.length > room || 2 * listedTask.encodedSize() > room) {
+            throw new HttpStatusException(
                     413,
                     "the task takes "
                             + document.length
                             + " bytes, its name and tags "
-                            + entry.bytes()
+                            + listedTask.encodedSize()
                             + "; at most "
                             + room
                             + " and "
@@ -264,71 +276,74 @@
         }
         SecondaryRecord secondaryRecord =
                 new SecondaryRecord(
-                        kept.entryKey(),
-                        entry.encode(),
-                        TesCodec.mostAttempts(task),
-                        traces.traceContextOf(request.header().apply("traceparent")));
+                        storedTask.entryKey(),
+                        listedTask.encode(),
+                        TesCodec.maxAttempts(taskRequest),
+                        tracer.traceContextOf(request.header().apply("traceparent")));
         return admissionService
-                .submit(spec, secondaryRecord, Map.of(recordKey(id.value()), encode(kept)))
+                .submit(
+                        spec,
+                        secondaryRecord,
+                        Map.of(recordKey(id.value()), encodeTask(storedTask)))
                 .thenCompose(
                         submissionResult ->
                                 submissionResult.isNew()
-                                        ? CompletableFuture.completedFuture(kept)
-                                        : kept(id.value(), RequestPriority.USER))
+                                        ? CompletableFuture.completedFuture(storedTask)
+                                        : loadTask(id.value(), RequestPriority.USER))
                 .thenApply(
                         stands -> {
-                            if (!stands.digest().equals(kept.digest())) {
-                                throw new Refused(
+                            if (!stands.digest().equals(storedTask.digest())) {
+                                throw new HttpStatusException(
                                         400, "the Idempotency-Key was used for another task");
                             }
-                            return ok(Fields.of("id", id.value()));
+                            return okReply(MessageReader.mapOf("id", id.value()));
                         });
     }
 
-    private void mayWrite(String team) {
-        if (team.equals(TesTokens.READERS)) {
-            throw new Refused(403, "this token may only read");
+    private void requireWriteAccess(String team) {
+        if (team.equals(BearerTokens.READ_ONLY_TEAM)) {
+            throw new HttpStatusException(403, "this token may only read");
         }
     }
 
-    private JobId newId() {
+    private JobId randomId() {
         byte[] bytes = new byte[ID_DIGITS / 2];
         random.nextBytes(bytes);
-        return new JobId(TesListing.PREFIX + HexFormat.of().formatHex(bytes));
+        return new JobId(TesTaskListing.ID_PREFIX + HexFormat.of().formatHex(bytes));
     }
 
     /** The same key of the same team always gives the same id. */
-    private static JobId idOf(String team, String repeatKey) {
-        String hash = HexFormat.of().formatHex(TesTokens.sha256(team + '\n' + repeatKey));
-        return new JobId(TesListing.PREFIX + hash.substring(0, ID_DIGITS));
+    private static JobId idForIdempotencyKey(String team, String repeatKey) {
+        String hash = HexFormat.of().formatHex(BearerTokens.sha256(team + '\n' + repeatKey));
+        return new JobId(TesTaskListing.ID_PREFIX + hash.substring(0, ID_DIGITS));
     }
 
     private static String digest(byte[] document) {
         return HexFormat.of()
-                .formatHex(TesTokens.sha256(new String(document, StandardCharsets.UTF_8)));
+                .formatHex(BearerTokens.sha256(new String(document, StandardCharsets.UTF_8)));
     }
 
     private static String recordKey(String id) {
         return "tes/" + id;
     }
 
-    private static Map<String, Object> encode(Kept kept) {
-        return Fields.of(
+    private static Map<String, Object> encodeTask(StoredTask storedTask) {
+        return MessageReader.mapOf(
                 "team",
-                kept.team(),
+                storedTask.team(),
                 "created",
-                kept.createdMillis(),
+                storedTask.createdMillis(),
                 "entry",
-                kept.entryKey(),
+                storedTask.entryKey(),
                 "digest",
-                kept.digest(),
+                storedTask.digest(),
                 "document",
-                kept.document());
+                storedTask.document());
     }
 
     @SuppressWarnings("unchecked")
-    private static Kept decode(Map<String, Object> record) {
-        return new Kept(
+    private static StoredTask decodeTask(Map<String, Object> record) {
+        return new StoredTask(
                 (String) record.get("team"),
                 ((Number) record.get("created")).longValue(),
                 (String) record.get("entry"),
@@ -337,12 +352,12 @@
     }
 
     /** What is kept of a task; fails with 404 if there is none. */
-    CompletableFuture<Kept> kept(String id, RequestPriority requestPriority) {
-        if (!TesListing.isId(id)) {
-            throw new Refused(404, "no such task");
+    CompletableFuture<StoredTask> loadTask(String id, RequestPriority requestPriority) {
+        if (!TesTaskListing.isId(id)) {
+            throw new HttpStatusException(404, "no such task");
         }
-        synchronized (cache) {
-            Kept known = cache.get(id);
+        synchronized (taskCache) {
+            StoredTask known = taskCache.get(id);
             if (known != null) {
                 return CompletableFuture.completedFuture(known);
             }
@@ -350,34 +365,38 @@
         return store.get(recordKey(id), requestPriority)
                 .thenApply(
                         found -> {
-                            Kept kept =
-                                    decode(
+                            StoredTask storedTask =
+                                    decodeTask(
                                             found.orElseThrow(
-                                                            () -> new Refused(404, "no such task"))
+                                                            () ->
+                                                                    new HttpStatusException(
+                                                                            404, "no such task"))
                                                     .value());
-                            synchronized (cache) {
-                                cache.put(id, kept);
+                            synchronized (taskCache) {
+                                taskCache.put(id, storedTask);
                             }
-                            return kept;
+                            return storedTask;
                         });
     }
 
-    private CompletableFuture<Kept> owned(String id, String team) {
-        return kept(id, RequestPriority.USER)
+    private CompletableFuture<StoredTask> loadReadableTask(String id, String team) {
+        return loadTask(id, RequestPriority.USER)
                 .thenApply(
-                        kept -> {
-                            if (!kept.team().equals(team) && !team.equals(TesTokens.READERS)) {
-                                throw new Refused(403, "the task belongs to another team");
+                        storedTask -> {
+                            if (!storedTask.team().equals(team)
+                                    && !team.equals(BearerTokens.READ_ONLY_TEAM)) {
+                                throw new HttpStatusException(
+                                        403, "the task belongs to another team");
                             }
-                            return kept;
+                            return storedTask;
                         });
     }
 
     private CompletableFuture<Http.Reply> get(String id, String team, View view) {
-        return owned(id, team)
+        return loadReadableTask(id, team)
                 .thenCompose(
-                        kept ->
-                                store.get(kept.entryKey(), RequestPriority.USER)
+                        storedTask ->
+                                store.get(storedTask.entryKey(), RequestPriority.USER)
                                         .thenApply(
                                                 entry -> {
                                                     Map<String, Object> state =
@@ -387,19 +406,23 @@
                                                                                             .TemporarilyUnavailableException(
                                                                                             "the task's entry is missing"))
                                                                     .value();
-                                                    return ok(
+                                                    return okReply(
                                                             view == View.MINIMAL
-                                                                    ? minimal(state)
-                                                                    : whole(id, kept, state, view));
+                                                                    ? minimalView(state)
+                                                                    : detailedView(
+                                                                            id,
+                                                                            storedTask,
+                                                                            state,
+                                                                            view));
                                                 }));
     }
 
     private CompletableFuture<Http.Reply> cancel(String id, String team) {
-        mayWrite(team);
+        requireWriteAccess(team);
         // A task that is over stays as it is, and the request has nothing left to do.
-        return owned(id, team)
-                .thenCompose(kept -> admissionService.cancel(new JobId(id)))
-                .thenApply(state -> ok(Map.of()));
+        return loadReadableTask(id, team)
+                .thenCompose(storedTask -> admissionService.cancel(new JobId(id)))
+                .thenApply(state -> okReply(Map.of()));
     }
 
     // ---- how a task is told ----
@@ -410,14 +433,14 @@
         BASIC,
         FULL;
 
-        static View of(Map<String, List<String>> query) throws Malformed {
+        static View fromQuery(Map<String, List<String>> query) throws MalformedMessageException {
             String name = query.getOrDefault("view", List.of("MINIMAL")).get(0);
             for (View view : values()) {
                 if (view.name().equals(name)) {
                     return view;
                 }
             }
-            throw new Malformed("view is none of MINIMAL, BASIC, FULL");
+            throw new MalformedMessageException("view is none of MINIMAL, BASIC, FULL");
         }
     }
 
@@ -435,32 +458,35 @@
         };
     }
 
-    static Map<String, Object> minimal(Map<String, Object> entry) {
-        return Fields.of("id", entry.get("id"), "state", stateName(SecondaryRecord.phaseOf(entry)));
+    static Map<String, Object> minimalView(Map<String, Object> entry) {
+        return MessageReader.mapOf(
+                "id", entry.get("id"), "state", stateName(SecondaryRecord.phaseOf(entry)));
     }
 
-    static Map<String, Object> whole(String id, Kept kept, Map<String, Object> entry, View view) {
+    static Map<String, Object> detailedView(
+            String id, StoredTask storedTask, Map<String, Object> entry, View view) {
         Map<String, Object> task =
-                Fields.of("id", id, "state", stateName(SecondaryRecord.phaseOf(entry)));
-        kept.document()
+                MessageReader.mapOf("id", id, "state", stateName(SecondaryRecord.phaseOf(entry)));
+        storedTask
+                .document()
                 .forEach(
                         (key, value) ->
                                 task.put(
                                         key,
                                         key.equals("inputs") && view == View.BASIC
-                                                ? withoutContent(value)
+                                                ? withoutInlineContent(value)
                                                 : value));
-        task.put("creation_time", time(kept.createdMillis()));
+        task.put("creation_time", formatTime(storedTask.createdMillis()));
         List<Object> logs = new ArrayList<>();
         for (AttemptRecord attempt : SecondaryRecord.attemptsOf(entry)) {
-            logs.add(log(attempt, view));
+            logs.add(attemptLogView(attempt, view));
         }
         task.put("logs", logs);
         return task;
     }
 
     @SuppressWarnings("unchecked")
-    private static List<Object> withoutContent(Object inputs) {
+    private static List<Object> withoutInlineContent(Object inputs) {
         List<Object> shorter = new ArrayList<>();
         for (Object input : (List<?>) inputs) {
             Map<String, Object> copy = new LinkedHashMap<>((Map<String, Object>) input);
@@ -470,14 +496,14 @@
         return shorter;
     }
 
-    private static Map<String, Object> log(AttemptRecord attempt, View view) {
+    private static Map<String, Object> attemptLogView(AttemptRecord attempt, View view) {
         boolean completed = "DONE".equals(attempt.endReason());
         Map<String, Object> log =
-                Fields.of(
+                MessageReader.mapOf(
                         "logs",
-                        completed ? List.of(Fields.of("exit_code", 0)) : List.of(),
+                        completed ? List.of(MessageReader.mapOf("exit_code", 0)) : List.of(),
                         "metadata",
-                        Fields.of(
+                        MessageReader.mapOf(
                                 "attempt",
                                 String.valueOf(attempt.attemptNumber()),
                                 "machine",
@@ -487,15 +513,18 @@
                         "outputs",
                         List.of());
         if (attempt.startedAtMillis() > 0) {
-            log.put("start_time", time(attempt.startedAtMillis()));
+            log.put("start_time", formatTime(attempt.startedAtMillis()));
         }
         if (attempt.endedAtMillis() > 0) {
-            log.put("end_time", time(attempt.endedAtMillis()));
+            log.put("end_time", formatTime(attempt.endedAtMillis()));
         }
         if (view == View.FULL) {
             List<Object> system = new ArrayList<>();
             system.add(
-                    "placed on " + attempt.machineName() + " at " + time(attempt.placedAtMillis()));
+                    "placed on "
+                            + attempt.machineName()
+                            + " at "
+                            + formatTime(attempt.placedAtMillis()));
             if (attempt.endReason() != null && !completed) {
                 system.add("ended: " + attempt.endReason());
             }
@@ -504,7 +533,7 @@
         return log;
     }
 
-    private static String time(long millis) {
+    private static String formatTime(long millis) {
         return Instant.ofEpochMilli(millis).toString();
     }
 }
--- a/src/main/java/org/meadowhollow/protocol/tes/TesCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesCodec.java
@@ -10,8 +10,8 @@
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.Priority;
 import org.meadowhollow.model.Resources;
-import org.meadowhollow.protocol.Fields;
-import org.meadowhollow.protocol.Malformed;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessageReader;
 
 /**
  * A task of the GA4GH task execution API (TES 1.1) as it is checked, kept and run. What is kept
@@ -19,7 +19,7 @@
  */
 final class TesCodec {
     /** Backend parameters that are understood; {@code docs/tes.md} says what each means. */
-    static final List<String> PARAMETERS =
+    static final List<String> SUPPORTED_PARAMETERS =
             List.of(
                     "class",
                     "priority",
@@ -36,21 +36,21 @@
      * The class of jobs that a task belongs to unless it says so: objectives for the class may name
      * it.
      */
-    private static final String CLASS = "tes";
+    private static final String DEFAULT_JOB_CLASS = "tes";
 
-    private static final int MOST_ITEMS = 1000;
-    private static final int LONGEST_NAME = 200;
+    private static final int MAX_ITEMS = 1000;
+    private static final int MAX_NAME_LENGTH = 200;
 
     /**
      * What is taken for an image whose size the client does not tell; decides where to place, and
      * nothing else.
      */
-    private static final double IMAGE_GB = 2;
+    private static final double DEFAULT_IMAGE_GB = 2;
 
-    private static final double CPUS = 1;
-    private static final double MEMORY_GB = 2;
+    private static final double DEFAULT_CPUS = 1;
+    private static final double DEFAULT_MEMORY_GB = 2;
     private static final Set<String> FILE_TYPES = Set.of("FILE", "DIRECTORY");
-    private static final Map<String, Priority> PRIORITIES =
+    private static final Map<String, Priority> PRIORITY_BY_WORD =
             Map.of(
                     "critical",
                     Priority.PRODUCTION,
@@ -65,7 +65,7 @@
      * What can be said of a task that is well formed: what is kept of it, and its backend
      * parameters.
      */
-    record Task(Map<String, Object> document, Map<String, Object> parameters) {
+    record TaskRequest(Map<String, Object> document, Map<String, Object> parameters) {
         String name() {
             return (String) document.get("name");
         }
@@ -79,44 +79,45 @@
     private TesCodec() {}
 
     /** Checks a task to be created; fields that the API does not name are left out. */
-    static Task decode(Fields body) throws Malformed {
+    static TaskRequest decode(MessageReader body) throws MalformedMessageException {
         Map<String, Object> document = new LinkedHashMap<>();
-        texts(body, document, "name", "description");
+        copyStrings(body, document, "name", "description");
         List<Object> inputs = new ArrayList<>();
-        for (Fields input : some(body, "inputs")) {
-            inputs.add(input(input));
+        for (MessageReader input : boundedList(body, "inputs")) {
+            inputs.add(checkInput(input));
         }
         putUnlessEmpty(document, "inputs", inputs);
         List<Object> outputs = new ArrayList<>();
-        for (Fields output : some(body, "outputs")) {
-            outputs.add(output(output));
+        for (MessageReader output : boundedList(body, "outputs")) {
+            outputs.add(checkOutput(output));
         }
         putUnlessEmpty(document, "outputs", outputs);
         Map<String, Object> parameters = new LinkedHashMap<>();
         if (body.has("resources")) {
-            document.put("resources", resources(body.fields("resources"), parameters));
+            document.put("resources", checkResources(body.nested("resources"), parameters));
         }
         List<Object> executors = new ArrayList<>();
-        for (Fields executor : some(body, "executors")) {
-            executors.add(executor(executor));
+        for (MessageReader executor : boundedList(body, "executors")) {
+            executors.add(checkExecutor(executor));
         }
         if (executors.isEmpty()) {
-            throw new Malformed("executors is missing or empty");
+            throw new MalformedMessageException("executors is missing or empty");
         }
         document.put("executors", executors);
         if (body.has("volumes")) {
-            document.put("volumes", body.textsOrNull("volumes"));
+            document.put("volumes", body.stringListOrNull("volumes"));
         }
         if (body.has("tags")) {
-            document.put("tags", strings(body.fields("tags"), "tags"));
+            document.put("tags", requireStringMap(body.nested("tags"), "tags"));
         }
-        return new Task(document, parameters);
+        return new TaskRequest(document, parameters);
     }
 
-    private static List<Fields> some(Fields body, String key) throws Malformed {
-        List<Fields> all = body.list(key);
-        if (all.size() > MOST_ITEMS) {
-            throw new Malformed(key + " holds more than " + MOST_ITEMS);
+    private static List<MessageReader> boundedList(MessageReader body, String key)
+            throws MalformedMessageException {
+        List<MessageReader> all = body.nestedList(key);
+        if (all.size() > MAX_ITEMS) {
+            throw new MalformedMessageException(key + " holds more than " + MAX_ITEMS);
         }
         return all;
     }
@@ -128,121 +129,131 @@
         }
     }
 
-    private static Map<String, Object> input(Fields input) throws Malformed {
+    private static Map<String, Object> checkInput(MessageReader input)
+            throws MalformedMessageException {
         Map<String, Object> map = new LinkedHashMap<>();
-        texts(input, map, "name", "description", "url");
-        map.put("path", absolute(input, "path"));
-        type(input, map);
-        texts(input, map, "content");
+        copyStrings(input, map, "name", "description", "url");
+        map.put("path", requireAbsolutePath(input, "path"));
+        copyFileType(input, map);
+        copyStrings(input, map, "content");
         if (!map.containsKey("url") && !map.containsKey("content")) {
-            throw new Malformed("an input has neither url nor content");
+            throw new MalformedMessageException("an input has neither url nor content");
         }
         if (input.has("streamable")) {
-            map.put("streamable", input.flag("streamable"));
+            map.put("streamable", input.booleanValue("streamable"));
         }
         return map;
     }
 
-    private static Map<String, Object> output(Fields output) throws Malformed {
+    private static Map<String, Object> checkOutput(MessageReader output)
+            throws MalformedMessageException {
         Map<String, Object> map = new LinkedHashMap<>();
-        texts(output, map, "name", "description");
-        map.put("url", output.text("url"));
-        map.put("path", absolute(output, "path"));
-        texts(output, map, "path_prefix");
-        type(output, map);
+        copyStrings(output, map, "name", "description");
+        map.put("url", output.string("url"));
+        map.put("path", requireAbsolutePath(output, "path"));
+        copyStrings(output, map, "path_prefix");
+        copyFileType(output, map);
         return map;
     }
 
-    private static Map<String, Object> executor(Fields executor) throws Malformed {
+    private static Map<String, Object> checkExecutor(MessageReader executor)
+            throws MalformedMessageException {
         Map<String, Object> map = new LinkedHashMap<>();
-        String image = executor.text("image");
-        if (image.isEmpty() || image.length() > LONGEST_NAME) {
-            throw new Malformed("image is empty or too long");
+        String image = executor.string("image");
+        if (image.isEmpty() || image.length() > MAX_NAME_LENGTH) {
+            throw new MalformedMessageException("image is empty or too long");
         }
         map.put("image", image);
-        List<String> command = executor.textsOrNull("command");
+        List<String> command = executor.stringListOrNull("command");
         if (command == null || command.isEmpty()) {
-            throw new Malformed("command is missing or empty");
+            throw new MalformedMessageException("command is missing or empty");
         }
         map.put("command", command);
-        texts(executor, map, "workdir", "stdin", "stdout", "stderr");
+        copyStrings(executor, map, "workdir", "stdin", "stdout", "stderr");
         if (executor.has("env")) {
-            map.put("env", strings(executor.fields("env"), "env"));
+            map.put("env", requireStringMap(executor.nested("env"), "env"));
         }
         if (executor.has("ignore_error")) {
-            map.put("ignore_error", executor.flag("ignore_error"));
+            map.put("ignore_error", executor.booleanValue("ignore_error"));
         }
         return map;
     }
 
-    private static Map<String, Object> resources(Fields resources, Map<String, Object> parameters)
-            throws Malformed {
+    private static Map<String, Object> checkResources(
+            MessageReader resources, Map<String, Object> parameters)
+            throws MalformedMessageException {
         Map<String, Object> map = new LinkedHashMap<>();
         if (resources.has("cpu_cores")) {
-            map.put("cpu_cores", resources.count("cpu_cores"));
+            map.put("cpu_cores", resources.nonNegativeLong("cpu_cores"));
         }
         if (resources.has("preemptible")) {
-            map.put("preemptible", resources.flag("preemptible"));
+            map.put("preemptible", resources.booleanValue("preemptible"));
         }
         for (String amount : List.of("ram_gb", "disk_gb")) {
             if (resources.has(amount)) {
-                map.put(amount, resources.amount(amount));
+                map.put(amount, resources.nonNegativeDouble(amount));
             }
         }
         if (resources.has("zones")) {
-            map.put("zones", resources.textsOrNull("zones"));
+            map.put("zones", resources.stringListOrNull("zones"));
         }
         if (resources.has("backend_parameters")) {
             parameters.putAll(
-                    strings(resources.fields("backend_parameters"), "backend_parameters"));
+                    requireStringMap(resources.nested("backend_parameters"), "backend_parameters"));
             map.put("backend_parameters", parameters);
         }
         if (resources.has("backend_parameters_strict")) {
-            map.put("backend_parameters_strict", resources.flag("backend_parameters_strict"));
+            map.put(
+                    "backend_parameters_strict",
+                    resources.booleanValue("backend_parameters_strict"));
         }
-        if (resources.flagOr("backend_parameters_strict", false)) {
+        if (resources.booleanOr("backend_parameters_strict", false)) {
             for (String key : parameters.keySet()) {
-                if (!PARAMETERS.contains(key)) {
-                    throw new Malformed("backend parameter " + key + " is not supported");
+                if (!SUPPORTED_PARAMETERS.contains(key)) {
+                    throw new MalformedMessageException(
+                            "backend parameter " + key + " is not supported");
                 }
             }
         }
         return map;
     }
 
-    private static void texts(Fields from, Map<String, Object> to, String... keys)
-            throws Malformed {
+    private static void copyStrings(MessageReader from, Map<String, Object> to, String... keys)
+            throws MalformedMessageException {
         for (String key : keys) {
-            String text = from.textOrNull(key);
+            String text = from.stringOrNull(key);
             if (text != null) {
                 to.put(key, text);
             }
         }
     }
 
-    private static void type(Fields from, Map<String, Object> to) throws Malformed {
-        String type = from.textOrNull("type");
+    private static void copyFileType(MessageReader from, Map<String, Object> to)
+            throws MalformedMessageException {
+        String type = from.stringOrNull("type");
         if (type != null) {
             if (!FILE_TYPES.contains(type)) {
-                throw new Malformed("type is neither FILE nor DIRECTORY");
+                throw new MalformedMessageException("type is neither FILE nor DIRECTORY");
             }
             to.put("type", type);
         }
     }
 
-    private static String absolute(Fields from, String key) throws Malformed {
-        String path = from.text(key);
+    private static String requireAbsolutePath(MessageReader from, String key)
+            throws MalformedMessageException {
+        String path = from.string(key);
         if (!path.startsWith("/")) {
-            throw new Malformed(key + " is not an absolute path");
+            throw new MalformedMessageException(key + " is not an absolute path");
         }
         return path;
     }
 
-    private static Map<String, Object> strings(Fields from, String what) throws Malformed {
+    private static Map<String, Object> requireStringMap(MessageReader from, String what)
+            throws MalformedMessageException {
         Map<String, Object> map = new LinkedHashMap<>();
         for (Map.Entry<String, Object> each : from.map().entrySet()) {
             if (!(each.getValue() instanceof String)) {
-                throw new Malformed(what + " holds something other than text");
+                throw new MalformedMessageException(what + " holds something other than text");
             }
             map.put(each.getKey(), each.getValue());
         }
@@ -256,51 +267,55 @@
      *
      * @param zones of the deployment
      */
-    static JobSpec job(JobId id, String team, Task task, List<String> zones) throws Malformed {
-        Fields resources =
-                new Fields(task.document()).has("resources")
-                        ? new Fields(task.document()).fields("resources")
-                        : new Fields(Map.of());
-        Fields parameters = new Fields(task.parameters());
-        String priority = text(parameters, "priority", "normal");
-        if (!PRIORITIES.containsKey(priority)) {
-            throw new Malformed("priority is none of critical, urgent, normal, idle");
-        }
-        String types = parameters.textOrNull("machine_types");
-        String jobClass = text(parameters, "class", CLASS);
-        if (jobClass.isEmpty() || jobClass.length() > LONGEST_NAME) {
-            throw new Malformed("class is empty or too long");
-        }
-        double cpus = resources.has("cpu_cores") ? resources.count("cpu_cores") : CPUS;
+    static JobSpec toJobSpec(JobId id, String team, TaskRequest taskRequest, List<String> zones)
+            throws MalformedMessageException {
+        MessageReader resources =
+                new MessageReader(taskRequest.document()).has("resources")
+                        ? new MessageReader(taskRequest.document()).nested("resources")
+                        : new MessageReader(Map.of());
+        MessageReader parameters = new MessageReader(taskRequest.parameters());
+        String priority = stringParameter(parameters, "priority", "normal");
+        if (!PRIORITY_BY_WORD.containsKey(priority)) {
+            throw new MalformedMessageException(
+                    "priority is none of critical, urgent, normal, idle");
+        }
+        String types = parameters.stringOrNull("machine_types");
+        String jobClass = stringParameter(parameters, "class", DEFAULT_JOB_CLASS);
+        if (jobClass.isEmpty() || jobClass.length() > MAX_NAME_LENGTH) {
+            throw new MalformedMessageException("class is empty or too long");
+        }
+        double cpus =
+                resources.has("cpu_cores") ? resources.nonNegativeLong("cpu_cores") : DEFAULT_CPUS;
         return new JobSpec(
                 id,
                 jobClass,
                 team,
                 JobKind.ARRAY,
-                PRIORITIES.get(priority),
+                PRIORITY_BY_WORD.get(priority),
                 1,
                 Resources.of(
                         cpus,
-                        number(parameters, "gpus", 0),
-                        resources.amountOr("ram_gb", MEMORY_GB)),
+                        numberParameter(parameters, "gpus", 0),
+                        resources.nonNegativeDoubleOr("ram_gb", DEFAULT_MEMORY_GB)),
                 types == null ? null : List.of(types.split(",")),
-                zone(resources.textsOrNull("zones"), zones),
+                singleZoneOrNull(resources.stringListOrNull("zones"), zones),
                 false,
                 false,
-                resources.flagOr("preemptible", false),
-                image(task),
-                number(parameters, "image_gb", IMAGE_GB),
-                number(parameters, "expected_s", 0),
-                number(parameters, "checkpoint_s", 0),
-                number(parameters, "save_s", 0),
-                number(parameters, "deadline_s", Double.NaN));
+                resources.booleanOr("preemptible", false),
+                firstExecutorImage(taskRequest),
+                numberParameter(parameters, "image_gb", DEFAULT_IMAGE_GB),
+                numberParameter(parameters, "expected_s", 0),
+                numberParameter(parameters, "checkpoint_s", 0),
+                numberParameter(parameters, "save_s", 0),
+                numberParameter(parameters, "deadline_s", Double.NaN));
     }
 
     /** How often a task may be tried, 0 for as often as it takes. */
-    static int mostAttempts(Task task) throws Malformed {
-        double most = number(new Fields(task.parameters()), "max_attempts", 0);
+    static int maxAttempts(TaskRequest taskRequest) throws MalformedMessageException {
+        double most =
+                numberParameter(new MessageReader(taskRequest.parameters()), "max_attempts", 0);
         if (most != Math.rint(most) || most > Integer.MAX_VALUE) {
-            throw new Malformed("max_attempts is not a whole number");
+            throw new MalformedMessageException("max_attempts is not a whole number");
         }
         return (int) most;
     }
@@ -310,29 +325,35 @@
      * soonest.
      */
     @SuppressWarnings("unchecked")
-    private static String image(Task task) {
+    private static String firstExecutorImage(TaskRequest taskRequest) {
         return (String)
-                ((List<Map<String, Object>>) task.document().get("executors")).get(0).get("image");
+                ((List<Map<String, Object>>) taskRequest.document().get("executors"))
+                        .get(0)
+                        .get("image");
     }
 
     /** A job is bound to one zone or to none, so a choice of some zones cannot be kept. */
-    private static String zone(List<String> asked, List<String> all) throws Malformed {
+    private static String singleZoneOrNull(List<String> asked, List<String> all)
+            throws MalformedMessageException {
         if (asked == null || asked.isEmpty() || asked.containsAll(all)) {
             return null;
         }
         if (asked.size() > 1) {
-            throw new Malformed("zones names several but not all of " + all + "; name one or none");
+            throw new MalformedMessageException(
+                    "zones names several but not all of " + all + "; name one or none");
         }
         return asked.get(0);
     }
 
-    private static String text(Fields parameters, String key, String otherwise) throws Malformed {
-        String text = parameters.textOrNull(key);
+    private static String stringParameter(MessageReader parameters, String key, String otherwise)
+            throws MalformedMessageException {
+        String text = parameters.stringOrNull(key);
         return text == null ? otherwise : text;
     }
 
-    private static double number(Fields parameters, String key, double otherwise) throws Malformed {
-        String text = parameters.textOrNull(key);
+    private static double numberParameter(MessageReader parameters, String key, double otherwise)
+            throws MalformedMessageException {
+        String text = parameters.stringOrNull(key);
         if (text == null) {
             return otherwise;
         }
@@ -344,6 +365,7 @@
         } catch (NumberFormatException notANumber) {
             // One message for every wrong number.
         }
-        throw new Malformed("backend parameter " + key + " is not a number from 0 on");
+        throw new MalformedMessageException(
+                "backend parameter " + key + " is not a number from 0 on");
     }
 }
--- a/src/main/java/org/meadowhollow/protocol/tes/TesListing.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesTaskListing.java
@@ -11,10 +11,10 @@
 import java.util.regex.Pattern;
 import org.meadowhollow.model.JobId;
 import org.meadowhollow.model.SecondaryRecord;
-import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
-import org.meadowhollow.protocol.Json;
-import org.meadowhollow.protocol.Malformed;
+import org.meadowhollow.protocol.JsonCodec;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessageReader;
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
 
@@ -23,43 +23,44 @@
  * ends at a key, so the next one goes on from there at any node, and no task that is there all the
  * while is missed or told twice.
  */
-final class TesListing {
-    static final String PREFIX = "tes-";
-    private static final Pattern ID = Pattern.compile("tes-[0-9a-f]{26}");
-    private static final String ENTRIES = "tesx/";
+final class TesTaskListing {
+    static final String ID_PREFIX = "tes-";
+    private static final Pattern ID_PATTERN = Pattern.compile("tes-[0-9a-f]{26}");
+    private static final String ENTRY_KEY_PREFIX = "tesx/";
 
     /** Hex digits of a team's hash in a key; names may hold what keys may not. */
-    private static final int TEAM_DIGITS = 16;
+    private static final int TEAM_HASH_DIGITS = 16;
 
     /**
      * Later times come first: keys count down from the largest time of this many digits, far in the
      * future.
      */
-    private static final long LATEST = 9_999_999_999_999L;
+    private static final long MAX_CREATED_MILLIS = 9_999_999_999_999L;
 
-    private static final Pattern REST_OF_KEY = Pattern.compile("[0-9]{13}-" + ID.pattern());
-    private static final int DEFAULT_PAGE = 256;
-    private static final int MOST_ON_PAGE = 2048;
+    private static final Pattern KEY_SUFFIX_PATTERN =
+            Pattern.compile("[0-9]{13}-" + ID_PATTERN.pattern());
+    private static final int DEFAULT_PAGE_SIZE = 256;
+    private static final int MAX_PAGE_SIZE = 2048;
 
     /**
      * Reads of the state service for one request, each of up to 1,000 entries; a page may come out
      * shorter for it.
      */
-    private static final int MOST_READS = 4;
+    private static final int MAX_READS_PER_REQUEST = 4;
 
     /** Tasks told with more than their state on a page, each of which takes a read of its own. */
-    private static final int MOST_WHOLE = 32;
+    private static final int MAX_DETAILED_TASKS = 32;
 
     /**
      * Lists at a time; others are told to come back, for the state service serves native users as
      * well.
      */
-    private static final int MOST_LISTS = 4;
+    private static final int MAX_CONCURRENT_LISTINGS = 4;
 
     /** What the list keeps of a task; its state and its attempts come beside it. */
-    record Entry(String id, String name, Map<String, Object> tags, long createdMillis) {
+    record ListedTask(String id, String name, Map<String, Object> tags, long createdMillis) {
         Map<String, Object> encode() {
-            return Fields.of(
+            return MessageReader.mapOf(
                     "id",
                     id,
                     "name",
@@ -70,8 +71,8 @@
                     createdMillis);
         }
 
-        int bytes() {
-            return Json.encode(encode()).length;
+        int encodedSize() {
+            return JsonCodec.encode(encode()).length;
         }
     }
 
@@ -81,105 +82,111 @@
             String state,
             Map<String, String> tags,
             TesApi.View view,
-            int most) {
+            int limit) {
         /**
          * Without a filter every entry is told, so that no more need be read than go onto the page.
          */
-        int toRead(int found) {
+        int nextReadSize(int found) {
             boolean all = namePrefix == null && state == null && tags.isEmpty();
             return all
-                    ? Math.min(KeyValueStore.MAX_PAGE_SIZE, most - found)
+                    ? Math.min(KeyValueStore.MAX_PAGE_SIZE, limit - found)
                     : KeyValueStore.MAX_PAGE_SIZE;
         }
     }
 
     private final TesApi api;
     private final KeyValueStore store;
-    private int lists;
+    private int activeListings;
 
-    TesListing(TesApi api, KeyValueStore store) {
+    TesTaskListing(TesApi api, KeyValueStore store) {
         this.api = api;
         this.store = store;
     }
 
     static boolean isId(String text) {
-        return ID.matcher(text).matches();
+        return ID_PATTERN.matcher(text).matches();
     }
 
-    private static String prefix(String team) {
-        return ENTRIES
-                + HexFormat.of().formatHex(TesTokens.sha256(team)).substring(0, TEAM_DIGITS)
+    private static String teamKeyPrefix(String team) {
+        return ENTRY_KEY_PREFIX
+                + HexFormat.of().formatHex(BearerTokens.sha256(team)).substring(0, TEAM_HASH_DIGITS)
                 + '/';
     }
 
-    static String key(String team, long createdMillis, JobId id) {
-        return prefix(team) + "%013d".formatted(LATEST - createdMillis) + '-' + id.value();
+    static String entryKey(String team, long createdMillis, JobId id) {
+        return teamKeyPrefix(team)
+                + "%013d".formatted(MAX_CREATED_MILLIS - createdMillis)
+                + '-'
+                + id.value();
     }
 
     CompletableFuture<Http.Reply> list(String team, Map<String, List<String>> parameters)
-            throws Malformed {
-        TesApi.View view = TesApi.View.of(parameters);
-        int most = pageSize(parameters);
+            throws MalformedMessageException {
+        TesApi.View view = TesApi.View.fromQuery(parameters);
+        int most = parsePageSize(parameters);
         Query query =
                 new Query(
                         team,
-                        first(parameters, "name_prefix"),
-                        state(parameters),
-                        tags(parameters),
+                        firstValueOrNull(parameters, "name_prefix"),
+                        parseStateFilter(parameters),
+                        parseTagFilter(parameters),
                         view,
-                        view == TesApi.View.MINIMAL ? most : Math.min(most, MOST_WHOLE));
-        String after = after(team, first(parameters, "page_token"));
+                        view == TesApi.View.MINIMAL ? most : Math.min(most, MAX_DETAILED_TASKS));
+        String after = parsePageToken(team, firstValueOrNull(parameters, "page_token"));
         synchronized (this) {
-            if (lists >= MOST_LISTS) {
+            if (activeListings >= MAX_CONCURRENT_LISTINGS) {
                 return CompletableFuture.completedFuture(
-                        TesApi.comeBack("too many lists are being made"));
+                        TesApi.retryLater("too many lists are being made"));
             }
-            lists++;
+            activeListings++;
         }
-        return read(query, after, new ArrayList<>(), MOST_READS)
+        return collectMatches(query, after, new ArrayList<>(), MAX_READS_PER_REQUEST)
                 .whenComplete(
                         (reply, failure) -> {
                             synchronized (this) {
-                                lists--;
+                                activeListings--;
                             }
                         });
     }
 
-    private static String first(Map<String, List<String>> parameters, String key) {
+    private static String firstValueOrNull(Map<String, List<String>> parameters, String key) {
         List<String> values = parameters.get(key);
         return values == null || values.get(0).isEmpty() ? null : values.get(0);
     }
 
-    private static int pageSize(Map<String, List<String>> parameters) throws Malformed {
-        String text = first(parameters, "page_size");
+    private static int parsePageSize(Map<String, List<String>> parameters)
+            throws MalformedMessageException {
+        String text = firstValueOrNull(parameters, "page_size");
         if (text == null) {
-            return DEFAULT_PAGE;
+            return DEFAULT_PAGE_SIZE;
         }
         try {
             int size = Integer.parseInt(text);
-            if (size >= 1 && size <= MOST_ON_PAGE) {
+            if (size >= 1 && size <= MAX_PAGE_SIZE) {
                 return size;
             }
         } catch (NumberFormatException notANumber) {
             // One message for every wrong size.
         }
-        throw new Malformed("page_size is not from 1 to " + MOST_ON_PAGE);
+        throw new MalformedMessageException("page_size is not from 1 to " + MAX_PAGE_SIZE);
     }
 
-    private static String state(Map<String, List<String>> parameters) throws Malformed {
-        String state = first(parameters, "state");
+    private static String parseStateFilter(Map<String, List<String>> parameters)
+            throws MalformedMessageException {
+        String state = firstValueOrNull(parameters, "state");
         if (state != null && !TesApi.STATES.contains(state)) {
-            throw new Malformed("state is none of " + TesApi.STATES);
+            throw new MalformedMessageException("state is none of " + TesApi.STATES);
         }
         return state;
     }
 
     /** A key without a value, or with an empty one, asks for any value. */
-    private static Map<String, String> tags(Map<String, List<String>> parameters) throws Malformed {
+    private static Map<String, String> parseTagFilter(Map<String, List<String>> parameters)
+            throws MalformedMessageException {
         List<String> keys = parameters.getOrDefault("tag_key", List.of());
         List<String> values = parameters.getOrDefault("tag_value", List.of());
         if (values.size() > keys.size()) {
-            throw new Malformed("tag_value comes without its tag_key");
+            throw new MalformedMessageException("tag_value comes without its tag_key");
         }
         Map<String, String> tags = new HashMap<>();
         for (int at = 0; at < keys.size(); at++) {
@@ -192,32 +199,34 @@
      * A token is the end of the last page's key without the team, so it leads into no other team's
      * tasks.
      */
-    private static String after(String team, String token) throws Malformed {
+    private static String parsePageToken(String team, String token)
+            throws MalformedMessageException {
         if (token == null) {
             return null;
         }
         try {
             String rest =
                     new String(Base64.getUrlDecoder().decode(token), StandardCharsets.US_ASCII);
-            if (REST_OF_KEY.matcher(rest).matches()) {
-                return prefix(team) + rest;
+            if (KEY_SUFFIX_PATTERN.matcher(rest).matches()) {
+                return teamKeyPrefix(team) + rest;
             }
         } catch (IllegalArgumentException notOurs) {
             // One message for every wrong token.
         }
-        throw new Malformed("page_token is not one that a list gave");
+        throw new MalformedMessageException("page_token is not one that a list gave");
     }
 
-    private CompletableFuture<Http.Reply> read(
+    private CompletableFuture<Http.Reply> collectMatches(
             Query query, String after, List<Map<String, Object>> found, int reads) {
-        String prefix = prefix(query.team());
-        return store.list(prefix, after, query.toRead(found.size()), RequestPriority.BACKGROUND)
+        String prefix = teamKeyPrefix(query.team());
+        return store.list(
+                        prefix, after, query.nextReadSize(found.size()), RequestPriority.BACKGROUND)
                 .thenCompose(
                         page -> {
                             String last = after;
                             for (KeyValueStore.Entry entry : page.entries()) {
-                                if (found.size() == query.most()) {
-                                    return told(query, found, last);
+                                if (found.size() == query.limit()) {
+                                    return buildPage(query, found, last);
                                 }
                                 last = entry.key();
                                 if (matches(entry.value(), query)) {
@@ -225,11 +234,11 @@
                                 }
                             }
                             if (!page.hasMore()) {
-                                return told(query, found, null);
+                                return buildPage(query, found, null);
                             }
-                            return found.size() == query.most() || reads == 1
-                                    ? told(query, found, last)
-                                    : read(query, last, found, reads - 1);
+                            return found.size() == query.limit() || reads == 1
+                                    ? buildPage(query, found, last)
+                                    : collectMatches(query, last, found, reads - 1);
                         });
     }
 
@@ -255,19 +264,19 @@
     /**
      * @param last the key that the next page begins after, or null if there is none
      */
-    private CompletableFuture<Http.Reply> told(
+    private CompletableFuture<Http.Reply> buildPage(
             Query query, List<Map<String, Object>> found, String last) {
         List<CompletableFuture<Map<String, Object>>> tasks = new ArrayList<>();
         for (Map<String, Object> entry : found) {
             tasks.add(
                     query.view() == TesApi.View.MINIMAL
-                            ? CompletableFuture.completedFuture(TesApi.minimal(entry))
-                            : api.kept((String) entry.get("id"), RequestPriority.BACKGROUND)
+                            ? CompletableFuture.completedFuture(TesApi.minimalView(entry))
+                            : api.loadTask((String) entry.get("id"), RequestPriority.BACKGROUND)
                                     .thenApply(
-                                            kept ->
-                                                    TesApi.whole(
+                                            storedTask ->
+                                                    TesApi.detailedView(
                                                             (String) entry.get("id"),
-                                                            kept,
+                                                            storedTask,
                                                             entry,
                                                             query.view())));
         }
@@ -275,7 +284,7 @@
                 .thenApply(
                         unused -> {
                             Map<String, Object> body =
-                                    Fields.of(
+                                    MessageReader.mapOf(
                                             "tasks",
                                             tasks.stream().map(CompletableFuture::join).toList());
                             if (last != null) {
@@ -285,13 +294,13 @@
                                                 .withoutPadding()
                                                 .encodeToString(
                                                         last.substring(
-                                                                        prefix(query.team())
+                                                                        teamKeyPrefix(query.team())
                                                                                 .length())
                                                                 .getBytes(
                                                                         StandardCharsets
                                                                                 .US_ASCII)));
                             }
-                            return TesApi.ok(body);
+                            return TesApi.okReply(body);
                         });
     }
 }
--- a/src/main/java/org/meadowhollow/protocol/rehearsal/StandIn.java
+++ b/src/main/java/org/meadowhollow/protocol/training/PlatformStub.java
@@ -1,53 +1,54 @@
-package org.meadowhollow.protocol.rehearsal;
+package org.meadowhollow.protocol.training;
 
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
-import org.meadowhollow.protocol.Malformed;
-import org.meadowhollow.protocol.Wire;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessagePackCodec;
+import org.meadowhollow.protocol.MessageReader;
 
 /**
  * Stands in for the state service and the cloud, as far as it takes for one controller to lead and
  * to run one job, while the build finds out which classes that needs. It keeps nothing.
  */
-public final class StandIn implements Http.Handler {
+public final class PlatformStub implements Http.SimpleRequestHandler {
     private static final String JOB = "req-1";
     private static final String MACHINE = "vm-1";
     private static final String TYPE = "t";
 
     private final CompletableFuture<Http.Reply> firstWatch = new CompletableFuture<>();
-    private boolean watched;
+    private boolean watchStarted;
     private long revision;
 
     @Override
     public synchronized CompletableFuture<Http.Reply> handle(
             String method, String path, byte[] body) {
         if (path.equals("/changes")) {
-            CompletableFuture<Http.Reply> watch = watched ? new CompletableFuture<>() : firstWatch;
-            watched = true;
+            CompletableFuture<Http.Reply> watch =
+                    watchStarted ? new CompletableFuture<>() : firstWatch;
+            watchStarted = true;
             return watch;
         }
-        return CompletableFuture.completedFuture(answer(method, path, body));
+        return CompletableFuture.completedFuture(replyTo(method, path, body));
     }
 
-    private Http.Reply answer(String method, String path, byte[] body) {
+    private Http.Reply replyTo(String method, String path, byte[] body) {
         return switch (path) {
             case "/kv" ->
                     Http.Reply.of(
                             200,
-                            Fields.of(
+                            MessageReader.mapOf(
                                     "items", List.of(), "truncated", false, "ledgerRev", revision));
-            case "/multi" -> committed(body);
-            case "/grants" -> Http.Reply.of(200, Fields.of("tether", 1L));
+            case "/multi" -> commitReply(body);
+            case "/grants" -> Http.Reply.of(200, MessageReader.mapOf("tether", 1L));
             case "/machine_types" ->
                     Http.Reply.of(
                             200,
-                            Fields.of(
+                            MessageReader.mapOf(
                                     "breeds",
                                     List.of(
-                                            Fields.of(
+                                            MessageReader.mapOf(
                                                     "label",
                                                     TYPE,
                                                     "cores",
@@ -72,11 +73,11 @@
                     Http.Reply.of(
                             200,
                             method.equals("POST")
-                                    ? Fields.of("stalls", List.of(MACHINE))
-                                    : Fields.of(
+                                    ? MessageReader.mapOf("stalls", List.of(MACHINE))
+                                    : MessageReader.mapOf(
                                             "stalls",
                                             List.of(
-                                                    Fields.of(
+                                                    MessageReader.mapOf(
                                                             "ref",
                                                             MACHINE,
                                                             "endpoint",
@@ -95,8 +96,8 @@
                                             false));
             default ->
                     path.startsWith("/kv/")
-                            ? Http.Reply.of(404, Fields.of("ledgerRev", revision))
-                            : Http.Reply.of(200, Fields.of());
+                            ? Http.Reply.of(404, MessageReader.mapOf("ledgerRev", revision))
+                            : Http.Reply.of(200, MessageReader.mapOf());
         };
     }
 
@@ -104,38 +105,38 @@
      * Lets every transaction through, and shows the watching leader the job that one of them
      * accepts.
      */
-    private Http.Reply committed(byte[] body) {
+    private Http.Reply commitReply(byte[] body) {
         revision++;
         try {
-            for (Fields write : Fields.decode(body).list("writes")) {
-                if (write.has("set") && write.text("set").startsWith("job/")) {
+            for (MessageReader write : MessageReader.decode(body).nestedList("writes")) {
+                if (write.has("set") && write.string("set").startsWith("job/")) {
                     firstWatch.complete(
                             Http.Reply.of(
                                     200,
-                                    Fields.of(
+                                    MessageReader.mapOf(
                                             "ledgerRev",
                                             revision,
                                             "log",
                                             List.of(
-                                                    Fields.of(
+                                                    MessageReader.mapOf(
                                                             "set",
-                                                            write.text("set"),
+                                                            write.string("set"),
                                                             "v",
-                                                            write.fields("v").map(),
+                                                            write.nested("v").map(),
                                                             "stamp",
                                                             revision)))));
                 }
             }
-        } catch (Malformed impossible) {
+        } catch (MalformedMessageException impossible) {
             throw new IllegalStateException(impossible);
         }
-        return Http.Reply.of(200, Fields.of("ledgerRev", revision));
+        return Http.Reply.of(200, MessageReader.mapOf("ledgerRev", revision));
     }
 
     /** What a user sends to submit the job. */
-    public static byte[] submission() {
-        return Wire.encode(
-                Fields.of(
+    public static byte[] submissionBody() {
+        return MessagePackCodec.encode(
+                MessageReader.mapOf(
                         "ref",
                         JOB,
                         "herd",
@@ -173,9 +174,9 @@
      *
      * @param phase of the job's task there, as the wire has it; null while it is not there
      */
-    public static byte[] report(long number, long token, String phase) {
-        return Wire.encode(
-                Fields.of(
+    public static byte[] heartbeatBody(long number, long token, String phase) {
+        return MessagePackCodec.encode(
+                MessageReader.mapOf(
                         "stall",
                         MACHINE,
                         "endpoint",
--- a/src/main/java/org/meadowhollow/protocol/workers/WorkerClient.java
+++ b/src/main/java/org/meadowhollow/protocol/workers/WorkerClient.java
@@ -9,15 +9,15 @@
 import org.meadowhollow.model.Heartbeat;
 import org.meadowhollow.model.WorkerCommand;
 import org.meadowhollow.model.WorkerIncarnation;
-import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
-import org.meadowhollow.protocol.Malformed;
-import org.meadowhollow.protocol.Wire;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessagePackCodec;
+import org.meadowhollow.protocol.MessageReader;
 
 /** Direct commands to workers. */
 public final class WorkerClient implements WorkerGateway {
     /** A worker answers at once; a hung one answers much later or never. */
-    private static final Duration ANSWER = Duration.ofSeconds(3);
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(3);
 
     private final Http.Client http;
 
@@ -32,24 +32,26 @@
             WorkerIncarnation workerIncarnation,
             List<WorkerCommand> orders) {
         byte[] body =
-                Wire.encode(
-                        Fields.of(
+                MessagePackCodec.encode(
+                        MessageReader.mapOf(
                                 "baton",
                                 token.value(),
                                 "tenure",
                                 workerIncarnation.value(),
                                 "orders",
-                                WorkerCodec.orders(orders)));
-        return http.send(address, "POST", "/orders", body, ANSWER)
+                                WorkerCodec.encodeCommands(orders)));
+        return http.send(address, "POST", "/orders", body, RESPONSE_TIMEOUT)
                 .thenApply(
                         reply -> {
                             if (reply.status() != 200 && reply.status() != 409) {
                                 throw new CompletionException(
-                                        new Malformed("the worker answered " + reply.status()));
+                                        new MalformedMessageException(
+                                                "the worker answered " + reply.status()));
                             }
                             try {
-                                return WorkerCodec.report(Fields.decode(reply.body()));
-                            } catch (Malformed broken) {
+                                return WorkerCodec.decodeHeartbeat(
+                                        MessageReader.decode(reply.body()));
+                            } catch (MalformedMessageException broken) {
                                 throw new CompletionException(broken);
                             }
                         });
--- a/src/main/java/org/meadowhollow/protocol/workers/WorkerCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/workers/WorkerCodec.java
@@ -12,48 +12,50 @@
 import org.meadowhollow.model.TaskState;
 import org.meadowhollow.model.WorkerCommand;
 import org.meadowhollow.model.WorkerIncarnation;
-import org.meadowhollow.protocol.Fields;
-import org.meadowhollow.protocol.Malformed;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessageReader;
 
 /** Workers' reports and the orders to them, between their wire names and ours. */
 final class WorkerCodec {
     private WorkerCodec() {}
 
-    static Heartbeat report(Fields body) throws Malformed {
+    static Heartbeat decodeHeartbeat(MessageReader body) throws MalformedMessageException {
         List<Heartbeat.TaskStatus> tasks = new ArrayList<>();
-        for (Fields item : body.list("chores")) {
-            TaskId id = TaskId.parse(item.text("chore"));
+        for (MessageReader item : body.nestedList("chores")) {
+            TaskId id = TaskId.parse(item.string("chore"));
             if (id == null) {
-                throw new Malformed("chore is not a task's name");
+                throw new MalformedMessageException("chore is not a task's name");
             }
-            TaskState state = state(item.text("phase"));
+            TaskState state = decodeTaskState(item.string("phase"));
             tasks.add(
                     new Heartbeat.TaskStatus(
                             id,
-                            new AttemptNumber((int) item.count("try")),
+                            new AttemptNumber((int) item.nonNegativeLong("try")),
                             state,
-                            state == TaskState.EXITED ? cause(item.textOrNull("cause")) : null));
+                            state == TaskState.EXITED
+                                    ? decodeExitReason(item.stringOrNull("cause"))
+                                    : null));
         }
         return new Heartbeat(
-                new MachineId(body.text("stall")),
-                body.text("endpoint"),
-                body.text("breed"),
-                body.text("field"),
-                body.flagOr("loaners", false),
-                new WorkerIncarnation(body.count("tenure")),
-                body.count("tally"),
-                new FencingToken(body.has("baton") ? body.count("baton") : 0),
-                body.amountOr("warningS", Double.NaN),
+                new MachineId(body.string("stall")),
+                body.string("endpoint"),
+                body.string("breed"),
+                body.string("field"),
+                body.booleanOr("loaners", false),
+                new WorkerIncarnation(body.nonNegativeLong("tenure")),
+                body.nonNegativeLong("tally"),
+                new FencingToken(body.has("baton") ? body.nonNegativeLong("baton") : 0),
+                body.nonNegativeDoubleOr("warningS", Double.NaN),
                 tasks);
     }
 
-    static List<Map<String, Object>> orders(List<WorkerCommand> orders) {
+    static List<Map<String, Object>> encodeCommands(List<WorkerCommand> orders) {
         List<Map<String, Object>> list = new ArrayList<>(orders.size());
         for (WorkerCommand workerCommand : orders) {
             Map<String, Object> map =
-                    Fields.of(
+                    MessageReader.mapOf(
                             "verb",
-                            verb(workerCommand.action()),
+                            wireWordOfAction(workerCommand.action()),
                             "chore",
                             workerCommand.taskId().toString(),
                             "try",
@@ -66,7 +68,7 @@
         return list;
     }
 
-    private static String verb(WorkerCommand.Action action) {
+    private static String wireWordOfAction(WorkerCommand.Action action) {
         return switch (action) {
             case START -> "run";
             case STOP -> "halt";
@@ -74,18 +76,18 @@
         };
     }
 
-    private static TaskState state(String phase) throws Malformed {
+    private static TaskState decodeTaskState(String phase) throws MalformedMessageException {
         return switch (phase) {
             case "pulling" -> TaskState.PULLING_IMAGE;
             case "waiting" -> TaskState.WAITING_FOR_GANG;
             case "running" -> TaskState.RUNNING;
             case "flushing" -> TaskState.CHECKPOINTING;
             case "ended" -> TaskState.EXITED;
-            default -> throw new Malformed("unknown phase " + phase);
+            default -> throw new MalformedMessageException("unknown phase " + phase);
         };
     }
 
-    private static ExitReason cause(String cause) {
+    private static ExitReason decodeExitReason(String cause) {
         return switch (cause == null ? "" : cause) {
             case "done" -> ExitReason.DONE;
             case "stopped" -> ExitReason.STOPPED;
--- a/src/main/java/org/meadowhollow/transport/Patience.java
+++ b/src/main/java/org/meadowhollow/transport/AdaptiveTimeout.java
@@ -5,26 +5,26 @@
  * with its work, a time-out comes before the answer is read that has long arrived; taken at its
  * word it cost the connection, and a leadership its lease.
  */
-final class Patience {
+final class AdaptiveTimeout {
     /**
      * A timer that is later than this tells that the loop is behind; timers are a few milliseconds
      * late as it is.
      */
-    private static final long LATE_NANOS = 50_000_000;
+    private static final long TIMER_LATENESS_TOLERANCE_NANOS = 50_000_000;
 
-    private final long dueAt;
+    private final long deadlineNanos;
     private boolean extended;
 
-    Patience(long now, long span) {
-        dueAt = now + span;
+    AdaptiveTimeout(long now, long span) {
+        deadlineNanos = now + span;
     }
 
     /**
      * What more to wait when the timer has come: once, as long as it was late; 0 when it is over.
      */
-    long more(long now) {
-        long late = now - dueAt;
-        if (extended || late <= LATE_NANOS) {
+    long extensionNanos(long now) {
+        long late = now - deadlineNanos;
+        if (extended || late <= TIMER_LATENESS_TOLERANCE_NANOS) {
             return 0;
         }
         extended = true;
--- a/src/main/java/org/meadowhollow/transport/Dialer.java
+++ b/src/main/java/org/meadowhollow/transport/AttemptCapturingIoThread.java
@@ -15,22 +15,22 @@
  * machines ran out of sockets for its users and healthy workers. It is never started as a thread;
  * everything is handed to the real one.
  */
-final class Dialer extends XnioIoThread {
-    private final XnioIoThread thread;
-    private IoFuture<StreamConnection> latest;
+final class AttemptCapturingIoThread extends XnioIoThread {
+    private final XnioIoThread delegate;
+    private IoFuture<StreamConnection> latestAttempt;
 
-    Dialer(XnioIoThread thread) {
+    AttemptCapturingIoThread(XnioIoThread thread) {
         super(thread.getWorker(), thread.getNumber());
-        this.thread = thread;
+        this.delegate = thread;
     }
 
     /**
      * The attempt begun last, which this forgets; to be called right after it began, on the loop's
      * thread.
      */
-    IoFuture<StreamConnection> takeLatest() {
-        IoFuture<StreamConnection> taken = latest;
-        latest = null;
+    IoFuture<StreamConnection> takeLatestAttempt() {
+        IoFuture<StreamConnection> taken = latestAttempt;
+        latestAttempt = null;
         return taken;
     }
 
@@ -39,22 +39,22 @@
             SocketAddress destination,
             ChannelListener<? super StreamConnection> opened,
             OptionMap options) {
-        latest = thread.openStreamConnection(destination, opened, options);
-        return latest;
+        latestAttempt = delegate.openStreamConnection(destination, opened, options);
+        return latestAttempt;
     }
 
     @Override
     public void execute(Runnable work) {
-        thread.execute(work);
+        delegate.execute(work);
     }
 
     @Override
     public Key executeAfter(Runnable work, long time, TimeUnit unit) {
-        return thread.executeAfter(work, time, unit);
+        return delegate.executeAfter(work, time, unit);
     }
 
     @Override
     public Key executeAtInterval(Runnable work, long time, TimeUnit unit) {
-        return thread.executeAtInterval(work, time, unit);
+        return delegate.executeAtInterval(work, time, unit);
     }
 }
--- a/src/main/java/org/meadowhollow/transport/Connections.java
+++ b/src/main/java/org/meadowhollow/transport/ConnectionLimiter.java
@@ -11,58 +11,58 @@
  * when there are too many, the one without a request for longest goes first. All work is done on
  * the loop's thread.
  */
-final class Connections<C> {
-    private final int most;
-    private final Consumer<C> close;
+final class ConnectionLimiter<C> {
+    private final int limit;
+    private final Consumer<C> closer;
 
     /**
      * Requests that are being answered on each connection, in the order of the last request's
      * arrival.
      */
-    private final Map<C, Integer> open = new LinkedHashMap<>();
+    private final Map<C, Integer> activeRequests = new LinkedHashMap<>();
 
     /**
      * @param most connections kept open, 0 for no bound
      */
-    Connections(int most, Consumer<C> close) {
-        this.most = most;
-        this.close = close;
+    ConnectionLimiter(int most, Consumer<C> close) {
+        this.limit = most;
+        this.closer = close;
     }
 
     /** A request has come; true if it is the connection's first. */
-    boolean begins(C connection) {
-        Integer before = open.remove(connection);
-        open.put(connection, before == null ? 1 : before + 1);
-        if (before == null && most > 0 && open.size() > most) {
-            closeIdlest();
+    boolean requestStarted(C connection) {
+        Integer before = activeRequests.remove(connection);
+        activeRequests.put(connection, before == null ? 1 : before + 1);
+        if (before == null && limit > 0 && activeRequests.size() > limit) {
+            closeLeastRecentlyUsed();
         }
         return before == null;
     }
 
     /** A request has been answered. */
-    void ends(C connection) {
-        open.computeIfPresent(connection, (same, requests) -> requests - 1);
+    void requestFinished(C connection) {
+        activeRequests.computeIfPresent(connection, (same, requests) -> requests - 1);
     }
 
-    void closed(C connection) {
-        open.remove(connection);
+    void connectionClosed(C connection) {
+        activeRequests.remove(connection);
     }
 
-    int count() {
-        return open.size();
+    int openCount() {
+        return activeRequests.size();
     }
 
     /**
      * One that still waits for its answer is spared: its caller is more likely there than that of
      * any idle one.
      */
-    private void closeIdlest() {
-        Iterator<Map.Entry<C, Integer>> all = open.entrySet().iterator();
+    private void closeLeastRecentlyUsed() {
+        Iterator<Map.Entry<C, Integer>> all = activeRequests.entrySet().iterator();
         while (all.hasNext()) {
             Map.Entry<C, Integer> next = all.next();
             if (next.getValue() == 0) {
                 all.remove();
-                close.accept(next.getKey());
+                closer.accept(next.getKey());
                 return;
             }
         }
--- a/src/main/java/org/meadowhollow/transport/HttpClient.java
+++ b/src/main/java/org/meadowhollow/transport/HttpClient.java
@@ -35,86 +35,92 @@
  */
 public final class HttpClient implements Http.Client {
     /** Idle connections kept for an address: as many as a busy caller has requests on their way. */
-    private static final int MOST_IDLE = 12;
+    private static final int MAX_IDLE_PER_ADDRESS = 12;
 
     /**
      * Open and opening connections for an address; a dead one must not eat the process's sockets.
      */
-    public static final int MOST_OPEN = 24;
+    public static final int MAX_OPEN_PER_ADDRESS = 24;
 
     /** A list of the state service holds 512 KiB; a watch may answer with all that has changed. */
-    private static final int MOST_BODY = 8 * 1024 * 1024;
+    private static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
 
-    private final XnioLoop loop;
+    private final XnioEventLoop loop;
     private final ByteBufferPool buffers;
-    private final Dialer dialer;
-    private final Map<String, Target> targets = new HashMap<>();
+    private final AttemptCapturingIoThread attemptCapture;
+    private final Map<String, ConnectionPool> poolsByAddress = new HashMap<>();
 
-    public HttpClient(XnioLoop loop, ByteBufferPool buffers) {
+    public HttpClient(XnioEventLoop loop, ByteBufferPool buffers) {
         this.loop = loop;
         this.buffers = buffers;
-        this.dialer = new Dialer(loop.thread());
+        this.attemptCapture = new AttemptCapturingIoThread(loop.ioThread());
     }
 
-    private static final class Target {
+    private static final class ConnectionPool {
         private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
-        private int open;
+        private int openCount;
     }
 
     @Override
     public CompletableFuture<Http.Reply> send(
             String address, String method, String path, byte[] body, Duration timeout) {
-        Call call =
-                new Call(
+        PendingRequest pendingRequest =
+                new PendingRequest(
                         address,
                         method,
                         path,
                         body,
-                        new Patience(System.nanoTime(), timeout.toNanos()));
-        call.await(timeout.toNanos());
-        if (Thread.currentThread() == loop.thread()) {
-            call.start();
+                        new AdaptiveTimeout(System.nanoTime(), timeout.toNanos()));
+        pendingRequest.armTimeout(timeout.toNanos());
+        if (Thread.currentThread() == loop.ioThread()) {
+            pendingRequest.start();
         } else {
-            loop.thread().execute(call::start);
+            loop.ioThread().execute(pendingRequest::start);
         }
-        return call.answer;
+        return pendingRequest.reply;
     }
 
     /** One request; every method runs on the loop's thread. */
-    private final class Call {
+    private final class PendingRequest {
         private final String address;
         private final String method;
         private final String path;
         private final byte[] body;
-        private final Patience patience;
-        private final CompletableFuture<Http.Reply> answer = new CompletableFuture<>();
-        private XnioExecutor.Key timer;
+        private final AdaptiveTimeout adaptiveTimeout;
+        private final CompletableFuture<Http.Reply> reply = new CompletableFuture<>();
+        private XnioExecutor.Key timeoutTimer;
         private ClientConnection connection;
 
         /** Where this call waits for its connection, until it has it or gives it up. */
-        private Target connecting;
+        private ConnectionPool connectingPool;
 
-        private IoFuture<StreamConnection> attempt;
+        private IoFuture<StreamConnection> connectAttempt;
         private boolean sent;
         private boolean refused;
-        private boolean over;
+        private boolean completed;
 
-        Call(String address, String method, String path, byte[] body, Patience patience) {
+        PendingRequest(
+                String address,
+                String method,
+                String path,
+                byte[] body,
+                AdaptiveTimeout adaptiveTimeout) {
             this.address = address;
             this.method = method;
             this.path = path;
             this.body = body;
-            this.patience = patience;
+            this.adaptiveTimeout = adaptiveTimeout;
         }
 
-        private void await(long nanos) {
-            timer =
-                    loop.thread()
+        private void armTimeout(long nanos) {
+            timeoutTimer =
+                    loop.ioThread()
                             .executeAfter(
                                     () -> {
-                                        long more = patience.more(System.nanoTime());
+                                        long more =
+                                                adaptiveTimeout.extensionNanos(System.nanoTime());
                                         if (more > 0) {
-                                            await(more);
+                                            armTimeout(more);
                                         } else {
                                             fail("no answer in time");
                                         }
@@ -124,32 +130,34 @@
         }
 
         void start() {
-            Target target = targets.computeIfAbsent(address, unused -> new Target());
+            ConnectionPool connectionPool =
+                    poolsByAddress.computeIfAbsent(address, unused -> new ConnectionPool());
             ClientConnection kept;
-            while ((kept = target.idle.poll()) != null) {
+            while ((kept = connectionPool.idle.poll()) != null) {
                 if (kept.isOpen()) {
-                    use(kept);
+                    sendOn(kept);
                     return;
                 }
             }
-            if (target.open >= MOST_OPEN) {
+            if (connectionPool.openCount >= MAX_OPEN_PER_ADDRESS) {
                 fail("too many open connections to " + address);
                 return;
             }
-            target.open++;
-            connecting = target;
+            connectionPool.openCount++;
+            connectingPool = connectionPool;
             UndertowClient.getInstance()
                     .connect(
                             new ClientCallback<>() {
                                 @Override
                                 public void completed(ClientConnection made) {
-                                    if (connecting == null) {
+                                    if (connectingPool == null) {
                                         IoUtils.safeClose(made);
                                         return;
                                     }
-                                    connecting = null;
-                                    made.getCloseSetter().set(unused -> closed(target));
-                                    use(made);
+                                    connectingPool = null;
+                                    made.getCloseSetter()
+                                            .set(unused -> releaseOpenSlot(connectionPool));
+                                    sendOn(made);
                                 }
 
                                 @Override
@@ -159,20 +167,20 @@
                                 }
                             },
                             URI.create("http://" + address),
-                            dialer,
+                            attemptCapture,
                             buffers,
                             OptionMap.EMPTY);
-            attempt = dialer.takeLatest();
+            connectAttempt = attemptCapture.takeLatestAttempt();
         }
 
-        private void closed(Target target) {
-            target.open--;
-            if (target.open == 0) {
-                targets.remove(address, target);
+        private void releaseOpenSlot(ConnectionPool connectionPool) {
+            connectionPool.openCount--;
+            if (connectionPool.openCount == 0) {
+                poolsByAddress.remove(address, connectionPool);
             }
         }
 
-        private void use(ClientConnection free) {
+        private void sendOn(ClientConnection free) {
             connection = free;
             sent = true;
             ClientRequest request =
@@ -191,32 +199,32 @@
                                     new ClientCallback<>() {
                                         @Override
                                         public void completed(ClientExchange answered) {
-                                            read(answered, new ByteArrayOutputStream());
+                                            readResponse(answered, new ByteArrayOutputStream());
                                         }
 
                                         @Override
                                         public void failed(IOException failure) {
-                                            lost(failure);
+                                            failConnectionLost(failure);
                                         }
                                     });
                             try {
-                                write(exchange.getRequestChannel());
+                                writeBody(exchange.getRequestChannel());
                             } catch (IOException failure) {
-                                lost(failure);
+                                failConnectionLost(failure);
                             }
                         }
 
                         @Override
                         public void failed(IOException failure) {
-                            lost(failure);
+                            failConnectionLost(failure);
                         }
                     });
         }
 
-        private void write(StreamSinkChannel channel) throws IOException {
+        private void writeBody(StreamSinkChannel channel) throws IOException {
             if (body == null) {
                 channel.shutdownWrites();
-                finish(channel);
+                flushRequest(channel);
                 return;
             }
             ByteBuffer left = ByteBuffer.wrap(body);
@@ -232,9 +240,9 @@
                                                 }
                                             }
                                             channel.shutdownWrites();
-                                            finish(channel);
+                                            flushRequest(channel);
                                         } catch (IOException failure) {
-                                            lost(failure);
+                                            failConnectionLost(failure);
                                         }
                                     });
                     channel.resumeWrites();
@@ -242,10 +250,10 @@
                 }
             }
             channel.shutdownWrites();
-            finish(channel);
+            flushRequest(channel);
         }
 
-        private void finish(StreamSinkChannel channel) throws IOException {
+        private void flushRequest(StreamSinkChannel channel) throws IOException {
             if (!channel.flush()) {
                 channel.getWriteSetter()
                         .set(
@@ -255,20 +263,20 @@
                                             channel.suspendWrites();
                                         }
                                     } catch (IOException failure) {
-                                        lost(failure);
+                                        failConnectionLost(failure);
                                     }
                                 });
                 channel.resumeWrites();
             }
         }
 
-        private void read(ClientExchange exchange, ByteArrayOutputStream read) {
+        private void readResponse(ClientExchange exchange, ByteArrayOutputStream read) {
             StreamSourceChannel channel = exchange.getResponseChannel();
-            channel.getReadSetter().set(same -> drain(exchange, channel, read));
-            drain(exchange, channel, read);
+            channel.getReadSetter().set(same -> readAvailable(exchange, channel, read));
+            readAvailable(exchange, channel, read);
         }
 
-        private void drain(
+        private void readAvailable(
                 ClientExchange exchange, StreamSourceChannel channel, ByteArrayOutputStream read) {
             try (PooledByteBuffer pooled = buffers.allocate()) {
                 ByteBuffer buffer = pooled.getBuffer();
@@ -287,76 +295,78 @@
                     byte[] part = new byte[count];
                     buffer.get(part);
                     read.write(part, 0, count);
-                    if (read.size() > MOST_BODY) {
+                    if (read.size() > MAX_BODY_BYTES) {
                         fail("the answer is too large");
                         return;
                     }
                 }
             } catch (IOException failure) {
-                lost(failure);
+                failConnectionLost(failure);
             }
         }
 
         private void succeed(ClientExchange exchange, byte[] bytes) {
-            if (over) {
+            if (completed) {
                 return;
             }
-            over = true;
-            timer.remove();
-            Target target = targets.get(address);
+            completed = true;
+            timeoutTimer.remove();
+            ConnectionPool connectionPool = poolsByAddress.get(address);
             String keep = exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION);
-            if (target != null
-                    && target.idle.size() < MOST_IDLE
+            if (connectionPool != null
+                    && connectionPool.idle.size() < MAX_IDLE_PER_ADDRESS
                     && connection.isOpen()
                     && !"close".equalsIgnoreCase(keep)) {
-                target.idle.push(connection);
+                connectionPool.idle.push(connection);
             } else {
                 IoUtils.safeClose(connection);
             }
-            answer.complete(new Http.Reply(exchange.getResponse().getResponseCode(), bytes, 0));
+            reply.complete(new Http.Reply(exchange.getResponse().getResponseCode(), bytes, 0));
         }
 
         /**
          * What one connection suffers its idle neighbours have suffered too; a new call needs a new
          * one.
          */
-        private void dropIdle() {
-            Target target = targets.get(address);
+        private void closeIdleConnections() {
+            ConnectionPool connectionPool = poolsByAddress.get(address);
             ClientConnection kept;
-            while (target != null && (kept = target.idle.poll()) != null) {
+            while (connectionPool != null && (kept = connectionPool.idle.poll()) != null) {
                 IoUtils.safeClose(kept);
             }
         }
 
-        private void lost(IOException failure) {
+        private void failConnectionLost(IOException failure) {
             fail("connection lost: " + failure.getMessage());
         }
 
         private void fail(String why) {
-            if (over) {
+            if (completed) {
                 // Closing the connection below comes back here, with a cause that hides the first
                 // one.
                 return;
             }
-            over = true;
-            timer.remove();
-            if (connecting != null) {
+            completed = true;
+            timeoutTimer.remove();
+            if (connectingPool != null) {
                 // Given up, it counts no more: behind a cut, attempts that hang would use up all
                 // that may be open.
-                closed(connecting);
-                connecting = null;
-                if (attempt != null) {
-                    attempt.cancel();
+                releaseOpenSlot(connectingPool);
+                connectingPool = null;
+                if (connectAttempt != null) {
+                    connectAttempt.cancel();
                 }
             }
             IoUtils.safeClose(connection);
             if (sent) {
-                dropIdle();
+                closeIdleConnections();
             }
-            answer.completeExceptionally(
+            reply.completeExceptionally(
                     sent
-                            ? new Http.NoAnswer(why)
-                            : refused ? new Http.Refused(why) : new Http.NotSent(why));
+                            ? new Http.NoResponseException(why)
+                            : refused
+                                    ? new Http.ConnectionRefusedException(why)
+                                    : new Http.RequestNotSentException(why));
         }
     }
 }
--- a/src/main/java/org/meadowhollow/transport/HttpServer.java
+++ b/src/main/java/org/meadowhollow/transport/HttpServer.java
@@ -28,10 +28,10 @@
     private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
     /** The protocol's limit of a request's body, in bytes. */
-    private static final int MOST_BODY = 64 * 1024;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
 
     private final Undertow server;
-    private final Connections<ServerConnection> connections;
+    private final ConnectionLimiter<ServerConnection> connectionLimiter;
 
     /**
      * @param most connections kept open at a time, 0 for no bound; the one without a request for
@@ -40,31 +40,31 @@
      *     wanted elsewhere
      */
     public HttpServer(
-            XnioLoop loop,
+            XnioEventLoop loop,
             ByteBufferPool buffers,
             String host,
             int port,
             int most,
             Duration idle,
-            Http.Service service) {
-        this(loop, buffers, host, port, most, idle, null, service);
+            Http.RequestHandler requestHandler) {
+        this(loop, buffers, host, port, most, idle, null, requestHandler);
     }
 
     /**
      * @param tls what connections are secured with, or null for plain ones
      */
     public HttpServer(
-            XnioLoop loop,
+            XnioEventLoop loop,
             ByteBufferPool buffers,
             String host,
             int port,
             int most,
             Duration idle,
             SSLContext tls,
-            Http.Service service) {
-        connections = new Connections<>(most, IoUtils::safeClose);
+            Http.RequestHandler requestHandler) {
+        connectionLimiter = new ConnectionLimiter<>(most, IoUtils::safeClose);
         int idleMs = (int) idle.toMillis();
-        HttpHandler handler = exchange -> receive(exchange, service);
+        HttpHandler handler = exchange -> receive(exchange, requestHandler);
         Undertow.Builder builder =
                 Undertow.builder()
                         .setWorker(loop.worker())
@@ -86,43 +86,46 @@
         return ((InetSocketAddress) server.getListenerInfo().get(0).getAddress()).getPort();
     }
 
-    private void receive(HttpServerExchange exchange, Http.Service service) {
+    private void receive(HttpServerExchange exchange, Http.RequestHandler requestHandler) {
         ServerConnection connection = exchange.getConnection();
-        if (connections.begins(connection)) {
-            connection.addCloseListener(connections::closed);
+        if (connectionLimiter.requestStarted(connection)) {
+            connection.addCloseListener(connectionLimiter::connectionClosed);
         }
         exchange.addExchangeCompleteListener(
                 (over, next) -> {
-                    connections.ends(connection);
+                    connectionLimiter.requestFinished(connection);
                     next.proceed();
                 });
-        if (exchange.getRequestContentLength() > MOST_BODY) {
-            refuse(exchange, service);
+        if (exchange.getRequestContentLength() > MAX_BODY_BYTES) {
+            rejectBody(exchange, requestHandler);
             return;
         }
         Receiver receiver = exchange.getRequestReceiver();
-        receiver.setMaxBufferSize(MOST_BODY);
+        receiver.setMaxBufferSize(MAX_BODY_BYTES);
         receiver.receiveFullBytes(
                 (same, body) ->
                         exchange.dispatch(
-                                SameThreadExecutor.INSTANCE, () -> handle(exchange, service, body)),
-                (same, failure) -> refuse(exchange, service));
+                                SameThreadExecutor.INSTANCE,
+                                () -> handle(exchange, requestHandler, body)),
+                (same, failure) -> rejectBody(exchange, requestHandler));
     }
 
-    private static void refuse(HttpServerExchange exchange, Http.Service service) {
+    private static void rejectBody(
+            HttpServerExchange exchange, Http.RequestHandler requestHandler) {
         exchange.setPersistent(false);
-        send(exchange, service.refusal());
+        send(exchange, requestHandler.invalidBodyReply());
     }
 
-    private static void handle(HttpServerExchange exchange, Http.Service service, byte[] body) {
+    private static void handle(
+            HttpServerExchange exchange, Http.RequestHandler requestHandler, byte[] body) {
         CompletableFuture<Http.Reply> answer;
         try {
             answer =
-                    service.answer(
+                    requestHandler.answer(
                             new Http.Request(
                                     exchange.getRequestMethod().toString(),
                                     exchange.getRequestPath(),
-                                    query(exchange),
+                                    queryParameters(exchange),
                                     name -> exchange.getRequestHeaders().getFirst(name),
                                     body));
         } catch (RuntimeException mistake) {
@@ -136,14 +139,14 @@
                                 exchange.getRequestMethod(),
                                 exchange.getRequestPath(),
                                 failure);
-                        send(exchange, Http.Reply.comeBack(503, 1, "internal error"));
+                        send(exchange, Http.Reply.retryLater(503, 1, "internal error"));
                     } else {
                         send(exchange, reply);
                     }
                 });
     }
 
-    private static Map<String, List<String>> query(HttpServerExchange exchange) {
+    private static Map<String, List<String>> queryParameters(HttpServerExchange exchange) {
         if (exchange.getQueryParameters().isEmpty()) {
             return Map.of();
         }
@@ -155,12 +158,12 @@
 
     private static void send(HttpServerExchange exchange, Http.Reply reply) {
         exchange.setStatusCode(reply.status());
-        exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, reply.type());
+        exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, reply.contentType());
         if (reply.status() == StatusCodes.UNAUTHORIZED) {
             exchange.getResponseHeaders().put(Headers.WWW_AUTHENTICATE, "Bearer");
         }
-        if (reply.retryAfterS() > 0) {
-            exchange.getResponseHeaders().put(Headers.RETRY_AFTER, reply.retryAfterS());
+        if (reply.retryAfterSeconds() > 0) {
+            exchange.getResponseHeaders().put(Headers.RETRY_AFTER, reply.retryAfterSeconds());
         }
         exchange.getResponseSender().send(ByteBuffer.wrap(reply.body()));
     }
--- a/src/main/java/org/meadowhollow/transport/XnioLoop.java
+++ b/src/main/java/org/meadowhollow/transport/XnioEventLoop.java
@@ -21,15 +21,15 @@
  * One XNIO thread for all connections and timers. With a fraction of a core, more threads would
  * only add switches between them.
  */
-public final class XnioLoop implements EventLoop, AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(XnioLoop.class);
+public final class XnioEventLoop implements EventLoop, AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(XnioEventLoop.class);
     private final XnioWorker worker;
-    private final XnioIoThread thread;
+    private final XnioIoThread ioThread;
     private volatile boolean closed;
 
-    public XnioLoop() throws IOException {
+    public XnioEventLoop() throws IOException {
         worker =
-                Xnio.getInstance(XnioLoop.class.getClassLoader())
+                Xnio.getInstance(XnioEventLoop.class.getClassLoader())
                         .createWorker(
                                 OptionMap.builder()
                                         .set(Options.WORKER_NAME, "meadowhollow")
@@ -38,21 +38,21 @@
                                         .set(Options.WORKER_TASK_MAX_THREADS, 1)
                                         .set(Options.THREAD_DAEMON, false)
                                         .getMap());
-        thread = worker.getIoThread();
+        ioThread = worker.getIoThread();
     }
 
     XnioWorker worker() {
         return worker;
     }
 
-    XnioIoThread thread() {
-        return thread;
+    XnioIoThread ioThread() {
+        return ioThread;
     }
 
     /** Does some work on the loop's thread and waits for its result. */
-    public <T> T call(Supplier<T> work) {
+    public <T> T callAndWait(Supplier<T> work) {
         CompletableFuture<T> result = new CompletableFuture<>();
-        thread.execute(
+        ioThread.execute(
                 () -> {
                     try {
                         result.complete(work.get());
@@ -83,7 +83,7 @@
             // What runs while the loop ends may still want to go on later; there is no later.
             return;
         }
-        thread.executeAfter(
+        ioThread.executeAfter(
                 () -> {
                     try {
                         work.run();
--- a/src/main/java/org/meadowhollow/transport/tracing/OtlpTraces.java
+++ b/src/main/java/org/meadowhollow/transport/tracing/OtlpTaskTracer.java
@@ -40,41 +40,46 @@
  * <p>What cannot be sent in time is dropped: a collector that hangs costs a bounded queue and one
  * thread.
  */
-public final class OtlpTraces implements TaskTracer {
-    private static final String PATH = "/v1/traces";
+public final class OtlpTaskTracer implements TaskTracer {
+    private static final String TRACES_PATH = "/v1/traces";
 
     /** The span of a task from its acceptance to its end, the parent of all others. */
-    private static final String WHOLE = "task";
+    private static final String TASK_SPAN_NAME = "task";
 
     /**
      * Spans that wait to be sent, about a kilobyte each; a small node has some megabytes to spare.
      */
-    private static final int MOST_QUEUED = 1024;
+    private static final int MAX_QUEUED_SPANS = 1024;
 
-    private static final int MOST_SENT = 256;
+    private static final int MAX_SPANS_PER_EXPORT = 256;
 
     /** How long spans are collected: a message every few seconds is no burden on a small node. */
-    private static final Duration COLLECT = Duration.ofSeconds(5);
+    private static final Duration EXPORT_INTERVAL = Duration.ofSeconds(5);
 
-    private static final Duration ANSWER = Duration.ofSeconds(5);
+    private static final Duration EXPORT_TIMEOUT = Duration.ofSeconds(5);
 
     /** A process that ends waits no longer than this for a collector that may be gone as well. */
-    private static final Duration CLOSE = Duration.ofSeconds(2);
+    private static final Duration CLOSE_TIMEOUT = Duration.ofSeconds(2);
 
-    private static final int MOST_ATTRIBUTES = 16;
+    private static final int MAX_ATTRIBUTES = 16;
 
     /** What W3C's trace context names the header, and how long a value of its first version is. */
-    private static final String HEADER = "traceparent";
+    private static final String TRACEPARENT_HEADER = "traceparent";
 
-    private static final int CONTEXT_LENGTH = 55;
-    private static final AttributeKey<String> TASK = AttributeKey.stringKey("meadowhollow.task");
-    private static final AttributeKey<String> TEAM = AttributeKey.stringKey("meadowhollow.team");
-    private static final AttributeKey<String> STATE = AttributeKey.stringKey("meadowhollow.state");
-    private static final AttributeKey<String> MACHINE =
+    private static final int TRACEPARENT_LENGTH = 55;
+    private static final AttributeKey<String> TASK_ATTRIBUTE =
+            AttributeKey.stringKey("meadowhollow.task");
+    private static final AttributeKey<String> TEAM_ATTRIBUTE =
+            AttributeKey.stringKey("meadowhollow.team");
+    private static final AttributeKey<String> STATE_ATTRIBUTE =
+            AttributeKey.stringKey("meadowhollow.state");
+    private static final AttributeKey<String> MACHINE_ATTRIBUTE =
             AttributeKey.stringKey("meadowhollow.machine");
-    private static final AttributeKey<String> CAUSE = AttributeKey.stringKey("meadowhollow.cause");
-    private static final AttributeKey<Long> ATTEMPT = AttributeKey.longKey("meadowhollow.attempt");
-    private static final TextMapGetter<Map<String, String>> GETTER =
+    private static final AttributeKey<String> CAUSE_ATTRIBUTE =
+            AttributeKey.stringKey("meadowhollow.cause");
+    private static final AttributeKey<Long> ATTEMPT_ATTRIBUTE =
+            AttributeKey.longKey("meadowhollow.attempt");
+    private static final TextMapGetter<Map<String, String>> MAP_GETTER =
             new TextMapGetter<>() {
                 @Override
                 public Iterable<String> keys(Map<String, String> carrier) {
@@ -89,18 +94,18 @@
 
     private final String endpoint;
     private final String member;
-    private final Ids ids = new Ids();
+    private final PresetSpanIdGenerator spanIds = new PresetSpanIdGenerator();
 
     /** Made for the first span: it takes longer than all the rest of a start. */
-    private SdkTracerProvider provider;
+    private SdkTracerProvider tracerProvider;
 
     /** Gives the next span the id that was chosen for it. Guarded by the traces' lock. */
-    private static final class Ids implements IdGenerator {
-        private String next;
+    private static final class PresetSpanIdGenerator implements IdGenerator {
+        private String nextSpanId;
 
         @Override
         public String generateSpanId() {
-            return next;
+            return nextSpanId;
         }
 
         @Override
@@ -109,27 +114,27 @@
         }
     }
 
-    private OtlpTraces(String endpoint, String member) {
+    private OtlpTaskTracer(String endpoint, String member) {
         this.endpoint = endpoint;
         this.member = member;
     }
 
     private Tracer tracer() {
-        if (provider == null) {
-            provider = provider();
+        if (tracerProvider == null) {
+            tracerProvider = tracerProvider();
         }
-        return provider.get("org.meadowhollow");
+        return tracerProvider.get("org.meadowhollow");
     }
 
-    private SdkTracerProvider provider() {
+    private SdkTracerProvider tracerProvider() {
         OtlpHttpSpanExporter exporter =
                 OtlpHttpSpanExporter.builder()
                         .setEndpoint(endpoint)
-                        .setTimeout(ANSWER)
-                        .setConnectTimeout(ANSWER)
+                        .setTimeout(EXPORT_TIMEOUT)
+                        .setConnectTimeout(EXPORT_TIMEOUT)
                         .build();
         return SdkTracerProvider.builder()
-                .setIdGenerator(ids)
+                .setIdGenerator(spanIds)
                 .setResource(
                         Resource.create(
                                 Attributes.of(
@@ -138,13 +143,13 @@
                                         AttributeKey.stringKey("service.instance.id"),
                                         member)))
                 .setSpanLimits(
-                        SpanLimits.builder().setMaxNumberOfAttributes(MOST_ATTRIBUTES).build())
+                        SpanLimits.builder().setMaxNumberOfAttributes(MAX_ATTRIBUTES).build())
                 .addSpanProcessor(
                         BatchSpanProcessor.builder(exporter)
-                                .setMaxQueueSize(MOST_QUEUED)
-                                .setMaxExportBatchSize(MOST_SENT)
-                                .setScheduleDelay(COLLECT)
-                                .setExporterTimeout(ANSWER)
+                                .setMaxQueueSize(MAX_QUEUED_SPANS)
+                                .setMaxExportBatchSize(MAX_SPANS_PER_EXPORT)
+                                .setScheduleDelay(EXPORT_INTERVAL)
+                                .setExporterTimeout(EXPORT_TIMEOUT)
                                 .build())
                 .build();
     }
@@ -154,40 +159,44 @@
      *     names no path
      * @param member the node's name, told with every span
      */
-    public static OtlpTraces to(URI collector, String member) {
+    public static OtlpTaskTracer exportingTo(URI collector, String member) {
         boolean whole = collector.getPath() != null && collector.getPath().length() > 1;
         String base = collector.toString();
-        return new OtlpTraces(
+        return new OtlpTaskTracer(
                 whole
                         ? base
-                        : (base.endsWith("/") ? base.substring(0, base.length() - 1) : base) + PATH,
+                        : (base.endsWith("/") ? base.substring(0, base.length() - 1) : base)
+                                + TRACES_PATH,
                 member);
     }
 
     @Override
     public String traceContextOf(String traceparent) {
-        if (traceparent == null || traceparent.length() < CONTEXT_LENGTH) {
+        if (traceparent == null || traceparent.length() < TRACEPARENT_LENGTH) {
             return null;
         }
         // A later version may add to the header, and what it has in common with the first one is
         // kept.
-        String first = traceparent.substring(0, CONTEXT_LENGTH);
-        SpanContext context = parse(first);
+        String first = traceparent.substring(0, TRACEPARENT_LENGTH);
+        SpanContext context = parseContext(first);
         return context.isValid() && context.isSampled() ? first : null;
     }
 
-    private static SpanContext parse(String traceparent) {
+    private static SpanContext parseContext(String traceparent) {
         return Span.fromContext(
                         W3CTraceContextPropagator.getInstance()
-                                .extract(Context.root(), Map.of(HEADER, traceparent), GETTER))
+                                .extract(
+                                        Context.root(),
+                                        Map.of(TRACEPARENT_HEADER, traceparent),
+                                        MAP_GETTER))
                 .getSpanContext();
     }
 
     @Override
     public void onTaskAccepted(TracedTask task, long fromMillis, long untilMillis) {
-        tell(
+        recordSpan(
                 task,
-                whole(task),
+                taskSpanContext(task),
                 "create task",
                 SpanKind.SERVER,
                 fromMillis,
@@ -198,29 +207,29 @@
 
     @Override
     public void onAttemptEnded(TracedTask task, long waitedFromMillis, AttemptRecord attempt) {
-        SpanContext parent = whole(task);
+        SpanContext parent = taskSpanContext(task);
         String suffix = " " + attempt.attemptNumber();
         Attributes attributes =
                 Attributes.of(
-                        ATTEMPT,
+                        ATTEMPT_ATTRIBUTE,
                         (long) attempt.attemptNumber(),
-                        MACHINE,
+                        MACHINE_ATTRIBUTE,
                         attempt.machineName(),
-                        CAUSE,
+                        CAUSE_ATTRIBUTE,
                         attempt.endReason());
         String failure =
                 ExitReason.DONE.name().equals(attempt.endReason()) ? null : attempt.endReason();
         boolean ran = attempt.startedAtMillis() > 0;
-        tell(
+        recordSpan(
                 task,
                 parent,
                 "wait" + suffix,
                 SpanKind.INTERNAL,
                 waitedFromMillis,
                 attempt.placedAtMillis(),
-                Attributes.of(ATTEMPT, (long) attempt.attemptNumber()),
+                Attributes.of(ATTEMPT_ATTRIBUTE, (long) attempt.attemptNumber()),
                 null);
-        tell(
+        recordSpan(
                 task,
                 parent,
                 "prepare" + suffix,
@@ -230,7 +239,7 @@
                 attributes,
                 ran ? null : failure);
         if (ran) {
-            tell(
+            recordSpan(
                     task,
                     parent,
                     "run" + suffix,
@@ -245,28 +254,28 @@
     @Override
     public void onTaskEnded(TracedTask task, JobPhase how, long fromMillis, long untilMillis) {
         boolean asWished = how == JobPhase.DONE || how == JobPhase.CANCELLED;
-        tell(
+        recordSpan(
                 task,
-                parse(task.traceContext()),
-                WHOLE,
+                parseContext(task.traceContext()),
+                TASK_SPAN_NAME,
                 SpanKind.INTERNAL,
                 fromMillis,
                 untilMillis,
-                Attributes.of(STATE, how.name()),
+                Attributes.of(STATE_ATTRIBUTE, how.name()),
                 asWished ? null : how.name());
     }
 
     /** The context of the span of the whole task, whichever node tells of it. */
-    private static SpanContext whole(TracedTask task) {
-        SpanContext client = parse(task.traceContext());
+    private static SpanContext taskSpanContext(TracedTask task) {
+        SpanContext client = parseContext(task.traceContext());
         return SpanContext.createFromRemoteParent(
                 client.getTraceId(),
-                id(task, WHOLE),
+                spanId(task, TASK_SPAN_NAME),
                 TraceFlags.getSampled(),
                 TraceState.getDefault());
     }
 
-    private static String id(TracedTask task, String name) {
+    private static String spanId(TracedTask task, String name) {
         try {
             byte[] hash =
                     MessageDigest.getInstance("SHA-256")
@@ -282,7 +291,7 @@
     /**
      * @param failure why what the span tells of failed, or null
      */
-    private synchronized void tell(
+    private synchronized void recordSpan(
             TracedTask task,
             SpanContext parent,
             String name,
@@ -291,14 +300,14 @@
             long untilMillis,
             Attributes attributes,
             String failure) {
-        ids.next = id(task, name);
+        spanIds.nextSpanId = spanId(task, name);
         SpanBuilder builder =
                 tracer().spanBuilder(name.split(" \\d")[0])
                         .setSpanKind(kind)
                         .setParent(Context.root().with(Span.wrap(parent)))
                         .setStartTimestamp(fromMillis, TimeUnit.MILLISECONDS)
-                        .setAttribute(TASK, task.jobId().value())
-                        .setAttribute(TEAM, task.team());
+                        .setAttribute(TASK_ATTRIBUTE, task.jobId().value())
+                        .setAttribute(TEAM_ATTRIBUTE, task.team());
         builder.setAllAttributes(attributes);
         Span span = builder.startSpan();
         if (failure != null) {
@@ -312,10 +321,10 @@
     public void close() {
         SdkTracerProvider last;
         synchronized (this) {
-            last = provider;
+            last = tracerProvider;
         }
         if (last != null) {
-            last.shutdown().join(CLOSE.toMillis(), TimeUnit.MILLISECONDS);
+            last.shutdown().join(CLOSE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/src/test/java/org/meadowhollow/cli/ControllerTest.java
+++ b/src/test/java/org/meadowhollow/cli/ControllerTest.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import org.meadowhollow.protocol.Fields;
-import org.meadowhollow.protocol.Wire;
+import org.meadowhollow.protocol.MessagePackCodec;
+import org.meadowhollow.protocol.MessageReader;
 
 /** A real controller on loopback whose state service and cloud cannot be reached. */
 class ControllerTest {
@@ -32,7 +32,7 @@
 
     @TempDir private Path folder;
 
-    private Settings settings(String text) throws IOException, Settings.Unusable {
+    private Settings settings(String text) throws IOException, Settings.InvalidSettingsException {
         Path file = folder.resolve("settings.json");
         Files.writeString(file, text);
         return Settings.read(file);
@@ -78,7 +78,12 @@
             assertEquals("400", status(ask(port, "POST", "/submissions", none)));
             assertEquals(
                     "400",
-                    status(ask(port, "POST", "/hello", Wire.encode(Fields.of("stall", "m")))));
+                    status(
+                            ask(
+                                    port,
+                                    "POST",
+                                    "/hello",
+                                    MessagePackCodec.encode(MessageReader.mapOf("stall", "m")))));
             assertEquals("400", status(ask(port, "POST", "/submissions", new byte[70_000])));
             String later = ask(port, "GET", "/submissions/req-1", none);
             assertEquals("503", status(later), "nothing confirms that there is no such job");
@@ -91,7 +96,7 @@
 
     private TesOptions tes(String listen, String token, Map<String, String> variables)
             throws Exception {
-        return TesOptions.of(
+        return TesOptions.parse(
                 listen,
                 token == null ? List.of() : List.of(token),
                 null,
@@ -102,7 +107,8 @@
 
     @Test
     void theTaskExecutionApiAnswersOnAListenerOfItsOwn() throws Exception {
-        TesOptions options = tes("127.0.0.1:0", null, Map.of(TesOptions.TOKENS, "t=" + HASH));
+        TesOptions options =
+                tes("127.0.0.1:0", null, Map.of(TesOptions.TOKENS_VARIABLE, "t=" + HASH));
         try (Controller controller = Controller.builder(settings(SETTINGS)).tes(options).start()) {
             int port = controller.tesPort();
             byte[] none = new byte[0];
@@ -138,12 +144,14 @@
                     {"127.0.0.1:0", "t=12", "TEAM=SHA256"},
                     {"127.0.0.1:0", "nobody=" + HASH, "nobody"}
                 }) {
-            Settings.Unusable unusable =
-                    assertThrows(Settings.Unusable.class, () -> tes(wrong[0], wrong[1], Map.of()));
+            Settings.InvalidSettingsException invalidSettingsException =
+                    assertThrows(
+                            Settings.InvalidSettingsException.class,
+                            () -> tes(wrong[0], wrong[1], Map.of()));
             assertTrue(
-                    unusable.getMessage().contains(wrong[2])
-                            && !unusable.getMessage().contains(HASH),
-                    unusable.getMessage());
+                    invalidSettingsException.getMessage().contains(wrong[2])
+                            && !invalidSettingsException.getMessage().contains(HASH),
+                    invalidSettingsException.getMessage());
         }
     }
 
@@ -181,9 +189,9 @@
                     {"127.0.0.1:0", "operator=12", "t=4", "SHA256"},
                     {"127.0.0.1:0", "operator=" + HASH, "t=many", "--calendar-most"}
                 }) {
-            Settings.Unusable unusable =
+            Settings.InvalidSettingsException invalidSettingsException =
                     assertThrows(
-                            Settings.Unusable.class,
+                            Settings.InvalidSettingsException.class,
                             () ->
                                     ReservationOptions.fromFlags(
                                             wrong[0],
@@ -192,7 +200,9 @@
                                             null,
                                             List.of(wrong[2]),
                                             Map.of()));
-            assertTrue(unusable.getMessage().contains(wrong[3]), unusable.getMessage());
+            assertTrue(
+                    invalidSettingsException.getMessage().contains(wrong[3]),
+                    invalidSettingsException.getMessage());
         }
     }
 
@@ -200,14 +210,14 @@
     void someSocketsAreLeftForWhatANodeOpensItself() throws Exception {
         assertEquals(
                 0,
-                Controller.mostCallers(settings(SETTINGS)),
+                Controller.maxCallerConnections(settings(SETTINGS)),
                 "the file does not say how many there are");
         String more =
                 SETTINGS.replace(
                         "\"state\":{\"rps\"", "\"quota\":{\"fd_limit\":2000},\"state\":{\"rps\"");
-        int most = Controller.mostCallers(settings(more));
+        int most = Controller.maxCallerConnections(settings(more));
         assertTrue(most >= 1500 && most <= 1700, "a few hundred are kept back: " + most);
-        int few = Controller.mostCallers(settings(more.replace("2000", "300")));
+        int few = Controller.maxCallerConnections(settings(more.replace("2000", "300")));
         assertEquals(150, few, "callers get half in any case");
     }
 
@@ -223,9 +233,12 @@
                     {"{\"member\"", "[\"member\""}
                 }) {
             String text = SETTINGS.replace(wrong[0], wrong[1]);
-            Settings.Unusable unusable =
-                    assertThrows(Settings.Unusable.class, () -> settings(text), wrong[1]);
-            assertEquals(1, unusable.getMessage().lines().count());
+            Settings.InvalidSettingsException invalidSettingsException =
+                    assertThrows(
+                            Settings.InvalidSettingsException.class,
+                            () -> settings(text),
+                            wrong[1]);
+            assertEquals(1, invalidSettingsException.getMessage().lines().count());
         }
     }
 }
--- a/src/test/java/org/meadowhollow/cli/reservation/ReservationCommandTest.java
+++ b/src/test/java/org/meadowhollow/cli/reservation/ReservationCommandTest.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
-import org.meadowhollow.protocol.Json;
-import org.meadowhollow.protocol.Malformed;
+import org.meadowhollow.protocol.JsonCodec;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessageReader;
 import org.meadowhollow.transport.HttpServer;
-import org.meadowhollow.transport.XnioLoop;
+import org.meadowhollow.transport.XnioEventLoop;
 
 /** The commands against a node that notes what it is asked and answers as it is told. */
 class ReservationCommandTest {
@@ -28,12 +28,12 @@
     private final List<Http.Reply> answers = new ArrayList<>();
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
-    private XnioLoop loop;
+    private XnioEventLoop loop;
     private HttpServer node;
 
     @BeforeEach
     void listen() throws IOException {
-        loop = new XnioLoop();
+        loop = new XnioEventLoop();
         node =
                 new HttpServer(
                         loop,
@@ -71,7 +71,7 @@
         answers.add(
                 new Http.Reply(
                         status,
-                        Json.encode(Fields.of(fields)),
+                        JsonCodec.encode(MessageReader.mapOf(fields)),
                         status == 503 ? 1 : 0,
                         "application/json"));
     }
@@ -89,7 +89,8 @@
     }
 
     @Test
-    void whatIsPutIsSentWholeAndSentAgainWhenTheNodeSaysWhenToComeBack() throws Malformed {
+    void whatIsPutIsSentWholeAndSentAgainWhenTheNodeSaysWhenToComeBack()
+            throws MalformedMessageException {
         answer(503, "error", "the state service is out");
         answer(201, "version", 7L, "notes", List.of());
         assertEquals(
@@ -125,15 +126,15 @@
                         .startsWith(
                                 "PUT /calendar/v1/reservations/calendars {} Bearer secret null {"),
                 asked.get(0));
-        Fields body =
-                new Fields(
-                        Json.decode(
+        MessageReader body =
+                new MessageReader(
+                        JsonCodec.decode(
                                 asked.get(0)
                                         .substring(asked.get(0).indexOf("null {") + 5)
                                         .getBytes()));
-        assertEquals(9000.0, body.amount("length_s"));
-        assertEquals(List.of("small", "large"), body.textsOrNull("machine_types"));
-        assertEquals("Asia/Amman", body.text("time_zone"));
+        assertEquals(9000.0, body.nonNegativeDouble("length_s"));
+        assertEquals(List.of("small", "large"), body.stringListOrNull("machine_types"));
+        assertEquals("Asia/Amman", body.string("time_zone"));
         assertTrue(out.toString().contains("\"version\":7"));
     }
 
@@ -172,7 +173,7 @@
                     200,
                     "slots",
                     List.of(
-                            Fields.of(
+                            MessageReader.mapOf(
                                     "reservation",
                                     "calendars",
                                     "team",
@@ -191,7 +192,7 @@
                                     List.of("window works takes small in b"))),
                     "outages",
                     List.of(
-                            Fields.of(
+                            MessageReader.mapOf(
                                     "window",
                                     "works",
                                     "scope",
--- a/src/test/java/org/meadowhollow/golden/GoldenFile.java
+++ b/src/test/java/org/meadowhollow/golden/GoldenFile.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.meadowhollow.model.Revision;
-import org.meadowhollow.protocol.Malformed;
-import org.meadowhollow.protocol.Wire;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessagePackCodec;
 import org.meadowhollow.storage.KeyValueStore;
 
 /**
@@ -56,7 +56,7 @@
     /** Writes a record whose map is in a certain order, or one that was brought into it. */
     public static void write(String name, String key, Map<String, Object> value)
             throws IOException {
-        write(name, key, Wire.encode(value));
+        write(name, key, MessagePackCodec.encode(value));
     }
 
     /** Writes a file of the source tree. */
@@ -79,8 +79,8 @@
     /** The record that the bytes are. */
     public Map<String, Object> value() {
         try {
-            return Wire.decode(bytes);
-        } catch (Malformed broken) {
+            return MessagePackCodec.decode(bytes);
+        } catch (MalformedMessageException broken) {
             throw new AssertionError(name, broken);
         }
     }
@@ -92,7 +92,7 @@
 
     /** Fails unless a record is encoded to the same bytes, its fields in the same order. */
     public void assertSameBytes(Map<String, Object> record) {
-        assertSameBytes(Wire.encode(record));
+        assertSameBytes(MessagePackCodec.encode(record));
     }
 
     /** Fails unless these are the same bytes. */
@@ -107,7 +107,7 @@
      * names.
      */
     public void assertSameFields(Map<String, Object> record) {
-        assertSameBytes(Wire.encode(sorted(record)));
+        assertSameBytes(MessagePackCodec.encode(sorted(record)));
     }
 
     /**
--- a/src/test/java/org/meadowhollow/protocol/JsonTest.java
+++ b/src/test/java/org/meadowhollow/protocol/JsonCodecTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class JsonTest {
+class JsonCodecTest {
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
@@ -35,8 +35,8 @@
                     Duration.ofSeconds(20),
                     () ->
                             assertThrows(
-                                    Malformed.class,
-                                    () -> Json.decode(bytes(wrong)),
+                                    MalformedMessageException.class,
+                                    () -> JsonCodec.decode(bytes(wrong)),
                                     wrong.substring(0, Math.min(20, wrong.length()))));
         }
     }
@@ -51,13 +51,13 @@
                             null,
                             () -> {
                                 try {
-                                    Json.decode(
+                                    JsonCodec.decode(
                                             bytes(
                                                     "{\"x\":"
                                                             + "[".repeat(depth)
                                                             + "]".repeat(depth)
                                                             + "}"));
-                                } catch (Malformed | StackOverflowError failure) {
+                                } catch (MalformedMessageException | StackOverflowError failure) {
                                     thrown[0] = failure;
                                 }
                             },
@@ -65,15 +65,16 @@
                             192 * 1024);
             small.start();
             small.join();
-            assertInstanceOf(Malformed.class, thrown[0], () -> "at depth " + depth);
+            assertInstanceOf(MalformedMessageException.class, thrown[0], () -> "at depth " + depth);
         }
     }
 
     @Test
-    void valuesComeBackAsTheWireWouldGiveThem() throws Malformed {
+    void valuesComeBackAsTheWireWouldGiveThem() throws MalformedMessageException {
         Map<String, Object> map =
-                Json.decode(bytes("{\"a\":1,\"b\":[1.5,true,null,\"\\ud83d\\ude91\"],\"c\":{}}"));
+                JsonCodec.decode(
+                        bytes("{\"a\":1,\"b\":[1.5,true,null,\"\\ud83d\\ude91\"],\"c\":{}}"));
         assertEquals(1L, map.get("a"));
-        assertEquals(map, Json.decode(Json.encode(map)));
+        assertEquals(map, JsonCodec.decode(JsonCodec.encode(map)));
     }
 }
--- a/src/test/java/org/meadowhollow/protocol/SubmissionTest.java
+++ b/src/test/java/org/meadowhollow/protocol/jobs/SubmissionCodecTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.protocol;
+package org.meadowhollow.protocol.jobs;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -14,11 +14,13 @@
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.Priority;
-import org.meadowhollow.protocol.users.SubmissionCodec;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessagePackCodec;
+import org.meadowhollow.protocol.MessageReader;
 
-class SubmissionTest {
+class SubmissionCodecTest {
     private static Map<String, Object> body() {
-        return Fields.of(
+        return MessageReader.mapOf(
                 "ref",
                 "req-000412",
                 "herd",
@@ -63,12 +65,12 @@
                 "ignored");
     }
 
-    private static JobSpec decode(Map<String, Object> body) throws Malformed {
-        return SubmissionCodec.decode(Fields.decode(Wire.encode(body)));
+    private static JobSpec decode(Map<String, Object> body) throws MalformedMessageException {
+        return SubmissionCodec.decode(MessageReader.decode(MessagePackCodec.encode(body)));
     }
 
     @Test
-    void aSubmissionIsReadAsTheProtocolSays() throws Malformed {
+    void aSubmissionIsReadAsTheProtocolSays() throws MalformedMessageException {
         JobSpec spec = decode(body());
         assertEquals(JobKind.GANG, spec.kind());
         assertEquals(Priority.HIGH, spec.priority());
@@ -78,7 +80,7 @@
     }
 
     @Test
-    void anAbsentFieldEqualsNull() throws Malformed {
+    void anAbsentFieldEqualsNull() throws MalformedMessageException {
         Map<String, Object> body = new HashMap<>(body());
         body.put("breeds", null);
         Map<String, Object> shorter = new HashMap<>(body);
@@ -116,7 +118,7 @@
     void everyOtherFieldHasToBeThereAndOfItsType(String field) {
         Map<String, Object> without = new HashMap<>(body());
         without.remove(field);
-        assertThrows(Malformed.class, () -> decode(without), "missing");
+        assertThrows(MalformedMessageException.class, () -> decode(without), "missing");
         Object good = body().get(field);
         List<Object> wrong = new ArrayList<>(Arrays.asList(null, List.of(), Map.of("a", 1L)));
         wrong.add(good instanceof Boolean ? (Object) 1L : true);
@@ -127,7 +129,8 @@
         for (Object value : wrong) {
             Map<String, Object> body = body();
             body.put(field, value);
-            assertThrows(Malformed.class, () -> decode(body), field + " as " + value);
+            assertThrows(
+                    MalformedMessageException.class, () -> decode(body), field + " as " + value);
         }
     }
 
@@ -165,13 +168,14 @@
                 }) {
             Map<String, Object> body = body();
             body.put((String) wrong[0], wrong[1]);
-            assertThrows(Malformed.class, () -> decode(body), Arrays.toString(wrong));
+            assertThrows(
+                    MalformedMessageException.class, () -> decode(body), Arrays.toString(wrong));
         }
     }
 
     @Test
     void brokenBodiesAreMalformed() {
-        byte[] good = Wire.encode(body());
+        byte[] good = MessagePackCodec.encode(body());
         byte[] deep = new byte[5000];
         Arrays.fill(deep, (byte) 0x91);
         byte[] promising = {(byte) 0xdf, 0x7f, (byte) 0xff, (byte) 0xff, (byte) 0xff};
@@ -190,7 +194,7 @@
                     nested,
                     promising
                 }) {
-            assertThrows(Malformed.class, () -> Wire.decode(broken));
+            assertThrows(MalformedMessageException.class, () -> MessagePackCodec.decode(broken));
         }
     }
 }
--- a/src/test/java/org/meadowhollow/protocol/StateClientTest.java
+++ b/src/test/java/org/meadowhollow/protocol/keyvalue/KeyValueStoreClientTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.protocol;
+package org.meadowhollow.protocol.keyvalue;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,14 +11,15 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
-import org.meadowhollow.protocol.state.StateClient;
+import org.meadowhollow.protocol.AdaptiveRateLimiter;
+import org.meadowhollow.protocol.Http;
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
 import org.meadowhollow.storage.KeyValueStoreException;
 import org.meadowhollow.storage.KeyValueStoreException.Outcome;
 import org.meadowhollow.storage.LeaseId;
 import org.meadowhollow.story.VirtualLoop;
 
-class StateClientTest {
+class KeyValueStoreClientTest {
     private final VirtualLoop loop = new VirtualLoop();
     private final List<String> sent = new ArrayList<>();
     private int status = 404;
@@ -28,8 +29,13 @@
                 return CompletableFuture.completedFuture(
                         Http.Reply.of(status, Map.of("error", "no such lease")));
             };
-    private final StateClient client =
-            new StateClient(http, "state:1", loop, new RateBudget(10, 2), new RateBudget(10, 2));
+    private final KeyValueStoreClient client =
+            new KeyValueStoreClient(
+                    http,
+                    "state:1",
+                    loop,
+                    new AdaptiveRateLimiter(10, 2),
+                    new AdaptiveRateLimiter(10, 2));
 
     private Outcome outcomeOf(CompletableFuture<?> call) {
         return call.handle((result, failure) -> KeyValueStoreException.outcomeOf(failure)).join();
@@ -59,9 +65,13 @@
                     onTheirWay.add(new CompletableFuture<>());
                     return onTheirWay.get(onTheirWay.size() - 1);
                 };
-        StateClient busy =
-                new StateClient(
-                        slow, "state:1", loop, new RateBudget(100, 100), new RateBudget(10, 2));
+        KeyValueStoreClient busy =
+                new KeyValueStoreClient(
+                        slow,
+                        "state:1",
+                        loop,
+                        new AdaptiveRateLimiter(100, 100),
+                        new AdaptiveRateLimiter(10, 2));
         for (int at = 0; at < 60; at++) {
             busy.get("user/" + at, RequestPriority.USER);
         }
@@ -121,9 +131,13 @@
     /** All nodes share the limits, and each alone would keep to them. */
     @Test
     void aRefusalForTooManyRequestsSlowsDownAndTimeWithoutOneSpeedsUp() {
-        StateClient fast =
-                new StateClient(
-                        http, "state:1", loop, new RateBudget(20, 20), new RateBudget(20, 20));
+        KeyValueStoreClient fast =
+                new KeyValueStoreClient(
+                        http,
+                        "state:1",
+                        loop,
+                        new AdaptiveRateLimiter(20, 20),
+                        new AdaptiveRateLimiter(20, 20));
         status = 429;
         for (int second = 0; second < 5; second++) {
             for (int at = 0; at < 20; at++) {
@@ -166,9 +180,13 @@
                                             new IllegalStateException("no answer in time")));
                     return answer;
                 };
-        StateClient asking =
-                new StateClient(
-                        slow, "state:1", loop, new RateBudget(100, 100), new RateBudget(10, 2));
+        KeyValueStoreClient asking =
+                new KeyValueStoreClient(
+                        slow,
+                        "state:1",
+                        loop,
+                        new AdaptiveRateLimiter(100, 100),
+                        new AdaptiveRateLimiter(10, 2));
         List<CompletableFuture<?>> calls = new ArrayList<>();
         for (int at = 0; at < 5; at++) {
             calls.add(asking.get("key/" + at, RequestPriority.USER));
--- a/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerMessagesTest.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerMessagesTest.java
@@ -50,7 +50,7 @@
         GoldenFile file = GoldenFile.read("peer-leader");
         assertEquals("POST /leader", file.key());
         List<String> told = new ArrayList<>();
-        peer.link.listener(
+        peer.link.leaderListener(
                 (fencingToken, member) -> told.add(member + " in " + fencingToken.value()));
         peer.handle("POST", "/leader", file.bytes());
         assertEquals(List.of("n1 in 42"), told);
@@ -129,16 +129,16 @@
         GoldenFile file = GoldenFile.read("peer-tables-question");
         assertEquals("POST /tables", file.key());
         List<RiskTableRequest> asked = new ArrayList<>();
-        peer.link.testator(
-                new PeerLink.Testator() {
+        peer.link.handoverSource(
+                new PeerClient.HandoverSource() {
                     @Override
-                    public Optional<RiskTableDelta> tables(RiskTableRequest question) {
+                    public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest question) {
                         asked.add(question);
                         return Optional.of(GoldenPeers.delta());
                     }
 
                     @Override
-                    public Optional<RecordDigests> digests() {
+                    public Optional<RecordDigests> recordDigests() {
                         return Optional.empty();
                     }
                 });
@@ -284,7 +284,7 @@
      */
     @Test
     void theForm() {
-        assertEquals(1, PeerLink.FORM);
+        assertEquals(1, PeerClient.FORMAT_VERSION);
         for (String name : List.of("peer-tables", "peer-digests")) {
             byte[] bytes = sentNow(name);
             assertEquals(
--- a/src/test/java/org/meadowhollow/protocol/peers/GoldenPeers.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/GoldenPeers.java
@@ -46,7 +46,7 @@
     /** The one answer that the other controller gives. */
     byte[] answer = new byte[0];
 
-    final PeerLink link = new PeerLink(this::send, Map.of("n1", "a:1"));
+    final PeerClient link = new PeerClient(this::send, Map.of("n1", "a:1"));
 
     private CompletableFuture<Http.Reply> send(
             String address, String method, String path, byte[] body, Duration timeout) {
@@ -86,17 +86,17 @@
 
     /** Makes the controller say these things of itself. */
     void says(boolean served, boolean deaf) {
-        link.served(() -> served);
+        link.storeReachable(() -> served);
         link.hearing(() -> deaf, (machines, within) -> Set.of(MACHINES.get(0), MACHINES.get(2)));
-        link.testator(
-                new PeerLink.Testator() {
+        link.handoverSource(
+                new PeerClient.HandoverSource() {
                     @Override
-                    public Optional<RiskTableDelta> tables(RiskTableRequest question) {
+                    public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest question) {
                         return Optional.of(delta());
                     }
 
                     @Override
-                    public Optional<RecordDigests> digests() {
+                    public Optional<RecordDigests> recordDigests() {
                         return Optional.of(GoldenPeers.digests());
                     }
                 });
--- a/src/test/java/org/meadowhollow/protocol/PeerLinkTest.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/PeerClientTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.protocol;
+package org.meadowhollow.protocol.peers;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -22,22 +22,24 @@
 import org.meadowhollow.model.MachineId;
 import org.meadowhollow.model.Revision;
 import org.meadowhollow.model.WorkerIncarnation;
-import org.meadowhollow.protocol.peers.PeerLink;
+import org.meadowhollow.protocol.Http;
 import org.meadowhollow.storage.RecordDigests;
 
-class PeerLinkTest {
+class PeerClientTest {
     private final Set<String> refusing = new HashSet<>();
     private final Set<String> silent = new HashSet<>();
     private final Http.Client http =
             (address, method, path, body, timeout) ->
                     silent.contains(address)
-                            ? CompletableFuture.failedFuture(new Http.NotSent("no answer in time"))
+                            ? CompletableFuture.failedFuture(
+                                    new Http.RequestNotSentException("no answer in time"))
                             : refusing.contains(address)
                                     ? CompletableFuture.failedFuture(
-                                            new Http.Refused("no connection"))
+                                            new Http.ConnectionRefusedException("no connection"))
                                     : CompletableFuture.completedFuture(
                                             new Http.Reply(200, new byte[0], 0));
-    private final PeerLink link = new PeerLink(http, Map.of("n1", "a:1", "n2", "a:2", "n3", "a:3"));
+    private final PeerClient link =
+            new PeerClient(http, Map.of("n1", "a:1", "n2", "a:2", "n3", "a:3"));
 
     @Test
     void aNodeThatAloneRefusesIsToldFromAFilterBetweenAll() {
@@ -56,7 +58,7 @@
 
     /** Asks another node for its tables; the answer is changed on its way. */
     private Optional<RiskTableDelta> tables(UnaryOperator<byte[]> onItsWay) {
-        PeerLink leader = new PeerLink(http, Map.of());
+        PeerClient leader = new PeerClient(http, Map.of());
         RiskTableDelta delta =
                 new RiskTableDelta(
                         new FencingToken(3),
@@ -71,20 +73,20 @@
                                         77,
                                         new int[0],
                                         new long[] {1, 77, 20, 3})));
-        leader.testator(
-                new PeerLink.Testator() {
+        leader.handoverSource(
+                new PeerClient.HandoverSource() {
                     @Override
-                    public Optional<RiskTableDelta> tables(RiskTableRequest question) {
+                    public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest question) {
                         return Optional.of(delta);
                     }
 
                     @Override
-                    public Optional<RecordDigests> digests() {
+                    public Optional<RecordDigests> recordDigests() {
                         return Optional.empty();
                     }
                 });
-        PeerLink standby =
-                new PeerLink(
+        PeerClient standby =
+                new PeerClient(
                         (address, method, path, body, timeout) ->
                                 leader.handle(method, path, body)
                                         .thenApply(
--- a/src/test/java/org/meadowhollow/story/CalendarStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/CalendarStoriesTest.java
@@ -18,10 +18,10 @@
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.Priority;
 import org.meadowhollow.model.TaskId;
-import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
-import org.meadowhollow.protocol.Json;
-import org.meadowhollow.protocol.Malformed;
+import org.meadowhollow.protocol.JsonCodec;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessageReader;
 
 /**
  * Reservations and windows, and who runs into them, on a fleet of four machines that cannot grow.
@@ -45,7 +45,12 @@
 
     private Http.Reply put(int node, String path, String version, Object... fields) {
         return world.operate(
-                node, "secret", "PUT", path, version, new String(Json.encode(Fields.of(fields))));
+                node,
+                "secret",
+                "PUT",
+                path,
+                version,
+                new String(JsonCodec.encode(MessageReader.mapOf(fields))));
     }
 
     private Http.Reply reserve(
@@ -90,17 +95,17 @@
                 (double) noticeS);
     }
 
-    private static Fields body(Http.Reply reply, int status) {
+    private static MessageReader body(Http.Reply reply, int status) {
         assertNotNull(reply);
         try {
             assertEquals(status, reply.status(), new String(reply.body()));
-            return new Fields(Json.decode(reply.body()));
-        } catch (Malformed wrong) {
+            return new MessageReader(JsonCodec.decode(reply.body()));
+        } catch (MalformedMessageException wrong) {
             throw new AssertionError(wrong);
         }
     }
 
-    private Fields plan(int node) {
+    private MessageReader plan(int node) {
         return body(world.operate(node, "reader", "GET", "plan", null, ""), 200);
     }
 
@@ -491,7 +496,7 @@
     }
 
     @Test
-    void aRequestIsJudgedOnceForAllNodesAndRepeatedFreely() throws Malformed {
+    void aRequestIsJudgedOnceForAllNodesAndRepeatedFreely() throws MalformedMessageException {
         world.team("team", 0, 10);
         world.calendar(Map.of());
         world.runS(15);
@@ -512,10 +517,11 @@
             "length_s",
             60.0
         };
-        long version = body(put(0, "reservations/first", null, first), 201).count("version");
+        long version =
+                body(put(0, "reservations/first", null, first), 201).nonNegativeLong("version");
         assertEquals(
                 version,
-                body(put(1, "reservations/first", null, first), 200).count("version"),
+                body(put(1, "reservations/first", null, first), 200).nonNegativeLong("version"),
                 "repeated");
         first[3] = 7;
         assertEquals(
@@ -525,13 +531,13 @@
         assertEquals(412, put(2, "reservations/first", "1", first).status());
         long changed =
                 body(put(2, "reservations/first", "\"" + version + "\"", first), 200)
-                        .count("version");
+                        .nonNegativeLong("version");
         assertTrue(changed > version);
         // Two that fit alone and not together are asked of two nodes at the same moment.
         String body =
                 new String(
-                        Json.encode(
-                                Fields.of(
+                        JsonCodec.encode(
+                                MessageReader.mapOf(
                                         "team",
                                         "team",
                                         "tasks",
@@ -554,9 +560,9 @@
         assertEquals(
                 List.of(201, 409),
                 both.stream().map(reply -> reply.join().status()).sorted().toList());
-        Fields refused =
-                new Fields(
-                        Json.decode(
+        MessageReader refused =
+                new MessageReader(
+                        JsonCodec.decode(
                                 both.stream()
                                         .map(CompletableFuture::join)
                                         .filter(reply -> reply.status() == 409)
@@ -564,9 +570,9 @@
                                         .orElseThrow()
                                         .body()));
         assertTrue(
-                refused.text("error").contains("limit of team team")
-                        && refused.text("error").contains("nearest"),
-                refused.text("error"));
+                refused.string("error").contains("limit of team team")
+                        && refused.string("error").contains("nearest"),
+                refused.string("error"));
         assertEquals(
                 200,
                 world.operate(
@@ -586,7 +592,7 @@
         assertEquals(
                 1,
                 body(world.operate(1, "reader", "GET", "reservations", null, ""), 200)
-                        .list("reservations")
+                        .nestedList("reservations")
                         .size());
     }
 
--- a/src/test/java/org/meadowhollow/story/FakeStore.java
+++ b/src/test/java/org/meadowhollow/story/FakeStore.java
@@ -15,8 +15,8 @@
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.Revision;
-import org.meadowhollow.protocol.Malformed;
-import org.meadowhollow.protocol.Wire;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessagePackCodec;
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.KeyValueStoreException;
 import org.meadowhollow.storage.KeyValueStoreException.Outcome;
@@ -202,13 +202,13 @@
                                 keys.put(
                                         key,
                                         new Stored(
-                                                Wire.encode(write.value()),
+                                                MessagePackCodec.encode(write.value()),
                                                 revision,
                                                 write.lease() == null ? 0 : write.lease().value()));
                                 log.add(
                                         new KeyValueStore.Change(
                                                 key,
-                                                decode(Wire.encode(write.value())),
+                                                decode(MessagePackCodec.encode(write.value())),
                                                 new Revision(revision)));
                             }
                         });
@@ -217,8 +217,8 @@
 
     private static Map<String, Object> decode(byte[] value) {
         try {
-            return Wire.decode(value);
-        } catch (Malformed impossible) {
+            return MessagePackCodec.decode(value);
+        } catch (MalformedMessageException impossible) {
             throw new IllegalStateException(impossible);
         }
     }
--- a/src/test/java/org/meadowhollow/story/GoldenStoreTest.java
+++ b/src/test/java/org/meadowhollow/story/GoldenStoreTest.java
@@ -21,8 +21,8 @@
 import org.meadowhollow.model.WorkerCommand;
 import org.meadowhollow.model.WorkerIncarnation;
 import org.meadowhollow.protocol.Http;
-import org.meadowhollow.protocol.Json;
-import org.meadowhollow.protocol.Malformed;
+import org.meadowhollow.protocol.JsonCodec;
+import org.meadowhollow.protocol.MalformedMessageException;
 
 /**
  * A state service as an earlier version left it, filled from the golden files: a leader of this
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void aLeaderLoadsWhatTheLastVersionWroteAndEndsItsJobs() throws Malformed {
+    void aLeaderLoadsWhatTheLastVersionWroteAndEndsItsJobs() throws MalformedMessageException {
         fill("term", "leader");
         world.runS(3);
         assertEquals(1, world.leader(), "the node of the record is back before its lease is over");
@@ -224,7 +224,7 @@
     }
 
     @Test
-    void theCalendarShowsWhatTheLastVersionKept() throws Malformed {
+    void theCalendarShowsWhatTheLastVersionKept() throws MalformedMessageException {
         fill("term", "leader");
         world.runS(8);
         String text =
@@ -244,12 +244,12 @@
 
     // ---- a task of the execution API ----
 
-    private static Map<String, Object> body(Http.Reply reply) throws Malformed {
+    private static Map<String, Object> body(Http.Reply reply) throws MalformedMessageException {
         assertEquals(200, reply.status(), new String(reply.body()));
-        return Json.decode(reply.body());
+        return JsonCodec.decode(reply.body());
     }
 
-    private void assertTesTask(String state) throws Malformed {
+    private void assertTesTask(String state) throws MalformedMessageException {
         Map<String, Object> task =
                 body(
                         world.tes(
@@ -263,7 +263,7 @@
         assertEquals(state, task.get("state"));
         assertEquals(GoldenTesTask.ID, task.get("id"));
         assertEquals("2023-11-14T22:14:32Z", task.get("creation_time"));
-        Map<String, Object> asked = Json.decode(GoldenTesTask.BODY.getBytes());
+        Map<String, Object> asked = JsonCodec.decode(GoldenTesTask.BODY.getBytes());
         asked.forEach((key, value) -> assertEquals(value, task.get(key), key));
         Map<String, Object> listed =
                 body(
@@ -305,7 +305,7 @@
     }
 
     @Test
-    void theRecordsOfATaskOfTheExecutionApi() throws Malformed {
+    void theRecordsOfATaskOfTheExecutionApi() throws MalformedMessageException {
         Map<String, Object> task = GoldenFile.read("tes-task").value();
         String entryKey = "tesx/ca8b22d0db83a22d/8299999927999-" + GoldenTesTask.ID;
         assertEquals(
@@ -317,7 +317,7 @@
         assertEquals(
                 "78870d7c944a25f146bda50eade3e1ad2299f950b9a8ff7bef7a452ec590d94f",
                 task.get("digest"));
-        assertEquals(Json.decode(GoldenTesTask.BODY.getBytes()), task.get("document"));
+        assertEquals(JsonCodec.decode(GoldenTesTask.BODY.getBytes()), task.get("document"));
         Map<String, Object> kept =
                 Map.of(
                         "id",
@@ -375,7 +375,7 @@
     }
 
     @Test
-    void aTaskOfTheExecutionApiIsToldOfAsItWasKept() throws Malformed {
+    void aTaskOfTheExecutionApiIsToldOfAsItWasKept() throws MalformedMessageException {
         fill("term", "leader");
         assertTesTask("QUEUED");
     }
--- a/src/test/java/org/meadowhollow/story/JobStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/JobStoriesTest.java
@@ -13,7 +13,7 @@
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.TaskId;
-import org.meadowhollow.protocol.users.SubmissionCodec;
+import org.meadowhollow.protocol.jobs.SubmissionCodec;
 
 /** What becomes of jobs, and what their users are told. */
 class JobStoriesTest extends Story {
--- a/src/test/java/org/meadowhollow/story/LoadMain.java
+++ b/src/test/java/org/meadowhollow/story/LoadMain.java
@@ -24,13 +24,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.IntFunction;
 import org.meadowhollow.model.JobKind;
-import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
-import org.meadowhollow.protocol.Json;
-import org.meadowhollow.protocol.Wire;
-import org.meadowhollow.protocol.users.SubmissionCodec;
+import org.meadowhollow.protocol.JsonCodec;
+import org.meadowhollow.protocol.MessagePackCodec;
+import org.meadowhollow.protocol.MessageReader;
+import org.meadowhollow.protocol.jobs.SubmissionCodec;
 import org.meadowhollow.transport.HttpServer;
-import org.meadowhollow.transport.XnioLoop;
+import org.meadowhollow.transport.XnioEventLoop;
 
 /**
  * Measures one controller, a process bound to one core, beside stand-ins in this process: requests
@@ -73,9 +73,10 @@
     }
 
     private void run(String[] command) throws Exception {
-        XnioLoop loop = new XnioLoop();
+        XnioEventLoop loop = new XnioEventLoop();
         FakeStore store = new FakeStore(loop, Duration.ZERO);
-        Http.Service state = loop.call(() -> new StateServer(store.new Line(), () -> {}));
+        Http.RequestHandler state =
+                loop.callAndWait(() -> new StateServer(store.new Line(), () -> {}));
         int statePort =
                 serve(
                         loop,
@@ -91,16 +92,16 @@
         int cloud =
                 serve(
                         loop,
-                        (Http.Handler)
+                        (Http.SimpleRequestHandler)
                                 (method, path, body) ->
                                         CompletableFuture.completedFuture(
                                                 path.equals("/machine_types")
                                                         ? Http.Reply.of(
                                                                 200,
-                                                                Fields.of(
+                                                                MessageReader.mapOf(
                                                                         "breeds",
                                                                         List.of(
-                                                                                Fields.of(
+                                                                                MessageReader.mapOf(
                                                                                         "label",
                                                                                         "t",
                                                                                         "cores",
@@ -121,11 +122,11 @@
                                                                                         List.of(
                                                                                                 "z")))))
                                                         : method.equals("POST")
-                                                                ? Http.Reply.comeBack(
+                                                                ? Http.Reply.retryLater(
                                                                         503, 1, "no capacity")
                                                                 : Http.Reply.of(
                                                                         200,
-                                                                        Fields.of(
+                                                                        MessageReader.mapOf(
                                                                                 "stalls",
                                                                                 List.of(),
                                                                                 "truncated",
@@ -171,7 +172,7 @@
         }
     }
 
-    private static int serve(XnioLoop loop, Http.Service service) {
+    private static int serve(XnioEventLoop loop, Http.RequestHandler requestHandler) {
         return new HttpServer(
                         loop,
                         new DefaultByteBufferPool(false, 8192),
@@ -179,7 +180,7 @@
                         0,
                         0,
                         Duration.ofMinutes(5),
-                        service)
+                        requestHandler)
                 .port();
     }
 
@@ -199,7 +200,7 @@
                             plain(
                                     "POST",
                                     "/submissions",
-                                    Wire.encode(
+                                    MessagePackCodec.encode(
                                             SubmissionCodec.encode(
                                                     World.spec(
                                                             from + at + 1, JobKind.ARRAY, 1, 1)))));
@@ -269,9 +270,9 @@
                                             + (token == null ? "" : "&page_token=" + token),
                                     null),
                             HttpResponse.BodyHandlers.ofByteArray());
-            Fields page = new Fields(Json.decode(reply.body()));
-            told += page.list("tasks").size();
-            token = page.textOrNull("next_page_token");
+            MessageReader page = new MessageReader(JsonCodec.decode(reply.body()));
+            told += page.nestedList("tasks").size();
+            token = page.stringOrNull("next_page_token");
             requests++;
         } while (token != null);
         System.out.printf(
--- a/src/test/java/org/meadowhollow/story/LoopbackTest.java
+++ b/src/test/java/org/meadowhollow/story/LoopbackTest.java
@@ -40,16 +40,16 @@
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.TaskId;
-import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
-import org.meadowhollow.protocol.Json;
-import org.meadowhollow.protocol.Wire;
-import org.meadowhollow.protocol.tes.TesTokens;
-import org.meadowhollow.protocol.users.SubmissionCodec;
+import org.meadowhollow.protocol.JsonCodec;
+import org.meadowhollow.protocol.MessagePackCodec;
+import org.meadowhollow.protocol.MessageReader;
+import org.meadowhollow.protocol.jobs.SubmissionCodec;
+import org.meadowhollow.protocol.tes.BearerTokens;
 import org.meadowhollow.storage.RecordCodec;
 import org.meadowhollow.transport.HttpServer;
-import org.meadowhollow.transport.XnioLoop;
-import org.meadowhollow.transport.tracing.OtlpTraces;
+import org.meadowhollow.transport.XnioEventLoop;
+import org.meadowhollow.transport.tracing.OtlpTaskTracer;
 
 /**
  * Three real controllers, stand-ins for all that is around them, and a client of each interface,
@@ -76,16 +76,16 @@
     private final List<LoopbackWorker> workers = new ArrayList<>();
     private final List<HttpServer> servers = new ArrayList<>();
     private final HttpClient http = HttpClient.newHttpClient();
-    private XnioLoop loop;
+    private XnioEventLoop loop;
     private FakeStore store;
 
     @BeforeEach
     void start() throws Exception {
-        loop = new XnioLoop();
+        loop = new XnioEventLoop();
         store = new FakeStore(loop);
-        int state = serve(loop.call(() -> new StateServer(store.new Line(), this::stir)));
-        int cloud = serve((Http.Handler) this::cloud);
-        int collector = serve((Http.Handler) this::collect);
+        int state = serve(loop.callAndWait(() -> new StateServer(store.new Line(), this::stir)));
+        int cloud = serve((Http.SimpleRequestHandler) this::cloud);
+        int collector = serve((Http.SimpleRequestHandler) this::collect);
         Map<String, String> backs = new LinkedHashMap<>();
         for (String name : List.of("n0", "n1", "n2")) {
             fronts.put(name, "127.0.0.1:" + freePort());
@@ -93,14 +93,16 @@
         }
         for (int at = 0; at < 3; at++) {
             String name = "m" + at;
-            workers.add(loop.call(() -> new LoopbackWorker(name, loop, fronts)));
+            workers.add(loop.callAndWait(() -> new LoopbackWorker(name, loop, fronts)));
         }
         for (String name : fronts.keySet()) {
             List<Object> known = new ArrayList<>();
             backs.forEach(
                     (other, address) -> {
                         if (!other.equals(name)) {
-                            known.add(Fields.of("member", other, "area", "z", "addr", address));
+                            known.add(
+                                    MessageReader.mapOf(
+                                            "member", other, "area", "z", "addr", address));
                         }
                     });
             Path file = folder.resolve(name + ".json");
@@ -118,7 +120,7 @@
                                     name,
                                     fronts.get(name),
                                     backs.get(name),
-                                    new String(Json.encode(Fields.of("l", known)))
+                                    new String(JsonCodec.encode(MessageReader.mapOf("l", known)))
                                             .replaceAll("^\\{\"l\":|\\}$", ""),
                                     cloud,
                                     state,
@@ -129,20 +131,20 @@
                             .tes(
                                     new TesOptions(
                                             new Settings.Endpoint("127.0.0.1", 0),
-                                            TesTokens.of(List.of("team=" + HASH)),
+                                            BearerTokens.parse(List.of("team=" + HASH)),
                                             null,
                                             null))
-                            .observers(
+                            .eventListeners(
                                     new JobEventListeners(
                                             new JobEventLog(this::note),
-                                            OtlpTraces.to(
+                                            OtlpTaskTracer.exportingTo(
                                                     URI.create("http://127.0.0.1:" + collector),
                                                     name)))
                             .start());
         }
     }
 
-    private int serve(Http.Service service) {
+    private int serve(Http.RequestHandler requestHandler) {
         servers.add(
                 new HttpServer(
                         loop,
@@ -151,7 +153,7 @@
                         0,
                         0,
                         Duration.ofMinutes(1),
-                        service));
+                        requestHandler));
         return servers.get(servers.size() - 1).port();
     }
 
@@ -164,7 +166,7 @@
     @AfterEach
     void stop() {
         nodes.values().forEach(Controller::close);
-        loop.call(
+        loop.callAndWait(
                 () -> {
                     workers.forEach(LoopbackWorker::close);
                     return null;
@@ -179,10 +181,10 @@
                     case "/machine_types" ->
                             Http.Reply.of(
                                     200,
-                                    Fields.of(
+                                    MessageReader.mapOf(
                                             "breeds",
                                             List.of(
-                                                    Fields.of(
+                                                    MessageReader.mapOf(
                                                             "label",
                                                             "t",
                                                             "cores",
@@ -203,17 +205,17 @@
                                                             List.of("z")))));
                     case "/rentals" ->
                             method.equals("POST")
-                                    ? Http.Reply.comeBack(503, 1, "no capacity")
+                                    ? Http.Reply.retryLater(503, 1, "no capacity")
                                     : Http.Reply.of(
                                             200,
-                                            Fields.of(
+                                            MessageReader.mapOf(
                                                     "stalls",
                                                     workers.stream()
                                                             .map(LoopbackWorker::listed)
                                                             .toList(),
                                                     "truncated",
                                                     false));
-                    default -> Http.Reply.of(200, Fields.of());
+                    default -> Http.Reply.of(200, MessageReader.mapOf());
                 });
     }
 
@@ -303,13 +305,13 @@
     private String create(int node, int number) throws Exception {
         HttpResponse<byte[]> reply = tes(node, "POST", "/tasks", TASK.formatted(number));
         assertEquals(200, reply.statusCode(), new String(reply.body()));
-        return new Fields(Json.decode(reply.body())).text("id");
+        return new MessageReader(JsonCodec.decode(reply.body())).string("id");
     }
 
     private String state(int node, String id) throws Exception {
         HttpResponse<byte[]> reply = tes(node, "GET", "/tasks/" + id, "");
         return reply.statusCode() == 200
-                ? new Fields(Json.decode(reply.body())).text("state")
+                ? new MessageReader(JsonCodec.decode(reply.body())).string("state")
                 : String.valueOf(reply.statusCode());
     }
 
@@ -324,7 +326,11 @@
         JobSpec job = World.spec(number, JobKind.ARRAY, 1, 1);
         assertEquals(
                 201,
-                plain(node, "POST", "/submissions", Wire.encode(SubmissionCodec.encode(job)))
+                plain(
+                                node,
+                                "POST",
+                                "/submissions",
+                                MessagePackCodec.encode(SubmissionCodec.encode(job)))
                         .statusCode());
         return job.id();
     }
@@ -332,12 +338,12 @@
     private String phase(int node, JobId id) throws Exception {
         HttpResponse<byte[]> reply = plain(node, "GET", "/submissions/" + id, new byte[0]);
         return reply.statusCode() == 200
-                ? Fields.decode(reply.body()).text("phase")
+                ? MessageReader.decode(reply.body()).string("phase")
                 : String.valueOf(reply.statusCode());
     }
 
     private Set<TaskId> running() {
-        return loop.call(
+        return loop.callAndWait(
                 () -> {
                     Set<TaskId> all = new HashSet<>();
                     workers.forEach(worker -> all.addAll(worker.running()));
@@ -346,7 +352,7 @@
     }
 
     private String leader() {
-        Map<String, Object> record = loop.call(() -> store.value(RecordCodec.LEADER_KEY));
+        Map<String, Object> record = loop.callAndWait(() -> store.value(RecordCodec.LEADER_KEY));
         return record == null ? null : (String) record.get("member");
     }
 
@@ -383,7 +389,7 @@
         nodes.remove(leader).close();
         await("another leader", () -> leader() != null && !leader().equals(leader));
         assertEquals(LIMIT, count(JobEventLog.EventType.PLACED), "nothing is placed again");
-        loop.call(
+        loop.callAndWait(
                 () -> {
                     workers.forEach(LoopbackWorker::endAll);
                     return null;
@@ -396,10 +402,11 @@
             }
         }
         assertEquals("404", phase(0, new JobId(tasks.get(0))), "a task is no native job");
-        Fields list =
-                new Fields(
-                        Json.decode(tes(0, "GET", "/tasks?state=COMPLETE&view=BASIC", "").body()));
-        assertEquals(3, list.list("tasks").size());
+        MessageReader list =
+                new MessageReader(
+                        JsonCodec.decode(
+                                tes(0, "GET", "/tasks?state=COMPLETE&view=BASIC", "").body()));
+        assertEquals(3, list.nestedList("tasks").size());
         assertEquals(
                 401,
                 send(HttpRequest.newBuilder(
--- a/src/test/java/org/meadowhollow/story/LoopbackWorker.java
+++ b/src/test/java/org/meadowhollow/story/LoopbackWorker.java
@@ -8,12 +8,12 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import org.meadowhollow.model.TaskId;
-import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
-import org.meadowhollow.protocol.Malformed;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessageReader;
 import org.meadowhollow.transport.HttpClient;
 import org.meadowhollow.transport.HttpServer;
-import org.meadowhollow.transport.XnioLoop;
+import org.meadowhollow.transport.XnioEventLoop;
 
 /** A machine's worker over HTTP, in the wire's words. Everything happens on one loop's thread. */
 final class LoopbackWorker implements AutoCloseable {
@@ -33,7 +33,7 @@
     }
 
     private final String name;
-    private final XnioLoop loop;
+    private final XnioEventLoop loop;
     private final HttpClient http;
     private final Map<String, String> nodes;
     private final HttpServer server;
@@ -49,7 +49,7 @@
     /**
      * @param nodes their addresses by member
      */
-    LoopbackWorker(String name, XnioLoop loop, Map<String, String> nodes) {
+    LoopbackWorker(String name, XnioEventLoop loop, Map<String, String> nodes) {
         this.name = name;
         this.loop = loop;
         this.nodes = nodes;
@@ -63,13 +63,13 @@
                         0,
                         0,
                         Duration.ofMinutes(1),
-                        (Http.Handler) this::ordered);
+                        (Http.SimpleRequestHandler) this::ordered);
         tick();
     }
 
     /** As the cloud lists it. */
     Map<String, Object> listed() {
-        return Fields.of(
+        return MessageReader.mapOf(
                 "ref",
                 name,
                 "endpoint",
@@ -131,17 +131,17 @@
                                 if (failure != null || reply.status() != 200) {
                                     moveOn(
                                             failure == null && reply.status() == 421
-                                                    ? Fields.decode(reply.body())
-                                                            .textOrNull("herder")
+                                                    ? MessageReader.decode(reply.body())
+                                                            .stringOrNull("herder")
                                                     : null);
                                     return;
                                 }
-                                Fields answer = Fields.decode(reply.body());
-                                if (answer.count("baton") >= baton) {
+                                MessageReader answer = MessageReader.decode(reply.body());
+                                if (answer.nonNegativeLong("baton") >= baton) {
                                     renewedAt = sentAt;
                                     obey(answer);
                                 }
-                            } catch (Malformed broken) {
+                            } catch (MalformedMessageException broken) {
                                 throw new AssertionError(broken);
                             }
                         });
@@ -158,7 +158,7 @@
         tasks.forEach(
                 (task, held) ->
                         chores.add(
-                                Fields.of(
+                                MessageReader.mapOf(
                                         "chore",
                                         task,
                                         "try",
@@ -167,8 +167,8 @@
                                         held.phase,
                                         "cause",
                                         held.cause)));
-        return org.meadowhollow.protocol.Wire.encode(
-                Fields.of(
+        return org.meadowhollow.protocol.MessagePackCodec.encode(
+                MessageReader.mapOf(
                         "stall",
                         name,
                         "endpoint",
@@ -191,32 +191,34 @@
 
     private CompletableFuture<Http.Reply> ordered(String method, String path, byte[] body) {
         try {
-            Fields orders = Fields.decode(body);
-            boolean obeys = orders.count("baton") >= baton && orders.count("tenure") == tenure;
+            MessageReader orders = MessageReader.decode(body);
+            boolean obeys =
+                    orders.nonNegativeLong("baton") >= baton
+                            && orders.nonNegativeLong("tenure") == tenure;
             if (obeys) {
                 obey(orders);
             }
             return CompletableFuture.completedFuture(
                     new Http.Reply(obeys ? 200 : 409, snapshot(), 0));
-        } catch (Malformed broken) {
+        } catch (MalformedMessageException broken) {
             return CompletableFuture.completedFuture(Http.Reply.error(400, broken.getMessage()));
         }
     }
 
-    private void obey(Fields message) throws Malformed {
-        boolean news = message.count("baton") > baton;
-        baton = message.count("baton");
-        for (Fields order : message.list("orders")) {
-            String id = order.text("chore");
+    private void obey(MessageReader message) throws MalformedMessageException {
+        boolean news = message.nonNegativeLong("baton") > baton;
+        baton = message.nonNegativeLong("baton");
+        for (MessageReader order : message.nestedList("orders")) {
+            String id = order.string("chore");
             Task task = tasks.get(id);
-            boolean same = task != null && task.attempt == order.count("try");
-            switch (order.text("verb")) {
+            boolean same = task != null && task.attempt == order.nonNegativeLong("try");
+            switch (order.string("verb")) {
                 case "run" -> {
                     if (!same) {
                         if (task != null && !task.phase.equals("ended")) {
                             throw new AssertionError("started beside another attempt: " + id);
                         }
-                        tasks.put(id, new Task(order.count("try")));
+                        tasks.put(id, new Task(order.nonNegativeLong("try")));
                         news = true;
                     }
                 }
@@ -231,7 +233,7 @@
                         tasks.remove(id);
                     }
                 }
-                default -> throw new Malformed("unknown verb");
+                default -> throw new MalformedMessageException("unknown verb");
             }
         }
         if (news) {
--- a/src/test/java/org/meadowhollow/story/MonthOfNightsTest.java
+++ b/src/test/java/org/meadowhollow/story/MonthOfNightsTest.java
@@ -17,9 +17,9 @@
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.Priority;
 import org.meadowhollow.model.TaskId;
-import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
-import org.meadowhollow.protocol.Json;
+import org.meadowhollow.protocol.JsonCodec;
+import org.meadowhollow.protocol.MessageReader;
 
 /**
  * A month of nights on a fleet that other work could fill, with a run at two each night; what lies
@@ -65,8 +65,8 @@
                             "reservations/nightly",
                             null,
                             new String(
-                                    Json.encode(
-                                            Fields.of(
+                                    JsonCodec.encode(
+                                            MessageReader.mapOf(
                                                     "team",
                                                     "team",
                                                     "priority",
