--- a/src/test/java/org/meadowhollow/story/StateServer.java
+++ b/src/test/java/org/meadowhollow/story/StateServer.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import org.meadowhollow.model.Revision;
-import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
-import org.meadowhollow.protocol.Malformed;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessageReader;
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
 import org.meadowhollow.storage.KeyValueStoreException;
@@ -17,7 +17,7 @@
 import org.meadowhollow.storage.Transaction;
 
 /** The state service as the protocol has it, over HTTP; what it keeps is the stories' store. */
-final class StateServer implements Http.Service {
+final class StateServer implements Http.RequestHandler {
     private final KeyValueStore store;
     private final Runnable changed;
 
@@ -34,7 +34,7 @@
         try {
             return route(request)
                     .handle((reply, failure) -> failure == null ? reply : refusal(failure));
-        } catch (Malformed | NumberFormatException broken) {
+        } catch (MalformedMessageException | NumberFormatException broken) {
             return CompletableFuture.completedFuture(
                     Http.Reply.error(400, "outside the protocol: " + broken));
         }
@@ -53,14 +53,15 @@
         };
     }
 
-    private CompletableFuture<Http.Reply> route(Http.Request request) throws Malformed {
+    private CompletableFuture<Http.Reply> route(Http.Request request)
+            throws MalformedMessageException {
         String path = request.path();
         if (path.startsWith("/kv/")) {
             return store.get(path.substring("/kv/".length()), RequestPriority.USER)
                     .thenApply(
                             found ->
                                     found.map(entry -> Http.Reply.of(200, entry(entry)))
-                                            .orElse(Http.Reply.of(404, Fields.of())));
+                                            .orElse(Http.Reply.of(404, MessageReader.mapOf())));
         }
         if (path.startsWith("/grants/")) {
             boolean renews = path.endsWith("/renew");
@@ -73,7 +74,8 @@
             return (renews ? store.renewLease(lease) : store.revokeLease(lease))
                     .handle(
                             (done, failure) ->
-                                    Http.Reply.of(failure == null ? 200 : 404, Fields.of()))
+                                    Http.Reply.of(
+                                            failure == null ? 200 : 404, MessageReader.mapOf()))
                     .whenComplete((reply, none) -> changed.run());
         }
         return switch (path) {
@@ -87,7 +89,7 @@
                                     page ->
                                             Http.Reply.of(
                                                     200,
-                                                    Fields.of(
+                                                    MessageReader.mapOf(
                                                             "items",
                                                             page.entries().stream()
                                                                     .map(StateServer::entry)
@@ -103,13 +105,15 @@
                                     Duration.ofMillis(Long.parseLong(one(request, "blockMs"))))
                             .thenApply(StateServer::changes);
             case "/multi" ->
-                    store.commit(transaction(Fields.decode(request.body())), RequestPriority.USER)
+                    store.commit(
+                                    transaction(MessageReader.decode(request.body())),
+                                    RequestPriority.USER)
                             .thenApply(
                                     commitResult -> {
                                         changed.run();
                                         return Http.Reply.of(
                                                 commitResult.isApplied() ? 200 : 409,
-                                                Fields.of(
+                                                MessageReader.mapOf(
                                                         "ledgerRev",
                                                         commitResult.revision().value(),
                                                         "failed",
@@ -117,11 +121,15 @@
                                     });
             case "/grants" ->
                     store.grantLease(
-                                    Duration.ofMillis(Fields.decode(request.body()).count("ttlMs")))
+                                    Duration.ofMillis(
+                                            MessageReader.decode(request.body())
+                                                    .nonNegativeLong("ttlMs")))
                             .thenApply(
                                     lease ->
-                                            Http.Reply.of(200, Fields.of("tether", lease.value())));
-            default -> throw new Malformed("no such path: " + path);
+                                            Http.Reply.of(
+                                                    200,
+                                                    MessageReader.mapOf("tether", lease.value())));
+            default -> throw new MalformedMessageException("no such path: " + path);
         };
     }
 
@@ -131,13 +139,14 @@
     }
 
     private static Map<String, Object> entry(KeyValueStore.Entry entry) {
-        return Fields.of("key", entry.key(), "v", entry.value(), "stamp", entry.revision().value());
+        return MessageReader.mapOf(
+                "key", entry.key(), "v", entry.value(), "stamp", entry.revision().value());
     }
 
     private static Http.Reply changes(KeyValueStore.ChangeBatch changeBatch) {
         return Http.Reply.of(
                 200,
-                Fields.of(
+                MessageReader.mapOf(
                         "ledgerRev",
                         changeBatch.revision().value(),
                         "log",
@@ -145,12 +154,12 @@
                                 .map(
                                         change ->
                                                 change.value() == null
-                                                        ? Fields.of(
+                                                        ? MessageReader.mapOf(
                                                                 "remove",
                                                                 change.key(),
                                                                 "stamp",
                                                                 change.revision().value())
-                                                        : Fields.of(
+                                                        : MessageReader.mapOf(
                                                                 "set",
                                                                 change.key(),
                                                                 "v",
@@ -160,21 +169,22 @@
                                 .toList()));
     }
 
-    private static Transaction transaction(Fields body) throws Malformed {
+    private static Transaction transaction(MessageReader body) throws MalformedMessageException {
         Transaction transaction = new Transaction();
-        for (Fields guard : body.list("guards")) {
-            transaction.requireRevision(guard.text("key"), new Revision(guard.count("stamp")));
+        for (MessageReader guard : body.nestedList("guards")) {
+            transaction.requireRevision(
+                    guard.string("key"), new Revision(guard.nonNegativeLong("stamp")));
         }
-        for (Fields write : body.list("writes")) {
+        for (MessageReader write : body.nestedList("writes")) {
             if (write.has("remove")) {
-                transaction.delete(write.text("remove"));
+                transaction.delete(write.string("remove"));
             } else if (write.has("tether")) {
                 transaction.put(
-                        write.text("set"),
-                        write.fields("v").map(),
-                        new LeaseId(write.count("tether")));
+                        write.string("set"),
+                        write.nested("v").map(),
+                        new LeaseId(write.nonNegativeLong("tether")));
             } else {
-                transaction.put(write.text("set"), write.fields("v").map());
+                transaction.put(write.string("set"), write.nested("v").map());
             }
         }
         return transaction;
--- a/src/test/java/org/meadowhollow/story/TesFuzzTest.java
+++ b/src/test/java/org/meadowhollow/story/TesFuzzTest.java
@@ -25,12 +25,12 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.statistics.Statistics;
 import org.meadowhollow.model.JobId;
-import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
-import org.meadowhollow.protocol.Json;
-import org.meadowhollow.protocol.Malformed;
-import org.meadowhollow.protocol.tes.TesTokens;
-import org.meadowhollow.transport.tracing.OtlpTraces;
+import org.meadowhollow.protocol.JsonCodec;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessageReader;
+import org.meadowhollow.protocol.tes.BearerTokens;
+import org.meadowhollow.transport.tracing.OtlpTaskTracer;
 
 /**
  * What nobody sends on purpose, from a library's random source with fixed seeds: each request gets
@@ -160,7 +160,7 @@
     }
 
     @Example
-    void theShapeItselfIsAGoodTask() throws Malformed {
+    void theShapeItselfIsAGoodTask() throws MalformedMessageException {
         Http.Reply reply =
                 ask(
                         "POST",
@@ -208,7 +208,7 @@
         return reply;
     }
 
-    private void checkCreate(byte[] body) throws Malformed {
+    private void checkCreate(byte[] body) throws MalformedMessageException {
         Http.Reply reply = ask("POST", "/tasks", Map.of(), body);
         assertTrue(
                 FINE.contains(reply.status()),
@@ -220,17 +220,17 @@
                     seen.check(200).percentage(share -> share > 5);
                     seen.check(400).percentage(share -> share > 30);
                 });
-        Fields answer = new Fields(Json.decode(reply.body()));
+        MessageReader answer = new MessageReader(JsonCodec.decode(reply.body()));
         if (reply.status() != 200) {
-            assertTrue(!answer.text("msg").isEmpty());
+            assertTrue(!answer.string("msg").isEmpty());
             return;
         }
-        String id = answer.text("id");
+        String id = answer.string("id");
         Map<String, Object> told =
-                Json.decode(
+                JsonCodec.decode(
                         ask("GET", "/tasks/" + id, Map.of("view", List.of("FULL")), new byte[0])
                                 .body());
-        Map<String, Object> sent = Json.decode(body);
+        Map<String, Object> sent = JsonCodec.decode(body);
         for (String key : List.of("name", "description", "volumes", "tags")) {
             assertEquals(sent.get(key), told.get(key), key);
         }
@@ -245,7 +245,8 @@
             generation = GenerationMode.RANDOMIZED,
             edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
-    void createAnswersWhateverComes(@ForAll("bodies") String body) throws Malformed {
+    void createAnswersWhateverComes(@ForAll("bodies") String body)
+            throws MalformedMessageException {
         checkCreate(body.getBytes(StandardCharsets.UTF_8));
     }
 
@@ -256,7 +257,7 @@
             edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
     void createAnswersBytesThatAreNoText(@ForAll @IntRange(max = 700) int at, @ForAll byte junk)
-            throws Malformed {
+            throws MalformedMessageException {
         byte[] bytes = SHAPE.formatted(GOOD.toArray()).getBytes(StandardCharsets.UTF_8);
         bytes[at % bytes.length] = junk;
         checkCreate(bytes);
@@ -303,12 +304,12 @@
             edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
     void listsAnswerWhateverIsAsked(@ForAll("queries") Map<String, List<String>> query)
-            throws Malformed {
+            throws MalformedMessageException {
         Http.Reply reply = ask("GET", "/tasks", query, new byte[0]);
         assertTrue(
                 Set.of(200, 400).contains(reply.status()),
                 () -> reply.status() + " " + new String(reply.body()));
-        Json.decode(reply.body());
+        JsonCodec.decode(reply.body());
     }
 
     @Provide
@@ -339,8 +340,10 @@
         assertEquals(401, reply.status(), "nobody guesses a token");
         try {
             assertTrue(
-                    TesTokens.of(List.of(one + '=' + other)).teamOf("Bearer " + other).isEmpty());
-        } catch (Malformed refused) {
+                    BearerTokens.parse(List.of(one + '=' + other))
+                            .teamOf("Bearer " + other)
+                            .isEmpty());
+        } catch (MalformedMessageException refused) {
             assertTrue(
                     !refused.getMessage().contains(other) || other.length() < 4,
                     "a token is never told");
@@ -349,8 +352,8 @@
         assertTrue(context == null || context.length() == 55);
     }
 
-    private static final OtlpTraces CONTEXTS =
-            OtlpTraces.to(URI.create("http://127.0.0.1:9"), "n0");
+    private static final OtlpTaskTracer CONTEXTS =
+            OtlpTaskTracer.exportingTo(URI.create("http://127.0.0.1:9"), "n0");
 
     @Property(
             tries = 300,
@@ -358,7 +361,8 @@
             generation = GenerationMode.RANDOMIZED,
             edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
-    void aRepeatedCreateIsTheSameTaskWhateverItsKey(@ForAll("texts") String key) throws Malformed {
+    void aRepeatedCreateIsTheSameTaskWhateverItsKey(@ForAll("texts") String key)
+            throws MalformedMessageException {
         byte[] body = SHAPE.formatted(GOOD.toArray()).getBytes(StandardCharsets.UTF_8);
         Http.Reply[] replies = new Http.Reply[2];
         Arrays.setAll(
@@ -376,7 +380,7 @@
         assertTrue(Set.of(200, 400).contains(replies[0].status()));
         if (replies[0].status() == 200) {
             assertEquals(new String(replies[0].body()), new String(replies[1].body()));
-            String id = new Fields(Json.decode(replies[0].body())).text("id");
+            String id = new MessageReader(JsonCodec.decode(replies[0].body())).string("id");
             assertEquals(
                     200, ask("POST", "/tasks/" + id + ":cancel", Map.of(), new byte[0]).status());
         }
--- a/src/test/java/org/meadowhollow/story/TesStoriesTest.java
+++ b/src/test/java/org/meadowhollow/story/TesStoriesTest.java
@@ -24,10 +24,10 @@
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.TaskId;
-import org.meadowhollow.protocol.Fields;
 import org.meadowhollow.protocol.Http;
-import org.meadowhollow.protocol.Json;
-import org.meadowhollow.protocol.Malformed;
+import org.meadowhollow.protocol.JsonCodec;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessageReader;
 import org.meadowhollow.storage.RecordCodec;
 
 /** Tasks that come by the task execution API, beside native jobs, while things fail. */
@@ -56,8 +56,8 @@
     private static Map<String, Object> body(Http.Reply reply) {
         try {
             assertEquals(200, reply.status(), new String(reply.body()));
-            return Json.decode(reply.body());
-        } catch (Malformed wrong) {
+            return JsonCodec.decode(reply.body());
+        } catch (MalformedMessageException wrong) {
             throw new AssertionError(wrong);
         }
     }
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void aTaskRunsAndEveryNodeTellsTheSameOfIt() throws Malformed {
+    void aTaskRunsAndEveryNodeTellsTheSameOfIt() throws MalformedMessageException {
         String id = created(SHORT);
         assertEquals("QUEUED", state(1, id));
         world.runS(6);
@@ -102,27 +102,28 @@
             Map<String, Object> full =
                     body(ask(node, "GET", "/tasks/" + id, Map.of("view", List.of("FULL"))));
             assertEquals("COMPLETE", full.get("state"));
-            Fields told = new Fields(full);
-            assertEquals("abc", told.list("inputs").get(0).text("content"));
-            Fields log = told.list("logs").get(0);
-            assertEquals(0, log.list("logs").get(0).count("exit_code"));
-            assertTrue(log.text("start_time").compareTo(log.text("end_time")) < 0);
-            assertTrue(told.text("creation_time").compareTo(log.text("start_time")) < 0);
+            MessageReader told = new MessageReader(full);
+            assertEquals("abc", told.nestedList("inputs").get(0).string("content"));
+            MessageReader log = told.nestedList("logs").get(0);
+            assertEquals(0, log.nestedList("logs").get(0).nonNegativeLong("exit_code"));
+            assertTrue(log.string("start_time").compareTo(log.string("end_time")) < 0);
+            assertTrue(told.string("creation_time").compareTo(log.string("start_time")) < 0);
         }
         Map<String, Object> basic =
                 body(ask(1, "GET", "/tasks/" + id, Map.of("view", List.of("BASIC"))));
-        assertFalse(new Fields(basic).list("inputs").get(0).has("content"));
+        assertFalse(new MessageReader(basic).nestedList("inputs").get(0).has("content"));
     }
 
     @Test
-    void aTaskThatIsDoneBetweenTwoReportsHasAStartAllTheSame() throws Malformed {
+    void aTaskThatIsDoneBetweenTwoReportsHasAStartAllTheSame() throws MalformedMessageException {
         String id = created(Duration.ofMillis(10));
         world.runS(12);
-        Fields told =
-                new Fields(body(ask(1, "GET", "/tasks/" + id, Map.of("view", List.of("BASIC")))));
-        assertEquals("COMPLETE", told.text("state"));
-        Fields log = told.list("logs").get(0);
-        assertTrue(log.text("start_time").compareTo(log.text("end_time")) < 0);
+        MessageReader told =
+                new MessageReader(
+                        body(ask(1, "GET", "/tasks/" + id, Map.of("view", List.of("BASIC")))));
+        assertEquals("COMPLETE", told.string("state"));
+        MessageReader log = told.nestedList("logs").get(0);
+        assertTrue(log.string("start_time").compareTo(log.string("end_time")) < 0);
     }
 
     @Test
@@ -209,7 +210,7 @@
     }
 
     @Test
-    void aCancellationThatComesLateTakesNoAttemptOutOfTheLog() throws Malformed {
+    void aCancellationThatComesLateTakesNoAttemptOutOfTheLog() throws MalformedMessageException {
         world.workers().forEach(worker -> worker.hang(true));
         world.cloudOut(true);
         world.runS(10);
@@ -234,7 +235,7 @@
                                     "GET",
                                     "/tasks/" + id,
                                     Map.of("view", List.of("FULL"))));
-            assertEquals(1, new Fields(full).list("logs").size());
+            assertEquals(1, new MessageReader(full).nestedList("logs").size());
             world.runS(1);
         }
     }
@@ -297,7 +298,7 @@
     }
 
     @Test
-    void attemptsEndWhereTheClientSaysAndElseGoOn() throws Malformed {
+    void attemptsEndWhereTheClientSaysAndElseGoOn() throws MalformedMessageException {
         String bounded = created("bounded", "1", ", \"max_attempts\": \"2\"", LONG);
         String free = created("free", "1", "", LONG);
         for (int second = 0; second < 60; second++) {
@@ -315,9 +316,9 @@
         assertEquals("EXECUTOR_ERROR", state(1, bounded));
         Map<String, Object> full =
                 body(ask(2, "GET", "/tasks/" + bounded, Map.of("view", List.of("FULL"))));
-        List<Fields> logs = new Fields(full).list("logs");
+        List<MessageReader> logs = new MessageReader(full).nestedList("logs");
         assertEquals(2, logs.size());
-        assertEquals("ERROR", logs.get(1).fields("metadata").text("cause"));
+        assertEquals("ERROR", logs.get(1).nested("metadata").string("cause"));
         assertNotEquals("EXECUTOR_ERROR", state(1, free));
     }
 
@@ -374,7 +375,7 @@
     }
 
     @Test
-    void pagesMissNothingAndTellNothingTwiceWhileTasksComeAndGo() throws Malformed {
+    void pagesMissNothingAndTellNothingTwiceWhileTasksComeAndGo() throws MalformedMessageException {
         Set<String> there = new HashSet<>();
         for (int at = 0; at < 12; at++) {
             there.add(
@@ -392,11 +393,11 @@
                     token == null
                             ? Map.of("page_size", List.of("5"))
                             : Map.of("page_size", List.of("5"), "page_token", List.of(token));
-            Fields page = new Fields(body(ask(node, "GET", "/tasks", query)));
-            for (Fields task : page.list("tasks")) {
-                told.add(task.text("id"));
+            MessageReader page = new MessageReader(body(ask(node, "GET", "/tasks", query)));
+            for (MessageReader task : page.nestedList("tasks")) {
+                told.add(task.string("id"));
             }
-            token = page.textOrNull("next_page_token");
+            token = page.stringOrNull("next_page_token");
             // The next page is asked of another node, after a takeover, and others have come in
             // between.
             created("later", "9", "", LONG);
@@ -408,8 +409,8 @@
         } while (token != null);
         assertEquals(told.size(), new HashSet<>(told).size());
         assertEquals(there, new HashSet<>(told));
-        Fields tagged =
-                new Fields(
+        MessageReader tagged =
+                new MessageReader(
                         body(
                                 ask(
                                         0,
@@ -424,10 +425,16 @@
                                                 List.of("a"),
                                                 "view",
                                                 List.of("BASIC")))));
-        assertEquals(6, tagged.list("tasks").size());
+        assertEquals(6, tagged.nestedList("tasks").size());
         assertTrue(
-                new Fields(body(ask(0, "GET", "/tasks", Map.of("state", List.of("COMPLETE")))))
-                                .list("tasks")
+                new MessageReader(
+                                        body(
+                                                ask(
+                                                        0,
+                                                        "GET",
+                                                        "/tasks",
+                                                        Map.of("state", List.of("COMPLETE")))))
+                                .nestedList("tasks")
                                 .size()
                         >= 4);
     }
@@ -438,7 +445,7 @@
         world.runS(5);
         Http.Reply refused = create(1, TASK.formatted("task", "1", ""), null);
         assertEquals(503, refused.status());
-        assertEquals(1, refused.retryAfterS());
+        assertEquals(1, refused.retryAfterSeconds());
         world.store().out(true);
         assertEquals(503, create(0, TASK.formatted("task", "1", ""), null).status());
     }
@@ -522,8 +529,9 @@
         for (int at = 0; at < 40; at++) {
             created("t", "1", "", LONG);
         }
-        Fields whole = new Fields(body(ask(1, "GET", "/tasks", Map.of("view", List.of("BASIC")))));
-        assertEquals(32, whole.list("tasks").size(), "each takes a read of its own");
+        MessageReader whole =
+                new MessageReader(body(ask(1, "GET", "/tasks", Map.of("view", List.of("BASIC")))));
+        assertEquals(32, whole.nestedList("tasks").size(), "each takes a read of its own");
         assertTrue(whole.has("next_page_token"));
         String team =
                 HexFormat.of()
@@ -534,7 +542,7 @@
             world.store()
                     .put(
                             "tesx/" + team + "/%013d-".formatted(at) + id,
-                            Fields.of(
+                            MessageReader.mapOf(
                                     "id",
                                     id,
                                     "name",
@@ -548,9 +556,10 @@
                                     "log",
                                     List.of()));
         }
-        Fields none =
-                new Fields(body(ask(2, "GET", "/tasks", Map.of("name_prefix", List.of("t")))));
-        assertEquals(0, none.list("tasks").size());
+        MessageReader none =
+                new MessageReader(
+                        body(ask(2, "GET", "/tasks", Map.of("name_prefix", List.of("t")))));
+        assertEquals(0, none.nestedList("tasks").size());
         assertTrue(
                 none.has("next_page_token"),
                 "a filter that fits nothing reads no further than so far");
@@ -578,7 +587,7 @@
     }
 
     @Test
-    void aTaskThatFailsOnAndOnKeepsItsLastAttempts() throws Malformed {
+    void aTaskThatFailsOnAndOnKeepsItsLastAttempts() throws MalformedMessageException {
         String id = created(Duration.ofHours(1));
         for (int failures = 0; failures < 14; ) {
             List<FakeWorker> on =
@@ -589,10 +598,11 @@
             failures += on.size();
             world.runS(4);
         }
-        Fields told =
-                new Fields(body(ask(1, "GET", "/tasks/" + id, Map.of("view", List.of("FULL")))));
-        assertTrue(told.list("logs").size() == 10, () -> "" + told);
-        assertEquals("14", told.list("logs").get(9).fields("metadata").text("attempt"));
+        MessageReader told =
+                new MessageReader(
+                        body(ask(1, "GET", "/tasks/" + id, Map.of("view", List.of("FULL")))));
+        assertTrue(told.nestedList("logs").size() == 10, () -> "" + told);
+        assertEquals("14", told.nestedList("logs").get(9).nested("metadata").string("attempt"));
     }
 
     @Test
--- a/src/test/java/org/meadowhollow/story/World.java
+++ b/src/test/java/org/meadowhollow/story/World.java
@@ -53,13 +53,13 @@
 import org.meadowhollow.model.WorkerCommand;
 import org.meadowhollow.model.WorkerIncarnation;
 import org.meadowhollow.protocol.Http;
-import org.meadowhollow.protocol.Malformed;
-import org.meadowhollow.protocol.Wire;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessagePackCodec;
+import org.meadowhollow.protocol.jobs.JobApi;
+import org.meadowhollow.protocol.jobs.SubmissionCodec;
 import org.meadowhollow.protocol.reservation.ReservationApi;
+import org.meadowhollow.protocol.tes.BearerTokens;
 import org.meadowhollow.protocol.tes.TesApi;
-import org.meadowhollow.protocol.tes.TesTokens;
-import org.meadowhollow.protocol.users.SubmissionCodec;
-import org.meadowhollow.protocol.users.UserApi;
 import org.meadowhollow.storage.RecordCodec;
 import org.meadowhollow.storage.RecordDigests;
 
@@ -292,15 +292,15 @@
         }
     }
 
-    private static TesTokens tokens() {
+    private static BearerTokens tokens() {
         try {
             // The SHA-256 of "secret", "other secret" and "reader".
-            return TesTokens.of(
+            return BearerTokens.parse(
                     List.of(
                             "team=2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b",
                             "other=bd4106123e659e259c401119d0c7ef0a221df306a5a414b6fb6a579499962d26",
                             "*=3d0941964aa3ebdcb00ccef58b1bb399f9f898465e9886d5aec7f31090a0fb30"));
-        } catch (Malformed wrong) {
+        } catch (MalformedMessageException wrong) {
             throw new AssertionError(wrong);
         }
     }
@@ -361,14 +361,14 @@
                 .answer(new Http.Request(method, "/ga4gh/tes/v1" + path, query, all::get, body));
     }
 
-    private static TesTokens operators() {
+    private static BearerTokens operators() {
         try {
             // The SHA-256 of "secret" and "reader".
-            return TesTokens.of(
+            return BearerTokens.parse(
                     List.of(
                             "operator=2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b",
                             "*=3d0941964aa3ebdcb00ccef58b1bb399f9f898465e9886d5aec7f31090a0fb30"));
-        } catch (Malformed wrong) {
+        } catch (MalformedMessageException wrong) {
             throw new AssertionError(wrong);
         }
     }
@@ -848,8 +848,8 @@
         request(
                 node,
                 admissionService ->
-                        new UserApi(admissionService)
-                                .submit(Wire.encode(body))
+                        new JobApi(admissionService)
+                                .submit(MessagePackCodec.encode(body))
                                 .thenAccept(
                                         reply ->
                                                 judged(
@@ -887,7 +887,8 @@
     int posts(int node, Map<String, Object> body) {
         return await(
                         node,
-                        admissionService -> new UserApi(admissionService).submit(Wire.encode(body)))
+                        admissionService ->
+                                new JobApi(admissionService).submit(MessagePackCodec.encode(body)))
                 .map(Http.Reply::status)
                 .orElse(0);
     }
--- /dev/null
+++ b/src/test/java/org/meadowhollow/transport/AdaptiveTimeoutTest.java
@@ -0,0 +1,22 @@
+package org.meadowhollow.transport;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+class AdaptiveTimeoutTest {
+    private static final long SECOND = 1_000_000_000;
+
+    @Test
+    void anAnswerIsGivenUpAtItsTime() {
+        assertEquals(0, new AdaptiveTimeout(0, SECOND).extensionNanos(SECOND + 3_000_000));
+    }
+
+    @Test
+    void aLoopThatIsBehindReadsOnceMoreBeforeItGivesUp() {
+        AdaptiveTimeout adaptiveTimeout = new AdaptiveTimeout(0, SECOND);
+        assertEquals(
+                2 * SECOND, adaptiveTimeout.extensionNanos(3 * SECOND), "as long as it was late");
+        assertEquals(0, adaptiveTimeout.extensionNanos(9 * SECOND), "and no longer");
+    }
+}
--- a/src/test/java/org/meadowhollow/transport/ConnectionsTest.java
+++ b/src/test/java/org/meadowhollow/transport/ConnectionLimiterTest.java
@@ -8,13 +8,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class ConnectionsTest {
+class ConnectionLimiterTest {
     private final List<String> closed = new ArrayList<>();
-    private final Connections<String> connections = new Connections<>(3, closed::add);
+    private final ConnectionLimiter<String> connectionLimiter =
+            new ConnectionLimiter<>(3, closed::add);
 
     private void request(String connection) {
-        connections.begins(connection);
-        connections.ends(connection);
+        connectionLimiter.requestStarted(connection);
+        connectionLimiter.requestFinished(connection);
     }
 
     @Test
@@ -27,21 +28,21 @@
         assertEquals(List.of("half-dead"), closed);
         request("another");
         assertEquals(List.of("half-dead", "user"), closed);
-        assertEquals(3, connections.count());
+        assertEquals(3, connectionLimiter.openCount());
     }
 
     @Test
     void whoWaitsForAnAnswerIsSpared() {
-        assertTrue(connections.begins("held report"));
+        assertTrue(connectionLimiter.requestStarted("held report"));
         request("idle");
-        connections.begins("slow");
-        connections.begins("newcomer");
+        connectionLimiter.requestStarted("slow");
+        connectionLimiter.requestStarted("newcomer");
         assertEquals(List.of("idle"), closed);
-        connections.begins("one more");
+        connectionLimiter.requestStarted("one more");
         assertEquals(List.of("idle"), closed, "all of them wait");
-        connections.ends("held report");
-        assertFalse(connections.begins("slow"));
-        connections.begins("yet another");
+        connectionLimiter.requestFinished("held report");
+        assertFalse(connectionLimiter.requestStarted("slow"));
+        connectionLimiter.requestStarted("yet another");
         assertEquals(List.of("idle", "held report"), closed);
     }
 
@@ -50,7 +51,7 @@
         request("a");
         request("b");
         request("c");
-        connections.closed("b");
+        connectionLimiter.connectionClosed("b");
         request("d");
         assertEquals(List.of(), closed);
     }
--- a/src/test/java/org/meadowhollow/transport/HttpClientTest.java
+++ b/src/test/java/org/meadowhollow/transport/HttpClientTest.java
@@ -52,7 +52,7 @@
         InetAddress here = InetAddress.getByName("127.0.0.1");
         List<Socket> filling = new ArrayList<>();
         try (ServerSocket full = new ServerSocket(0, 1, here);
-                XnioLoop loop = new XnioLoop()) {
+                XnioEventLoop loop = new XnioEventLoop()) {
             // Nobody accepts, and once its queue is full the system leaves further attempts without
             // an answer.
             assertThrows(
@@ -77,10 +77,10 @@
             }
             for (CompletableFuture<Http.Reply> call : calls) {
                 CompletionException failure = assertThrows(CompletionException.class, call::join);
-                assertTrue(failure.getCause() instanceof Http.NotSent);
+                assertTrue(failure.getCause() instanceof Http.RequestNotSentException);
             }
             // Closed on the loop's thread, by whatever stands behind this in its queue.
-            loop.call(() -> true);
+            loop.callAndWait(() -> true);
             assertEquals(0, attempts(full.getLocalPort()));
         } finally {
             for (Socket socket : filling) {
@@ -93,7 +93,7 @@
     void aCallThatIsGivenUpSaysThatNoAnswerCame() throws Exception {
         InetAddress here = InetAddress.getByName("127.0.0.1");
         try (ServerSocket mute = new ServerSocket(0, 5, here);
-                XnioLoop loop = new XnioLoop()) {
+                XnioEventLoop loop = new XnioEventLoop()) {
             HttpClient client = new HttpClient(loop, new DefaultByteBufferPool(false, 8192, 4, 0));
             CompletableFuture<Http.Reply> call =
                     client.send(
@@ -103,7 +103,7 @@
                             null,
                             Duration.ofMillis(300));
             CompletionException failure = assertThrows(CompletionException.class, call::join);
-            assertTrue(failure.getCause() instanceof Http.NoAnswer);
+            assertTrue(failure.getCause() instanceof Http.NoResponseException);
             assertEquals("no answer in time", failure.getCause().getMessage());
         }
     }
--- a/src/test/java/org/meadowhollow/transport/PemKeysTest.java
+++ b/src/test/java/org/meadowhollow/transport/PemKeyManagerTest.java
@@ -30,16 +30,16 @@
 import org.meadowhollow.protocol.Http;
 
 /** A listener with a certificate that is replaced while it serves. */
-class PemKeysTest {
+class PemKeyManagerTest {
     private static final String PASSWORD = "password";
 
     @TempDir private Path folder;
-    private XnioLoop loop;
+    private XnioEventLoop loop;
     private int made;
 
     @BeforeEach
     void begin() throws IOException {
-        loop = new XnioLoop();
+        loop = new XnioEventLoop();
     }
 
     @AfterEach
@@ -119,8 +119,8 @@
                 0,
                 0,
                 Duration.ofMinutes(1),
-                PemKeys.context(chain(), key()),
-                (Http.Handler)
+                PemKeyManager.sslContext(chain(), key()),
+                (Http.SimpleRequestHandler)
                         (method, path, body) ->
                                 CompletableFuture.completedFuture(
                                         new Http.Reply(
@@ -211,7 +211,8 @@
                 }) {
             replace(key(), key);
             IOException unusable =
-                    assertThrows(IOException.class, () -> PemKeys.context(chain(), key()), key);
+                    assertThrows(
+                            IOException.class, () -> PemKeyManager.sslContext(chain(), key()), key);
             assertEquals(1, unusable.getMessage().lines().count());
             assertFalse(unusable.getMessage().contains("AAAA"), "a key is never told");
         }
--- a/src/test/java/org/meadowhollow/transport/tracing/OtlpTracesTest.java
+++ b/src/test/java/org/meadowhollow/transport/tracing/OtlpTaskTracerTest.java
@@ -31,23 +31,23 @@
 import org.meadowhollow.model.TaskTracer.TracedTask;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.transport.HttpServer;
-import org.meadowhollow.transport.XnioLoop;
+import org.meadowhollow.transport.XnioEventLoop;
 
 /**
  * Spans on their way to a collector that stands in for a real one, read by the published protocol.
  */
-class OtlpTracesTest {
+class OtlpTaskTracerTest {
     private static final String TRACE = "0af7651916cd43dd8448eb211c80319c";
     private static final String CLIENT = "b7ad6b7169203331";
     private static final String CONTEXT = "00-" + TRACE + '-' + CLIENT + "-01";
 
     private final List<ResourceSpans> got = new ArrayList<>();
-    private XnioLoop loop;
+    private XnioEventLoop loop;
     private HttpServer collector;
 
     @BeforeEach
     void listen() throws IOException {
-        loop = new XnioLoop();
+        loop = new XnioEventLoop();
         collector =
                 new HttpServer(
                         loop,
@@ -56,7 +56,7 @@
                         0,
                         0,
                         Duration.ofMinutes(1),
-                        (Http.Handler) this::take);
+                        (Http.SimpleRequestHandler) this::take);
     }
 
     @AfterEach
@@ -79,8 +79,9 @@
                 new Http.Reply(200, new byte[0], 0, "application/x-protobuf"));
     }
 
-    private OtlpTraces traces(String member) {
-        return OtlpTraces.to(URI.create("http://127.0.0.1:" + collector.port()), member);
+    private OtlpTaskTracer traces(String member) {
+        return OtlpTaskTracer.exportingTo(
+                URI.create("http://127.0.0.1:" + collector.port()), member);
     }
 
     private List<Span> spans() {
@@ -101,8 +102,8 @@
     @Test
     void theSpansOfATaskHangTogetherThoughTwoNodesTellThem() {
         TracedTask task = new TracedTask(CONTEXT, new JobId("tes-1"), "team");
-        try (OtlpTraces first = traces("n0");
-                OtlpTraces second = traces("n1")) {
+        try (OtlpTaskTracer first = traces("n0");
+                OtlpTaskTracer second = traces("n1")) {
             first.onTaskAccepted(task, 1000, 1010);
             second.onAttemptEnded(
                     task, 1005, new AttemptRecord(1, "m1", 2000, 3000, 4000, "ERROR"));
@@ -156,7 +157,7 @@
 
     @Test
     void onlyAContextThatIsWholeAndWantedIsKept() {
-        try (OtlpTraces traces = traces("n0")) {
+        try (OtlpTaskTracer traces = traces("n0")) {
             assertEquals(CONTEXT, traces.traceContextOf(CONTEXT));
             assertEquals(
                     CONTEXT.replaceFirst("00", "cc"),
@@ -184,7 +185,8 @@
         int port = collector.port();
         collector.close();
         long begun = System.nanoTime();
-        try (OtlpTraces traces = OtlpTraces.to(URI.create("http://127.0.0.1:" + port), "n0")) {
+        try (OtlpTaskTracer traces =
+                OtlpTaskTracer.exportingTo(URI.create("http://127.0.0.1:" + port), "n0")) {
             for (int at = 0; at < 5000; at++) {
                 traces.onTaskEnded(task, JobPhase.DONE, 1, 2);
             }
