--- a/src/test/java/org/meadowhollow/coordination/admission/JobStatusCacheTest.java
+++ b/src/test/java/org/meadowhollow/coordination/admission/JobStatusCacheTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.api.Test;
 import org.meadowhollow.model.JobId;
 import org.meadowhollow.model.Revision;
+import org.meadowhollow.simulation.VirtualEventLoop;
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.RecordCodec;
-import org.meadowhollow.story.VirtualLoop;
 
 class JobStatusCacheTest {
     private static final JobId JOB = new JobId("req-1");
 
-    private final VirtualLoop loop = new VirtualLoop();
+    private final VirtualEventLoop loop = new VirtualEventLoop();
     private final List<CompletableFuture<KeyValueStore.ChangeBatch>> looks = new ArrayList<>();
 
     /** Looks that are answered when the test says so, and a first page that is answered at once. */
--- a/src/test/java/org/meadowhollow/protocol/keyvalue/KeyValueStoreClientTest.java
+++ b/src/test/java/org/meadowhollow/protocol/keyvalue/KeyValueStoreClientTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.api.Test;
 import org.meadowhollow.protocol.AdaptiveRateLimiter;
 import org.meadowhollow.protocol.Http;
+import org.meadowhollow.simulation.VirtualEventLoop;
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
 import org.meadowhollow.storage.KeyValueStoreException;
 import org.meadowhollow.storage.KeyValueStoreException.Outcome;
 import org.meadowhollow.storage.LeaseId;
-import org.meadowhollow.story.VirtualLoop;
 
 class KeyValueStoreClientTest {
-    private final VirtualLoop loop = new VirtualLoop();
+    private final VirtualEventLoop loop = new VirtualEventLoop();
     private final List<String> sent = new ArrayList<>();
     private int status = 404;
     private final Http.Client http =
--- a/src/test/java/org/meadowhollow/story/Story.java
+++ b/src/test/java/org/meadowhollow/simulation/ClusterTestBase.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import java.time.Duration;
 import java.util.List;
@@ -10,33 +10,33 @@
 import org.meadowhollow.model.TaskId;
 
 /**
- * A small deployment for stories of what happens while things fail; {@link World} checks the
- * protocol's rules.
+ * A small deployment for stories of what happens while things fail; {@link SimulatedCluster} checks
+ * the protocol's rules.
  */
-abstract class Story {
+abstract class ClusterTestBase {
     static final Duration SHORT = Duration.ofSeconds(10);
     static final Duration LONG = Duration.ofMinutes(5);
     static final Duration HOURS = Duration.ofHours(2);
 
-    World world;
+    SimulatedCluster cluster;
 
     @BeforeEach
     void threeNodesAndSomeMachines() {
-        world = new World();
+        cluster = new SimulatedCluster();
         for (int at = 0; at < 3; at++) {
-            world.machine(World.LARGE, "a");
-            world.machine(World.LARGE, "b");
+            cluster.machine(SimulatedCluster.LARGE, "a");
+            cluster.machine(SimulatedCluster.LARGE, "b");
         }
-        world.runS(12);
+        cluster.runS(12);
     }
 
     static JobSpec array(int number, int tasks) {
-        return World.spec(number, JobKind.ARRAY, tasks, 1);
+        return SimulatedCluster.spec(number, JobKind.ARRAY, tasks, 1);
     }
 
     Phase phase(JobSpec spec) {
         for (int node = 0; node < 3; node++) {
-            var state = world.poll(node, spec.id());
+            var state = cluster.poll(node, spec.id());
             if (state.isPresent()) {
                 return state.get().phase();
             }
@@ -45,7 +45,7 @@
     }
 
     FakeWorker placeOf(JobSpec spec, int task) {
-        List<FakeWorker> places = world.on(new TaskId(spec.id(), task));
+        List<FakeWorker> places = cluster.on(new TaskId(spec.id(), task));
         return places.isEmpty() ? null : places.get(0);
     }
 
--- a/src/test/java/org/meadowhollow/story/FakeStore.java
+++ b/src/test/java/org/meadowhollow/simulation/FakeKeyValueStore.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -27,7 +27,7 @@
 /**
  * The state service in memory; each node has its own line to it, which can be cut or lose answers.
  */
-final class FakeStore {
+final class FakeKeyValueStore {
     private static final Duration LATENCY = Duration.ofMillis(3);
 
     /** Changes that a watch can go back, as the protocol has it. */
@@ -56,11 +56,11 @@
     private int changes;
     private int refused;
 
-    FakeStore(EventLoop loop) {
+    FakeKeyValueStore(EventLoop loop) {
         this(loop, LATENCY);
     }
 
-    FakeStore(EventLoop loop, Duration latency) {
+    FakeKeyValueStore(EventLoop loop, Duration latency) {
         this.loop = loop;
         this.usual = latency;
         this.latency = latency;
@@ -503,7 +503,7 @@
                         () -> {
                             waitingCommits--;
                             try {
-                                FakeStore.this.commit(transaction);
+                                FakeKeyValueStore.this.commit(transaction);
                                 lateCommits++;
                             } catch (KeyValueStoreException refused) {
                                 // Nobody hears of it.
@@ -513,7 +513,7 @@
             }
             if (unansweredShare > 0 && unanswered.nextDouble() < unansweredShare) {
                 CompletableFuture<CommitResult> never = new CompletableFuture<>();
-                call(() -> FakeStore.this.commit(transaction))
+                call(() -> FakeKeyValueStore.this.commit(transaction))
                         .thenAccept(done -> lostCommits += done.isApplied() ? 1 : 0);
                 loop.schedule(timeout(), () -> fail(never, Outcome.INDETERMINATE));
                 return never;
@@ -521,7 +521,7 @@
             boolean heldBefore = holding;
             holding |= holdsCommits;
             try {
-                return call(() -> FakeStore.this.commit(transaction));
+                return call(() -> FakeKeyValueStore.this.commit(transaction));
             } finally {
                 holding = heldBefore;
             }
--- a/src/test/java/org/meadowhollow/story/FakeWorker.java
+++ b/src/test/java/org/meadowhollow/simulation/FakeWorker.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -23,7 +23,7 @@
 import org.meadowhollow.model.WorkerIncarnation;
 
 /** A machine's worker, as the protocol describes it. */
-final class FakeWorker implements Judge.Place {
+final class FakeWorker implements HistoryChecker.Place {
     private static final Duration REPORT = Duration.ofSeconds(3);
     private static final Duration LEASE = Duration.ofSeconds(18);
 
@@ -56,7 +56,7 @@
         }
     }
 
-    private final World world;
+    private final SimulatedCluster cluster;
     private final MachineId id;
     private final String type;
     private final String zone;
@@ -74,12 +74,12 @@
     private final Set<Integer> unreachable = new HashSet<>();
     private double noticeS = Double.NaN;
 
-    FakeWorker(World world, String id, String type, String zone) {
-        this.world = world;
+    FakeWorker(SimulatedCluster cluster, String id, String type, String zone) {
+        this.cluster = cluster;
         this.id = new MachineId(id);
         this.type = type;
         this.zone = zone;
-        this.answeredSentAt = world.loop().now();
+        this.answeredSentAt = cluster.loop().now();
         tick();
     }
 
@@ -94,7 +94,7 @@
 
     @Override
     public MachineType machineType() {
-        return World.typeOf(type);
+        return SimulatedCluster.typeOf(type);
     }
 
     String type() {
@@ -177,7 +177,7 @@
         seq = 0;
         token = FencingToken.NONE;
         inFlight = null;
-        answeredSentAt = world.loop().now();
+        answeredSentAt = cluster.loop().now();
     }
 
     /** Makes a task exit with an error. */
@@ -205,7 +205,7 @@
     }
 
     private boolean leaseIsOver() {
-        return world.loop().now().elapsedSince(answeredSentAt).compareTo(LEASE) > 0;
+        return cluster.loop().now().elapsedSince(answeredSentAt).compareTo(LEASE) > 0;
     }
 
     /** Tasks that are on the machine in the protocol's sense: with their image, and not exited. */
@@ -250,7 +250,7 @@
         if (gone) {
             return;
         }
-        world.loop().schedule(REPORT, this::tick);
+        cluster.loop().schedule(REPORT, this::tick);
         if (!hung) {
             advance();
             report();
@@ -259,7 +259,7 @@
 
     /** What time has brought: the end of the lease, images that have come, tasks that are done. */
     void advance() {
-        MonotonicTime now = world.loop().now();
+        MonotonicTime now = cluster.loop().now();
         if (leaseIsOver()) {
             tasks.clear();
             workerIncarnation = new WorkerIncarnation(workerIncarnation.value() + 1);
@@ -267,22 +267,22 @@
         }
         tasks.forEach(
                 (id, task) -> {
-                    boolean gang = world.spec(id.jobId()).kind() == JobKind.GANG;
+                    boolean gang = cluster.spec(id.jobId()).kind() == JobKind.GANG;
                     if (task.state == TaskState.PULLING_IMAGE && task.runsAt.isBefore(now)) {
                         task.state = gang ? TaskState.WAITING_FOR_GANG : TaskState.RUNNING;
                         task.runningSince = gang ? null : now;
-                        world.started(this, id);
+                        cluster.started(this, id);
                     }
                     if (gang) {
                         advanceGang(id, task, now);
                     }
-                    Duration runs = world.runTime(id.jobId());
+                    Duration runs = cluster.runTime(id.jobId());
                     if (task.state == TaskState.RUNNING
                             && runs != null
                             && now.elapsedSince(task.runningSince).compareTo(runs) > 0
-                            && world.mayComplete(id.jobId())) {
+                            && cluster.mayComplete(id.jobId())) {
                         exit(task, ExitReason.DONE);
-                        world.completed(id);
+                        cluster.completed(id);
                     }
                 });
     }
@@ -292,7 +292,7 @@
      * gone.
      */
     private void advanceGang(TaskId id, Task task, MonotonicTime now) {
-        boolean whole = world.isWhole(id.jobId(), task.attemptNumber);
+        boolean whole = cluster.isWhole(id.jobId(), task.attemptNumber);
         if (task.state == TaskState.WAITING_FOR_GANG && whole) {
             task.state = TaskState.RUNNING;
             task.runningSince = now;
@@ -347,16 +347,18 @@
             return;
         }
         Heartbeat heartbeat = snapshot();
-        MonotonicTime sentAt = world.loop().now();
+        MonotonicTime sentAt = cluster.loop().now();
         WorkerIncarnation reporting = workerIncarnation;
         CompletableFuture<HeartbeatResponse> answer =
-                reaches(node) && !mute ? world.deliver(node, heartbeat) : new CompletableFuture<>();
+                reaches(node) && !mute
+                        ? cluster.deliver(node, heartbeat)
+                        : new CompletableFuture<>();
         if (answer == null) {
             tryNext();
             return;
         }
         inFlight = answer;
-        world.loop()
+        cluster.loop()
                 .schedule(
                         ANSWER,
                         () -> {
@@ -370,19 +372,19 @@
                     if (inFlight == answer) {
                         inFlight = null;
                         if (!hung && !gone && workerIncarnation.equals(reporting)) {
-                            world.judged(() -> answered(given, sentAt));
+                            cluster.judged(() -> answered(given, sentAt));
                         }
                     }
                 });
     }
 
     private void tryNext() {
-        node = (node + 1) % world.nodeCount();
+        node = (node + 1) % cluster.nodeCount();
         reportAfter(NEXT);
     }
 
     private void reportAfter(Duration pause) {
-        world.loop()
+        cluster.loop()
                 .schedule(
                         pause,
                         () -> {
@@ -398,7 +400,7 @@
             if (redirect.member() == null) {
                 tryNext();
             } else {
-                node = world.indexOf(redirect.member());
+                node = cluster.indexOf(redirect.member());
                 reportAfter(CHANGE);
             }
             return;
@@ -442,12 +444,12 @@
                             throw new AssertionError(
                                     "started " + workerCommand + " beside another attempt");
                         }
-                        world.toldToStart(workerCommand.taskId());
+                        cluster.toldToStart(workerCommand.taskId());
                         tasks.put(
                                 workerCommand.taskId(),
                                 new Task(
                                         workerCommand.attemptNumber(),
-                                        world.loop().now().plus(world.fetch())));
+                                        cluster.loop().now().plus(cluster.fetch())));
                     }
                 }
                 case STOP -> {
--- a/src/test/java/org/meadowhollow/story/Trouble.java
+++ b/src/test/java/org/meadowhollow/simulation/Fault.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -12,7 +12,7 @@
 import org.meadowhollow.storage.RecordCodec;
 
 /** A trouble that begins, and ends when it is told to, for days on which troubles meet. */
-enum Trouble {
+enum Fault {
     REFUSED_ALONE,
     OUT_FOR_ALL,
     APART,
@@ -51,74 +51,74 @@
     FEW_CHANGES,
     SLOW_FOR_ALL;
 
-    private static final List<Trouble> FIRST =
+    private static final List<Fault> FIRST =
             List.copyOf(EnumSet.range(REFUSED_ALONE, SERVED_FOR_INSTANTS));
-    private static final List<Trouble> FURTHER =
+    private static final List<Fault> FURTHER =
             List.copyOf(EnumSet.range(MUTE_MACHINES, SLOW_FOR_ALL));
 
     /** Begins one of the first list, mostly at the leader; what is returned ends it. */
-    static Runnable begin(World world, Random random) {
-        return FIRST.get(random.nextInt(FIRST.size())).at(world, random);
+    static Runnable begin(SimulatedCluster cluster, Random random) {
+        return FIRST.get(random.nextInt(FIRST.size())).at(cluster, random);
     }
 
     /** Begins one of the further ones. */
-    static Runnable beginFurther(World world, Random random) {
-        return FURTHER.get(random.nextInt(FURTHER.size())).at(world, random);
+    static Runnable beginFurther(SimulatedCluster cluster, Random random) {
+        return FURTHER.get(random.nextInt(FURTHER.size())).at(cluster, random);
     }
 
-    private Runnable at(World world, Random random) {
-        int leader = world.leader();
+    private Runnable at(SimulatedCluster cluster, Random random) {
+        int leader = cluster.leader();
         int node = leader >= 0 && random.nextInt(3) > 0 ? leader : random.nextInt(3);
-        FakeStore.Line line = world.line(node);
+        FakeKeyValueStore.Line line = cluster.line(node);
         switch (this) {
             case REFUSED_ALONE -> {
                 line.cut(true);
                 return () -> line.cut(false);
             }
             case OUT_FOR_ALL -> {
-                world.store().out(true);
-                return () -> world.store().out(false);
+                cluster.store().out(true);
+                return () -> cluster.store().out(false);
             }
             case APART -> {
-                world.apart(node, true);
-                return () -> world.apart(node, false);
+                cluster.apart(node, true);
+                return () -> cluster.apart(node, false);
             }
             case LATE_WRITES -> {
-                return onLines(world, random, FakeStore.Line::lateWrites);
+                return onLines(cluster, random, FakeKeyValueStore.Line::lateWrites);
             }
             case LATE_REPORTS -> {
-                world.lateReports(0.2 + 0.6 * random.nextDouble(), random.nextLong());
-                return () -> world.lateReports(0, 0);
+                cluster.lateReports(0.2 + 0.6 * random.nextDouble(), random.nextLong());
+                return () -> cluster.lateReports(0, 0);
             }
             case DEAF_MACHINES -> {
-                return on(some(world, random), FakeWorker::deaf);
+                return on(some(cluster, random), FakeWorker::deaf);
             }
             case HUNG_MACHINES -> {
-                return on(some(world, random), FakeWorker::hang);
+                return on(some(cluster, random), FakeWorker::hang);
             }
             case ENDED -> {
-                world.thaw(node);
-                world.crash(node);
-                return () -> world.restart(node);
+                cluster.thaw(node);
+                cluster.crash(node);
+                return () -> cluster.restart(node);
             }
             case ALL_ENDED -> {
                 for (int each = 0; each < 3; each++) {
-                    world.thaw(each);
+                    cluster.thaw(each);
                 }
-                world.crashAll();
-                world.restart(node);
-                return world::restartAll;
+                cluster.crashAll();
+                cluster.restart(node);
+                return cluster::restartAll;
             }
             case BACK_AT_ONCE -> {
                 for (int time = 0; time < 3; time++) {
-                    world.bounce(node, Duration.ofMillis(100 + random.nextInt(900)));
-                    world.run(Duration.ofMillis(500));
+                    cluster.bounce(node, Duration.ofMillis(100 + random.nextInt(900)));
+                    cluster.run(Duration.ofMillis(500));
                 }
                 return () -> {};
             }
             case FROZEN -> {
-                world.freeze(node);
-                return () -> world.thaw(node);
+                cluster.freeze(node);
+                return () -> cluster.thaw(node);
             }
             case ANSWERS_LOST -> {
                 line.loseAnswers(true);
@@ -129,8 +129,8 @@
                 return () -> line.hold(false);
             }
             case DEAF_TO_A_ZONE -> {
-                world.cutFromZone(node, random.nextBoolean() ? "a" : "b", true);
-                return () -> world.cutFromWorkers(node, false);
+                cluster.cutFromZone(node, random.nextBoolean() ? "a" : "b", true);
+                return () -> cluster.cutFromWorkers(node, false);
             }
             case WATCHES_FAIL -> {
                 line.failWatches(true);
@@ -138,137 +138,137 @@
             }
             case RECORDS_HIDDEN -> {
                 for (int each = 0; each < 3; each++) {
-                    world.line(each).hide(RecordCodec.TASK_PREFIX);
+                    cluster.line(each).hide(RecordCodec.TASK_PREFIX);
                 }
                 return () -> {
                     for (int each = 0; each < 3; each++) {
-                        world.line(each).hide("/");
+                        cluster.line(each).hide("/");
                     }
                 };
             }
             case SHORT_OF_TIME -> {
-                world.busy(node, Duration.ofMillis(500 + random.nextInt(4000)));
-                return () -> world.busy(node, false);
+                cluster.busy(node, Duration.ofMillis(500 + random.nextInt(4000)));
+                return () -> cluster.busy(node, false);
             }
             case PEERS_CUT -> {
-                world.peersCut(true);
-                return () -> world.peersCut(false);
+                cluster.peersCut(true);
+                return () -> cluster.peersCut(false);
             }
             case HAND_OVER -> {
-                if (world.node(node) != null) {
-                    world.node(node).handOver();
+                if (cluster.node(node) != null) {
+                    cluster.node(node).handOver();
                 }
                 return () -> {};
             }
             case MACHINES_BEGIN_ANEW -> {
-                some(world, random).forEach(FakeWorker::reboot);
+                some(cluster, random).forEach(FakeWorker::reboot);
                 return () -> {};
             }
             case MUTE_MACHINES -> {
-                return on(some(world, random), FakeWorker::mute);
+                return on(some(cluster, random), FakeWorker::mute);
             }
             case MUTE_ZONE -> {
                 String zone = random.nextBoolean() ? "a" : "b";
                 return on(
-                        world.workers().stream()
+                        cluster.workers().stream()
                                 .filter(worker -> worker.zone().equals(zone))
                                 .toList(),
                         FakeWorker::mute);
             }
             case ANSWERS_OF_WRITES_LOST -> {
-                return onLines(world, random, FakeStore.Line::loseCommitAnswers);
+                return onLines(cluster, random, FakeKeyValueStore.Line::loseCommitAnswers);
             }
             case REPORTS_FOR_NEXT -> {
-                world.keepReportsForNext(0.2 + 0.6 * random.nextDouble(), random.nextLong());
-                return () -> world.keepReportsForNext(0, 0);
+                cluster.keepReportsForNext(0.2 + 0.6 * random.nextDouble(), random.nextLong());
+                return () -> cluster.keepReportsForNext(0, 0);
             }
             case CANCEL_NOW -> {
-                List<JobSpec> running = new ArrayList<>(world.runningJobs());
+                List<JobSpec> running = new ArrayList<>(cluster.runningJobs());
                 Collections.shuffle(running, random);
-                world.cancelNow(
+                cluster.cancelNow(
                         running.subList(0, Math.min(4, running.size())),
                         Duration.ofSeconds(random.nextBoolean() ? 0 : 5 + random.nextInt(40)));
                 return () -> {};
             }
             case CANCEL_AT_END -> {
-                world.cancelAtEnd(0.3 + 0.7 * random.nextDouble(), random.nextLong());
-                return () -> world.cancelAtEnd(0, 0);
+                cluster.cancelAtEnd(0.3 + 0.7 * random.nextDouble(), random.nextLong());
+                return () -> cluster.cancelAtEnd(0, 0);
             }
             case ODD_REQUESTS -> {
                 for (int time = 0; time < 8; time++) {
-                    world.oddRequest(random);
-                    world.run(Duration.ofMillis(250 * random.nextInt(4)));
+                    cluster.oddRequest(random);
+                    cluster.run(Duration.ofMillis(250 * random.nextInt(4)));
                 }
                 return () -> {};
             }
             case CLOSE_LOOKS -> {
-                world.closeLooks(true);
-                return () -> world.closeLooks(false);
+                cluster.closeLooks(true);
+                return () -> cluster.closeLooks(false);
             }
             case QUICK_BOOTS -> {
-                world.boots(Duration.ofMillis(50 + random.nextInt(1900)), Duration.ofSeconds(10));
-                return () -> world.boots(Duration.ofSeconds(10), Duration.ZERO);
+                cluster.boots(Duration.ofMillis(50 + random.nextInt(1900)), Duration.ofSeconds(10));
+                return () -> cluster.boots(Duration.ofSeconds(10), Duration.ZERO);
             }
             case DEPOSED_BY_A_HINT -> {
-                if (world.leader() >= 0 && world.node(world.leader()) != null) {
-                    world.node(world.leader())
+                if (cluster.leader() >= 0 && cluster.node(cluster.leader()) != null) {
+                    cluster.node(cluster.leader())
                             .observeLeader(
-                                    new FencingToken(world.term() + 1), "n" + random.nextInt(3));
+                                    new FencingToken(cluster.term() + 1), "n" + random.nextInt(3));
                 }
                 return () -> {};
             }
             case ALL_AWAY -> {
                 for (int each = 0; each < 3; each++) {
-                    world.thaw(each);
+                    cluster.thaw(each);
                 }
-                world.crashAll();
-                world.runS(19 + random.nextInt(20));
-                world.restartAll();
+                cluster.crashAll();
+                cluster.runS(19 + random.nextInt(20));
+                cluster.restartAll();
                 return () -> {};
             }
             case ZONE_APART_WITH_A_NODE -> {
                 String zone = random.nextBoolean() ? "a" : "b";
-                world.apart(node, true);
+                cluster.apart(node, true);
                 for (int each = 0; each < 3; each++) {
-                    world.cutFromZone(each, zone, each != node);
-                    world.cutFromZone(each, zone.equals("a") ? "b" : "a", each == node);
+                    cluster.cutFromZone(each, zone, each != node);
+                    cluster.cutFromZone(each, zone.equals("a") ? "b" : "a", each == node);
                 }
                 return () -> {
-                    world.apart(node, false);
+                    cluster.apart(node, false);
                     for (int each = 0; each < 3; each++) {
-                        world.cutFromWorkers(each, false);
+                        cluster.cutFromWorkers(each, false);
                     }
                 };
             }
             case LEADER_AFTER_LEADER -> {
                 for (int time = 0; time < 5; time++) {
-                    int now = world.leader();
+                    int now = cluster.leader();
                     if (now >= 0) {
-                        world.bounce(now, Duration.ofMillis(100 + random.nextInt(6000)));
+                        cluster.bounce(now, Duration.ofMillis(100 + random.nextInt(6000)));
                     }
-                    world.runS(3 + random.nextInt(9));
+                    cluster.runS(3 + random.nextInt(9));
                 }
                 return () -> {};
             }
             case SLOW_FOR_ALL -> {
-                world.store().slow(Duration.ofMillis(200 + random.nextInt(1100)));
-                return () -> world.store().slow(null);
+                cluster.store().slow(Duration.ofMillis(200 + random.nextInt(1100)));
+                return () -> cluster.store().slow(null);
             }
             case FEW_CHANGES -> {
-                world.store().limit(4 + random.nextInt(12));
-                return () -> world.store().limit(0);
+                cluster.store().limit(4 + random.nextInt(12));
+                return () -> cluster.store().limit(0);
             }
             case CLOUD_OUT -> {
-                world.cloudOut(true);
-                return () -> world.cloudOut(false);
+                cluster.cloudOut(true);
+                return () -> cluster.cloudOut(false);
             }
             default -> {
                 line.failWatches(true);
                 for (int instant = 0; instant < 4; instant++) {
                     line.cut(true);
-                    world.runS(1 + random.nextInt(3));
+                    cluster.runS(1 + random.nextInt(3));
                     line.cut(false);
-                    world.run(Duration.ofMillis(250 + random.nextInt(750)));
+                    cluster.run(Duration.ofMillis(250 + random.nextInt(750)));
                 }
                 line.cut(true);
                 return () -> {
@@ -280,18 +280,18 @@
     }
 
     private interface LineTrouble {
-        void set(FakeStore.Line line, double share, long seed);
+        void set(FakeKeyValueStore.Line line, double share, long seed);
     }
 
     /** A trouble of a share of what goes to the state service from every node. */
-    private static Runnable onLines(World world, Random random, LineTrouble trouble) {
+    private static Runnable onLines(SimulatedCluster cluster, Random random, LineTrouble trouble) {
         double share = 0.2 + 0.6 * random.nextDouble();
         for (int each = 0; each < 3; each++) {
-            trouble.set(world.line(each), share, random.nextLong());
+            trouble.set(cluster.line(each), share, random.nextLong());
         }
         return () -> {
             for (int each = 0; each < 3; each++) {
-                trouble.set(world.line(each), 0, 0);
+                trouble.set(cluster.line(each), 0, 0);
             }
         };
     }
@@ -301,8 +301,8 @@
         return () -> workers.forEach(worker -> trouble.accept(worker, false));
     }
 
-    private static List<FakeWorker> some(World world, Random random) {
-        List<FakeWorker> all = new ArrayList<>(world.workers());
+    private static List<FakeWorker> some(SimulatedCluster cluster, Random random) {
+        List<FakeWorker> all = new ArrayList<>(cluster.workers());
         List<FakeWorker> some = new ArrayList<>();
         for (int at = 0; at < 3 && !all.isEmpty(); at++) {
             some.add(all.remove(random.nextInt(all.size())));
--- a/src/test/java/org/meadowhollow/story/GoldenStoreTest.java
+++ b/src/test/java/org/meadowhollow/simulation/GoldenStoreTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import static java.util.Map.entry;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -69,47 +69,47 @@
     private static final JobId TES = new JobId(GoldenTesTask.ID);
     private static final String RESERVED = "2030-";
 
-    private final World world = new World();
+    private final SimulatedCluster cluster = new SimulatedCluster();
 
     /**
      * Fills the store, and has machines run what its records say of the first two; the third one
      * has begun anew.
      */
     private void fill(String... whoLeads) {
-        world.loop().skip(Duration.ofMillis(GoldenTesTask.BEGIN_MILLIS));
-        world.crashAll();
+        cluster.loop().skip(Duration.ofMillis(GoldenTesTask.BEGIN_MILLIS));
+        cluster.crashAll();
         FILES.forEach(this::put);
         List.of(whoLeads).forEach(this::put);
         for (JobId job : List.of(ARRAY, GANG, SERVICE, CANCELLED, ACCOMPANIED, TES)) {
-            world.spec(job);
-            world.runs(job, job.equals(SERVICE) ? Duration.ofHours(2) : SHORT);
+            cluster.spec(job);
+            cluster.runs(job, job.equals(SERVICE) ? Duration.ofHours(2) : SHORT);
         }
-        world.judge().asksToCancel(CANCELLED);
+        cluster.judge().asksToCancel(CANCELLED);
         for (int task = 0; task < 150; task++) {
-            world.judge().complete(new TaskId(ARRAY, task));
+            cluster.judge().complete(new TaskId(ARRAY, task));
         }
-        world.judge().complete(new TaskId(ARRAY, 152));
-        world.judge().complete(new TaskId(ARRAY, 199));
+        cluster.judge().complete(new TaskId(ARRAY, 152));
+        cluster.judge().complete(new TaskId(ARRAY, 199));
         for (int at = 0; at < 6; at++) {
-            world.machine(World.LARGE, at < 3 ? "a" : "b");
+            cluster.machine(SimulatedCluster.LARGE, at < 3 ? "a" : "b");
         }
         // The cloud has no more: a rented one could take the name of the tenth, which is gone.
-        world.mostMachines(6);
+        cluster.mostMachines(6);
         started(0, ARRAY, 160, 2);
         for (int task = 0; task < 4; task++) {
             started(task % 2, GANG, task, 3);
         }
-        world.calendar(Map.of("large", 30));
-        world.standby();
+        cluster.calendar(Map.of("large", 30));
+        cluster.standby();
     }
 
     private void put(String name) {
         GoldenFile file = GoldenFile.read(name);
-        world.store().put(file.key(), file.value());
+        cluster.store().put(file.key(), file.value());
     }
 
     private void started(int machine, JobId job, int task, int attempt) {
-        world.workers()
+        cluster.workers()
                 .get(machine)
                 .direct(
                         new FencingToken(42),
@@ -120,53 +120,55 @@
     }
 
     private void assertEnds(JobId id, Phase phase, int done) {
-        var state = world.poll(1, id).orElseThrow();
+        var state = cluster.poll(1, id).orElseThrow();
         assertEquals(phase, state.phase(), id.value());
         assertEquals(done, state.done(), id.value());
-        assertNull(world.store().value("job/" + id.value()));
-        assertEquals(0, world.store().size("task/" + id.value() + '/'));
+        assertNull(cluster.store().value("job/" + id.value()));
+        assertEquals(0, cluster.store().size("task/" + id.value() + '/'));
         assertEquals(
                 Map.of(
                         "cancelled",
                         phase == Phase.CANCELLED,
                         "tasks",
-                        (long) world.spec(id).taskCount(),
+                        (long) cluster.spec(id).taskCount(),
                         "done",
                         (long) done),
-                world.store().value("ended/" + id.value()));
+                cluster.store().value("ended/" + id.value()));
     }
 
     @Test
     void aLeaderLoadsWhatTheLastVersionWroteAndEndsItsJobs() throws MalformedMessageException {
         fill("term", "leader");
-        world.runS(3);
-        assertEquals(1, world.leader(), "the node of the record is back before its lease is over");
-        assertEquals(43, world.term());
-        world.runS(5);
+        cluster.runS(3);
+        assertEquals(
+                1, cluster.leader(), "the node of the record is back before its lease is over");
+        assertEquals(43, cluster.term());
+        cluster.runS(5);
         // What ran goes on: the same attempts, on the same machines.
         for (int task = 0; task < 4; task++) {
-            assertEquals(1, world.on(new TaskId(GANG, task)).size());
+            assertEquals(1, cluster.on(new TaskId(GANG, task)).size());
             assertEquals(
                     new AttemptNumber(3),
-                    world.workers().get(task % 2).attempt(new TaskId(GANG, task)));
+                    cluster.workers().get(task % 2).attempt(new TaskId(GANG, task)));
         }
-        assertEquals(new AttemptNumber(2), world.workers().get(0).attempt(new TaskId(ARRAY, 160)));
-        world.runS(240);
+        assertEquals(
+                new AttemptNumber(2), cluster.workers().get(0).attempt(new TaskId(ARRAY, 160)));
+        cluster.runS(240);
         assertEnds(ARRAY, Phase.DONE, 250);
         assertEnds(GANG, Phase.DONE, 4);
         assertEnds(CANCELLED, Phase.CANCELLED, 0);
         assertEnds(ACCOMPANIED, Phase.DONE, 1);
         assertEnds(TES, Phase.DONE, 1);
-        assertEquals(Phase.RUNNING, world.poll(world.leader(), SERVICE).orElseThrow().phase());
+        assertEquals(Phase.RUNNING, cluster.poll(cluster.leader(), SERVICE).orElseThrow().phase());
         for (int task = 0; task < 3; task++) {
-            assertEquals(1, world.on(new TaskId(SERVICE, task)).size());
+            assertEquals(1, cluster.on(new TaskId(SERVICE, task)).size());
         }
-        assertTrue(world.cancel(2, SERVICE));
-        world.runS(30);
+        assertTrue(cluster.cancel(2, SERVICE));
+        cluster.runS(30);
         assertEnds(SERVICE, Phase.CANCELLED, 0);
 
         // The tenth attempt was lost with its machine, and the next one had the next number.
-        Map<String, Object> entry = world.store().value(GoldenFile.read("entry").key());
+        Map<String, Object> entry = cluster.store().value(GoldenFile.read("entry").key());
         assertEquals("DONE", entry.get("progress"));
         List<?> log = (List<?>) entry.get("log");
         assertEquals("LOST", ((Map<?, ?>) log.get(log.size() - 2)).get("cause"));
@@ -189,46 +191,46 @@
                         "window-zone",
                         "calendar-stamp")) {
             GoldenFile file = GoldenFile.read(name);
-            file.assertSameBytes(world.store().value(file.key()));
+            file.assertSameBytes(cluster.store().value(file.key()));
         }
     }
 
     @Test
     void theNodeThatTheLastLeaderNamedLeadsNext() {
         fill("term-handed-over");
-        world.runS(3);
-        assertEquals(2, world.leader());
-        assertEquals(43, world.term());
-        assertEquals(Map.of("term", 43L), world.store().value("meta/term"));
+        cluster.runS(3);
+        assertEquals(2, cluster.leader());
+        assertEquals(43, cluster.term());
+        assertEquals(Map.of("term", 43L), cluster.store().value("meta/term"));
     }
 
     @Test
     void jobsThatEndedBeforeAreToldOfAndNotRunAgain() {
         fill("term", "leader");
-        JobSpec done = World.spec(105, JobKind.GANG, 4, 1);
-        JobSpec cancelled = World.spec(106, JobKind.SERVICE, 3, 1);
+        JobSpec done = SimulatedCluster.spec(105, JobKind.GANG, 4, 1);
+        JobSpec cancelled = SimulatedCluster.spec(106, JobKind.SERVICE, 3, 1);
         for (int task = 0; task < 4; task++) {
-            world.judge().complete(new TaskId(done.id(), task));
+            cluster.judge().complete(new TaskId(done.id(), task));
         }
-        world.judge().asksToCancel(cancelled.id());
-        world.runS(8);
-        assertTrue(world.submit(0, done, SHORT));
-        assertTrue(world.submit(2, cancelled, SHORT));
-        world.runS(30);
-        assertEquals(Phase.DONE, world.poll(1, done.id()).orElseThrow().phase());
-        assertEquals(4, world.poll(1, done.id()).orElseThrow().done());
-        assertEquals(Phase.CANCELLED, world.poll(1, cancelled.id()).orElseThrow().phase());
-        assertEquals(1, world.poll(1, cancelled.id()).orElseThrow().done());
-        assertNull(world.store().value("job/req-000105"));
-        assertNull(world.store().value("job/req-000106"));
+        cluster.judge().asksToCancel(cancelled.id());
+        cluster.runS(8);
+        assertTrue(cluster.submit(0, done, SHORT));
+        assertTrue(cluster.submit(2, cancelled, SHORT));
+        cluster.runS(30);
+        assertEquals(Phase.DONE, cluster.poll(1, done.id()).orElseThrow().phase());
+        assertEquals(4, cluster.poll(1, done.id()).orElseThrow().done());
+        assertEquals(Phase.CANCELLED, cluster.poll(1, cancelled.id()).orElseThrow().phase());
+        assertEquals(1, cluster.poll(1, cancelled.id()).orElseThrow().done());
+        assertNull(cluster.store().value("job/req-000105"));
+        assertNull(cluster.store().value("job/req-000106"));
     }
 
     @Test
     void theCalendarShowsWhatTheLastVersionKept() throws MalformedMessageException {
         fill("term", "leader");
-        world.runS(8);
+        cluster.runS(8);
         String text =
-                new String(world.operate(0, "secret", "GET", "reservations", null, "").body());
+                new String(cluster.operate(0, "secret", "GET", "reservations", null, "").body());
         for (String part :
                 List.of(
                         "nightly",
@@ -252,7 +254,7 @@
     private void assertTesTask(String state) throws MalformedMessageException {
         Map<String, Object> task =
                 body(
-                        world.tes(
+                        cluster.tes(
                                 0,
                                 "secret",
                                 "GET",
@@ -267,7 +269,7 @@
         asked.forEach((key, value) -> assertEquals(value, task.get(key), key));
         Map<String, Object> listed =
                 body(
-                        world.tes(
+                        cluster.tes(
                                 2,
                                 "secret",
                                 "GET",
@@ -292,7 +294,7 @@
 
     @Test
     void aTaskOfTheExecutionApiIsKeptAsBefore() {
-        FakeStore store = GoldenTesTask.accepted().store();
+        FakeKeyValueStore store = GoldenTesTask.accepted().store();
         GoldenFile task = GoldenFile.read("tes-task");
         assertEquals("tes/" + GoldenTesTask.ID, task.key());
         task.assertSameBytes(store.value(task.key()));
--- a/src/test/java/org/meadowhollow/story/GoldenTesFilesMain.java
+++ b/src/test/java/org/meadowhollow/simulation/GoldenTesFilesMain.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import java.io.IOException;
 import java.util.Map;
@@ -12,7 +12,7 @@
     private GoldenTesFilesMain() {}
 
     public static void main(String[] unused) throws IOException {
-        FakeStore store = GoldenTesTask.accepted().store();
+        FakeKeyValueStore store = GoldenTesTask.accepted().store();
         Map<String, Object> task = store.value("tes/" + GoldenTesTask.ID);
         GoldenFile.write("tes-task", "tes/" + GoldenTesTask.ID, task);
         GoldenFile.write(
--- a/src/test/java/org/meadowhollow/story/GoldenTesTask.java
+++ b/src/test/java/org/meadowhollow/simulation/GoldenTesTask.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -35,13 +35,13 @@
     /**
      * A world that sends the task before it has any machine: nothing but its acceptance is written.
      */
-    static World accepted() {
-        World world = new World();
-        world.loop().skip(Duration.ofMillis(BEGIN_MILLIS));
-        world.boots(Duration.ofHours(1), Duration.ZERO);
-        world.runS(12);
+    static SimulatedCluster accepted() {
+        SimulatedCluster cluster = new SimulatedCluster();
+        cluster.loop().skip(Duration.ofMillis(BEGIN_MILLIS));
+        cluster.boots(Duration.ofHours(1), Duration.ZERO);
+        cluster.runS(12);
         Http.Reply reply =
-                world.tes(
+                cluster.tes(
                         0,
                         "secret",
                         "POST",
@@ -50,6 +50,6 @@
                         Map.of("Idempotency-Key", KEY),
                         BODY);
         assertEquals(200, reply.status(), new String(reply.body()));
-        return world;
+        return cluster;
     }
 }
--- a/src/test/java/org/meadowhollow/story/Judge.java
+++ b/src/test/java/org/meadowhollow/simulation/HistoryChecker.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -27,7 +27,7 @@
  * Holds what workers and users saw against the protocol's rules, and against what is promised for
  * the time after all troubles. It knows nothing of records, nor of what any node believes.
  */
-final class Judge {
+final class HistoryChecker {
     /** A job about which no question is answered for so long, after all troubles, is forgotten. */
     private static final Duration NO_ANSWER = Duration.ofSeconds(75);
 
@@ -78,7 +78,7 @@
     private MonotonicTime calmSince;
     private int startsAfterCancellation;
 
-    Judge(
+    HistoryChecker(
             Duration cancelWithin,
             Map<String, DeploymentSettings.TeamQuota> teams,
             List<MachineType> types,
--- a/src/test/java/org/meadowhollow/story/OrderRules.java
+++ b/src/test/java/org/meadowhollow/simulation/JobEventLogChecker.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -16,8 +16,8 @@
  * What the ordering log shows of the rules: nothing twice at a time, nothing before or after its
  * time, the limit.
  */
-final class OrderRules {
-    private OrderRules() {}
+final class JobEventLogChecker {
+    private JobEventLogChecker() {}
 
     /**
      * @param events in the order of the state service
--- a/src/test/java/org/meadowhollow/story/StateServer.java
+++ b/src/test/java/org/meadowhollow/simulation/KeyValueStoreHttpServer.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import java.time.Duration;
 import java.util.List;
@@ -17,14 +17,14 @@
 import org.meadowhollow.storage.Transaction;
 
 /** The state service as the protocol has it, over HTTP; what it keeps is the stories' store. */
-final class StateServer implements Http.RequestHandler {
+final class KeyValueStoreHttpServer implements Http.RequestHandler {
     private final KeyValueStore store;
     private final Runnable changed;
 
     /**
      * @param changed is told after each request that may have changed something
      */
-    StateServer(KeyValueStore store, Runnable changed) {
+    KeyValueStoreHttpServer(KeyValueStore store, Runnable changed) {
         this.store = store;
         this.changed = changed;
     }
@@ -92,7 +92,9 @@
                                                     MessageReader.mapOf(
                                                             "items",
                                                             page.entries().stream()
-                                                                    .map(StateServer::entry)
+                                                                    .map(
+                                                                            KeyValueStoreHttpServer
+                                                                                    ::entry)
                                                                     .toList(),
                                                             "truncated",
                                                             page.hasMore(),
@@ -103,7 +105,7 @@
                                     one(request, "prefix"),
                                     new Revision(Long.parseLong(one(request, "after"))),
                                     Duration.ofMillis(Long.parseLong(one(request, "blockMs"))))
-                            .thenApply(StateServer::changes);
+                            .thenApply(KeyValueStoreHttpServer::changes);
             case "/multi" ->
                     store.commit(
                                     transaction(MessageReader.decode(request.body())),
--- a/src/test/java/org/meadowhollow/story/LoadMain.java
+++ b/src/test/java/org/meadowhollow/simulation/LoadTestMain.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import io.undertow.server.DefaultByteBufferPool;
 import java.io.IOException;
@@ -37,7 +37,7 @@
  * a second of both interfaces, what lists cost the state service, and what hostile requests leave
  * behind. Run by hand: {@code docs/measurements.md} says how.
  */
-final class LoadMain {
+final class LoadTestMain {
     private static final int AT_ONCE = 16;
     private static final int REQUESTS = 2000;
     private static final int TASKS = 10_000;
@@ -56,13 +56,13 @@
     private int tes;
     private Process node;
 
-    private LoadMain() {}
+    private LoadTestMain() {}
 
     /**
      * @param args the command that starts a controller, up to its {@code --config}
      */
     public static void main(String[] args) throws Exception {
-        new LoadMain().run(args);
+        new LoadTestMain().run(args);
         System.exit(0);
     }
 
@@ -74,9 +74,9 @@
 
     private void run(String[] command) throws Exception {
         XnioEventLoop loop = new XnioEventLoop();
-        FakeStore store = new FakeStore(loop, Duration.ZERO);
+        FakeKeyValueStore store = new FakeKeyValueStore(loop, Duration.ZERO);
         Http.RequestHandler state =
-                loop.callAndWait(() -> new StateServer(store.new Line(), () -> {}));
+                loop.callAndWait(() -> new KeyValueStoreHttpServer(store.new Line(), () -> {}));
         int statePort =
                 serve(
                         loop,
@@ -202,7 +202,7 @@
                                     "/submissions",
                                     MessagePackCodec.encode(
                                             SubmissionCodec.encode(
-                                                    World.spec(
+                                                    SimulatedCluster.spec(
                                                             from + at + 1, JobKind.ARRAY, 1, 1)))));
             load(
                     "native poll",
--- a/src/test/java/org/meadowhollow/story/LoopbackTest.java
+++ b/src/test/java/org/meadowhollow/simulation/LoopbackIntegrationTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -56,7 +56,7 @@
  * over real connections on ports of the system's choice. What the clients wait for is bounded, and
  * waited for by what the stand-ins see.
  */
-class LoopbackTest {
+class LoopbackIntegrationTest {
     private static final Duration PATIENCE = Duration.ofSeconds(40);
     private static final int LIMIT = 4;
     private static final String TRACE = "0af7651916cd43dd8448eb211c80319c";
@@ -77,13 +77,16 @@
     private final List<HttpServer> servers = new ArrayList<>();
     private final HttpClient http = HttpClient.newHttpClient();
     private XnioEventLoop loop;
-    private FakeStore store;
+    private FakeKeyValueStore store;
 
     @BeforeEach
     void start() throws Exception {
         loop = new XnioEventLoop();
-        store = new FakeStore(loop);
-        int state = serve(loop.callAndWait(() -> new StateServer(store.new Line(), this::stir)));
+        store = new FakeKeyValueStore(loop);
+        int state =
+                serve(
+                        loop.callAndWait(
+                                () -> new KeyValueStoreHttpServer(store.new Line(), this::stir)));
         int cloud = serve((Http.SimpleRequestHandler) this::cloud);
         int collector = serve((Http.SimpleRequestHandler) this::collect);
         Map<String, String> backs = new LinkedHashMap<>();
@@ -323,7 +326,7 @@
     }
 
     private JobId submit(int node, int number) throws Exception {
-        JobSpec job = World.spec(number, JobKind.ARRAY, 1, 1);
+        JobSpec job = SimulatedCluster.spec(number, JobKind.ARRAY, 1, 1);
         assertEquals(
                 201,
                 plain(
@@ -416,7 +419,7 @@
                                                         + "/ga4gh/tes/v1/tasks"))
                                 .GET())
                         .statusCode());
-        OrderRules.check(events(), LIMIT);
+        JobEventLogChecker.check(events(), LIMIT);
         List<JobId> placed =
                 events().stream()
                         .filter(event -> event.type() == JobEventLog.EventType.PLACED)
--- a/src/test/java/org/meadowhollow/story/LoopbackWorker.java
+++ b/src/test/java/org/meadowhollow/simulation/LoopbackWorker.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import io.undertow.server.DefaultByteBufferPool;
 import java.time.Duration;
--- a/src/test/java/org/meadowhollow/story/MachineStoriesTest.java
+++ b/src/test/java/org/meadowhollow/simulation/MachineFailureScenarioTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,64 +15,65 @@
 import org.meadowhollow.model.TaskState;
 
 /** Machines that hang, fall silent, are taken back, rented and returned. */
-class MachineStoriesTest extends Story {
+class MachineFailureScenarioTest extends ClusterTestBase {
     /** A service of one replica, which is on its machine. */
     private JobSpec runningReplica() {
-        JobSpec job = World.spec(1, JobKind.SERVICE, 1, 1);
-        assertTrue(world.submit(0, job, null));
-        world.runS(10);
+        JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 1, 1);
+        assertTrue(cluster.submit(0, job, null));
+        cluster.runS(10);
         return job;
     }
 
     @Test
     void aStartNeedNotWaitForTheNextReport() {
         // All machines report every 3 s from the same moment on, and have just done so.
-        world.runS(3.25);
+        cluster.runS(3.25);
         JobSpec job = array(1, 6);
-        assertTrue(world.submit(0, job, LONG));
-        world.runS(1.5);
+        assertTrue(cluster.submit(0, job, LONG));
+        cluster.runS(1.5);
         assertTrue(
-                world.workers().stream().anyMatch(worker -> worker.holds(new TaskId(job.id(), 0))));
+                cluster.workers().stream()
+                        .anyMatch(worker -> worker.holds(new TaskId(job.id(), 0))));
     }
 
     @Test
     void aHungMachinesTasksRunElsewhereAndItMayGoOnLater() {
         JobSpec job = runningReplica();
         FakeWorker hung = placeOf(job, 0);
-        world.cloudOut(true);
+        cluster.cloudOut(true);
         hung.hang(true);
-        world.runS(12);
-        assertEquals(1, world.starts(), "its lease may still hold");
-        world.runS(20);
-        assertEquals(2, world.starts());
+        cluster.runS(12);
+        assertEquals(1, cluster.starts(), "its lease may still hold");
+        cluster.runS(20);
+        assertEquals(2, cluster.starts());
         hung.hang(false);
-        world.runS(20);
-        assertEquals(1, world.on(new TaskId(job.id(), 0)).size());
+        cluster.runS(20);
+        assertEquals(1, cluster.on(new TaskId(job.id(), 0)).size());
     }
 
     @Test
     void aMachineThatNeverShowedTheNewTokenHoldsItsTasksForTheWholeLimit() {
         JobSpec job = runningReplica();
         FakeWorker hung = placeOf(job, 0);
-        world.cloudOut(true);
+        cluster.cloudOut(true);
         hung.hang(true);
-        world.crash(world.leader());
-        world.runS(40);
-        assertEquals(1, world.starts(), "an earlier leader might still renew its lease");
-        world.runS(30);
-        assertEquals(2, world.starts());
+        cluster.crash(cluster.leader());
+        cluster.runS(40);
+        assertEquals(1, cluster.starts(), "an earlier leader might still renew its lease");
+        cluster.runS(30);
+        assertEquals(2, cluster.starts());
     }
 
     @Test
     void aStartWhoseAnswerWasLostIsSentAgain() {
-        world.workers().forEach(worker -> worker.deaf(true));
+        cluster.workers().forEach(worker -> worker.deaf(true));
         JobSpec job = array(1, 2);
-        assertTrue(world.submit(0, job, SHORT));
-        world.runS(7);
-        assertEquals(0, world.starts());
-        world.workers().forEach(worker -> worker.deaf(false));
-        world.runS(25);
-        assertEquals(2, world.starts());
+        assertTrue(cluster.submit(0, job, SHORT));
+        cluster.runS(7);
+        assertEquals(0, cluster.starts());
+        cluster.workers().forEach(worker -> worker.deaf(false));
+        cluster.runS(25);
+        assertEquals(2, cluster.starts());
         assertEquals(Phase.DONE, phase(job));
     }
 
@@ -80,21 +81,21 @@
     void aReplicaIsMovedFromASilentMachineBeforeItsLeaseEnds() {
         JobSpec job = runningReplica();
         placeOf(job, 0).hang(true);
-        world.runS(16);
-        assertEquals(2, world.starts());
+        cluster.runS(16);
+        assertEquals(2, cluster.starts());
     }
 
     @Test
     void manySilentMachinesAreNotGivenUpAtOnce() {
-        JobSpec job = zoned(World.spec(1, JobKind.SERVICE, 4, 8), false, false);
-        assertTrue(world.submit(0, job, null));
-        world.runS(10);
-        int before = world.workers().size();
+        JobSpec job = zoned(SimulatedCluster.spec(1, JobKind.SERVICE, 4, 8), false, false);
+        assertTrue(cluster.submit(0, job, null));
+        cluster.runS(10);
+        int before = cluster.workers().size();
         for (int task = 0; task < 4; task++) {
             placeOf(job, task).hang(true);
         }
-        world.runS(16);
-        assertEquals(before, world.workers().size(), "the fault may be on this side");
+        cluster.runS(16);
+        assertEquals(before, cluster.workers().size(), "the fault may be on this side");
     }
 
     @Test
@@ -119,9 +120,9 @@
                                         place.attempt(new TaskId(job.id(), 0)),
                                         TaskState.EXITED,
                                         ExitReason.ERROR)));
-        world.deliver(world.leader(), late);
-        world.runS(15);
-        assertEquals(1, world.starts());
+        cluster.deliver(cluster.leader(), late);
+        cluster.runS(15);
+        assertEquals(1, cluster.starts());
     }
 
     @Test
@@ -129,7 +130,7 @@
         JobSpec job = runningReplica();
         FakeWorker first = placeOf(job, 0);
         first.notice(25);
-        world.runS(15);
+        cluster.runS(15);
         FakeWorker second = placeOf(job, 0);
         assertTrue(second != null && second != first);
     }
@@ -137,13 +138,13 @@
     @Test
     void machinesAreRentedForWorkAndReturnedWhenIdle() {
         JobSpec job = array(1, 60);
-        int before = world.workers().size();
-        assertTrue(world.submit(0, job, Duration.ofSeconds(30)));
-        world.runS(40);
-        assertTrue(world.workers().size() > before);
-        world.runS(200);
+        int before = cluster.workers().size();
+        assertTrue(cluster.submit(0, job, Duration.ofSeconds(30)));
+        cluster.runS(40);
+        assertTrue(cluster.workers().size() > before);
+        cluster.runS(200);
         assertEquals(Phase.DONE, phase(job));
-        assertTrue(world.workers().size() <= 1, world.workers().size() + " are left idle");
+        assertTrue(cluster.workers().size() <= 1, cluster.workers().size() + " are left idle");
     }
 
     /**
@@ -154,16 +155,16 @@
     void aMachineWhoseReturnWasRefusedTakesTasksAgain() {
         JobSpec job = runningReplica();
         FakeWorker place = placeOf(job, 0);
-        world.mostMachines(0);
-        world.cloudOut(true);
+        cluster.mostMachines(0);
+        cluster.cloudOut(true);
         place.hang(true);
-        world.runS(12);
+        cluster.runS(12);
         place.hang(false);
-        world.runS(20);
+        cluster.runS(20);
         assertEquals(place, placeOf(job, 0));
         JobSpec more = array(2, 47);
-        assertTrue(world.submit(0, more, LONG));
-        world.runS(10);
+        assertTrue(cluster.submit(0, more, LONG));
+        cluster.runS(10);
         assertTrue(allRun(job) && allRun(more), "all room there is");
     }
 }
--- a/src/test/java/org/meadowhollow/story/MonthOfNightsTest.java
+++ b/src/test/java/org/meadowhollow/simulation/NightlyReservationsScenarioTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -25,7 +25,7 @@
  * A month of nights on a fleet that other work could fill, with a run at two each night; what lies
  * between is left out of the clocks. The month has a night on which the clocks go back.
  */
-class MonthOfNightsTest {
+class NightlyReservationsScenarioTest {
     private static final ZoneId ZONE = ZoneId.of("America/New_York");
     private static final LocalDate FIRST = LocalDate.of(2026, 10, 20);
     private static final int NIGHTS = 30;
@@ -42,23 +42,23 @@
 
     private static Month month(long seed, boolean reserved, boolean faults) {
         Random random = new Random(seed);
-        World world = new World();
+        SimulatedCluster cluster = new SimulatedCluster();
         for (int at = 0; at < 4; at++) {
-            world.machine(World.SMALL, at % 2 == 0 ? "a" : "b");
+            cluster.machine(SimulatedCluster.SMALL, at % 2 == 0 ? "a" : "b");
         }
-        world.machine(World.LARGE, "a");
-        world.machine(World.LARGE, "b");
-        world.mostMachines(6);
-        world.calendar(Map.of());
-        world.loop()
+        cluster.machine(SimulatedCluster.LARGE, "a");
+        cluster.machine(SimulatedCluster.LARGE, "b");
+        cluster.mostMachines(6);
+        cluster.calendar(Map.of());
+        cluster.loop()
                 .skip(
                         Duration.between(
-                                Instant.ofEpochMilli(world.loop().wallClockMillis()),
+                                Instant.ofEpochMilli(cluster.loop().wallClockMillis()),
                                 FIRST.atStartOfDay(ZONE).toInstant()));
-        world.runS(15);
+        cluster.runS(15);
         if (reserved) {
             Http.Reply reply =
-                    world.operate(
+                    cluster.operate(
                             0,
                             "secret",
                             "PUT",
@@ -96,15 +96,15 @@
         int others = 0;
         for (int night = 0; night < NIGHTS; night++) {
             Instant two = FIRST.plusDays(night).atTime(LocalTime.of(2, 0)).atZone(ZONE).toInstant();
-            world.loop()
+            cluster.loop()
                     .skip(
                             Duration.between(
-                                    Instant.ofEpochMilli(world.loop().wallClockMillis()),
+                                    Instant.ofEpochMilli(cluster.loop().wallClockMillis()),
                                     two.minusSeconds(600)));
             List<JobSpec> background = new ArrayList<>();
             for (int at = 0; at < 6; at++) {
                 double estimate = 100 + random.nextInt(800);
-                JobSpec spec = World.spec(++number, JobKind.ARRAY, 8, 1);
+                JobSpec spec = SimulatedCluster.spec(++number, JobKind.ARRAY, 8, 1);
                 JobSpec other =
                         new JobSpec(
                                 spec.id(),
@@ -128,17 +128,17 @@
                 background.add(other);
                 // Wrong by up to half, either way.
                 assertTrue(
-                        world.submit(
+                        cluster.submit(
                                 at % 3,
                                 other,
                                 Duration.ofMillis(
                                         (long) (estimate * (500 + random.nextInt(1000))))));
-                world.runS(random.nextInt(60));
+                cluster.runS(random.nextInt(60));
             }
-            fault(world, faults ? random.nextInt(5) : -1);
-            double leftS = (two.toEpochMilli() - world.loop().wallClockMillis()) / 1000.0;
-            world.runS(Math.max(0, leftS));
-            JobSpec run = World.spec(++number, JobKind.ARRAY, TASKS, 1);
+            fault(cluster, faults ? random.nextInt(5) : -1);
+            double leftS = (two.toEpochMilli() - cluster.loop().wallClockMillis()) / 1000.0;
+            cluster.runS(Math.max(0, leftS));
+            JobSpec run = SimulatedCluster.spec(++number, JobKind.ARRAY, TASKS, 1);
             run =
                     new JobSpec(
                             run.id(),
@@ -159,47 +159,47 @@
                             0,
                             0,
                             Double.NaN);
-            for (int node = 0; !world.submit(node % 3, run, Duration.ofSeconds(60)); node++) {
+            for (int node = 0; !cluster.submit(node % 3, run, Duration.ofSeconds(60)); node++) {
                 assertTrue(node < 10, "nobody takes it");
             }
-            world.runS(ON_TIME_S);
+            cluster.runS(ON_TIME_S);
             int running = 0;
             for (int task = 0; task < TASKS; task++) {
-                running += world.on(new TaskId(run.id(), task)).isEmpty() ? 0 : 1;
+                running += cluster.on(new TaskId(run.id(), task)).isEmpty() ? 0 : 1;
             }
             onTime += running == TASKS ? 1 : 0;
-            world.runS(200);
-            world.restartAll();
-            world.runS(5);
+            cluster.runS(200);
+            cluster.restartAll();
+            cluster.runS(5);
             for (JobSpec each : background) {
-                others += world.poll(0, each.id()).orElseThrow().done();
-                world.cancel(1, each.id());
+                others += cluster.poll(0, each.id()).orElseThrow().done();
+                cluster.cancel(1, each.id());
             }
-            world.cancel(1, run.id());
-            world.runS(30);
+            cluster.cancel(1, run.id());
+            cluster.runS(30);
         }
         return new Month(onTime, others);
     }
 
     /** Something that happens in the last minutes before the run. */
-    private static void fault(World world, int which) {
+    private static void fault(SimulatedCluster cluster, int which) {
         switch (which) {
             case 0 -> {
-                world.crash(world.leader());
-                world.runS(20);
+                cluster.crash(cluster.leader());
+                cluster.runS(20);
             }
             case 1 -> {
-                world.crashAll();
-                world.runS(3);
-                world.restartAll();
+                cluster.crashAll();
+                cluster.runS(3);
+                cluster.restartAll();
             }
             case 2 -> {
-                world.store().out(true);
-                world.runS(20);
-                world.store().out(false);
+                cluster.store().out(true);
+                cluster.runS(20);
+                cluster.store().out(false);
             }
-            case 3 -> world.cloudOut(true);
-            default -> world.cloudOut(false);
+            case 3 -> cluster.cloudOut(true);
+            default -> cluster.cloudOut(false);
         }
     }
 
--- a/src/test/java/org/meadowhollow/story/MeetingStoriesTest.java
+++ b/src/test/java/org/meadowhollow/simulation/OverlappingFaultsScenarioTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -20,23 +20,23 @@
  * the leader alone, another node confirms them, and then it is down for all. docs/meetings.md has
  * what each party believes at each step.
  */
-class MeetingStoriesTest extends Story {
+class OverlappingFaultsScenarioTest extends ClusterTestBase {
     private List<JobSpec> longJobs() {
         List<JobSpec> jobs =
                 List.of(
                         array(1, 12),
-                        World.spec(2, JobKind.GANG, 4, 2),
-                        World.spec(3, JobKind.SERVICE, 3, 1));
+                        SimulatedCluster.spec(2, JobKind.GANG, 4, 2),
+                        SimulatedCluster.spec(3, JobKind.SERVICE, 3, 1));
         for (JobSpec job : jobs) {
-            assertTrue(world.submit(0, job, job.kind() == JobKind.SERVICE ? null : HOURS));
+            assertTrue(cluster.submit(0, job, job.kind() == JobKind.SERVICE ? null : HOURS));
         }
-        world.runS(15);
+        cluster.runS(15);
         jobs.forEach(job -> assertTrue(allRun(job), job.id() + " should run"));
         return jobs;
     }
 
     private void cancelAll(int node, List<JobSpec> jobs) {
-        jobs.forEach(job -> assertTrue(world.cancel(node, job.id())));
+        jobs.forEach(job -> assertTrue(cluster.cancel(node, job.id())));
         jobs.forEach(
                 job ->
                         assertTrue(
@@ -45,8 +45,8 @@
     }
 
     /**
-     * What the judge of {@link World} watches over at each step, and that it had something to
-     * watch.
+     * What the judge of {@link SimulatedCluster} watches over at each step, and that it had
+     * something to watch.
      */
     private void goneInTime(List<JobSpec> jobs) {
         for (JobSpec job : jobs) {
@@ -58,7 +58,7 @@
 
     private void hideRecords() {
         for (int node = 0; node < 3; node++) {
-            world.line(node).hide(RecordCodec.TASK_PREFIX);
+            cluster.line(node).hide(RecordCodec.TASK_PREFIX);
         }
     }
 
@@ -67,15 +67,15 @@
      * confirms the cancellations.
      */
     private void refusedAloneWhileCancelled(int leader, List<JobSpec> jobs) {
-        world.peersCut(true);
-        world.line(leader).cut(true);
+        cluster.peersCut(true);
+        cluster.line(leader).cut(true);
         cancelAll(other(leader, 1), jobs);
     }
 
     private void outForAllAfter(int refused, List<JobSpec> jobs) {
-        world.store().out(true);
-        world.line(refused).cut(false);
-        world.runS(90);
+        cluster.store().out(true);
+        cluster.line(refused).cut(false);
+        cluster.runS(90);
         goneInTime(jobs);
     }
 
@@ -83,50 +83,50 @@
     @ValueSource(ints = {1, 3, 6, 12, 30})
     void refusedAloneForSecondsThenOutForAll(int refusedS) {
         List<JobSpec> jobs = longJobs();
-        int leader = world.leader();
+        int leader = cluster.leader();
         refusedAloneWhileCancelled(leader, jobs);
-        world.runS(refusedS);
+        cluster.runS(refusedS);
         outForAllAfter(leader, jobs);
     }
 
     @Test
     void aLeaderThatIsServedForAnInstantRenewsAndKnowsNoMore() {
         List<JobSpec> jobs = longJobs();
-        int leader = world.leader();
-        world.line(leader).failWatches(true);
+        int leader = cluster.leader();
+        cluster.line(leader).failWatches(true);
         refusedAloneWhileCancelled(leader, jobs);
         for (int instant = 0; instant < 4; instant++) {
-            world.runS(2);
-            world.line(leader).cut(false);
-            world.runS(0.75);
-            world.line(leader).cut(true);
+            cluster.runS(2);
+            cluster.line(leader).cut(false);
+            cluster.runS(0.75);
+            cluster.line(leader).cut(true);
         }
-        assertEquals(leader, world.leader(), "its renewals were answered");
+        assertEquals(leader, cluster.leader(), "its renewals were answered");
         outForAllAfter(leader, jobs);
     }
 
     @Test
     void aLeaderWhoseWatchesFailReadsWhatItMissed() {
         List<JobSpec> jobs = longJobs();
-        int leader = world.leader();
-        world.line(leader).failWatches(true);
+        int leader = cluster.leader();
+        cluster.line(leader).failWatches(true);
         cancelAll(other(leader, 1), jobs);
         JobSpec another = array(4, 6);
-        world.submit(other(leader, 2), another, HOURS);
-        world.runS(40);
+        cluster.submit(other(leader, 2), another, HOURS);
+        cluster.runS(40);
         goneInTime(jobs);
-        assertEquals(leader, world.leader());
+        assertEquals(leader, cluster.leader());
         assertTrue(allRun(another), "what was submitted meanwhile begins");
     }
 
     @Test
     void aNewLeaderThatHasNotLoadedRenewsNothing() {
         List<JobSpec> jobs = longJobs();
-        int leader = world.leader();
+        int leader = cluster.leader();
         hideRecords();
         refusedAloneWhileCancelled(leader, jobs);
-        world.runS(10);
-        assertFalse(leader == world.leader(), "another node leads, and is loading");
+        cluster.runS(10);
+        assertFalse(leader == cluster.leader(), "another node leads, and is loading");
         outForAllAfter(leader, jobs);
     }
 
@@ -134,14 +134,14 @@
     void leadersThatFollowOneAnotherWithoutTheRecords() {
         List<JobSpec> jobs = longJobs();
         hideRecords();
-        int leader = world.leader();
+        int leader = cluster.leader();
         refusedAloneWhileCancelled(leader, jobs);
         for (int takeover = 0; takeover < 2; takeover++) {
-            world.runS(9);
-            int next = world.leader();
+            cluster.runS(9);
+            int next = cluster.leader();
             assertTrue(next >= 0);
-            world.line(next).cut(true);
-            world.line(leader).cut(false);
+            cluster.line(next).cut(true);
+            cluster.line(leader).cut(false);
             leader = next;
         }
         outForAllAfter(leader, jobs);
@@ -150,84 +150,84 @@
     @Test
     void aPlainOutageLetsNoTaskGoSoonerThanTheRulesNeed() {
         List<JobSpec> jobs = longJobs();
-        world.store().out(true);
+        cluster.store().out(true);
         // cancel_s less a look's age and a second: what was not cancelled goes on for so long, and
         // through an outage shorter than it.
-        world.runS(24);
-        world.store().out(false);
-        world.runS(20);
+        cluster.runS(24);
+        cluster.store().out(false);
+        cluster.runS(20);
         jobs.forEach(job -> assertTrue(allRun(job)));
-        assertEquals(19, world.starts());
+        assertEquals(19, cluster.starts());
     }
 
     @Test
     void anOutageThatLastsEndsAllLeasesAndAfterItAllRunAgain() {
         List<JobSpec> jobs = longJobs();
-        world.store().out(true);
-        world.runS(80);
+        cluster.store().out(true);
+        cluster.runS(80);
         goneInTime(jobs);
-        world.store().out(false);
-        world.runS(90);
+        cluster.store().out(false);
+        cluster.runS(90);
         jobs.forEach(job -> assertTrue(allRun(job)));
     }
 
     @Test
     void anAnswerBelowWhatWasShownIsNoNews() {
         List<JobSpec> jobs = longJobs();
-        int leader = world.leader();
-        world.line(leader).goBack(true);
+        int leader = cluster.leader();
+        cluster.line(leader).goBack(true);
         cancelAll(other(leader, 1), jobs);
-        world.runS(70);
+        cluster.runS(70);
         goneInTime(jobs);
     }
 
     @Test
     void aJobTakenInAndCancelledBetweenTwoLooksComesToItsEnd() {
-        int leader = world.leader();
-        world.line(leader).failWatches(true);
+        int leader = cluster.leader();
+        cluster.line(leader).failWatches(true);
         JobSpec job = array(1, 2);
-        assertTrue(world.submit(other(leader, 1), job, HOURS));
-        assertTrue(world.cancel(other(leader, 1), job.id()));
+        assertTrue(cluster.submit(other(leader, 1), job, HOURS));
+        assertTrue(cluster.cancel(other(leader, 1), job.id()));
         // All jobs are read instead, which shows it cancelled at once.
-        world.runS(20);
-        assertEquals(0, world.store().size(RecordCodec.JOB_PREFIX), "its end is written");
+        cluster.runS(20);
+        assertEquals(0, cluster.store().size(RecordCodec.JOB_PREFIX), "its end is written");
     }
 
     @Test
     void machinesThatAreBackAtOnceAreReturnedAndNobodyWaitsForThem() {
         List<JobSpec> jobs = longJobs();
-        List<FakeWorker> back = world.workers().subList(0, 2);
+        List<FakeWorker> back = cluster.workers().subList(0, 2);
         back.forEach(FakeWorker::reboot);
-        world.runS(20);
+        cluster.runS(20);
         assertTrue(
-                world.returned().containsAll(back.stream().map(FakeWorker::id).toList()),
+                cluster.returned().containsAll(back.stream().map(FakeWorker::id).toList()),
                 "what they report cannot be told from late copies");
-        world.runS(10);
+        cluster.runS(10);
         jobs.forEach(job -> assertTrue(allRun(job)));
     }
 
     @Test
     void aCancelledTaskOfAFormerLifeIsNotWaitedForByALeaderThatMeetsTheNewOne() {
         JobSpec job = array(1, 1);
-        FakeWorker worker = world.workers().get(0);
+        FakeWorker worker = cluster.workers().get(0);
         worker.hang(true);
-        world.runS(20);
+        cluster.runS(20);
         worker.hang(false);
-        world.runS(8);
-        for (FakeWorker other : world.workers()) {
+        cluster.runS(8);
+        for (FakeWorker other : cluster.workers()) {
             other.hang(other != worker);
         }
-        assertTrue(world.submit(0, job, HOURS));
-        world.runS(8);
+        assertTrue(cluster.submit(0, job, HOURS));
+        cluster.runS(8);
         assertEquals(worker, placeOf(job, 0), "in its second session");
-        world.workers().forEach(other -> other.hang(false));
-        int leader = world.leader();
+        cluster.workers().forEach(other -> other.hang(false));
+        int leader = cluster.leader();
         worker.reboot();
-        world.crash(leader);
-        assertTrue(world.cancel(other(leader, 1), job.id()));
-        world.runS(15);
+        cluster.crash(leader);
+        assertTrue(cluster.cancel(other(leader, 1), job.id()));
+        cluster.runS(15);
         assertEquals(
-                0, world.store().size(RecordCodec.TASK_PREFIX), "what it left is cleared away");
+                0, cluster.store().size(RecordCodec.TASK_PREFIX), "what it left is cleared away");
     }
 
     /**
@@ -237,35 +237,35 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4, 6, 9, 12})
     void jobsWhoseTasksEndFarApartAcrossAChangeOfLeaderAreDoneOnceAndWhole(int quartersOfASecond) {
-        JobSpec job = World.spec(1, JobKind.ARRAY, 2, 8);
-        assertTrue(world.submit(0, job, SHORT));
+        JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 2, 8);
+        assertTrue(cluster.submit(0, job, SHORT));
         for (int step = 0; step < 80 && placeOf(job, 1) == null; step++) {
-            world.runS(0.25);
+            cluster.runS(0.25);
         }
-        world.runS(7);
+        cluster.runS(7);
         FakeWorker second = placeOf(job, 1);
         second.hang(true);
         if (quartersOfASecond % 2 == 1) {
             // The end is not committed, so the worker may not be told to forget it.
-            world.line(world.leader()).holdCommits();
+            cluster.line(cluster.leader()).holdCommits();
         }
         for (int step = 0; step < 80 && placeOf(job, 0) != null; step++) {
-            world.runS(0.25);
+            cluster.runS(0.25);
         }
-        world.runS(quartersOfASecond * 0.25);
-        int leader = world.leader();
-        world.crash(leader);
-        world.runS(5);
+        cluster.runS(quartersOfASecond * 0.25);
+        int leader = cluster.leader();
+        cluster.crash(leader);
+        cluster.runS(5);
         assertFalse(phase(job) == Phase.DONE, "its second task has not ended");
         second.hang(false);
-        world.restart(leader);
-        world.runS(30);
+        cluster.restart(leader);
+        cluster.runS(30);
         assertEquals(Phase.DONE, phase(job));
-        assertEquals(2, world.starts(), "no finished task runs again");
+        assertEquals(2, cluster.starts(), "no finished task runs again");
         assertEquals(
                 0,
-                world.store().size(RecordCodec.JOB_PREFIX)
-                        + world.store().size(RecordCodec.TASK_PREFIX));
+                cluster.store().size(RecordCodec.JOB_PREFIX)
+                        + cluster.store().size(RecordCodec.TASK_PREFIX));
     }
 
     /**
@@ -276,24 +276,24 @@
     @ValueSource(ints = {20, 35, 60})
     void aZoneWithWorkersAndItsLeaderIsCutOffForLongerThanTheLease(int cutS) {
         List<JobSpec> jobs = longJobs();
-        JobSpec stays = World.spec(4, JobKind.SERVICE, 6, 2);
-        assertTrue(world.submit(0, stays, null));
-        world.runS(8);
+        JobSpec stays = SimulatedCluster.spec(4, JobKind.SERVICE, 6, 2);
+        assertTrue(cluster.submit(0, stays, null));
+        cluster.runS(8);
         assertTrue(allRun(stays));
-        int leader = world.leader();
-        world.apart(leader, true);
-        world.cutFromZone(leader, "b", true);
-        world.cutFromZone(other(leader, 1), "a", true);
-        world.cutFromZone(other(leader, 2), "a", true);
-        world.runS(3);
+        int leader = cluster.leader();
+        cluster.apart(leader, true);
+        cluster.cutFromZone(leader, "b", true);
+        cluster.cutFromZone(other(leader, 1), "a", true);
+        cluster.cutFromZone(other(leader, 2), "a", true);
+        cluster.runS(3);
         cancelAll(other(leader, 1), jobs);
-        world.runS(12);
-        assertFalse(leader == world.leader());
+        cluster.runS(12);
+        assertFalse(leader == cluster.leader());
         assertTrue(
                 jobs.stream()
                         .anyMatch(
                                 job ->
-                                        world.workers().stream()
+                                        cluster.workers().stream()
                                                 .anyMatch(
                                                         worker ->
                                                                 worker.zone().equals("a")
@@ -305,21 +305,21 @@
                                                                                                                 job
                                                                                                                         .id())))),
                 "the cut zone goes on inside");
-        world.runS(cutS);
-        world.apart(leader, false);
+        cluster.runS(cutS);
+        cluster.apart(leader, false);
         for (int node = 0; node < 3; node++) {
-            world.cutFromWorkers(node, false);
+            cluster.cutFromWorkers(node, false);
         }
-        world.runS(40);
+        cluster.runS(40);
         goneInTime(jobs);
         // What was not called off counts as running in the cut zone for as long as its leader may
         // have gone on answering.
-        world.runS(30);
+        cluster.runS(30);
         assertTrue(allRun(stays));
         assertEquals(
                 2,
-                world.store().size(RecordCodec.JOB_PREFIX)
-                        + world.store().size(RecordCodec.TASK_PREFIX));
+                cluster.store().size(RecordCodec.JOB_PREFIX)
+                        + cluster.store().size(RecordCodec.TASK_PREFIX));
     }
 
     /**
@@ -329,24 +329,24 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 2, 5, 8, 11})
     void whatALeaderWroteIsCarriedOutAfterItsNewerWrites(int fromS) {
-        JobSpec first = World.spec(1, JobKind.ARRAY, 6, 1);
-        JobSpec second = World.spec(2, JobKind.GANG, 2, 2);
-        assertTrue(world.submit(0, first, SHORT));
-        world.runS(fromS);
-        int leader = world.leader();
-        world.line(leader).lateWrites(1, fromS);
-        world.submits(other(leader, 1), second, SHORT);
-        world.runS(1.75);
-        world.line(leader).lateWrites(0, 0);
-        world.cancels(other(leader, 1), fromS % 2 == 0 ? first.id() : second.id());
-        world.runS(40);
-        assertTrue(world.line(leader).lateCommits() > 0, "executed after newer ones");
+        JobSpec first = SimulatedCluster.spec(1, JobKind.ARRAY, 6, 1);
+        JobSpec second = SimulatedCluster.spec(2, JobKind.GANG, 2, 2);
+        assertTrue(cluster.submit(0, first, SHORT));
+        cluster.runS(fromS);
+        int leader = cluster.leader();
+        cluster.line(leader).lateWrites(1, fromS);
+        cluster.submits(other(leader, 1), second, SHORT);
+        cluster.runS(1.75);
+        cluster.line(leader).lateWrites(0, 0);
+        cluster.cancels(other(leader, 1), fromS % 2 == 0 ? first.id() : second.id());
+        cluster.runS(40);
+        assertTrue(cluster.line(leader).lateCommits() > 0, "executed after newer ones");
         assertEquals(fromS % 2 == 0 ? Phase.CANCELLED : Phase.DONE, phase(first));
         assertEquals(fromS % 2 == 0 ? Phase.DONE : Phase.CANCELLED, phase(second));
         assertEquals(
                 0,
-                world.store().size(RecordCodec.JOB_PREFIX)
-                        + world.store().size(RecordCodec.TASK_PREFIX));
+                cluster.store().size(RecordCodec.JOB_PREFIX)
+                        + cluster.store().size(RecordCodec.TASK_PREFIX));
     }
 
     /**
@@ -354,34 +354,35 @@
      */
     @Test
     void aStartThatIsWrittenAfterTheEndOfItsTaskIsRefused() {
-        JobSpec job = World.spec(1, JobKind.ARRAY, 2, 8);
-        int leader = world.leader();
-        world.line(leader).lateWritesBy(Duration.ofSeconds(9));
-        assertTrue(world.submit(other(leader, 1), job, Duration.ofSeconds(3)));
-        for (int step = 0; step < 20 && world.line(leader).waitingCommits() == 0; step++) {
-            world.run(Duration.ofMillis(250));
+        JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 2, 8);
+        int leader = cluster.leader();
+        cluster.line(leader).lateWritesBy(Duration.ofSeconds(9));
+        assertTrue(cluster.submit(other(leader, 1), job, Duration.ofSeconds(3)));
+        for (int step = 0; step < 20 && cluster.line(leader).waitingCommits() == 0; step++) {
+            cluster.run(Duration.ofMillis(250));
         }
-        world.line(leader).lateWritesBy(null);
+        cluster.line(leader).lateWritesBy(null);
         for (int step = 0; step < 40 && placeOf(job, 1) == null; step++) {
-            world.run(Duration.ofMillis(250));
+            cluster.run(Duration.ofMillis(250));
         }
         FakeWorker second = placeOf(job, 1);
         second.hang(true);
-        for (int step = 0; step < 60 && world.line(leader).lateCommits() == 0; step++) {
-            world.run(Duration.ofMillis(250));
+        for (int step = 0; step < 60 && cluster.line(leader).lateCommits() == 0; step++) {
+            cluster.run(Duration.ofMillis(250));
         }
-        assertTrue(world.line(leader).lateCommits() > 0);
+        assertTrue(cluster.line(leader).lateCommits() > 0);
         assertEquals(null, placeOf(job, 0), "its task had ended");
-        assertEquals(leader, world.leader());
-        Map<String, Object> record = world.store().value(RecordCodec.TASK_PREFIX + job.id() + "/0");
+        assertEquals(leader, cluster.leader());
+        Map<String, Object> record =
+                cluster.store().value(RecordCodec.TASK_PREFIX + job.id() + "/0");
         assertEquals(
                 1,
                 ((List<?>) record.get("placed")).size(),
                 "the record of its start does not come back");
-        world.crash(leader);
+        cluster.crash(leader);
         second.hang(false);
-        world.runS(40);
-        assertEquals(2, world.starts());
+        cluster.runS(40);
+        assertEquals(2, cluster.starts());
         assertEquals(Phase.DONE, phase(job));
     }
 
@@ -389,26 +390,27 @@
     @Test
     void anEndThatIsWrittenAfterTheCancellationIsRefused() {
         JobSpec job = array(1, 1);
-        int leader = world.leader();
-        assertTrue(world.submit(other(leader, 1), job, SHORT));
-        world.runS(8);
+        int leader = cluster.leader();
+        assertTrue(cluster.submit(other(leader, 1), job, SHORT));
+        cluster.runS(8);
         assertTrue(allRun(job));
-        world.line(leader).lateWritesBy(Duration.ofSeconds(4));
-        for (int step = 0; step < 60 && world.line(leader).waitingCommits() == 0; step++) {
-            world.run(Duration.ofMillis(250));
+        cluster.line(leader).lateWritesBy(Duration.ofSeconds(4));
+        for (int step = 0; step < 60 && cluster.line(leader).waitingCommits() == 0; step++) {
+            cluster.run(Duration.ofMillis(250));
         }
-        world.line(leader).lateWritesBy(null);
-        assertTrue(world.cancel(other(leader, 1), job.id()));
-        assertEquals(Phase.CANCELLED, world.poll(other(leader, 1), job.id()).orElseThrow().phase());
-        world.runS(20);
-        assertTrue(world.line(leader).lateCommits() > 0);
+        cluster.line(leader).lateWritesBy(null);
+        assertTrue(cluster.cancel(other(leader, 1), job.id()));
+        assertEquals(
+                Phase.CANCELLED, cluster.poll(other(leader, 1), job.id()).orElseThrow().phase());
+        cluster.runS(20);
+        assertTrue(cluster.line(leader).lateCommits() > 0);
         for (int node = 0; node < 3; node++) {
-            assertEquals(Phase.CANCELLED, world.poll(node, job.id()).orElseThrow().phase());
+            assertEquals(Phase.CANCELLED, cluster.poll(node, job.id()).orElseThrow().phase());
         }
         assertEquals(
                 0,
-                world.store().size(RecordCodec.JOB_PREFIX)
-                        + world.store().size(RecordCodec.TASK_PREFIX));
+                cluster.store().size(RecordCodec.JOB_PREFIX)
+                        + cluster.store().size(RecordCodec.TASK_PREFIX));
     }
 
     /**
@@ -417,23 +419,23 @@
      */
     @Test
     void aLeaderThatIsRefusedAloneSendsNoStartsOfWhatWasCalledOffElsewhere() {
-        world.workers().forEach(worker -> worker.hang(true));
+        cluster.workers().forEach(worker -> worker.hang(true));
         JobSpec job = array(1, 24);
-        int leader = world.leader();
-        assertTrue(world.submit(other(leader, 1), job, HOURS));
-        world.runS(1.5);
-        assertEquals(1, world.store().size(RecordCodec.TASK_PREFIX), "its places are committed");
-        world.peersCut(true);
-        world.line(leader).cut(true);
-        assertTrue(world.cancel(other(leader, 1), job.id()));
-        world.runS(2.5);
-        assertEquals(leader, world.leader(), "its lease holds");
-        world.workers().forEach(worker -> worker.hang(false));
-        world.runS(1.5);
-        assertEquals(0, world.startOrders(), "nobody told it, and it knows that it may not know");
-        world.runS(60);
-        assertEquals(0, world.judge().startsAfterCancellation());
-        assertEquals(0, world.starts());
+        int leader = cluster.leader();
+        assertTrue(cluster.submit(other(leader, 1), job, HOURS));
+        cluster.runS(1.5);
+        assertEquals(1, cluster.store().size(RecordCodec.TASK_PREFIX), "its places are committed");
+        cluster.peersCut(true);
+        cluster.line(leader).cut(true);
+        assertTrue(cluster.cancel(other(leader, 1), job.id()));
+        cluster.runS(2.5);
+        assertEquals(leader, cluster.leader(), "its lease holds");
+        cluster.workers().forEach(worker -> worker.hang(false));
+        cluster.runS(1.5);
+        assertEquals(0, cluster.startOrders(), "nobody told it, and it knows that it may not know");
+        cluster.runS(60);
+        assertEquals(0, cluster.judge().startsAfterCancellation());
+        assertEquals(0, cluster.starts());
     }
 
     /**
@@ -443,24 +445,24 @@
     @Test
     void aSlowStateServiceStillLetsUsersAskAndCancelAndTasksGoOn() {
         List<JobSpec> jobs = longJobs();
-        world.store().slow(Duration.ofMillis(800));
-        world.runS(10);
-        int leader = world.leader();
+        cluster.store().slow(Duration.ofMillis(800));
+        cluster.runS(10);
+        int leader = cluster.leader();
         JobSpec more = array(4, 3);
-        assertTrue(world.submit(other(leader, 1), more, HOURS), "taken within five seconds");
-        assertTrue(world.cancel(other(leader, 2), jobs.get(0).id()));
+        assertTrue(cluster.submit(other(leader, 1), more, HOURS), "taken within five seconds");
+        assertTrue(cluster.cancel(other(leader, 2), jobs.get(0).id()));
         for (int time = 0; time < 12; time++) {
             assertEquals(
                     Phase.CANCELLED,
-                    world.poll(other(leader, 1), jobs.get(0).id()).orElseThrow().phase());
-            assertTrue(world.poll(other(leader, 1), jobs.get(1).id()).isPresent());
-            world.runS(3);
+                    cluster.poll(other(leader, 1), jobs.get(0).id()).orElseThrow().phase());
+            assertTrue(cluster.poll(other(leader, 1), jobs.get(1).id()).isPresent());
+            cluster.runS(3);
         }
-        assertEquals(leader, world.leader(), "its lease is renewed in time");
+        assertEquals(leader, cluster.leader(), "its lease is renewed in time");
         assertTrue(allRun(jobs.get(1)) && allRun(jobs.get(2)) && allRun(more));
         assertEquals(null, placeOf(jobs.get(0), 0));
-        world.store().slow(null);
-        world.runS(10);
-        assertEquals(22, world.starts());
+        cluster.store().slow(null);
+        cluster.runS(10);
+        assertEquals(22, cluster.starts());
     }
 }
--- a/src/test/java/org/meadowhollow/story/LimitStoriesTest.java
+++ b/src/test/java/org/meadowhollow/simulation/QuotaScenarioTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -20,10 +20,10 @@
 
 /**
  * Teams at their limits and zones that jobs are bound to, while tasks are called off on machines
- * that cannot be asked, and the work changes hands. The judge of {@link World} watches limits,
- * zones and the time that a cancellation has.
+ * that cannot be asked, and the work changes hands. The judge of {@link SimulatedCluster} watches
+ * limits, zones and the time that a cancellation has.
  */
-class LimitStoriesTest extends Story {
+class QuotaScenarioTest extends ClusterTestBase {
     /** Why a machine cannot be asked. */
     enum OutOfReach {
         HUNG(FakeWorker::hang),
@@ -44,16 +44,16 @@
     }
 
     private JobSpec filling(int number, String team, int tasks) {
-        JobSpec job = withTeam(World.spec(number, JobKind.SERVICE, tasks, 1), team);
-        assertTrue(world.submit(0, job, null));
+        JobSpec job = withTeam(SimulatedCluster.spec(number, JobKind.SERVICE, tasks, 1), team);
+        assertTrue(cluster.submit(0, job, null));
         return job;
     }
 
     /** Both teams use all that they may; more of each waits. */
     private List<JobSpec> bothTeamsAtTheirLimits() {
-        world.team("team", 0, 12).team("other", 0, 8);
+        cluster.team("team", 0, 12).team("other", 0, 8);
         List<JobSpec> running = List.of(filling(1, "team", 12), filling(2, "other", 8));
-        world.runS(10);
+        cluster.runS(10);
         running.forEach(job -> assertTrue(allRun(job)));
         return running;
     }
@@ -66,36 +66,36 @@
     void whatIsCalledOffOutOfReachCountsForItsTeamUntilItIsGoneAcrossLeaders(
             OutOfReach how, int leaders) {
         List<JobSpec> running = bothTeamsAtTheirLimits();
-        world.cloudOut(true);
-        List<FakeWorker> lost = world.workers().subList(0, 2);
+        cluster.cloudOut(true);
+        List<FakeWorker> lost = cluster.workers().subList(0, 2);
         lost.forEach(worker -> how.trouble.accept(worker, true));
-        running.forEach(job -> assertTrue(world.cancel(other(world.leader(), 1), job.id())));
+        running.forEach(job -> assertTrue(cluster.cancel(other(cluster.leader(), 1), job.id())));
         List<JobSpec> next =
                 List.of(withTeam(array(3, 12), "team"), withTeam(array(4, 8), "other"));
-        next.forEach(job -> assertTrue(world.submit(other(world.leader(), 1), job, HOURS)));
+        next.forEach(job -> assertTrue(cluster.submit(other(cluster.leader(), 1), job, HOURS)));
         boolean still = false;
         for (int takeover = 0; takeover < leaders; takeover++) {
-            int leader = world.leader();
-            world.crash(leader);
+            int leader = cluster.leader();
+            cluster.crash(leader);
             for (int second = 0; second < 8; second++) {
-                world.runS(1);
+                cluster.runS(1);
                 still |=
-                        world.leader() != leader
+                        cluster.leader() != leader
                                 && lost.stream().anyMatch(worker -> !worker.running().isEmpty());
             }
-            assertNotEquals(leader, world.leader());
-            world.restart(leader);
+            assertNotEquals(leader, cluster.leader());
+            cluster.restart(leader);
         }
         // Direct commands reach a mute machine, so there its tasks are gone at once.
         assertEquals(
                 how != OutOfReach.MUTE,
                 still,
                 "a task that was called off was there while the next one led");
-        world.runS(60);
+        cluster.runS(60);
         lost.forEach(worker -> how.trouble.accept(worker, false));
-        world.cloudOut(false);
-        world.calm();
-        world.runS(60);
+        cluster.cloudOut(false);
+        cluster.calm();
+        cluster.runS(60);
         next.forEach(job -> assertTrue(allRun(job), job.id() + " waits for nobody for ever"));
     }
 
@@ -105,23 +105,23 @@
      */
     @Test
     void anAttemptWhoseStartWasNeverSentCountsAndIsGivenUp() {
-        world.team("team", 0, 8);
-        List<FakeWorker> first = world.workers();
+        cluster.team("team", 0, 8);
+        List<FakeWorker> first = cluster.workers();
         first.forEach(worker -> worker.deaf(true));
-        JobSpec job = World.spec(1, JobKind.ARRAY, 8, 1);
-        assertTrue(world.submit(0, job, HOURS));
-        world.runS(3);
-        assertEquals(1, world.store().size("task/"), "its places are committed");
-        int leader = world.leader();
-        world.crash(leader);
-        assertTrue(world.cancel(other(leader, 1), job.id()));
+        JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 8, 1);
+        assertTrue(cluster.submit(0, job, HOURS));
+        cluster.runS(3);
+        assertEquals(1, cluster.store().size("task/"), "its places are committed");
+        int leader = cluster.leader();
+        cluster.crash(leader);
+        assertTrue(cluster.cancel(other(leader, 1), job.id()));
         JobSpec next = array(2, 8);
-        assertTrue(world.submit(other(leader, 1), next, HOURS));
+        assertTrue(cluster.submit(other(leader, 1), next, HOURS));
         first.forEach(worker -> worker.deaf(false));
-        world.runS(30);
+        cluster.runS(30);
         assertTrue(allRun(next));
-        assertEquals(8, world.starts(), "nothing of the cancelled job was started");
-        assertEquals(0, world.judge().startsAfterCancellation());
+        assertEquals(8, cluster.starts(), "nothing of the cancelled job was started");
+        assertEquals(0, cluster.judge().startsAfterCancellation());
     }
 
     /** How the work changes hands. */
@@ -134,13 +134,13 @@
 
     private void handOn(Handing how, int leader) {
         switch (how) {
-            case RESIGNED -> world.node(leader).handOver();
-            case ENDED -> world.crash(leader);
+            case RESIGNED -> cluster.node(leader).handOver();
+            case ENDED -> cluster.crash(leader);
             case DEPOSED ->
-                    world.node(leader)
+                    cluster.node(leader)
                             .observeLeader(
-                                    new FencingToken(world.term() + 1), "n" + other(leader, 1));
-            default -> world.bounce(leader, Duration.ofMillis(200));
+                                    new FencingToken(cluster.term() + 1), "n" + other(leader, 1));
+            default -> cluster.bounce(leader, Duration.ofMillis(200));
         }
     }
 
@@ -154,33 +154,35 @@
         List<JobSpec> jobs = new ArrayList<>();
         for (int number = 1; number <= 24; number++) {
             JobSpec job =
-                    number % 6 == 0 ? World.spec(number, JobKind.GANG, 2, 1) : array(number, 1);
+                    number % 6 == 0
+                            ? SimulatedCluster.spec(number, JobKind.GANG, 2, 1)
+                            : array(number, 1);
             jobs.add(job);
-            world.submits(number % 3, job, HOURS);
+            cluster.submits(number % 3, job, HOURS);
         }
-        world.runS(10);
+        cluster.runS(10);
         jobs.forEach(job -> assertTrue(allRun(job)));
-        int leader = world.leader();
-        long term = world.term();
+        int leader = cluster.leader();
+        long term = cluster.term();
         int during = 0;
         for (int at = 0; at < jobs.size(); at++) {
             if (at == 4) {
                 handOn(how, leader);
             }
             // By a node that thinks that another one leads.
-            world.cancels(other(leader, 1 + at % 2), jobs.get(at).id());
-            world.run(Duration.ofMillis(250));
-            during += at >= 4 && (world.leader() < 0 || world.term() == term) ? 1 : 0;
+            cluster.cancels(other(leader, 1 + at % 2), jobs.get(at).id());
+            cluster.run(Duration.ofMillis(250));
+            during += at >= 4 && (cluster.leader() < 0 || cluster.term() == term) ? 1 : 0;
         }
         assertTrue(how != Handing.ENDED || during > 0, "called off while nobody led");
-        assertTrue(world.term() > term);
-        world.runS(15);
+        assertTrue(cluster.term() > term);
+        cluster.runS(15);
         for (JobSpec job : jobs) {
             assertEquals(Phase.CANCELLED, phase(job));
             assertEquals(null, placeOf(job, 0));
         }
-        assertEquals(0, world.store().size("job/") + world.store().size("task/"));
-        assertEquals(0, world.judge().startsAfterCancellation());
+        assertEquals(0, cluster.store().size("job/") + cluster.store().size("task/"));
+        assertEquals(0, cluster.judge().startsAfterCancellation());
     }
 
     /**
@@ -189,30 +191,30 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void tenLeadersInTwoMinutes(boolean inAnOutage) {
-        world.team("team", 0, 12);
+        cluster.team("team", 0, 12);
         JobSpec stays = filling(1, "team", 6);
         JobSpec goes = filling(2, "team", 6);
-        world.runS(10);
-        long term = world.term();
+        cluster.runS(10);
+        long term = cluster.term();
         for (int change = 0; change < 13; change++) {
-            world.bounce(
-                    Math.max(0, world.leader()), Duration.ofMillis(change % 2 == 0 ? 200 : 3000));
+            cluster.bounce(
+                    Math.max(0, cluster.leader()), Duration.ofMillis(change % 2 == 0 ? 200 : 3000));
             if (inAnOutage && change == 4) {
-                world.store().out(true);
+                cluster.store().out(true);
             }
-            world.runS(5);
+            cluster.runS(5);
             if (inAnOutage && change == 6) {
-                world.store().out(false);
+                cluster.store().out(false);
             }
-            world.runS(4);
+            cluster.runS(4);
             if (change == 2) {
-                assertTrue(world.cancel(other(world.leader(), 1), goes.id()));
-                assertTrue(world.submit(other(world.leader(), 1), array(3, 6), HOURS));
+                assertTrue(cluster.cancel(other(cluster.leader(), 1), goes.id()));
+                assertTrue(cluster.submit(other(cluster.leader(), 1), array(3, 6), HOURS));
             }
         }
-        assertTrue(world.term() - term >= 10, "led " + (world.term() - term) + " times");
-        world.calm();
-        world.runS(60);
+        assertTrue(cluster.term() - term >= 10, "led " + (cluster.term() - term) + " times");
+        cluster.calm();
+        cluster.runS(60);
         assertTrue(allRun(stays) && allRun(array(3, 6)));
         assertEquals(Phase.CANCELLED, phase(goes));
     }
@@ -224,23 +226,23 @@
     @ParameterizedTest
     @CsvSource({"ARRAY, true", "ARRAY, false", "GANG, true", "GANG, false", "SERVICE, true"})
     void aJobBoundToOneZoneLosesMachinesThere(JobKind kind, boolean together) {
-        JobSpec plain = World.spec(1, kind, 3, 8);
+        JobSpec plain = SimulatedCluster.spec(1, kind, 3, 8);
         JobSpec job = together ? zoned(plain, true, false) : inZone(plain, "a");
-        assertTrue(world.submit(0, job, HOURS));
-        world.runS(10);
+        assertTrue(cluster.submit(0, job, HOURS));
+        cluster.runS(10);
         assertTrue(allRun(job));
         String zone = placeOf(job, 0).zone();
-        world.mostMachines(world.workers().size() + 1);
+        cluster.mostMachines(cluster.workers().size() + 1);
         // One hangs and goes on when its task is given up, one is taken away, and the leader ends.
         FakeWorker hung = placeOf(job, 0);
         hung.hang(true);
-        world.take(placeOf(job, 1));
-        world.crash(world.leader());
-        world.runS(40);
+        cluster.take(placeOf(job, 1));
+        cluster.crash(cluster.leader());
+        cluster.runS(40);
         hung.hang(false);
-        world.restartAll();
-        world.calm();
-        world.runS(90);
+        cluster.restartAll();
+        cluster.calm();
+        cluster.runS(90);
         assertTrue(together || zone.equals("a"));
         assertTrue(allRun(job), "it runs again, where its tasks may be");
     }
@@ -251,27 +253,29 @@
      */
     @Test
     void anArrayThatIsTogetherStaysWhereOneOfItsTasksMayBe() {
-        JobSpec job = zoned(World.spec(1, JobKind.ARRAY, 2, 8), true, false);
-        assertTrue(world.submit(0, job, HOURS));
-        world.runS(10);
+        JobSpec job = zoned(SimulatedCluster.spec(1, JobKind.ARRAY, 2, 8), true, false);
+        assertTrue(cluster.submit(0, job, HOURS));
+        cluster.runS(10);
         FakeWorker hung = placeOf(job, 0);
         JobSpec fills =
-                inZone(withTeam(World.spec(2, JobKind.SERVICE, 1, 8), "other"), hung.zone());
-        assertTrue(world.submit(0, fills, null));
-        world.runS(5);
+                inZone(
+                        withTeam(SimulatedCluster.spec(2, JobKind.SERVICE, 1, 8), "other"),
+                        hung.zone());
+        assertTrue(cluster.submit(0, fills, null));
+        cluster.runS(5);
         assertTrue(allRun(fills));
-        world.mostMachines(0);
-        world.fail(placeOf(job, 1));
+        cluster.mostMachines(0);
+        cluster.fail(placeOf(job, 1));
         hung.hang(true);
-        world.crash(world.leader());
-        world.runS(14);
+        cluster.crash(cluster.leader());
+        cluster.runS(14);
         assertEquals(hung, placeOf(job, 0), "it may go on at any time");
         hung.hang(false);
-        world.runS(6);
-        assertEquals(3, world.starts(), "the other zone has room, and is not for it");
-        world.machine(World.LARGE, hung.zone());
-        world.calm();
-        world.runS(40);
+        cluster.runS(6);
+        assertEquals(3, cluster.starts(), "the other zone has room, and is not for it");
+        cluster.machine(SimulatedCluster.LARGE, hung.zone());
+        cluster.calm();
+        cluster.runS(40);
         assertTrue(allRun(job));
     }
 
@@ -282,35 +286,35 @@
     @ParameterizedTest
     @ValueSource(ints = {50, 150, 600, 1900})
     void machinesUpAtOnceGetWorkWhileWritesLagAndTheLeaderEnds(int bootMillis) {
-        world.boots(Duration.ofMillis(bootMillis), Duration.ofSeconds(20));
-        JobSpec job = World.spec(1, JobKind.ARRAY, 48, 1);
-        assertTrue(world.submit(0, job, Duration.ofSeconds(40)));
-        world.runS(5);
-        int before = world.workers().size();
-        int leader = world.leader();
+        cluster.boots(Duration.ofMillis(bootMillis), Duration.ofSeconds(20));
+        JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 48, 1);
+        assertTrue(cluster.submit(0, job, Duration.ofSeconds(40)));
+        cluster.runS(5);
+        int before = cluster.workers().size();
+        int leader = cluster.leader();
         for (int node = 0; node < 3; node++) {
-            world.line(node).lateWrites(0.7, 1_000_003L * (node + 1));
+            cluster.line(node).lateWrites(0.7, 1_000_003L * (node + 1));
         }
-        JobSpec more = World.spec(2, JobKind.ARRAY, 40, 4);
-        world.submits(other(leader, 1), more, Duration.ofSeconds(20));
-        for (int step = 0; step < 80 && world.workers().size() == before; step++) {
-            world.run(Duration.ofMillis(250));
+        JobSpec more = SimulatedCluster.spec(2, JobKind.ARRAY, 40, 4);
+        cluster.submits(other(leader, 1), more, Duration.ofSeconds(20));
+        for (int step = 0; step < 80 && cluster.workers().size() == before; step++) {
+            cluster.run(Duration.ofMillis(250));
         }
-        assertTrue(world.workers().size() > before, "machines came");
+        assertTrue(cluster.workers().size() > before, "machines came");
         // Their first attempts are on their way to the state service, or there and not answered.
-        world.run(Duration.ofMillis(1250));
-        world.crash(leader);
-        world.runS(20);
+        cluster.run(Duration.ofMillis(1250));
+        cluster.crash(leader);
+        cluster.runS(20);
         int late = 0;
         for (int node = 0; node < 3; node++) {
-            late += world.line(node).lateCommits();
-            world.line(node).lateWrites(0, 0);
+            late += cluster.line(node).lateCommits();
+            cluster.line(node).lateWrites(0, 0);
         }
         assertTrue(late > 0, "a transaction was executed late");
-        world.restart(leader);
-        world.boots(Duration.ofSeconds(10), Duration.ZERO);
-        world.calm();
-        world.runS(400);
+        cluster.restart(leader);
+        cluster.boots(Duration.ofSeconds(10), Duration.ZERO);
+        cluster.calm();
+        cluster.runS(400);
         assertEquals(Phase.DONE, phase(job));
         assertEquals(Phase.DONE, phase(more));
     }
--- a/src/test/java/org/meadowhollow/story/RandomTroubleTest.java
+++ b/src/test/java/org/meadowhollow/simulation/RandomFaultsTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -21,7 +21,7 @@
  * Troubles of all kinds at random times, from fixed seeds; the world checks the rules at every
  * step.
  */
-class RandomTroubleTest {
+class RandomFaultsTest {
     private static final int STEPS = 150;
 
     private static LongStream seeds() {
@@ -32,25 +32,27 @@
     @MethodSource("seeds")
     void theRulesHoldWhateverFails(long seed) {
         Random random = new Random(seed);
-        World world = new World().team("team", 4, 20);
+        SimulatedCluster cluster = new SimulatedCluster().team("team", 4, 20);
         if (seed % 2 == 0) {
-            world.standby();
+            cluster.standby();
         }
-        sixMachines(world);
+        sixMachines(cluster);
         List<JobSpec> jobs = new ArrayList<>();
         for (int step = 0; step < STEPS; step++) {
-            trouble(world, random, jobs, step);
-            world.runS(1 + random.nextInt(5));
+            trouble(cluster, random, jobs, step);
+            cluster.runS(1 + random.nextInt(5));
         }
-        ends(world, jobs, 30, 400);
+        ends(cluster, jobs, 30, 400);
         for (int node = 0; node < 3; node++) {
-            assertEquals(0, world.node(node).divergentRecordCount());
+            assertEquals(0, cluster.node(node).divergentRecordCount());
         }
     }
 
-    private static void sixMachines(World world) {
+    private static void sixMachines(SimulatedCluster cluster) {
         for (int at = 0; at < 6; at++) {
-            world.machine(at % 2 == 0 ? World.LARGE : World.SMALL, at < 3 ? "a" : "b");
+            cluster.machine(
+                    at % 2 == 0 ? SimulatedCluster.LARGE : SimulatedCluster.SMALL,
+                    at < 3 ? "a" : "b");
         }
     }
 
@@ -60,18 +62,19 @@
      * @param settlesS seconds until no submission can come any more
      * @param runsS seconds that what was still waiting for its team's share may take then
      */
-    private static void ends(World world, List<JobSpec> jobs, double settlesS, double runsS) {
-        calm(world);
-        world.runS(settlesS);
+    private static void ends(
+            SimulatedCluster cluster, List<JobSpec> jobs, double settlesS, double runsS) {
+        calm(cluster);
+        cluster.runS(settlesS);
         // Replicas would fill the team's limit for ever.
         for (JobSpec job : jobs) {
             if (job.kind() == JobKind.SERVICE) {
-                assertTrue(world.cancel(0, job.id()));
+                assertTrue(cluster.cancel(0, job.id()));
             }
         }
-        world.runS(runsS);
+        cluster.runS(runsS);
         for (JobSpec job : jobs) {
-            Phase phase = world.poll(0, job.id()).map(JobStatus::phase).orElse(null);
+            Phase phase = cluster.poll(0, job.id()).map(JobStatus::phase).orElse(null);
             assertTrue(
                     phase == null || phase == Phase.CANCELLED || phase == Phase.DONE,
                     job.id() + " is " + phase + " long after all troubles");
@@ -91,32 +94,32 @@
     @MethodSource("quickSeeds")
     void theRulesHoldWhenWhatEndsIsBackAtOnceAndMessagesComeAgain(long seed) {
         Random random = new Random(seed);
-        World world = new World().team("team", 4, 20).copies(seed);
+        SimulatedCluster cluster = new SimulatedCluster().team("team", 4, 20).copies(seed);
         if (seed % 3 == 0) {
-            world.standby();
+            cluster.standby();
         }
-        sixMachines(world);
+        sixMachines(cluster);
         List<JobSpec> jobs = new ArrayList<>();
         for (int step = 0; step < STEPS; step++) {
-            trouble(world, random, jobs, step);
+            trouble(cluster, random, jobs, step);
             int node = random.nextInt(3);
             switch (random.nextInt(10)) {
-                case 0, 1, 2 -> world.bounce(node, back(random));
+                case 0, 1, 2 -> cluster.bounce(node, back(random));
                 case 3 -> {
                     for (int each = 0; each < 3; each++) {
-                        world.bounce(each, back(random));
+                        cluster.bounce(each, back(random));
                     }
                 }
                 case 4 -> {
                     for (int time = 0; time < 4; time++) {
-                        world.bounce(node, Duration.ofMillis(100));
-                        world.run(Duration.ofMillis(500));
+                        cluster.bounce(node, Duration.ofMillis(100));
+                        cluster.run(Duration.ofMillis(500));
                     }
                 }
-                case 5 -> world.freeze(node);
-                case 6 -> world.thaw(node);
+                case 5 -> cluster.freeze(node);
+                case 6 -> cluster.thaw(node);
                 case 7 -> {
-                    List<FakeWorker> workers = world.workers();
+                    List<FakeWorker> workers = cluster.workers();
                     if (!workers.isEmpty()) {
                         workers.get(random.nextInt(workers.size())).reboot();
                     }
@@ -125,13 +128,13 @@
                     // Nothing besides.
                 }
             }
-            world.runS(random.nextInt(5));
+            cluster.runS(random.nextInt(5));
         }
         for (int node = 0; node < 3; node++) {
-            world.thaw(node);
+            cluster.thaw(node);
         }
         // A copy of a submission may come four minutes late.
-        ends(world, jobs, 250, 400);
+        ends(cluster, jobs, 250, 400);
     }
 
     private static LongStream meetingSeeds() {
@@ -146,20 +149,21 @@
     @MethodSource("meetingSeeds")
     void theRulesHoldWhenTroublesMeet(long seed) {
         Random random = new Random(seed);
-        World world = new World().team("team", 4, 24);
+        SimulatedCluster cluster = new SimulatedCluster().team("team", 4, 24);
         if (seed % 3 == 0) {
-            world.standby();
+            cluster.standby();
         }
-        sixMachines(world);
-        world.runS(10);
+        sixMachines(cluster);
+        cluster.runS(10);
         List<JobSpec> jobs = new ArrayList<>();
         for (int meeting = 0; meeting < 10; meeting++) {
             for (int at = 0; at < 3; at++) {
                 JobKind kind = JobKind.values()[random.nextInt(3)];
                 JobSpec job =
-                        World.spec(jobs.size(), kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
+                        SimulatedCluster.spec(
+                                jobs.size(), kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
                 jobs.add(job);
-                world.submit(
+                cluster.submit(
                         random.nextInt(3),
                         job,
                         kind == JobKind.SERVICE
@@ -167,38 +171,39 @@
                                 : Duration.ofSeconds(
                                         random.nextBoolean() ? 300 : 5 + random.nextInt(40)));
             }
-            world.runS(random.nextInt(20));
+            cluster.runS(random.nextInt(20));
             List<Runnable> ends = new ArrayList<>();
             for (int each = 0; each < 2; each++) {
-                ends.add(Trouble.begin(world, random));
-                askOrCancel(world, random, jobs, 6);
+                ends.add(Fault.begin(cluster, random));
+                askOrCancel(cluster, random, jobs, 6);
             }
-            endAll(world, random, ends);
+            endAll(cluster, random, ends);
         }
         // The longest tasks take five minutes, and may have to begin anew.
-        ends(world, jobs, 60, 1000);
+        ends(cluster, jobs, 60, 1000);
     }
 
     /** Users ask about some jobs, and call some off. */
-    private static void askOrCancel(World world, Random random, List<JobSpec> jobs, int most) {
+    private static void askOrCancel(
+            SimulatedCluster cluster, Random random, List<JobSpec> jobs, int most) {
         for (int step = random.nextInt(most); step >= 0; step--) {
             JobSpec job = jobs.get(random.nextInt(jobs.size()));
             if (random.nextInt(3) == 0) {
-                world.poll(random.nextInt(3), job.id());
+                cluster.poll(random.nextInt(3), job.id());
             } else {
-                world.cancel(random.nextInt(3), job.id());
+                cluster.cancel(random.nextInt(3), job.id());
             }
-            world.runS(random.nextInt(4));
+            cluster.runS(random.nextInt(4));
         }
     }
 
     /** After a time the troubles end, one after the other in any order. */
-    private static void endAll(World world, Random random, List<Runnable> ends) {
-        world.runS(random.nextInt(90));
+    private static void endAll(SimulatedCluster cluster, Random random, List<Runnable> ends) {
+        cluster.runS(random.nextInt(90));
         Collections.shuffle(ends, random);
         for (Runnable end : ends) {
             end.run();
-            world.runS(random.nextInt(10));
+            cluster.runS(random.nextInt(10));
         }
     }
 
@@ -216,40 +221,43 @@
     void theRulesHoldWhenFurtherTroublesMeet(long seed) {
         Random random = new Random(seed);
         boolean limited = seed % 2 == 0;
-        World world =
-                new World().team("team", 4, limited ? 12 : 0).team("other", 2, limited ? 8 : 0);
+        SimulatedCluster cluster =
+                new SimulatedCluster()
+                        .team("team", 4, limited ? 12 : 0)
+                        .team("other", 2, limited ? 8 : 0);
         if (seed % 3 == 0) {
-            world.standby();
+            cluster.standby();
         }
-        sixMachines(world);
-        world.runS(10);
+        sixMachines(cluster);
+        cluster.runS(10);
         List<JobSpec> jobs = new ArrayList<>();
         for (int meeting = 0; meeting < 8; meeting++) {
             for (int at = 0; at < 4; at++) {
-                jobs.add(anyJob(world, random, jobs.size()));
+                jobs.add(anyJob(cluster, random, jobs.size()));
             }
-            world.runS(random.nextInt(20));
+            cluster.runS(random.nextInt(20));
             List<Runnable> ends = new ArrayList<>();
-            ends.add(Trouble.beginFurther(world, random));
-            world.run(Duration.ofMillis(250 * random.nextInt(16)));
+            ends.add(Fault.beginFurther(cluster, random));
+            cluster.run(Duration.ofMillis(250 * random.nextInt(16)));
             ends.add(
                     random.nextBoolean()
-                            ? Trouble.begin(world, random)
-                            : Trouble.beginFurther(world, random));
-            askOrCancel(world, random, jobs, 5);
-            endAll(world, random, ends);
+                            ? Fault.begin(cluster, random)
+                            : Fault.beginFurther(cluster, random));
+            askOrCancel(cluster, random, jobs, 5);
+            endAll(cluster, random, ends);
         }
-        calm(world);
-        world.calm();
-        ends(world, jobs, 60, 1200);
+        calm(cluster);
+        cluster.calm();
+        ends(cluster, jobs, 60, 1200);
         if (!limited) {
-            world.judge().served();
+            cluster.judge().served();
         }
     }
 
-    private static JobSpec anyJob(World world, Random random, int number) {
+    private static JobSpec anyJob(SimulatedCluster cluster, Random random, int number) {
         JobKind kind = JobKind.values()[random.nextInt(3)];
-        JobSpec plain = World.spec(number, kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
+        JobSpec plain =
+                SimulatedCluster.spec(number, kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
         JobSpec job =
                 new JobSpec(
                         plain.id(),
@@ -270,7 +278,7 @@
                         0,
                         0,
                         Double.NaN);
-        world.submit(
+        cluster.submit(
                 random.nextInt(3),
                 job,
                 kind == JobKind.SERVICE
@@ -283,15 +291,18 @@
         return Duration.ofMillis(List.of(50, 200, 500, 1000).get(random.nextInt(4)));
     }
 
-    private static void trouble(World world, Random random, List<JobSpec> jobs, int step) {
+    private static void trouble(
+            SimulatedCluster cluster, Random random, List<JobSpec> jobs, int step) {
         int node = random.nextInt(3);
         switch (random.nextInt(16)) {
             case 0, 1, 2, 3 -> {
                 JobKind kind = JobKind.values()[random.nextInt(3)];
-                JobSpec job = World.spec(step, kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
+                JobSpec job =
+                        SimulatedCluster.spec(
+                                step, kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
                 // Without an answer it may have been accepted all the same.
                 jobs.add(job);
-                world.submit(
+                cluster.submit(
                         node,
                         job,
                         kind == JobKind.SERVICE
@@ -300,19 +311,19 @@
             }
             case 4, 5 -> {
                 if (!jobs.isEmpty()) {
-                    world.cancel(node, jobs.get(random.nextInt(jobs.size())).id());
+                    cluster.cancel(node, jobs.get(random.nextInt(jobs.size())).id());
                 }
             }
-            case 6 -> world.crash(node);
-            case 7, 8 -> world.restart(node);
-            case 9 -> world.line(node).cut(random.nextBoolean());
-            case 10 -> world.line(node).loseAnswers(random.nextInt(3) == 0);
-            case 11 -> world.line(node).hold(random.nextInt(3) == 0);
-            case 12 -> world.store().out(random.nextInt(3) == 0);
-            case 13 -> world.cutFromWorkers(node, random.nextBoolean());
-            case 14 -> world.cloudOut(random.nextBoolean());
+            case 6 -> cluster.crash(node);
+            case 7, 8 -> cluster.restart(node);
+            case 9 -> cluster.line(node).cut(random.nextBoolean());
+            case 10 -> cluster.line(node).loseAnswers(random.nextInt(3) == 0);
+            case 11 -> cluster.line(node).hold(random.nextInt(3) == 0);
+            case 12 -> cluster.store().out(random.nextInt(3) == 0);
+            case 13 -> cluster.cutFromWorkers(node, random.nextBoolean());
+            case 14 -> cluster.cloudOut(random.nextBoolean());
             default -> {
-                List<FakeWorker> workers = world.workers();
+                List<FakeWorker> workers = cluster.workers();
                 if (!workers.isEmpty()) {
                     FakeWorker worker = workers.get(random.nextInt(workers.size()));
                     if (random.nextBoolean()) {
@@ -325,18 +336,18 @@
         }
     }
 
-    private static void calm(World world) {
-        world.noMoreCopies();
-        world.store().out(false);
-        world.cloudOut(false);
+    private static void calm(SimulatedCluster cluster) {
+        cluster.noMoreCopies();
+        cluster.store().out(false);
+        cluster.cloudOut(false);
         for (int node = 0; node < 3; node++) {
-            world.line(node).cut(false);
-            world.line(node).loseAnswers(false);
-            world.line(node).hold(false);
-            world.cutFromWorkers(node, false);
-            world.restart(node);
+            cluster.line(node).cut(false);
+            cluster.line(node).loseAnswers(false);
+            cluster.line(node).hold(false);
+            cluster.cutFromWorkers(node, false);
+            cluster.restart(node);
         }
-        for (FakeWorker worker : world.workers()) {
+        for (FakeWorker worker : cluster.workers()) {
             worker.hang(false);
             worker.deaf(false);
             worker.mute(false);
--- a/src/test/java/org/meadowhollow/story/NotedTraces.java
+++ b/src/test/java/org/meadowhollow/simulation/RecordingTaskTracer.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -7,7 +7,7 @@
 import org.meadowhollow.model.TaskTracer;
 
 /** Notes what is told of traced tasks; takes any context. */
-final class NotedTraces implements TaskTracer {
+final class RecordingTaskTracer implements TaskTracer {
     private final List<String> told = new ArrayList<>();
 
     List<String> told() {
--- a/src/test/java/org/meadowhollow/story/CalendarStoriesTest.java
+++ b/src/test/java/org/meadowhollow/simulation/ReservationScenarioTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -26,25 +26,25 @@
 /**
  * Reservations and windows, and who runs into them, on a fleet of four machines that cannot grow.
  */
-class CalendarStoriesTest extends Story {
+class ReservationScenarioTest extends ClusterTestBase {
     private static final Duration HOUR = Duration.ofHours(1);
 
     @BeforeEach
     void keepCalendar() {
-        world.calendar(Map.of());
-        world.mostMachines(world.workers().size());
-        world.runS(20);
+        cluster.calendar(Map.of());
+        cluster.mostMachines(cluster.workers().size());
+        cluster.runS(20);
     }
 
     /** A time of day some seconds from now. */
     private String in(long seconds) {
         return LocalDateTime.ofEpochSecond(
-                        world.loop().wallClockMillis() / 1000 + seconds, 0, ZoneOffset.UTC)
+                        cluster.loop().wallClockMillis() / 1000 + seconds, 0, ZoneOffset.UTC)
                 .toString();
     }
 
     private Http.Reply put(int node, String path, String version, Object... fields) {
-        return world.operate(
+        return cluster.operate(
                 node,
                 "secret",
                 "PUT",
@@ -106,7 +106,7 @@
     }
 
     private MessageReader plan(int node) {
-        return body(world.operate(node, "reader", "GET", "plan", null, ""), 200);
+        return body(cluster.operate(node, "reader", "GET", "plan", null, ""), 200);
     }
 
     private static JobSpec job(
@@ -117,7 +117,7 @@
             double gpus,
             double estimateS,
             double saveS) {
-        JobSpec spec = World.spec(number, JobKind.ARRAY, tasks, gpus);
+        JobSpec spec = SimulatedCluster.spec(number, JobKind.ARRAY, tasks, gpus);
         return new JobSpec(
                 spec.id(),
                 jobClass,
@@ -142,7 +142,7 @@
     /** Fills all there is for a quarter of an hour, as its estimate says, and would again. */
     private void longWork() {
         assertTrue(
-                world.submit(
+                cluster.submit(
                         0,
                         job(1, "long", Priority.HIGH, 3 * gpus(), 1, 900, 0),
                         Duration.ofSeconds(900)));
@@ -151,20 +151,20 @@
     /** Comes to use a reservation, at its start or later. */
     private JobSpec reservedRun(int number, int tasks) {
         JobSpec run = job(number, "night", Priority.HIGH, tasks, 1, 60, 0);
-        assertTrue(world.submit(1, run, Duration.ofSeconds(60)));
+        assertTrue(cluster.submit(1, run, Duration.ofSeconds(60)));
         return run;
     }
 
     private int running(JobSpec spec) {
         int count = 0;
         for (int task = 0; task < spec.taskCount(); task++) {
-            count += world.on(new TaskId(spec.id(), task)).isEmpty() ? 0 : 1;
+            count += cluster.on(new TaskId(spec.id(), task)).isEmpty() ? 0 : 1;
         }
         return count;
     }
 
     private int gpus() {
-        return world.workers().stream()
+        return cluster.workers().stream()
                 .mapToInt(worker -> worker.type().equals("small") ? 2 : 8)
                 .sum();
     }
@@ -178,9 +178,9 @@
             body(reserve("calendars", "team", 6, 1, 300, 600), 201);
         }
         longWork();
-        world.runS(305);
+        cluster.runS(305);
         JobSpec run = reservedRun(2, 6);
-        world.runS(10);
+        cluster.runS(10);
         return running(run);
     }
 
@@ -199,15 +199,15 @@
         body(reserve("calendars", "team", gpus(), 1, 300, 600), 201);
         JobSpec brief = job(1, "brief", Priority.HIGH, 8, 1, 20, 0);
         JobSpec endless = job(2, "long", Priority.HIGH, 4, 1, 2000, 0);
-        assertTrue(world.submit(0, brief, Duration.ofSeconds(20)));
-        assertTrue(world.submit(0, endless, HOUR));
-        world.runS(15);
+        assertTrue(cluster.submit(0, brief, Duration.ofSeconds(20)));
+        assertTrue(cluster.submit(0, endless, HOUR));
+        cluster.runS(15);
         assertEquals(8, running(brief));
         assertEquals(0, running(endless));
-        world.runS(40);
+        cluster.runS(40);
         assertEquals(Phase.DONE, phase(brief));
         // The slot passes unused and is given back.
-        world.runS(300 + 600);
+        cluster.runS(300 + 600);
         assertEquals(4, running(endless));
     }
 
@@ -215,10 +215,10 @@
     void aSlotThatNobodyUsesIsGivenBackBeforeItsEnd() {
         body(reserve("calendars", "team", gpus(), 1, 60, 7200), 201);
         JobSpec endless = job(2, "long", Priority.HIGH, 4, 1, 2000, 0);
-        assertTrue(world.submit(0, endless, HOUR));
-        world.runS(500);
+        assertTrue(cluster.submit(0, endless, HOUR));
+        cluster.runS(500);
         assertEquals(0, running(endless));
-        world.runS(200);
+        cluster.runS(200);
         assertEquals(4, running(endless), "ten minutes after its start");
     }
 
@@ -226,15 +226,15 @@
     void theReservationHoldsThroughTheLossOfItsLeaderAndOfAllNodesAtItsStart() {
         body(reserve("calendars", "team", 6, 1, 300, 600), 201);
         longWork();
-        world.runS(290);
-        world.crash(world.leader());
-        world.runS(5);
-        world.crashAll();
-        world.runS(4);
-        world.restartAll();
-        world.runS(8);
+        cluster.runS(290);
+        cluster.crash(cluster.leader());
+        cluster.runS(5);
+        cluster.crashAll();
+        cluster.runS(4);
+        cluster.restartAll();
+        cluster.runS(8);
         JobSpec run = reservedRun(2, 6);
-        world.runS(12);
+        cluster.runS(12);
         assertEquals(6, running(run));
         assertEquals(1, plan(2).map().get("slots") instanceof List<?> slots ? slots.size() : 0);
     }
@@ -242,38 +242,38 @@
     @Test
     void aNewLeaderPlacesNothingBeforeItKnowsTheCalendar() {
         body(reserve("calendars", "team", gpus(), 1, 60, 7200), 201);
-        world.crashAll();
-        world.runS(8);
-        world.restartAll();
+        cluster.crashAll();
+        cluster.runS(8);
+        cluster.restartAll();
         for (int node = 0; node < 3; node++) {
-            world.line(node).hide("cal/");
+            cluster.line(node).hide("cal/");
         }
-        world.runS(3);
+        cluster.runS(3);
         JobSpec work = job(1, "long", Priority.HIGH, 4, 1, 900, 0);
-        assertTrue(world.submit(0, work, HOUR));
-        world.runS(20);
+        assertTrue(cluster.submit(0, work, HOUR));
+        cluster.runS(20);
         assertEquals(0, running(work));
         for (int node = 0; node < 3; node++) {
-            world.line(node).hide("/");
+            cluster.line(node).hide("/");
         }
-        world.runS(20);
+        cluster.runS(20);
         assertEquals(0, running(work), "all is reserved");
         assertEquals(Phase.QUEUED, phase(work));
     }
 
     @Test
     void inItsSlotAReservedRunGoesBeforeOlderWorkOfItsTeamThatWaitsForTheSameLimit() {
-        world.team("team", 0, 4);
-        world.calendar(Map.of());
-        world.runS(15);
+        cluster.team("team", 0, 4);
+        cluster.calendar(Map.of());
+        cluster.runS(15);
         body(reserve("calendars", "team", 4, 1, 60, 600), 201);
         assertTrue(
-                world.submit(
+                cluster.submit(
                         0, job(1, "other", Priority.HIGH, 200, 1, 10, 0), Duration.ofSeconds(10)));
-        world.runS(62);
+        cluster.runS(62);
         JobSpec run = job(2, "night", Priority.HIGH, 4, 1, 300, 0);
-        assertTrue(world.submit(1, run, Duration.ofSeconds(300)));
-        world.runS(35);
+        assertTrue(cluster.submit(1, run, Duration.ofSeconds(300)));
+        cluster.runS(35);
         assertEquals(4, running(run));
     }
 
@@ -281,28 +281,28 @@
     void whatIsNotDoneAgainstItsEstimateHasBeenWarnedAndGoesInTime() {
         body(reserve("calendars", "team", gpus(), 1, 200, 600), 201);
         JobSpec wrong = job(1, "other", Priority.LOW, gpus(), 1, 100, 0);
-        assertTrue(world.submit(0, wrong, HOUR));
-        world.runS(15);
+        assertTrue(cluster.submit(0, wrong, HOUR));
+        cluster.runS(15);
         assertEquals(gpus(), running(wrong), "it should be done long before");
-        world.runS(188);
+        cluster.runS(188);
         JobSpec run = reservedRun(2, gpus());
-        world.runS(12);
+        cluster.runS(12);
         assertEquals(gpus(), running(run));
     }
 
     @Test
     void nothingIsRentedIntoAWindow() {
         body(window("patches", "zones", "a", 30, 600, 0), 201);
-        world.mostMachines(40);
-        List<FakeWorker> before = world.workers();
+        cluster.mostMachines(40);
+        List<FakeWorker> before = cluster.workers();
         assertTrue(
-                world.submit(
+                cluster.submit(
                         0,
                         job(1, "other", Priority.HIGH, 200, 1, 300, 0),
                         Duration.ofSeconds(300)));
-        world.runS(60);
+        cluster.runS(60);
         List<FakeWorker> rented =
-                world.workers().stream().filter(worker -> !before.contains(worker)).toList();
+                cluster.workers().stream().filter(worker -> !before.contains(worker)).toList();
         assertFalse(rented.isEmpty());
         assertTrue(rented.stream().allMatch(worker -> worker.zone().equals("b")));
     }
@@ -311,14 +311,14 @@
     void theLeaderKeepsWhatItKnowsWhileTheStateServiceIsOut() {
         body(reserve("calendars", "team", 6, 1, 300, 600), 201);
         longWork();
-        world.runS(280);
+        cluster.runS(280);
         JobSpec run = reservedRun(2, 6);
-        world.runS(5);
-        world.store().out(true);
+        cluster.runS(5);
+        cluster.store().out(true);
         assertEquals(503, reserve("another", "team", 1, 1, 500, 60).status());
-        world.runS(10);
-        world.store().out(false);
-        world.runS(25);
+        cluster.runS(10);
+        cluster.store().out(false);
+        cluster.runS(25);
         assertEquals(6, running(run));
     }
 
@@ -326,18 +326,18 @@
     void nothingStartsThatWouldRunIntoAWindowAndNothingStartsInIt() {
         body(window("patches", "zones", "a", 120, 300, 0), 201);
         JobSpec long1 = job(1, "long", Priority.HIGH, gpus(), 1, 200, 0);
-        assertTrue(world.submit(0, long1, Duration.ofSeconds(200)));
+        assertTrue(cluster.submit(0, long1, Duration.ofSeconds(200)));
         for (int second = 0; second < 420; second += 10) {
-            world.runS(10);
+            cluster.runS(10);
             assertTrue(
-                    world.workers().stream()
+                    cluster.workers().stream()
                             .filter(worker -> worker.zone().equals("a"))
                             .allMatch(worker -> worker.running().isEmpty()),
                     "at second " + second);
         }
-        world.runS(30);
+        cluster.runS(30);
         assertTrue(
-                world.workers().stream()
+                cluster.workers().stream()
                                 .filter(worker -> worker.zone().equals("a"))
                                 .anyMatch(worker -> !worker.running().isEmpty())
                         || running(long1) == 0);
@@ -346,39 +346,39 @@
     @Test
     void whatRunsIntoAWindowIsWarnedAndStoppedInTimeAndServicesLeaveOneByOne() {
         JobSpec work = job(1, "long", Priority.HIGH, gpus() / 2, 1, 1000, 5);
-        assertTrue(world.submit(0, work, HOUR));
-        JobSpec service = World.spec(2, JobKind.SERVICE, 4, 0);
-        assertTrue(world.submit(0, service, HOUR));
-        world.runS(20);
+        assertTrue(cluster.submit(0, work, HOUR));
+        JobSpec service = SimulatedCluster.spec(2, JobKind.SERVICE, 4, 0);
+        assertTrue(cluster.submit(0, service, HOUR));
+        cluster.runS(20);
         assertEquals(4, running(service));
-        long began = world.loop().wallClockMillis();
+        long began = cluster.loop().wallClockMillis();
         body(window("patches", "zones", "a", 240, 600, 180), 201);
         int least = 4;
         for (int second = 0; second < 235; second++) {
-            world.runS(1);
+            cluster.runS(1);
             least = Math.min(least, running(service));
         }
         assertTrue(least >= 3, "replicas left: " + least);
         assertEquals(4, running(service));
-        world.runS(5);
+        cluster.runS(5);
         assertTrue(
-                world.workers().stream()
+                cluster.workers().stream()
                         .filter(worker -> worker.zone().equals("a"))
                         .allMatch(worker -> worker.running().isEmpty()),
                 "all is gone when it begins");
-        assertTrue(world.loop().wallClockMillis() - began < 260_000);
+        assertTrue(cluster.loop().wallClockMillis() - began < 260_000);
     }
 
     @Test
     void aWindowThatBeginsAtOnceStillWarnsFirst() {
         JobSpec work = job(1, "long", Priority.HIGH, gpus(), 1, 1000, 5);
-        assertTrue(world.submit(0, work, HOUR));
-        world.runS(10);
+        assertTrue(cluster.submit(0, work, HOUR));
+        cluster.runS(10);
         assertEquals(gpus(), running(work));
         body(window("now", "zones", "a", 0, 600, 0), 201);
-        world.runS(25);
+        cluster.runS(25);
         assertEquals(gpus(), running(work), "half a minute");
-        world.runS(20);
+        cluster.runS(20);
         assertTrue(running(work) < gpus());
     }
 
@@ -386,45 +386,47 @@
     void lowerWorkThatHasTheRoomIsWarnedAndStoppedAndEqualWorkIsNot() {
         JobSpec low = job(1, "long", Priority.LOW, gpus() / 2, 1, 5000, 5);
         JobSpec equal = job(2, "other", Priority.HIGH, gpus() / 2, 1, 5000, 5);
-        assertTrue(world.submit(0, low, HOUR));
-        assertTrue(world.submit(0, equal, HOUR));
-        world.runS(15);
+        assertTrue(cluster.submit(0, low, HOUR));
+        assertTrue(cluster.submit(0, equal, HOUR));
+        cluster.runS(15);
         int before = running(equal);
         assertEquals(gpus(), running(low) + before);
         body(reserve("calendars", "team", 4, 1, 200, 600), 201);
-        world.runS(202);
+        cluster.runS(202);
         JobSpec run = reservedRun(3, 4);
-        world.runS(12);
+        cluster.runS(12);
         assertEquals(4, running(run));
         assertEquals(before, running(equal));
     }
 
     @Test
     void machinesAreRentedInTimeForASlot() {
-        world.mostMachines(40);
-        int before = world.workers().size();
+        cluster.mostMachines(40);
+        int before = cluster.workers().size();
         int tasks = gpus() + 8;
         body(reserve("calendars", "team", tasks, 1, 600, 600), 201);
-        world.runS(400);
-        assertTrue(world.workers().size() <= before, "not long before");
-        world.runS(190);
+        cluster.runS(400);
+        assertTrue(cluster.workers().size() <= before, "not long before");
+        cluster.runS(190);
         assertTrue(gpus() >= tasks, "of " + gpus());
         JobSpec run = reservedRun(2, tasks);
-        world.runS(20);
+        cluster.runS(20);
         assertEquals(tasks, running(run));
     }
 
     @Test
     void machinesThatAreLostBeforeTheSlotAreReplaced() {
-        world.mostMachines(40);
+        cluster.mostMachines(40);
         body(reserve("calendars", "team", 6, 1, 300, 600), 201);
         longWork();
-        world.runS(180);
-        world.workers().stream().filter(worker -> worker.running().isEmpty()).forEach(world::take);
-        world.mostMachines(80);
-        world.runS(125);
+        cluster.runS(180);
+        cluster.workers().stream()
+                .filter(worker -> worker.running().isEmpty())
+                .forEach(cluster::take);
+        cluster.mostMachines(80);
+        cluster.runS(125);
         JobSpec run = reservedRun(2, 6);
-        world.runS(12);
+        cluster.runS(12);
         assertEquals(6, running(run));
     }
 
@@ -432,20 +434,20 @@
     void theRoomOfAJobThatIsCancelledInItsSlotIsThereForTheNext() {
         body(reserve("calendars", "team", 6, 1, 300, 600), 201);
         longWork();
-        world.runS(305);
+        cluster.runS(305);
         JobSpec wrong = job(2, "night", Priority.HIGH, 6, 1, 60, 0);
-        assertTrue(world.submit(1, wrong, HOUR));
-        world.runS(15);
-        assertTrue(world.cancel(2, wrong.id()));
-        world.runS(8);
+        assertTrue(cluster.submit(1, wrong, HOUR));
+        cluster.runS(15);
+        assertTrue(cluster.cancel(2, wrong.id()));
+        cluster.runS(8);
         JobSpec right = reservedRun(3, 6);
-        world.runS(12);
+        cluster.runS(12);
         assertEquals(6, running(right));
     }
 
     @Test
     void aGangThatAWindowStopsGoesWholeAndComesBackElsewhere() {
-        JobSpec spec = World.spec(1, JobKind.GANG, 4, 1);
+        JobSpec spec = SimulatedCluster.spec(1, JobKind.GANG, 4, 1);
         JobSpec gang =
                 new JobSpec(
                         spec.id(),
@@ -466,16 +468,16 @@
                         10,
                         4,
                         Double.NaN);
-        assertTrue(world.submit(0, gang, HOUR));
-        world.runS(15);
+        assertTrue(cluster.submit(0, gang, HOUR));
+        cluster.runS(15);
         assertEquals(4, running(gang));
         String zone = placeOf(gang, 0).zone();
         body(window("patches", "zones", zone, 150, 600, 0), 201);
-        world.runS(120);
+        cluster.runS(120);
         assertEquals(4, running(gang), "not before it has to");
-        world.runS(45);
+        cluster.runS(45);
         assertTrue(
-                world.workers().stream()
+                cluster.workers().stream()
                         .filter(worker -> worker.zone().equals(zone))
                         .allMatch(worker -> worker.running().isEmpty()));
         assertEquals(4, running(gang), "in the other zone");
@@ -486,20 +488,20 @@
         body(window("one", "zones", "a", 60, 300, 0), 201);
         body(window("two", "zones", "b", 120, 120, 0), 201);
         JobSpec work = job(1, "long", Priority.HIGH, 4, 1, 100, 0);
-        assertTrue(world.submit(0, work, Duration.ofSeconds(100)));
-        world.runS(130);
+        assertTrue(cluster.submit(0, work, Duration.ofSeconds(100)));
+        cluster.runS(130);
         assertEquals(0, running(work));
-        world.runS(90);
+        cluster.runS(90);
         assertEquals(0, running(work));
-        world.runS(40);
+        cluster.runS(40);
         assertEquals(4, running(work), "in the zone whose window is over");
     }
 
     @Test
     void aRequestIsJudgedOnceForAllNodesAndRepeatedFreely() throws MalformedMessageException {
-        world.team("team", 0, 10);
-        world.calendar(Map.of());
-        world.runS(15);
+        cluster.team("team", 0, 10);
+        cluster.calendar(Map.of());
+        cluster.runS(15);
         String start = in(600);
         Object[] first = {
             "team",
@@ -554,9 +556,9 @@
                                         60.0)));
         List<CompletableFuture<Http.Reply>> both =
                 List.of(
-                        world.asksDesk(0, "secret", "PUT", "reservations/one", null, body),
-                        world.asksDesk(1, "secret", "PUT", "reservations/two", null, body));
-        world.runS(3);
+                        cluster.asksDesk(0, "secret", "PUT", "reservations/one", null, body),
+                        cluster.asksDesk(1, "secret", "PUT", "reservations/two", null, body));
+        cluster.runS(3);
         assertEquals(
                 List.of(201, 409),
                 both.stream().map(reply -> reply.join().status()).sorted().toList());
@@ -575,7 +577,7 @@
                 refused.string("error"));
         assertEquals(
                 200,
-                world.operate(
+                cluster.operate(
                                 0,
                                 "secret",
                                 "DELETE",
@@ -585,23 +587,23 @@
                         .status());
         assertEquals(
                 200,
-                world.operate(1, "secret", "DELETE", "reservations/first", null, "").status(),
+                cluster.operate(1, "secret", "DELETE", "reservations/first", null, "").status(),
                 "repeated");
         assertEquals(
-                404, world.operate(1, "reader", "GET", "reservations/first", null, "").status());
+                404, cluster.operate(1, "reader", "GET", "reservations/first", null, "").status());
         assertEquals(
                 1,
-                body(world.operate(1, "reader", "GET", "reservations", null, ""), 200)
+                body(cluster.operate(1, "reader", "GET", "reservations", null, ""), 200)
                         .nestedList("reservations")
                         .size());
     }
 
     @Test
     void whatIsWrongIsRefusedByNameAndWhoMayNotIsKeptOut() {
-        assertEquals(401, world.operate(0, "guess", "GET", "plan", null, "").status());
-        assertEquals(403, world.operate(0, "reader", "PUT", "windows/w", null, "{}").status());
-        assertEquals(405, world.operate(0, "secret", "POST", "windows/w", null, "{}").status());
-        assertEquals(404, world.operate(0, "secret", "GET", "elsewhere", null, "").status());
+        assertEquals(401, cluster.operate(0, "guess", "GET", "plan", null, "").status());
+        assertEquals(403, cluster.operate(0, "reader", "PUT", "windows/w", null, "{}").status());
+        assertEquals(405, cluster.operate(0, "secret", "POST", "windows/w", null, "{}").status());
+        assertEquals(404, cluster.operate(0, "secret", "GET", "elsewhere", null, "").status());
         for (String[] wrong :
                 new String[][] {
                     {"windows/w", "{}", "machines"},
@@ -626,13 +628,13 @@
                     },
                     {"reservations/r", "{\"team\":\"t\",\"tasks\":0}", "tasks"}
                 }) {
-            Http.Reply reply = world.operate(0, "secret", "PUT", wrong[0], null, wrong[1]);
+            Http.Reply reply = cluster.operate(0, "secret", "PUT", wrong[0], null, wrong[1]);
             assertTrue(
                     body(reply, 400).map().get("error").toString().contains(wrong[2]),
                     new String(reply.body()));
         }
         assertEquals(422, reserve("r", "nobody", 1, 1, 60, 60).status());
         assertEquals(422, window("w", "zones", "moon", 60, 60, 0).status());
-        assertFalse(world.store().size("cal/") > 0, "nothing of it is kept");
+        assertFalse(cluster.store().size("cal/") > 0, "nothing of it is kept");
     }
 }
--- a/src/test/java/org/meadowhollow/story/ScaleTest.java
+++ b/src/test/java/org/meadowhollow/simulation/ScaleTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -22,91 +22,94 @@
     private static final int JOBS = 40;
     private static final int TASKS = 25;
 
-    private World world;
+    private SimulatedCluster cluster;
     private final List<JobSpec> jobs = new ArrayList<>();
 
     @BeforeEach
     void nineHundredMachinesWithAThousandTasks() {
-        world = new World();
+        cluster = new SimulatedCluster();
         for (int at = 0; at < MACHINES; at++) {
-            world.machine(World.SMALL, at % 2 == 0 ? "a" : "b");
+            cluster.machine(SimulatedCluster.SMALL, at % 2 == 0 ? "a" : "b");
         }
-        world.runS(12);
-        world.cloudOut(true);
+        cluster.runS(12);
+        cluster.cloudOut(true);
         for (int number = 0; number < JOBS; number++) {
-            JobSpec job = World.spec(number, JobKind.ARRAY, TASKS, 1);
+            JobSpec job = SimulatedCluster.spec(number, JobKind.ARRAY, TASKS, 1);
             jobs.add(job);
-            assertTrue(world.submit(number % 3, job, Duration.ofSeconds(60)));
+            assertTrue(cluster.submit(number % 3, job, Duration.ofSeconds(60)));
         }
-        world.runS(10);
+        cluster.runS(10);
     }
 
     @Test
     void aBacklogStartsInAFewRoundsAndARecordHoldsAJob() {
-        assertEquals(JOBS * TASKS, world.starts());
-        assertEquals(JOBS, world.store().size("task/"));
+        assertEquals(JOBS * TASKS, cluster.starts());
+        assertEquals(JOBS, cluster.store().size("task/"));
     }
 
     @Test
     void aTakeoverLosesNothingAndAsksNobodyWhoReports() {
-        world.takeDirects();
-        world.crash(world.leader());
-        world.runS(70);
-        assertEquals(0, world.takeDirects(), "every worker found the new leader by itself");
-        assertEquals(JOBS * TASKS, world.starts());
+        cluster.takeDirects();
+        cluster.crash(cluster.leader());
+        cluster.runS(70);
+        assertEquals(0, cluster.takeDirects(), "every worker found the new leader by itself");
+        assertEquals(JOBS * TASKS, cluster.starts());
         for (JobSpec job : jobs) {
-            assertEquals(Phase.DONE, world.poll(world.leader(), job.id()).orElseThrow().phase());
+            assertEquals(
+                    Phase.DONE, cluster.poll(cluster.leader(), job.id()).orElseThrow().phase());
         }
     }
 
     @Test
     void aWarmStandbyPlacesWithinASecondOfItsKeyAndReadsNoPages() {
-        world.standby();
-        world.runS(60);
-        int dead = world.leader();
+        cluster.standby();
+        cluster.runS(60);
+        int dead = cluster.leader();
         int[] pages = new int[3];
         int[] watches = new int[3];
         for (int node = 0; node < 3; node++) {
-            pages[node] = world.line(node).pages();
-            watches[node] = world.line(node).watches();
+            pages[node] = cluster.line(node).pages();
+            watches[node] = cluster.line(node).watches();
         }
         for (int second = 0; second < 20; second++) {
             assertTrue(
-                    world.submit(
+                    cluster.submit(
                             dead,
-                            World.spec(JOBS + 1 + second, JobKind.ARRAY, 2, 1),
+                            SimulatedCluster.spec(JOBS + 1 + second, JobKind.ARRAY, 2, 1),
                             Duration.ofSeconds(3)));
-            world.runS(0.75);
+            cluster.runS(0.75);
         }
         int follower = (dead + 1) % 3;
-        int asked = world.line(follower).watches() - watches[follower];
+        int asked = cluster.line(follower).watches() - watches[follower];
         assertTrue(
                 asked <= 3 * 11,
                 asked + " watches of three prefixes in 20 s, at most one each in 2 s");
-        JobSpec waiting = World.spec(JOBS, JobKind.ARRAY, 1, 1);
-        world.crash(dead);
-        assertTrue(world.submit(follower, waiting, Duration.ofSeconds(20)));
-        for (int step = 0; step < 40 && (world.leader() < 0 || world.leader() == dead); step++) {
-            world.runS(0.25);
+        JobSpec waiting = SimulatedCluster.spec(JOBS, JobKind.ARRAY, 1, 1);
+        cluster.crash(dead);
+        assertTrue(cluster.submit(follower, waiting, Duration.ofSeconds(20)));
+        for (int step = 0;
+                step < 40 && (cluster.leader() < 0 || cluster.leader() == dead);
+                step++) {
+            cluster.runS(0.25);
         }
-        int next = world.leader();
-        world.runS(1);
+        int next = cluster.leader();
+        cluster.runS(1);
         assertEquals(
                 1,
-                world.store().size(RecordCodec.TASK_PREFIX + waiting.id().value()),
+                cluster.store().size(RecordCodec.TASK_PREFIX + waiting.id().value()),
                 "placed within a second or so");
-        assertEquals(pages[next], world.line(next).pages(), "it has all records in hand");
+        assertEquals(pages[next], cluster.line(next).pages(), "it has all records in hand");
     }
 
     @Test
     void manySilentMachinesAreAskedAFewAtATime() {
-        world.workers().stream().limit(MACHINES / 2).forEach(worker -> worker.hang(true));
-        world.takeDirects();
+        cluster.workers().stream().limit(MACHINES / 2).forEach(worker -> worker.hang(true));
+        cluster.takeDirects();
         int most = 0;
         int all = 0;
         for (int second = 0; second < 15; second++) {
-            world.runS(1);
-            int asked = world.takeDirects();
+            cluster.runS(1);
+            int asked = cluster.takeDirects();
             most = Math.max(most, asked);
             all += asked;
         }
--- a/src/test/java/org/meadowhollow/story/World.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedCluster.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -67,7 +67,7 @@
  * A deployment in memory and in virtual time: three nodes, the state service, a cloud and workers.
  * It checks the protocol's rules whenever a task starts and after every step.
  */
-final class World {
+final class SimulatedCluster {
     static final MachineType SMALL =
             new MachineType("small", Resources.of(8, 2, 32), 50, 1, 2, 1, 10, List.of("a", "b"));
     static final MachineType LARGE =
@@ -84,16 +84,16 @@
     private static final Duration RENTAL_ANSWER = Duration.ofMillis(100);
     private static final int MOST_KEPT = 1000;
 
-    private final VirtualLoop loop = new VirtualLoop();
-    private final FakeStore store = new FakeStore(loop);
+    private final VirtualEventLoop loop = new VirtualEventLoop();
+    private final FakeKeyValueStore store = new FakeKeyValueStore(loop);
     private final List<Member> members = new ArrayList<>();
     private final Map<MachineId, FakeWorker> workers = new TreeMap<>();
     private final Map<String, List<MachineId>> rentals = new HashMap<>();
     private final Map<JobId, JobSpec> specs = new HashMap<>();
     private final Map<JobId, Duration> runTimes = new HashMap<>();
     private final Map<String, DeploymentSettings.TeamQuota> teams = new HashMap<>();
-    private final Judge judge =
-            new Judge(CANCEL, teams, List.of(SMALL, LARGE), this::spec, workers::values);
+    private final HistoryChecker historyChecker =
+            new HistoryChecker(CANCEL, teams, List.of(SMALL, LARGE), this::spec, workers::values);
 
     /** What was found wrong inside an answer, where nothing that is thrown would be seen. */
     private AssertionError wrong;
@@ -115,7 +115,7 @@
 
     private int nextAsked;
     private final List<JobEventLog.Event> events = new ArrayList<>();
-    private final NotedTraces traces = new NotedTraces();
+    private final RecordingTaskTracer traces = new RecordingTaskTracer();
     private final JobEventListeners jobEventListeners =
             new JobEventListeners(new JobEventLog(events::add), traces);
     private Duration fetch = Duration.ofSeconds(2);
@@ -144,7 +144,7 @@
     /** A node's process and its lines. */
     private final class Member {
         private final String name;
-        private FakeStore.Line line;
+        private FakeKeyValueStore.Line line;
         private ControllerNode controllerNode;
         private AdmissionService admissionService;
         private TesApi tes;
@@ -175,8 +175,8 @@
 
         void start() {
             silent = false;
-            line = store.new Line().readBy(this::whenAwake).copied(World.this::again);
-            FakeStore.Line mine = line;
+            line = store.new Line().readBy(this::whenAwake).copied(SimulatedCluster.this::again);
+            FakeKeyValueStore.Line mine = line;
             MachineTypeCatalog machineTypeCatalog = new MachineTypeCatalog();
             DeploymentSettings deploymentSettings =
                     new DeploymentSettings(
@@ -283,7 +283,7 @@
         }
     }
 
-    World() {
+    SimulatedCluster() {
         store.whenPut(RecordCodec.LEADER_KEY, this::leaderBegins);
         team("team", 0, 0);
         team("other", 0, 0);
@@ -385,7 +385,7 @@
     }
 
     /** Starts all nodes anew with warm standbys. */
-    World standby() {
+    SimulatedCluster standby() {
         standby = new StandbySettings(true, "test", "a");
         crashAll();
         restartAll();
@@ -406,7 +406,7 @@
      * From now on any message may come once more: a moment, twenty seconds or four minutes later,
      * out of order, to whoever has its receiver's name by then; nobody waits for the answer.
      */
-    World copies(long seed) {
+    SimulatedCluster copies(long seed) {
         copies = new Random(seed);
         return this;
     }
@@ -483,7 +483,7 @@
         return specs.computeIfAbsent(
                 id,
                 unknown -> {
-                    judge.submits(id);
+                    historyChecker.submits(id);
                     return RecordCodec.job(
                                     id,
                                     store.value(RecordCodec.job(id)),
@@ -497,7 +497,7 @@
         return name.equals(SMALL.name()) ? SMALL : LARGE;
     }
 
-    World team(String name, double guaranteedGpus, double mostGpus) {
+    SimulatedCluster team(String name, double guaranteedGpus, double mostGpus) {
         teams.put(
                 name,
                 new DeploymentSettings.TeamQuota(
@@ -514,15 +514,15 @@
         return fetch;
     }
 
-    VirtualLoop loop() {
+    VirtualEventLoop loop() {
         return loop;
     }
 
-    FakeStore store() {
+    FakeKeyValueStore store() {
         return store;
     }
 
-    FakeStore.Line line(int node) {
+    FakeKeyValueStore.Line line(int node) {
         return members.get(node).line;
     }
 
@@ -790,7 +790,7 @@
         return specs.values().stream()
                 .filter(
                         spec ->
-                                !judge.isOver(spec.id())
+                                !historyChecker.isOver(spec.id())
                                         && workers().stream()
                                                 .anyMatch(
                                                         worker ->
@@ -820,7 +820,7 @@
         switch (random.nextInt(5)) {
             case 0, 1 -> resubmits(node, job);
             case 2 -> {
-                if (judge.isOver(job.id())) {
+                if (historyChecker.isOver(job.id())) {
                     cancels(node, job.id());
                 }
             }
@@ -868,12 +868,12 @@
      * then is checked.
      */
     void calm() {
-        judge.calm(loop.now());
+        historyChecker.calm(loop.now());
         askAll();
     }
 
     private void askAll() {
-        judge.unfinished().forEach(id -> asks(nextAsked++ % members.size(), id));
+        historyChecker.unfinished().forEach(id -> asks(nextAsked++ % members.size(), id));
         loop.schedule(Duration.ofSeconds(5), this::askAll);
     }
 
@@ -966,7 +966,7 @@
     boolean submit(int node, JobSpec spec, Duration runTime) {
         specs.put(spec.id(), spec);
         runTimes.put(spec.id(), runTime);
-        judge.submits(spec.id());
+        historyChecker.submits(spec.id());
         again(() -> resubmits(node, spec));
         return await(
                         node,
@@ -987,7 +987,7 @@
     CompletableFuture<Optional<JobStatus>> submits(int node, JobSpec spec, Duration runTime) {
         specs.put(spec.id(), spec);
         runTimes.put(spec.id(), runTime);
-        judge.submits(spec.id());
+        historyChecker.submits(spec.id());
         return resubmits(node, spec);
     }
 
@@ -1024,20 +1024,20 @@
     }
 
     boolean cancel(int node, JobId id) {
-        judge.asksToCancel(id);
+        historyChecker.asksToCancel(id);
         again(() -> cancels(node, id));
         return await(node, admissionService -> judged(id, admissionService.cancel(id))).isPresent();
     }
 
     /** Asks for a job's cancellation without waiting for the answer. */
     CompletableFuture<Optional<JobStatus>> cancels(int node, JobId id) {
-        judge.asksToCancel(id);
+        historyChecker.asksToCancel(id);
         return request(node, admissionService -> judged(id, admissionService.cancel(id)));
     }
 
     /** What users and workers saw, by the protocol's rules. */
-    Judge judge() {
-        return judge;
+    HistoryChecker judge() {
+        return historyChecker;
     }
 
     /** Holds each answer against what was told before its question was sent. */
@@ -1049,7 +1049,7 @@
                         judged(
                                 () -> {
                                     Phase phase = state.map(JobStatus::phase).orElse(null);
-                                    judge.answered(id, phase, sentAt, loop.now());
+                                    historyChecker.answered(id, phase, sentAt, loop.now());
                                     if (closeLooks && phase != null) {
                                         lookClosely(id, phase);
                                     }
@@ -1117,19 +1117,19 @@
         if (wrong != null) {
             throw wrong;
         }
-        judge.check(loop.now());
+        historyChecker.check(loop.now());
     }
 
     /** A worker has taken an order to start a task. */
     void toldToStart(TaskId task) {
         startOrders++;
-        judge.toldToStart(task);
+        historyChecker.toldToStart(task);
     }
 
     /** A task has its image now and is on its machine. */
     void started(FakeWorker worker, TaskId task) {
         starts++;
-        judge.started(worker, task, loop.now());
+        historyChecker.started(worker, task, loop.now());
     }
 
     /** A gang runs, and so completes, only while each of its tasks is on a machine. */
@@ -1137,7 +1137,7 @@
         JobSpec spec = spec(id);
         for (int task = 0; spec.kind() == JobKind.GANG && task < spec.taskCount(); task++) {
             TaskId each = new TaskId(id, task);
-            if (!judge.isCompleted(each) && on(each).isEmpty()) {
+            if (!historyChecker.isCompleted(each) && on(each).isEmpty()) {
                 return false;
             }
         }
@@ -1157,14 +1157,16 @@
     }
 
     void completed(TaskId task) {
-        judge.complete(task);
+        historyChecker.complete(task);
         JobSpec spec = spec(task.jobId());
         boolean ends =
                 spec.kind() == JobKind.GANG
-                        || !judge.isOver(spec.id())
+                        || !historyChecker.isOver(spec.id())
                                 && IntStream.range(0, spec.taskCount())
                                         .allMatch(
-                                                at -> judge.isCompleted(new TaskId(spec.id(), at)));
+                                                at ->
+                                                        historyChecker.isCompleted(
+                                                                new TaskId(spec.id(), at)));
         if (ends && cancelling != null && cancelling.nextDouble() < cancelledAtEnd) {
             int node = cancelling.nextInt(members.size());
             loop.schedule(
@@ -1174,7 +1176,7 @@
             // The tasks of a gang complete together.
             for (int other = 0; other < spec.taskCount(); other++) {
                 TaskId each = new TaskId(task.jobId(), other);
-                if (judge.complete(each)) {
+                if (historyChecker.complete(each)) {
                     on(each).forEach(worker -> worker.complete(each));
                 }
             }
@@ -1518,7 +1520,10 @@
                                             workers.put(
                                                     id,
                                                     new FakeWorker(
-                                                            World.this, id.value(), type, zone)));
+                                                            SimulatedCluster.this,
+                                                            id.value(),
+                                                            type,
+                                                            zone)));
                         }
                         rentals.put(request, ids);
                         // A machine that is up at once may report before its rental is answered.
--- a/src/test/java/org/meadowhollow/story/TesFuzzTest.java
+++ b/src/test/java/org/meadowhollow/simulation/TesFuzzTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -77,10 +77,10 @@
                     "true",
                     "1");
 
-    private final World world = new World();
+    private final SimulatedCluster cluster = new SimulatedCluster();
 
     TesFuzzTest() {
-        world.runS(20);
+        cluster.runS(20);
     }
 
     private static Arbitrary<String> text() {
@@ -203,7 +203,7 @@
 
     private Http.Reply ask(
             String method, String path, Map<String, List<String>> query, byte[] body) {
-        Http.Reply reply = world.tes(0, "secret", method, path, query, Map.of(), body);
+        Http.Reply reply = cluster.tes(0, "secret", method, path, query, Map.of(), body);
         assertNotNull(reply, "no answer");
         return reply;
     }
@@ -235,7 +235,7 @@
             assertEquals(sent.get(key), told.get(key), key);
         }
         assertEquals(200, ask("POST", "/tasks/" + id + ":cancel", Map.of(), new byte[0]).status());
-        world.run(java.time.Duration.ofSeconds(1));
+        cluster.run(java.time.Duration.ofSeconds(1));
         assertEquals(new JobId(id).value(), told.get("id"));
     }
 
@@ -336,7 +336,7 @@
                     FINE.contains(ask(method, "/tasks/" + other, Map.of(), new byte[0]).status()));
         }
         Map<String, String> headers = new HashMap<>(Map.of("Authorization", one));
-        Http.Reply reply = world.tes(0, null, "GET", "/tasks", Map.of(), headers, new byte[0]);
+        Http.Reply reply = cluster.tes(0, null, "GET", "/tasks", Map.of(), headers, new byte[0]);
         assertEquals(401, reply.status(), "nobody guesses a token");
         try {
             assertTrue(
@@ -368,7 +368,7 @@
         Arrays.setAll(
                 replies,
                 at ->
-                        world.tes(
+                        cluster.tes(
                                 at,
                                 "secret",
                                 "POST",
--- a/src/test/java/org/meadowhollow/story/TesStoriesTest.java
+++ b/src/test/java/org/meadowhollow/simulation/TesScenarioTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -31,7 +31,7 @@
 import org.meadowhollow.storage.RecordCodec;
 
 /** Tasks that come by the task execution API, beside native jobs, while things fail. */
-class TesStoriesTest extends Story {
+class TesScenarioTest extends ClusterTestBase {
     private static final String TASK =
             """
             {"name": "%s", "executors": [{"image": "image", "command": ["true"]}], "tags": {"night": "%s"},
@@ -39,7 +39,7 @@
              "resources": {"cpu_cores": 1, "ram_gb": 4, "backend_parameters": {"gpus": "1" %s}}}""";
 
     private Http.Reply create(int node, String body, String key) {
-        return world.tes(
+        return cluster.tes(
                 node,
                 "secret",
                 "POST",
@@ -50,7 +50,7 @@
     }
 
     private Http.Reply ask(int node, String method, String path, Map<String, List<String>> query) {
-        return world.tes(node, "secret", method, path, query, Map.of(), "");
+        return cluster.tes(node, "secret", method, path, query, Map.of(), "");
     }
 
     private static Map<String, Object> body(Http.Reply reply) {
@@ -64,7 +64,7 @@
 
     private String created(String name, String tag, String parameters, Duration runs) {
         String id = (String) body(create(0, TASK.formatted(name, tag, parameters), null)).get("id");
-        world.runs(new JobId(id), runs);
+        cluster.runs(new JobId(id), runs);
         return id;
     }
 
@@ -82,22 +82,22 @@
 
     /** Whether the task is on some machine, with its image or without. */
     private boolean isSomewhere(String id) {
-        return world.workers().stream()
+        return cluster.workers().stream()
                 .anyMatch(
                         worker ->
                                 !worker.hung()
                                         && worker.holds(task(id))
                                         && (worker.running().contains(task(id))
-                                                || world.fetch().toSeconds() > 30));
+                                                || cluster.fetch().toSeconds() > 30));
     }
 
     @Test
     void aTaskRunsAndEveryNodeTellsTheSameOfIt() throws MalformedMessageException {
         String id = created(SHORT);
         assertEquals("QUEUED", state(1, id));
-        world.runS(6);
+        cluster.runS(6);
         assertEquals("RUNNING", state(2, id));
-        world.runS(20);
+        cluster.runS(20);
         for (int node = 0; node < 3; node++) {
             Map<String, Object> full =
                     body(ask(node, "GET", "/tasks/" + id, Map.of("view", List.of("FULL"))));
@@ -117,7 +117,7 @@
     @Test
     void aTaskThatIsDoneBetweenTwoReportsHasAStartAllTheSame() throws MalformedMessageException {
         String id = created(Duration.ofMillis(10));
-        world.runS(12);
+        cluster.runS(12);
         MessageReader told =
                 new MessageReader(
                         body(ask(1, "GET", "/tasks/" + id, Map.of("view", List.of("BASIC")))));
@@ -128,74 +128,74 @@
 
     @Test
     void anImageOnItsWayIsToldAsInitializing() {
-        world.fetch(Duration.ofSeconds(20));
+        cluster.fetch(Duration.ofSeconds(20));
         String id = created(SHORT);
-        world.runS(8);
+        cluster.runS(8);
         assertEquals("INITIALIZING", state(1, id));
-        world.runS(20);
+        cluster.runS(20);
         assertEquals("RUNNING", state(1, id));
     }
 
     @Test
     void aCancelledTaskNeverRunsAfterwardsWhereverItIs() {
         // Nothing has room: cancelled while it waits.
-        world.workers().forEach(worker -> worker.hang(true));
-        world.cloudOut(true);
-        world.runS(10);
+        cluster.workers().forEach(worker -> worker.hang(true));
+        cluster.cloudOut(true);
+        cluster.runS(10);
         String waiting = created(LONG);
         body(ask(1, "POST", "/tasks/" + waiting + ":cancel", Map.of()));
         assertTrue(Set.of("CANCELING", "CANCELED").contains(state(2, waiting)));
-        world.runS(2);
+        cluster.runS(2);
         assertEquals("CANCELED", state(0, waiting));
-        world.workers().forEach(worker -> worker.hang(false));
-        world.runS(10);
+        cluster.workers().forEach(worker -> worker.hang(false));
+        cluster.runS(10);
         // Its start is committed, but every answer that holds it is lost.
-        world.workers().forEach(worker -> worker.deaf(true));
+        cluster.workers().forEach(worker -> worker.deaf(true));
         String unsent = created(LONG);
-        world.runS(2);
+        cluster.runS(2);
         body(ask(1, "POST", "/tasks/" + unsent + ":cancel", Map.of()));
         assertTrue(Set.of("CANCELING", "CANCELED").contains(state(2, unsent)));
-        world.workers().forEach(worker -> worker.deaf(false));
-        world.runS(20);
+        cluster.workers().forEach(worker -> worker.deaf(false));
+        cluster.runS(20);
         assertEquals("CANCELED", state(0, unsent));
-        assertEquals(0, world.starts());
+        assertEquals(0, cluster.starts());
         // Its image is on the way.
-        world.fetch(Duration.ofSeconds(40));
+        cluster.fetch(Duration.ofSeconds(40));
         String fetching = created(LONG);
-        world.runS(6);
+        cluster.runS(6);
         assertEquals("INITIALIZING", state(0, fetching));
         body(ask(1, "POST", "/tasks/" + fetching + ":cancel", Map.of()));
-        world.runS(10);
+        cluster.runS(10);
         assertEquals("CANCELED", state(2, fetching));
-        world.runS(50);
-        assertEquals(0, world.starts());
+        cluster.runS(50);
+        assertEquals(0, cluster.starts());
     }
 
     @Test
     void aTaskCancelledDuringATakeoverIsGoneAndSaysSo() {
         String id = created(LONG);
-        world.runS(6);
+        cluster.runS(6);
         assertEquals("RUNNING", state(0, id));
-        int leader = world.leader();
-        world.crash(leader);
+        int leader = cluster.leader();
+        cluster.crash(leader);
         int other = (leader + 1) % 3;
         body(ask(other, "POST", "/tasks/" + id + ":cancel", Map.of()));
         assertEquals("CANCELING", state((leader + 2) % 3, id));
-        world.runS(30);
+        cluster.runS(30);
         assertFalse(isSomewhere(id));
         assertEquals("CANCELED", state(other, id));
-        assertEquals(1, world.starts());
+        assertEquals(1, cluster.starts());
     }
 
     @Test
     void aCancellationIsNeverToldAsTakenBack() {
         String id = created(LONG);
-        world.runS(6);
+        cluster.runS(6);
         // The leader cannot see the cancellation by itself for a while, and has news of its own to
         // write.
-        world.line(world.leader()).blind(true);
-        body(ask((world.leader() + 1) % 3, "POST", "/tasks/" + id + ":cancel", Map.of()));
-        world.workers()
+        cluster.line(cluster.leader()).blind(true);
+        body(ask((cluster.leader() + 1) % 3, "POST", "/tasks/" + id + ":cancel", Map.of()));
+        cluster.workers()
                 .forEach(
                         worker -> {
                             if (worker.holds(task(id))) {
@@ -204,62 +204,62 @@
                         });
         for (int second = 0; second < 20; second++) {
             assertTrue(Set.of("CANCELING", "CANCELED").contains(state(second % 3, id)));
-            world.runS(1);
+            cluster.runS(1);
         }
         assertEquals("CANCELED", state(0, id));
     }
 
     @Test
     void aCancellationThatComesLateTakesNoAttemptOutOfTheLog() throws MalformedMessageException {
-        world.workers().forEach(worker -> worker.hang(true));
-        world.cloudOut(true);
-        world.runS(10);
+        cluster.workers().forEach(worker -> worker.hang(true));
+        cluster.cloudOut(true);
+        cluster.runS(10);
         String id = created(LONG);
         // It reads the entry before the task has a place, and writes after.
-        int other = (world.leader() + 1) % 3;
-        world.line(other).holdCommits();
-        world.loop()
+        int other = (cluster.leader() + 1) % 3;
+        cluster.line(other).holdCommits();
+        cluster.loop()
                 .schedule(
                         Duration.ofSeconds(1),
-                        () -> world.workers().forEach(worker -> worker.hang(false)));
+                        () -> cluster.workers().forEach(worker -> worker.hang(false)));
         Http.Reply unanswered = ask(other, "POST", "/tasks/" + id + ":cancel", Map.of());
         assertTrue(unanswered == null || unanswered.status() == 503);
-        world.runS(10);
-        assertEquals("RUNNING", state(world.leader(), id));
-        world.line(other).hold(false);
+        cluster.runS(10);
+        assertEquals("RUNNING", state(cluster.leader(), id));
+        cluster.line(other).hold(false);
         for (int second = 0; second < 10; second++) {
             Map<String, Object> full =
                     body(
                             ask(
-                                    world.leader(),
+                                    cluster.leader(),
                                     "GET",
                                     "/tasks/" + id,
                                     Map.of("view", List.of("FULL"))));
             assertEquals(1, new MessageReader(full).nestedList("logs").size());
-            world.runS(1);
+            cluster.runS(1);
         }
     }
 
     @Test
     void aCancellationThatComesAfterTheEndChangesNothing() {
-        JobSpec job = World.spec(1, JobKind.ARRAY, 1, 1);
-        assertTrue(world.submit(0, job, SHORT));
+        JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 1, 1);
+        assertTrue(cluster.submit(0, job, SHORT));
         String id = created(SHORT);
-        world.runS(6);
-        int other = (world.leader() + 1) % 3;
-        world.line(other).holdCommits();
-        assertFalse(world.cancel(other, job.id()));
+        cluster.runS(6);
+        int other = (cluster.leader() + 1) % 3;
+        cluster.line(other).holdCommits();
+        assertFalse(cluster.cancel(other, job.id()));
         ask(other, "POST", "/tasks/" + id + ":cancel", Map.of());
-        world.runS(20);
-        world.line(other).hold(false);
-        world.runS(10);
+        cluster.runS(20);
+        cluster.line(other).hold(false);
+        cluster.runS(10);
         assertEquals("COMPLETE", state(0, id));
-        assertEquals(AdmissionService.Phase.DONE, world.poll(0, job.id()).orElseThrow().phase());
+        assertEquals(AdmissionService.Phase.DONE, cluster.poll(0, job.id()).orElseThrow().phase());
         assertEquals(
                 0,
-                world.store().size(RecordCodec.JOB_PREFIX),
+                cluster.store().size(RecordCodec.JOB_PREFIX),
                 "no record of a job that is over comes back");
-        assertEquals(2, world.starts());
+        assertEquals(2, cluster.starts());
     }
 
     @Test
@@ -268,33 +268,33 @@
         for (int at = 0; at < 20; at++) {
             ids.add(created(Duration.ofSeconds(2)));
         }
-        world.runS(30);
-        world.crashAll();
-        world.runS(8);
-        world.restartAll();
-        world.runS(8);
+        cluster.runS(30);
+        cluster.crashAll();
+        cluster.runS(8);
+        cluster.restartAll();
+        cluster.runS(8);
         for (String id : ids) {
             assertEquals("COMPLETE", state(1, id));
             body(ask(2, "POST", "/tasks/" + id + ":cancel", Map.of()));
             assertEquals("COMPLETE", state(0, id), "a cancellation comes too late");
         }
-        assertEquals(20, world.starts());
+        assertEquals(20, cluster.starts());
     }
 
     @Test
     void aCreateThatIsRepeatedMakesOneTask() {
         String body = TASK.formatted("once", "1", "");
-        world.line(0).loseAnswers(true);
+        cluster.line(0).loseAnswers(true);
         Http.Reply lost = create(0, body, "night-1");
         assertTrue(lost == null || lost.status() == 503);
-        world.line(0).loseAnswers(false);
+        cluster.line(0).loseAnswers(false);
         String id = (String) body(create(1, body, "night-1")).get("id");
-        world.runs(new JobId(id), SHORT);
+        cluster.runs(new JobId(id), SHORT);
         assertEquals(id, body(create(2, body, "night-1")).get("id"));
         assertEquals(400, create(2, TASK.formatted("another", "1", ""), "night-1").status());
-        world.runS(30);
+        cluster.runS(30);
         assertEquals(id, body(create(0, body, "night-1")).get("id"), "also when it is over");
-        assertEquals(1, world.starts());
+        assertEquals(1, cluster.starts());
     }
 
     @Test
@@ -302,7 +302,7 @@
         String bounded = created("bounded", "1", ", \"max_attempts\": \"2\"", LONG);
         String free = created("free", "1", "", LONG);
         for (int second = 0; second < 60; second++) {
-            world.workers()
+            cluster.workers()
                     .forEach(
                             worker -> {
                                 for (String id : List.of(bounded, free)) {
@@ -311,7 +311,7 @@
                                     }
                                 }
                             });
-            world.runS(1);
+            cluster.runS(1);
         }
         assertEquals("EXECUTOR_ERROR", state(1, bounded));
         Map<String, Object> full =
@@ -325,31 +325,32 @@
     @Test
     void aBoundedTaskWhoseLeaderDiesBetweenItsAttemptsKeepsItsCount() {
         String id = created("bounded", "1", ", \"max_attempts\": \"2\"", LONG);
-        world.runS(6);
+        cluster.runS(6);
         for (int attempt = 1; attempt <= 2; attempt++) {
-            world.on(task(id)).forEach(worker -> worker.fail(task(id)));
-            world.runS(4);
-            world.crash(world.leader());
-            world.runS(2);
-            world.restartAll();
-            world.runS(12);
+            cluster.on(task(id)).forEach(worker -> worker.fail(task(id)));
+            cluster.runS(4);
+            cluster.crash(cluster.leader());
+            cluster.runS(2);
+            cluster.restartAll();
+            cluster.runS(12);
         }
         assertEquals("EXECUTOR_ERROR", state(0, id));
-        assertEquals(2, world.starts());
+        assertEquals(2, cluster.starts());
     }
 
     @Test
     void aTaskIsItsTeamsAlone() {
         String id = created(LONG);
         assertEquals(
-                401, world.tes(0, "wrong", "GET", "/tasks/" + id, Map.of(), Map.of(), "").status());
+                401,
+                cluster.tes(0, "wrong", "GET", "/tasks/" + id, Map.of(), Map.of(), "").status());
         assertEquals(
                 403,
-                world.tes(0, "other secret", "GET", "/tasks/" + id, Map.of(), Map.of(), "")
+                cluster.tes(0, "other secret", "GET", "/tasks/" + id, Map.of(), Map.of(), "")
                         .status());
         assertEquals(
                 403,
-                world.tes(
+                cluster.tes(
                                 0,
                                 "other secret",
                                 "POST",
@@ -360,12 +361,12 @@
                         .status());
         assertEquals(
                 200,
-                world.tes(0, "reader", "GET", "/tasks/" + id, Map.of(), Map.of(), "").status());
+                cluster.tes(0, "reader", "GET", "/tasks/" + id, Map.of(), Map.of(), "").status());
         assertEquals(
                 403,
-                world.tes(0, "reader", "POST", "/tasks/" + id + ":cancel", Map.of(), Map.of(), "")
+                cluster.tes(0, "reader", "POST", "/tasks/" + id + ":cancel", Map.of(), Map.of(), "")
                         .status());
-        Http.Reply others = world.tes(1, "other secret", "GET", "/tasks", Map.of(), Map.of(), "");
+        Http.Reply others = cluster.tes(1, "other secret", "GET", "/tasks", Map.of(), Map.of(), "");
         assertEquals(List.of(), body(others).get("tasks"));
         assertEquals(
                 404, ask(0, "GET", "/tasks/tes-00000000000000000000000000", Map.of()).status());
@@ -401,10 +402,10 @@
             // The next page is asked of another node, after a takeover, and others have come in
             // between.
             created("later", "9", "", LONG);
-            world.crash(world.leader());
-            world.runS(8);
-            world.restartAll();
-            world.runS(6);
+            cluster.crash(cluster.leader());
+            cluster.runS(8);
+            cluster.restartAll();
+            cluster.runS(6);
             node = (node + 1) % 3;
         } while (token != null);
         assertEquals(told.size(), new HashSet<>(told).size());
@@ -441,29 +442,29 @@
 
     @Test
     void whatCannotBeDecidedIsAnsweredAtOnce() {
-        world.line(1).cut(true);
-        world.runS(5);
+        cluster.line(1).cut(true);
+        cluster.runS(5);
         Http.Reply refused = create(1, TASK.formatted("task", "1", ""), null);
         assertEquals(503, refused.status());
         assertEquals(1, refused.retryAfterSeconds());
-        world.store().out(true);
+        cluster.store().out(true);
         assertEquals(503, create(0, TASK.formatted("task", "1", ""), null).status());
     }
 
     @Test
     void aCreateThatASlowStateServiceTakesLateIsFoundByItsKey() {
-        world.line(1).hold(true);
+        cluster.line(1).hold(true);
         String body = TASK.formatted("late", "1", "");
         Http.Reply reply = create(1, body, "night-2");
         assertTrue(reply == null || reply.status() == 503, "nobody knows whether it will be");
-        world.line(1).hold(false);
-        world.runS(3);
+        cluster.line(1).hold(false);
+        cluster.runS(3);
         String id = (String) body(create(2, body, "night-2")).get("id");
-        world.runs(new JobId(id), SHORT);
-        world.runS(25);
+        cluster.runs(new JobId(id), SHORT);
+        cluster.runS(25);
         assertEquals("COMPLETE", state(0, id));
-        assertEquals(1, world.starts());
-        assertEquals(1, world.store().size("tesx/"));
+        assertEquals(1, cluster.starts());
+        assertEquals(1, cluster.store().size("tesx/"));
     }
 
     @Test
@@ -515,7 +516,7 @@
     void listsTakeABoundedPartOfTheStateService() throws Exception {
         List<CompletableFuture<Http.Reply>> lists = new ArrayList<>();
         for (int at = 0; at < 6; at++) {
-            lists.add(world.asked(0, "secret", "GET", "/tasks", Map.of(), Map.of(), new byte[0]));
+            lists.add(cluster.asked(0, "secret", "GET", "/tasks", Map.of(), Map.of(), new byte[0]));
         }
         assertEquals(
                 List.of(503, 503),
@@ -524,7 +525,7 @@
                         .map(reply -> reply.join().status())
                         .toList(),
                 "four at a time, the others at once");
-        world.runS(1);
+        cluster.runS(1);
         assertTrue(lists.stream().limit(4).allMatch(reply -> reply.join().status() == 200));
         for (int at = 0; at < 40; at++) {
             created("t", "1", "", LONG);
@@ -539,7 +540,7 @@
                         .substring(0, 16);
         for (int at = 0; at < 5000; at++) {
             String id = "tes-%026x".formatted(at);
-            world.store()
+            cluster.store()
                     .put(
                             "tesx/" + team + "/%013d-".formatted(at) + id,
                             MessageReader.mapOf(
@@ -571,14 +572,14 @@
         for (int at = 0; at < 300; at++) {
             ids.add(created("t", "1", "", LONG));
         }
-        world.runS(20);
-        int other = (world.leader() + 1) % 3;
+        cluster.runS(20);
+        int other = (cluster.leader() + 1) % 3;
         int[] before = {0};
         ToIntFunction<String> cost =
                 id -> {
-                    before[0] = world.line(other).reads();
+                    before[0] = cluster.line(other).reads();
                     state(other, id);
-                    return world.line(other).reads() - before[0];
+                    return cluster.line(other).reads() - before[0];
                 };
         assertEquals(2, cost.applyAsInt(ids.get(0)));
         assertEquals(1, cost.applyAsInt(ids.get(0)), "a task that was read once is known");
@@ -591,12 +592,12 @@
         String id = created(Duration.ofHours(1));
         for (int failures = 0; failures < 14; ) {
             List<FakeWorker> on =
-                    world.workers().stream()
+                    cluster.workers().stream()
                             .filter(worker -> worker.running().contains(task(id)))
                             .toList();
             on.forEach(worker -> worker.fail(task(id)));
             failures += on.size();
-            world.runS(4);
+            cluster.runS(4);
         }
         MessageReader told =
                 new MessageReader(
@@ -627,23 +628,23 @@
 
     @Test
     void nativeJobsAndTasksOfATeamShareItsLimitAndNeitherOvertakes() {
-        world.team("team", 0, 4);
+        cluster.team("team", 0, 4);
         List<JobId> came = new ArrayList<>();
         for (int at = 1; at <= 6; at++) {
-            JobSpec job = World.spec(at, JobKind.ARRAY, 2, 1);
-            assertTrue(world.submit(at % 3, job, SHORT));
+            JobSpec job = SimulatedCluster.spec(at, JobKind.ARRAY, 2, 1);
+            assertTrue(cluster.submit(at % 3, job, SHORT));
             came.add(job.id());
             came.add(new JobId(created(SHORT)));
         }
         JobId cancelled = new JobId(created(SHORT));
         body(ask(1, "POST", "/tasks/" + cancelled + ":cancel", Map.of()));
-        world.runS(20);
-        world.crash(world.leader());
-        world.runS(8);
-        world.restartAll();
-        world.runS(150);
-        assertEquals(18, world.starts());
-        List<JobEventLog.Event> events = world.events();
+        cluster.runS(20);
+        cluster.crash(cluster.leader());
+        cluster.runS(8);
+        cluster.restartAll();
+        cluster.runS(150);
+        assertEquals(18, cluster.starts());
+        List<JobEventLog.Event> events = cluster.events();
         assertEquals(
                 came,
                 events.stream()
@@ -659,7 +660,7 @@
                         .distinct()
                         .toList(),
                 "first come, first placed, by either way");
-        OrderRules.check(events, 4);
+        JobEventLogChecker.check(events, 4);
         assertEquals(
                 came.size() + 1,
                 events.stream()
@@ -670,7 +671,7 @@
     private String createdTraced(String parameters, Duration runs) {
         String id =
                 (String)
-                        body(world.tes(
+                        body(cluster.tes(
                                         0,
                                         "secret",
                                         "POST",
@@ -679,7 +680,7 @@
                                         Map.of("traceparent", "ctx"),
                                         TASK.formatted("traced", "1", parameters)))
                                 .get("id");
-        world.runs(new JobId(id), runs);
+        cluster.runs(new JobId(id), runs);
         return id;
     }
 
@@ -687,45 +688,45 @@
     void aTracedTaskIsToldOfOnceThroughATakeover() {
         String id = createdTraced(", \"max_attempts\": \"9\"", Duration.ofSeconds(20));
         created(SHORT);
-        world.runS(6);
-        world.on(task(id)).forEach(worker -> worker.fail(task(id)));
-        world.runS(8);
+        cluster.runS(6);
+        cluster.on(task(id)).forEach(worker -> worker.fail(task(id)));
+        cluster.runS(8);
         assertEquals("RUNNING", state(0, id));
-        world.crash(world.leader());
-        world.runS(40);
-        assertEquals("COMPLETE", state((world.leader() + 1) % 3, id));
+        cluster.crash(cluster.leader());
+        cluster.runS(40);
+        assertEquals("COMPLETE", state((cluster.leader() + 1) % 3, id));
         assertEquals(
                 List.of(
                         "ctx accepted",
                         "ctx attempt 1 ERROR",
                         "ctx attempt 2 DONE",
                         "ctx ended DONE"),
-                world.traced());
+                cluster.traced());
     }
 
     @Test
     void aTracedTaskWhoseEndGotNoAnswerIsToldOfAllTheSame() {
         String id = createdTraced("", Duration.ofSeconds(8));
-        world.runS(6);
+        cluster.runS(6);
         assertEquals("RUNNING", state(0, id));
         for (int step = 0;
                 step < 80
-                        && world.workers().stream()
+                        && cluster.workers().stream()
                                 .anyMatch(worker -> worker.running().contains(task(id)));
                 step++) {
-            world.runS(0.25);
+            cluster.runS(0.25);
         }
         // The task is done and no report has said so yet: the answer to the job's end is lost.
-        int leader = world.leader();
-        world.line(leader).loseAnswers(true);
-        world.runS(3.5);
-        world.line(leader).loseAnswers(false);
-        assertEquals(List.of("ctx accepted"), world.traced());
-        world.runS(10);
-        assertEquals(leader, world.leader());
+        int leader = cluster.leader();
+        cluster.line(leader).loseAnswers(true);
+        cluster.runS(3.5);
+        cluster.line(leader).loseAnswers(false);
+        assertEquals(List.of("ctx accepted"), cluster.traced());
+        cluster.runS(10);
+        assertEquals(leader, cluster.leader());
         assertEquals("COMPLETE", state(0, id));
         assertEquals(
-                List.of("ctx accepted", "ctx attempt 1 DONE", "ctx ended DONE"), world.traced());
+                List.of("ctx accepted", "ctx attempt 1 DONE", "ctx ended DONE"), cluster.traced());
     }
 
     @Test
@@ -739,11 +740,11 @@
                 }
             }
         }
-        world.runS(60);
-        world.crashAll();
-        world.runS(8);
-        world.restartAll();
-        world.runS(8);
+        cluster.runS(60);
+        cluster.crashAll();
+        cluster.runS(8);
+        cluster.restartAll();
+        cluster.runS(8);
         for (int at = 0; at < ids.size(); at++) {
             assertEquals("CANCELED", state(at % 3, ids.get(at)));
         }
@@ -769,30 +770,30 @@
         // there first.
         for (int at = 0; at < 12; at++) {
             String id = created(LONG);
-            world.run(Duration.ofMillis(250 * (at % 6)));
+            cluster.run(Duration.ofMillis(250 * (at % 6)));
             body(ask(at % 3, "POST", "/tasks/" + id + ":cancel", Map.of()));
-            int before = world.starts();
-            world.runS(12);
+            int before = cluster.starts();
+            cluster.runS(12);
             assertEquals("CANCELED", state(at % 3, id));
             assertFalse(isSomewhere(id));
-            assertEquals(before, world.starts(), "none starts after the answer");
+            assertEquals(before, cluster.starts(), "none starts after the answer");
         }
-        OrderRules.check(world.events(), 100);
+        JobEventLogChecker.check(cluster.events(), 100);
     }
 
     @Test
     void aTaskOfATeamBelowItsGuaranteeGoesFirstLikeANativeJob() {
-        world.team("other", 2, 0);
+        cluster.team("other", 2, 0);
         for (int at = 1; at <= 40; at++) {
-            assertTrue(world.submit(0, World.spec(at, JobKind.ARRAY, 2, 1), LONG));
+            assertTrue(cluster.submit(0, SimulatedCluster.spec(at, JobKind.ARRAY, 2, 1), LONG));
         }
-        world.cloudOut(true);
+        cluster.cloudOut(true);
         // All machines that were rented are up, and full.
-        world.runS(20);
-        long before = world.workers().stream().mapToLong(worker -> worker.running().size()).sum();
+        cluster.runS(20);
+        long before = cluster.workers().stream().mapToLong(worker -> worker.running().size()).sum();
         String id =
                 (String)
-                        body(world.tes(
+                        body(cluster.tes(
                                         0,
                                         "other secret",
                                         "POST",
@@ -801,16 +802,16 @@
                                         Map.of(),
                                         TASK.formatted("first", "1", ", \"save_s\": \"1\"")))
                                 .get("id");
-        world.runs(new JobId(id), LONG);
-        world.runS(40);
+        cluster.runs(new JobId(id), LONG);
+        cluster.runS(40);
         assertTrue(
                 before > 0
                         && before
-                                == world.workers().stream()
+                                == cluster.workers().stream()
                                         .mapToLong(worker -> worker.running().size())
                                         .sum());
         Http.Reply reply =
-                world.tes(1, "other secret", "GET", "/tasks/" + id, Map.of(), Map.of(), "");
+                cluster.tes(1, "other secret", "GET", "/tasks/" + id, Map.of(), Map.of(), "");
         assertEquals(
                 "RUNNING",
                 body(reply).get("state"),
