--- a/src/test/java/org/meadowhollow/story/MuteMachineStoriesTest.java
+++ b/src/test/java/org/meadowhollow/simulation/UnidirectionalPartitionScenarioTest.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,10 +19,10 @@
  * machines whose answers are lost or held up. Their reports are missing though they live, and a
  * direct answer renews no lease.
  */
-class MuteMachineStoriesTest extends Story {
+class UnidirectionalPartitionScenarioTest extends ClusterTestBase {
     private List<FakeWorker> muteZone(String zone) {
         List<FakeWorker> mute =
-                world.workers().stream().filter(worker -> worker.zone().equals(zone)).toList();
+                cluster.workers().stream().filter(worker -> worker.zone().equals(zone)).toList();
         mute.forEach(worker -> worker.mute(true));
         return mute;
     }
@@ -33,19 +33,19 @@
      */
     @Test
     void nothingIsPlacedOnAMachineThatOnlyAnswersDirectCommands() {
-        world.mostMachines(0);
-        world.runS(4);
+        cluster.mostMachines(0);
+        cluster.runS(4);
         List<FakeWorker> mute = muteZone("a");
-        world.runS(8);
-        JobSpec job = World.spec(1, JobKind.ARRAY, 12, 2);
-        assertTrue(world.submit(0, job, HOURS));
+        cluster.runS(8);
+        JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 12, 2);
+        assertTrue(cluster.submit(0, job, HOURS));
         // Before the lease of those that are mute is over, which would prove that nothing was
         // started there.
-        world.runS(7);
+        cluster.runS(7);
         assertTrue(allRun(job), "there is room for all on the others");
         mute.forEach(worker -> worker.mute(false));
-        world.runS(40);
-        assertEquals(12, world.starts());
+        cluster.runS(40);
+        assertEquals(12, cluster.starts());
     }
 
     /**
@@ -53,17 +53,17 @@
      */
     @Test
     void aMuteMachineIsNotReturnedForItsSilence() {
-        JobSpec job = World.spec(1, JobKind.SERVICE, 6, 1);
-        assertTrue(world.submit(0, job, null));
-        world.runS(10);
+        JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 6, 1);
+        assertTrue(cluster.submit(0, job, null));
+        cluster.runS(10);
         FakeWorker mute = placeOf(job, 0);
         mute.mute(true);
-        world.runS(40);
-        assertTrue(world.returned().isEmpty(), "returned " + world.returned());
+        cluster.runS(40);
+        assertTrue(cluster.returned().isEmpty(), "returned " + cluster.returned());
         assertTrue(allRun(job) && mute.running().isEmpty());
         mute.mute(false);
-        world.runS(10);
-        assertEquals(7, world.starts());
+        cluster.runS(10);
+        assertEquals(7, cluster.starts());
     }
 
     /**
@@ -73,18 +73,18 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 4, 6})
     void aMuteZoneKeepsItsMachinesAndItsCancelledTasksGo(int leaderEndsAfterS) {
-        JobSpec goes = World.spec(1, JobKind.SERVICE, 12, 1);
-        JobSpec stays = World.spec(2, JobKind.SERVICE, 12, 1);
-        assertTrue(world.submit(0, goes, null));
-        assertTrue(world.submit(0, stays, null));
-        world.runS(10);
+        JobSpec goes = SimulatedCluster.spec(1, JobKind.SERVICE, 12, 1);
+        JobSpec stays = SimulatedCluster.spec(2, JobKind.SERVICE, 12, 1);
+        assertTrue(cluster.submit(0, goes, null));
+        assertTrue(cluster.submit(0, stays, null));
+        cluster.runS(10);
         List<FakeWorker> mute = muteZone("b");
-        world.runS(2);
-        int leader = world.leader();
+        cluster.runS(2);
+        int leader = cluster.leader();
         if (leaderEndsAfterS == 0) {
-            world.crash(leader);
+            cluster.crash(leader);
         }
-        assertTrue(world.cancel(other(leader, 1), goes.id()));
+        assertTrue(cluster.cancel(other(leader, 1), goes.id()));
         assertTrue(
                 leaderEndsAfterS > 0
                         || mute.stream()
@@ -99,26 +99,27 @@
                                                                                                 .id()))),
                 "it is there when its cancellation is confirmed");
         if (leaderEndsAfterS > 0) {
-            world.runS(leaderEndsAfterS);
-            world.crash(leader);
+            cluster.runS(leaderEndsAfterS);
+            cluster.crash(leader);
         }
-        world.runS(12);
+        cluster.runS(12);
         for (int task = 0; task < 12; task++) {
             assertEquals(
                     null,
                     placeOf(goes, task),
                     "a direct command reaches it well within the time there is");
         }
-        int next = world.leader();
-        long term = world.term();
-        world.runS(20);
-        assertEquals(next, world.leader(), "half of the machines do not speak against its hearing");
-        assertEquals(term, world.term());
-        assertTrue(world.returned().isEmpty(), "returned " + world.returned());
+        int next = cluster.leader();
+        long term = cluster.term();
+        cluster.runS(20);
+        assertEquals(
+                next, cluster.leader(), "half of the machines do not speak against its hearing");
+        assertEquals(term, cluster.term());
+        assertTrue(cluster.returned().isEmpty(), "returned " + cluster.returned());
         mute.forEach(worker -> worker.mute(false));
-        world.restart(leader);
-        world.calm();
-        world.runS(60);
+        cluster.restart(leader);
+        cluster.calm();
+        cluster.runS(60);
         assertTrue(allRun(stays));
     }
 
@@ -129,50 +130,53 @@
     @ParameterizedTest
     @CsvSource({"6, true", "14, true", "25, true", "6, false", "14, false"})
     void anOrderThatWasHeldUpIsCarriedOutWhenThereIsANewAttempt(int heldS, boolean leaderEnds) {
-        JobSpec job = World.spec(1, JobKind.GANG, 3, 8);
-        assertTrue(world.submit(0, job, HOURS));
-        world.runS(10);
+        JobSpec job = SimulatedCluster.spec(1, JobKind.GANG, 3, 8);
+        assertTrue(cluster.submit(0, job, HOURS));
+        cluster.runS(10);
         assertTrue(
-                world.submit(0, withTeam(World.spec(2, JobKind.SERVICE, 3, 8), "other"), null),
+                cluster.submit(
+                        0,
+                        withTeam(SimulatedCluster.spec(2, JobKind.SERVICE, 3, 8), "other"),
+                        null),
                 "fills the other machines");
-        world.mostMachines(0);
-        world.runS(10);
+        cluster.mostMachines(0);
+        cluster.runS(10);
         List<FakeWorker> places = new ArrayList<>();
         for (int task = 0; task < 3; task++) {
             places.add(placeOf(job, task));
         }
-        world.holdOrders(true);
+        cluster.holdOrders(true);
         // A task of the gang ends, and the others are told to stop, directly and in their next
         // answers.
         FakeWorker first = places.get(0);
         places.get(1).hang(true);
         places.get(2).hang(true);
         first.missPeers(new TaskId(job.id(), 0));
-        world.runS(4);
-        assertTrue(world.heldOrders() > 0, "stops are on their way");
-        int leader = world.leader();
+        cluster.runS(4);
+        assertTrue(cluster.heldOrders() > 0, "stops are on their way");
+        int leader = cluster.leader();
         if (leaderEnds) {
-            world.crash(leader);
-            world.runS(heldS);
+            cluster.crash(leader);
+            cluster.runS(heldS);
         }
         places.get(1).hang(false);
         places.get(2).hang(false);
         if (!leaderEnds) {
             for (int step = 0; step < 160 && !allRun(job); step++) {
-                world.run(Duration.ofMillis(250));
+                cluster.run(Duration.ofMillis(250));
             }
             assertTrue(allRun(job), "in a new attempt");
-            world.runS(heldS);
+            cluster.runS(heldS);
         }
-        int starts = world.starts();
-        world.holdOrders(false);
-        world.runS(10);
-        assertEquals(leaderEnds, leader != world.leader());
-        world.restart(leader);
-        world.calm();
-        world.runS(85);
+        int starts = cluster.starts();
+        cluster.holdOrders(false);
+        cluster.runS(10);
+        assertEquals(leaderEnds, leader != cluster.leader());
+        cluster.restart(leader);
+        cluster.calm();
+        cluster.runS(85);
         assertTrue(allRun(job), "none of it was stopped by an order for the former attempt");
-        assertEquals(leaderEnds ? world.starts() : starts, world.starts());
+        assertEquals(leaderEnds ? cluster.starts() : starts, cluster.starts());
     }
 
     /**
@@ -182,29 +186,29 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3})
     void machinesThatAreDeafAcrossLeadersHoldTheirTasksForAsLongAsTheyMayRun(int leaders) {
-        world.team("team", 0, 6);
-        JobSpec job = World.spec(1, JobKind.SERVICE, 6, 1);
-        assertTrue(world.submit(0, job, null));
-        world.runS(10);
-        List<FakeWorker> deaf = world.workers().subList(0, 3);
+        cluster.team("team", 0, 6);
+        JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 6, 1);
+        assertTrue(cluster.submit(0, job, null));
+        cluster.runS(10);
+        List<FakeWorker> deaf = cluster.workers().subList(0, 3);
         deaf.forEach(worker -> worker.deaf(true));
         boolean still = false;
         for (int takeover = 0; takeover < leaders; takeover++) {
-            int leader = world.leader();
-            world.crash(leader);
+            int leader = cluster.leader();
+            cluster.crash(leader);
             for (int second = 0; second < 9; second++) {
-                world.runS(1);
+                cluster.runS(1);
                 still |=
-                        world.leader() != leader
+                        cluster.leader() != leader
                                 && deaf.stream().anyMatch(worker -> !worker.running().isEmpty());
             }
-            world.restart(leader);
+            cluster.restart(leader);
         }
         assertTrue(still, "a deaf machine had tasks while the next one led");
-        world.runS(70);
+        cluster.runS(70);
         deaf.forEach(worker -> worker.deaf(false));
-        world.calm();
-        world.runS(40);
+        cluster.calm();
+        cluster.runS(40);
         assertTrue(allRun(job));
     }
 }
--- a/src/test/java/org/meadowhollow/story/VirtualLoop.java
+++ b/src/test/java/org/meadowhollow/simulation/VirtualEventLoop.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.story;
+package org.meadowhollow.simulation;
 
 import java.time.Duration;
 import java.util.PriorityQueue;
@@ -6,7 +6,7 @@
 import org.meadowhollow.model.MonotonicTime;
 
 /** A loop whose time only moves when a test says so. */
-public final class VirtualLoop implements EventLoop {
+public final class VirtualEventLoop implements EventLoop {
     private record Due(long at, long order, Runnable work) implements Comparable<Due> {
         @Override
         public int compareTo(Due other) {
