--- a/src/main/java/org/meadowhollow/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/FailureDetector.java
@@ -2,17 +2,14 @@
 
 import java.time.Duration;
 import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
+import java.util.concurrent.CompletableFuture;
 import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.coordination.api.PeerGateway;
 import org.meadowhollow.coordination.api.PeerReachabilityReport;
 import org.meadowhollow.coordination.heartbeat.LeaderReachability;
 import org.meadowhollow.coordination.heartbeat.LeaderReachability.Reachability;
+import org.meadowhollow.coordination.heartbeat.LeaderReachability.ResignationDecision;
 import org.meadowhollow.coordination.leadership.Leadership;
 import org.meadowhollow.coordination.scheduling.ClusterState;
 import org.meadowhollow.model.EventLoop;
@@ -23,73 +20,70 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How well the leader hears its workers, and what the other controllers say of those that it does
- * not hear. A leader whose network failed towards its workers alone took hundreds of healthy
- * machines for silent, returned them to the cloud and was refused others. Guarded by the leader's
- * lock.
+ * Classifies how well heartbeats reach the leader, and asks the other controllers about machines
+ * whose heartbeats are overdue. It exists because a leader whose network failed towards its workers
+ * only once took hundreds of healthy machines for failed, returned them to the cloud and was
+ * refused replacements.
+ *
+ * <p>All state is guarded by the leader's lock, the monitor of the {@link LeadershipContext}.
+ * Callers hold it, except for {@link #queryPeersAndMaybeResign}, which takes it for its decision
+ * and does its I/O outside it.
  */
 public final class FailureDetector {
     private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
 
-    /**
-     * Reports come up to a quarter late, and a worker that lost its connection turns to the next
-     * node a second later.
-     */
+    /** Heartbeats arrive up to a quarter of their interval late. */
     private static final double HEARTBEAT_LATENESS_FACTOR = 1.25;
 
+    /** A worker that lost its connection turns to the next node a second later. */
     private static final Duration RECONNECT_ALLOWANCE = Duration.ofSeconds(1);
 
-    /**
-     * What a worker of a leader that ended without a word takes before it turns to the next node.
-     */
+    /** How long a worker waits for a leader that ended without notice before it tries the next. */
     private static final Duration LEADER_LOSS_ALLOWANCE = Duration.ofSeconds(4);
 
     /**
-     * Machines named in one question: a few kilobytes, and more than a share below doubt at a
-     * thousand machines.
-     */
-    private static final int MAX_MACHINES_PER_QUERY = 300;
-
-    /** How long an answer about a machine holds, and how often it is asked for again. */
-    private static final Duration PEER_QUERY_INTERVAL = Duration.ofSeconds(3);
-
-    /**
-     * Workers whose leader is silent come to another node every 5 s and more; those sent back do
-     * not come again.
+     * How recent a heartbeat at a peer must be. Workers whose leader does not answer try another
+     * node every 5 s or later; those sent back to the leader do not come again.
      */
     private static final Duration PEER_HEARTBEAT_WINDOW = Duration.ofSeconds(6);
 
     /**
-     * Giving up without knowing of a node that hears is not tried again for this long; a cut lasts
-     * about as long.
+     * Resigning without a known successor is not repeated within this time; a network partition
+     * lasts about as long.
      */
     private static final Duration RESIGNATION_RETRY_INTERVAL = Duration.ofSeconds(30);
 
-    /** A list is at times twice as late as usual, and so may be older than the one before it. */
+    /**
+     * A machine list is at times twice as stale as usual, and so may be older than the one before
+     * it.
+     */
     private static final int LIST_LAG_FACTOR = 2;
 
-    /** A question to the other controllers, decided under the lock and sent outside it. */
-    private record PeerQuery(List<MachineId> machines) {}
+    /** The leader, whose monitor guards this state. */
+    private final Object leaderLock;
 
-    private final LeadershipContext leader;
     private final ClusterState clusterState;
     private final DeploymentSettings deploymentSettings;
     private final EventLoop loop;
     private final PeerGateway peerGateway;
     private final Leadership leadership;
     private final MonotonicTime leadershipBeganAt;
-    private final Map<MachineId, MonotonicTime> queriedAt = new HashMap<>();
-    private final Map<MachineId, MonotonicTime> unseenByPeersAt = new HashMap<>();
-    private final Map<MachineId, MonotonicTime> seenByPeerAt = new HashMap<>();
+    private final PeerHeartbeatQuery peerQuery = new PeerHeartbeatQuery();
+
+    /** When the cloud's last machine list arrived, or null before the first. */
     private MonotonicTime lastMachineListAt;
+
     private Reachability reachability = Reachability.HEALTHY;
+
+    /** Since when the leader has been isolated, or null while it is not. */
     private MonotonicTime isolatedSince;
-    private PeerQuery pendingQuery;
-    private boolean queryInFlight;
-    private int answeredQuerySize;
-    private List<PeerReachabilityReport> peerReports = List.of();
-    private MonotonicTime peerReportsAt;
 
+    /**
+     * Creates the detector of one leadership.
+     *
+     * @param leader the object whose monitor guards the cluster state and this detector
+     * @param begunAt when the leadership began
+     */
     public FailureDetector(
             LeadershipContext leader,
             ClusterState clusterState,
@@ -98,7 +92,7 @@
             PeerGateway peerGateway,
             Leadership leadership,
             MonotonicTime begunAt) {
-        this.leader = leader;
+        this.leaderLock = leader;
         this.clusterState = clusterState;
         this.deploymentSettings = deploymentSettings;
         this.loop = loop;
@@ -107,53 +101,56 @@
         this.leadershipBeganAt = begunAt;
     }
 
+    /** The result of the last {@link #evaluate}; healthy before the first. */
     public Reachability reachability() {
         return reachability;
     }
 
     /**
-     * One look at all machines. What follows from it is done by {@link #queryPeersAndMaybeResign}.
+     * Classifies the leader's reachability from all machines, and prepares the next query to the
+     * peers. The consequences are drawn by {@link #queryPeersAndMaybeResign}.
      */
     public void evaluate(MonotonicTime now) {
-        List<Machine> late = new ArrayList<>();
-        int known = clusterState.placementsOnUnseenMachines().size();
-        boolean allDue =
-                now.elapsedSince(leadershipBeganAt)
-                                .compareTo(heartbeatTimeout().plus(LEADER_LOSS_ALLOWANCE))
-                        > 0;
-        int lateCount = allDue ? clusterState.placementsOnUnseenMachines().size() : 0;
+        List<Machine> overdue = new ArrayList<>();
+        int unseenMachines = clusterState.placementsOnUnseenMachines().size();
+        int knownCount = unseenMachines;
+        int overdueCount = areUnseenMachinesOverdue(now) ? unseenMachines : 0;
         for (Machine machine : clusterState.machines().values()) {
             if (machine.releasing()) {
                 continue;
             }
-            boolean isLate = isHeartbeatOverdue(machine, now);
-            if (isLate) {
-                late.add(machine);
+            if (!isHeartbeatOverdue(machine, now)) {
+                knownCount++;
+                continue;
             }
-            if (!isLate || !isMissingFromMachineList(machine)) {
-                known++;
-                lateCount += isLate ? 1 : 0;
+            overdue.add(machine);
+            if (!isMissingFromMachineList(machine)) {
+                knownCount++;
+                overdueCount++;
             }
         }
-        updateReachability(LeaderReachability.classify(known, lateCount), known, lateCount, now);
-        Set<MachineId> asked = new HashSet<>();
-        late.forEach(machine -> asked.add(machine.id()));
-        queriedAt.keySet().retainAll(asked);
-        unseenByPeersAt.keySet().retainAll(asked);
-        seenByPeerAt.keySet().retainAll(asked);
-        pendingQuery = prepareQuery(late, now);
+        updateReachability(knownCount, overdueCount, now);
+        peerQuery.prepare(overdue, machine -> silentSeconds(machine, now), now);
     }
 
-    private void updateReachability(Reachability heard, int known, int late, MonotonicTime now) {
-        if (heard != reachability) {
+    /** Machines known only from recorded placements have had time to send a heartbeat here. */
+    private boolean areUnseenMachinesOverdue(MonotonicTime now) {
+        return now.elapsedSince(leadershipBeganAt)
+                        .compareTo(heartbeatTimeout().plus(LEADER_LOSS_ALLOWANCE))
+                > 0;
+    }
+
+    private void updateReachability(int knownCount, int overdueCount, MonotonicTime now) {
+        Reachability current = LeaderReachability.classify(knownCount, overdueCount);
+        if (current != reachability) {
             LOG.info(
-                    "{} of {} machines are late with their reports: hearing is {}",
-                    late,
-                    known,
-                    heard);
+                    "leader reachability changed overdue={} known={} reachability={}",
+                    overdueCount,
+                    knownCount,
+                    current);
         }
-        reachability = heard;
-        if (heard != Reachability.ISOLATED) {
+        reachability = current;
+        if (current != Reachability.ISOLATED) {
             isolatedSince = null;
         } else if (isolatedSince == null) {
             isolatedSince = now;
@@ -161,16 +158,14 @@
     }
 
     private Duration heartbeatTimeout() {
-        return Duration.ofNanos(
-                        (long)
-                                (deploymentSettings.heartbeatInterval().toNanos()
-                                        * HEARTBEAT_LATENESS_FACTOR))
-                .plus(RECONNECT_ALLOWANCE);
+        double lateNanos =
+                deploymentSettings.heartbeatInterval().toNanos() * HEARTBEAT_LATENESS_FACTOR;
+        return Duration.ofNanos((long) lateNanos).plus(RECONNECT_ALLOWANCE);
     }
 
     /**
-     * Whether a machine's report is overdue; what it answers directly shows that it lives, and
-     * renews no lease.
+     * Whether a machine's heartbeat is overdue. Only heartbeats count: a response to a direct
+     * request shows that the worker is alive, but renews no lease.
      */
     public boolean isHeartbeatOverdue(Machine machine, MonotonicTime now) {
         MonotonicTime last =
@@ -181,8 +176,8 @@
     }
 
     /**
-     * How long nothing at all was heard of a machine, in seconds; so long as this process may have
-     * stood still itself.
+     * For how many seconds nothing at all was received from a machine. This process may itself have
+     * been paused for as long.
      */
     double silentSeconds(Machine machine, MonotonicTime now) {
         MonotonicTime last =
@@ -190,129 +185,84 @@
         return now.secondsSince(last);
     }
 
-    /** The cloud has given a list. */
+    /** Records that the cloud's machine list arrived. */
     public void recordMachineList(MonotonicTime now) {
         lastMachineListAt = now;
     }
 
     /**
-     * Whether the cloud has left out a machine that it listed before, or that a report has shown,
-     * for longer than its lists are late, as it does with one that it took away. A hint that its
-     * silence is its own: what was on it still counts until that is proven. Old reports of machines
-     * long gone, the first that a new leader heard, had it give its lease up as deaf.
+     * Whether the cloud's lists have left out a machine for longer than they can be stale, although
+     * an earlier list or a heartbeat showed it; this is how a preempted machine looks. It suggests
+     * that the machine is silent for a reason of its own: its tasks still count until their end is
+     * proven. Without this check, stale heartbeats of machines long gone, the first that a new
+     * leader received, made it resign as isolated.
      */
     boolean isMissingFromMachineList(Machine machine) {
+        if (lastMachineListAt == null) {
+            return false;
+        }
         MonotonicTime shownAt =
                 machine.lastListedAt() == null ? machine.knownSince() : machine.lastListedAt();
-        return lastMachineListAt != null
-                && lastMachineListAt
-                                .elapsedSince(shownAt)
-                                .compareTo(
-                                        deploymentSettings
-                                                .cloudListingDelay()
-                                                .multipliedBy(LIST_LAG_FACTOR))
-                        > 0;
+        Duration maxStaleness =
+                deploymentSettings.cloudListingDelay().multipliedBy(LIST_LAG_FACTOR);
+        return lastMachineListAt.elapsedSince(shownAt).compareTo(maxStaleness) > 0;
     }
 
     /**
-     * The longest silent go first: those may be returned next, and what others say of them decides.
+     * Sends the query that {@link #evaluate} prepared, and resigns the leadership if a peer
+     * receives the workers' heartbeats better. Takes the leader's lock; the caller does not hold
+     * it.
      */
-    private PeerQuery prepareQuery(List<Machine> late, MonotonicTime now) {
-        if (queryInFlight || late.isEmpty()) {
-            return null;
+    public void queryPeersAndMaybeResign() {
+        List<MachineId> queried;
+        ResignationDecision decision;
+        synchronized (leaderLock) {
+            queried = peerQuery.takePending();
+            decision = decideResignation();
         }
-        List<MachineId> machines =
-                late.stream()
-                        .filter(machine -> isQueryDue(queriedAt.get(machine.id()), now))
-                        .sorted(
-                                Comparator.comparingDouble(
-                                                (Machine machine) -> -silentSeconds(machine, now))
-                                        .thenComparing(Machine::id))
-                        .limit(MAX_MACHINES_PER_QUERY)
-                        .map(Machine::id)
-                        .toList();
-        if (machines.isEmpty()) {
-            return null;
+        if (!queried.isEmpty()) {
+            CompletableFuture<Void> unusedRecorded =
+                    peerGateway
+                            .queryRecentHeartbeats(queried, PEER_HEARTBEAT_WINDOW)
+                            .thenAccept(reports -> recordPeerReports(queried, reports));
+        }
+        if (decision.resigns()) {
+            leadership.resign(decision.preferredSuccessor().orElse(null));
         }
-        machines.forEach(machine -> queriedAt.put(machine, now));
-        queryInFlight = true;
-        return new PeerQuery(machines);
-    }
-
-    private static boolean isQueryDue(MonotonicTime at, MonotonicTime now) {
-        return at == null || now.elapsedSince(at).compareTo(PEER_QUERY_INTERVAL) >= 0;
     }
 
-    /**
-     * Asks what the round found worth asking, and gives the lease up if others hear better. Outside
-     * the lock.
-     */
-    public void queryPeersAndMaybeResign() {
-        PeerQuery next;
-        LeaderReachability.ResignationDecision resignationDecision = null;
-        synchronized (leader) {
-            next = pendingQuery;
-            pendingQuery = null;
-            if (isolatedSince != null
-                    && peerReportsAt != null
-                    && !peerReportsAt.isBefore(isolatedSince)) {
-                MonotonicTime now = loop.now();
-                resignationDecision =
-                        LeaderReachability.decideResignation(
-                                now.elapsedSince(isolatedSince),
-                                answeredQuerySize,
-                                peerReports,
-                                leadership.canResignWithoutSuccessor(RESIGNATION_RETRY_INTERVAL));
-            }
-        }
-        if (next != null) {
-            peerGateway
-                    .queryRecentHeartbeats(next.machines(), PEER_HEARTBEAT_WINDOW)
-                    .thenAccept(given -> recordPeerReports(next, given));
-        }
-        if (resignationDecision != null && resignationDecision.resigns()) {
-            leadership.resign(resignationDecision.preferredSuccessor());
+    /** Only answers that arrived since the leader became isolated count. */
+    private ResignationDecision decideResignation() {
+        if (isolatedSince == null || !peerQuery.hasReportsSince(isolatedSince)) {
+            return ResignationDecision.KEEP_LEADERSHIP;
         }
+        return LeaderReachability.decideResignation(
+                loop.now().elapsedSince(isolatedSince),
+                peerQuery.answeredQuerySize(),
+                peerQuery.reports(),
+                leadership.canResignWithoutSuccessor(RESIGNATION_RETRY_INTERVAL));
     }
 
-    private void recordPeerReports(PeerQuery asked, List<PeerReachabilityReport> given) {
-        synchronized (leader) {
-            MonotonicTime now = loop.now();
-            queryInFlight = false;
-            peerReports = given;
-            peerReportsAt = now;
-            answeredQuerySize = asked.machines().size();
-            Set<MachineId> heard = new HashSet<>();
-            given.forEach(each -> heard.addAll(each.recentlyHeard()));
-            for (MachineId machine : asked.machines()) {
-                if (!queriedAt.containsKey(machine)) {
-                    // Heard of in the meantime.
-                    continue;
-                }
-                if (heard.contains(machine)) {
-                    seenByPeerAt.put(machine, now);
-                    unseenByPeersAt.remove(machine);
-                } else {
-                    unseenByPeersAt.put(machine, now);
-                }
-            }
+    private void recordPeerReports(List<MachineId> queried, List<PeerReachabilityReport> reports) {
+        synchronized (leaderLock) {
+            peerQuery.recordReports(queried, reports, loop.now());
         }
     }
 
     /**
-     * Whether nobody who could be asked has heard a silent machine either. Without an answer from
-     * anybody the leader's own evidence has to do, or a machine would be paid for as long as the
-     * other controllers are out of reach.
+     * Whether no controller that could be asked received a silent machine's heartbeats either. If
+     * no peer answers at all, the leader's own evidence decides; otherwise a machine would be paid
+     * for as long as the other controllers are unreachable.
      */
     boolean isUnseenByAllPeers(Machine machine, MonotonicTime now) {
-        MonotonicTime at = unseenByPeersAt.get(machine.id());
-        return at != null
-                && now.elapsedSince(at).compareTo(PEER_QUERY_INTERVAL.plus(PEER_QUERY_INTERVAL))
-                        <= 0;
+        return peerQuery.isUnseenByAllPeers(machine, now);
     }
 
-    /** When another controller last heard a machine that is silent here, or null. */
+    /**
+     * When a peer last confirmed heartbeats from a machine that is silent here, or null if none
+     * did.
+     */
     MonotonicTime seenByPeerAt(Machine machine) {
-        return seenByPeerAt.get(machine.id());
+        return peerQuery.seenByPeerAt(machine);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/fleet/HeartbeatTimeoutMonitor.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/HeartbeatTimeoutMonitor.java
@@ -15,24 +15,30 @@
 import org.meadowhollow.model.WorkerIncarnation;
 
 /**
- * Watches over machines that are silent, on notice or idle. What was on a silent one counts as
- * running until its worker's lease has certainly ended. Guarded by the leader's lock.
+ * Checks every machine once a round: probes silent ones, expires tasks whose worker lease has
+ * certainly expired, drains machines with a preemption notice, and keeps track of which are idle.
+ * Tasks on a silent machine count as running until then. Guarded by the leader's lock, which every
+ * caller holds.
  */
 public final class HeartbeatTimeoutMonitor {
-    /** Clock drift and timer steps on top of a worker's lease. */
+    /** Allows for clock drift between the worker and this node. */
     private static final double CLOCK_DRIFT_FACTOR = 1.001;
 
+    /** Allows for the resolution of the worker's timers. */
     private static final Duration LEASE_MARGIN = Duration.ofMillis(500);
 
     /**
-     * Machines asked directly in a round. Behind a cut hundreds are silent at once, and each
-     * question takes a socket for as long as it hangs, which users and workers need as well.
+     * Machines probed in a round. Behind a partition hundreds are silent at once, and each probe
+     * takes a socket for as long as it hangs, which users and workers need as well.
      */
     private static final int MAX_PROBES_PER_ROUND = 100;
 
-    /** Questions that may hang at a time: each for 3 s, before the connection is given up. */
+    /** Probes that may hang at a time: each for 3 s, before the connection is abandoned. */
     public static final int MAX_PROBES_IN_FLIGHT = 3 * MAX_PROBES_PER_ROUND;
 
+    /** The incarnation addressed on a machine that has not sent a heartbeat yet. */
+    private static final WorkerIncarnation FIRST_INCARNATION = new WorkerIncarnation(1);
+
     private final LeadershipContext leader;
     private final ClusterState clusterState;
     private final DeploymentSettings deploymentSettings;
@@ -41,6 +47,12 @@
     private final Map<MachineId, MonotonicTime> lastProbedAt = new HashMap<>();
     private int probesThisRound;
 
+    /**
+     * Creates the monitor of one leadership.
+     *
+     * @param fencingToken the token of this leadership
+     * @param begunAt when the leadership began
+     */
     public HeartbeatTimeoutMonitor(
             LeadershipContext leader,
             ClusterState clusterState,
@@ -54,7 +66,7 @@
         this.leadershipBeganAt = begunAt;
     }
 
-    /** One round over all machines. */
+    /** Checks all machines, then the placements whose machine was never seen. */
     public void checkAllMachines(MonotonicTime now) {
         probesThisRound = 0;
         for (Machine machine : List.copyOf(clusterState.machines().values())) {
@@ -63,112 +75,143 @@
         expireUnobservedPlacements(now);
     }
 
+    /** Drops what is kept of a machine that is gone. */
     public void forget(MachineId machine) {
         lastProbedAt.remove(machine);
     }
 
+    private void checkMachine(Machine machine, MonotonicTime now) {
+        probeIfSilent(machine, now);
+        expireTasksIfLeaseExpired(machine, now);
+        drainIfPreempted(machine);
+        updateIdleSince(machine, now);
+    }
+
     /**
-     * Asks a silent machine, takes its tasks as gone once that is proven, and drains it on notice.
+     * Sends an empty command list to a machine that has missed several heartbeats: its response
+     * shows whether it is alive.
      */
-    private void checkMachine(Machine machine, MonotonicTime now) {
-        MonotonicTime lastHeard =
+    private void probeIfSilent(Machine machine, MonotonicTime now) {
+        MonotonicTime lastContactAt =
                 machine.lastContactAt() == null ? leadershipBeganAt : machine.lastContactAt();
-        double silentS = now.secondsSince(lastHeard);
-        double reportS = deploymentSettings.heartbeatInterval().toNanos() / 1e9;
-        if (silentS > ClusterState.MISSED_HEARTBEATS_UNTIL_SILENT * reportS
-                && machine.address() != null
-                && probesThisRound < MAX_PROBES_PER_ROUND) {
-            MonotonicTime probed = lastProbedAt.get(machine.id());
-            if (probed == null || now.secondsSince(probed) > reportS) {
-                probesThisRound++;
-                lastProbedAt.put(machine.id(), now);
-                leader.sendCommands(
-                        machine,
-                        machine.incarnation() == null
-                                ? new WorkerIncarnation(1)
-                                : machine.incarnation(),
-                        List.of());
-            }
+        double silentSeconds = now.secondsSince(lastContactAt);
+        double intervalSeconds = deploymentSettings.heartbeatInterval().toNanos() / 1e9;
+        if (silentSeconds <= ClusterState.MISSED_HEARTBEATS_UNTIL_SILENT * intervalSeconds
+                || machine.address() == null
+                || probesThisRound >= MAX_PROBES_PER_ROUND) {
+            return;
         }
-        // Also where nothing is placed: an old report of a machine that is gone may be all that was
-        // ever heard of it, and the
-        // tasks that it lists would be held up by it until it is returned for its silence.
-        if (!(machine.placements().isEmpty() && machine.orphanedTasks().isEmpty())
-                && isLeaseCertainlyExpired(machine, now)) {
-            for (Placement placement : List.copyOf(machine.placements())) {
-                leader.markTaskLost(
-                        machine,
-                        placement,
-                        "the machine has been silent for longer than its lease",
-                        now);
-            }
-            machine.orphanedTasks().clear();
+        MonotonicTime probedAt = lastProbedAt.get(machine.id());
+        if (probedAt != null && now.secondsSince(probedAt) <= intervalSeconds) {
+            return;
         }
-        if (machine.preemptionDeadline() != null) {
-            for (Placement placement : List.copyOf(machine.placements())) {
-                if (!placement.isStopping()
-                        && (placement.job().spec().usesCheckpoints()
-                                || placement.job().spec().kind() == JobKind.SERVICE)) {
-                    leader.stopWithCheckpoint(
-                            placement, "machine " + placement.machineId() + " is being taken back");
-                }
-            }
+        probesThisRound++;
+        lastProbedAt.put(machine.id(), now);
+        WorkerIncarnation incarnation =
+                machine.incarnation() == null ? FIRST_INCARNATION : machine.incarnation();
+        leader.sendCommands(machine, incarnation, List.of());
+    }
+
+    /**
+     * Marks the tasks on a machine lost once its worker's lease has certainly expired, since the
+     * worker stops them by then. Orphaned tasks are dropped also where nothing is placed: a stale
+     * heartbeat may be all that was ever received of a machine that is gone, and the tasks listed
+     * in it would otherwise be blocked until the machine is returned for its silence.
+     */
+    private void expireTasksIfLeaseExpired(Machine machine, MonotonicTime now) {
+        if (!hasTasks(machine) || !isLeaseCertainlyExpired(machine, now)) {
+            return;
+        }
+        for (Placement placement : List.copyOf(machine.placements())) {
+            leader.markTaskLost(
+                    machine,
+                    placement,
+                    "the machine has been silent for longer than its lease",
+                    now);
         }
-        // Of a silent machine nobody knows whether it is idle; behind a cut its tasks only count as
-        // lost.
-        if (machine.placements().isEmpty()
-                && machine.orphanedTasks().isEmpty()
-                && !leader.isHeartbeatOverdue(machine, now)) {
-            if (machine.idleSince() == null) {
-                machine.idleSince(now);
+        machine.orphanedTasks().clear();
+    }
+
+    private static boolean hasTasks(Machine machine) {
+        return !machine.placements().isEmpty() || !machine.orphanedTasks().isEmpty();
+    }
+
+    /** Stops what can resume or move elsewhere on a machine with a preemption notice. */
+    private void drainIfPreempted(Machine machine) {
+        if (machine.preemptionDeadline() == null) {
+            return;
+        }
+        for (Placement placement : List.copyOf(machine.placements())) {
+            boolean movable =
+                    placement.job().spec().usesCheckpoints()
+                            || placement.job().spec().kind() == JobKind.SERVICE;
+            if (!placement.isStopping() && movable) {
+                leader.stopWithCheckpoint(
+                        placement, "machine " + placement.machineId() + " is being preempted");
             }
-        } else {
+        }
+    }
+
+    /**
+     * Starts or ends a machine's idle time. Whether a silent machine is idle is unknown: behind a
+     * partition its tasks are only presumed lost.
+     */
+    private void updateIdleSince(Machine machine, MonotonicTime now) {
+        if (hasTasks(machine) || leader.isHeartbeatOverdue(machine, now)) {
             machine.idleSince(null);
+        } else if (machine.idleSince() == null) {
+            machine.idleSince(now);
         }
     }
 
     /**
-     * Whether the worker's lease must have run out. Only a worker that has shown our token renews
-     * by our answers alone; for any other an earlier leader may have gone on answering, though not
-     * for longer than its limit after its last renewal, which was before our term began.
+     * Whether the worker's lease must have expired. Only a worker that has shown this leader's
+     * fencing token renews by this leader's responses alone. To any other, an earlier leader may
+     * have gone on responding, though for no longer than the cancellation bound after that leader's
+     * last lease renewal, which was before this leadership began.
      */
     private boolean isLeaseCertainlyExpired(Machine machine, MonotonicTime now) {
-        if (machine.highestFencingToken().equals(fencingToken) && machine.lastContactAt() != null) {
-            return now.elapsedSince(machine.lastContactAt())
-                            .compareTo(withDriftMargin(deploymentSettings.workerLease()))
-                    > 0;
+        boolean everContacted = machine.lastContactAt() != null;
+        if (everContacted && machine.highestFencingToken().equals(fencingToken)) {
+            return isLeaseExpiredSinceContact(machine, now);
         }
+        return haveEarlierLeasesExpired(now)
+                && (!everContacted || isLeaseExpiredSinceContact(machine, now));
+    }
+
+    private boolean isLeaseExpiredSinceContact(Machine machine, MonotonicTime now) {
+        return now.elapsedSince(machine.lastContactAt())
+                        .compareTo(withDriftMargin(deploymentSettings.workerLease()))
+                > 0;
+    }
+
+    /** Whether every lease that an earlier leader's responses renewed has certainly expired. */
+    private boolean haveEarlierLeasesExpired(MonotonicTime now) {
         return now.elapsedSince(leadershipBeganAt)
-                                .compareTo(withDriftMargin(deploymentSettings.cancellationBound()))
-                        > 0
-                && (machine.lastContactAt() == null
-                        || now.elapsedSince(machine.lastContactAt())
-                                        .compareTo(
-                                                withDriftMargin(deploymentSettings.workerLease()))
-                                > 0);
+                        .compareTo(withDriftMargin(deploymentSettings.cancellationBound()))
+                > 0;
     }
 
-    private static Duration withDriftMargin(Duration span) {
-        return Duration.ofNanos((long) (span.toNanos() * CLOCK_DRIFT_FACTOR)).plus(LEASE_MARGIN);
+    private static Duration withDriftMargin(Duration duration) {
+        return Duration.ofNanos((long) (duration.toNanos() * CLOCK_DRIFT_FACTOR))
+                .plus(LEASE_MARGIN);
     }
 
-    /** Placements on machines that neither the cloud's list nor any report has shown. */
+    /** Expires placements on machines that neither the cloud's list nor any heartbeat has shown. */
     private void expireUnobservedPlacements(MonotonicTime now) {
-        if (!clusterState.placementsOnUnseenMachines().isEmpty()
-                && now.elapsedSince(leadershipBeganAt)
-                                .compareTo(withDriftMargin(deploymentSettings.cancellationBound()))
-                        > 0) {
-            for (List<Placement> placements :
-                    List.copyOf(clusterState.placementsOnUnseenMachines().values())) {
-                for (Placement placement : List.copyOf(placements)) {
-                    leader.markTaskLost(
-                            null,
-                            placement,
-                            "its machine has not been seen for longer than any lease",
-                            now);
-                }
+        Map<MachineId, List<Placement>> unseen = clusterState.placementsOnUnseenMachines();
+        if (unseen.isEmpty() || !haveEarlierLeasesExpired(now)) {
+            return;
+        }
+        for (List<Placement> placements : List.copyOf(unseen.values())) {
+            for (Placement placement : List.copyOf(placements)) {
+                leader.markTaskLost(
+                        null,
+                        placement,
+                        "its machine has not been seen for longer than any lease",
+                        now);
             }
-            clusterState.placementsOnUnseenMachines().clear();
         }
+        unseen.clear();
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/fleet/PendingRentals.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/PendingRentals.java
@@ -11,44 +11,45 @@
 import org.meadowhollow.model.MonotonicTime;
 
 /**
- * Machines that are rented and not up yet. New machines may come up late or never, so one is
- * counted on only for as long as boots have taken of late; after that another is rented for what
- * waits for it, a bounded number of times, and the late one is returned when it has been replaced
- * and has taken much longer still. Guarded by the fleet's lock.
+ * Machines that are rented but have not finished booting. They may become ready late or never, so
+ * one is counted on only for as long as recent boots have taken. After that, another is rented for
+ * the work that waits for it, a bounded number of times, and the late one is returned once it has
+ * been replaced and has taken much longer still. Guarded by the lock of {@link Autoscaler}, which
+ * every caller holds.
  */
 final class PendingRentals {
-    /** The protocol: a boot takes usually up to this many times its type's boot time. */
+    /** By the cloud's protocol, a boot usually takes up to this many times its type's boot time. */
     private static final double TYPICAL_BOOT_FACTOR = 1.5;
 
     /**
-     * Boots vary, so they are awaited for a little longer than nearly all of the last ones took.
+     * Boot times vary, so a machine is awaited a little longer than nearly all recent ones took.
      */
     private static final double BOOT_QUANTILE_MARGIN = 1.25;
 
     private static final double BOOT_TIME_QUANTILE = 0.9;
 
-    /**
-     * A machine that takes this many times its type's boot time is taken for one that never comes
-     * up.
-     */
+    /** A machine that takes this many times its type's boot time is taken never to become ready. */
     static final double ABANDON_BOOT_FACTOR = 4;
 
     /**
-     * One that has been replaced is paid for in vain, and holds capacity that another could have.
+     * A replaced machine is abandoned sooner: it is paid for in vain, and occupies capacity that
+     * another could have.
      */
     private static final double ABANDON_REPLACED_BOOT_FACTOR = 2.5;
 
-    /** Boots remembered of a type, and those without which nothing is learned from them. */
+    /** Boot times remembered for a type. */
     private static final int MAX_BOOT_SAMPLES = 32;
 
+    /** With fewer boot times than this, nothing is learned from them. */
     private static final int MIN_BOOT_SAMPLES = 4;
 
     /**
-     * A machine, one for it, and one for that; if boots fail as often as this, money does not help.
+     * A machine, its replacement, and the replacement's replacement; if boots fail as often as
+     * this, renting more does not help.
      */
     private static final int MAX_RENTAL_ATTEMPTS = 3;
 
-    /** One machine that is to come. */
+    /** One machine that is expected to become ready. */
     static final class Rental {
         private final MachineType type;
         private final String zone;
@@ -58,129 +59,143 @@
         private boolean replaced;
 
         private Rental(
-                MachineType type, String zone, boolean spot, MonotonicTime sentAt, int tries) {
+                MachineType type,
+                String zone,
+                boolean spot,
+                MonotonicTime requestedAt,
+                int attempts) {
             this.type = type;
             this.zone = zone;
             this.spot = spot;
-            this.requestedAt = sentAt;
-            this.attempts = tries;
+            this.requestedAt = requestedAt;
+            this.attempts = attempts;
         }
 
         MachineType type() {
             return type;
         }
 
-        String zone() {
-            return zone;
-        }
-
-        boolean spot() {
-            return spot;
+        /** The capacity pool that it was rented from. */
+        CapacityPool pool() {
+            return new CapacityPool(type.name(), zone, spot);
         }
 
-        /** Seconds until it should be up; 0 if it should be by now. */
+        /** Seconds until it should be ready; 0 if it should be by now. */
         double secondsUntilReady(MonotonicTime now) {
             return Math.max(0, type.bootSeconds() - now.secondsSince(requestedAt));
         }
     }
 
+    /** In the order in which they became known. */
     private final Map<MachineId, Rental> rentals = new LinkedHashMap<>();
+
+    /** The last boot times of each machine type, in seconds, the oldest first. */
     private final Map<String, ArrayDeque<Double>> bootSecondsByType = new HashMap<>();
 
-    /** Notes what a request has rented; as many that are overdue count as replaced by them. */
+    /**
+     * Records the machines that a request rented. As many overdue ones of the same type count as
+     * replaced by them.
+     *
+     * @param requestedAt when the request was sent
+     */
     void recordRented(
             List<MachineId> ids,
             MachineType type,
             String zone,
             boolean spot,
-            MonotonicTime sentAt,
+            MonotonicTime requestedAt,
             MonotonicTime now) {
         List<Rental> overdue =
                 rentals.values().stream()
-                        .filter(
-                                each ->
-                                        each.type.name().equals(type.name())
-                                                && !each.replaced
-                                                && isOverdue(each, now))
+                        .filter(rental -> rental.type.name().equals(type.name()))
+                        .filter(rental -> !rental.replaced && isOverdue(rental, now))
                         .toList();
-        int at = 0;
+        int replacedCount = 0;
         for (MachineId id : ids) {
-            int tries = 1;
-            if (at < overdue.size()) {
-                overdue.get(at).replaced = true;
-                tries = overdue.get(at++).attempts + 1;
+            int attempts = 1;
+            if (replacedCount < overdue.size()) {
+                Rental replaced = overdue.get(replacedCount);
+                replaced.replaced = true;
+                attempts = replaced.attempts + 1;
+                replacedCount++;
             }
-            rentals.put(id, new Rental(type, zone, spot, sentAt, tries));
+            rentals.put(id, new Rental(type, zone, spot, requestedAt, attempts));
         }
     }
 
-    /** Notes a machine that the cloud lists as booting. */
+    /** Records a machine that the cloud lists as booting, unless it is known already. */
     void recordListedAsBooting(
-            MachineId id, MachineType type, String zone, boolean spot, MonotonicTime sentAt) {
-        rentals.computeIfAbsent(id, unused -> new Rental(type, zone, spot, sentAt, 1));
+            MachineId id, MachineType type, String zone, boolean spot, MonotonicTime requestedAt) {
+        rentals.computeIfAbsent(id, unused -> new Rental(type, zone, spot, requestedAt, 1));
     }
 
-    /** Notes that a machine has come up. */
-    void recordBooted(MachineId id, MonotonicTime now) {
+    /** Records that a machine is ready, and how long its boot took if it was pending. */
+    void recordBooted(MachineId id, MonotonicTime readyAt) {
         Rental rental = rentals.remove(id);
-        if (rental != null) {
-            ArrayDeque<Double> seen =
-                    bootSecondsByType.computeIfAbsent(
-                            rental.type.name(), unused -> new ArrayDeque<>());
-            seen.add(now.secondsSince(rental.requestedAt));
-            if (seen.size() > MAX_BOOT_SAMPLES) {
-                seen.poll();
-            }
+        if (rental == null) {
+            return;
+        }
+        ArrayDeque<Double> samples =
+                bootSecondsByType.computeIfAbsent(rental.type.name(), unused -> new ArrayDeque<>());
+        samples.add(readyAt.secondsSince(rental.requestedAt));
+        if (samples.size() > MAX_BOOT_SAMPLES) {
+            samples.poll();
         }
     }
 
+    /** Drops a machine that failed or was returned. */
     void forget(MachineId id) {
         rentals.remove(id);
     }
 
-    /** Those that tasks may wait for. */
+    /**
+     * The machines that waiting tasks may count on: those that are not overdue, and those that are
+     * not replaced any more.
+     */
     List<Rental> expectedRentals(MonotonicTime now) {
         return rentals.values().stream()
-                .filter(each -> !isOverdue(each, now) || each.attempts >= MAX_RENTAL_ATTEMPTS)
+                .filter(rental -> !isOverdue(rental, now) || rental.attempts >= MAX_RENTAL_ATTEMPTS)
                 .toList();
     }
 
-    /** Those that are given up. */
+    /** The machines that are taken never to become ready, and are to be returned. */
     List<MachineId> abandonedRentals(MonotonicTime now) {
-        List<MachineId> ids = new ArrayList<>();
+        List<MachineId> abandoned = new ArrayList<>();
         rentals.forEach(
-                (id, each) -> {
-                    double patience =
-                            each.replaced ? ABANDON_REPLACED_BOOT_FACTOR : ABANDON_BOOT_FACTOR;
-                    if (now.secondsSince(each.requestedAt)
-                            > Math.max(
-                                    bootTimeoutSeconds(each.type),
-                                    each.type.bootSeconds() * patience)) {
-                        ids.add(id);
+                (id, rental) -> {
+                    if (now.secondsSince(rental.requestedAt) > abandonAfterSeconds(rental)) {
+                        abandoned.add(id);
                     }
                 });
-        return ids;
+        return abandoned;
+    }
+
+    private double abandonAfterSeconds(Rental rental) {
+        double bootFactor = rental.replaced ? ABANDON_REPLACED_BOOT_FACTOR : ABANDON_BOOT_FACTOR;
+        return Math.max(bootTimeoutSeconds(rental.type), rental.type.bootSeconds() * bootFactor);
     }
 
     private boolean isOverdue(Rental rental, MonotonicTime now) {
         return now.secondsSince(rental.requestedAt) > bootTimeoutSeconds(rental.type);
     }
 
-    /** How long a boot of a type is awaited. */
+    /** For how many seconds a boot of a type is awaited. */
     private double bootTimeoutSeconds(MachineType type) {
-        double usualS = type.bootSeconds() * TYPICAL_BOOT_FACTOR;
-        ArrayDeque<Double> seen = bootSecondsByType.get(type.name());
-        if (seen == null || seen.size() < MIN_BOOT_SAMPLES) {
-            return usualS;
+        double typicalSeconds = type.bootSeconds() * TYPICAL_BOOT_FACTOR;
+        ArrayDeque<Double> samples = bootSecondsByType.get(type.name());
+        if (samples == null || samples.size() < MIN_BOOT_SAMPLES) {
+            return typicalSeconds;
         }
-        double slowS =
-                seen.stream()
+        double slowSeconds =
+                samples.stream()
                         .sorted()
-                        .skip((long) (seen.size() * BOOT_TIME_QUANTILE))
+                        .skip((long) (samples.size() * BOOT_TIME_QUANTILE))
                         .findFirst()
-                        .orElse(usualS);
-        return Math.max(
-                usualS,
-                Math.min(slowS * BOOT_QUANTILE_MARGIN, type.bootSeconds() * ABANDON_BOOT_FACTOR));
+                        .orElse(typicalSeconds);
+        double learnedSeconds =
+                Math.min(
+                        slowSeconds * BOOT_QUANTILE_MARGIN,
+                        type.bootSeconds() * ABANDON_BOOT_FACTOR);
+        return Math.max(typicalSeconds, learnedSeconds);
     }
 }
--- /dev/null
+++ b/src/main/java/org/meadowhollow/coordination/fleet/PoolSelector.java
@@ -0,0 +1,124 @@
+package org.meadowhollow.coordination.fleet;
+
+import java.util.List;
+import java.util.Map;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.MachineTypeCatalog;
+import org.meadowhollow.model.MonotonicTime;
+
+/**
+ * Selects the capacity pool to rent a machine from for a task, by price. Keeps no state of its own;
+ * reads the {@link RentalBackoff}, so callers hold the lock of {@link Autoscaler}.
+ */
+final class PoolSelector {
+    private static final List<Boolean> ON_DEMAND_ONLY = List.of(false);
+    private static final List<Boolean> SPOT_THEN_ON_DEMAND = List.of(true, false);
+
+    /** Makes any difference in price count for more than a zone with fewer machines. */
+    private static final double COST_WEIGHT_OVER_ZONE_SPREAD = 1000;
+
+    /**
+     * A pool is expensive if a task costs more than this many times what it would cost in the
+     * cheapest pool.
+     */
+    private static final double EXPENSIVE_COST_RATIO = 2;
+
+    private final MachineTypeCatalog machineTypeCatalog;
+    private final LeadershipContext leader;
+    private final RentalBackoff backoff;
+
+    PoolSelector(
+            MachineTypeCatalog machineTypeCatalog,
+            LeadershipContext leader,
+            RentalBackoff backoff) {
+        this.machineTypeCatalog = machineTypeCatalog;
+        this.leader = leader;
+        this.backoff = backoff;
+    }
+
+    /**
+     * The cheapest available pool for a task; among equals, the one in the zone with the fewest
+     * machines.
+     *
+     * @param requiredZone the only zone allowed, or null for any
+     * @param tasksByZone how many of the job's tasks the plan has put into each zone
+     * @param machinesByZone how many machines each zone has, planned ones included
+     * @return the pool, or null if none is available
+     */
+    CapacityPool findCheapest(
+            JobSpec spec,
+            String requiredZone,
+            Map<String, Integer> tasksByZone,
+            Map<String, Integer> machinesByZone,
+            MonotonicTime now) {
+        CapacityPool cheapest = null;
+        double lowestCost = 0;
+        for (MachineType type : machineTypeCatalog.types()) {
+            for (String zone : type.zones()) {
+                for (boolean spot : spec.allowsSpot() ? SPOT_THEN_ON_DEMAND : ON_DEMAND_ONLY) {
+                    CapacityPool pool = new CapacityPool(type.name(), zone, spot);
+                    if (!canHost(spec, pool, requiredZone)
+                            || !isAvailable(pool, now)
+                            || tasksByZone.getOrDefault(zone, 0) >= spec.maxTasksPerZone()) {
+                        continue;
+                    }
+                    double cost =
+                            hourlyCostPerTask(spec, type, spot) * COST_WEIGHT_OVER_ZONE_SPREAD
+                                    + machinesByZone.getOrDefault(zone, 0);
+                    if (cheapest == null || cost < lowestCost) {
+                        cheapest = pool;
+                        lowestCost = cost;
+                    }
+                }
+            }
+        }
+        return cheapest;
+    }
+
+    private boolean isAvailable(CapacityPool pool, MonotonicTime now) {
+        return !leader.isInOutageWindow(pool.type(), pool.zone()) && !backoff.isPaused(pool, now);
+    }
+
+    /**
+     * Whether an empty machine of a pool could run a task.
+     *
+     * @param requiredZone the only zone allowed, or null for any
+     */
+    boolean canHost(JobSpec spec, CapacityPool pool, String requiredZone) {
+        return spec.allowsMachineType(pool.type())
+                && (!pool.spot() || spec.allowsSpot())
+                && (requiredZone == null || requiredZone.equals(pool.zone()))
+                && spec.resourcesPerTask()
+                        .fitsIn(machineTypeCatalog.typeNamed(pool.type()).capacity());
+    }
+
+    /**
+     * Whether a task in a pool costs so much more than in the cheapest one, available or not, that
+     * it is rented only for what would otherwise be late.
+     */
+    boolean isExpensive(JobSpec spec, CapacityPool pool) {
+        double lowestCost = Double.MAX_VALUE;
+        for (MachineType type : machineTypeCatalog.types()) {
+            if (spec.allowsMachineType(type.name())
+                    && spec.resourcesPerTask().fitsIn(type.capacity())) {
+                lowestCost = Math.min(lowestCost, hourlyCostPerTask(spec, type, spec.allowsSpot()));
+            }
+        }
+        MachineType type = machineTypeCatalog.typeNamed(pool.type());
+        return hourlyCostPerTask(spec, type, pool.spot()) > lowestCost * EXPENSIVE_COST_RATIO;
+    }
+
+    /** The hourly cost of a task on a machine that it shares with others of its job. */
+    private static double hourlyCostPerTask(JobSpec spec, MachineType type, boolean spot) {
+        int tasksPerMachine =
+                spec.kind() == JobKind.GANG
+                        ? 1
+                        : spec.resourcesPerTask()
+                                .maxCopiesIn(
+                                        type.capacity(), MachineRenter.MAX_MACHINES_PER_REQUEST);
+        double hourlyPrice = spot ? type.hourlySpotPrice() : type.hourlyPrice();
+        return hourlyPrice / Math.max(1, tasksPerMachine);
+    }
+}
--- a/src/main/java/org/meadowhollow/coordination/fleet/UnreachableMachineReturnPolicy.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/UnreachableMachineReturnPolicy.java
@@ -2,7 +2,6 @@
 
 import java.time.Duration;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -19,93 +18,118 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which silent machines are returned to the cloud. A return proves what was on a machine gone,
- * which may be worth much, but it cannot be taken back, so it is the last resort: not while many
- * are silent at once, not in a zone that is mostly silent, not what another controller hears, and
- * not many in a short time.
+ * Selects the silent machines that are returned to the cloud. A return proves that the tasks on a
+ * machine have ended, which can be worth much, but it is irreversible, so it is the last resort:
+ * not while many machines are silent at once, not in a zone that is mostly silent, not for a
+ * machine whose heartbeats another controller receives, and not for many machines in a short time.
  *
- * <p>Keeping a dead machine costs little, since the cloud lists it as failed within a minute, from
- * when on it is free; and one that it took away is left out; only one that hangs is paid for. So
- * what is not returned for silence alone waits for the cloud's word, or for {@link
- * #LAST_RESORT_LEASES}.
+ * <p>Keeping a failed machine costs little: the cloud lists it as failed within a minute, and from
+ * then on it is free of charge; a preempted one is left out of the list; only one that hangs is
+ * paid for. So a machine that is not returned for silence alone waits for the cloud's list, or for
+ * {@link #LAST_RESORT_LEASES}.
+ *
+ * <p>Not thread-safe: {@link #onHeartbeat} is called with the leader's lock held, the rest from the
+ * leader's round outside it, on the same event loop.
  */
 public final class UnreachableMachineReturnPolicy {
     private static final Logger LOG = LoggerFactory.getLogger(UnreachableMachineReturnPolicy.class);
 
     /**
-     * A silent machine is given up after this many leases: its tasks are gone, but it may yet go
-     * on.
+     * A silent machine is returned after this many leases: its tasks have ended, but it may yet
+     * resume.
      */
     private static final double RETURN_AFTER_LEASES = 1.5;
 
     /**
-     * A machine that others wait for is given up after this many reports: two in a row at their
-     * latest (a quarter late each), and time for a direct question. Its return proves its tasks
-     * gone before its lease does.
+     * A machine that blocks other work is returned after this many heartbeat intervals: two
+     * heartbeats in a row at their latest (a quarter late each), and time for a probe. Its return
+     * proves its tasks ended before its lease expires.
      */
     private static final double RETURN_AFTER_HEARTBEATS = 2.7;
 
     /**
-     * Where silence has a common cause, a machine is given up after this many leases, by which any
-     * cut seen was over.
+     * Where silence has a common cause, a machine is returned after this many leases; any partition
+     * observed was over by then.
      */
     private static final double LAST_RESORT_LEASES = 10;
 
-    /** Above this share of silent machines a zone is cut off, rather than its machines dead. */
+    /**
+     * Above this share of silent machines a zone is partitioned, rather than its machines failed.
+     */
     private static final double PARTITIONED_ZONE_SHARE = 0.5;
 
-    /** In a zone with fewer machines than this, the share tells nothing. */
+    /** In a zone with fewer machines than this, the share carries no information. */
     private static final int MIN_MACHINES_IN_ZONE = 4;
 
     /**
-     * Machines that report after they seemed dead; one is a machine that hung, more speak against
-     * the listener, which may have stood still itself.
+     * Machines that send heartbeats after they seemed failed: one is a machine that hung; more
+     * point to this node, which may itself have been paused.
      */
     private static final int LATE_HEARTBEATS_TO_SUSPEND = 2;
 
     private final FailureDetector detector;
     private final DeploymentSettings deploymentSettings;
-    private final ArrayDeque<MonotonicTime> returned = new ArrayDeque<>();
-    private final ArrayDeque<MonotonicTime> lateHeartbeats = new ArrayDeque<>();
+
+    /** When machines were returned for silence, one entry each, within the last lease. */
+    private final ArrayDeque<MonotonicTime> returnedAt = new ArrayDeque<>();
+
+    /** When heartbeats arrived from machines about to be returned, within the last lease. */
+    private final ArrayDeque<MonotonicTime> lateHeartbeatsAt = new ArrayDeque<>();
+
+    /** Until when nothing is returned for silence alone, or null if that never was suspended. */
     private MonotonicTime suspendedUntil;
 
+    /** Creates the policy of one leadership, with nothing returned so far. */
     public UnreachableMachineReturnPolicy(
             FailureDetector detector, DeploymentSettings deploymentSettings) {
         this.detector = detector;
         this.deploymentSettings = deploymentSettings;
     }
 
-    private static double toSeconds(Duration span) {
-        return span.toNanos() / 1e9;
+    private static double toSeconds(Duration duration) {
+        return duration.toNanos() / 1e9;
     }
 
     private double urgentSilenceLimitSeconds() {
         return toSeconds(deploymentSettings.heartbeatInterval()) * RETURN_AFTER_HEARTBEATS;
     }
 
+    private double ordinarySilenceLimitSeconds() {
+        return toSeconds(deploymentSettings.workerLease()) * RETURN_AFTER_LEASES;
+    }
+
     /**
-     * A report has come: if it is from a machine that was about to be given up, others may be heard
-     * again as well.
+     * Suspends returns for one lease when heartbeats arrive from several machines that were about
+     * to be returned, since others may become reachable again as well. Call it before the machine's
+     * last contact is updated.
      */
     public void onHeartbeat(Machine machine, MonotonicTime now) {
         if (machine.lastContactAt() == null
                 || detector.silentSeconds(machine, now) <= urgentSilenceLimitSeconds()) {
             return;
         }
-        dropOlderThanLease(lateHeartbeats, now);
-        lateHeartbeats.add(now);
-        if (lateHeartbeats.size() >= LATE_HEARTBEATS_TO_SUSPEND) {
-            if (suspendedUntil == null || suspendedUntil.isBefore(now)) {
-                LOG.info(
-                        "machines that were silent for more than {} s report again: none is returned for silence alone"
-                                + " for {} s",
-                        urgentSilenceLimitSeconds(),
-                        deploymentSettings.workerLease().toSeconds());
-            }
-            suspendedUntil = now.plus(deploymentSettings.workerLease());
+        dropOlderThanLease(lateHeartbeatsAt, now);
+        lateHeartbeatsAt.add(now);
+        if (lateHeartbeatsAt.size() >= LATE_HEARTBEATS_TO_SUSPEND) {
+            suspend(now);
         }
     }
 
+    private void suspend(MonotonicTime now) {
+        if (suspendedUntil == null || suspendedUntil.isBefore(now)) {
+            LOG.info(
+                    "returns for silence alone suspended silenceLimitSeconds={} durationSeconds={}:"
+                            + " machines silent for longer send heartbeats again",
+                    urgentSilenceLimitSeconds(),
+                    deploymentSettings.workerLease().toSeconds());
+        }
+        suspendedUntil = now.plus(deploymentSettings.workerLease());
+    }
+
+    private boolean isSuspended(MonotonicTime now) {
+        return suspendedUntil != null && now.isBefore(suspendedUntil);
+    }
+
     private void dropOlderThanLease(ArrayDeque<MonotonicTime> times, MonotonicTime now) {
         while (!times.isEmpty()
                 && now.elapsedSince(times.peek()).compareTo(deploymentSettings.workerLease()) > 0) {
@@ -115,50 +139,23 @@
 
     /** The silent machines to return now, the longest silent first. */
     List<MachineId> selectForReturn(List<Machine> machines, MonotonicTime now) {
-        List<Machine> candidates = new ArrayList<>();
-        Map<String, Integer> known = new HashMap<>();
-        Map<String, Integer> silent = new HashMap<>();
-        int count = 0;
-        for (Machine machine : machines) {
-            if (machine.releasing()) {
-                continue;
-            }
-            count++;
-            known.merge(machine.zone(), 1, Integer::sum);
-            double silentS = detector.silentSeconds(machine, now);
-            if (silentS > urgentSilenceLimitSeconds()
-                    && !detector.isMissingFromMachineList(machine)) {
-                silent.merge(machine.zone(), 1, Integer::sum);
-            }
-            if (silentS > silenceLimitSeconds(machine)) {
-                candidates.add(machine);
-            }
-        }
+        List<Machine> inService =
+                machines.stream().filter(machine -> !machine.releasing()).toList();
+        List<Machine> candidates =
+                inService.stream().filter(machine -> isSilentTooLong(machine, now)).toList();
         if (candidates.isEmpty()) {
             return List.of();
         }
-        boolean common =
+        boolean hasCommonCause =
                 detector.reachability() != LeaderReachability.Reachability.HEALTHY
-                        || suspendedUntil != null && now.isBefore(suspendedUntil);
-        Set<String> cutOff = new HashSet<>();
-        known.forEach(
-                (zone, all) -> {
-                    if (known.size() > 1
-                            && all >= MIN_MACHINES_IN_ZONE
-                            && silent.getOrDefault(zone, 0) > PARTITIONED_ZONE_SHARE * all) {
-                        cutOff.add(zone);
-                    }
-                });
-        dropOlderThanLease(returned, now);
-        int mostNow =
-                Math.max(1, (int) (count * LeaderReachability.DEGRADED_OVERDUE_SHARE))
-                        - returned.size();
-        double lastResortS = toSeconds(deploymentSettings.workerLease()) * LAST_RESORT_LEASES;
+                        || isSuspended(now);
+        Set<String> partitionedZones = partitionedZones(inService, now);
+        double lastResortSeconds = toSeconds(deploymentSettings.workerLease()) * LAST_RESORT_LEASES;
         return candidates.stream()
                 .filter(
                         machine ->
-                                !common && !cutOff.contains(machine.zone())
-                                        || detector.silentSeconds(machine, now) > lastResortS)
+                                (!hasCommonCause && !partitionedZones.contains(machine.zone()))
+                                        || detector.silentSeconds(machine, now) > lastResortSeconds)
                 .filter(
                         machine ->
                                 detector.isUnseenByAllPeers(machine, now)
@@ -167,39 +164,80 @@
                         Comparator.comparingDouble(
                                         (Machine machine) -> -detector.silentSeconds(machine, now))
                                 .thenComparing(Machine::id))
-                .limit(Math.max(0, mostNow))
+                .limit(remainingReturns(inService.size(), now))
                 .map(Machine::id)
                 .toList();
     }
 
-    /** Notes that machines were returned, which counts against how many more may be. */
-    void returned(int machines, MonotonicTime now) {
-        for (int at = 0; at < machines; at++) {
-            returned.add(now);
+    private boolean isSilentTooLong(Machine machine, MonotonicTime now) {
+        return detector.silentSeconds(machine, now) > silenceLimitSeconds(machine);
+    }
+
+    /**
+     * The zones where most machines are silent although the cloud still lists them, unless there is
+     * only one zone at all.
+     */
+    private Set<String> partitionedZones(List<Machine> inService, MonotonicTime now) {
+        Map<String, Integer> knownByZone = new HashMap<>();
+        Map<String, Integer> silentByZone = new HashMap<>();
+        for (Machine machine : inService) {
+            knownByZone.merge(machine.zone(), 1, Integer::sum);
+            if (detector.silentSeconds(machine, now) > urgentSilenceLimitSeconds()
+                    && !detector.isMissingFromMachineList(machine)) {
+                silentByZone.merge(machine.zone(), 1, Integer::sum);
+            }
+        }
+        Set<String> partitioned = new HashSet<>();
+        if (knownByZone.size() <= 1) {
+            return partitioned;
+        }
+        knownByZone.forEach(
+                (zone, known) -> {
+                    int silent = silentByZone.getOrDefault(zone, 0);
+                    if (known >= MIN_MACHINES_IN_ZONE && silent > PARTITIONED_ZONE_SHARE * known) {
+                        partitioned.add(zone);
+                    }
+                });
+        return partitioned;
+    }
+
+    /** How many more machines may be returned within the current lease. */
+    private int remainingReturns(int machinesInService, MonotonicTime now) {
+        dropOlderThanLease(returnedAt, now);
+        int limit =
+                Math.max(1, (int) (machinesInService * LeaderReachability.DEGRADED_OVERDUE_SHARE));
+        return Math.max(0, limit - returnedAt.size());
+    }
+
+    /** Records that machines were returned, which counts against how many more may be. */
+    void recordReturned(int machines, MonotonicTime now) {
+        for (int recorded = 0; recorded < machines; recorded++) {
+            returnedAt.add(now);
         }
     }
 
     private boolean isSeenByPeer(Machine machine, MonotonicTime now) {
-        MonotonicTime at = detector.seenByPeerAt(machine);
-        return at != null && now.secondsSince(at) <= urgentSilenceLimitSeconds();
+        MonotonicTime seenAt = detector.seenByPeerAt(machine);
+        return seenAt != null && now.secondsSince(seenAt) <= urgentSilenceLimitSeconds();
     }
 
-    /** How long a machine may be silent before it is given up. */
+    /** How long a machine may be silent before it is returned. */
     private double silenceLimitSeconds(Machine machine) {
         if (machine.lastContactAt() == null) {
-            // Not one word since this leader began or the cloud listed it as running: as for one
-            // that never comes up.
+            // No contact since this leadership began or the cloud listed it as running: treated as
+            // a machine that never finishes booting.
             return Math.max(
                     machine.type().bootSeconds() * PendingRentals.ABANDON_BOOT_FACTOR,
-                    toSeconds(deploymentSettings.workerLease()) * RETURN_AFTER_LEASES);
+                    ordinarySilenceLimitSeconds());
         }
         return blocksServiceOrGang(machine)
                 ? urgentSilenceLimitSeconds()
-                : toSeconds(deploymentSettings.workerLease()) * RETURN_AFTER_LEASES;
+                : ordinarySilenceLimitSeconds();
     }
 
     /**
-     * Whether a service or a gang is held up while nobody knows if the machine's tasks still run.
+     * Whether a service or a gang is blocked while it is unknown whether the machine's tasks still
+     * run.
      */
     private static boolean blocksServiceOrGang(Machine machine) {
         return machine.placements().stream()
--- a/src/main/java/org/meadowhollow/coordination/fleet/package-info.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/package-info.java
@@ -1,6 +1,19 @@
 /**
- * Which machines there are: renting, returning, and what silence means. Reaches the cloud, asks
- * silent workers and the other controllers, and tells the leader ({@code TermHolder}) what is
- * proven gone.
+ * The leader's fleet of machines: which are rented and returned, and what missing heartbeats mean.
+ *
+ * <p>Decides when to scale out and in ({@link org.meadowhollow.coordination.fleet.Autoscaler}), how
+ * well heartbeats reach the leader and whether it resigns ({@link
+ * org.meadowhollow.coordination.fleet.FailureDetector}), when tasks on a silent machine count as
+ * ended ({@link org.meadowhollow.coordination.fleet.HeartbeatTimeoutMonitor}) and which silent
+ * machines are returned ({@link
+ * org.meadowhollow.coordination.fleet.UnreachableMachineReturnPolicy}). Owns the pending rentals,
+ * the returned machines, the backoff of rental requests and the answers of the other controllers,
+ * each for the time of one leadership; none of it is persisted.
+ *
+ * <p>Calls the cloud and the other controllers through {@code coordination.api}, probes workers
+ * through the leader, and reports what is proven to have ended to the leader ({@link
+ * org.meadowhollow.coordination.fleet.LeadershipContext}). The detector and the monitor are guarded
+ * by the leader's lock, the autoscaler by a lock of its own; I/O is started outside of both, except
+ * for the probes.
  */
 package org.meadowhollow.coordination.fleet;
--- a/src/main/java/org/meadowhollow/coordination/heartbeat/HeartbeatTracker.java
+++ b/src/main/java/org/meadowhollow/coordination/heartbeat/HeartbeatTracker.java
@@ -1,5 +1,6 @@
 package org.meadowhollow.coordination.heartbeat;
 
+import com.google.errorprone.annotations.concurrent.GuardedBy;
 import java.time.Duration;
 import java.util.Collection;
 import java.util.HashSet;
@@ -11,63 +12,84 @@
 import org.meadowhollow.model.MonotonicTime;
 
 /**
- * Which workers' reports have come to this node lately, whether or not it leads. That a report came
- * shows that the worker was alive and that the way from it to this node was open; that none came
- * shows nothing.
+ * The machines whose heartbeats this node received lately, whether or not it leads. A received
+ * heartbeat proves that the worker was alive and that the network path from it to this node was
+ * open; a missing one proves nothing. Thread-safe: guarded by its own monitor.
  */
 public final class HeartbeatTracker {
     /**
-     * Longer than any window that is asked for: a worker whose leader is silent goes round all
-     * nodes well within it.
+     * Longer than any window that is asked for: a worker whose leader does not answer tries every
+     * controller well within it.
      */
     private static final Duration RETENTION = Duration.ofSeconds(60);
 
     /**
-     * Machines remembered, some hundred bytes each; the one heard longest ago is forgotten first.
+     * Machines tracked, some hundred bytes each; the one with the oldest heartbeat is evicted
+     * first.
      */
     private static final int MAX_TRACKED_MACHINES = 20_000;
 
-    /** In the order of their last reports. */
+    /** In ascending order of the last heartbeat. */
+    @GuardedBy("this")
     private final LinkedHashMap<MachineId, MonotonicTime> lastHeartbeatAt = new LinkedHashMap<>();
 
-    /** A report of a machine has come. */
+    /**
+     * Records that a heartbeat of a machine was received, and evicts what is too old or too much.
+     *
+     * @param now not before the time of an earlier call
+     */
     public synchronized void recordHeartbeat(MachineId machine, MonotonicTime now) {
+        // Removed first, so that the machine moves to the end of the insertion order.
         lastHeartbeatAt.remove(machine);
         lastHeartbeatAt.put(machine, now);
-        Iterator<MonotonicTime> oldest = lastHeartbeatAt.values().iterator();
-        while (oldest.hasNext()) {
-            MonotonicTime at = oldest.next();
+        Iterator<MonotonicTime> oldestFirst = lastHeartbeatAt.values().iterator();
+        while (oldestFirst.hasNext()) {
+            MonotonicTime heartbeatAt = oldestFirst.next();
             if (lastHeartbeatAt.size() <= MAX_TRACKED_MACHINES
-                    && now.elapsedSince(at).compareTo(RETENTION) <= 0) {
+                    && isWithin(RETENTION, heartbeatAt, now)) {
                 break;
             }
-            oldest.remove();
+            oldestFirst.remove();
         }
     }
 
-    /** How many machines were heard within a time of at most 60 s before now. */
-    public synchronized int countRecent(Duration within, MonotonicTime now) {
-        int count = 0;
-        for (MonotonicTime at : lastHeartbeatAt.values()) {
-            count += now.elapsedSince(at).compareTo(within) <= 0 ? 1 : 0;
+    /**
+     * Counts the machines with a recent heartbeat.
+     *
+     * @param window how far back from {@code now} a heartbeat counts, at most 60 s
+     */
+    public synchronized int countRecent(Duration window, MonotonicTime now) {
+        int recent = 0;
+        for (MonotonicTime heartbeatAt : lastHeartbeatAt.values()) {
+            if (isWithin(window, heartbeatAt, now)) {
+                recent++;
+            }
         }
-        return count;
+        return recent;
     }
 
-    /** Those of some machines that were heard within a time of at most 60 s before now. */
+    /**
+     * Selects those of some machines that have a recent heartbeat.
+     *
+     * @param window how far back from {@code now} a heartbeat counts, at most 60 s
+     */
     public synchronized Set<MachineId> recentAmong(
-            Collection<MachineId> machines, Duration within, MonotonicTime now) {
-        Set<MachineId> heard = new HashSet<>();
+            Collection<MachineId> machines, Duration window, MonotonicTime now) {
+        Set<MachineId> recent = new HashSet<>();
         for (MachineId machine : machines) {
-            MonotonicTime at = lastHeartbeatAt.get(machine);
-            if (at != null && now.elapsedSince(at).compareTo(within) <= 0) {
-                heard.add(machine);
+            MonotonicTime heartbeatAt = lastHeartbeatAt.get(machine);
+            if (heartbeatAt != null && isWithin(window, heartbeatAt, now)) {
+                recent.add(machine);
             }
         }
-        return heard;
+        return recent;
+    }
+
+    private static boolean isWithin(Duration window, MonotonicTime at, MonotonicTime now) {
+        return now.elapsedSince(at).compareTo(window) <= 0;
     }
 
-    /** All that is remembered, for tests of the bound. */
+    /** A copy of everything tracked, for tests of the bounds. */
     synchronized Map<MachineId, MonotonicTime> trackedMachines() {
         return Map.copyOf(lastHeartbeatAt);
     }
--- a/src/main/java/org/meadowhollow/coordination/heartbeat/LeaderReachability.java
+++ b/src/main/java/org/meadowhollow/coordination/heartbeat/LeaderReachability.java
@@ -2,103 +2,134 @@
 
 import java.time.Duration;
 import java.util.List;
+import java.util.Optional;
 import org.meadowhollow.coordination.api.PeerReachabilityReport;
 
 /**
- * Tells a leader that has lost its workers from workers that are lost. Many machines silent at once
- * speak against the listener; the other controllers, to whom workers turn when their leader gives
- * no answer, can tell. Pure functions.
+ * Distinguishes a leader that is cut off from its workers from workers that have failed. Many
+ * overdue heartbeats at once point to the leader's own network. The other controllers can confirm
+ * it, because workers whose leader does not answer send their heartbeats to them. Pure functions,
+ * usable from any thread.
  */
 public final class LeaderReachability {
     /**
-     * The share of the known machines above which silence has a common cause: a wave of spot
-     * machines or a zone with fewer machines stays below it, and so did every independent failure
-     * seen.
+     * Share of the known machines above which overdue heartbeats are taken to have a common cause.
+     * A wave of spot preemptions or the loss of a smaller zone stays below it, and so did every
+     * independent failure observed.
      */
     public static final double DEGRADED_OVERDUE_SHARE = 0.25;
 
     /**
-     * The share above which it is the listener: the loss of the larger of two or three zones stays
-     * below it.
+     * Share from which the leader itself counts as isolated; the loss of the larger of two or three
+     * zones stays below it.
      */
     static final double ISOLATED_OVERDUE_SHARE = 0.75;
 
-    /** Fewer machines than this tell nothing. */
+    /** With fewer machines than this, the share carries no information. */
     static final int MIN_KNOWN_MACHINES = 3;
 
-    /** Machines that must have come to another node: one or two lose a connection now and then. */
+    /**
+     * Machines that a peer must have received heartbeats from to be a better leader: one or two
+     * lose a connection now and then.
+     */
     static final int MIN_MACHINES_SEEN_BY_PEER = 3;
 
     /**
-     * How long others have for an answer before a deaf leader goes by its own evidence alone:
-     * workers reach the next node 5 s after their leader fell silent, and the leader notes its own
-     * deafness about as soon.
+     * How long the peers have to answer before an isolated leader acts on its own evidence alone:
+     * workers turn to the next node 5 s after their leader stopped answering, and the leader
+     * detects its own isolation at about the same time.
      */
     static final Duration PEER_ANSWER_TIMEOUT = Duration.ofSeconds(3);
 
-    /** How well a leader hears its workers. */
+    /** How well heartbeats reach the leader. */
     public enum Reachability {
+        /** Few heartbeats are overdue; each missing one has a cause of its own. */
         HEALTHY,
+        /** So many are overdue that a common cause is likely, such as a zone or a network path. */
         DEGRADED,
+        /** Nearly all are overdue: the leader itself is cut off from its workers. */
         ISOLATED
     }
 
     /**
-     * What follows for the leadership; {@code heir} is the node to hand it to, null where none is
-     * known.
+     * Whether an isolated leader resigns.
+     *
+     * @param preferredSuccessor the member to hand the leadership to, if a better one is known
      */
-    public record ResignationDecision(boolean resigns, String preferredSuccessor) {
-        private static final ResignationDecision KEEP_LEADERSHIP =
-                new ResignationDecision(false, null);
+    public record ResignationDecision(boolean resigns, Optional<String> preferredSuccessor) {
+        /** The leader stays. */
+        public static final ResignationDecision KEEP_LEADERSHIP =
+                new ResignationDecision(false, Optional.empty());
+
+        private static final ResignationDecision RESIGN_WITHOUT_SUCCESSOR =
+                new ResignationDecision(true, Optional.empty());
+
+        private static ResignationDecision resignInFavourOf(String member) {
+            return new ResignationDecision(true, Optional.of(member));
+        }
     }
 
     private LeaderReachability() {}
 
     /**
-     * @param known machines that should report
-     * @param late those of them whose report is overdue
+     * Classifies how well heartbeats reach the leader.
+     *
+     * @param knownMachines machines that should send heartbeats
+     * @param overdueMachines those of them whose heartbeat is overdue
      */
-    public static Reachability classify(int known, int late) {
-        if (known < MIN_KNOWN_MACHINES || late <= DEGRADED_OVERDUE_SHARE * known) {
+    public static Reachability classify(int knownMachines, int overdueMachines) {
+        if (knownMachines < MIN_KNOWN_MACHINES
+                || overdueMachines <= DEGRADED_OVERDUE_SHARE * knownMachines) {
             return Reachability.HEALTHY;
         }
-        return late < ISOLATED_OVERDUE_SHARE * known
+        return overdueMachines < ISOLATED_OVERDUE_SHARE * knownMachines
                 ? Reachability.DEGRADED
                 : Reachability.ISOLATED;
     }
 
     /**
-     * Whether a deaf leader gives its lease up. It does so for a node that hears its workers. If
-     * all others answer and none hears them, nothing is gained by taking turns, and it stays. If
-     * some others cannot be reached, it gives up once without knowing of a better one; nobody who
-     * does not hear takes the lease then before it comes back.
+     * Decides whether an isolated leader resigns its lease. It resigns in favour of a peer that
+     * receives the workers' heartbeats. If all peers answered and none receives any, passing the
+     * leadership around gains nothing, and it stays. If some peers cannot be reached, it resigns
+     * once without a known successor; a node that receives no heartbeats does not then acquire the
+     * lease before this one may again.
      *
-     * @param deafFor since when it has been deaf
-     * @param asked how many late machines the others were asked about
-     * @param others an answer or its absence for each of the other controllers; empty before the
-     *     first round of answers
-     * @param mayTry whether it has not given up on its own evidence lately
+     * @param isolatedFor how long it has been isolated
+     * @param queriedMachines how many overdue machines the peers were asked about
+     * @param reports one report, or its absence, for each of the other controllers; empty before
+     *     the first round of answers
+     * @param mayResignWithoutSuccessor whether it has not resigned on its own evidence lately
      */
     public static ResignationDecision decideResignation(
-            Duration deafFor, int asked, List<PeerReachabilityReport> others, boolean mayTry) {
+            Duration isolatedFor,
+            int queriedMachines,
+            List<PeerReachabilityReport> reports,
+            boolean mayResignWithoutSuccessor) {
+        Optional<PeerReachabilityReport> best = bestSuccessor(queriedMachines, reports);
+        if (best.isPresent()) {
+            return ResignationDecision.resignInFavourOf(best.get().member());
+        }
+        boolean somePeerUnreachable = !reports.stream().allMatch(PeerReachabilityReport::answered);
+        return somePeerUnreachable
+                        && mayResignWithoutSuccessor
+                        && isolatedFor.compareTo(PEER_ANSWER_TIMEOUT) >= 0
+                ? ResignationDecision.RESIGN_WITHOUT_SUCCESSOR
+                : ResignationDecision.KEEP_LEADERSHIP;
+    }
+
+    /** The eligible peer with heartbeats from the most machines; the first one among equals. */
+    private static Optional<PeerReachabilityReport> bestSuccessor(
+            int queriedMachines, List<PeerReachabilityReport> reports) {
+        int requiredMachines = Math.min(MIN_MACHINES_SEEN_BY_PEER, Math.max(1, queriedMachines));
         PeerReachabilityReport best = null;
-        boolean allAnswered = true;
-        for (PeerReachabilityReport other : others) {
-            allAnswered &= other.answered();
-            if (other.reachesStore()
-                    && other.recentlyHeard().size()
-                            >= Math.min(MIN_MACHINES_SEEN_BY_PEER, Math.max(1, asked))
-                    && (best == null
-                            || other.recentlyHeard().size() > best.recentlyHeard().size())) {
-                best = other;
+        for (PeerReachabilityReport report : reports) {
+            int seen = report.recentlyHeard().size();
+            if (report.reachesStore()
+                    && seen >= requiredMachines
+                    && (best == null || seen > best.recentlyHeard().size())) {
+                best = report;
             }
         }
-        if (best != null) {
-            return new ResignationDecision(true, best.member());
-        }
-        boolean alone = !others.isEmpty() && !allAnswered;
-        return alone && mayTry && deafFor.compareTo(PEER_ANSWER_TIMEOUT) >= 0
-                ? new ResignationDecision(true, null)
-                : ResignationDecision.KEEP_LEADERSHIP;
+        return Optional.ofNullable(best);
     }
 }
--- a/src/test/java/org/meadowhollow/coordination/fleet/PendingRentalsTest.java
+++ b/src/test/java/org/meadowhollow/coordination/fleet/PendingRentalsTest.java
@@ -10,7 +10,7 @@
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.Resources;
 
-/** How long machines that boot late or never are counted on. */
+/** How long a machine that boots late or never is counted on, and when it is abandoned. */
 class PendingRentalsTest {
     private static final MachineType TYPE =
             new MachineType("small", Resources.of(8, 2, 32), 50, 1, 2, 1, 10, List.of("a"));
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void whatIsOverdueIsReplacedTwiceAndThenWaitedFor() {
+    void replacesOverdueRentalTwiceAndThenWaits() {
         rent("vm-1", 0);
         assertEquals(1, pendingRentals.expectedRentals(at(14)).size());
         assertEquals(0, pendingRentals.expectedRentals(at(16)).size());
@@ -34,18 +34,18 @@
         assertEquals(
                 List.of(new MachineId("vm-1")),
                 pendingRentals.abandonedRentals(at(32)),
-                "it was replaced, and is late by far");
+                "it was replaced, and is long overdue");
         pendingRentals.forget(new MachineId("vm-1"));
         rent("vm-3", 32);
         assertEquals(
                 1,
                 pendingRentals.expectedRentals(at(60)).size(),
-                "renting without end helps nobody");
+                "after three attempts no more replacements are rented");
         assertEquals(2, pendingRentals.abandonedRentals(at(73)).size());
     }
 
     @Test
-    void bootsThatAreAllSlowAreAwaitedForLonger() {
+    void waitsLongerWhenAllRecentBootsWereSlow() {
         for (int number = 0; number < 8; number++) {
             rent("vm-" + number, 0);
         }
--- a/src/test/java/org/meadowhollow/coordination/fleet/UnreachableMachineReturnPolicyTest.java
+++ b/src/test/java/org/meadowhollow/coordination/fleet/UnreachableMachineReturnPolicyTest.java
@@ -15,14 +15,15 @@
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.Resources;
 
+/** Which silent machines are returned to the cloud. */
 class UnreachableMachineReturnPolicyTest {
     private static final MachineType TYPE =
             new MachineType("type", Resources.of(8, 2, 32), 50, 1, 2, 1, 10, List.of("a"));
     private static final MonotonicTime BEGUN = new MonotonicTime(0);
 
-    /** Of thousands that are silent, the other nodes can be asked about some hundred at a time. */
+    /** Of thousands of silent machines, the peers are asked about a few hundred at a time. */
     @Test
-    void aMachineThatNobodyHasBeenAskedAboutIsKept() {
+    void keepsSilentMachineThatPeersWereNotAskedAbout() {
         DeploymentSettings deploymentSettings =
                 new DeploymentSettings(
                         "n0",
@@ -40,7 +41,7 @@
                         10,
                         Duration.ofSeconds(8));
         ClusterState clusterState = new ClusterState(deploymentSettings, new FencingToken(1));
-        UnreachableMachineReturnPolicy unreachableMachineReturnPolicy =
+        UnreachableMachineReturnPolicy policy =
                 new UnreachableMachineReturnPolicy(
                         new FailureDetector(
                                 null, clusterState, deploymentSettings, null, null, null, BEGUN),
@@ -50,7 +51,6 @@
         silent.recordAnsweredHeartbeat(BEGUN);
         assertEquals(
                 List.of(),
-                unreachableMachineReturnPolicy.selectForReturn(
-                        List.of(silent), BEGUN.plus(Duration.ofSeconds(100))));
+                policy.selectForReturn(List.of(silent), BEGUN.plus(Duration.ofSeconds(100))));
     }
 }
--- a/src/test/java/org/meadowhollow/coordination/heartbeat/HeartbeatTrackerTest.java
+++ b/src/test/java/org/meadowhollow/coordination/heartbeat/HeartbeatTrackerTest.java
@@ -9,6 +9,7 @@
 import org.meadowhollow.model.MachineId;
 import org.meadowhollow.model.MonotonicTime;
 
+/** The bounds in number and age of the heartbeats that a node keeps. */
 class HeartbeatTrackerTest {
     private final HeartbeatTracker tracker = new HeartbeatTracker();
 
@@ -17,7 +18,7 @@
     }
 
     @Test
-    void whatWasHeardLongestAgoIsForgottenFirstAndAllOfItAfterAMinute() {
+    void evictsOldestHeartbeatAtTheBoundAndAllAfterOneMinute() {
         for (int machine = 0; machine < 20_100; machine++) {
             tracker.recordHeartbeat(new MachineId("vm-" + machine), at(machine / 1e6));
         }
