--- a/src/main/java/org/meadowhollow/coordination/admission/AdmissionService.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/AdmissionService.java
@@ -1,51 +1,45 @@
 package org.meadowhollow.coordination.admission;
 
-import java.time.Duration;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Optional;
-import java.util.Set;
 import java.util.concurrent.CompletableFuture;
+import org.meadowhollow.coordination.admission.JobRecordReader.StoredJob;
 import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.JobEventListeners;
 import org.meadowhollow.model.JobEventLog;
 import org.meadowhollow.model.JobId;
-import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
-import org.meadowhollow.model.MachineType;
 import org.meadowhollow.model.MachineTypeCatalog;
 import org.meadowhollow.model.MonotonicTime;
-import org.meadowhollow.model.Resources;
 import org.meadowhollow.model.Revision;
 import org.meadowhollow.model.SecondaryRecord;
 import org.meadowhollow.model.TaskTracer;
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
-import org.meadowhollow.storage.KeyValueStoreException;
-import org.meadowhollow.storage.KeyValueStoreException.Outcome;
 import org.meadowhollow.storage.RecordCodec;
 import org.meadowhollow.storage.Transaction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * What users ask for, answered by any node straight from the state service, so that it goes on
- * while the leadership changes and no answer is older than another node's.
+ * Accepts jobs, shows their states and cancels them. Any node answers directly from the key-value
+ * store, so that users are served while the leadership changes, and no answer is older than another
+ * node's. Submitting and cancelling are idempotent.
+ *
+ * <p>The returned futures fail with {@link TemporarilyUnavailableException} when the outcome is not
+ * known in time, and with the store's exceptions when a read fails. Thread-safe; the state is in
+ * caches with locks of their own.
  */
 public final class AdmissionService {
     private static final Logger LOG = LoggerFactory.getLogger(AdmissionService.class);
 
-    /** Users wait 5 s for an answer; by then a retry of ours must have ended. */
-    private static final Duration RETRY_DEADLINE = Duration.ofMillis(3500);
-
-    private static final Duration RETRY_DELAY = Duration.ofMillis(200);
-
-    /** Final states kept in memory; they never change, so they need no second look. */
-    private static final int MAX_CACHED_FINAL_STATUSES = 4000;
-
-    /** A job's state as users see it. */
+    /**
+     * A job's state as users see it.
+     *
+     * @param done how many tasks have completed
+     * @param running how many tasks are running
+     */
     public record JobStatus(JobId id, Phase phase, int done, int running) {}
 
     /** The phases that users see. */
@@ -56,13 +50,21 @@
         CANCELLED
     }
 
-    /** Counts of a live job, from whoever knows them. */
+    /** Knows how many tasks of live jobs are running and done, as the leader does. */
     public interface LiveStatusSource {
+        /** The state of a live job; empty if this source does not know the job. */
         Optional<JobStatus> statusOf(JobId id);
     }
 
-    /** The request cannot be decided now. */
+    /** The request cannot be decided now; it may be repeated. */
     public static final class TemporarilyUnavailableException extends RuntimeException {
+        private static final long serialVersionUID = 1;
+
+        /**
+         * Creates the exception, without a stack trace.
+         *
+         * @param why shown to the user
+         */
         public TemporarilyUnavailableException(String why) {
             super(why, null, false, false);
         }
@@ -70,31 +72,41 @@
 
     /** The job can never run. */
     public static final class UnschedulableJobException extends RuntimeException {
+        private static final long serialVersionUID = 1;
+
+        /**
+         * Creates the exception, without a stack trace.
+         *
+         * @param why shown to the user
+         */
         public UnschedulableJobException(String why) {
             super(why, null, false, false);
         }
     }
 
-    /** A submission's outcome: the job's state, and whether it is new. */
-    public record SubmissionResult(JobStatus status, boolean isNew) {}
-
-    private record StoredJob(Map<String, Object> record, Revision revision, boolean ended) {}
+    /**
+     * The outcome of a submission.
+     *
+     * @param isNew whether this request created the job, rather than an earlier one
+     */
+    public record SubmissionResult(JobStatus status, boolean isNew) {
+        private static SubmissionResult existing(JobStatus status) {
+            return new SubmissionResult(status, false);
+        }
+    }
 
     private final KeyValueStore store;
     private final EventLoop loop;
     private final MachineTypeCatalog machineTypeCatalog;
     private final DeploymentSettings deploymentSettings;
     private final JobEventListeners jobEventListeners;
-    private final LiveStatusSource liveStatusSource;
+    private final FeasibilityCheck feasibilityCheck;
+    private final TransactionRetrier transactionRetrier;
     private final JobStatusCache statusCache;
-    private final Map<JobId, JobStatus> finalStatuses =
-            new LinkedHashMap<>() {
-                @Override
-                protected boolean removeEldestEntry(Map.Entry<JobId, JobStatus> eldest) {
-                    return size() > MAX_CACHED_FINAL_STATUSES;
-                }
-            };
+    private final JobRecordReader jobRecordReader;
+    private final JobStatusResolver statusResolver;
 
+    /** Creates the service of one node. */
     public AdmissionService(
             KeyValueStore store,
             EventLoop loop,
@@ -107,73 +119,114 @@
         this.loop = loop;
         this.machineTypeCatalog = machineTypeCatalog;
         this.deploymentSettings = deploymentSettings;
-        this.liveStatusSource = liveStatusSource;
+        this.feasibilityCheck = new FeasibilityCheck(machineTypeCatalog, deploymentSettings);
+        this.transactionRetrier = new TransactionRetrier(store, loop);
         this.statusCache = new JobStatusCache(store, loop);
+        this.jobRecordReader = new JobRecordReader(store, statusCache);
+        this.statusResolver = new JobStatusResolver(liveStatusSource);
     }
 
+    /**
+     * Accepts a job, or returns the state of the job of this id that was accepted before.
+     *
+     * @return fails with {@link UnschedulableJobException} if the job is new and can never run
+     */
     public CompletableFuture<SubmissionResult> submit(JobSpec spec) {
         return submit(spec, null, Map.of());
     }
 
     /**
-     * Accepts a job together with what another interface keeps of it, all or nothing.
+     * Accepts a job together with what another interface keeps of it, atomically.
      *
      * @param secondaryRecord kept beside the job for as long as it lives, or null
-     * @param records keys of this job alone, to write with it
+     * @param records further records to write in the same transaction, by keys that belong to this
+     *     job alone
+     * @return as for {@link #submit(JobSpec)}
      */
     public CompletableFuture<SubmissionResult> submit(
             JobSpec spec,
             SecondaryRecord secondaryRecord,
             Map<String, Map<String, Object>> records) {
-        JobStatus known = cachedFinalStatus(spec.id());
-        if (known != null) {
-            return CompletableFuture.completedFuture(new SubmissionResult(known, false));
+        Optional<JobStatus> finalStatus = statusResolver.cachedFinalStatus(spec.id());
+        if (finalStatus.isPresent()) {
+            return CompletableFuture.completedFuture(SubmissionResult.existing(finalStatus.get()));
         }
         if (machineTypeCatalog.isEmpty()) {
             return CompletableFuture.failedFuture(
                     new TemporarilyUnavailableException("the machine types are not known yet"));
         }
-        String never = unschedulableReason(spec);
-        if (never != null) {
-            // The job may have been accepted before, when the answer was another one.
-            return readJob(spec.id())
-                    .thenApply(
-                            found -> {
-                                if (found.isPresent()) {
-                                    return new SubmissionResult(
-                                            toStatus(spec.id(), found.get()), false);
-                                }
-                                LOG.info("refused {}: {}", spec.id(), never);
-                                throw new UnschedulableJobException(never);
-                            });
+        Optional<String> infeasibleReason = feasibilityCheck.infeasibleReason(spec);
+        if (infeasibleReason.isPresent()) {
+            return rejectUnlessAccepted(spec.id(), infeasibleReason.get());
         }
         if (store.seemsUnavailable()) {
             return CompletableFuture.failedFuture(
                     new TemporarilyUnavailableException("the state service is out"));
         }
-        if (secondaryRecord == null && statusCache.cachedStatus(spec.id()) != null) {
-            // Repeated while the job lives: a transaction that must fail would cost a change of the
-            // state service's budget.
-            return getStatus(spec.id())
-                    .thenCompose(
-                            found ->
-                                    found.isPresent()
-                                            ? CompletableFuture.completedFuture(
-                                                    new SubmissionResult(found.get(), false))
-                                            : writeNewJob(spec, null, Map.of()));
+        if (secondaryRecord == null && statusCache.cachedStatus(spec.id()).isPresent()) {
+            return submitRepeatedly(spec);
         }
         return writeNewJob(spec, secondaryRecord, records);
     }
 
+    /** The job may have been accepted before, when the feasibility check passed. */
+    private CompletableFuture<SubmissionResult> rejectUnlessAccepted(JobId id, String reason) {
+        return jobRecordReader
+                .read(id)
+                .thenApply(
+                        found -> {
+                            if (found.isPresent()) {
+                                return SubmissionResult.existing(
+                                        statusResolver.toStatus(id, found.get()));
+                            }
+                            LOG.info("job rejected id={} reason={}", id, reason);
+                            throw new UnschedulableJobException(reason);
+                        });
+    }
+
+    /**
+     * Answers a submission that seems repeated by a read: a transaction that must fail would
+     * consume the key-value store's budget for writes.
+     */
+    private CompletableFuture<SubmissionResult> submitRepeatedly(JobSpec spec) {
+        return getStatus(spec.id())
+                .thenCompose(
+                        found ->
+                                found.isPresent()
+                                        ? CompletableFuture.completedFuture(
+                                                SubmissionResult.existing(found.get()))
+                                        : writeNewJob(spec, null, Map.of()));
+    }
+
     private CompletableFuture<SubmissionResult> writeNewJob(
             JobSpec spec,
             SecondaryRecord secondaryRecord,
             Map<String, Map<String, Object>> records) {
-        long now = loop.wallClockMillis();
+        long acceptedAtMillis = loop.wallClockMillis();
+        Transaction accept = acceptance(spec, secondaryRecord, acceptedAtMillis);
+        records.forEach(accept::put);
+        return transactionRetrier
+                .commit(accept, loop.now())
+                .thenCompose(
+                        result -> {
+                            if (!result.isApplied()) {
+                                return readExistingJob(spec.id());
+                            }
+                            notifyAccepted(
+                                    spec, secondaryRecord, acceptedAtMillis, result.revision());
+                            JobStatus status = new JobStatus(spec.id(), Phase.QUEUED, 0, 0);
+                            return CompletableFuture.completedFuture(
+                                    new SubmissionResult(status, true));
+                        });
+    }
+
+    /** Applies only if there is no job of this id, live or finished. */
+    private Transaction acceptance(
+            JobSpec spec, SecondaryRecord secondaryRecord, long acceptedAtMillis) {
         Map<String, Object> record =
                 RecordCodec.job(
                         spec,
-                        now,
+                        acceptedAtMillis,
                         RecordCodec.shardSize(deploymentSettings.maxValueBytes()),
                         false,
                         secondaryRecord);
@@ -185,146 +238,138 @@
         if (secondaryRecord != null) {
             accept.put(secondaryRecord.key(), secondaryRecord.encodeAccepted());
         }
-        records.forEach(accept::put);
-        return commitWithRetry(accept, loop.now())
-                .thenCompose(
-                        commitResult -> {
-                            if (commitResult.isApplied()) {
-                                jobEventListeners
-                                        .eventLog()
-                                        .logJobEvent(
-                                                commitResult.revision(),
-                                                JobEventLog.EventType.ACCEPTED,
-                                                spec.id(),
-                                                spec.team());
-                                TaskTracer.TracedTask task =
-                                        secondaryRecord == null
-                                                ? null
-                                                : secondaryRecord.tracedTask(
-                                                        spec.id(), spec.team());
-                                if (task != null) {
-                                    jobEventListeners
-                                            .tracer()
-                                            .onTaskAccepted(task, now, loop.wallClockMillis());
-                                }
-                                return CompletableFuture.completedFuture(
-                                        new SubmissionResult(
-                                                new JobStatus(spec.id(), Phase.QUEUED, 0, 0),
-                                                true));
-                            }
-                            return readJob(spec.id())
-                                    .thenApply(
-                                            found ->
-                                                    new SubmissionResult(
-                                                            toStatus(
-                                                                    spec.id(),
-                                                                    found.orElseThrow(
-                                                                            () ->
-                                                                                    new TemporarilyUnavailableException(
-                                                                                            "the job's record moved"))),
-                                                            false));
-                        });
+        return accept;
+    }
+
+    private void notifyAccepted(
+            JobSpec spec,
+            SecondaryRecord secondaryRecord,
+            long acceptedAtMillis,
+            Revision revision) {
+        jobEventListeners
+                .eventLog()
+                .logJobEvent(revision, JobEventLog.EventType.ACCEPTED, spec.id(), spec.team());
+        TaskTracer.TracedTask tracedTask =
+                secondaryRecord == null ? null : secondaryRecord.tracedTask(spec.id(), spec.team());
+        if (tracedTask != null) {
+            jobEventListeners
+                    .tracer()
+                    .onTaskAccepted(tracedTask, acceptedAtMillis, loop.wallClockMillis());
+        }
+    }
+
+    private CompletableFuture<SubmissionResult> readExistingJob(JobId id) {
+        return jobRecordReader
+                .read(id)
+                .thenApply(
+                        found ->
+                                found.orElseThrow(
+                                        () ->
+                                                new TemporarilyUnavailableException(
+                                                        "the job's record moved")))
+                .thenApply(job -> SubmissionResult.existing(statusResolver.toStatus(id, job)));
     }
 
-    /** Empty when a read has confirmed that there is no such job. */
+    /** Reads a job's state; empty if a read has confirmed that there is no such job. */
     public CompletableFuture<Optional<JobStatus>> getStatus(JobId id) {
-        JobStatus known = cachedFinalStatus(id);
-        if (known != null) {
-            return CompletableFuture.completedFuture(Optional.of(known));
+        Optional<JobStatus> finalStatus = statusResolver.cachedFinalStatus(id);
+        if (finalStatus.isPresent()) {
+            return CompletableFuture.completedFuture(finalStatus);
         }
-        if (statusCache.cachedStatus(id) == null) {
-            return readJob(id).thenApply(found -> found.map(record -> toStatus(id, record)));
+        if (statusCache.cachedStatus(id).isEmpty()) {
+            return readStatus(id);
         }
-        return statusCache
-                .readBarrier()
-                .thenCompose(
-                        now -> {
-                            JobStatusCache.CachedStatus cachedStatus = statusCache.cachedStatus(id);
-                            return cachedStatus == JobStatusCache.CachedStatus.LIVE
-                                            || cachedStatus == JobStatusCache.CachedStatus.CANCELLED
-                                    ? CompletableFuture.completedFuture(
-                                            Optional.of(
-                                                    liveStatus(
-                                                            id,
-                                                            cachedStatus
-                                                                    == JobStatusCache.CachedStatus
-                                                                            .CANCELLED)))
-                                    : (cachedStatus == JobStatusCache.CachedStatus.FINISHED
-                                                    ? readFinishedJob(id)
-                                                    : readJob(id))
-                                            .thenApply(
-                                                    found ->
-                                                            found.map(
-                                                                    record ->
-                                                                            toStatus(id, record)));
-                        });
+        return statusCache.readBarrier().thenCompose(synced -> statusBehindBarrier(id));
+    }
+
+    private CompletableFuture<Optional<JobStatus>> readStatus(JobId id) {
+        return jobRecordReader
+                .read(id)
+                .thenApply(found -> found.map(job -> statusResolver.toStatus(id, job)));
+    }
+
+    private CompletableFuture<Optional<JobStatus>> statusBehindBarrier(JobId id) {
+        Optional<JobStatusCache.CachedStatus> cached = statusCache.cachedStatus(id);
+        if (cached.isEmpty()) {
+            return readStatus(id);
+        }
+        return switch (cached.get()) {
+            case LIVE ->
+                    CompletableFuture.completedFuture(
+                            Optional.of(statusResolver.liveStatus(id, false)));
+            case CANCELLED ->
+                    CompletableFuture.completedFuture(
+                            Optional.of(statusResolver.liveStatus(id, true)));
+            case FINISHED ->
+                    jobRecordReader
+                            .readFinished(id)
+                            .thenApply(found -> found.map(job -> statusResolver.toStatus(id, job)));
+        };
     }
 
-    /** Empty when there is no such job. */
+    /** Cancels a job, unless it has finished; empty if there is no such job. */
     public CompletableFuture<Optional<JobStatus>> cancel(JobId id) {
-        JobStatus known = cachedFinalStatus(id);
-        if (known != null) {
-            return CompletableFuture.completedFuture(Optional.of(known));
+        Optional<JobStatus> finalStatus = statusResolver.cachedFinalStatus(id);
+        if (finalStatus.isPresent()) {
+            return CompletableFuture.completedFuture(finalStatus);
         }
         return cancel(id, loop.now());
     }
 
-    private CompletableFuture<Optional<JobStatus>> cancel(JobId id, MonotonicTime begun) {
-        return readJob(id)
+    private CompletableFuture<Optional<JobStatus>> cancel(JobId id, MonotonicTime requestBeganAt) {
+        return jobRecordReader
+                .read(id)
                 .thenCompose(
                         found -> {
                             if (found.isEmpty()
-                                    || found.get().ended()
-                                    || RecordCodec.isCancelled(found.get().record())) {
+                                    || found.get().finished()
+                                    || found.get().isCancelled()) {
                                 return CompletableFuture.completedFuture(
-                                        found.map(record -> toStatus(id, record)));
+                                        found.map(job -> statusResolver.toStatus(id, job)));
+                            }
+                            return writeCancellation(id, found.get(), requestBeganAt);
+                        });
+    }
+
+    private CompletableFuture<Optional<JobStatus>> writeCancellation(
+            JobId id, StoredJob job, MonotonicTime requestBeganAt) {
+        Transaction cancel =
+                new Transaction()
+                        .requireRevision(RecordCodec.job(id), job.revision())
+                        .put(RecordCodec.job(id), RecordCodec.withCancellation(job.record()));
+        return withSecondaryRecord(cancel, job.record())
+                .thenCompose(whole -> transactionRetrier.commit(whole, requestBeganAt))
+                .thenCompose(
+                        result -> {
+                            if (!result.isApplied()) {
+                                return retryCancel(id, requestBeganAt);
                             }
-                            Transaction cancel =
-                                    new Transaction()
-                                            .requireRevision(
-                                                    RecordCodec.job(id), found.get().revision())
-                                            .put(
-                                                    RecordCodec.job(id),
-                                                    RecordCodec.withCancellation(
-                                                            found.get().record()));
-                            return withSecondaryRecord(cancel, found.get().record())
-                                    .thenCompose(whole -> commitWithRetry(whole, begun))
-                                    .thenCompose(
-                                            commitResult -> {
-                                                if (!commitResult.isApplied()) {
-                                                    if (loop.now()
-                                                                    .elapsedSince(begun)
-                                                                    .compareTo(RETRY_DEADLINE)
-                                                            > 0) {
-                                                        return CompletableFuture.failedFuture(
-                                                                new TemporarilyUnavailableException(
-                                                                        "the job's record keeps changing"));
-                                                    }
-                                                    return cancel(id, begun);
-                                                }
-                                                LOG.info("cancelled {} for its user", id);
-                                                jobEventListeners
-                                                        .eventLog()
-                                                        .logJobEvent(
-                                                                commitResult.revision(),
-                                                                JobEventLog.EventType.CANCELLED,
-                                                                id,
-                                                                RecordCodec.teamOf(
-                                                                        found.get().record()));
-                                                return CompletableFuture.completedFuture(
-                                                        Optional.of(
-                                                                new JobStatus(
-                                                                        id,
-                                                                        Phase.CANCELLED,
-                                                                        0,
-                                                                        0)));
-                                            });
+                            LOG.info("job cancelled id={} requestedBy=user", id);
+                            jobEventListeners
+                                    .eventLog()
+                                    .logJobEvent(
+                                            result.revision(),
+                                            JobEventLog.EventType.CANCELLED,
+                                            id,
+                                            RecordCodec.teamOf(job.record()));
+                            return CompletableFuture.completedFuture(
+                                    Optional.of(new JobStatus(id, Phase.CANCELLED, 0, 0)));
                         });
     }
 
+    /** After a conflict: the leader has changed the job's record since it was read. */
+    private CompletableFuture<Optional<JobStatus>> retryCancel(
+            JobId id, MonotonicTime requestBeganAt) {
+        if (transactionRetrier.isPastDeadline(requestBeganAt)) {
+            return CompletableFuture.failedFuture(
+                    new TemporarilyUnavailableException("the job's record keeps changing"));
+        }
+        return cancel(id, requestBeganAt);
+    }
+
     /**
-     * Notes the cancellation beside the job as well, so that nobody is told an older state
-     * afterwards.
+     * Adds the cancellation to the job's secondary record as well, so that the interface that keeps
+     * it shows nobody an older state afterwards.
      */
     private CompletableFuture<Transaction> withSecondaryRecord(
             Transaction cancel, Map<String, Object> jobRecord) {
@@ -334,161 +379,15 @@
         }
         return store.get(key, RequestPriority.USER)
                 .thenApply(
-                        entry ->
-                                entry.map(
-                                                found ->
-                                                        cancel.requireRevision(
-                                                                        key, found.revision())
-                                                                .put(
-                                                                        key,
-                                                                        SecondaryRecord
-                                                                                .withCancellationRequested(
-                                                                                        found
-                                                                                                .value())))
-                                        .orElse(cancel));
-    }
-
-    /**
-     * A transaction that may have been applied unanswered is guarded, so it can be sent once more.
-     */
-    private CompletableFuture<KeyValueStore.CommitResult> commitWithRetry(
-            Transaction transaction, MonotonicTime begun) {
-        return store.commit(transaction, RequestPriority.USER)
-                .handle(
-                        (commitResult, failure) -> {
-                            if (failure == null) {
-                                return CompletableFuture.completedFuture(commitResult);
-                            }
-                            if (KeyValueStoreException.outcomeOf(failure) == Outcome.INVALID_REQUEST
-                                    || store.seemsUnavailable()
-                                            && KeyValueStoreException.outcomeOf(failure)
-                                                    == Outcome.REJECTED
-                                    || loop.now().elapsedSince(begun).compareTo(RETRY_DEADLINE)
-                                            > 0) {
-                                return CompletableFuture.<KeyValueStore.CommitResult>failedFuture(
-                                        new TemporarilyUnavailableException(
-                                                "the state service gave no answer"));
-                            }
-                            CompletableFuture<KeyValueStore.CommitResult> again =
-                                    new CompletableFuture<>();
-                            loop.schedule(
-                                    RETRY_DELAY,
-                                    () ->
-                                            commitWithRetry(transaction, begun)
-                                                    .whenComplete(
-                                                            (later, lost) -> {
-                                                                if (lost == null) {
-                                                                    again.complete(later);
-                                                                } else {
-                                                                    again.completeExceptionally(
-                                                                            lost);
-                                                                }
-                                                            }));
-                            return again;
-                        })
-                .thenCompose(outcome -> outcome);
-    }
-
-    /**
-     * A job moves only from its live record to its final one, so this order of reads misses
-     * nothing.
-     */
-    private CompletableFuture<Optional<StoredJob>> readJob(JobId id) {
-        JobStatusCache.CacheVersion sent = statusCache.beginRead();
-        return store.get(RecordCodec.job(id), RequestPriority.USER)
-                .thenCompose(
                         found -> {
-                            if (found.isPresent()) {
-                                KeyValueStore.Entry entry = found.get();
-                                statusCache.recordRead(
-                                        id,
-                                        entry.revision(),
-                                        RecordCodec.isCancelled(entry.value()),
-                                        sent);
-                                return CompletableFuture.completedFuture(
-                                        Optional.of(
-                                                new StoredJob(
-                                                        entry.value(), entry.revision(), false)));
-                            }
-                            return readFinishedJob(id);
+                            found.ifPresent(entry -> addCancellation(cancel, key, entry));
+                            return cancel;
                         });
     }
 
-    private CompletableFuture<Optional<StoredJob>> readFinishedJob(JobId id) {
-        return store.get(RecordCodec.ended(id), RequestPriority.USER)
-                .thenApply(
-                        ended ->
-                                ended.map(
-                                        entry ->
-                                                new StoredJob(
-                                                        entry.value(), entry.revision(), true)));
-    }
-
-    private JobStatus toStatus(JobId id, StoredJob storedJob) {
-        boolean cancelled = RecordCodec.isCancelled(storedJob.record());
-        if (storedJob.ended()) {
-            JobStatus state =
-                    new JobStatus(
-                            id,
-                            cancelled ? Phase.CANCELLED : Phase.DONE,
-                            RecordCodec.completedTaskCountOf(storedJob.record()),
-                            0);
-            synchronized (finalStatuses) {
-                finalStatuses.put(id, state);
-            }
-            return state;
-        }
-        return liveStatus(id, cancelled);
-    }
-
-    private JobStatus liveStatus(JobId id, boolean cancelled) {
-        if (cancelled) {
-            return new JobStatus(id, Phase.CANCELLED, 0, 0);
-        }
-        // Only the record says whether the job is over; the counts beside it are for display.
-        return liveStatusSource
-                .statusOf(id)
-                .filter(state -> state.phase() != Phase.DONE && state.phase() != Phase.CANCELLED)
-                .orElse(new JobStatus(id, Phase.QUEUED, 0, 0));
-    }
-
-    private JobStatus cachedFinalStatus(JobId id) {
-        synchronized (finalStatuses) {
-            return finalStatuses.get(id);
-        }
-    }
-
-    private String unschedulableReason(JobSpec spec) {
-        DeploymentSettings.TeamQuota teamQuota = deploymentSettings.teamQuotas().get(spec.team());
-        if (teamQuota == null) {
-            return "there is no team " + spec.team();
-        }
-        Resources atOnce =
-                spec.kind() == JobKind.ARRAY
-                        ? spec.resourcesPerTask()
-                        : spec.resourcesPerTask().times(spec.taskCount());
-        if (teamQuota.limit().cpu() > 0 && atOnce.cpu() > teamQuota.limit().cpu()
-                || teamQuota.limit().gpu() > 0 && atOnce.gpu() > teamQuota.limit().gpu()) {
-            return "the job needs more than the limit of team " + spec.team();
-        }
-        Set<String> zones = new HashSet<>();
-        for (MachineType type : machineTypeCatalog.types()) {
-            if (spec.allowsMachineType(type.name())
-                    && spec.resourcesPerTask().fitsIn(type.capacity())) {
-                type.zones().stream().filter(spec::allowsZone).forEach(zones::add);
-            }
-        }
-        if (zones.isEmpty()) {
-            return spec.requiredZone() == null
-                            || deploymentSettings.zones().contains(spec.requiredZone())
-                    ? "a task fits no machine type that the job allows"
-                    : "there is no zone " + spec.requiredZone();
-        }
-        // All of a gang's tasks run at the same time; an array's or a service's may run half by
-        // half.
-        boolean inOneZone = spec.requiresSingleZone() || zones.size() == 1;
-        return spec.kind() == JobKind.GANG && inOneZone && spec.taskCount() > spec.maxTasksPerZone()
-                ? "its tasks run together, may only be in one zone, and only half of them may be in one"
-                : null;
+    private static void addCancellation(
+            Transaction cancel, String key, KeyValueStore.Entry secondary) {
+        cancel.requireRevision(key, secondary.revision())
+                .put(key, SecondaryRecord.withCancellationRequested(secondary.value()));
     }
 }
--- /dev/null
+++ b/src/main/java/org/meadowhollow/coordination/admission/FinalStatusCache.java
@@ -0,0 +1,36 @@
+package org.meadowhollow.coordination.admission;
+
+import com.google.errorprone.annotations.concurrent.GuardedBy;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Optional;
+import org.meadowhollow.model.JobId;
+
+/**
+ * The states of finished jobs. They never change, so they are answered without a read. Thread-safe:
+ * guarded by its own monitor.
+ */
+final class FinalStatusCache {
+    /** The job that was cached first is evicted first. */
+    private static final int MAX_CACHED_JOBS = 4000;
+
+    @GuardedBy("this")
+    private final Map<JobId, AdmissionService.JobStatus> statuses =
+            new LinkedHashMap<>() {
+                @Override
+                protected boolean removeEldestEntry(
+                        Map.Entry<JobId, AdmissionService.JobStatus> eldest) {
+                    return size() > MAX_CACHED_JOBS;
+                }
+            };
+
+    /** The final state of a job; empty if it is not cached. */
+    synchronized Optional<AdmissionService.JobStatus> find(JobId id) {
+        return Optional.ofNullable(statuses.get(id));
+    }
+
+    /** Caches a job's final state. */
+    synchronized void add(AdmissionService.JobStatus status) {
+        statuses.put(status.id(), status);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/meadowhollow/coordination/admission/JobRecordReader.java
@@ -0,0 +1,65 @@
+package org.meadowhollow.coordination.admission;
+
+import java.util.Map;
+import java.util.Optional;
+import java.util.concurrent.CompletableFuture;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.KeyValueStore.RequestPriority;
+import org.meadowhollow.storage.RecordCodec;
+
+/**
+ * Reads jobs' records from the key-value store, and offers the live ones to the {@link
+ * JobStatusCache}. Has no state of its own.
+ */
+final class JobRecordReader {
+    /**
+     * A job's record as read.
+     *
+     * @param record the encoded record, which {@link RecordCodec} takes apart
+     * @param finished whether it is the record of a finished job, not of a live one
+     */
+    record StoredJob(Map<String, Object> record, Revision revision, boolean finished) {
+        boolean isCancelled() {
+            return RecordCodec.isCancelled(record);
+        }
+    }
+
+    private final KeyValueStore store;
+    private final JobStatusCache statusCache;
+
+    JobRecordReader(KeyValueStore store, JobStatusCache statusCache) {
+        this.store = store;
+        this.statusCache = statusCache;
+    }
+
+    /**
+     * Reads a job, live or finished; empty if there is none. A job moves only from its live record
+     * to its final one, so reading in this order misses none.
+     */
+    CompletableFuture<Optional<StoredJob>> read(JobId id) {
+        JobStatusCache.CacheVersion versionAtRead = statusCache.beginRead();
+        return store.get(RecordCodec.job(id), RequestPriority.USER)
+                .thenCompose(
+                        live -> {
+                            if (live.isEmpty()) {
+                                return readFinished(id);
+                            }
+                            StoredJob job = toStoredJob(live.get(), false);
+                            statusCache.recordRead(
+                                    id, job.revision(), job.isCancelled(), versionAtRead);
+                            return CompletableFuture.completedFuture(Optional.of(job));
+                        });
+    }
+
+    /** Reads a job that is known to have finished; empty if its record is gone. */
+    CompletableFuture<Optional<StoredJob>> readFinished(JobId id) {
+        return store.get(RecordCodec.ended(id), RequestPriority.USER)
+                .thenApply(finished -> finished.map(entry -> toStoredJob(entry, true)));
+    }
+
+    private static StoredJob toStoredJob(KeyValueStore.Entry entry, boolean finished) {
+        return new StoredJob(entry.value(), entry.revision(), finished);
+    }
+}
--- a/src/main/java/org/meadowhollow/coordination/admission/JobStatusCache.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/JobStatusCache.java
@@ -1,11 +1,10 @@
 package org.meadowhollow.coordination.admission;
 
+import com.google.errorprone.annotations.concurrent.GuardedBy;
 import java.time.Duration;
 import java.util.ArrayList;
-import java.util.Iterator;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.JobId;
@@ -18,77 +17,98 @@
 import org.meadowhollow.storage.RecordCodec;
 
 /**
- * What this node has seen of live jobs, by which it answers users who ask again and again. What is
- * kept may be old, so nothing is answered from it until a look at the changes, begun after the
- * question came, has been taken in: then no other node can have told anybody anything newer before.
- * One look serves all who ask meanwhile, so that users who ask many times as often cost the state
- * service no more requests.
+ * The states of live jobs as this node last saw them, for users who poll. A cached state may be
+ * stale, so it is answered only behind a read barrier: a sync with the store's change feed that
+ * began after the request arrived. No other node can then have answered anything newer before. One
+ * sync serves all readers that wait for it, so polling more often costs the key-value store no more
+ * requests.
  *
- * <p>Guards against what was met: polls at a read or two each took the whole budget of the state
- * service, and the leader neither learned of cancellations nor got its own records written.
+ * <p>Without this cache each poll took a read or two, which once consumed the whole request budget
+ * of the key-value store, so that the leader neither learned of cancellations nor got its own
+ * records written.
+ *
+ * <p>Thread-safe: guarded by its own monitor. Requests are sent and readers completed outside it.
  */
 final class JobStatusCache {
     /**
-     * Between two looks of a node: unnoticed by a user, and a few requests a second of the state
-     * service's budget.
+     * Between the starts of two syncs of a node: unnoticeable to a user, and a few requests a
+     * second of the key-value store's budget.
      */
     private static final Duration MIN_SYNC_INTERVAL = Duration.ofMillis(200);
 
-    /** Looks on their way at a time: one that hangs must not hold up those who ask later. */
+    /** One sync that hangs must not delay those who ask later. */
     private static final int MAX_SYNCS_IN_FLIGHT = 4;
 
-    /** Users wait 2 s for an answer; one that comes later is of no use, and they ask again. */
+    /** Users wait 2 s for an answer; one that arrives later is of no use, and they ask again. */
     private static final Duration READ_BARRIER_TIMEOUT = Duration.ofMillis(1850);
 
     /**
-     * After so long without a question the changes since then may be many; it is cheaper to begin
-     * anew.
+     * After so long without a request, the changes since the last sync may be many; it is cheaper
+     * to start with an empty cache.
      */
     private static final Duration IDLE_RESET_INTERVAL = Duration.ofSeconds(20);
 
-    /** Jobs kept; a few times as many as live at once on the largest deployments seen. */
-    private static final int MAX_CACHED_JOBS = 8000;
-
     /**
-     * Questions that wait for a look; each holds a connection, of which a process has about as
+     * Readers that wait for a sync; each occupies a connection, of which a process has about as
      * many.
      */
     private static final int MAX_PENDING_READERS = 2000;
 
-    /** Looks in a row without an answer after which those who ask are served by reads. */
+    /** Syncs in a row without a response after which requests are served by reads. */
     private static final int MAX_CONSECUTIVE_FAILURES = 2;
 
-    /** What is known of a job that was seen alive. */
+    /** What is known of a job that was live when it was first seen. */
     enum CachedStatus {
         LIVE,
         CANCELLED,
         FINISHED
     }
 
-    private record CacheEntry(CachedStatus status, Revision revision) {}
-
-    private record PendingReader(CompletableFuture<Void> completion) {}
-
     /**
-     * What was kept when a read was sent, so that its answer is told from what changed meanwhile.
+     * The state of the cache when a read was sent, so that its result is not cached if anything was
+     * dropped from the cache meanwhile.
      */
     record CacheVersion(int generation, long evictions) {}
 
+    /**
+     * One request to the change feed.
+     *
+     * @param from the revision after which changes are asked for, or null to find out the current
+     *     one
+     * @param generation of the cache when the request was sent
+     * @param readers those that its result completes
+     */
+    private record Sync(Revision from, int generation, List<CompletableFuture<Void>> readers) {}
+
     private final KeyValueStore store;
     private final EventLoop loop;
-    private final Map<JobId, CacheEntry> entries = new LinkedHashMap<>();
-    private List<PendingReader> pendingReaders = new ArrayList<>();
+
+    @GuardedBy("this")
+    private final JobStatusEntries entries = new JobStatusEntries();
+
+    @GuardedBy("this")
+    private List<CompletableFuture<Void>> pendingReaders = new ArrayList<>();
+
+    /** All changes up to this revision are applied; null while changes are not followed. */
+    @GuardedBy("this")
     private Revision syncedRevision;
+
+    /** Null before the first sync. */
+    @GuardedBy("this")
     private MonotonicTime lastSyncStartedAt;
+
+    @GuardedBy("this")
     private int syncsInFlight;
+
+    @GuardedBy("this")
     private boolean syncScheduled;
-    private int generation;
-    private long evictions;
 
-    /** Looks without an answer, since the last one that had one. */
+    /** Syncs without a response since the last one that had one. */
+    @GuardedBy("this")
     private int consecutiveFailures;
 
     /** Until when jobs are read instead of followed, or null. */
+    @GuardedBy("this")
     private MonotonicTime bypassUntil;
 
     JobStatusCache(KeyValueStore store, EventLoop loop) {
@@ -97,225 +117,217 @@
     }
 
     /**
-     * What was last seen of a job, or null; not to be told to anybody before {@link #readBarrier}.
+     * The last known state of a job; empty if it is not cached. Not to be answered to anybody
+     * before a {@link #readBarrier}.
      */
-    synchronized CachedStatus cachedStatus(JobId id) {
-        CacheEntry seen = entries.get(id);
-        return seen == null ? null : seen.status();
+    synchronized Optional<CachedStatus> cachedStatus(JobId id) {
+        return entries.find(id);
     }
 
     /**
-     * Completes once all changes up to now are taken in; fails if that is not known within {@link
-     * #READ_BARRIER_TIMEOUT}.
+     * Completes once all changes up to now are applied; fails with {@link
+     * AdmissionService.TemporarilyUnavailableException} if that takes longer than {@link
+     * #READ_BARRIER_TIMEOUT} or too many readers wait.
      */
     CompletableFuture<Void> readBarrier() {
-        PendingReader pendingReader = new PendingReader(new CompletableFuture<>());
+        CompletableFuture<Void> reader = new CompletableFuture<>();
         synchronized (this) {
             if (pendingReaders.size() >= MAX_PENDING_READERS) {
                 return CompletableFuture.failedFuture(
                         new AdmissionService.TemporarilyUnavailableException(
                                 "too many ask at once"));
             }
-            pendingReaders.add(pendingReader);
+            pendingReaders.add(reader);
         }
         loop.schedule(
                 READ_BARRIER_TIMEOUT,
                 () ->
-                        pendingReader
-                                .completion()
-                                .completeExceptionally(
-                                        new AdmissionService.TemporarilyUnavailableException(
-                                                "the state service gave no answer")));
+                        reader.completeExceptionally(
+                                new AdmissionService.TemporarilyUnavailableException(
+                                        "the state service gave no answer")));
         scheduleSync();
-        return pendingReader.completion();
+        return reader;
     }
 
-    /** To be taken when a read of a job's record is sent, and given with its answer. */
+    /**
+     * Call this before a read of a job's record is sent, and pass the result to {@link
+     * #recordRead}.
+     */
     CacheVersion beginRead() {
-        boolean begin;
-        CacheVersion cacheVersion;
+        boolean startsFollowing;
+        CacheVersion version;
         synchronized (this) {
-            if (syncedRevision != null
-                    && syncsInFlight == 0
-                    && loop.now().elapsedSince(lastSyncStartedAt).compareTo(IDLE_RESET_INTERVAL)
-                            > 0) {
+            if (isIdleTooLong()) {
                 reset();
             }
-            begin = syncedRevision == null && isFollowingChanges();
-            cacheVersion = new CacheVersion(generation, evictions);
+            startsFollowing = syncedRevision == null && isFollowingChanges();
+            version = entries.version();
         }
-        if (begin) {
+        if (startsFollowing) {
             scheduleSync();
         }
-        return cacheVersion;
+        return version;
+    }
+
+    @GuardedBy("this")
+    private boolean isIdleTooLong() {
+        return syncedRevision != null
+                && syncsInFlight == 0
+                && loop.now().elapsedSince(lastSyncStartedAt).compareTo(IDLE_RESET_INTERVAL) > 0;
     }
 
     /**
-     * Keeps what a read found, unless changes that were taken in since may have been forgotten
-     * again.
+     * Caches the state of a live job that a read found. Not if anything was dropped from the cache
+     * since the read was sent: that may have been a later state of the same job.
      */
     synchronized void recordRead(
-            JobId id, Revision revision, boolean cancelled, CacheVersion sent) {
+            JobId id, Revision revision, boolean cancelled, CacheVersion versionAtRead) {
         if (syncedRevision != null
                 && isFollowingChanges()
-                && sent.generation() == generation
-                && sent.evictions() == evictions) {
-            updateEntry(
-                    id,
-                    new CacheEntry(
-                            cancelled ? CachedStatus.CANCELLED : CachedStatus.LIVE, revision));
-        }
-    }
-
-    private void updateEntry(JobId id, CacheEntry now) {
-        CacheEntry before = entries.get(id);
-        if (before != null && !now.revision().isAfter(before.revision())) {
-            return;
-        }
-        entries.put(id, now);
-        if (entries.size() > MAX_CACHED_JOBS) {
-            Iterator<JobId> eldest = entries.keySet().iterator();
-            eldest.next();
-            eldest.remove();
-            evictions++;
+                && versionAtRead.equals(entries.version())) {
+            CachedStatus status = cancelled ? CachedStatus.CANCELLED : CachedStatus.LIVE;
+            entries.update(id, status, revision);
         }
     }
 
     /**
-     * Looks that get no answer while reads do (an answer may be larger than the client takes) would
-     * leave all who ask about live jobs without one, for as long as that lasts: after two in a row
-     * they are served by reads for a time.
+     * Bypasses the cache for a time after repeated syncs without a response. Syncs may fail while
+     * reads succeed, for instance when a response is larger than the client accepts; without the
+     * bypass, requests about live jobs would go unanswered for as long as that lasts.
      */
+    @GuardedBy("this")
     private void onSyncFailure(Outcome outcome) {
-        consecutiveFailures += outcome == Outcome.INDETERMINATE ? 1 : 0;
-        if (outcome == Outcome.COMPACTED || consecutiveFailures >= MAX_CONSECUTIVE_FAILURES) {
-            bypassUntil =
-                    consecutiveFailures >= MAX_CONSECUTIVE_FAILURES
-                            ? loop.now().plus(IDLE_RESET_INTERVAL)
-                            : bypassUntil;
+        if (outcome == Outcome.INDETERMINATE) {
+            consecutiveFailures++;
+        }
+        boolean tooManyFailures = consecutiveFailures >= MAX_CONSECUTIVE_FAILURES;
+        if (tooManyFailures) {
+            bypassUntil = loop.now().plus(IDLE_RESET_INTERVAL);
+        }
+        if (tooManyFailures || outcome == Outcome.COMPACTED) {
             consecutiveFailures = 0;
             reset();
         }
     }
 
+    @GuardedBy("this")
     private boolean isFollowingChanges() {
         return bypassUntil == null || bypassUntil.isBefore(loop.now());
     }
 
+    @GuardedBy("this")
     private void reset() {
         entries.clear();
         syncedRevision = null;
-        generation++;
     }
 
+    /** Starts a sync now, or as soon as the interval allows, unless enough are under way. */
     private void scheduleSync() {
-        Duration pause;
+        Duration delay;
         synchronized (this) {
-            if (syncsInFlight >= MAX_SYNCS_IN_FLIGHT
-                    || syncScheduled
-                    || syncedRevision == null && syncsInFlight > 0) {
+            boolean awaitsFirstRevision = syncedRevision == null && syncsInFlight > 0;
+            if (syncsInFlight >= MAX_SYNCS_IN_FLIGHT || syncScheduled || awaitsFirstRevision) {
                 return;
             }
-            Duration since =
-                    lastSyncStartedAt == null
-                            ? MIN_SYNC_INTERVAL
-                            : loop.now().elapsedSince(lastSyncStartedAt);
-            pause =
-                    since.compareTo(MIN_SYNC_INTERVAL) >= 0
-                            ? Duration.ZERO
-                            : MIN_SYNC_INTERVAL.minus(since);
-            syncScheduled = !pause.isZero();
+            delay = delayUntilNextSync();
+            syncScheduled = !delay.isZero();
         }
-        if (pause.isZero()) {
+        if (delay.isZero()) {
             startSync();
         } else {
-            loop.schedule(
-                    pause,
-                    () -> {
-                        synchronized (this) {
-                            syncScheduled = false;
-                        }
-                        startSync();
-                    });
+            loop.schedule(delay, this::startScheduledSync);
+        }
+    }
+
+    @GuardedBy("this")
+    private Duration delayUntilNextSync() {
+        if (lastSyncStartedAt == null) {
+            return Duration.ZERO;
         }
+        Duration elapsed = loop.now().elapsedSince(lastSyncStartedAt);
+        return elapsed.compareTo(MIN_SYNC_INTERVAL) >= 0
+                ? Duration.ZERO
+                : MIN_SYNC_INTERVAL.minus(elapsed);
+    }
+
+    private void startScheduledSync() {
+        synchronized (this) {
+            syncScheduled = false;
+        }
+        startSync();
     }
 
     private void startSync() {
-        List<PendingReader> served;
-        Revision from;
-        int begun;
+        Sync sync;
         synchronized (this) {
             syncsInFlight++;
             lastSyncStartedAt = loop.now();
-            served = pendingReaders;
+            sync = new Sync(syncedRevision, entries.generation(), pendingReaders);
             pendingReaders = new ArrayList<>();
-            from = syncedRevision;
-            begun = generation;
         }
-        if (from == null) {
-            // Where to follow from; whoever asks is served by reads until then.
-            store.list(RecordCodec.LEADER_KEY, null, 1, RequestPriority.USER)
-                    .whenComplete(
-                            (page, failure) ->
-                                    onSyncCompleted(
-                                            served,
-                                            begun,
-                                            failure == null
-                                                    ? new KeyValueStore.ChangeBatch(
-                                                            page.revision(), List.of())
-                                                    : null,
-                                            failure));
-        } else {
-            store.watch(RecordCodec.JOB_PREFIX, from, Duration.ZERO)
-                    .whenComplete(
-                            (changeBatch, failure) ->
-                                    onSyncCompleted(served, begun, changeBatch, failure));
+        CompletableFuture<KeyValueStore.ChangeBatch> unusedHandled =
+                requestChanges(sync.from())
+                        .whenComplete(
+                                (changes, failure) -> onSyncCompleted(sync, changes, failure));
+    }
+
+    /** Without a revision to follow from, asks for the current one; the batch is empty then. */
+    private CompletableFuture<KeyValueStore.ChangeBatch> requestChanges(Revision from) {
+        if (from != null) {
+            return store.watch(RecordCodec.JOB_PREFIX, from, Duration.ZERO);
         }
+        return store.list(RecordCodec.LEADER_KEY, null, 1, RequestPriority.USER)
+                .thenApply(page -> new KeyValueStore.ChangeBatch(page.revision(), List.of()));
     }
 
-    private void onSyncCompleted(
-            List<PendingReader> served,
-            int begun,
-            KeyValueStore.ChangeBatch changeBatch,
-            Throwable failure) {
-        boolean more;
-        boolean current;
+    private void onSyncCompleted(Sync sync, KeyValueStore.ChangeBatch changes, Throwable failure) {
+        boolean applied;
+        boolean hasPendingReaders;
         synchronized (this) {
             syncsInFlight--;
-            current = begun == generation;
-            if (failure == null && current) {
-                consecutiveFailures = 0;
-                // A look that was sent before may be answered after it, when what it shows may have
-                // been let go again.
-                if (syncedRevision == null || changeBatch.revision().isAfter(syncedRevision)) {
-                    for (KeyValueStore.Change change : changeBatch.changes()) {
-                        updateEntry(
-                                RecordCodec.jobIdOfKey(change.key()),
-                                new CacheEntry(
-                                        change.value() == null
-                                                ? CachedStatus.FINISHED
-                                                : RecordCodec.isCancelled(change.value())
-                                                        ? CachedStatus.CANCELLED
-                                                        : CachedStatus.LIVE,
-                                        change.revision()));
-                    }
-                    syncedRevision = changeBatch.revision();
-                }
+            boolean isCurrent = sync.generation() == entries.generation();
+            applied = failure == null && isCurrent;
+            if (applied) {
+                applyChanges(changes);
             } else {
-                if (failure != null && current) {
+                if (failure != null && isCurrent) {
                     onSyncFailure(KeyValueStoreException.outcomeOf(failure));
                 }
-                served.stream()
-                        .filter(pendingReader -> !pendingReader.completion().isDone())
+                sync.readers().stream()
+                        .filter(reader -> !reader.isDone())
                         .forEach(pendingReaders::add);
             }
-            more = !pendingReaders.isEmpty();
+            hasPendingReaders = !pendingReaders.isEmpty();
         }
-        if (failure == null && current) {
-            served.forEach(pendingReader -> pendingReader.completion().complete(null));
+        if (applied) {
+            sync.readers().forEach(reader -> reader.complete(null));
         }
-        if (more) {
+        if (hasPendingReaders) {
             scheduleSync();
         }
     }
+
+    /**
+     * Applies the changes of a sync, unless a sync that was sent later has been applied already:
+     * what these changes show may have been evicted since, and would come back stale.
+     */
+    @GuardedBy("this")
+    private void applyChanges(KeyValueStore.ChangeBatch changes) {
+        consecutiveFailures = 0;
+        if (syncedRevision != null && !changes.revision().isAfter(syncedRevision)) {
+            return;
+        }
+        for (KeyValueStore.Change change : changes.changes()) {
+            entries.update(
+                    RecordCodec.jobIdOfKey(change.key()), statusAfter(change), change.revision());
+        }
+        syncedRevision = changes.revision();
+    }
+
+    private static CachedStatus statusAfter(KeyValueStore.Change change) {
+        if (change.value() == null) {
+            return CachedStatus.FINISHED;
+        }
+        return RecordCodec.isCancelled(change.value()) ? CachedStatus.CANCELLED : CachedStatus.LIVE;
+    }
 }
--- /dev/null
+++ b/src/main/java/org/meadowhollow/coordination/admission/JobStatusEntries.java
@@ -0,0 +1,61 @@
+package org.meadowhollow.coordination.admission;
+
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Optional;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.Revision;
+
+/**
+ * The bounded table of job states in a {@link JobStatusCache}, which guards it by its monitor. The
+ * job that was added first is evicted first. What is cached of a job is only replaced by a later
+ * revision; since an eviction forgets that revision, {@link #version} tells whether any has
+ * happened.
+ */
+final class JobStatusEntries {
+    /** A few times as many as are live at once in the largest deployments known. */
+    private static final int MAX_CACHED_JOBS = 8000;
+
+    private record CacheEntry(JobStatusCache.CachedStatus status, Revision revision) {}
+
+    private final Map<JobId, CacheEntry> entries = new LinkedHashMap<>();
+    private int generation;
+    private long evictions;
+
+    /** The last known state of a job; empty if it is not cached. */
+    Optional<JobStatusCache.CachedStatus> find(JobId id) {
+        return Optional.ofNullable(entries.get(id)).map(CacheEntry::status);
+    }
+
+    /** Caches a job's state, unless the same or a later revision is cached already. */
+    void update(JobId id, JobStatusCache.CachedStatus status, Revision revision) {
+        CacheEntry previous = entries.get(id);
+        if (previous != null && !revision.isAfter(previous.revision())) {
+            return;
+        }
+        entries.put(id, new CacheEntry(status, revision));
+        if (entries.size() > MAX_CACHED_JOBS) {
+            Iterator<JobId> eldest = entries.keySet().iterator();
+            eldest.next();
+            eldest.remove();
+            evictions++;
+        }
+    }
+
+    /** Drops everything and starts a new generation. */
+    void clear() {
+        entries.clear();
+        generation++;
+    }
+
+    /** How many times the table was cleared. */
+    int generation() {
+        return generation;
+    }
+
+    /** Changes whenever anything that was cached is dropped. */
+    JobStatusCache.CacheVersion version() {
+        return new JobStatusCache.CacheVersion(generation, evictions);
+    }
+}
