--- a/src/main/java/org/meadowhollow/coordination/admission/JobStatusCache.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/JobStatusCache.java
@@ -293,9 +293,7 @@
                 if (failure != null && isCurrent) {
                     onSyncFailure(KeyValueStoreException.outcomeOf(failure));
                 }
-                sync.readers().stream()
-                        .filter(reader -> !reader.isDone())
-                        .forEach(pendingReaders::add);
+                requeueReaders(sync);
             }
             hasPendingReaders = !pendingReaders.isEmpty();
         }
@@ -307,6 +305,16 @@
         }
     }
 
+    /** Lets the readers of a sync that was not applied wait for the next one. */
+    @GuardedBy("this")
+    private void requeueReaders(Sync sync) {
+        for (CompletableFuture<Void> reader : sync.readers()) {
+            if (!reader.isDone()) {
+                pendingReaders.add(reader);
+            }
+        }
+    }
+
     /**
      * Applies the changes of a sync, unless a sync that was sent later has been applied already:
      * what these changes show may have been evicted since, and would come back stale.
--- a/src/main/java/org/meadowhollow/coordination/admission/TransactionRetrier.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/TransactionRetrier.java
@@ -43,18 +43,14 @@
      */
     CompletableFuture<CommitResult> commit(Transaction transaction, MonotonicTime requestBeganAt) {
         return store.commit(transaction, RequestPriority.USER)
-                .handle(
-                        (result, failure) -> {
-                            if (failure == null) {
-                                return CompletableFuture.completedFuture(result);
-                            }
-                            return isFinal(failure) || isPastDeadline(requestBeganAt)
-                                    ? CompletableFuture.<CommitResult>failedFuture(
-                                            new AdmissionService.TemporarilyUnavailableException(
-                                                    "the state service gave no answer"))
-                                    : commitLater(transaction, requestBeganAt);
-                        })
-                .thenCompose(outcome -> outcome);
+                .exceptionallyCompose(
+                        failure ->
+                                isFinal(failure) || isPastDeadline(requestBeganAt)
+                                        ? CompletableFuture.failedFuture(
+                                                new AdmissionService
+                                                        .TemporarilyUnavailableException(
+                                                        "the state service gave no answer"))
+                                        : commitLater(transaction, requestBeganAt));
     }
 
     /** Whether a retry would fail in the same way. */
