--- a/src/test/java/org/meadowhollow/simulation/ClusterTestBase.java
+++ b/src/test/java/org/meadowhollow/simulation/ClusterTestBase.java
@@ -14,27 +14,27 @@
  * the protocol's rules.
  */
 abstract class ClusterTestBase {
-    static final Duration SHORT = Duration.ofSeconds(10);
-    static final Duration LONG = Duration.ofMinutes(5);
-    static final Duration HOURS = Duration.ofHours(2);
+    static final Duration SHORT_RUNTIME = Duration.ofSeconds(10);
+    static final Duration LONG_RUNTIME = Duration.ofMinutes(5);
+    static final Duration HOURS_RUNTIME = Duration.ofHours(2);
 
     SimulatedCluster cluster;
 
     @BeforeEach
-    void threeNodesAndSomeMachines() {
+    void startClusterWithSixMachines() {
         cluster = new SimulatedCluster();
         for (int at = 0; at < 3; at++) {
-            cluster.machine(SimulatedCluster.LARGE, "a");
-            cluster.machine(SimulatedCluster.LARGE, "b");
+            cluster.addMachine(SimulatedCluster.LARGE, "a");
+            cluster.addMachine(SimulatedCluster.LARGE, "b");
         }
-        cluster.runS(12);
+        cluster.runSeconds(12);
     }
 
     static JobSpec array(int number, int tasks) {
         return SimulatedCluster.spec(number, JobKind.ARRAY, tasks, 1);
     }
 
-    Phase phase(JobSpec spec) {
+    Phase phaseOf(JobSpec spec) {
         for (int node = 0; node < 3; node++) {
             var state = cluster.poll(node, spec.id());
             if (state.isPresent()) {
@@ -44,12 +44,12 @@
         return null;
     }
 
-    FakeWorker placeOf(JobSpec spec, int task) {
-        List<FakeWorker> places = cluster.on(new TaskId(spec.id(), task));
+    FakeWorker machineRunning(JobSpec spec, int task) {
+        List<FakeWorker> places = cluster.machinesRunning(new TaskId(spec.id(), task));
         return places.isEmpty() ? null : places.get(0);
     }
 
-    static JobSpec zoned(JobSpec spec, boolean oneZone, boolean spread) {
+    static JobSpec withZonePolicy(JobSpec spec, boolean oneZone, boolean spread) {
         return new JobSpec(
                 spec.id(),
                 spec.jobClass(),
@@ -137,16 +137,16 @@
                 spec.deadlineSeconds());
     }
 
-    boolean allRun(JobSpec job) {
+    boolean allTasksRunning(JobSpec job) {
         for (int task = 0; task < job.taskCount(); task++) {
-            if (placeOf(job, task) == null) {
+            if (machineRunning(job, task) == null) {
                 return false;
             }
         }
         return true;
     }
 
-    static int other(int than, int by) {
+    static int nodeAfter(int than, int by) {
         return (than + by) % 3;
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/FailoverTimingScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/FailoverTimingScenarioTest.java
@@ -20,114 +20,114 @@
     void threeNodesAndSomeMachines() {
         cluster = new SimulatedCluster();
         for (int at = 0; at < MACHINES / 2; at++) {
-            cluster.machine(SimulatedCluster.LARGE, "a");
-            cluster.machine(SimulatedCluster.LARGE, "b");
+            cluster.addMachine(SimulatedCluster.LARGE, "a");
+            cluster.addMachine(SimulatedCluster.LARGE, "b");
         }
-        cluster.runS(12);
+        cluster.runSeconds(12);
     }
 
     @Test
-    void aLeaderWhoseProcessEndedIsReplacedBeforeItsLeaseRunsOut() {
+    void crashedLeaderIsReplacedBeforeItsLeaseExpires() {
         int dead = cluster.leader();
         cluster.crash(dead);
-        cluster.runS(3.5);
+        cluster.runSeconds(3.5);
         assertTrue(
                 cluster.leader() >= 0 && cluster.leader() != dead,
                 "its lease of 5 s has not run out yet");
     }
 
     @Test
-    void aLeaderThatOnlyItsPeersCannotReachStays() {
-        long term = cluster.term();
-        cluster.peersRefuse(true);
-        cluster.runS(30);
-        assertEquals(term, cluster.term());
+    void leaderUnreachableOnlyFromPeersKeepsLeadership() {
+        long term = cluster.fencingToken();
+        cluster.refuseAllPeerConnections(true);
+        cluster.runSeconds(30);
+        assertEquals(term, cluster.fencingToken());
     }
 
     @Test
-    void aFilterBetweenAllNodesDoesNotEndALeadershipThatWorkersLeave() {
-        long term = cluster.term();
+    void packetFilterBetweenControllersDoesNotEndLeadershipWhenWorkersDisconnect() {
+        long term = cluster.fencingToken();
         int leader = cluster.leader();
-        cluster.peersRefuse(true);
-        cluster.workers().forEach(worker -> worker.goTo((leader + 1) % 3));
-        cluster.runS(10);
-        assertEquals(term, cluster.term());
+        cluster.refuseAllPeerConnections(true);
+        cluster.workers().forEach(worker -> worker.connectTo((leader + 1) % 3));
+        cluster.runSeconds(10);
+        assertEquals(term, cluster.fencingToken());
     }
 
     @Test
-    void aLeaderBusyForLongerThanItsTimersWaitRenewsInBetween() {
+    void overloadedLeaderRenewsItsLeaseBetweenDelayedTimers() {
         // With all machines full, no report is held for a start to come.
         JobSpec filling = SimulatedCluster.spec(1, JobKind.ARRAY, MACHINES * 8, 1);
         assertTrue(cluster.submit(0, filling, Duration.ofMinutes(5)));
-        cluster.runS(10);
-        long term = cluster.term();
-        cluster.busy(cluster.leader(), true);
-        cluster.runS(20);
-        assertEquals(term, cluster.term());
+        cluster.runSeconds(10);
+        long term = cluster.fencingToken();
+        cluster.delayTimers(cluster.leader(), true);
+        cluster.runSeconds(20);
+        assertEquals(term, cluster.fencingToken());
     }
 
     @Test
-    void aWorkerOrTwoThatComeOverDoNotEndALeadershipThatPeersCannotReach() {
-        long term = cluster.term();
-        cluster.refusesPeers(cluster.leader(), true);
-        cluster.workers().get(0).goTo((cluster.leader() + 1) % 3);
-        cluster.workers().get(1).goTo((cluster.leader() + 2) % 3);
-        cluster.runS(10);
-        assertEquals(term, cluster.term());
+    void fewReconnectingWorkersDoNotEndLeadershipUnreachableFromPeers() {
+        long term = cluster.fencingToken();
+        cluster.refusePeerConnections(cluster.leader(), true);
+        cluster.workers().get(0).connectTo((cluster.leader() + 1) % 3);
+        cluster.workers().get(1).connectTo((cluster.leader() + 2) % 3);
+        cluster.runSeconds(10);
+        assertEquals(term, cluster.fencingToken());
     }
 
     @Test
-    void aLeaderThatWorkersLeaveButThatAnswersItsPeersStays() {
-        long term = cluster.term();
-        cluster.workers().forEach(worker -> worker.goTo((cluster.leader() + 1) % 3));
-        cluster.runS(10);
-        assertEquals(term, cluster.term());
+    void leaderThatAnswersPeersKeepsLeadershipWhenWorkersDisconnect() {
+        long term = cluster.fencingToken();
+        cluster.workers().forEach(worker -> worker.connectTo((cluster.leader() + 1) % 3));
+        cluster.runSeconds(10);
+        assertEquals(term, cluster.fencingToken());
     }
 
     @Test
-    void aLeaderThatIsWronglyReplacedStopsLeadingAndNothingRunsTwice() {
+    void wronglyReplacedLeaderStepsDownAndNoTaskRunsTwice() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 40, 1);
         int first = cluster.leader();
         assertTrue(cluster.submit(first, job, Duration.ofSeconds(20)));
-        cluster.runS(1);
-        cluster.refusesPeers(first, true);
-        cluster.workers().forEach(worker -> worker.goTo((first + 1) % 3));
-        cluster.runS(4);
+        cluster.runSeconds(1);
+        cluster.refusePeerConnections(first, true);
+        cluster.workers().forEach(worker -> worker.connectTo((first + 1) % 3));
+        cluster.runSeconds(4);
         assertNotEquals(
                 first, cluster.leader(), "several workers left it, and it refused connections");
-        cluster.refusesPeers(first, false);
-        cluster.runS(60);
+        cluster.refusePeerConnections(first, false);
+        cluster.runSeconds(60);
         assertEquals(40, cluster.poll(first, job.id()).orElseThrow().done());
     }
 
     @Test
-    void aLeaderWithoutPowerIsReplacedWhenItsLeaseHasRunOut() {
+    void powerLossOfLeaderIsDetectedByLeaseExpiry() {
         int dead = cluster.leader();
         cluster.losePower(dead);
-        cluster.workers().forEach(worker -> worker.goTo((dead + 1) % 3));
-        cluster.runS(3);
+        cluster.workers().forEach(worker -> worker.connectTo((dead + 1) % 3));
+        cluster.runSeconds(3);
         assertEquals(dead, cluster.leader(), "silence proves nothing");
-        cluster.runS(4);
+        cluster.runSeconds(4);
         assertTrue(cluster.leader() >= 0 && cluster.leader() != dead);
     }
 
     @Test
-    void workersWaitForALeaderInsteadOfGoingRoundAllNodes() {
+    void workersWaitForNewLeaderInsteadOfPollingAllControllers() {
         cluster.losePower(cluster.leader());
-        cluster.takeReports();
-        cluster.runS(5);
+        cluster.takeHeartbeatCount();
+        cluster.runSeconds(5);
         assertTrue(
-                cluster.takeReports() <= 3 * MACHINES,
+                cluster.takeHeartbeatCount() <= 3 * MACHINES,
                 "each worker is answered when there is news, or late");
     }
 
     @Test
-    void aMachineThatHangsDoesNotKeepANewLeaderFromPlacing() {
+    void hungMachineDoesNotDelayPlacementByNewLeader() {
         for (int at = 0; at < 12; at++) {
-            cluster.machine(SimulatedCluster.LARGE, "a");
+            cluster.addMachine(SimulatedCluster.LARGE, "a");
         }
-        cluster.runS(15);
-        cluster.workers().get(0).hang(true);
+        cluster.runSeconds(15);
+        cluster.workers().get(0).setHung(true);
         int dead = cluster.leader();
         cluster.crash(dead);
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 1, 1);
@@ -135,12 +135,12 @@
         for (int step = 0;
                 step < 40 && (cluster.leader() < 0 || cluster.leader() == dead);
                 step++) {
-            cluster.runS(0.25);
+            cluster.runSeconds(0.25);
         }
-        cluster.runS(4);
+        cluster.runSeconds(4);
         assertTrue(
                 cluster.workers().stream()
-                        .anyMatch(worker -> worker.holds(new TaskId(job.id(), 0))),
+                        .anyMatch(worker -> worker.hasTask(new TaskId(job.id(), 0))),
                 "reports come every 3 s, and one that is silent was waited for till 4.75 s");
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/FakeKeyValueStore.java
+++ b/src/test/java/org/meadowhollow/simulation/FakeKeyValueStore.java
@@ -28,10 +28,10 @@
  * The state service in memory; each node has its own line to it, which can be cut or lose answers.
  */
 final class FakeKeyValueStore {
-    private static final Duration LATENCY = Duration.ofMillis(3);
+    private static final Duration DEFAULT_LATENCY = Duration.ofMillis(3);
 
     /** Changes that a watch can go back, as the protocol has it. */
-    private static final int MOST_LOG = 10_000;
+    private static final int MAX_LOG_ENTRIES = 10_000;
 
     private static final Duration TIMEOUT = Duration.ofMillis(1500);
     private static final Duration SLOW_TIMEOUT = Duration.ofMillis(3200);
@@ -47,17 +47,17 @@
     private final List<KeyValueStore.Change> log = new ArrayList<>();
     private long revision;
     private long nextLease;
-    private boolean out;
+    private boolean setOutage;
     private String awaitedKey;
     private Runnable onPut;
-    private int limit;
+    private int limitWriteRate;
     private double room;
     private MonotonicTime roomAt;
-    private int changes;
-    private int refused;
+    private int writeCount;
+    private int rejectedCount;
 
     FakeKeyValueStore(EventLoop loop) {
-        this(loop, LATENCY);
+        this(loop, DEFAULT_LATENCY);
     }
 
     FakeKeyValueStore(EventLoop loop, Duration latency) {
@@ -67,8 +67,8 @@
     }
 
     /** Begins or ends an outage; after one, all leases have their full time again. */
-    void out(boolean now) {
-        out = now;
+    void setOutage(boolean now) {
+        setOutage = now;
         leases.replaceAll((lease, end) -> loop.now().plus(ttls.get(lease)));
     }
 
@@ -76,39 +76,42 @@
      * From now on the state service takes so many changes a second, with bursts of a second's
      * worth; 0 ends it.
      */
-    void limit(int changesPerS) {
-        limit = changesPerS;
+    void limitWriteRate(int changesPerS) {
+        limitWriteRate = changesPerS;
         room = changesPerS;
         roomAt = loop.now();
     }
 
     /** Changes that were made, and transactions that found no room in the limit. */
-    int changes() {
-        return changes;
+    int writeCount() {
+        return writeCount;
     }
 
-    int refused() {
-        return refused;
+    int rejectedCount() {
+        return rejectedCount;
     }
 
-    private void spend(int writes) {
-        if (limit > 0) {
-            room = Math.min(limit, room + loop.now().secondsSince(roomAt) * limit);
+    private void consumeWriteBudget(int writes) {
+        if (limitWriteRate > 0) {
+            room =
+                    Math.min(
+                            limitWriteRate,
+                            room + loop.now().secondsSince(roomAt) * limitWriteRate);
             roomAt = loop.now();
             if (room < writes) {
-                refused++;
+                rejectedCount++;
                 throw new KeyValueStoreException(Outcome.REJECTED, "too many changes");
             }
             room -= writes;
         }
-        changes += writes;
+        writeCount += writes;
     }
 
     /**
      * From now on each call takes so long one way, and is waited for longer, as the client does;
      * null ends it.
      */
-    void slow(Duration oneWay) {
+    void setLatency(Duration oneWay) {
         latency = oneWay == null ? usual : oneWay;
     }
 
@@ -117,12 +120,12 @@
     }
 
     /** What happens just after a key is put, once whoever put it has its answer. */
-    void whenPut(String key, Runnable then) {
+    void onPut(String key, Runnable then) {
         awaitedKey = key;
         onPut = then;
     }
 
-    Map<String, Object> value(String key) {
+    Map<String, Object> valueOf(String key) {
         Stored stored = keys.get(key);
         return stored == null ? null : decode(stored.value());
     }
@@ -132,26 +135,26 @@
         commit(new Transaction().put(key, value));
     }
 
-    int size(String prefix) {
+    int recordCount(String prefix) {
         return (int) keys.keySet().stream().filter(key -> key.startsWith(prefix)).count();
     }
 
-    int largestValue() {
+    int largestValueBytes() {
         return keys.values().stream().mapToInt(stored -> stored.value().length).max().orElse(0);
     }
 
     private void expire() {
-        if (out) {
+        if (setOutage) {
             return;
         }
         for (Map.Entry<Long, MonotonicTime> lease : Map.copyOf(leases).entrySet()) {
             if (lease.getValue().isBefore(loop.now())) {
-                end(lease.getKey());
+                expireLease(lease.getKey());
             }
         }
     }
 
-    private void end(long lease) {
+    private void expireLease(long lease) {
         leases.remove(lease);
         for (String key : List.copyOf(keys.keySet())) {
             if (keys.get(key).lease() == lease) {
@@ -169,7 +172,7 @@
 
     private KeyValueStore.CommitResult commit(Transaction transaction) {
         expire();
-        spend(transaction.writes().size());
+        consumeWriteBudget(transaction.writes().size());
         List<String> failed = new ArrayList<>();
         transaction
                 .conditions()
@@ -224,19 +227,19 @@
     }
 
     /** One node's line to the store. */
-    final class Line implements KeyValueStore {
-        private boolean cut;
+    final class Connection implements KeyValueStore {
+        private boolean refuseRequests;
         private boolean losesAnswers;
         private String hidden = "/";
         private boolean dead;
-        private String blindTo;
+        private String hideChanges;
         private String skipped;
         private boolean failsWatches;
         private boolean goesBack;
-        private int mostWrites;
-        private int reads;
-        private int pages;
-        private int watches;
+        private int largestCommitWrites;
+        private int readCount;
+        private int pageReadCount;
+        private int watchCount;
         private final List<Runnable> held = new ArrayList<>();
         private boolean holding;
         private boolean holdsCommits;
@@ -244,15 +247,15 @@
         private double lateShare;
         private Random unanswered;
         private double unansweredShare;
-        private int lostCommits;
-        private int lateCommits;
+        private int lostCommitCount;
+        private int lateCommitCount;
         private Duration lateBy;
-        private int waitingCommits;
+        private int delayedCommitCount;
         private Executor process = Runnable::run;
         private Consumer<Runnable> copies = late -> {};
 
         /** Answers are taken in by a process that may stand still. */
-        Line readBy(Executor reader) {
+        Connection deliverResponsesOn(Executor reader) {
             process = reader;
             return this;
         }
@@ -261,29 +264,29 @@
          * What becomes of each request once more: late copies are executed, and nobody hears of
          * them.
          */
-        Line copied(Consumer<Runnable> again) {
+        Connection duplicateRequestsTo(Consumer<Runnable> again) {
             copies = again;
             return this;
         }
 
         /** Refuses everything, as a node that alone gets 503 sees it. */
-        void cut(boolean now) {
-            cut = now;
+        void refuseRequests(boolean now) {
+            refuseRequests = now;
         }
 
         /** Refuses to list the keys under a prefix, until it is told another one. */
-        void hide(String prefix) {
+        void hidePrefix(String prefix) {
             hidden = prefix;
         }
 
         /** Watches show nothing, however long they wait. */
-        void blind(boolean now) {
-            blindTo = now ? "" : null;
+        void hideAllChanges(boolean now) {
+            hideChanges = now ? "" : null;
         }
 
         /** Watches of a prefix show nothing, however long they wait; null ends it. */
-        void blindTo(String prefix) {
-            blindTo = prefix;
+        void hideChanges(String prefix) {
+            hideChanges = prefix;
         }
 
         /** Watches of records fail, all but those of the leader's key. */
@@ -295,22 +298,22 @@
          * Watches of records answer with a revision below the one asked from, and no changes, as no
          * store that is right would.
          */
-        void goBack(boolean now) {
+        void returnOlderRevisions(boolean now) {
             goesBack = now;
         }
 
         /** Watches leave the changes of a key out, as no store that is right would. */
-        void skip(String key) {
+        void skipChangesOf(String key) {
             skipped = key;
         }
 
         /** Executes requests but loses the answers. */
-        void loseAnswers(boolean now) {
+        void loseResponses(boolean now) {
             losesAnswers = now;
         }
 
         /** Keeps requests back, to deliver them when released, long after the caller gave up. */
-        void hold(boolean now) {
+        void holdRequests(boolean now) {
             holding = now;
             if (!now) {
                 holdsCommits = false;
@@ -328,7 +331,7 @@
          * So many of the transactions get no answer, and are executed 2 to 12 s later, after newer
          * ones.
          */
-        void lateWrites(double share, long seed) {
+        void delayCommits(double share, long seed) {
             late = new Random(seed);
             lateShare = share;
         }
@@ -337,56 +340,56 @@
          * From now on no transaction gets an answer, and each is executed so much later; null ends
          * it.
          */
-        void lateWritesBy(Duration by) {
+        void delayAllCommits(Duration by) {
             lateBy = by;
         }
 
         /** Transactions that are to be executed late. */
-        int waitingCommits() {
-            return waitingCommits;
+        int delayedCommitCount() {
+            return delayedCommitCount;
         }
 
         /** So many of the transactions are executed at once, and their answers alone are lost. */
-        void loseCommitAnswers(double share, long seed) {
+        void loseCommitResponses(double share, long seed) {
             unanswered = new Random(seed);
             unansweredShare = share;
         }
 
         /** Transactions that were executed, and whose answers were lost for that alone. */
-        int lostCommits() {
-            return lostCommits;
+        int lostCommitCount() {
+            return lostCommitCount;
         }
 
         /**
          * Transactions that were executed late, whether or not their guards let them change
          * anything.
          */
-        int lateCommits() {
-            return lateCommits;
+        int lateCommitCount() {
+            return lateCommitCount;
         }
 
         /** The process behind the line is gone: nothing comes back any more. */
-        void die() {
+        void close() {
             dead = true;
         }
 
         /** Pages of records read so far, but for the leader's key. */
-        int pages() {
-            return pages;
+        int pageReadCount() {
+            return pageReadCount;
         }
 
         /** Watches opened so far. */
-        int watches() {
-            return watches;
+        int watchCount() {
+            return watchCount;
         }
 
         /** Keys read one by one so far. */
-        int reads() {
-            return reads;
+        int readCount() {
+            return readCount;
         }
 
-        int mostWrites() {
-            return mostWrites;
+        int largestCommitWrites() {
+            return largestCommitWrites;
         }
 
         private <T> CompletableFuture<T> call(Supplier<T> work) {
@@ -394,7 +397,7 @@
             Runnable execute =
                     () -> {
                         expire();
-                        if (cut || out) {
+                        if (refuseRequests || setOutage) {
                             fail(answer, Outcome.REJECTED);
                             return;
                         }
@@ -415,7 +418,7 @@
             copies.accept(
                     () -> {
                         expire();
-                        if (!cut && !out) {
+                        if (!refuseRequests && !setOutage) {
                             try {
                                 T unused = work.get();
                             } catch (KeyValueStoreException refused) {
@@ -449,7 +452,7 @@
 
         @Override
         public CompletableFuture<Optional<Entry>> get(String key, RequestPriority requestPriority) {
-            reads++;
+            readCount++;
             return call(
                     () ->
                             Optional.ofNullable(keys.get(key))
@@ -464,7 +467,7 @@
         @Override
         public CompletableFuture<Page> list(
                 String prefix, String after, int most, RequestPriority requestPriority) {
-            pages += prefix.equals(RecordCodec.LEADER_KEY) ? 0 : 1;
+            pageReadCount += prefix.equals(RecordCodec.LEADER_KEY) ? 0 : 1;
             return call(
                     () -> {
                         if (prefix.startsWith(hidden)) {
@@ -493,18 +496,18 @@
         @Override
         public CompletableFuture<CommitResult> commit(
                 Transaction transaction, RequestPriority requestPriority) {
-            mostWrites = Math.max(mostWrites, transaction.writes().size());
+            largestCommitWrites = Math.max(largestCommitWrites, transaction.writes().size());
             if (lateBy != null || lateShare > 0 && late.nextDouble() < lateShare) {
                 CompletableFuture<CommitResult> never = new CompletableFuture<>();
                 loop.schedule(timeout(), () -> fail(never, Outcome.INDETERMINATE));
-                waitingCommits++;
+                delayedCommitCount++;
                 loop.schedule(
                         lateBy != null ? lateBy : Duration.ofMillis(2000 + late.nextInt(10_000)),
                         () -> {
-                            waitingCommits--;
+                            delayedCommitCount--;
                             try {
                                 FakeKeyValueStore.this.commit(transaction);
-                                lateCommits++;
+                                lateCommitCount++;
                             } catch (KeyValueStoreException refused) {
                                 // Nobody hears of it.
                             }
@@ -514,7 +517,7 @@
             if (unansweredShare > 0 && unanswered.nextDouble() < unansweredShare) {
                 CompletableFuture<CommitResult> never = new CompletableFuture<>();
                 call(() -> FakeKeyValueStore.this.commit(transaction))
-                        .thenAccept(done -> lostCommits += done.isApplied() ? 1 : 0);
+                        .thenAccept(done -> lostCommitCount += done.isApplied() ? 1 : 0);
                 loop.schedule(timeout(), () -> fail(never, Outcome.INDETERMINATE));
                 return never;
             }
@@ -562,17 +565,17 @@
 
         @Override
         public CompletableFuture<ChangeBatch> watch(String prefix, Revision after, Duration wait) {
-            watches++;
+            watchCount++;
             CompletableFuture<ChangeBatch> answer = new CompletableFuture<>();
-            if (cut || out) {
+            if (refuseRequests || setOutage) {
                 loop.schedule(latency, () -> fail(answer, Outcome.REJECTED));
             } else {
-                look(answer, prefix, after, loop.now().plus(wait));
+                pollChanges(answer, prefix, after, loop.now().plus(wait));
             }
             return answer;
         }
 
-        private void look(
+        private void pollChanges(
                 CompletableFuture<ChangeBatch> answer,
                 String prefix,
                 Revision after,
@@ -593,19 +596,19 @@
                 return;
             }
             List<Change> found = new ArrayList<>();
-            boolean blind = blindTo != null && prefix.startsWith(blindTo);
-            if (!cut
-                    && !out
+            boolean blind = hideChanges != null && prefix.startsWith(hideChanges);
+            if (!refuseRequests
+                    && !setOutage
                     && !blind
                     && !log.isEmpty()
-                    && log.size() > MOST_LOG
-                    && log.get(log.size() - MOST_LOG)
+                    && log.size() > MAX_LOG_ENTRIES
+                    && log.get(log.size() - MAX_LOG_ENTRIES)
                             .revision()
                             .isAfter(new Revision(after.value() + 1))) {
                 loop.schedule(latency, () -> fail(answer, Outcome.COMPACTED));
                 return;
             }
-            if (!cut && !out && !blind) {
+            if (!refuseRequests && !setOutage && !blind) {
                 // The log is in the order of versions, and a watcher is mostly near its end.
                 int from = log.size();
                 while (from > 0 && log.get(from - 1).revision().isAfter(after)) {
@@ -621,16 +624,20 @@
                 // Who sees nothing cannot be told how far the store has come.
                 ChangeBatch changeBatch =
                         new ChangeBatch(
-                                cut || out || blind ? after : new Revision(revision), found);
+                                refuseRequests || setOutage || blind
+                                        ? after
+                                        : new Revision(revision),
+                                found);
                 loop.schedule(latency, () -> complete(answer, changeBatch));
             } else if (!dead) {
-                loop.schedule(Duration.ofMillis(50), () -> look(answer, prefix, after, until));
+                loop.schedule(
+                        Duration.ofMillis(50), () -> pollChanges(answer, prefix, after, until));
             }
         }
 
         @Override
         public boolean seemsUnavailable() {
-            return out || cut;
+            return setOutage || refuseRequests;
         }
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/FakeWorker.java
+++ b/src/test/java/org/meadowhollow/simulation/FakeWorker.java
@@ -23,19 +23,19 @@
 import org.meadowhollow.model.WorkerIncarnation;
 
 /** A machine's worker, as the protocol describes it. */
-final class FakeWorker implements HistoryChecker.Place {
-    private static final Duration REPORT = Duration.ofSeconds(3);
+final class FakeWorker implements HistoryChecker.Machine {
+    private static final Duration HEARTBEAT_INTERVAL = Duration.ofSeconds(3);
     private static final Duration LEASE = Duration.ofSeconds(18);
 
     /** How long it takes until the next node is tried. */
-    private static final Duration NEXT = Duration.ofSeconds(1);
+    private static final Duration NEXT_NODE_DELAY = Duration.ofSeconds(1);
 
-    private static final Duration CHANGE = Duration.ofMillis(500);
-    private static final Duration GANG_WAIT = Duration.ofSeconds(30);
-    private static final Duration GANG_PEER = Duration.ofSeconds(6);
+    private static final Duration CHANGED_HEARTBEAT_DELAY = Duration.ofMillis(500);
+    private static final Duration GANG_WAIT_TIMEOUT = Duration.ofSeconds(30);
+    private static final Duration GANG_PEER_TIMEOUT = Duration.ofSeconds(6);
 
     /** How long an answer is waited for. */
-    private static final Duration ANSWER = Duration.ofSeconds(4);
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(4);
 
     /** A task here; it runs once its image has come. */
     private static final class Task {
@@ -63,14 +63,14 @@
     private final Map<TaskId, Task> tasks = new LinkedHashMap<>();
     private WorkerIncarnation workerIncarnation = new WorkerIncarnation(1);
     private long seq;
-    private FencingToken token = FencingToken.NONE;
+    private FencingToken fencingToken = FencingToken.NONE;
     private MonotonicTime answeredSentAt;
     private int node;
     private CompletableFuture<HeartbeatResponse> inFlight;
-    private boolean hung;
-    private boolean gone;
-    private boolean deaf;
-    private boolean mute;
+    private boolean isHung;
+    private boolean isRemoved;
+    private boolean loseIncoming;
+    private boolean blockOutgoingConnections;
     private final Set<Integer> unreachable = new HashSet<>();
     private double noticeS = Double.NaN;
 
@@ -94,7 +94,7 @@
 
     @Override
     public MachineType machineType() {
-        return SimulatedCluster.typeOf(type);
+        return SimulatedCluster.machineType(type);
     }
 
     String type() {
@@ -102,24 +102,24 @@
     }
 
     /** Loses its connection and turns to another node. */
-    void goTo(int other) {
+    void connectTo(int other) {
         node = other;
         inFlight = null;
-        reportAfter(CHANGE);
+        sendHeartbeatAfter(CHANGED_HEARTBEAT_DELAY);
     }
 
-    void hang(boolean now) {
-        hung = now;
+    void setHung(boolean now) {
+        isHung = now;
     }
 
     /** Reports still go out, but all answers and direct commands are lost. */
-    void deaf(boolean now) {
-        deaf = now;
+    void loseIncoming(boolean now) {
+        loseIncoming = now;
     }
 
     /** No connection to any node can be opened, while direct commands arrive and are answered. */
-    void mute(boolean now) {
-        mute = now;
+    void blockOutgoingConnections(boolean now) {
+        blockOutgoingConnections = now;
         if (now) {
             inFlight = null;
         }
@@ -127,12 +127,16 @@
 
     /** Whether it runs, reports and hears. */
     @Override
-    public boolean inTouch() {
-        return !hung && !gone && !deaf && !mute && Double.isNaN(noticeS);
+    public boolean isReachable() {
+        return !isHung
+                && !isRemoved
+                && !loseIncoming
+                && !blockOutgoingConnections
+                && Double.isNaN(noticeS);
     }
 
     /** Whether this machine alone has no way to a node and back. */
-    void cannotReach(int other, boolean cut) {
+    void blockPathTo(int other, boolean cut) {
         if (cut) {
             unreachable.add(other);
             inFlight = node == other ? null : inFlight;
@@ -145,28 +149,28 @@
         return !unreachable.contains(other);
     }
 
-    void notice(double seconds) {
+    void announcePreemption(double seconds) {
         noticeS = seconds;
     }
 
     void remove() {
-        gone = true;
+        isRemoved = true;
         tasks.clear();
     }
 
-    boolean gone() {
-        return gone;
+    boolean isRemoved() {
+        return isRemoved;
     }
 
-    boolean hung() {
-        return hung;
+    boolean isHung() {
+        return isHung;
     }
 
-    FencingToken token() {
-        return token;
+    FencingToken fencingToken() {
+        return fencingToken;
     }
 
-    WorkerIncarnation session() {
+    WorkerIncarnation incarnation() {
         return workerIncarnation;
     }
 
@@ -175,44 +179,44 @@
         tasks.clear();
         workerIncarnation = new WorkerIncarnation(1);
         seq = 0;
-        token = FencingToken.NONE;
+        fencingToken = FencingToken.NONE;
         inFlight = null;
         answeredSentAt = cluster.loop().now();
     }
 
     /** Makes a task exit with an error. */
-    void fail(TaskId task) {
+    void failTask(TaskId task) {
         exit(tasks.get(task), ExitReason.ERROR);
     }
 
     /** Makes a task exit because it found another one of its gang gone. */
-    void missPeers(TaskId task) {
+    void exitForMissingPeer(TaskId task) {
         exit(tasks.get(task), ExitReason.PEERS);
     }
 
     /** Makes a task give up waiting for its gang. */
-    void giveUp(TaskId task) {
+    void exitForGangTimeout(TaskId task) {
         exit(tasks.get(task), ExitReason.ALONE);
     }
 
-    boolean holds(TaskId task) {
+    boolean hasTask(TaskId task) {
         return tasks.containsKey(task);
     }
 
     /** Makes a task complete, as its gang does. */
-    void complete(TaskId task) {
+    void completeTask(TaskId task) {
         exit(tasks.get(task), ExitReason.DONE);
     }
 
-    private boolean leaseIsOver() {
+    private boolean isLeaseExpired() {
         return cluster.loop().now().elapsedSince(answeredSentAt).compareTo(LEASE) > 0;
     }
 
     /** Tasks that are on the machine in the protocol's sense: with their image, and not exited. */
     @Override
-    public List<TaskId> running() {
+    public List<TaskId> runningTasks() {
         List<TaskId> all = new ArrayList<>();
-        if (leaseIsOver()) {
+        if (isLeaseExpired()) {
             // A hung machine runs nothing; when it goes on, its worker first kills what outlived
             // the lease.
             return all;
@@ -228,8 +232,8 @@
 
     /** Tasks that take room here: all but those that have exited. */
     @Override
-    public List<TaskId> held() {
-        return leaseIsOver()
+    public List<TaskId> heldTasks() {
+        return isLeaseExpired()
                 ? List.of()
                 : tasks.entrySet().stream()
                         .filter(each -> each.getValue().state != TaskState.EXITED)
@@ -237,7 +241,7 @@
                         .toList();
     }
 
-    AttemptNumber attempt(TaskId task) {
+    AttemptNumber attemptOf(TaskId task) {
         return tasks.get(task).attemptNumber;
     }
 
@@ -247,20 +251,20 @@
     }
 
     private void tick() {
-        if (gone) {
+        if (isRemoved) {
             return;
         }
-        cluster.loop().schedule(REPORT, this::tick);
-        if (!hung) {
+        cluster.loop().schedule(HEARTBEAT_INTERVAL, this::tick);
+        if (!isHung) {
             advance();
-            report();
+            sendHeartbeat();
         }
     }
 
     /** What time has brought: the end of the lease, images that have come, tasks that are done. */
     void advance() {
         MonotonicTime now = cluster.loop().now();
-        if (leaseIsOver()) {
+        if (isLeaseExpired()) {
             tasks.clear();
             workerIncarnation = new WorkerIncarnation(workerIncarnation.value() + 1);
             answeredSentAt = now;
@@ -271,18 +275,18 @@
                     if (task.state == TaskState.PULLING_IMAGE && task.runsAt.isBefore(now)) {
                         task.state = gang ? TaskState.WAITING_FOR_GANG : TaskState.RUNNING;
                         task.runningSince = gang ? null : now;
-                        cluster.started(this, id);
+                        cluster.onTaskStarted(this, id);
                     }
                     if (gang) {
                         advanceGang(id, task, now);
                     }
-                    Duration runs = cluster.runTime(id.jobId());
+                    Duration runs = cluster.runtimeOf(id.jobId());
                     if (task.state == TaskState.RUNNING
                             && runs != null
                             && now.elapsedSince(task.runningSince).compareTo(runs) > 0
                             && cluster.mayComplete(id.jobId())) {
                         exit(task, ExitReason.DONE);
-                        cluster.completed(id);
+                        cluster.onTaskCompleted(id);
                     }
                 });
     }
@@ -292,16 +296,16 @@
      * gone.
      */
     private void advanceGang(TaskId id, Task task, MonotonicTime now) {
-        boolean whole = cluster.isWhole(id.jobId(), task.attemptNumber);
+        boolean whole = cluster.isGangComplete(id.jobId(), task.attemptNumber);
         if (task.state == TaskState.WAITING_FOR_GANG && whole) {
             task.state = TaskState.RUNNING;
             task.runningSince = now;
         } else if (task.state == TaskState.WAITING_FOR_GANG
-                && now.elapsedSince(task.runsAt).compareTo(GANG_WAIT) > 0) {
+                && now.elapsedSince(task.runsAt).compareTo(GANG_WAIT_TIMEOUT) > 0) {
             exit(task, ExitReason.ALONE);
         } else if (task.state == TaskState.RUNNING && !whole) {
             task.missingSince = task.missingSince == null ? now : task.missingSince;
-            if (now.elapsedSince(task.missingSince).compareTo(GANG_PEER) > 0) {
+            if (now.elapsedSince(task.missingSince).compareTo(GANG_PEER_TIMEOUT) > 0) {
                 exit(task, ExitReason.PEERS);
             }
         } else {
@@ -310,11 +314,11 @@
     }
 
     /** Whether a gang's task is here in an attempt and can take part in it, or has completed. */
-    boolean takesPart(TaskId id, AttemptNumber attemptNumber) {
+    boolean participatesIn(TaskId id, AttemptNumber attemptNumber) {
         Task task = tasks.get(id);
-        return !hung
-                && !gone
-                && !leaseIsOver()
+        return !isHung
+                && !isRemoved
+                && !isLeaseExpired()
                 && task != null
                 && task.attemptNumber.equals(attemptNumber)
                 && (task.state == TaskState.WAITING_FOR_GANG
@@ -337,12 +341,12 @@
                 false,
                 workerIncarnation,
                 ++seq,
-                token,
+                fencingToken,
                 noticeS,
                 list);
     }
 
-    private void report() {
+    private void sendHeartbeat() {
         if (inFlight != null) {
             return;
         }
@@ -350,82 +354,83 @@
         MonotonicTime sentAt = cluster.loop().now();
         WorkerIncarnation reporting = workerIncarnation;
         CompletableFuture<HeartbeatResponse> answer =
-                reaches(node) && !mute
-                        ? cluster.deliver(node, heartbeat)
+                reaches(node) && !blockOutgoingConnections
+                        ? cluster.deliverHeartbeat(node, heartbeat)
                         : new CompletableFuture<>();
         if (answer == null) {
-            tryNext();
+            connectToNextNode();
             return;
         }
         inFlight = answer;
         cluster.loop()
                 .schedule(
-                        ANSWER,
+                        RESPONSE_TIMEOUT,
                         () -> {
                             if (inFlight == answer) {
                                 inFlight = null;
-                                tryNext();
+                                connectToNextNode();
                             }
                         });
         answer.thenAccept(
                 given -> {
                     if (inFlight == answer) {
                         inFlight = null;
-                        if (!hung && !gone && workerIncarnation.equals(reporting)) {
-                            cluster.judged(() -> answered(given, sentAt));
+                        if (!isHung && !isRemoved && workerIncarnation.equals(reporting)) {
+                            cluster.recordViolations(() -> handleResponse(given, sentAt));
                         }
                     }
                 });
     }
 
-    private void tryNext() {
+    private void connectToNextNode() {
         node = (node + 1) % cluster.nodeCount();
-        reportAfter(NEXT);
+        sendHeartbeatAfter(NEXT_NODE_DELAY);
     }
 
-    private void reportAfter(Duration pause) {
+    private void sendHeartbeatAfter(Duration pause) {
         cluster.loop()
                 .schedule(
                         pause,
                         () -> {
-                            if (!hung && !gone) {
+                            if (!isHung && !isRemoved) {
                                 advance();
-                                report();
+                                sendHeartbeat();
                             }
                         });
     }
 
-    private void answered(HeartbeatResponse heartbeatResponse, MonotonicTime sentAt) {
+    private void handleResponse(HeartbeatResponse heartbeatResponse, MonotonicTime sentAt) {
         if (heartbeatResponse instanceof HeartbeatResponse.Redirect redirect) {
             if (redirect.member() == null) {
-                tryNext();
+                connectToNextNode();
             } else {
                 node = cluster.indexOf(redirect.member());
-                reportAfter(CHANGE);
+                sendHeartbeatAfter(CHANGED_HEARTBEAT_DELAY);
             }
             return;
         }
         HeartbeatResponse.Commands commands = (HeartbeatResponse.Commands) heartbeatResponse;
-        if (deaf || token.isAfter(commands.token())) {
+        if (loseIncoming || fencingToken.isAfter(commands.token())) {
             return;
         }
-        if (commands.token().isAfter(token)) {
+        if (commands.token().isAfter(fencingToken)) {
             // A higher token is a change, which goes out at once, though not before half a second.
-            reportAfter(CHANGE);
+            sendHeartbeatAfter(CHANGED_HEARTBEAT_DELAY);
         }
-        token = commands.token();
+        fencingToken = commands.token();
         answeredSentAt = sentAt;
         execute(commands.commands());
     }
 
     /** A direct command; null when there is no answer. */
-    Heartbeat direct(FencingToken given, WorkerIncarnation expected, List<WorkerCommand> orders) {
-        if (gone || hung || deaf) {
+    Heartbeat handleDirectCommands(
+            FencingToken given, WorkerIncarnation expected, List<WorkerCommand> orders) {
+        if (isRemoved || isHung || loseIncoming) {
             return null;
         }
         advance();
-        if (!token.isAfter(given)) {
-            token = given;
+        if (!fencingToken.isAfter(given)) {
+            fencingToken = given;
             if (workerIncarnation.equals(expected)) {
                 execute(orders);
             }
@@ -444,12 +449,12 @@
                             throw new AssertionError(
                                     "started " + workerCommand + " beside another attempt");
                         }
-                        cluster.toldToStart(workerCommand.taskId());
+                        cluster.onStartCommand(workerCommand.taskId());
                         tasks.put(
                                 workerCommand.taskId(),
                                 new Task(
                                         workerCommand.attemptNumber(),
-                                        cluster.loop().now().plus(cluster.fetch())));
+                                        cluster.loop().now().plus(cluster.imagePullTime())));
                     }
                 }
                 case STOP -> {
--- a/src/test/java/org/meadowhollow/simulation/Fault.java
+++ b/src/test/java/org/meadowhollow/simulation/Fault.java
@@ -13,295 +13,303 @@
 
 /** A trouble that begins, and ends when it is told to, for days on which troubles meet. */
 enum Fault {
-    REFUSED_ALONE,
-    OUT_FOR_ALL,
-    APART,
-    LATE_WRITES,
-    LATE_REPORTS,
-    DEAF_MACHINES,
-    HUNG_MACHINES,
-    ENDED,
-    ALL_ENDED,
-    BACK_AT_ONCE,
-    FROZEN,
-    ANSWERS_LOST,
-    REQUESTS_HELD,
-    DEAF_TO_A_ZONE,
+    STORE_REFUSES_NODE,
+    STORE_OUTAGE,
+    NODE_PARTITIONED,
+    DELAYED_COMMITS,
+    LATE_DUPLICATE_HEARTBEATS,
+    MACHINES_LOSE_INCOMING,
+    MACHINES_HUNG,
+    NODE_CRASHED,
+    ALL_CRASHED_ONE_RESTARTED,
+    NODE_RESTARTED_QUICKLY,
+    NODE_PAUSED,
+    STORE_RESPONSES_LOST,
+    STORE_REQUESTS_HELD,
+    NODE_CUT_FROM_ZONE,
     WATCHES_FAIL,
-    RECORDS_HIDDEN,
-    SHORT_OF_TIME,
+    TASK_RECORDS_HIDDEN,
+    TIMERS_DELAYED,
     PEERS_CUT,
-    HAND_OVER,
-    MACHINES_BEGIN_ANEW,
-    SERVED_FOR_INSTANTS,
-    MUTE_MACHINES,
-    MUTE_ZONE,
-    ANSWERS_OF_WRITES_LOST,
-    REPORTS_FOR_NEXT,
-    CANCEL_NOW,
-    CANCEL_AT_END,
-    ODD_REQUESTS,
-    CLOSE_LOOKS,
+    HANDOVER,
+    MACHINES_REBOOT,
+    STORE_SERVES_BRIEFLY,
+    MACHINES_CANNOT_CONNECT,
+    ZONE_CANNOT_CONNECT,
+    COMMIT_RESPONSES_LOST,
+    HEARTBEATS_KEPT_FOR_NEXT_LEADER,
+    JOBS_CANCELLED_DURING_HANG,
+    JOBS_CANCELLED_AT_COMPLETION,
+    UNUSUAL_REQUESTS,
+    POLLS_AFTER_ANSWERS,
     QUICK_BOOTS,
-    DEPOSED_BY_A_HINT,
-    ALL_AWAY,
-    ZONE_APART_WITH_A_NODE,
-    LEADER_AFTER_LEADER,
-    CLOUD_OUT,
-    FEW_CHANGES,
-    SLOW_FOR_ALL;
+    FALSE_LEADER_ANNOUNCEMENT,
+    ALL_DOWN_LONGER_THAN_LEASE,
+    ZONE_PARTITIONED_WITH_NODE,
+    CONSECUTIVE_LEADER_RESTARTS,
+    CLOUD_OUTAGE,
+    STORE_RATE_LIMITED,
+    STORE_SLOW;
 
     private static final List<Fault> FIRST =
-            List.copyOf(EnumSet.range(REFUSED_ALONE, SERVED_FOR_INSTANTS));
+            List.copyOf(EnumSet.range(STORE_REFUSES_NODE, STORE_SERVES_BRIEFLY));
     private static final List<Fault> FURTHER =
-            List.copyOf(EnumSet.range(MUTE_MACHINES, SLOW_FOR_ALL));
+            List.copyOf(EnumSet.range(MACHINES_CANNOT_CONNECT, STORE_SLOW));
 
     /** Begins one of the first list, mostly at the leader; what is returned ends it. */
-    static Runnable begin(SimulatedCluster cluster, Random random) {
-        return FIRST.get(random.nextInt(FIRST.size())).at(cluster, random);
+    static Runnable injectBasic(SimulatedCluster cluster, Random random) {
+        return FIRST.get(random.nextInt(FIRST.size())).inject(cluster, random);
     }
 
     /** Begins one of the further ones. */
-    static Runnable beginFurther(SimulatedCluster cluster, Random random) {
-        return FURTHER.get(random.nextInt(FURTHER.size())).at(cluster, random);
+    static Runnable injectAdditional(SimulatedCluster cluster, Random random) {
+        return FURTHER.get(random.nextInt(FURTHER.size())).inject(cluster, random);
     }
 
-    private Runnable at(SimulatedCluster cluster, Random random) {
+    private Runnable inject(SimulatedCluster cluster, Random random) {
         int leader = cluster.leader();
         int node = leader >= 0 && random.nextInt(3) > 0 ? leader : random.nextInt(3);
-        FakeKeyValueStore.Line line = cluster.line(node);
+        FakeKeyValueStore.Connection connection = cluster.storeConnection(node);
         switch (this) {
-            case REFUSED_ALONE -> {
-                line.cut(true);
-                return () -> line.cut(false);
+            case STORE_REFUSES_NODE -> {
+                connection.refuseRequests(true);
+                return () -> connection.refuseRequests(false);
             }
-            case OUT_FOR_ALL -> {
-                cluster.store().out(true);
-                return () -> cluster.store().out(false);
+            case STORE_OUTAGE -> {
+                cluster.store().setOutage(true);
+                return () -> cluster.store().setOutage(false);
             }
-            case APART -> {
-                cluster.apart(node, true);
-                return () -> cluster.apart(node, false);
+            case NODE_PARTITIONED -> {
+                cluster.partition(node, true);
+                return () -> cluster.partition(node, false);
             }
-            case LATE_WRITES -> {
-                return onLines(cluster, random, FakeKeyValueStore.Line::lateWrites);
+            case DELAYED_COMMITS -> {
+                return onStoreConnections(
+                        cluster, random, FakeKeyValueStore.Connection::delayCommits);
             }
-            case LATE_REPORTS -> {
-                cluster.lateReports(0.2 + 0.6 * random.nextDouble(), random.nextLong());
-                return () -> cluster.lateReports(0, 0);
+            case LATE_DUPLICATE_HEARTBEATS -> {
+                cluster.duplicateHeartbeatsLate(0.2 + 0.6 * random.nextDouble(), random.nextLong());
+                return () -> cluster.duplicateHeartbeatsLate(0, 0);
             }
-            case DEAF_MACHINES -> {
-                return on(some(cluster, random), FakeWorker::deaf);
+            case MACHINES_LOSE_INCOMING -> {
+                return onWorkers(randomWorkers(cluster, random), FakeWorker::loseIncoming);
             }
-            case HUNG_MACHINES -> {
-                return on(some(cluster, random), FakeWorker::hang);
+            case MACHINES_HUNG -> {
+                return onWorkers(randomWorkers(cluster, random), FakeWorker::setHung);
             }
-            case ENDED -> {
-                cluster.thaw(node);
+            case NODE_CRASHED -> {
+                cluster.resume(node);
                 cluster.crash(node);
                 return () -> cluster.restart(node);
             }
-            case ALL_ENDED -> {
+            case ALL_CRASHED_ONE_RESTARTED -> {
                 for (int each = 0; each < 3; each++) {
-                    cluster.thaw(each);
+                    cluster.resume(each);
                 }
                 cluster.crashAll();
                 cluster.restart(node);
                 return cluster::restartAll;
             }
-            case BACK_AT_ONCE -> {
+            case NODE_RESTARTED_QUICKLY -> {
                 for (int time = 0; time < 3; time++) {
-                    cluster.bounce(node, Duration.ofMillis(100 + random.nextInt(900)));
+                    cluster.restartAfter(node, Duration.ofMillis(100 + random.nextInt(900)));
                     cluster.run(Duration.ofMillis(500));
                 }
                 return () -> {};
             }
-            case FROZEN -> {
-                cluster.freeze(node);
-                return () -> cluster.thaw(node);
+            case NODE_PAUSED -> {
+                cluster.pause(node);
+                return () -> cluster.resume(node);
             }
-            case ANSWERS_LOST -> {
-                line.loseAnswers(true);
-                return () -> line.loseAnswers(false);
+            case STORE_RESPONSES_LOST -> {
+                connection.loseResponses(true);
+                return () -> connection.loseResponses(false);
             }
-            case REQUESTS_HELD -> {
-                line.hold(true);
-                return () -> line.hold(false);
+            case STORE_REQUESTS_HELD -> {
+                connection.holdRequests(true);
+                return () -> connection.holdRequests(false);
             }
-            case DEAF_TO_A_ZONE -> {
+            case NODE_CUT_FROM_ZONE -> {
                 cluster.cutFromZone(node, random.nextBoolean() ? "a" : "b", true);
                 return () -> cluster.cutFromWorkers(node, false);
             }
             case WATCHES_FAIL -> {
-                line.failWatches(true);
-                return () -> line.failWatches(false);
+                connection.failWatches(true);
+                return () -> connection.failWatches(false);
             }
-            case RECORDS_HIDDEN -> {
+            case TASK_RECORDS_HIDDEN -> {
                 for (int each = 0; each < 3; each++) {
-                    cluster.line(each).hide(RecordCodec.TASK_PREFIX);
+                    cluster.storeConnection(each).hidePrefix(RecordCodec.TASK_PREFIX);
                 }
                 return () -> {
                     for (int each = 0; each < 3; each++) {
-                        cluster.line(each).hide("/");
+                        cluster.storeConnection(each).hidePrefix("/");
                     }
                 };
             }
-            case SHORT_OF_TIME -> {
-                cluster.busy(node, Duration.ofMillis(500 + random.nextInt(4000)));
-                return () -> cluster.busy(node, false);
+            case TIMERS_DELAYED -> {
+                cluster.delayTimers(node, Duration.ofMillis(500 + random.nextInt(4000)));
+                return () -> cluster.delayTimers(node, false);
             }
             case PEERS_CUT -> {
-                cluster.peersCut(true);
-                return () -> cluster.peersCut(false);
+                cluster.cutPeers(true);
+                return () -> cluster.cutPeers(false);
             }
-            case HAND_OVER -> {
+            case HANDOVER -> {
                 if (cluster.node(node) != null) {
                     cluster.node(node).handOver();
                 }
                 return () -> {};
             }
-            case MACHINES_BEGIN_ANEW -> {
-                some(cluster, random).forEach(FakeWorker::reboot);
+            case MACHINES_REBOOT -> {
+                randomWorkers(cluster, random).forEach(FakeWorker::reboot);
                 return () -> {};
             }
-            case MUTE_MACHINES -> {
-                return on(some(cluster, random), FakeWorker::mute);
+            case MACHINES_CANNOT_CONNECT -> {
+                return onWorkers(
+                        randomWorkers(cluster, random), FakeWorker::blockOutgoingConnections);
             }
-            case MUTE_ZONE -> {
+            case ZONE_CANNOT_CONNECT -> {
                 String zone = random.nextBoolean() ? "a" : "b";
-                return on(
+                return onWorkers(
                         cluster.workers().stream()
                                 .filter(worker -> worker.zone().equals(zone))
                                 .toList(),
-                        FakeWorker::mute);
+                        FakeWorker::blockOutgoingConnections);
             }
-            case ANSWERS_OF_WRITES_LOST -> {
-                return onLines(cluster, random, FakeKeyValueStore.Line::loseCommitAnswers);
+            case COMMIT_RESPONSES_LOST -> {
+                return onStoreConnections(
+                        cluster, random, FakeKeyValueStore.Connection::loseCommitResponses);
             }
-            case REPORTS_FOR_NEXT -> {
-                cluster.keepReportsForNext(0.2 + 0.6 * random.nextDouble(), random.nextLong());
-                return () -> cluster.keepReportsForNext(0, 0);
+            case HEARTBEATS_KEPT_FOR_NEXT_LEADER -> {
+                cluster.keepHeartbeatsForNextLeader(
+                        0.2 + 0.6 * random.nextDouble(), random.nextLong());
+                return () -> cluster.keepHeartbeatsForNextLeader(0, 0);
             }
-            case CANCEL_NOW -> {
+            case JOBS_CANCELLED_DURING_HANG -> {
                 List<JobSpec> running = new ArrayList<>(cluster.runningJobs());
                 Collections.shuffle(running, random);
-                cluster.cancelNow(
+                cluster.cancelDuringHang(
                         running.subList(0, Math.min(4, running.size())),
                         Duration.ofSeconds(random.nextBoolean() ? 0 : 5 + random.nextInt(40)));
                 return () -> {};
             }
-            case CANCEL_AT_END -> {
-                cluster.cancelAtEnd(0.3 + 0.7 * random.nextDouble(), random.nextLong());
-                return () -> cluster.cancelAtEnd(0, 0);
+            case JOBS_CANCELLED_AT_COMPLETION -> {
+                cluster.cancelAtCompletion(0.3 + 0.7 * random.nextDouble(), random.nextLong());
+                return () -> cluster.cancelAtCompletion(0, 0);
             }
-            case ODD_REQUESTS -> {
+            case UNUSUAL_REQUESTS -> {
                 for (int time = 0; time < 8; time++) {
-                    cluster.oddRequest(random);
+                    cluster.sendUnusualRequest(random);
                     cluster.run(Duration.ofMillis(250 * random.nextInt(4)));
                 }
                 return () -> {};
             }
-            case CLOSE_LOOKS -> {
-                cluster.closeLooks(true);
-                return () -> cluster.closeLooks(false);
+            case POLLS_AFTER_ANSWERS -> {
+                cluster.pollAllAfterAnswers(true);
+                return () -> cluster.pollAllAfterAnswers(false);
             }
             case QUICK_BOOTS -> {
-                cluster.boots(Duration.ofMillis(50 + random.nextInt(1900)), Duration.ofSeconds(10));
-                return () -> cluster.boots(Duration.ofSeconds(10), Duration.ZERO);
+                cluster.setBootTimes(
+                        Duration.ofMillis(50 + random.nextInt(1900)), Duration.ofSeconds(10));
+                return () -> cluster.setBootTimes(Duration.ofSeconds(10), Duration.ZERO);
             }
-            case DEPOSED_BY_A_HINT -> {
+            case FALSE_LEADER_ANNOUNCEMENT -> {
                 if (cluster.leader() >= 0 && cluster.node(cluster.leader()) != null) {
                     cluster.node(cluster.leader())
                             .observeLeader(
-                                    new FencingToken(cluster.term() + 1), "n" + random.nextInt(3));
+                                    new FencingToken(cluster.fencingToken() + 1),
+                                    "n" + random.nextInt(3));
                 }
                 return () -> {};
             }
-            case ALL_AWAY -> {
+            case ALL_DOWN_LONGER_THAN_LEASE -> {
                 for (int each = 0; each < 3; each++) {
-                    cluster.thaw(each);
+                    cluster.resume(each);
                 }
                 cluster.crashAll();
-                cluster.runS(19 + random.nextInt(20));
+                cluster.runSeconds(19 + random.nextInt(20));
                 cluster.restartAll();
                 return () -> {};
             }
-            case ZONE_APART_WITH_A_NODE -> {
+            case ZONE_PARTITIONED_WITH_NODE -> {
                 String zone = random.nextBoolean() ? "a" : "b";
-                cluster.apart(node, true);
+                cluster.partition(node, true);
                 for (int each = 0; each < 3; each++) {
                     cluster.cutFromZone(each, zone, each != node);
                     cluster.cutFromZone(each, zone.equals("a") ? "b" : "a", each == node);
                 }
                 return () -> {
-                    cluster.apart(node, false);
+                    cluster.partition(node, false);
                     for (int each = 0; each < 3; each++) {
                         cluster.cutFromWorkers(each, false);
                     }
                 };
             }
-            case LEADER_AFTER_LEADER -> {
+            case CONSECUTIVE_LEADER_RESTARTS -> {
                 for (int time = 0; time < 5; time++) {
                     int now = cluster.leader();
                     if (now >= 0) {
-                        cluster.bounce(now, Duration.ofMillis(100 + random.nextInt(6000)));
+                        cluster.restartAfter(now, Duration.ofMillis(100 + random.nextInt(6000)));
                     }
-                    cluster.runS(3 + random.nextInt(9));
+                    cluster.runSeconds(3 + random.nextInt(9));
                 }
                 return () -> {};
             }
-            case SLOW_FOR_ALL -> {
-                cluster.store().slow(Duration.ofMillis(200 + random.nextInt(1100)));
-                return () -> cluster.store().slow(null);
+            case STORE_SLOW -> {
+                cluster.store().setLatency(Duration.ofMillis(200 + random.nextInt(1100)));
+                return () -> cluster.store().setLatency(null);
             }
-            case FEW_CHANGES -> {
-                cluster.store().limit(4 + random.nextInt(12));
-                return () -> cluster.store().limit(0);
+            case STORE_RATE_LIMITED -> {
+                cluster.store().limitWriteRate(4 + random.nextInt(12));
+                return () -> cluster.store().limitWriteRate(0);
             }
-            case CLOUD_OUT -> {
-                cluster.cloudOut(true);
-                return () -> cluster.cloudOut(false);
+            case CLOUD_OUTAGE -> {
+                cluster.failCloud(true);
+                return () -> cluster.failCloud(false);
             }
             default -> {
-                line.failWatches(true);
+                connection.failWatches(true);
                 for (int instant = 0; instant < 4; instant++) {
-                    line.cut(true);
-                    cluster.runS(1 + random.nextInt(3));
-                    line.cut(false);
+                    connection.refuseRequests(true);
+                    cluster.runSeconds(1 + random.nextInt(3));
+                    connection.refuseRequests(false);
                     cluster.run(Duration.ofMillis(250 + random.nextInt(750)));
                 }
-                line.cut(true);
+                connection.refuseRequests(true);
                 return () -> {
-                    line.cut(false);
-                    line.failWatches(false);
+                    connection.refuseRequests(false);
+                    connection.failWatches(false);
                 };
             }
         }
     }
 
-    private interface LineTrouble {
-        void set(FakeKeyValueStore.Line line, double share, long seed);
+    private interface ConnectionFault {
+        void apply(FakeKeyValueStore.Connection connection, double share, long seed);
     }
 
     /** A trouble of a share of what goes to the state service from every node. */
-    private static Runnable onLines(SimulatedCluster cluster, Random random, LineTrouble trouble) {
+    private static Runnable onStoreConnections(
+            SimulatedCluster cluster, Random random, ConnectionFault trouble) {
         double share = 0.2 + 0.6 * random.nextDouble();
         for (int each = 0; each < 3; each++) {
-            trouble.set(cluster.line(each), share, random.nextLong());
+            trouble.apply(cluster.storeConnection(each), share, random.nextLong());
         }
         return () -> {
             for (int each = 0; each < 3; each++) {
-                trouble.set(cluster.line(each), 0, 0);
+                trouble.apply(cluster.storeConnection(each), 0, 0);
             }
         };
     }
 
-    private static Runnable on(List<FakeWorker> workers, BiConsumer<FakeWorker, Boolean> trouble) {
+    private static Runnable onWorkers(
+            List<FakeWorker> workers, BiConsumer<FakeWorker, Boolean> trouble) {
         workers.forEach(worker -> trouble.accept(worker, true));
         return () -> workers.forEach(worker -> trouble.accept(worker, false));
     }
 
-    private static List<FakeWorker> some(SimulatedCluster cluster, Random random) {
+    private static List<FakeWorker> randomWorkers(SimulatedCluster cluster, Random random) {
         List<FakeWorker> all = new ArrayList<>(cluster.workers());
         List<FakeWorker> some = new ArrayList<>();
         for (int at = 0; at < 3 && !all.isEmpty(); at++) {
--- a/src/test/java/org/meadowhollow/simulation/GoldenStoreTest.java
+++ b/src/test/java/org/meadowhollow/simulation/GoldenStoreTest.java
@@ -82,25 +82,25 @@
         List.of(whoLeads).forEach(this::put);
         for (JobId job : List.of(ARRAY, GANG, SERVICE, CANCELLED, ACCOMPANIED, TES)) {
             cluster.spec(job);
-            cluster.runs(job, job.equals(SERVICE) ? Duration.ofHours(2) : SHORT);
+            cluster.setRuntime(job, job.equals(SERVICE) ? Duration.ofHours(2) : SHORT);
         }
-        cluster.judge().asksToCancel(CANCELLED);
+        cluster.historyChecker().recordCancelRequest(CANCELLED);
         for (int task = 0; task < 150; task++) {
-            cluster.judge().complete(new TaskId(ARRAY, task));
+            cluster.historyChecker().recordCompletion(new TaskId(ARRAY, task));
         }
-        cluster.judge().complete(new TaskId(ARRAY, 152));
-        cluster.judge().complete(new TaskId(ARRAY, 199));
+        cluster.historyChecker().recordCompletion(new TaskId(ARRAY, 152));
+        cluster.historyChecker().recordCompletion(new TaskId(ARRAY, 199));
         for (int at = 0; at < 6; at++) {
-            cluster.machine(SimulatedCluster.LARGE, at < 3 ? "a" : "b");
+            cluster.addMachine(SimulatedCluster.LARGE, at < 3 ? "a" : "b");
         }
         // The cloud has no more: a rented one could take the name of the tenth, which is gone.
-        cluster.mostMachines(6);
+        cluster.limitRentedMachines(6);
         started(0, ARRAY, 160, 2);
         for (int task = 0; task < 4; task++) {
             started(task % 2, GANG, task, 3);
         }
-        cluster.calendar(Map.of("large", 30));
-        cluster.standby();
+        cluster.enableReservations(Map.of("large", 30));
+        cluster.enableStandbys();
     }
 
     private void put(String name) {
@@ -111,7 +111,7 @@
     private void started(int machine, JobId job, int task, int attempt) {
         cluster.workers()
                 .get(machine)
-                .direct(
+                .handleDirectCommands(
                         new FencingToken(42),
                         new WorkerIncarnation(1),
                         List.of(
@@ -123,8 +123,8 @@
         var state = cluster.poll(1, id).orElseThrow();
         assertEquals(phase, state.phase(), id.value());
         assertEquals(done, state.done(), id.value());
-        assertNull(cluster.store().value("job/" + id.value()));
-        assertEquals(0, cluster.store().size("task/" + id.value() + '/'));
+        assertNull(cluster.store().valueOf("job/" + id.value()));
+        assertEquals(0, cluster.store().recordCount("task/" + id.value() + '/'));
         assertEquals(
                 Map.of(
                         "cancelled",
@@ -133,27 +133,27 @@
                         (long) cluster.spec(id).taskCount(),
                         "done",
                         (long) done),
-                cluster.store().value("ended/" + id.value()));
+                cluster.store().valueOf("ended/" + id.value()));
     }
 
     @Test
-    void aLeaderLoadsWhatTheLastVersionWroteAndEndsItsJobs() throws MalformedMessageException {
+    void leaderLoadsGoldenRecordsAndCompletesTheirJobs() throws MalformedMessageException {
         fill("term", "leader");
-        cluster.runS(3);
+        cluster.runSeconds(3);
         assertEquals(
                 1, cluster.leader(), "the node of the record is back before its lease is over");
-        assertEquals(43, cluster.term());
-        cluster.runS(5);
+        assertEquals(43, cluster.fencingToken());
+        cluster.runSeconds(5);
         // What ran goes on: the same attempts, on the same machines.
         for (int task = 0; task < 4; task++) {
-            assertEquals(1, cluster.on(new TaskId(GANG, task)).size());
+            assertEquals(1, cluster.machinesRunning(new TaskId(GANG, task)).size());
             assertEquals(
                     new AttemptNumber(3),
-                    cluster.workers().get(task % 2).attempt(new TaskId(GANG, task)));
+                    cluster.workers().get(task % 2).attemptOf(new TaskId(GANG, task)));
         }
         assertEquals(
-                new AttemptNumber(2), cluster.workers().get(0).attempt(new TaskId(ARRAY, 160)));
-        cluster.runS(240);
+                new AttemptNumber(2), cluster.workers().get(0).attemptOf(new TaskId(ARRAY, 160)));
+        cluster.runSeconds(240);
         assertEnds(ARRAY, Phase.DONE, 250);
         assertEnds(GANG, Phase.DONE, 4);
         assertEnds(CANCELLED, Phase.CANCELLED, 0);
@@ -161,14 +161,14 @@
         assertEnds(TES, Phase.DONE, 1);
         assertEquals(Phase.RUNNING, cluster.poll(cluster.leader(), SERVICE).orElseThrow().phase());
         for (int task = 0; task < 3; task++) {
-            assertEquals(1, cluster.on(new TaskId(SERVICE, task)).size());
+            assertEquals(1, cluster.machinesRunning(new TaskId(SERVICE, task)).size());
         }
         assertTrue(cluster.cancel(2, SERVICE));
-        cluster.runS(30);
+        cluster.runSeconds(30);
         assertEnds(SERVICE, Phase.CANCELLED, 0);
 
         // The tenth attempt was lost with its machine, and the next one had the next number.
-        Map<String, Object> entry = cluster.store().value(GoldenFile.read("entry").key());
+        Map<String, Object> entry = cluster.store().valueOf(GoldenFile.read("entry").key());
         assertEquals("DONE", entry.get("progress"));
         List<?> log = (List<?>) entry.get("log");
         assertEquals("LOST", ((Map<?, ?>) log.get(log.size() - 2)).get("cause"));
@@ -191,46 +191,48 @@
                         "window-zone",
                         "calendar-stamp")) {
             GoldenFile file = GoldenFile.read(name);
-            file.assertSameBytes(cluster.store().value(file.key()));
+            file.assertSameBytes(cluster.store().valueOf(file.key()));
         }
     }
 
     @Test
-    void theNodeThatTheLastLeaderNamedLeadsNext() {
+    void preferredSuccessorFromGoldenRecordLeadsNext() {
         fill("term-handed-over");
-        cluster.runS(3);
+        cluster.runSeconds(3);
         assertEquals(2, cluster.leader());
-        assertEquals(43, cluster.term());
-        assertEquals(Map.of("term", 43L), cluster.store().value("meta/term"));
+        assertEquals(43, cluster.fencingToken());
+        assertEquals(Map.of("term", 43L), cluster.store().valueOf("meta/term"));
     }
 
     @Test
-    void jobsThatEndedBeforeAreToldOfAndNotRunAgain() {
+    void endedGoldenJobsAreReportedAndNotRunAgain() {
         fill("term", "leader");
         JobSpec done = SimulatedCluster.spec(105, JobKind.GANG, 4, 1);
         JobSpec cancelled = SimulatedCluster.spec(106, JobKind.SERVICE, 3, 1);
         for (int task = 0; task < 4; task++) {
-            cluster.judge().complete(new TaskId(done.id(), task));
+            cluster.historyChecker().recordCompletion(new TaskId(done.id(), task));
         }
-        cluster.judge().asksToCancel(cancelled.id());
-        cluster.runS(8);
+        cluster.historyChecker().recordCancelRequest(cancelled.id());
+        cluster.runSeconds(8);
         assertTrue(cluster.submit(0, done, SHORT));
         assertTrue(cluster.submit(2, cancelled, SHORT));
-        cluster.runS(30);
+        cluster.runSeconds(30);
         assertEquals(Phase.DONE, cluster.poll(1, done.id()).orElseThrow().phase());
         assertEquals(4, cluster.poll(1, done.id()).orElseThrow().done());
         assertEquals(Phase.CANCELLED, cluster.poll(1, cancelled.id()).orElseThrow().phase());
         assertEquals(1, cluster.poll(1, cancelled.id()).orElseThrow().done());
-        assertNull(cluster.store().value("job/req-000105"));
-        assertNull(cluster.store().value("job/req-000106"));
+        assertNull(cluster.store().valueOf("job/req-000105"));
+        assertNull(cluster.store().valueOf("job/req-000106"));
     }
 
     @Test
-    void theCalendarShowsWhatTheLastVersionKept() throws MalformedMessageException {
+    void reservationCalendarShowsGoldenRecords() throws MalformedMessageException {
         fill("term", "leader");
-        cluster.runS(8);
+        cluster.runSeconds(8);
         String text =
-                new String(cluster.operate(0, "secret", "GET", "reservations", null, "").body());
+                new String(
+                        cluster.sendReservationRequest(0, "secret", "GET", "reservations", null, "")
+                                .body());
         for (String part :
                 List.of(
                         "nightly",
@@ -254,7 +256,7 @@
     private void assertTesTask(String state) throws MalformedMessageException {
         Map<String, Object> task =
                 body(
-                        cluster.tes(
+                        cluster.sendTesRequest(
                                 0,
                                 "secret",
                                 "GET",
@@ -269,7 +271,7 @@
         asked.forEach((key, value) -> assertEquals(value, task.get(key), key));
         Map<String, Object> listed =
                 body(
-                        cluster.tes(
+                        cluster.sendTesRequest(
                                 2,
                                 "secret",
                                 "GET",
@@ -293,21 +295,21 @@
     }
 
     @Test
-    void aTaskOfTheExecutionApiIsKeptAsBefore() {
+    void tesTaskIsStoredAsGoldenRecord() {
         FakeKeyValueStore store = GoldenTesTask.accepted().store();
         GoldenFile task = GoldenFile.read("tes-task");
         assertEquals("tes/" + GoldenTesTask.ID, task.key());
-        task.assertSameBytes(store.value(task.key()));
+        task.assertSameBytes(store.valueOf(task.key()));
         GoldenFile job = GoldenFile.read("tes-job");
         assertEquals("job/" + GoldenTesTask.ID, job.key());
-        job.assertSameFields(store.value(job.key()));
+        job.assertSameFields(store.valueOf(job.key()));
         GoldenFile entry = GoldenFile.read("tes-entry");
         assertEquals(task.value().get("entry"), entry.key());
-        entry.assertSameFields(store.value(entry.key()));
+        entry.assertSameFields(store.valueOf(entry.key()));
     }
 
     @Test
-    void theRecordsOfATaskOfTheExecutionApi() throws MalformedMessageException {
+    void tesTaskRecordsMatchGoldenFiles() throws MalformedMessageException {
         Map<String, Object> task = GoldenFile.read("tes-task").value();
         String entryKey = "tesx/ca8b22d0db83a22d/8299999927999-" + GoldenTesTask.ID;
         assertEquals(
@@ -377,7 +379,7 @@
     }
 
     @Test
-    void aTaskOfTheExecutionApiIsToldOfAsItWasKept() throws MalformedMessageException {
+    void tesTaskIsReportedFromGoldenRecord() throws MalformedMessageException {
         fill("term", "leader");
         assertTesTask("QUEUED");
     }
--- a/src/test/java/org/meadowhollow/simulation/GoldenTesFilesMain.java
+++ b/src/test/java/org/meadowhollow/simulation/GoldenTesFilesMain.java
@@ -13,13 +13,13 @@
 
     public static void main(String[] unused) throws IOException {
         FakeKeyValueStore store = GoldenTesTask.accepted().store();
-        Map<String, Object> task = store.value("tes/" + GoldenTesTask.ID);
+        Map<String, Object> task = store.valueOf("tes/" + GoldenTesTask.ID);
         GoldenFile.write("tes-task", "tes/" + GoldenTesTask.ID, task);
         GoldenFile.write(
                 "tes-job",
                 "job/" + GoldenTesTask.ID,
-                GoldenFile.sorted(store.value("job/" + GoldenTesTask.ID)));
+                GoldenFile.sorted(store.valueOf("job/" + GoldenTesTask.ID)));
         String entry = (String) task.get("entry");
-        GoldenFile.write("tes-entry", entry, GoldenFile.sorted(store.value(entry)));
+        GoldenFile.write("tes-entry", entry, GoldenFile.sorted(store.valueOf(entry)));
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/GoldenTesTask.java
+++ b/src/test/java/org/meadowhollow/simulation/GoldenTesTask.java
@@ -38,10 +38,10 @@
     static SimulatedCluster accepted() {
         SimulatedCluster cluster = new SimulatedCluster();
         cluster.loop().skip(Duration.ofMillis(BEGIN_MILLIS));
-        cluster.boots(Duration.ofHours(1), Duration.ZERO);
-        cluster.runS(12);
+        cluster.setBootTimes(Duration.ofHours(1), Duration.ZERO);
+        cluster.runSeconds(12);
         Http.Reply reply =
-                cluster.tes(
+                cluster.sendTesRequest(
                         0,
                         "secret",
                         "POST",
--- a/src/test/java/org/meadowhollow/simulation/HistoryChecker.java
+++ b/src/test/java/org/meadowhollow/simulation/HistoryChecker.java
@@ -29,48 +29,48 @@
  */
 final class HistoryChecker {
     /** A job about which no question is answered for so long, after all troubles, is forgotten. */
-    private static final Duration NO_ANSWER = Duration.ofSeconds(75);
+    private static final Duration MAX_UNANSWERED = Duration.ofSeconds(75);
 
     /**
      * No job waits for so long, after all troubles, while a machine that fits has room and its team
      * is under its limit.
      */
-    private static final Duration NEGLECTED = Duration.ofSeconds(90);
+    private static final Duration MAX_NEGLECTED = Duration.ofSeconds(90);
 
     /**
      * The largest jobs of a class begin within this time, counted from when all troubles were over.
      */
-    private static final Duration LARGEST_BEGIN = Duration.ofMinutes(4);
+    private static final Duration MAX_LARGEST_START = Duration.ofMinutes(4);
 
-    private static final double LEAST_SERVED = 0.5;
+    private static final double MIN_SERVED_SHARE = 0.5;
 
     /** A machine as it is, whatever anybody believes. */
-    interface Place {
+    interface Machine {
         String zone();
 
         MachineType machineType();
 
         /** Whether it runs, reports and hears. */
-        boolean inTouch();
+        boolean isReachable();
 
         /** The tasks that take room on it. */
-        List<TaskId> held();
+        List<TaskId> heldTasks();
 
         /** Tasks that are on it in the protocol's sense. */
-        List<TaskId> running();
+        List<TaskId> runningTasks();
     }
 
-    private record Told(Phase phase, MonotonicTime at) {}
+    private record ReportedPhase(Phase phase, MonotonicTime at) {}
 
     private final Duration cancelWithin;
     private final Map<String, DeploymentSettings.TeamQuota> teams;
     private final Function<JobId, JobSpec> specs;
-    private final Supplier<? extends Collection<? extends Place>> places;
+    private final Supplier<? extends Collection<? extends Machine>> places;
     private final List<MachineType> types;
     private final Set<JobId> submitted = new HashSet<>();
     private final Set<JobId> cancelAsked = new HashSet<>();
     private final Map<JobId, MonotonicTime> accepted = new LinkedHashMap<>();
-    private final Map<JobId, Told> ends = new HashMap<>();
+    private final Map<JobId, ReportedPhase> ends = new HashMap<>();
     private final Set<TaskId> completed = new HashSet<>();
     private final Map<JobId, MonotonicTime> begunAt = new HashMap<>();
     private final Map<JobId, MonotonicTime> answeredAt = new HashMap<>();
@@ -83,7 +83,7 @@
             Map<String, DeploymentSettings.TeamQuota> teams,
             List<MachineType> types,
             Function<JobId, JobSpec> specs,
-            Supplier<? extends Collection<? extends Place>> places) {
+            Supplier<? extends Collection<? extends Machine>> places) {
         this.cancelWithin = cancelWithin;
         this.teams = teams;
         this.types = types;
@@ -93,11 +93,11 @@
 
     // ---- what users do and are told ----
 
-    void submits(JobId id) {
+    void recordSubmission(JobId id) {
         submitted.add(id);
     }
 
-    void asksToCancel(JobId id) {
+    void recordCancelRequest(JobId id) {
         cancelAsked.add(id);
     }
 
@@ -111,7 +111,7 @@
                 spec.kind() == JobKind.ARRAY
                         ? spec.resourcesPerTask()
                         : spec.resourcesPerTask().times(spec.taskCount());
-        if (teamQuota == null || !within(atOnce, teamQuota.limit())) {
+        if (teamQuota == null || !fitsLimit(atOnce, teamQuota.limit())) {
             return false;
         }
         Set<String> zones = new HashSet<>();
@@ -129,7 +129,7 @@
                         && spec.taskCount() > 1);
     }
 
-    private static boolean within(Resources used, Resources most) {
+    private static boolean fitsLimit(Resources used, Resources most) {
         return (most.cpu() == 0 || used.cpu() <= most.cpu())
                 && (most.gpu() == 0 || used.gpu() <= most.gpu());
     }
@@ -141,7 +141,7 @@
      * @param sentAt when the question was sent: what was told only after that may be newer than the
      *     answer
      */
-    void answered(JobId id, Phase phase, MonotonicTime sentAt, MonotonicTime now) {
+    void checkAnswer(JobId id, Phase phase, MonotonicTime sentAt, MonotonicTime now) {
         answeredAt.put(id, now);
         MonotonicTime since = accepted.get(id);
         if (phase == null) {
@@ -149,7 +149,7 @@
             return;
         }
         assertTrue(submitted.contains(id), "invented: " + id);
-        Told end = ends.get(id);
+        ReportedPhase end = ends.get(id);
         boolean isEnd = phase == Phase.DONE || phase == Phase.CANCELLED;
         if (end != null && (isEnd || end.at().isBefore(sentAt))) {
             assertTrue(
@@ -171,12 +171,12 @@
             accepted.put(id, now);
         }
         if (isEnd) {
-            ends.putIfAbsent(id, new Told(phase, now));
+            ends.putIfAbsent(id, new ReportedPhase(phase, now));
         }
     }
 
     /** Whether a user was told that a job is over. */
-    boolean isOver(JobId id) {
+    boolean isReportedEnded(JobId id) {
         return ends.containsKey(id);
     }
 
@@ -186,17 +186,17 @@
         return completed.contains(task);
     }
 
-    boolean complete(TaskId task) {
+    boolean recordCompletion(TaskId task) {
         return completed.add(task);
     }
 
     boolean isCancelled(JobId id) {
-        Told end = ends.get(id);
+        ReportedPhase end = ends.get(id);
         return end != null && end.phase() == Phase.CANCELLED;
     }
 
     /** A worker has taken an order to start a task. */
-    void toldToStart(TaskId task) {
+    void recordStartCommand(TaskId task) {
         startsAfterCancellation += isCancelled(task.jobId()) ? 1 : 0;
     }
 
@@ -209,20 +209,21 @@
     }
 
     /** A task has its image now and is on its machine. */
-    void started(Place place, TaskId task, MonotonicTime now) {
+    void checkStart(Machine machine, TaskId task, MonotonicTime now) {
         JobSpec spec = specs.apply(task.jobId());
         begunAt.putIfAbsent(task.jobId(), now);
         assertTrue(
-                spec.allowsZone(place.zone()) && spec.allowsMachineType(place.machineType().name()),
+                spec.allowsZone(machine.zone())
+                        && spec.allowsMachineType(machine.machineType().name()),
                 "wrong_place: " + task);
         int inZone = 0;
-        for (Place other : places.get()) {
-            for (TaskId running : other.running()) {
-                assertTrue(other == place || !running.equals(task), "ran_twice: " + task);
+        for (Machine other : places.get()) {
+            for (TaskId running : other.runningTasks()) {
+                assertTrue(other == machine || !running.equals(task), "ran_twice: " + task);
                 if (running.jobId().equals(task.jobId())) {
-                    inZone += other.zone().equals(place.zone()) ? 1 : 0;
+                    inZone += other.zone().equals(machine.zone()) ? 1 : 0;
                     assertTrue(
-                            !spec.requiresSingleZone() || other.zone().equals(place.zone()),
+                            !spec.requiresSingleZone() || other.zone().equals(machine.zone()),
                             "wrong_place: " + task);
                 }
             }
@@ -234,10 +235,10 @@
 
     // ---- at each step ----
 
-    void check(MonotonicTime now) {
+    void checkStep(MonotonicTime now) {
         Map<String, Resources> used = new HashMap<>();
-        for (Place place : places.get()) {
-            for (TaskId task : place.running()) {
+        for (Machine machine : places.get()) {
+            for (TaskId task : machine.runningTasks()) {
                 JobSpec spec = specs.apply(task.jobId());
                 used.merge(spec.team(), spec.resourcesPerTask(), Resources::plus);
                 assertTrue(
@@ -250,29 +251,29 @@
         }
         used.forEach(
                 (team, sum) ->
-                        assertTrue(within(sum, teams.get(team).limit()), "quota: team " + team));
+                        assertTrue(fitsLimit(sum, teams.get(team).limit()), "quota: team " + team));
         if (calmSince != null) {
-            unfinished().forEach(id -> checkCalm(id, used, now));
+            unfinished().forEach(id -> checkProgress(id, used, now));
         }
     }
 
     // ---- once all troubles are over ----
 
     /** All troubles are over. */
-    void calm(MonotonicTime now) {
+    void beginFaultFreePhase(MonotonicTime now) {
         calmSince = now;
     }
 
     /** What was accepted and is not known to be over. */
     List<JobId> unfinished() {
-        return accepted.keySet().stream().filter(id -> !isOver(id)).toList();
+        return accepted.keySet().stream().filter(id -> !isReportedEnded(id)).toList();
     }
 
-    private void checkCalm(JobId id, Map<String, Resources> used, MonotonicTime now) {
+    private void checkProgress(JobId id, Map<String, Resources> used, MonotonicTime now) {
         MonotonicTime answered = answeredAt.getOrDefault(id, calmSince);
         MonotonicTime since = MonotonicTime.latestOf(answered, calmSince);
         assertTrue(
-                now.elapsedSince(since).compareTo(NO_ANSWER) <= 0,
+                now.elapsedSince(since).compareTo(MAX_UNANSWERED) <= 0,
                 "forgotten: no answer about " + id);
         if (!hasRoom(specs.apply(id), used)) {
             neglectedSince.remove(id);
@@ -280,7 +281,7 @@
         }
         MonotonicTime neglected = neglectedSince.computeIfAbsent(id, unused -> now);
         assertTrue(
-                now.elapsedSince(neglected).compareTo(NEGLECTED) <= 0,
+                now.elapsedSince(neglected).compareTo(MAX_NEGLECTED) <= 0,
                 "neglected: " + id + " waits beside room for it");
     }
 
@@ -295,46 +296,47 @@
         for (int task = 0; task < spec.taskCount(); task++) {
             done += completed.contains(new TaskId(spec.id(), task)) ? 1 : 0;
         }
-        for (Place place : places.get()) {
+        for (Machine machine : places.get()) {
             int here =
                     (int)
-                            place.held().stream()
+                            machine.heldTasks().stream()
                                     .filter(task -> task.jobId().equals(spec.id()))
                                     .count();
             held += here;
             if (here > 0) {
-                zones.merge(place.zone(), here, Integer::sum);
+                zones.merge(machine.zone(), here, Integer::sum);
             }
         }
         boolean gang = spec.kind() == JobKind.GANG;
         int needed = gang ? spec.taskCount() : 1;
         if (held + done >= spec.taskCount()
                 || gang && held > 0
-                || !within(
+                || !fitsLimit(
                         used.getOrDefault(spec.team(), Resources.NONE)
                                 .plus(spec.resourcesPerTask().times(needed)),
                         teams.get(spec.team()).limit())) {
             return false;
         }
         Map<String, Integer> room = new HashMap<>();
-        for (Place place : places.get()) {
+        for (Machine machine : places.get()) {
             boolean elsewhere =
                     spec.requiresSingleZone()
-                            && zones.keySet().stream().anyMatch(zone -> !zone.equals(place.zone()));
-            if (place.inTouch()
-                    && spec.allowsMachineType(place.machineType().name())
-                    && spec.allowsZone(place.zone())
+                            && zones.keySet().stream()
+                                    .anyMatch(zone -> !zone.equals(machine.zone()));
+            if (machine.isReachable()
+                    && spec.allowsMachineType(machine.machineType().name())
+                    && spec.allowsZone(machine.zone())
                     && !elsewhere) {
-                Resources free = place.machineType().capacity();
-                for (TaskId task : place.held()) {
+                Resources free = machine.machineType().capacity();
+                for (TaskId task : machine.heldTasks()) {
                     free = free.minus(specs.apply(task.jobId()).resourcesPerTask());
                 }
-                int most = spec.maxTasksPerZone() - zones.getOrDefault(place.zone(), 0);
+                int most = spec.maxTasksPerZone() - zones.getOrDefault(machine.zone(), 0);
                 room.merge(
-                        place.zone(),
+                        machine.zone(),
                         spec.resourcesPerTask().maxCopiesIn(free, spec.taskCount()),
                         (one, other) -> Math.min(most, one + other));
-                room.computeIfPresent(place.zone(), (zone, count) -> Math.min(most, count));
+                room.computeIfPresent(machine.zone(), (zone, count) -> Math.min(most, count));
             }
         }
         return (spec.requiresSingleZone()
@@ -347,7 +349,7 @@
      * At the end: of what was accepted and is wanted, who was served, by class, team and the
      * largest of each class.
      */
-    void served() {
+    void checkFairness() {
         Map<String, List<JobId>> groups = new LinkedHashMap<>();
         Map<String, Integer> largest = new HashMap<>();
         List<JobId> wanted =
@@ -371,7 +373,7 @@
                                 : MonotonicTime.latestOf(calmSince, accepted.get(id));
                 assertTrue(
                         begunAt.containsKey(id)
-                                && begunAt.get(id).isBefore(from.plus(LARGEST_BEGIN)),
+                                && begunAt.get(id).isBefore(from.plus(MAX_LARGEST_START)),
                         "the largest have to begin in time: " + id);
             }
         }
@@ -379,7 +381,7 @@
                 (group, jobs) -> {
                     long served = jobs.stream().filter(this::isServed).count();
                     assertTrue(
-                            served >= LEAST_SERVED * jobs.size(),
+                            served >= MIN_SERVED_SHARE * jobs.size(),
                             group + ": " + served + " served of " + jobs.size());
                 });
     }
@@ -387,6 +389,6 @@
     private boolean isServed(JobId id) {
         return specs.apply(id).kind() == JobKind.SERVICE
                 ? begunAt.containsKey(id)
-                : isOver(id) && ends.get(id).phase() == Phase.DONE;
+                : isReportedEnded(id) && ends.get(id).phase() == Phase.DONE;
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/HistoryCheckerTest.java
+++ b/src/test/java/org/meadowhollow/simulation/HistoryCheckerTest.java
@@ -27,10 +27,10 @@
     private static final JobId UNKNOWN = new JobId("req-99");
 
     private record Stand(
-            String zone, MachineType machineType, List<TaskId> held, List<TaskId> running)
-            implements HistoryChecker.Place {
+            String zone, MachineType machineType, List<TaskId> heldTasks, List<TaskId> runningTasks)
+            implements HistoryChecker.Machine {
         @Override
-        public boolean inTouch() {
+        public boolean isReachable() {
             return true;
         }
     }
@@ -55,17 +55,17 @@
                 "team",
                 new DeploymentSettings.TeamQuota("team", Resources.NONE, Resources.of(0, 4, 0)));
         specs.put(spec.id(), spec);
-        historyChecker.submits(spec.id());
+        historyChecker.recordSubmission(spec.id());
         return spec;
     }
 
     private JobSpec accepted(int number, JobKind kind, int tasks) {
         JobSpec spec = job(SimulatedCluster.spec(number, kind, tasks, 1));
-        historyChecker.answered(spec.id(), Phase.QUEUED, at(0), at(1));
+        historyChecker.checkAnswer(spec.id(), Phase.QUEUED, at(0), at(1));
         return spec;
     }
 
-    private Stand place(String zone, TaskId... running) {
+    private Stand addMachine(String zone, TaskId... running) {
         Stand stand = new Stand(zone, SimulatedCluster.LARGE, List.of(running), List.of(running));
         places.add(stand);
         return stand;
@@ -75,36 +75,43 @@
         return new TaskId(job.id(), index);
     }
 
-    private static void sees(String fault, Executable check) {
+    private static void assertDetects(String fault, Executable check) {
         AssertionError found = assertThrows(AssertionError.class, check, fault);
         assertTrue(found.getMessage().startsWith(fault), found.getMessage());
     }
 
     @Test
-    void whatUsersAreTold() {
-        sees("invented", () -> historyChecker.answered(UNKNOWN, Phase.QUEUED, at(0), at(1)));
+    void detectsInconsistentAnswersToUsers() {
+        assertDetects(
+                "invented", () -> historyChecker.checkAnswer(UNKNOWN, Phase.QUEUED, at(0), at(1)));
         JobSpec job = accepted(1, JobKind.ARRAY, 2);
         assertDoesNotThrow(
-                () -> historyChecker.answered(job.id(), null, at(0.5), at(2)),
+                () -> historyChecker.checkAnswer(job.id(), null, at(0.5), at(2)),
                 "asked before anybody was told");
-        sees("forgotten", () -> historyChecker.answered(job.id(), null, at(1.5), at(2)));
-        sees(
+        assertDetects(
+                "forgotten", () -> historyChecker.checkAnswer(job.id(), null, at(1.5), at(2)));
+        assertDetects(
                 "went_back: " + job.id() + " cancelled by nobody",
-                () -> historyChecker.answered(job.id(), Phase.CANCELLED, at(2), at(3)));
-        sees("not_done", () -> historyChecker.answered(job.id(), Phase.DONE, at(2), at(3)));
-        historyChecker.asksToCancel(job.id());
-        historyChecker.answered(job.id(), Phase.CANCELLED, at(3), at(4));
+                () -> historyChecker.checkAnswer(job.id(), Phase.CANCELLED, at(2), at(3)));
+        assertDetects(
+                "not_done", () -> historyChecker.checkAnswer(job.id(), Phase.DONE, at(2), at(3)));
+        historyChecker.recordCancelRequest(job.id());
+        historyChecker.checkAnswer(job.id(), Phase.CANCELLED, at(3), at(4));
         assertDoesNotThrow(
-                () -> historyChecker.answered(job.id(), Phase.RUNNING, at(3.5), at(5)),
+                () -> historyChecker.checkAnswer(job.id(), Phase.RUNNING, at(3.5), at(5)),
                 "asked before it was confirmed");
-        sees("went_back", () -> historyChecker.answered(job.id(), Phase.RUNNING, at(4.1), at(5)));
-        historyChecker.complete(task(job, 0));
-        historyChecker.complete(task(job, 1));
-        sees("went_back", () -> historyChecker.answered(job.id(), Phase.DONE, at(3.5), at(5)));
+        assertDetects(
+                "went_back",
+                () -> historyChecker.checkAnswer(job.id(), Phase.RUNNING, at(4.1), at(5)));
+        historyChecker.recordCompletion(task(job, 0));
+        historyChecker.recordCompletion(task(job, 1));
+        assertDetects(
+                "went_back",
+                () -> historyChecker.checkAnswer(job.id(), Phase.DONE, at(3.5), at(5)));
     }
 
     @Test
-    void whatIsAcceptedThoughItCannotRun() {
+    void detectsAcceptedJobThatCannotRun() {
         for (JobSpec wrong :
                 List.of(
                         SimulatedCluster.spec(1, JobKind.ARRAY, 1, 9),
@@ -112,114 +119,118 @@
                                 SimulatedCluster.spec(2, JobKind.ARRAY, 1, 1), "nobody"),
                         SimulatedCluster.spec(3, JobKind.GANG, 5, 1),
                         ClusterTestBase.inZone(SimulatedCluster.spec(4, JobKind.ARRAY, 1, 1), "c"),
-                        ClusterTestBase.zoned(
+                        ClusterTestBase.withZonePolicy(
                                 SimulatedCluster.spec(5, JobKind.GANG, 2, 1), true, true))) {
             job(wrong);
-            sees(
+            assertDetects(
                     "wrongly accepted",
-                    () -> historyChecker.answered(wrong.id(), Phase.QUEUED, at(0), at(1)));
+                    () -> historyChecker.checkAnswer(wrong.id(), Phase.QUEUED, at(0), at(1)));
         }
         accepted(6, JobKind.ARRAY, 50);
     }
 
     @Test
-    void whereTasksStart() {
+    void detectsTaskStartedOnWrongMachine() {
         JobSpec array = accepted(1, JobKind.ARRAY, 4);
-        Stand first = place("a", task(array, 0));
-        Stand second = place("b");
-        sees("ran_twice", () -> historyChecker.started(second, task(array, 0), at(2)));
-        historyChecker.started(second, task(array, 1), at(2));
+        Stand first = addMachine("a", task(array, 0));
+        Stand second = addMachine("b");
+        assertDetects("ran_twice", () -> historyChecker.checkStart(second, task(array, 0), at(2)));
+        historyChecker.checkStart(second, task(array, 1), at(2));
         JobSpec bound =
                 job(ClusterTestBase.inZone(SimulatedCluster.spec(2, JobKind.ARRAY, 1, 1), "a"));
-        sees("wrong_place", () -> historyChecker.started(second, task(bound, 0), at(2)));
+        assertDetects(
+                "wrong_place", () -> historyChecker.checkStart(second, task(bound, 0), at(2)));
         JobSpec together =
                 job(
-                        ClusterTestBase.zoned(
+                        ClusterTestBase.withZonePolicy(
                                 SimulatedCluster.spec(3, JobKind.ARRAY, 2, 1), true, false));
         places.clear();
-        place("a", task(together, 0));
-        sees("wrong_place", () -> historyChecker.started(second, task(together, 1), at(2)));
+        addMachine("a", task(together, 0));
+        assertDetects(
+                "wrong_place", () -> historyChecker.checkStart(second, task(together, 1), at(2)));
         JobSpec spread =
                 job(
-                        ClusterTestBase.zoned(
+                        ClusterTestBase.withZonePolicy(
                                 SimulatedCluster.spec(4, JobKind.ARRAY, 3, 1), false, true));
         places.clear();
-        Stand third = place("a", task(spread, 0), task(spread, 1), task(spread, 2));
-        sees("wrong_place", () -> historyChecker.started(third, task(spread, 2), at(2)));
+        Stand third = addMachine("a", task(spread, 0), task(spread, 1), task(spread, 2));
+        assertDetects(
+                "wrong_place", () -> historyChecker.checkStart(third, task(spread, 2), at(2)));
         assertEquals("a", first.zone());
     }
 
     @Test
-    void limitsAndCancellations() {
+    void detectsQuotaAndCancellationViolations() {
         JobSpec job = accepted(1, JobKind.ARRAY, 5);
-        place("a", task(job, 0), task(job, 1), task(job, 2), task(job, 3));
-        historyChecker.check(at(2));
-        place("b", task(job, 4));
-        sees("quota", () -> historyChecker.check(at(3)));
+        addMachine("a", task(job, 0), task(job, 1), task(job, 2), task(job, 3));
+        historyChecker.checkStep(at(2));
+        addMachine("b", task(job, 4));
+        assertDetects("quota", () -> historyChecker.checkStep(at(3)));
         places.clear();
-        place("a", task(job, 0));
-        historyChecker.asksToCancel(job.id());
-        historyChecker.answered(job.id(), Phase.CANCELLED, at(3), at(4));
-        historyChecker.toldToStart(task(job, 1));
+        addMachine("a", task(job, 0));
+        historyChecker.recordCancelRequest(job.id());
+        historyChecker.checkAnswer(job.id(), Phase.CANCELLED, at(3), at(4));
+        historyChecker.recordStartCommand(task(job, 1));
         assertEquals(1, historyChecker.startsAfterCancellation());
-        historyChecker.check(at(52));
-        sees("ran_cancelled", () -> historyChecker.check(at(52.1)));
+        historyChecker.checkStep(at(52));
+        assertDetects("ran_cancelled", () -> historyChecker.checkStep(at(52.1)));
     }
 
     @Test
-    void afterAllTroubles() {
+    void detectsUnansweredAndNeglectedJobsAfterFaults() {
         JobSpec job = accepted(1, JobKind.ARRAY, 2);
-        place("a");
-        historyChecker.calm(at(10));
-        historyChecker.check(at(10));
-        sees("forgotten: no answer", () -> historyChecker.check(at(85.1)));
-        historyChecker.answered(job.id(), Phase.QUEUED, at(84), at(85));
-        historyChecker.check(at(100));
-        historyChecker.answered(job.id(), Phase.QUEUED, at(99), at(100));
-        sees("neglected", () -> historyChecker.check(at(100.1)));
+        addMachine("a");
+        historyChecker.beginFaultFreePhase(at(10));
+        historyChecker.checkStep(at(10));
+        assertDetects("forgotten: no answer", () -> historyChecker.checkStep(at(85.1)));
+        historyChecker.checkAnswer(job.id(), Phase.QUEUED, at(84), at(85));
+        historyChecker.checkStep(at(100));
+        historyChecker.checkAnswer(job.id(), Phase.QUEUED, at(99), at(100));
+        assertDetects("neglected", () -> historyChecker.checkStep(at(100.1)));
         places.clear();
-        place("a", task(job, 0), task(job, 1));
-        assertDoesNotThrow(() -> historyChecker.check(at(100.2)), "all its tasks are placed");
+        addMachine("a", task(job, 0), task(job, 1));
+        assertDoesNotThrow(() -> historyChecker.checkStep(at(100.2)), "all its tasks are placed");
         JobSpec full = accepted(2, JobKind.GANG, 3);
-        historyChecker.answered(job.id(), Phase.QUEUED, at(189), at(190));
-        historyChecker.answered(full.id(), Phase.QUEUED, at(189), at(190));
-        assertDoesNotThrow(() -> historyChecker.check(at(195)), "its team has no more than four");
+        historyChecker.checkAnswer(job.id(), Phase.QUEUED, at(189), at(190));
+        historyChecker.checkAnswer(full.id(), Phase.QUEUED, at(189), at(190));
+        assertDoesNotThrow(
+                () -> historyChecker.checkStep(at(195)), "its team has no more than four");
     }
 
     @Test
-    void whoIsServed() {
-        historyChecker.calm(at(0));
+    void detectsUnfairService() {
+        historyChecker.beginFaultFreePhase(at(0));
         List<JobSpec> jobs = new ArrayList<>();
         for (int number = 0; number < 5; number++) {
             jobs.add(accepted(number, JobKind.ARRAY, number < 4 ? 1 : 2));
         }
-        Stand place = place("a");
+        Stand place = addMachine("a");
         for (int number = 3; number < 5; number++) {
             for (int task = 0; task < jobs.get(number).taskCount(); task++) {
-                historyChecker.started(place, task(jobs.get(number), task), at(200));
-                historyChecker.complete(task(jobs.get(number), task));
+                historyChecker.checkStart(place, task(jobs.get(number), task), at(200));
+                historyChecker.recordCompletion(task(jobs.get(number), task));
             }
-            historyChecker.answered(jobs.get(number).id(), Phase.DONE, at(210), at(211));
+            historyChecker.checkAnswer(jobs.get(number).id(), Phase.DONE, at(210), at(211));
         }
-        sees("class class: 2 served of 5", historyChecker::served);
-        historyChecker.started(place, task(jobs.get(2), 0), at(300));
-        historyChecker.complete(task(jobs.get(2), 0));
-        historyChecker.answered(jobs.get(2).id(), Phase.DONE, at(310), at(311));
-        historyChecker.served();
+        assertDetects("class class: 2 served of 5", historyChecker::checkFairness);
+        historyChecker.checkStart(place, task(jobs.get(2), 0), at(300));
+        historyChecker.recordCompletion(task(jobs.get(2), 0));
+        historyChecker.checkAnswer(jobs.get(2).id(), Phase.DONE, at(310), at(311));
+        historyChecker.checkFairness();
         JobSpec large = accepted(5, JobKind.ARRAY, 2);
-        sees("the largest have to begin in time", historyChecker::served);
-        historyChecker.started(place, task(large, 0), at(241.5));
-        sees("the largest have to begin in time", historyChecker::served);
+        assertDetects("the largest have to begin in time", historyChecker::checkFairness);
+        historyChecker.checkStart(place, task(large, 0), at(241.5));
+        assertDetects("the largest have to begin in time", historyChecker::checkFairness);
     }
 
     /** Thrown inside an answer it would be lost in the future that carries it. */
     @Test
-    void whatIsFoundInsideAnAnswerEndsTheTestWithItsNextStep() {
+    void violationFoundInCallbackFailsNextStep() {
         SimulatedCluster cluster = new SimulatedCluster();
-        cluster.judged(
+        cluster.recordViolations(
                 () -> {
                     throw new AssertionError("planted");
                 });
-        sees("planted", () -> cluster.runS(1));
+        assertDetects("planted", () -> cluster.runSeconds(1));
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/JobLifecycleScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/JobLifecycleScenarioTest.java
@@ -18,167 +18,169 @@
 /** What becomes of jobs, and what their users are told. */
 class JobLifecycleScenarioTest extends ClusterTestBase {
     @Test
-    void anAcceptedJobRunsAndEveryNodeSaysThatItIsDone() {
+    void acceptedJobRunsAndEveryControllerReportsItDone() {
         JobSpec job = array(1, 7);
-        assertTrue(cluster.submit(1, job, SHORT));
-        cluster.runS(30);
+        assertTrue(cluster.submit(1, job, SHORT_RUNTIME));
+        cluster.runSeconds(30);
         for (int node = 0; node < 3; node++) {
             assertEquals(Phase.DONE, cluster.poll(node, job.id()).orElseThrow().phase());
         }
-        assertEquals(7, cluster.starts());
+        assertEquals(7, cluster.startCount());
         assertEquals(
                 0,
-                cluster.store().size("job/") + cluster.store().size("task/"),
+                cluster.store().recordCount("job/") + cluster.store().recordCount("task/"),
                 "live records are left");
     }
 
     @Test
-    void aJobThatNobodySubmittedIsNotFound() {
+    void unsubmittedJobIsNotFound() {
         assertTrue(cluster.poll(0, new JobId("req-999999")).isEmpty());
         assertTrue(cluster.cancel(1, new JobId("req-999999")));
-        assertEquals(0, cluster.store().size("job/"));
+        assertEquals(0, cluster.store().recordCount("job/"));
     }
 
     @Test
-    void aSubmissionWhoseAnswerWasLostMakesOneJob() {
+    void submissionRetriedAfterLostResponseCreatesOneJob() {
         JobSpec job = array(1, 2);
-        cluster.line(0).loseAnswers(true);
-        cluster.submit(0, job, SHORT);
-        cluster.line(0).loseAnswers(false);
-        assertTrue(cluster.submit(1, job, SHORT));
-        cluster.runS(30);
-        assertEquals(Phase.DONE, phase(job));
-        assertTrue(cluster.submit(2, job, SHORT));
-        assertEquals(2, cluster.starts());
+        cluster.storeConnection(0).loseResponses(true);
+        cluster.submit(0, job, SHORT_RUNTIME);
+        cluster.storeConnection(0).loseResponses(false);
+        assertTrue(cluster.submit(1, job, SHORT_RUNTIME));
+        cluster.runSeconds(30);
+        assertEquals(Phase.DONE, phaseOf(job));
+        assertTrue(cluster.submit(2, job, SHORT_RUNTIME));
+        assertEquals(2, cluster.startCount());
     }
 
     @Test
-    void aCancelledJobIsGoneAndStaysCancelled() {
+    void cancelledJobStopsAndStaysCancelled() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 5, 1);
         assertTrue(cluster.submit(0, job, null));
-        cluster.runS(10);
+        cluster.runSeconds(10);
         assertTrue(cluster.cancel(2, job.id()));
-        cluster.runS(10);
-        assertTrue(cluster.workers().stream().allMatch(worker -> worker.running().isEmpty()));
-        assertEquals(Phase.CANCELLED, phase(job));
+        cluster.runSeconds(10);
+        assertTrue(cluster.workers().stream().allMatch(worker -> worker.runningTasks().isEmpty()));
+        assertEquals(Phase.CANCELLED, phaseOf(job));
         assertTrue(cluster.submit(1, job, null));
-        cluster.runS(20);
-        assertEquals(5, cluster.starts());
+        cluster.runSeconds(20);
+        assertEquals(5, cluster.startCount());
     }
 
     @Test
-    void aJobCancelledBehindTheLeadersBackIsNotStarted() {
-        cluster.workers().forEach(worker -> worker.hang(true));
-        cluster.cloudOut(true);
-        cluster.runS(10);
+    void jobCancelledThroughFollowerIsNotStarted() {
+        cluster.workers().forEach(worker -> worker.setHung(true));
+        cluster.failCloud(true);
+        cluster.runSeconds(10);
         JobSpec job = array(1, 1);
-        assertTrue(cluster.submit(0, job, LONG));
-        cluster.runS(3);
+        assertTrue(cluster.submit(0, job, LONG_RUNTIME));
+        cluster.runSeconds(3);
         int leader = cluster.leader();
-        cluster.line(leader).blind(true);
+        cluster.storeConnection(leader).hideAllChanges(true);
         assertTrue(cluster.cancel((leader + 1) % 3, job.id()));
-        cluster.workers().forEach(worker -> worker.hang(false));
-        cluster.runS(20);
+        cluster.workers().forEach(worker -> worker.setHung(false));
+        cluster.runSeconds(20);
         assertEquals(leader, cluster.leader());
-        assertEquals(0, cluster.starts());
+        assertEquals(0, cluster.startCount());
     }
 
     @Test
-    void aCancelledTaskOnAMachineOutOfReachIsGoneInTime() {
+    void cancelledTaskOnUnreachableMachineStopsWithinBound() {
         JobSpec job = array(1, 1);
-        assertTrue(cluster.submit(0, job, LONG));
-        cluster.runS(10);
-        FakeWorker hung = placeOf(job, 0);
-        hung.hang(true);
+        assertTrue(cluster.submit(0, job, LONG_RUNTIME));
+        cluster.runSeconds(10);
+        FakeWorker hung = machineRunning(job, 0);
+        hung.setHung(true);
         // Direct commands and reports fail from here on; the limit is 48 s, and half of it is
         // waited.
         assertTrue(cluster.cancel(1, job.id()));
-        cluster.runS(2);
+        cluster.runSeconds(2);
         for (int node = 0; node < 3; node++) {
             cluster.crash(node);
             cluster.restart(node);
         }
-        cluster.runS(30);
+        cluster.runSeconds(30);
         assertFalse(
                 cluster.workers().contains(hung), "its lease may last for 48 s after the takeover");
     }
 
     @Test
-    void aSuccessorEndsAJobWhoseLastTaskItsPredecessorNoted() {
+    void newLeaderCompletesJobWhoseLastTaskWasRecordedByPredecessor() {
         JobSpec job = array(1, 2);
-        cluster.cloudOut(true);
-        cluster.workers().forEach(worker -> worker.hang(true));
-        cluster.runS(10);
-        assertTrue(cluster.submit(0, job, SHORT));
+        cluster.failCloud(true);
+        cluster.workers().forEach(worker -> worker.setHung(true));
+        cluster.runSeconds(10);
+        assertTrue(cluster.submit(0, job, SHORT_RUNTIME));
         cluster.crashAll();
         for (int task = 0; task < 2; task++) {
-            cluster.completed(new TaskId(job.id(), task));
+            cluster.onTaskCompleted(new TaskId(job.id(), task));
         }
         cluster.store()
                 .put(
                         "task/" + job.id() + "/0",
                         Map.of("last", 1L, "done", List.of(0L, 2L), "placed", List.of()));
         cluster.restart(0);
-        cluster.runS(10);
-        assertEquals(Phase.DONE, phase(job));
+        cluster.runSeconds(10);
+        assertEquals(Phase.DONE, phaseOf(job));
     }
 
     @Test
-    void aTeamNeverUsesMoreThanItsLimit() {
-        cluster.team("small", 0, 3);
+    void teamNeverExceedsItsQuotaLimit() {
+        cluster.withTeam("small", 0, 3);
         JobSpec plain = array(1, 9);
         JobSpec job = withTeam(plain, "small");
-        assertTrue(cluster.submit(0, job, SHORT));
-        cluster.runS(9);
+        assertTrue(cluster.submit(0, job, SHORT_RUNTIME));
+        cluster.runSeconds(9);
         cluster.crash(cluster.leader());
-        cluster.runS(120);
-        assertEquals(Phase.DONE, phase(job));
+        cluster.runSeconds(120);
+        assertEquals(Phase.DONE, phaseOf(job));
     }
 
     @Test
-    void aHugeJobKeepsItsRecordsSmallAndLeavesRoomForOthers() {
+    void hugeJobKeepsRecordsSmallAndLeavesCapacityForOthers() {
         JobSpec huge = array(1, 100_000);
-        JobSpec other = zoned(array(2, 3), false, false);
-        assertTrue(cluster.submit(0, huge, LONG));
-        cluster.runS(5);
-        assertTrue(cluster.submit(1, other, SHORT));
-        cluster.runS(120);
-        assertEquals(Phase.DONE, phase(other));
-        assertTrue(cluster.store().largestValue() <= 16 * 1024);
-        assertTrue(cluster.line(cluster.leader()).mostWrites() <= 12);
+        JobSpec other = withZonePolicy(array(2, 3), false, false);
+        assertTrue(cluster.submit(0, huge, LONG_RUNTIME));
+        cluster.runSeconds(5);
+        assertTrue(cluster.submit(1, other, SHORT_RUNTIME));
+        cluster.runSeconds(120);
+        assertEquals(Phase.DONE, phaseOf(other));
+        assertTrue(cluster.store().largestValueBytes() <= 16 * 1024);
+        assertTrue(cluster.storeConnection(cluster.leader()).largestCommitWrites() <= 12);
         assertTrue(cluster.cancel(0, huge.id()));
-        cluster.runS(60);
-        assertEquals(0, cluster.store().size("task/"));
+        cluster.runSeconds(60);
+        assertEquals(0, cluster.store().recordCount("task/"));
     }
 
     @Test
-    void aTaskThatAlwaysFailsIsNotStartedInAFlood() {
+    void alwaysFailingTaskIsRetriedWithBackoff() {
         JobSpec job = array(1, 1);
-        assertTrue(cluster.submit(0, job, LONG));
+        assertTrue(cluster.submit(0, job, LONG_RUNTIME));
         for (int second = 0; second < 120; second++) {
-            FakeWorker place = placeOf(job, 0);
+            FakeWorker place = machineRunning(job, 0);
             if (place != null) {
-                place.fail(new TaskId(job.id(), 0));
+                place.failTask(new TaskId(job.id(), 0));
             }
-            cluster.runS(1);
+            cluster.runSeconds(1);
         }
         assertTrue(
-                cluster.starts() >= 3 && cluster.starts() < 14,
-                "started " + cluster.starts() + " times");
+                cluster.startCount() >= 3 && cluster.startCount() < 14,
+                "started " + cluster.startCount() + " times");
     }
 
     @Test
-    void whatCanNeverRunIsRefused() {
+    void unschedulableJobIsRejected() {
         assertFalse(
-                cluster.submit(0, SimulatedCluster.spec(1, JobKind.ARRAY, 1, 9), SHORT),
+                cluster.submit(0, SimulatedCluster.spec(1, JobKind.ARRAY, 1, 9), SHORT_RUNTIME),
                 "no machine has nine");
-        assertFalse(cluster.submit(0, withTeam(array(2, 1), "nobody"), SHORT));
-        cluster.team("small", 0, 3);
+        assertFalse(cluster.submit(0, withTeam(array(2, 1), "nobody"), SHORT_RUNTIME));
+        cluster.withTeam("small", 0, 3);
         assertFalse(
                 cluster.submit(
-                        0, withTeam(SimulatedCluster.spec(3, JobKind.GANG, 4, 1), "small"), SHORT));
+                        0,
+                        withTeam(SimulatedCluster.spec(3, JobKind.GANG, 4, 1), "small"),
+                        SHORT_RUNTIME));
         assertTrue(
-                cluster.submit(0, withTeam(array(4, 4), "small"), SHORT),
+                cluster.submit(0, withTeam(array(4, 4), "small"), SHORT_RUNTIME),
                 "an array runs a task at a time");
     }
 
@@ -187,30 +189,36 @@
      * whole.
      */
     @Test
-    void aGangThatMayNotBeWhereItMustBeIsRefusedAndWhatMayRunIsNot() {
+    void gangWithUnsatisfiableZonesIsRejectedAndSatisfiableOneIsAccepted() {
         JobSpec gang = SimulatedCluster.spec(1, JobKind.GANG, 3, 1);
-        assertFalse(cluster.submit(0, zoned(gang, true, true), SHORT), "together and spread");
         assertFalse(
-                cluster.submit(0, inZone(zoned(gang, false, true), "a"), SHORT),
+                cluster.submit(0, withZonePolicy(gang, true, true), SHORT_RUNTIME),
+                "together and spread");
+        assertFalse(
+                cluster.submit(0, inZone(withZonePolicy(gang, false, true), "a"), SHORT_RUNTIME),
                 "in one zone and spread");
-        assertFalse(cluster.submit(0, inZone(gang, "c"), SHORT), "nowhere");
+        assertFalse(cluster.submit(0, inZone(gang, "c"), SHORT_RUNTIME), "nowhere");
         assertTrue(
                 cluster.submit(
-                        0, zoned(SimulatedCluster.spec(2, JobKind.GANG, 1, 1), true, true), SHORT),
+                        0,
+                        withZonePolicy(SimulatedCluster.spec(2, JobKind.GANG, 1, 1), true, true),
+                        SHORT_RUNTIME),
                 "one task is whole");
         assertTrue(
-                cluster.submit(0, inZone(zoned(array(3, 4), false, true), "b"), SHORT),
+                cluster.submit(
+                        0, inZone(withZonePolicy(array(3, 4), false, true), "b"), SHORT_RUNTIME),
                 "an array runs half by half");
         assertTrue(
                 cluster.submit(
                         0,
                         inZone(
-                                zoned(SimulatedCluster.spec(4, JobKind.GANG, 3, 1), true, false),
+                                withZonePolicy(
+                                        SimulatedCluster.spec(4, JobKind.GANG, 3, 1), true, false),
                                 "a"),
-                        SHORT));
-        cluster.runS(60);
+                        SHORT_RUNTIME));
+        cluster.runSeconds(60);
         for (int number = 2; number <= 4; number++) {
-            assertEquals(Phase.DONE, phase(array(number, 1)), "job " + number);
+            assertEquals(Phase.DONE, phaseOf(array(number, 1)), "job " + number);
         }
         for (int node = 0; node < 3; node++) {
             Map<String, Object> body =
@@ -218,16 +226,16 @@
                             SubmissionCodec.encode(
                                     SimulatedCluster.spec(5 + node, JobKind.ARRAY, 1, 1)));
             body.remove("loaners");
-            assertEquals(400, cluster.posts(node, body), "lacks a field");
+            assertEquals(400, cluster.postSubmission(node, body), "lacks a field");
             assertEquals(
                     422,
-                    cluster.posts(
+                    cluster.postSubmission(
                             node,
                             SubmissionCodec.encode(SimulatedCluster.spec(9, JobKind.ARRAY, 1, 9))),
                     "fits no machine");
             assertEquals(
                     422,
-                    cluster.posts(
+                    cluster.postSubmission(
                             node,
                             SubmissionCodec.encode(
                                     withTypes(
@@ -238,20 +246,20 @@
 
     /** What is accepted stays so, also where it would be refused today. */
     @Test
-    void aRepeatOfAnAcceptedJobIsNeverRefusedAlsoAfterTeamsLookDifferent() {
-        cluster.team("small", 0, 3);
+    void repeatedSubmissionIsAcceptedAfterQuotaChange() {
+        cluster.withTeam("small", 0, 3);
         JobSpec gang = withTeam(SimulatedCluster.spec(1, JobKind.GANG, 3, 1), "small");
-        assertTrue(cluster.submit(0, gang, SHORT));
-        cluster.team("small", 0, 1);
+        assertTrue(cluster.submit(0, gang, SHORT_RUNTIME));
+        cluster.withTeam("small", 0, 1);
         for (int node = 0; node < 3; node++) {
-            assertEquals(200, cluster.posts(node, SubmissionCodec.encode(gang)));
+            assertEquals(200, cluster.postSubmission(node, SubmissionCodec.encode(gang)));
         }
-        cluster.team("small", 0, 3);
-        cluster.runS(40);
-        assertEquals(Phase.DONE, phase(gang));
-        cluster.team("small", 0, 1);
+        cluster.withTeam("small", 0, 3);
+        cluster.runSeconds(40);
+        assertEquals(Phase.DONE, phaseOf(gang));
+        cluster.withTeam("small", 0, 1);
         for (int node = 0; node < 3; node++) {
-            assertEquals(200, cluster.posts(node, SubmissionCodec.encode(gang)));
+            assertEquals(200, cluster.postSubmission(node, SubmissionCodec.encode(gang)));
         }
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/LeaderFailureScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/LeaderFailureScenarioTest.java
@@ -14,14 +14,14 @@
 /** Leaders that crash, are deposed, or lose the state service. */
 class LeaderFailureScenarioTest extends ClusterTestBase {
     @Test
-    void aNodeThatTheStateServiceAloneRefusesSendsUsersElsewhere() {
-        cluster.line(1).cut(true);
-        cluster.submit(1, array(1, 1), SHORT);
-        cluster.runS(5);
+    void controllerRefusedAloneByStoreReportsNotReady() {
+        cluster.storeConnection(1).refuseRequests(true);
+        cluster.submit(1, array(1, 1), SHORT_RUNTIME);
+        cluster.runSeconds(5);
         assertFalse(cluster.isReady(1));
         assertTrue(cluster.isReady(0) && cluster.isReady(2));
-        cluster.line(1).cut(false);
-        cluster.runS(5);
+        cluster.storeConnection(1).refuseRequests(false);
+        cluster.runSeconds(5);
         assertTrue(cluster.isReady(1));
     }
 
@@ -30,207 +30,208 @@
      * as any other node.
      */
     @Test
-    void aLeaderThatIsShortOfTimeSendsUsersElsewhere() {
+    void overloadedLeaderReportsNotReady() {
         int leader = cluster.leader();
-        cluster.busy(leader, Duration.ofMillis(700));
-        cluster.runS(8);
+        cluster.delayTimers(leader, Duration.ofMillis(700));
+        cluster.runSeconds(8);
         assertEquals(leader, cluster.leader());
         assertFalse(cluster.isReady(leader));
         assertTrue(cluster.isReady((leader + 1) % 3) && cluster.isReady((leader + 2) % 3));
-        cluster.busy(leader, Duration.ZERO);
-        cluster.runS(13);
+        cluster.delayTimers(leader, Duration.ZERO);
+        cluster.runSeconds(13);
         assertTrue(cluster.isReady(leader));
-        cluster.peersCut(true);
-        cluster.busy(leader, Duration.ofMillis(700));
-        cluster.runS(8);
+        cluster.cutPeers(true);
+        cluster.delayTimers(leader, Duration.ofMillis(700));
+        cluster.runSeconds(8);
         assertTrue(cluster.isReady(leader), "nobody else is known to serve");
     }
 
     @Test
-    void inAnOutageForAllEveryNodeStaysReady() {
-        cluster.store().out(true);
-        cluster.runS(10);
+    void everyControllerStaysReadyDuringStoreOutage() {
+        cluster.store().setOutage(true);
+        cluster.runSeconds(10);
         for (int node = 0; node < 3; node++) {
             assertTrue(cluster.isReady(node));
         }
     }
 
     @Test
-    void aNewLeaderDecidesAfterAFullRoundOfReports() {
+    void newLeaderSchedulesAfterFullRoundOfHeartbeats() {
         int leader = cluster.leader();
         assertEquals(0, leader, "a new machine's worker turns to the first node");
-        cluster.workers().forEach(worker -> worker.hang(true));
+        cluster.workers().forEach(worker -> worker.setHung(true));
         cluster.crash(leader);
         cluster.restart(leader);
-        cluster.runS(0.75);
-        FakeWorker first = cluster.machine(SimulatedCluster.LARGE, "a");
+        cluster.runSeconds(0.75);
+        FakeWorker first = cluster.addMachine(SimulatedCluster.LARGE, "a");
         JobSpec job = array(1, 1);
-        assertTrue(cluster.submit(leader, job, LONG));
+        assertTrue(cluster.submit(leader, job, LONG_RUNTIME));
         TaskId task = new TaskId(job.id(), 0);
-        cluster.runS(3);
-        assertFalse(first.holds(task), "the other machines may yet report");
-        cluster.runS(4);
-        assertTrue(first.holds(task));
+        cluster.runSeconds(3);
+        assertFalse(first.hasTask(task), "the other machines may yet report");
+        cluster.runSeconds(4);
+        assertTrue(first.hasTask(task));
     }
 
     @Test
-    void aSuccessorKnowsWhereAnImageIsCached() {
+    void newLeaderKnowsImageCacheLocations() {
         // Among equal machines the first would be chosen, which is in the other zone.
         JobSpec first = inZone(array(1, 1), "b");
-        assertTrue(cluster.submit(0, first, SHORT));
-        cluster.runS(6);
-        FakeWorker cached = placeOf(first, 0);
-        cluster.runS(25);
+        assertTrue(cluster.submit(0, first, SHORT_RUNTIME));
+        cluster.runSeconds(6);
+        FakeWorker cached = machineRunning(first, 0);
+        cluster.runSeconds(25);
         cluster.crash(cluster.leader());
-        cluster.runS(15);
+        cluster.runSeconds(15);
         JobSpec again = array(3, 1);
-        assertTrue(cluster.submit(cluster.leader(), again, LONG));
-        cluster.runS(8);
-        assertEquals(cached, placeOf(again, 0));
+        assertTrue(cluster.submit(cluster.leader(), again, LONG_RUNTIME));
+        cluster.runSeconds(8);
+        assertEquals(cached, machineRunning(again, 0));
     }
 
     @Test
-    void tasksOutliveTheirLeaderAndAreNotStartedAgain() {
+    void tasksSurviveLeaderFailureWithoutRestart() {
         JobSpec job = array(1, 5);
         assertTrue(cluster.submit(0, job, Duration.ofSeconds(60)));
-        cluster.runS(15);
+        cluster.runSeconds(15);
         int first = cluster.leader();
         cluster.crash(first);
-        cluster.runS(20);
+        cluster.runSeconds(20);
         assertTrue(cluster.leader() >= 0 && cluster.leader() != first);
-        cluster.runS(60);
-        assertEquals(5, cluster.starts());
-        assertEquals(Phase.DONE, phase(job));
+        cluster.runSeconds(60);
+        assertEquals(5, cluster.startCount());
+        assertEquals(Phase.DONE, phaseOf(job));
     }
 
     @Test
-    void aRestartedLeaderDoesNotWaitForItsOwnDeadLease() {
+    void restartedLeaderDoesNotWaitForItsPreviousLease() {
         int first = cluster.leader();
         cluster.crash(first);
         cluster.restart(first);
-        cluster.runS(1);
+        cluster.runSeconds(1);
         assertEquals(first, cluster.leader());
-        assertEquals(2L, cluster.store().value("meta/term").get("term"));
+        assertEquals(2L, cluster.store().valueOf("meta/term").get("term"));
     }
 
     @Test
-    void allNodesMayCrashAtOnce() {
+    void jobCompletesAfterSimultaneousCrashOfAllControllers() {
         JobSpec job = array(1, 5);
         assertTrue(cluster.submit(0, job, Duration.ofSeconds(40)));
-        cluster.runS(10);
+        cluster.runSeconds(10);
         cluster.crashAll();
-        cluster.runS(8);
+        cluster.runSeconds(8);
         cluster.restartAll();
-        cluster.runS(60);
-        assertEquals(5, cluster.starts());
-        assertEquals(Phase.DONE, phase(job));
+        cluster.runSeconds(60);
+        assertEquals(5, cluster.startCount());
+        assertEquals(Phase.DONE, phaseOf(job));
     }
 
     @Test
-    void tasksOutliveAnOutageOfTheStateServiceButNothingStartsInIt() {
+    void storeOutagePreservesTasksAndStartsNone() {
         JobSpec running = array(1, 4);
-        assertTrue(cluster.submit(0, running, LONG));
-        cluster.runS(10);
-        cluster.store().out(true);
-        assertFalse(cluster.submit(1, array(2, 1), SHORT), "nothing can be accepted");
-        cluster.runS(19);
-        cluster.store().out(false);
-        cluster.runS(20);
-        assertEquals(4, cluster.starts());
-        assertTrue(cluster.submit(1, array(2, 1), SHORT));
-        cluster.runS(20);
-        assertEquals(5, cluster.starts());
+        assertTrue(cluster.submit(0, running, LONG_RUNTIME));
+        cluster.runSeconds(10);
+        cluster.store().setOutage(true);
+        assertFalse(cluster.submit(1, array(2, 1), SHORT_RUNTIME), "nothing can be accepted");
+        cluster.runSeconds(19);
+        cluster.store().setOutage(false);
+        cluster.runSeconds(20);
+        assertEquals(4, cluster.startCount());
+        assertTrue(cluster.submit(1, array(2, 1), SHORT_RUNTIME));
+        cluster.runSeconds(20);
+        assertEquals(5, cluster.startCount());
     }
 
     @Test
-    void aLeaderCutFromTheStateServiceLetsGoInTimeForACancellation() {
+    void leaderPartitionedFromStoreReleasesTasksInTimeForCancellation() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 4, 1);
         assertTrue(cluster.submit(0, job, null));
-        cluster.runS(15);
+        cluster.runSeconds(15);
         int old = cluster.leader();
-        cluster.line(old).cut(true);
-        cluster.runS(3);
+        cluster.storeConnection(old).refuseRequests(true);
+        cluster.runSeconds(3);
         assertTrue(cluster.cancel((old + 1) % 3, job.id()));
-        cluster.runS(15);
+        cluster.runSeconds(15);
         assertTrue(
-                cluster.workers().stream().allMatch(worker -> worker.running().isEmpty()),
+                cluster.workers().stream().allMatch(worker -> worker.runningTasks().isEmpty()),
                 "a hint of the new term makes the old leader let go at once");
     }
 
     @Test
-    void aLeaderThatHearsNothingOfItsDepositionStillFallsSilent() {
+    void deposedLeaderUnawareOfSuccessorStopsAnsweringHeartbeats() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 4, 1);
         assertTrue(cluster.submit(0, job, null));
-        cluster.runS(15);
+        cluster.runSeconds(15);
         int old = cluster.leader();
         // Only the old leader reaches the workers, and it alone is refused by the state service.
-        cluster.peersCut(true);
-        cluster.cloudOut(true);
+        cluster.cutPeers(true);
+        cluster.failCloud(true);
         for (int node = 0; node < 3; node++) {
             cluster.cutFromWorkers(node, node != old);
         }
-        cluster.line(old).cut(true);
+        cluster.storeConnection(old).refuseRequests(true);
         assertTrue(cluster.cancel((old + 1) % 3, job.id()));
-        cluster.runS(50);
-        assertTrue(cluster.workers().stream().allMatch(worker -> worker.running().isEmpty()));
+        cluster.runSeconds(50);
+        assertTrue(cluster.workers().stream().allMatch(worker -> worker.runningTasks().isEmpty()));
     }
 
     @Test
-    void aLateTransactionOfADeposedLeaderChangesNothing() {
+    void delayedTransactionOfDeposedLeaderHasNoEffect() {
         int old = cluster.leader();
-        cluster.line(old).hold(true);
+        cluster.storeConnection(old).holdRequests(true);
         JobSpec job = array(1, 6);
-        assertTrue(cluster.submit((old + 1) % 3, job, LONG));
-        cluster.runS(25);
+        assertTrue(cluster.submit((old + 1) % 3, job, LONG_RUNTIME));
+        cluster.runSeconds(25);
         assertTrue(cluster.leader() != old);
-        assertEquals(6, cluster.starts());
-        cluster.line(old).hold(false);
-        cluster.runS(30);
-        assertEquals(6, cluster.starts());
+        assertEquals(6, cluster.startCount());
+        cluster.storeConnection(old).holdRequests(false);
+        cluster.runSeconds(30);
+        assertEquals(6, cluster.startCount());
     }
 
     @Test
-    void aDeposedLeadersLatePlacementIsNotRecorded() {
+    void delayedPlacementOfDeposedLeaderIsNotRecorded() {
         int old = cluster.leader();
-        cluster.line(old).hold(true);
-        assertTrue(cluster.submit((old + 1) % 3, array(1, 2), LONG));
-        cluster.runS(2);
-        cluster.workers().forEach(worker -> worker.hang(true));
-        cluster.cloudOut(true);
-        cluster.runS(15);
+        cluster.storeConnection(old).holdRequests(true);
+        assertTrue(cluster.submit((old + 1) % 3, array(1, 2), LONG_RUNTIME));
+        cluster.runSeconds(2);
+        cluster.workers().forEach(worker -> worker.setHung(true));
+        cluster.failCloud(true);
+        cluster.runSeconds(15);
         assertTrue(cluster.leader() != old);
-        cluster.line(old).hold(false);
-        cluster.runS(1);
-        assertEquals(0, cluster.store().size("task/"), "its successor would not know of it");
+        cluster.storeConnection(old).holdRequests(false);
+        cluster.runSeconds(1);
+        assertEquals(0, cluster.store().recordCount("task/"), "its successor would not know of it");
     }
 
     @Test
-    void aLeaderThatCannotRenewStartsNothingMore() {
-        cluster.workers().forEach(worker -> worker.deaf(true));
-        assertTrue(cluster.submit(0, array(1, 2), LONG));
-        cluster.runS(4);
-        cluster.store().out(true);
-        cluster.runS(6);
-        cluster.workers().forEach(worker -> worker.deaf(false));
-        cluster.runS(7);
-        assertEquals(0, cluster.starts(), "committed, but not sent while the lease may be over");
-        cluster.store().out(false);
-        cluster.runS(15);
-        assertEquals(2, cluster.starts());
+    void leaderThatCannotRenewLeaseStartsNoTasks() {
+        cluster.workers().forEach(worker -> worker.loseIncoming(true));
+        assertTrue(cluster.submit(0, array(1, 2), LONG_RUNTIME));
+        cluster.runSeconds(4);
+        cluster.store().setOutage(true);
+        cluster.runSeconds(6);
+        cluster.workers().forEach(worker -> worker.loseIncoming(false));
+        cluster.runSeconds(7);
+        assertEquals(
+                0, cluster.startCount(), "committed, but not sent while the lease may be over");
+        cluster.store().setOutage(false);
+        cluster.runSeconds(15);
+        assertEquals(2, cluster.startCount());
     }
 
     @Test
-    void anExitIsForgottenOnlyOnceItIsRecorded() {
+    void exitIsForgottenOnlyAfterItIsRecorded() {
         JobSpec job = array(1, 1);
-        assertTrue(cluster.submit(0, job, SHORT));
-        cluster.runS(8);
-        cluster.store().out(true);
-        cluster.runS(14);
+        assertTrue(cluster.submit(0, job, SHORT_RUNTIME));
+        cluster.runSeconds(8);
+        cluster.store().setOutage(true);
+        cluster.runSeconds(14);
         cluster.crashAll();
-        cluster.store().out(false);
+        cluster.store().setOutage(false);
         cluster.restartAll();
-        cluster.runS(30);
-        assertEquals(Phase.DONE, phase(job));
-        assertEquals(1, cluster.starts());
+        cluster.runSeconds(30);
+        assertEquals(Phase.DONE, phaseOf(job));
+        assertEquals(1, cluster.startCount());
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/LeaderReachabilityScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/LeaderReachabilityScenarioTest.java
@@ -29,22 +29,22 @@
     void aServiceOnMachinesOfTwoZones() {
         cluster = new SimulatedCluster();
         for (int at = 0; at < MACHINES / 2; at++) {
-            cluster.machine(SimulatedCluster.LARGE, "a");
-            cluster.machine(SimulatedCluster.LARGE, "b");
+            cluster.addMachine(SimulatedCluster.LARGE, "a");
+            cluster.addMachine(SimulatedCluster.LARGE, "b");
         }
-        cluster.runS(12);
+        cluster.runSeconds(12);
         lastOfFirst = cluster.workers().get(MACHINES - 1).id();
         service = SimulatedCluster.spec(1, JobKind.SERVICE, REPLICAS, 4);
         assertTrue(cluster.submit(0, service, Duration.ofHours(1)));
-        cluster.runS(10);
+        cluster.runSeconds(10);
         first = cluster.leader();
-        startsBefore = cluster.starts();
+        startsBefore = cluster.startCount();
         assertEquals(REPLICAS, startsBefore, "two on each machine");
     }
 
     private void assertNothingLost() {
-        assertEquals(startsBefore, cluster.starts(), "every replica ran on where it was");
-        assertEquals(List.of(), cluster.returned());
+        assertEquals(startsBefore, cluster.startCount(), "every replica ran on where it was");
+        assertEquals(List.of(), cluster.returnedMachines());
     }
 
     /**
@@ -52,321 +52,324 @@
      * use.
      */
     private void assertKept() {
-        cluster.returned()
+        cluster.returnedMachines()
                 .forEach(id -> assertTrue(id.compareTo(lastOfFirst) > 0, id + " is healthy"));
     }
 
-    private int replicas() {
+    private int runningReplicaCount() {
         int on = 0;
         for (int task = 0; task < REPLICAS; task++) {
-            on += cluster.on(new TaskId(service.id(), task)).size();
+            on += cluster.machinesRunning(new TaskId(service.id(), task)).size();
         }
         return on;
     }
 
     @Test
-    void aDeafLeaderHandsOverToANodeThatHearsBeforeAnyLeaseEnds() {
+    void isolatedLeaderHandsOverToReachableControllerBeforeAnyLeaseExpires() {
         cluster.cutFromWorkers(first, true);
-        cluster.runS(11);
+        cluster.runSeconds(11);
         assertNotEquals(first, cluster.leader(), "well before the lease of a worker is over");
-        cluster.runS(22);
+        cluster.runSeconds(22);
         assertNothingLost();
         cluster.cutFromWorkers(first, false);
-        cluster.runS(20);
+        cluster.runSeconds(20);
         assertNothingLost();
     }
 
     @Test
-    void workersThatLeaveADeafLeaderWaitWhereTheyComeForItsSuccessor() {
+    void workersLeavingIsolatedLeaderWaitForItsSuccessor() {
         cluster.cutFromWorkers(first, true);
-        cluster.runS(9.5);
-        long term = cluster.term();
+        cluster.runSeconds(9.5);
+        long term = cluster.fencingToken();
         cluster.workers()
                 .forEach(
                         worker ->
                                 assertEquals(
                                         term,
-                                        worker.token().value(),
+                                        worker.fencingToken().value(),
                                         worker.id() + " was sent back to the deaf leader"));
     }
 
     @Test
-    void aLeaderThatReachesItsWorkersButGetsNoReportsHandsOver() {
-        cluster.peersCut(true);
-        cluster.loseReports(first, true);
-        cluster.runS(15);
+    void leaderThatReceivesNoHeartbeatsHandsOverThoughItReachesWorkers() {
+        cluster.cutPeers(true);
+        cluster.loseHeartbeats(first, true);
+        cluster.runSeconds(15);
         assertNotEquals(first, cluster.leader(), "what they answer directly renews no lease");
-        cluster.runS(20);
+        cluster.runSeconds(20);
         assertNothingLost();
     }
 
     @Test
-    void noMoreThanAQuarterIsGivenUpWithinALease() {
-        cluster.workers().subList(0, 3).forEach(worker -> worker.hang(true));
-        cluster.runS(10);
-        assertEquals(3, cluster.returned().size());
-        cluster.workers().subList(0, 3).forEach(worker -> worker.hang(true));
-        cluster.runS(12);
+    void atMostQuarterOfMachinesIsReturnedWithinOneLease() {
+        cluster.workers().subList(0, 3).forEach(worker -> worker.setHung(true));
+        cluster.runSeconds(10);
+        assertEquals(3, cluster.returnedMachines().size());
+        cluster.workers().subList(0, 3).forEach(worker -> worker.setHung(true));
+        cluster.runSeconds(12);
         assertEquals(
                 4,
-                cluster.returned().size(),
+                cluster.returnedMachines().size(),
                 "six of sixteen in one lease are too many for chance");
-        cluster.runS(20);
-        assertEquals(6, cluster.returned().size());
+        cluster.runSeconds(20);
+        assertEquals(6, cluster.returnedMachines().size());
     }
 
     @Test
-    void aDeafLeaderWithoutPeersGivesUpOnItsOwnEvidence() {
-        cluster.peersCut(true);
+    void isolatedLeaderWithoutPeersStepsDownOnOwnEvidence() {
+        cluster.cutPeers(true);
         cluster.cutFromWorkers(first, true);
-        cluster.runS(15);
+        cluster.runSeconds(15);
         assertNotEquals(first, cluster.leader());
         assertTrue(cluster.leader() >= 0);
-        cluster.runS(22);
+        cluster.runSeconds(22);
         assertNothingLost();
     }
 
     @Test
-    void aDeafNodeDoesNotStandAgainBeforeItHears() {
+    void isolatedControllerIsNoCandidateUntilItReceivesHeartbeats() {
         cluster.cutFromWorkers(first, true);
-        cluster.runS(12);
+        cluster.runSeconds(12);
         int second = cluster.leader();
         assertNotEquals(first, second);
         int third = 3 - first - second;
         cluster.losePower(second);
-        cluster.runS(9);
+        cluster.runSeconds(9);
         assertEquals(third, cluster.leader(), "the deaf one left the free lease to the third");
     }
 
     @Test
-    void aNodeThatCanBeReachedAgainStandsLikeAnyOther() {
+    void recoveredControllerIsCandidateLikeAnyOther() {
         cluster.cutFromWorkers(first, true);
-        cluster.runS(12);
+        cluster.runSeconds(12);
         cluster.cutFromWorkers(first, false);
-        cluster.runS(6);
+        cluster.runSeconds(6);
         // Nobody comes to a node that does not lead, so it has asked some workers itself.
         for (int node = 0; node < 3; node++) {
             if (node != first) {
                 cluster.losePower(node);
             }
         }
-        cluster.runS(5.75);
+        cluster.runSeconds(5.75);
         assertEquals(first, cluster.leader(), "before any worker has come to it");
     }
 
     @Test
-    void ifNobodyHearsTheWorkersTheLeaderStays() {
-        long term = cluster.term();
+    void leaderStaysIfNoControllerReceivesHeartbeats() {
+        long term = cluster.fencingToken();
         for (int node = 0; node < 3; node++) {
             cluster.cutFromWorkers(node, true);
         }
-        cluster.runS(60);
-        assertEquals(term, cluster.term(), "turns gain nothing");
+        cluster.runSeconds(60);
+        assertEquals(term, cluster.fencingToken(), "turns gain nothing");
         for (int node = 0; node < 3; node++) {
             cluster.cutFromWorkers(node, false);
         }
-        cluster.runS(60);
-        assertEquals(List.of(), cluster.returned(), "all of them are healthy");
-        assertEquals(REPLICAS, replicas());
+        cluster.runSeconds(60);
+        assertEquals(List.of(), cluster.returnedMachines(), "all of them are healthy");
+        assertEquals(REPLICAS, runningReplicaCount());
     }
 
     @Test
-    void ifNobodyHearsAndNobodyCanBeAskedTheLeaseComesBackToWhereItWas() {
-        cluster.peersCut(true);
+    void leadershipReturnsIfNoControllerReceivesHeartbeatsAndPeersAreUnreachable() {
+        cluster.cutPeers(true);
         for (int node = 0; node < 3; node++) {
             cluster.cutFromWorkers(node, true);
         }
-        cluster.runS(20);
+        cluster.runSeconds(20);
         assertEquals(first, cluster.leader());
-        long term = cluster.term();
-        cluster.runS(10);
-        assertEquals(term, cluster.term(), "once is enough");
-        assertEquals(List.of(), cluster.returned());
+        long term = cluster.fencingToken();
+        cluster.runSeconds(10);
+        assertEquals(term, cluster.fencingToken(), "once is enough");
+        assertEquals(List.of(), cluster.returnedMachines());
     }
 
     @Test
-    void aLeaderDeafToOneZoneStaysAndKeepsItsMachines() {
-        long term = cluster.term();
+    void leaderIsolatedFromOneZoneStaysAndKeepsItsMachines() {
+        long term = cluster.fencingToken();
         cluster.cutFromZone(first, "b", true);
-        cluster.runS(100);
-        assertEquals(term, cluster.term(), "the other nodes may hear less of zone a");
+        cluster.runSeconds(100);
+        assertEquals(term, cluster.fencingToken(), "the other nodes may hear less of zone a");
         assertKept();
         assertEquals(
                 List.of(),
-                cluster.returnedFrom("b"),
+                cluster.returnedMachinesOf("b"),
                 "nor those that came up there since and could not be heard");
         cluster.cutFromZone(first, "b", false);
-        cluster.runS(20);
+        cluster.runSeconds(20);
         assertKept();
-        assertEquals(REPLICAS, replicas());
+        assertEquals(REPLICAS, runningReplicaCount());
     }
 
     @Test
-    void manyThatFallSilentAtOnceAreKept() {
-        cluster.peersCut(true);
+    void manyMachinesSilentAtOnceAreKept() {
+        cluster.cutPeers(true);
         List<FakeWorker> many = List.copyOf(cluster.workers().subList(3, 10));
-        many.forEach(worker -> worker.hang(true));
-        cluster.runS(60);
-        many.forEach(worker -> worker.hang(false));
-        cluster.runS(10);
+        many.forEach(worker -> worker.setHung(true));
+        cluster.runSeconds(60);
+        many.forEach(worker -> worker.setHung(false));
+        cluster.runSeconds(10);
         assertKept();
     }
 
     @Test
-    void aLeaderFrozenInAnOutageDoesNotTakeTheTimeForSilence() {
-        cluster.store().out(true);
-        cluster.peersCut(true);
-        cluster.freeze(first);
+    void leaderPausedDuringStoreOutageDoesNotCountPauseAsSilence() {
+        cluster.store().setOutage(true);
+        cluster.cutPeers(true);
+        cluster.pause(first);
         List<FakeWorker> slow = cluster.workers().subList(0, 3);
-        slow.forEach(worker -> worker.cannotReach(first, true));
-        cluster.runS(24);
-        cluster.store().out(false);
-        cluster.thaw(first);
-        cluster.runS(6);
-        slow.forEach(worker -> worker.cannotReach(first, false));
-        cluster.runS(20);
+        slow.forEach(worker -> worker.blockPathTo(first, true));
+        cluster.runSeconds(24);
+        cluster.store().setOutage(false);
+        cluster.resume(first);
+        cluster.runSeconds(6);
+        slow.forEach(worker -> worker.blockPathTo(first, false));
+        cluster.runSeconds(20);
         assertEquals(first, cluster.leader(), "an outage gives every lease its full time again");
         assertKept();
     }
 
     @Test
-    void aSmallZoneThatIsCutOffIsKeptThoughTheRestIsHeard() {
+    void partitionedSmallZoneIsKeptWhileOtherZonesSendHeartbeats() {
         for (int at = 0; at < 20; at++) {
-            cluster.machine(SimulatedCluster.SMALL, "a");
+            cluster.addMachine(SimulatedCluster.SMALL, "a");
         }
-        cluster.runS(6);
-        cluster.peersCut(true);
+        cluster.runSeconds(6);
+        cluster.cutPeers(true);
         cluster.cutFromZone(first, "b", true);
-        cluster.runS(60);
+        cluster.runSeconds(60);
         assertKept();
     }
 
     @Test
-    void aMachineIsGivenUpWhenAllWhoHeardItHaveMissedItForLongEnough() {
+    void machineIsReturnedOnceAllItsListenersMissedItLongEnough() {
         FakeWorker lost = cluster.workers().get(2);
-        lost.cannotReach(first, true);
-        cluster.runS(5);
-        lost.goTo((first + 1) % 3);
-        cluster.runS(1);
-        lost.hang(true);
-        cluster.runS(8);
-        assertFalse(cluster.returned().contains(lost.id()), "another node heard it until 8 s ago");
-        cluster.runS(18);
-        assertTrue(cluster.returned().contains(lost.id()));
+        lost.blockPathTo(first, true);
+        cluster.runSeconds(5);
+        lost.connectTo((first + 1) % 3);
+        cluster.runSeconds(1);
+        lost.setHung(true);
+        cluster.runSeconds(8);
+        assertFalse(
+                cluster.returnedMachines().contains(lost.id()),
+                "another node heard it until 8 s ago");
+        cluster.runSeconds(18);
+        assertTrue(cluster.returnedMachines().contains(lost.id()));
     }
 
     @Test
-    void aThirdOfTheMachinesThatOthersHearIsKept() {
+    void thirdOfMachinesReachableFromPeersIsKept() {
         List<FakeWorker> third = cluster.workers().subList(0, 5);
-        third.forEach(worker -> worker.cannotReach(first, true));
-        cluster.runS(60);
-        assertEquals(List.of(), cluster.returned(), "they come to the other nodes");
+        third.forEach(worker -> worker.blockPathTo(first, true));
+        cluster.runSeconds(60);
+        assertEquals(List.of(), cluster.returnedMachines(), "they come to the other nodes");
     }
 
     @Test
-    void aMachineThatAnotherNodeHearsIsNotReturned() {
+    void machineReachableFromAnotherControllerIsNotReturned() {
         FakeWorker alone = cluster.workers().get(3);
-        alone.cannotReach(first, true);
-        cluster.runS(60);
-        assertFalse(cluster.returned().contains(alone.id()));
+        alone.blockPathTo(first, true);
+        cluster.runSeconds(60);
+        assertFalse(cluster.returnedMachines().contains(alone.id()));
     }
 
     @Test
-    void aLeaderThatWasFrozenDoesNotTakeTheTimeForSilence() {
-        cluster.freeze(first);
-        cluster.runS(4);
-        cluster.thaw(first);
-        cluster.runS(30);
+    void pausedLeaderDoesNotCountPauseAsSilence() {
+        cluster.pause(first);
+        cluster.runSeconds(4);
+        cluster.resume(first);
+        cluster.runSeconds(30);
         assertNothingLost();
-        cluster.freeze(first);
-        cluster.runS(30);
+        cluster.pause(first);
+        cluster.runSeconds(30);
         assertNotEquals(first, cluster.leader());
-        cluster.thaw(first);
-        cluster.runS(30);
+        cluster.resume(first);
+        cluster.runSeconds(30);
         assertEquals(
                 List.of(),
-                cluster.returned(),
+                cluster.returnedMachines(),
                 "its lease is over, and it has heard nobody for 30 s");
     }
 
     @Test
-    void aFrozenLeaderThatWakesUpDeafReturnsNothing() {
-        cluster.freeze(first);
+    void leaderIsolatedAfterPauseReturnsNoMachines() {
+        cluster.pause(first);
         cluster.cutFromWorkers(first, true);
-        cluster.peersCut(true);
-        cluster.runS(4);
-        cluster.thaw(first);
-        cluster.runS(30);
+        cluster.cutPeers(true);
+        cluster.runSeconds(4);
+        cluster.resume(first);
+        cluster.runSeconds(30);
         assertNotEquals(first, cluster.leader());
-        assertEquals(List.of(), cluster.returned());
+        assertEquals(List.of(), cluster.returnedMachines());
     }
 
     @Test
-    void machinesThatReallyDieAreReplacedAsFastAsEver() {
+    void deadMachinesAreReplacedWithoutExtraDelay() {
         List<FakeWorker> dying = cluster.workers().subList(2, 4);
-        dying.forEach(worker -> worker.hang(true));
-        cluster.runS(11);
+        dying.forEach(worker -> worker.setHung(true));
+        cluster.runSeconds(11);
         assertEquals(
                 dying.stream().map(FakeWorker::id).toList(),
-                cluster.returned().stream().sorted().toList());
-        cluster.runS(25);
-        assertEquals(REPLICAS, replicas());
+                cluster.returnedMachines().stream().sorted().toList());
+        cluster.runSeconds(25);
+        assertEquals(REPLICAS, runningReplicaCount());
     }
 
     @Test
-    void machinesThatTheCloudTookAndListsNoMoreDoNotSpeakAgainstTheListener() {
+    void machinesReclaimedByCloudDoNotCountAsIsolation() {
         List<FakeWorker> wave = cluster.workers().subList(0, 7);
-        wave.forEach(cluster::take);
-        cluster.runS(60);
+        wave.forEach(cluster::reclaimMachine);
+        cluster.runSeconds(60);
         assertTrue(
-                cluster.returned().containsAll(wave.stream().map(FakeWorker::id).toList()),
+                cluster.returnedMachines().containsAll(wave.stream().map(FakeWorker::id).toList()),
                 "seven of sixteen are silent, but they are gone");
-        assertEquals(REPLICAS, replicas());
+        assertEquals(REPLICAS, runningReplicaCount());
     }
 
     @Test
-    void machinesThatReportLateStopTheReturnOfOthers() {
+    void lateHeartbeatsStopReturnOfOtherMachines() {
         // Few enough for independent failures, and nobody else hears them either.
         List<FakeWorker> silent = cluster.workers().subList(0, 4);
-        cluster.peersCut(true);
-        silent.get(0).hang(true);
-        silent.get(1).hang(true);
-        cluster.cloudOut(true);
-        cluster.runS(6);
-        silent.get(2).hang(true);
-        silent.get(3).hang(true);
-        cluster.runS(5);
-        silent.get(0).hang(false);
-        silent.get(1).hang(false);
-        cluster.runS(1);
-        cluster.cloudOut(false);
-        cluster.runS(5);
+        cluster.cutPeers(true);
+        silent.get(0).setHung(true);
+        silent.get(1).setHung(true);
+        cluster.failCloud(true);
+        cluster.runSeconds(6);
+        silent.get(2).setHung(true);
+        silent.get(3).setHung(true);
+        cluster.runSeconds(5);
+        silent.get(0).setHung(false);
+        silent.get(1).setHung(false);
+        cluster.runSeconds(1);
+        cluster.failCloud(false);
+        cluster.runSeconds(5);
         assertFalse(
-                cluster.returned().contains(silent.get(2).id()), "two that seemed dead were not");
-        cluster.runS(25);
+                cluster.returnedMachines().contains(silent.get(2).id()),
+                "two that seemed dead were not");
+        cluster.runSeconds(25);
         List<MachineId> dead = List.of(silent.get(2).id(), silent.get(3).id());
         assertTrue(
-                cluster.returned().containsAll(dead),
+                cluster.returnedMachines().containsAll(dead),
                 "they stay silent, and no others report late");
     }
 
     @Test
-    void aLeaderWithoutItsLeaseReturnsNoIdleMachine() {
+    void leaderWithoutLeaseReturnsNoIdleMachine() {
         for (int at = 0; at < 4; at++) {
-            cluster.machine(SimulatedCluster.LARGE, "a");
+            cluster.addMachine(SimulatedCluster.LARGE, "a");
         }
-        cluster.runS(46);
+        cluster.runSeconds(46);
         // Another leads in 5 s, and may place anything on the machines that the first still takes
         // for idle.
-        cluster.line(first).cut(true);
-        cluster.peersCut(true);
-        cluster.runS(11);
+        cluster.storeConnection(first).refuseRequests(true);
+        cluster.cutPeers(true);
+        cluster.runSeconds(11);
         assertNotEquals(first, cluster.leader());
         assertEquals(
                 List.of(),
-                cluster.returned(),
+                cluster.returnedMachines(),
                 "idle for 50 s and more, for all that the first knows");
-        cluster.runS(60);
-        assertEquals(4, cluster.returned().size(), "whoever leads returns them");
+        cluster.runSeconds(60);
+        assertEquals(4, cluster.returnedMachines().size(), "whoever leads returns them");
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/LoadTestMain.java
+++ b/src/test/java/org/meadowhollow/simulation/LoadTestMain.java
@@ -76,7 +76,8 @@
         XnioEventLoop loop = new XnioEventLoop();
         FakeKeyValueStore store = new FakeKeyValueStore(loop, Duration.ZERO);
         Http.RequestHandler state =
-                loop.callAndWait(() -> new KeyValueStoreHttpServer(store.new Line(), () -> {}));
+                loop.callAndWait(
+                        () -> new KeyValueStoreHttpServer(store.new Connection(), () -> {}));
         int statePort =
                 serve(
                         loop,
--- a/src/test/java/org/meadowhollow/simulation/LoopbackIntegrationTest.java
+++ b/src/test/java/org/meadowhollow/simulation/LoopbackIntegrationTest.java
@@ -84,11 +84,13 @@
         loop = new XnioEventLoop();
         store = new FakeKeyValueStore(loop);
         int state =
-                serve(
+                startServer(
                         loop.callAndWait(
-                                () -> new KeyValueStoreHttpServer(store.new Line(), this::stir)));
-        int cloud = serve((Http.SimpleRequestHandler) this::cloud);
-        int collector = serve((Http.SimpleRequestHandler) this::collect);
+                                () ->
+                                        new KeyValueStoreHttpServer(
+                                                store.new Connection(), this::signalChange)));
+        int cloud = startServer((Http.SimpleRequestHandler) this::cloud);
+        int collector = startServer((Http.SimpleRequestHandler) this::receiveSpans);
         Map<String, String> backs = new LinkedHashMap<>();
         for (String name : List.of("n0", "n1", "n2")) {
             fronts.put(name, "127.0.0.1:" + freePort());
@@ -139,7 +141,7 @@
                                             null))
                             .eventListeners(
                                     new JobEventListeners(
-                                            new JobEventLog(this::note),
+                                            new JobEventLog(this::recordEvent),
                                             OtlpTaskTracer.exportingTo(
                                                     URI.create("http://127.0.0.1:" + collector),
                                                     name)))
@@ -147,7 +149,7 @@
         }
     }
 
-    private int serve(Http.RequestHandler requestHandler) {
+    private int startServer(Http.RequestHandler requestHandler) {
         servers.add(
                 new HttpServer(
                         loop,
@@ -222,7 +224,7 @@
                 });
     }
 
-    private CompletableFuture<Http.Reply> collect(String method, String path, byte[] body) {
+    private CompletableFuture<Http.Reply> receiveSpans(String method, String path, byte[] body) {
         try {
             synchronized (spans) {
                 ExportTraceServiceRequest.parseFrom(body)
@@ -242,14 +244,14 @@
                 new Http.Reply(200, new byte[0], 0, "application/x-protobuf"));
     }
 
-    private void note(JobEventLog.Event event) {
+    private void recordEvent(JobEventLog.Event event) {
         synchronized (signal) {
             events.add(event);
             signal.notifyAll();
         }
     }
 
-    private void stir() {
+    private void signalChange() {
         synchronized (signal) {
             signal.notifyAll();
         }
@@ -267,7 +269,7 @@
      * Looks again whenever the state service or the ordering log has news, or a renewal of a lease
      * has come by.
      */
-    private void await(String what, Callable<Boolean> there) throws Exception {
+    private void awaitTrue(String what, Callable<Boolean> there) throws Exception {
         long until = System.nanoTime() + PATIENCE.toNanos();
         while (!there.call()) {
             long left = (until - System.nanoTime()) / 1_000_000;
@@ -286,7 +288,7 @@
                 HttpResponse.BodyHandlers.ofByteArray());
     }
 
-    private String anyNode(int at) {
+    private String controllerUrl(int at) {
         List<String> all = List.copyOf(nodes.keySet());
         return all.get(at % all.size());
     }
@@ -297,7 +299,7 @@
                 HttpRequest.newBuilder(
                                 URI.create(
                                         "http://127.0.0.1:"
-                                                + nodes.get(anyNode(node)).tesPort()
+                                                + nodes.get(controllerUrl(node)).tesPort()
                                                 + "/ga4gh/tes/v1"
                                                 + path))
                         .header("Authorization", "Bearer secret")
@@ -305,23 +307,24 @@
                         .method(method, HttpRequest.BodyPublishers.ofString(body)));
     }
 
-    private String create(int node, int number) throws Exception {
+    private String createTesTask(int node, int number) throws Exception {
         HttpResponse<byte[]> reply = tes(node, "POST", "/tasks", TASK.formatted(number));
         assertEquals(200, reply.statusCode(), new String(reply.body()));
         return new MessageReader(JsonCodec.decode(reply.body())).string("id");
     }
 
-    private String state(int node, String id) throws Exception {
+    private String tesState(int node, String id) throws Exception {
         HttpResponse<byte[]> reply = tes(node, "GET", "/tasks/" + id, "");
         return reply.statusCode() == 200
                 ? new MessageReader(JsonCodec.decode(reply.body())).string("state")
                 : String.valueOf(reply.statusCode());
     }
 
-    private HttpResponse<byte[]> plain(int node, String method, String path, byte[] body)
+    private HttpResponse<byte[]> sendNative(int node, String method, String path, byte[] body)
             throws Exception {
         return send(
-                HttpRequest.newBuilder(URI.create("http://" + fronts.get(anyNode(node)) + path))
+                HttpRequest.newBuilder(
+                                URI.create("http://" + fronts.get(controllerUrl(node)) + path))
                         .method(method, HttpRequest.BodyPublishers.ofByteArray(body)));
     }
 
@@ -329,7 +332,7 @@
         JobSpec job = SimulatedCluster.spec(number, JobKind.ARRAY, 1, 1);
         assertEquals(
                 201,
-                plain(
+                sendNative(
                                 node,
                                 "POST",
                                 "/submissions",
@@ -338,8 +341,8 @@
         return job.id();
     }
 
-    private String phase(int node, JobId id) throws Exception {
-        HttpResponse<byte[]> reply = plain(node, "GET", "/submissions/" + id, new byte[0]);
+    private String jobPhase(int node, JobId id) throws Exception {
+        HttpResponse<byte[]> reply = sendNative(node, "GET", "/submissions/" + id, new byte[0]);
         return reply.statusCode() == 200
                 ? MessageReader.decode(reply.body()).string("phase")
                 : String.valueOf(reply.statusCode());
@@ -355,56 +358,58 @@
     }
 
     private String leader() {
-        Map<String, Object> record = loop.callAndWait(() -> store.value(RecordCodec.LEADER_KEY));
+        Map<String, Object> record = loop.callAndWait(() -> store.valueOf(RecordCodec.LEADER_KEY));
         return record == null ? null : (String) record.get("member");
     }
 
-    private long count(JobEventLog.EventType eventType) {
+    private long eventCount(JobEventLog.EventType eventType) {
         return events().stream().filter(event -> event.type() == eventType).count();
     }
 
     @Test
-    void bothKindsOfJobsShareOneLimitAndOneOrderThroughATakeover() throws Exception {
+    void nativeAndTesJobsShareQuotaAndOrderingAcrossFailover() throws Exception {
         for (int node = 0; node < 3; node++) {
             int at = node;
-            await("ready", () -> plain(at, "GET", "/ready", new byte[0]).statusCode() == 200);
+            awaitTrue(
+                    "ready",
+                    () -> sendNative(at, "GET", "/ready", new byte[0]).statusCode() == 200);
         }
         List<JobId> came = new ArrayList<>();
         List<String> tasks = new ArrayList<>();
         for (int at = 0; at < 4; at++) {
             came.add(submit(at, at + 1));
-            tasks.add(create(at + 1, at));
+            tasks.add(createTesTask(at + 1, at));
             came.add(new JobId(tasks.get(at)));
         }
         List<TaskId> first =
                 came.subList(0, LIMIT).stream().map(job -> new TaskId(job, 0)).toList();
-        await("as many as the team may have", () -> running().size() == LIMIT);
+        awaitTrue("as many as the team may have", () -> running().size() == LIMIT);
         assertEquals(new HashSet<>(first), running(), "first come, first placed, by either way");
-        await(
+        awaitTrue(
                 "told by every node",
                 () ->
-                        state(0, tasks.get(0)).equals("RUNNING")
-                                && state(1, tasks.get(1)).equals("RUNNING")
-                                && state(2, tasks.get(2)).equals("QUEUED"));
+                        tesState(0, tasks.get(0)).equals("RUNNING")
+                                && tesState(1, tasks.get(1)).equals("RUNNING")
+                                && tesState(2, tasks.get(2)).equals("QUEUED"));
         assertEquals(200, tes(2, "POST", "/tasks/" + tasks.get(3) + ":cancel", "").statusCode());
-        await("cancelled", () -> state(0, tasks.get(3)).equals("CANCELED"));
+        awaitTrue("cancelled", () -> tesState(0, tasks.get(3)).equals("CANCELED"));
         String leader = leader();
         nodes.remove(leader).close();
-        await("another leader", () -> leader() != null && !leader().equals(leader));
-        assertEquals(LIMIT, count(JobEventLog.EventType.PLACED), "nothing is placed again");
+        awaitTrue("another leader", () -> leader() != null && !leader().equals(leader));
+        assertEquals(LIMIT, eventCount(JobEventLog.EventType.PLACED), "nothing is placed again");
         loop.callAndWait(
                 () -> {
                     workers.forEach(LoopbackWorker::endAll);
                     return null;
                 });
-        await("the end of all", () -> count(JobEventLog.EventType.ENDED) == came.size());
+        awaitTrue("the end of all", () -> eventCount(JobEventLog.EventType.ENDED) == came.size());
         for (int node = 0; node < 2; node++) {
             for (int at = 0; at < 4; at++) {
-                assertEquals(at < 3 ? "COMPLETE" : "CANCELED", state(node, tasks.get(at)));
-                assertEquals("done", phase(node, came.get(2 * at)));
+                assertEquals(at < 3 ? "COMPLETE" : "CANCELED", tesState(node, tasks.get(at)));
+                assertEquals("done", jobPhase(node, came.get(2 * at)));
             }
         }
-        assertEquals("404", phase(0, new JobId(tasks.get(0))), "a task is no native job");
+        assertEquals("404", jobPhase(0, new JobId(tasks.get(0))), "a task is no native job");
         MessageReader list =
                 new MessageReader(
                         JsonCodec.decode(
@@ -415,7 +420,7 @@
                 send(HttpRequest.newBuilder(
                                         URI.create(
                                                 "http://127.0.0.1:"
-                                                        + nodes.get(anyNode(0)).tesPort()
+                                                        + nodes.get(controllerUrl(0)).tesPort()
                                                         + "/ga4gh/tes/v1/tasks"))
                                 .GET())
                         .statusCode());
--- a/src/test/java/org/meadowhollow/simulation/MachineFailureScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/MachineFailureScenarioTest.java
@@ -20,88 +20,88 @@
     private JobSpec runningReplica() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 1, 1);
         assertTrue(cluster.submit(0, job, null));
-        cluster.runS(10);
+        cluster.runSeconds(10);
         return job;
     }
 
     @Test
-    void aStartNeedNotWaitForTheNextReport() {
+    void startIsSentWithoutWaitingForNextHeartbeat() {
         // All machines report every 3 s from the same moment on, and have just done so.
-        cluster.runS(3.25);
+        cluster.runSeconds(3.25);
         JobSpec job = array(1, 6);
-        assertTrue(cluster.submit(0, job, LONG));
-        cluster.runS(1.5);
+        assertTrue(cluster.submit(0, job, LONG_RUNTIME));
+        cluster.runSeconds(1.5);
         assertTrue(
                 cluster.workers().stream()
-                        .anyMatch(worker -> worker.holds(new TaskId(job.id(), 0))));
+                        .anyMatch(worker -> worker.hasTask(new TaskId(job.id(), 0))));
     }
 
     @Test
-    void aHungMachinesTasksRunElsewhereAndItMayGoOnLater() {
+    void tasksOfHungMachineRunElsewhereAndMachineMayResume() {
         JobSpec job = runningReplica();
-        FakeWorker hung = placeOf(job, 0);
-        cluster.cloudOut(true);
-        hung.hang(true);
-        cluster.runS(12);
-        assertEquals(1, cluster.starts(), "its lease may still hold");
-        cluster.runS(20);
-        assertEquals(2, cluster.starts());
-        hung.hang(false);
-        cluster.runS(20);
-        assertEquals(1, cluster.on(new TaskId(job.id(), 0)).size());
+        FakeWorker hung = machineRunning(job, 0);
+        cluster.failCloud(true);
+        hung.setHung(true);
+        cluster.runSeconds(12);
+        assertEquals(1, cluster.startCount(), "its lease may still hold");
+        cluster.runSeconds(20);
+        assertEquals(2, cluster.startCount());
+        hung.setHung(false);
+        cluster.runSeconds(20);
+        assertEquals(1, cluster.machinesRunning(new TaskId(job.id(), 0)).size());
     }
 
     @Test
-    void aMachineThatNeverShowedTheNewTokenHoldsItsTasksForTheWholeLimit() {
+    void machineWithoutNewFencingTokenKeepsTasksForFullTimeout() {
         JobSpec job = runningReplica();
-        FakeWorker hung = placeOf(job, 0);
-        cluster.cloudOut(true);
-        hung.hang(true);
+        FakeWorker hung = machineRunning(job, 0);
+        cluster.failCloud(true);
+        hung.setHung(true);
         cluster.crash(cluster.leader());
-        cluster.runS(40);
-        assertEquals(1, cluster.starts(), "an earlier leader might still renew its lease");
-        cluster.runS(30);
-        assertEquals(2, cluster.starts());
+        cluster.runSeconds(40);
+        assertEquals(1, cluster.startCount(), "an earlier leader might still renew its lease");
+        cluster.runSeconds(30);
+        assertEquals(2, cluster.startCount());
     }
 
     @Test
-    void aStartWhoseAnswerWasLostIsSentAgain() {
-        cluster.workers().forEach(worker -> worker.deaf(true));
+    void startWithLostResponseIsResent() {
+        cluster.workers().forEach(worker -> worker.loseIncoming(true));
         JobSpec job = array(1, 2);
-        assertTrue(cluster.submit(0, job, SHORT));
-        cluster.runS(7);
-        assertEquals(0, cluster.starts());
-        cluster.workers().forEach(worker -> worker.deaf(false));
-        cluster.runS(25);
-        assertEquals(2, cluster.starts());
-        assertEquals(Phase.DONE, phase(job));
+        assertTrue(cluster.submit(0, job, SHORT_RUNTIME));
+        cluster.runSeconds(7);
+        assertEquals(0, cluster.startCount());
+        cluster.workers().forEach(worker -> worker.loseIncoming(false));
+        cluster.runSeconds(25);
+        assertEquals(2, cluster.startCount());
+        assertEquals(Phase.DONE, phaseOf(job));
     }
 
     @Test
-    void aReplicaIsMovedFromASilentMachineBeforeItsLeaseEnds() {
+    void replicaIsMovedFromSilentMachineBeforeLeaseExpires() {
         JobSpec job = runningReplica();
-        placeOf(job, 0).hang(true);
-        cluster.runS(16);
-        assertEquals(2, cluster.starts());
+        machineRunning(job, 0).setHung(true);
+        cluster.runSeconds(16);
+        assertEquals(2, cluster.startCount());
     }
 
     @Test
-    void manySilentMachinesAreNotGivenUpAtOnce() {
-        JobSpec job = zoned(SimulatedCluster.spec(1, JobKind.SERVICE, 4, 8), false, false);
+    void manySilentMachinesAreNotReturnedAtOnce() {
+        JobSpec job = withZonePolicy(SimulatedCluster.spec(1, JobKind.SERVICE, 4, 8), false, false);
         assertTrue(cluster.submit(0, job, null));
-        cluster.runS(10);
+        cluster.runSeconds(10);
         int before = cluster.workers().size();
         for (int task = 0; task < 4; task++) {
-            placeOf(job, task).hang(true);
+            machineRunning(job, task).setHung(true);
         }
-        cluster.runS(16);
+        cluster.runSeconds(16);
         assertEquals(before, cluster.workers().size(), "the fault may be on this side");
     }
 
     @Test
-    void aReportThatComesLateIsDropped() {
+    void outOfOrderHeartbeatIsDropped() {
         JobSpec job = runningReplica();
-        FakeWorker place = placeOf(job, 0);
+        FakeWorker place = machineRunning(job, 0);
         Heartbeat now = place.snapshot();
         Heartbeat late =
                 new Heartbeat(
@@ -117,33 +117,33 @@
                         List.of(
                                 new Heartbeat.TaskStatus(
                                         new TaskId(job.id(), 0),
-                                        place.attempt(new TaskId(job.id(), 0)),
+                                        place.attemptOf(new TaskId(job.id(), 0)),
                                         TaskState.EXITED,
                                         ExitReason.ERROR)));
-        cluster.deliver(cluster.leader(), late);
-        cluster.runS(15);
-        assertEquals(1, cluster.starts());
+        cluster.deliverHeartbeat(cluster.leader(), late);
+        cluster.runSeconds(15);
+        assertEquals(1, cluster.startCount());
     }
 
     @Test
-    void aReplicaLeavesAMachineThatIsTakenBack() {
+    void replicaLeavesPreemptedMachine() {
         JobSpec job = runningReplica();
-        FakeWorker first = placeOf(job, 0);
-        first.notice(25);
-        cluster.runS(15);
-        FakeWorker second = placeOf(job, 0);
+        FakeWorker first = machineRunning(job, 0);
+        first.announcePreemption(25);
+        cluster.runSeconds(15);
+        FakeWorker second = machineRunning(job, 0);
         assertTrue(second != null && second != first);
     }
 
     @Test
-    void machinesAreRentedForWorkAndReturnedWhenIdle() {
+    void machinesScaleOutForWorkAndScaleInWhenIdle() {
         JobSpec job = array(1, 60);
         int before = cluster.workers().size();
         assertTrue(cluster.submit(0, job, Duration.ofSeconds(30)));
-        cluster.runS(40);
+        cluster.runSeconds(40);
         assertTrue(cluster.workers().size() > before);
-        cluster.runS(200);
-        assertEquals(Phase.DONE, phase(job));
+        cluster.runSeconds(200);
+        assertEquals(Phase.DONE, phaseOf(job));
         assertTrue(cluster.workers().size() <= 1, cluster.workers().size() + " are left idle");
     }
 
@@ -152,19 +152,19 @@
      * long as a replica ran there.
      */
     @Test
-    void aMachineWhoseReturnWasRefusedTakesTasksAgain() {
+    void machineWhoseReturnWasRefusedRunsTasksAgain() {
         JobSpec job = runningReplica();
-        FakeWorker place = placeOf(job, 0);
-        cluster.mostMachines(0);
-        cluster.cloudOut(true);
-        place.hang(true);
-        cluster.runS(12);
-        place.hang(false);
-        cluster.runS(20);
-        assertEquals(place, placeOf(job, 0));
+        FakeWorker place = machineRunning(job, 0);
+        cluster.limitRentedMachines(0);
+        cluster.failCloud(true);
+        place.setHung(true);
+        cluster.runSeconds(12);
+        place.setHung(false);
+        cluster.runSeconds(20);
+        assertEquals(place, machineRunning(job, 0));
         JobSpec more = array(2, 47);
-        assertTrue(cluster.submit(0, more, LONG));
-        cluster.runS(10);
-        assertTrue(allRun(job) && allRun(more), "all room there is");
+        assertTrue(cluster.submit(0, more, LONG_RUNTIME));
+        cluster.runSeconds(10);
+        assertTrue(allTasksRunning(job) && allTasksRunning(more), "all room there is");
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/NightlyReservationsScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/NightlyReservationsScenarioTest.java
@@ -40,25 +40,25 @@
      */
     private record Month(int onTime, int others) {}
 
-    private static Month month(long seed, boolean reserved, boolean faults) {
+    private static Month simulateMonth(long seed, boolean reserved, boolean faults) {
         Random random = new Random(seed);
         SimulatedCluster cluster = new SimulatedCluster();
         for (int at = 0; at < 4; at++) {
-            cluster.machine(SimulatedCluster.SMALL, at % 2 == 0 ? "a" : "b");
+            cluster.addMachine(SimulatedCluster.SMALL, at % 2 == 0 ? "a" : "b");
         }
-        cluster.machine(SimulatedCluster.LARGE, "a");
-        cluster.machine(SimulatedCluster.LARGE, "b");
-        cluster.mostMachines(6);
-        cluster.calendar(Map.of());
+        cluster.addMachine(SimulatedCluster.LARGE, "a");
+        cluster.addMachine(SimulatedCluster.LARGE, "b");
+        cluster.limitRentedMachines(6);
+        cluster.enableReservations(Map.of());
         cluster.loop()
                 .skip(
                         Duration.between(
                                 Instant.ofEpochMilli(cluster.loop().wallClockMillis()),
                                 FIRST.atStartOfDay(ZONE).toInstant()));
-        cluster.runS(15);
+        cluster.runSeconds(15);
         if (reserved) {
             Http.Reply reply =
-                    cluster.operate(
+                    cluster.sendReservationRequest(
                             0,
                             "secret",
                             "PUT",
@@ -133,11 +133,11 @@
                                 other,
                                 Duration.ofMillis(
                                         (long) (estimate * (500 + random.nextInt(1000))))));
-                cluster.runS(random.nextInt(60));
+                cluster.runSeconds(random.nextInt(60));
             }
-            fault(cluster, faults ? random.nextInt(5) : -1);
+            injectFault(cluster, faults ? random.nextInt(5) : -1);
             double leftS = (two.toEpochMilli() - cluster.loop().wallClockMillis()) / 1000.0;
-            cluster.runS(Math.max(0, leftS));
+            cluster.runSeconds(Math.max(0, leftS));
             JobSpec run = SimulatedCluster.spec(++number, JobKind.ARRAY, TASKS, 1);
             run =
                     new JobSpec(
@@ -162,58 +162,58 @@
             for (int node = 0; !cluster.submit(node % 3, run, Duration.ofSeconds(60)); node++) {
                 assertTrue(node < 10, "nobody takes it");
             }
-            cluster.runS(ON_TIME_S);
+            cluster.runSeconds(ON_TIME_S);
             int running = 0;
             for (int task = 0; task < TASKS; task++) {
-                running += cluster.on(new TaskId(run.id(), task)).isEmpty() ? 0 : 1;
+                running += cluster.machinesRunning(new TaskId(run.id(), task)).isEmpty() ? 0 : 1;
             }
             onTime += running == TASKS ? 1 : 0;
-            cluster.runS(200);
+            cluster.runSeconds(200);
             cluster.restartAll();
-            cluster.runS(5);
+            cluster.runSeconds(5);
             for (JobSpec each : background) {
                 others += cluster.poll(0, each.id()).orElseThrow().done();
                 cluster.cancel(1, each.id());
             }
             cluster.cancel(1, run.id());
-            cluster.runS(30);
+            cluster.runSeconds(30);
         }
         return new Month(onTime, others);
     }
 
     /** Something that happens in the last minutes before the run. */
-    private static void fault(SimulatedCluster cluster, int which) {
+    private static void injectFault(SimulatedCluster cluster, int which) {
         switch (which) {
             case 0 -> {
                 cluster.crash(cluster.leader());
-                cluster.runS(20);
+                cluster.runSeconds(20);
             }
             case 1 -> {
                 cluster.crashAll();
-                cluster.runS(3);
+                cluster.runSeconds(3);
                 cluster.restartAll();
             }
             case 2 -> {
-                cluster.store().out(true);
-                cluster.runS(20);
-                cluster.store().out(false);
+                cluster.store().setOutage(true);
+                cluster.runSeconds(20);
+                cluster.store().setOutage(false);
             }
-            case 3 -> cluster.cloudOut(true);
-            default -> cluster.cloudOut(false);
+            case 3 -> cluster.failCloud(true);
+            default -> cluster.failCloud(false);
         }
     }
 
     @Test
-    void everyReservedRunStartsOnTimeAndTheSameMonthWithoutItsReservationDoesNot() {
-        Month with = month(1, true, false);
-        Month without = month(1, false, false);
+    void reservedRunsStartOnTimeAndUnreservedRunsDoNot() {
+        Month with = simulateMonth(1, true, false);
+        Month without = simulateMonth(1, false, false);
         assertEquals(NIGHTS, with.onTime());
         assertTrue(without.onTime() < NIGHTS / 2, () -> "" + without);
     }
 
     @Test
-    void everyReservedRunStartsOnTimeWhileThingsFail() {
-        Month with = month(8, true, true);
+    void reservedRunsStartOnTimeDespiteFaults() {
+        Month with = simulateMonth(8, true, true);
         assertEquals(NIGHTS, with.onTime());
     }
 }
