--- a/src/test/java/org/meadowhollow/simulation/OverlappingFaultsScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/OverlappingFaultsScenarioTest.java
@@ -28,10 +28,11 @@
                         SimulatedCluster.spec(2, JobKind.GANG, 4, 2),
                         SimulatedCluster.spec(3, JobKind.SERVICE, 3, 1));
         for (JobSpec job : jobs) {
-            assertTrue(cluster.submit(0, job, job.kind() == JobKind.SERVICE ? null : HOURS));
+            assertTrue(
+                    cluster.submit(0, job, job.kind() == JobKind.SERVICE ? null : HOURS_RUNTIME));
         }
-        cluster.runS(15);
-        jobs.forEach(job -> assertTrue(allRun(job), job.id() + " should run"));
+        cluster.runSeconds(15);
+        jobs.forEach(job -> assertTrue(allTasksRunning(job), job.id() + " should run"));
         return jobs;
     }
 
@@ -40,7 +41,7 @@
         jobs.forEach(
                 job ->
                         assertTrue(
-                                allRun(job),
+                                allTasksRunning(job),
                                 job.id() + " should still run when its cancellation is confirmed"));
     }
 
@@ -48,17 +49,17 @@
      * What the judge of {@link SimulatedCluster} watches over at each step, and that it had
      * something to watch.
      */
-    private void goneInTime(List<JobSpec> jobs) {
+    private void assertStoppedWithinBound(List<JobSpec> jobs) {
         for (JobSpec job : jobs) {
             for (int task = 0; task < job.taskCount(); task++) {
-                assertEquals(null, placeOf(job, task), "task " + task + " of " + job.id());
+                assertEquals(null, machineRunning(job, task), "task " + task + " of " + job.id());
             }
         }
     }
 
-    private void hideRecords() {
+    private void hideTaskRecords() {
         for (int node = 0; node < 3; node++) {
-            cluster.line(node).hide(RecordCodec.TASK_PREFIX);
+            cluster.storeConnection(node).hidePrefix(RecordCodec.TASK_PREFIX);
         }
     }
 
@@ -66,168 +67,170 @@
      * The state service refuses the leader, no other node tells it anything, and another one
      * confirms the cancellations.
      */
-    private void refusedAloneWhileCancelled(int leader, List<JobSpec> jobs) {
-        cluster.peersCut(true);
-        cluster.line(leader).cut(true);
-        cancelAll(other(leader, 1), jobs);
+    private void cancelWhileLeaderIsRefusedAlone(int leader, List<JobSpec> jobs) {
+        cluster.cutPeers(true);
+        cluster.storeConnection(leader).refuseRequests(true);
+        cancelAll(nodeAfter(leader, 1), jobs);
     }
 
-    private void outForAllAfter(int refused, List<JobSpec> jobs) {
-        cluster.store().out(true);
-        cluster.line(refused).cut(false);
-        cluster.runS(90);
-        goneInTime(jobs);
+    private void failStoreForAllAfter(int refused, List<JobSpec> jobs) {
+        cluster.store().setOutage(true);
+        cluster.storeConnection(refused).refuseRequests(false);
+        cluster.runSeconds(90);
+        assertStoppedWithinBound(jobs);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 6, 12, 30})
-    void refusedAloneForSecondsThenOutForAll(int refusedS) {
+    void storeRefusesLeaderAloneThenFailsForAll(int refusedS) {
         List<JobSpec> jobs = longJobs();
         int leader = cluster.leader();
-        refusedAloneWhileCancelled(leader, jobs);
-        cluster.runS(refusedS);
-        outForAllAfter(leader, jobs);
+        cancelWhileLeaderIsRefusedAlone(leader, jobs);
+        cluster.runSeconds(refusedS);
+        failStoreForAllAfter(leader, jobs);
     }
 
     @Test
-    void aLeaderThatIsServedForAnInstantRenewsAndKnowsNoMore() {
+    void leaderServedBrieflyRenewsLeaseButLearnsNothingNew() {
         List<JobSpec> jobs = longJobs();
         int leader = cluster.leader();
-        cluster.line(leader).failWatches(true);
-        refusedAloneWhileCancelled(leader, jobs);
+        cluster.storeConnection(leader).failWatches(true);
+        cancelWhileLeaderIsRefusedAlone(leader, jobs);
         for (int instant = 0; instant < 4; instant++) {
-            cluster.runS(2);
-            cluster.line(leader).cut(false);
-            cluster.runS(0.75);
-            cluster.line(leader).cut(true);
+            cluster.runSeconds(2);
+            cluster.storeConnection(leader).refuseRequests(false);
+            cluster.runSeconds(0.75);
+            cluster.storeConnection(leader).refuseRequests(true);
         }
         assertEquals(leader, cluster.leader(), "its renewals were answered");
-        outForAllAfter(leader, jobs);
+        failStoreForAllAfter(leader, jobs);
     }
 
     @Test
-    void aLeaderWhoseWatchesFailReadsWhatItMissed() {
+    void leaderWithFailingWatchesReadsMissedChanges() {
         List<JobSpec> jobs = longJobs();
         int leader = cluster.leader();
-        cluster.line(leader).failWatches(true);
-        cancelAll(other(leader, 1), jobs);
+        cluster.storeConnection(leader).failWatches(true);
+        cancelAll(nodeAfter(leader, 1), jobs);
         JobSpec another = array(4, 6);
-        cluster.submit(other(leader, 2), another, HOURS);
-        cluster.runS(40);
-        goneInTime(jobs);
+        cluster.submit(nodeAfter(leader, 2), another, HOURS_RUNTIME);
+        cluster.runSeconds(40);
+        assertStoppedWithinBound(jobs);
         assertEquals(leader, cluster.leader());
-        assertTrue(allRun(another), "what was submitted meanwhile begins");
+        assertTrue(allTasksRunning(another), "what was submitted meanwhile begins");
     }
 
     @Test
-    void aNewLeaderThatHasNotLoadedRenewsNothing() {
+    void newLeaderRenewsNoTaskLeasesBeforeRecovery() {
         List<JobSpec> jobs = longJobs();
         int leader = cluster.leader();
-        hideRecords();
-        refusedAloneWhileCancelled(leader, jobs);
-        cluster.runS(10);
+        hideTaskRecords();
+        cancelWhileLeaderIsRefusedAlone(leader, jobs);
+        cluster.runSeconds(10);
         assertFalse(leader == cluster.leader(), "another node leads, and is loading");
-        outForAllAfter(leader, jobs);
+        failStoreForAllAfter(leader, jobs);
     }
 
     @Test
-    void leadersThatFollowOneAnotherWithoutTheRecords() {
+    void consecutiveLeadersWithoutRecordsKeepTasks() {
         List<JobSpec> jobs = longJobs();
-        hideRecords();
+        hideTaskRecords();
         int leader = cluster.leader();
-        refusedAloneWhileCancelled(leader, jobs);
+        cancelWhileLeaderIsRefusedAlone(leader, jobs);
         for (int takeover = 0; takeover < 2; takeover++) {
-            cluster.runS(9);
+            cluster.runSeconds(9);
             int next = cluster.leader();
             assertTrue(next >= 0);
-            cluster.line(next).cut(true);
-            cluster.line(leader).cut(false);
+            cluster.storeConnection(next).refuseRequests(true);
+            cluster.storeConnection(leader).refuseRequests(false);
             leader = next;
         }
-        outForAllAfter(leader, jobs);
+        failStoreForAllAfter(leader, jobs);
     }
 
     @Test
-    void aPlainOutageLetsNoTaskGoSoonerThanTheRulesNeed() {
+    void plainStoreOutageReleasesNoTaskTooEarly() {
         List<JobSpec> jobs = longJobs();
-        cluster.store().out(true);
+        cluster.store().setOutage(true);
         // cancel_s less a look's age and a second: what was not cancelled goes on for so long, and
         // through an outage shorter than it.
-        cluster.runS(24);
-        cluster.store().out(false);
-        cluster.runS(20);
-        jobs.forEach(job -> assertTrue(allRun(job)));
-        assertEquals(19, cluster.starts());
+        cluster.runSeconds(24);
+        cluster.store().setOutage(false);
+        cluster.runSeconds(20);
+        jobs.forEach(job -> assertTrue(allTasksRunning(job)));
+        assertEquals(19, cluster.startCount());
     }
 
     @Test
-    void anOutageThatLastsEndsAllLeasesAndAfterItAllRunAgain() {
+    void longStoreOutageExpiresAllLeasesAndTasksRunAgainAfterwards() {
         List<JobSpec> jobs = longJobs();
-        cluster.store().out(true);
-        cluster.runS(80);
-        goneInTime(jobs);
-        cluster.store().out(false);
-        cluster.runS(90);
-        jobs.forEach(job -> assertTrue(allRun(job)));
+        cluster.store().setOutage(true);
+        cluster.runSeconds(80);
+        assertStoppedWithinBound(jobs);
+        cluster.store().setOutage(false);
+        cluster.runSeconds(90);
+        jobs.forEach(job -> assertTrue(allTasksRunning(job)));
     }
 
     @Test
-    void anAnswerBelowWhatWasShownIsNoNews() {
+    void watchResponseWithOlderRevisionIsIgnored() {
         List<JobSpec> jobs = longJobs();
         int leader = cluster.leader();
-        cluster.line(leader).goBack(true);
-        cancelAll(other(leader, 1), jobs);
-        cluster.runS(70);
-        goneInTime(jobs);
+        cluster.storeConnection(leader).returnOlderRevisions(true);
+        cancelAll(nodeAfter(leader, 1), jobs);
+        cluster.runSeconds(70);
+        assertStoppedWithinBound(jobs);
     }
 
     @Test
-    void aJobTakenInAndCancelledBetweenTwoLooksComesToItsEnd() {
+    void jobAcceptedAndCancelledBetweenTwoReadsIsFinalised() {
         int leader = cluster.leader();
-        cluster.line(leader).failWatches(true);
+        cluster.storeConnection(leader).failWatches(true);
         JobSpec job = array(1, 2);
-        assertTrue(cluster.submit(other(leader, 1), job, HOURS));
-        assertTrue(cluster.cancel(other(leader, 1), job.id()));
+        assertTrue(cluster.submit(nodeAfter(leader, 1), job, HOURS_RUNTIME));
+        assertTrue(cluster.cancel(nodeAfter(leader, 1), job.id()));
         // All jobs are read instead, which shows it cancelled at once.
-        cluster.runS(20);
-        assertEquals(0, cluster.store().size(RecordCodec.JOB_PREFIX), "its end is written");
+        cluster.runSeconds(20);
+        assertEquals(0, cluster.store().recordCount(RecordCodec.JOB_PREFIX), "its end is written");
     }
 
     @Test
-    void machinesThatAreBackAtOnceAreReturnedAndNobodyWaitsForThem() {
+    void machinesRebootedAtOnceAreReturnedWithoutDelay() {
         List<JobSpec> jobs = longJobs();
         List<FakeWorker> back = cluster.workers().subList(0, 2);
         back.forEach(FakeWorker::reboot);
-        cluster.runS(20);
+        cluster.runSeconds(20);
         assertTrue(
-                cluster.returned().containsAll(back.stream().map(FakeWorker::id).toList()),
+                cluster.returnedMachines().containsAll(back.stream().map(FakeWorker::id).toList()),
                 "what they report cannot be told from late copies");
-        cluster.runS(10);
-        jobs.forEach(job -> assertTrue(allRun(job)));
+        cluster.runSeconds(10);
+        jobs.forEach(job -> assertTrue(allTasksRunning(job)));
     }
 
     @Test
-    void aCancelledTaskOfAFormerLifeIsNotWaitedForByALeaderThatMeetsTheNewOne() {
+    void newLeaderDoesNotWaitForCancelledTaskOfEarlierGeneration() {
         JobSpec job = array(1, 1);
         FakeWorker worker = cluster.workers().get(0);
-        worker.hang(true);
-        cluster.runS(20);
-        worker.hang(false);
-        cluster.runS(8);
+        worker.setHung(true);
+        cluster.runSeconds(20);
+        worker.setHung(false);
+        cluster.runSeconds(8);
         for (FakeWorker other : cluster.workers()) {
-            other.hang(other != worker);
+            other.setHung(other != worker);
         }
-        assertTrue(cluster.submit(0, job, HOURS));
-        cluster.runS(8);
-        assertEquals(worker, placeOf(job, 0), "in its second session");
-        cluster.workers().forEach(other -> other.hang(false));
+        assertTrue(cluster.submit(0, job, HOURS_RUNTIME));
+        cluster.runSeconds(8);
+        assertEquals(worker, machineRunning(job, 0), "in its second session");
+        cluster.workers().forEach(other -> other.setHung(false));
         int leader = cluster.leader();
         worker.reboot();
         cluster.crash(leader);
-        assertTrue(cluster.cancel(other(leader, 1), job.id()));
-        cluster.runS(15);
+        assertTrue(cluster.cancel(nodeAfter(leader, 1), job.id()));
+        cluster.runSeconds(15);
         assertEquals(
-                0, cluster.store().size(RecordCodec.TASK_PREFIX), "what it left is cleared away");
+                0,
+                cluster.store().recordCount(RecordCodec.TASK_PREFIX),
+                "what it left is cleared away");
     }
 
     /**
@@ -236,36 +239,36 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4, 6, 9, 12})
-    void jobsWhoseTasksEndFarApartAcrossAChangeOfLeaderAreDoneOnceAndWhole(int quartersOfASecond) {
+    void jobsEndingAcrossFailoverCompleteExactlyOnce(int quartersOfASecond) {
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 2, 8);
-        assertTrue(cluster.submit(0, job, SHORT));
-        for (int step = 0; step < 80 && placeOf(job, 1) == null; step++) {
-            cluster.runS(0.25);
+        assertTrue(cluster.submit(0, job, SHORT_RUNTIME));
+        for (int step = 0; step < 80 && machineRunning(job, 1) == null; step++) {
+            cluster.runSeconds(0.25);
         }
-        cluster.runS(7);
-        FakeWorker second = placeOf(job, 1);
-        second.hang(true);
+        cluster.runSeconds(7);
+        FakeWorker second = machineRunning(job, 1);
+        second.setHung(true);
         if (quartersOfASecond % 2 == 1) {
             // The end is not committed, so the worker may not be told to forget it.
-            cluster.line(cluster.leader()).holdCommits();
+            cluster.storeConnection(cluster.leader()).holdCommits();
         }
-        for (int step = 0; step < 80 && placeOf(job, 0) != null; step++) {
-            cluster.runS(0.25);
+        for (int step = 0; step < 80 && machineRunning(job, 0) != null; step++) {
+            cluster.runSeconds(0.25);
         }
-        cluster.runS(quartersOfASecond * 0.25);
+        cluster.runSeconds(quartersOfASecond * 0.25);
         int leader = cluster.leader();
         cluster.crash(leader);
-        cluster.runS(5);
-        assertFalse(phase(job) == Phase.DONE, "its second task has not ended");
-        second.hang(false);
+        cluster.runSeconds(5);
+        assertFalse(phaseOf(job) == Phase.DONE, "its second task has not ended");
+        second.setHung(false);
         cluster.restart(leader);
-        cluster.runS(30);
-        assertEquals(Phase.DONE, phase(job));
-        assertEquals(2, cluster.starts(), "no finished task runs again");
+        cluster.runSeconds(30);
+        assertEquals(Phase.DONE, phaseOf(job));
+        assertEquals(2, cluster.startCount(), "no finished task runs again");
         assertEquals(
                 0,
-                cluster.store().size(RecordCodec.JOB_PREFIX)
-                        + cluster.store().size(RecordCodec.TASK_PREFIX));
+                cluster.store().recordCount(RecordCodec.JOB_PREFIX)
+                        + cluster.store().recordCount(RecordCodec.TASK_PREFIX));
     }
 
     /**
@@ -274,20 +277,20 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {20, 35, 60})
-    void aZoneWithWorkersAndItsLeaderIsCutOffForLongerThanTheLease(int cutS) {
+    void zoneWithItsLeaderIsPartitionedLongerThanLease(int cutS) {
         List<JobSpec> jobs = longJobs();
         JobSpec stays = SimulatedCluster.spec(4, JobKind.SERVICE, 6, 2);
         assertTrue(cluster.submit(0, stays, null));
-        cluster.runS(8);
-        assertTrue(allRun(stays));
+        cluster.runSeconds(8);
+        assertTrue(allTasksRunning(stays));
         int leader = cluster.leader();
-        cluster.apart(leader, true);
+        cluster.partition(leader, true);
         cluster.cutFromZone(leader, "b", true);
-        cluster.cutFromZone(other(leader, 1), "a", true);
-        cluster.cutFromZone(other(leader, 2), "a", true);
-        cluster.runS(3);
-        cancelAll(other(leader, 1), jobs);
-        cluster.runS(12);
+        cluster.cutFromZone(nodeAfter(leader, 1), "a", true);
+        cluster.cutFromZone(nodeAfter(leader, 2), "a", true);
+        cluster.runSeconds(3);
+        cancelAll(nodeAfter(leader, 1), jobs);
+        cluster.runSeconds(12);
         assertFalse(leader == cluster.leader());
         assertTrue(
                 jobs.stream()
@@ -297,7 +300,9 @@
                                                 .anyMatch(
                                                         worker ->
                                                                 worker.zone().equals("a")
-                                                                        && worker.running().stream()
+                                                                        && worker
+                                                                                .runningTasks()
+                                                                                .stream()
                                                                                 .anyMatch(
                                                                                         task ->
                                                                                                 task.jobId()
@@ -305,21 +310,21 @@
                                                                                                                 job
                                                                                                                         .id())))),
                 "the cut zone goes on inside");
-        cluster.runS(cutS);
-        cluster.apart(leader, false);
+        cluster.runSeconds(cutS);
+        cluster.partition(leader, false);
         for (int node = 0; node < 3; node++) {
             cluster.cutFromWorkers(node, false);
         }
-        cluster.runS(40);
-        goneInTime(jobs);
+        cluster.runSeconds(40);
+        assertStoppedWithinBound(jobs);
         // What was not called off counts as running in the cut zone for as long as its leader may
         // have gone on answering.
-        cluster.runS(30);
-        assertTrue(allRun(stays));
+        cluster.runSeconds(30);
+        assertTrue(allTasksRunning(stays));
         assertEquals(
                 2,
-                cluster.store().size(RecordCodec.JOB_PREFIX)
-                        + cluster.store().size(RecordCodec.TASK_PREFIX));
+                cluster.store().recordCount(RecordCodec.JOB_PREFIX)
+                        + cluster.store().recordCount(RecordCodec.TASK_PREFIX));
     }
 
     /**
@@ -328,89 +333,97 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 2, 5, 8, 11})
-    void whatALeaderWroteIsCarriedOutAfterItsNewerWrites(int fromS) {
+    void delayedWriteIsAppliedAfterNewerWritesOfSameLeader(int fromS) {
         JobSpec first = SimulatedCluster.spec(1, JobKind.ARRAY, 6, 1);
         JobSpec second = SimulatedCluster.spec(2, JobKind.GANG, 2, 2);
-        assertTrue(cluster.submit(0, first, SHORT));
-        cluster.runS(fromS);
+        assertTrue(cluster.submit(0, first, SHORT_RUNTIME));
+        cluster.runSeconds(fromS);
         int leader = cluster.leader();
-        cluster.line(leader).lateWrites(1, fromS);
-        cluster.submits(other(leader, 1), second, SHORT);
-        cluster.runS(1.75);
-        cluster.line(leader).lateWrites(0, 0);
-        cluster.cancels(other(leader, 1), fromS % 2 == 0 ? first.id() : second.id());
-        cluster.runS(40);
-        assertTrue(cluster.line(leader).lateCommits() > 0, "executed after newer ones");
-        assertEquals(fromS % 2 == 0 ? Phase.CANCELLED : Phase.DONE, phase(first));
-        assertEquals(fromS % 2 == 0 ? Phase.DONE : Phase.CANCELLED, phase(second));
+        cluster.storeConnection(leader).delayCommits(1, fromS);
+        cluster.submitAsync(nodeAfter(leader, 1), second, SHORT_RUNTIME);
+        cluster.runSeconds(1.75);
+        cluster.storeConnection(leader).delayCommits(0, 0);
+        cluster.cancelAsync(nodeAfter(leader, 1), fromS % 2 == 0 ? first.id() : second.id());
+        cluster.runSeconds(40);
+        assertTrue(
+                cluster.storeConnection(leader).lateCommitCount() > 0, "executed after newer ones");
+        assertEquals(fromS % 2 == 0 ? Phase.CANCELLED : Phase.DONE, phaseOf(first));
+        assertEquals(fromS % 2 == 0 ? Phase.DONE : Phase.CANCELLED, phaseOf(second));
         assertEquals(
                 0,
-                cluster.store().size(RecordCodec.JOB_PREFIX)
-                        + cluster.store().size(RecordCodec.TASK_PREFIX));
+                cluster.store().recordCount(RecordCodec.JOB_PREFIX)
+                        + cluster.store().recordCount(RecordCodec.TASK_PREFIX));
     }
 
     /**
      * The record of a start is written again over that of the task's end, and then the leader ends.
      */
     @Test
-    void aStartThatIsWrittenAfterTheEndOfItsTaskIsRefused() {
+    void delayedPlacementAfterTaskEndIsRejected() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 2, 8);
         int leader = cluster.leader();
-        cluster.line(leader).lateWritesBy(Duration.ofSeconds(9));
-        assertTrue(cluster.submit(other(leader, 1), job, Duration.ofSeconds(3)));
-        for (int step = 0; step < 20 && cluster.line(leader).waitingCommits() == 0; step++) {
+        cluster.storeConnection(leader).delayAllCommits(Duration.ofSeconds(9));
+        assertTrue(cluster.submit(nodeAfter(leader, 1), job, Duration.ofSeconds(3)));
+        for (int step = 0;
+                step < 20 && cluster.storeConnection(leader).delayedCommitCount() == 0;
+                step++) {
             cluster.run(Duration.ofMillis(250));
         }
-        cluster.line(leader).lateWritesBy(null);
-        for (int step = 0; step < 40 && placeOf(job, 1) == null; step++) {
+        cluster.storeConnection(leader).delayAllCommits(null);
+        for (int step = 0; step < 40 && machineRunning(job, 1) == null; step++) {
             cluster.run(Duration.ofMillis(250));
         }
-        FakeWorker second = placeOf(job, 1);
-        second.hang(true);
-        for (int step = 0; step < 60 && cluster.line(leader).lateCommits() == 0; step++) {
+        FakeWorker second = machineRunning(job, 1);
+        second.setHung(true);
+        for (int step = 0;
+                step < 60 && cluster.storeConnection(leader).lateCommitCount() == 0;
+                step++) {
             cluster.run(Duration.ofMillis(250));
         }
-        assertTrue(cluster.line(leader).lateCommits() > 0);
-        assertEquals(null, placeOf(job, 0), "its task had ended");
+        assertTrue(cluster.storeConnection(leader).lateCommitCount() > 0);
+        assertEquals(null, machineRunning(job, 0), "its task had ended");
         assertEquals(leader, cluster.leader());
         Map<String, Object> record =
-                cluster.store().value(RecordCodec.TASK_PREFIX + job.id() + "/0");
+                cluster.store().valueOf(RecordCodec.TASK_PREFIX + job.id() + "/0");
         assertEquals(
                 1,
                 ((List<?>) record.get("placed")).size(),
                 "the record of its start does not come back");
         cluster.crash(leader);
-        second.hang(false);
-        cluster.runS(40);
-        assertEquals(2, cluster.starts());
-        assertEquals(Phase.DONE, phase(job));
+        second.setHung(false);
+        cluster.runSeconds(40);
+        assertEquals(2, cluster.startCount());
+        assertEquals(Phase.DONE, phaseOf(job));
     }
 
     /** A job's end is on its way when another node confirms its cancellation. */
     @Test
-    void anEndThatIsWrittenAfterTheCancellationIsRefused() {
+    void delayedCompletionAfterCancellationIsRejected() {
         JobSpec job = array(1, 1);
         int leader = cluster.leader();
-        assertTrue(cluster.submit(other(leader, 1), job, SHORT));
-        cluster.runS(8);
-        assertTrue(allRun(job));
-        cluster.line(leader).lateWritesBy(Duration.ofSeconds(4));
-        for (int step = 0; step < 60 && cluster.line(leader).waitingCommits() == 0; step++) {
+        assertTrue(cluster.submit(nodeAfter(leader, 1), job, SHORT_RUNTIME));
+        cluster.runSeconds(8);
+        assertTrue(allTasksRunning(job));
+        cluster.storeConnection(leader).delayAllCommits(Duration.ofSeconds(4));
+        for (int step = 0;
+                step < 60 && cluster.storeConnection(leader).delayedCommitCount() == 0;
+                step++) {
             cluster.run(Duration.ofMillis(250));
         }
-        cluster.line(leader).lateWritesBy(null);
-        assertTrue(cluster.cancel(other(leader, 1), job.id()));
+        cluster.storeConnection(leader).delayAllCommits(null);
+        assertTrue(cluster.cancel(nodeAfter(leader, 1), job.id()));
         assertEquals(
-                Phase.CANCELLED, cluster.poll(other(leader, 1), job.id()).orElseThrow().phase());
-        cluster.runS(20);
-        assertTrue(cluster.line(leader).lateCommits() > 0);
+                Phase.CANCELLED,
+                cluster.poll(nodeAfter(leader, 1), job.id()).orElseThrow().phase());
+        cluster.runSeconds(20);
+        assertTrue(cluster.storeConnection(leader).lateCommitCount() > 0);
         for (int node = 0; node < 3; node++) {
             assertEquals(Phase.CANCELLED, cluster.poll(node, job.id()).orElseThrow().phase());
         }
         assertEquals(
                 0,
-                cluster.store().size(RecordCodec.JOB_PREFIX)
-                        + cluster.store().size(RecordCodec.TASK_PREFIX));
+                cluster.store().recordCount(RecordCodec.JOB_PREFIX)
+                        + cluster.store().recordCount(RecordCodec.TASK_PREFIX));
     }
 
     /**
@@ -418,24 +431,30 @@
      * job is called off.
      */
     @Test
-    void aLeaderThatIsRefusedAloneSendsNoStartsOfWhatWasCalledOffElsewhere() {
-        cluster.workers().forEach(worker -> worker.hang(true));
+    void leaderRefusedByStoreSendsNoStartsOfJobsCancelledElsewhere() {
+        cluster.workers().forEach(worker -> worker.setHung(true));
         JobSpec job = array(1, 24);
         int leader = cluster.leader();
-        assertTrue(cluster.submit(other(leader, 1), job, HOURS));
-        cluster.runS(1.5);
-        assertEquals(1, cluster.store().size(RecordCodec.TASK_PREFIX), "its places are committed");
-        cluster.peersCut(true);
-        cluster.line(leader).cut(true);
-        assertTrue(cluster.cancel(other(leader, 1), job.id()));
-        cluster.runS(2.5);
+        assertTrue(cluster.submit(nodeAfter(leader, 1), job, HOURS_RUNTIME));
+        cluster.runSeconds(1.5);
+        assertEquals(
+                1,
+                cluster.store().recordCount(RecordCodec.TASK_PREFIX),
+                "its places are committed");
+        cluster.cutPeers(true);
+        cluster.storeConnection(leader).refuseRequests(true);
+        assertTrue(cluster.cancel(nodeAfter(leader, 1), job.id()));
+        cluster.runSeconds(2.5);
         assertEquals(leader, cluster.leader(), "its lease holds");
-        cluster.workers().forEach(worker -> worker.hang(false));
-        cluster.runS(1.5);
-        assertEquals(0, cluster.startOrders(), "nobody told it, and it knows that it may not know");
-        cluster.runS(60);
-        assertEquals(0, cluster.judge().startsAfterCancellation());
-        assertEquals(0, cluster.starts());
+        cluster.workers().forEach(worker -> worker.setHung(false));
+        cluster.runSeconds(1.5);
+        assertEquals(
+                0,
+                cluster.startCommandCount(),
+                "nobody told it, and it knows that it may not know");
+        cluster.runSeconds(60);
+        assertEquals(0, cluster.historyChecker().startsAfterCancellation());
+        assertEquals(0, cluster.startCount());
     }
 
     /**
@@ -443,26 +462,31 @@
      * ask and submit.
      */
     @Test
-    void aSlowStateServiceStillLetsUsersAskAndCancelAndTasksGoOn() {
+    void slowStoreStillServesReadsCancellationsAndTasks() {
         List<JobSpec> jobs = longJobs();
-        cluster.store().slow(Duration.ofMillis(800));
-        cluster.runS(10);
+        cluster.store().setLatency(Duration.ofMillis(800));
+        cluster.runSeconds(10);
         int leader = cluster.leader();
         JobSpec more = array(4, 3);
-        assertTrue(cluster.submit(other(leader, 1), more, HOURS), "taken within five seconds");
-        assertTrue(cluster.cancel(other(leader, 2), jobs.get(0).id()));
+        assertTrue(
+                cluster.submit(nodeAfter(leader, 1), more, HOURS_RUNTIME),
+                "taken within five seconds");
+        assertTrue(cluster.cancel(nodeAfter(leader, 2), jobs.get(0).id()));
         for (int time = 0; time < 12; time++) {
             assertEquals(
                     Phase.CANCELLED,
-                    cluster.poll(other(leader, 1), jobs.get(0).id()).orElseThrow().phase());
-            assertTrue(cluster.poll(other(leader, 1), jobs.get(1).id()).isPresent());
-            cluster.runS(3);
+                    cluster.poll(nodeAfter(leader, 1), jobs.get(0).id()).orElseThrow().phase());
+            assertTrue(cluster.poll(nodeAfter(leader, 1), jobs.get(1).id()).isPresent());
+            cluster.runSeconds(3);
         }
         assertEquals(leader, cluster.leader(), "its lease is renewed in time");
-        assertTrue(allRun(jobs.get(1)) && allRun(jobs.get(2)) && allRun(more));
-        assertEquals(null, placeOf(jobs.get(0), 0));
-        cluster.store().slow(null);
-        cluster.runS(10);
-        assertEquals(22, cluster.starts());
+        assertTrue(
+                allTasksRunning(jobs.get(1))
+                        && allTasksRunning(jobs.get(2))
+                        && allTasksRunning(more));
+        assertEquals(null, machineRunning(jobs.get(0), 0));
+        cluster.store().setLatency(null);
+        cluster.runSeconds(10);
+        assertEquals(22, cluster.startCount());
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/OverloadScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/OverloadScenarioTest.java
@@ -41,7 +41,7 @@
     }
 
     /** With a deadline, by which it comes before work of the same priority that has none. */
-    private static JobSpec due(JobSpec spec) {
+    private static JobSpec withDeadline(JobSpec spec) {
         return new JobSpec(
                 spec.id(),
                 spec.jobClass(),
@@ -64,26 +64,26 @@
     }
 
     @Test
-    void askingManyTimesAsOftenCostsTheStateServiceNoMore() {
+    void frequentPollingCausesNoExtraStoreRequests() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 2, 1);
         assertTrue(cluster.submit(0, job, null));
         cluster.poll(1, job.id());
-        cluster.runS(1);
-        int reads = cluster.line(1).reads();
-        int watches = cluster.line(1).watches();
+        cluster.runSeconds(1);
+        int reads = cluster.storeConnection(1).readCount();
+        int watches = cluster.storeConnection(1).watchCount();
         for (int second = 0; second < 4; second++) {
             for (int at = 0; at < 100; at++) {
-                cluster.asks(1, job.id());
+                cluster.pollAsync(1, job.id());
             }
-            cluster.runS(1);
+            cluster.runSeconds(1);
         }
-        assertEquals(400, cluster.answered());
+        assertEquals(400, cluster.asyncAnswerCount());
         assertTrue(
-                cluster.line(1).reads() - reads < 5,
-                "read " + (cluster.line(1).reads() - reads) + " times");
+                cluster.storeConnection(1).readCount() - reads < 5,
+                "read " + (cluster.storeConnection(1).readCount() - reads) + " times");
         assertTrue(
-                cluster.line(1).watches() - watches < 30,
-                "looked " + (cluster.line(1).watches() - watches) + " times");
+                cluster.storeConnection(1).watchCount() - watches < 30,
+                "looked " + (cluster.storeConnection(1).watchCount() - watches) + " times");
     }
 
     /**
@@ -91,20 +91,20 @@
      * another has told.
      */
     @Test
-    void whatIsKeptInMemoryIsNeverToldOlderThanWhatAnotherNodeTold() {
+    void cachedStatusIsNeverOlderThanStatusReportedByPeer() {
         List<JobSpec> jobs = new ArrayList<>();
         for (int number = 0; number < 12; number++) {
             JobSpec job =
                     SimulatedCluster.spec(
                             number, number % 2 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 1, 1);
             jobs.add(job);
-            assertTrue(cluster.submit(number % 3, job, SHORT));
+            assertTrue(cluster.submit(number % 3, job, SHORT_RUNTIME));
             for (int node = 0; node < 3; node++) {
                 assertTrue(cluster.poll(node, job.id()).isPresent());
             }
         }
         for (JobSpec job : jobs) {
-            cluster.line(0).failWatches(job.id().hashCode() % 3 == 0);
+            cluster.storeConnection(0).failWatches(job.id().hashCode() % 3 == 0);
             assertTrue(cluster.cancel(2, job.id()));
             cluster.poll(2, job.id());
             cluster.poll(0, job.id());
@@ -113,67 +113,67 @@
     }
 
     @Test
-    void idleWorkGivesWayToAGangThoughSmallTasksComeFirst() {
+    void bestEffortWorkIsPreemptedForGangThoughSmallTasksArriveFirst() {
         JobSpec idle = withPriority(array(1, 48), Priority.LOW, Resources.of(4, 1, 16));
         assertTrue(cluster.submit(0, idle, Duration.ofMinutes(20)));
-        cluster.mostMachines(6);
-        cluster.runS(10);
-        assertEquals(48, cluster.starts(), "all machines are full of it");
+        cluster.limitRentedMachines(6);
+        cluster.runSeconds(10);
+        assertEquals(48, cluster.startCount(), "all machines are full of it");
         JobSpec gang =
                 withPriority(
                         SimulatedCluster.spec(2, JobKind.GANG, 3, 8),
                         Priority.NORMAL,
                         Resources.of(30, 8, 120));
-        assertTrue(cluster.submit(1, gang, LONG));
+        assertTrue(cluster.submit(1, gang, LONG_RUNTIME));
         for (int number = 3; number < 9; number++) {
-            assertTrue(cluster.submit(2, due(array(number, 3)), LONG));
-            cluster.runS(1);
+            assertTrue(cluster.submit(2, withDeadline(array(number, 3)), LONG_RUNTIME));
+            cluster.runSeconds(1);
         }
-        cluster.runS(15);
+        cluster.runSeconds(15);
         for (int task = 0; task < 3; task++) {
             assertEquals(
                     1,
-                    cluster.on(new TaskId(gang.id(), task)).size(),
+                    cluster.machinesRunning(new TaskId(gang.id(), task)).size(),
                     "task " + task + " of the gang");
         }
         for (int number = 3; number < 9; number++) {
-            assertTrue(placeOf(array(number, 3), 2) != null, "the small ones run as well");
+            assertTrue(machineRunning(array(number, 3), 2) != null, "the small ones run as well");
         }
     }
 
     @Test
-    void aJobWithAMistakeIsTriedWithOneTaskAndNoMachineIsBlamed() {
+    void faultyJobIsProbedWithOneTaskAndNoMachineIsCordoned() {
         JobSpec broken = array(1, 30);
-        assertTrue(cluster.submit(0, broken, LONG));
-        failAll(40);
-        assertEquals(List.of(), cluster.returned(), "no machine is blamed");
-        failAll(90);
-        assertTrue(cluster.starts() < 30 + 12, "started " + cluster.starts() + " times");
+        assertTrue(cluster.submit(0, broken, LONG_RUNTIME));
+        failAllTasksFor(40);
+        assertEquals(List.of(), cluster.returnedMachines(), "no machine is blamed");
+        failAllTasksFor(90);
+        assertTrue(cluster.startCount() < 30 + 12, "started " + cluster.startCount() + " times");
         JobSpec sound = array(2, 40);
-        assertTrue(cluster.submit(1, sound, SHORT));
-        cluster.runS(40);
-        assertEquals(Phase.DONE, phase(sound));
+        assertTrue(cluster.submit(1, sound, SHORT_RUNTIME));
+        cluster.runSeconds(40);
+        assertEquals(Phase.DONE, phaseOf(sound));
         assertTrue(cluster.cancel(2, broken.id()));
-        cluster.runS(10);
-        assertEquals(Phase.CANCELLED, phase(broken));
+        cluster.runSeconds(10);
+        assertEquals(Phase.CANCELLED, phaseOf(broken));
     }
 
     /** Every task fails as soon as it runs. */
-    private void failAll(int seconds) {
+    private void failAllTasksFor(int seconds) {
         for (int second = 0; second < seconds; second++) {
-            cluster.runS(1);
-            cluster.workers().forEach(worker -> worker.running().forEach(worker::fail));
+            cluster.runSeconds(1);
+            cluster.workers().forEach(worker -> worker.runningTasks().forEach(worker::failTask));
         }
     }
 
     @Test
-    void machinesThatNeverComeUpAreReplacedWithoutRentingWithoutEnd() {
-        cluster.neverUp(4);
+    void machinesThatNeverBootAreReplacedWithBoundedRentals() {
+        cluster.failNextBoots(4);
         JobSpec job = array(1, 48 + 16);
-        assertTrue(cluster.submit(0, job, LONG));
-        cluster.runS(45);
-        assertEquals(48 + 16, cluster.starts(), "nobody waits for four boot times");
-        assertTrue(cluster.machinesRented() <= 16, "rented " + cluster.machinesRented());
+        assertTrue(cluster.submit(0, job, LONG_RUNTIME));
+        cluster.runSeconds(45);
+        assertEquals(48 + 16, cluster.startCount(), "nobody waits for four boot times");
+        assertTrue(cluster.rentedMachineCount() <= 16, "rented " + cluster.rentedMachineCount());
     }
 
     /**
@@ -181,48 +181,50 @@
      * second for all nodes together, while leaders change.
      */
     @Test
-    void fourOneTaskJobsASecondAreTakenInTimeAndAllServedWhileLeadersChange() {
-        cluster.store().limit(30);
-        cluster.fetch(Duration.ofMillis(500));
+    void fourSingleTaskJobsPerSecondAreAcceptedInTimeAcrossFailovers() {
+        cluster.store().limitWriteRate(30);
+        cluster.imagePullTime(Duration.ofMillis(500));
         Random random = new Random(5);
         List<JobSpec> jobs = new ArrayList<>();
         List<Boolean> inTime = new ArrayList<>();
-        int before = cluster.store().changes();
+        int before = cluster.store().writeCount();
         for (int second = 0; second < 120; second++) {
             for (int each = 0; each < 4; each++) {
                 JobSpec job = array(jobs.size(), 1);
                 jobs.add(job);
                 int node = jobs.size() % 3;
-                submitAgain(node, job, cluster.loop().now(), inTime);
+                submitUntilAccepted(node, job, cluster.loop().now(), inTime);
                 if (random.nextInt(4) == 0) {
                     cluster.loop()
                             .schedule(
                                     Duration.ofMillis(500 + random.nextInt(12_000)),
-                                    () -> cluster.cancels(other(node, 1), job.id()));
+                                    () -> cluster.cancelAsync(nodeAfter(node, 1), job.id()));
                 }
                 cluster.run(Duration.ofMillis(250));
             }
             if (second % 40 == 20) {
-                cluster.bounce(cluster.leader(), Duration.ofSeconds(3));
+                cluster.restartAfter(cluster.leader(), Duration.ofSeconds(3));
             }
         }
-        cluster.calm();
-        cluster.runS(60);
+        cluster.beginFaultFreePhase();
+        cluster.runSeconds(60);
         assertEquals(jobs.size(), inTime.size(), "all were accepted");
         long soon = inTime.stream().filter(each -> each).count();
         assertTrue(soon >= 0.9 * jobs.size(), soon + " of " + jobs.size() + " within a second");
         for (JobSpec job : jobs) {
-            assertTrue(cluster.judge().isOver(job.id()), job.id() + " is not over");
+            assertTrue(
+                    cluster.historyChecker().isReportedEnded(job.id()), job.id() + " is not over");
         }
-        cluster.judge().served();
-        double each = (cluster.store().changes() - before) / (double) jobs.size();
+        cluster.historyChecker().checkFairness();
+        double each = (cluster.store().writeCount() - before) / (double) jobs.size();
         assertTrue(each < 5.5, each + " changes a job");
-        assertEquals(0, cluster.store().size("job/") + cluster.store().size("task/"));
+        assertEquals(0, cluster.store().recordCount("job/") + cluster.store().recordCount("task/"));
     }
 
     /** As users do: again after a second, until there is an answer. */
-    private void submitAgain(int node, JobSpec job, MonotonicTime since, List<Boolean> inTime) {
-        cluster.submits(node, job, SHORT)
+    private void submitUntilAccepted(
+            int node, JobSpec job, MonotonicTime since, List<Boolean> inTime) {
+        cluster.submitAsync(node, job, SHORT_RUNTIME)
                 .whenComplete(
                         (state, failure) -> {
                             if (failure == null) {
@@ -237,8 +239,8 @@
                                         .schedule(
                                                 Duration.ofSeconds(1),
                                                 () ->
-                                                        submitAgain(
-                                                                other(node, 1),
+                                                        submitUntilAccepted(
+                                                                nodeAfter(node, 1),
                                                                 job,
                                                                 since,
                                                                 inTime));
--- a/src/test/java/org/meadowhollow/simulation/QuotaScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/QuotaScenarioTest.java
@@ -26,15 +26,15 @@
 class QuotaScenarioTest extends ClusterTestBase {
     /** Why a machine cannot be asked. */
     enum OutOfReach {
-        HUNG(FakeWorker::hang),
+        HUNG(FakeWorker::setHung),
         CUT(
                 (worker, now) -> {
                     for (int node = 0; node < 3; node++) {
-                        worker.cannotReach(node, now);
+                        worker.blockPathTo(node, now);
                     }
                 }),
-        MUTE(FakeWorker::mute),
-        DEAF(FakeWorker::deaf);
+        MUTE(FakeWorker::blockOutgoingConnections),
+        DEAF(FakeWorker::loseIncoming);
 
         private final BiConsumer<FakeWorker, Boolean> trouble;
 
@@ -43,18 +43,19 @@
         }
     }
 
-    private JobSpec filling(int number, String team, int tasks) {
+    private JobSpec quotaFillingArray(int number, String team, int tasks) {
         JobSpec job = withTeam(SimulatedCluster.spec(number, JobKind.SERVICE, tasks, 1), team);
         assertTrue(cluster.submit(0, job, null));
         return job;
     }
 
     /** Both teams use all that they may; more of each waits. */
-    private List<JobSpec> bothTeamsAtTheirLimits() {
-        cluster.team("team", 0, 12).team("other", 0, 8);
-        List<JobSpec> running = List.of(filling(1, "team", 12), filling(2, "other", 8));
-        cluster.runS(10);
-        running.forEach(job -> assertTrue(allRun(job)));
+    private List<JobSpec> submitJobsUpToBothTeamLimits() {
+        cluster.withTeam("team", 0, 12).withTeam("other", 0, 8);
+        List<JobSpec> running =
+                List.of(quotaFillingArray(1, "team", 12), quotaFillingArray(2, "other", 8));
+        cluster.runSeconds(10);
+        running.forEach(job -> assertTrue(allTasksRunning(job)));
         return running;
     }
 
@@ -65,23 +66,29 @@
     })
     void whatIsCalledOffOutOfReachCountsForItsTeamUntilItIsGoneAcrossLeaders(
             OutOfReach how, int leaders) {
-        List<JobSpec> running = bothTeamsAtTheirLimits();
-        cluster.cloudOut(true);
+        List<JobSpec> running = submitJobsUpToBothTeamLimits();
+        cluster.failCloud(true);
         List<FakeWorker> lost = cluster.workers().subList(0, 2);
         lost.forEach(worker -> how.trouble.accept(worker, true));
-        running.forEach(job -> assertTrue(cluster.cancel(other(cluster.leader(), 1), job.id())));
+        running.forEach(
+                job -> assertTrue(cluster.cancel(nodeAfter(cluster.leader(), 1), job.id())));
         List<JobSpec> next =
                 List.of(withTeam(array(3, 12), "team"), withTeam(array(4, 8), "other"));
-        next.forEach(job -> assertTrue(cluster.submit(other(cluster.leader(), 1), job, HOURS)));
+        next.forEach(
+                job ->
+                        assertTrue(
+                                cluster.submit(
+                                        nodeAfter(cluster.leader(), 1), job, HOURS_RUNTIME)));
         boolean still = false;
         for (int takeover = 0; takeover < leaders; takeover++) {
             int leader = cluster.leader();
             cluster.crash(leader);
             for (int second = 0; second < 8; second++) {
-                cluster.runS(1);
+                cluster.runSeconds(1);
                 still |=
                         cluster.leader() != leader
-                                && lost.stream().anyMatch(worker -> !worker.running().isEmpty());
+                                && lost.stream()
+                                        .anyMatch(worker -> !worker.runningTasks().isEmpty());
             }
             assertNotEquals(leader, cluster.leader());
             cluster.restart(leader);
@@ -91,12 +98,13 @@
                 how != OutOfReach.MUTE,
                 still,
                 "a task that was called off was there while the next one led");
-        cluster.runS(60);
+        cluster.runSeconds(60);
         lost.forEach(worker -> how.trouble.accept(worker, false));
-        cluster.cloudOut(false);
-        cluster.calm();
-        cluster.runS(60);
-        next.forEach(job -> assertTrue(allRun(job), job.id() + " waits for nobody for ever"));
+        cluster.failCloud(false);
+        cluster.beginFaultFreePhase();
+        cluster.runSeconds(60);
+        next.forEach(
+                job -> assertTrue(allTasksRunning(job), job.id() + " waits for nobody for ever"));
     }
 
     /**
@@ -104,24 +112,24 @@
      * for ever.
      */
     @Test
-    void anAttemptWhoseStartWasNeverSentCountsAndIsGivenUp() {
-        cluster.team("team", 0, 8);
+    void attemptWithUnsentStartCountsAgainstQuotaAndIsReleased() {
+        cluster.withTeam("team", 0, 8);
         List<FakeWorker> first = cluster.workers();
-        first.forEach(worker -> worker.deaf(true));
+        first.forEach(worker -> worker.loseIncoming(true));
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 8, 1);
-        assertTrue(cluster.submit(0, job, HOURS));
-        cluster.runS(3);
-        assertEquals(1, cluster.store().size("task/"), "its places are committed");
+        assertTrue(cluster.submit(0, job, HOURS_RUNTIME));
+        cluster.runSeconds(3);
+        assertEquals(1, cluster.store().recordCount("task/"), "its places are committed");
         int leader = cluster.leader();
         cluster.crash(leader);
-        assertTrue(cluster.cancel(other(leader, 1), job.id()));
+        assertTrue(cluster.cancel(nodeAfter(leader, 1), job.id()));
         JobSpec next = array(2, 8);
-        assertTrue(cluster.submit(other(leader, 1), next, HOURS));
-        first.forEach(worker -> worker.deaf(false));
-        cluster.runS(30);
-        assertTrue(allRun(next));
-        assertEquals(8, cluster.starts(), "nothing of the cancelled job was started");
-        assertEquals(0, cluster.judge().startsAfterCancellation());
+        assertTrue(cluster.submit(nodeAfter(leader, 1), next, HOURS_RUNTIME));
+        first.forEach(worker -> worker.loseIncoming(false));
+        cluster.runSeconds(30);
+        assertTrue(allTasksRunning(next));
+        assertEquals(8, cluster.startCount(), "nothing of the cancelled job was started");
+        assertEquals(0, cluster.historyChecker().startsAfterCancellation());
     }
 
     /** How the work changes hands. */
@@ -132,15 +140,16 @@
         ENDED_AND_BACK
     }
 
-    private void handOn(Handing how, int leader) {
+    private void changeLeader(Handing how, int leader) {
         switch (how) {
             case RESIGNED -> cluster.node(leader).handOver();
             case ENDED -> cluster.crash(leader);
             case DEPOSED ->
                     cluster.node(leader)
                             .observeLeader(
-                                    new FencingToken(cluster.term() + 1), "n" + other(leader, 1));
-            default -> cluster.bounce(leader, Duration.ofMillis(200));
+                                    new FencingToken(cluster.fencingToken() + 1),
+                                    "n" + nodeAfter(leader, 1));
+            default -> cluster.restartAfter(leader, Duration.ofMillis(200));
         }
     }
 
@@ -150,7 +159,7 @@
      */
     @ParameterizedTest
     @EnumSource(Handing.class)
-    void jobsCalledOffInTheSecondsInWhichWorkChangesHandsAreGone(Handing how) {
+    void jobsCancelledDuringHandoverStopWithinBound(Handing how) {
         List<JobSpec> jobs = new ArrayList<>();
         for (int number = 1; number <= 24; number++) {
             JobSpec job =
@@ -158,31 +167,31 @@
                             ? SimulatedCluster.spec(number, JobKind.GANG, 2, 1)
                             : array(number, 1);
             jobs.add(job);
-            cluster.submits(number % 3, job, HOURS);
+            cluster.submitAsync(number % 3, job, HOURS_RUNTIME);
         }
-        cluster.runS(10);
-        jobs.forEach(job -> assertTrue(allRun(job)));
+        cluster.runSeconds(10);
+        jobs.forEach(job -> assertTrue(allTasksRunning(job)));
         int leader = cluster.leader();
-        long term = cluster.term();
+        long term = cluster.fencingToken();
         int during = 0;
         for (int at = 0; at < jobs.size(); at++) {
             if (at == 4) {
-                handOn(how, leader);
+                changeLeader(how, leader);
             }
             // By a node that thinks that another one leads.
-            cluster.cancels(other(leader, 1 + at % 2), jobs.get(at).id());
+            cluster.cancelAsync(nodeAfter(leader, 1 + at % 2), jobs.get(at).id());
             cluster.run(Duration.ofMillis(250));
-            during += at >= 4 && (cluster.leader() < 0 || cluster.term() == term) ? 1 : 0;
+            during += at >= 4 && (cluster.leader() < 0 || cluster.fencingToken() == term) ? 1 : 0;
         }
         assertTrue(how != Handing.ENDED || during > 0, "called off while nobody led");
-        assertTrue(cluster.term() > term);
-        cluster.runS(15);
+        assertTrue(cluster.fencingToken() > term);
+        cluster.runSeconds(15);
         for (JobSpec job : jobs) {
-            assertEquals(Phase.CANCELLED, phase(job));
-            assertEquals(null, placeOf(job, 0));
+            assertEquals(Phase.CANCELLED, phaseOf(job));
+            assertEquals(null, machineRunning(job, 0));
         }
-        assertEquals(0, cluster.store().size("job/") + cluster.store().size("task/"));
-        assertEquals(0, cluster.judge().startsAfterCancellation());
+        assertEquals(0, cluster.store().recordCount("job/") + cluster.store().recordCount("task/"));
+        assertEquals(0, cluster.historyChecker().startsAfterCancellation());
     }
 
     /**
@@ -190,33 +199,36 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void tenLeadersInTwoMinutes(boolean inAnOutage) {
-        cluster.team("team", 0, 12);
-        JobSpec stays = filling(1, "team", 6);
-        JobSpec goes = filling(2, "team", 6);
-        cluster.runS(10);
-        long term = cluster.term();
+    void tasksSurviveTenFailoversInTwoMinutes(boolean inAnOutage) {
+        cluster.withTeam("team", 0, 12);
+        JobSpec stays = quotaFillingArray(1, "team", 6);
+        JobSpec goes = quotaFillingArray(2, "team", 6);
+        cluster.runSeconds(10);
+        long term = cluster.fencingToken();
         for (int change = 0; change < 13; change++) {
-            cluster.bounce(
+            cluster.restartAfter(
                     Math.max(0, cluster.leader()), Duration.ofMillis(change % 2 == 0 ? 200 : 3000));
             if (inAnOutage && change == 4) {
-                cluster.store().out(true);
+                cluster.store().setOutage(true);
             }
-            cluster.runS(5);
+            cluster.runSeconds(5);
             if (inAnOutage && change == 6) {
-                cluster.store().out(false);
+                cluster.store().setOutage(false);
             }
-            cluster.runS(4);
+            cluster.runSeconds(4);
             if (change == 2) {
-                assertTrue(cluster.cancel(other(cluster.leader(), 1), goes.id()));
-                assertTrue(cluster.submit(other(cluster.leader(), 1), array(3, 6), HOURS));
+                assertTrue(cluster.cancel(nodeAfter(cluster.leader(), 1), goes.id()));
+                assertTrue(
+                        cluster.submit(nodeAfter(cluster.leader(), 1), array(3, 6), HOURS_RUNTIME));
             }
         }
-        assertTrue(cluster.term() - term >= 10, "led " + (cluster.term() - term) + " times");
-        cluster.calm();
-        cluster.runS(60);
-        assertTrue(allRun(stays) && allRun(array(3, 6)));
-        assertEquals(Phase.CANCELLED, phase(goes));
+        assertTrue(
+                cluster.fencingToken() - term >= 10,
+                "led " + (cluster.fencingToken() - term) + " times");
+        cluster.beginFaultFreePhase();
+        cluster.runSeconds(60);
+        assertTrue(allTasksRunning(stays) && allTasksRunning(array(3, 6)));
+        assertEquals(Phase.CANCELLED, phaseOf(goes));
     }
 
     /**
@@ -225,26 +237,26 @@
      */
     @ParameterizedTest
     @CsvSource({"ARRAY, true", "ARRAY, false", "GANG, true", "GANG, false", "SERVICE, true"})
-    void aJobBoundToOneZoneLosesMachinesThere(JobKind kind, boolean together) {
+    void singleZoneJobRecoversFromMachineLossInItsZone(JobKind kind, boolean together) {
         JobSpec plain = SimulatedCluster.spec(1, kind, 3, 8);
-        JobSpec job = together ? zoned(plain, true, false) : inZone(plain, "a");
-        assertTrue(cluster.submit(0, job, HOURS));
-        cluster.runS(10);
-        assertTrue(allRun(job));
-        String zone = placeOf(job, 0).zone();
-        cluster.mostMachines(cluster.workers().size() + 1);
+        JobSpec job = together ? withZonePolicy(plain, true, false) : inZone(plain, "a");
+        assertTrue(cluster.submit(0, job, HOURS_RUNTIME));
+        cluster.runSeconds(10);
+        assertTrue(allTasksRunning(job));
+        String zone = machineRunning(job, 0).zone();
+        cluster.limitRentedMachines(cluster.workers().size() + 1);
         // One hangs and goes on when its task is given up, one is taken away, and the leader ends.
-        FakeWorker hung = placeOf(job, 0);
-        hung.hang(true);
-        cluster.take(placeOf(job, 1));
+        FakeWorker hung = machineRunning(job, 0);
+        hung.setHung(true);
+        cluster.reclaimMachine(machineRunning(job, 1));
         cluster.crash(cluster.leader());
-        cluster.runS(40);
-        hung.hang(false);
+        cluster.runSeconds(40);
+        hung.setHung(false);
         cluster.restartAll();
-        cluster.calm();
-        cluster.runS(90);
+        cluster.beginFaultFreePhase();
+        cluster.runSeconds(90);
         assertTrue(together || zone.equals("a"));
-        assertTrue(allRun(job), "it runs again, where its tasks may be");
+        assertTrue(allTasksRunning(job), "it runs again, where its tasks may be");
     }
 
     /**
@@ -252,31 +264,31 @@
      * zone has room.
      */
     @Test
-    void anArrayThatIsTogetherStaysWhereOneOfItsTasksMayBe() {
-        JobSpec job = zoned(SimulatedCluster.spec(1, JobKind.ARRAY, 2, 8), true, false);
-        assertTrue(cluster.submit(0, job, HOURS));
-        cluster.runS(10);
-        FakeWorker hung = placeOf(job, 0);
+    void singleZoneArrayStaysInZoneOfPossiblyRunningTask() {
+        JobSpec job = withZonePolicy(SimulatedCluster.spec(1, JobKind.ARRAY, 2, 8), true, false);
+        assertTrue(cluster.submit(0, job, HOURS_RUNTIME));
+        cluster.runSeconds(10);
+        FakeWorker hung = machineRunning(job, 0);
         JobSpec fills =
                 inZone(
                         withTeam(SimulatedCluster.spec(2, JobKind.SERVICE, 1, 8), "other"),
                         hung.zone());
         assertTrue(cluster.submit(0, fills, null));
-        cluster.runS(5);
-        assertTrue(allRun(fills));
-        cluster.mostMachines(0);
-        cluster.fail(placeOf(job, 1));
-        hung.hang(true);
+        cluster.runSeconds(5);
+        assertTrue(allTasksRunning(fills));
+        cluster.limitRentedMachines(0);
+        cluster.failMachine(machineRunning(job, 1));
+        hung.setHung(true);
         cluster.crash(cluster.leader());
-        cluster.runS(14);
-        assertEquals(hung, placeOf(job, 0), "it may go on at any time");
-        hung.hang(false);
-        cluster.runS(6);
-        assertEquals(3, cluster.starts(), "the other zone has room, and is not for it");
-        cluster.machine(SimulatedCluster.LARGE, hung.zone());
-        cluster.calm();
-        cluster.runS(40);
-        assertTrue(allRun(job));
+        cluster.runSeconds(14);
+        assertEquals(hung, machineRunning(job, 0), "it may go on at any time");
+        hung.setHung(false);
+        cluster.runSeconds(6);
+        assertEquals(3, cluster.startCount(), "the other zone has room, and is not for it");
+        cluster.addMachine(SimulatedCluster.LARGE, hung.zone());
+        cluster.beginFaultFreePhase();
+        cluster.runSeconds(40);
+        assertTrue(allTasksRunning(job));
     }
 
     /**
@@ -285,18 +297,18 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {50, 150, 600, 1900})
-    void machinesUpAtOnceGetWorkWhileWritesLagAndTheLeaderEnds(int bootMillis) {
-        cluster.boots(Duration.ofMillis(bootMillis), Duration.ofSeconds(20));
+    void quicklyBootedMachinesGetWorkDespiteSlowWritesAndLeaderCrash(int bootMillis) {
+        cluster.setBootTimes(Duration.ofMillis(bootMillis), Duration.ofSeconds(20));
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 48, 1);
         assertTrue(cluster.submit(0, job, Duration.ofSeconds(40)));
-        cluster.runS(5);
+        cluster.runSeconds(5);
         int before = cluster.workers().size();
         int leader = cluster.leader();
         for (int node = 0; node < 3; node++) {
-            cluster.line(node).lateWrites(0.7, 1_000_003L * (node + 1));
+            cluster.storeConnection(node).delayCommits(0.7, 1_000_003L * (node + 1));
         }
         JobSpec more = SimulatedCluster.spec(2, JobKind.ARRAY, 40, 4);
-        cluster.submits(other(leader, 1), more, Duration.ofSeconds(20));
+        cluster.submitAsync(nodeAfter(leader, 1), more, Duration.ofSeconds(20));
         for (int step = 0; step < 80 && cluster.workers().size() == before; step++) {
             cluster.run(Duration.ofMillis(250));
         }
@@ -304,18 +316,18 @@
         // Their first attempts are on their way to the state service, or there and not answered.
         cluster.run(Duration.ofMillis(1250));
         cluster.crash(leader);
-        cluster.runS(20);
+        cluster.runSeconds(20);
         int late = 0;
         for (int node = 0; node < 3; node++) {
-            late += cluster.line(node).lateCommits();
-            cluster.line(node).lateWrites(0, 0);
+            late += cluster.storeConnection(node).lateCommitCount();
+            cluster.storeConnection(node).delayCommits(0, 0);
         }
         assertTrue(late > 0, "a transaction was executed late");
         cluster.restart(leader);
-        cluster.boots(Duration.ofSeconds(10), Duration.ZERO);
-        cluster.calm();
-        cluster.runS(400);
-        assertEquals(Phase.DONE, phase(job));
-        assertEquals(Phase.DONE, phase(more));
+        cluster.setBootTimes(Duration.ofSeconds(10), Duration.ZERO);
+        cluster.beginFaultFreePhase();
+        cluster.runSeconds(400);
+        assertEquals(Phase.DONE, phaseOf(job));
+        assertEquals(Phase.DONE, phaseOf(more));
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/RandomFaultsTest.java
+++ b/src/test/java/org/meadowhollow/simulation/RandomFaultsTest.java
@@ -30,27 +30,27 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void theRulesHoldWhateverFails(long seed) {
+    void invariantsHoldUnderRandomFaults(long seed) {
         Random random = new Random(seed);
-        SimulatedCluster cluster = new SimulatedCluster().team("team", 4, 20);
+        SimulatedCluster cluster = new SimulatedCluster().withTeam("team", 4, 20);
         if (seed % 2 == 0) {
-            cluster.standby();
+            cluster.enableStandbys();
         }
-        sixMachines(cluster);
+        addSixMachines(cluster);
         List<JobSpec> jobs = new ArrayList<>();
         for (int step = 0; step < STEPS; step++) {
-            trouble(cluster, random, jobs, step);
-            cluster.runS(1 + random.nextInt(5));
+            injectRandomFault(cluster, random, jobs, step);
+            cluster.runSeconds(1 + random.nextInt(5));
         }
-        ends(cluster, jobs, 30, 400);
+        assertAllJobsTerminate(cluster, jobs, 30, 400);
         for (int node = 0; node < 3; node++) {
             assertEquals(0, cluster.node(node).divergentRecordCount());
         }
     }
 
-    private static void sixMachines(SimulatedCluster cluster) {
+    private static void addSixMachines(SimulatedCluster cluster) {
         for (int at = 0; at < 6; at++) {
-            cluster.machine(
+            cluster.addMachine(
                     at % 2 == 0 ? SimulatedCluster.LARGE : SimulatedCluster.SMALL,
                     at < 3 ? "a" : "b");
         }
@@ -62,17 +62,17 @@
      * @param settlesS seconds until no submission can come any more
      * @param runsS seconds that what was still waiting for its team's share may take then
      */
-    private static void ends(
+    private static void assertAllJobsTerminate(
             SimulatedCluster cluster, List<JobSpec> jobs, double settlesS, double runsS) {
-        calm(cluster);
-        cluster.runS(settlesS);
+        endAllFaults(cluster);
+        cluster.runSeconds(settlesS);
         // Replicas would fill the team's limit for ever.
         for (JobSpec job : jobs) {
             if (job.kind() == JobKind.SERVICE) {
                 assertTrue(cluster.cancel(0, job.id()));
             }
         }
-        cluster.runS(runsS);
+        cluster.runSeconds(runsS);
         for (JobSpec job : jobs) {
             Phase phase = cluster.poll(0, job.id()).map(JobStatus::phase).orElse(null);
             assertTrue(
@@ -81,7 +81,7 @@
         }
     }
 
-    private static LongStream quickSeeds() {
+    private static LongStream quickRestartSeeds() {
         // A property of the system, Long.getLong, lets thousands run once.
         return LongStream.rangeClosed(1, Long.getLong("quick.seeds", 30));
     }
@@ -91,33 +91,34 @@
      * still, late copies.
      */
     @ParameterizedTest
-    @MethodSource("quickSeeds")
-    void theRulesHoldWhenWhatEndsIsBackAtOnceAndMessagesComeAgain(long seed) {
+    @MethodSource("quickRestartSeeds")
+    void invariantsHoldUnderQuickRestartsAndDuplicatedMessages(long seed) {
         Random random = new Random(seed);
-        SimulatedCluster cluster = new SimulatedCluster().team("team", 4, 20).copies(seed);
+        SimulatedCluster cluster =
+                new SimulatedCluster().withTeam("team", 4, 20).duplicateMessages(seed);
         if (seed % 3 == 0) {
-            cluster.standby();
+            cluster.enableStandbys();
         }
-        sixMachines(cluster);
+        addSixMachines(cluster);
         List<JobSpec> jobs = new ArrayList<>();
         for (int step = 0; step < STEPS; step++) {
-            trouble(cluster, random, jobs, step);
+            injectRandomFault(cluster, random, jobs, step);
             int node = random.nextInt(3);
             switch (random.nextInt(10)) {
-                case 0, 1, 2 -> cluster.bounce(node, back(random));
+                case 0, 1, 2 -> cluster.restartAfter(node, randomRestartDelay(random));
                 case 3 -> {
                     for (int each = 0; each < 3; each++) {
-                        cluster.bounce(each, back(random));
+                        cluster.restartAfter(each, randomRestartDelay(random));
                     }
                 }
                 case 4 -> {
                     for (int time = 0; time < 4; time++) {
-                        cluster.bounce(node, Duration.ofMillis(100));
+                        cluster.restartAfter(node, Duration.ofMillis(100));
                         cluster.run(Duration.ofMillis(500));
                     }
                 }
-                case 5 -> cluster.freeze(node);
-                case 6 -> cluster.thaw(node);
+                case 5 -> cluster.pause(node);
+                case 6 -> cluster.resume(node);
                 case 7 -> {
                     List<FakeWorker> workers = cluster.workers();
                     if (!workers.isEmpty()) {
@@ -128,16 +129,16 @@
                     // Nothing besides.
                 }
             }
-            cluster.runS(random.nextInt(5));
+            cluster.runSeconds(random.nextInt(5));
         }
         for (int node = 0; node < 3; node++) {
-            cluster.thaw(node);
+            cluster.resume(node);
         }
         // A copy of a submission may come four minutes late.
-        ends(cluster, jobs, 250, 400);
+        assertAllJobsTerminate(cluster, jobs, 250, 400);
     }
 
-    private static LongStream meetingSeeds() {
+    private static LongStream overlappingFaultSeeds() {
         return LongStream.rangeClosed(1, Long.getLong("meeting.seeds", 40));
     }
 
@@ -146,15 +147,15 @@
      * the gap.
      */
     @ParameterizedTest
-    @MethodSource("meetingSeeds")
-    void theRulesHoldWhenTroublesMeet(long seed) {
+    @MethodSource("overlappingFaultSeeds")
+    void invariantsHoldUnderOverlappingFaults(long seed) {
         Random random = new Random(seed);
-        SimulatedCluster cluster = new SimulatedCluster().team("team", 4, 24);
+        SimulatedCluster cluster = new SimulatedCluster().withTeam("team", 4, 24);
         if (seed % 3 == 0) {
-            cluster.standby();
+            cluster.enableStandbys();
         }
-        sixMachines(cluster);
-        cluster.runS(10);
+        addSixMachines(cluster);
+        cluster.runSeconds(10);
         List<JobSpec> jobs = new ArrayList<>();
         for (int meeting = 0; meeting < 10; meeting++) {
             for (int at = 0; at < 3; at++) {
@@ -171,20 +172,20 @@
                                 : Duration.ofSeconds(
                                         random.nextBoolean() ? 300 : 5 + random.nextInt(40)));
             }
-            cluster.runS(random.nextInt(20));
+            cluster.runSeconds(random.nextInt(20));
             List<Runnable> ends = new ArrayList<>();
             for (int each = 0; each < 2; each++) {
-                ends.add(Fault.begin(cluster, random));
-                askOrCancel(cluster, random, jobs, 6);
+                ends.add(Fault.injectBasic(cluster, random));
+                pollOrCancelJobs(cluster, random, jobs, 6);
             }
-            endAll(cluster, random, ends);
+            endFaultsInRandomOrder(cluster, random, ends);
         }
         // The longest tasks take five minutes, and may have to begin anew.
-        ends(cluster, jobs, 60, 1000);
+        assertAllJobsTerminate(cluster, jobs, 60, 1000);
     }
 
     /** Users ask about some jobs, and call some off. */
-    private static void askOrCancel(
+    private static void pollOrCancelJobs(
             SimulatedCluster cluster, Random random, List<JobSpec> jobs, int most) {
         for (int step = random.nextInt(most); step >= 0; step--) {
             JobSpec job = jobs.get(random.nextInt(jobs.size()));
@@ -193,21 +194,22 @@
             } else {
                 cluster.cancel(random.nextInt(3), job.id());
             }
-            cluster.runS(random.nextInt(4));
+            cluster.runSeconds(random.nextInt(4));
         }
     }
 
     /** After a time the troubles end, one after the other in any order. */
-    private static void endAll(SimulatedCluster cluster, Random random, List<Runnable> ends) {
-        cluster.runS(random.nextInt(90));
+    private static void endFaultsInRandomOrder(
+            SimulatedCluster cluster, Random random, List<Runnable> ends) {
+        cluster.runSeconds(random.nextInt(90));
         Collections.shuffle(ends, random);
         for (Runnable end : ends) {
             end.run();
-            cluster.runS(random.nextInt(10));
+            cluster.runSeconds(random.nextInt(10));
         }
     }
 
-    private static LongStream furtherSeeds() {
+    private static LongStream additionalFaultSeeds() {
         return LongStream.rangeClosed(
                 Long.getLong("further.first", 1), Long.getLong("further.seeds", 40));
     }
@@ -217,44 +219,44 @@
      * and what is promised for the time after all troubles held against what workers and users saw.
      */
     @ParameterizedTest
-    @MethodSource("furtherSeeds")
-    void theRulesHoldWhenFurtherTroublesMeet(long seed) {
+    @MethodSource("additionalFaultSeeds")
+    void invariantsHoldUnderAdditionalOverlappingFaults(long seed) {
         Random random = new Random(seed);
         boolean limited = seed % 2 == 0;
         SimulatedCluster cluster =
                 new SimulatedCluster()
-                        .team("team", 4, limited ? 12 : 0)
-                        .team("other", 2, limited ? 8 : 0);
+                        .withTeam("team", 4, limited ? 12 : 0)
+                        .withTeam("other", 2, limited ? 8 : 0);
         if (seed % 3 == 0) {
-            cluster.standby();
+            cluster.enableStandbys();
         }
-        sixMachines(cluster);
-        cluster.runS(10);
+        addSixMachines(cluster);
+        cluster.runSeconds(10);
         List<JobSpec> jobs = new ArrayList<>();
         for (int meeting = 0; meeting < 8; meeting++) {
             for (int at = 0; at < 4; at++) {
-                jobs.add(anyJob(cluster, random, jobs.size()));
+                jobs.add(submitRandomJob(cluster, random, jobs.size()));
             }
-            cluster.runS(random.nextInt(20));
+            cluster.runSeconds(random.nextInt(20));
             List<Runnable> ends = new ArrayList<>();
-            ends.add(Fault.beginFurther(cluster, random));
+            ends.add(Fault.injectAdditional(cluster, random));
             cluster.run(Duration.ofMillis(250 * random.nextInt(16)));
             ends.add(
                     random.nextBoolean()
-                            ? Fault.begin(cluster, random)
-                            : Fault.beginFurther(cluster, random));
-            askOrCancel(cluster, random, jobs, 5);
-            endAll(cluster, random, ends);
+                            ? Fault.injectBasic(cluster, random)
+                            : Fault.injectAdditional(cluster, random));
+            pollOrCancelJobs(cluster, random, jobs, 5);
+            endFaultsInRandomOrder(cluster, random, ends);
         }
-        calm(cluster);
-        cluster.calm();
-        ends(cluster, jobs, 60, 1200);
+        endAllFaults(cluster);
+        cluster.beginFaultFreePhase();
+        assertAllJobsTerminate(cluster, jobs, 60, 1200);
         if (!limited) {
-            cluster.judge().served();
+            cluster.historyChecker().checkFairness();
         }
     }
 
-    private static JobSpec anyJob(SimulatedCluster cluster, Random random, int number) {
+    private static JobSpec submitRandomJob(SimulatedCluster cluster, Random random, int number) {
         JobKind kind = JobKind.values()[random.nextInt(3)];
         JobSpec plain =
                 SimulatedCluster.spec(number, kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
@@ -287,11 +289,11 @@
         return job;
     }
 
-    private static Duration back(Random random) {
+    private static Duration randomRestartDelay(Random random) {
         return Duration.ofMillis(List.of(50, 200, 500, 1000).get(random.nextInt(4)));
     }
 
-    private static void trouble(
+    private static void injectRandomFault(
             SimulatedCluster cluster, Random random, List<JobSpec> jobs, int step) {
         int node = random.nextInt(3);
         switch (random.nextInt(16)) {
@@ -316,41 +318,41 @@
             }
             case 6 -> cluster.crash(node);
             case 7, 8 -> cluster.restart(node);
-            case 9 -> cluster.line(node).cut(random.nextBoolean());
-            case 10 -> cluster.line(node).loseAnswers(random.nextInt(3) == 0);
-            case 11 -> cluster.line(node).hold(random.nextInt(3) == 0);
-            case 12 -> cluster.store().out(random.nextInt(3) == 0);
+            case 9 -> cluster.storeConnection(node).refuseRequests(random.nextBoolean());
+            case 10 -> cluster.storeConnection(node).loseResponses(random.nextInt(3) == 0);
+            case 11 -> cluster.storeConnection(node).holdRequests(random.nextInt(3) == 0);
+            case 12 -> cluster.store().setOutage(random.nextInt(3) == 0);
             case 13 -> cluster.cutFromWorkers(node, random.nextBoolean());
-            case 14 -> cluster.cloudOut(random.nextBoolean());
+            case 14 -> cluster.failCloud(random.nextBoolean());
             default -> {
                 List<FakeWorker> workers = cluster.workers();
                 if (!workers.isEmpty()) {
                     FakeWorker worker = workers.get(random.nextInt(workers.size()));
                     if (random.nextBoolean()) {
-                        worker.hang(random.nextBoolean());
+                        worker.setHung(random.nextBoolean());
                     } else {
-                        worker.deaf(random.nextBoolean());
+                        worker.loseIncoming(random.nextBoolean());
                     }
                 }
             }
         }
     }
 
-    private static void calm(SimulatedCluster cluster) {
-        cluster.noMoreCopies();
-        cluster.store().out(false);
-        cluster.cloudOut(false);
+    private static void endAllFaults(SimulatedCluster cluster) {
+        cluster.stopDuplicatingMessages();
+        cluster.store().setOutage(false);
+        cluster.failCloud(false);
         for (int node = 0; node < 3; node++) {
-            cluster.line(node).cut(false);
-            cluster.line(node).loseAnswers(false);
-            cluster.line(node).hold(false);
+            cluster.storeConnection(node).refuseRequests(false);
+            cluster.storeConnection(node).loseResponses(false);
+            cluster.storeConnection(node).holdRequests(false);
             cluster.cutFromWorkers(node, false);
             cluster.restart(node);
         }
         for (FakeWorker worker : cluster.workers()) {
-            worker.hang(false);
-            worker.deaf(false);
-            worker.mute(false);
+            worker.setHung(false);
+            worker.loseIncoming(false);
+            worker.blockOutgoingConnections(false);
         }
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/ReadYourWritesScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/ReadYourWritesScenarioTest.java
@@ -24,17 +24,18 @@
  */
 class ReadYourWritesScenarioTest extends ClusterTestBase {
     /** Answers that were told, after the hard moment, by all nodes. */
-    private void everyNodeSays(Phase phase, JobSpec job) {
+    private void assertEveryControllerReports(Phase phase, JobSpec job) {
         for (int node = 0; node < 3; node++) {
             assertEquals(phase, cluster.poll(node, job.id()).orElseThrow().phase(), "node " + node);
-            assertTrue(cluster.submit(node, job, HOURS), "a repeat is known at node " + node);
+            assertTrue(
+                    cluster.submit(node, job, HOURS_RUNTIME), "a repeat is known at node " + node);
         }
     }
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
-    void nobodyIsToldAnythingOlderRightAfterAJobWasAcceptedOrCalledOffOrEnded(int latecomer) {
-        cluster.closeLooks(true);
+    void everyControllerReadsItsPeersWritesAfterAcceptCancelAndCompletion(int latecomer) {
+        cluster.pollAllAfterAnswers(true);
         List<JobSpec> jobs = new ArrayList<>();
         for (int number = 0; number < 9; number++) {
             JobSpec job =
@@ -46,19 +47,19 @@
             jobs.add(job);
             // Each node knows some of the jobs as live before they end, so that it answers from
             // what it keeps.
-            assertTrue(cluster.submit(number % 3, job, SHORT));
+            assertTrue(cluster.submit(number % 3, job, SHORT_RUNTIME));
             cluster.poll((number + 1) % 3, job.id());
-            cluster.line(latecomer).failWatches(number % 2 == 0);
+            cluster.storeConnection(latecomer).failWatches(number % 2 == 0);
             if (number % 3 == 1) {
-                cluster.cancels((number + 2) % 3, job.id());
+                cluster.cancelAsync((number + 2) % 3, job.id());
             }
             cluster.run(Duration.ofMillis(250 * (number % 4)));
         }
-        cluster.runS(30);
-        cluster.line(latecomer).failWatches(false);
-        assertTrue(cluster.answered() > 100, "answered " + cluster.answered());
+        cluster.runSeconds(30);
+        cluster.storeConnection(latecomer).failWatches(false);
+        assertTrue(cluster.asyncAnswerCount() > 100, "answered " + cluster.asyncAnswerCount());
         for (JobSpec job : jobs) {
-            everyNodeSays(
+            assertEveryControllerReports(
                     Integer.parseInt(job.id().value().substring(4)) % 3 == 1
                             ? Phase.CANCELLED
                             : Phase.DONE,
@@ -81,45 +82,48 @@
     })
     void onlyTheAnswerOfATransactionIsLostAndOthersReadWhatItWrote(String what, int by) {
         int leader = cluster.leader();
-        int node = what.equals("ended") ? leader : other(leader, by);
+        int node = what.equals("ended") ? leader : nodeAfter(leader, by);
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 2, 1);
         if (!what.equals("accepted")) {
-            assertTrue(cluster.submit(other(node, 1), job, SHORT));
-            cluster.runS(what.equals("ended") ? 8 : 4);
+            assertTrue(cluster.submit(nodeAfter(node, 1), job, SHORT_RUNTIME));
+            cluster.runSeconds(what.equals("ended") ? 8 : 4);
         }
-        cluster.line(node).loseCommitAnswers(1, 7);
-        int before = cluster.line(node).lostCommits();
-        cluster.closeLooks(true);
+        cluster.storeConnection(node).loseCommitResponses(1, 7);
+        int before = cluster.storeConnection(node).lostCommitCount();
+        cluster.pollAllAfterAnswers(true);
         CompletableFuture<Optional<JobStatus>> answer =
                 what.equals("accepted")
-                        ? cluster.submits(node, job, SHORT)
-                        : what.equals("called off") ? cluster.cancels(node, job.id()) : null;
-        for (int step = 0; step < 200 && cluster.line(node).lostCommits() == before; step++) {
+                        ? cluster.submitAsync(node, job, SHORT_RUNTIME)
+                        : what.equals("called off") ? cluster.cancelAsync(node, job.id()) : null;
+        for (int step = 0;
+                step < 200 && cluster.storeConnection(node).lostCommitCount() == before;
+                step++) {
             cluster.run(Duration.ofMillis(250));
         }
         assertTrue(
-                cluster.line(node).lostCommits() > before, "it is committed, and nobody was told");
+                cluster.storeConnection(node).lostCommitCount() > before,
+                "it is committed, and nobody was told");
         // Another node reads it, and a user is told there.
-        Phase then = cluster.poll(other(node, 1), job.id()).orElseThrow().phase();
+        Phase then = cluster.poll(nodeAfter(node, 1), job.id()).orElseThrow().phase();
         if (by == 1 && !what.equals("ended")) {
-            assertTrue(cluster.cancel(other(node, 2), job.id()), "and calls it off there");
+            assertTrue(cluster.cancel(nodeAfter(node, 2), job.id()), "and calls it off there");
             then = Phase.CANCELLED;
         }
         if (!what.equals("ended")) {
             // Sent again, it fails on its own effect, and what is told follows the record.
-            cluster.line(node).loseCommitAnswers(0, 0);
-            cluster.runS(3);
+            cluster.storeConnection(node).loseCommitResponses(0, 0);
+            cluster.runSeconds(3);
             assertEquals(then, answer.join().orElseThrow().phase());
         }
-        cluster.runS(3);
-        cluster.line(node).loseCommitAnswers(0, 0);
-        cluster.runS(40);
-        everyNodeSays(
+        cluster.runSeconds(3);
+        cluster.storeConnection(node).loseCommitResponses(0, 0);
+        cluster.runSeconds(40);
+        assertEveryControllerReports(
                 then == Phase.CANCELLED || what.equals("called off") ? Phase.CANCELLED : Phase.DONE,
                 job);
         assertEquals(
                 0,
-                cluster.store().size("job/") + cluster.store().size("task/"),
+                cluster.store().recordCount("job/") + cluster.store().recordCount("task/"),
                 "nothing is left of it");
     }
 
@@ -129,42 +133,42 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7, 8, 9})
-    void aCancellationMeetsTheEndOfTheLastTask(int seed) {
-        cluster.closeLooks(true);
-        cluster.cancelAtEnd(1, seed);
+    void cancellationRacesWithCompletionOfLastTask(int seed) {
+        cluster.pollAllAfterAnswers(true);
+        cluster.cancelAtCompletion(1, seed);
         List<JobSpec> jobs = new ArrayList<>();
         for (int number = 0; number < 6; number++) {
             JobSpec job = SimulatedCluster.spec(number, JobKind.ARRAY, 1 + number % 3, 1);
             jobs.add(job);
-            assertTrue(cluster.submit(number % 3, job, SHORT));
+            assertTrue(cluster.submit(number % 3, job, SHORT_RUNTIME));
         }
-        cluster.runS(40);
+        cluster.runSeconds(40);
         int cancelled = 0;
         for (JobSpec job : jobs) {
-            Phase phase = phase(job);
+            Phase phase = phaseOf(job);
             assertTrue(phase == Phase.DONE || phase == Phase.CANCELLED);
-            everyNodeSays(phase, job);
+            assertEveryControllerReports(phase, job);
             cancelled += phase == Phase.CANCELLED ? 1 : 0;
         }
         assertTrue(cancelled > 0, "at least one cancellation came before the end was written");
-        assertEquals(0, cluster.store().size("job/") + cluster.store().size("task/"));
+        assertEquals(0, cluster.store().recordCount("job/") + cluster.store().recordCount("task/"));
     }
 
     /** Looks that get no answer for long left everyone who asked about a live job without one. */
     @Test
-    void whereLooksGetNoAnswerUsersAreAnsweredAllTheSame() {
+    void usersAreAnsweredWhenStoreReadsTimeOut() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 2, 1);
-        int node = other(cluster.leader(), 1);
+        int node = nodeAfter(cluster.leader(), 1);
         assertTrue(cluster.submit(node, job, null));
         assertTrue(cluster.poll(node, job.id()).isPresent());
-        cluster.line(node).failWatches(true);
+        cluster.storeConnection(node).failWatches(true);
         int answered = 0;
         for (int second = 0; second < 70; second += 5) {
             answered += cluster.poll(node, job.id()).isPresent() ? 1 : 0;
-            cluster.runS(4);
+            cluster.runSeconds(4);
         }
         assertTrue(answered >= 10, "answered " + answered + " of 14");
-        assertTrue(cluster.cancel(other(node, 1), job.id()));
+        assertTrue(cluster.cancel(nodeAfter(node, 1), job.id()));
         assertEquals(Phase.CANCELLED, cluster.poll(node, job.id()).orElseThrow().phase());
     }
 
@@ -173,43 +177,48 @@
      * whatever moment that is sent.
      */
     @Test
-    void aQuestionThatMeetsTheMoveToTheFinalRecordIsAnsweredAllTheSame() {
+    void readDuringMoveToFinalRecordIsAnswered() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 1, 1);
-        int node = other(cluster.leader(), 1);
-        assertTrue(cluster.submit(node, job, SHORT));
+        int node = nodeAfter(cluster.leader(), 1);
+        assertTrue(cluster.submit(node, job, SHORT_RUNTIME));
         cluster.poll(node, job.id());
         // Looks get no answer, so each question is two reads.
-        cluster.line(node).failWatches(true);
+        cluster.storeConnection(node).failWatches(true);
         cluster.poll(node, job.id());
-        cluster.runS(4);
-        int before = cluster.answered();
-        for (int step = 0; step < 40 && !cluster.judge().isOver(job.id()); step++) {
+        cluster.runSeconds(4);
+        int before = cluster.asyncAnswerCount();
+        for (int step = 0;
+                step < 40 && !cluster.historyChecker().isReportedEnded(job.id());
+                step++) {
             for (int at = 0; at < 250; at++) {
-                cluster.loop().schedule(Duration.ofMillis(at), () -> cluster.asks(node, job.id()));
+                cluster.loop()
+                        .schedule(Duration.ofMillis(at), () -> cluster.pollAsync(node, job.id()));
             }
             cluster.run(Duration.ofMillis(250));
         }
-        assertEquals(Phase.DONE, phase(job));
-        assertTrue(cluster.answered() - before > 500, "asked each millisecond until it was done");
+        assertEquals(Phase.DONE, phaseOf(job));
+        assertTrue(
+                cluster.asyncAnswerCount() - before > 500,
+                "asked each millisecond until it was done");
     }
 
     /** A cancellation has read the live record, and its write comes after the job's end. */
     @Test
-    void aCancellationThatIsWrittenAfterTheEndChangesNothing() {
+    void delayedCancellationAfterCompletionHasNoEffect() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 1, 1);
-        int node = other(cluster.leader(), 1);
-        assertTrue(cluster.submit(node, job, SHORT));
-        cluster.runS(9);
-        cluster.line(node).holdCommits();
-        CompletableFuture<Optional<JobStatus>> answer = cluster.cancels(node, job.id());
-        for (int step = 0; step < 40 && cluster.store().size("ended/") == 0; step++) {
+        int node = nodeAfter(cluster.leader(), 1);
+        assertTrue(cluster.submit(node, job, SHORT_RUNTIME));
+        cluster.runSeconds(9);
+        cluster.storeConnection(node).holdCommits();
+        CompletableFuture<Optional<JobStatus>> answer = cluster.cancelAsync(node, job.id());
+        for (int step = 0; step < 40 && cluster.store().recordCount("ended/") == 0; step++) {
             cluster.run(Duration.ofMillis(250));
         }
-        assertEquals(Phase.DONE, cluster.poll(other(node, 1), job.id()).orElseThrow().phase());
-        cluster.line(node).hold(false);
-        cluster.runS(5);
+        assertEquals(Phase.DONE, cluster.poll(nodeAfter(node, 1), job.id()).orElseThrow().phase());
+        cluster.storeConnection(node).holdRequests(false);
+        cluster.runSeconds(5);
         assertTrue(answer.isDone());
-        everyNodeSays(Phase.DONE, job);
-        assertEquals(0, cluster.store().size("job/"), "its live record is not there again");
+        assertEveryControllerReports(Phase.DONE, job);
+        assertEquals(0, cluster.store().recordCount("job/"), "its live record is not there again");
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/RecordingTaskTracer.java
+++ b/src/test/java/org/meadowhollow/simulation/RecordingTaskTracer.java
@@ -8,10 +8,10 @@
 
 /** Notes what is told of traced tasks; takes any context. */
 final class RecordingTaskTracer implements TaskTracer {
-    private final List<String> told = new ArrayList<>();
+    private final List<String> notes = new ArrayList<>();
 
-    List<String> told() {
-        return told;
+    List<String> notes() {
+        return notes;
     }
 
     @Override
@@ -48,7 +48,7 @@
                 throw new AssertionError(what + " goes back in time");
             }
         }
-        told.add(task.traceContext() + ' ' + what);
+        notes.add(task.traceContext() + ' ' + what);
     }
 
     @Override
--- a/src/test/java/org/meadowhollow/simulation/ReservationScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/ReservationScenarioTest.java
@@ -31,20 +31,20 @@
 
     @BeforeEach
     void keepCalendar() {
-        cluster.calendar(Map.of());
-        cluster.mostMachines(cluster.workers().size());
-        cluster.runS(20);
+        cluster.enableReservations(Map.of());
+        cluster.limitRentedMachines(cluster.workers().size());
+        cluster.runSeconds(20);
     }
 
     /** A time of day some seconds from now. */
-    private String in(long seconds) {
+    private String timeAfterSeconds(long seconds) {
         return LocalDateTime.ofEpochSecond(
                         cluster.loop().wallClockMillis() / 1000 + seconds, 0, ZoneOffset.UTC)
                 .toString();
     }
 
     private Http.Reply put(int node, String path, String version, Object... fields) {
-        return cluster.operate(
+        return cluster.sendReservationRequest(
                 node,
                 "secret",
                 "PUT",
@@ -74,7 +74,7 @@
                 "class",
                 "night",
                 "start",
-                in(inS),
+                timeAfterSeconds(inS),
                 "length_s",
                 (double) lengthS);
     }
@@ -88,7 +88,7 @@
                 key,
                 List.of(target),
                 "start",
-                in(inS),
+                timeAfterSeconds(inS),
                 "length_s",
                 (double) lengthS,
                 "notice_s",
@@ -106,7 +106,7 @@
     }
 
     private MessageReader plan(int node) {
-        return body(cluster.operate(node, "reader", "GET", "plan", null, ""), 200);
+        return body(cluster.sendReservationRequest(node, "reader", "GET", "plan", null, ""), 200);
     }
 
     private static JobSpec job(
@@ -140,11 +140,11 @@
     }
 
     /** Fills all there is for a quarter of an hour, as its estimate says, and would again. */
-    private void longWork() {
+    private void submitLongWork() {
         assertTrue(
                 cluster.submit(
                         0,
-                        job(1, "long", Priority.HIGH, 3 * gpus(), 1, 900, 0),
+                        job(1, "long", Priority.HIGH, 3 * totalGpuCount(), 1, 900, 0),
                         Duration.ofSeconds(900)));
     }
 
@@ -155,15 +155,15 @@
         return run;
     }
 
-    private int running(JobSpec spec) {
+    private int runningTaskCount(JobSpec spec) {
         int count = 0;
         for (int task = 0; task < spec.taskCount(); task++) {
-            count += cluster.on(new TaskId(spec.id(), task)).isEmpty() ? 0 : 1;
+            count += cluster.machinesRunning(new TaskId(spec.id(), task)).isEmpty() ? 0 : 1;
         }
         return count;
     }
 
-    private int gpus() {
+    private int totalGpuCount() {
         return cluster.workers().stream()
                 .mapToInt(worker -> worker.type().equals("small") ? 2 : 8)
                 .sum();
@@ -173,134 +173,134 @@
      * Fills what is free with long work, then asks for the reserved run at its time; says how much
      * of it runs soon.
      */
-    private int reservedRunAmongLongWork(boolean reserved) {
+    private int runReservedJobAmongLongWork(boolean reserved) {
         if (reserved) {
             body(reserve("calendars", "team", 6, 1, 300, 600), 201);
         }
-        longWork();
-        cluster.runS(305);
+        submitLongWork();
+        cluster.runSeconds(305);
         JobSpec run = reservedRun(2, 6);
-        cluster.runS(10);
-        return running(run);
+        cluster.runSeconds(10);
+        return runningTaskCount(run);
     }
 
     @Test
-    void aReservedRunStartsOnTimeThoughLongWorkWaitsForAllThereIs() {
-        assertEquals(6, reservedRunAmongLongWork(true));
+    void reservedRunStartsOnTimeDespiteBacklogOfLongWork() {
+        assertEquals(6, runReservedJobAmongLongWork(true));
     }
 
     @Test
-    void withoutItsReservationTheSameRunWaits() {
-        assertEquals(0, reservedRunAmongLongWork(false));
+    void sameRunWithoutReservationWaits() {
+        assertEquals(0, runReservedJobAmongLongWork(false));
     }
 
     @Test
-    void shortWorkUsesTheRoomUntilItIsNeeded() {
-        body(reserve("calendars", "team", gpus(), 1, 300, 600), 201);
+    void shortWorkUsesReservedCapacityUntilSlotBegins() {
+        body(reserve("calendars", "team", totalGpuCount(), 1, 300, 600), 201);
         JobSpec brief = job(1, "brief", Priority.HIGH, 8, 1, 20, 0);
         JobSpec endless = job(2, "long", Priority.HIGH, 4, 1, 2000, 0);
         assertTrue(cluster.submit(0, brief, Duration.ofSeconds(20)));
         assertTrue(cluster.submit(0, endless, HOUR));
-        cluster.runS(15);
-        assertEquals(8, running(brief));
-        assertEquals(0, running(endless));
-        cluster.runS(40);
-        assertEquals(Phase.DONE, phase(brief));
+        cluster.runSeconds(15);
+        assertEquals(8, runningTaskCount(brief));
+        assertEquals(0, runningTaskCount(endless));
+        cluster.runSeconds(40);
+        assertEquals(Phase.DONE, phaseOf(brief));
         // The slot passes unused and is given back.
-        cluster.runS(300 + 600);
-        assertEquals(4, running(endless));
+        cluster.runSeconds(300 + 600);
+        assertEquals(4, runningTaskCount(endless));
     }
 
     @Test
-    void aSlotThatNobodyUsesIsGivenBackBeforeItsEnd() {
-        body(reserve("calendars", "team", gpus(), 1, 60, 7200), 201);
+    void unusedSlotIsReleasedBeforeItsEnd() {
+        body(reserve("calendars", "team", totalGpuCount(), 1, 60, 7200), 201);
         JobSpec endless = job(2, "long", Priority.HIGH, 4, 1, 2000, 0);
         assertTrue(cluster.submit(0, endless, HOUR));
-        cluster.runS(500);
-        assertEquals(0, running(endless));
-        cluster.runS(200);
-        assertEquals(4, running(endless), "ten minutes after its start");
+        cluster.runSeconds(500);
+        assertEquals(0, runningTaskCount(endless));
+        cluster.runSeconds(200);
+        assertEquals(4, runningTaskCount(endless), "ten minutes after its start");
     }
 
     @Test
-    void theReservationHoldsThroughTheLossOfItsLeaderAndOfAllNodesAtItsStart() {
+    void reservationSurvivesLossOfLeaderAndOfAllControllersAtItsStart() {
         body(reserve("calendars", "team", 6, 1, 300, 600), 201);
-        longWork();
-        cluster.runS(290);
+        submitLongWork();
+        cluster.runSeconds(290);
         cluster.crash(cluster.leader());
-        cluster.runS(5);
+        cluster.runSeconds(5);
         cluster.crashAll();
-        cluster.runS(4);
+        cluster.runSeconds(4);
         cluster.restartAll();
-        cluster.runS(8);
+        cluster.runSeconds(8);
         JobSpec run = reservedRun(2, 6);
-        cluster.runS(12);
-        assertEquals(6, running(run));
+        cluster.runSeconds(12);
+        assertEquals(6, runningTaskCount(run));
         assertEquals(1, plan(2).map().get("slots") instanceof List<?> slots ? slots.size() : 0);
     }
 
     @Test
-    void aNewLeaderPlacesNothingBeforeItKnowsTheCalendar() {
-        body(reserve("calendars", "team", gpus(), 1, 60, 7200), 201);
+    void newLeaderPlacesNothingBeforeReservationsAreLoaded() {
+        body(reserve("calendars", "team", totalGpuCount(), 1, 60, 7200), 201);
         cluster.crashAll();
-        cluster.runS(8);
+        cluster.runSeconds(8);
         cluster.restartAll();
         for (int node = 0; node < 3; node++) {
-            cluster.line(node).hide("cal/");
+            cluster.storeConnection(node).hidePrefix("cal/");
         }
-        cluster.runS(3);
+        cluster.runSeconds(3);
         JobSpec work = job(1, "long", Priority.HIGH, 4, 1, 900, 0);
         assertTrue(cluster.submit(0, work, HOUR));
-        cluster.runS(20);
-        assertEquals(0, running(work));
+        cluster.runSeconds(20);
+        assertEquals(0, runningTaskCount(work));
         for (int node = 0; node < 3; node++) {
-            cluster.line(node).hide("/");
+            cluster.storeConnection(node).hidePrefix("/");
         }
-        cluster.runS(20);
-        assertEquals(0, running(work), "all is reserved");
-        assertEquals(Phase.QUEUED, phase(work));
+        cluster.runSeconds(20);
+        assertEquals(0, runningTaskCount(work), "all is reserved");
+        assertEquals(Phase.QUEUED, phaseOf(work));
     }
 
     @Test
-    void inItsSlotAReservedRunGoesBeforeOlderWorkOfItsTeamThatWaitsForTheSameLimit() {
-        cluster.team("team", 0, 4);
-        cluster.calendar(Map.of());
-        cluster.runS(15);
+    void reservedRunInItsSlotPrecedesOlderWorkOfSameTeam() {
+        cluster.withTeam("team", 0, 4);
+        cluster.enableReservations(Map.of());
+        cluster.runSeconds(15);
         body(reserve("calendars", "team", 4, 1, 60, 600), 201);
         assertTrue(
                 cluster.submit(
                         0, job(1, "other", Priority.HIGH, 200, 1, 10, 0), Duration.ofSeconds(10)));
-        cluster.runS(62);
+        cluster.runSeconds(62);
         JobSpec run = job(2, "night", Priority.HIGH, 4, 1, 300, 0);
         assertTrue(cluster.submit(1, run, Duration.ofSeconds(300)));
-        cluster.runS(35);
-        assertEquals(4, running(run));
+        cluster.runSeconds(35);
+        assertEquals(4, runningTaskCount(run));
     }
 
     @Test
-    void whatIsNotDoneAgainstItsEstimateHasBeenWarnedAndGoesInTime() {
-        body(reserve("calendars", "team", gpus(), 1, 200, 600), 201);
-        JobSpec wrong = job(1, "other", Priority.LOW, gpus(), 1, 100, 0);
+    void taskOverrunningItsEstimateIsWarnedAndStoppedInTime() {
+        body(reserve("calendars", "team", totalGpuCount(), 1, 200, 600), 201);
+        JobSpec wrong = job(1, "other", Priority.LOW, totalGpuCount(), 1, 100, 0);
         assertTrue(cluster.submit(0, wrong, HOUR));
-        cluster.runS(15);
-        assertEquals(gpus(), running(wrong), "it should be done long before");
-        cluster.runS(188);
-        JobSpec run = reservedRun(2, gpus());
-        cluster.runS(12);
-        assertEquals(gpus(), running(run));
+        cluster.runSeconds(15);
+        assertEquals(totalGpuCount(), runningTaskCount(wrong), "it should be done long before");
+        cluster.runSeconds(188);
+        JobSpec run = reservedRun(2, totalGpuCount());
+        cluster.runSeconds(12);
+        assertEquals(totalGpuCount(), runningTaskCount(run));
     }
 
     @Test
-    void nothingIsRentedIntoAWindow() {
+    void noMachineIsRentedDuringMaintenanceWindow() {
         body(window("patches", "zones", "a", 30, 600, 0), 201);
-        cluster.mostMachines(40);
+        cluster.limitRentedMachines(40);
         List<FakeWorker> before = cluster.workers();
         assertTrue(
                 cluster.submit(
                         0,
                         job(1, "other", Priority.HIGH, 200, 1, 300, 0),
                         Duration.ofSeconds(300)));
-        cluster.runS(60);
+        cluster.runSeconds(60);
         List<FakeWorker> rented =
                 cluster.workers().stream().filter(worker -> !before.contains(worker)).toList();
         assertFalse(rented.isEmpty());
@@ -308,145 +308,145 @@
     }
 
     @Test
-    void theLeaderKeepsWhatItKnowsWhileTheStateServiceIsOut() {
+    void leaderKeepsReservationsDuringStoreOutage() {
         body(reserve("calendars", "team", 6, 1, 300, 600), 201);
-        longWork();
-        cluster.runS(280);
+        submitLongWork();
+        cluster.runSeconds(280);
         JobSpec run = reservedRun(2, 6);
-        cluster.runS(5);
-        cluster.store().out(true);
+        cluster.runSeconds(5);
+        cluster.store().setOutage(true);
         assertEquals(503, reserve("another", "team", 1, 1, 500, 60).status());
-        cluster.runS(10);
-        cluster.store().out(false);
-        cluster.runS(25);
-        assertEquals(6, running(run));
+        cluster.runSeconds(10);
+        cluster.store().setOutage(false);
+        cluster.runSeconds(25);
+        assertEquals(6, runningTaskCount(run));
     }
 
     @Test
-    void nothingStartsThatWouldRunIntoAWindowAndNothingStartsInIt() {
+    void noTaskStartsThatWouldOverlapMaintenanceWindow() {
         body(window("patches", "zones", "a", 120, 300, 0), 201);
-        JobSpec long1 = job(1, "long", Priority.HIGH, gpus(), 1, 200, 0);
+        JobSpec long1 = job(1, "long", Priority.HIGH, totalGpuCount(), 1, 200, 0);
         assertTrue(cluster.submit(0, long1, Duration.ofSeconds(200)));
         for (int second = 0; second < 420; second += 10) {
-            cluster.runS(10);
+            cluster.runSeconds(10);
             assertTrue(
                     cluster.workers().stream()
                             .filter(worker -> worker.zone().equals("a"))
-                            .allMatch(worker -> worker.running().isEmpty()),
+                            .allMatch(worker -> worker.runningTasks().isEmpty()),
                     "at second " + second);
         }
-        cluster.runS(30);
+        cluster.runSeconds(30);
         assertTrue(
                 cluster.workers().stream()
                                 .filter(worker -> worker.zone().equals("a"))
-                                .anyMatch(worker -> !worker.running().isEmpty())
-                        || running(long1) == 0);
+                                .anyMatch(worker -> !worker.runningTasks().isEmpty())
+                        || runningTaskCount(long1) == 0);
     }
 
     @Test
-    void whatRunsIntoAWindowIsWarnedAndStoppedInTimeAndServicesLeaveOneByOne() {
-        JobSpec work = job(1, "long", Priority.HIGH, gpus() / 2, 1, 1000, 5);
+    void tasksOverlappingWindowAreWarnedAndStoppedAndServicesMoveOneByOne() {
+        JobSpec work = job(1, "long", Priority.HIGH, totalGpuCount() / 2, 1, 1000, 5);
         assertTrue(cluster.submit(0, work, HOUR));
         JobSpec service = SimulatedCluster.spec(2, JobKind.SERVICE, 4, 0);
         assertTrue(cluster.submit(0, service, HOUR));
-        cluster.runS(20);
-        assertEquals(4, running(service));
+        cluster.runSeconds(20);
+        assertEquals(4, runningTaskCount(service));
         long began = cluster.loop().wallClockMillis();
         body(window("patches", "zones", "a", 240, 600, 180), 201);
         int least = 4;
         for (int second = 0; second < 235; second++) {
-            cluster.runS(1);
-            least = Math.min(least, running(service));
+            cluster.runSeconds(1);
+            least = Math.min(least, runningTaskCount(service));
         }
         assertTrue(least >= 3, "replicas left: " + least);
-        assertEquals(4, running(service));
-        cluster.runS(5);
+        assertEquals(4, runningTaskCount(service));
+        cluster.runSeconds(5);
         assertTrue(
                 cluster.workers().stream()
                         .filter(worker -> worker.zone().equals("a"))
-                        .allMatch(worker -> worker.running().isEmpty()),
+                        .allMatch(worker -> worker.runningTasks().isEmpty()),
                 "all is gone when it begins");
         assertTrue(cluster.loop().wallClockMillis() - began < 260_000);
     }
 
     @Test
-    void aWindowThatBeginsAtOnceStillWarnsFirst() {
-        JobSpec work = job(1, "long", Priority.HIGH, gpus(), 1, 1000, 5);
+    void immediateWindowStillWarnsFirst() {
+        JobSpec work = job(1, "long", Priority.HIGH, totalGpuCount(), 1, 1000, 5);
         assertTrue(cluster.submit(0, work, HOUR));
-        cluster.runS(10);
-        assertEquals(gpus(), running(work));
+        cluster.runSeconds(10);
+        assertEquals(totalGpuCount(), runningTaskCount(work));
         body(window("now", "zones", "a", 0, 600, 0), 201);
-        cluster.runS(25);
-        assertEquals(gpus(), running(work), "half a minute");
-        cluster.runS(20);
-        assertTrue(running(work) < gpus());
+        cluster.runSeconds(25);
+        assertEquals(totalGpuCount(), runningTaskCount(work), "half a minute");
+        cluster.runSeconds(20);
+        assertTrue(runningTaskCount(work) < totalGpuCount());
     }
 
     @Test
-    void lowerWorkThatHasTheRoomIsWarnedAndStoppedAndEqualWorkIsNot() {
-        JobSpec low = job(1, "long", Priority.LOW, gpus() / 2, 1, 5000, 5);
-        JobSpec equal = job(2, "other", Priority.HIGH, gpus() / 2, 1, 5000, 5);
+    void lowerPriorityWorkIsWarnedAndPreemptedAndEqualPriorityWorkIsNot() {
+        JobSpec low = job(1, "long", Priority.LOW, totalGpuCount() / 2, 1, 5000, 5);
+        JobSpec equal = job(2, "other", Priority.HIGH, totalGpuCount() / 2, 1, 5000, 5);
         assertTrue(cluster.submit(0, low, HOUR));
         assertTrue(cluster.submit(0, equal, HOUR));
-        cluster.runS(15);
-        int before = running(equal);
-        assertEquals(gpus(), running(low) + before);
+        cluster.runSeconds(15);
+        int before = runningTaskCount(equal);
+        assertEquals(totalGpuCount(), runningTaskCount(low) + before);
         body(reserve("calendars", "team", 4, 1, 200, 600), 201);
-        cluster.runS(202);
+        cluster.runSeconds(202);
         JobSpec run = reservedRun(3, 4);
-        cluster.runS(12);
-        assertEquals(4, running(run));
-        assertEquals(before, running(equal));
+        cluster.runSeconds(12);
+        assertEquals(4, runningTaskCount(run));
+        assertEquals(before, runningTaskCount(equal));
     }
 
     @Test
-    void machinesAreRentedInTimeForASlot() {
-        cluster.mostMachines(40);
+    void machinesAreRentedInTimeForSlot() {
+        cluster.limitRentedMachines(40);
         int before = cluster.workers().size();
-        int tasks = gpus() + 8;
+        int tasks = totalGpuCount() + 8;
         body(reserve("calendars", "team", tasks, 1, 600, 600), 201);
-        cluster.runS(400);
+        cluster.runSeconds(400);
         assertTrue(cluster.workers().size() <= before, "not long before");
-        cluster.runS(190);
-        assertTrue(gpus() >= tasks, "of " + gpus());
+        cluster.runSeconds(190);
+        assertTrue(totalGpuCount() >= tasks, "of " + totalGpuCount());
         JobSpec run = reservedRun(2, tasks);
-        cluster.runS(20);
-        assertEquals(tasks, running(run));
+        cluster.runSeconds(20);
+        assertEquals(tasks, runningTaskCount(run));
     }
 
     @Test
-    void machinesThatAreLostBeforeTheSlotAreReplaced() {
-        cluster.mostMachines(40);
+    void machinesLostBeforeSlotAreReplaced() {
+        cluster.limitRentedMachines(40);
         body(reserve("calendars", "team", 6, 1, 300, 600), 201);
-        longWork();
-        cluster.runS(180);
+        submitLongWork();
+        cluster.runSeconds(180);
         cluster.workers().stream()
-                .filter(worker -> worker.running().isEmpty())
-                .forEach(cluster::take);
-        cluster.mostMachines(80);
-        cluster.runS(125);
+                .filter(worker -> worker.runningTasks().isEmpty())
+                .forEach(cluster::reclaimMachine);
+        cluster.limitRentedMachines(80);
+        cluster.runSeconds(125);
         JobSpec run = reservedRun(2, 6);
-        cluster.runS(12);
-        assertEquals(6, running(run));
+        cluster.runSeconds(12);
+        assertEquals(6, runningTaskCount(run));
     }
 
     @Test
-    void theRoomOfAJobThatIsCancelledInItsSlotIsThereForTheNext() {
+    void capacityOfJobCancelledInItsSlotIsReused() {
         body(reserve("calendars", "team", 6, 1, 300, 600), 201);
-        longWork();
-        cluster.runS(305);
+        submitLongWork();
+        cluster.runSeconds(305);
         JobSpec wrong = job(2, "night", Priority.HIGH, 6, 1, 60, 0);
         assertTrue(cluster.submit(1, wrong, HOUR));
-        cluster.runS(15);
+        cluster.runSeconds(15);
         assertTrue(cluster.cancel(2, wrong.id()));
-        cluster.runS(8);
+        cluster.runSeconds(8);
         JobSpec right = reservedRun(3, 6);
-        cluster.runS(12);
-        assertEquals(6, running(right));
+        cluster.runSeconds(12);
+        assertEquals(6, runningTaskCount(right));
     }
 
     @Test
-    void aGangThatAWindowStopsGoesWholeAndComesBackElsewhere() {
+    void gangStoppedByWindowLeavesCompletelyAndRestartsElsewhere() {
         JobSpec spec = SimulatedCluster.spec(1, JobKind.GANG, 4, 1);
         JobSpec gang =
                 new JobSpec(
@@ -469,40 +469,40 @@
                         4,
                         Double.NaN);
         assertTrue(cluster.submit(0, gang, HOUR));
-        cluster.runS(15);
-        assertEquals(4, running(gang));
-        String zone = placeOf(gang, 0).zone();
+        cluster.runSeconds(15);
+        assertEquals(4, runningTaskCount(gang));
+        String zone = machineRunning(gang, 0).zone();
         body(window("patches", "zones", zone, 150, 600, 0), 201);
-        cluster.runS(120);
-        assertEquals(4, running(gang), "not before it has to");
-        cluster.runS(45);
+        cluster.runSeconds(120);
+        assertEquals(4, runningTaskCount(gang), "not before it has to");
+        cluster.runSeconds(45);
         assertTrue(
                 cluster.workers().stream()
                         .filter(worker -> worker.zone().equals(zone))
-                        .allMatch(worker -> worker.running().isEmpty()));
-        assertEquals(4, running(gang), "in the other zone");
+                        .allMatch(worker -> worker.runningTasks().isEmpty()));
+        assertEquals(4, runningTaskCount(gang), "in the other zone");
     }
 
     @Test
-    void twoWindowsThatTogetherTakeAllZonesLeaveNothingRunningAndEndWithThem() {
+    void windowsCoveringAllZonesStopEverythingUntilTheyEnd() {
         body(window("one", "zones", "a", 60, 300, 0), 201);
         body(window("two", "zones", "b", 120, 120, 0), 201);
         JobSpec work = job(1, "long", Priority.HIGH, 4, 1, 100, 0);
         assertTrue(cluster.submit(0, work, Duration.ofSeconds(100)));
-        cluster.runS(130);
-        assertEquals(0, running(work));
-        cluster.runS(90);
-        assertEquals(0, running(work));
-        cluster.runS(40);
-        assertEquals(4, running(work), "in the zone whose window is over");
+        cluster.runSeconds(130);
+        assertEquals(0, runningTaskCount(work));
+        cluster.runSeconds(90);
+        assertEquals(0, runningTaskCount(work));
+        cluster.runSeconds(40);
+        assertEquals(4, runningTaskCount(work), "in the zone whose window is over");
     }
 
     @Test
-    void aRequestIsJudgedOnceForAllNodesAndRepeatedFreely() throws MalformedMessageException {
-        cluster.team("team", 0, 10);
-        cluster.calendar(Map.of());
-        cluster.runS(15);
-        String start = in(600);
+    void requestIsDecidedOnceForAllControllersAndIsIdempotent() throws MalformedMessageException {
+        cluster.withTeam("team", 0, 10);
+        cluster.enableReservations(Map.of());
+        cluster.runSeconds(15);
+        String start = timeAfterSeconds(600);
         Object[] first = {
             "team",
             "team",
@@ -556,9 +556,11 @@
                                         60.0)));
         List<CompletableFuture<Http.Reply>> both =
                 List.of(
-                        cluster.asksDesk(0, "secret", "PUT", "reservations/one", null, body),
-                        cluster.asksDesk(1, "secret", "PUT", "reservations/two", null, body));
-        cluster.runS(3);
+                        cluster.sendReservationRequestAsync(
+                                0, "secret", "PUT", "reservations/one", null, body),
+                        cluster.sendReservationRequestAsync(
+                                1, "secret", "PUT", "reservations/two", null, body));
+        cluster.runSeconds(3);
         assertEquals(
                 List.of(201, 409),
                 both.stream().map(reply -> reply.join().status()).sorted().toList());
@@ -577,7 +579,7 @@
                 refused.string("error"));
         assertEquals(
                 200,
-                cluster.operate(
+                cluster.sendReservationRequest(
                                 0,
                                 "secret",
                                 "DELETE",
@@ -587,23 +589,39 @@
                         .status());
         assertEquals(
                 200,
-                cluster.operate(1, "secret", "DELETE", "reservations/first", null, "").status(),
+                cluster.sendReservationRequest(
+                                1, "secret", "DELETE", "reservations/first", null, "")
+                        .status(),
                 "repeated");
         assertEquals(
-                404, cluster.operate(1, "reader", "GET", "reservations/first", null, "").status());
+                404,
+                cluster.sendReservationRequest(1, "reader", "GET", "reservations/first", null, "")
+                        .status());
         assertEquals(
                 1,
-                body(cluster.operate(1, "reader", "GET", "reservations", null, ""), 200)
+                body(
+                                cluster.sendReservationRequest(
+                                        1, "reader", "GET", "reservations", null, ""),
+                                200)
                         .nestedList("reservations")
                         .size());
     }
 
     @Test
-    void whatIsWrongIsRefusedByNameAndWhoMayNotIsKeptOut() {
-        assertEquals(401, cluster.operate(0, "guess", "GET", "plan", null, "").status());
-        assertEquals(403, cluster.operate(0, "reader", "PUT", "windows/w", null, "{}").status());
-        assertEquals(405, cluster.operate(0, "secret", "POST", "windows/w", null, "{}").status());
-        assertEquals(404, cluster.operate(0, "secret", "GET", "elsewhere", null, "").status());
+    void invalidRequestIsRejectedByFieldAndUnauthorizedCallerIsDenied() {
+        assertEquals(
+                401, cluster.sendReservationRequest(0, "guess", "GET", "plan", null, "").status());
+        assertEquals(
+                403,
+                cluster.sendReservationRequest(0, "reader", "PUT", "windows/w", null, "{}")
+                        .status());
+        assertEquals(
+                405,
+                cluster.sendReservationRequest(0, "secret", "POST", "windows/w", null, "{}")
+                        .status());
+        assertEquals(
+                404,
+                cluster.sendReservationRequest(0, "secret", "GET", "elsewhere", null, "").status());
         for (String[] wrong :
                 new String[][] {
                     {"windows/w", "{}", "machines"},
@@ -628,13 +646,14 @@
                     },
                     {"reservations/r", "{\"team\":\"t\",\"tasks\":0}", "tasks"}
                 }) {
-            Http.Reply reply = cluster.operate(0, "secret", "PUT", wrong[0], null, wrong[1]);
+            Http.Reply reply =
+                    cluster.sendReservationRequest(0, "secret", "PUT", wrong[0], null, wrong[1]);
             assertTrue(
                     body(reply, 400).map().get("error").toString().contains(wrong[2]),
                     new String(reply.body()));
         }
         assertEquals(422, reserve("r", "nobody", 1, 1, 60, 60).status());
         assertEquals(422, window("w", "zones", "moon", 60, 60, 0).status());
-        assertFalse(cluster.store().size("cal/") > 0, "nothing of it is kept");
+        assertFalse(cluster.store().recordCount("cal/") > 0, "nothing of it is kept");
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/ScaleTest.java
+++ b/src/test/java/org/meadowhollow/simulation/ScaleTest.java
@@ -29,31 +29,32 @@
     void nineHundredMachinesWithAThousandTasks() {
         cluster = new SimulatedCluster();
         for (int at = 0; at < MACHINES; at++) {
-            cluster.machine(SimulatedCluster.SMALL, at % 2 == 0 ? "a" : "b");
+            cluster.addMachine(SimulatedCluster.SMALL, at % 2 == 0 ? "a" : "b");
         }
-        cluster.runS(12);
-        cluster.cloudOut(true);
+        cluster.runSeconds(12);
+        cluster.failCloud(true);
         for (int number = 0; number < JOBS; number++) {
             JobSpec job = SimulatedCluster.spec(number, JobKind.ARRAY, TASKS, 1);
             jobs.add(job);
             assertTrue(cluster.submit(number % 3, job, Duration.ofSeconds(60)));
         }
-        cluster.runS(10);
+        cluster.runSeconds(10);
     }
 
     @Test
-    void aBacklogStartsInAFewRoundsAndARecordHoldsAJob() {
-        assertEquals(JOBS * TASKS, cluster.starts());
-        assertEquals(JOBS, cluster.store().size("task/"));
+    void backlogStartsWithinFewRoundsAndOneRecordHoldsOneJob() {
+        assertEquals(JOBS * TASKS, cluster.startCount());
+        assertEquals(JOBS, cluster.store().recordCount("task/"));
     }
 
     @Test
-    void aTakeoverLosesNothingAndAsksNobodyWhoReports() {
-        cluster.takeDirects();
+    void failoverLosesNoTaskAndProbesNoReportingMachine() {
+        cluster.takeDirectMessageCount();
         cluster.crash(cluster.leader());
-        cluster.runS(70);
-        assertEquals(0, cluster.takeDirects(), "every worker found the new leader by itself");
-        assertEquals(JOBS * TASKS, cluster.starts());
+        cluster.runSeconds(70);
+        assertEquals(
+                0, cluster.takeDirectMessageCount(), "every worker found the new leader by itself");
+        assertEquals(JOBS * TASKS, cluster.startCount());
         for (JobSpec job : jobs) {
             assertEquals(
                     Phase.DONE, cluster.poll(cluster.leader(), job.id()).orElseThrow().phase());
@@ -61,15 +62,15 @@
     }
 
     @Test
-    void aWarmStandbyPlacesWithinASecondOfItsKeyAndReadsNoPages() {
-        cluster.standby();
-        cluster.runS(60);
+    void warmStandbyPlacesWithinOneSecondWithoutReadingRecords() {
+        cluster.enableStandbys();
+        cluster.runSeconds(60);
         int dead = cluster.leader();
         int[] pages = new int[3];
         int[] watches = new int[3];
         for (int node = 0; node < 3; node++) {
-            pages[node] = cluster.line(node).pages();
-            watches[node] = cluster.line(node).watches();
+            pages[node] = cluster.storeConnection(node).pageReadCount();
+            watches[node] = cluster.storeConnection(node).watchCount();
         }
         for (int second = 0; second < 20; second++) {
             assertTrue(
@@ -77,10 +78,10 @@
                             dead,
                             SimulatedCluster.spec(JOBS + 1 + second, JobKind.ARRAY, 2, 1),
                             Duration.ofSeconds(3)));
-            cluster.runS(0.75);
+            cluster.runSeconds(0.75);
         }
         int follower = (dead + 1) % 3;
-        int asked = cluster.line(follower).watches() - watches[follower];
+        int asked = cluster.storeConnection(follower).watchCount() - watches[follower];
         assertTrue(
                 asked <= 3 * 11,
                 asked + " watches of three prefixes in 20 s, at most one each in 2 s");
@@ -90,26 +91,29 @@
         for (int step = 0;
                 step < 40 && (cluster.leader() < 0 || cluster.leader() == dead);
                 step++) {
-            cluster.runS(0.25);
+            cluster.runSeconds(0.25);
         }
         int next = cluster.leader();
-        cluster.runS(1);
+        cluster.runSeconds(1);
         assertEquals(
                 1,
-                cluster.store().size(RecordCodec.TASK_PREFIX + waiting.id().value()),
+                cluster.store().recordCount(RecordCodec.TASK_PREFIX + waiting.id().value()),
                 "placed within a second or so");
-        assertEquals(pages[next], cluster.line(next).pages(), "it has all records in hand");
+        assertEquals(
+                pages[next],
+                cluster.storeConnection(next).pageReadCount(),
+                "it has all records in hand");
     }
 
     @Test
-    void manySilentMachinesAreAskedAFewAtATime() {
-        cluster.workers().stream().limit(MACHINES / 2).forEach(worker -> worker.hang(true));
-        cluster.takeDirects();
+    void silentMachinesAreProbedInSmallBatches() {
+        cluster.workers().stream().limit(MACHINES / 2).forEach(worker -> worker.setHung(true));
+        cluster.takeDirectMessageCount();
         int most = 0;
         int all = 0;
         for (int second = 0; second < 15; second++) {
-            cluster.runS(1);
-            int asked = cluster.takeDirects();
+            cluster.runSeconds(1);
+            int asked = cluster.takeDirectMessageCount();
             most = Math.max(most, asked);
             all += asked;
         }
--- a/src/test/java/org/meadowhollow/simulation/SimulatedCluster.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedCluster.java
@@ -72,28 +72,29 @@
             new MachineType("small", Resources.of(8, 2, 32), 50, 1, 2, 1, 10, List.of("a", "b"));
     static final MachineType LARGE =
             new MachineType("large", Resources.of(32, 8, 128), 50, 1, 8, 4, 10, List.of("a", "b"));
-    private static final Duration CANCEL = Duration.ofSeconds(48);
+    private static final Duration CANCEL_TIMEOUT = Duration.ofSeconds(48);
 
     /** Longer than a leadership's lease. */
-    private static final Duration BUSY = Duration.ofSeconds(6);
+    private static final Duration BUSY_DELAY = Duration.ofSeconds(6);
 
-    private static final List<Duration> LATE =
+    private static final List<Duration> DUPLICATE_DELAYS =
             List.of(Duration.ofMillis(100), Duration.ofSeconds(20), Duration.ofMinutes(4));
     private static final Duration STEP = Duration.ofMillis(250);
-    private static final int MOST_HANGING = 8;
-    private static final Duration RENTAL_ANSWER = Duration.ofMillis(100);
-    private static final int MOST_KEPT = 1000;
+    private static final int MAX_HUNG_MACHINES = 8;
+    private static final Duration RENTAL_RESPONSE_DELAY = Duration.ofMillis(100);
+    private static final int MAX_KEPT_HEARTBEATS = 1000;
 
     private final VirtualEventLoop loop = new VirtualEventLoop();
     private final FakeKeyValueStore store = new FakeKeyValueStore(loop);
-    private final List<Member> members = new ArrayList<>();
+    private final List<SimulatedNode> members = new ArrayList<>();
     private final Map<MachineId, FakeWorker> workers = new TreeMap<>();
-    private final Map<String, List<MachineId>> rentals = new HashMap<>();
+    private final Map<String, List<MachineId>> rentalCount = new HashMap<>();
     private final Map<JobId, JobSpec> specs = new HashMap<>();
     private final Map<JobId, Duration> runTimes = new HashMap<>();
     private final Map<String, DeploymentSettings.TeamQuota> teams = new HashMap<>();
     private final HistoryChecker historyChecker =
-            new HistoryChecker(CANCEL, teams, List.of(SMALL, LARGE), this::spec, workers::values);
+            new HistoryChecker(
+                    CANCEL_TIMEOUT, teams, List.of(SMALL, LARGE), this::spec, workers::values);
 
     /** What was found wrong inside an answer, where nothing that is thrown would be seen. */
     private AssertionError wrong;
@@ -107,8 +108,8 @@
     private double cancelledAtEnd;
     private Duration boot = Duration.ofSeconds(10);
     private Duration listLag = Duration.ZERO;
-    private int deliveredToNext;
-    private int startOrders;
+    private int deliveredToNextLeaderCount;
+    private int startCommandCount;
 
     /** Null unless direct orders are held up. */
     private List<Runnable> heldOrders;
@@ -118,33 +119,33 @@
     private final RecordingTaskTracer traces = new RecordingTaskTracer();
     private final JobEventListeners jobEventListeners =
             new JobEventListeners(new JobEventLog(events::add), traces);
-    private Duration fetch = Duration.ofSeconds(2);
-    private final List<FakeWorker> returned = new ArrayList<>();
+    private Duration imagePullTime = Duration.ofSeconds(2);
+    private final List<FakeWorker> returnedMachines = new ArrayList<>();
     private final Set<MachineId> taken = new HashSet<>();
     private final Set<MachineId> failed = new HashSet<>();
-    private int mostMachines = 40;
-    private int neverUp;
-    private Random copies;
-    private Random lateReports;
+    private int limitRentedMachines = 40;
+    private int failNextBoots;
+    private Random duplicateMessages;
+    private Random duplicateHeartbeatsLate;
     private double lateShare;
-    private int answered;
-    private boolean closeLooks;
-    private ReservationSettings calendar = ReservationSettings.OFF;
-    private StandbySettings standby = StandbySettings.DISABLED;
+    private int asyncAnswerCount;
+    private boolean pollAllAfterAnswers;
+    private ReservationSettings enableReservations = ReservationSettings.OFF;
+    private StandbySettings enableStandbys = StandbySettings.DISABLED;
     private UnaryOperator<RiskTableDelta> tablesChange = UnaryOperator.identity();
     private Duration tablesLate = Duration.ofMillis(5);
-    private boolean cloudOut;
-    private boolean peersCut;
+    private boolean failCloud;
+    private boolean cutPeers;
     private int nextMachine;
     private int nextSeed = 7;
-    private int starts;
+    private int startCount;
     private int directs;
     private int reports;
 
     /** A node's process and its lines. */
-    private final class Member {
+    private final class SimulatedNode {
         private final String name;
-        private FakeKeyValueStore.Line line;
+        private FakeKeyValueStore.Connection connection;
         private ControllerNode controllerNode;
         private AdmissionService admissionService;
         private TesApi tes;
@@ -168,15 +169,18 @@
         /** Its machine gives no answer, rather than that nobody listens there. */
         private boolean silent;
 
-        Member(String name) {
+        SimulatedNode(String name) {
             this.name = name;
             start();
         }
 
         void start() {
             silent = false;
-            line = store.new Line().readBy(this::whenAwake).copied(SimulatedCluster.this::again);
-            FakeKeyValueStore.Line mine = line;
+            connection =
+                    store.new Connection()
+                            .deliverResponsesOn(this::whenAwake)
+                            .duplicateRequestsTo(SimulatedCluster.this::again);
+            FakeKeyValueStore.Connection mine = connection;
             MachineTypeCatalog machineTypeCatalog = new MachineTypeCatalog();
             DeploymentSettings deploymentSettings =
                     new DeploymentSettings(
@@ -187,26 +191,26 @@
                             Duration.ofSeconds(3),
                             Duration.ofSeconds(18),
                             Duration.ofSeconds(30),
-                            CANCEL,
+                            CANCEL_TIMEOUT,
                             100,
                             50,
                             16 * 1024,
                             12,
                             10,
                             Duration.ofSeconds(8));
-            EventLoop own = new OwnLoop(this);
+            EventLoop own = new NodeEventLoop(this);
             controllerNode =
                     new ControllerNode(
                             own,
                             mine,
-                            new Direct(this),
-                            new Offer(),
-                            new Hints(this),
+                            new SimulatedWorkerGateway(this),
+                            new SimulatedCloudProvider(),
+                            new SimulatedPeerGateway(this),
                             deploymentSettings,
                             machineTypeCatalog,
                             jobEventListeners,
-                            calendar,
-                            standby,
+                            enableReservations,
+                            enableStandbys,
                             new Random(nextSeed++));
             admissionService =
                     new AdmissionService(
@@ -232,7 +236,7 @@
                                     own,
                                     machineTypeCatalog,
                                     deploymentSettings,
-                                    calendar.machineLimits()),
+                                    enableReservations.machineLimits()),
                             operators());
             controllerNode.start();
         }
@@ -250,7 +254,7 @@
         }
 
         void crash() {
-            line.die();
+            connection.close();
             controllerNode.close();
             controllerNode = null;
         }
@@ -260,11 +264,11 @@
      * A node's own view of the loop: one that is busy comes to its timers late, though it goes on
      * taking reports.
      */
-    private final class OwnLoop implements EventLoop {
-        private final Member member;
+    private final class NodeEventLoop implements EventLoop {
+        private final SimulatedNode simulatedNode;
 
-        OwnLoop(Member member) {
-            this.member = member;
+        NodeEventLoop(SimulatedNode simulatedNode) {
+            this.simulatedNode = simulatedNode;
         }
 
         @Override
@@ -279,16 +283,16 @@
 
         @Override
         public void schedule(Duration pause, Runnable work) {
-            loop.schedule(pause.plus(member.busy), () -> member.whenAwake(work));
+            loop.schedule(pause.plus(simulatedNode.busy), () -> simulatedNode.whenAwake(work));
         }
     }
 
     SimulatedCluster() {
-        store.whenPut(RecordCodec.LEADER_KEY, this::leaderBegins);
-        team("team", 0, 0);
-        team("other", 0, 0);
+        store.onPut(RecordCodec.LEADER_KEY, this::leaderBegins);
+        withTeam("team", 0, 0);
+        withTeam("other", 0, 0);
         for (String name : List.of("n0", "n1", "n2")) {
-            members.add(new Member(name));
+            members.add(new SimulatedNode(name));
         }
     }
 
@@ -309,7 +313,7 @@
      * Sends a request of a client of the task execution API, and waits five seconds for the answer;
      * null if none.
      */
-    Http.Reply tes(
+    Http.Reply sendTesRequest(
             int node,
             String token,
             String method,
@@ -317,14 +321,14 @@
             Map<String, List<String>> query,
             Map<String, String> headers,
             String body) {
-        return tes(
+        return sendTesRequest(
                 node, token, method, path, query, headers, body.getBytes(StandardCharsets.UTF_8));
     }
 
     /**
      * @param token null if the headers hold what there is of one
      */
-    Http.Reply tes(
+    Http.Reply sendTesRequest(
             int node,
             String token,
             String method,
@@ -336,7 +340,7 @@
             return null;
         }
         CompletableFuture<Http.Reply> answer =
-                asked(node, token, method, path, query, headers, body);
+                sendTesRequestAsync(node, token, method, path, query, headers, body);
         for (int step = 0; step < 20 && !answer.isDone(); step++) {
             run(STEP);
         }
@@ -344,7 +348,7 @@
     }
 
     /** Sends such a request to a node that runs, and waits for nothing. */
-    CompletableFuture<Http.Reply> asked(
+    CompletableFuture<Http.Reply> sendTesRequestAsync(
             int node,
             String token,
             String method,
@@ -378,22 +382,22 @@
      *
      * @param most machines that there are to reserve from, by type or type and zone
      */
-    void calendar(Map<String, Integer> most) {
-        calendar = new ReservationSettings(true, most, Duration.ofMillis(100));
+    void enableReservations(Map<String, Integer> most) {
+        enableReservations = new ReservationSettings(true, most, Duration.ofMillis(100));
         crashAll();
         restartAll();
     }
 
     /** Starts all nodes anew with warm standbys. */
-    SimulatedCluster standby() {
-        standby = new StandbySettings(true, "test", "a");
+    SimulatedCluster enableStandbys() {
+        enableStandbys = new StandbySettings(true, "test", "a");
         crashAll();
         restartAll();
         return this;
     }
 
     /** What becomes of what a leader says of its tables, and how long it takes. */
-    void tables(UnaryOperator<RiskTableDelta> change, Duration late) {
+    void interceptRiskTables(UnaryOperator<RiskTableDelta> change, Duration late) {
         tablesChange = change;
         tablesLate = late;
     }
@@ -406,24 +410,26 @@
      * From now on any message may come once more: a moment, twenty seconds or four minutes later,
      * out of order, to whoever has its receiver's name by then; nobody waits for the answer.
      */
-    SimulatedCluster copies(long seed) {
-        copies = new Random(seed);
+    SimulatedCluster duplicateMessages(long seed) {
+        duplicateMessages = new Random(seed);
         return this;
     }
 
     /** No more copies are made; those that are on their way still come. */
-    void noMoreCopies() {
-        copies = null;
+    void stopDuplicatingMessages() {
+        duplicateMessages = null;
     }
 
     private void again(Runnable delivery) {
-        if (copies != null && copies.nextInt(4) == 0) {
-            loop.schedule(LATE.get(copies.nextInt(LATE.size())), delivery);
+        if (duplicateMessages != null && duplicateMessages.nextInt(4) == 0) {
+            loop.schedule(
+                    DUPLICATE_DELAYS.get(duplicateMessages.nextInt(DUPLICATE_DELAYS.size())),
+                    delivery);
         }
     }
 
     /** A node's process ends and is back, with nothing remembered. */
-    void bounce(int node, Duration pause) {
+    void restartAfter(int node, Duration pause) {
         if (members.get(node).controllerNode != null && members.get(node).frozen == null) {
             crash(node);
             loop.schedule(pause, () -> restart(node));
@@ -431,24 +437,25 @@
     }
 
     /** The next machines that are rented never come up. */
-    void neverUp(int machines) {
-        neverUp = machines;
+    void failNextBoots(int machines) {
+        failNextBoots = machines;
     }
 
     /** Machines that were rented so far. */
-    int machinesRented() {
-        return rentals.values().stream().mapToInt(List::size).sum();
+    int rentedMachineCount() {
+        return rentalCount.values().stream().mapToInt(List::size).sum();
     }
 
     /** No more machines than these are rented out. */
-    void mostMachines(int most) {
-        mostMachines = most;
+    void limitRentedMachines(int most) {
+        limitRentedMachines = most;
     }
 
     /** Sends an operator's request, and waits five seconds for the answer; null if none. */
-    Http.Reply operate(
+    Http.Reply sendReservationRequest(
             int node, String token, String method, String path, String version, String body) {
-        CompletableFuture<Http.Reply> answer = asksDesk(node, token, method, path, version, body);
+        CompletableFuture<Http.Reply> answer =
+                sendReservationRequestAsync(node, token, method, path, version, body);
         for (int step = 0; step < 20 && !answer.isDone(); step++) {
             run(STEP);
         }
@@ -456,7 +463,7 @@
     }
 
     /** Sends an operator's request and waits for nothing. */
-    CompletableFuture<Http.Reply> asksDesk(
+    CompletableFuture<Http.Reply> sendReservationRequestAsync(
             int node, String token, String method, String path, String version, String body) {
         Map<String, String> headers = new HashMap<>(Map.of("Authorization", "Bearer " + token));
         if (version != null) {
@@ -474,7 +481,7 @@
     }
 
     /** How long the tasks of a job run that was not submitted here. */
-    void runs(JobId id, Duration span) {
+    void setRuntime(JobId id, Duration span) {
         runTimes.put(id, span);
     }
 
@@ -483,21 +490,21 @@
         return specs.computeIfAbsent(
                 id,
                 unknown -> {
-                    historyChecker.submits(id);
+                    historyChecker.recordSubmission(id);
                     return RecordCodec.job(
                                     id,
-                                    store.value(RecordCodec.job(id)),
+                                    store.valueOf(RecordCodec.job(id)),
                                     Revision.ABSENT,
                                     loop.now())
                             .spec();
                 });
     }
 
-    static MachineType typeOf(String name) {
+    static MachineType machineType(String name) {
         return name.equals(SMALL.name()) ? SMALL : LARGE;
     }
 
-    SimulatedCluster team(String name, double guaranteedGpus, double mostGpus) {
+    SimulatedCluster withTeam(String name, double guaranteedGpus, double mostGpus) {
         teams.put(
                 name,
                 new DeploymentSettings.TeamQuota(
@@ -506,12 +513,12 @@
     }
 
     /** How long every image takes to come. */
-    void fetch(Duration span) {
-        fetch = span;
+    void imagePullTime(Duration span) {
+        imagePullTime = span;
     }
 
-    Duration fetch() {
-        return fetch;
+    Duration imagePullTime() {
+        return imagePullTime;
     }
 
     VirtualEventLoop loop() {
@@ -522,8 +529,8 @@
         return store;
     }
 
-    FakeKeyValueStore.Line line(int node) {
-        return members.get(node).line;
+    FakeKeyValueStore.Connection storeConnection(int node) {
+        return members.get(node).connection;
     }
 
     int nodeCount() {
@@ -534,24 +541,24 @@
         return Integer.parseInt(member.substring(1));
     }
 
-    int starts() {
-        return starts;
+    int startCount() {
+        return startCount;
     }
 
     /** Orders to start that workers took. */
-    int startOrders() {
-        return startOrders;
+    int startCommandCount() {
+        return startCommandCount;
     }
 
     /** Messages that went straight to workers since the last call. */
-    int takeDirects() {
+    int takeDirectMessageCount() {
         int taken = directs;
         directs = 0;
         return taken;
     }
 
     /** Reports that reached a node since the last call. */
-    int takeReports() {
+    int takeHeartbeatCount() {
         int taken = reports;
         reports = 0;
         return taken;
@@ -565,12 +572,12 @@
     }
 
     /** What those who trace were told, in the order in which they were. */
-    List<String> traced() {
-        return traces.told();
+    List<String> traceNotes() {
+        return traces.notes();
     }
 
-    long term() {
-        return ((Number) store.value("meta/term").get("term")).longValue();
+    long fencingToken() {
+        return ((Number) store.valueOf("meta/term").get("term")).longValue();
     }
 
     // ---- troubles ----
@@ -617,16 +624,16 @@
     }
 
     /** Reports to a node get lost, while its direct commands are answered. */
-    void loseReports(int node, boolean lose) {
+    void loseHeartbeats(int node, boolean lose) {
         members.get(node).mute = lose;
     }
 
     /** A node's process stands still, while its clock runs on. */
-    void freeze(int node) {
+    void pause(int node) {
         members.get(node).frozen = new ArrayList<>();
     }
 
-    void thaw(int node) {
+    void resume(int node) {
         List<Runnable> due = members.get(node).frozen;
         members.get(node).frozen = null;
         if (due != null) {
@@ -650,52 +657,52 @@
     }
 
     /** The cloud takes a machine away without notice, and lists it no more. */
-    void take(FakeWorker worker) {
-        worker.hang(true);
+    void reclaimMachine(FakeWorker worker) {
+        worker.setHung(true);
         taken.add(worker.id());
     }
 
     /** A machine stops by itself with all that is on it, and the cloud lists it as failed. */
-    void fail(FakeWorker worker) {
-        worker.hang(true);
+    void failMachine(FakeWorker worker) {
+        worker.setHung(true);
         failed.add(worker.id());
     }
 
     /** Rentals that were asked for so far. */
-    int rentals() {
-        return rentals.size();
+    int rentalCount() {
+        return rentalCount.size();
     }
 
     /** The machines that were returned to the cloud so far. */
-    List<MachineId> returned() {
-        return returned.stream().map(FakeWorker::id).toList();
+    List<MachineId> returnedMachines() {
+        return returnedMachines.stream().map(FakeWorker::id).toList();
     }
 
-    List<MachineId> returnedFrom(String zone) {
-        return returned.stream()
+    List<MachineId> returnedMachinesOf(String zone) {
+        return returnedMachines.stream()
                 .filter(worker -> worker.zone().equals(zone))
                 .map(FakeWorker::id)
                 .toList();
     }
 
     /** Hints between the nodes are lost. */
-    void peersCut(boolean cut) {
-        peersCut = cut;
+    void cutPeers(boolean cut) {
+        cutPeers = cut;
     }
 
     /**
      * A node loses the state service and the other nodes, and neither its workers nor its users.
      */
-    void apart(int node, boolean now) {
+    void partition(int node, boolean now) {
         members.get(node).apart = now;
-        members.get(node).line.cut(now);
+        members.get(node).connection.refuseRequests(now);
     }
 
     /**
      * A copy of each so many reports arrives again, from 2 s to well over a lease later; 0 ends it.
      */
-    void lateReports(double share, long seed) {
-        lateReports = share == 0 ? null : new Random(seed);
+    void duplicateHeartbeatsLate(double share, long seed) {
+        duplicateHeartbeatsLate = share == 0 ? null : new Random(seed);
         lateShare = share;
     }
 
@@ -703,29 +710,29 @@
      * A copy of each so many reports is kept until a new leader begins, and reaches every node
      * then; 0 ends it.
      */
-    void keepReportsForNext(double share, long seed) {
+    void keepHeartbeatsForNextLeader(double share, long seed) {
         keeping = share == 0 ? null : new Random(seed);
         keptShare = share;
     }
 
     /** Keeps a copy of what a worker reports by now for the next leader. */
-    void keepForNext(FakeWorker worker) {
+    void keepHeartbeatForNextLeader(FakeWorker worker) {
         kept.add(worker.snapshot());
     }
 
     /** Kept reports that reached nodes as a leader began. */
-    int deliveredToNext() {
-        return deliveredToNext;
+    int deliveredToNextLeaderCount() {
+        return deliveredToNextLeaderCount;
     }
 
     private void leaderBegins() {
         List<Heartbeat> due = List.copyOf(kept);
         kept.clear();
         for (Heartbeat heartbeat : due) {
-            for (Member member : members) {
-                if (member.controllerNode != null && member.frozen == null) {
-                    deliveredToNext++;
-                    member.controllerNode.handleHeartbeat(heartbeat);
+            for (SimulatedNode simulatedNode : members) {
+                if (simulatedNode.controllerNode != null && simulatedNode.frozen == null) {
+                    deliveredToNextLeaderCount++;
+                    simulatedNode.controllerNode.handleHeartbeat(heartbeat);
                 }
             }
         }
@@ -735,31 +742,31 @@
      * Users call off jobs within a fifth of a second, each at the next node, and machines of theirs
      * hang for a time.
      */
-    void cancelNow(List<JobSpec> jobs, Duration hang) {
+    void cancelDuringHang(List<JobSpec> jobs, Duration hang) {
         Set<FakeWorker> hanging = new HashSet<>();
         for (int at = 0; at < jobs.size(); at++) {
             JobSpec job = jobs.get(at);
             int node = at % members.size();
             loop.schedule(
-                    Duration.ofMillis(200L * at / jobs.size()), () -> cancels(node, job.id()));
+                    Duration.ofMillis(200L * at / jobs.size()), () -> cancelAsync(node, job.id()));
             workers().stream()
                     .filter(
                             worker ->
-                                    worker.running().stream()
+                                    worker.runningTasks().stream()
                                             .anyMatch(task -> task.jobId().equals(job.id())))
                     .forEach(hanging::add);
         }
         hanging.stream()
-                .limit(hang.isZero() ? 0 : MOST_HANGING)
+                .limit(hang.isZero() ? 0 : MAX_HUNG_MACHINES)
                 .forEach(
                         worker -> {
-                            worker.hang(true);
-                            loop.schedule(hang, () -> worker.hang(false));
+                            worker.setHung(true);
+                            loop.schedule(hang, () -> worker.setHung(false));
                         });
     }
 
     /** So many of the jobs that end are called off at the moment of their end; 0 ends it. */
-    void cancelAtEnd(double share, long seed) {
+    void cancelAtCompletion(double share, long seed) {
         cancelling = share == 0 ? null : new Random(seed);
         cancelledAtEnd = share;
     }
@@ -768,8 +775,8 @@
      * Users ask at all nodes within milliseconds, and repeat the submission, as soon as they were
      * told of a job's state.
      */
-    void closeLooks(boolean now) {
-        closeLooks = now;
+    void pollAllAfterAnswers(boolean now) {
+        pollAllAfterAnswers = now;
     }
 
     private void lookClosely(JobId id, Phase phase) {
@@ -779,9 +786,9 @@
         for (int node = 0; node < members.size(); node++) {
             int asked = node;
             for (int time = 1; time <= 3; time++) {
-                loop.schedule(Duration.ofMillis(2L * time + node), () -> asks(asked, id));
+                loop.schedule(Duration.ofMillis(2L * time + node), () -> pollAsync(asked, id));
             }
-            loop.schedule(Duration.ofMillis(3 + node), () -> resubmits(asked, spec(id)));
+            loop.schedule(Duration.ofMillis(3 + node), () -> resubmitAsync(asked, spec(id)));
         }
     }
 
@@ -790,11 +797,11 @@
         return specs.values().stream()
                 .filter(
                         spec ->
-                                !historyChecker.isOver(spec.id())
+                                !historyChecker.isReportedEnded(spec.id())
                                         && workers().stream()
                                                 .anyMatch(
                                                         worker ->
-                                                                worker.running().stream()
+                                                                worker.runningTasks().stream()
                                                                         .anyMatch(
                                                                                 task ->
                                                                                         task.jobId()
@@ -809,7 +816,7 @@
      * A user repeats a submission, calls off a job that is done, or sends one that cannot run or
      * lacks a field.
      */
-    void oddRequest(Random random) {
+    void sendUnusualRequest(Random random) {
         int node = random.nextInt(members.size());
         List<JobSpec> known =
                 specs.values().stream().sorted(Comparator.comparing(JobSpec::id)).toList();
@@ -818,10 +825,10 @@
         }
         JobSpec job = known.get(random.nextInt(known.size()));
         switch (random.nextInt(5)) {
-            case 0, 1 -> resubmits(node, job);
+            case 0, 1 -> resubmitAsync(node, job);
             case 2 -> {
-                if (historyChecker.isOver(job.id())) {
-                    cancels(node, job.id());
+                if (historyChecker.isReportedEnded(job.id())) {
+                    cancelAsync(node, job.id());
                 }
             }
             case 3 ->
@@ -852,7 +859,7 @@
                                 .submit(MessagePackCodec.encode(body))
                                 .thenAccept(
                                         reply ->
-                                                judged(
+                                                recordViolations(
                                                         () ->
                                                                 assertTrue(
                                                                         reply.status() == status
@@ -867,24 +874,24 @@
      * All troubles are over: users ask about each job every few seconds, and what is promised for
      * then is checked.
      */
-    void calm() {
-        historyChecker.calm(loop.now());
+    void beginFaultFreePhase() {
+        historyChecker.beginFaultFreePhase(loop.now());
         askAll();
     }
 
     private void askAll() {
-        historyChecker.unfinished().forEach(id -> asks(nextAsked++ % members.size(), id));
+        historyChecker.unfinished().forEach(id -> pollAsync(nextAsked++ % members.size(), id));
         loop.schedule(Duration.ofSeconds(5), this::askAll);
     }
 
     /** Rented machines are up after such a time, and the cloud's list is so late. */
-    void boots(Duration within, Duration listedAfter) {
+    void setBootTimes(Duration within, Duration listedAfter) {
         boot = within;
         listLag = listedAfter;
     }
 
     /** Sends a body as a user does, and gives the status; 0 without an answer. */
-    int posts(int node, Map<String, Object> body) {
+    int postSubmission(int node, Map<String, Object> body) {
         return await(
                         node,
                         admissionService ->
@@ -893,23 +900,23 @@
                 .orElse(0);
     }
 
-    void busy(int node, boolean now) {
-        busy(node, now ? BUSY : Duration.ZERO);
+    void delayTimers(int node, boolean now) {
+        delayTimers(node, now ? BUSY_DELAY : Duration.ZERO);
     }
 
     /** A node comes to each of its timers so much later. */
-    void busy(int node, Duration late) {
+    void delayTimers(int node, Duration late) {
         members.get(node).busy = late;
     }
 
     /** A node refuses connections from the others. */
-    void refusesPeers(int node, boolean refuse) {
+    void refusePeerConnections(int node, boolean refuse) {
         members.get(node).refusesPeers = refuse;
     }
 
     /** A packet filter refuses all connections between the nodes. */
-    void peersRefuse(boolean refuse) {
-        members.forEach(member -> member.refusesPeers = refuse);
+    void refuseAllPeerConnections(boolean refuse) {
+        members.forEach(simulatedNode -> simulatedNode.refusesPeers = refuse);
     }
 
     /** The machine of a node loses its power: the process is gone, and no connection is refused. */
@@ -918,11 +925,11 @@
         crash(node);
     }
 
-    void cloudOut(boolean out) {
-        cloudOut = out;
+    void failCloud(boolean out) {
+        failCloud = out;
     }
 
-    FakeWorker machine(MachineType type, String zone) {
+    FakeWorker addMachine(MachineType type, String zone) {
         String id = "vm-%06d".formatted(++nextMachine);
         FakeWorker worker = new FakeWorker(this, id, type.name(), zone);
         workers.put(worker.id(), worker);
@@ -934,7 +941,7 @@
     }
 
     int leader() {
-        Map<String, Object> record = store.value("meta/leader");
+        Map<String, Object> record = store.valueOf("meta/leader");
         return record == null ? -1 : indexOf((String) record.get("member"));
     }
 
@@ -966,12 +973,12 @@
     boolean submit(int node, JobSpec spec, Duration runTime) {
         specs.put(spec.id(), spec);
         runTimes.put(spec.id(), runTime);
-        historyChecker.submits(spec.id());
-        again(() -> resubmits(node, spec));
+        historyChecker.recordSubmission(spec.id());
+        again(() -> resubmitAsync(node, spec));
         return await(
                         node,
                         admissionService ->
-                                judged(
+                                recordViolations(
                                         spec.id(),
                                         admissionService
                                                 .submit(spec)
@@ -984,19 +991,19 @@
     }
 
     /** Submits without waiting for the answer. */
-    CompletableFuture<Optional<JobStatus>> submits(int node, JobSpec spec, Duration runTime) {
+    CompletableFuture<Optional<JobStatus>> submitAsync(int node, JobSpec spec, Duration runTime) {
         specs.put(spec.id(), spec);
         runTimes.put(spec.id(), runTime);
-        historyChecker.submits(spec.id());
-        return resubmits(node, spec);
+        historyChecker.recordSubmission(spec.id());
+        return resubmitAsync(node, spec);
     }
 
     /** Submits a job once more, without waiting for the answer. */
-    CompletableFuture<Optional<JobStatus>> resubmits(int node, JobSpec spec) {
+    CompletableFuture<Optional<JobStatus>> resubmitAsync(int node, JobSpec spec) {
         return request(
                 node,
                 admissionService ->
-                        judged(
+                        recordViolations(
                                 spec.id(),
                                 admissionService
                                         .submit(spec)
@@ -1006,51 +1013,53 @@
     }
 
     Optional<JobStatus> poll(int node, JobId id) {
-        return await(node, admissionService -> judged(id, admissionService.getStatus(id)))
+        return await(node, admissionService -> recordViolations(id, admissionService.getStatus(id)))
                 .flatMap(state -> state);
     }
 
     /** Asks about a job without waiting for the answer. */
-    void asks(int node, JobId id) {
+    void pollAsync(int node, JobId id) {
         request(
                 node,
                 admissionService ->
-                        judged(id, admissionService.getStatus(id)).thenAccept(state -> answered++));
+                        recordViolations(id, admissionService.getStatus(id))
+                                .thenAccept(state -> asyncAnswerCount++));
     }
 
     /** Answers to those who did not wait. */
-    int answered() {
-        return answered;
+    int asyncAnswerCount() {
+        return asyncAnswerCount;
     }
 
     boolean cancel(int node, JobId id) {
-        historyChecker.asksToCancel(id);
-        again(() -> cancels(node, id));
-        return await(node, admissionService -> judged(id, admissionService.cancel(id))).isPresent();
+        historyChecker.recordCancelRequest(id);
+        again(() -> cancelAsync(node, id));
+        return await(node, admissionService -> recordViolations(id, admissionService.cancel(id)))
+                .isPresent();
     }
 
     /** Asks for a job's cancellation without waiting for the answer. */
-    CompletableFuture<Optional<JobStatus>> cancels(int node, JobId id) {
-        historyChecker.asksToCancel(id);
-        return request(node, admissionService -> judged(id, admissionService.cancel(id)));
+    CompletableFuture<Optional<JobStatus>> cancelAsync(int node, JobId id) {
+        historyChecker.recordCancelRequest(id);
+        return request(node, admissionService -> recordViolations(id, admissionService.cancel(id)));
     }
 
     /** What users and workers saw, by the protocol's rules. */
-    HistoryChecker judge() {
+    HistoryChecker historyChecker() {
         return historyChecker;
     }
 
     /** Holds each answer against what was told before its question was sent. */
-    private CompletableFuture<Optional<JobStatus>> judged(
+    private CompletableFuture<Optional<JobStatus>> recordViolations(
             JobId id, CompletableFuture<Optional<JobStatus>> answer) {
         MonotonicTime sentAt = loop.now();
         answer.thenAccept(
                 state ->
-                        judged(
+                        recordViolations(
                                 () -> {
                                     Phase phase = state.map(JobStatus::phase).orElse(null);
-                                    historyChecker.answered(id, phase, sentAt, loop.now());
-                                    if (closeLooks && phase != null) {
+                                    historyChecker.checkAnswer(id, phase, sentAt, loop.now());
+                                    if (pollAllAfterAnswers && phase != null) {
                                         lookClosely(id, phase);
                                     }
                                 }));
@@ -1061,7 +1070,7 @@
      * What is found wrong inside an answer ends the test with its next step; thrown there, nobody
      * would see it.
      */
-    void judged(Runnable check) {
+    void recordViolations(Runnable check) {
         try {
             check.run();
         } catch (AssertionError found) {
@@ -1069,23 +1078,23 @@
         }
     }
 
-    private interface Ask<T> {
+    private interface AdmissionRequest<T> {
         CompletableFuture<T> of(AdmissionService admissionService);
     }
 
     /** Sends a request that nobody waits for; it fails where no node listens. */
-    private <T> CompletableFuture<T> request(int node, Ask<T> request) {
+    private <T> CompletableFuture<T> request(int node, AdmissionRequest<T> request) {
         return members.get(node).controllerNode != null && members.get(node).frozen == null
                 ? request.of(members.get(node).admissionService)
                 : CompletableFuture.failedFuture(new IllegalStateException("down"));
     }
 
     /** Waits five seconds for an answer; empty if none or a refusal came. */
-    private <T> Optional<T> await(int node, Ask<T> ask) {
+    private <T> Optional<T> await(int node, AdmissionRequest<T> admissionRequest) {
         if (members.get(node).controllerNode == null || members.get(node).frozen != null) {
             return Optional.empty();
         }
-        CompletableFuture<T> answer = ask.of(members.get(node).admissionService);
+        CompletableFuture<T> answer = admissionRequest.of(members.get(node).admissionService);
         for (int step = 0; step < 20 && !answer.isDone(); step++) {
             run(STEP);
         }
@@ -1101,7 +1110,7 @@
         for (long step = 0; step < steps; step++) {
             loop.run(STEP);
             for (FakeWorker worker : workers()) {
-                if (!worker.hung() && !worker.gone()) {
+                if (!worker.isHung() && !worker.isRemoved()) {
                     worker.advance();
                 }
             }
@@ -1109,7 +1118,7 @@
         }
     }
 
-    void runS(double seconds) {
+    void runSeconds(double seconds) {
         run(Duration.ofMillis((long) (seconds * 1000)));
     }
 
@@ -1117,19 +1126,19 @@
         if (wrong != null) {
             throw wrong;
         }
-        historyChecker.check(loop.now());
+        historyChecker.checkStep(loop.now());
     }
 
     /** A worker has taken an order to start a task. */
-    void toldToStart(TaskId task) {
-        startOrders++;
-        historyChecker.toldToStart(task);
+    void onStartCommand(TaskId task) {
+        startCommandCount++;
+        historyChecker.recordStartCommand(task);
     }
 
     /** A task has its image now and is on its machine. */
-    void started(FakeWorker worker, TaskId task) {
-        starts++;
-        historyChecker.started(worker, task, loop.now());
+    void onTaskStarted(FakeWorker worker, TaskId task) {
+        startCount++;
+        historyChecker.checkStart(worker, task, loop.now());
     }
 
     /** A gang runs, and so completes, only while each of its tasks is on a machine. */
@@ -1137,7 +1146,7 @@
         JobSpec spec = spec(id);
         for (int task = 0; spec.kind() == JobKind.GANG && task < spec.taskCount(); task++) {
             TaskId each = new TaskId(id, task);
-            if (!historyChecker.isCompleted(each) && on(each).isEmpty()) {
+            if (!historyChecker.isCompleted(each) && machinesRunning(each).isEmpty()) {
                 return false;
             }
         }
@@ -1145,23 +1154,23 @@
     }
 
     /** Whether all tasks of a gang's attempt are there. */
-    boolean isWhole(JobId id, AttemptNumber attemptNumber) {
+    boolean isGangComplete(JobId id, AttemptNumber attemptNumber) {
         for (int task = 0; task < spec(id).taskCount(); task++) {
             TaskId each = new TaskId(id, task);
             if (workers.values().stream()
-                    .noneMatch(worker -> worker.takesPart(each, attemptNumber))) {
+                    .noneMatch(worker -> worker.participatesIn(each, attemptNumber))) {
                 return false;
             }
         }
         return true;
     }
 
-    void completed(TaskId task) {
-        historyChecker.complete(task);
+    void onTaskCompleted(TaskId task) {
+        historyChecker.recordCompletion(task);
         JobSpec spec = spec(task.jobId());
         boolean ends =
                 spec.kind() == JobKind.GANG
-                        || !historyChecker.isOver(spec.id())
+                        || !historyChecker.isReportedEnded(spec.id())
                                 && IntStream.range(0, spec.taskCount())
                                         .allMatch(
                                                 at ->
@@ -1170,78 +1179,84 @@
         if (ends && cancelling != null && cancelling.nextDouble() < cancelledAtEnd) {
             int node = cancelling.nextInt(members.size());
             loop.schedule(
-                    Duration.ofMillis(cancelling.nextInt(400)), () -> cancels(node, spec.id()));
+                    Duration.ofMillis(cancelling.nextInt(400)), () -> cancelAsync(node, spec.id()));
         }
         if (spec.kind() == JobKind.GANG) {
             // The tasks of a gang complete together.
             for (int other = 0; other < spec.taskCount(); other++) {
                 TaskId each = new TaskId(task.jobId(), other);
-                if (historyChecker.complete(each)) {
-                    on(each).forEach(worker -> worker.complete(each));
+                if (historyChecker.recordCompletion(each)) {
+                    machinesRunning(each).forEach(worker -> worker.completeTask(each));
                 }
             }
         }
     }
 
-    Duration runTime(JobId id) {
+    Duration runtimeOf(JobId id) {
         return runTimes.get(id);
     }
 
     /** The machines that a task is on. */
-    List<FakeWorker> on(TaskId task) {
-        return workers.values().stream().filter(worker -> worker.running().contains(task)).toList();
+    List<FakeWorker> machinesRunning(TaskId task) {
+        return workers.values().stream()
+                .filter(worker -> worker.runningTasks().contains(task))
+                .toList();
     }
 
     // ---- the network ----
 
     /** Hands a report to a node; null when there is no answer. */
-    CompletableFuture<HeartbeatResponse> deliver(int node, Heartbeat heartbeat) {
-        Member member = members.get(node);
-        if (member.controllerNode == null && !member.silent) {
+    CompletableFuture<HeartbeatResponse> deliverHeartbeat(int node, Heartbeat heartbeat) {
+        SimulatedNode simulatedNode = members.get(node);
+        if (simulatedNode.controllerNode == null && !simulatedNode.silent) {
             return null;
         }
         CompletableFuture<HeartbeatResponse> answer = new CompletableFuture<>();
-        if (member.controllerNode == null || member.mute || !member.hears(heartbeat.zone())) {
+        if (simulatedNode.controllerNode == null
+                || simulatedNode.mute
+                || !simulatedNode.hears(heartbeat.zone())) {
             return answer;
         }
-        ControllerNode asked = member.controllerNode;
+        ControllerNode asked = simulatedNode.controllerNode;
         reports++;
-        if (keeping != null && keeping.nextDouble() < keptShare && kept.size() < MOST_KEPT) {
+        if (keeping != null
+                && keeping.nextDouble() < keptShare
+                && kept.size() < MAX_KEPT_HEARTBEATS) {
             kept.add(heartbeat);
         }
-        if (lateReports != null && lateReports.nextDouble() < lateShare) {
+        if (duplicateHeartbeatsLate != null && duplicateHeartbeatsLate.nextDouble() < lateShare) {
             loop.schedule(
-                    Duration.ofMillis(2000 + lateReports.nextInt(40_000)),
+                    Duration.ofMillis(2000 + duplicateHeartbeatsLate.nextInt(40_000)),
                     () -> {
-                        if (member.controllerNode != null && member.frozen == null) {
-                            member.controllerNode.handleHeartbeat(heartbeat);
+                        if (simulatedNode.controllerNode != null && simulatedNode.frozen == null) {
+                            simulatedNode.controllerNode.handleHeartbeat(heartbeat);
                         }
                     });
         }
         again(
                 () -> {
-                    if (member.controllerNode != null && member.frozen == null) {
-                        member.controllerNode.handleHeartbeat(heartbeat);
+                    if (simulatedNode.controllerNode != null && simulatedNode.frozen == null) {
+                        simulatedNode.controllerNode.handleHeartbeat(heartbeat);
                     }
                 });
-        member.whenAwake(
+        simulatedNode.whenAwake(
                 () ->
                         asked.handleHeartbeat(heartbeat)
                                 .thenAccept(
                                         given -> {
-                                            if (member.controllerNode == asked
-                                                    && member.hears(heartbeat.zone())) {
+                                            if (simulatedNode.controllerNode == asked
+                                                    && simulatedNode.hears(heartbeat.zone())) {
                                                 answer.complete(given);
                                             }
                                         }));
         return answer;
     }
 
-    private final class Direct implements WorkerGateway {
-        private final Member member;
+    private final class SimulatedWorkerGateway implements WorkerGateway {
+        private final SimulatedNode simulatedNode;
 
-        Direct(Member member) {
-            this.member = member;
+        SimulatedWorkerGateway(SimulatedNode simulatedNode) {
+            this.simulatedNode = simulatedNode;
         }
 
         @Override
@@ -1262,11 +1277,11 @@
                                 workers.get(
                                         new MachineId(address.substring(0, address.indexOf(':'))));
                         if (worker != null) {
-                            worker.direct(token, workerIncarnation, orders);
+                            worker.handleDirectCommands(token, workerIncarnation, orders);
                         }
                     });
             CompletableFuture<Heartbeat> answer = new CompletableFuture<>();
-            ControllerNode sender = member.controllerNode;
+            ControllerNode sender = simulatedNode.controllerNode;
             if (heldOrders != null && !orders.isEmpty()) {
                 heldOrders.add(
                         () -> {
@@ -1275,7 +1290,7 @@
                                             new MachineId(
                                                     address.substring(0, address.indexOf(':'))));
                             if (worker != null) {
-                                worker.direct(token, workerIncarnation, orders);
+                                worker.handleDirectCommands(token, workerIncarnation, orders);
                             }
                         });
                 return answer;
@@ -1288,13 +1303,15 @@
                                         new MachineId(address.substring(0, address.indexOf(':'))));
                         Heartbeat heartbeat =
                                 worker == null
-                                                || !member.hears(worker.zone())
-                                                || !worker.reaches(members.indexOf(member))
+                                                || !simulatedNode.hears(worker.zone())
+                                                || !worker.reaches(members.indexOf(simulatedNode))
                                         ? null
-                                        : worker.direct(token, workerIncarnation, orders);
-                        member.whenAwake(
+                                        : worker.handleDirectCommands(
+                                                token, workerIncarnation, orders);
+                        simulatedNode.whenAwake(
                                 () -> {
-                                    if (heartbeat != null && member.controllerNode == sender) {
+                                    if (heartbeat != null
+                                            && simulatedNode.controllerNode == sender) {
                                         answer.complete(heartbeat);
                                     } else {
                                         answer.completeExceptionally(
@@ -1310,15 +1327,15 @@
         return members.get(node).controllerNode.isReadyForUsers();
     }
 
-    private final class Hints implements PeerGateway {
-        private final Member from;
+    private final class SimulatedPeerGateway implements PeerGateway {
+        private final SimulatedNode from;
 
-        Hints(Member from) {
+        SimulatedPeerGateway(SimulatedNode from) {
             this.from = from;
         }
 
-        private boolean reaches(Member other) {
-            return !peersCut && !from.apart && !other.apart;
+        private boolean reaches(SimulatedNode other) {
+            return !cutPeers && !from.apart && !other.apart;
         }
 
         @Override
@@ -1330,12 +1347,13 @@
                             any.complete(
                                     members.stream()
                                             .anyMatch(
-                                                    member ->
-                                                            member != from
-                                                                    && reaches(member)
-                                                                    && !member.refusesPeers
-                                                                    && member.controllerNode != null
-                                                                    && !member.line
+                                                    simulatedNode ->
+                                                            simulatedNode != from
+                                                                    && reaches(simulatedNode)
+                                                                    && !simulatedNode.refusesPeers
+                                                                    && simulatedNode.controllerNode
+                                                                            != null
+                                                                    && !simulatedNode.connection
                                                                             .seemsUnavailable())));
             return any;
         }
@@ -1343,7 +1361,7 @@
         @Override
         public CompletableFuture<ProbeResult> probe(String name) {
             CompletableFuture<ProbeResult> sign = new CompletableFuture<>();
-            Member asked = members.get(indexOf(name));
+            SimulatedNode asked = members.get(indexOf(name));
             loop.schedule(
                     Duration.ofMillis(5),
                     () -> {
@@ -1397,7 +1415,7 @@
                                                                     : new PeerReachabilityReport(
                                                                             other.name,
                                                                             true,
-                                                                            !other.line
+                                                                            !other.connection
                                                                                     .seemsUnavailable(),
                                                                             other.controllerNode
                                                                                     .recentlyHeardMachines(
@@ -1425,7 +1443,7 @@
         private <T> CompletableFuture<Optional<T>> told(
                 String name, Duration late, Function<ControllerNode, Optional<T>> what) {
             CompletableFuture<Optional<T>> answer = new CompletableFuture<>();
-            Member asked = members.get(indexOf(name));
+            SimulatedNode asked = members.get(indexOf(name));
             Optional<T> given;
             try {
                 given =
@@ -1447,15 +1465,15 @@
         public void announceLeader(String leader, FencingToken fencingToken) {
             Runnable told =
                     () -> {
-                        for (Member member : members) {
-                            if (reaches(member)
-                                    && !member.refusesPeers
-                                    && member != from
-                                    && member.controllerNode != null) {
-                                member.whenAwake(
+                        for (SimulatedNode simulatedNode : members) {
+                            if (reaches(simulatedNode)
+                                    && !simulatedNode.refusesPeers
+                                    && simulatedNode != from
+                                    && simulatedNode.controllerNode != null) {
+                                simulatedNode.whenAwake(
                                         () -> {
-                                            if (member.controllerNode != null) {
-                                                member.controllerNode.observeLeader(
+                                            if (simulatedNode.controllerNode != null) {
+                                                simulatedNode.controllerNode.observeLeader(
                                                         fencingToken, leader);
                                             }
                                         });
@@ -1472,12 +1490,12 @@
                 || loop.now().elapsedSince(rentedAt.get(id)).compareTo(listLag) > 0;
     }
 
-    private final class Offer implements CloudProvider {
+    private final class SimulatedCloudProvider implements CloudProvider {
         private <T> CompletableFuture<T> after(CompletableFuture<T> answer, Runnable work) {
             loop.schedule(
                     Duration.ofMillis(200),
                     () -> {
-                        if (cloudOut) {
+                        if (failCloud) {
                             answer.completeExceptionally(
                                     new CloudProvider.RequestRefusedException("trouble"));
                         } else {
@@ -1501,17 +1519,17 @@
                     answer,
                     () -> {
                         assertTrue(
-                                !rentals.containsKey(request),
+                                !rentalCount.containsKey(request),
                                 "a rental's name was used twice: " + request);
                         List<MachineId> ids = new ArrayList<>();
                         for (int at = 0;
-                                at < count && workers.size() + ids.size() < mostMachines;
+                                at < count && workers.size() + ids.size() < limitRentedMachines;
                                 at++) {
                             MachineId id = new MachineId("vm-%06d".formatted(++nextMachine));
                             ids.add(id);
                             rentedAt.put(id, loop.now());
-                            if (neverUp > 0) {
-                                neverUp--;
+                            if (failNextBoots > 0) {
+                                failNextBoots--;
                                 continue;
                             }
                             loop.schedule(
@@ -1525,10 +1543,10 @@
                                                             type,
                                                             zone)));
                         }
-                        rentals.put(request, ids);
+                        rentalCount.put(request, ids);
                         // A machine that is up at once may report before its rental is answered.
                         loop.schedule(
-                                RENTAL_ANSWER,
+                                RENTAL_RESPONSE_DELAY,
                                 () ->
                                         answer.complete(
                                                 ids.isEmpty()
@@ -1553,7 +1571,7 @@
             for (MachineId id : machines) {
                 FakeWorker worker = workers.remove(id);
                 if (worker != null) {
-                    returned.add(worker);
+                    returnedMachines.add(worker);
                     worker.remove();
                 }
             }
--- a/src/test/java/org/meadowhollow/simulation/StaleHeartbeatScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/StaleHeartbeatScenarioTest.java
@@ -26,25 +26,25 @@
      * stray by the next.
      */
     @Test
-    void allNodesAreAwayForLongerThanTheLeaseAndNothingStartsInASessionThatItWasNotPlacedIn() {
-        cluster.team("team", 0, 6);
+    void noTaskStartsInAnotherIncarnationAfterOutageLongerThanLease() {
+        cluster.withTeam("team", 0, 6);
         JobSpec running = SimulatedCluster.spec(1, JobKind.SERVICE, 6, 1);
         JobSpec next = SimulatedCluster.spec(2, JobKind.ARRAY, 6, 1);
         assertTrue(cluster.submit(0, running, null));
-        cluster.runS(10);
-        assertTrue(cluster.submit(1, next, LONG));
+        cluster.runSeconds(10);
+        assertTrue(cluster.submit(1, next, LONG_RUNTIME));
         cluster.crashAll();
-        cluster.runS(25);
-        assertEquals(6, cluster.starts());
+        cluster.runSeconds(25);
+        assertEquals(6, cluster.startCount());
         assertTrue(
                 cluster.workers().stream()
-                        .allMatch(worker -> worker.session().equals(new WorkerIncarnation(2))),
+                        .allMatch(worker -> worker.incarnation().equals(new WorkerIncarnation(2))),
                 "all leases have run out");
         cluster.restartAll();
-        cluster.runS(20);
+        cluster.runSeconds(20);
         assertEquals(
                 12,
-                cluster.startOrders(),
+                cluster.startCommandCount(),
                 "each replica is started once more, and none is stopped at once");
     }
 
@@ -54,16 +54,16 @@
      * was on its machine.
      */
     @Test
-    void anExitThatWasTakenBackProvesNothingToTheNextLeader() {
-        cluster.team("team", 0, 24);
-        cluster.fetch(Duration.ofSeconds(30));
+    void retractedExitIsNoProofForNextLeader() {
+        cluster.withTeam("team", 0, 24);
+        cluster.imagePullTime(Duration.ofSeconds(30));
         JobSpec gang = SimulatedCluster.spec(1, JobKind.GANG, 3, 8);
-        assertTrue(cluster.submit(0, gang, HOURS));
-        cluster.runS(10);
+        assertTrue(cluster.submit(0, gang, HOURS_RUNTIME));
+        cluster.runSeconds(10);
         TaskId first = new TaskId(gang.id(), 0);
         FakeWorker worker =
                 cluster.workers().stream()
-                        .filter(one -> one.holds(first))
+                        .filter(one -> one.hasTask(first))
                         .findFirst()
                         .orElseThrow();
         assertTrue(
@@ -72,29 +72,29 @@
                         withTeam(SimulatedCluster.spec(3, JobKind.SERVICE, 3, 4), "other"),
                         null),
                 "keeps the other machines");
-        worker.giveUp(first);
-        cluster.keepForNext(worker);
-        cluster.runS(60);
-        assertEquals(worker, placeOf(gang, 0), "it was started again in the same attempt");
+        worker.exitForGangTimeout(first);
+        cluster.keepHeartbeatForNextLeader(worker);
+        cluster.runSeconds(60);
+        assertEquals(worker, machineRunning(gang, 0), "it was started again in the same attempt");
         JobSpec next = array(2, 24);
-        assertTrue(cluster.submit(1, next, HOURS));
-        cluster.fetch(Duration.ofSeconds(1));
-        cluster.cloudOut(true);
-        worker.hang(true);
+        assertTrue(cluster.submit(1, next, HOURS_RUNTIME));
+        cluster.imagePullTime(Duration.ofSeconds(1));
+        cluster.failCloud(true);
+        worker.setHung(true);
         int leader = cluster.leader();
         cluster.crash(leader);
         assertTrue(cluster.cancel((leader + 1) % 3, gang.id()));
-        cluster.runS(12);
+        cluster.runSeconds(12);
         assertTrue(
-                cluster.deliveredToNext() > 0
+                cluster.deliveredToNextLeaderCount() > 0
                         && cluster.leader() != leader
                         && cluster.leader() >= 0);
-        assertEquals(worker, placeOf(gang, 0), "it may go on at any time");
+        assertEquals(worker, machineRunning(gang, 0), "it may go on at any time");
         // The judge of the limit watches from here on.
-        cluster.runS(10);
-        cluster.cloudOut(false);
-        cluster.runS(60);
-        assertTrue(allRun(next), "nobody waits for it for ever");
+        cluster.runSeconds(10);
+        cluster.failCloud(false);
+        cluster.runSeconds(60);
+        assertTrue(allTasksRunning(next), "nobody waits for it for ever");
     }
 
     /**
@@ -102,41 +102,41 @@
      * before comes late.
      */
     @Test
-    void anExitInAnEarlierSessionIsNotTheEndOfTheSameAttemptInTheNext() {
-        cluster.fetch(Duration.ofSeconds(40));
+    void exitInEarlierIncarnationDoesNotEndSameAttemptInNext() {
+        cluster.imagePullTime(Duration.ofSeconds(40));
         JobSpec gang = SimulatedCluster.spec(1, JobKind.GANG, 6, 8);
-        assertTrue(cluster.submit(0, gang, HOURS));
-        cluster.runS(8);
-        cluster.cloudOut(true);
+        assertTrue(cluster.submit(0, gang, HOURS_RUNTIME));
+        cluster.runSeconds(8);
+        cluster.failCloud(true);
         TaskId first = new TaskId(gang.id(), 0);
         FakeWorker worker =
                 cluster.workers().stream()
-                        .filter(one -> one.holds(first))
+                        .filter(one -> one.hasTask(first))
                         .findFirst()
                         .orElseThrow();
-        worker.fail(first);
-        cluster.keepForNext(worker);
-        worker.hang(true);
-        cluster.runS(22);
-        cluster.fetch(Duration.ofSeconds(10));
-        worker.hang(false);
-        cluster.runS(40);
-        assertTrue(allRun(gang));
-        assertEquals(1, worker.attempt(first).value());
-        assertEquals(new WorkerIncarnation(2), worker.session());
-        worker.hang(true);
-        cluster.cloudOut(false);
-        cluster.machine(SimulatedCluster.LARGE, "b");
-        cluster.fetch(Duration.ofSeconds(1));
+        worker.failTask(first);
+        cluster.keepHeartbeatForNextLeader(worker);
+        worker.setHung(true);
+        cluster.runSeconds(22);
+        cluster.imagePullTime(Duration.ofSeconds(10));
+        worker.setHung(false);
+        cluster.runSeconds(40);
+        assertTrue(allTasksRunning(gang));
+        assertEquals(1, worker.attemptOf(first).value());
+        assertEquals(new WorkerIncarnation(2), worker.incarnation());
+        worker.setHung(true);
+        cluster.failCloud(false);
+        cluster.addMachine(SimulatedCluster.LARGE, "b");
+        cluster.imagePullTime(Duration.ofSeconds(1));
         cluster.crash(cluster.leader());
-        cluster.runS(14);
-        assertTrue(cluster.deliveredToNext() > 0);
-        worker.hang(false);
-        cluster.runS(30);
-        assertTrue(allRun(gang));
+        cluster.runSeconds(14);
+        assertTrue(cluster.deliveredToNextLeaderCount() > 0);
+        worker.setHung(false);
+        cluster.runSeconds(30);
+        assertTrue(allTasksRunning(gang));
         // Its peers missed it, so there is a new attempt, none of whose tasks ran beside the former
         // one (the judge).
-        assertEquals(12, cluster.starts());
+        assertEquals(12, cluster.startCount());
     }
 
     /**
@@ -144,29 +144,29 @@
      * machine cannot be asked.
      */
     @Test
-    void anOldReportWithoutATaskDoesNotProveThatItNeverStarts() {
-        cluster.team("team", 0, 12);
-        cluster.workers().forEach(cluster::keepForNext);
+    void staleHeartbeatWithoutTaskIsNoProofThatItNeverStarts() {
+        cluster.withTeam("team", 0, 12);
+        cluster.workers().forEach(cluster::keepHeartbeatForNextLeader);
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 12, 1);
         assertTrue(cluster.submit(0, job, null));
-        cluster.runS(10);
+        cluster.runSeconds(10);
         List<FakeWorker> silent = cluster.workers().subList(0, 3);
-        silent.forEach(worker -> worker.hang(true));
-        cluster.cloudOut(true);
+        silent.forEach(worker -> worker.setHung(true));
+        cluster.failCloud(true);
         int leader = cluster.leader();
         cluster.crash(leader);
-        assertTrue(cluster.cancel(other(leader, 1), job.id()));
-        assertTrue(cluster.submit(other(leader, 1), array(2, 12), LONG));
-        cluster.runS(11);
-        assertTrue(cluster.deliveredToNext() > 0);
+        assertTrue(cluster.cancel(nodeAfter(leader, 1), job.id()));
+        assertTrue(cluster.submit(nodeAfter(leader, 1), array(2, 12), LONG_RUNTIME));
+        cluster.runSeconds(11);
+        assertTrue(cluster.deliveredToNextLeaderCount() > 0);
         assertTrue(
-                silent.stream().anyMatch(worker -> !worker.running().isEmpty()),
+                silent.stream().anyMatch(worker -> !worker.runningTasks().isEmpty()),
                 "they may go on at any time");
-        cluster.runS(4);
-        silent.forEach(worker -> worker.hang(false));
-        cluster.calm();
-        cluster.runS(60);
-        assertTrue(allRun(array(2, 12)));
+        cluster.runSeconds(4);
+        silent.forEach(worker -> worker.setHung(false));
+        cluster.beginFaultFreePhase();
+        cluster.runSeconds(60);
+        assertTrue(allTasksRunning(array(2, 12)));
     }
 
     /**
@@ -174,41 +174,41 @@
      * former life comes late.
      */
     @Test
-    void aHigherSessionOfAFormerLifeDoesNotProveTheSessionOverInWhichATaskRuns() {
-        FakeWorker first = cluster.machine(SimulatedCluster.SMALL, "a");
+    void higherIncarnationOfEarlierGenerationDoesNotEndCurrentIncarnation() {
+        FakeWorker first = cluster.addMachine(SimulatedCluster.SMALL, "a");
         JobSpec fills =
                 withTypes(
                         withTeam(SimulatedCluster.spec(2, JobKind.SERVICE, 1, 2), "other"),
                         List.of("small"));
         assertTrue(cluster.submit(0, fills, null));
-        cluster.runS(10);
-        assertEquals(first, placeOf(fills, 0));
-        FakeWorker worker = cluster.machine(SimulatedCluster.SMALL, "a");
-        worker.hang(true);
-        cluster.runS(25);
-        worker.hang(false);
-        cluster.runS(8);
-        assertEquals(new WorkerIncarnation(2), worker.session());
+        cluster.runSeconds(10);
+        assertEquals(first, machineRunning(fills, 0));
+        FakeWorker worker = cluster.addMachine(SimulatedCluster.SMALL, "a");
+        worker.setHung(true);
+        cluster.runSeconds(25);
+        worker.setHung(false);
+        cluster.runSeconds(8);
+        assertEquals(new WorkerIncarnation(2), worker.incarnation());
         Heartbeat former = worker.snapshot();
         int leader = cluster.leader();
         worker.reboot();
         cluster.crash(leader);
-        cluster.runS(12);
+        cluster.runSeconds(12);
         JobSpec job = withTypes(SimulatedCluster.spec(1, JobKind.SERVICE, 1, 1), List.of("small"));
         assertTrue(cluster.submit(cluster.leader(), job, null));
-        cluster.runS(8);
-        assertEquals(worker, placeOf(job, 0), "in the first session of its new life");
+        cluster.runSeconds(8);
+        assertEquals(worker, machineRunning(job, 0), "in the first session of its new life");
         // From now on the first machine has room, and would come first.
         assertTrue(cluster.cancel(cluster.leader(), fills.id()));
-        cluster.runS(3);
-        worker.hang(true);
-        cluster.deliver(cluster.leader(), former);
-        cluster.runS(8);
-        assertEquals(worker, placeOf(job, 0), "it may go on at any time");
-        worker.hang(false);
-        cluster.calm();
-        cluster.runS(60);
-        assertTrue(allRun(job));
+        cluster.runSeconds(3);
+        worker.setHung(true);
+        cluster.deliverHeartbeat(cluster.leader(), former);
+        cluster.runSeconds(8);
+        assertEquals(worker, machineRunning(job, 0), "it may go on at any time");
+        worker.setHung(false);
+        cluster.beginFaultFreePhase();
+        cluster.runSeconds(60);
+        assertTrue(allTasksRunning(job));
     }
 
     /**
@@ -217,35 +217,35 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"before the start", "while it ran", "of an earlier session"})
-    void anOldReportReachesEveryNodeJustAsALeaderBegins(String when) {
+    void staleHeartbeatReachesEveryControllerAsLeadershipBegins(String when) {
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 6, 1);
         if (when.equals("before the start")) {
-            cluster.workers().forEach(cluster::keepForNext);
+            cluster.workers().forEach(cluster::keepHeartbeatForNextLeader);
         }
         assertTrue(cluster.submit(0, job, null));
-        cluster.runS(10);
+        cluster.runSeconds(10);
         if (!when.equals("before the start")) {
-            cluster.workers().forEach(cluster::keepForNext);
+            cluster.workers().forEach(cluster::keepHeartbeatForNextLeader);
         }
         if (when.equals("of an earlier session")) {
-            cluster.workers().forEach(worker -> worker.hang(true));
-            cluster.runS(25);
-            cluster.workers().forEach(worker -> worker.hang(false));
-            cluster.runS(30);
+            cluster.workers().forEach(worker -> worker.setHung(true));
+            cluster.runSeconds(25);
+            cluster.workers().forEach(worker -> worker.setHung(false));
+            cluster.runSeconds(30);
         }
-        int starts = cluster.starts();
+        int starts = cluster.startCount();
         int leader = cluster.leader();
         cluster.crash(leader);
-        cluster.runS(25);
-        assertTrue(cluster.deliveredToNext() > 0);
+        cluster.runSeconds(25);
+        assertTrue(cluster.deliveredToNextLeaderCount() > 0);
         assertFalse(cluster.leader() == leader);
-        assertEquals(starts, cluster.starts(), "what runs goes on where it is");
+        assertEquals(starts, cluster.startCount(), "what runs goes on where it is");
         assertTrue(cluster.cancel(cluster.leader(), job.id()));
-        cluster.runS(8);
+        cluster.runSeconds(8);
         assertTrue(
-                cluster.workers().stream().allMatch(worker -> worker.running().isEmpty()),
+                cluster.workers().stream().allMatch(worker -> worker.runningTasks().isEmpty()),
                 "newer reports were heeded");
-        assertEquals(Phase.CANCELLED, phase(job));
+        assertEquals(Phase.CANCELLED, phaseOf(job));
     }
 
     /**
@@ -253,58 +253,58 @@
      * cloud returns nothing.
      */
     @Test
-    void whatMachinesThatAreGoneOnceReportedHoldsNobodyUp() {
+    void staleHeartbeatsOfReturnedMachinesDelayNothing() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 2, 8);
-        assertTrue(cluster.submit(0, job, LONG));
-        cluster.runS(10);
+        assertTrue(cluster.submit(0, job, LONG_RUNTIME));
+        cluster.runSeconds(10);
         assertTrue(
                 cluster.submit(
                         0,
                         withTeam(SimulatedCluster.spec(2, JobKind.SERVICE, 4, 8), "other"),
                         null),
                 "fills the other machines");
-        cluster.runS(10);
-        List<FakeWorker> gone = List.of(placeOf(job, 0), placeOf(job, 1));
-        takenWithOldReports(gone);
-        assertTrue(cluster.deliveredToNext() > 0);
-        cluster.machine(SimulatedCluster.LARGE, "a");
-        cluster.machine(SimulatedCluster.LARGE, "b");
-        cluster.calm();
+        cluster.runSeconds(10);
+        List<FakeWorker> gone = List.of(machineRunning(job, 0), machineRunning(job, 1));
+        removeMachinesAndReplayHeartbeats(gone);
+        assertTrue(cluster.deliveredToNextLeaderCount() > 0);
+        cluster.addMachine(SimulatedCluster.LARGE, "a");
+        cluster.addMachine(SimulatedCluster.LARGE, "b");
+        cluster.beginFaultFreePhase();
         // The judge watches that nothing waits beside room for it.
-        cluster.runS(95);
-        assertTrue(allRun(job));
+        cluster.runSeconds(95);
+        assertTrue(allTasksRunning(job));
     }
 
     /**
      * The cloud takes machines away, their tasks are proven lost, and the next leader hears of them
      * by old reports first.
      */
-    private void takenWithOldReports(List<FakeWorker> gone) {
-        cluster.cloudOut(true);
+    private void removeMachinesAndReplayHeartbeats(List<FakeWorker> gone) {
+        cluster.failCloud(true);
         gone.forEach(
                 worker -> {
-                    cluster.keepForNext(worker);
-                    cluster.take(worker);
+                    cluster.keepHeartbeatForNextLeader(worker);
+                    cluster.reclaimMachine(worker);
                 });
-        cluster.runS(30);
+        cluster.runSeconds(30);
         cluster.crash(cluster.leader());
-        cluster.runS(8);
+        cluster.runSeconds(8);
     }
 
     @Test
-    void oldReportsOfMachinesThatAreGoneDoNotMakeALeaderSeemDeaf() {
+    void staleHeartbeatsOfReturnedMachinesDoNotMakeLeaderSeemIsolated() {
         for (int at = 0; at < 5; at++) {
-            cluster.machine(SimulatedCluster.LARGE, "a");
+            cluster.addMachine(SimulatedCluster.LARGE, "a");
         }
-        cluster.runS(10);
-        takenWithOldReports(
+        cluster.runSeconds(10);
+        removeMachinesAndReplayHeartbeats(
                 cluster.workers().stream().filter(worker -> worker.zone().equals("a")).toList());
-        assertTrue(cluster.deliveredToNext() > 0);
-        cluster.cloudOut(false);
+        assertTrue(cluster.deliveredToNextLeaderCount() > 0);
+        cluster.failCloud(false);
         int leader = cluster.leader();
-        long term = cluster.term();
-        cluster.runS(60);
+        long term = cluster.fencingToken();
+        cluster.runSeconds(60);
         assertEquals(leader, cluster.leader(), "it hears all that are there");
-        assertEquals(term, cluster.term());
+        assertEquals(term, cluster.fencingToken());
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/TesFuzzTest.java
+++ b/src/test/java/org/meadowhollow/simulation/TesFuzzTest.java
@@ -80,7 +80,7 @@
     private final SimulatedCluster cluster = new SimulatedCluster();
 
     TesFuzzTest() {
-        cluster.runS(20);
+        cluster.runSeconds(20);
     }
 
     private static Arbitrary<String> text() {
@@ -203,7 +203,7 @@
 
     private Http.Reply ask(
             String method, String path, Map<String, List<String>> query, byte[] body) {
-        Http.Reply reply = cluster.tes(0, "secret", method, path, query, Map.of(), body);
+        Http.Reply reply = cluster.sendTesRequest(0, "secret", method, path, query, Map.of(), body);
         assertNotNull(reply, "no answer");
         return reply;
     }
@@ -336,7 +336,8 @@
                     FINE.contains(ask(method, "/tasks/" + other, Map.of(), new byte[0]).status()));
         }
         Map<String, String> headers = new HashMap<>(Map.of("Authorization", one));
-        Http.Reply reply = cluster.tes(0, null, "GET", "/tasks", Map.of(), headers, new byte[0]);
+        Http.Reply reply =
+                cluster.sendTesRequest(0, null, "GET", "/tasks", Map.of(), headers, new byte[0]);
         assertEquals(401, reply.status(), "nobody guesses a token");
         try {
             assertTrue(
@@ -368,7 +369,7 @@
         Arrays.setAll(
                 replies,
                 at ->
-                        cluster.tes(
+                        cluster.sendTesRequest(
                                 at,
                                 "secret",
                                 "POST",
