--- a/src/test/java/org/meadowhollow/simulation/TesScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/TesScenarioTest.java
@@ -39,7 +39,7 @@
              "resources": {"cpu_cores": 1, "ram_gb": 4, "backend_parameters": {"gpus": "1" %s}}}""";
 
     private Http.Reply create(int node, String body, String key) {
-        return cluster.tes(
+        return cluster.sendTesRequest(
                 node,
                 "secret",
                 "POST",
@@ -50,7 +50,7 @@
     }
 
     private Http.Reply ask(int node, String method, String path, Map<String, List<String>> query) {
-        return cluster.tes(node, "secret", method, path, query, Map.of(), "");
+        return cluster.sendTesRequest(node, "secret", method, path, query, Map.of(), "");
     }
 
     private static Map<String, Object> body(Http.Reply reply) {
@@ -62,14 +62,14 @@
         }
     }
 
-    private String created(String name, String tag, String parameters, Duration runs) {
+    private String createTask(String name, String tag, String parameters, Duration runs) {
         String id = (String) body(create(0, TASK.formatted(name, tag, parameters), null)).get("id");
-        cluster.runs(new JobId(id), runs);
+        cluster.setRuntime(new JobId(id), runs);
         return id;
     }
 
-    private String created(Duration runs) {
-        return created("task", "1", "", runs);
+    private String createTask(Duration runs) {
+        return createTask("task", "1", "", runs);
     }
 
     private String state(int node, String id) {
@@ -81,23 +81,23 @@
     }
 
     /** Whether the task is on some machine, with its image or without. */
-    private boolean isSomewhere(String id) {
+    private boolean isOnAnyMachine(String id) {
         return cluster.workers().stream()
                 .anyMatch(
                         worker ->
-                                !worker.hung()
-                                        && worker.holds(task(id))
-                                        && (worker.running().contains(task(id))
-                                                || cluster.fetch().toSeconds() > 30));
+                                !worker.isHung()
+                                        && worker.hasTask(task(id))
+                                        && (worker.runningTasks().contains(task(id))
+                                                || cluster.imagePullTime().toSeconds() > 30));
     }
 
     @Test
-    void aTaskRunsAndEveryNodeTellsTheSameOfIt() throws MalformedMessageException {
-        String id = created(SHORT);
+    void taskRunsAndEveryControllerReportsTheSame() throws MalformedMessageException {
+        String id = createTask(SHORT_RUNTIME);
         assertEquals("QUEUED", state(1, id));
-        cluster.runS(6);
+        cluster.runSeconds(6);
         assertEquals("RUNNING", state(2, id));
-        cluster.runS(20);
+        cluster.runSeconds(20);
         for (int node = 0; node < 3; node++) {
             Map<String, Object> full =
                     body(ask(node, "GET", "/tasks/" + id, Map.of("view", List.of("FULL"))));
@@ -115,9 +115,9 @@
     }
 
     @Test
-    void aTaskThatIsDoneBetweenTwoReportsHasAStartAllTheSame() throws MalformedMessageException {
-        String id = created(Duration.ofMillis(10));
-        cluster.runS(12);
+    void taskCompletedBetweenTwoHeartbeatsHasStartTime() throws MalformedMessageException {
+        String id = createTask(Duration.ofMillis(10));
+        cluster.runSeconds(12);
         MessageReader told =
                 new MessageReader(
                         body(ask(1, "GET", "/tasks/" + id, Map.of("view", List.of("BASIC")))));
@@ -127,106 +127,106 @@
     }
 
     @Test
-    void anImageOnItsWayIsToldAsInitializing() {
-        cluster.fetch(Duration.ofSeconds(20));
-        String id = created(SHORT);
-        cluster.runS(8);
+    void imagePullIsReportedAsInitializing() {
+        cluster.imagePullTime(Duration.ofSeconds(20));
+        String id = createTask(SHORT_RUNTIME);
+        cluster.runSeconds(8);
         assertEquals("INITIALIZING", state(1, id));
-        cluster.runS(20);
+        cluster.runSeconds(20);
         assertEquals("RUNNING", state(1, id));
     }
 
     @Test
-    void aCancelledTaskNeverRunsAfterwardsWhereverItIs() {
+    void cancelledTaskNeverRunsAfterwards() {
         // Nothing has room: cancelled while it waits.
-        cluster.workers().forEach(worker -> worker.hang(true));
-        cluster.cloudOut(true);
-        cluster.runS(10);
-        String waiting = created(LONG);
+        cluster.workers().forEach(worker -> worker.setHung(true));
+        cluster.failCloud(true);
+        cluster.runSeconds(10);
+        String waiting = createTask(LONG_RUNTIME);
         body(ask(1, "POST", "/tasks/" + waiting + ":cancel", Map.of()));
         assertTrue(Set.of("CANCELING", "CANCELED").contains(state(2, waiting)));
-        cluster.runS(2);
+        cluster.runSeconds(2);
         assertEquals("CANCELED", state(0, waiting));
-        cluster.workers().forEach(worker -> worker.hang(false));
-        cluster.runS(10);
+        cluster.workers().forEach(worker -> worker.setHung(false));
+        cluster.runSeconds(10);
         // Its start is committed, but every answer that holds it is lost.
-        cluster.workers().forEach(worker -> worker.deaf(true));
-        String unsent = created(LONG);
-        cluster.runS(2);
+        cluster.workers().forEach(worker -> worker.loseIncoming(true));
+        String unsent = createTask(LONG_RUNTIME);
+        cluster.runSeconds(2);
         body(ask(1, "POST", "/tasks/" + unsent + ":cancel", Map.of()));
         assertTrue(Set.of("CANCELING", "CANCELED").contains(state(2, unsent)));
-        cluster.workers().forEach(worker -> worker.deaf(false));
-        cluster.runS(20);
+        cluster.workers().forEach(worker -> worker.loseIncoming(false));
+        cluster.runSeconds(20);
         assertEquals("CANCELED", state(0, unsent));
-        assertEquals(0, cluster.starts());
+        assertEquals(0, cluster.startCount());
         // Its image is on the way.
-        cluster.fetch(Duration.ofSeconds(40));
-        String fetching = created(LONG);
-        cluster.runS(6);
+        cluster.imagePullTime(Duration.ofSeconds(40));
+        String fetching = createTask(LONG_RUNTIME);
+        cluster.runSeconds(6);
         assertEquals("INITIALIZING", state(0, fetching));
         body(ask(1, "POST", "/tasks/" + fetching + ":cancel", Map.of()));
-        cluster.runS(10);
+        cluster.runSeconds(10);
         assertEquals("CANCELED", state(2, fetching));
-        cluster.runS(50);
-        assertEquals(0, cluster.starts());
+        cluster.runSeconds(50);
+        assertEquals(0, cluster.startCount());
     }
 
     @Test
-    void aTaskCancelledDuringATakeoverIsGoneAndSaysSo() {
-        String id = created(LONG);
-        cluster.runS(6);
+    void taskCancelledDuringFailoverStopsAndIsReportedCancelled() {
+        String id = createTask(LONG_RUNTIME);
+        cluster.runSeconds(6);
         assertEquals("RUNNING", state(0, id));
         int leader = cluster.leader();
         cluster.crash(leader);
         int other = (leader + 1) % 3;
         body(ask(other, "POST", "/tasks/" + id + ":cancel", Map.of()));
         assertEquals("CANCELING", state((leader + 2) % 3, id));
-        cluster.runS(30);
-        assertFalse(isSomewhere(id));
+        cluster.runSeconds(30);
+        assertFalse(isOnAnyMachine(id));
         assertEquals("CANCELED", state(other, id));
-        assertEquals(1, cluster.starts());
+        assertEquals(1, cluster.startCount());
     }
 
     @Test
-    void aCancellationIsNeverToldAsTakenBack() {
-        String id = created(LONG);
-        cluster.runS(6);
+    void reportedCancellationIsNeverRetracted() {
+        String id = createTask(LONG_RUNTIME);
+        cluster.runSeconds(6);
         // The leader cannot see the cancellation by itself for a while, and has news of its own to
         // write.
-        cluster.line(cluster.leader()).blind(true);
+        cluster.storeConnection(cluster.leader()).hideAllChanges(true);
         body(ask((cluster.leader() + 1) % 3, "POST", "/tasks/" + id + ":cancel", Map.of()));
         cluster.workers()
                 .forEach(
                         worker -> {
-                            if (worker.holds(task(id))) {
-                                worker.fail(task(id));
+                            if (worker.hasTask(task(id))) {
+                                worker.failTask(task(id));
                             }
                         });
         for (int second = 0; second < 20; second++) {
             assertTrue(Set.of("CANCELING", "CANCELED").contains(state(second % 3, id)));
-            cluster.runS(1);
+            cluster.runSeconds(1);
         }
         assertEquals("CANCELED", state(0, id));
     }
 
     @Test
-    void aCancellationThatComesLateTakesNoAttemptOutOfTheLog() throws MalformedMessageException {
-        cluster.workers().forEach(worker -> worker.hang(true));
-        cluster.cloudOut(true);
-        cluster.runS(10);
-        String id = created(LONG);
+    void lateCancellationKeepsAttemptsInLog() throws MalformedMessageException {
+        cluster.workers().forEach(worker -> worker.setHung(true));
+        cluster.failCloud(true);
+        cluster.runSeconds(10);
+        String id = createTask(LONG_RUNTIME);
         // It reads the entry before the task has a place, and writes after.
         int other = (cluster.leader() + 1) % 3;
-        cluster.line(other).holdCommits();
+        cluster.storeConnection(other).holdCommits();
         cluster.loop()
                 .schedule(
                         Duration.ofSeconds(1),
-                        () -> cluster.workers().forEach(worker -> worker.hang(false)));
+                        () -> cluster.workers().forEach(worker -> worker.setHung(false)));
         Http.Reply unanswered = ask(other, "POST", "/tasks/" + id + ":cancel", Map.of());
         assertTrue(unanswered == null || unanswered.status() == 503);
-        cluster.runS(10);
+        cluster.runSeconds(10);
         assertEquals("RUNNING", state(cluster.leader(), id));
-        cluster.line(other).hold(false);
+        cluster.storeConnection(other).holdRequests(false);
         for (int second = 0; second < 10; second++) {
             Map<String, Object> full =
                     body(
@@ -236,82 +236,82 @@
                                     "/tasks/" + id,
                                     Map.of("view", List.of("FULL"))));
             assertEquals(1, new MessageReader(full).nestedList("logs").size());
-            cluster.runS(1);
+            cluster.runSeconds(1);
         }
     }
 
     @Test
-    void aCancellationThatComesAfterTheEndChangesNothing() {
+    void cancellationAfterCompletionHasNoEffect() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 1, 1);
-        assertTrue(cluster.submit(0, job, SHORT));
-        String id = created(SHORT);
-        cluster.runS(6);
+        assertTrue(cluster.submit(0, job, SHORT_RUNTIME));
+        String id = createTask(SHORT_RUNTIME);
+        cluster.runSeconds(6);
         int other = (cluster.leader() + 1) % 3;
-        cluster.line(other).holdCommits();
+        cluster.storeConnection(other).holdCommits();
         assertFalse(cluster.cancel(other, job.id()));
         ask(other, "POST", "/tasks/" + id + ":cancel", Map.of());
-        cluster.runS(20);
-        cluster.line(other).hold(false);
-        cluster.runS(10);
+        cluster.runSeconds(20);
+        cluster.storeConnection(other).holdRequests(false);
+        cluster.runSeconds(10);
         assertEquals("COMPLETE", state(0, id));
         assertEquals(AdmissionService.Phase.DONE, cluster.poll(0, job.id()).orElseThrow().phase());
         assertEquals(
                 0,
-                cluster.store().size(RecordCodec.JOB_PREFIX),
+                cluster.store().recordCount(RecordCodec.JOB_PREFIX),
                 "no record of a job that is over comes back");
-        assertEquals(2, cluster.starts());
+        assertEquals(2, cluster.startCount());
     }
 
     @Test
-    void whatIsOverIsToldForEverAlsoAfterAllNodesWereRestarted() {
+    void endedTasksAreReportedAfterRestartOfAllControllers() {
         List<String> ids = new ArrayList<>();
         for (int at = 0; at < 20; at++) {
-            ids.add(created(Duration.ofSeconds(2)));
+            ids.add(createTask(Duration.ofSeconds(2)));
         }
-        cluster.runS(30);
+        cluster.runSeconds(30);
         cluster.crashAll();
-        cluster.runS(8);
+        cluster.runSeconds(8);
         cluster.restartAll();
-        cluster.runS(8);
+        cluster.runSeconds(8);
         for (String id : ids) {
             assertEquals("COMPLETE", state(1, id));
             body(ask(2, "POST", "/tasks/" + id + ":cancel", Map.of()));
             assertEquals("COMPLETE", state(0, id), "a cancellation comes too late");
         }
-        assertEquals(20, cluster.starts());
+        assertEquals(20, cluster.startCount());
     }
 
     @Test
-    void aCreateThatIsRepeatedMakesOneTask() {
+    void repeatedCreateMakesOneTask() {
         String body = TASK.formatted("once", "1", "");
-        cluster.line(0).loseAnswers(true);
+        cluster.storeConnection(0).loseResponses(true);
         Http.Reply lost = create(0, body, "night-1");
         assertTrue(lost == null || lost.status() == 503);
-        cluster.line(0).loseAnswers(false);
+        cluster.storeConnection(0).loseResponses(false);
         String id = (String) body(create(1, body, "night-1")).get("id");
-        cluster.runs(new JobId(id), SHORT);
+        cluster.setRuntime(new JobId(id), SHORT_RUNTIME);
         assertEquals(id, body(create(2, body, "night-1")).get("id"));
         assertEquals(400, create(2, TASK.formatted("another", "1", ""), "night-1").status());
-        cluster.runS(30);
+        cluster.runSeconds(30);
         assertEquals(id, body(create(0, body, "night-1")).get("id"), "also when it is over");
-        assertEquals(1, cluster.starts());
+        assertEquals(1, cluster.startCount());
     }
 
     @Test
-    void attemptsEndWhereTheClientSaysAndElseGoOn() throws MalformedMessageException {
-        String bounded = created("bounded", "1", ", \"max_attempts\": \"2\"", LONG);
-        String free = created("free", "1", "", LONG);
+    void attemptsEndAtClientLimitAndOtherwiseContinue() throws MalformedMessageException {
+        String bounded = createTask("bounded", "1", ", \"max_attempts\": \"2\"", LONG_RUNTIME);
+        String free = createTask("free", "1", "", LONG_RUNTIME);
         for (int second = 0; second < 60; second++) {
             cluster.workers()
                     .forEach(
                             worker -> {
                                 for (String id : List.of(bounded, free)) {
-                                    if (worker.running().contains(task(id))) {
-                                        worker.fail(task(id));
+                                    if (worker.runningTasks().contains(task(id))) {
+                                        worker.failTask(task(id));
                                     }
                                 }
                             });
-            cluster.runS(1);
+            cluster.runSeconds(1);
         }
         assertEquals("EXECUTOR_ERROR", state(1, bounded));
         Map<String, Object> full =
@@ -323,34 +323,36 @@
     }
 
     @Test
-    void aBoundedTaskWhoseLeaderDiesBetweenItsAttemptsKeepsItsCount() {
-        String id = created("bounded", "1", ", \"max_attempts\": \"2\"", LONG);
-        cluster.runS(6);
+    void attemptCountSurvivesLeaderFailureBetweenAttempts() {
+        String id = createTask("bounded", "1", ", \"max_attempts\": \"2\"", LONG_RUNTIME);
+        cluster.runSeconds(6);
         for (int attempt = 1; attempt <= 2; attempt++) {
-            cluster.on(task(id)).forEach(worker -> worker.fail(task(id)));
-            cluster.runS(4);
+            cluster.machinesRunning(task(id)).forEach(worker -> worker.failTask(task(id)));
+            cluster.runSeconds(4);
             cluster.crash(cluster.leader());
-            cluster.runS(2);
+            cluster.runSeconds(2);
             cluster.restartAll();
-            cluster.runS(12);
+            cluster.runSeconds(12);
         }
         assertEquals("EXECUTOR_ERROR", state(0, id));
-        assertEquals(2, cluster.starts());
+        assertEquals(2, cluster.startCount());
     }
 
     @Test
-    void aTaskIsItsTeamsAlone() {
-        String id = created(LONG);
+    void taskIsVisibleOnlyToItsTeam() {
+        String id = createTask(LONG_RUNTIME);
         assertEquals(
                 401,
-                cluster.tes(0, "wrong", "GET", "/tasks/" + id, Map.of(), Map.of(), "").status());
+                cluster.sendTesRequest(0, "wrong", "GET", "/tasks/" + id, Map.of(), Map.of(), "")
+                        .status());
         assertEquals(
                 403,
-                cluster.tes(0, "other secret", "GET", "/tasks/" + id, Map.of(), Map.of(), "")
+                cluster.sendTesRequest(
+                                0, "other secret", "GET", "/tasks/" + id, Map.of(), Map.of(), "")
                         .status());
         assertEquals(
                 403,
-                cluster.tes(
+                cluster.sendTesRequest(
                                 0,
                                 "other secret",
                                 "POST",
@@ -361,12 +363,21 @@
                         .status());
         assertEquals(
                 200,
-                cluster.tes(0, "reader", "GET", "/tasks/" + id, Map.of(), Map.of(), "").status());
+                cluster.sendTesRequest(0, "reader", "GET", "/tasks/" + id, Map.of(), Map.of(), "")
+                        .status());
         assertEquals(
                 403,
-                cluster.tes(0, "reader", "POST", "/tasks/" + id + ":cancel", Map.of(), Map.of(), "")
+                cluster.sendTesRequest(
+                                0,
+                                "reader",
+                                "POST",
+                                "/tasks/" + id + ":cancel",
+                                Map.of(),
+                                Map.of(),
+                                "")
                         .status());
-        Http.Reply others = cluster.tes(1, "other secret", "GET", "/tasks", Map.of(), Map.of(), "");
+        Http.Reply others =
+                cluster.sendTesRequest(1, "other secret", "GET", "/tasks", Map.of(), Map.of(), "");
         assertEquals(List.of(), body(others).get("tasks"));
         assertEquals(
                 404, ask(0, "GET", "/tasks/tes-00000000000000000000000000", Map.of()).status());
@@ -376,11 +387,12 @@
     }
 
     @Test
-    void pagesMissNothingAndTellNothingTwiceWhileTasksComeAndGo() throws MalformedMessageException {
+    void paginationIsCompleteAndFreeOfDuplicatesUnderConcurrentChanges()
+            throws MalformedMessageException {
         Set<String> there = new HashSet<>();
         for (int at = 0; at < 12; at++) {
             there.add(
-                    created(
+                    createTask(
                             "a" + at,
                             String.valueOf(at % 2),
                             "",
@@ -401,11 +413,11 @@
             token = page.stringOrNull("next_page_token");
             // The next page is asked of another node, after a takeover, and others have come in
             // between.
-            created("later", "9", "", LONG);
+            createTask("later", "9", "", LONG_RUNTIME);
             cluster.crash(cluster.leader());
-            cluster.runS(8);
+            cluster.runSeconds(8);
             cluster.restartAll();
-            cluster.runS(6);
+            cluster.runSeconds(6);
             node = (node + 1) % 3;
         } while (token != null);
         assertEquals(told.size(), new HashSet<>(told).size());
@@ -441,34 +453,34 @@
     }
 
     @Test
-    void whatCannotBeDecidedIsAnsweredAtOnce() {
-        cluster.line(1).cut(true);
-        cluster.runS(5);
+    void undecidableRequestIsAnsweredImmediately() {
+        cluster.storeConnection(1).refuseRequests(true);
+        cluster.runSeconds(5);
         Http.Reply refused = create(1, TASK.formatted("task", "1", ""), null);
         assertEquals(503, refused.status());
         assertEquals(1, refused.retryAfterSeconds());
-        cluster.store().out(true);
+        cluster.store().setOutage(true);
         assertEquals(503, create(0, TASK.formatted("task", "1", ""), null).status());
     }
 
     @Test
-    void aCreateThatASlowStateServiceTakesLateIsFoundByItsKey() {
-        cluster.line(1).hold(true);
+    void delayedCreateOnSlowStoreIsFoundByIdempotencyKey() {
+        cluster.storeConnection(1).holdRequests(true);
         String body = TASK.formatted("late", "1", "");
         Http.Reply reply = create(1, body, "night-2");
         assertTrue(reply == null || reply.status() == 503, "nobody knows whether it will be");
-        cluster.line(1).hold(false);
-        cluster.runS(3);
+        cluster.storeConnection(1).holdRequests(false);
+        cluster.runSeconds(3);
         String id = (String) body(create(2, body, "night-2")).get("id");
-        cluster.runs(new JobId(id), SHORT);
-        cluster.runS(25);
+        cluster.setRuntime(new JobId(id), SHORT_RUNTIME);
+        cluster.runSeconds(25);
         assertEquals("COMPLETE", state(0, id));
-        assertEquals(1, cluster.starts());
-        assertEquals(1, cluster.store().size("tesx/"));
+        assertEquals(1, cluster.startCount());
+        assertEquals(1, cluster.store().recordCount("tesx/"));
     }
 
     @Test
-    void whatCanNeverRunAndWhatIsWrongIsRefusedByName() {
+    void unschedulableOrInvalidTaskIsRejectedByField() {
         for (String[] wrong :
                 new String[][] {
                     {"{\"executors\": []}", "executors"},
@@ -513,10 +525,12 @@
     }
 
     @Test
-    void listsTakeABoundedPartOfTheStateService() throws Exception {
+    void listsReadBoundedNumberOfRecords() throws Exception {
         List<CompletableFuture<Http.Reply>> lists = new ArrayList<>();
         for (int at = 0; at < 6; at++) {
-            lists.add(cluster.asked(0, "secret", "GET", "/tasks", Map.of(), Map.of(), new byte[0]));
+            lists.add(
+                    cluster.sendTesRequestAsync(
+                            0, "secret", "GET", "/tasks", Map.of(), Map.of(), new byte[0]));
         }
         assertEquals(
                 List.of(503, 503),
@@ -525,10 +539,10 @@
                         .map(reply -> reply.join().status())
                         .toList(),
                 "four at a time, the others at once");
-        cluster.runS(1);
+        cluster.runSeconds(1);
         assertTrue(lists.stream().limit(4).allMatch(reply -> reply.join().status() == 200));
         for (int at = 0; at < 40; at++) {
-            created("t", "1", "", LONG);
+            createTask("t", "1", "", LONG_RUNTIME);
         }
         MessageReader whole =
                 new MessageReader(body(ask(1, "GET", "/tasks", Map.of("view", List.of("BASIC")))));
@@ -567,19 +581,19 @@
     }
 
     @Test
-    void whatANodeKeepsOfTasksIsBounded() {
+    void cachedTaskCountIsBounded() {
         List<String> ids = new ArrayList<>();
         for (int at = 0; at < 300; at++) {
-            ids.add(created("t", "1", "", LONG));
+            ids.add(createTask("t", "1", "", LONG_RUNTIME));
         }
-        cluster.runS(20);
+        cluster.runSeconds(20);
         int other = (cluster.leader() + 1) % 3;
         int[] before = {0};
         ToIntFunction<String> cost =
                 id -> {
-                    before[0] = cluster.line(other).reads();
+                    before[0] = cluster.storeConnection(other).readCount();
                     state(other, id);
-                    return cluster.line(other).reads() - before[0];
+                    return cluster.storeConnection(other).readCount() - before[0];
                 };
         assertEquals(2, cost.applyAsInt(ids.get(0)));
         assertEquals(1, cost.applyAsInt(ids.get(0)), "a task that was read once is known");
@@ -588,16 +602,16 @@
     }
 
     @Test
-    void aTaskThatFailsOnAndOnKeepsItsLastAttempts() throws MalformedMessageException {
-        String id = created(Duration.ofHours(1));
+    void repeatedlyFailingTaskKeepsItsLastAttempts() throws MalformedMessageException {
+        String id = createTask(Duration.ofHours(1));
         for (int failures = 0; failures < 14; ) {
             List<FakeWorker> on =
                     cluster.workers().stream()
-                            .filter(worker -> worker.running().contains(task(id)))
+                            .filter(worker -> worker.runningTasks().contains(task(id)))
                             .toList();
-            on.forEach(worker -> worker.fail(task(id)));
+            on.forEach(worker -> worker.failTask(task(id)));
             failures += on.size();
-            cluster.runS(4);
+            cluster.runSeconds(4);
         }
         MessageReader told =
                 new MessageReader(
@@ -607,7 +621,7 @@
     }
 
     @Test
-    void aPageTokenThatNoListGaveLeadsNowhere() {
+    void unknownPageTokenIsRejected() {
         for (String forged :
                 List.of(
                         "",
@@ -627,23 +641,23 @@
     }
 
     @Test
-    void nativeJobsAndTasksOfATeamShareItsLimitAndNeitherOvertakes() {
-        cluster.team("team", 0, 4);
+    void nativeAndTesJobsOfTeamShareQuotaInSubmissionOrder() {
+        cluster.withTeam("team", 0, 4);
         List<JobId> came = new ArrayList<>();
         for (int at = 1; at <= 6; at++) {
             JobSpec job = SimulatedCluster.spec(at, JobKind.ARRAY, 2, 1);
-            assertTrue(cluster.submit(at % 3, job, SHORT));
+            assertTrue(cluster.submit(at % 3, job, SHORT_RUNTIME));
             came.add(job.id());
-            came.add(new JobId(created(SHORT)));
+            came.add(new JobId(createTask(SHORT_RUNTIME)));
         }
-        JobId cancelled = new JobId(created(SHORT));
+        JobId cancelled = new JobId(createTask(SHORT_RUNTIME));
         body(ask(1, "POST", "/tasks/" + cancelled + ":cancel", Map.of()));
-        cluster.runS(20);
+        cluster.runSeconds(20);
         cluster.crash(cluster.leader());
-        cluster.runS(8);
+        cluster.runSeconds(8);
         cluster.restartAll();
-        cluster.runS(150);
-        assertEquals(18, cluster.starts());
+        cluster.runSeconds(150);
+        assertEquals(18, cluster.startCount());
         List<JobEventLog.Event> events = cluster.events();
         assertEquals(
                 came,
@@ -668,10 +682,10 @@
                         .count());
     }
 
-    private String createdTraced(String parameters, Duration runs) {
+    private String createTracedTask(String parameters, Duration runs) {
         String id =
                 (String)
-                        body(cluster.tes(
+                        body(cluster.sendTesRequest(
                                         0,
                                         "secret",
                                         "POST",
@@ -680,20 +694,20 @@
                                         Map.of("traceparent", "ctx"),
                                         TASK.formatted("traced", "1", parameters)))
                                 .get("id");
-        cluster.runs(new JobId(id), runs);
+        cluster.setRuntime(new JobId(id), runs);
         return id;
     }
 
     @Test
-    void aTracedTaskIsToldOfOnceThroughATakeover() {
-        String id = createdTraced(", \"max_attempts\": \"9\"", Duration.ofSeconds(20));
-        created(SHORT);
-        cluster.runS(6);
-        cluster.on(task(id)).forEach(worker -> worker.fail(task(id)));
-        cluster.runS(8);
+    void tracedTaskIsReportedOnceAcrossFailover() {
+        String id = createTracedTask(", \"max_attempts\": \"9\"", Duration.ofSeconds(20));
+        createTask(SHORT_RUNTIME);
+        cluster.runSeconds(6);
+        cluster.machinesRunning(task(id)).forEach(worker -> worker.failTask(task(id)));
+        cluster.runSeconds(8);
         assertEquals("RUNNING", state(0, id));
         cluster.crash(cluster.leader());
-        cluster.runS(40);
+        cluster.runSeconds(40);
         assertEquals("COMPLETE", state((cluster.leader() + 1) % 3, id));
         assertEquals(
                 List.of(
@@ -701,50 +715,51 @@
                         "ctx attempt 1 ERROR",
                         "ctx attempt 2 DONE",
                         "ctx ended DONE"),
-                cluster.traced());
+                cluster.traceNotes());
     }
 
     @Test
-    void aTracedTaskWhoseEndGotNoAnswerIsToldOfAllTheSame() {
-        String id = createdTraced("", Duration.ofSeconds(8));
-        cluster.runS(6);
+    void tracedTaskIsReportedWhenItsFinalCommitTimesOut() {
+        String id = createTracedTask("", Duration.ofSeconds(8));
+        cluster.runSeconds(6);
         assertEquals("RUNNING", state(0, id));
         for (int step = 0;
                 step < 80
                         && cluster.workers().stream()
-                                .anyMatch(worker -> worker.running().contains(task(id)));
+                                .anyMatch(worker -> worker.runningTasks().contains(task(id)));
                 step++) {
-            cluster.runS(0.25);
+            cluster.runSeconds(0.25);
         }
         // The task is done and no report has said so yet: the answer to the job's end is lost.
         int leader = cluster.leader();
-        cluster.line(leader).loseAnswers(true);
-        cluster.runS(3.5);
-        cluster.line(leader).loseAnswers(false);
-        assertEquals(List.of("ctx accepted"), cluster.traced());
-        cluster.runS(10);
+        cluster.storeConnection(leader).loseResponses(true);
+        cluster.runSeconds(3.5);
+        cluster.storeConnection(leader).loseResponses(false);
+        assertEquals(List.of("ctx accepted"), cluster.traceNotes());
+        cluster.runSeconds(10);
         assertEquals(leader, cluster.leader());
         assertEquals("COMPLETE", state(0, id));
         assertEquals(
-                List.of("ctx accepted", "ctx attempt 1 DONE", "ctx ended DONE"), cluster.traced());
+                List.of("ctx accepted", "ctx attempt 1 DONE", "ctx ended DONE"),
+                cluster.traceNotes());
     }
 
     @Test
-    void aThousandTasksThatAreOverAreAllStillTold() {
+    void thousandEndedTasksAreAllListed() {
         List<String> ids = new ArrayList<>();
         for (int at = 0; at < 1000; at++) {
-            ids.add(created("t" + at, "1", "", LONG));
+            ids.add(createTask("t" + at, "1", "", LONG_RUNTIME));
             if (at % 50 == 49) {
                 for (String id : ids.subList(at - 49, at + 1)) {
                     body(ask(at % 3, "POST", "/tasks/" + id + ":cancel", Map.of()));
                 }
             }
         }
-        cluster.runS(60);
+        cluster.runSeconds(60);
         cluster.crashAll();
-        cluster.runS(8);
+        cluster.runSeconds(8);
         cluster.restartAll();
-        cluster.runS(8);
+        cluster.runSeconds(8);
         for (int at = 0; at < ids.size(); at++) {
             assertEquals("CANCELED", state(at % 3, ids.get(at)));
         }
@@ -765,35 +780,38 @@
     }
 
     @Test
-    void aTaskCancelledInTheRoundThatPlacesItNeverRuns() {
+    void taskCancelledDuringItsPlacementRoundNeverRuns() {
         // Placed and cancelled between two answers of the state service, whichever of the two gets
         // there first.
         for (int at = 0; at < 12; at++) {
-            String id = created(LONG);
+            String id = createTask(LONG_RUNTIME);
             cluster.run(Duration.ofMillis(250 * (at % 6)));
             body(ask(at % 3, "POST", "/tasks/" + id + ":cancel", Map.of()));
-            int before = cluster.starts();
-            cluster.runS(12);
+            int before = cluster.startCount();
+            cluster.runSeconds(12);
             assertEquals("CANCELED", state(at % 3, id));
-            assertFalse(isSomewhere(id));
-            assertEquals(before, cluster.starts(), "none starts after the answer");
+            assertFalse(isOnAnyMachine(id));
+            assertEquals(before, cluster.startCount(), "none starts after the answer");
         }
         JobEventLogChecker.check(cluster.events(), 100);
     }
 
     @Test
-    void aTaskOfATeamBelowItsGuaranteeGoesFirstLikeANativeJob() {
-        cluster.team("other", 2, 0);
+    void taskOfTeamBelowItsGuaranteeGoesFirst() {
+        cluster.withTeam("other", 2, 0);
         for (int at = 1; at <= 40; at++) {
-            assertTrue(cluster.submit(0, SimulatedCluster.spec(at, JobKind.ARRAY, 2, 1), LONG));
+            assertTrue(
+                    cluster.submit(
+                            0, SimulatedCluster.spec(at, JobKind.ARRAY, 2, 1), LONG_RUNTIME));
         }
-        cluster.cloudOut(true);
+        cluster.failCloud(true);
         // All machines that were rented are up, and full.
-        cluster.runS(20);
-        long before = cluster.workers().stream().mapToLong(worker -> worker.running().size()).sum();
+        cluster.runSeconds(20);
+        long before =
+                cluster.workers().stream().mapToLong(worker -> worker.runningTasks().size()).sum();
         String id =
                 (String)
-                        body(cluster.tes(
+                        body(cluster.sendTesRequest(
                                         0,
                                         "other secret",
                                         "POST",
@@ -802,16 +820,17 @@
                                         Map.of(),
                                         TASK.formatted("first", "1", ", \"save_s\": \"1\"")))
                                 .get("id");
-        cluster.runs(new JobId(id), LONG);
-        cluster.runS(40);
+        cluster.setRuntime(new JobId(id), LONG_RUNTIME);
+        cluster.runSeconds(40);
         assertTrue(
                 before > 0
                         && before
                                 == cluster.workers().stream()
-                                        .mapToLong(worker -> worker.running().size())
+                                        .mapToLong(worker -> worker.runningTasks().size())
                                         .sum());
         Http.Reply reply =
-                cluster.tes(1, "other secret", "GET", "/tasks/" + id, Map.of(), Map.of(), "");
+                cluster.sendTesRequest(
+                        1, "other secret", "GET", "/tasks/" + id, Map.of(), Map.of(), "");
         assertEquals(
                 "RUNNING",
                 body(reply).get("state"),
@@ -819,10 +838,10 @@
     }
 
     @Test
-    void twoClientsListWhileTasksComeAndGoAndMissNothing() {
+    void concurrentListsAreCompleteUnderConcurrentChanges() {
         Set<String> there = new HashSet<>();
         for (int at = 0; at < 10; at++) {
-            there.add(created("a" + at, "1", "", LONG));
+            there.add(createTask("a" + at, "1", "", LONG_RUNTIME));
         }
         String[] tokens = {"", ""};
         List<Set<String>> told = List.of(new HashSet<>(), new HashSet<>());
@@ -842,7 +861,7 @@
                         told.get(client).add((String) ((Map<?, ?>) task).get("id")), "told twice");
             }
             tokens[client] = (String) page.get("next_page_token");
-            String passing = created("passing", "2", "", SHORT);
+            String passing = createTask("passing", "2", "", SHORT_RUNTIME);
             body(ask(0, "POST", "/tasks/" + passing + ":cancel", Map.of()));
         }
         assertTrue(told.get(0).containsAll(there) && told.get(1).containsAll(there));
--- a/src/test/java/org/meadowhollow/simulation/WarmStandbyScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/WarmStandbyScenarioTest.java
@@ -34,13 +34,13 @@
 
     @BeforeEach
     void warm() {
-        cluster.standby();
-        cluster.runS(5);
+        cluster.enableStandbys();
+        cluster.runSeconds(5);
         // Keeps the machines, with room on each for more.
         assertTrue(
                 cluster.submit(
                         0, SimulatedCluster.spec(9, JobKind.ARRAY, 6, 4), Duration.ofHours(1)));
-        cluster.runS(30);
+        cluster.runSeconds(30);
     }
 
     @AfterEach
@@ -57,7 +57,7 @@
     }
 
     /** Tables of a leader that have seen enough to say something. */
-    private long learnt(int node) {
+    private long learnedObservationCount(int node) {
         RiskTableRequest whole =
                 new RiskTableRequest(
                         new ControllerStatus("test", 1, "a", "", 0, Revision.ABSENT),
@@ -74,260 +74,266 @@
                 .count();
     }
 
-    private int untilAnotherLeads(int than) {
+    private int secondsUntilAnotherLeads(int than) {
         for (int step = 0;
                 step < 60 && (cluster.leader() < 0 || cluster.leader() == than);
                 step++) {
-            cluster.runS(0.25);
+            cluster.runSeconds(0.25);
         }
         assertNotEquals(than, cluster.leader());
         return cluster.leader();
     }
 
-    private void untilDone(JobSpec job, double seconds) {
-        cluster.runS(seconds);
-        assertEquals(Phase.DONE, phase(job));
+    private void runUntilDone(JobSpec job, double seconds) {
+        cluster.runSeconds(seconds);
+        assertEquals(Phase.DONE, phaseOf(job));
     }
 
     @Test
-    void whatTheTablesHaveLearntOutlivesTheirLeader() {
-        cluster.runS(LEARNT_S);
+    void learnedRiskTablesSurviveLeaderFailure() {
+        cluster.runSeconds(LEARNT_S);
         int dead = cluster.leader();
-        assertEquals(6, learnt(dead));
+        assertEquals(6, learnedObservationCount(dead));
         cluster.crash(dead);
-        int next = untilAnotherLeads(dead);
-        cluster.runS(4);
-        assertEquals(6, learnt(next), "all machines have reported, and none is new to it");
+        int next = secondsUntilAnotherLeads(dead);
+        cluster.runSeconds(4);
+        assertEquals(
+                6,
+                learnedObservationCount(next),
+                "all machines have reported, and none is new to it");
     }
 
     @Test
-    void aSuccessorTakesTheRecordsFromItsImage() {
+    void successorLoadsRecordsFromItsReplica() {
         JobSpec before = array(1, 10);
-        assertTrue(cluster.submit(0, before, LONG));
-        cluster.runS(10);
+        assertTrue(cluster.submit(0, before, LONG_RUNTIME));
+        cluster.runSeconds(10);
         int dead = cluster.leader();
         for (int node = 0; node < 3; node++) {
-            cluster.line(node).hide(RecordCodec.TASK_PREFIX);
+            cluster.storeConnection(node).hidePrefix(RecordCodec.TASK_PREFIX);
         }
         JobSpec lately = array(2, 4);
-        assertTrue(cluster.submit(other(dead), lately, SHORT));
-        cluster.runS(0.5);
+        assertTrue(cluster.submit(other(dead), lately, SHORT_RUNTIME));
+        cluster.runSeconds(0.5);
         cluster.crash(dead);
-        untilAnotherLeads(dead);
-        cluster.runS(25);
-        assertEquals(Phase.DONE, phase(lately), "no page of tasks could be read");
-        assertEquals(20, cluster.starts());
+        secondsUntilAnotherLeads(dead);
+        cluster.runSeconds(25);
+        assertEquals(Phase.DONE, phaseOf(lately), "no page of tasks could be read");
+        assertEquals(20, cluster.startCount());
     }
 
     @Test
-    void aStandbyTooFarBehindReadsAllRecords() {
+    void standbyTooFarBehindReadsAllRecords() {
         int dead = cluster.leader();
         int heir = other(dead);
         cluster.crash(3 - dead - heir);
-        cluster.line(heir).cut(true);
-        cluster.runS(1);
+        cluster.storeConnection(heir).refuseRequests(true);
+        cluster.runSeconds(1);
         JobSpec job = array(1, 5);
-        assertTrue(cluster.submit(dead, job, SHORT));
+        assertTrue(cluster.submit(dead, job, SHORT_RUNTIME));
         for (int at = 0; at <= 10_000; at++) {
             cluster.store().put("junk/" + at % 10, Map.of("at", (long) at));
         }
         cluster.crash(dead);
-        cluster.line(heir).cut(false);
-        assertEquals(heir, untilAnotherLeads(dead));
-        untilDone(job, 30);
-        assertEquals(11, cluster.starts());
+        cluster.storeConnection(heir).refuseRequests(false);
+        assertEquals(heir, secondsUntilAnotherLeads(dead));
+        runUntilDone(job, 30);
+        assertEquals(11, cluster.startCount());
     }
 
     @Test
-    void aStandbyThatCannotCatchUpReadsAllRecords() {
+    void standbyThatCannotCatchUpReadsAllRecords() {
         int dead = cluster.leader();
         int heir = other(dead);
         cluster.crash(3 - dead - heir);
         JobSpec job = array(1, 5);
-        assertTrue(cluster.submit(dead, job, SHORT));
-        cluster.runS(5);
-        assertEquals(11, cluster.starts());
-        cluster.line(heir).failWatches(true);
+        assertTrue(cluster.submit(dead, job, SHORT_RUNTIME));
+        cluster.runSeconds(5);
+        assertEquals(11, cluster.startCount());
+        cluster.storeConnection(heir).failWatches(true);
         cluster.crash(dead);
-        assertEquals(heir, untilAnotherLeads(dead));
-        cluster.runS(1);
-        cluster.line(heir).failWatches(false);
+        assertEquals(heir, secondsUntilAnotherLeads(dead));
+        cluster.runSeconds(1);
+        cluster.storeConnection(heir).failWatches(false);
         JobSpec later = array(2, 3);
-        assertTrue(cluster.submit(heir, later, SHORT));
-        untilDone(later, 30);
-        assertEquals(Phase.DONE, phase(job));
-        assertEquals(14, cluster.starts());
+        assertTrue(cluster.submit(heir, later, SHORT_RUNTIME));
+        runUntilDone(later, 30);
+        assertEquals(Phase.DONE, phaseOf(job));
+        assertEquals(14, cluster.startCount());
     }
 
     @Test
-    void anOutageLosesNoImage() {
+    void storeOutageKeepsReplica() {
         int standby = other(cluster.leader());
-        int pages = cluster.line(standby).pages();
-        cluster.store().out(true);
-        cluster.runS(40);
-        cluster.store().out(false);
-        cluster.runS(20);
-        assertEquals(pages, cluster.line(standby).pages());
+        int pages = cluster.storeConnection(standby).pageReadCount();
+        cluster.store().setOutage(true);
+        cluster.runSeconds(40);
+        cluster.store().setOutage(false);
+        cluster.runSeconds(20);
+        assertEquals(pages, cluster.storeConnection(standby).pageReadCount());
     }
 
     /**
      * Some machines hang while another node takes over, and a job waits that fits on all six, with
      * one task each.
      */
-    private List<FakeWorker> takenOverWithout(int machines) {
+    private List<FakeWorker> failOverWithout(int machines) {
         int dead = cluster.leader();
         List<FakeWorker> late = cluster.workers().subList(0, machines);
-        late.forEach(worker -> worker.hang(true));
+        late.forEach(worker -> worker.setHung(true));
         cluster.crash(dead);
         assertTrue(
-                cluster.submit(other(dead), SimulatedCluster.spec(1, JobKind.ARRAY, 6, 4), LONG));
-        untilAnotherLeads(dead);
+                cluster.submit(
+                        other(dead), SimulatedCluster.spec(1, JobKind.ARRAY, 6, 4), LONG_RUNTIME));
+        secondsUntilAnotherLeads(dead);
         return late;
     }
 
     @Test
-    void aFirstRoundWaitsForHalfTheMachines() {
-        takenOverWithout(4);
-        cluster.runS(1.5);
+    void firstRoundWaitsForHalfOfMachines() {
+        failOverWithout(4);
+        cluster.runSeconds(1.5);
         assertEquals(
                 0,
-                cluster.store().size(RecordCodec.TASK_PREFIX + "req-000001"),
+                cluster.store().recordCount(RecordCodec.TASK_PREFIX + "req-000001"),
                 "two of six have reported");
     }
 
     @Test
-    void aFirstRoundWithHalfTheMachinesOnlyPlaces() {
-        int rentals = cluster.rentals();
-        List<FakeWorker> late = takenOverWithout(2);
-        for (int step = 0; step < 14 && cluster.starts() == 6; step++) {
-            cluster.runS(0.25);
+    void firstRoundWithHalfOfMachinesOnlyPlaces() {
+        int rentals = cluster.rentalCount();
+        List<FakeWorker> late = failOverWithout(2);
+        for (int step = 0; step < 14 && cluster.startCount() == 6; step++) {
+            cluster.runSeconds(0.25);
         }
-        assertEquals(10, cluster.starts(), "where machines have reported");
-        cluster.runS(1);
+        assertEquals(10, cluster.startCount(), "where machines have reported");
+        cluster.runSeconds(1);
         assertEquals(
                 rentals,
-                cluster.rentals(),
+                cluster.rentalCount(),
                 "the others may have room, as is seen when they report");
-        late.forEach(worker -> worker.hang(false));
-        cluster.runS(8);
-        assertEquals(12, cluster.starts());
+        late.forEach(worker -> worker.setHung(false));
+        cluster.runSeconds(8);
+        assertEquals(12, cluster.startCount());
     }
 
     @Test
-    void aTermIsAboveAllThatWorkersHaveShown() {
+    void newFencingTokenExceedsAllTokensReportedByWorkers() {
         cluster.crashAll();
         cluster.store().put(RecordCodec.FENCING_TOKEN_KEY, Map.of("term", 50L));
         cluster.restartAll();
-        cluster.runS(10);
-        assertEquals(51, cluster.term());
+        cluster.runSeconds(10);
+        assertEquals(51, cluster.fencingToken());
         cluster.crashAll();
         cluster.store().put(RecordCodec.FENCING_TOKEN_KEY, Map.of("term", 1L));
         cluster.restartAll();
-        cluster.runS(6);
-        assertTrue(cluster.term() > 51, "answers of a lower one would be dropped");
+        cluster.runSeconds(6);
+        assertTrue(cluster.fencingToken() > 51, "answers of a lower one would be dropped");
     }
 
     @Test
-    void aStandbyWhoseViewStoodStillDecidesNothingFromIt() {
+    void standbyWithStalledReplicaDoesNotDecideFromIt() {
         int dead = cluster.leader();
         int heir = other(dead);
         cluster.crash(3 - dead - heir);
-        cluster.line(heir).blindTo(RecordCodec.JOB_PREFIX);
+        cluster.storeConnection(heir).hideChanges(RecordCodec.JOB_PREFIX);
         JobSpec job = array(1, 5);
         assertTrue(cluster.submit(dead, job, Duration.ofSeconds(60)));
-        cluster.runS(10);
-        assertEquals(11, cluster.starts());
+        cluster.runSeconds(10);
+        assertEquals(11, cluster.startCount());
         cluster.crash(dead);
-        cluster.runS(40);
+        cluster.runSeconds(40);
         assertEquals(heir, cluster.leader());
-        cluster.line(heir).blindTo(null);
-        untilDone(job, 40);
+        cluster.storeConnection(heir).hideChanges(null);
+        runUntilDone(job, 40);
         assertEquals(
-                11, cluster.starts(), "from the old view they would have been stopped as nobody's");
+                11,
+                cluster.startCount(),
+                "from the old view they would have been stopped as nobody's");
     }
 
     @Test
-    void aTransactionThatIsAppliedAfterTheSuccessorCaughtUpChangesNothing() {
+    void transactionAppliedAfterSuccessorCaughtUpHasNoEffect() {
         int old = cluster.leader();
-        FakeKeyValueStore.Line line = cluster.line(old);
-        line.holdCommits();
+        FakeKeyValueStore.Connection connection = cluster.storeConnection(old);
+        connection.holdCommits();
         JobSpec job = array(1, 5);
         assertTrue(cluster.submit(other(old), job, Duration.ofSeconds(20)));
-        cluster.runS(3);
+        cluster.runSeconds(3);
         cluster.crash(old);
-        untilAnotherLeads(old);
-        cluster.runS(0.5);
-        line.hold(false);
-        untilDone(job, 40);
-        assertEquals(11, cluster.starts());
+        secondsUntilAnotherLeads(old);
+        cluster.runSeconds(0.5);
+        connection.holdRequests(false);
+        runUntilDone(job, 40);
+        assertEquals(11, cluster.startCount());
     }
 
     @Test
-    void aStarvedStandbyTakesOverWithWhatItHas() {
+    void starvedStandbyTakesOverWithItsReplica() {
         int dead = cluster.leader();
         int heir = other(dead);
-        cluster.busy(heir, true);
+        cluster.delayTimers(heir, true);
         JobSpec job = array(1, 5);
         assertTrue(cluster.submit(dead, job, Duration.ofSeconds(60)));
-        cluster.runS(25);
+        cluster.runSeconds(25);
         cluster.crash(dead);
         cluster.crash(3 - dead - heir);
-        cluster.runS(60);
+        cluster.runSeconds(60);
         assertEquals(heir, cluster.leader());
-        untilDone(job, 60);
-        assertEquals(11, cluster.starts());
+        runUntilDone(job, 60);
+        assertEquals(11, cluster.startCount());
     }
 
     @Test
-    void aRecordThatAStandbyHasWrongIsFoundByTheAudit() {
+    void auditFindsDivergentRecordOfStandby() {
         JobSpec job = array(1, 4);
         int standby = other(cluster.leader());
-        cluster.line(standby).skip(RecordCodec.job(job.id()));
-        assertTrue(cluster.submit(cluster.leader(), job, LONG));
-        cluster.runS(130);
-        cluster.line(standby).skip(null);
+        cluster.storeConnection(standby).skipChangesOf(RecordCodec.job(job.id()));
+        assertTrue(cluster.submit(cluster.leader(), job, LONG_RUNTIME));
+        cluster.runSeconds(130);
+        cluster.storeConnection(standby).skipChangesOf(null);
         wrongExpected = 1;
         int dead = cluster.leader();
         cluster.crash(dead);
         cluster.crash(3 - dead - standby);
-        untilAnotherLeads(dead);
-        cluster.runS(20);
-        assertEquals(Phase.RUNNING, phase(job));
-        assertEquals(10, cluster.starts());
+        secondsUntilAnotherLeads(dead);
+        cluster.runSeconds(20);
+        assertEquals(Phase.RUNNING, phaseOf(job));
+        assertEquals(10, cluster.startCount());
     }
 
     @Test
-    void aLeaderThatIsToldToEndHandsItsLeaseToAStandby() {
-        cluster.runS(LEARNT_S);
+    void terminatingLeaderHandsLeaseToStandby() {
+        cluster.runSeconds(LEARNT_S);
         int ending = cluster.leader();
         cluster.node(ending).handOver();
-        cluster.runS(0.6);
+        cluster.runSeconds(0.6);
         int next = cluster.leader();
         assertNotEquals(ending, next);
         assertTrue(next >= 0, "two are equally good, and one of them was named");
         cluster.crash(ending);
-        long term = cluster.term();
-        cluster.runS(5);
-        assertEquals(6, learnt(next));
-        assertEquals(term, cluster.term());
+        long term = cluster.fencingToken();
+        cluster.runSeconds(5);
+        assertEquals(6, learnedObservationCount(next));
+        assertEquals(term, cluster.fencingToken());
     }
 
     @Test
-    void theNextStandbyStepsInWhereTheOneThatWasNamedIsGone() {
+    void nextStandbyTakesOverWhenPreferredSuccessorIsDown() {
         int ending = cluster.leader();
         int named = ending == 0 ? 1 : 0;
         cluster.crash(named);
         cluster.node(ending).handOver();
-        cluster.runS(0.5);
+        cluster.runSeconds(0.5);
         cluster.crash(ending);
-        cluster.runS(2.5);
+        cluster.runSeconds(2.5);
         assertEquals(
                 3 - ending - named, cluster.leader(), "long before a lease would have run out");
     }
 
     @Test
-    void tablesThatCannotBeReadAreAskedForAnewAndHoldUpNothing() {
-        cluster.tables(
+    void unreadableRiskTablesAreRequestedAgainWithoutDelay() {
+        cluster.interceptRiskTables(
                 delta -> {
                     if (!delta.fullTables()) {
                         throw new PeerGateway.UnreadableResponseException("damaged");
@@ -335,105 +341,108 @@
                     return delta;
                 },
                 Duration.ofMillis(5));
-        cluster.runS(LEARNT_S);
+        cluster.runSeconds(LEARNT_S);
         int first = cluster.leader();
         cluster.crash(first);
-        int after = untilAnotherLeads(first);
-        cluster.runS(4);
-        assertEquals(6, learnt(after), "whole tables came instead");
+        int after = secondsUntilAnotherLeads(first);
+        cluster.runSeconds(4);
+        assertEquals(6, learnedObservationCount(after), "whole tables came instead");
         cluster.restart(first);
-        cluster.tables(
+        cluster.interceptRiskTables(
                 delta -> {
                     throw new PeerGateway.UnreadableResponseException("damaged");
                 },
                 Duration.ofMillis(5));
-        cluster.runS(LEARNT_S);
+        cluster.runSeconds(LEARNT_S);
         JobSpec job = array(1, 4);
         int dead = cluster.leader();
         cluster.crash(dead);
-        int second = untilAnotherLeads(dead);
-        assertTrue(cluster.submit(second, job, SHORT));
-        untilDone(job, 30);
+        int second = secondsUntilAnotherLeads(dead);
+        assertTrue(cluster.submit(second, job, SHORT_RUNTIME));
+        runUntilDone(job, 30);
         cluster.restart(dead);
-        cluster.tables(UnaryOperator.identity(), Duration.ofMillis(5));
-        cluster.runS(LEARNT_S);
+        cluster.interceptRiskTables(UnaryOperator.identity(), Duration.ofMillis(5));
+        cluster.runSeconds(LEARNT_S);
         cluster.crash(second);
-        int third = untilAnotherLeads(second);
-        cluster.runS(4);
-        assertEquals(6, learnt(third));
+        int third = secondsUntilAnotherLeads(second);
+        cluster.runSeconds(4);
+        assertEquals(6, learnedObservationCount(third));
     }
 
     @Test
-    void tablesOutliveAllNodes() {
-        cluster.runS(2 * LEARNT_S);
+    void riskTablesSurviveRestartOfAllControllers() {
+        cluster.runSeconds(2 * LEARNT_S);
         cluster.crashAll();
-        cluster.runS(6);
+        cluster.runSeconds(6);
         cluster.restartAll();
         for (int node = 0; node < 3; node++) {
-            cluster.line(node).hide(RecordCodec.RISK_TABLE_PREFIX);
+            cluster.storeConnection(node).hidePrefix(RecordCodec.RISK_TABLE_PREFIX);
         }
-        cluster.runS(10);
+        cluster.runSeconds(10);
         for (int node = 0; node < 3; node++) {
-            cluster.line(node).hide("/");
+            cluster.storeConnection(node).hidePrefix("/");
         }
-        cluster.runS(20);
-        assertEquals(6, learnt(cluster.leader()));
+        cluster.runSeconds(20);
+        assertEquals(6, learnedObservationCount(cluster.leader()));
     }
 
     @Test
-    void aSnapshotThatIsNotWholeIsNotUsed() {
-        cluster.runS(3 * LEARNT_S);
-        Map<String, Object> head = cluster.store().value(RecordCodec.RISK_TABLE_HEAD_KEY);
+    void incompleteSnapshotIsNotUsed() {
+        cluster.runSeconds(3 * LEARNT_S);
+        Map<String, Object> head = cluster.store().valueOf(RecordCodec.RISK_TABLE_HEAD_KEY);
         int set = (int) (long) head.get("set");
         Map<String, Object> older =
-                cluster.store().value(RecordCodec.riskTableChunkKey(1 - set, 0));
-        Map<String, Object> newest = cluster.store().value(RecordCodec.riskTableChunkKey(set, 0));
+                cluster.store().valueOf(RecordCodec.riskTableChunkKey(1 - set, 0));
+        Map<String, Object> newest = cluster.store().valueOf(RecordCodec.riskTableChunkKey(set, 0));
         cluster.crashAll();
         cluster.store().put(RecordCodec.riskTableChunkKey(set, 0), older);
         cluster.restartAll();
-        cluster.runS(20);
-        assertEquals(0, learnt(cluster.leader()), "another chunk is there than the head says");
+        cluster.runSeconds(20);
+        assertEquals(
+                0,
+                learnedObservationCount(cluster.leader()),
+                "another chunk is there than the head says");
         cluster.crashAll();
         cluster.store().put(RecordCodec.riskTableChunkKey(set, 0), newest);
         Map<String, Object> unknown = new HashMap<>(head);
         unknown.put("form", 2L);
         cluster.store().put(RecordCodec.RISK_TABLE_HEAD_KEY, unknown);
         cluster.restartAll();
-        cluster.runS(20);
-        assertEquals(0, learnt(cluster.leader()), "a form that is not known");
+        cluster.runSeconds(20);
+        assertEquals(0, learnedObservationCount(cluster.leader()), "a form that is not known");
         assertFalse(cluster.leader() < 0);
     }
 
     @Test
-    void allNodesAreReplacedInTurnDuringAnOutage() {
+    void rollingReplacementDuringStoreOutageKeepsTasks() {
         JobSpec job = array(1, 12);
         assertTrue(cluster.submit(0, job, Duration.ofSeconds(100)));
-        cluster.runS(10);
-        cluster.store().out(true);
+        cluster.runSeconds(10);
+        cluster.store().setOutage(true);
         for (int node = 0; node < 3; node++) {
             cluster.crash(node);
-            cluster.runS(3);
+            cluster.runSeconds(3);
             cluster.restart(node);
-            cluster.runS(3);
+            cluster.runSeconds(3);
         }
-        cluster.store().out(false);
-        untilDone(job, 240);
+        cluster.store().setOutage(false);
+        runUntilDone(job, 240);
     }
 
     @Test
-    void aLeaderThatStoodStillDecidesNothingFromWhatItKnew() {
+    void pausedLeaderDecidesNothingFromStaleState() {
         int frozen = cluster.leader();
         JobSpec job = array(1, 6);
         assertTrue(cluster.submit(other(frozen), job, Duration.ofSeconds(40)));
-        cluster.runS(5);
-        cluster.freeze(frozen);
-        int next = untilAnotherLeads(frozen);
+        cluster.runSeconds(5);
+        cluster.pause(frozen);
+        int next = secondsUntilAnotherLeads(frozen);
         JobSpec later = array(2, 6);
         assertTrue(cluster.submit(next, later, Duration.ofSeconds(40)));
-        cluster.runS(24);
-        cluster.thaw(frozen);
-        untilDone(later, 60);
-        assertEquals(Phase.DONE, phase(job));
+        cluster.runSeconds(24);
+        cluster.resume(frozen);
+        runUntilDone(later, 60);
+        assertEquals(Phase.DONE, phaseOf(job));
         assertEquals(next, cluster.leader());
     }
 }
