--- a/src/test/java/org/meadowhollow/simulation/ClusterTestBase.java
+++ b/src/test/java/org/meadowhollow/simulation/ClusterTestBase.java
@@ -36,7 +36,7 @@
 
     Phase phaseOf(JobSpec spec) {
         for (int node = 0; node < 3; node++) {
-            var state = cluster.poll(node, spec.id());
+            var state = cluster.users().poll(node, spec.id());
             if (state.isPresent()) {
                 return state.get().phase();
             }
--- a/src/test/java/org/meadowhollow/simulation/FailoverTimingScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/FailoverTimingScenarioTest.java
@@ -58,10 +58,10 @@
     void overloadedLeaderRenewsItsLeaseBetweenDelayedTimers() {
         // With all machines full, no report is held for a start to come.
         JobSpec filling = SimulatedCluster.spec(1, JobKind.ARRAY, MACHINES * 8, 1);
-        assertTrue(cluster.submit(0, filling, Duration.ofMinutes(5)));
+        assertTrue(cluster.users().submit(0, filling, Duration.ofMinutes(5)));
         cluster.runSeconds(10);
         long term = cluster.fencingToken();
-        cluster.delayTimers(cluster.leader(), true);
+        cluster.overload(cluster.leader(), true);
         cluster.runSeconds(20);
         assertEquals(term, cluster.fencingToken());
     }
@@ -88,7 +88,7 @@
     void wronglyReplacedLeaderStepsDownAndNoTaskRunsTwice() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 40, 1);
         int first = cluster.leader();
-        assertTrue(cluster.submit(first, job, Duration.ofSeconds(20)));
+        assertTrue(cluster.users().submit(first, job, Duration.ofSeconds(20)));
         cluster.runSeconds(1);
         cluster.refusePeerConnections(first, true);
         cluster.workers().forEach(worker -> worker.connectTo((first + 1) % 3));
@@ -97,7 +97,7 @@
                 first, cluster.leader(), "several workers left it, and it refused connections");
         cluster.refusePeerConnections(first, false);
         cluster.runSeconds(60);
-        assertEquals(40, cluster.poll(first, job.id()).orElseThrow().done());
+        assertEquals(40, cluster.users().poll(first, job.id()).orElseThrow().done());
     }
 
     @Test
@@ -114,10 +114,10 @@
     @Test
     void workersWaitForNewLeaderInsteadOfPollingAllControllers() {
         cluster.losePower(cluster.leader());
-        cluster.takeHeartbeatCount();
+        cluster.network().takeHeartbeatCount();
         cluster.runSeconds(5);
         assertTrue(
-                cluster.takeHeartbeatCount() <= 3 * MACHINES,
+                cluster.network().takeHeartbeatCount() <= 3 * MACHINES,
                 "each worker is answered when there is news, or late");
     }
 
@@ -131,7 +131,7 @@
         int dead = cluster.leader();
         cluster.crash(dead);
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 1, 1);
-        assertTrue(cluster.submit((dead + 1) % 3, job, Duration.ofSeconds(60)));
+        assertTrue(cluster.users().submit((dead + 1) % 3, job, Duration.ofSeconds(60)));
         for (int step = 0;
                 step < 40 && (cluster.leader() < 0 || cluster.leader() == dead);
                 step++) {
--- /dev/null
+++ b/src/test/java/org/meadowhollow/simulation/FakeStoreConnection.java
@@ -0,0 +1,428 @@
+package org.meadowhollow.simulation;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.Random;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.Executor;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.KeyValueStoreException;
+import org.meadowhollow.storage.KeyValueStoreException.Outcome;
+import org.meadowhollow.storage.LeaseId;
+import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.Transaction;
+
+/**
+ * One client's connection to the {@link FakeKeyValueStore}: it adds latency and timeouts, and can
+ * refuse, hold, delay or lose requests and responses of this client alone. Not thread-safe:
+ * everything runs on the event loop.
+ */
+final class FakeStoreConnection implements KeyValueStore {
+    /** How often an open watch polls the change log. */
+    private static final Duration WATCH_POLL_INTERVAL = Duration.ofMillis(50);
+
+    private static final int MIN_COMMIT_DELAY_MILLIS = 2000;
+    private static final int COMMIT_DELAY_RANGE_MILLIS = 10_000;
+
+    private final FakeKeyValueStore store;
+    private final EventLoop loop;
+
+    /** Delivers responses to the client's process, which may be paused. */
+    private Executor responseExecutor = Runnable::run;
+
+    /** Gets each request once more, as the network may duplicate it. */
+    private Consumer<Runnable> requestDuplicator = duplicate -> {};
+
+    private boolean isClosed;
+    private boolean refusesRequests;
+    private boolean losesResponses;
+    private String hiddenPrefix = "/";
+
+    /** Null if no changes are hidden. */
+    private String hiddenChangesPrefix;
+
+    private String skippedKey;
+    private boolean failsWatches;
+    private boolean returnsOlderRevisions;
+    private final List<Runnable> heldRequests = new ArrayList<>();
+    private boolean holdsRequests;
+    private boolean holdsCommits;
+    private Random delayRandom;
+    private double delayedShare;
+
+    /** Null unless every commit is delayed. */
+    private Duration delayOfAllCommits;
+
+    private Random lossRandom;
+    private double lostResponseShare;
+    private int delayedCommitCount;
+    private int lateCommitCount;
+    private int lostCommitCount;
+    private int largestCommitWrites;
+    private int readCount;
+    private int pageReadCount;
+    private int watchCount;
+
+    FakeStoreConnection(FakeKeyValueStore store, EventLoop loop) {
+        this.store = store;
+        this.loop = loop;
+    }
+
+    /** Lets a process that may be paused take the responses. */
+    FakeStoreConnection deliverResponsesOn(Executor process) {
+        responseExecutor = process;
+        return this;
+    }
+
+    /** Hands each request to a duplicator; duplicates are executed without a response. */
+    FakeStoreConnection duplicateRequestsTo(Consumer<Runnable> duplicator) {
+        requestDuplicator = duplicator;
+        return this;
+    }
+
+    // ---- faults ----
+
+    /** Refuses every request, as a node that alone gets status 503 experiences it. */
+    void refuseRequests(boolean refuse) {
+        refusesRequests = refuse;
+    }
+
+    /** Refuses to list the keys under a prefix, in place of the prefix that was hidden before. */
+    void hidePrefix(String prefix) {
+        hiddenPrefix = prefix;
+    }
+
+    /** Watches deliver no changes at all. */
+    void hideAllChanges(boolean hide) {
+        hiddenChangesPrefix = hide ? "" : null;
+    }
+
+    /** Watches of a prefix deliver no changes; null ends it. */
+    void hideChanges(String prefix) {
+        hiddenChangesPrefix = prefix;
+    }
+
+    /** Watches fail, except those of the leader key. */
+    void failWatches(boolean fail) {
+        failsWatches = fail;
+    }
+
+    /**
+     * Watches answer with a revision below the requested one and without changes, which no correct
+     * store does.
+     */
+    void returnOlderRevisions(boolean older) {
+        returnsOlderRevisions = older;
+    }
+
+    /** Watches omit the changes of a key, which no correct store does; null ends it. */
+    void skipChangesOf(String key) {
+        skippedKey = key;
+    }
+
+    /** Executes requests and loses the responses. */
+    void loseResponses(boolean lose) {
+        losesResponses = lose;
+    }
+
+    /**
+     * Holds requests back, and executes them when this ends, long after the caller's timeout. The
+     * end also ends {@link #holdCommits}.
+     */
+    void holdRequests(boolean hold) {
+        holdsRequests = hold;
+        if (!hold) {
+            holdsCommits = false;
+            List.copyOf(heldRequests).forEach(Runnable::run);
+            heldRequests.clear();
+        }
+    }
+
+    /** Holds back transactions alone, until the held requests are released. */
+    void holdCommits() {
+        holdsCommits = true;
+    }
+
+    /** A share of the transactions gets no response and is executed 2 to 12 s later. */
+    void delayCommits(double share, long seed) {
+        delayRandom = new Random(seed);
+        delayedShare = share;
+    }
+
+    /** No transaction gets a response, and each is executed after a delay; null ends it. */
+    void delayAllCommits(Duration delay) {
+        delayOfAllCommits = delay;
+    }
+
+    /** A share of the transactions is executed at once, and only its response is lost. */
+    void loseCommitResponses(double share, long seed) {
+        lossRandom = new Random(seed);
+        lostResponseShare = share;
+    }
+
+    /** The client's process has ended: no response is delivered any more. */
+    void close() {
+        isClosed = true;
+    }
+
+    // ---- counters ----
+
+    /** Transactions that wait for their delayed execution. */
+    int delayedCommitCount() {
+        return delayedCommitCount;
+    }
+
+    /** Transactions that were executed late, whether or not their conditions held. */
+    int lateCommitCount() {
+        return lateCommitCount;
+    }
+
+    /** Transactions that were applied and whose responses {@link #loseCommitResponses} lost. */
+    int lostCommitCount() {
+        return lostCommitCount;
+    }
+
+    /** Pages of records that were read, except those of the leader key. */
+    int pageReadCount() {
+        return pageReadCount;
+    }
+
+    /** Watches that were opened. */
+    int watchCount() {
+        return watchCount;
+    }
+
+    /** Reads of single keys. */
+    int readCount() {
+        return readCount;
+    }
+
+    /** Writes of the largest transaction. */
+    int largestCommitWrites() {
+        return largestCommitWrites;
+    }
+
+    // ---- the store's interface ----
+
+    @Override
+    public CompletableFuture<Optional<Entry>> get(String key, RequestPriority requestPriority) {
+        readCount++;
+        return call(() -> store.get(key));
+    }
+
+    @Override
+    public CompletableFuture<Page> list(
+            String prefix, String after, int limit, RequestPriority requestPriority) {
+        pageReadCount += prefix.equals(RecordCodec.LEADER_KEY) ? 0 : 1;
+        return call(
+                () -> {
+                    if (prefix.startsWith(hiddenPrefix)) {
+                        throw new KeyValueStoreException(Outcome.REJECTED, "hidden");
+                    }
+                    return store.list(prefix, after, limit);
+                });
+    }
+
+    @Override
+    public CompletableFuture<CommitResult> commit(
+            Transaction transaction, RequestPriority requestPriority) {
+        largestCommitWrites = Math.max(largestCommitWrites, transaction.writes().size());
+        if (delayOfAllCommits != null
+                || delayedShare > 0 && delayRandom.nextDouble() < delayedShare) {
+            return commitLate(transaction);
+        }
+        if (lostResponseShare > 0 && lossRandom.nextDouble() < lostResponseShare) {
+            return commitWithoutResponse(transaction);
+        }
+        boolean heldBefore = holdsRequests;
+        holdsRequests |= holdsCommits;
+        try {
+            return call(() -> store.commit(transaction));
+        } finally {
+            holdsRequests = heldBefore;
+        }
+    }
+
+    private CompletableFuture<CommitResult> commitLate(Transaction transaction) {
+        CompletableFuture<CommitResult> answer = new CompletableFuture<>();
+        loop.schedule(store.requestTimeout(), () -> fail(answer, Outcome.INDETERMINATE));
+        delayedCommitCount++;
+        Duration delay =
+                delayOfAllCommits != null
+                        ? delayOfAllCommits
+                        : Duration.ofMillis(
+                                MIN_COMMIT_DELAY_MILLIS
+                                        + delayRandom.nextInt(COMMIT_DELAY_RANGE_MILLIS));
+        loop.schedule(
+                delay,
+                () -> {
+                    delayedCommitCount--;
+                    try {
+                        store.commit(transaction);
+                        lateCommitCount++;
+                    } catch (KeyValueStoreException refused) {
+                        // The caller gave up long ago.
+                    }
+                });
+        return answer;
+    }
+
+    private CompletableFuture<CommitResult> commitWithoutResponse(Transaction transaction) {
+        CompletableFuture<CommitResult> answer = new CompletableFuture<>();
+        call(() -> store.commit(transaction))
+                .thenAccept(result -> lostCommitCount += result.isApplied() ? 1 : 0);
+        loop.schedule(store.requestTimeout(), () -> fail(answer, Outcome.INDETERMINATE));
+        return answer;
+    }
+
+    @Override
+    public CompletableFuture<LeaseId> grantLease(Duration ttl) {
+        return call(() -> store.grantLease(ttl));
+    }
+
+    @Override
+    public CompletableFuture<Void> renewLease(LeaseId lease) {
+        return call(
+                () -> {
+                    store.renewLease(lease);
+                    return null;
+                });
+    }
+
+    @Override
+    public CompletableFuture<Void> revokeLease(LeaseId lease) {
+        return call(
+                () -> {
+                    store.revokeLease(lease);
+                    return null;
+                });
+    }
+
+    @Override
+    public CompletableFuture<ChangeBatch> watch(String prefix, Revision after, Duration wait) {
+        watchCount++;
+        CompletableFuture<ChangeBatch> answer = new CompletableFuture<>();
+        if (seemsUnavailable()) {
+            loop.schedule(store.latency(), () -> fail(answer, Outcome.REJECTED));
+        } else {
+            pollChanges(answer, prefix, after, loop.now().plus(wait));
+        }
+        return answer;
+    }
+
+    @Override
+    public boolean seemsUnavailable() {
+        return store.isOut() || refusesRequests;
+    }
+
+    private <T> CompletableFuture<T> call(Supplier<T> operation) {
+        CompletableFuture<T> answer = new CompletableFuture<>();
+        Runnable request = () -> execute(operation, answer);
+        if (holdsRequests) {
+            heldRequests.add(request);
+        } else {
+            loop.schedule(store.latency(), request);
+        }
+        requestDuplicator.accept(() -> executeDuplicate(operation));
+        loop.schedule(store.requestTimeout(), () -> fail(answer, Outcome.INDETERMINATE));
+        return answer;
+    }
+
+    private <T> void execute(Supplier<T> operation, CompletableFuture<T> answer) {
+        store.expireLeases();
+        if (seemsUnavailable()) {
+            fail(answer, Outcome.REJECTED);
+            return;
+        }
+        try {
+            T result = operation.get();
+            if (!losesResponses) {
+                loop.schedule(store.latency(), () -> complete(answer, result));
+            }
+        } catch (KeyValueStoreException refused) {
+            fail(answer, refused.outcome());
+        }
+    }
+
+    private <T> void executeDuplicate(Supplier<T> operation) {
+        store.expireLeases();
+        if (seemsUnavailable()) {
+            return;
+        }
+        try {
+            T unused = operation.get();
+        } catch (KeyValueStoreException refused) {
+            // A duplicate has no caller.
+        }
+    }
+
+    private <T> void complete(CompletableFuture<T> answer, T result) {
+        responseExecutor.execute(
+                () -> {
+                    if (!isClosed) {
+                        answer.complete(result);
+                    }
+                });
+    }
+
+    private void fail(CompletableFuture<?> answer, Outcome outcome) {
+        responseExecutor.execute(
+                () -> {
+                    if (!isClosed) {
+                        answer.completeExceptionally(
+                                new KeyValueStoreException(
+                                        outcome, "the fake store says " + outcome));
+                    }
+                });
+    }
+
+    private void pollChanges(
+            CompletableFuture<ChangeBatch> answer,
+            String prefix,
+            Revision after,
+            MonotonicTime until) {
+        store.expireLeases();
+        boolean ofLeader = prefix.equals(RecordCodec.LEADER_KEY);
+        if (failsWatches && !ofLeader) {
+            loop.schedule(store.latency(), () -> fail(answer, Outcome.INDETERMINATE));
+            return;
+        }
+        if (returnsOlderRevisions && !ofLeader) {
+            ChangeBatch older = new ChangeBatch(new Revision(after.value() - 1), List.of());
+            loop.schedule(store.latency(), () -> complete(answer, older));
+            return;
+        }
+        boolean seesNothing =
+                seemsUnavailable()
+                        || hiddenChangesPrefix != null && prefix.startsWith(hiddenChangesPrefix);
+        if (!seesNothing && store.isCompacted(after)) {
+            loop.schedule(store.latency(), () -> fail(answer, Outcome.COMPACTED));
+            return;
+        }
+        List<Change> found = seesNothing ? List.of() : visibleChanges(prefix, after);
+        if (!found.isEmpty() || until.isBefore(loop.now())) {
+            // A client that sees nothing does not learn the store's revision either.
+            ChangeBatch batch = new ChangeBatch(seesNothing ? after : store.revision(), found);
+            loop.schedule(store.latency(), () -> complete(answer, batch));
+        } else if (!isClosed) {
+            loop.schedule(WATCH_POLL_INTERVAL, () -> pollChanges(answer, prefix, after, until));
+        }
+    }
+
+    private List<Change> visibleChanges(String prefix, Revision after) {
+        List<Change> visible = new ArrayList<>();
+        for (Change change : store.changesAfter(after)) {
+            if (change.key().startsWith(prefix) && !change.key().equals(skippedKey)) {
+                visible.add(change);
+            }
+        }
+        return visible;
+    }
+}
--- a/src/test/java/org/meadowhollow/simulation/FakeWorker.java
+++ b/src/test/java/org/meadowhollow/simulation/FakeWorker.java
@@ -18,11 +18,15 @@
 import org.meadowhollow.model.MachineType;
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.TaskId;
-import org.meadowhollow.model.TaskState;
 import org.meadowhollow.model.WorkerCommand;
 import org.meadowhollow.model.WorkerIncarnation;
 
-/** A machine's worker, as the protocol describes it. */
+/**
+ * A machine's worker as the protocol describes it: it sends heartbeats to one node at a time,
+ * executes commands, and lets its tasks go when its lease expires. Faults let it hang, lose what
+ * arrives, or block its outgoing connections. Not thread-safe: everything runs on the virtual event
+ * loop.
+ */
 final class FakeWorker implements HistoryChecker.Machine {
     private static final Duration HEARTBEAT_INTERVAL = Duration.ofSeconds(3);
     private static final Duration LEASE = Duration.ofSeconds(18);
@@ -31,58 +35,46 @@
     private static final Duration NEXT_NODE_DELAY = Duration.ofSeconds(1);
 
     private static final Duration CHANGED_HEARTBEAT_DELAY = Duration.ofMillis(500);
-    private static final Duration GANG_WAIT_TIMEOUT = Duration.ofSeconds(30);
-    private static final Duration GANG_PEER_TIMEOUT = Duration.ofSeconds(6);
-
-    /** How long an answer is waited for. */
     private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(4);
-
-    /** A task here; it runs once its image has come. */
-    private static final class Task {
-        private final AttemptNumber attemptNumber;
-        private TaskState state = TaskState.PULLING_IMAGE;
-        private ExitReason exitReason;
-        private final MonotonicTime runsAt;
-
-        /** When it began to run; a gang's task waits for the others before. */
-        private MonotonicTime runningSince;
-
-        /** Since when a running gang's task misses another one. */
-        private MonotonicTime missingSince;
-
-        Task(AttemptNumber attemptNumber, MonotonicTime runsAt) {
-            this.attemptNumber = attemptNumber;
-            this.runsAt = runsAt;
-        }
-    }
+    private static final WorkerIncarnation FIRST_INCARNATION = new WorkerIncarnation(1);
 
     private final SimulatedCluster cluster;
     private final MachineId id;
     private final String type;
     private final String zone;
-    private final Map<TaskId, Task> tasks = new LinkedHashMap<>();
-    private WorkerIncarnation workerIncarnation = new WorkerIncarnation(1);
-    private long seq;
+    private final Map<TaskId, FakeTask> tasks = new LinkedHashMap<>();
+    private WorkerIncarnation incarnation = FIRST_INCARNATION;
+    private long heartbeatNumber;
     private FencingToken fencingToken = FencingToken.NONE;
-    private MonotonicTime answeredSentAt;
+
+    /** When the last heartbeat was sent that got commands; the lease counts from then. */
+    private MonotonicTime leaseFrom;
+
     private int node;
-    private CompletableFuture<HeartbeatResponse> inFlight;
+
+    /** Null unless a heartbeat waits for its response. */
+    private CompletableFuture<HeartbeatResponse> pendingResponse;
+
     private boolean isHung;
     private boolean isRemoved;
-    private boolean loseIncoming;
-    private boolean blockOutgoingConnections;
-    private final Set<Integer> unreachable = new HashSet<>();
-    private double noticeS = Double.NaN;
+    private boolean losesIncoming;
+    private boolean blocksOutgoing;
+    private final Set<Integer> unreachableNodes = new HashSet<>();
+
+    /** Seconds until the cloud preempts the machine; NaN without a notice. */
+    private double preemptionNoticeSeconds = Double.NaN;
 
     FakeWorker(SimulatedCluster cluster, String id, String type, String zone) {
         this.cluster = cluster;
         this.id = new MachineId(id);
         this.type = type;
         this.zone = zone;
-        this.answeredSentAt = cluster.loop().now();
+        this.leaseFrom = cluster.loop().now();
         tick();
     }
 
+    // ---- state ----
+
     MachineId id() {
         return id;
     }
@@ -101,155 +93,189 @@
         return type;
     }
 
-    /** Loses its connection and turns to another node. */
-    void connectTo(int other) {
-        node = other;
-        inFlight = null;
-        sendHeartbeatAfter(CHANGED_HEARTBEAT_DELAY);
+    FencingToken fencingToken() {
+        return fencingToken;
     }
 
-    void setHung(boolean now) {
-        isHung = now;
+    WorkerIncarnation incarnation() {
+        return incarnation;
     }
 
-    /** Reports still go out, but all answers and direct commands are lost. */
-    void loseIncoming(boolean now) {
-        loseIncoming = now;
+    boolean isRemoved() {
+        return isRemoved;
     }
 
-    /** No connection to any node can be opened, while direct commands arrive and are answered. */
-    void blockOutgoingConnections(boolean now) {
-        blockOutgoingConnections = now;
-        if (now) {
-            inFlight = null;
-        }
+    boolean isHung() {
+        return isHung;
     }
 
-    /** Whether it runs, reports and hears. */
     @Override
     public boolean isReachable() {
         return !isHung
                 && !isRemoved
-                && !loseIncoming
-                && !blockOutgoingConnections
-                && Double.isNaN(noticeS);
+                && !losesIncoming
+                && !blocksOutgoing
+                && Double.isNaN(preemptionNoticeSeconds);
     }
 
-    /** Whether this machine alone has no way to a node and back. */
-    void blockPathTo(int other, boolean cut) {
-        if (cut) {
-            unreachable.add(other);
-            inFlight = node == other ? null : inFlight;
-        } else {
-            unreachable.remove(other);
-        }
+    private boolean isLeaseExpired() {
+        return cluster.loop().now().elapsedSince(leaseFrom).compareTo(LEASE) > 0;
     }
 
-    boolean reaches(int other) {
-        return !unreachable.contains(other);
+    // ---- faults ----
+
+    /** Loses its connection and turns to another node. */
+    void connectTo(int other) {
+        node = other;
+        pendingResponse = null;
+        sendHeartbeatAfter(CHANGED_HEARTBEAT_DELAY);
     }
 
-    void announcePreemption(double seconds) {
-        noticeS = seconds;
+    void setHung(boolean hung) {
+        isHung = hung;
     }
 
-    void remove() {
-        isRemoved = true;
-        tasks.clear();
+    /** Heartbeats still go out, but all responses and direct commands are lost. */
+    void loseIncoming(boolean lose) {
+        losesIncoming = lose;
     }
 
-    boolean isRemoved() {
-        return isRemoved;
+    /** No connection to any node can be opened, while direct commands arrive and are answered. */
+    void blockOutgoingConnections(boolean block) {
+        blocksOutgoing = block;
+        if (block) {
+            pendingResponse = null;
+        }
     }
 
-    boolean isHung() {
-        return isHung;
+    /** Cuts the path between this machine alone and a node, in both directions. */
+    void blockPathTo(int other, boolean block) {
+        if (block) {
+            unreachableNodes.add(other);
+            pendingResponse = node == other ? null : pendingResponse;
+        } else {
+            unreachableNodes.remove(other);
+        }
     }
 
-    FencingToken fencingToken() {
-        return fencingToken;
+    boolean reaches(int other) {
+        return !unreachableNodes.contains(other);
     }
 
-    WorkerIncarnation incarnation() {
-        return workerIncarnation;
+    /** The cloud announces that it preempts the machine. */
+    void announcePreemption(double seconds) {
+        preemptionNoticeSeconds = seconds;
+    }
+
+    /** The machine is returned to the cloud. */
+    void remove() {
+        isRemoved = true;
+        tasks.clear();
     }
 
-    /** The machine is back at once, under its name and address, and begins anew. */
+    /** The machine reboots at once, under its name and address, and knows nothing any more. */
     void reboot() {
         tasks.clear();
-        workerIncarnation = new WorkerIncarnation(1);
-        seq = 0;
+        incarnation = FIRST_INCARNATION;
+        heartbeatNumber = 0;
         fencingToken = FencingToken.NONE;
-        inFlight = null;
-        answeredSentAt = cluster.loop().now();
+        pendingResponse = null;
+        leaseFrom = cluster.loop().now();
     }
 
+    // ---- tasks ----
+
     /** Makes a task exit with an error. */
     void failTask(TaskId task) {
-        exit(tasks.get(task), ExitReason.ERROR);
+        tasks.get(task).exit(ExitReason.ERROR);
     }
 
     /** Makes a task exit because it found another one of its gang gone. */
     void exitForMissingPeer(TaskId task) {
-        exit(tasks.get(task), ExitReason.PEERS);
+        tasks.get(task).exit(ExitReason.PEERS);
     }
 
-    /** Makes a task give up waiting for its gang. */
+    /** Makes a task exit because its gang did not assemble. */
     void exitForGangTimeout(TaskId task) {
-        exit(tasks.get(task), ExitReason.ALONE);
-    }
-
-    boolean hasTask(TaskId task) {
-        return tasks.containsKey(task);
+        tasks.get(task).exit(ExitReason.ALONE);
     }
 
     /** Makes a task complete, as its gang does. */
     void completeTask(TaskId task) {
-        exit(tasks.get(task), ExitReason.DONE);
+        tasks.get(task).exit(ExitReason.DONE);
     }
 
-    private boolean isLeaseExpired() {
-        return cluster.loop().now().elapsedSince(answeredSentAt).compareTo(LEASE) > 0;
+    boolean hasTask(TaskId task) {
+        return tasks.containsKey(task);
+    }
+
+    AttemptNumber attemptOf(TaskId task) {
+        return tasks.get(task).attempt();
     }
 
-    /** Tasks that are on the machine in the protocol's sense: with their image, and not exited. */
     @Override
     public List<TaskId> runningTasks() {
-        List<TaskId> all = new ArrayList<>();
         if (isLeaseExpired()) {
-            // A hung machine runs nothing; when it goes on, its worker first kills what outlived
+            // A hung machine runs nothing; when it resumes, its worker first kills what outlived
             // the lease.
-            return all;
+            return List.of();
         }
-        tasks.forEach(
-                (task, held) -> {
-                    if (held.state != TaskState.EXITED && held.state != TaskState.PULLING_IMAGE) {
-                        all.add(task);
-                    }
-                });
-        return all;
+        return tasks.entrySet().stream()
+                .filter(each -> each.getValue().isPresent())
+                .map(Map.Entry::getKey)
+                .toList();
     }
 
-    /** Tasks that take room here: all but those that have exited. */
     @Override
     public List<TaskId> heldTasks() {
-        return isLeaseExpired()
-                ? List.of()
-                : tasks.entrySet().stream()
-                        .filter(each -> each.getValue().state != TaskState.EXITED)
-                        .map(Map.Entry::getKey)
-                        .toList();
+        if (isLeaseExpired()) {
+            return List.of();
+        }
+        return tasks.entrySet().stream()
+                .filter(each -> !each.getValue().hasExited())
+                .map(Map.Entry::getKey)
+                .toList();
     }
 
-    AttemptNumber attemptOf(TaskId task) {
-        return tasks.get(task).attemptNumber;
+    /** Whether a gang's task is here in an attempt and can take part in it, or has completed. */
+    boolean participatesIn(TaskId id, AttemptNumber attempt) {
+        FakeTask task = tasks.get(id);
+        return !isHung
+                && !isRemoved
+                && !isLeaseExpired()
+                && task != null
+                && task.participatesIn(attempt);
     }
 
-    private static void exit(Task task, ExitReason exitReason) {
-        task.state = TaskState.EXITED;
-        task.exitReason = exitReason;
+    /** Applies what time has brought: lease expiry, image pulls and completed tasks. */
+    void advance() {
+        MonotonicTime now = cluster.loop().now();
+        if (isLeaseExpired()) {
+            tasks.clear();
+            incarnation = new WorkerIncarnation(incarnation.value() + 1);
+            leaseFrom = now;
+        }
+        tasks.forEach((task, state) -> advance(task, state, now));
     }
 
+    private void advance(TaskId id, FakeTask task, MonotonicTime now) {
+        boolean inGang = cluster.spec(id.jobId()).kind() == JobKind.GANG;
+        if (task.isImagePulled(now)) {
+            task.start(inGang, now);
+            cluster.onTaskStarted(this, id);
+        }
+        if (inGang) {
+            task.advanceInGang(cluster.isGangComplete(id.jobId(), task.attempt()), now);
+        }
+        Duration runtime = cluster.runtimeOf(id.jobId());
+        if (task.hasFinished(runtime, now) && cluster.mayComplete(id.jobId())) {
+            task.exit(ExitReason.DONE);
+            cluster.onTaskCompleted(id);
+        }
+    }
+
+    // ---- heartbeats ----
+
     private void tick() {
         if (isRemoved) {
             return;
@@ -261,125 +287,59 @@
         }
     }
 
-    /** What time has brought: the end of the lease, images that have come, tasks that are done. */
-    void advance() {
-        MonotonicTime now = cluster.loop().now();
-        if (isLeaseExpired()) {
-            tasks.clear();
-            workerIncarnation = new WorkerIncarnation(workerIncarnation.value() + 1);
-            answeredSentAt = now;
-        }
-        tasks.forEach(
-                (id, task) -> {
-                    boolean gang = cluster.spec(id.jobId()).kind() == JobKind.GANG;
-                    if (task.state == TaskState.PULLING_IMAGE && task.runsAt.isBefore(now)) {
-                        task.state = gang ? TaskState.WAITING_FOR_GANG : TaskState.RUNNING;
-                        task.runningSince = gang ? null : now;
-                        cluster.onTaskStarted(this, id);
-                    }
-                    if (gang) {
-                        advanceGang(id, task, now);
-                    }
-                    Duration runs = cluster.runtimeOf(id.jobId());
-                    if (task.state == TaskState.RUNNING
-                            && runs != null
-                            && now.elapsedSince(task.runningSince).compareTo(runs) > 0
-                            && cluster.mayComplete(id.jobId())) {
-                        exit(task, ExitReason.DONE);
-                        cluster.onTaskCompleted(id);
-                    }
-                });
-    }
-
-    /**
-     * A gang's tasks start together, give up waiting for one another, and exit when one of them is
-     * gone.
-     */
-    private void advanceGang(TaskId id, Task task, MonotonicTime now) {
-        boolean whole = cluster.isGangComplete(id.jobId(), task.attemptNumber);
-        if (task.state == TaskState.WAITING_FOR_GANG && whole) {
-            task.state = TaskState.RUNNING;
-            task.runningSince = now;
-        } else if (task.state == TaskState.WAITING_FOR_GANG
-                && now.elapsedSince(task.runsAt).compareTo(GANG_WAIT_TIMEOUT) > 0) {
-            exit(task, ExitReason.ALONE);
-        } else if (task.state == TaskState.RUNNING && !whole) {
-            task.missingSince = task.missingSince == null ? now : task.missingSince;
-            if (now.elapsedSince(task.missingSince).compareTo(GANG_PEER_TIMEOUT) > 0) {
-                exit(task, ExitReason.PEERS);
-            }
-        } else {
-            task.missingSince = null;
-        }
-    }
-
-    /** Whether a gang's task is here in an attempt and can take part in it, or has completed. */
-    boolean participatesIn(TaskId id, AttemptNumber attemptNumber) {
-        Task task = tasks.get(id);
-        return !isHung
-                && !isRemoved
-                && !isLeaseExpired()
-                && task != null
-                && task.attemptNumber.equals(attemptNumber)
-                && (task.state == TaskState.WAITING_FOR_GANG
-                        || task.state == TaskState.RUNNING
-                        || task.exitReason == ExitReason.DONE);
-    }
-
+    /** A heartbeat with the current state; each has a number of its own. */
     Heartbeat snapshot() {
-        List<Heartbeat.TaskStatus> list = new ArrayList<>();
+        List<Heartbeat.TaskStatus> statuses = new ArrayList<>();
         tasks.forEach(
-                (id, task) ->
-                        list.add(
+                (task, state) ->
+                        statuses.add(
                                 new Heartbeat.TaskStatus(
-                                        id, task.attemptNumber, task.state, task.exitReason)));
+                                        task, state.attempt(), state.state(), state.exitReason())));
         return new Heartbeat(
                 id,
                 id.value() + ":9000",
                 type,
                 zone,
                 false,
-                workerIncarnation,
-                ++seq,
+                incarnation,
+                ++heartbeatNumber,
                 fencingToken,
-                noticeS,
-                list);
+                preemptionNoticeSeconds,
+                statuses);
     }
 
     private void sendHeartbeat() {
-        if (inFlight != null) {
+        if (pendingResponse != null) {
             return;
         }
         Heartbeat heartbeat = snapshot();
         MonotonicTime sentAt = cluster.loop().now();
-        WorkerIncarnation reporting = workerIncarnation;
-        CompletableFuture<HeartbeatResponse> answer =
-                reaches(node) && !blockOutgoingConnections
-                        ? cluster.deliverHeartbeat(node, heartbeat)
+        WorkerIncarnation sender = incarnation;
+        CompletableFuture<HeartbeatResponse> response =
+                reaches(node) && !blocksOutgoing
+                        ? cluster.network().deliverHeartbeat(node, heartbeat)
                         : new CompletableFuture<>();
-        if (answer == null) {
+        if (response == null) {
             connectToNextNode();
             return;
         }
-        inFlight = answer;
-        cluster.loop()
-                .schedule(
-                        RESPONSE_TIMEOUT,
-                        () -> {
-                            if (inFlight == answer) {
-                                inFlight = null;
-                                connectToNextNode();
+        pendingResponse = response;
+        cluster.loop().schedule(RESPONSE_TIMEOUT, () -> onTimeout(response));
+        CompletableFuture<Void> unused =
+                response.thenAccept(
+                        given -> {
+                            if (pendingResponse == response) {
+                                pendingResponse = null;
+                                handleResponse(given, sender, sentAt);
                             }
                         });
-        answer.thenAccept(
-                given -> {
-                    if (inFlight == answer) {
-                        inFlight = null;
-                        if (!isHung && !isRemoved && workerIncarnation.equals(reporting)) {
-                            cluster.recordViolations(() -> handleResponse(given, sentAt));
-                        }
-                    }
-                });
+    }
+
+    private void onTimeout(CompletableFuture<HeartbeatResponse> response) {
+        if (pendingResponse == response) {
+            pendingResponse = null;
+            connectToNextNode();
+        }
     }
 
     private void connectToNextNode() {
@@ -399,8 +359,15 @@
                         });
     }
 
-    private void handleResponse(HeartbeatResponse heartbeatResponse, MonotonicTime sentAt) {
-        if (heartbeatResponse instanceof HeartbeatResponse.Redirect redirect) {
+    private void handleResponse(
+            HeartbeatResponse response, WorkerIncarnation sender, MonotonicTime sentAt) {
+        if (!isHung && !isRemoved && incarnation.equals(sender)) {
+            cluster.recordViolations(() -> handleResponse(response, sentAt));
+        }
+    }
+
+    private void handleResponse(HeartbeatResponse response, MonotonicTime sentAt) {
+        if (response instanceof HeartbeatResponse.Redirect redirect) {
             if (redirect.member() == null) {
                 connectToNextNode();
             } else {
@@ -409,65 +376,72 @@
             }
             return;
         }
-        HeartbeatResponse.Commands commands = (HeartbeatResponse.Commands) heartbeatResponse;
-        if (loseIncoming || fencingToken.isAfter(commands.token())) {
+        HeartbeatResponse.Commands commands = (HeartbeatResponse.Commands) response;
+        if (losesIncoming || fencingToken.isAfter(commands.token())) {
             return;
         }
         if (commands.token().isAfter(fencingToken)) {
-            // A higher token is a change, which goes out at once, though not before half a second.
+            // A higher token is a change, which is reported at once, but not within half a second.
             sendHeartbeatAfter(CHANGED_HEARTBEAT_DELAY);
         }
         fencingToken = commands.token();
-        answeredSentAt = sentAt;
+        leaseFrom = sentAt;
         execute(commands.commands());
     }
 
-    /** A direct command; null when there is no answer. */
+    // ---- commands ----
+
+    /**
+     * Executes direct commands, unless they come from a former leader or were meant for another
+     * incarnation.
+     *
+     * @return the state afterwards; null when there is no response
+     */
     Heartbeat handleDirectCommands(
-            FencingToken given, WorkerIncarnation expected, List<WorkerCommand> orders) {
-        if (isRemoved || isHung || loseIncoming) {
+            FencingToken token, WorkerIncarnation expected, List<WorkerCommand> commands) {
+        if (isRemoved || isHung || losesIncoming) {
             return null;
         }
         advance();
-        if (!fencingToken.isAfter(given)) {
-            fencingToken = given;
-            if (workerIncarnation.equals(expected)) {
-                execute(orders);
+        if (!fencingToken.isAfter(token)) {
+            fencingToken = token;
+            if (incarnation.equals(expected)) {
+                execute(commands);
             }
         }
         return snapshot();
     }
 
-    private void execute(List<WorkerCommand> orders) {
-        for (WorkerCommand workerCommand : orders) {
-            Task task = tasks.get(workerCommand.taskId());
-            boolean same = task != null && task.attemptNumber.equals(workerCommand.attemptNumber());
-            switch (workerCommand.action()) {
+    private void execute(List<WorkerCommand> commands) {
+        for (WorkerCommand command : commands) {
+            FakeTask task = tasks.get(command.taskId());
+            boolean sameAttempt = task != null && task.attempt().equals(command.attemptNumber());
+            switch (command.action()) {
                 case START -> {
-                    if (!same) {
-                        if (task != null && task.state != TaskState.EXITED) {
-                            throw new AssertionError(
-                                    "started " + workerCommand + " beside another attempt");
-                        }
-                        cluster.onStartCommand(workerCommand.taskId());
-                        tasks.put(
-                                workerCommand.taskId(),
-                                new Task(
-                                        workerCommand.attemptNumber(),
-                                        cluster.loop().now().plus(cluster.imagePullTime())));
+                    if (!sameAttempt) {
+                        start(command, task);
                     }
                 }
                 case STOP -> {
-                    if (same && task.state != TaskState.EXITED) {
-                        exit(task, ExitReason.STOPPED);
+                    if (sameAttempt && !task.hasExited()) {
+                        task.exit(ExitReason.STOPPED);
                     }
                 }
                 case FORGET -> {
-                    if (same && task.state == TaskState.EXITED) {
-                        tasks.remove(workerCommand.taskId());
+                    if (sameAttempt && task.hasExited()) {
+                        tasks.remove(command.taskId());
                     }
                 }
             }
         }
     }
+
+    private void start(WorkerCommand command, FakeTask present) {
+        if (present != null && !present.hasExited()) {
+            throw new AssertionError("started " + command + " beside another attempt");
+        }
+        cluster.onStartCommand(command.taskId());
+        MonotonicTime imagePulledAt = cluster.loop().now().plus(cluster.imagePullTime());
+        tasks.put(command.taskId(), new FakeTask(command.attemptNumber(), imagePulledAt));
+    }
 }
--- a/src/test/java/org/meadowhollow/simulation/GangSchedulingScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/GangSchedulingScenarioTest.java
@@ -16,9 +16,9 @@
 class GangSchedulingScenarioTest extends ClusterTestBase {
     /** A gang of large tasks that are on their machines and wait for their image. */
     private JobSpec gangPullingImages(int tasks, Duration fetch) {
-        cluster.imagePullTime(fetch);
+        cluster.setImagePullTime(fetch);
         JobSpec gang = SimulatedCluster.spec(1, JobKind.GANG, tasks, 8);
-        assertTrue(cluster.submit(0, gang, LONG_RUNTIME));
+        assertTrue(cluster.users().submit(0, gang, LONG_RUNTIME));
         cluster.runSeconds(10);
         return gang;
     }
@@ -53,12 +53,12 @@
     void gangRunsCompletelyOrNotAtAll() {
         JobSpec tooLarge = SimulatedCluster.spec(1, JobKind.GANG, 6, 8);
         JobSpec fits = SimulatedCluster.spec(2, JobKind.GANG, 3, 8);
-        assertTrue(cluster.submit(0, fits, LONG_RUNTIME));
-        assertTrue(cluster.submit(0, tooLarge, LONG_RUNTIME));
-        cluster.failCloud(true);
+        assertTrue(cluster.users().submit(0, fits, LONG_RUNTIME));
+        assertTrue(cluster.users().submit(0, tooLarge, LONG_RUNTIME));
+        cluster.cloud().setOutage(true);
         cluster.runSeconds(20);
         assertEquals(3, cluster.startCount(), "three machines are left for a gang of six");
-        cluster.failCloud(false);
+        cluster.cloud().setOutage(false);
         cluster.runSeconds(60);
         assertEquals(9, cluster.startCount());
     }
@@ -90,7 +90,7 @@
     @Test
     void gangWithoutReplacementReleasesItsMachines() {
         JobSpec gang = gangPullingImages(6, Duration.ofMinutes(5));
-        cluster.failCloud(true);
+        cluster.cloud().setOutage(true);
         machineHolding(new TaskId(gang.id(), 1)).setHung(true);
         cluster.runSeconds(70);
         assertTrue(
@@ -105,10 +105,10 @@
     void simultaneousTaskCompletionsCompleteGangOnce() {
         JobSpec gang = SimulatedCluster.spec(1, JobKind.GANG, 3, 8);
         JobSpec after = array(2, 2);
-        assertTrue(cluster.submit(0, gang, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(0, gang, SHORT_RUNTIME));
         cluster.runSeconds(25);
         assertEquals(Phase.DONE, phaseOf(gang));
-        assertTrue(cluster.submit(0, after, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(0, after, SHORT_RUNTIME));
         cluster.runSeconds(25);
         assertEquals(
                 Phase.DONE, phaseOf(after), "a write that fails for ever would block all others");
@@ -120,8 +120,8 @@
                 withZonePolicy(SimulatedCluster.spec(1, JobKind.SERVICE, 5, 2), false, true);
         JobSpec together =
                 withZonePolicy(SimulatedCluster.spec(2, JobKind.GANG, 2, 8), true, false);
-        assertTrue(cluster.submit(0, together, LONG_RUNTIME));
-        assertTrue(cluster.submit(0, spread, null));
+        assertTrue(cluster.users().submit(0, together, LONG_RUNTIME));
+        assertTrue(cluster.users().submit(0, spread, null));
         cluster.runSeconds(15);
         assertEquals(7, cluster.startCount());
         FakeWorker lost = machineRunning(spread, 0);
@@ -133,7 +133,7 @@
     @Test
     void gangThatLosesTaskRestartsCompletely() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.GANG, 3, 8);
-        assertTrue(cluster.submit(0, job, LONG_RUNTIME));
+        assertTrue(cluster.users().submit(0, job, LONG_RUNTIME));
         cluster.runSeconds(12);
         assertEquals(3, cluster.startCount());
         FakeWorker failing = machineRunning(job, 1);
@@ -155,19 +155,20 @@
     @Test
     void taskLostBeforeNewLeaderLearnsThatGangStarted() {
         JobSpec gang = SimulatedCluster.spec(1, JobKind.GANG, 3, 8);
-        assertTrue(cluster.submit(0, gang, Duration.ofHours(2)));
+        assertTrue(cluster.users().submit(0, gang, Duration.ofHours(2)));
         cluster.runSeconds(10);
         assertTrue(
-                cluster.submit(
-                        0,
-                        withTeam(SimulatedCluster.spec(2, JobKind.SERVICE, 3, 8), "other"),
-                        null),
+                cluster.users()
+                        .submit(
+                                0,
+                                withTeam(SimulatedCluster.spec(2, JobKind.SERVICE, 3, 8), "other"),
+                                null),
                 "fills the other machines");
         cluster.runSeconds(10);
         assertEquals(6, cluster.startCount());
-        cluster.limitRentedMachines(0);
+        cluster.cloud().limitMachines(0);
         List<FakeWorker> rest = List.of(machineRunning(gang, 0), machineRunning(gang, 2));
-        cluster.failMachine(machineRunning(gang, 1));
+        cluster.cloud().fail(machineRunning(gang, 1));
         rest.forEach(worker -> worker.setHung(true));
         int leader = cluster.leader();
         cluster.crash(leader);
--- a/src/test/java/org/meadowhollow/simulation/GoldenStoreTest.java
+++ b/src/test/java/org/meadowhollow/simulation/GoldenStoreTest.java
@@ -94,7 +94,7 @@
             cluster.addMachine(SimulatedCluster.LARGE, at < 3 ? "a" : "b");
         }
         // The cloud has no more: a rented one could take the name of the tenth, which is gone.
-        cluster.limitRentedMachines(6);
+        cluster.cloud().limitMachines(6);
         started(0, ARRAY, 160, 2);
         for (int task = 0; task < 4; task++) {
             started(task % 2, GANG, task, 3);
@@ -120,7 +120,7 @@
     }
 
     private void assertEnds(JobId id, Phase phase, int done) {
-        var state = cluster.poll(1, id).orElseThrow();
+        var state = cluster.users().poll(1, id).orElseThrow();
         assertEquals(phase, state.phase(), id.value());
         assertEquals(done, state.done(), id.value());
         assertNull(cluster.store().valueOf("job/" + id.value()));
@@ -159,11 +159,13 @@
         assertEnds(CANCELLED, Phase.CANCELLED, 0);
         assertEnds(ACCOMPANIED, Phase.DONE, 1);
         assertEnds(TES, Phase.DONE, 1);
-        assertEquals(Phase.RUNNING, cluster.poll(cluster.leader(), SERVICE).orElseThrow().phase());
+        assertEquals(
+                Phase.RUNNING,
+                cluster.users().poll(cluster.leader(), SERVICE).orElseThrow().phase());
         for (int task = 0; task < 3; task++) {
             assertEquals(1, cluster.machinesRunning(new TaskId(SERVICE, task)).size());
         }
-        assertTrue(cluster.cancel(2, SERVICE));
+        assertTrue(cluster.users().cancel(2, SERVICE));
         cluster.runSeconds(30);
         assertEnds(SERVICE, Phase.CANCELLED, 0);
 
@@ -214,13 +216,14 @@
         }
         cluster.historyChecker().recordCancelRequest(cancelled.id());
         cluster.runSeconds(8);
-        assertTrue(cluster.submit(0, done, SHORT));
-        assertTrue(cluster.submit(2, cancelled, SHORT));
+        assertTrue(cluster.users().submit(0, done, SHORT));
+        assertTrue(cluster.users().submit(2, cancelled, SHORT));
         cluster.runSeconds(30);
-        assertEquals(Phase.DONE, cluster.poll(1, done.id()).orElseThrow().phase());
-        assertEquals(4, cluster.poll(1, done.id()).orElseThrow().done());
-        assertEquals(Phase.CANCELLED, cluster.poll(1, cancelled.id()).orElseThrow().phase());
-        assertEquals(1, cluster.poll(1, cancelled.id()).orElseThrow().done());
+        assertEquals(Phase.DONE, cluster.users().poll(1, done.id()).orElseThrow().phase());
+        assertEquals(4, cluster.users().poll(1, done.id()).orElseThrow().done());
+        assertEquals(
+                Phase.CANCELLED, cluster.users().poll(1, cancelled.id()).orElseThrow().phase());
+        assertEquals(1, cluster.users().poll(1, cancelled.id()).orElseThrow().done());
         assertNull(cluster.store().valueOf("job/req-000105"));
         assertNull(cluster.store().valueOf("job/req-000106"));
     }
@@ -231,7 +234,9 @@
         cluster.runSeconds(8);
         String text =
                 new String(
-                        cluster.sendReservationRequest(0, "secret", "GET", "reservations", null, "")
+                        cluster.clients()
+                                .sendReservationRequest(
+                                        0, "secret", "GET", "reservations", null, "")
                                 .body());
         for (String part :
                 List.of(
@@ -256,14 +261,15 @@
     private void assertTesTask(String state) throws MalformedMessageException {
         Map<String, Object> task =
                 body(
-                        cluster.sendTesRequest(
-                                0,
-                                "secret",
-                                "GET",
-                                "/tasks/" + GoldenTesTask.ID,
-                                Map.of("view", List.of("FULL")),
-                                Map.of(),
-                                ""));
+                        cluster.clients()
+                                .sendTesRequest(
+                                        0,
+                                        "secret",
+                                        "GET",
+                                        "/tasks/" + GoldenTesTask.ID,
+                                        Map.of("view", List.of("FULL")),
+                                        Map.of(),
+                                        ""));
         assertEquals(state, task.get("state"));
         assertEquals(GoldenTesTask.ID, task.get("id"));
         assertEquals("2023-11-14T22:14:32Z", task.get("creation_time"));
@@ -271,24 +277,25 @@
         asked.forEach((key, value) -> assertEquals(value, task.get(key), key));
         Map<String, Object> listed =
                 body(
-                        cluster.sendTesRequest(
-                                2,
-                                "secret",
-                                "GET",
-                                "/tasks",
-                                Map.of(
-                                        "view",
-                                        List.of("MINIMAL"),
-                                        "name_prefix",
-                                        List.of("align"),
-                                        "state",
-                                        List.of(state),
-                                        "tag_key",
-                                        List.of("night"),
-                                        "tag_value",
-                                        List.of("1")),
-                                Map.of(),
-                                ""));
+                        cluster.clients()
+                                .sendTesRequest(
+                                        2,
+                                        "secret",
+                                        "GET",
+                                        "/tasks",
+                                        Map.of(
+                                                "view",
+                                                List.of("MINIMAL"),
+                                                "name_prefix",
+                                                List.of("align"),
+                                                "state",
+                                                List.of(state),
+                                                "tag_key",
+                                                List.of("night"),
+                                                "tag_value",
+                                                List.of("1")),
+                                        Map.of(),
+                                        ""));
         assertTrue(
                 ((List<?>) listed.get("tasks"))
                         .contains(Map.of("id", GoldenTesTask.ID, "state", state)));
--- a/src/test/java/org/meadowhollow/simulation/GoldenTesTask.java
+++ b/src/test/java/org/meadowhollow/simulation/GoldenTesTask.java
@@ -38,17 +38,18 @@
     static SimulatedCluster accepted() {
         SimulatedCluster cluster = new SimulatedCluster();
         cluster.loop().skip(Duration.ofMillis(BEGIN_MILLIS));
-        cluster.setBootTimes(Duration.ofHours(1), Duration.ZERO);
+        cluster.cloud().setBootTimes(Duration.ofHours(1), Duration.ZERO);
         cluster.runSeconds(12);
         Http.Reply reply =
-                cluster.sendTesRequest(
-                        0,
-                        "secret",
-                        "POST",
-                        "/tasks",
-                        Map.of(),
-                        Map.of("Idempotency-Key", KEY),
-                        BODY);
+                cluster.clients()
+                        .sendTesRequest(
+                                0,
+                                "secret",
+                                "POST",
+                                "/tasks",
+                                Map.of(),
+                                Map.of("Idempotency-Key", KEY),
+                                BODY);
         assertEquals(200, reply.status(), new String(reply.body()));
         return cluster;
     }
--- a/src/test/java/org/meadowhollow/simulation/JobLifecycleScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/JobLifecycleScenarioTest.java
@@ -20,10 +20,10 @@
     @Test
     void acceptedJobRunsAndEveryControllerReportsItDone() {
         JobSpec job = array(1, 7);
-        assertTrue(cluster.submit(1, job, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(1, job, SHORT_RUNTIME));
         cluster.runSeconds(30);
         for (int node = 0; node < 3; node++) {
-            assertEquals(Phase.DONE, cluster.poll(node, job.id()).orElseThrow().phase());
+            assertEquals(Phase.DONE, cluster.users().poll(node, job.id()).orElseThrow().phase());
         }
         assertEquals(7, cluster.startCount());
         assertEquals(
@@ -34,8 +34,8 @@
 
     @Test
     void unsubmittedJobIsNotFound() {
-        assertTrue(cluster.poll(0, new JobId("req-999999")).isEmpty());
-        assertTrue(cluster.cancel(1, new JobId("req-999999")));
+        assertTrue(cluster.users().poll(0, new JobId("req-999999")).isEmpty());
+        assertTrue(cluster.users().cancel(1, new JobId("req-999999")));
         assertEquals(0, cluster.store().recordCount("job/"));
     }
 
@@ -43,25 +43,25 @@
     void submissionRetriedAfterLostResponseCreatesOneJob() {
         JobSpec job = array(1, 2);
         cluster.storeConnection(0).loseResponses(true);
-        cluster.submit(0, job, SHORT_RUNTIME);
+        cluster.users().submit(0, job, SHORT_RUNTIME);
         cluster.storeConnection(0).loseResponses(false);
-        assertTrue(cluster.submit(1, job, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(1, job, SHORT_RUNTIME));
         cluster.runSeconds(30);
         assertEquals(Phase.DONE, phaseOf(job));
-        assertTrue(cluster.submit(2, job, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(2, job, SHORT_RUNTIME));
         assertEquals(2, cluster.startCount());
     }
 
     @Test
     void cancelledJobStopsAndStaysCancelled() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 5, 1);
-        assertTrue(cluster.submit(0, job, null));
+        assertTrue(cluster.users().submit(0, job, null));
         cluster.runSeconds(10);
-        assertTrue(cluster.cancel(2, job.id()));
+        assertTrue(cluster.users().cancel(2, job.id()));
         cluster.runSeconds(10);
         assertTrue(cluster.workers().stream().allMatch(worker -> worker.runningTasks().isEmpty()));
         assertEquals(Phase.CANCELLED, phaseOf(job));
-        assertTrue(cluster.submit(1, job, null));
+        assertTrue(cluster.users().submit(1, job, null));
         cluster.runSeconds(20);
         assertEquals(5, cluster.startCount());
     }
@@ -69,14 +69,14 @@
     @Test
     void jobCancelledThroughFollowerIsNotStarted() {
         cluster.workers().forEach(worker -> worker.setHung(true));
-        cluster.failCloud(true);
+        cluster.cloud().setOutage(true);
         cluster.runSeconds(10);
         JobSpec job = array(1, 1);
-        assertTrue(cluster.submit(0, job, LONG_RUNTIME));
+        assertTrue(cluster.users().submit(0, job, LONG_RUNTIME));
         cluster.runSeconds(3);
         int leader = cluster.leader();
         cluster.storeConnection(leader).hideAllChanges(true);
-        assertTrue(cluster.cancel((leader + 1) % 3, job.id()));
+        assertTrue(cluster.users().cancel((leader + 1) % 3, job.id()));
         cluster.workers().forEach(worker -> worker.setHung(false));
         cluster.runSeconds(20);
         assertEquals(leader, cluster.leader());
@@ -86,13 +86,13 @@
     @Test
     void cancelledTaskOnUnreachableMachineStopsWithinBound() {
         JobSpec job = array(1, 1);
-        assertTrue(cluster.submit(0, job, LONG_RUNTIME));
+        assertTrue(cluster.users().submit(0, job, LONG_RUNTIME));
         cluster.runSeconds(10);
         FakeWorker hung = machineRunning(job, 0);
         hung.setHung(true);
         // Direct commands and reports fail from here on; the limit is 48 s, and half of it is
         // waited.
-        assertTrue(cluster.cancel(1, job.id()));
+        assertTrue(cluster.users().cancel(1, job.id()));
         cluster.runSeconds(2);
         for (int node = 0; node < 3; node++) {
             cluster.crash(node);
@@ -106,10 +106,10 @@
     @Test
     void newLeaderCompletesJobWhoseLastTaskWasRecordedByPredecessor() {
         JobSpec job = array(1, 2);
-        cluster.failCloud(true);
+        cluster.cloud().setOutage(true);
         cluster.workers().forEach(worker -> worker.setHung(true));
         cluster.runSeconds(10);
-        assertTrue(cluster.submit(0, job, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(0, job, SHORT_RUNTIME));
         cluster.crashAll();
         for (int task = 0; task < 2; task++) {
             cluster.onTaskCompleted(new TaskId(job.id(), task));
@@ -128,7 +128,7 @@
         cluster.withTeam("small", 0, 3);
         JobSpec plain = array(1, 9);
         JobSpec job = withTeam(plain, "small");
-        assertTrue(cluster.submit(0, job, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(0, job, SHORT_RUNTIME));
         cluster.runSeconds(9);
         cluster.crash(cluster.leader());
         cluster.runSeconds(120);
@@ -139,14 +139,14 @@
     void hugeJobKeepsRecordsSmallAndLeavesCapacityForOthers() {
         JobSpec huge = array(1, 100_000);
         JobSpec other = withZonePolicy(array(2, 3), false, false);
-        assertTrue(cluster.submit(0, huge, LONG_RUNTIME));
+        assertTrue(cluster.users().submit(0, huge, LONG_RUNTIME));
         cluster.runSeconds(5);
-        assertTrue(cluster.submit(1, other, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(1, other, SHORT_RUNTIME));
         cluster.runSeconds(120);
         assertEquals(Phase.DONE, phaseOf(other));
         assertTrue(cluster.store().largestValueBytes() <= 16 * 1024);
         assertTrue(cluster.storeConnection(cluster.leader()).largestCommitWrites() <= 12);
-        assertTrue(cluster.cancel(0, huge.id()));
+        assertTrue(cluster.users().cancel(0, huge.id()));
         cluster.runSeconds(60);
         assertEquals(0, cluster.store().recordCount("task/"));
     }
@@ -154,7 +154,7 @@
     @Test
     void alwaysFailingTaskIsRetriedWithBackoff() {
         JobSpec job = array(1, 1);
-        assertTrue(cluster.submit(0, job, LONG_RUNTIME));
+        assertTrue(cluster.users().submit(0, job, LONG_RUNTIME));
         for (int second = 0; second < 120; second++) {
             FakeWorker place = machineRunning(job, 0);
             if (place != null) {
@@ -170,17 +170,19 @@
     @Test
     void unschedulableJobIsRejected() {
         assertFalse(
-                cluster.submit(0, SimulatedCluster.spec(1, JobKind.ARRAY, 1, 9), SHORT_RUNTIME),
+                cluster.users()
+                        .submit(0, SimulatedCluster.spec(1, JobKind.ARRAY, 1, 9), SHORT_RUNTIME),
                 "no machine has nine");
-        assertFalse(cluster.submit(0, withTeam(array(2, 1), "nobody"), SHORT_RUNTIME));
+        assertFalse(cluster.users().submit(0, withTeam(array(2, 1), "nobody"), SHORT_RUNTIME));
         cluster.withTeam("small", 0, 3);
         assertFalse(
-                cluster.submit(
-                        0,
-                        withTeam(SimulatedCluster.spec(3, JobKind.GANG, 4, 1), "small"),
-                        SHORT_RUNTIME));
+                cluster.users()
+                        .submit(
+                                0,
+                                withTeam(SimulatedCluster.spec(3, JobKind.GANG, 4, 1), "small"),
+                                SHORT_RUNTIME));
         assertTrue(
-                cluster.submit(0, withTeam(array(4, 4), "small"), SHORT_RUNTIME),
+                cluster.users().submit(0, withTeam(array(4, 4), "small"), SHORT_RUNTIME),
                 "an array runs a task at a time");
     }
 
@@ -192,30 +194,39 @@
     void gangWithUnsatisfiableZonesIsRejectedAndSatisfiableOneIsAccepted() {
         JobSpec gang = SimulatedCluster.spec(1, JobKind.GANG, 3, 1);
         assertFalse(
-                cluster.submit(0, withZonePolicy(gang, true, true), SHORT_RUNTIME),
+                cluster.users().submit(0, withZonePolicy(gang, true, true), SHORT_RUNTIME),
                 "together and spread");
         assertFalse(
-                cluster.submit(0, inZone(withZonePolicy(gang, false, true), "a"), SHORT_RUNTIME),
+                cluster.users()
+                        .submit(0, inZone(withZonePolicy(gang, false, true), "a"), SHORT_RUNTIME),
                 "in one zone and spread");
-        assertFalse(cluster.submit(0, inZone(gang, "c"), SHORT_RUNTIME), "nowhere");
+        assertFalse(cluster.users().submit(0, inZone(gang, "c"), SHORT_RUNTIME), "nowhere");
         assertTrue(
-                cluster.submit(
-                        0,
-                        withZonePolicy(SimulatedCluster.spec(2, JobKind.GANG, 1, 1), true, true),
-                        SHORT_RUNTIME),
+                cluster.users()
+                        .submit(
+                                0,
+                                withZonePolicy(
+                                        SimulatedCluster.spec(2, JobKind.GANG, 1, 1), true, true),
+                                SHORT_RUNTIME),
                 "one task is whole");
         assertTrue(
-                cluster.submit(
-                        0, inZone(withZonePolicy(array(3, 4), false, true), "b"), SHORT_RUNTIME),
+                cluster.users()
+                        .submit(
+                                0,
+                                inZone(withZonePolicy(array(3, 4), false, true), "b"),
+                                SHORT_RUNTIME),
                 "an array runs half by half");
         assertTrue(
-                cluster.submit(
-                        0,
-                        inZone(
-                                withZonePolicy(
-                                        SimulatedCluster.spec(4, JobKind.GANG, 3, 1), true, false),
-                                "a"),
-                        SHORT_RUNTIME));
+                cluster.users()
+                        .submit(
+                                0,
+                                inZone(
+                                        withZonePolicy(
+                                                SimulatedCluster.spec(4, JobKind.GANG, 3, 1),
+                                                true,
+                                                false),
+                                        "a"),
+                                SHORT_RUNTIME));
         cluster.runSeconds(60);
         for (int number = 2; number <= 4; number++) {
             assertEquals(Phase.DONE, phaseOf(array(number, 1)), "job " + number);
@@ -226,21 +237,24 @@
                             SubmissionCodec.encode(
                                     SimulatedCluster.spec(5 + node, JobKind.ARRAY, 1, 1)));
             body.remove("loaners");
-            assertEquals(400, cluster.postSubmission(node, body), "lacks a field");
+            assertEquals(400, cluster.users().postSubmission(node, body), "lacks a field");
             assertEquals(
                     422,
-                    cluster.postSubmission(
-                            node,
-                            SubmissionCodec.encode(SimulatedCluster.spec(9, JobKind.ARRAY, 1, 9))),
+                    cluster.users()
+                            .postSubmission(
+                                    node,
+                                    SubmissionCodec.encode(
+                                            SimulatedCluster.spec(9, JobKind.ARRAY, 1, 9))),
                     "fits no machine");
             assertEquals(
                     422,
-                    cluster.postSubmission(
-                            node,
-                            SubmissionCodec.encode(
-                                    withTypes(
-                                            SimulatedCluster.spec(10, JobKind.ARRAY, 1, 1),
-                                            List.of()))));
+                    cluster.users()
+                            .postSubmission(
+                                    node,
+                                    SubmissionCodec.encode(
+                                            withTypes(
+                                                    SimulatedCluster.spec(10, JobKind.ARRAY, 1, 1),
+                                                    List.of()))));
         }
     }
 
@@ -249,17 +263,17 @@
     void repeatedSubmissionIsAcceptedAfterQuotaChange() {
         cluster.withTeam("small", 0, 3);
         JobSpec gang = withTeam(SimulatedCluster.spec(1, JobKind.GANG, 3, 1), "small");
-        assertTrue(cluster.submit(0, gang, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(0, gang, SHORT_RUNTIME));
         cluster.withTeam("small", 0, 1);
         for (int node = 0; node < 3; node++) {
-            assertEquals(200, cluster.postSubmission(node, SubmissionCodec.encode(gang)));
+            assertEquals(200, cluster.users().postSubmission(node, SubmissionCodec.encode(gang)));
         }
         cluster.withTeam("small", 0, 3);
         cluster.runSeconds(40);
         assertEquals(Phase.DONE, phaseOf(gang));
         cluster.withTeam("small", 0, 1);
         for (int node = 0; node < 3; node++) {
-            assertEquals(200, cluster.postSubmission(node, SubmissionCodec.encode(gang)));
+            assertEquals(200, cluster.users().postSubmission(node, SubmissionCodec.encode(gang)));
         }
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/LeaderFailureScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/LeaderFailureScenarioTest.java
@@ -16,7 +16,7 @@
     @Test
     void controllerRefusedAloneByStoreReportsNotReady() {
         cluster.storeConnection(1).refuseRequests(true);
-        cluster.submit(1, array(1, 1), SHORT_RUNTIME);
+        cluster.users().submit(1, array(1, 1), SHORT_RUNTIME);
         cluster.runSeconds(5);
         assertFalse(cluster.isReady(1));
         assertTrue(cluster.isReady(0) && cluster.isReady(2));
@@ -40,7 +40,7 @@
         cluster.delayTimers(leader, Duration.ZERO);
         cluster.runSeconds(13);
         assertTrue(cluster.isReady(leader));
-        cluster.cutPeers(true);
+        cluster.network().cutPeers(true);
         cluster.delayTimers(leader, Duration.ofMillis(700));
         cluster.runSeconds(8);
         assertTrue(cluster.isReady(leader), "nobody else is known to serve");
@@ -65,7 +65,7 @@
         cluster.runSeconds(0.75);
         FakeWorker first = cluster.addMachine(SimulatedCluster.LARGE, "a");
         JobSpec job = array(1, 1);
-        assertTrue(cluster.submit(leader, job, LONG_RUNTIME));
+        assertTrue(cluster.users().submit(leader, job, LONG_RUNTIME));
         TaskId task = new TaskId(job.id(), 0);
         cluster.runSeconds(3);
         assertFalse(first.hasTask(task), "the other machines may yet report");
@@ -77,14 +77,14 @@
     void newLeaderKnowsImageCacheLocations() {
         // Among equal machines the first would be chosen, which is in the other zone.
         JobSpec first = inZone(array(1, 1), "b");
-        assertTrue(cluster.submit(0, first, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(0, first, SHORT_RUNTIME));
         cluster.runSeconds(6);
         FakeWorker cached = machineRunning(first, 0);
         cluster.runSeconds(25);
         cluster.crash(cluster.leader());
         cluster.runSeconds(15);
         JobSpec again = array(3, 1);
-        assertTrue(cluster.submit(cluster.leader(), again, LONG_RUNTIME));
+        assertTrue(cluster.users().submit(cluster.leader(), again, LONG_RUNTIME));
         cluster.runSeconds(8);
         assertEquals(cached, machineRunning(again, 0));
     }
@@ -92,7 +92,7 @@
     @Test
     void tasksSurviveLeaderFailureWithoutRestart() {
         JobSpec job = array(1, 5);
-        assertTrue(cluster.submit(0, job, Duration.ofSeconds(60)));
+        assertTrue(cluster.users().submit(0, job, Duration.ofSeconds(60)));
         cluster.runSeconds(15);
         int first = cluster.leader();
         cluster.crash(first);
@@ -116,7 +116,7 @@
     @Test
     void jobCompletesAfterSimultaneousCrashOfAllControllers() {
         JobSpec job = array(1, 5);
-        assertTrue(cluster.submit(0, job, Duration.ofSeconds(40)));
+        assertTrue(cluster.users().submit(0, job, Duration.ofSeconds(40)));
         cluster.runSeconds(10);
         cluster.crashAll();
         cluster.runSeconds(8);
@@ -129,15 +129,16 @@
     @Test
     void storeOutagePreservesTasksAndStartsNone() {
         JobSpec running = array(1, 4);
-        assertTrue(cluster.submit(0, running, LONG_RUNTIME));
+        assertTrue(cluster.users().submit(0, running, LONG_RUNTIME));
         cluster.runSeconds(10);
         cluster.store().setOutage(true);
-        assertFalse(cluster.submit(1, array(2, 1), SHORT_RUNTIME), "nothing can be accepted");
+        assertFalse(
+                cluster.users().submit(1, array(2, 1), SHORT_RUNTIME), "nothing can be accepted");
         cluster.runSeconds(19);
         cluster.store().setOutage(false);
         cluster.runSeconds(20);
         assertEquals(4, cluster.startCount());
-        assertTrue(cluster.submit(1, array(2, 1), SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(1, array(2, 1), SHORT_RUNTIME));
         cluster.runSeconds(20);
         assertEquals(5, cluster.startCount());
     }
@@ -145,12 +146,12 @@
     @Test
     void leaderPartitionedFromStoreReleasesTasksInTimeForCancellation() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 4, 1);
-        assertTrue(cluster.submit(0, job, null));
+        assertTrue(cluster.users().submit(0, job, null));
         cluster.runSeconds(15);
         int old = cluster.leader();
         cluster.storeConnection(old).refuseRequests(true);
         cluster.runSeconds(3);
-        assertTrue(cluster.cancel((old + 1) % 3, job.id()));
+        assertTrue(cluster.users().cancel((old + 1) % 3, job.id()));
         cluster.runSeconds(15);
         assertTrue(
                 cluster.workers().stream().allMatch(worker -> worker.runningTasks().isEmpty()),
@@ -160,17 +161,17 @@
     @Test
     void deposedLeaderUnawareOfSuccessorStopsAnsweringHeartbeats() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 4, 1);
-        assertTrue(cluster.submit(0, job, null));
+        assertTrue(cluster.users().submit(0, job, null));
         cluster.runSeconds(15);
         int old = cluster.leader();
         // Only the old leader reaches the workers, and it alone is refused by the state service.
-        cluster.cutPeers(true);
-        cluster.failCloud(true);
+        cluster.network().cutPeers(true);
+        cluster.cloud().setOutage(true);
         for (int node = 0; node < 3; node++) {
             cluster.cutFromWorkers(node, node != old);
         }
         cluster.storeConnection(old).refuseRequests(true);
-        assertTrue(cluster.cancel((old + 1) % 3, job.id()));
+        assertTrue(cluster.users().cancel((old + 1) % 3, job.id()));
         cluster.runSeconds(50);
         assertTrue(cluster.workers().stream().allMatch(worker -> worker.runningTasks().isEmpty()));
     }
@@ -180,7 +181,7 @@
         int old = cluster.leader();
         cluster.storeConnection(old).holdRequests(true);
         JobSpec job = array(1, 6);
-        assertTrue(cluster.submit((old + 1) % 3, job, LONG_RUNTIME));
+        assertTrue(cluster.users().submit((old + 1) % 3, job, LONG_RUNTIME));
         cluster.runSeconds(25);
         assertTrue(cluster.leader() != old);
         assertEquals(6, cluster.startCount());
@@ -193,10 +194,10 @@
     void delayedPlacementOfDeposedLeaderIsNotRecorded() {
         int old = cluster.leader();
         cluster.storeConnection(old).holdRequests(true);
-        assertTrue(cluster.submit((old + 1) % 3, array(1, 2), LONG_RUNTIME));
+        assertTrue(cluster.users().submit((old + 1) % 3, array(1, 2), LONG_RUNTIME));
         cluster.runSeconds(2);
         cluster.workers().forEach(worker -> worker.setHung(true));
-        cluster.failCloud(true);
+        cluster.cloud().setOutage(true);
         cluster.runSeconds(15);
         assertTrue(cluster.leader() != old);
         cluster.storeConnection(old).holdRequests(false);
@@ -207,7 +208,7 @@
     @Test
     void leaderThatCannotRenewLeaseStartsNoTasks() {
         cluster.workers().forEach(worker -> worker.loseIncoming(true));
-        assertTrue(cluster.submit(0, array(1, 2), LONG_RUNTIME));
+        assertTrue(cluster.users().submit(0, array(1, 2), LONG_RUNTIME));
         cluster.runSeconds(4);
         cluster.store().setOutage(true);
         cluster.runSeconds(6);
@@ -223,7 +224,7 @@
     @Test
     void exitIsForgottenOnlyAfterItIsRecorded() {
         JobSpec job = array(1, 1);
-        assertTrue(cluster.submit(0, job, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(0, job, SHORT_RUNTIME));
         cluster.runSeconds(8);
         cluster.store().setOutage(true);
         cluster.runSeconds(14);
--- a/src/test/java/org/meadowhollow/simulation/LeaderReachabilityScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/LeaderReachabilityScenarioTest.java
@@ -35,7 +35,7 @@
         cluster.runSeconds(12);
         lastOfFirst = cluster.workers().get(MACHINES - 1).id();
         service = SimulatedCluster.spec(1, JobKind.SERVICE, REPLICAS, 4);
-        assertTrue(cluster.submit(0, service, Duration.ofHours(1)));
+        assertTrue(cluster.users().submit(0, service, Duration.ofHours(1)));
         cluster.runSeconds(10);
         first = cluster.leader();
         startsBefore = cluster.startCount();
@@ -44,7 +44,7 @@
 
     private void assertNothingLost() {
         assertEquals(startsBefore, cluster.startCount(), "every replica ran on where it was");
-        assertEquals(List.of(), cluster.returnedMachines());
+        assertEquals(List.of(), cluster.cloud().returnedMachines());
     }
 
     /**
@@ -52,7 +52,8 @@
      * use.
      */
     private void assertKept() {
-        cluster.returnedMachines()
+        cluster.cloud()
+                .returnedMachines()
                 .forEach(id -> assertTrue(id.compareTo(lastOfFirst) > 0, id + " is healthy"));
     }
 
@@ -92,7 +93,7 @@
 
     @Test
     void leaderThatReceivesNoHeartbeatsHandsOverThoughItReachesWorkers() {
-        cluster.cutPeers(true);
+        cluster.network().cutPeers(true);
         cluster.loseHeartbeats(first, true);
         cluster.runSeconds(15);
         assertNotEquals(first, cluster.leader(), "what they answer directly renews no lease");
@@ -104,20 +105,20 @@
     void atMostQuarterOfMachinesIsReturnedWithinOneLease() {
         cluster.workers().subList(0, 3).forEach(worker -> worker.setHung(true));
         cluster.runSeconds(10);
-        assertEquals(3, cluster.returnedMachines().size());
+        assertEquals(3, cluster.cloud().returnedMachines().size());
         cluster.workers().subList(0, 3).forEach(worker -> worker.setHung(true));
         cluster.runSeconds(12);
         assertEquals(
                 4,
-                cluster.returnedMachines().size(),
+                cluster.cloud().returnedMachines().size(),
                 "six of sixteen in one lease are too many for chance");
         cluster.runSeconds(20);
-        assertEquals(6, cluster.returnedMachines().size());
+        assertEquals(6, cluster.cloud().returnedMachines().size());
     }
 
     @Test
     void isolatedLeaderWithoutPeersStepsDownOnOwnEvidence() {
-        cluster.cutPeers(true);
+        cluster.network().cutPeers(true);
         cluster.cutFromWorkers(first, true);
         cluster.runSeconds(15);
         assertNotEquals(first, cluster.leader());
@@ -166,13 +167,13 @@
             cluster.cutFromWorkers(node, false);
         }
         cluster.runSeconds(60);
-        assertEquals(List.of(), cluster.returnedMachines(), "all of them are healthy");
+        assertEquals(List.of(), cluster.cloud().returnedMachines(), "all of them are healthy");
         assertEquals(REPLICAS, runningReplicaCount());
     }
 
     @Test
     void leadershipReturnsIfNoControllerReceivesHeartbeatsAndPeersAreUnreachable() {
-        cluster.cutPeers(true);
+        cluster.network().cutPeers(true);
         for (int node = 0; node < 3; node++) {
             cluster.cutFromWorkers(node, true);
         }
@@ -181,7 +182,7 @@
         long term = cluster.fencingToken();
         cluster.runSeconds(10);
         assertEquals(term, cluster.fencingToken(), "once is enough");
-        assertEquals(List.of(), cluster.returnedMachines());
+        assertEquals(List.of(), cluster.cloud().returnedMachines());
     }
 
     @Test
@@ -193,7 +194,7 @@
         assertKept();
         assertEquals(
                 List.of(),
-                cluster.returnedMachinesOf("b"),
+                cluster.cloud().returnedMachinesOf("b"),
                 "nor those that came up there since and could not be heard");
         cluster.cutFromZone(first, "b", false);
         cluster.runSeconds(20);
@@ -203,7 +204,7 @@
 
     @Test
     void manyMachinesSilentAtOnceAreKept() {
-        cluster.cutPeers(true);
+        cluster.network().cutPeers(true);
         List<FakeWorker> many = List.copyOf(cluster.workers().subList(3, 10));
         many.forEach(worker -> worker.setHung(true));
         cluster.runSeconds(60);
@@ -215,7 +216,7 @@
     @Test
     void leaderPausedDuringStoreOutageDoesNotCountPauseAsSilence() {
         cluster.store().setOutage(true);
-        cluster.cutPeers(true);
+        cluster.network().cutPeers(true);
         cluster.pause(first);
         List<FakeWorker> slow = cluster.workers().subList(0, 3);
         slow.forEach(worker -> worker.blockPathTo(first, true));
@@ -235,7 +236,7 @@
             cluster.addMachine(SimulatedCluster.SMALL, "a");
         }
         cluster.runSeconds(6);
-        cluster.cutPeers(true);
+        cluster.network().cutPeers(true);
         cluster.cutFromZone(first, "b", true);
         cluster.runSeconds(60);
         assertKept();
@@ -251,10 +252,10 @@
         lost.setHung(true);
         cluster.runSeconds(8);
         assertFalse(
-                cluster.returnedMachines().contains(lost.id()),
+                cluster.cloud().returnedMachines().contains(lost.id()),
                 "another node heard it until 8 s ago");
         cluster.runSeconds(18);
-        assertTrue(cluster.returnedMachines().contains(lost.id()));
+        assertTrue(cluster.cloud().returnedMachines().contains(lost.id()));
     }
 
     @Test
@@ -262,7 +263,7 @@
         List<FakeWorker> third = cluster.workers().subList(0, 5);
         third.forEach(worker -> worker.blockPathTo(first, true));
         cluster.runSeconds(60);
-        assertEquals(List.of(), cluster.returnedMachines(), "they come to the other nodes");
+        assertEquals(List.of(), cluster.cloud().returnedMachines(), "they come to the other nodes");
     }
 
     @Test
@@ -270,7 +271,7 @@
         FakeWorker alone = cluster.workers().get(3);
         alone.blockPathTo(first, true);
         cluster.runSeconds(60);
-        assertFalse(cluster.returnedMachines().contains(alone.id()));
+        assertFalse(cluster.cloud().returnedMachines().contains(alone.id()));
     }
 
     @Test
@@ -287,7 +288,7 @@
         cluster.runSeconds(30);
         assertEquals(
                 List.of(),
-                cluster.returnedMachines(),
+                cluster.cloud().returnedMachines(),
                 "its lease is over, and it has heard nobody for 30 s");
     }
 
@@ -295,12 +296,12 @@
     void leaderIsolatedAfterPauseReturnsNoMachines() {
         cluster.pause(first);
         cluster.cutFromWorkers(first, true);
-        cluster.cutPeers(true);
+        cluster.network().cutPeers(true);
         cluster.runSeconds(4);
         cluster.resume(first);
         cluster.runSeconds(30);
         assertNotEquals(first, cluster.leader());
-        assertEquals(List.of(), cluster.returnedMachines());
+        assertEquals(List.of(), cluster.cloud().returnedMachines());
     }
 
     @Test
@@ -310,7 +311,7 @@
         cluster.runSeconds(11);
         assertEquals(
                 dying.stream().map(FakeWorker::id).toList(),
-                cluster.returnedMachines().stream().sorted().toList());
+                cluster.cloud().returnedMachines().stream().sorted().toList());
         cluster.runSeconds(25);
         assertEquals(REPLICAS, runningReplicaCount());
     }
@@ -318,10 +319,12 @@
     @Test
     void machinesReclaimedByCloudDoNotCountAsIsolation() {
         List<FakeWorker> wave = cluster.workers().subList(0, 7);
-        wave.forEach(cluster::reclaimMachine);
+        wave.forEach(cluster.cloud()::reclaim);
         cluster.runSeconds(60);
         assertTrue(
-                cluster.returnedMachines().containsAll(wave.stream().map(FakeWorker::id).toList()),
+                cluster.cloud()
+                        .returnedMachines()
+                        .containsAll(wave.stream().map(FakeWorker::id).toList()),
                 "seven of sixteen are silent, but they are gone");
         assertEquals(REPLICAS, runningReplicaCount());
     }
@@ -330,10 +333,10 @@
     void lateHeartbeatsStopReturnOfOtherMachines() {
         // Few enough for independent failures, and nobody else hears them either.
         List<FakeWorker> silent = cluster.workers().subList(0, 4);
-        cluster.cutPeers(true);
+        cluster.network().cutPeers(true);
         silent.get(0).setHung(true);
         silent.get(1).setHung(true);
-        cluster.failCloud(true);
+        cluster.cloud().setOutage(true);
         cluster.runSeconds(6);
         silent.get(2).setHung(true);
         silent.get(3).setHung(true);
@@ -341,15 +344,15 @@
         silent.get(0).setHung(false);
         silent.get(1).setHung(false);
         cluster.runSeconds(1);
-        cluster.failCloud(false);
+        cluster.cloud().setOutage(false);
         cluster.runSeconds(5);
         assertFalse(
-                cluster.returnedMachines().contains(silent.get(2).id()),
+                cluster.cloud().returnedMachines().contains(silent.get(2).id()),
                 "two that seemed dead were not");
         cluster.runSeconds(25);
         List<MachineId> dead = List.of(silent.get(2).id(), silent.get(3).id());
         assertTrue(
-                cluster.returnedMachines().containsAll(dead),
+                cluster.cloud().returnedMachines().containsAll(dead),
                 "they stay silent, and no others report late");
     }
 
@@ -362,14 +365,14 @@
         // Another leads in 5 s, and may place anything on the machines that the first still takes
         // for idle.
         cluster.storeConnection(first).refuseRequests(true);
-        cluster.cutPeers(true);
+        cluster.network().cutPeers(true);
         cluster.runSeconds(11);
         assertNotEquals(first, cluster.leader());
         assertEquals(
                 List.of(),
-                cluster.returnedMachines(),
+                cluster.cloud().returnedMachines(),
                 "idle for 50 s and more, for all that the first knows");
         cluster.runSeconds(60);
-        assertEquals(4, cluster.returnedMachines().size(), "whoever leads returns them");
+        assertEquals(4, cluster.cloud().returnedMachines().size(), "whoever leads returns them");
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/LoadTestMain.java
+++ b/src/test/java/org/meadowhollow/simulation/LoadTestMain.java
@@ -76,8 +76,7 @@
         XnioEventLoop loop = new XnioEventLoop();
         FakeKeyValueStore store = new FakeKeyValueStore(loop, Duration.ZERO);
         Http.RequestHandler state =
-                loop.callAndWait(
-                        () -> new KeyValueStoreHttpServer(store.new Connection(), () -> {}));
+                loop.callAndWait(() -> new KeyValueStoreHttpServer(store.connect(), () -> {}));
         int statePort =
                 serve(
                         loop,
--- a/src/test/java/org/meadowhollow/simulation/LoopbackIntegrationTest.java
+++ b/src/test/java/org/meadowhollow/simulation/LoopbackIntegrationTest.java
@@ -88,7 +88,7 @@
                         loop.callAndWait(
                                 () ->
                                         new KeyValueStoreHttpServer(
-                                                store.new Connection(), this::signalChange)));
+                                                store.connect(), this::signalChange)));
         int cloud = startServer((Http.SimpleRequestHandler) this::cloud);
         int collector = startServer((Http.SimpleRequestHandler) this::receiveSpans);
         Map<String, String> backs = new LinkedHashMap<>();
--- a/src/test/java/org/meadowhollow/simulation/MachineFailureScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/MachineFailureScenarioTest.java
@@ -19,7 +19,7 @@
     /** A service of one replica, which is on its machine. */
     private JobSpec runningReplica() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 1, 1);
-        assertTrue(cluster.submit(0, job, null));
+        assertTrue(cluster.users().submit(0, job, null));
         cluster.runSeconds(10);
         return job;
     }
@@ -29,7 +29,7 @@
         // All machines report every 3 s from the same moment on, and have just done so.
         cluster.runSeconds(3.25);
         JobSpec job = array(1, 6);
-        assertTrue(cluster.submit(0, job, LONG_RUNTIME));
+        assertTrue(cluster.users().submit(0, job, LONG_RUNTIME));
         cluster.runSeconds(1.5);
         assertTrue(
                 cluster.workers().stream()
@@ -40,7 +40,7 @@
     void tasksOfHungMachineRunElsewhereAndMachineMayResume() {
         JobSpec job = runningReplica();
         FakeWorker hung = machineRunning(job, 0);
-        cluster.failCloud(true);
+        cluster.cloud().setOutage(true);
         hung.setHung(true);
         cluster.runSeconds(12);
         assertEquals(1, cluster.startCount(), "its lease may still hold");
@@ -55,7 +55,7 @@
     void machineWithoutNewFencingTokenKeepsTasksForFullTimeout() {
         JobSpec job = runningReplica();
         FakeWorker hung = machineRunning(job, 0);
-        cluster.failCloud(true);
+        cluster.cloud().setOutage(true);
         hung.setHung(true);
         cluster.crash(cluster.leader());
         cluster.runSeconds(40);
@@ -68,7 +68,7 @@
     void startWithLostResponseIsResent() {
         cluster.workers().forEach(worker -> worker.loseIncoming(true));
         JobSpec job = array(1, 2);
-        assertTrue(cluster.submit(0, job, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(0, job, SHORT_RUNTIME));
         cluster.runSeconds(7);
         assertEquals(0, cluster.startCount());
         cluster.workers().forEach(worker -> worker.loseIncoming(false));
@@ -88,7 +88,7 @@
     @Test
     void manySilentMachinesAreNotReturnedAtOnce() {
         JobSpec job = withZonePolicy(SimulatedCluster.spec(1, JobKind.SERVICE, 4, 8), false, false);
-        assertTrue(cluster.submit(0, job, null));
+        assertTrue(cluster.users().submit(0, job, null));
         cluster.runSeconds(10);
         int before = cluster.workers().size();
         for (int task = 0; task < 4; task++) {
@@ -120,7 +120,7 @@
                                         place.attemptOf(new TaskId(job.id(), 0)),
                                         TaskState.EXITED,
                                         ExitReason.ERROR)));
-        cluster.deliverHeartbeat(cluster.leader(), late);
+        cluster.network().deliverHeartbeat(cluster.leader(), late);
         cluster.runSeconds(15);
         assertEquals(1, cluster.startCount());
     }
@@ -139,7 +139,7 @@
     void machinesScaleOutForWorkAndScaleInWhenIdle() {
         JobSpec job = array(1, 60);
         int before = cluster.workers().size();
-        assertTrue(cluster.submit(0, job, Duration.ofSeconds(30)));
+        assertTrue(cluster.users().submit(0, job, Duration.ofSeconds(30)));
         cluster.runSeconds(40);
         assertTrue(cluster.workers().size() > before);
         cluster.runSeconds(200);
@@ -155,15 +155,15 @@
     void machineWhoseReturnWasRefusedRunsTasksAgain() {
         JobSpec job = runningReplica();
         FakeWorker place = machineRunning(job, 0);
-        cluster.limitRentedMachines(0);
-        cluster.failCloud(true);
+        cluster.cloud().limitMachines(0);
+        cluster.cloud().setOutage(true);
         place.setHung(true);
         cluster.runSeconds(12);
         place.setHung(false);
         cluster.runSeconds(20);
         assertEquals(place, machineRunning(job, 0));
         JobSpec more = array(2, 47);
-        assertTrue(cluster.submit(0, more, LONG_RUNTIME));
+        assertTrue(cluster.users().submit(0, more, LONG_RUNTIME));
         cluster.runSeconds(10);
         assertTrue(allTasksRunning(job) && allTasksRunning(more), "all room there is");
     }
--- a/src/test/java/org/meadowhollow/simulation/NightlyReservationsScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/NightlyReservationsScenarioTest.java
@@ -48,7 +48,7 @@
         }
         cluster.addMachine(SimulatedCluster.LARGE, "a");
         cluster.addMachine(SimulatedCluster.LARGE, "b");
-        cluster.limitRentedMachines(6);
+        cluster.cloud().limitMachines(6);
         cluster.enableReservations(Map.of());
         cluster.loop()
                 .skip(
@@ -58,37 +58,38 @@
         cluster.runSeconds(15);
         if (reserved) {
             Http.Reply reply =
-                    cluster.sendReservationRequest(
-                            0,
-                            "secret",
-                            "PUT",
-                            "reservations/nightly",
-                            null,
-                            new String(
-                                    JsonCodec.encode(
-                                            MessageReader.mapOf(
-                                                    "team",
-                                                    "team",
-                                                    "priority",
-                                                    "urgent",
-                                                    "tasks",
-                                                    TASKS,
-                                                    "cpus",
-                                                    1.0,
-                                                    "gpus",
-                                                    1.0,
-                                                    "ram_gb",
-                                                    4.0,
-                                                    "class",
-                                                    "nightly",
-                                                    "start",
-                                                    FIRST.atTime(2, 0).toString(),
-                                                    "time_zone",
-                                                    ZONE.getId(),
-                                                    "rule",
-                                                    "FREQ=DAILY",
-                                                    "length_s",
-                                                    900.0))));
+                    cluster.clients()
+                            .sendReservationRequest(
+                                    0,
+                                    "secret",
+                                    "PUT",
+                                    "reservations/nightly",
+                                    null,
+                                    new String(
+                                            JsonCodec.encode(
+                                                    MessageReader.mapOf(
+                                                            "team",
+                                                            "team",
+                                                            "priority",
+                                                            "urgent",
+                                                            "tasks",
+                                                            TASKS,
+                                                            "cpus",
+                                                            1.0,
+                                                            "gpus",
+                                                            1.0,
+                                                            "ram_gb",
+                                                            4.0,
+                                                            "class",
+                                                            "nightly",
+                                                            "start",
+                                                            FIRST.atTime(2, 0).toString(),
+                                                            "time_zone",
+                                                            ZONE.getId(),
+                                                            "rule",
+                                                            "FREQ=DAILY",
+                                                            "length_s",
+                                                            900.0))));
             assertEquals(201, reply.status(), new String(reply.body()));
         }
         int number = 0;
@@ -128,11 +129,12 @@
                 background.add(other);
                 // Wrong by up to half, either way.
                 assertTrue(
-                        cluster.submit(
-                                at % 3,
-                                other,
-                                Duration.ofMillis(
-                                        (long) (estimate * (500 + random.nextInt(1000))))));
+                        cluster.users()
+                                .submit(
+                                        at % 3,
+                                        other,
+                                        Duration.ofMillis(
+                                                (long) (estimate * (500 + random.nextInt(1000))))));
                 cluster.runSeconds(random.nextInt(60));
             }
             injectFault(cluster, faults ? random.nextInt(5) : -1);
@@ -159,7 +161,9 @@
                             0,
                             0,
                             Double.NaN);
-            for (int node = 0; !cluster.submit(node % 3, run, Duration.ofSeconds(60)); node++) {
+            for (int node = 0;
+                    !cluster.users().submit(node % 3, run, Duration.ofSeconds(60));
+                    node++) {
                 assertTrue(node < 10, "nobody takes it");
             }
             cluster.runSeconds(ON_TIME_S);
@@ -172,10 +176,10 @@
             cluster.restartAll();
             cluster.runSeconds(5);
             for (JobSpec each : background) {
-                others += cluster.poll(0, each.id()).orElseThrow().done();
-                cluster.cancel(1, each.id());
+                others += cluster.users().poll(0, each.id()).orElseThrow().done();
+                cluster.users().cancel(1, each.id());
             }
-            cluster.cancel(1, run.id());
+            cluster.users().cancel(1, run.id());
             cluster.runSeconds(30);
         }
         return new Month(onTime, others);
@@ -198,8 +202,8 @@
                 cluster.runSeconds(20);
                 cluster.store().setOutage(false);
             }
-            case 3 -> cluster.failCloud(true);
-            default -> cluster.failCloud(false);
+            case 3 -> cluster.cloud().setOutage(true);
+            default -> cluster.cloud().setOutage(false);
         }
     }
 
--- a/src/test/java/org/meadowhollow/simulation/OverlappingFaultsScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/OverlappingFaultsScenarioTest.java
@@ -29,7 +29,8 @@
                         SimulatedCluster.spec(3, JobKind.SERVICE, 3, 1));
         for (JobSpec job : jobs) {
             assertTrue(
-                    cluster.submit(0, job, job.kind() == JobKind.SERVICE ? null : HOURS_RUNTIME));
+                    cluster.users()
+                            .submit(0, job, job.kind() == JobKind.SERVICE ? null : HOURS_RUNTIME));
         }
         cluster.runSeconds(15);
         jobs.forEach(job -> assertTrue(allTasksRunning(job), job.id() + " should run"));
@@ -37,7 +38,7 @@
     }
 
     private void cancelAll(int node, List<JobSpec> jobs) {
-        jobs.forEach(job -> assertTrue(cluster.cancel(node, job.id())));
+        jobs.forEach(job -> assertTrue(cluster.users().cancel(node, job.id())));
         jobs.forEach(
                 job ->
                         assertTrue(
@@ -68,7 +69,7 @@
      * confirms the cancellations.
      */
     private void cancelWhileLeaderIsRefusedAlone(int leader, List<JobSpec> jobs) {
-        cluster.cutPeers(true);
+        cluster.network().cutPeers(true);
         cluster.storeConnection(leader).refuseRequests(true);
         cancelAll(nodeAfter(leader, 1), jobs);
     }
@@ -113,7 +114,7 @@
         cluster.storeConnection(leader).failWatches(true);
         cancelAll(nodeAfter(leader, 1), jobs);
         JobSpec another = array(4, 6);
-        cluster.submit(nodeAfter(leader, 2), another, HOURS_RUNTIME);
+        cluster.users().submit(nodeAfter(leader, 2), another, HOURS_RUNTIME);
         cluster.runSeconds(40);
         assertStoppedWithinBound(jobs);
         assertEquals(leader, cluster.leader());
@@ -187,8 +188,8 @@
         int leader = cluster.leader();
         cluster.storeConnection(leader).failWatches(true);
         JobSpec job = array(1, 2);
-        assertTrue(cluster.submit(nodeAfter(leader, 1), job, HOURS_RUNTIME));
-        assertTrue(cluster.cancel(nodeAfter(leader, 1), job.id()));
+        assertTrue(cluster.users().submit(nodeAfter(leader, 1), job, HOURS_RUNTIME));
+        assertTrue(cluster.users().cancel(nodeAfter(leader, 1), job.id()));
         // All jobs are read instead, which shows it cancelled at once.
         cluster.runSeconds(20);
         assertEquals(0, cluster.store().recordCount(RecordCodec.JOB_PREFIX), "its end is written");
@@ -201,7 +202,9 @@
         back.forEach(FakeWorker::reboot);
         cluster.runSeconds(20);
         assertTrue(
-                cluster.returnedMachines().containsAll(back.stream().map(FakeWorker::id).toList()),
+                cluster.cloud()
+                        .returnedMachines()
+                        .containsAll(back.stream().map(FakeWorker::id).toList()),
                 "what they report cannot be told from late copies");
         cluster.runSeconds(10);
         jobs.forEach(job -> assertTrue(allTasksRunning(job)));
@@ -218,14 +221,14 @@
         for (FakeWorker other : cluster.workers()) {
             other.setHung(other != worker);
         }
-        assertTrue(cluster.submit(0, job, HOURS_RUNTIME));
+        assertTrue(cluster.users().submit(0, job, HOURS_RUNTIME));
         cluster.runSeconds(8);
         assertEquals(worker, machineRunning(job, 0), "in its second session");
         cluster.workers().forEach(other -> other.setHung(false));
         int leader = cluster.leader();
         worker.reboot();
         cluster.crash(leader);
-        assertTrue(cluster.cancel(nodeAfter(leader, 1), job.id()));
+        assertTrue(cluster.users().cancel(nodeAfter(leader, 1), job.id()));
         cluster.runSeconds(15);
         assertEquals(
                 0,
@@ -241,7 +244,7 @@
     @ValueSource(ints = {0, 1, 2, 3, 4, 6, 9, 12})
     void jobsEndingAcrossFailoverCompleteExactlyOnce(int quartersOfASecond) {
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 2, 8);
-        assertTrue(cluster.submit(0, job, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(0, job, SHORT_RUNTIME));
         for (int step = 0; step < 80 && machineRunning(job, 1) == null; step++) {
             cluster.runSeconds(0.25);
         }
@@ -280,7 +283,7 @@
     void zoneWithItsLeaderIsPartitionedLongerThanLease(int cutS) {
         List<JobSpec> jobs = longJobs();
         JobSpec stays = SimulatedCluster.spec(4, JobKind.SERVICE, 6, 2);
-        assertTrue(cluster.submit(0, stays, null));
+        assertTrue(cluster.users().submit(0, stays, null));
         cluster.runSeconds(8);
         assertTrue(allTasksRunning(stays));
         int leader = cluster.leader();
@@ -336,14 +339,15 @@
     void delayedWriteIsAppliedAfterNewerWritesOfSameLeader(int fromS) {
         JobSpec first = SimulatedCluster.spec(1, JobKind.ARRAY, 6, 1);
         JobSpec second = SimulatedCluster.spec(2, JobKind.GANG, 2, 2);
-        assertTrue(cluster.submit(0, first, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(0, first, SHORT_RUNTIME));
         cluster.runSeconds(fromS);
         int leader = cluster.leader();
         cluster.storeConnection(leader).delayCommits(1, fromS);
-        cluster.submitAsync(nodeAfter(leader, 1), second, SHORT_RUNTIME);
+        cluster.users().submitAsync(nodeAfter(leader, 1), second, SHORT_RUNTIME);
         cluster.runSeconds(1.75);
         cluster.storeConnection(leader).delayCommits(0, 0);
-        cluster.cancelAsync(nodeAfter(leader, 1), fromS % 2 == 0 ? first.id() : second.id());
+        cluster.users()
+                .cancelAsync(nodeAfter(leader, 1), fromS % 2 == 0 ? first.id() : second.id());
         cluster.runSeconds(40);
         assertTrue(
                 cluster.storeConnection(leader).lateCommitCount() > 0, "executed after newer ones");
@@ -363,7 +367,7 @@
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 2, 8);
         int leader = cluster.leader();
         cluster.storeConnection(leader).delayAllCommits(Duration.ofSeconds(9));
-        assertTrue(cluster.submit(nodeAfter(leader, 1), job, Duration.ofSeconds(3)));
+        assertTrue(cluster.users().submit(nodeAfter(leader, 1), job, Duration.ofSeconds(3)));
         for (int step = 0;
                 step < 20 && cluster.storeConnection(leader).delayedCommitCount() == 0;
                 step++) {
@@ -401,7 +405,7 @@
     void delayedCompletionAfterCancellationIsRejected() {
         JobSpec job = array(1, 1);
         int leader = cluster.leader();
-        assertTrue(cluster.submit(nodeAfter(leader, 1), job, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(nodeAfter(leader, 1), job, SHORT_RUNTIME));
         cluster.runSeconds(8);
         assertTrue(allTasksRunning(job));
         cluster.storeConnection(leader).delayAllCommits(Duration.ofSeconds(4));
@@ -411,14 +415,15 @@
             cluster.run(Duration.ofMillis(250));
         }
         cluster.storeConnection(leader).delayAllCommits(null);
-        assertTrue(cluster.cancel(nodeAfter(leader, 1), job.id()));
+        assertTrue(cluster.users().cancel(nodeAfter(leader, 1), job.id()));
         assertEquals(
                 Phase.CANCELLED,
-                cluster.poll(nodeAfter(leader, 1), job.id()).orElseThrow().phase());
+                cluster.users().poll(nodeAfter(leader, 1), job.id()).orElseThrow().phase());
         cluster.runSeconds(20);
         assertTrue(cluster.storeConnection(leader).lateCommitCount() > 0);
         for (int node = 0; node < 3; node++) {
-            assertEquals(Phase.CANCELLED, cluster.poll(node, job.id()).orElseThrow().phase());
+            assertEquals(
+                    Phase.CANCELLED, cluster.users().poll(node, job.id()).orElseThrow().phase());
         }
         assertEquals(
                 0,
@@ -435,15 +440,15 @@
         cluster.workers().forEach(worker -> worker.setHung(true));
         JobSpec job = array(1, 24);
         int leader = cluster.leader();
-        assertTrue(cluster.submit(nodeAfter(leader, 1), job, HOURS_RUNTIME));
+        assertTrue(cluster.users().submit(nodeAfter(leader, 1), job, HOURS_RUNTIME));
         cluster.runSeconds(1.5);
         assertEquals(
                 1,
                 cluster.store().recordCount(RecordCodec.TASK_PREFIX),
                 "its places are committed");
-        cluster.cutPeers(true);
+        cluster.network().cutPeers(true);
         cluster.storeConnection(leader).refuseRequests(true);
-        assertTrue(cluster.cancel(nodeAfter(leader, 1), job.id()));
+        assertTrue(cluster.users().cancel(nodeAfter(leader, 1), job.id()));
         cluster.runSeconds(2.5);
         assertEquals(leader, cluster.leader(), "its lease holds");
         cluster.workers().forEach(worker -> worker.setHung(false));
@@ -469,14 +474,17 @@
         int leader = cluster.leader();
         JobSpec more = array(4, 3);
         assertTrue(
-                cluster.submit(nodeAfter(leader, 1), more, HOURS_RUNTIME),
+                cluster.users().submit(nodeAfter(leader, 1), more, HOURS_RUNTIME),
                 "taken within five seconds");
-        assertTrue(cluster.cancel(nodeAfter(leader, 2), jobs.get(0).id()));
+        assertTrue(cluster.users().cancel(nodeAfter(leader, 2), jobs.get(0).id()));
         for (int time = 0; time < 12; time++) {
             assertEquals(
                     Phase.CANCELLED,
-                    cluster.poll(nodeAfter(leader, 1), jobs.get(0).id()).orElseThrow().phase());
-            assertTrue(cluster.poll(nodeAfter(leader, 1), jobs.get(1).id()).isPresent());
+                    cluster.users()
+                            .poll(nodeAfter(leader, 1), jobs.get(0).id())
+                            .orElseThrow()
+                            .phase());
+            assertTrue(cluster.users().poll(nodeAfter(leader, 1), jobs.get(1).id()).isPresent());
             cluster.runSeconds(3);
         }
         assertEquals(leader, cluster.leader(), "its lease is renewed in time");
--- a/src/test/java/org/meadowhollow/simulation/OverloadScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/OverloadScenarioTest.java
@@ -66,18 +66,18 @@
     @Test
     void frequentPollingCausesNoExtraStoreRequests() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 2, 1);
-        assertTrue(cluster.submit(0, job, null));
-        cluster.poll(1, job.id());
+        assertTrue(cluster.users().submit(0, job, null));
+        cluster.users().poll(1, job.id());
         cluster.runSeconds(1);
         int reads = cluster.storeConnection(1).readCount();
         int watches = cluster.storeConnection(1).watchCount();
         for (int second = 0; second < 4; second++) {
             for (int at = 0; at < 100; at++) {
-                cluster.pollAsync(1, job.id());
+                cluster.users().pollAsync(1, job.id());
             }
             cluster.runSeconds(1);
         }
-        assertEquals(400, cluster.asyncAnswerCount());
+        assertEquals(400, cluster.users().asyncAnswerCount());
         assertTrue(
                 cluster.storeConnection(1).readCount() - reads < 5,
                 "read " + (cluster.storeConnection(1).readCount() - reads) + " times");
@@ -98,25 +98,25 @@
                     SimulatedCluster.spec(
                             number, number % 2 == 0 ? JobKind.SERVICE : JobKind.ARRAY, 1, 1);
             jobs.add(job);
-            assertTrue(cluster.submit(number % 3, job, SHORT_RUNTIME));
+            assertTrue(cluster.users().submit(number % 3, job, SHORT_RUNTIME));
             for (int node = 0; node < 3; node++) {
-                assertTrue(cluster.poll(node, job.id()).isPresent());
+                assertTrue(cluster.users().poll(node, job.id()).isPresent());
             }
         }
         for (JobSpec job : jobs) {
             cluster.storeConnection(0).failWatches(job.id().hashCode() % 3 == 0);
-            assertTrue(cluster.cancel(2, job.id()));
-            cluster.poll(2, job.id());
-            cluster.poll(0, job.id());
-            cluster.poll(1, job.id());
+            assertTrue(cluster.users().cancel(2, job.id()));
+            cluster.users().poll(2, job.id());
+            cluster.users().poll(0, job.id());
+            cluster.users().poll(1, job.id());
         }
     }
 
     @Test
     void bestEffortWorkIsPreemptedForGangThoughSmallTasksArriveFirst() {
         JobSpec idle = withPriority(array(1, 48), Priority.LOW, Resources.of(4, 1, 16));
-        assertTrue(cluster.submit(0, idle, Duration.ofMinutes(20)));
-        cluster.limitRentedMachines(6);
+        assertTrue(cluster.users().submit(0, idle, Duration.ofMinutes(20)));
+        cluster.cloud().limitMachines(6);
         cluster.runSeconds(10);
         assertEquals(48, cluster.startCount(), "all machines are full of it");
         JobSpec gang =
@@ -124,9 +124,9 @@
                         SimulatedCluster.spec(2, JobKind.GANG, 3, 8),
                         Priority.NORMAL,
                         Resources.of(30, 8, 120));
-        assertTrue(cluster.submit(1, gang, LONG_RUNTIME));
+        assertTrue(cluster.users().submit(1, gang, LONG_RUNTIME));
         for (int number = 3; number < 9; number++) {
-            assertTrue(cluster.submit(2, withDeadline(array(number, 3)), LONG_RUNTIME));
+            assertTrue(cluster.users().submit(2, withDeadline(array(number, 3)), LONG_RUNTIME));
             cluster.runSeconds(1);
         }
         cluster.runSeconds(15);
@@ -144,16 +144,16 @@
     @Test
     void faultyJobIsProbedWithOneTaskAndNoMachineIsCordoned() {
         JobSpec broken = array(1, 30);
-        assertTrue(cluster.submit(0, broken, LONG_RUNTIME));
+        assertTrue(cluster.users().submit(0, broken, LONG_RUNTIME));
         failAllTasksFor(40);
-        assertEquals(List.of(), cluster.returnedMachines(), "no machine is blamed");
+        assertEquals(List.of(), cluster.cloud().returnedMachines(), "no machine is blamed");
         failAllTasksFor(90);
         assertTrue(cluster.startCount() < 30 + 12, "started " + cluster.startCount() + " times");
         JobSpec sound = array(2, 40);
-        assertTrue(cluster.submit(1, sound, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(1, sound, SHORT_RUNTIME));
         cluster.runSeconds(40);
         assertEquals(Phase.DONE, phaseOf(sound));
-        assertTrue(cluster.cancel(2, broken.id()));
+        assertTrue(cluster.users().cancel(2, broken.id()));
         cluster.runSeconds(10);
         assertEquals(Phase.CANCELLED, phaseOf(broken));
     }
@@ -168,12 +168,14 @@
 
     @Test
     void machinesThatNeverBootAreReplacedWithBoundedRentals() {
-        cluster.failNextBoots(4);
+        cluster.cloud().failNextBoots(4);
         JobSpec job = array(1, 48 + 16);
-        assertTrue(cluster.submit(0, job, LONG_RUNTIME));
+        assertTrue(cluster.users().submit(0, job, LONG_RUNTIME));
         cluster.runSeconds(45);
         assertEquals(48 + 16, cluster.startCount(), "nobody waits for four boot times");
-        assertTrue(cluster.rentedMachineCount() <= 16, "rented " + cluster.rentedMachineCount());
+        assertTrue(
+                cluster.cloud().rentedMachineCount() <= 16,
+                "rented " + cluster.cloud().rentedMachineCount());
     }
 
     /**
@@ -183,7 +185,7 @@
     @Test
     void fourSingleTaskJobsPerSecondAreAcceptedInTimeAcrossFailovers() {
         cluster.store().limitWriteRate(30);
-        cluster.imagePullTime(Duration.ofMillis(500));
+        cluster.setImagePullTime(Duration.ofMillis(500));
         Random random = new Random(5);
         List<JobSpec> jobs = new ArrayList<>();
         List<Boolean> inTime = new ArrayList<>();
@@ -198,7 +200,9 @@
                     cluster.loop()
                             .schedule(
                                     Duration.ofMillis(500 + random.nextInt(12_000)),
-                                    () -> cluster.cancelAsync(nodeAfter(node, 1), job.id()));
+                                    () ->
+                                            cluster.users()
+                                                    .cancelAsync(nodeAfter(node, 1), job.id()));
                 }
                 cluster.run(Duration.ofMillis(250));
             }
@@ -224,7 +228,8 @@
     /** As users do: again after a second, until there is an answer. */
     private void submitUntilAccepted(
             int node, JobSpec job, MonotonicTime since, List<Boolean> inTime) {
-        cluster.submitAsync(node, job, SHORT_RUNTIME)
+        cluster.users()
+                .submitAsync(node, job, SHORT_RUNTIME)
                 .whenComplete(
                         (state, failure) -> {
                             if (failure == null) {
--- a/src/test/java/org/meadowhollow/simulation/QuotaScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/QuotaScenarioTest.java
@@ -45,7 +45,7 @@
 
     private JobSpec quotaFillingArray(int number, String team, int tasks) {
         JobSpec job = withTeam(SimulatedCluster.spec(number, JobKind.SERVICE, tasks, 1), team);
-        assertTrue(cluster.submit(0, job, null));
+        assertTrue(cluster.users().submit(0, job, null));
         return job;
     }
 
@@ -67,18 +67,23 @@
     void whatIsCalledOffOutOfReachCountsForItsTeamUntilItIsGoneAcrossLeaders(
             OutOfReach how, int leaders) {
         List<JobSpec> running = submitJobsUpToBothTeamLimits();
-        cluster.failCloud(true);
+        cluster.cloud().setOutage(true);
         List<FakeWorker> lost = cluster.workers().subList(0, 2);
         lost.forEach(worker -> how.trouble.accept(worker, true));
         running.forEach(
-                job -> assertTrue(cluster.cancel(nodeAfter(cluster.leader(), 1), job.id())));
+                job ->
+                        assertTrue(
+                                cluster.users().cancel(nodeAfter(cluster.leader(), 1), job.id())));
         List<JobSpec> next =
                 List.of(withTeam(array(3, 12), "team"), withTeam(array(4, 8), "other"));
         next.forEach(
                 job ->
                         assertTrue(
-                                cluster.submit(
-                                        nodeAfter(cluster.leader(), 1), job, HOURS_RUNTIME)));
+                                cluster.users()
+                                        .submit(
+                                                nodeAfter(cluster.leader(), 1),
+                                                job,
+                                                HOURS_RUNTIME)));
         boolean still = false;
         for (int takeover = 0; takeover < leaders; takeover++) {
             int leader = cluster.leader();
@@ -100,7 +105,7 @@
                 "a task that was called off was there while the next one led");
         cluster.runSeconds(60);
         lost.forEach(worker -> how.trouble.accept(worker, false));
-        cluster.failCloud(false);
+        cluster.cloud().setOutage(false);
         cluster.beginFaultFreePhase();
         cluster.runSeconds(60);
         next.forEach(
@@ -117,14 +122,14 @@
         List<FakeWorker> first = cluster.workers();
         first.forEach(worker -> worker.loseIncoming(true));
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 8, 1);
-        assertTrue(cluster.submit(0, job, HOURS_RUNTIME));
+        assertTrue(cluster.users().submit(0, job, HOURS_RUNTIME));
         cluster.runSeconds(3);
         assertEquals(1, cluster.store().recordCount("task/"), "its places are committed");
         int leader = cluster.leader();
         cluster.crash(leader);
-        assertTrue(cluster.cancel(nodeAfter(leader, 1), job.id()));
+        assertTrue(cluster.users().cancel(nodeAfter(leader, 1), job.id()));
         JobSpec next = array(2, 8);
-        assertTrue(cluster.submit(nodeAfter(leader, 1), next, HOURS_RUNTIME));
+        assertTrue(cluster.users().submit(nodeAfter(leader, 1), next, HOURS_RUNTIME));
         first.forEach(worker -> worker.loseIncoming(false));
         cluster.runSeconds(30);
         assertTrue(allTasksRunning(next));
@@ -167,7 +172,7 @@
                             ? SimulatedCluster.spec(number, JobKind.GANG, 2, 1)
                             : array(number, 1);
             jobs.add(job);
-            cluster.submitAsync(number % 3, job, HOURS_RUNTIME);
+            cluster.users().submitAsync(number % 3, job, HOURS_RUNTIME);
         }
         cluster.runSeconds(10);
         jobs.forEach(job -> assertTrue(allTasksRunning(job)));
@@ -179,7 +184,7 @@
                 changeLeader(how, leader);
             }
             // By a node that thinks that another one leads.
-            cluster.cancelAsync(nodeAfter(leader, 1 + at % 2), jobs.get(at).id());
+            cluster.users().cancelAsync(nodeAfter(leader, 1 + at % 2), jobs.get(at).id());
             cluster.run(Duration.ofMillis(250));
             during += at >= 4 && (cluster.leader() < 0 || cluster.fencingToken() == term) ? 1 : 0;
         }
@@ -217,9 +222,13 @@
             }
             cluster.runSeconds(4);
             if (change == 2) {
-                assertTrue(cluster.cancel(nodeAfter(cluster.leader(), 1), goes.id()));
+                assertTrue(cluster.users().cancel(nodeAfter(cluster.leader(), 1), goes.id()));
                 assertTrue(
-                        cluster.submit(nodeAfter(cluster.leader(), 1), array(3, 6), HOURS_RUNTIME));
+                        cluster.users()
+                                .submit(
+                                        nodeAfter(cluster.leader(), 1),
+                                        array(3, 6),
+                                        HOURS_RUNTIME));
             }
         }
         assertTrue(
@@ -240,15 +249,15 @@
     void singleZoneJobRecoversFromMachineLossInItsZone(JobKind kind, boolean together) {
         JobSpec plain = SimulatedCluster.spec(1, kind, 3, 8);
         JobSpec job = together ? withZonePolicy(plain, true, false) : inZone(plain, "a");
-        assertTrue(cluster.submit(0, job, HOURS_RUNTIME));
+        assertTrue(cluster.users().submit(0, job, HOURS_RUNTIME));
         cluster.runSeconds(10);
         assertTrue(allTasksRunning(job));
         String zone = machineRunning(job, 0).zone();
-        cluster.limitRentedMachines(cluster.workers().size() + 1);
+        cluster.cloud().limitMachines(cluster.workers().size() + 1);
         // One hangs and goes on when its task is given up, one is taken away, and the leader ends.
         FakeWorker hung = machineRunning(job, 0);
         hung.setHung(true);
-        cluster.reclaimMachine(machineRunning(job, 1));
+        cluster.cloud().reclaim(machineRunning(job, 1));
         cluster.crash(cluster.leader());
         cluster.runSeconds(40);
         hung.setHung(false);
@@ -266,18 +275,18 @@
     @Test
     void singleZoneArrayStaysInZoneOfPossiblyRunningTask() {
         JobSpec job = withZonePolicy(SimulatedCluster.spec(1, JobKind.ARRAY, 2, 8), true, false);
-        assertTrue(cluster.submit(0, job, HOURS_RUNTIME));
+        assertTrue(cluster.users().submit(0, job, HOURS_RUNTIME));
         cluster.runSeconds(10);
         FakeWorker hung = machineRunning(job, 0);
         JobSpec fills =
                 inZone(
                         withTeam(SimulatedCluster.spec(2, JobKind.SERVICE, 1, 8), "other"),
                         hung.zone());
-        assertTrue(cluster.submit(0, fills, null));
+        assertTrue(cluster.users().submit(0, fills, null));
         cluster.runSeconds(5);
         assertTrue(allTasksRunning(fills));
-        cluster.limitRentedMachines(0);
-        cluster.failMachine(machineRunning(job, 1));
+        cluster.cloud().limitMachines(0);
+        cluster.cloud().fail(machineRunning(job, 1));
         hung.setHung(true);
         cluster.crash(cluster.leader());
         cluster.runSeconds(14);
@@ -298,9 +307,9 @@
     @ParameterizedTest
     @ValueSource(ints = {50, 150, 600, 1900})
     void quicklyBootedMachinesGetWorkDespiteSlowWritesAndLeaderCrash(int bootMillis) {
-        cluster.setBootTimes(Duration.ofMillis(bootMillis), Duration.ofSeconds(20));
+        cluster.cloud().setBootTimes(Duration.ofMillis(bootMillis), Duration.ofSeconds(20));
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 48, 1);
-        assertTrue(cluster.submit(0, job, Duration.ofSeconds(40)));
+        assertTrue(cluster.users().submit(0, job, Duration.ofSeconds(40)));
         cluster.runSeconds(5);
         int before = cluster.workers().size();
         int leader = cluster.leader();
@@ -308,7 +317,7 @@
             cluster.storeConnection(node).delayCommits(0.7, 1_000_003L * (node + 1));
         }
         JobSpec more = SimulatedCluster.spec(2, JobKind.ARRAY, 40, 4);
-        cluster.submitAsync(nodeAfter(leader, 1), more, Duration.ofSeconds(20));
+        cluster.users().submitAsync(nodeAfter(leader, 1), more, Duration.ofSeconds(20));
         for (int step = 0; step < 80 && cluster.workers().size() == before; step++) {
             cluster.run(Duration.ofMillis(250));
         }
@@ -324,7 +333,7 @@
         }
         assertTrue(late > 0, "a transaction was executed late");
         cluster.restart(leader);
-        cluster.setBootTimes(Duration.ofSeconds(10), Duration.ZERO);
+        cluster.cloud().setBootTimes(Duration.ofSeconds(10), Duration.ZERO);
         cluster.beginFaultFreePhase();
         cluster.runSeconds(400);
         assertEquals(Phase.DONE, phaseOf(job));
--- a/src/test/java/org/meadowhollow/simulation/RandomFaultsTest.java
+++ b/src/test/java/org/meadowhollow/simulation/RandomFaultsTest.java
@@ -69,12 +69,12 @@
         // Replicas would fill the team's limit for ever.
         for (JobSpec job : jobs) {
             if (job.kind() == JobKind.SERVICE) {
-                assertTrue(cluster.cancel(0, job.id()));
+                assertTrue(cluster.users().cancel(0, job.id()));
             }
         }
         cluster.runSeconds(runsS);
         for (JobSpec job : jobs) {
-            Phase phase = cluster.poll(0, job.id()).map(JobStatus::phase).orElse(null);
+            Phase phase = cluster.users().poll(0, job.id()).map(JobStatus::phase).orElse(null);
             assertTrue(
                     phase == null || phase == Phase.CANCELLED || phase == Phase.DONE,
                     job.id() + " is " + phase + " long after all troubles");
@@ -164,13 +164,16 @@
                         SimulatedCluster.spec(
                                 jobs.size(), kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
                 jobs.add(job);
-                cluster.submit(
-                        random.nextInt(3),
-                        job,
-                        kind == JobKind.SERVICE
-                                ? null
-                                : Duration.ofSeconds(
-                                        random.nextBoolean() ? 300 : 5 + random.nextInt(40)));
+                cluster.users()
+                        .submit(
+                                random.nextInt(3),
+                                job,
+                                kind == JobKind.SERVICE
+                                        ? null
+                                        : Duration.ofSeconds(
+                                                random.nextBoolean()
+                                                        ? 300
+                                                        : 5 + random.nextInt(40)));
             }
             cluster.runSeconds(random.nextInt(20));
             List<Runnable> ends = new ArrayList<>();
@@ -190,9 +193,9 @@
         for (int step = random.nextInt(most); step >= 0; step--) {
             JobSpec job = jobs.get(random.nextInt(jobs.size()));
             if (random.nextInt(3) == 0) {
-                cluster.poll(random.nextInt(3), job.id());
+                cluster.users().poll(random.nextInt(3), job.id());
             } else {
-                cluster.cancel(random.nextInt(3), job.id());
+                cluster.users().cancel(random.nextInt(3), job.id());
             }
             cluster.runSeconds(random.nextInt(4));
         }
@@ -280,12 +283,14 @@
                         0,
                         0,
                         Double.NaN);
-        cluster.submit(
-                random.nextInt(3),
-                job,
-                kind == JobKind.SERVICE
-                        ? null
-                        : Duration.ofSeconds(random.nextBoolean() ? 200 : 5 + random.nextInt(40)));
+        cluster.users()
+                .submit(
+                        random.nextInt(3),
+                        job,
+                        kind == JobKind.SERVICE
+                                ? null
+                                : Duration.ofSeconds(
+                                        random.nextBoolean() ? 200 : 5 + random.nextInt(40)));
         return job;
     }
 
@@ -304,16 +309,17 @@
                                 step, kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
                 // Without an answer it may have been accepted all the same.
                 jobs.add(job);
-                cluster.submit(
-                        node,
-                        job,
-                        kind == JobKind.SERVICE
-                                ? null
-                                : Duration.ofSeconds(5 + random.nextInt(40)));
+                cluster.users()
+                        .submit(
+                                node,
+                                job,
+                                kind == JobKind.SERVICE
+                                        ? null
+                                        : Duration.ofSeconds(5 + random.nextInt(40)));
             }
             case 4, 5 -> {
                 if (!jobs.isEmpty()) {
-                    cluster.cancel(node, jobs.get(random.nextInt(jobs.size())).id());
+                    cluster.users().cancel(node, jobs.get(random.nextInt(jobs.size())).id());
                 }
             }
             case 6 -> cluster.crash(node);
@@ -323,7 +329,7 @@
             case 11 -> cluster.storeConnection(node).holdRequests(random.nextInt(3) == 0);
             case 12 -> cluster.store().setOutage(random.nextInt(3) == 0);
             case 13 -> cluster.cutFromWorkers(node, random.nextBoolean());
-            case 14 -> cluster.failCloud(random.nextBoolean());
+            case 14 -> cluster.cloud().setOutage(random.nextBoolean());
             default -> {
                 List<FakeWorker> workers = cluster.workers();
                 if (!workers.isEmpty()) {
@@ -339,9 +345,9 @@
     }
 
     private static void endAllFaults(SimulatedCluster cluster) {
-        cluster.stopDuplicatingMessages();
+        cluster.network().stopDuplicatingMessages();
         cluster.store().setOutage(false);
-        cluster.failCloud(false);
+        cluster.cloud().setOutage(false);
         for (int node = 0; node < 3; node++) {
             cluster.storeConnection(node).refuseRequests(false);
             cluster.storeConnection(node).loseResponses(false);
--- a/src/test/java/org/meadowhollow/simulation/ReadYourWritesScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/ReadYourWritesScenarioTest.java
@@ -26,16 +26,20 @@
     /** Answers that were told, after the hard moment, by all nodes. */
     private void assertEveryControllerReports(Phase phase, JobSpec job) {
         for (int node = 0; node < 3; node++) {
-            assertEquals(phase, cluster.poll(node, job.id()).orElseThrow().phase(), "node " + node);
+            assertEquals(
+                    phase,
+                    cluster.users().poll(node, job.id()).orElseThrow().phase(),
+                    "node " + node);
             assertTrue(
-                    cluster.submit(node, job, HOURS_RUNTIME), "a repeat is known at node " + node);
+                    cluster.users().submit(node, job, HOURS_RUNTIME),
+                    "a repeat is known at node " + node);
         }
     }
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
     void everyControllerReadsItsPeersWritesAfterAcceptCancelAndCompletion(int latecomer) {
-        cluster.pollAllAfterAnswers(true);
+        cluster.users().pollAllAfterAnswers(true);
         List<JobSpec> jobs = new ArrayList<>();
         for (int number = 0; number < 9; number++) {
             JobSpec job =
@@ -47,17 +51,19 @@
             jobs.add(job);
             // Each node knows some of the jobs as live before they end, so that it answers from
             // what it keeps.
-            assertTrue(cluster.submit(number % 3, job, SHORT_RUNTIME));
-            cluster.poll((number + 1) % 3, job.id());
+            assertTrue(cluster.users().submit(number % 3, job, SHORT_RUNTIME));
+            cluster.users().poll((number + 1) % 3, job.id());
             cluster.storeConnection(latecomer).failWatches(number % 2 == 0);
             if (number % 3 == 1) {
-                cluster.cancelAsync((number + 2) % 3, job.id());
+                cluster.users().cancelAsync((number + 2) % 3, job.id());
             }
             cluster.run(Duration.ofMillis(250 * (number % 4)));
         }
         cluster.runSeconds(30);
         cluster.storeConnection(latecomer).failWatches(false);
-        assertTrue(cluster.asyncAnswerCount() > 100, "answered " + cluster.asyncAnswerCount());
+        assertTrue(
+                cluster.users().asyncAnswerCount() > 100,
+                "answered " + cluster.users().asyncAnswerCount());
         for (JobSpec job : jobs) {
             assertEveryControllerReports(
                     Integer.parseInt(job.id().value().substring(4)) % 3 == 1
@@ -85,16 +91,18 @@
         int node = what.equals("ended") ? leader : nodeAfter(leader, by);
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 2, 1);
         if (!what.equals("accepted")) {
-            assertTrue(cluster.submit(nodeAfter(node, 1), job, SHORT_RUNTIME));
+            assertTrue(cluster.users().submit(nodeAfter(node, 1), job, SHORT_RUNTIME));
             cluster.runSeconds(what.equals("ended") ? 8 : 4);
         }
         cluster.storeConnection(node).loseCommitResponses(1, 7);
         int before = cluster.storeConnection(node).lostCommitCount();
-        cluster.pollAllAfterAnswers(true);
+        cluster.users().pollAllAfterAnswers(true);
         CompletableFuture<Optional<JobStatus>> answer =
                 what.equals("accepted")
-                        ? cluster.submitAsync(node, job, SHORT_RUNTIME)
-                        : what.equals("called off") ? cluster.cancelAsync(node, job.id()) : null;
+                        ? cluster.users().submitAsync(node, job, SHORT_RUNTIME)
+                        : what.equals("called off")
+                                ? cluster.users().cancelAsync(node, job.id())
+                                : null;
         for (int step = 0;
                 step < 200 && cluster.storeConnection(node).lostCommitCount() == before;
                 step++) {
@@ -104,9 +112,10 @@
                 cluster.storeConnection(node).lostCommitCount() > before,
                 "it is committed, and nobody was told");
         // Another node reads it, and a user is told there.
-        Phase then = cluster.poll(nodeAfter(node, 1), job.id()).orElseThrow().phase();
+        Phase then = cluster.users().poll(nodeAfter(node, 1), job.id()).orElseThrow().phase();
         if (by == 1 && !what.equals("ended")) {
-            assertTrue(cluster.cancel(nodeAfter(node, 2), job.id()), "and calls it off there");
+            assertTrue(
+                    cluster.users().cancel(nodeAfter(node, 2), job.id()), "and calls it off there");
             then = Phase.CANCELLED;
         }
         if (!what.equals("ended")) {
@@ -134,13 +143,13 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7, 8, 9})
     void cancellationRacesWithCompletionOfLastTask(int seed) {
-        cluster.pollAllAfterAnswers(true);
-        cluster.cancelAtCompletion(1, seed);
+        cluster.users().pollAllAfterAnswers(true);
+        cluster.users().cancelAtCompletion(1, seed);
         List<JobSpec> jobs = new ArrayList<>();
         for (int number = 0; number < 6; number++) {
             JobSpec job = SimulatedCluster.spec(number, JobKind.ARRAY, 1 + number % 3, 1);
             jobs.add(job);
-            assertTrue(cluster.submit(number % 3, job, SHORT_RUNTIME));
+            assertTrue(cluster.users().submit(number % 3, job, SHORT_RUNTIME));
         }
         cluster.runSeconds(40);
         int cancelled = 0;
@@ -159,17 +168,17 @@
     void usersAreAnsweredWhenStoreReadsTimeOut() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 2, 1);
         int node = nodeAfter(cluster.leader(), 1);
-        assertTrue(cluster.submit(node, job, null));
-        assertTrue(cluster.poll(node, job.id()).isPresent());
+        assertTrue(cluster.users().submit(node, job, null));
+        assertTrue(cluster.users().poll(node, job.id()).isPresent());
         cluster.storeConnection(node).failWatches(true);
         int answered = 0;
         for (int second = 0; second < 70; second += 5) {
-            answered += cluster.poll(node, job.id()).isPresent() ? 1 : 0;
+            answered += cluster.users().poll(node, job.id()).isPresent() ? 1 : 0;
             cluster.runSeconds(4);
         }
         assertTrue(answered >= 10, "answered " + answered + " of 14");
-        assertTrue(cluster.cancel(nodeAfter(node, 1), job.id()));
-        assertEquals(Phase.CANCELLED, cluster.poll(node, job.id()).orElseThrow().phase());
+        assertTrue(cluster.users().cancel(nodeAfter(node, 1), job.id()));
+        assertEquals(Phase.CANCELLED, cluster.users().poll(node, job.id()).orElseThrow().phase());
     }
 
     /**
@@ -180,25 +189,27 @@
     void readDuringMoveToFinalRecordIsAnswered() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 1, 1);
         int node = nodeAfter(cluster.leader(), 1);
-        assertTrue(cluster.submit(node, job, SHORT_RUNTIME));
-        cluster.poll(node, job.id());
+        assertTrue(cluster.users().submit(node, job, SHORT_RUNTIME));
+        cluster.users().poll(node, job.id());
         // Looks get no answer, so each question is two reads.
         cluster.storeConnection(node).failWatches(true);
-        cluster.poll(node, job.id());
+        cluster.users().poll(node, job.id());
         cluster.runSeconds(4);
-        int before = cluster.asyncAnswerCount();
+        int before = cluster.users().asyncAnswerCount();
         for (int step = 0;
                 step < 40 && !cluster.historyChecker().isReportedEnded(job.id());
                 step++) {
             for (int at = 0; at < 250; at++) {
                 cluster.loop()
-                        .schedule(Duration.ofMillis(at), () -> cluster.pollAsync(node, job.id()));
+                        .schedule(
+                                Duration.ofMillis(at),
+                                () -> cluster.users().pollAsync(node, job.id()));
             }
             cluster.run(Duration.ofMillis(250));
         }
         assertEquals(Phase.DONE, phaseOf(job));
         assertTrue(
-                cluster.asyncAnswerCount() - before > 500,
+                cluster.users().asyncAnswerCount() - before > 500,
                 "asked each millisecond until it was done");
     }
 
@@ -207,14 +218,16 @@
     void delayedCancellationAfterCompletionHasNoEffect() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 1, 1);
         int node = nodeAfter(cluster.leader(), 1);
-        assertTrue(cluster.submit(node, job, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(node, job, SHORT_RUNTIME));
         cluster.runSeconds(9);
         cluster.storeConnection(node).holdCommits();
-        CompletableFuture<Optional<JobStatus>> answer = cluster.cancelAsync(node, job.id());
+        CompletableFuture<Optional<JobStatus>> answer = cluster.users().cancelAsync(node, job.id());
         for (int step = 0; step < 40 && cluster.store().recordCount("ended/") == 0; step++) {
             cluster.run(Duration.ofMillis(250));
         }
-        assertEquals(Phase.DONE, cluster.poll(nodeAfter(node, 1), job.id()).orElseThrow().phase());
+        assertEquals(
+                Phase.DONE,
+                cluster.users().poll(nodeAfter(node, 1), job.id()).orElseThrow().phase());
         cluster.storeConnection(node).holdRequests(false);
         cluster.runSeconds(5);
         assertTrue(answer.isDone());
--- a/src/test/java/org/meadowhollow/simulation/ReservationScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/ReservationScenarioTest.java
@@ -32,7 +32,7 @@
     @BeforeEach
     void keepCalendar() {
         cluster.enableReservations(Map.of());
-        cluster.limitRentedMachines(cluster.workers().size());
+        cluster.cloud().limitMachines(cluster.workers().size());
         cluster.runSeconds(20);
     }
 
@@ -44,13 +44,14 @@
     }
 
     private Http.Reply put(int node, String path, String version, Object... fields) {
-        return cluster.sendReservationRequest(
-                node,
-                "secret",
-                "PUT",
-                path,
-                version,
-                new String(JsonCodec.encode(MessageReader.mapOf(fields))));
+        return cluster.clients()
+                .sendReservationRequest(
+                        node,
+                        "secret",
+                        "PUT",
+                        path,
+                        version,
+                        new String(JsonCodec.encode(MessageReader.mapOf(fields))));
     }
 
     private Http.Reply reserve(
@@ -106,7 +107,9 @@
     }
 
     private MessageReader plan(int node) {
-        return body(cluster.sendReservationRequest(node, "reader", "GET", "plan", null, ""), 200);
+        return body(
+                cluster.clients().sendReservationRequest(node, "reader", "GET", "plan", null, ""),
+                200);
     }
 
     private static JobSpec job(
@@ -142,16 +145,17 @@
     /** Fills all there is for a quarter of an hour, as its estimate says, and would again. */
     private void submitLongWork() {
         assertTrue(
-                cluster.submit(
-                        0,
-                        job(1, "long", Priority.HIGH, 3 * totalGpuCount(), 1, 900, 0),
-                        Duration.ofSeconds(900)));
+                cluster.users()
+                        .submit(
+                                0,
+                                job(1, "long", Priority.HIGH, 3 * totalGpuCount(), 1, 900, 0),
+                                Duration.ofSeconds(900)));
     }
 
     /** Comes to use a reservation, at its start or later. */
     private JobSpec reservedRun(int number, int tasks) {
         JobSpec run = job(number, "night", Priority.HIGH, tasks, 1, 60, 0);
-        assertTrue(cluster.submit(1, run, Duration.ofSeconds(60)));
+        assertTrue(cluster.users().submit(1, run, Duration.ofSeconds(60)));
         return run;
     }
 
@@ -199,8 +203,8 @@
         body(reserve("calendars", "team", totalGpuCount(), 1, 300, 600), 201);
         JobSpec brief = job(1, "brief", Priority.HIGH, 8, 1, 20, 0);
         JobSpec endless = job(2, "long", Priority.HIGH, 4, 1, 2000, 0);
-        assertTrue(cluster.submit(0, brief, Duration.ofSeconds(20)));
-        assertTrue(cluster.submit(0, endless, HOUR));
+        assertTrue(cluster.users().submit(0, brief, Duration.ofSeconds(20)));
+        assertTrue(cluster.users().submit(0, endless, HOUR));
         cluster.runSeconds(15);
         assertEquals(8, runningTaskCount(brief));
         assertEquals(0, runningTaskCount(endless));
@@ -215,7 +219,7 @@
     void unusedSlotIsReleasedBeforeItsEnd() {
         body(reserve("calendars", "team", totalGpuCount(), 1, 60, 7200), 201);
         JobSpec endless = job(2, "long", Priority.HIGH, 4, 1, 2000, 0);
-        assertTrue(cluster.submit(0, endless, HOUR));
+        assertTrue(cluster.users().submit(0, endless, HOUR));
         cluster.runSeconds(500);
         assertEquals(0, runningTaskCount(endless));
         cluster.runSeconds(200);
@@ -250,7 +254,7 @@
         }
         cluster.runSeconds(3);
         JobSpec work = job(1, "long", Priority.HIGH, 4, 1, 900, 0);
-        assertTrue(cluster.submit(0, work, HOUR));
+        assertTrue(cluster.users().submit(0, work, HOUR));
         cluster.runSeconds(20);
         assertEquals(0, runningTaskCount(work));
         for (int node = 0; node < 3; node++) {
@@ -268,11 +272,14 @@
         cluster.runSeconds(15);
         body(reserve("calendars", "team", 4, 1, 60, 600), 201);
         assertTrue(
-                cluster.submit(
-                        0, job(1, "other", Priority.HIGH, 200, 1, 10, 0), Duration.ofSeconds(10)));
+                cluster.users()
+                        .submit(
+                                0,
+                                job(1, "other", Priority.HIGH, 200, 1, 10, 0),
+                                Duration.ofSeconds(10)));
         cluster.runSeconds(62);
         JobSpec run = job(2, "night", Priority.HIGH, 4, 1, 300, 0);
-        assertTrue(cluster.submit(1, run, Duration.ofSeconds(300)));
+        assertTrue(cluster.users().submit(1, run, Duration.ofSeconds(300)));
         cluster.runSeconds(35);
         assertEquals(4, runningTaskCount(run));
     }
@@ -281,7 +288,7 @@
     void taskOverrunningItsEstimateIsWarnedAndStoppedInTime() {
         body(reserve("calendars", "team", totalGpuCount(), 1, 200, 600), 201);
         JobSpec wrong = job(1, "other", Priority.LOW, totalGpuCount(), 1, 100, 0);
-        assertTrue(cluster.submit(0, wrong, HOUR));
+        assertTrue(cluster.users().submit(0, wrong, HOUR));
         cluster.runSeconds(15);
         assertEquals(totalGpuCount(), runningTaskCount(wrong), "it should be done long before");
         cluster.runSeconds(188);
@@ -293,13 +300,14 @@
     @Test
     void noMachineIsRentedDuringMaintenanceWindow() {
         body(window("patches", "zones", "a", 30, 600, 0), 201);
-        cluster.limitRentedMachines(40);
+        cluster.cloud().limitMachines(40);
         List<FakeWorker> before = cluster.workers();
         assertTrue(
-                cluster.submit(
-                        0,
-                        job(1, "other", Priority.HIGH, 200, 1, 300, 0),
-                        Duration.ofSeconds(300)));
+                cluster.users()
+                        .submit(
+                                0,
+                                job(1, "other", Priority.HIGH, 200, 1, 300, 0),
+                                Duration.ofSeconds(300)));
         cluster.runSeconds(60);
         List<FakeWorker> rented =
                 cluster.workers().stream().filter(worker -> !before.contains(worker)).toList();
@@ -326,7 +334,7 @@
     void noTaskStartsThatWouldOverlapMaintenanceWindow() {
         body(window("patches", "zones", "a", 120, 300, 0), 201);
         JobSpec long1 = job(1, "long", Priority.HIGH, totalGpuCount(), 1, 200, 0);
-        assertTrue(cluster.submit(0, long1, Duration.ofSeconds(200)));
+        assertTrue(cluster.users().submit(0, long1, Duration.ofSeconds(200)));
         for (int second = 0; second < 420; second += 10) {
             cluster.runSeconds(10);
             assertTrue(
@@ -346,9 +354,9 @@
     @Test
     void tasksOverlappingWindowAreWarnedAndStoppedAndServicesMoveOneByOne() {
         JobSpec work = job(1, "long", Priority.HIGH, totalGpuCount() / 2, 1, 1000, 5);
-        assertTrue(cluster.submit(0, work, HOUR));
+        assertTrue(cluster.users().submit(0, work, HOUR));
         JobSpec service = SimulatedCluster.spec(2, JobKind.SERVICE, 4, 0);
-        assertTrue(cluster.submit(0, service, HOUR));
+        assertTrue(cluster.users().submit(0, service, HOUR));
         cluster.runSeconds(20);
         assertEquals(4, runningTaskCount(service));
         long began = cluster.loop().wallClockMillis();
@@ -372,7 +380,7 @@
     @Test
     void immediateWindowStillWarnsFirst() {
         JobSpec work = job(1, "long", Priority.HIGH, totalGpuCount(), 1, 1000, 5);
-        assertTrue(cluster.submit(0, work, HOUR));
+        assertTrue(cluster.users().submit(0, work, HOUR));
         cluster.runSeconds(10);
         assertEquals(totalGpuCount(), runningTaskCount(work));
         body(window("now", "zones", "a", 0, 600, 0), 201);
@@ -386,8 +394,8 @@
     void lowerPriorityWorkIsWarnedAndPreemptedAndEqualPriorityWorkIsNot() {
         JobSpec low = job(1, "long", Priority.LOW, totalGpuCount() / 2, 1, 5000, 5);
         JobSpec equal = job(2, "other", Priority.HIGH, totalGpuCount() / 2, 1, 5000, 5);
-        assertTrue(cluster.submit(0, low, HOUR));
-        assertTrue(cluster.submit(0, equal, HOUR));
+        assertTrue(cluster.users().submit(0, low, HOUR));
+        assertTrue(cluster.users().submit(0, equal, HOUR));
         cluster.runSeconds(15);
         int before = runningTaskCount(equal);
         assertEquals(totalGpuCount(), runningTaskCount(low) + before);
@@ -401,7 +409,7 @@
 
     @Test
     void machinesAreRentedInTimeForSlot() {
-        cluster.limitRentedMachines(40);
+        cluster.cloud().limitMachines(40);
         int before = cluster.workers().size();
         int tasks = totalGpuCount() + 8;
         body(reserve("calendars", "team", tasks, 1, 600, 600), 201);
@@ -416,14 +424,14 @@
 
     @Test
     void machinesLostBeforeSlotAreReplaced() {
-        cluster.limitRentedMachines(40);
+        cluster.cloud().limitMachines(40);
         body(reserve("calendars", "team", 6, 1, 300, 600), 201);
         submitLongWork();
         cluster.runSeconds(180);
         cluster.workers().stream()
                 .filter(worker -> worker.runningTasks().isEmpty())
-                .forEach(cluster::reclaimMachine);
-        cluster.limitRentedMachines(80);
+                .forEach(cluster.cloud()::reclaim);
+        cluster.cloud().limitMachines(80);
         cluster.runSeconds(125);
         JobSpec run = reservedRun(2, 6);
         cluster.runSeconds(12);
@@ -436,9 +444,9 @@
         submitLongWork();
         cluster.runSeconds(305);
         JobSpec wrong = job(2, "night", Priority.HIGH, 6, 1, 60, 0);
-        assertTrue(cluster.submit(1, wrong, HOUR));
+        assertTrue(cluster.users().submit(1, wrong, HOUR));
         cluster.runSeconds(15);
-        assertTrue(cluster.cancel(2, wrong.id()));
+        assertTrue(cluster.users().cancel(2, wrong.id()));
         cluster.runSeconds(8);
         JobSpec right = reservedRun(3, 6);
         cluster.runSeconds(12);
@@ -468,7 +476,7 @@
                         10,
                         4,
                         Double.NaN);
-        assertTrue(cluster.submit(0, gang, HOUR));
+        assertTrue(cluster.users().submit(0, gang, HOUR));
         cluster.runSeconds(15);
         assertEquals(4, runningTaskCount(gang));
         String zone = machineRunning(gang, 0).zone();
@@ -488,7 +496,7 @@
         body(window("one", "zones", "a", 60, 300, 0), 201);
         body(window("two", "zones", "b", 120, 120, 0), 201);
         JobSpec work = job(1, "long", Priority.HIGH, 4, 1, 100, 0);
-        assertTrue(cluster.submit(0, work, Duration.ofSeconds(100)));
+        assertTrue(cluster.users().submit(0, work, Duration.ofSeconds(100)));
         cluster.runSeconds(130);
         assertEquals(0, runningTaskCount(work));
         cluster.runSeconds(90);
@@ -556,10 +564,12 @@
                                         60.0)));
         List<CompletableFuture<Http.Reply>> both =
                 List.of(
-                        cluster.sendReservationRequestAsync(
-                                0, "secret", "PUT", "reservations/one", null, body),
-                        cluster.sendReservationRequestAsync(
-                                1, "secret", "PUT", "reservations/two", null, body));
+                        cluster.clients()
+                                .sendReservationRequestAsync(
+                                        0, "secret", "PUT", "reservations/one", null, body),
+                        cluster.clients()
+                                .sendReservationRequestAsync(
+                                        1, "secret", "PUT", "reservations/two", null, body));
         cluster.runSeconds(3);
         assertEquals(
                 List.of(201, 409),
@@ -579,7 +589,8 @@
                 refused.string("error"));
         assertEquals(
                 200,
-                cluster.sendReservationRequest(
+                cluster.clients()
+                        .sendReservationRequest(
                                 0,
                                 "secret",
                                 "DELETE",
@@ -589,19 +600,22 @@
                         .status());
         assertEquals(
                 200,
-                cluster.sendReservationRequest(
+                cluster.clients()
+                        .sendReservationRequest(
                                 1, "secret", "DELETE", "reservations/first", null, "")
                         .status(),
                 "repeated");
         assertEquals(
                 404,
-                cluster.sendReservationRequest(1, "reader", "GET", "reservations/first", null, "")
+                cluster.clients()
+                        .sendReservationRequest(1, "reader", "GET", "reservations/first", null, "")
                         .status());
         assertEquals(
                 1,
                 body(
-                                cluster.sendReservationRequest(
-                                        1, "reader", "GET", "reservations", null, ""),
+                                cluster.clients()
+                                        .sendReservationRequest(
+                                                1, "reader", "GET", "reservations", null, ""),
                                 200)
                         .nestedList("reservations")
                         .size());
@@ -610,18 +624,25 @@
     @Test
     void invalidRequestIsRejectedByFieldAndUnauthorizedCallerIsDenied() {
         assertEquals(
-                401, cluster.sendReservationRequest(0, "guess", "GET", "plan", null, "").status());
+                401,
+                cluster.clients()
+                        .sendReservationRequest(0, "guess", "GET", "plan", null, "")
+                        .status());
         assertEquals(
                 403,
-                cluster.sendReservationRequest(0, "reader", "PUT", "windows/w", null, "{}")
+                cluster.clients()
+                        .sendReservationRequest(0, "reader", "PUT", "windows/w", null, "{}")
                         .status());
         assertEquals(
                 405,
-                cluster.sendReservationRequest(0, "secret", "POST", "windows/w", null, "{}")
+                cluster.clients()
+                        .sendReservationRequest(0, "secret", "POST", "windows/w", null, "{}")
                         .status());
         assertEquals(
                 404,
-                cluster.sendReservationRequest(0, "secret", "GET", "elsewhere", null, "").status());
+                cluster.clients()
+                        .sendReservationRequest(0, "secret", "GET", "elsewhere", null, "")
+                        .status());
         for (String[] wrong :
                 new String[][] {
                     {"windows/w", "{}", "machines"},
@@ -647,7 +668,8 @@
                     {"reservations/r", "{\"team\":\"t\",\"tasks\":0}", "tasks"}
                 }) {
             Http.Reply reply =
-                    cluster.sendReservationRequest(0, "secret", "PUT", wrong[0], null, wrong[1]);
+                    cluster.clients()
+                            .sendReservationRequest(0, "secret", "PUT", wrong[0], null, wrong[1]);
             assertTrue(
                     body(reply, 400).map().get("error").toString().contains(wrong[2]),
                     new String(reply.body()));
--- a/src/test/java/org/meadowhollow/simulation/ScaleTest.java
+++ b/src/test/java/org/meadowhollow/simulation/ScaleTest.java
@@ -32,11 +32,11 @@
             cluster.addMachine(SimulatedCluster.SMALL, at % 2 == 0 ? "a" : "b");
         }
         cluster.runSeconds(12);
-        cluster.failCloud(true);
+        cluster.cloud().setOutage(true);
         for (int number = 0; number < JOBS; number++) {
             JobSpec job = SimulatedCluster.spec(number, JobKind.ARRAY, TASKS, 1);
             jobs.add(job);
-            assertTrue(cluster.submit(number % 3, job, Duration.ofSeconds(60)));
+            assertTrue(cluster.users().submit(number % 3, job, Duration.ofSeconds(60)));
         }
         cluster.runSeconds(10);
     }
@@ -49,15 +49,18 @@
 
     @Test
     void failoverLosesNoTaskAndProbesNoReportingMachine() {
-        cluster.takeDirectMessageCount();
+        cluster.network().takeDirectMessageCount();
         cluster.crash(cluster.leader());
         cluster.runSeconds(70);
         assertEquals(
-                0, cluster.takeDirectMessageCount(), "every worker found the new leader by itself");
+                0,
+                cluster.network().takeDirectMessageCount(),
+                "every worker found the new leader by itself");
         assertEquals(JOBS * TASKS, cluster.startCount());
         for (JobSpec job : jobs) {
             assertEquals(
-                    Phase.DONE, cluster.poll(cluster.leader(), job.id()).orElseThrow().phase());
+                    Phase.DONE,
+                    cluster.users().poll(cluster.leader(), job.id()).orElseThrow().phase());
         }
     }
 
@@ -74,10 +77,11 @@
         }
         for (int second = 0; second < 20; second++) {
             assertTrue(
-                    cluster.submit(
-                            dead,
-                            SimulatedCluster.spec(JOBS + 1 + second, JobKind.ARRAY, 2, 1),
-                            Duration.ofSeconds(3)));
+                    cluster.users()
+                            .submit(
+                                    dead,
+                                    SimulatedCluster.spec(JOBS + 1 + second, JobKind.ARRAY, 2, 1),
+                                    Duration.ofSeconds(3)));
             cluster.runSeconds(0.75);
         }
         int follower = (dead + 1) % 3;
@@ -87,7 +91,7 @@
                 asked + " watches of three prefixes in 20 s, at most one each in 2 s");
         JobSpec waiting = SimulatedCluster.spec(JOBS, JobKind.ARRAY, 1, 1);
         cluster.crash(dead);
-        assertTrue(cluster.submit(follower, waiting, Duration.ofSeconds(20)));
+        assertTrue(cluster.users().submit(follower, waiting, Duration.ofSeconds(20)));
         for (int step = 0;
                 step < 40 && (cluster.leader() < 0 || cluster.leader() == dead);
                 step++) {
@@ -108,12 +112,12 @@
     @Test
     void silentMachinesAreProbedInSmallBatches() {
         cluster.workers().stream().limit(MACHINES / 2).forEach(worker -> worker.setHung(true));
-        cluster.takeDirectMessageCount();
+        cluster.network().takeDirectMessageCount();
         int most = 0;
         int all = 0;
         for (int second = 0; second < 15; second++) {
             cluster.runSeconds(1);
-            int asked = cluster.takeDirectMessageCount();
+            int asked = cluster.network().takeDirectMessageCount();
             most = Math.max(most, asked);
             all += asked;
         }
--- /dev/null
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedCloud.java
@@ -0,0 +1,220 @@
+package org.meadowhollow.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.concurrent.CompletableFuture;
+import org.meadowhollow.coordination.api.CloudProvider;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.MonotonicTime;
+
+/**
+ * The cloud provider: it rents, releases and lists machines, and can be out, boot machines late or
+ * never, reclaim them or report them as failed. Not thread-safe: everything runs on the virtual
+ * event loop.
+ */
+final class SimulatedCloud implements CloudProvider {
+    private static final Duration LATENCY = Duration.ofMillis(200);
+    private static final Duration RENTAL_RESPONSE_DELAY = Duration.ofMillis(100);
+    private static final double LISTED_AGE_SECONDS = 60;
+
+    private final SimulatedCluster cluster;
+    private final Map<String, List<MachineId>> rentals = new HashMap<>();
+    private final Map<MachineId, MonotonicTime> rentedAt = new HashMap<>();
+    private final List<FakeWorker> returned = new ArrayList<>();
+    private final Set<MachineId> reclaimed = new HashSet<>();
+    private final Set<MachineId> failed = new HashSet<>();
+    private Duration bootTime = Duration.ofSeconds(10);
+    private Duration listingDelay = Duration.ZERO;
+    private int maxMachines = 40;
+    private int bootFailuresLeft;
+    private boolean isOut;
+
+    SimulatedCloud(SimulatedCluster cluster) {
+        this.cluster = cluster;
+    }
+
+    // ---- faults ----
+
+    /** Begins or ends an outage, in which every request is refused. */
+    void setOutage(boolean out) {
+        isOut = out;
+    }
+
+    /** The next machines that are rented never boot. */
+    void failNextBoots(int machines) {
+        bootFailuresLeft = machines;
+    }
+
+    /** At most so many machines exist at a time; further rentals are refused. */
+    void limitMachines(int max) {
+        maxMachines = max;
+    }
+
+    /**
+     * Sets how long rented machines take to boot, and how long after their rental they are listed.
+     */
+    void setBootTimes(Duration untilBooted, Duration untilListed) {
+        bootTime = untilBooted;
+        listingDelay = untilListed;
+    }
+
+    /** Takes a machine away without notice, and lists it no more. */
+    void reclaim(FakeWorker worker) {
+        worker.setHung(true);
+        reclaimed.add(worker.id());
+    }
+
+    /** A machine stops by itself with all that runs on it, and is listed as failed. */
+    void fail(FakeWorker worker) {
+        worker.setHung(true);
+        failed.add(worker.id());
+    }
+
+    // ---- what happened ----
+
+    /** Rentals that were requested. */
+    int rentalCount() {
+        return rentals.size();
+    }
+
+    /** Machines that were rented. */
+    int rentedMachineCount() {
+        return rentals.values().stream().mapToInt(List::size).sum();
+    }
+
+    /** The machines that were returned, in the order of their return. */
+    List<MachineId> returnedMachines() {
+        return returned.stream().map(FakeWorker::id).toList();
+    }
+
+    List<MachineId> returnedMachinesOf(String zone) {
+        return returned.stream()
+                .filter(worker -> worker.zone().equals(zone))
+                .map(FakeWorker::id)
+                .toList();
+    }
+
+    // ---- the provider's interface ----
+
+    private <T> CompletableFuture<T> afterLatency(CompletableFuture<T> answer, Runnable work) {
+        cluster.loop()
+                .schedule(
+                        LATENCY,
+                        () -> {
+                            if (isOut) {
+                                answer.completeExceptionally(
+                                        new CloudProvider.RequestRefusedException("trouble"));
+                            } else {
+                                work.run();
+                            }
+                        });
+        return answer;
+    }
+
+    @Override
+    public CompletableFuture<List<MachineType>> listMachineTypes() {
+        CompletableFuture<List<MachineType>> answer = new CompletableFuture<>();
+        return afterLatency(
+                answer,
+                () -> answer.complete(List.of(SimulatedCluster.SMALL, SimulatedCluster.LARGE)));
+    }
+
+    @Override
+    public CompletableFuture<Optional<List<MachineId>>> rentMachines(
+            String request, String type, String zone, boolean spot, int count) {
+        CompletableFuture<Optional<List<MachineId>>> answer = new CompletableFuture<>();
+        return afterLatency(
+                answer,
+                () -> {
+                    List<MachineId> ids = rent(request, type, zone, count);
+                    // A machine that boots at once may send heartbeats before this response.
+                    cluster.loop()
+                            .schedule(
+                                    RENTAL_RESPONSE_DELAY,
+                                    () ->
+                                            answer.complete(
+                                                    ids.isEmpty()
+                                                            ? Optional.empty()
+                                                            : Optional.of(ids)));
+                });
+    }
+
+    private List<MachineId> rent(String request, String type, String zone, int count) {
+        assertTrue(!rentals.containsKey(request), "a rental's name was used twice: " + request);
+        List<MachineId> ids = new ArrayList<>();
+        while (ids.size() < count && cluster.workers().size() + ids.size() < maxMachines) {
+            MachineId id = cluster.nextMachineId();
+            ids.add(id);
+            rentedAt.put(id, cluster.loop().now());
+            if (bootFailuresLeft > 0) {
+                bootFailuresLeft--;
+            } else {
+                cluster.loop().schedule(bootTime, () -> cluster.boot(id, type, zone));
+            }
+        }
+        rentals.put(request, ids);
+        return ids;
+    }
+
+    @Override
+    public CompletableFuture<Void> releaseMachines(List<MachineId> machines) {
+        CompletableFuture<Void> answer = new CompletableFuture<>();
+        cluster.network().maybeDuplicate(() -> release(machines));
+        return afterLatency(
+                answer,
+                () -> {
+                    release(machines);
+                    answer.complete(null);
+                });
+    }
+
+    private void release(List<MachineId> machines) {
+        for (MachineId id : machines) {
+            FakeWorker worker = cluster.removeWorker(id);
+            if (worker != null) {
+                returned.add(worker);
+                worker.remove();
+            }
+        }
+    }
+
+    @Override
+    public CompletableFuture<List<ListedMachine>> listMachines() {
+        CompletableFuture<List<ListedMachine>> answer = new CompletableFuture<>();
+        return afterLatency(
+                answer,
+                () ->
+                        answer.complete(
+                                cluster.workers().stream()
+                                        .filter(this::isListed)
+                                        .map(this::listing)
+                                        .toList()));
+    }
+
+    private boolean isListed(FakeWorker worker) {
+        MonotonicTime since = rentedAt.get(worker.id());
+        return !reclaimed.contains(worker.id())
+                && (since == null
+                        || cluster.loop().now().elapsedSince(since).compareTo(listingDelay) > 0);
+    }
+
+    private ListedMachine listing(FakeWorker worker) {
+        return new ListedMachine(
+                worker.id(),
+                worker.id().value() + ":9000",
+                worker.type(),
+                worker.zone(),
+                false,
+                failed.contains(worker.id()) ? MachinePhase.FAILED : MachinePhase.RUNNING,
+                LISTED_AGE_SECONDS);
+    }
+}
--- /dev/null
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedNode.java
@@ -0,0 +1,284 @@
+package org.meadowhollow.simulation;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Random;
+import java.util.Set;
+import org.meadowhollow.coordination.ControllerNode;
+import org.meadowhollow.coordination.admission.AdmissionService;
+import org.meadowhollow.coordination.api.DeploymentSettings;
+import org.meadowhollow.coordination.reservation.ReservationService;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.MachineTypeCatalog;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.reservation.ReservationApi;
+import org.meadowhollow.protocol.tes.BearerTokens;
+import org.meadowhollow.protocol.tes.TesApi;
+
+/**
+ * One controller process with its connections, and the faults that affect it alone. A process that
+ * crashed and was started again has a new {@link ControllerNode}; the faults of its machine and its
+ * network stay. Not thread-safe: everything runs on the virtual event loop.
+ */
+final class SimulatedNode {
+    private final SimulatedCluster cluster;
+    private final int index;
+    private final String name;
+    private FakeStoreConnection storeConnection;
+
+    /** Null while no process runs. */
+    private ControllerNode controller;
+
+    private AdmissionService admissionService;
+    private TesApi tesApi;
+    private ReservationApi reservationApi;
+
+    /** The zones to and from whose workers nothing passes. */
+    private final Set<String> cutZones = new HashSet<>();
+
+    /** The work that fell due since the process was paused; null while it runs. */
+    private List<Runnable> deferredWork;
+
+    private Duration timerDelay = Duration.ZERO;
+    private boolean losesHeartbeats;
+    private boolean refusesPeers;
+    private boolean isPartitioned;
+    private boolean isPoweredOff;
+
+    SimulatedNode(SimulatedCluster cluster, int index) {
+        this.cluster = cluster;
+        this.index = index;
+        this.name = "n" + index;
+        start();
+    }
+
+    /** Starts a process that knows nothing of the ones before. */
+    void start() {
+        isPoweredOff = false;
+        storeConnection =
+                cluster.store()
+                        .connect()
+                        .deliverResponsesOn(this::runWhenResumed)
+                        .duplicateRequestsTo(cluster.network()::maybeDuplicate);
+        MachineTypeCatalog catalog = new MachineTypeCatalog();
+        DeploymentSettings settings = cluster.deploymentSettings(name);
+        EventLoop nodeLoop = new NodeEventLoop();
+        controller =
+                new ControllerNode(
+                        nodeLoop,
+                        storeConnection,
+                        new SimulatedWorkerGateway(cluster, this),
+                        cluster.cloud(),
+                        new SimulatedPeerGateway(cluster, this),
+                        settings,
+                        catalog,
+                        cluster.jobEventListeners(),
+                        cluster.reservationSettings(),
+                        cluster.standbySettings(),
+                        new Random(cluster.nextSeed()));
+        admissionService =
+                new AdmissionService(
+                        storeConnection,
+                        nodeLoop,
+                        catalog,
+                        settings,
+                        cluster.jobEventListeners(),
+                        controller::liveJobState);
+        tesApi =
+                new TesApi(
+                        admissionService,
+                        storeConnection,
+                        nodeLoop,
+                        settings,
+                        tesTokens(),
+                        cluster.traces(),
+                        new Random(cluster.nextSeed()));
+        reservationApi =
+                new ReservationApi(
+                        new ReservationService(
+                                storeConnection,
+                                nodeLoop,
+                                catalog,
+                                settings,
+                                cluster.reservationSettings().machineLimits()),
+                        reservationTokens());
+        controller.start();
+    }
+
+    private static BearerTokens tesTokens() {
+        // The SHA-256 of "secret", "other secret" and "reader".
+        return tokens(
+                "team=2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b",
+                "other=bd4106123e659e259c401119d0c7ef0a221df306a5a414b6fb6a579499962d26",
+                "*=3d0941964aa3ebdcb00ccef58b1bb399f9f898465e9886d5aec7f31090a0fb30");
+    }
+
+    private static BearerTokens reservationTokens() {
+        // The SHA-256 of "secret" and "reader".
+        return tokens(
+                "operator=2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b",
+                "*=3d0941964aa3ebdcb00ccef58b1bb399f9f898465e9886d5aec7f31090a0fb30");
+    }
+
+    private static BearerTokens tokens(String... lines) {
+        try {
+            return BearerTokens.parse(List.of(lines));
+        } catch (MalformedMessageException impossible) {
+            throw new AssertionError(impossible);
+        }
+    }
+
+    /** Ends the process without any farewell. */
+    void crash() {
+        storeConnection.close();
+        controller.close();
+        controller = null;
+    }
+
+    /** Cuts the power of the machine: the process ends, and no connection is refused. */
+    void losePower() {
+        isPoweredOff = true;
+        if (isRunning()) {
+            crash();
+        }
+    }
+
+    /** Stops the process from executing anything, while its clock goes on. */
+    void pause() {
+        deferredWork = new ArrayList<>();
+    }
+
+    void resume() {
+        List<Runnable> due = deferredWork;
+        deferredWork = null;
+        if (due != null) {
+            due.forEach(Runnable::run);
+        }
+    }
+
+    /** Runs work now, or once the process is resumed. */
+    void runWhenResumed(Runnable work) {
+        if (deferredWork == null) {
+            work.run();
+        } else {
+            deferredWork.add(work);
+        }
+    }
+
+    // ---- state ----
+
+    int index() {
+        return index;
+    }
+
+    String name() {
+        return name;
+    }
+
+    boolean isRunning() {
+        return controller != null;
+    }
+
+    boolean isPaused() {
+        return deferredWork != null;
+    }
+
+    /** Whether a process runs and executes what reaches it. */
+    boolean isResponsive() {
+        return isRunning() && !isPaused();
+    }
+
+    boolean isPoweredOff() {
+        return isPoweredOff;
+    }
+
+    /** The running process; null if there is none. */
+    ControllerNode controller() {
+        return controller;
+    }
+
+    FakeStoreConnection storeConnection() {
+        return storeConnection;
+    }
+
+    AdmissionService admissionService() {
+        return admissionService;
+    }
+
+    TesApi tesApi() {
+        return tesApi;
+    }
+
+    ReservationApi reservationApi() {
+        return reservationApi;
+    }
+
+    // ---- faults ----
+
+    void cutFromZone(String zone, boolean cut) {
+        if (cut) {
+            cutZones.add(zone);
+        } else {
+            cutZones.remove(zone);
+        }
+    }
+
+    /** Whether messages pass between this node and the workers of a zone. */
+    boolean reachesZone(String zone) {
+        return !cutZones.contains(zone);
+    }
+
+    /** Heartbeats to this node get lost, while its direct commands are answered. */
+    void loseHeartbeats(boolean lose) {
+        losesHeartbeats = lose;
+    }
+
+    boolean losesHeartbeats() {
+        return losesHeartbeats;
+    }
+
+    /** Delays each timer of the process, while heartbeats are handled in time. */
+    void delayTimers(Duration delay) {
+        timerDelay = delay;
+    }
+
+    /** Connections from the other nodes are refused. */
+    void refusePeers(boolean refuse) {
+        refusesPeers = refuse;
+    }
+
+    boolean refusesPeers() {
+        return refusesPeers;
+    }
+
+    /** Nothing passes between this node and the store or the other nodes. */
+    void partition(boolean partitioned) {
+        isPartitioned = partitioned;
+        storeConnection.refuseRequests(partitioned);
+    }
+
+    boolean isPartitioned() {
+        return isPartitioned;
+    }
+
+    /** The node's own timers: late on an overloaded node, and not executed on a paused one. */
+    private final class NodeEventLoop implements EventLoop {
+        @Override
+        public MonotonicTime now() {
+            return cluster.loop().now();
+        }
+
+        @Override
+        public long wallClockMillis() {
+            return cluster.loop().wallClockMillis();
+        }
+
+        @Override
+        public void schedule(Duration pause, Runnable work) {
+            cluster.loop().schedule(pause.plus(timerDelay), () -> runWhenResumed(work));
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedUsers.java
@@ -0,0 +1,351 @@
+package org.meadowhollow.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Random;
+import java.util.Set;
+import java.util.concurrent.CompletableFuture;
+import java.util.stream.IntStream;
+import org.meadowhollow.coordination.admission.AdmissionService;
+import org.meadowhollow.coordination.admission.AdmissionService.JobStatus;
+import org.meadowhollow.coordination.admission.AdmissionService.Phase;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.TaskId;
+import org.meadowhollow.protocol.Http;
+import org.meadowhollow.protocol.MessagePackCodec;
+import org.meadowhollow.protocol.jobs.JobApi;
+import org.meadowhollow.protocol.jobs.SubmissionCodec;
+
+/**
+ * The users of the native job API: they submit, poll and cancel jobs at any node, and have every
+ * answer checked by the {@link HistoryChecker}. Not thread-safe: everything runs on the virtual
+ * event loop; the methods that wait for an answer let virtual time pass.
+ */
+final class SimulatedUsers {
+    private static final int MAX_HUNG_MACHINES = 8;
+    private static final Duration POLL_INTERVAL = Duration.ofSeconds(5);
+    private static final int CANCELLATION_SPREAD_MILLIS = 200;
+    private static final int MAX_CANCELLATION_DELAY_MILLIS = 400;
+    private static final int POLLS_PER_NODE = 3;
+
+    private interface AdmissionRequest<T> {
+        CompletableFuture<T> send(AdmissionService admissionService);
+    }
+
+    private final SimulatedCluster cluster;
+    private final HistoryChecker historyChecker;
+
+    /** The phase in which each job was last polled at all nodes. */
+    private final Map<JobId, Phase> polledPhases = new HashMap<>();
+
+    private boolean pollsAllAfterAnswers;
+
+    /** Null unless jobs are cancelled at their completion. */
+    private Random cancelRandom;
+
+    private double cancelledShare;
+    private int asyncAnswerCount;
+    private int pollCount;
+
+    SimulatedUsers(SimulatedCluster cluster, HistoryChecker historyChecker) {
+        this.cluster = cluster;
+        this.historyChecker = historyChecker;
+    }
+
+    // ---- submissions ----
+
+    /**
+     * Submits a job and waits five seconds for the answer.
+     *
+     * @param runtime of its tasks; null if they run until they are cancelled
+     * @return whether it was accepted
+     */
+    boolean submit(int node, JobSpec spec, Duration runtime) {
+        recordSubmission(spec, runtime);
+        cluster.network().maybeDuplicate(() -> resubmitAsync(node, spec));
+        return await(node, admissionService -> submit(admissionService, spec)).isPresent();
+    }
+
+    /** Submits a job without waiting for the answer. */
+    CompletableFuture<Optional<JobStatus>> submitAsync(int node, JobSpec spec, Duration runtime) {
+        recordSubmission(spec, runtime);
+        return resubmitAsync(node, spec);
+    }
+
+    /** Submits a job once more, without waiting for the answer. */
+    CompletableFuture<Optional<JobStatus>> resubmitAsync(int node, JobSpec spec) {
+        return send(node, admissionService -> submit(admissionService, spec));
+    }
+
+    private void recordSubmission(JobSpec spec, Duration runtime) {
+        cluster.addJob(spec, runtime);
+        historyChecker.recordSubmission(spec.id());
+    }
+
+    private CompletableFuture<Optional<JobStatus>> submit(
+            AdmissionService admissionService, JobSpec spec) {
+        return checked(
+                spec.id(),
+                admissionService.submit(spec).thenApply(result -> Optional.of(result.status())));
+    }
+
+    /** Posts a body as a user does; the HTTP status, or 0 without an answer. */
+    int postSubmission(int node, Map<String, Object> body) {
+        return await(node, admissionService -> post(admissionService, body))
+                .map(Http.Reply::status)
+                .orElse(0);
+    }
+
+    private static CompletableFuture<Http.Reply> post(
+            AdmissionService admissionService, Map<String, Object> body) {
+        return new JobApi(admissionService).submit(MessagePackCodec.encode(body));
+    }
+
+    // ---- polls and cancellations ----
+
+    /** Polls a job and waits five seconds for the answer; empty if none comes. */
+    Optional<JobStatus> poll(int node, JobId id) {
+        return await(node, admissionService -> checked(id, admissionService.getStatus(id)))
+                .flatMap(status -> status);
+    }
+
+    /** Polls a job without waiting for the answer. */
+    void pollAsync(int node, JobId id) {
+        CompletableFuture<Void> unused =
+                send(
+                        node,
+                        admissionService ->
+                                checked(id, admissionService.getStatus(id))
+                                        .thenAccept(status -> asyncAnswerCount++));
+    }
+
+    /** Answers to {@link #pollAsync}. */
+    int asyncAnswerCount() {
+        return asyncAnswerCount;
+    }
+
+    /** Cancels a job and waits five seconds for the answer; false if none comes. */
+    boolean cancel(int node, JobId id) {
+        historyChecker.recordCancelRequest(id);
+        cluster.network().maybeDuplicate(() -> cancelAsync(node, id));
+        return await(node, admissionService -> checked(id, admissionService.cancel(id)))
+                .isPresent();
+    }
+
+    /** Cancels a job without waiting for the answer. */
+    CompletableFuture<Optional<JobStatus>> cancelAsync(int node, JobId id) {
+        historyChecker.recordCancelRequest(id);
+        return send(node, admissionService -> checked(id, admissionService.cancel(id)));
+    }
+
+    /**
+     * Users cancel jobs within a fifth of a second, each at the next node, while up to eight
+     * machines that run them hang for a time.
+     */
+    void cancelDuringHang(List<JobSpec> jobs, Duration hang) {
+        Set<FakeWorker> running = new HashSet<>();
+        for (int at = 0; at < jobs.size(); at++) {
+            JobSpec job = jobs.get(at);
+            int node = at % cluster.nodeCount();
+            cluster.loop()
+                    .schedule(
+                            Duration.ofMillis((long) CANCELLATION_SPREAD_MILLIS * at / jobs.size()),
+                            () -> cancelAsync(node, job.id()));
+            cluster.workers().stream()
+                    .filter(worker -> runsTaskOf(worker, job.id()))
+                    .forEach(running::add);
+        }
+        running.stream()
+                .limit(hang.isZero() ? 0 : MAX_HUNG_MACHINES)
+                .forEach(
+                        worker -> {
+                            worker.setHung(true);
+                            cluster.loop().schedule(hang, () -> worker.setHung(false));
+                        });
+    }
+
+    /** A share of the jobs is cancelled at the moment of its completion; share 0 ends it. */
+    void cancelAtCompletion(double share, long seed) {
+        cancelRandom = share == 0 ? null : new Random(seed);
+        cancelledShare = share;
+    }
+
+    /** A task has completed on its machine; its job may be cancelled at the same moment. */
+    void onTaskCompleted(JobSpec spec) {
+        boolean ends =
+                spec.kind() == JobKind.GANG
+                        || !historyChecker.isReportedEnded(spec.id())
+                                && IntStream.range(0, spec.taskCount())
+                                        .mapToObj(task -> new TaskId(spec.id(), task))
+                                        .allMatch(historyChecker::isCompleted);
+        if (ends && cancelRandom != null && cancelRandom.nextDouble() < cancelledShare) {
+            int node = cancelRandom.nextInt(cluster.nodeCount());
+            cluster.loop()
+                    .schedule(
+                            Duration.ofMillis(cancelRandom.nextInt(MAX_CANCELLATION_DELAY_MILLIS)),
+                            () -> cancelAsync(node, spec.id()));
+        }
+    }
+
+    /** Jobs of which tasks run, and that no user was told to have ended. */
+    List<JobSpec> runningJobs() {
+        return cluster.knownJobs().stream()
+                .filter(
+                        spec ->
+                                !historyChecker.isReportedEnded(spec.id())
+                                        && cluster.workers().stream()
+                                                .anyMatch(worker -> runsTaskOf(worker, spec.id())))
+                .toList();
+    }
+
+    private static boolean runsTaskOf(FakeWorker worker, JobId job) {
+        return worker.runningTasks().stream().anyMatch(task -> task.jobId().equals(job));
+    }
+
+    // ---- polls at all nodes ----
+
+    /**
+     * Whenever users are told a job's phase, they poll it at all nodes within milliseconds, and
+     * repeat its submission.
+     */
+    void pollAllAfterAnswers(boolean poll) {
+        pollsAllAfterAnswers = poll;
+    }
+
+    private void pollAtAllNodes(JobId id, Phase phase) {
+        if (phase == polledPhases.put(id, phase)) {
+            return;
+        }
+        for (int node = 0; node < cluster.nodeCount(); node++) {
+            int target = node;
+            for (int time = 1; time <= POLLS_PER_NODE; time++) {
+                cluster.loop()
+                        .schedule(Duration.ofMillis(2L * time + node), () -> pollAsync(target, id));
+            }
+            cluster.loop()
+                    .schedule(
+                            Duration.ofMillis(3 + node),
+                            () -> resubmitAsync(target, cluster.spec(id)));
+        }
+    }
+
+    /** Polls every unfinished job at alternating nodes from now on. */
+    void pollUnfinishedJobs() {
+        historyChecker.unfinished().forEach(id -> pollAsync(pollCount++ % cluster.nodeCount(), id));
+        cluster.loop().schedule(POLL_INTERVAL, this::pollUnfinishedJobs);
+    }
+
+    // ---- unusual requests ----
+
+    /**
+     * A user repeats a submission, cancels a job that has ended, or submits one that cannot run or
+     * lacks a field.
+     */
+    void sendUnusualRequest(Random random) {
+        int node = random.nextInt(cluster.nodeCount());
+        List<JobSpec> known = cluster.knownJobs();
+        if (known.isEmpty()) {
+            return;
+        }
+        JobSpec job = known.get(random.nextInt(known.size()));
+        switch (random.nextInt(5)) {
+            case 0, 1 -> resubmitAsync(node, job);
+            case 2 -> {
+                if (historyChecker.isReportedEnded(job.id())) {
+                    cancelAsync(node, job.id());
+                }
+            }
+            case 3 -> postUnschedulable(node, random);
+            default -> postIncomplete(node, random);
+        }
+    }
+
+    private void postUnschedulable(int node, Random random) {
+        JobSpec tooLarge =
+                SimulatedCluster.spec(900_000 + random.nextInt(1000), JobKind.ARRAY, 1, 9);
+        expectRejection(node, 422, SubmissionCodec.encode(tooLarge));
+    }
+
+    private void postIncomplete(int node, Random random) {
+        Map<String, Object> body =
+                new HashMap<>(
+                        SubmissionCodec.encode(
+                                SimulatedCluster.spec(910_000, JobKind.ARRAY, 1, 1)));
+        List<String> needed =
+                body.keySet().stream().filter(key -> body.get(key) != null).sorted().toList();
+        body.remove(needed.get(random.nextInt(needed.size())));
+        expectRejection(node, 400, body);
+    }
+
+    private void expectRejection(int node, int status, Map<String, Object> body) {
+        CompletableFuture<Void> unused =
+                send(
+                        node,
+                        admissionService ->
+                                post(admissionService, body)
+                                        .thenAccept(reply -> checkRejection(reply, status)));
+    }
+
+    private void checkRejection(Http.Reply reply, int status) {
+        cluster.recordViolations(
+                () ->
+                        assertTrue(
+                                reply.status() == status || reply.status() == 503,
+                                "wrongly answered " + reply.status()));
+    }
+
+    // ---- sending ----
+
+    /** Checks an answer against what was answered before its request was sent. */
+    private CompletableFuture<Optional<JobStatus>> checked(
+            JobId id, CompletableFuture<Optional<JobStatus>> answer) {
+        MonotonicTime sentAt = cluster.loop().now();
+        CompletableFuture<Void> unused =
+                answer.thenAccept(
+                        status ->
+                                cluster.recordViolations(
+                                        () ->
+                                                check(
+                                                        id,
+                                                        status.map(JobStatus::phase).orElse(null),
+                                                        sentAt)));
+        return answer;
+    }
+
+    private void check(JobId id, Phase phase, MonotonicTime sentAt) {
+        historyChecker.checkAnswer(id, phase, sentAt, cluster.loop().now());
+        if (pollsAllAfterAnswers && phase != null) {
+            pollAtAllNodes(id, phase);
+        }
+    }
+
+    /** Sends a request without waiting; it fails where no process answers. */
+    private <T> CompletableFuture<T> send(int index, AdmissionRequest<T> request) {
+        SimulatedNode node = cluster.nodes().get(index);
+        return node.isResponsive()
+                ? request.send(node.admissionService())
+                : CompletableFuture.failedFuture(new IllegalStateException("down"));
+    }
+
+    /** Waits five seconds for an answer; empty if none or an error comes. */
+    private <T> Optional<T> await(int index, AdmissionRequest<T> request) {
+        SimulatedNode node = cluster.nodes().get(index);
+        if (!node.isResponsive()) {
+            return Optional.empty();
+        }
+        CompletableFuture<T> answer = request.send(node.admissionService());
+        cluster.runUntilAnswered(answer);
+        return answer.isDone() && !answer.isCompletedExceptionally()
+                ? Optional.of(answer.join())
+                : Optional.empty();
+    }
+}
--- /dev/null
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedWorkerGateway.java
@@ -0,0 +1,87 @@
+package org.meadowhollow.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.time.Duration;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import org.meadowhollow.coordination.ControllerNode;
+import org.meadowhollow.coordination.api.WorkerGateway;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.Heartbeat;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.WorkerCommand;
+import org.meadowhollow.model.WorkerIncarnation;
+
+/** The direct commands that one simulated node sends to workers. */
+final class SimulatedWorkerGateway implements WorkerGateway {
+    private static final Duration ROUND_TRIP = Duration.ofMillis(5);
+
+    private final SimulatedCluster cluster;
+    private final SimulatedNode sender;
+
+    SimulatedWorkerGateway(SimulatedCluster cluster, SimulatedNode sender) {
+        this.cluster = cluster;
+        this.sender = sender;
+    }
+
+    @Override
+    public CompletableFuture<Heartbeat> sendCommands(
+            String address,
+            FencingToken token,
+            WorkerIncarnation incarnation,
+            List<WorkerCommand> commands) {
+        for (WorkerCommand command : commands) {
+            assertTrue(
+                    command.action() != WorkerCommand.Action.START,
+                    "a start went out directly: " + command);
+        }
+        MachineId machine = new MachineId(address.substring(0, address.indexOf(':')));
+        Runnable blindDelivery =
+                () -> {
+                    FakeWorker worker = cluster.worker(machine);
+                    if (worker != null) {
+                        worker.handleDirectCommands(token, incarnation, commands);
+                    }
+                };
+        SimulatedNetwork network = cluster.network();
+        network.countDirectMessage();
+        network.maybeDuplicate(blindDelivery);
+        CompletableFuture<Heartbeat> answer = new CompletableFuture<>();
+        ControllerNode sendingProcess = sender.controller();
+        if (network.holdsCommands() && !commands.isEmpty()) {
+            network.hold(blindDelivery);
+            return answer;
+        }
+        cluster.loop()
+                .schedule(
+                        ROUND_TRIP,
+                        () -> {
+                            FakeWorker worker = cluster.worker(machine);
+                            Heartbeat heartbeat =
+                                    isReachable(worker)
+                                            ? worker.handleDirectCommands(
+                                                    token, incarnation, commands)
+                                            : null;
+                            sender.runWhenResumed(
+                                    () -> complete(answer, heartbeat, sendingProcess));
+                        });
+        return answer;
+    }
+
+    private boolean isReachable(FakeWorker worker) {
+        return worker != null
+                && sender.reachesZone(worker.zone())
+                && worker.reaches(sender.index());
+    }
+
+    /** Delivers an answer, unless the process that asked has ended since. */
+    private void complete(
+            CompletableFuture<Heartbeat> answer, Heartbeat heartbeat, ControllerNode process) {
+        if (heartbeat != null && sender.controller() == process) {
+            answer.complete(heartbeat);
+        } else {
+            answer.completeExceptionally(new IllegalStateException("no answer"));
+        }
+    }
+}
