--- a/src/test/java/org/meadowhollow/simulation/StaleHeartbeatScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/StaleHeartbeatScenarioTest.java
@@ -30,9 +30,9 @@
         cluster.withTeam("team", 0, 6);
         JobSpec running = SimulatedCluster.spec(1, JobKind.SERVICE, 6, 1);
         JobSpec next = SimulatedCluster.spec(2, JobKind.ARRAY, 6, 1);
-        assertTrue(cluster.submit(0, running, null));
+        assertTrue(cluster.users().submit(0, running, null));
         cluster.runSeconds(10);
-        assertTrue(cluster.submit(1, next, LONG_RUNTIME));
+        assertTrue(cluster.users().submit(1, next, LONG_RUNTIME));
         cluster.crashAll();
         cluster.runSeconds(25);
         assertEquals(6, cluster.startCount());
@@ -56,9 +56,9 @@
     @Test
     void retractedExitIsNoProofForNextLeader() {
         cluster.withTeam("team", 0, 24);
-        cluster.imagePullTime(Duration.ofSeconds(30));
+        cluster.setImagePullTime(Duration.ofSeconds(30));
         JobSpec gang = SimulatedCluster.spec(1, JobKind.GANG, 3, 8);
-        assertTrue(cluster.submit(0, gang, HOURS_RUNTIME));
+        assertTrue(cluster.users().submit(0, gang, HOURS_RUNTIME));
         cluster.runSeconds(10);
         TaskId first = new TaskId(gang.id(), 0);
         FakeWorker worker =
@@ -67,32 +67,33 @@
                         .findFirst()
                         .orElseThrow();
         assertTrue(
-                cluster.submit(
-                        0,
-                        withTeam(SimulatedCluster.spec(3, JobKind.SERVICE, 3, 4), "other"),
-                        null),
+                cluster.users()
+                        .submit(
+                                0,
+                                withTeam(SimulatedCluster.spec(3, JobKind.SERVICE, 3, 4), "other"),
+                                null),
                 "keeps the other machines");
         worker.exitForGangTimeout(first);
-        cluster.keepHeartbeatForNextLeader(worker);
+        cluster.network().keepHeartbeatForNextLeader(worker);
         cluster.runSeconds(60);
         assertEquals(worker, machineRunning(gang, 0), "it was started again in the same attempt");
         JobSpec next = array(2, 24);
-        assertTrue(cluster.submit(1, next, HOURS_RUNTIME));
-        cluster.imagePullTime(Duration.ofSeconds(1));
-        cluster.failCloud(true);
+        assertTrue(cluster.users().submit(1, next, HOURS_RUNTIME));
+        cluster.setImagePullTime(Duration.ofSeconds(1));
+        cluster.cloud().setOutage(true);
         worker.setHung(true);
         int leader = cluster.leader();
         cluster.crash(leader);
-        assertTrue(cluster.cancel((leader + 1) % 3, gang.id()));
+        assertTrue(cluster.users().cancel((leader + 1) % 3, gang.id()));
         cluster.runSeconds(12);
         assertTrue(
-                cluster.deliveredToNextLeaderCount() > 0
+                cluster.network().deliveredToNextLeaderCount() > 0
                         && cluster.leader() != leader
                         && cluster.leader() >= 0);
         assertEquals(worker, machineRunning(gang, 0), "it may go on at any time");
         // The judge of the limit watches from here on.
         cluster.runSeconds(10);
-        cluster.failCloud(false);
+        cluster.cloud().setOutage(false);
         cluster.runSeconds(60);
         assertTrue(allTasksRunning(next), "nobody waits for it for ever");
     }
@@ -103,11 +104,11 @@
      */
     @Test
     void exitInEarlierIncarnationDoesNotEndSameAttemptInNext() {
-        cluster.imagePullTime(Duration.ofSeconds(40));
+        cluster.setImagePullTime(Duration.ofSeconds(40));
         JobSpec gang = SimulatedCluster.spec(1, JobKind.GANG, 6, 8);
-        assertTrue(cluster.submit(0, gang, HOURS_RUNTIME));
+        assertTrue(cluster.users().submit(0, gang, HOURS_RUNTIME));
         cluster.runSeconds(8);
-        cluster.failCloud(true);
+        cluster.cloud().setOutage(true);
         TaskId first = new TaskId(gang.id(), 0);
         FakeWorker worker =
                 cluster.workers().stream()
@@ -115,22 +116,22 @@
                         .findFirst()
                         .orElseThrow();
         worker.failTask(first);
-        cluster.keepHeartbeatForNextLeader(worker);
+        cluster.network().keepHeartbeatForNextLeader(worker);
         worker.setHung(true);
         cluster.runSeconds(22);
-        cluster.imagePullTime(Duration.ofSeconds(10));
+        cluster.setImagePullTime(Duration.ofSeconds(10));
         worker.setHung(false);
         cluster.runSeconds(40);
         assertTrue(allTasksRunning(gang));
         assertEquals(1, worker.attemptOf(first).value());
         assertEquals(new WorkerIncarnation(2), worker.incarnation());
         worker.setHung(true);
-        cluster.failCloud(false);
+        cluster.cloud().setOutage(false);
         cluster.addMachine(SimulatedCluster.LARGE, "b");
-        cluster.imagePullTime(Duration.ofSeconds(1));
+        cluster.setImagePullTime(Duration.ofSeconds(1));
         cluster.crash(cluster.leader());
         cluster.runSeconds(14);
-        assertTrue(cluster.deliveredToNextLeaderCount() > 0);
+        assertTrue(cluster.network().deliveredToNextLeaderCount() > 0);
         worker.setHung(false);
         cluster.runSeconds(30);
         assertTrue(allTasksRunning(gang));
@@ -146,19 +147,19 @@
     @Test
     void staleHeartbeatWithoutTaskIsNoProofThatItNeverStarts() {
         cluster.withTeam("team", 0, 12);
-        cluster.workers().forEach(cluster::keepHeartbeatForNextLeader);
+        cluster.workers().forEach(cluster.network()::keepHeartbeatForNextLeader);
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 12, 1);
-        assertTrue(cluster.submit(0, job, null));
+        assertTrue(cluster.users().submit(0, job, null));
         cluster.runSeconds(10);
         List<FakeWorker> silent = cluster.workers().subList(0, 3);
         silent.forEach(worker -> worker.setHung(true));
-        cluster.failCloud(true);
+        cluster.cloud().setOutage(true);
         int leader = cluster.leader();
         cluster.crash(leader);
-        assertTrue(cluster.cancel(nodeAfter(leader, 1), job.id()));
-        assertTrue(cluster.submit(nodeAfter(leader, 1), array(2, 12), LONG_RUNTIME));
+        assertTrue(cluster.users().cancel(nodeAfter(leader, 1), job.id()));
+        assertTrue(cluster.users().submit(nodeAfter(leader, 1), array(2, 12), LONG_RUNTIME));
         cluster.runSeconds(11);
-        assertTrue(cluster.deliveredToNextLeaderCount() > 0);
+        assertTrue(cluster.network().deliveredToNextLeaderCount() > 0);
         assertTrue(
                 silent.stream().anyMatch(worker -> !worker.runningTasks().isEmpty()),
                 "they may go on at any time");
@@ -180,7 +181,7 @@
                 withTypes(
                         withTeam(SimulatedCluster.spec(2, JobKind.SERVICE, 1, 2), "other"),
                         List.of("small"));
-        assertTrue(cluster.submit(0, fills, null));
+        assertTrue(cluster.users().submit(0, fills, null));
         cluster.runSeconds(10);
         assertEquals(first, machineRunning(fills, 0));
         FakeWorker worker = cluster.addMachine(SimulatedCluster.SMALL, "a");
@@ -195,14 +196,14 @@
         cluster.crash(leader);
         cluster.runSeconds(12);
         JobSpec job = withTypes(SimulatedCluster.spec(1, JobKind.SERVICE, 1, 1), List.of("small"));
-        assertTrue(cluster.submit(cluster.leader(), job, null));
+        assertTrue(cluster.users().submit(cluster.leader(), job, null));
         cluster.runSeconds(8);
         assertEquals(worker, machineRunning(job, 0), "in the first session of its new life");
         // From now on the first machine has room, and would come first.
-        assertTrue(cluster.cancel(cluster.leader(), fills.id()));
+        assertTrue(cluster.users().cancel(cluster.leader(), fills.id()));
         cluster.runSeconds(3);
         worker.setHung(true);
-        cluster.deliverHeartbeat(cluster.leader(), former);
+        cluster.network().deliverHeartbeat(cluster.leader(), former);
         cluster.runSeconds(8);
         assertEquals(worker, machineRunning(job, 0), "it may go on at any time");
         worker.setHung(false);
@@ -220,12 +221,12 @@
     void staleHeartbeatReachesEveryControllerAsLeadershipBegins(String when) {
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 6, 1);
         if (when.equals("before the start")) {
-            cluster.workers().forEach(cluster::keepHeartbeatForNextLeader);
+            cluster.workers().forEach(cluster.network()::keepHeartbeatForNextLeader);
         }
-        assertTrue(cluster.submit(0, job, null));
+        assertTrue(cluster.users().submit(0, job, null));
         cluster.runSeconds(10);
         if (!when.equals("before the start")) {
-            cluster.workers().forEach(cluster::keepHeartbeatForNextLeader);
+            cluster.workers().forEach(cluster.network()::keepHeartbeatForNextLeader);
         }
         if (when.equals("of an earlier session")) {
             cluster.workers().forEach(worker -> worker.setHung(true));
@@ -237,10 +238,10 @@
         int leader = cluster.leader();
         cluster.crash(leader);
         cluster.runSeconds(25);
-        assertTrue(cluster.deliveredToNextLeaderCount() > 0);
+        assertTrue(cluster.network().deliveredToNextLeaderCount() > 0);
         assertFalse(cluster.leader() == leader);
         assertEquals(starts, cluster.startCount(), "what runs goes on where it is");
-        assertTrue(cluster.cancel(cluster.leader(), job.id()));
+        assertTrue(cluster.users().cancel(cluster.leader(), job.id()));
         cluster.runSeconds(8);
         assertTrue(
                 cluster.workers().stream().allMatch(worker -> worker.runningTasks().isEmpty()),
@@ -255,18 +256,19 @@
     @Test
     void staleHeartbeatsOfReturnedMachinesDelayNothing() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 2, 8);
-        assertTrue(cluster.submit(0, job, LONG_RUNTIME));
+        assertTrue(cluster.users().submit(0, job, LONG_RUNTIME));
         cluster.runSeconds(10);
         assertTrue(
-                cluster.submit(
-                        0,
-                        withTeam(SimulatedCluster.spec(2, JobKind.SERVICE, 4, 8), "other"),
-                        null),
+                cluster.users()
+                        .submit(
+                                0,
+                                withTeam(SimulatedCluster.spec(2, JobKind.SERVICE, 4, 8), "other"),
+                                null),
                 "fills the other machines");
         cluster.runSeconds(10);
         List<FakeWorker> gone = List.of(machineRunning(job, 0), machineRunning(job, 1));
         removeMachinesAndReplayHeartbeats(gone);
-        assertTrue(cluster.deliveredToNextLeaderCount() > 0);
+        assertTrue(cluster.network().deliveredToNextLeaderCount() > 0);
         cluster.addMachine(SimulatedCluster.LARGE, "a");
         cluster.addMachine(SimulatedCluster.LARGE, "b");
         cluster.beginFaultFreePhase();
@@ -280,11 +282,11 @@
      * by old reports first.
      */
     private void removeMachinesAndReplayHeartbeats(List<FakeWorker> gone) {
-        cluster.failCloud(true);
+        cluster.cloud().setOutage(true);
         gone.forEach(
                 worker -> {
-                    cluster.keepHeartbeatForNextLeader(worker);
-                    cluster.reclaimMachine(worker);
+                    cluster.network().keepHeartbeatForNextLeader(worker);
+                    cluster.cloud().reclaim(worker);
                 });
         cluster.runSeconds(30);
         cluster.crash(cluster.leader());
@@ -299,8 +301,8 @@
         cluster.runSeconds(10);
         removeMachinesAndReplayHeartbeats(
                 cluster.workers().stream().filter(worker -> worker.zone().equals("a")).toList());
-        assertTrue(cluster.deliveredToNextLeaderCount() > 0);
-        cluster.failCloud(false);
+        assertTrue(cluster.network().deliveredToNextLeaderCount() > 0);
+        cluster.cloud().setOutage(false);
         int leader = cluster.leader();
         long term = cluster.fencingToken();
         cluster.runSeconds(60);
--- a/src/test/java/org/meadowhollow/simulation/TesFuzzTest.java
+++ b/src/test/java/org/meadowhollow/simulation/TesFuzzTest.java
@@ -203,7 +203,8 @@
 
     private Http.Reply ask(
             String method, String path, Map<String, List<String>> query, byte[] body) {
-        Http.Reply reply = cluster.sendTesRequest(0, "secret", method, path, query, Map.of(), body);
+        Http.Reply reply =
+                cluster.clients().sendTesRequest(0, "secret", method, path, query, Map.of(), body);
         assertNotNull(reply, "no answer");
         return reply;
     }
@@ -337,7 +338,8 @@
         }
         Map<String, String> headers = new HashMap<>(Map.of("Authorization", one));
         Http.Reply reply =
-                cluster.sendTesRequest(0, null, "GET", "/tasks", Map.of(), headers, new byte[0]);
+                cluster.clients()
+                        .sendTesRequest(0, null, "GET", "/tasks", Map.of(), headers, new byte[0]);
         assertEquals(401, reply.status(), "nobody guesses a token");
         try {
             assertTrue(
@@ -369,14 +371,15 @@
         Arrays.setAll(
                 replies,
                 at ->
-                        cluster.sendTesRequest(
-                                at,
-                                "secret",
-                                "POST",
-                                "/tasks",
-                                Map.of(),
-                                Map.of("Idempotency-Key", key),
-                                body));
+                        cluster.clients()
+                                .sendTesRequest(
+                                        at,
+                                        "secret",
+                                        "POST",
+                                        "/tasks",
+                                        Map.of(),
+                                        Map.of("Idempotency-Key", key),
+                                        body));
         assertEquals(replies[0].status(), replies[1].status());
         assertTrue(Set.of(200, 400).contains(replies[0].status()));
         if (replies[0].status() == 200) {
--- a/src/test/java/org/meadowhollow/simulation/TesScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/TesScenarioTest.java
@@ -39,18 +39,19 @@
              "resources": {"cpu_cores": 1, "ram_gb": 4, "backend_parameters": {"gpus": "1" %s}}}""";
 
     private Http.Reply create(int node, String body, String key) {
-        return cluster.sendTesRequest(
-                node,
-                "secret",
-                "POST",
-                "/tasks",
-                Map.of(),
-                key == null ? Map.of() : Map.of("Idempotency-Key", key),
-                body);
+        return cluster.clients()
+                .sendTesRequest(
+                        node,
+                        "secret",
+                        "POST",
+                        "/tasks",
+                        Map.of(),
+                        key == null ? Map.of() : Map.of("Idempotency-Key", key),
+                        body);
     }
 
     private Http.Reply ask(int node, String method, String path, Map<String, List<String>> query) {
-        return cluster.sendTesRequest(node, "secret", method, path, query, Map.of(), "");
+        return cluster.clients().sendTesRequest(node, "secret", method, path, query, Map.of(), "");
     }
 
     private static Map<String, Object> body(Http.Reply reply) {
@@ -128,7 +129,7 @@
 
     @Test
     void imagePullIsReportedAsInitializing() {
-        cluster.imagePullTime(Duration.ofSeconds(20));
+        cluster.setImagePullTime(Duration.ofSeconds(20));
         String id = createTask(SHORT_RUNTIME);
         cluster.runSeconds(8);
         assertEquals("INITIALIZING", state(1, id));
@@ -140,7 +141,7 @@
     void cancelledTaskNeverRunsAfterwards() {
         // Nothing has room: cancelled while it waits.
         cluster.workers().forEach(worker -> worker.setHung(true));
-        cluster.failCloud(true);
+        cluster.cloud().setOutage(true);
         cluster.runSeconds(10);
         String waiting = createTask(LONG_RUNTIME);
         body(ask(1, "POST", "/tasks/" + waiting + ":cancel", Map.of()));
@@ -160,7 +161,7 @@
         assertEquals("CANCELED", state(0, unsent));
         assertEquals(0, cluster.startCount());
         // Its image is on the way.
-        cluster.imagePullTime(Duration.ofSeconds(40));
+        cluster.setImagePullTime(Duration.ofSeconds(40));
         String fetching = createTask(LONG_RUNTIME);
         cluster.runSeconds(6);
         assertEquals("INITIALIZING", state(0, fetching));
@@ -212,7 +213,7 @@
     @Test
     void lateCancellationKeepsAttemptsInLog() throws MalformedMessageException {
         cluster.workers().forEach(worker -> worker.setHung(true));
-        cluster.failCloud(true);
+        cluster.cloud().setOutage(true);
         cluster.runSeconds(10);
         String id = createTask(LONG_RUNTIME);
         // It reads the entry before the task has a place, and writes after.
@@ -243,18 +244,20 @@
     @Test
     void cancellationAfterCompletionHasNoEffect() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 1, 1);
-        assertTrue(cluster.submit(0, job, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(0, job, SHORT_RUNTIME));
         String id = createTask(SHORT_RUNTIME);
         cluster.runSeconds(6);
         int other = (cluster.leader() + 1) % 3;
         cluster.storeConnection(other).holdCommits();
-        assertFalse(cluster.cancel(other, job.id()));
+        assertFalse(cluster.users().cancel(other, job.id()));
         ask(other, "POST", "/tasks/" + id + ":cancel", Map.of());
         cluster.runSeconds(20);
         cluster.storeConnection(other).holdRequests(false);
         cluster.runSeconds(10);
         assertEquals("COMPLETE", state(0, id));
-        assertEquals(AdmissionService.Phase.DONE, cluster.poll(0, job.id()).orElseThrow().phase());
+        assertEquals(
+                AdmissionService.Phase.DONE,
+                cluster.users().poll(0, job.id()).orElseThrow().phase());
         assertEquals(
                 0,
                 cluster.store().recordCount(RecordCodec.JOB_PREFIX),
@@ -343,16 +346,19 @@
         String id = createTask(LONG_RUNTIME);
         assertEquals(
                 401,
-                cluster.sendTesRequest(0, "wrong", "GET", "/tasks/" + id, Map.of(), Map.of(), "")
+                cluster.clients()
+                        .sendTesRequest(0, "wrong", "GET", "/tasks/" + id, Map.of(), Map.of(), "")
                         .status());
         assertEquals(
                 403,
-                cluster.sendTesRequest(
+                cluster.clients()
+                        .sendTesRequest(
                                 0, "other secret", "GET", "/tasks/" + id, Map.of(), Map.of(), "")
                         .status());
         assertEquals(
                 403,
-                cluster.sendTesRequest(
+                cluster.clients()
+                        .sendTesRequest(
                                 0,
                                 "other secret",
                                 "POST",
@@ -363,11 +369,13 @@
                         .status());
         assertEquals(
                 200,
-                cluster.sendTesRequest(0, "reader", "GET", "/tasks/" + id, Map.of(), Map.of(), "")
+                cluster.clients()
+                        .sendTesRequest(0, "reader", "GET", "/tasks/" + id, Map.of(), Map.of(), "")
                         .status());
         assertEquals(
                 403,
-                cluster.sendTesRequest(
+                cluster.clients()
+                        .sendTesRequest(
                                 0,
                                 "reader",
                                 "POST",
@@ -377,7 +385,8 @@
                                 "")
                         .status());
         Http.Reply others =
-                cluster.sendTesRequest(1, "other secret", "GET", "/tasks", Map.of(), Map.of(), "");
+                cluster.clients()
+                        .sendTesRequest(1, "other secret", "GET", "/tasks", Map.of(), Map.of(), "");
         assertEquals(List.of(), body(others).get("tasks"));
         assertEquals(
                 404, ask(0, "GET", "/tasks/tes-00000000000000000000000000", Map.of()).status());
@@ -529,8 +538,9 @@
         List<CompletableFuture<Http.Reply>> lists = new ArrayList<>();
         for (int at = 0; at < 6; at++) {
             lists.add(
-                    cluster.sendTesRequestAsync(
-                            0, "secret", "GET", "/tasks", Map.of(), Map.of(), new byte[0]));
+                    cluster.clients()
+                            .sendTesRequestAsync(
+                                    0, "secret", "GET", "/tasks", Map.of(), Map.of(), new byte[0]));
         }
         assertEquals(
                 List.of(503, 503),
@@ -646,7 +656,7 @@
         List<JobId> came = new ArrayList<>();
         for (int at = 1; at <= 6; at++) {
             JobSpec job = SimulatedCluster.spec(at, JobKind.ARRAY, 2, 1);
-            assertTrue(cluster.submit(at % 3, job, SHORT_RUNTIME));
+            assertTrue(cluster.users().submit(at % 3, job, SHORT_RUNTIME));
             came.add(job.id());
             came.add(new JobId(createTask(SHORT_RUNTIME)));
         }
@@ -685,14 +695,15 @@
     private String createTracedTask(String parameters, Duration runs) {
         String id =
                 (String)
-                        body(cluster.sendTesRequest(
-                                        0,
-                                        "secret",
-                                        "POST",
-                                        "/tasks",
-                                        Map.of(),
-                                        Map.of("traceparent", "ctx"),
-                                        TASK.formatted("traced", "1", parameters)))
+                        body(cluster.clients()
+                                        .sendTesRequest(
+                                                0,
+                                                "secret",
+                                                "POST",
+                                                "/tasks",
+                                                Map.of(),
+                                                Map.of("traceparent", "ctx"),
+                                                TASK.formatted("traced", "1", parameters)))
                                 .get("id");
         cluster.setRuntime(new JobId(id), runs);
         return id;
@@ -801,24 +812,29 @@
         cluster.withTeam("other", 2, 0);
         for (int at = 1; at <= 40; at++) {
             assertTrue(
-                    cluster.submit(
-                            0, SimulatedCluster.spec(at, JobKind.ARRAY, 2, 1), LONG_RUNTIME));
+                    cluster.users()
+                            .submit(
+                                    0,
+                                    SimulatedCluster.spec(at, JobKind.ARRAY, 2, 1),
+                                    LONG_RUNTIME));
         }
-        cluster.failCloud(true);
+        cluster.cloud().setOutage(true);
         // All machines that were rented are up, and full.
         cluster.runSeconds(20);
         long before =
                 cluster.workers().stream().mapToLong(worker -> worker.runningTasks().size()).sum();
         String id =
                 (String)
-                        body(cluster.sendTesRequest(
-                                        0,
-                                        "other secret",
-                                        "POST",
-                                        "/tasks",
-                                        Map.of(),
-                                        Map.of(),
-                                        TASK.formatted("first", "1", ", \"save_s\": \"1\"")))
+                        body(cluster.clients()
+                                        .sendTesRequest(
+                                                0,
+                                                "other secret",
+                                                "POST",
+                                                "/tasks",
+                                                Map.of(),
+                                                Map.of(),
+                                                TASK.formatted(
+                                                        "first", "1", ", \"save_s\": \"1\"")))
                                 .get("id");
         cluster.setRuntime(new JobId(id), LONG_RUNTIME);
         cluster.runSeconds(40);
@@ -829,8 +845,9 @@
                                         .mapToLong(worker -> worker.runningTasks().size())
                                         .sum());
         Http.Reply reply =
-                cluster.sendTesRequest(
-                        1, "other secret", "GET", "/tasks/" + id, Map.of(), Map.of(), "");
+                cluster.clients()
+                        .sendTesRequest(
+                                1, "other secret", "GET", "/tasks/" + id, Map.of(), Map.of(), "");
         assertEquals(
                 "RUNNING",
                 body(reply).get("state"),
--- a/src/test/java/org/meadowhollow/simulation/UnidirectionalPartitionScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/UnidirectionalPartitionScenarioTest.java
@@ -33,12 +33,12 @@
      */
     @Test
     void nothingIsPlacedOnMachineThatOnlyAnswersDirectCommands() {
-        cluster.limitRentedMachines(0);
+        cluster.cloud().limitMachines(0);
         cluster.runSeconds(4);
         List<FakeWorker> mute = blockOutgoingConnectionsOfZone("a");
         cluster.runSeconds(8);
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 12, 2);
-        assertTrue(cluster.submit(0, job, HOURS_RUNTIME));
+        assertTrue(cluster.users().submit(0, job, HOURS_RUNTIME));
         // Before the lease of those that are mute is over, which would prove that nothing was
         // started there.
         cluster.runSeconds(7);
@@ -54,12 +54,14 @@
     @Test
     void machineThatCannotOpenConnectionsIsNotReturned() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 6, 1);
-        assertTrue(cluster.submit(0, job, null));
+        assertTrue(cluster.users().submit(0, job, null));
         cluster.runSeconds(10);
         FakeWorker mute = machineRunning(job, 0);
         mute.blockOutgoingConnections(true);
         cluster.runSeconds(40);
-        assertTrue(cluster.returnedMachines().isEmpty(), "returned " + cluster.returnedMachines());
+        assertTrue(
+                cluster.cloud().returnedMachines().isEmpty(),
+                "returned " + cluster.cloud().returnedMachines());
         assertTrue(allTasksRunning(job) && mute.runningTasks().isEmpty());
         mute.blockOutgoingConnections(false);
         cluster.runSeconds(10);
@@ -75,8 +77,8 @@
     void zoneThatCannotOpenConnectionsKeepsMachinesAndStopsCancelledTasks(int leaderEndsAfterS) {
         JobSpec goes = SimulatedCluster.spec(1, JobKind.SERVICE, 12, 1);
         JobSpec stays = SimulatedCluster.spec(2, JobKind.SERVICE, 12, 1);
-        assertTrue(cluster.submit(0, goes, null));
-        assertTrue(cluster.submit(0, stays, null));
+        assertTrue(cluster.users().submit(0, goes, null));
+        assertTrue(cluster.users().submit(0, stays, null));
         cluster.runSeconds(10);
         List<FakeWorker> mute = blockOutgoingConnectionsOfZone("b");
         cluster.runSeconds(2);
@@ -84,7 +86,7 @@
         if (leaderEndsAfterS == 0) {
             cluster.crash(leader);
         }
-        assertTrue(cluster.cancel(nodeAfter(leader, 1), goes.id()));
+        assertTrue(cluster.users().cancel(nodeAfter(leader, 1), goes.id()));
         assertTrue(
                 leaderEndsAfterS > 0
                         || mute.stream()
@@ -115,7 +117,9 @@
         assertEquals(
                 next, cluster.leader(), "half of the machines do not speak against its hearing");
         assertEquals(term, cluster.fencingToken());
-        assertTrue(cluster.returnedMachines().isEmpty(), "returned " + cluster.returnedMachines());
+        assertTrue(
+                cluster.cloud().returnedMachines().isEmpty(),
+                "returned " + cluster.cloud().returnedMachines());
         mute.forEach(worker -> worker.blockOutgoingConnections(false));
         cluster.restart(leader);
         cluster.beginFaultFreePhase();
@@ -131,21 +135,22 @@
     @CsvSource({"6, true", "14, true", "25, true", "6, false", "14, false"})
     void delayedCommandIsExecutedDuringNewAttempt(int heldS, boolean leaderEnds) {
         JobSpec job = SimulatedCluster.spec(1, JobKind.GANG, 3, 8);
-        assertTrue(cluster.submit(0, job, HOURS_RUNTIME));
+        assertTrue(cluster.users().submit(0, job, HOURS_RUNTIME));
         cluster.runSeconds(10);
         assertTrue(
-                cluster.submit(
-                        0,
-                        withTeam(SimulatedCluster.spec(2, JobKind.SERVICE, 3, 8), "other"),
-                        null),
+                cluster.users()
+                        .submit(
+                                0,
+                                withTeam(SimulatedCluster.spec(2, JobKind.SERVICE, 3, 8), "other"),
+                                null),
                 "fills the other machines");
-        cluster.limitRentedMachines(0);
+        cluster.cloud().limitMachines(0);
         cluster.runSeconds(10);
         List<FakeWorker> places = new ArrayList<>();
         for (int task = 0; task < 3; task++) {
             places.add(machineRunning(job, task));
         }
-        cluster.holdOrders(true);
+        cluster.network().holdCommands(true);
         // A task of the gang ends, and the others are told to stop, directly and in their next
         // answers.
         FakeWorker first = places.get(0);
@@ -153,7 +158,7 @@
         places.get(2).setHung(true);
         first.exitForMissingPeer(new TaskId(job.id(), 0));
         cluster.runSeconds(4);
-        assertTrue(cluster.heldOrders() > 0, "stops are on their way");
+        assertTrue(cluster.network().heldCommandCount() > 0, "stops are on their way");
         int leader = cluster.leader();
         if (leaderEnds) {
             cluster.crash(leader);
@@ -169,7 +174,7 @@
             cluster.runSeconds(heldS);
         }
         int starts = cluster.startCount();
-        cluster.holdOrders(false);
+        cluster.network().holdCommands(false);
         cluster.runSeconds(10);
         assertEquals(leaderEnds, leader != cluster.leader());
         cluster.restart(leader);
@@ -189,7 +194,7 @@
     void machinesIsolatedAcrossFailoversKeepTasksForFullTimeout(int leaders) {
         cluster.withTeam("team", 0, 6);
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 6, 1);
-        assertTrue(cluster.submit(0, job, null));
+        assertTrue(cluster.users().submit(0, job, null));
         cluster.runSeconds(10);
         List<FakeWorker> deaf = cluster.workers().subList(0, 3);
         deaf.forEach(worker -> worker.loseIncoming(true));
--- a/src/test/java/org/meadowhollow/simulation/WarmStandbyScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/WarmStandbyScenarioTest.java
@@ -38,8 +38,11 @@
         cluster.runSeconds(5);
         // Keeps the machines, with room on each for more.
         assertTrue(
-                cluster.submit(
-                        0, SimulatedCluster.spec(9, JobKind.ARRAY, 6, 4), Duration.ofHours(1)));
+                cluster.users()
+                        .submit(
+                                0,
+                                SimulatedCluster.spec(9, JobKind.ARRAY, 6, 4),
+                                Duration.ofHours(1)));
         cluster.runSeconds(30);
     }
 
@@ -106,14 +109,14 @@
     @Test
     void successorLoadsRecordsFromItsReplica() {
         JobSpec before = array(1, 10);
-        assertTrue(cluster.submit(0, before, LONG_RUNTIME));
+        assertTrue(cluster.users().submit(0, before, LONG_RUNTIME));
         cluster.runSeconds(10);
         int dead = cluster.leader();
         for (int node = 0; node < 3; node++) {
             cluster.storeConnection(node).hidePrefix(RecordCodec.TASK_PREFIX);
         }
         JobSpec lately = array(2, 4);
-        assertTrue(cluster.submit(other(dead), lately, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(other(dead), lately, SHORT_RUNTIME));
         cluster.runSeconds(0.5);
         cluster.crash(dead);
         secondsUntilAnotherLeads(dead);
@@ -130,7 +133,7 @@
         cluster.storeConnection(heir).refuseRequests(true);
         cluster.runSeconds(1);
         JobSpec job = array(1, 5);
-        assertTrue(cluster.submit(dead, job, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(dead, job, SHORT_RUNTIME));
         for (int at = 0; at <= 10_000; at++) {
             cluster.store().put("junk/" + at % 10, Map.of("at", (long) at));
         }
@@ -147,7 +150,7 @@
         int heir = other(dead);
         cluster.crash(3 - dead - heir);
         JobSpec job = array(1, 5);
-        assertTrue(cluster.submit(dead, job, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(dead, job, SHORT_RUNTIME));
         cluster.runSeconds(5);
         assertEquals(11, cluster.startCount());
         cluster.storeConnection(heir).failWatches(true);
@@ -156,7 +159,7 @@
         cluster.runSeconds(1);
         cluster.storeConnection(heir).failWatches(false);
         JobSpec later = array(2, 3);
-        assertTrue(cluster.submit(heir, later, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(heir, later, SHORT_RUNTIME));
         runUntilDone(later, 30);
         assertEquals(Phase.DONE, phaseOf(job));
         assertEquals(14, cluster.startCount());
@@ -183,8 +186,11 @@
         late.forEach(worker -> worker.setHung(true));
         cluster.crash(dead);
         assertTrue(
-                cluster.submit(
-                        other(dead), SimulatedCluster.spec(1, JobKind.ARRAY, 6, 4), LONG_RUNTIME));
+                cluster.users()
+                        .submit(
+                                other(dead),
+                                SimulatedCluster.spec(1, JobKind.ARRAY, 6, 4),
+                                LONG_RUNTIME));
         secondsUntilAnotherLeads(dead);
         return late;
     }
@@ -201,7 +207,7 @@
 
     @Test
     void firstRoundWithHalfOfMachinesOnlyPlaces() {
-        int rentals = cluster.rentalCount();
+        int rentals = cluster.cloud().rentalCount();
         List<FakeWorker> late = failOverWithout(2);
         for (int step = 0; step < 14 && cluster.startCount() == 6; step++) {
             cluster.runSeconds(0.25);
@@ -210,7 +216,7 @@
         cluster.runSeconds(1);
         assertEquals(
                 rentals,
-                cluster.rentalCount(),
+                cluster.cloud().rentalCount(),
                 "the others may have room, as is seen when they report");
         late.forEach(worker -> worker.setHung(false));
         cluster.runSeconds(8);
@@ -238,7 +244,7 @@
         cluster.crash(3 - dead - heir);
         cluster.storeConnection(heir).hideChanges(RecordCodec.JOB_PREFIX);
         JobSpec job = array(1, 5);
-        assertTrue(cluster.submit(dead, job, Duration.ofSeconds(60)));
+        assertTrue(cluster.users().submit(dead, job, Duration.ofSeconds(60)));
         cluster.runSeconds(10);
         assertEquals(11, cluster.startCount());
         cluster.crash(dead);
@@ -255,10 +261,10 @@
     @Test
     void transactionAppliedAfterSuccessorCaughtUpHasNoEffect() {
         int old = cluster.leader();
-        FakeKeyValueStore.Connection connection = cluster.storeConnection(old);
+        FakeStoreConnection connection = cluster.storeConnection(old);
         connection.holdCommits();
         JobSpec job = array(1, 5);
-        assertTrue(cluster.submit(other(old), job, Duration.ofSeconds(20)));
+        assertTrue(cluster.users().submit(other(old), job, Duration.ofSeconds(20)));
         cluster.runSeconds(3);
         cluster.crash(old);
         secondsUntilAnotherLeads(old);
@@ -272,9 +278,9 @@
     void starvedStandbyTakesOverWithItsReplica() {
         int dead = cluster.leader();
         int heir = other(dead);
-        cluster.delayTimers(heir, true);
+        cluster.overload(heir, true);
         JobSpec job = array(1, 5);
-        assertTrue(cluster.submit(dead, job, Duration.ofSeconds(60)));
+        assertTrue(cluster.users().submit(dead, job, Duration.ofSeconds(60)));
         cluster.runSeconds(25);
         cluster.crash(dead);
         cluster.crash(3 - dead - heir);
@@ -289,7 +295,7 @@
         JobSpec job = array(1, 4);
         int standby = other(cluster.leader());
         cluster.storeConnection(standby).skipChangesOf(RecordCodec.job(job.id()));
-        assertTrue(cluster.submit(cluster.leader(), job, LONG_RUNTIME));
+        assertTrue(cluster.users().submit(cluster.leader(), job, LONG_RUNTIME));
         cluster.runSeconds(130);
         cluster.storeConnection(standby).skipChangesOf(null);
         wrongExpected = 1;
@@ -333,14 +339,15 @@
 
     @Test
     void unreadableRiskTablesAreRequestedAgainWithoutDelay() {
-        cluster.interceptRiskTables(
-                delta -> {
-                    if (!delta.fullTables()) {
-                        throw new PeerGateway.UnreadableResponseException("damaged");
-                    }
-                    return delta;
-                },
-                Duration.ofMillis(5));
+        cluster.network()
+                .interceptRiskTables(
+                        delta -> {
+                            if (!delta.fullTables()) {
+                                throw new PeerGateway.UnreadableResponseException("damaged");
+                            }
+                            return delta;
+                        },
+                        Duration.ofMillis(5));
         cluster.runSeconds(LEARNT_S);
         int first = cluster.leader();
         cluster.crash(first);
@@ -348,20 +355,21 @@
         cluster.runSeconds(4);
         assertEquals(6, learnedObservationCount(after), "whole tables came instead");
         cluster.restart(first);
-        cluster.interceptRiskTables(
-                delta -> {
-                    throw new PeerGateway.UnreadableResponseException("damaged");
-                },
-                Duration.ofMillis(5));
+        cluster.network()
+                .interceptRiskTables(
+                        delta -> {
+                            throw new PeerGateway.UnreadableResponseException("damaged");
+                        },
+                        Duration.ofMillis(5));
         cluster.runSeconds(LEARNT_S);
         JobSpec job = array(1, 4);
         int dead = cluster.leader();
         cluster.crash(dead);
         int second = secondsUntilAnotherLeads(dead);
-        assertTrue(cluster.submit(second, job, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(second, job, SHORT_RUNTIME));
         runUntilDone(job, 30);
         cluster.restart(dead);
-        cluster.interceptRiskTables(UnaryOperator.identity(), Duration.ofMillis(5));
+        cluster.network().interceptRiskTables(UnaryOperator.identity(), Duration.ofMillis(5));
         cluster.runSeconds(LEARNT_S);
         cluster.crash(second);
         int third = secondsUntilAnotherLeads(second);
@@ -416,7 +424,7 @@
     @Test
     void rollingReplacementDuringStoreOutageKeepsTasks() {
         JobSpec job = array(1, 12);
-        assertTrue(cluster.submit(0, job, Duration.ofSeconds(100)));
+        assertTrue(cluster.users().submit(0, job, Duration.ofSeconds(100)));
         cluster.runSeconds(10);
         cluster.store().setOutage(true);
         for (int node = 0; node < 3; node++) {
@@ -433,12 +441,12 @@
     void pausedLeaderDecidesNothingFromStaleState() {
         int frozen = cluster.leader();
         JobSpec job = array(1, 6);
-        assertTrue(cluster.submit(other(frozen), job, Duration.ofSeconds(40)));
+        assertTrue(cluster.users().submit(other(frozen), job, Duration.ofSeconds(40)));
         cluster.runSeconds(5);
         cluster.pause(frozen);
         int next = secondsUntilAnotherLeads(frozen);
         JobSpec later = array(2, 6);
-        assertTrue(cluster.submit(next, later, Duration.ofSeconds(40)));
+        assertTrue(cluster.users().submit(next, later, Duration.ofSeconds(40)));
         cluster.runSeconds(24);
         cluster.resume(frozen);
         runUntilDone(later, 60);
