--- a/src/test/java/org/meadowhollow/simulation/ClusterTestBase.java
+++ b/src/test/java/org/meadowhollow/simulation/ClusterTestBase.java
@@ -10,7 +10,7 @@
 import org.meadowhollow.model.TaskId;
 
 /**
- * A small deployment for stories of what happens while things fail; {@link SimulatedCluster} checks
+ * A small deployment for scenario tests, in which faults happen; {@link SimulatedCluster} checks
  * the protocol's rules.
  */
 abstract class ClusterTestBase {
@@ -50,91 +50,24 @@
     }
 
     static JobSpec withZonePolicy(JobSpec spec, boolean oneZone, boolean spread) {
-        return new JobSpec(
-                spec.id(),
-                spec.jobClass(),
-                spec.team(),
-                spec.kind(),
-                Priority.HIGH,
-                spec.taskCount(),
-                spec.resourcesPerTask(),
-                List.of("large"),
-                spec.requiredZone(),
-                oneZone,
-                spread,
-                spec.allowsSpot(),
-                spec.image(),
-                spec.imageSizeGb(),
-                spec.estimatedRuntimeSeconds(),
-                spec.checkpointIntervalSeconds(),
-                spec.checkpointDurationSeconds(),
-                spec.deadlineSeconds());
+        return JobSpecBuilder.from(spec)
+                .priority(Priority.HIGH)
+                .machineTypes(List.of("large"))
+                .singleZone(oneZone)
+                .spreadAcrossZones(spread)
+                .build();
     }
 
     static JobSpec withTeam(JobSpec spec, String team) {
-        return new JobSpec(
-                spec.id(),
-                spec.jobClass(),
-                team,
-                spec.kind(),
-                spec.priority(),
-                spec.taskCount(),
-                spec.resourcesPerTask(),
-                spec.allowedMachineTypes(),
-                spec.requiredZone(),
-                spec.requiresSingleZone(),
-                spec.spreadsAcrossZones(),
-                spec.allowsSpot(),
-                spec.image(),
-                spec.imageSizeGb(),
-                spec.estimatedRuntimeSeconds(),
-                spec.checkpointIntervalSeconds(),
-                spec.checkpointDurationSeconds(),
-                spec.deadlineSeconds());
+        return JobSpecBuilder.from(spec).team(team).build();
     }
 
     static JobSpec inZone(JobSpec spec, String zone) {
-        return new JobSpec(
-                spec.id(),
-                spec.jobClass(),
-                spec.team(),
-                spec.kind(),
-                spec.priority(),
-                spec.taskCount(),
-                spec.resourcesPerTask(),
-                spec.allowedMachineTypes(),
-                zone,
-                spec.requiresSingleZone(),
-                spec.spreadsAcrossZones(),
-                spec.allowsSpot(),
-                spec.image(),
-                spec.imageSizeGb(),
-                spec.estimatedRuntimeSeconds(),
-                spec.checkpointIntervalSeconds(),
-                spec.checkpointDurationSeconds(),
-                spec.deadlineSeconds());
+        return JobSpecBuilder.from(spec).zone(zone).build();
     }
 
     static JobSpec withTypes(JobSpec spec, List<String> types) {
-        return new JobSpec(
-                spec.id(),
-                spec.jobClass(),
-                spec.team(),
-                spec.kind(),
-                spec.priority(),
-                spec.taskCount(),
-                spec.resourcesPerTask(),
-                types,
-                spec.requiredZone(),
-                spec.requiresSingleZone(),
-                spec.spreadsAcrossZones(),
-                spec.allowsSpot(),
-                spec.image(),
-                spec.imageSizeGb(),
-                spec.estimatedRuntimeSeconds(),
-                spec.checkpointIntervalSeconds(),
-                spec.checkpointDurationSeconds(),
-                spec.deadlineSeconds());
+        return JobSpecBuilder.from(spec).machineTypes(types).build();
     }
 
     boolean allTasksRunning(JobSpec job) {
--- a/src/test/java/org/meadowhollow/simulation/FailoverTimingScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/FailoverTimingScenarioTest.java
@@ -11,13 +11,13 @@
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.TaskId;
 
-/** How soon another node leads, and what must not make it lead. */
+/** How soon another controller takes over, and what must not cause a failover. */
 class FailoverTimingScenarioTest {
     private static final int MACHINES = 8;
     private SimulatedCluster cluster;
 
     @BeforeEach
-    void threeNodesAndSomeMachines() {
+    void startClusterWithMachines() {
         cluster = new SimulatedCluster();
         for (int at = 0; at < MACHINES / 2; at++) {
             cluster.addMachine(SimulatedCluster.LARGE, "a");
@@ -38,50 +38,50 @@
 
     @Test
     void leaderUnreachableOnlyFromPeersKeepsLeadership() {
-        long term = cluster.fencingToken();
+        long fencingToken = cluster.fencingToken();
         cluster.refuseAllPeerConnections(true);
         cluster.runSeconds(30);
-        assertEquals(term, cluster.fencingToken());
+        assertEquals(fencingToken, cluster.fencingToken());
     }
 
     @Test
     void packetFilterBetweenControllersDoesNotEndLeadershipWhenWorkersDisconnect() {
-        long term = cluster.fencingToken();
+        long fencingToken = cluster.fencingToken();
         int leader = cluster.leader();
         cluster.refuseAllPeerConnections(true);
         cluster.workers().forEach(worker -> worker.connectTo((leader + 1) % 3));
         cluster.runSeconds(10);
-        assertEquals(term, cluster.fencingToken());
+        assertEquals(fencingToken, cluster.fencingToken());
     }
 
     @Test
     void overloadedLeaderRenewsItsLeaseBetweenDelayedTimers() {
-        // With all machines full, no report is held for a start to come.
+        // With all machines full, no heartbeat response is deferred until a start.
         JobSpec filling = SimulatedCluster.spec(1, JobKind.ARRAY, MACHINES * 8, 1);
         assertTrue(cluster.users().submit(0, filling, Duration.ofMinutes(5)));
         cluster.runSeconds(10);
-        long term = cluster.fencingToken();
+        long fencingToken = cluster.fencingToken();
         cluster.overload(cluster.leader(), true);
         cluster.runSeconds(20);
-        assertEquals(term, cluster.fencingToken());
+        assertEquals(fencingToken, cluster.fencingToken());
     }
 
     @Test
     void fewReconnectingWorkersDoNotEndLeadershipUnreachableFromPeers() {
-        long term = cluster.fencingToken();
+        long fencingToken = cluster.fencingToken();
         cluster.refusePeerConnections(cluster.leader(), true);
         cluster.workers().get(0).connectTo((cluster.leader() + 1) % 3);
         cluster.workers().get(1).connectTo((cluster.leader() + 2) % 3);
         cluster.runSeconds(10);
-        assertEquals(term, cluster.fencingToken());
+        assertEquals(fencingToken, cluster.fencingToken());
     }
 
     @Test
     void leaderThatAnswersPeersKeepsLeadershipWhenWorkersDisconnect() {
-        long term = cluster.fencingToken();
+        long fencingToken = cluster.fencingToken();
         cluster.workers().forEach(worker -> worker.connectTo((cluster.leader() + 1) % 3));
         cluster.runSeconds(10);
-        assertEquals(term, cluster.fencingToken());
+        assertEquals(fencingToken, cluster.fencingToken());
     }
 
     @Test
@@ -141,6 +141,6 @@
         assertTrue(
                 cluster.workers().stream()
                         .anyMatch(worker -> worker.hasTask(new TaskId(job.id(), 0))),
-                "reports come every 3 s, and one that is silent was waited for till 4.75 s");
+                "heartbeats arrive every 3 s, and a silent machine was waited for until 4.75 s");
     }
 }
--- /dev/null
+++ b/src/test/java/org/meadowhollow/simulation/FreeCapacity.java
@@ -0,0 +1,97 @@
+package org.meadowhollow.simulation;
+
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.Function;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Resources;
+import org.meadowhollow.model.TaskId;
+
+/**
+ * The capacity that is free on the machines as they are, whatever any controller believes: says
+ * whether a job waits although it could run.
+ *
+ * @param machines that exist
+ * @param specs of the jobs whose tasks are on them
+ */
+record FreeCapacity(
+        Collection<? extends HistoryChecker.Machine> machines, Function<JobId, JobSpec> specs) {
+    /**
+     * Whether a task of a job, or all of a gang's, waits although machines that fit have free
+     * capacity and the team's quota allows it.
+     *
+     * @param completedTasks of the job
+     * @param usedByTeam resources that the team uses
+     * @param limit of the team
+     */
+    boolean couldRunMore(JobSpec spec, int completedTasks, Resources usedByTeam, Resources limit) {
+        Map<String, Integer> heldPerZone = heldTasksPerZone(spec.id());
+        int held = heldPerZone.values().stream().mapToInt(Integer::intValue).sum();
+        boolean isGang = spec.kind() == JobKind.GANG;
+        int needed = isGang ? spec.taskCount() : 1;
+        if (held + completedTasks >= spec.taskCount()
+                || isGang && held > 0
+                || !HistoryChecker.fitsLimit(
+                        usedByTeam.plus(spec.resourcesPerTask().times(needed)), limit)) {
+            return false;
+        }
+        Map<String, Integer> free = freeTasksPerZone(spec, heldPerZone);
+        int fitting =
+                spec.requiresSingleZone()
+                        ? free.values().stream().mapToInt(Integer::intValue).max().orElse(0)
+                        : free.values().stream().mapToInt(Integer::intValue).sum();
+        return fitting >= needed;
+    }
+
+    /** How many tasks of a job take capacity, by zone; zones without any are missing. */
+    private Map<String, Integer> heldTasksPerZone(JobId job) {
+        Map<String, Integer> held = new HashMap<>();
+        for (HistoryChecker.Machine machine : machines) {
+            long here =
+                    machine.heldTasks().stream().filter(task -> task.jobId().equals(job)).count();
+            if (here > 0) {
+                held.merge(machine.zone(), (int) here, Integer::sum);
+            }
+        }
+        return held;
+    }
+
+    /** How many more tasks of a job could be placed, by zone. */
+    private Map<String, Integer> freeTasksPerZone(JobSpec spec, Map<String, Integer> heldPerZone) {
+        Map<String, Integer> free = new HashMap<>();
+        for (HistoryChecker.Machine machine : machines) {
+            String zone = machine.zone();
+            if (accepts(machine, spec, heldPerZone)) {
+                int max = spec.maxTasksPerZone() - heldPerZone.getOrDefault(zone, 0);
+                int here =
+                        spec.resourcesPerTask()
+                                .maxCopiesIn(freeResources(machine), spec.taskCount());
+                free.put(zone, Math.min(max, free.getOrDefault(zone, 0) + here));
+            }
+        }
+        return free;
+    }
+
+    private static boolean accepts(
+            HistoryChecker.Machine machine, JobSpec spec, Map<String, Integer> heldPerZone) {
+        boolean boundElsewhere =
+                spec.requiresSingleZone()
+                        && heldPerZone.keySet().stream()
+                                .anyMatch(zone -> !zone.equals(machine.zone()));
+        return machine.isReachable()
+                && spec.allowsMachineType(machine.machineType().name())
+                && spec.allowsZone(machine.zone())
+                && !boundElsewhere;
+    }
+
+    private Resources freeResources(HistoryChecker.Machine machine) {
+        Resources free = machine.machineType().capacity();
+        for (TaskId task : machine.heldTasks()) {
+            free = free.minus(specs.apply(task.jobId()).resourcesPerTask());
+        }
+        return free;
+    }
+}
--- a/src/test/java/org/meadowhollow/simulation/GangSchedulingScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/GangSchedulingScenarioTest.java
@@ -12,9 +12,9 @@
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.TaskId;
 
-/** Tasks that run together, or apart over zones. */
+/** Gang scheduling, and replicas that spread across zones. */
 class GangSchedulingScenarioTest extends ClusterTestBase {
-    /** A gang of large tasks that are on their machines and wait for their image. */
+    /** Starts a gang of large tasks, which are on their machines and pull their images. */
     private JobSpec gangPullingImages(int tasks, Duration fetch) {
         cluster.setImagePullTime(fetch);
         JobSpec gang = SimulatedCluster.spec(1, JobKind.GANG, tasks, 8);
@@ -33,7 +33,7 @@
         }
     }
 
-    /** The machine that is not hung and has a task in some state. */
+    /** The machine that is not hung and holds a task, in any state. */
     private FakeWorker machineHolding(TaskId task) {
         return cluster.workers().stream()
                 .filter(worker -> !worker.isHung() && worker.hasTask(task))
@@ -148,9 +148,9 @@
     }
 
     /**
-     * A gang's machine fails, and the next leader hears that before it hears that the gang has
-     * begun. Its other tasks cannot be completed to a whole attempt any more; without a guard they
-     * kept their machines, and the gang waited, for ever.
+     * A machine of a gang fails, and the next leader learns that before it learns that the gang has
+     * started. The remaining tasks cannot complete the attempt any more. Regression test: without
+     * the guard they kept their machines, and the gang waited for ever.
      */
     @Test
     void taskLostBeforeNewLeaderLearnsThatGangStarted() {
@@ -178,7 +178,7 @@
         cluster.runSeconds(6);
         cluster.addMachine(SimulatedCluster.LARGE, "a");
         cluster.beginFaultFreePhase();
-        // The judge watches that nothing waits beside room for it.
+        // The history checker fails the test if a job waits beside free capacity.
         cluster.runSeconds(60);
         assertTrue(allTasksRunning(gang), "whole, in a new attempt");
         assertEquals(2, machineRunning(gang, 0).attemptOf(new TaskId(gang.id(), 0)).value());
--- a/src/test/java/org/meadowhollow/simulation/GoldenStoreTest.java
+++ b/src/test/java/org/meadowhollow/simulation/GoldenStoreTest.java
@@ -25,11 +25,11 @@
 import org.meadowhollow.protocol.MalformedMessageException;
 
 /**
- * A state service as an earlier version left it, filled from the golden files: a leader of this
- * version loads it, goes on with what runs, and ends every job. A record that the earlier version
- * wrote is thereby read. That the earlier version can read what is written now is not run here, for
- * there is no earlier version to run; the argument for it is that {@code GoldenRecordsTest} encodes
- * each kind of record to the same bytes as the earlier version did.
+ * A key-value store as an earlier version left it, filled from the golden files: a leader of this
+ * version recovers from it, continues what runs, and completes every job. This proves that records
+ * of the earlier version are readable. That the earlier version can read what is written now is not
+ * run here, for there is no earlier version to run; the argument for it is that {@code
+ * GoldenRecordsTest} encodes each kind of record to the same bytes as the earlier version did.
  */
 class GoldenStoreTest {
     private static final Duration SHORT = Duration.ofSeconds(10);
@@ -72,8 +72,8 @@
     private final SimulatedCluster cluster = new SimulatedCluster();
 
     /**
-     * Fills the store, and has machines run what its records say of the first two; the third one
-     * has begun anew.
+     * Fills the store, and has the first two machines run what its records say; the third one has
+     * rebooted.
      */
     private void fill(String... whoLeads) {
         cluster.loop().skip(Duration.ofMillis(GoldenTesTask.BEGIN_MILLIS));
@@ -93,7 +93,8 @@
         for (int at = 0; at < 6; at++) {
             cluster.addMachine(SimulatedCluster.LARGE, at < 3 ? "a" : "b");
         }
-        // The cloud has no more: a rented one could take the name of the tenth, which is gone.
+        // No more machines can be rented: a rented one could take the name of the tenth, which is
+        // gone.
         cluster.cloud().limitMachines(6);
         started(0, ARRAY, 160, 2);
         for (int task = 0; task < 4; task++) {
@@ -144,7 +145,7 @@
                 1, cluster.leader(), "the node of the record is back before its lease is over");
         assertEquals(43, cluster.fencingToken());
         cluster.runSeconds(5);
-        // What ran goes on: the same attempts, on the same machines.
+        // What ran continues: the same attempts, on the same machines.
         for (int task = 0; task < 4; task++) {
             assertEquals(1, cluster.machinesRunning(new TaskId(GANG, task)).size());
             assertEquals(
@@ -179,7 +180,7 @@
         assertEquals(11L, ((Map<?, ?>) log.get(log.size() - 1)).get("attempt"));
         assertTesTask("COMPLETE");
 
-        // What nobody had to change stands as it was.
+        // Records that nobody had to change are unchanged.
         for (String name :
                 List.of(
                         "ended-done",
@@ -251,7 +252,7 @@
         }
     }
 
-    // ---- a task of the execution API ----
+    // ---- a task of the task execution API ----
 
     private static Map<String, Object> body(Http.Reply reply) throws MalformedMessageException {
         assertEquals(200, reply.status(), new String(reply.body()));
--- a/src/test/java/org/meadowhollow/simulation/GoldenTesFilesMain.java
+++ b/src/test/java/org/meadowhollow/simulation/GoldenTesFilesMain.java
@@ -5,7 +5,7 @@
 import org.meadowhollow.golden.GoldenFile;
 
 /**
- * Writes the golden files of a task of the execution API. Not to be run again: see the other
+ * Writes the golden files of a task of the task execution API. Not to be run again: see the other
  * generators.
  */
 final class GoldenTesFilesMain {
--- a/src/test/java/org/meadowhollow/simulation/GoldenTesTask.java
+++ b/src/test/java/org/meadowhollow/simulation/GoldenTesTask.java
@@ -6,9 +6,11 @@
 import java.util.Map;
 import org.meadowhollow.protocol.Http;
 
-/** The task of the execution API that the golden files hold, sent at a fixed time of day. */
+/** The task of the task execution API that the golden files hold, sent at a fixed time of day. */
 final class GoldenTesTask {
-    /** When a world begins that has to do with golden files, in milliseconds of the time of day. */
+    /**
+     * The time of day at which a simulation with golden files begins, in milliseconds of the epoch.
+     */
     static final long BEGIN_MILLIS = 1_700_000_060_000L;
 
     static final String KEY = "golden";
@@ -33,7 +35,7 @@
     private GoldenTesTask() {}
 
     /**
-     * A world that sends the task before it has any machine: nothing but its acceptance is written.
+     * A deployment that accepts the task before it has any machine: only the acceptance is written.
      */
     static SimulatedCluster accepted() {
         SimulatedCluster cluster = new SimulatedCluster();
--- a/src/test/java/org/meadowhollow/simulation/HistoryChecker.java
+++ b/src/test/java/org/meadowhollow/simulation/HistoryChecker.java
@@ -24,94 +24,103 @@
 import org.meadowhollow.model.TaskId;
 
 /**
- * Holds what workers and users saw against the protocol's rules, and against what is promised for
- * the time after all troubles. It knows nothing of records, nor of what any node believes.
+ * Checks what workers and users observe against the protocol's rules, and against what is
+ * guaranteed once all faults have ended. It knows nothing of records, nor of what any controller
+ * believes. Not thread-safe: everything runs on the virtual event loop.
  */
 final class HistoryChecker {
-    /** A job about which no question is answered for so long, after all troubles, is forgotten. */
+    /** After all faults, a job whose polls get no answer for so long counts as forgotten. */
     private static final Duration MAX_UNANSWERED = Duration.ofSeconds(75);
 
     /**
-     * No job waits for so long, after all troubles, while a machine that fits has room and its team
-     * is under its limit.
+     * After all faults, no job waits for so long while a machine that fits has free capacity and
+     * its team is under its limit.
      */
     private static final Duration MAX_NEGLECTED = Duration.ofSeconds(90);
 
-    /**
-     * The largest jobs of a class begin within this time, counted from when all troubles were over.
-     */
+    /** The largest jobs of a class start within this time, counted from the end of all faults. */
     private static final Duration MAX_LARGEST_START = Duration.ofMinutes(4);
 
     private static final double MIN_SERVED_SHARE = 0.5;
 
-    /** A machine as it is, whatever anybody believes. */
+    /** A machine as it is, whatever any controller believes. */
     interface Machine {
         String zone();
 
         MachineType machineType();
 
-        /** Whether it runs, reports and hears. */
+        /** Whether it runs, and messages pass in both directions. */
         boolean isReachable();
 
-        /** The tasks that take room on it. */
+        /** The tasks that take capacity on it: all but those that have exited. */
         List<TaskId> heldTasks();
 
-        /** Tasks that are on it in the protocol's sense. */
+        /** The tasks that are on it in the protocol's sense: with image, and not exited. */
         List<TaskId> runningTasks();
     }
 
     private record ReportedPhase(Phase phase, MonotonicTime at) {}
 
-    private final Duration cancelWithin;
+    private final Duration cancelTimeout;
     private final Map<String, DeploymentSettings.TeamQuota> teams;
     private final Function<JobId, JobSpec> specs;
-    private final Supplier<? extends Collection<? extends Machine>> places;
+    private final Supplier<? extends Collection<? extends Machine>> machines;
     private final List<MachineType> types;
     private final Set<JobId> submitted = new HashSet<>();
-    private final Set<JobId> cancelAsked = new HashSet<>();
-    private final Map<JobId, MonotonicTime> accepted = new LinkedHashMap<>();
+    private final Set<JobId> cancelRequested = new HashSet<>();
+    private final Map<JobId, MonotonicTime> acceptedAt = new LinkedHashMap<>();
     private final Map<JobId, ReportedPhase> ends = new HashMap<>();
     private final Set<TaskId> completed = new HashSet<>();
-    private final Map<JobId, MonotonicTime> begunAt = new HashMap<>();
+    private final Map<JobId, MonotonicTime> startedAt = new HashMap<>();
     private final Map<JobId, MonotonicTime> answeredAt = new HashMap<>();
     private final Map<JobId, MonotonicTime> neglectedSince = new HashMap<>();
-    private MonotonicTime calmSince;
+
+    /** Null while faults may happen. */
+    private MonotonicTime faultFreeSince;
+
     private int startsAfterCancellation;
 
+    /**
+     * @param cancelTimeout after which no task of a cancelled job may run
+     * @param teams with their quotas; may change later
+     * @param types of the machines that can be rented
+     * @param specs the job specification of an id
+     * @param machines that exist now
+     */
     HistoryChecker(
-            Duration cancelWithin,
+            Duration cancelTimeout,
             Map<String, DeploymentSettings.TeamQuota> teams,
             List<MachineType> types,
             Function<JobId, JobSpec> specs,
-            Supplier<? extends Collection<? extends Machine>> places) {
-        this.cancelWithin = cancelWithin;
+            Supplier<? extends Collection<? extends Machine>> machines) {
+        this.cancelTimeout = cancelTimeout;
         this.teams = teams;
         this.types = types;
         this.specs = specs;
-        this.places = places;
+        this.machines = machines;
     }
 
-    // ---- what users do and are told ----
+    // ---- what users do and observe ----
 
     void recordSubmission(JobId id) {
         submitted.add(id);
     }
 
     void recordCancelRequest(JobId id) {
-        cancelAsked.add(id);
+        cancelRequested.add(id);
     }
 
     /**
-     * The protocol's own words on what can never run: team, types, limit, and what a gang's own
-     * fields rule out.
+     * Whether a job can ever run by the protocol's definition: its team, types, limit, and what a
+     * gang's own fields exclude.
      */
     boolean canRun(JobSpec spec) {
-        DeploymentSettings.TeamQuota teamQuota = teams.get(spec.team());
+        DeploymentSettings.TeamQuota quota = teams.get(spec.team());
         Resources atOnce =
                 spec.kind() == JobKind.ARRAY
                         ? spec.resourcesPerTask()
                         : spec.resourcesPerTask().times(spec.taskCount());
-        if (teamQuota == null || !fitsLimit(atOnce, teamQuota.limit())) {
+        if (quota == null || !fitsLimit(atOnce, quota.limit())) {
             return false;
         }
         Set<String> zones = new HashSet<>();
@@ -122,60 +131,70 @@
             }
         }
         boolean inOneZone = spec.requiresSingleZone() || zones.size() == 1;
-        return !zones.isEmpty()
-                && !(spec.kind() == JobKind.GANG
+        boolean contradictoryGang =
+                spec.kind() == JobKind.GANG
                         && spec.spreadsAcrossZones()
                         && inOneZone
-                        && spec.taskCount() > 1);
+                        && spec.taskCount() > 1;
+        return !zones.isEmpty() && !contradictoryGang;
     }
 
-    private static boolean fitsLimit(Resources used, Resources most) {
-        return (most.cpu() == 0 || used.cpu() <= most.cpu())
-                && (most.gpu() == 0 || used.gpu() <= most.gpu());
+    /** Whether resources are within a limit, of which 0 stands for no limit. */
+    static boolean fitsLimit(Resources used, Resources limit) {
+        return (limit.cpu() == 0 || used.cpu() <= limit.cpu())
+                && (limit.gpu() == 0 || used.gpu() <= limit.gpu());
     }
 
     /**
-     * An answer has come.
+     * Checks an answer that a user has received.
      *
      * @param phase null if there is no such job
-     * @param sentAt when the question was sent: what was told only after that may be newer than the
-     *     answer
+     * @param sentAt when the request was sent: what was answered only after that may be newer than
+     *     the answer
      */
     void checkAnswer(JobId id, Phase phase, MonotonicTime sentAt, MonotonicTime now) {
         answeredAt.put(id, now);
-        MonotonicTime since = accepted.get(id);
+        MonotonicTime since = acceptedAt.get(id);
         if (phase == null) {
             assertTrue(since == null || !since.isBefore(sentAt), "forgotten: " + id);
             return;
         }
         assertTrue(submitted.contains(id), "invented: " + id);
-        ReportedPhase end = ends.get(id);
         boolean isEnd = phase == Phase.DONE || phase == Phase.CANCELLED;
-        if (end != null && (isEnd || end.at().isBefore(sentAt))) {
-            assertTrue(
-                    phase == end.phase(),
-                    "went_back: " + id + " was " + end.phase() + " and is " + phase);
-        }
-        assertTrue(
-                phase != Phase.CANCELLED || cancelAsked.contains(id),
-                "went_back: " + id + " cancelled by nobody");
+        checkNotReverted(id, phase, isEnd, sentAt);
         if (phase == Phase.DONE) {
-            for (int task = 0; task < specs.apply(id).taskCount(); task++) {
-                assertTrue(
-                        completed.contains(new TaskId(id, task)),
-                        "not_done: task " + task + " of " + id);
-            }
+            checkAllCompleted(id);
         }
         if (since == null) {
             assertTrue(canRun(specs.apply(id)), "wrongly accepted: " + specs.apply(id));
-            accepted.put(id, now);
+            acceptedAt.put(id, now);
         }
         if (isEnd) {
             ends.putIfAbsent(id, new ReportedPhase(phase, now));
         }
     }
 
-    /** Whether a user was told that a job is over. */
+    private void checkNotReverted(JobId id, Phase phase, boolean isEnd, MonotonicTime sentAt) {
+        ReportedPhase end = ends.get(id);
+        if (end != null && (isEnd || end.at().isBefore(sentAt))) {
+            assertTrue(
+                    phase == end.phase(),
+                    "went_back: " + id + " was " + end.phase() + " and is " + phase);
+        }
+        assertTrue(
+                phase != Phase.CANCELLED || cancelRequested.contains(id),
+                "went_back: " + id + " cancelled by nobody");
+    }
+
+    private void checkAllCompleted(JobId id) {
+        for (int task = 0; task < specs.apply(id).taskCount(); task++) {
+            assertTrue(
+                    completed.contains(new TaskId(id, task)),
+                    "not_done: task " + task + " of " + id);
+        }
+    }
+
+    /** Whether a user was told that a job has ended. */
     boolean isReportedEnded(JobId id) {
         return ends.containsKey(id);
     }
@@ -186,38 +205,44 @@
         return completed.contains(task);
     }
 
+    /**
+     * Records that a task has completed.
+     *
+     * @return whether it had not completed before
+     */
     boolean recordCompletion(TaskId task) {
         return completed.add(task);
     }
 
+    /** Whether a user was told that a job is cancelled. */
     boolean isCancelled(JobId id) {
         ReportedPhase end = ends.get(id);
         return end != null && end.phase() == Phase.CANCELLED;
     }
 
-    /** A worker has taken an order to start a task. */
+    /** A worker has executed a command to start a task. */
     void recordStartCommand(TaskId task) {
         startsAfterCancellation += isCancelled(task.jobId()) ? 1 : 0;
     }
 
     /**
-     * Orders to start that workers took after the job's cancellation was confirmed; each had been
-     * under way by then.
+     * Start commands that workers executed after the job's cancellation was confirmed; each had
+     * been under way by then.
      */
     int startsAfterCancellation() {
         return startsAfterCancellation;
     }
 
-    /** A task has its image now and is on its machine. */
+    /** Checks that a task may run where it has started, with its image. */
     void checkStart(Machine machine, TaskId task, MonotonicTime now) {
         JobSpec spec = specs.apply(task.jobId());
-        begunAt.putIfAbsent(task.jobId(), now);
+        startedAt.putIfAbsent(task.jobId(), now);
         assertTrue(
                 spec.allowsZone(machine.zone())
                         && spec.allowsMachineType(machine.machineType().name()),
                 "wrong_place: " + task);
         int inZone = 0;
-        for (Machine other : places.get()) {
+        for (Machine other : machines.get()) {
             for (TaskId running : other.runningTasks()) {
                 assertTrue(other == machine || !running.equals(task), "ran_twice: " + task);
                 if (running.jobId().equals(task.jobId())) {
@@ -235,47 +260,51 @@
 
     // ---- at each step ----
 
+    /** Checks quotas and cancellations, and progress once all faults have ended. */
     void checkStep(MonotonicTime now) {
         Map<String, Resources> used = new HashMap<>();
-        for (Machine machine : places.get()) {
+        for (Machine machine : machines.get()) {
             for (TaskId task : machine.runningTasks()) {
                 JobSpec spec = specs.apply(task.jobId());
                 used.merge(spec.team(), spec.resourcesPerTask(), Resources::plus);
-                assertTrue(
-                        !isCancelled(task.jobId())
-                                || now.elapsedSince(ends.get(task.jobId()).at())
-                                                .compareTo(cancelWithin)
-                                        <= 0,
-                        "ran_cancelled: " + task);
+                checkNotCancelled(task, now);
             }
         }
         used.forEach(
                 (team, sum) ->
                         assertTrue(fitsLimit(sum, teams.get(team).limit()), "quota: team " + team));
-        if (calmSince != null) {
+        if (faultFreeSince != null) {
             unfinished().forEach(id -> checkProgress(id, used, now));
         }
     }
 
-    // ---- once all troubles are over ----
+    private void checkNotCancelled(TaskId task, MonotonicTime now) {
+        assertTrue(
+                !isCancelled(task.jobId())
+                        || now.elapsedSince(ends.get(task.jobId()).at()).compareTo(cancelTimeout)
+                                <= 0,
+                "ran_cancelled: " + task);
+    }
+
+    // ---- once all faults have ended ----
 
-    /** All troubles are over. */
+    /** All faults have ended: progress is checked from now on. */
     void beginFaultFreePhase(MonotonicTime now) {
-        calmSince = now;
+        faultFreeSince = now;
     }
 
-    /** What was accepted and is not known to be over. */
+    /** The jobs that were accepted and that no user was told to have ended. */
     List<JobId> unfinished() {
-        return accepted.keySet().stream().filter(id -> !isReportedEnded(id)).toList();
+        return acceptedAt.keySet().stream().filter(id -> !isReportedEnded(id)).toList();
     }
 
     private void checkProgress(JobId id, Map<String, Resources> used, MonotonicTime now) {
-        MonotonicTime answered = answeredAt.getOrDefault(id, calmSince);
-        MonotonicTime since = MonotonicTime.latestOf(answered, calmSince);
+        MonotonicTime answered = answeredAt.getOrDefault(id, faultFreeSince);
+        MonotonicTime since = MonotonicTime.latestOf(answered, faultFreeSince);
         assertTrue(
                 now.elapsedSince(since).compareTo(MAX_UNANSWERED) <= 0,
                 "forgotten: no answer about " + id);
-        if (!hasRoom(specs.apply(id), used)) {
+        if (!couldRunMore(specs.apply(id), used)) {
             neglectedSince.remove(id);
             return;
         }
@@ -285,96 +314,35 @@
                 "neglected: " + id + " waits beside room for it");
     }
 
-    /**
-     * Whether a task of the job, or all of a gang's, waits although machines that fit have room and
-     * the team may use it.
-     */
-    private boolean hasRoom(JobSpec spec, Map<String, Resources> used) {
-        Map<String, Integer> zones = new HashMap<>();
-        int held = 0;
-        int done = 0;
+    private boolean couldRunMore(JobSpec spec, Map<String, Resources> used) {
+        int completedTasks = 0;
         for (int task = 0; task < spec.taskCount(); task++) {
-            done += completed.contains(new TaskId(spec.id(), task)) ? 1 : 0;
-        }
-        for (Machine machine : places.get()) {
-            int here =
-                    (int)
-                            machine.heldTasks().stream()
-                                    .filter(task -> task.jobId().equals(spec.id()))
-                                    .count();
-            held += here;
-            if (here > 0) {
-                zones.merge(machine.zone(), here, Integer::sum);
-            }
-        }
-        boolean gang = spec.kind() == JobKind.GANG;
-        int needed = gang ? spec.taskCount() : 1;
-        if (held + done >= spec.taskCount()
-                || gang && held > 0
-                || !fitsLimit(
-                        used.getOrDefault(spec.team(), Resources.NONE)
-                                .plus(spec.resourcesPerTask().times(needed)),
-                        teams.get(spec.team()).limit())) {
-            return false;
+            completedTasks += completed.contains(new TaskId(spec.id(), task)) ? 1 : 0;
         }
-        Map<String, Integer> room = new HashMap<>();
-        for (Machine machine : places.get()) {
-            boolean elsewhere =
-                    spec.requiresSingleZone()
-                            && zones.keySet().stream()
-                                    .anyMatch(zone -> !zone.equals(machine.zone()));
-            if (machine.isReachable()
-                    && spec.allowsMachineType(machine.machineType().name())
-                    && spec.allowsZone(machine.zone())
-                    && !elsewhere) {
-                Resources free = machine.machineType().capacity();
-                for (TaskId task : machine.heldTasks()) {
-                    free = free.minus(specs.apply(task.jobId()).resourcesPerTask());
-                }
-                int most = spec.maxTasksPerZone() - zones.getOrDefault(machine.zone(), 0);
-                room.merge(
-                        machine.zone(),
-                        spec.resourcesPerTask().maxCopiesIn(free, spec.taskCount()),
-                        (one, other) -> Math.min(most, one + other));
-                room.computeIfPresent(machine.zone(), (zone, count) -> Math.min(most, count));
-            }
-        }
-        return (spec.requiresSingleZone()
-                        ? room.values().stream().mapToInt(Integer::intValue).max().orElse(0)
-                        : room.values().stream().mapToInt(Integer::intValue).sum())
-                >= needed;
+        return new FreeCapacity(machines.get(), specs)
+                .couldRunMore(
+                        spec,
+                        completedTasks,
+                        used.getOrDefault(spec.team(), Resources.NONE),
+                        teams.get(spec.team()).limit());
     }
 
     /**
-     * At the end: of what was accepted and is wanted, who was served, by class, team and the
-     * largest of each class.
+     * Checks at the end that enough of the accepted jobs that nobody cancelled were served: of each
+     * class, of each team and of the largest jobs of each class, which also started in time.
      */
     void checkFairness() {
         Map<String, List<JobId>> groups = new LinkedHashMap<>();
-        Map<String, Integer> largest = new HashMap<>();
         List<JobId> wanted =
-                accepted.keySet().stream().filter(id -> !cancelAsked.contains(id)).toList();
-        wanted.forEach(
-                id ->
-                        largest.merge(
-                                specs.apply(id).jobClass(),
-                                specs.apply(id).taskCount(),
-                                Math::max));
+                acceptedAt.keySet().stream().filter(id -> !cancelRequested.contains(id)).toList();
+        Map<String, Integer> largest = largestTaskCounts(wanted);
         for (JobId id : wanted) {
             JobSpec spec = specs.apply(id);
-            groups.computeIfAbsent("class " + spec.jobClass(), unused -> new ArrayList<>()).add(id);
-            groups.computeIfAbsent("team " + spec.team(), unused -> new ArrayList<>()).add(id);
+            addToGroup(groups, "class " + spec.jobClass(), id);
+            addToGroup(groups, "team " + spec.team(), id);
             if (spec.taskCount() == largest.get(spec.jobClass())) {
-                groups.computeIfAbsent("largest of " + spec.jobClass(), unused -> new ArrayList<>())
-                        .add(id);
-                MonotonicTime from =
-                        calmSince == null
-                                ? accepted.get(id)
-                                : MonotonicTime.latestOf(calmSince, accepted.get(id));
-                assertTrue(
-                        begunAt.containsKey(id)
-                                && begunAt.get(id).isBefore(from.plus(MAX_LARGEST_START)),
-                        "the largest have to begin in time: " + id);
+                addToGroup(groups, "largest of " + spec.jobClass(), id);
+                checkStartedInTime(id);
             }
         }
         groups.forEach(
@@ -386,9 +354,32 @@
                 });
     }
 
+    private Map<String, Integer> largestTaskCounts(List<JobId> jobs) {
+        Map<String, Integer> largest = new HashMap<>();
+        for (JobId id : jobs) {
+            largest.merge(specs.apply(id).jobClass(), specs.apply(id).taskCount(), Math::max);
+        }
+        return largest;
+    }
+
+    private static void addToGroup(Map<String, List<JobId>> groups, String group, JobId id) {
+        groups.computeIfAbsent(group, unused -> new ArrayList<>()).add(id);
+    }
+
+    private void checkStartedInTime(JobId id) {
+        MonotonicTime from =
+                faultFreeSince == null
+                        ? acceptedAt.get(id)
+                        : MonotonicTime.latestOf(faultFreeSince, acceptedAt.get(id));
+        assertTrue(
+                startedAt.containsKey(id)
+                        && startedAt.get(id).isBefore(from.plus(MAX_LARGEST_START)),
+                "the largest have to begin in time: " + id);
+    }
+
     private boolean isServed(JobId id) {
         return specs.apply(id).kind() == JobKind.SERVICE
-                ? begunAt.containsKey(id)
+                ? startedAt.containsKey(id)
                 : isReportedEnded(id) && ends.get(id).phase() == Phase.DONE;
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/HistoryCheckerTest.java
+++ b/src/test/java/org/meadowhollow/simulation/HistoryCheckerTest.java
@@ -22,7 +22,9 @@
 import org.meadowhollow.model.Resources;
 import org.meadowhollow.model.TaskId;
 
-/** Each check of the judge sees a fault that is planted, and lets pass what is right beside it. */
+/**
+ * Each check of {@link HistoryChecker} detects a planted violation, and accepts correct behaviour.
+ */
 class HistoryCheckerTest {
     private static final JobId UNKNOWN = new JobId("req-99");
 
@@ -87,7 +89,7 @@
         JobSpec job = accepted(1, JobKind.ARRAY, 2);
         assertDoesNotThrow(
                 () -> historyChecker.checkAnswer(job.id(), null, at(0.5), at(2)),
-                "asked before anybody was told");
+                "polled before anybody had an answer");
         assertDetects(
                 "forgotten", () -> historyChecker.checkAnswer(job.id(), null, at(1.5), at(2)));
         assertDetects(
@@ -223,7 +225,7 @@
         assertDetects("the largest have to begin in time", historyChecker::checkFairness);
     }
 
-    /** Thrown inside an answer it would be lost in the future that carries it. */
+    /** Thrown inside a callback, a violation would be lost in the future that carries it. */
     @Test
     void violationFoundInCallbackFailsNextStep() {
         SimulatedCluster cluster = new SimulatedCluster();
--- a/src/test/java/org/meadowhollow/simulation/JobEventLogChecker.java
+++ b/src/test/java/org/meadowhollow/simulation/JobEventLogChecker.java
@@ -13,14 +13,14 @@
 import org.meadowhollow.model.TaskId;
 
 /**
- * What the ordering log shows of the rules: nothing twice at a time, nothing before or after its
- * time, the limit.
+ * Checks an event log against the protocol's rules: no task placed twice at a time, nothing before
+ * its job's acceptance or after its end, and the limit on placed tasks.
  */
 final class JobEventLogChecker {
     private JobEventLogChecker() {}
 
     /**
-     * @param events in the order of the state service
+     * @param events in the store's order
      * @param most tasks that may be placed at a time
      */
     static void check(List<JobEventLog.Event> events, int most) {
--- a/src/test/java/org/meadowhollow/simulation/JobLifecycleScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/JobLifecycleScenarioTest.java
@@ -15,7 +15,7 @@
 import org.meadowhollow.model.TaskId;
 import org.meadowhollow.protocol.jobs.SubmissionCodec;
 
-/** What becomes of jobs, and what their users are told. */
+/** The life cycle of jobs, and what their users are told. */
 class JobLifecycleScenarioTest extends ClusterTestBase {
     @Test
     void acceptedJobRunsAndEveryControllerReportsItDone() {
@@ -90,8 +90,8 @@
         cluster.runSeconds(10);
         FakeWorker hung = machineRunning(job, 0);
         hung.setHung(true);
-        // Direct commands and reports fail from here on; the limit is 48 s, and half of it is
-        // waited.
+        // Direct commands and heartbeats fail from here on; the limit is 48 s, of which half
+        // passes.
         assertTrue(cluster.users().cancel(1, job.id()));
         cluster.runSeconds(2);
         for (int node = 0; node < 3; node++) {
@@ -187,8 +187,8 @@
     }
 
     /**
-     * All tasks of a gang run at once, so one that must be in one zone and may not be is never
-     * whole.
+     * All tasks of a gang run at once, so a gang that must be in one zone and may not be there can
+     * never run.
      */
     @Test
     void gangWithUnsatisfiableZonesIsRejectedAndSatisfiableOneIsAccepted() {
@@ -258,7 +258,7 @@
         }
     }
 
-    /** What is accepted stays so, also where it would be refused today. */
+    /** An accepted job stays accepted, even if it would be rejected today. */
     @Test
     void repeatedSubmissionIsAcceptedAfterQuotaChange() {
         cluster.withTeam("small", 0, 3);
--- a/src/test/java/org/meadowhollow/simulation/KeyValueStoreHttpServer.java
+++ b/src/test/java/org/meadowhollow/simulation/KeyValueStoreHttpServer.java
@@ -16,8 +16,17 @@
 import org.meadowhollow.storage.LeaseId;
 import org.meadowhollow.storage.Transaction;
 
-/** The state service as the protocol has it, over HTTP; what it keeps is the stories' store. */
+/** The key-value store's HTTP interface as the protocol defines it, in front of the fake store. */
 final class KeyValueStoreHttpServer implements Http.RequestHandler {
+    private static final String KEY_PATH = "/kv/";
+    private static final String LEASE_PATH = "/grants/";
+    private static final String RENEW_SUFFIX = "/renew";
+
+    /** The wire's names of a revision of the store and of a lease. */
+    private static final String REVISION = "ledgerRev";
+
+    private static final String LEASE = "tether";
+
     private final KeyValueStore store;
     private final Runnable changed;
 
@@ -56,85 +65,93 @@
     private CompletableFuture<Http.Reply> route(Http.Request request)
             throws MalformedMessageException {
         String path = request.path();
-        if (path.startsWith("/kv/")) {
-            return store.get(path.substring("/kv/".length()), RequestPriority.USER)
-                    .thenApply(
-                            found ->
-                                    found.map(entry -> Http.Reply.of(200, entry(entry)))
-                                            .orElse(Http.Reply.of(404, MessageReader.mapOf())));
+        if (path.startsWith(KEY_PATH)) {
+            return get(path.substring(KEY_PATH.length()));
         }
-        if (path.startsWith("/grants/")) {
-            boolean renews = path.endsWith("/renew");
-            LeaseId lease =
-                    new LeaseId(
-                            Long.parseLong(
-                                    path.substring(
-                                            "/grants/".length(),
-                                            path.length() - (renews ? "/renew".length() : 0))));
-            return (renews ? store.renewLease(lease) : store.revokeLease(lease))
-                    .handle(
-                            (done, failure) ->
-                                    Http.Reply.of(
-                                            failure == null ? 200 : 404, MessageReader.mapOf()))
-                    .whenComplete((reply, none) -> changed.run());
+        if (path.startsWith(LEASE_PATH)) {
+            return renewOrRevoke(path);
         }
         return switch (path) {
-            case "/kv" ->
-                    store.list(
-                                    one(request, "prefix"),
-                                    one(request, "after"),
-                                    Integer.parseInt(one(request, "most")),
-                                    RequestPriority.USER)
-                            .thenApply(
-                                    page ->
-                                            Http.Reply.of(
-                                                    200,
-                                                    MessageReader.mapOf(
-                                                            "items",
-                                                            page.entries().stream()
-                                                                    .map(
-                                                                            KeyValueStoreHttpServer
-                                                                                    ::entry)
-                                                                    .toList(),
-                                                            "truncated",
-                                                            page.hasMore(),
-                                                            "ledgerRev",
-                                                            page.revision().value())));
-            case "/changes" ->
-                    store.watch(
-                                    one(request, "prefix"),
-                                    new Revision(Long.parseLong(one(request, "after"))),
-                                    Duration.ofMillis(Long.parseLong(one(request, "blockMs"))))
-                            .thenApply(KeyValueStoreHttpServer::changes);
-            case "/multi" ->
-                    store.commit(
-                                    transaction(MessageReader.decode(request.body())),
-                                    RequestPriority.USER)
-                            .thenApply(
-                                    commitResult -> {
-                                        changed.run();
-                                        return Http.Reply.of(
-                                                commitResult.isApplied() ? 200 : 409,
-                                                MessageReader.mapOf(
-                                                        "ledgerRev",
-                                                        commitResult.revision().value(),
-                                                        "failed",
-                                                        commitResult.conflictingKeys()));
-                                    });
-            case "/grants" ->
-                    store.grantLease(
-                                    Duration.ofMillis(
-                                            MessageReader.decode(request.body())
-                                                    .nonNegativeLong("ttlMs")))
-                            .thenApply(
-                                    lease ->
-                                            Http.Reply.of(
-                                                    200,
-                                                    MessageReader.mapOf("tether", lease.value())));
+            case "/kv" -> list(request);
+            case "/changes" -> watch(request);
+            case "/multi" -> commit(request);
+            case "/grants" -> grantLease(request);
             default -> throw new MalformedMessageException("no such path: " + path);
         };
     }
 
+    private CompletableFuture<Http.Reply> get(String key) {
+        return store.get(key, RequestPriority.USER)
+                .thenApply(
+                        found ->
+                                found.map(entry -> Http.Reply.of(200, entry(entry)))
+                                        .orElse(Http.Reply.of(404, MessageReader.mapOf())));
+    }
+
+    private CompletableFuture<Http.Reply> renewOrRevoke(String path) {
+        boolean renews = path.endsWith(RENEW_SUFFIX);
+        int end = path.length() - (renews ? RENEW_SUFFIX.length() : 0);
+        LeaseId lease = new LeaseId(Long.parseLong(path.substring(LEASE_PATH.length(), end)));
+        return (renews ? store.renewLease(lease) : store.revokeLease(lease))
+                .handle(
+                        (done, failure) ->
+                                Http.Reply.of(failure == null ? 200 : 404, MessageReader.mapOf()))
+                .whenComplete((reply, none) -> changed.run());
+    }
+
+    private CompletableFuture<Http.Reply> list(Http.Request request) {
+        return store.list(
+                        one(request, "prefix"),
+                        one(request, "after"),
+                        Integer.parseInt(one(request, "most")),
+                        RequestPriority.USER)
+                .thenApply(KeyValueStoreHttpServer::page);
+    }
+
+    private static Http.Reply page(KeyValueStore.Page page) {
+        return Http.Reply.of(
+                200,
+                MessageReader.mapOf(
+                        "items",
+                        page.entries().stream().map(KeyValueStoreHttpServer::entry).toList(),
+                        "truncated",
+                        page.hasMore(),
+                        REVISION,
+                        page.revision().value()));
+    }
+
+    private CompletableFuture<Http.Reply> watch(Http.Request request) {
+        return store.watch(
+                        one(request, "prefix"),
+                        new Revision(Long.parseLong(one(request, "after"))),
+                        Duration.ofMillis(Long.parseLong(one(request, "blockMs"))))
+                .thenApply(KeyValueStoreHttpServer::changes);
+    }
+
+    private CompletableFuture<Http.Reply> commit(Http.Request request)
+            throws MalformedMessageException {
+        Transaction transaction = transaction(MessageReader.decode(request.body()));
+        return store.commit(transaction, RequestPriority.USER)
+                .thenApply(
+                        result -> {
+                            changed.run();
+                            return Http.Reply.of(
+                                    result.isApplied() ? 200 : 409,
+                                    MessageReader.mapOf(
+                                            REVISION,
+                                            result.revision().value(),
+                                            "failed",
+                                            result.conflictingKeys()));
+                        });
+    }
+
+    private CompletableFuture<Http.Reply> grantLease(Http.Request request)
+            throws MalformedMessageException {
+        long ttlMillis = MessageReader.decode(request.body()).nonNegativeLong("ttlMs");
+        return store.grantLease(Duration.ofMillis(ttlMillis))
+                .thenApply(lease -> Http.Reply.of(200, MessageReader.mapOf(LEASE, lease.value())));
+    }
+
     private static String one(Http.Request request, String parameter) {
         List<String> values = request.query().get(parameter);
         return values == null ? null : values.get(0);
--- a/src/test/java/org/meadowhollow/simulation/LeaderFailureScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/LeaderFailureScenarioTest.java
@@ -11,7 +11,7 @@
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.TaskId;
 
-/** Leaders that crash, are deposed, or lose the state service. */
+/** Leaders that crash, are deposed, or lose the key-value store. */
 class LeaderFailureScenarioTest extends ClusterTestBase {
     @Test
     void controllerRefusedAloneByStoreReportsNotReady() {
@@ -26,8 +26,8 @@
     }
 
     /**
-     * A leader that came late to its work answered workers too late, while users asked it as often
-     * as any other node.
+     * Regression test: an overloaded leader answered workers too late, while users sent it as many
+     * requests as any other controller.
      */
     @Test
     void overloadedLeaderReportsNotReady() {
@@ -155,7 +155,7 @@
         cluster.runSeconds(15);
         assertTrue(
                 cluster.workers().stream().allMatch(worker -> worker.runningTasks().isEmpty()),
-                "a hint of the new term makes the old leader let go at once");
+                "an announcement of the new fencing token makes the old leader step down at once");
     }
 
     @Test
@@ -164,7 +164,7 @@
         assertTrue(cluster.users().submit(0, job, null));
         cluster.runSeconds(15);
         int old = cluster.leader();
-        // Only the old leader reaches the workers, and it alone is refused by the state service.
+        // Only the old leader reaches the workers, and the store refuses it alone.
         cluster.network().cutPeers(true);
         cluster.cloud().setOutage(true);
         for (int node = 0; node < 3; node++) {
--- a/src/test/java/org/meadowhollow/simulation/LeaderReachabilityScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/LeaderReachabilityScenarioTest.java
@@ -14,7 +14,9 @@
 import org.meadowhollow.model.MachineId;
 import org.meadowhollow.model.TaskId;
 
-/** A leader that hears few workers or none: who leads then, and what happens to the machines. */
+/**
+ * A leader that receives few heartbeats or none: who leads then, and what happens to the machines.
+ */
 class LeaderReachabilityScenarioTest {
     private static final int MACHINES = 16;
     private static final int REPLICAS = 32;
@@ -26,7 +28,7 @@
     private MachineId lastOfFirst;
 
     @BeforeEach
-    void aServiceOnMachinesOfTwoZones() {
+    void startServiceOnMachinesOfTwoZones() {
         cluster = new SimulatedCluster();
         for (int at = 0; at < MACHINES / 2; at++) {
             cluster.addMachine(SimulatedCluster.LARGE, "a");
@@ -48,8 +50,8 @@
     }
 
     /**
-     * None of the first machines was returned; those rented in between go when they are of no more
-     * use.
+     * None of the first machines was returned; those that were rented meanwhile are returned once
+     * they are idle.
      */
     private void assertKept() {
         cluster.cloud()
@@ -81,14 +83,14 @@
     void workersLeavingIsolatedLeaderWaitForItsSuccessor() {
         cluster.cutFromWorkers(first, true);
         cluster.runSeconds(9.5);
-        long term = cluster.fencingToken();
+        long fencingToken = cluster.fencingToken();
         cluster.workers()
                 .forEach(
                         worker ->
                                 assertEquals(
-                                        term,
+                                        fencingToken,
                                         worker.fencingToken().value(),
-                                        worker.id() + " was sent back to the deaf leader"));
+                                        worker.id() + " was sent back to the isolated leader"));
     }
 
     @Test
@@ -136,7 +138,7 @@
         int third = 3 - first - second;
         cluster.losePower(second);
         cluster.runSeconds(9);
-        assertEquals(third, cluster.leader(), "the deaf one left the free lease to the third");
+        assertEquals(third, cluster.leader(), "the isolated node left the free lease to the third");
     }
 
     @Test
@@ -145,7 +147,7 @@
         cluster.runSeconds(12);
         cluster.cutFromWorkers(first, false);
         cluster.runSeconds(6);
-        // Nobody comes to a node that does not lead, so it has asked some workers itself.
+        // No worker connects to a node that does not lead, so it has probed some workers itself.
         for (int node = 0; node < 3; node++) {
             if (node != first) {
                 cluster.losePower(node);
@@ -157,12 +159,13 @@
 
     @Test
     void leaderStaysIfNoControllerReceivesHeartbeats() {
-        long term = cluster.fencingToken();
+        long fencingToken = cluster.fencingToken();
         for (int node = 0; node < 3; node++) {
             cluster.cutFromWorkers(node, true);
         }
         cluster.runSeconds(60);
-        assertEquals(term, cluster.fencingToken(), "turns gain nothing");
+        assertEquals(
+                fencingToken, cluster.fencingToken(), "changing the leader again gains nothing");
         for (int node = 0; node < 3; node++) {
             cluster.cutFromWorkers(node, false);
         }
@@ -179,23 +182,26 @@
         }
         cluster.runSeconds(20);
         assertEquals(first, cluster.leader());
-        long term = cluster.fencingToken();
+        long fencingToken = cluster.fencingToken();
         cluster.runSeconds(10);
-        assertEquals(term, cluster.fencingToken(), "once is enough");
+        assertEquals(fencingToken, cluster.fencingToken(), "one handover is enough");
         assertEquals(List.of(), cluster.cloud().returnedMachines());
     }
 
     @Test
     void leaderIsolatedFromOneZoneStaysAndKeepsItsMachines() {
-        long term = cluster.fencingToken();
+        long fencingToken = cluster.fencingToken();
         cluster.cutFromZone(first, "b", true);
         cluster.runSeconds(100);
-        assertEquals(term, cluster.fencingToken(), "the other nodes may hear less of zone a");
+        assertEquals(
+                fencingToken,
+                cluster.fencingToken(),
+                "the other nodes may receive fewer heartbeats of zone a");
         assertKept();
         assertEquals(
                 List.of(),
                 cluster.cloud().returnedMachinesOf("b"),
-                "nor those that came up there since and could not be heard");
+                "nor those that booted there since and could not be reached");
         cluster.cutFromZone(first, "b", false);
         cluster.runSeconds(20);
         assertKept();
@@ -253,7 +259,7 @@
         cluster.runSeconds(8);
         assertFalse(
                 cluster.cloud().returnedMachines().contains(lost.id()),
-                "another node heard it until 8 s ago");
+                "another node received its heartbeats until 8 s ago");
         cluster.runSeconds(18);
         assertTrue(cluster.cloud().returnedMachines().contains(lost.id()));
     }
@@ -289,7 +295,7 @@
         assertEquals(
                 List.of(),
                 cluster.cloud().returnedMachines(),
-                "its lease is over, and it has heard nobody for 30 s");
+                "its lease has expired, and it has received no heartbeat for 30 s");
     }
 
     @Test
@@ -325,35 +331,36 @@
                 cluster.cloud()
                         .returnedMachines()
                         .containsAll(wave.stream().map(FakeWorker::id).toList()),
-                "seven of sixteen are silent, but they are gone");
+                "seven of sixteen are silent, but they no longer exist");
         assertEquals(REPLICAS, runningReplicaCount());
     }
 
     @Test
     void lateHeartbeatsStopReturnOfOtherMachines() {
-        // Few enough for independent failures, and nobody else hears them either.
-        List<FakeWorker> silent = cluster.workers().subList(0, 4);
+        // Few enough to be independent failures, and no other controller receives their
+        // heartbeats.
+        List<FakeWorker> silentMachines = cluster.workers().subList(0, 4);
         cluster.network().cutPeers(true);
-        silent.get(0).setHung(true);
-        silent.get(1).setHung(true);
+        silentMachines.get(0).setHung(true);
+        silentMachines.get(1).setHung(true);
         cluster.cloud().setOutage(true);
         cluster.runSeconds(6);
-        silent.get(2).setHung(true);
-        silent.get(3).setHung(true);
+        silentMachines.get(2).setHung(true);
+        silentMachines.get(3).setHung(true);
         cluster.runSeconds(5);
-        silent.get(0).setHung(false);
-        silent.get(1).setHung(false);
+        silentMachines.get(0).setHung(false);
+        silentMachines.get(1).setHung(false);
         cluster.runSeconds(1);
         cluster.cloud().setOutage(false);
         cluster.runSeconds(5);
         assertFalse(
-                cluster.cloud().returnedMachines().contains(silent.get(2).id()),
+                cluster.cloud().returnedMachines().contains(silentMachines.get(2).id()),
                 "two that seemed dead were not");
         cluster.runSeconds(25);
-        List<MachineId> dead = List.of(silent.get(2).id(), silent.get(3).id());
+        List<MachineId> dead = List.of(silentMachines.get(2).id(), silentMachines.get(3).id());
         assertTrue(
                 cluster.cloud().returnedMachines().containsAll(dead),
-                "they stay silent, and no others report late");
+                "they stay silent, and no other heartbeats are late");
     }
 
     @Test
@@ -362,8 +369,8 @@
             cluster.addMachine(SimulatedCluster.LARGE, "a");
         }
         cluster.runSeconds(46);
-        // Another leads in 5 s, and may place anything on the machines that the first still takes
-        // for idle.
+        // Another controller leads in 5 s, and may place anything on the machines that the first
+        // still considers idle.
         cluster.storeConnection(first).refuseRequests(true);
         cluster.network().cutPeers(true);
         cluster.runSeconds(11);
--- a/src/test/java/org/meadowhollow/simulation/LoadTestMain.java
+++ b/src/test/java/org/meadowhollow/simulation/LoadTestMain.java
@@ -34,8 +34,8 @@
 
 /**
  * Measures one controller, a process bound to one core, beside stand-ins in this process: requests
- * a second of both interfaces, what lists cost the state service, and what hostile requests leave
- * behind. Run by hand: {@code docs/measurements.md} says how.
+ * a second of both APIs, the store requests that lists cause, and the memory that hostile requests
+ * leave behind. Run by hand: {@code docs/measurements.md} says how.
  */
 final class LoadTestMain {
     private static final int AT_ONCE = 16;
@@ -89,48 +89,7 @@
                                                 return reply;
                                             });
                         });
-        int cloud =
-                serve(
-                        loop,
-                        (Http.SimpleRequestHandler)
-                                (method, path, body) ->
-                                        CompletableFuture.completedFuture(
-                                                path.equals("/machine_types")
-                                                        ? Http.Reply.of(
-                                                                200,
-                                                                MessageReader.mapOf(
-                                                                        "breeds",
-                                                                        List.of(
-                                                                                MessageReader.mapOf(
-                                                                                        "label",
-                                                                                        "t",
-                                                                                        "cores",
-                                                                                        8.0,
-                                                                                        "gpus",
-                                                                                        2.0,
-                                                                                        "memGb",
-                                                                                        32.0,
-                                                                                        "cacheGb",
-                                                                                        50.0,
-                                                                                        "fetchGbPerS",
-                                                                                        1.0,
-                                                                                        "hourly",
-                                                                                        1.0,
-                                                                                        "readyS",
-                                                                                        30.0,
-                                                                                        "fields",
-                                                                                        List.of(
-                                                                                                "z")))))
-                                                        : method.equals("POST")
-                                                                ? Http.Reply.retryLater(
-                                                                        503, 1, "no capacity")
-                                                                : Http.Reply.of(
-                                                                        200,
-                                                                        MessageReader.mapOf(
-                                                                                "stalls",
-                                                                                List.of(),
-                                                                                "truncated",
-                                                                                false))));
+        int cloud = serve(loop, (Http.SimpleRequestHandler) LoadTestMain::answerAsCloud);
         front = freePort();
         tes = freePort();
         Path settings = Files.createTempFile("load", ".json");
@@ -172,6 +131,17 @@
         }
     }
 
+    private static CompletableFuture<Http.Reply> answerAsCloud(
+            String method, String path, byte[] body) {
+        if (path.equals("/machine_types")) {
+            return CompletableFuture.completedFuture(CloudWireReplies.machineTypes());
+        }
+        return CompletableFuture.completedFuture(
+                method.equals("POST")
+                        ? CloudWireReplies.noCapacity()
+                        : CloudWireReplies.machines(List.of()));
+    }
+
     private static int serve(XnioEventLoop loop, Http.RequestHandler requestHandler) {
         return new HttpServer(
                         loop,
@@ -190,7 +160,7 @@
             Thread.onSpinWait();
         }
         System.out.println("at rest: " + memory());
-        // Once without counting, for the compiler; both kinds in turn.
+        // Once without counting, to warm up the compiler; both kinds in turn.
         for (int round = 0; round < 2; round++) {
             int from = round * 3 * REQUESTS;
             load(
@@ -309,9 +279,7 @@
                 .build();
     }
 
-    /**
-     * Sends so many requests, some at once, and prints what came of them; silent without a name.
-     */
+    /** Sends requests, some at once, and prints the results; prints nothing without a name. */
     private void load(String what, int count, IntFunction<HttpRequest> request) throws Exception {
         AtomicInteger next = new AtomicInteger();
         Map<Integer, Integer> answers = new ConcurrentHashMap<>();
--- a/src/test/java/org/meadowhollow/simulation/LoopbackIntegrationTest.java
+++ b/src/test/java/org/meadowhollow/simulation/LoopbackIntegrationTest.java
@@ -52,9 +52,9 @@
 import org.meadowhollow.transport.tracing.OtlpTaskTracer;
 
 /**
- * Three real controllers, stand-ins for all that is around them, and a client of each interface,
- * over real connections on ports of the system's choice. What the clients wait for is bounded, and
- * waited for by what the stand-ins see.
+ * Three real controllers, stand-ins for all that is around them, and a client of each API, over
+ * real connections on ephemeral ports. Every wait is bounded, and ends by what the stand-ins
+ * observe.
  */
 class LoopbackIntegrationTest {
     private static final Duration PATIENCE = Duration.ofSeconds(40);
@@ -183,43 +183,12 @@
     private CompletableFuture<Http.Reply> cloud(String method, String path, byte[] body) {
         return CompletableFuture.completedFuture(
                 switch (path) {
-                    case "/machine_types" ->
-                            Http.Reply.of(
-                                    200,
-                                    MessageReader.mapOf(
-                                            "breeds",
-                                            List.of(
-                                                    MessageReader.mapOf(
-                                                            "label",
-                                                            "t",
-                                                            "cores",
-                                                            8.0,
-                                                            "gpus",
-                                                            2.0,
-                                                            "memGb",
-                                                            32.0,
-                                                            "cacheGb",
-                                                            50.0,
-                                                            "fetchGbPerS",
-                                                            1.0,
-                                                            "hourly",
-                                                            1.0,
-                                                            "readyS",
-                                                            30.0,
-                                                            "fields",
-                                                            List.of("z")))));
+                    case "/machine_types" -> CloudWireReplies.machineTypes();
                     case "/rentals" ->
                             method.equals("POST")
-                                    ? Http.Reply.retryLater(503, 1, "no capacity")
-                                    : Http.Reply.of(
-                                            200,
-                                            MessageReader.mapOf(
-                                                    "stalls",
-                                                    workers.stream()
-                                                            .map(LoopbackWorker::listed)
-                                                            .toList(),
-                                                    "truncated",
-                                                    false));
+                                    ? CloudWireReplies.noCapacity()
+                                    : CloudWireReplies.machines(
+                                            workers.stream().map(LoopbackWorker::listed).toList());
                     default -> Http.Reply.of(200, MessageReader.mapOf());
                 });
     }
@@ -266,8 +235,8 @@
     }
 
     /**
-     * Looks again whenever the state service or the ordering log has news, or a renewal of a lease
-     * has come by.
+     * Evaluates a condition again whenever the store or the event log has news, or a lease was
+     * renewed.
      */
     private void awaitTrue(String what, Callable<Boolean> there) throws Exception {
         long until = System.nanoTime() + PATIENCE.toNanos();
@@ -374,19 +343,19 @@
                     "ready",
                     () -> sendNative(at, "GET", "/ready", new byte[0]).statusCode() == 200);
         }
-        List<JobId> came = new ArrayList<>();
+        List<JobId> admitted = new ArrayList<>();
         List<String> tasks = new ArrayList<>();
         for (int at = 0; at < 4; at++) {
-            came.add(submit(at, at + 1));
+            admitted.add(submit(at, at + 1));
             tasks.add(createTesTask(at + 1, at));
-            came.add(new JobId(tasks.get(at)));
+            admitted.add(new JobId(tasks.get(at)));
         }
         List<TaskId> first =
-                came.subList(0, LIMIT).stream().map(job -> new TaskId(job, 0)).toList();
+                admitted.subList(0, LIMIT).stream().map(job -> new TaskId(job, 0)).toList();
         awaitTrue("as many as the team may have", () -> running().size() == LIMIT);
         assertEquals(new HashSet<>(first), running(), "first come, first placed, by either way");
         awaitTrue(
-                "told by every node",
+                "reported by every node",
                 () ->
                         tesState(0, tasks.get(0)).equals("RUNNING")
                                 && tesState(1, tasks.get(1)).equals("RUNNING")
@@ -402,11 +371,12 @@
                     workers.forEach(LoopbackWorker::endAll);
                     return null;
                 });
-        awaitTrue("the end of all", () -> eventCount(JobEventLog.EventType.ENDED) == came.size());
+        awaitTrue(
+                "the end of all", () -> eventCount(JobEventLog.EventType.ENDED) == admitted.size());
         for (int node = 0; node < 2; node++) {
             for (int at = 0; at < 4; at++) {
                 assertEquals(at < 3 ? "COMPLETE" : "CANCELED", tesState(node, tasks.get(at)));
-                assertEquals("done", jobPhase(node, came.get(2 * at)));
+                assertEquals("done", jobPhase(node, admitted.get(2 * at)));
             }
         }
         assertEquals("404", jobPhase(0, new JobId(tasks.get(0))), "a task is no native job");
@@ -430,7 +400,7 @@
                         .filter(event -> event.type() == JobEventLog.EventType.PLACED)
                         .map(JobEventLog.Event::jobId)
                         .toList();
-        List<JobId> wanted = new ArrayList<>(came);
+        List<JobId> wanted = new ArrayList<>(admitted);
         wanted.remove(new JobId(tasks.get(3)));
         assertEquals(wanted, placed);
         checkSpans(tasks);
--- a/src/test/java/org/meadowhollow/simulation/LoopbackWorker.java
+++ b/src/test/java/org/meadowhollow/simulation/LoopbackWorker.java
@@ -15,7 +15,10 @@
 import org.meadowhollow.transport.HttpServer;
 import org.meadowhollow.transport.XnioEventLoop;
 
-/** A machine's worker over HTTP, in the wire's words. Everything happens on one loop's thread. */
+/**
+ * A machine's worker over HTTP, with the field names of the wire. Everything happens on the thread
+ * of one event loop.
+ */
 final class LoopbackWorker implements AutoCloseable {
     private static final Duration REPORT = Duration.ofMillis(500);
     private static final Duration LEASE = Duration.ofSeconds(4);
--- a/src/test/java/org/meadowhollow/simulation/MachineFailureScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/MachineFailureScenarioTest.java
@@ -14,9 +14,9 @@
 import org.meadowhollow.model.TaskId;
 import org.meadowhollow.model.TaskState;
 
-/** Machines that hang, fall silent, are taken back, rented and returned. */
+/** Machines that hang, fall silent, are preempted, rented and returned. */
 class MachineFailureScenarioTest extends ClusterTestBase {
-    /** A service of one replica, which is on its machine. */
+    /** Submits a service of one replica, and waits until it runs. */
     private JobSpec runningReplica() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 1, 1);
         assertTrue(cluster.users().submit(0, job, null));
@@ -26,7 +26,7 @@
 
     @Test
     void startIsSentWithoutWaitingForNextHeartbeat() {
-        // All machines report every 3 s from the same moment on, and have just done so.
+        // All machines send heartbeats every 3 s from the same moment on, and have just done so.
         cluster.runSeconds(3.25);
         JobSpec job = array(1, 6);
         assertTrue(cluster.users().submit(0, job, LONG_RUNTIME));
@@ -148,8 +148,8 @@
     }
 
     /**
-     * A return that the cloud certainly did not execute closes no machine: its room was lost for as
-     * long as a replica ran there.
+     * Regression test: a return that the cloud certainly did not execute must not close the
+     * machine, whose capacity was lost for as long as a replica ran there.
      */
     @Test
     void machineWhoseReturnWasRefusedRunsTasksAgain() {
--- a/src/test/java/org/meadowhollow/simulation/NightlyReservationsScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/NightlyReservationsScenarioTest.java
@@ -3,12 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.time.Instant;
 import java.time.LocalDate;
 import java.time.LocalTime;
 import java.time.ZoneId;
 import java.util.ArrayList;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
@@ -19,11 +21,10 @@
 import org.meadowhollow.model.TaskId;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.JsonCodec;
-import org.meadowhollow.protocol.MessageReader;
 
 /**
- * A month of nights on a fleet that other work could fill, with a run at two each night; what lies
- * between is left out of the clocks. The month has a night on which the clocks go back.
+ * A month of nights on a fleet that other work could fill, with a reserved run at two each night;
+ * the clocks skip the time between. The month has the night on which daylight saving time ends.
  */
 class NightlyReservationsScenarioTest {
     private static final ZoneId ZONE = ZoneId.of("America/New_York");
@@ -31,147 +32,92 @@
     private static final int NIGHTS = 30;
     private static final int TASKS = 8;
 
-    /** Rounds are a second apart, reports three, and an image takes two. */
+    /** Scheduling rounds are 1 s apart, heartbeats 3 s, and an image pull takes 2 s. */
     private static final double ON_TIME_S = 15;
 
     /**
      * @param onTime nights on which all of the run ran within {@link #ON_TIME_S}
-     * @param others tasks of other work that were done
+     * @param others tasks of other work that completed
      */
     private record Month(int onTime, int others) {}
 
     private static Month simulateMonth(long seed, boolean reserved, boolean faults) {
-        Random random = new Random(seed);
-        SimulatedCluster cluster = new SimulatedCluster();
-        for (int at = 0; at < 4; at++) {
-            cluster.addMachine(SimulatedCluster.SMALL, at % 2 == 0 ? "a" : "b");
+        return new MonthSimulation(seed, faults).run(reserved);
+    }
+
+    /** One month on a fleet of its own. */
+    private static final class MonthSimulation {
+        private final Random random;
+        private final boolean faults;
+        private final SimulatedCluster cluster = new SimulatedCluster();
+        private int jobNumber;
+        private int onTime;
+        private int others;
+
+        MonthSimulation(long seed, boolean faults) {
+            this.random = new Random(seed);
+            this.faults = faults;
+        }
+
+        Month run(boolean reserved) {
+            startFleet();
+            if (reserved) {
+                reserveNightlyRun();
+            }
+            for (int night = 0; night < NIGHTS; night++) {
+                simulateNight(FIRST.plusDays(night));
+            }
+            return new Month(onTime, others);
+        }
+
+        private void startFleet() {
+            for (int at = 0; at < 4; at++) {
+                cluster.addMachine(SimulatedCluster.SMALL, at % 2 == 0 ? "a" : "b");
+            }
+            cluster.addMachine(SimulatedCluster.LARGE, "a");
+            cluster.addMachine(SimulatedCluster.LARGE, "b");
+            cluster.cloud().limitMachines(6);
+            cluster.enableReservations(Map.of());
+            skipTo(FIRST.atStartOfDay(ZONE).toInstant());
+            cluster.runSeconds(15);
+        }
+
+        private void skipTo(Instant time) {
+            Instant now = Instant.ofEpochMilli(cluster.loop().wallClockMillis());
+            cluster.loop().skip(Duration.between(now, time));
         }
-        cluster.addMachine(SimulatedCluster.LARGE, "a");
-        cluster.addMachine(SimulatedCluster.LARGE, "b");
-        cluster.cloud().limitMachines(6);
-        cluster.enableReservations(Map.of());
-        cluster.loop()
-                .skip(
-                        Duration.between(
-                                Instant.ofEpochMilli(cluster.loop().wallClockMillis()),
-                                FIRST.atStartOfDay(ZONE).toInstant()));
-        cluster.runSeconds(15);
-        if (reserved) {
+
+        private void reserveNightlyRun() {
+            Map<String, Object> reservation = new LinkedHashMap<>();
+            reservation.put("team", "team");
+            reservation.put("priority", "urgent");
+            reservation.put("tasks", TASKS);
+            reservation.put("cpus", 1.0);
+            reservation.put("gpus", 1.0);
+            reservation.put("ram_gb", 4.0);
+            reservation.put("class", "nightly");
+            reservation.put("start", FIRST.atTime(2, 0).toString());
+            reservation.put("time_zone", ZONE.getId());
+            reservation.put("rule", "FREQ=DAILY");
+            reservation.put("length_s", 900.0);
+            String body = new String(JsonCodec.encode(reservation), StandardCharsets.UTF_8);
             Http.Reply reply =
                     cluster.clients()
                             .sendReservationRequest(
-                                    0,
-                                    "secret",
-                                    "PUT",
-                                    "reservations/nightly",
-                                    null,
-                                    new String(
-                                            JsonCodec.encode(
-                                                    MessageReader.mapOf(
-                                                            "team",
-                                                            "team",
-                                                            "priority",
-                                                            "urgent",
-                                                            "tasks",
-                                                            TASKS,
-                                                            "cpus",
-                                                            1.0,
-                                                            "gpus",
-                                                            1.0,
-                                                            "ram_gb",
-                                                            4.0,
-                                                            "class",
-                                                            "nightly",
-                                                            "start",
-                                                            FIRST.atTime(2, 0).toString(),
-                                                            "time_zone",
-                                                            ZONE.getId(),
-                                                            "rule",
-                                                            "FREQ=DAILY",
-                                                            "length_s",
-                                                            900.0))));
-            assertEquals(201, reply.status(), new String(reply.body()));
+                                    0, "secret", "PUT", "reservations/nightly", null, body);
+            assertEquals(201, reply.status(), new String(reply.body(), StandardCharsets.UTF_8));
         }
-        int number = 0;
-        int onTime = 0;
-        int others = 0;
-        for (int night = 0; night < NIGHTS; night++) {
-            Instant two = FIRST.plusDays(night).atTime(LocalTime.of(2, 0)).atZone(ZONE).toInstant();
-            cluster.loop()
-                    .skip(
-                            Duration.between(
-                                    Instant.ofEpochMilli(cluster.loop().wallClockMillis()),
-                                    two.minusSeconds(600)));
-            List<JobSpec> background = new ArrayList<>();
-            for (int at = 0; at < 6; at++) {
-                double estimate = 100 + random.nextInt(800);
-                JobSpec spec = SimulatedCluster.spec(++number, JobKind.ARRAY, 8, 1);
-                JobSpec other =
-                        new JobSpec(
-                                spec.id(),
-                                "other",
-                                "team",
-                                spec.kind(),
-                                random.nextBoolean() ? Priority.NORMAL : Priority.HIGH,
-                                8,
-                                spec.resourcesPerTask(),
-                                null,
-                                null,
-                                false,
-                                false,
-                                false,
-                                spec.image(),
-                                1,
-                                estimate,
-                                20,
-                                4,
-                                Double.NaN);
-                background.add(other);
-                // Wrong by up to half, either way.
-                assertTrue(
-                        cluster.users()
-                                .submit(
-                                        at % 3,
-                                        other,
-                                        Duration.ofMillis(
-                                                (long) (estimate * (500 + random.nextInt(1000))))));
-                cluster.runSeconds(random.nextInt(60));
-            }
+
+        private void simulateNight(LocalDate night) {
+            Instant two = night.atTime(LocalTime.of(2, 0)).atZone(ZONE).toInstant();
+            skipTo(two.minusSeconds(600));
+            List<JobSpec> background = submitBackground();
             injectFault(cluster, faults ? random.nextInt(5) : -1);
             double leftS = (two.toEpochMilli() - cluster.loop().wallClockMillis()) / 1000.0;
             cluster.runSeconds(Math.max(0, leftS));
-            JobSpec run = SimulatedCluster.spec(++number, JobKind.ARRAY, TASKS, 1);
-            run =
-                    new JobSpec(
-                            run.id(),
-                            "nightly",
-                            "team",
-                            run.kind(),
-                            Priority.HIGH,
-                            TASKS,
-                            run.resourcesPerTask(),
-                            null,
-                            null,
-                            false,
-                            false,
-                            false,
-                            run.image(),
-                            1,
-                            60,
-                            0,
-                            0,
-                            Double.NaN);
-            for (int node = 0;
-                    !cluster.users().submit(node % 3, run, Duration.ofSeconds(60));
-                    node++) {
-                assertTrue(node < 10, "nobody takes it");
-            }
+            JobSpec run = submitNightlyRun();
             cluster.runSeconds(ON_TIME_S);
-            int running = 0;
-            for (int task = 0; task < TASKS; task++) {
-                running += cluster.machinesRunning(new TaskId(run.id(), task)).isEmpty() ? 0 : 1;
-            }
-            onTime += running == TASKS ? 1 : 0;
+            onTime += runningTaskCount(run) == TASKS ? 1 : 0;
             cluster.runSeconds(200);
             cluster.restartAll();
             cluster.runSeconds(5);
@@ -182,10 +128,55 @@
             cluster.users().cancel(1, run.id());
             cluster.runSeconds(30);
         }
-        return new Month(onTime, others);
+
+        /** Submits other work that fills the fleet, over the minutes before the run. */
+        private List<JobSpec> submitBackground() {
+            List<JobSpec> background = new ArrayList<>();
+            for (int at = 0; at < 6; at++) {
+                double estimate = 100 + random.nextInt(800);
+                JobSpec spec = SimulatedCluster.spec(++jobNumber, JobKind.ARRAY, 8, 1);
+                JobSpec other =
+                        JobSpecBuilder.from(spec)
+                                .jobClass("other")
+                                .priority(random.nextBoolean() ? Priority.NORMAL : Priority.HIGH)
+                                .estimatedRuntimeSeconds(estimate)
+                                .checkpoints(20, 4)
+                                .build();
+                background.add(other);
+                // The estimate is wrong by up to half, in either direction.
+                long runtimeMillis = (long) (estimate * (500 + random.nextInt(1000)));
+                assertTrue(cluster.users().submit(at % 3, other, Duration.ofMillis(runtimeMillis)));
+                cluster.runSeconds(random.nextInt(60));
+            }
+            return background;
+        }
+
+        private JobSpec submitNightlyRun() {
+            JobSpec spec = SimulatedCluster.spec(++jobNumber, JobKind.ARRAY, TASKS, 1);
+            JobSpec run =
+                    JobSpecBuilder.from(spec)
+                            .jobClass("nightly")
+                            .priority(Priority.HIGH)
+                            .estimatedRuntimeSeconds(60)
+                            .build();
+            int node = 0;
+            while (!cluster.users().submit(node % 3, run, Duration.ofSeconds(60))) {
+                assertTrue(node < 10, "nobody takes it");
+                node++;
+            }
+            return run;
+        }
+
+        private int runningTaskCount(JobSpec run) {
+            int running = 0;
+            for (int task = 0; task < TASKS; task++) {
+                running += cluster.machinesRunning(new TaskId(run.id(), task)).isEmpty() ? 0 : 1;
+            }
+            return running;
+        }
     }
 
-    /** Something that happens in the last minutes before the run. */
+    /** Injects a fault in the last minutes before the run. */
     private static void injectFault(SimulatedCluster cluster, int which) {
         switch (which) {
             case 0 -> {
--- a/src/test/java/org/meadowhollow/simulation/OverlappingFaultsScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/OverlappingFaultsScenarioTest.java
@@ -16,9 +16,9 @@
 import org.meadowhollow.storage.RecordCodec;
 
 /**
- * Cancellations that the one who answers the workers has not heard of: the state service refuses
- * the leader alone, another node confirms them, and then it is down for all. docs/meetings.md has
- * what each party believes at each step.
+ * Cancellations that the leader does not know of: the store refuses the leader alone, another
+ * controller confirms them, and then the store is out for all. docs/meetings.md says what each
+ * party believes at each step.
  */
 class OverlappingFaultsScenarioTest extends ClusterTestBase {
     private List<JobSpec> longJobs() {
@@ -47,8 +47,8 @@
     }
 
     /**
-     * What the judge of {@link SimulatedCluster} watches over at each step, and that it had
-     * something to watch.
+     * What the history checker of {@link SimulatedCluster} checks at each step, and that there was
+     * something to check.
      */
     private void assertStoppedWithinBound(List<JobSpec> jobs) {
         for (JobSpec job : jobs) {
@@ -65,8 +65,8 @@
     }
 
     /**
-     * The state service refuses the leader, no other node tells it anything, and another one
-     * confirms the cancellations.
+     * The store refuses the leader, no other controller can inform it, and another one confirms the
+     * cancellations.
      */
     private void cancelWhileLeaderIsRefusedAlone(int leader, List<JobSpec> jobs) {
         cluster.network().cutPeers(true);
@@ -153,8 +153,8 @@
     void plainStoreOutageReleasesNoTaskTooEarly() {
         List<JobSpec> jobs = longJobs();
         cluster.store().setOutage(true);
-        // cancel_s less a look's age and a second: what was not cancelled goes on for so long, and
-        // through an outage shorter than it.
+        // The cancellation bound less the age of a read and a second: tasks that were not
+        // cancelled run on for so long, and through an outage shorter than it.
         cluster.runSeconds(24);
         cluster.store().setOutage(false);
         cluster.runSeconds(20);
@@ -190,7 +190,7 @@
         JobSpec job = array(1, 2);
         assertTrue(cluster.users().submit(nodeAfter(leader, 1), job, HOURS_RUNTIME));
         assertTrue(cluster.users().cancel(nodeAfter(leader, 1), job.id()));
-        // All jobs are read instead, which shows it cancelled at once.
+        // All jobs are read instead, which shows at once that the job is cancelled.
         cluster.runSeconds(20);
         assertEquals(0, cluster.store().recordCount(RecordCodec.JOB_PREFIX), "its end is written");
     }
@@ -205,7 +205,7 @@
                 cluster.cloud()
                         .returnedMachines()
                         .containsAll(back.stream().map(FakeWorker::id).toList()),
-                "what they report cannot be told from late copies");
+                "their heartbeats cannot be distinguished from late duplicates");
         cluster.runSeconds(10);
         jobs.forEach(job -> assertTrue(allTasksRunning(job)));
     }
@@ -237,8 +237,8 @@
     }
 
     /**
-     * Two tasks whose ends lie some ten seconds apart, and between them, at any moment around the
-     * first, the leader ends.
+     * Two tasks that end some ten seconds apart, and between them, at any moment around the first,
+     * the leader crashes.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4, 6, 9, 12})
@@ -252,7 +252,7 @@
         FakeWorker second = machineRunning(job, 1);
         second.setHung(true);
         if (quartersOfASecond % 2 == 1) {
-            // The end is not committed, so the worker may not be told to forget it.
+            // The exit is not committed, so the worker must not be told to forget it.
             cluster.storeConnection(cluster.leader()).holdCommits();
         }
         for (int step = 0; step < 80 && machineRunning(job, 0) != null; step++) {
@@ -275,8 +275,8 @@
     }
 
     /**
-     * A zone goes on inside with a controller that leads, and jobs are called off through the new
-     * one outside.
+     * A partitioned zone continues inside with a controller that leads, and jobs are cancelled
+     * through the new leader outside.
      */
     @ParameterizedTest
     @ValueSource(ints = {20, 35, 60})
@@ -320,8 +320,8 @@
         }
         cluster.runSeconds(40);
         assertStoppedWithinBound(jobs);
-        // What was not called off counts as running in the cut zone for as long as its leader may
-        // have gone on answering.
+        // What was not cancelled counts as running in the partitioned zone for as long as its
+        // leader may have continued to answer heartbeats.
         cluster.runSeconds(30);
         assertTrue(allTasksRunning(stays));
         assertEquals(
@@ -331,8 +331,8 @@
     }
 
     /**
-     * Each of a leader's writes for some seconds is carried out later, after the newer ones by
-     * which it went on.
+     * Each of a leader's writes is applied late for some seconds, after the newer ones by which it
+     * continued.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 2, 5, 8, 11})
@@ -360,7 +360,7 @@
     }
 
     /**
-     * The record of a start is written again over that of the task's end, and then the leader ends.
+     * A placement is written again over the record of the task's end, and then the leader crashes.
      */
     @Test
     void delayedPlacementAfterTaskEndIsRejected() {
@@ -400,7 +400,7 @@
         assertEquals(Phase.DONE, phaseOf(job));
     }
 
-    /** A job's end is on its way when another node confirms its cancellation. */
+    /** A job's completion is under way when another controller confirms its cancellation. */
     @Test
     void delayedCompletionAfterCancellationIsRejected() {
         JobSpec job = array(1, 1);
@@ -432,8 +432,8 @@
     }
 
     /**
-     * Places are committed and their starts not sent yet when the leader alone is refused and the
-     * job is called off.
+     * Placements are committed and their starts not sent yet when the store refuses the leader
+     * alone and the job is cancelled.
      */
     @Test
     void leaderRefusedByStoreSendsNoStartsOfJobsCancelledElsewhere() {
@@ -456,15 +456,15 @@
         assertEquals(
                 0,
                 cluster.startCommandCount(),
-                "nobody told it, and it knows that it may not know");
+                "nobody informed it, and it knows that its state may be stale");
         cluster.runSeconds(60);
         assertEquals(0, cluster.historyChecker().startsAfterCancellation());
         assertEquals(0, cluster.startCount());
     }
 
     /**
-     * Each answer of the state service takes 1.6 s, for longer than `cancel_s`, while users cancel,
-     * ask and submit.
+     * Each response of the store takes 1.6 s, for longer than {@code cancel_s}, while users cancel,
+     * poll and submit.
      */
     @Test
     void slowStoreStillServesReadsCancellationsAndTasks() {
--- a/src/test/java/org/meadowhollow/simulation/OverloadScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/OverloadScenarioTest.java
@@ -16,51 +16,17 @@
 import org.meadowhollow.model.Resources;
 import org.meadowhollow.model.TaskId;
 
-/** Many who ask, guests who fill everything, jobs with a mistake, and machines that never come. */
+/**
+ * Many polls, best-effort work that fills everything, faulty jobs, and machines that never boot.
+ */
 class OverloadScenarioTest extends ClusterTestBase {
     private static JobSpec withPriority(JobSpec spec, Priority priority, Resources each) {
-        return new JobSpec(
-                spec.id(),
-                spec.jobClass(),
-                spec.team(),
-                spec.kind(),
-                priority,
-                spec.taskCount(),
-                each,
-                spec.allowedMachineTypes(),
-                spec.requiredZone(),
-                spec.requiresSingleZone(),
-                spec.spreadsAcrossZones(),
-                spec.allowsSpot(),
-                spec.image(),
-                spec.imageSizeGb(),
-                spec.estimatedRuntimeSeconds(),
-                spec.checkpointIntervalSeconds(),
-                spec.checkpointDurationSeconds(),
-                spec.deadlineSeconds());
+        return JobSpecBuilder.from(spec).priority(priority).resourcesPerTask(each).build();
     }
 
-    /** With a deadline, by which it comes before work of the same priority that has none. */
+    /** With a deadline, which ranks it before work of the same priority that has none. */
     private static JobSpec withDeadline(JobSpec spec) {
-        return new JobSpec(
-                spec.id(),
-                spec.jobClass(),
-                spec.team(),
-                spec.kind(),
-                spec.priority(),
-                spec.taskCount(),
-                spec.resourcesPerTask(),
-                spec.allowedMachineTypes(),
-                spec.requiredZone(),
-                spec.requiresSingleZone(),
-                spec.spreadsAcrossZones(),
-                spec.allowsSpot(),
-                spec.image(),
-                spec.imageSizeGb(),
-                spec.estimatedRuntimeSeconds(),
-                spec.checkpointIntervalSeconds(),
-                spec.checkpointDurationSeconds(),
-                60);
+        return JobSpecBuilder.from(spec).deadlineSeconds(60).build();
     }
 
     @Test
@@ -87,8 +53,8 @@
     }
 
     /**
-     * The rules are checked by {@link SimulatedCluster}: no node may tell an older state than
-     * another has told.
+     * {@link SimulatedCluster} checks the rules: no controller may report an older status than
+     * another one has reported.
      */
     @Test
     void cachedStatusIsNeverOlderThanStatusReportedByPeer() {
@@ -114,8 +80,8 @@
 
     @Test
     void bestEffortWorkIsPreemptedForGangThoughSmallTasksArriveFirst() {
-        JobSpec idle = withPriority(array(1, 48), Priority.LOW, Resources.of(4, 1, 16));
-        assertTrue(cluster.users().submit(0, idle, Duration.ofMinutes(20)));
+        JobSpec bestEffort = withPriority(array(1, 48), Priority.LOW, Resources.of(4, 1, 16));
+        assertTrue(cluster.users().submit(0, bestEffort, Duration.ofMinutes(20)));
         cluster.cloud().limitMachines(6);
         cluster.runSeconds(10);
         assertEquals(48, cluster.startCount(), "all machines are full of it");
@@ -158,7 +124,7 @@
         assertEquals(Phase.CANCELLED, phaseOf(broken));
     }
 
-    /** Every task fails as soon as it runs. */
+    /** Fails every task as soon as it runs. */
     private void failAllTasksFor(int seconds) {
         for (int second = 0; second < seconds; second++) {
             cluster.runSeconds(1);
@@ -179,8 +145,8 @@
     }
 
     /**
-     * Four one-task jobs a second for two minutes, a quarter of them called off, at 30 changes a
-     * second for all nodes together, while leaders change.
+     * Four single-task jobs a second for two minutes, a quarter of them cancelled, at 30 writes a
+     * second for all controllers together, with failovers.
      */
     @Test
     void fourSingleTaskJobsPerSecondAreAcceptedInTimeAcrossFailovers() {
@@ -225,7 +191,7 @@
         assertEquals(0, cluster.store().recordCount("job/") + cluster.store().recordCount("task/"));
     }
 
-    /** As users do: again after a second, until there is an answer. */
+    /** Submits as users do: again after a second, until there is an answer. */
     private void submitUntilAccepted(
             int node, JobSpec job, MonotonicTime since, List<Boolean> inTime) {
         cluster.users()
--- a/src/test/java/org/meadowhollow/simulation/QuotaScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/QuotaScenarioTest.java
@@ -19,12 +19,12 @@
 import org.meadowhollow.model.JobSpec;
 
 /**
- * Teams at their limits and zones that jobs are bound to, while tasks are called off on machines
- * that cannot be asked, and the work changes hands. The judge of {@link SimulatedCluster} watches
- * limits, zones and the time that a cancellation has.
+ * Teams at their quota limits and jobs that are bound to zones, while tasks are cancelled on
+ * unreachable machines, and the leader changes. The history checker of {@link SimulatedCluster}
+ * checks limits, zones and the time that a cancellation may take.
  */
 class QuotaScenarioTest extends ClusterTestBase {
-    /** Why a machine cannot be asked. */
+    /** Why a machine cannot be reached. */
     enum OutOfReach {
         HUNG(FakeWorker::setHung),
         CUT(
@@ -49,7 +49,7 @@
         return job;
     }
 
-    /** Both teams use all that they may; more of each waits. */
+    /** Both teams use all that they may; more jobs of each wait. */
     private List<JobSpec> submitJobsUpToBothTeamLimits() {
         cluster.withTeam("team", 0, 12).withTeam("other", 0, 8);
         List<JobSpec> running =
@@ -64,7 +64,7 @@
         "HUNG, 1", "HUNG, 2", "HUNG, 3", "CUT, 1", "CUT, 2", "MUTE, 1", "MUTE, 2", "DEAF, 1",
         "DEAF, 2", "DEAF, 3"
     })
-    void whatIsCalledOffOutOfReachCountsForItsTeamUntilItIsGoneAcrossLeaders(
+    void cancelledUnreachableTasksCountAgainstQuotaUntilGoneAcrossFailovers(
             OutOfReach how, int leaders) {
         List<JobSpec> running = submitJobsUpToBothTeamLimits();
         cluster.cloud().setOutage(true);
@@ -98,7 +98,7 @@
             assertNotEquals(leader, cluster.leader());
             cluster.restart(leader);
         }
-        // Direct commands reach a mute machine, so there its tasks are gone at once.
+        // Direct commands reach a machine that cannot connect, so there its tasks stop at once.
         assertEquals(
                 how != OutOfReach.MUTE,
                 still,
@@ -113,8 +113,8 @@
     }
 
     /**
-     * The start was committed and never sent: the next leader cannot know, and nobody waits for it
-     * for ever.
+     * The start was committed and never sent: the next leader cannot know that, and must not wait
+     * for the task for ever.
      */
     @Test
     void attemptWithUnsentStartCountsAgainstQuotaAndIsReleased() {
@@ -137,7 +137,7 @@
         assertEquals(0, cluster.historyChecker().startsAfterCancellation());
     }
 
-    /** How the work changes hands. */
+    /** How the leader changes. */
     enum Handing {
         RESIGNED,
         ENDED,
@@ -159,8 +159,8 @@
     }
 
     /**
-     * Cancellations a quarter of a second apart, from before the work changes hands until after the
-     * next one has loaded.
+     * Cancellations a quarter of a second apart, from before the leader changes until after the
+     * next one has recovered.
      */
     @ParameterizedTest
     @EnumSource(Handing.class)
@@ -177,19 +177,22 @@
         cluster.runSeconds(10);
         jobs.forEach(job -> assertTrue(allTasksRunning(job)));
         int leader = cluster.leader();
-        long term = cluster.fencingToken();
+        long fencingToken = cluster.fencingToken();
         int during = 0;
         for (int at = 0; at < jobs.size(); at++) {
             if (at == 4) {
                 changeLeader(how, leader);
             }
-            // By a node that thinks that another one leads.
+            // Through a controller that believes that another one leads.
             cluster.users().cancelAsync(nodeAfter(leader, 1 + at % 2), jobs.get(at).id());
             cluster.run(Duration.ofMillis(250));
-            during += at >= 4 && (cluster.leader() < 0 || cluster.fencingToken() == term) ? 1 : 0;
+            during +=
+                    at >= 4 && (cluster.leader() < 0 || cluster.fencingToken() == fencingToken)
+                            ? 1
+                            : 0;
         }
         assertTrue(how != Handing.ENDED || during > 0, "called off while nobody led");
-        assertTrue(cluster.fencingToken() > term);
+        assertTrue(cluster.fencingToken() > fencingToken);
         cluster.runSeconds(15);
         for (JobSpec job : jobs) {
             assertEquals(Phase.CANCELLED, phaseOf(job));
@@ -200,7 +203,7 @@
     }
 
     /**
-     * Ten leaders in two minutes, also inside an outage, in which none of them can read anything.
+     * Ten leaders in two minutes, also during an outage, in which none of them can read anything.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -209,7 +212,7 @@
         JobSpec stays = quotaFillingArray(1, "team", 6);
         JobSpec goes = quotaFillingArray(2, "team", 6);
         cluster.runSeconds(10);
-        long term = cluster.fencingToken();
+        long fencingToken = cluster.fencingToken();
         for (int change = 0; change < 13; change++) {
             cluster.restartAfter(
                     Math.max(0, cluster.leader()), Duration.ofMillis(change % 2 == 0 ? 200 : 3000));
@@ -232,8 +235,8 @@
             }
         }
         assertTrue(
-                cluster.fencingToken() - term >= 10,
-                "led " + (cluster.fencingToken() - term) + " times");
+                cluster.fencingToken() - fencingToken >= 10,
+                "led " + (cluster.fencingToken() - fencingToken) + " times");
         cluster.beginFaultFreePhase();
         cluster.runSeconds(60);
         assertTrue(allTasksRunning(stays) && allTasksRunning(array(3, 6)));
@@ -241,8 +244,8 @@
     }
 
     /**
-     * A job bound to a zone loses its machines: nothing of it starts elsewhere, and it does not
-     * wait for ever.
+     * A job that is bound to a zone loses its machines: nothing of it starts elsewhere, and it does
+     * not wait for ever.
      */
     @ParameterizedTest
     @CsvSource({"ARRAY, true", "ARRAY, false", "GANG, true", "GANG, false", "SERVICE, true"})
@@ -254,7 +257,8 @@
         assertTrue(allTasksRunning(job));
         String zone = machineRunning(job, 0).zone();
         cluster.cloud().limitMachines(cluster.workers().size() + 1);
-        // One hangs and goes on when its task is given up, one is taken away, and the leader ends.
+        // One hangs and resumes when its task is given up, one is reclaimed, and the leader
+        // crashes.
         FakeWorker hung = machineRunning(job, 0);
         hung.setHung(true);
         cluster.cloud().reclaim(machineRunning(job, 1));
@@ -269,8 +273,8 @@
     }
 
     /**
-     * One machine of the zone fails, the other hangs through a change of leader, and only the other
-     * zone has room.
+     * One machine of the zone fails, the other hangs during a failover, and only the other zone has
+     * capacity.
      */
     @Test
     void singleZoneArrayStaysInZoneOfPossiblyRunningTask() {
@@ -301,8 +305,8 @@
     }
 
     /**
-     * New machines are up before their rental is answered or listed, get work at once while writes
-     * lag, and the leader ends.
+     * New machines boot before their rental is answered or listed, get work at once while writes
+     * are slow, and the leader crashes.
      */
     @ParameterizedTest
     @ValueSource(ints = {50, 150, 600, 1900})
@@ -321,8 +325,8 @@
         for (int step = 0; step < 80 && cluster.workers().size() == before; step++) {
             cluster.run(Duration.ofMillis(250));
         }
-        assertTrue(cluster.workers().size() > before, "machines came");
-        // Their first attempts are on their way to the state service, or there and not answered.
+        assertTrue(cluster.workers().size() > before, "machines were rented");
+        // Their first attempts are under way to the store, or there and not answered.
         cluster.run(Duration.ofMillis(1250));
         cluster.crash(leader);
         cluster.runSeconds(20);
--- a/src/test/java/org/meadowhollow/simulation/RandomFaultsTest.java
+++ b/src/test/java/org/meadowhollow/simulation/RandomFaultsTest.java
@@ -18,8 +18,8 @@
 import org.meadowhollow.model.Priority;
 
 /**
- * Troubles of all kinds at random times, from fixed seeds; the world checks the rules at every
- * step.
+ * Faults of all kinds at random times, from fixed seeds; {@link SimulatedCluster} checks the
+ * protocol's rules at every step.
  */
 class RandomFaultsTest {
     private static final int STEPS = 150;
@@ -57,22 +57,22 @@
     }
 
     /**
-     * After all troubles, whatever was accepted comes to its end.
+     * Ends all faults; every accepted job then terminates.
      *
-     * @param settlesS seconds until no submission can come any more
-     * @param runsS seconds that what was still waiting for its team's share may take then
+     * @param settleSeconds until no submission can arrive any more
+     * @param runSeconds that jobs that still waited for their team's quota may take then
      */
     private static void assertAllJobsTerminate(
-            SimulatedCluster cluster, List<JobSpec> jobs, double settlesS, double runsS) {
+            SimulatedCluster cluster, List<JobSpec> jobs, double settleSeconds, double runSeconds) {
         endAllFaults(cluster);
-        cluster.runSeconds(settlesS);
-        // Replicas would fill the team's limit for ever.
+        cluster.runSeconds(settleSeconds);
+        // Replicas would use the team's limit for ever.
         for (JobSpec job : jobs) {
             if (job.kind() == JobKind.SERVICE) {
                 assertTrue(cluster.users().cancel(0, job.id()));
             }
         }
-        cluster.runSeconds(runsS);
+        cluster.runSeconds(runSeconds);
         for (JobSpec job : jobs) {
             Phase phase = cluster.users().poll(0, job.id()).map(JobStatus::phase).orElse(null);
             assertTrue(
@@ -82,13 +82,13 @@
     }
 
     private static LongStream quickRestartSeeds() {
-        // A property of the system, Long.getLong, lets thousands run once.
+        // A system property lets thousands of seeds run once.
         return LongStream.rangeClosed(1, Long.getLong("quick.seeds", 30));
     }
 
     /**
-     * Processes and machines that are back within a fraction of a second, processes that stand
-     * still, late copies.
+     * Processes and machines that restart within a fraction of a second, paused processes, and late
+     * duplicates.
      */
     @ParameterizedTest
     @MethodSource("quickRestartSeeds")
@@ -103,48 +103,53 @@
         List<JobSpec> jobs = new ArrayList<>();
         for (int step = 0; step < STEPS; step++) {
             injectRandomFault(cluster, random, jobs, step);
-            int node = random.nextInt(3);
-            switch (random.nextInt(10)) {
-                case 0, 1, 2 -> cluster.restartAfter(node, randomRestartDelay(random));
-                case 3 -> {
-                    for (int each = 0; each < 3; each++) {
-                        cluster.restartAfter(each, randomRestartDelay(random));
-                    }
-                }
-                case 4 -> {
-                    for (int time = 0; time < 4; time++) {
-                        cluster.restartAfter(node, Duration.ofMillis(100));
-                        cluster.run(Duration.ofMillis(500));
-                    }
-                }
-                case 5 -> cluster.pause(node);
-                case 6 -> cluster.resume(node);
-                case 7 -> {
-                    List<FakeWorker> workers = cluster.workers();
-                    if (!workers.isEmpty()) {
-                        workers.get(random.nextInt(workers.size())).reboot();
-                    }
-                }
-                default -> {
-                    // Nothing besides.
-                }
-            }
+            restartAtRandom(cluster, random);
             cluster.runSeconds(random.nextInt(5));
         }
         for (int node = 0; node < 3; node++) {
             cluster.resume(node);
         }
-        // A copy of a submission may come four minutes late.
+        // A duplicate of a submission may arrive four minutes late.
         assertAllJobsTerminate(cluster, jobs, 250, 400);
     }
 
+    /** Restarts nodes or a machine within a fraction of a second, or pauses or resumes a node. */
+    private static void restartAtRandom(SimulatedCluster cluster, Random random) {
+        int node = random.nextInt(3);
+        switch (random.nextInt(10)) {
+            case 0, 1, 2 -> cluster.restartAfter(node, randomRestartDelay(random));
+            case 3 -> {
+                for (int each = 0; each < 3; each++) {
+                    cluster.restartAfter(each, randomRestartDelay(random));
+                }
+            }
+            case 4 -> {
+                for (int time = 0; time < 4; time++) {
+                    cluster.restartAfter(node, Duration.ofMillis(100));
+                    cluster.run(Duration.ofMillis(500));
+                }
+            }
+            case 5 -> cluster.pause(node);
+            case 6 -> cluster.resume(node);
+            case 7 -> {
+                List<FakeWorker> workers = cluster.workers();
+                if (!workers.isEmpty()) {
+                    workers.get(random.nextInt(workers.size())).reboot();
+                }
+            }
+            default -> {
+                // No additional fault.
+            }
+        }
+    }
+
     private static LongStream overlappingFaultSeeds() {
-        return LongStream.rangeClosed(1, Long.getLong("meeting.seeds", 40));
+        return LongStream.rangeClosed(1, Long.getLong("round.seeds", 40));
     }
 
     /**
-     * Two troubles that overlap, most of them of the leader, with long tasks and cancellations in
-     * the gap.
+     * Two faults that overlap, most of them at the leader, with long tasks and cancellations in
+     * between.
      */
     @ParameterizedTest
     @MethodSource("overlappingFaultSeeds")
@@ -157,7 +162,7 @@
         addSixMachines(cluster);
         cluster.runSeconds(10);
         List<JobSpec> jobs = new ArrayList<>();
-        for (int meeting = 0; meeting < 10; meeting++) {
+        for (int round = 0; round < 10; round++) {
             for (int at = 0; at < 3; at++) {
                 JobKind kind = JobKind.values()[random.nextInt(3)];
                 JobSpec job =
@@ -183,11 +188,11 @@
             }
             endFaultsInRandomOrder(cluster, random, ends);
         }
-        // The longest tasks take five minutes, and may have to begin anew.
+        // The longest tasks take five minutes, and may have to restart.
         assertAllJobsTerminate(cluster, jobs, 60, 1000);
     }
 
-    /** Users ask about some jobs, and call some off. */
+    /** Users poll some jobs, and cancel some. */
     private static void pollOrCancelJobs(
             SimulatedCluster cluster, Random random, List<JobSpec> jobs, int most) {
         for (int step = random.nextInt(most); step >= 0; step--) {
@@ -201,7 +206,7 @@
         }
     }
 
-    /** After a time the troubles end, one after the other in any order. */
+    /** After a time the faults end, one after the other in random order. */
     private static void endFaultsInRandomOrder(
             SimulatedCluster cluster, Random random, List<Runnable> ends) {
         cluster.runSeconds(random.nextInt(90));
@@ -218,8 +223,9 @@
     }
 
     /**
-     * One of the further troubles with any other, two teams at their limits on every second day,
-     * and what is promised for the time after all troubles held against what workers and users saw.
+     * One of the additional faults with any other, two teams at their limits on every second day.
+     * After the faults, the guarantees for fault-free operation are checked against what workers
+     * and users observed.
      */
     @ParameterizedTest
     @MethodSource("additionalFaultSeeds")
@@ -236,7 +242,7 @@
         addSixMachines(cluster);
         cluster.runSeconds(10);
         List<JobSpec> jobs = new ArrayList<>();
-        for (int meeting = 0; meeting < 8; meeting++) {
+        for (int round = 0; round < 8; round++) {
             for (int at = 0; at < 4; at++) {
                 jobs.add(submitRandomJob(cluster, random, jobs.size()));
             }
@@ -264,25 +270,13 @@
         JobSpec plain =
                 SimulatedCluster.spec(number, kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
         JobSpec job =
-                new JobSpec(
-                        plain.id(),
-                        kind.name(),
-                        random.nextInt(3) == 0 ? "other" : "team",
-                        kind,
-                        Priority.values()[random.nextInt(3)],
-                        plain.taskCount(),
-                        plain.resourcesPerTask(),
-                        null,
-                        random.nextInt(6) == 0 ? "a" : null,
-                        random.nextInt(4) == 0,
-                        false,
-                        false,
-                        plain.image(),
-                        plain.imageSizeGb(),
-                        plain.estimatedRuntimeSeconds(),
-                        0,
-                        0,
-                        Double.NaN);
+                JobSpecBuilder.from(plain)
+                        .jobClass(kind.name())
+                        .team(random.nextInt(3) == 0 ? "other" : "team")
+                        .priority(Priority.values()[random.nextInt(3)])
+                        .zone(random.nextInt(6) == 0 ? "a" : null)
+                        .singleZone(random.nextInt(4) == 0)
+                        .build();
         cluster.users()
                 .submit(
                         random.nextInt(3),
--- a/src/test/java/org/meadowhollow/simulation/ReadYourWritesScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/ReadYourWritesScenarioTest.java
@@ -18,12 +18,12 @@
 import org.meadowhollow.model.JobSpec;
 
 /**
- * Users who ask at all nodes within milliseconds, and transactions of which only the answer is
- * lost, while other nodes read what they wrote. The judge of {@link SimulatedCluster} holds each
- * answer against what was told before its question was sent.
+ * Users who poll all controllers within milliseconds, and transactions of which only the response
+ * is lost, while other controllers read what they wrote. The history checker of {@link
+ * SimulatedCluster} checks each answer against what was answered before its request was sent.
  */
 class ReadYourWritesScenarioTest extends ClusterTestBase {
-    /** Answers that were told, after the hard moment, by all nodes. */
+    /** Answers of all controllers after the critical moment. */
     private void assertEveryControllerReports(Phase phase, JobSpec job) {
         for (int node = 0; node < 3; node++) {
             assertEquals(
@@ -50,7 +50,7 @@
                             1);
             jobs.add(job);
             // Each node knows some of the jobs as live before they end, so that it answers from
-            // what it keeps.
+            // its cache.
             assertTrue(cluster.users().submit(number % 3, job, SHORT_RUNTIME));
             cluster.users().poll((number + 1) % 3, job.id());
             cluster.storeConnection(latecomer).failWatches(number % 2 == 0);
@@ -74,8 +74,8 @@
     }
 
     /**
-     * A submission, a cancellation and an end are each committed, and the one who sent them has no
-     * answer.
+     * A submission, a cancellation and an end are each committed, and their sender gets no
+     * response.
      */
     @ParameterizedTest
     @CsvSource({
@@ -86,7 +86,7 @@
         "ended, 0",
         "ended, 1"
     })
-    void onlyTheAnswerOfATransactionIsLostAndOthersReadWhatItWrote(String what, int by) {
+    void committedWritesWithLostResponsesAreReadByOtherControllers(String what, int by) {
         int leader = cluster.leader();
         int node = what.equals("ended") ? leader : nodeAfter(leader, by);
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 2, 1);
@@ -111,7 +111,7 @@
         assertTrue(
                 cluster.storeConnection(node).lostCommitCount() > before,
                 "it is committed, and nobody was told");
-        // Another node reads it, and a user is told there.
+        // Another controller reads it, and a user is told there.
         Phase then = cluster.users().poll(nodeAfter(node, 1), job.id()).orElseThrow().phase();
         if (by == 1 && !what.equals("ended")) {
             assertTrue(
@@ -119,7 +119,7 @@
             then = Phase.CANCELLED;
         }
         if (!what.equals("ended")) {
-            // Sent again, it fails on its own effect, and what is told follows the record.
+            // Sent again, it fails on its own effect, and the answer follows the record.
             cluster.storeConnection(node).loseCommitResponses(0, 0);
             cluster.runSeconds(3);
             assertEquals(then, answer.join().orElseThrow().phase());
@@ -137,8 +137,8 @@
     }
 
     /**
-     * The end of a job's last task meets a cancellation, a question and a repeated submission, with
-     * no other trouble.
+     * The completion of a job's last task races with a cancellation, a poll and a repeated
+     * submission, without any other fault.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7, 8, 9})
@@ -163,7 +163,10 @@
         assertEquals(0, cluster.store().recordCount("job/") + cluster.store().recordCount("task/"));
     }
 
-    /** Looks that get no answer for long left everyone who asked about a live job without one. */
+    /**
+     * Regression test: store reads without a response left every user who polled a live job without
+     * an answer.
+     */
     @Test
     void usersAreAnsweredWhenStoreReadsTimeOut() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 2, 1);
@@ -182,7 +185,7 @@
     }
 
     /**
-     * A job moves from its live record to its final one between the two reads of a question, at
+     * A job moves from its live record to its final one between the two reads of a poll, at
      * whatever moment that is sent.
      */
     @Test
@@ -191,7 +194,7 @@
         int node = nodeAfter(cluster.leader(), 1);
         assertTrue(cluster.users().submit(node, job, SHORT_RUNTIME));
         cluster.users().poll(node, job.id());
-        // Looks get no answer, so each question is two reads.
+        // Watches get no response, so each poll takes two reads.
         cluster.storeConnection(node).failWatches(true);
         cluster.users().poll(node, job.id());
         cluster.runSeconds(4);
@@ -213,7 +216,7 @@
                 "asked each millisecond until it was done");
     }
 
-    /** A cancellation has read the live record, and its write comes after the job's end. */
+    /** A cancellation has read the live record, and its write arrives after the job's end. */
     @Test
     void delayedCancellationAfterCompletionHasNoEffect() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 1, 1);
--- a/src/test/java/org/meadowhollow/simulation/RecordingTaskTracer.java
+++ b/src/test/java/org/meadowhollow/simulation/RecordingTaskTracer.java
@@ -6,7 +6,7 @@
 import org.meadowhollow.model.JobPhase;
 import org.meadowhollow.model.TaskTracer;
 
-/** Notes what is told of traced tasks; takes any context. */
+/** Records what tracers are told of traced tasks; accepts any trace context. */
 final class RecordingTaskTracer implements TaskTracer {
     private final List<String> notes = new ArrayList<>();
 
--- a/src/test/java/org/meadowhollow/simulation/ReservationScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/ReservationScenarioTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.time.LocalDateTime;
 import java.time.ZoneOffset;
@@ -24,19 +25,20 @@
 import org.meadowhollow.protocol.MessageReader;
 
 /**
- * Reservations and windows, and who runs into them, on a fleet of four machines that cannot grow.
+ * Reservations and maintenance windows, and the work that overlaps them, on a fleet of four
+ * machines that cannot grow.
  */
 class ReservationScenarioTest extends ClusterTestBase {
     private static final Duration HOUR = Duration.ofHours(1);
 
     @BeforeEach
-    void keepCalendar() {
+    void startWithReservations() {
         cluster.enableReservations(Map.of());
         cluster.cloud().limitMachines(cluster.workers().size());
         cluster.runSeconds(20);
     }
 
-    /** A time of day some seconds from now. */
+    /** The time of day some seconds from now, in the API's format. */
     private String timeAfterSeconds(long seconds) {
         return LocalDateTime.ofEpochSecond(
                         cluster.loop().wallClockMillis() / 1000 + seconds, 0, ZoneOffset.UTC)
@@ -121,28 +123,15 @@
             double estimateS,
             double saveS) {
         JobSpec spec = SimulatedCluster.spec(number, JobKind.ARRAY, tasks, gpus);
-        return new JobSpec(
-                spec.id(),
-                jobClass,
-                spec.team(),
-                spec.kind(),
-                priority,
-                tasks,
-                spec.resourcesPerTask(),
-                null,
-                null,
-                false,
-                false,
-                false,
-                spec.image(),
-                spec.imageSizeGb(),
-                estimateS,
-                saveS > 0 ? 10 : 0,
-                saveS,
-                Double.NaN);
-    }
-
-    /** Fills all there is for a quarter of an hour, as its estimate says, and would again. */
+        return JobSpecBuilder.from(spec)
+                .jobClass(jobClass)
+                .priority(priority)
+                .estimatedRuntimeSeconds(estimateS)
+                .checkpoints(saveS > 0 ? 10 : 0, saveS)
+                .build();
+    }
+
+    /** Fills the whole fleet for a quarter of an hour, as its estimate says, and would again. */
     private void submitLongWork() {
         assertTrue(
                 cluster.users()
@@ -152,7 +141,7 @@
                                 Duration.ofSeconds(900)));
     }
 
-    /** Comes to use a reservation, at its start or later. */
+    /** Submits the job that uses a reservation, at its start or later. */
     private JobSpec reservedRun(int number, int tasks) {
         JobSpec run = job(number, "night", Priority.HIGH, tasks, 1, 60, 0);
         assertTrue(cluster.users().submit(1, run, Duration.ofSeconds(60)));
@@ -174,8 +163,9 @@
     }
 
     /**
-     * Fills what is free with long work, then asks for the reserved run at its time; says how much
-     * of it runs soon.
+     * Fills free capacity with long work, then submits the reserved run at its time.
+     *
+     * @return how many of its tasks run soon
      */
     private int runReservedJobAmongLongWork(boolean reserved) {
         if (reserved) {
@@ -210,7 +200,7 @@
         assertEquals(0, runningTaskCount(endless));
         cluster.runSeconds(40);
         assertEquals(Phase.DONE, phaseOf(brief));
-        // The slot passes unused and is given back.
+        // The slot passes unused and is released.
         cluster.runSeconds(300 + 600);
         assertEquals(4, runningTaskCount(endless));
     }
@@ -457,25 +447,13 @@
     void gangStoppedByWindowLeavesCompletelyAndRestartsElsewhere() {
         JobSpec spec = SimulatedCluster.spec(1, JobKind.GANG, 4, 1);
         JobSpec gang =
-                new JobSpec(
-                        spec.id(),
-                        "gang",
-                        "team",
-                        JobKind.GANG,
-                        Priority.HIGH,
-                        4,
-                        spec.resourcesPerTask(),
-                        null,
-                        null,
-                        true,
-                        false,
-                        false,
-                        spec.image(),
-                        1,
-                        500,
-                        10,
-                        4,
-                        Double.NaN);
+                JobSpecBuilder.from(spec)
+                        .jobClass("gang")
+                        .priority(Priority.HIGH)
+                        .singleZone(true)
+                        .estimatedRuntimeSeconds(500)
+                        .checkpoints(10, 4)
+                        .build();
         assertTrue(cluster.users().submit(0, gang, HOUR));
         cluster.runSeconds(15);
         assertEquals(4, runningTaskCount(gang));
@@ -511,22 +489,8 @@
         cluster.enableReservations(Map.of());
         cluster.runSeconds(15);
         String start = timeAfterSeconds(600);
-        Object[] first = {
-            "team",
-            "team",
-            "tasks",
-            6,
-            "cpus",
-            1.0,
-            "gpus",
-            1.0,
-            "ram_gb",
-            4.0,
-            "start",
-            start,
-            "length_s",
-            60.0
-        };
+
+        Object[] first = sixGpuReservation(start);
         long version =
                 body(put(0, "reservations/first", null, first), 201).nonNegativeLong("version");
         assertEquals(
@@ -543,26 +507,42 @@
                 body(put(2, "reservations/first", "\"" + version + "\"", first), 200)
                         .nonNegativeLong("version");
         assertTrue(changed > version);
-        // Two that fit alone and not together are asked of two nodes at the same moment.
+
+        assertOnlyOneIsAccepted(concurrentThreeGpuReservations(start));
+
+        assertEquals(200, delete(0, "reservations/first", String.valueOf(changed)).status());
+        assertEquals(200, delete(1, "reservations/first", null).status(), "repeated");
+        assertEquals(404, get(1, "reservations/first").status());
+        assertEquals(1, body(get(1, "reservations"), 200).nestedList("reservations").size());
+    }
+
+    /** The fields of a reservation of six tasks; their number is at index 3. */
+    private static Object[] sixGpuReservation(String start) {
+        return new Object[] {
+            "team",
+            "team",
+            "tasks",
+            6,
+            "cpus",
+            1.0,
+            "gpus",
+            1.0,
+            "ram_gb",
+            4.0,
+            "start",
+            start,
+            "length_s",
+            60.0
+        };
+    }
+
+    /** Requests two that fit alone and not together from two controllers at the same moment. */
+    private List<CompletableFuture<Http.Reply>> concurrentThreeGpuReservations(String start) {
+        Object[] fields = sixGpuReservation(start);
+        fields[3] = 3;
         String body =
-                new String(
-                        JsonCodec.encode(
-                                MessageReader.mapOf(
-                                        "team",
-                                        "team",
-                                        "tasks",
-                                        3,
-                                        "cpus",
-                                        1.0,
-                                        "gpus",
-                                        1.0,
-                                        "ram_gb",
-                                        4.0,
-                                        "start",
-                                        start,
-                                        "length_s",
-                                        60.0)));
-        List<CompletableFuture<Http.Reply>> both =
+                new String(JsonCodec.encode(MessageReader.mapOf(fields)), StandardCharsets.UTF_8);
+        List<CompletableFuture<Http.Reply>> replies =
                 List.of(
                         cluster.clients()
                                 .sendReservationRequestAsync(
@@ -571,54 +551,31 @@
                                 .sendReservationRequestAsync(
                                         1, "secret", "PUT", "reservations/two", null, body));
         cluster.runSeconds(3);
+        return replies;
+    }
+
+    private static void assertOnlyOneIsAccepted(List<CompletableFuture<Http.Reply>> replies)
+            throws MalformedMessageException {
         assertEquals(
                 List.of(201, 409),
-                both.stream().map(reply -> reply.join().status()).sorted().toList());
-        MessageReader refused =
-                new MessageReader(
-                        JsonCodec.decode(
-                                both.stream()
-                                        .map(CompletableFuture::join)
-                                        .filter(reply -> reply.status() == 409)
-                                        .findFirst()
-                                        .orElseThrow()
-                                        .body()));
-        assertTrue(
-                refused.string("error").contains("limit of team team")
-                        && refused.string("error").contains("nearest"),
-                refused.string("error"));
-        assertEquals(
-                200,
-                cluster.clients()
-                        .sendReservationRequest(
-                                0,
-                                "secret",
-                                "DELETE",
-                                "reservations/first",
-                                String.valueOf(changed),
-                                "")
-                        .status());
-        assertEquals(
-                200,
-                cluster.clients()
-                        .sendReservationRequest(
-                                1, "secret", "DELETE", "reservations/first", null, "")
-                        .status(),
-                "repeated");
-        assertEquals(
-                404,
-                cluster.clients()
-                        .sendReservationRequest(1, "reader", "GET", "reservations/first", null, "")
-                        .status());
-        assertEquals(
-                1,
-                body(
-                                cluster.clients()
-                                        .sendReservationRequest(
-                                                1, "reader", "GET", "reservations", null, ""),
-                                200)
-                        .nestedList("reservations")
-                        .size());
+                replies.stream().map(reply -> reply.join().status()).sorted().toList());
+        Http.Reply rejection =
+                replies.stream()
+                        .map(CompletableFuture::join)
+                        .filter(reply -> reply.status() == 409)
+                        .findFirst()
+                        .orElseThrow();
+        String error = new MessageReader(JsonCodec.decode(rejection.body())).string("error");
+        assertTrue(error.contains("limit of team team") && error.contains("nearest"), error);
+    }
+
+    private Http.Reply delete(int node, String path, String version) {
+        return cluster.clients()
+                .sendReservationRequest(node, "secret", "DELETE", path, version, "");
+    }
+
+    private Http.Reply get(int node, String path) {
+        return cluster.clients().sendReservationRequest(node, "reader", "GET", path, null, "");
     }
 
     @Test
--- a/src/test/java/org/meadowhollow/simulation/ScaleTest.java
+++ b/src/test/java/org/meadowhollow/simulation/ScaleTest.java
@@ -13,10 +13,7 @@
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.storage.RecordCodec;
 
-/**
- * What a large deployment must bear; it counts messages and records, not seconds of a machine's
- * time.
- */
+/** What a large deployment must bear; it counts messages and records, not wall-clock seconds. */
 class ScaleTest {
     private static final int MACHINES = 900;
     private static final int JOBS = 40;
@@ -26,7 +23,7 @@
     private final List<JobSpec> jobs = new ArrayList<>();
 
     @BeforeEach
-    void nineHundredMachinesWithAThousandTasks() {
+    void startNineHundredMachinesWithThousandTasks() {
         cluster = new SimulatedCluster();
         for (int at = 0; at < MACHINES; at++) {
             cluster.addMachine(SimulatedCluster.SMALL, at % 2 == 0 ? "a" : "b");
--- a/src/test/java/org/meadowhollow/simulation/StaleHeartbeatScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/StaleHeartbeatScenarioTest.java
@@ -17,13 +17,13 @@
 import org.meadowhollow.model.WorkerIncarnation;
 
 /**
- * What a new leader may conclude from the first report that it hears of a machine, which may be old
- * or of another session.
+ * What a new leader may conclude from the first heartbeat of a machine, which may be stale or of
+ * another incarnation.
  */
 class StaleHeartbeatScenarioTest extends ClusterTestBase {
     /**
-     * Without a check of the session each task was started by the first answer, and stopped as a
-     * stray by the next.
+     * Regression test: without a check of the incarnation each task was started by the first
+     * response, and stopped as an unknown task by the next.
      */
     @Test
     void noTaskStartsInAnotherIncarnationAfterOutageLongerThanLease() {
@@ -49,9 +49,9 @@
     }
 
     /**
-     * A gang's task that gave up waiting is started again in the same attempt. Taken for an exit,
-     * the old report let the cancelled job end and its team's limit be used again while the task
-     * was on its machine.
+     * A gang's task that timed out waiting is started again in the same attempt. Regression test:
+     * taken for an exit, the stale heartbeat let the cancelled job end and its team's quota be used
+     * again while the task was on its machine.
      */
     @Test
     void retractedExitIsNoProofForNextLeader() {
@@ -91,7 +91,7 @@
                         && cluster.leader() != leader
                         && cluster.leader() >= 0);
         assertEquals(worker, machineRunning(gang, 0), "it may go on at any time");
-        // The judge of the limit watches from here on.
+        // The quota check of the history checker covers what follows.
         cluster.runSeconds(10);
         cluster.cloud().setOutage(false);
         cluster.runSeconds(60);
@@ -99,8 +99,8 @@
     }
 
     /**
-     * A gang's task is replaced on its machine in the same attempt, and an exit from the session
-     * before comes late.
+     * A gang's task is replaced on its machine in the same attempt, and an exit from the
+     * incarnation before arrives late.
      */
     @Test
     void exitInEarlierIncarnationDoesNotEndSameAttemptInNext() {
@@ -135,14 +135,14 @@
         worker.setHung(false);
         cluster.runSeconds(30);
         assertTrue(allTasksRunning(gang));
-        // Its peers missed it, so there is a new attempt, none of whose tasks ran beside the former
-        // one (the judge).
+        // Its peers missed it, so there is a new attempt; the history checker verifies that none
+        // of its tasks ran beside the former one.
         assertEquals(12, cluster.startCount());
     }
 
     /**
-     * A report from before the start, without the task, reaches the next leader first, while the
-     * machine cannot be asked.
+     * A heartbeat from before the start, without the task, reaches the next leader first, while the
+     * machine cannot be reached.
      */
     @Test
     void staleHeartbeatWithoutTaskIsNoProofThatItNeverStarts() {
@@ -151,8 +151,8 @@
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 12, 1);
         assertTrue(cluster.users().submit(0, job, null));
         cluster.runSeconds(10);
-        List<FakeWorker> silent = cluster.workers().subList(0, 3);
-        silent.forEach(worker -> worker.setHung(true));
+        List<FakeWorker> silentMachines = cluster.workers().subList(0, 3);
+        silentMachines.forEach(worker -> worker.setHung(true));
         cluster.cloud().setOutage(true);
         int leader = cluster.leader();
         cluster.crash(leader);
@@ -161,18 +161,18 @@
         cluster.runSeconds(11);
         assertTrue(cluster.network().deliveredToNextLeaderCount() > 0);
         assertTrue(
-                silent.stream().anyMatch(worker -> !worker.runningTasks().isEmpty()),
+                silentMachines.stream().anyMatch(worker -> !worker.runningTasks().isEmpty()),
                 "they may go on at any time");
         cluster.runSeconds(4);
-        silent.forEach(worker -> worker.setHung(false));
+        silentMachines.forEach(worker -> worker.setHung(false));
         cluster.beginFaultFreePhase();
         cluster.runSeconds(60);
         assertTrue(allTasksRunning(array(2, 12)));
     }
 
     /**
-     * The machine is back with its sessions begun anew, and a report of a higher session of its
-     * former life comes late.
+     * The machine has rebooted with incarnation 1, and a heartbeat of a higher incarnation of its
+     * earlier generation arrives late.
      */
     @Test
     void higherIncarnationOfEarlierGenerationDoesNotEndCurrentIncarnation() {
@@ -199,7 +199,7 @@
         assertTrue(cluster.users().submit(cluster.leader(), job, null));
         cluster.runSeconds(8);
         assertEquals(worker, machineRunning(job, 0), "in the first session of its new life");
-        // From now on the first machine has room, and would come first.
+        // From now on the first machine has capacity, and would be chosen first.
         assertTrue(cluster.users().cancel(cluster.leader(), fills.id()));
         cluster.runSeconds(3);
         worker.setHung(true);
@@ -213,8 +213,8 @@
     }
 
     /**
-     * An old report with a start, an end of an earlier attempt, or nothing at all reaches every
-     * node as a leader begins.
+     * A stale heartbeat with a start, an end of an earlier attempt, or nothing at all reaches every
+     * controller as a leader begins.
      */
     @ParameterizedTest
     @ValueSource(strings = {"before the start", "while it ran", "of an earlier session"})
@@ -250,8 +250,8 @@
     }
 
     /**
-     * An old report of machines that are gone names tasks, which nobody ever takes back, and the
-     * cloud returns nothing.
+     * A stale heartbeat of machines that no longer exist names tasks whose exit nobody ever
+     * reports, and the cloud returns nothing.
      */
     @Test
     void staleHeartbeatsOfReturnedMachinesDelayNothing() {
@@ -266,24 +266,24 @@
                                 null),
                 "fills the other machines");
         cluster.runSeconds(10);
-        List<FakeWorker> gone = List.of(machineRunning(job, 0), machineRunning(job, 1));
-        removeMachinesAndReplayHeartbeats(gone);
+        List<FakeWorker> machines = List.of(machineRunning(job, 0), machineRunning(job, 1));
+        removeMachinesAndReplayHeartbeats(machines);
         assertTrue(cluster.network().deliveredToNextLeaderCount() > 0);
         cluster.addMachine(SimulatedCluster.LARGE, "a");
         cluster.addMachine(SimulatedCluster.LARGE, "b");
         cluster.beginFaultFreePhase();
-        // The judge watches that nothing waits beside room for it.
+        // The history checker fails the test if a job waits beside free capacity.
         cluster.runSeconds(95);
         assertTrue(allTasksRunning(job));
     }
 
     /**
-     * The cloud takes machines away, their tasks are proven lost, and the next leader hears of them
-     * by old reports first.
+     * The cloud reclaims machines, their tasks are proven lost, and the next leader learns of them
+     * by stale heartbeats first.
      */
-    private void removeMachinesAndReplayHeartbeats(List<FakeWorker> gone) {
+    private void removeMachinesAndReplayHeartbeats(List<FakeWorker> machines) {
         cluster.cloud().setOutage(true);
-        gone.forEach(
+        machines.forEach(
                 worker -> {
                     cluster.network().keepHeartbeatForNextLeader(worker);
                     cluster.cloud().reclaim(worker);
@@ -304,9 +304,9 @@
         assertTrue(cluster.network().deliveredToNextLeaderCount() > 0);
         cluster.cloud().setOutage(false);
         int leader = cluster.leader();
-        long term = cluster.fencingToken();
+        long fencingToken = cluster.fencingToken();
         cluster.runSeconds(60);
         assertEquals(leader, cluster.leader(), "it hears all that are there");
-        assertEquals(term, cluster.fencingToken());
+        assertEquals(fencingToken, cluster.fencingToken());
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/TesFuzzTest.java
+++ b/src/test/java/org/meadowhollow/simulation/TesFuzzTest.java
@@ -33,15 +33,15 @@
 import org.meadowhollow.transport.tracing.OtlpTaskTracer;
 
 /**
- * What nobody sends on purpose, from a library's random source with fixed seeds: each request gets
- * an answer that is no failure of ours, and what is accepted is told again as it came. Generators
- * have a fixed depth; recursive ones took the library longer to set up than the whole of this run.
+ * Malformed and unusual requests from a library's random source with fixed seeds: each gets an
+ * answer that is no server error, and what is accepted is returned as it was sent. Generators have
+ * a fixed depth; recursive ones took the library longer to set up than the whole of this run.
  */
 class TesFuzzTest {
-    /** Answers that a working service may give to anything. */
+    /** Status codes that a working service may answer to anything. */
     private static final Set<Integer> FINE = Set.of(200, 400, 401, 403, 404, 405, 413);
 
-    /** A task with a slot for each of its values, and what each slot holds in a good one. */
+    /** A task with a slot for each of its values, and what each slot holds in a valid one. */
     private static final String SHAPE =
             """
             {"name": %s, "description": %s, "executors": [{"image": %s, "command": %s, "env": %s, "ignore_error": %s,
@@ -102,7 +102,7 @@
     private static String quoted(String text) {
         StringBuilder json = new StringBuilder("\"");
         for (int at = 0; at < text.length(); at++) {
-            // Halves of characters are named by their numbers, for they cannot be written
+            // Halves of surrogate pairs are escaped by their numbers, for they cannot be encoded
             // otherwise.
             json.append("\\u%04x".formatted((int) text.charAt(at)));
         }
@@ -160,7 +160,7 @@
     }
 
     @Example
-    void theShapeItselfIsAGoodTask() throws MalformedMessageException {
+    void templateIsValidTask() throws MalformedMessageException {
         Http.Reply reply =
                 ask(
                         "POST",
@@ -214,7 +214,7 @@
         assertTrue(
                 FINE.contains(reply.status()),
                 () -> reply.status() + " " + new String(reply.body()));
-        // Bodies that are all refused, or all accepted, would try half of it only.
+        // If all bodies were rejected, or all accepted, only half would be tested.
         Statistics.collect(reply.status());
         Statistics.coverage(
                 seen -> {
@@ -227,17 +227,17 @@
             return;
         }
         String id = answer.string("id");
-        Map<String, Object> told =
+        Map<String, Object> returned =
                 JsonCodec.decode(
                         ask("GET", "/tasks/" + id, Map.of("view", List.of("FULL")), new byte[0])
                                 .body());
         Map<String, Object> sent = JsonCodec.decode(body);
         for (String key : List.of("name", "description", "volumes", "tags")) {
-            assertEquals(sent.get(key), told.get(key), key);
+            assertEquals(sent.get(key), returned.get(key), key);
         }
         assertEquals(200, ask("POST", "/tasks/" + id + ":cancel", Map.of(), new byte[0]).status());
         cluster.run(java.time.Duration.ofSeconds(1));
-        assertEquals(new JobId(id).value(), told.get("id"));
+        assertEquals(new JobId(id).value(), returned.get("id"));
     }
 
     @Property(
@@ -246,8 +246,7 @@
             generation = GenerationMode.RANDOMIZED,
             edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
-    void createAnswersWhateverComes(@ForAll("bodies") String body)
-            throws MalformedMessageException {
+    void createAnswersAnyTask(@ForAll("bodies") String body) throws MalformedMessageException {
         checkCreate(body.getBytes(StandardCharsets.UTF_8));
     }
 
@@ -257,7 +256,7 @@
             generation = GenerationMode.RANDOMIZED,
             edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
-    void createAnswersBytesThatAreNoText(@ForAll @IntRange(max = 700) int at, @ForAll byte junk)
+    void createAnswersBytesThatAreNotText(@ForAll @IntRange(max = 700) int at, @ForAll byte junk)
             throws MalformedMessageException {
         byte[] bytes = SHAPE.formatted(GOOD.toArray()).getBytes(StandardCharsets.UTF_8);
         bytes[at % bytes.length] = junk;
@@ -304,7 +303,7 @@
             generation = GenerationMode.RANDOMIZED,
             edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
-    void listsAnswerWhateverIsAsked(@ForAll("queries") Map<String, List<String>> query)
+    void listsAnswerAnyQuery(@ForAll("queries") Map<String, List<String>> query)
             throws MalformedMessageException {
         Http.Reply reply = ask("GET", "/tasks", query, new byte[0]);
         assertTrue(
@@ -330,7 +329,7 @@
             generation = GenerationMode.RANDOMIZED,
             edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
-    void pathsTokensAndContextsAreReadOrRefused(
+    void pathsTokensAndTraceContextsAreParsedOrRejected(
             @ForAll("texts") String one, @ForAll("texts") String other) {
         for (String method : List.of("GET", "POST", "DELETE", one)) {
             assertTrue(
@@ -364,7 +363,7 @@
             generation = GenerationMode.RANDOMIZED,
             edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
-    void aRepeatedCreateIsTheSameTaskWhateverItsKey(@ForAll("texts") String key)
+    void repeatedCreateReturnsSameTaskForAnyIdempotencyKey(@ForAll("texts") String key)
             throws MalformedMessageException {
         byte[] body = SHAPE.formatted(GOOD.toArray()).getBytes(StandardCharsets.UTF_8);
         Http.Reply[] replies = new Http.Reply[2];
--- a/src/test/java/org/meadowhollow/simulation/TesScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/TesScenarioTest.java
@@ -30,7 +30,7 @@
 import org.meadowhollow.protocol.MessageReader;
 import org.meadowhollow.storage.RecordCodec;
 
-/** Tasks that come by the task execution API, beside native jobs, while things fail. */
+/** Tasks of the task execution API, beside native jobs, while faults happen. */
 class TesScenarioTest extends ClusterTestBase {
     private static final String TASK =
             """
@@ -103,12 +103,12 @@
             Map<String, Object> full =
                     body(ask(node, "GET", "/tasks/" + id, Map.of("view", List.of("FULL"))));
             assertEquals("COMPLETE", full.get("state"));
-            MessageReader told = new MessageReader(full);
-            assertEquals("abc", told.nestedList("inputs").get(0).string("content"));
-            MessageReader log = told.nestedList("logs").get(0);
+            MessageReader reported = new MessageReader(full);
+            assertEquals("abc", reported.nestedList("inputs").get(0).string("content"));
+            MessageReader log = reported.nestedList("logs").get(0);
             assertEquals(0, log.nestedList("logs").get(0).nonNegativeLong("exit_code"));
             assertTrue(log.string("start_time").compareTo(log.string("end_time")) < 0);
-            assertTrue(told.string("creation_time").compareTo(log.string("start_time")) < 0);
+            assertTrue(reported.string("creation_time").compareTo(log.string("start_time")) < 0);
         }
         Map<String, Object> basic =
                 body(ask(1, "GET", "/tasks/" + id, Map.of("view", List.of("BASIC"))));
@@ -119,11 +119,11 @@
     void taskCompletedBetweenTwoHeartbeatsHasStartTime() throws MalformedMessageException {
         String id = createTask(Duration.ofMillis(10));
         cluster.runSeconds(12);
-        MessageReader told =
+        MessageReader reported =
                 new MessageReader(
                         body(ask(1, "GET", "/tasks/" + id, Map.of("view", List.of("BASIC")))));
-        assertEquals("COMPLETE", told.string("state"));
-        MessageReader log = told.nestedList("logs").get(0);
+        assertEquals("COMPLETE", reported.string("state"));
+        MessageReader log = reported.nestedList("logs").get(0);
         assertTrue(log.string("start_time").compareTo(log.string("end_time")) < 0);
     }
 
@@ -139,7 +139,7 @@
 
     @Test
     void cancelledTaskNeverRunsAfterwards() {
-        // Nothing has room: cancelled while it waits.
+        // Nothing has capacity: cancelled while it waits.
         cluster.workers().forEach(worker -> worker.setHung(true));
         cluster.cloud().setOutage(true);
         cluster.runSeconds(10);
@@ -150,7 +150,7 @@
         assertEquals("CANCELED", state(0, waiting));
         cluster.workers().forEach(worker -> worker.setHung(false));
         cluster.runSeconds(10);
-        // Its start is committed, but every answer that holds it is lost.
+        // Its start is committed, but every response that holds it is lost.
         cluster.workers().forEach(worker -> worker.loseIncoming(true));
         String unsent = createTask(LONG_RUNTIME);
         cluster.runSeconds(2);
@@ -160,7 +160,7 @@
         cluster.runSeconds(20);
         assertEquals("CANCELED", state(0, unsent));
         assertEquals(0, cluster.startCount());
-        // Its image is on the way.
+        // Its image is being pulled.
         cluster.setImagePullTime(Duration.ofSeconds(40));
         String fetching = createTask(LONG_RUNTIME);
         cluster.runSeconds(6);
@@ -192,8 +192,8 @@
     void reportedCancellationIsNeverRetracted() {
         String id = createTask(LONG_RUNTIME);
         cluster.runSeconds(6);
-        // The leader cannot see the cancellation by itself for a while, and has news of its own to
-        // write.
+        // The leader cannot see the cancellation by itself for a while, and has changes of its own
+        // to write.
         cluster.storeConnection(cluster.leader()).hideAllChanges(true);
         body(ask((cluster.leader() + 1) % 3, "POST", "/tasks/" + id + ":cancel", Map.of()));
         cluster.workers()
@@ -216,7 +216,7 @@
         cluster.cloud().setOutage(true);
         cluster.runSeconds(10);
         String id = createTask(LONG_RUNTIME);
-        // It reads the entry before the task has a place, and writes after.
+        // It reads the entry before the task has a placement, and writes after.
         int other = (cluster.leader() + 1) % 3;
         cluster.storeConnection(other).holdCommits();
         cluster.loop()
@@ -407,7 +407,7 @@
                             "",
                             Duration.ofSeconds(at % 3 == 0 ? 2 : 200)));
         }
-        List<String> told = new ArrayList<>();
+        List<String> reported = new ArrayList<>();
         String token = null;
         int node = 0;
         do {
@@ -417,11 +417,11 @@
                             : Map.of("page_size", List.of("5"), "page_token", List.of(token));
             MessageReader page = new MessageReader(body(ask(node, "GET", "/tasks", query)));
             for (MessageReader task : page.nestedList("tasks")) {
-                told.add(task.string("id"));
+                reported.add(task.string("id"));
             }
             token = page.stringOrNull("next_page_token");
-            // The next page is asked of another node, after a takeover, and others have come in
-            // between.
+            // The next page is requested from another controller, after a failover, and other
+            // tasks were created in between.
             createTask("later", "9", "", LONG_RUNTIME);
             cluster.crash(cluster.leader());
             cluster.runSeconds(8);
@@ -429,8 +429,8 @@
             cluster.runSeconds(6);
             node = (node + 1) % 3;
         } while (token != null);
-        assertEquals(told.size(), new HashSet<>(told).size());
-        assertEquals(there, new HashSet<>(told));
+        assertEquals(reported.size(), new HashSet<>(reported).size());
+        assertEquals(there, new HashSet<>(reported));
         MessageReader tagged =
                 new MessageReader(
                         body(
@@ -741,7 +741,8 @@
                 step++) {
             cluster.runSeconds(0.25);
         }
-        // The task is done and no report has said so yet: the answer to the job's end is lost.
+        // The task is done and no heartbeat has said so yet: the response to the job's end is
+        // lost.
         int leader = cluster.leader();
         cluster.storeConnection(leader).loseResponses(true);
         cluster.runSeconds(3.5);
@@ -792,8 +793,8 @@
 
     @Test
     void taskCancelledDuringItsPlacementRoundNeverRuns() {
-        // Placed and cancelled between two answers of the state service, whichever of the two gets
-        // there first.
+        // Placed and cancelled between two responses of the store, whichever of the two arrives
+        // first.
         for (int at = 0; at < 12; at++) {
             String id = createTask(LONG_RUNTIME);
             cluster.run(Duration.ofMillis(250 * (at % 6)));
@@ -861,7 +862,7 @@
             there.add(createTask("a" + at, "1", "", LONG_RUNTIME));
         }
         String[] tokens = {"", ""};
-        List<Set<String>> told = List.of(new HashSet<>(), new HashSet<>());
+        List<Set<String>> reported = List.of(new HashSet<>(), new HashSet<>());
         for (int step = 0; tokens[0] != null || tokens[1] != null; step++) {
             int client = step % 2;
             if (tokens[client] == null) {
@@ -875,12 +876,13 @@
             Map<String, Object> page = body(ask(step % 3, "GET", "/tasks", query));
             for (Object task : (List<?>) page.get("tasks")) {
                 assertTrue(
-                        told.get(client).add((String) ((Map<?, ?>) task).get("id")), "told twice");
+                        reported.get(client).add((String) ((Map<?, ?>) task).get("id")),
+                        "reported twice");
             }
             tokens[client] = (String) page.get("next_page_token");
             String passing = createTask("passing", "2", "", SHORT_RUNTIME);
             body(ask(0, "POST", "/tasks/" + passing + ":cancel", Map.of()));
         }
-        assertTrue(told.get(0).containsAll(there) && told.get(1).containsAll(there));
+        assertTrue(reported.get(0).containsAll(there) && reported.get(1).containsAll(there));
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/UnidirectionalPartitionScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/UnidirectionalPartitionScenarioTest.java
@@ -15,62 +15,62 @@
 import org.meadowhollow.model.TaskId;
 
 /**
- * Machines that can open no connection to any controller, while direct commands reach them, and
- * machines whose answers are lost or held up. Their reports are missing though they live, and a
- * direct answer renews no lease.
+ * Machines that cannot open a connection to any controller, while direct commands reach them, and
+ * machines whose responses are lost or delayed. Their heartbeats are missing though they live, and
+ * a direct response renews no lease.
  */
 class UnidirectionalPartitionScenarioTest extends ClusterTestBase {
     private List<FakeWorker> blockOutgoingConnectionsOfZone(String zone) {
-        List<FakeWorker> mute =
+        List<FakeWorker> unconnected =
                 cluster.workers().stream().filter(worker -> worker.zone().equals(zone)).toList();
-        mute.forEach(worker -> worker.blockOutgoingConnections(true));
-        return mute;
+        unconnected.forEach(worker -> worker.blockOutgoingConnections(true));
+        return unconnected;
     }
 
     /**
-     * Placed there, tasks waited for as long as the machine was mute, since starts go out in
-     * answers alone.
+     * Regression test: tasks placed there waited for as long as the machine could not connect,
+     * since starts are sent in heartbeat responses alone.
      */
     @Test
     void nothingIsPlacedOnMachineThatOnlyAnswersDirectCommands() {
         cluster.cloud().limitMachines(0);
         cluster.runSeconds(4);
-        List<FakeWorker> mute = blockOutgoingConnectionsOfZone("a");
+        List<FakeWorker> unconnected = blockOutgoingConnectionsOfZone("a");
         cluster.runSeconds(8);
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 12, 2);
         assertTrue(cluster.users().submit(0, job, HOURS_RUNTIME));
-        // Before the lease of those that are mute is over, which would prove that nothing was
-        // started there.
+        // Before the lease of those that cannot connect expires, which would prove that nothing
+        // was started there.
         cluster.runSeconds(7);
         assertTrue(allTasksRunning(job), "there is room for all on the others");
-        mute.forEach(worker -> worker.blockOutgoingConnections(false));
+        unconnected.forEach(worker -> worker.blockOutgoingConnections(false));
         cluster.runSeconds(40);
         assertEquals(12, cluster.startCount());
     }
 
     /**
-     * It lives, as its direct answers show; its tasks go with its lease, and then run elsewhere.
+     * It lives, as its direct responses show; its tasks end with its lease, and then run elsewhere.
      */
     @Test
     void machineThatCannotOpenConnectionsIsNotReturned() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 6, 1);
         assertTrue(cluster.users().submit(0, job, null));
         cluster.runSeconds(10);
-        FakeWorker mute = machineRunning(job, 0);
-        mute.blockOutgoingConnections(true);
+        FakeWorker unconnected = machineRunning(job, 0);
+        unconnected.blockOutgoingConnections(true);
         cluster.runSeconds(40);
         assertTrue(
                 cluster.cloud().returnedMachines().isEmpty(),
                 "returned " + cluster.cloud().returnedMachines());
-        assertTrue(allTasksRunning(job) && mute.runningTasks().isEmpty());
-        mute.blockOutgoingConnections(false);
+        assertTrue(allTasksRunning(job) && unconnected.runningTasks().isEmpty());
+        unconnected.blockOutgoingConnections(false);
         cluster.runSeconds(10);
         assertEquals(7, cluster.startCount());
     }
 
     /**
-     * A zone's worth of machines goes mute, tasks there are called off, and the leader ends before
-     * or after it knows.
+     * All machines of a zone cannot connect, tasks there are cancelled, and the leader crashes
+     * before or after it knows.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 4, 6})
@@ -80,7 +80,7 @@
         assertTrue(cluster.users().submit(0, goes, null));
         assertTrue(cluster.users().submit(0, stays, null));
         cluster.runSeconds(10);
-        List<FakeWorker> mute = blockOutgoingConnectionsOfZone("b");
+        List<FakeWorker> unconnected = blockOutgoingConnectionsOfZone("b");
         cluster.runSeconds(2);
         int leader = cluster.leader();
         if (leaderEndsAfterS == 0) {
@@ -89,7 +89,7 @@
         assertTrue(cluster.users().cancel(nodeAfter(leader, 1), goes.id()));
         assertTrue(
                 leaderEndsAfterS > 0
-                        || mute.stream()
+                        || unconnected.stream()
                                 .anyMatch(
                                         worker ->
                                                 worker.runningTasks().stream()
@@ -112,15 +112,15 @@
                     "a direct command reaches it well within the time there is");
         }
         int next = cluster.leader();
-        long term = cluster.fencingToken();
+        long fencingToken = cluster.fencingToken();
         cluster.runSeconds(20);
         assertEquals(
                 next, cluster.leader(), "half of the machines do not speak against its hearing");
-        assertEquals(term, cluster.fencingToken());
+        assertEquals(fencingToken, cluster.fencingToken());
         assertTrue(
                 cluster.cloud().returnedMachines().isEmpty(),
                 "returned " + cluster.cloud().returnedMachines());
-        mute.forEach(worker -> worker.blockOutgoingConnections(false));
+        unconnected.forEach(worker -> worker.blockOutgoingConnections(false));
         cluster.restart(leader);
         cluster.beginFaultFreePhase();
         cluster.runSeconds(60);
@@ -128,8 +128,8 @@
     }
 
     /**
-     * What was ordered directly is held up and carried out when another one leads, or when the next
-     * attempt has begun.
+     * A direct command is delayed, and executed when another one leads or the next attempt has
+     * begun.
      */
     @ParameterizedTest
     @CsvSource({"6, true", "14, true", "25, true", "6, false", "14, false"})
@@ -152,7 +152,7 @@
         }
         cluster.network().holdCommands(true);
         // A task of the gang ends, and the others are told to stop, directly and in their next
-        // answers.
+        // responses.
         FakeWorker first = places.get(0);
         places.get(1).setHung(true);
         places.get(2).setHung(true);
@@ -181,13 +181,13 @@
         cluster.beginFaultFreePhase();
         cluster.runSeconds(85);
         assertTrue(
-                allTasksRunning(job), "none of it was stopped by an order for the former attempt");
+                allTasksRunning(job), "none of it was stopped by a command for the former attempt");
         assertEquals(leaderEnds ? cluster.startCount() : starts, cluster.startCount());
     }
 
     /**
-     * A machine is deaf for longer than its lease while leaders change; its tasks count until the
-     * lease has surely ended.
+     * A machine loses everything incoming for longer than its lease while leaders change; its tasks
+     * count until the lease has surely expired.
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3})
@@ -196,8 +196,8 @@
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 6, 1);
         assertTrue(cluster.users().submit(0, job, null));
         cluster.runSeconds(10);
-        List<FakeWorker> deaf = cluster.workers().subList(0, 3);
-        deaf.forEach(worker -> worker.loseIncoming(true));
+        List<FakeWorker> isolated = cluster.workers().subList(0, 3);
+        isolated.forEach(worker -> worker.loseIncoming(true));
         boolean still = false;
         for (int takeover = 0; takeover < leaders; takeover++) {
             int leader = cluster.leader();
@@ -206,14 +206,14 @@
                 cluster.runSeconds(1);
                 still |=
                         cluster.leader() != leader
-                                && deaf.stream()
+                                && isolated.stream()
                                         .anyMatch(worker -> !worker.runningTasks().isEmpty());
             }
             cluster.restart(leader);
         }
-        assertTrue(still, "a deaf machine had tasks while the next one led");
+        assertTrue(still, "an isolated machine had tasks while the next leader led");
         cluster.runSeconds(70);
-        deaf.forEach(worker -> worker.loseIncoming(false));
+        isolated.forEach(worker -> worker.loseIncoming(false));
         cluster.beginFaultFreePhase();
         cluster.runSeconds(40);
         assertTrue(allTasksRunning(job));
--- a/src/test/java/org/meadowhollow/simulation/VirtualEventLoop.java
+++ b/src/test/java/org/meadowhollow/simulation/VirtualEventLoop.java
@@ -5,7 +5,7 @@
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.MonotonicTime;
 
-/** A loop whose time only moves when a test says so. */
+/** An event loop with virtual time, which moves only when a test says so. Not thread-safe. */
 public final class VirtualEventLoop implements EventLoop {
     private record Due(long at, long order, Runnable work) implements Comparable<Due> {
         @Override
@@ -29,7 +29,7 @@
         return nanos / 1_000_000 + wallAheadMillis;
     }
 
-    /** Moves the time of day on, and nothing else: what lies between two nights is left out. */
+    /** Moves the time of day on, and nothing else: timers are unaffected. */
     public void skip(Duration span) {
         wallAheadMillis += span.toMillis();
     }
@@ -39,7 +39,7 @@
         due.add(new Due(nanos + Math.max(0, pause.toNanos()), order++, work));
     }
 
-    /** Runs all that falls due within the span. */
+    /** Runs all work that falls due within the span. */
     public void run(Duration span) {
         long end = nanos + span.toNanos();
         while (!due.isEmpty() && due.peek().at() <= end) {
--- a/src/test/java/org/meadowhollow/simulation/WarmStandbyScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/WarmStandbyScenarioTest.java
@@ -24,19 +24,21 @@
 import org.meadowhollow.model.Revision;
 import org.meadowhollow.storage.RecordCodec;
 
-/** What a warm standby follows, what it takes over, and what must not mislead it. */
+/** What a warm standby replicates, what it takes over, and what must not mislead it. */
 class WarmStandbyScenarioTest extends ClusterTestBase {
-    /** Samples that a table needs before it says anything, at a report every 3 s, and some. */
+    /**
+     * Samples that a risk table needs before it is used, at a heartbeat every 3 s, and some more.
+     */
     private static final double LEARNT_S = 80;
 
     private static final int LEAST_SAMPLES = 20;
     private int wrongExpected;
 
     @BeforeEach
-    void warm() {
+    void startWarmStandbys() {
         cluster.enableStandbys();
         cluster.runSeconds(5);
-        // Keeps the machines, with room on each for more.
+        // Keeps the machines, with capacity on each for more.
         assertTrue(
                 cluster.users()
                         .submit(
@@ -47,7 +49,7 @@
     }
 
     @AfterEach
-    void noImageWasWrong() {
+    void assertNoDivergentRecords() {
         long wrong = 0;
         for (int node = 0; node < 3; node++) {
             wrong += cluster.node(node) == null ? 0 : cluster.node(node).divergentRecordCount();
@@ -59,7 +61,7 @@
         return (besides + 1) % 3;
     }
 
-    /** Tables of a leader that have seen enough to say something. */
+    /** Observations in the risk tables of a node. */
     private long learnedObservationCount(int node) {
         RiskTableRequest whole =
                 new RiskTableRequest(
@@ -128,9 +130,9 @@
     @Test
     void standbyTooFarBehindReadsAllRecords() {
         int dead = cluster.leader();
-        int heir = other(dead);
-        cluster.crash(3 - dead - heir);
-        cluster.storeConnection(heir).refuseRequests(true);
+        int successor = other(dead);
+        cluster.crash(3 - dead - successor);
+        cluster.storeConnection(successor).refuseRequests(true);
         cluster.runSeconds(1);
         JobSpec job = array(1, 5);
         assertTrue(cluster.users().submit(dead, job, SHORT_RUNTIME));
@@ -138,8 +140,8 @@
             cluster.store().put("junk/" + at % 10, Map.of("at", (long) at));
         }
         cluster.crash(dead);
-        cluster.storeConnection(heir).refuseRequests(false);
-        assertEquals(heir, secondsUntilAnotherLeads(dead));
+        cluster.storeConnection(successor).refuseRequests(false);
+        assertEquals(successor, secondsUntilAnotherLeads(dead));
         runUntilDone(job, 30);
         assertEquals(11, cluster.startCount());
     }
@@ -147,19 +149,19 @@
     @Test
     void standbyThatCannotCatchUpReadsAllRecords() {
         int dead = cluster.leader();
-        int heir = other(dead);
-        cluster.crash(3 - dead - heir);
+        int successor = other(dead);
+        cluster.crash(3 - dead - successor);
         JobSpec job = array(1, 5);
         assertTrue(cluster.users().submit(dead, job, SHORT_RUNTIME));
         cluster.runSeconds(5);
         assertEquals(11, cluster.startCount());
-        cluster.storeConnection(heir).failWatches(true);
+        cluster.storeConnection(successor).failWatches(true);
         cluster.crash(dead);
-        assertEquals(heir, secondsUntilAnotherLeads(dead));
+        assertEquals(successor, secondsUntilAnotherLeads(dead));
         cluster.runSeconds(1);
-        cluster.storeConnection(heir).failWatches(false);
+        cluster.storeConnection(successor).failWatches(false);
         JobSpec later = array(2, 3);
-        assertTrue(cluster.users().submit(heir, later, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(successor, later, SHORT_RUNTIME));
         runUntilDone(later, 30);
         assertEquals(Phase.DONE, phaseOf(job));
         assertEquals(14, cluster.startCount());
@@ -177,8 +179,8 @@
     }
 
     /**
-     * Some machines hang while another node takes over, and a job waits that fits on all six, with
-     * one task each.
+     * Some machines hang during a failover, and a job waits that fits on all six, with one task
+     * each.
      */
     private List<FakeWorker> failOverWithout(int machines) {
         int dead = cluster.leader();
@@ -240,17 +242,17 @@
     @Test
     void standbyWithStalledReplicaDoesNotDecideFromIt() {
         int dead = cluster.leader();
-        int heir = other(dead);
-        cluster.crash(3 - dead - heir);
-        cluster.storeConnection(heir).hideChanges(RecordCodec.JOB_PREFIX);
+        int successor = other(dead);
+        cluster.crash(3 - dead - successor);
+        cluster.storeConnection(successor).hideChanges(RecordCodec.JOB_PREFIX);
         JobSpec job = array(1, 5);
         assertTrue(cluster.users().submit(dead, job, Duration.ofSeconds(60)));
         cluster.runSeconds(10);
         assertEquals(11, cluster.startCount());
         cluster.crash(dead);
         cluster.runSeconds(40);
-        assertEquals(heir, cluster.leader());
-        cluster.storeConnection(heir).hideChanges(null);
+        assertEquals(successor, cluster.leader());
+        cluster.storeConnection(successor).hideChanges(null);
         runUntilDone(job, 40);
         assertEquals(
                 11,
@@ -277,15 +279,15 @@
     @Test
     void starvedStandbyTakesOverWithItsReplica() {
         int dead = cluster.leader();
-        int heir = other(dead);
-        cluster.overload(heir, true);
+        int successor = other(dead);
+        cluster.overload(successor, true);
         JobSpec job = array(1, 5);
         assertTrue(cluster.users().submit(dead, job, Duration.ofSeconds(60)));
         cluster.runSeconds(25);
         cluster.crash(dead);
-        cluster.crash(3 - dead - heir);
+        cluster.crash(3 - dead - successor);
         cluster.runSeconds(60);
-        assertEquals(heir, cluster.leader());
+        assertEquals(successor, cluster.leader());
         runUntilDone(job, 60);
         assertEquals(11, cluster.startCount());
     }
@@ -318,10 +320,10 @@
         assertNotEquals(ending, next);
         assertTrue(next >= 0, "two are equally good, and one of them was named");
         cluster.crash(ending);
-        long term = cluster.fencingToken();
+        long fencingToken = cluster.fencingToken();
         cluster.runSeconds(5);
         assertEquals(6, learnedObservationCount(next));
-        assertEquals(term, cluster.fencingToken());
+        assertEquals(fencingToken, cluster.fencingToken());
     }
 
     @Test
