--- a/src/test/java/org/meadowhollow/simulation/ClusterTestBase.java
+++ b/src/test/java/org/meadowhollow/simulation/ClusterTestBase.java
@@ -10,33 +10,33 @@
 import org.meadowhollow.model.TaskId;
 
 /**
- * A small deployment for stories of what happens while things fail; {@link SimulatedCluster} checks
+ * A small deployment for scenario tests, in which faults happen; {@link SimulatedCluster} checks
  * the protocol's rules.
  */
 abstract class ClusterTestBase {
-    static final Duration SHORT = Duration.ofSeconds(10);
-    static final Duration LONG = Duration.ofMinutes(5);
-    static final Duration HOURS = Duration.ofHours(2);
+    static final Duration SHORT_RUNTIME = Duration.ofSeconds(10);
+    static final Duration LONG_RUNTIME = Duration.ofMinutes(5);
+    static final Duration HOURS_RUNTIME = Duration.ofHours(2);
 
     SimulatedCluster cluster;
 
     @BeforeEach
-    void threeNodesAndSomeMachines() {
+    void startClusterWithSixMachines() {
         cluster = new SimulatedCluster();
         for (int at = 0; at < 3; at++) {
-            cluster.machine(SimulatedCluster.LARGE, "a");
-            cluster.machine(SimulatedCluster.LARGE, "b");
+            cluster.addMachine(SimulatedCluster.LARGE, "a");
+            cluster.addMachine(SimulatedCluster.LARGE, "b");
         }
-        cluster.runS(12);
+        cluster.runSeconds(12);
     }
 
     static JobSpec array(int number, int tasks) {
         return SimulatedCluster.spec(number, JobKind.ARRAY, tasks, 1);
     }
 
-    Phase phase(JobSpec spec) {
+    Phase phaseOf(JobSpec spec) {
         for (int node = 0; node < 3; node++) {
-            var state = cluster.poll(node, spec.id());
+            var state = cluster.users().poll(node, spec.id());
             if (state.isPresent()) {
                 return state.get().phase();
             }
@@ -44,109 +44,50 @@
         return null;
     }
 
-    FakeWorker placeOf(JobSpec spec, int task) {
-        List<FakeWorker> places = cluster.on(new TaskId(spec.id(), task));
+    FakeWorker machineRunning(JobSpec spec, int task) {
+        List<FakeWorker> places = cluster.machinesRunning(new TaskId(spec.id(), task));
         return places.isEmpty() ? null : places.get(0);
     }
 
-    static JobSpec zoned(JobSpec spec, boolean oneZone, boolean spread) {
-        return new JobSpec(
-                spec.id(),
-                spec.jobClass(),
-                spec.team(),
-                spec.kind(),
-                Priority.HIGH,
-                spec.taskCount(),
-                spec.resourcesPerTask(),
-                List.of("large"),
-                spec.requiredZone(),
-                oneZone,
-                spread,
-                spec.allowsSpot(),
-                spec.image(),
-                spec.imageSizeGb(),
-                spec.estimatedRuntimeSeconds(),
-                spec.checkpointIntervalSeconds(),
-                spec.checkpointDurationSeconds(),
-                spec.deadlineSeconds());
+    static JobSpec withZonePolicy(JobSpec spec, boolean oneZone, boolean spread) {
+        return JobSpecBuilder.from(spec)
+                .priority(Priority.HIGH)
+                .machineTypes(List.of("large"))
+                .singleZone(oneZone)
+                .spreadAcrossZones(spread)
+                .build();
     }
 
     static JobSpec withTeam(JobSpec spec, String team) {
-        return new JobSpec(
-                spec.id(),
-                spec.jobClass(),
-                team,
-                spec.kind(),
-                spec.priority(),
-                spec.taskCount(),
-                spec.resourcesPerTask(),
-                spec.allowedMachineTypes(),
-                spec.requiredZone(),
-                spec.requiresSingleZone(),
-                spec.spreadsAcrossZones(),
-                spec.allowsSpot(),
-                spec.image(),
-                spec.imageSizeGb(),
-                spec.estimatedRuntimeSeconds(),
-                spec.checkpointIntervalSeconds(),
-                spec.checkpointDurationSeconds(),
-                spec.deadlineSeconds());
+        return JobSpecBuilder.from(spec).team(team).build();
     }
 
     static JobSpec inZone(JobSpec spec, String zone) {
-        return new JobSpec(
-                spec.id(),
-                spec.jobClass(),
-                spec.team(),
-                spec.kind(),
-                spec.priority(),
-                spec.taskCount(),
-                spec.resourcesPerTask(),
-                spec.allowedMachineTypes(),
-                zone,
-                spec.requiresSingleZone(),
-                spec.spreadsAcrossZones(),
-                spec.allowsSpot(),
-                spec.image(),
-                spec.imageSizeGb(),
-                spec.estimatedRuntimeSeconds(),
-                spec.checkpointIntervalSeconds(),
-                spec.checkpointDurationSeconds(),
-                spec.deadlineSeconds());
+        return JobSpecBuilder.from(spec).zone(zone).build();
     }
 
     static JobSpec withTypes(JobSpec spec, List<String> types) {
-        return new JobSpec(
-                spec.id(),
-                spec.jobClass(),
-                spec.team(),
-                spec.kind(),
-                spec.priority(),
-                spec.taskCount(),
-                spec.resourcesPerTask(),
-                types,
-                spec.requiredZone(),
-                spec.requiresSingleZone(),
-                spec.spreadsAcrossZones(),
-                spec.allowsSpot(),
-                spec.image(),
-                spec.imageSizeGb(),
-                spec.estimatedRuntimeSeconds(),
-                spec.checkpointIntervalSeconds(),
-                spec.checkpointDurationSeconds(),
-                spec.deadlineSeconds());
+        return JobSpecBuilder.from(spec).machineTypes(types).build();
     }
 
-    boolean allRun(JobSpec job) {
+    boolean allTasksRunning(JobSpec job) {
         for (int task = 0; task < job.taskCount(); task++) {
-            if (placeOf(job, task) == null) {
+            if (machineRunning(job, task) == null) {
                 return false;
             }
         }
         return true;
     }
 
-    static int other(int than, int by) {
+    /** Lets time pass in steps of a quarter of a second until all tasks of a job run. */
+    void runUntilAllTasksRun(JobSpec job, int maxSteps) {
+        for (int step = 0; step < maxSteps && !allTasksRunning(job); step++) {
+            cluster.run(Duration.ofMillis(250));
+        }
+    }
+
+    /** The node so many places after another one. */
+    static int nodeAfter(int than, int by) {
         return (than + by) % 3;
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/FailoverTimingScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/FailoverTimingScenarioTest.java
@@ -11,136 +11,136 @@
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.TaskId;
 
-/** How soon another node leads, and what must not make it lead. */
+/** How soon another controller takes over, and what must not cause a failover. */
 class FailoverTimingScenarioTest {
     private static final int MACHINES = 8;
     private SimulatedCluster cluster;
 
     @BeforeEach
-    void threeNodesAndSomeMachines() {
+    void startClusterWithMachines() {
         cluster = new SimulatedCluster();
         for (int at = 0; at < MACHINES / 2; at++) {
-            cluster.machine(SimulatedCluster.LARGE, "a");
-            cluster.machine(SimulatedCluster.LARGE, "b");
+            cluster.addMachine(SimulatedCluster.LARGE, "a");
+            cluster.addMachine(SimulatedCluster.LARGE, "b");
         }
-        cluster.runS(12);
+        cluster.runSeconds(12);
     }
 
     @Test
-    void aLeaderWhoseProcessEndedIsReplacedBeforeItsLeaseRunsOut() {
+    void crashedLeaderIsReplacedBeforeItsLeaseExpires() {
         int dead = cluster.leader();
         cluster.crash(dead);
-        cluster.runS(3.5);
+        cluster.runSeconds(3.5);
         assertTrue(
                 cluster.leader() >= 0 && cluster.leader() != dead,
                 "its lease of 5 s has not run out yet");
     }
 
     @Test
-    void aLeaderThatOnlyItsPeersCannotReachStays() {
-        long term = cluster.term();
-        cluster.peersRefuse(true);
-        cluster.runS(30);
-        assertEquals(term, cluster.term());
+    void leaderUnreachableOnlyFromPeersKeepsLeadership() {
+        long fencingToken = cluster.fencingToken();
+        cluster.refuseAllPeerConnections(true);
+        cluster.runSeconds(30);
+        assertEquals(fencingToken, cluster.fencingToken());
     }
 
     @Test
-    void aFilterBetweenAllNodesDoesNotEndALeadershipThatWorkersLeave() {
-        long term = cluster.term();
+    void packetFilterBetweenControllersDoesNotEndLeadershipWhenWorkersDisconnect() {
+        long fencingToken = cluster.fencingToken();
         int leader = cluster.leader();
-        cluster.peersRefuse(true);
-        cluster.workers().forEach(worker -> worker.goTo((leader + 1) % 3));
-        cluster.runS(10);
-        assertEquals(term, cluster.term());
+        cluster.refuseAllPeerConnections(true);
+        cluster.workers().forEach(worker -> worker.connectTo((leader + 1) % 3));
+        cluster.runSeconds(10);
+        assertEquals(fencingToken, cluster.fencingToken());
     }
 
     @Test
-    void aLeaderBusyForLongerThanItsTimersWaitRenewsInBetween() {
-        // With all machines full, no report is held for a start to come.
+    void overloadedLeaderRenewsItsLeaseBetweenDelayedTimers() {
+        // With all machines full, no heartbeat response is deferred until a start.
         JobSpec filling = SimulatedCluster.spec(1, JobKind.ARRAY, MACHINES * 8, 1);
-        assertTrue(cluster.submit(0, filling, Duration.ofMinutes(5)));
-        cluster.runS(10);
-        long term = cluster.term();
-        cluster.busy(cluster.leader(), true);
-        cluster.runS(20);
-        assertEquals(term, cluster.term());
+        assertTrue(cluster.users().submit(0, filling, Duration.ofMinutes(5)));
+        cluster.runSeconds(10);
+        long fencingToken = cluster.fencingToken();
+        cluster.overload(cluster.leader(), true);
+        cluster.runSeconds(20);
+        assertEquals(fencingToken, cluster.fencingToken());
     }
 
     @Test
-    void aWorkerOrTwoThatComeOverDoNotEndALeadershipThatPeersCannotReach() {
-        long term = cluster.term();
-        cluster.refusesPeers(cluster.leader(), true);
-        cluster.workers().get(0).goTo((cluster.leader() + 1) % 3);
-        cluster.workers().get(1).goTo((cluster.leader() + 2) % 3);
-        cluster.runS(10);
-        assertEquals(term, cluster.term());
+    void fewReconnectingWorkersDoNotEndLeadershipUnreachableFromPeers() {
+        long fencingToken = cluster.fencingToken();
+        cluster.refusePeerConnections(cluster.leader(), true);
+        cluster.workers().get(0).connectTo((cluster.leader() + 1) % 3);
+        cluster.workers().get(1).connectTo((cluster.leader() + 2) % 3);
+        cluster.runSeconds(10);
+        assertEquals(fencingToken, cluster.fencingToken());
     }
 
     @Test
-    void aLeaderThatWorkersLeaveButThatAnswersItsPeersStays() {
-        long term = cluster.term();
-        cluster.workers().forEach(worker -> worker.goTo((cluster.leader() + 1) % 3));
-        cluster.runS(10);
-        assertEquals(term, cluster.term());
+    void leaderThatAnswersPeersKeepsLeadershipWhenWorkersDisconnect() {
+        long fencingToken = cluster.fencingToken();
+        cluster.workers().forEach(worker -> worker.connectTo((cluster.leader() + 1) % 3));
+        cluster.runSeconds(10);
+        assertEquals(fencingToken, cluster.fencingToken());
     }
 
     @Test
-    void aLeaderThatIsWronglyReplacedStopsLeadingAndNothingRunsTwice() {
+    void wronglyReplacedLeaderStepsDownAndNoTaskRunsTwice() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 40, 1);
         int first = cluster.leader();
-        assertTrue(cluster.submit(first, job, Duration.ofSeconds(20)));
-        cluster.runS(1);
-        cluster.refusesPeers(first, true);
-        cluster.workers().forEach(worker -> worker.goTo((first + 1) % 3));
-        cluster.runS(4);
+        assertTrue(cluster.users().submit(first, job, Duration.ofSeconds(20)));
+        cluster.runSeconds(1);
+        cluster.refusePeerConnections(first, true);
+        cluster.workers().forEach(worker -> worker.connectTo((first + 1) % 3));
+        cluster.runSeconds(4);
         assertNotEquals(
                 first, cluster.leader(), "several workers left it, and it refused connections");
-        cluster.refusesPeers(first, false);
-        cluster.runS(60);
-        assertEquals(40, cluster.poll(first, job.id()).orElseThrow().done());
+        cluster.refusePeerConnections(first, false);
+        cluster.runSeconds(60);
+        assertEquals(40, cluster.users().poll(first, job.id()).orElseThrow().done());
     }
 
     @Test
-    void aLeaderWithoutPowerIsReplacedWhenItsLeaseHasRunOut() {
+    void powerLossOfLeaderIsDetectedByLeaseExpiry() {
         int dead = cluster.leader();
         cluster.losePower(dead);
-        cluster.workers().forEach(worker -> worker.goTo((dead + 1) % 3));
-        cluster.runS(3);
+        cluster.workers().forEach(worker -> worker.connectTo((dead + 1) % 3));
+        cluster.runSeconds(3);
         assertEquals(dead, cluster.leader(), "silence proves nothing");
-        cluster.runS(4);
+        cluster.runSeconds(4);
         assertTrue(cluster.leader() >= 0 && cluster.leader() != dead);
     }
 
     @Test
-    void workersWaitForALeaderInsteadOfGoingRoundAllNodes() {
+    void workersWaitForNewLeaderInsteadOfPollingAllControllers() {
         cluster.losePower(cluster.leader());
-        cluster.takeReports();
-        cluster.runS(5);
+        cluster.network().takeHeartbeatCount();
+        cluster.runSeconds(5);
         assertTrue(
-                cluster.takeReports() <= 3 * MACHINES,
+                cluster.network().takeHeartbeatCount() <= 3 * MACHINES,
                 "each worker is answered when there is news, or late");
     }
 
     @Test
-    void aMachineThatHangsDoesNotKeepANewLeaderFromPlacing() {
+    void hungMachineDoesNotDelayPlacementByNewLeader() {
         for (int at = 0; at < 12; at++) {
-            cluster.machine(SimulatedCluster.LARGE, "a");
+            cluster.addMachine(SimulatedCluster.LARGE, "a");
         }
-        cluster.runS(15);
-        cluster.workers().get(0).hang(true);
+        cluster.runSeconds(15);
+        cluster.workers().get(0).setHung(true);
         int dead = cluster.leader();
         cluster.crash(dead);
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 1, 1);
-        assertTrue(cluster.submit((dead + 1) % 3, job, Duration.ofSeconds(60)));
+        assertTrue(cluster.users().submit((dead + 1) % 3, job, Duration.ofSeconds(60)));
         for (int step = 0;
                 step < 40 && (cluster.leader() < 0 || cluster.leader() == dead);
                 step++) {
-            cluster.runS(0.25);
+            cluster.runSeconds(0.25);
         }
-        cluster.runS(4);
+        cluster.runSeconds(4);
         assertTrue(
                 cluster.workers().stream()
-                        .anyMatch(worker -> worker.holds(new TaskId(job.id(), 0))),
-                "reports come every 3 s, and one that is silent was waited for till 4.75 s");
+                        .anyMatch(worker -> worker.hasTask(new TaskId(job.id(), 0))),
+                "heartbeats arrive every 3 s, and a silent machine was waited for until 4.75 s");
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/FakeWorker.java
+++ b/src/test/java/org/meadowhollow/simulation/FakeWorker.java
@@ -13,76 +13,69 @@
 import org.meadowhollow.model.ExitReason;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Heartbeat;
+import org.meadowhollow.model.JobId;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.MachineId;
 import org.meadowhollow.model.MachineType;
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.TaskId;
-import org.meadowhollow.model.TaskState;
 import org.meadowhollow.model.WorkerCommand;
 import org.meadowhollow.model.WorkerIncarnation;
 
-/** A machine's worker, as the protocol describes it. */
-final class FakeWorker implements HistoryChecker.Place {
-    private static final Duration REPORT = Duration.ofSeconds(3);
+/**
+ * A machine's worker as the protocol describes it: it sends heartbeats to one node at a time,
+ * executes commands, and lets its tasks go when its lease expires. Faults let it hang, lose what
+ * arrives, or block its outgoing connections. Not thread-safe: everything runs on the virtual event
+ * loop.
+ */
+final class FakeWorker implements HistoryChecker.Machine {
+    private static final Duration HEARTBEAT_INTERVAL = Duration.ofSeconds(3);
     private static final Duration LEASE = Duration.ofSeconds(18);
 
     /** How long it takes until the next node is tried. */
-    private static final Duration NEXT = Duration.ofSeconds(1);
+    private static final Duration NEXT_NODE_DELAY = Duration.ofSeconds(1);
 
-    private static final Duration CHANGE = Duration.ofMillis(500);
-    private static final Duration GANG_WAIT = Duration.ofSeconds(30);
-    private static final Duration GANG_PEER = Duration.ofSeconds(6);
-
-    /** How long an answer is waited for. */
-    private static final Duration ANSWER = Duration.ofSeconds(4);
-
-    /** A task here; it runs once its image has come. */
-    private static final class Task {
-        private final AttemptNumber attemptNumber;
-        private TaskState state = TaskState.PULLING_IMAGE;
-        private ExitReason exitReason;
-        private final MonotonicTime runsAt;
-
-        /** When it began to run; a gang's task waits for the others before. */
-        private MonotonicTime runningSince;
-
-        /** Since when a running gang's task misses another one. */
-        private MonotonicTime missingSince;
-
-        Task(AttemptNumber attemptNumber, MonotonicTime runsAt) {
-            this.attemptNumber = attemptNumber;
-            this.runsAt = runsAt;
-        }
-    }
+    private static final Duration CHANGED_HEARTBEAT_DELAY = Duration.ofMillis(500);
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(4);
+    private static final WorkerIncarnation FIRST_INCARNATION = new WorkerIncarnation(1);
 
     private final SimulatedCluster cluster;
     private final MachineId id;
     private final String type;
     private final String zone;
-    private final Map<TaskId, Task> tasks = new LinkedHashMap<>();
-    private WorkerIncarnation workerIncarnation = new WorkerIncarnation(1);
-    private long seq;
-    private FencingToken token = FencingToken.NONE;
-    private MonotonicTime answeredSentAt;
+    private final Map<TaskId, FakeTask> tasks = new LinkedHashMap<>();
+    private WorkerIncarnation incarnation = FIRST_INCARNATION;
+    private long heartbeatNumber;
+    private FencingToken fencingToken = FencingToken.NONE;
+
+    /** When the last heartbeat was sent that got commands; the lease counts from then. */
+    private MonotonicTime leaseFrom;
+
     private int node;
-    private CompletableFuture<HeartbeatResponse> inFlight;
-    private boolean hung;
-    private boolean gone;
-    private boolean deaf;
-    private boolean mute;
-    private final Set<Integer> unreachable = new HashSet<>();
-    private double noticeS = Double.NaN;
+
+    /** Null unless a heartbeat waits for its response. */
+    private CompletableFuture<HeartbeatResponse> pendingResponse;
+
+    private boolean isHung;
+    private boolean isRemoved;
+    private boolean losesIncoming;
+    private boolean blocksOutgoing;
+    private final Set<Integer> unreachableNodes = new HashSet<>();
+
+    /** Seconds until the cloud preempts the machine; NaN without a notice. */
+    private double preemptionNoticeSeconds = Double.NaN;
 
     FakeWorker(SimulatedCluster cluster, String id, String type, String zone) {
         this.cluster = cluster;
         this.id = new MachineId(id);
         this.type = type;
         this.zone = zone;
-        this.answeredSentAt = cluster.loop().now();
+        this.leaseFrom = cluster.loop().now();
         tick();
     }
 
+    // ---- state ----
+
     MachineId id() {
         return id;
     }
@@ -94,375 +87,367 @@
 
     @Override
     public MachineType machineType() {
-        return SimulatedCluster.typeOf(type);
+        return SimulatedCluster.machineType(type);
     }
 
     String type() {
         return type;
     }
 
-    /** Loses its connection and turns to another node. */
-    void goTo(int other) {
-        node = other;
-        inFlight = null;
-        reportAfter(CHANGE);
+    FencingToken fencingToken() {
+        return fencingToken;
     }
 
-    void hang(boolean now) {
-        hung = now;
+    WorkerIncarnation incarnation() {
+        return incarnation;
     }
 
-    /** Reports still go out, but all answers and direct commands are lost. */
-    void deaf(boolean now) {
-        deaf = now;
+    boolean isRemoved() {
+        return isRemoved;
     }
 
-    /** No connection to any node can be opened, while direct commands arrive and are answered. */
-    void mute(boolean now) {
-        mute = now;
-        if (now) {
-            inFlight = null;
-        }
+    boolean isHung() {
+        return isHung;
     }
 
-    /** Whether it runs, reports and hears. */
     @Override
-    public boolean inTouch() {
-        return !hung && !gone && !deaf && !mute && Double.isNaN(noticeS);
+    public boolean isReachable() {
+        return !isHung
+                && !isRemoved
+                && !losesIncoming
+                && !blocksOutgoing
+                && Double.isNaN(preemptionNoticeSeconds);
     }
 
-    /** Whether this machine alone has no way to a node and back. */
-    void cannotReach(int other, boolean cut) {
-        if (cut) {
-            unreachable.add(other);
-            inFlight = node == other ? null : inFlight;
-        } else {
-            unreachable.remove(other);
-        }
+    private boolean isLeaseExpired() {
+        return cluster.loop().now().elapsedSince(leaseFrom).compareTo(LEASE) > 0;
     }
 
-    boolean reaches(int other) {
-        return !unreachable.contains(other);
+    // ---- faults ----
+
+    /** Loses its connection and turns to another node. */
+    void connectTo(int other) {
+        node = other;
+        pendingResponse = null;
+        sendHeartbeatAfter(CHANGED_HEARTBEAT_DELAY);
     }
 
-    void notice(double seconds) {
-        noticeS = seconds;
+    void setHung(boolean hung) {
+        isHung = hung;
     }
 
-    void remove() {
-        gone = true;
-        tasks.clear();
+    /** Heartbeats still go out, but all responses and direct commands are lost. */
+    void loseIncoming(boolean lose) {
+        losesIncoming = lose;
     }
 
-    boolean gone() {
-        return gone;
+    /** No connection to any node can be opened, while direct commands arrive and are answered. */
+    void blockOutgoingConnections(boolean block) {
+        blocksOutgoing = block;
+        if (block) {
+            pendingResponse = null;
+        }
     }
 
-    boolean hung() {
-        return hung;
+    /** Cuts the path between this machine alone and a node, in both directions. */
+    void blockPathTo(int other, boolean block) {
+        if (block) {
+            unreachableNodes.add(other);
+            pendingResponse = node == other ? null : pendingResponse;
+        } else {
+            unreachableNodes.remove(other);
+        }
     }
 
-    FencingToken token() {
-        return token;
+    boolean reaches(int other) {
+        return !unreachableNodes.contains(other);
     }
 
-    WorkerIncarnation session() {
-        return workerIncarnation;
+    /** The cloud announces that it preempts the machine. */
+    void announcePreemption(double seconds) {
+        preemptionNoticeSeconds = seconds;
+    }
+
+    /** The machine is returned to the cloud. */
+    void remove() {
+        isRemoved = true;
+        tasks.clear();
     }
 
-    /** The machine is back at once, under its name and address, and begins anew. */
+    /** The machine reboots at once, under its name and address, and knows nothing any more. */
     void reboot() {
         tasks.clear();
-        workerIncarnation = new WorkerIncarnation(1);
-        seq = 0;
-        token = FencingToken.NONE;
-        inFlight = null;
-        answeredSentAt = cluster.loop().now();
+        incarnation = FIRST_INCARNATION;
+        heartbeatNumber = 0;
+        fencingToken = FencingToken.NONE;
+        pendingResponse = null;
+        leaseFrom = cluster.loop().now();
     }
 
+    // ---- tasks ----
+
     /** Makes a task exit with an error. */
-    void fail(TaskId task) {
-        exit(tasks.get(task), ExitReason.ERROR);
+    void failTask(TaskId task) {
+        tasks.get(task).exit(ExitReason.ERROR);
     }
 
     /** Makes a task exit because it found another one of its gang gone. */
-    void missPeers(TaskId task) {
-        exit(tasks.get(task), ExitReason.PEERS);
+    void exitForMissingPeer(TaskId task) {
+        tasks.get(task).exit(ExitReason.PEERS);
     }
 
-    /** Makes a task give up waiting for its gang. */
-    void giveUp(TaskId task) {
-        exit(tasks.get(task), ExitReason.ALONE);
+    /** Makes a task exit because its gang did not assemble. */
+    void exitForGangTimeout(TaskId task) {
+        tasks.get(task).exit(ExitReason.ALONE);
     }
 
-    boolean holds(TaskId task) {
-        return tasks.containsKey(task);
+    /** Makes a task complete, as its gang does. */
+    void completeTask(TaskId task) {
+        tasks.get(task).exit(ExitReason.DONE);
     }
 
-    /** Makes a task complete, as its gang does. */
-    void complete(TaskId task) {
-        exit(tasks.get(task), ExitReason.DONE);
+    boolean hasTask(TaskId task) {
+        return tasks.containsKey(task);
     }
 
-    private boolean leaseIsOver() {
-        return cluster.loop().now().elapsedSince(answeredSentAt).compareTo(LEASE) > 0;
+    AttemptNumber attemptOf(TaskId task) {
+        return tasks.get(task).attempt();
     }
 
-    /** Tasks that are on the machine in the protocol's sense: with their image, and not exited. */
     @Override
-    public List<TaskId> running() {
-        List<TaskId> all = new ArrayList<>();
-        if (leaseIsOver()) {
-            // A hung machine runs nothing; when it goes on, its worker first kills what outlived
+    public List<TaskId> runningTasks() {
+        if (isLeaseExpired()) {
+            // A hung machine runs nothing; when it resumes, its worker first kills what outlived
             // the lease.
-            return all;
+            return List.of();
         }
-        tasks.forEach(
-                (task, held) -> {
-                    if (held.state != TaskState.EXITED && held.state != TaskState.PULLING_IMAGE) {
-                        all.add(task);
-                    }
-                });
-        return all;
-    }
-
-    /** Tasks that take room here: all but those that have exited. */
-    @Override
-    public List<TaskId> held() {
-        return leaseIsOver()
-                ? List.of()
-                : tasks.entrySet().stream()
-                        .filter(each -> each.getValue().state != TaskState.EXITED)
-                        .map(Map.Entry::getKey)
-                        .toList();
+        return tasks.entrySet().stream()
+                .filter(each -> each.getValue().isPresent())
+                .map(Map.Entry::getKey)
+                .toList();
     }
 
-    AttemptNumber attempt(TaskId task) {
-        return tasks.get(task).attemptNumber;
+    /** Whether any task of a job runs here. */
+    boolean runsTaskOf(JobId job) {
+        return runningTasks().stream().anyMatch(task -> task.jobId().equals(job));
     }
 
-    private static void exit(Task task, ExitReason exitReason) {
-        task.state = TaskState.EXITED;
-        task.exitReason = exitReason;
+    @Override
+    public List<TaskId> heldTasks() {
+        if (isLeaseExpired()) {
+            return List.of();
+        }
+        return tasks.entrySet().stream()
+                .filter(each -> !each.getValue().hasExited())
+                .map(Map.Entry::getKey)
+                .toList();
     }
 
-    private void tick() {
-        if (gone) {
-            return;
-        }
-        cluster.loop().schedule(REPORT, this::tick);
-        if (!hung) {
-            advance();
-            report();
-        }
+    /** Whether a gang's task is here in an attempt and can take part in it, or has completed. */
+    boolean participatesIn(TaskId id, AttemptNumber attempt) {
+        FakeTask task = tasks.get(id);
+        return !isHung
+                && !isRemoved
+                && !isLeaseExpired()
+                && task != null
+                && task.participatesIn(attempt);
     }
 
-    /** What time has brought: the end of the lease, images that have come, tasks that are done. */
+    /** Applies what time has brought: lease expiry, image pulls and completed tasks. */
     void advance() {
         MonotonicTime now = cluster.loop().now();
-        if (leaseIsOver()) {
+        if (isLeaseExpired()) {
             tasks.clear();
-            workerIncarnation = new WorkerIncarnation(workerIncarnation.value() + 1);
-            answeredSentAt = now;
+            incarnation = new WorkerIncarnation(incarnation.value() + 1);
+            leaseFrom = now;
         }
-        tasks.forEach(
-                (id, task) -> {
-                    boolean gang = cluster.spec(id.jobId()).kind() == JobKind.GANG;
-                    if (task.state == TaskState.PULLING_IMAGE && task.runsAt.isBefore(now)) {
-                        task.state = gang ? TaskState.WAITING_FOR_GANG : TaskState.RUNNING;
-                        task.runningSince = gang ? null : now;
-                        cluster.started(this, id);
-                    }
-                    if (gang) {
-                        advanceGang(id, task, now);
-                    }
-                    Duration runs = cluster.runTime(id.jobId());
-                    if (task.state == TaskState.RUNNING
-                            && runs != null
-                            && now.elapsedSince(task.runningSince).compareTo(runs) > 0
-                            && cluster.mayComplete(id.jobId())) {
-                        exit(task, ExitReason.DONE);
-                        cluster.completed(id);
-                    }
-                });
+        tasks.forEach((task, state) -> advance(task, state, now));
     }
 
-    /**
-     * A gang's tasks start together, give up waiting for one another, and exit when one of them is
-     * gone.
-     */
-    private void advanceGang(TaskId id, Task task, MonotonicTime now) {
-        boolean whole = cluster.isWhole(id.jobId(), task.attemptNumber);
-        if (task.state == TaskState.WAITING_FOR_GANG && whole) {
-            task.state = TaskState.RUNNING;
-            task.runningSince = now;
-        } else if (task.state == TaskState.WAITING_FOR_GANG
-                && now.elapsedSince(task.runsAt).compareTo(GANG_WAIT) > 0) {
-            exit(task, ExitReason.ALONE);
-        } else if (task.state == TaskState.RUNNING && !whole) {
-            task.missingSince = task.missingSince == null ? now : task.missingSince;
-            if (now.elapsedSince(task.missingSince).compareTo(GANG_PEER) > 0) {
-                exit(task, ExitReason.PEERS);
-            }
-        } else {
-            task.missingSince = null;
+    private void advance(TaskId id, FakeTask task, MonotonicTime now) {
+        boolean inGang = cluster.spec(id.jobId()).kind() == JobKind.GANG;
+        if (task.isImagePulled(now)) {
+            task.start(inGang, now);
+            cluster.onTaskStarted(this, id);
+        }
+        if (inGang) {
+            task.advanceInGang(cluster.isGangComplete(id.jobId(), task.attempt()), now);
+        }
+        Duration runtime = cluster.runtimeOf(id.jobId());
+        if (task.hasFinished(runtime, now) && cluster.mayComplete(id.jobId())) {
+            task.exit(ExitReason.DONE);
+            cluster.onTaskCompleted(id);
         }
     }
 
-    /** Whether a gang's task is here in an attempt and can take part in it, or has completed. */
-    boolean takesPart(TaskId id, AttemptNumber attemptNumber) {
-        Task task = tasks.get(id);
-        return !hung
-                && !gone
-                && !leaseIsOver()
-                && task != null
-                && task.attemptNumber.equals(attemptNumber)
-                && (task.state == TaskState.WAITING_FOR_GANG
-                        || task.state == TaskState.RUNNING
-                        || task.exitReason == ExitReason.DONE);
+    // ---- heartbeats ----
+
+    private void tick() {
+        if (isRemoved) {
+            return;
+        }
+        cluster.loop().schedule(HEARTBEAT_INTERVAL, this::tick);
+        if (!isHung) {
+            advance();
+            sendHeartbeat();
+        }
     }
 
+    /** A heartbeat with the current state; each has a number of its own. */
     Heartbeat snapshot() {
-        List<Heartbeat.TaskStatus> list = new ArrayList<>();
+        List<Heartbeat.TaskStatus> statuses = new ArrayList<>();
         tasks.forEach(
-                (id, task) ->
-                        list.add(
+                (task, state) ->
+                        statuses.add(
                                 new Heartbeat.TaskStatus(
-                                        id, task.attemptNumber, task.state, task.exitReason)));
+                                        task, state.attempt(), state.state(), state.exitReason())));
         return new Heartbeat(
                 id,
                 id.value() + ":9000",
                 type,
                 zone,
                 false,
-                workerIncarnation,
-                ++seq,
-                token,
-                noticeS,
-                list);
+                incarnation,
+                ++heartbeatNumber,
+                fencingToken,
+                preemptionNoticeSeconds,
+                statuses);
     }
 
-    private void report() {
-        if (inFlight != null) {
+    private void sendHeartbeat() {
+        if (pendingResponse != null) {
             return;
         }
         Heartbeat heartbeat = snapshot();
         MonotonicTime sentAt = cluster.loop().now();
-        WorkerIncarnation reporting = workerIncarnation;
-        CompletableFuture<HeartbeatResponse> answer =
-                reaches(node) && !mute
-                        ? cluster.deliver(node, heartbeat)
+        WorkerIncarnation sender = incarnation;
+        CompletableFuture<HeartbeatResponse> response =
+                reaches(node) && !blocksOutgoing
+                        ? cluster.network().deliverHeartbeat(node, heartbeat)
                         : new CompletableFuture<>();
-        if (answer == null) {
-            tryNext();
+        if (response == null) {
+            connectToNextNode();
             return;
         }
-        inFlight = answer;
-        cluster.loop()
-                .schedule(
-                        ANSWER,
-                        () -> {
-                            if (inFlight == answer) {
-                                inFlight = null;
-                                tryNext();
+        pendingResponse = response;
+        cluster.loop().schedule(RESPONSE_TIMEOUT, () -> onTimeout(response));
+        CompletableFuture<Void> unused =
+                response.thenAccept(
+                        given -> {
+                            if (pendingResponse == response) {
+                                pendingResponse = null;
+                                handleResponse(given, sender, sentAt);
                             }
                         });
-        answer.thenAccept(
-                given -> {
-                    if (inFlight == answer) {
-                        inFlight = null;
-                        if (!hung && !gone && workerIncarnation.equals(reporting)) {
-                            cluster.judged(() -> answered(given, sentAt));
-                        }
-                    }
-                });
     }
 
-    private void tryNext() {
+    private void onTimeout(CompletableFuture<HeartbeatResponse> response) {
+        if (pendingResponse == response) {
+            pendingResponse = null;
+            connectToNextNode();
+        }
+    }
+
+    private void connectToNextNode() {
         node = (node + 1) % cluster.nodeCount();
-        reportAfter(NEXT);
+        sendHeartbeatAfter(NEXT_NODE_DELAY);
     }
 
-    private void reportAfter(Duration pause) {
+    private void sendHeartbeatAfter(Duration pause) {
         cluster.loop()
                 .schedule(
                         pause,
                         () -> {
-                            if (!hung && !gone) {
+                            if (!isHung && !isRemoved) {
                                 advance();
-                                report();
+                                sendHeartbeat();
                             }
                         });
     }
 
-    private void answered(HeartbeatResponse heartbeatResponse, MonotonicTime sentAt) {
-        if (heartbeatResponse instanceof HeartbeatResponse.Redirect redirect) {
+    private void handleResponse(
+            HeartbeatResponse response, WorkerIncarnation sender, MonotonicTime sentAt) {
+        if (!isHung && !isRemoved && incarnation.equals(sender)) {
+            cluster.recordViolations(() -> handleResponse(response, sentAt));
+        }
+    }
+
+    private void handleResponse(HeartbeatResponse response, MonotonicTime sentAt) {
+        if (response instanceof HeartbeatResponse.Redirect redirect) {
             if (redirect.member() == null) {
-                tryNext();
+                connectToNextNode();
             } else {
                 node = cluster.indexOf(redirect.member());
-                reportAfter(CHANGE);
+                sendHeartbeatAfter(CHANGED_HEARTBEAT_DELAY);
             }
             return;
         }
-        HeartbeatResponse.Commands commands = (HeartbeatResponse.Commands) heartbeatResponse;
-        if (deaf || token.isAfter(commands.token())) {
+        HeartbeatResponse.Commands commands = (HeartbeatResponse.Commands) response;
+        if (losesIncoming || fencingToken.isAfter(commands.token())) {
             return;
         }
-        if (commands.token().isAfter(token)) {
-            // A higher token is a change, which goes out at once, though not before half a second.
-            reportAfter(CHANGE);
+        if (commands.token().isAfter(fencingToken)) {
+            // A higher token is a change, which is reported at once, but not within half a second.
+            sendHeartbeatAfter(CHANGED_HEARTBEAT_DELAY);
         }
-        token = commands.token();
-        answeredSentAt = sentAt;
+        fencingToken = commands.token();
+        leaseFrom = sentAt;
         execute(commands.commands());
     }
 
-    /** A direct command; null when there is no answer. */
-    Heartbeat direct(FencingToken given, WorkerIncarnation expected, List<WorkerCommand> orders) {
-        if (gone || hung || deaf) {
+    // ---- commands ----
+
+    /**
+     * Executes direct commands, unless they come from a former leader or were meant for another
+     * incarnation.
+     *
+     * @return the state afterwards; null when there is no response
+     */
+    Heartbeat handleDirectCommands(
+            FencingToken token, WorkerIncarnation expected, List<WorkerCommand> commands) {
+        if (isRemoved || isHung || losesIncoming) {
             return null;
         }
         advance();
-        if (!token.isAfter(given)) {
-            token = given;
-            if (workerIncarnation.equals(expected)) {
-                execute(orders);
+        if (!fencingToken.isAfter(token)) {
+            fencingToken = token;
+            if (incarnation.equals(expected)) {
+                execute(commands);
             }
         }
         return snapshot();
     }
 
-    private void execute(List<WorkerCommand> orders) {
-        for (WorkerCommand workerCommand : orders) {
-            Task task = tasks.get(workerCommand.taskId());
-            boolean same = task != null && task.attemptNumber.equals(workerCommand.attemptNumber());
-            switch (workerCommand.action()) {
+    private void execute(List<WorkerCommand> commands) {
+        for (WorkerCommand command : commands) {
+            FakeTask task = tasks.get(command.taskId());
+            boolean sameAttempt = task != null && task.attempt().equals(command.attemptNumber());
+            switch (command.action()) {
                 case START -> {
-                    if (!same) {
-                        if (task != null && task.state != TaskState.EXITED) {
-                            throw new AssertionError(
-                                    "started " + workerCommand + " beside another attempt");
-                        }
-                        cluster.toldToStart(workerCommand.taskId());
-                        tasks.put(
-                                workerCommand.taskId(),
-                                new Task(
-                                        workerCommand.attemptNumber(),
-                                        cluster.loop().now().plus(cluster.fetch())));
+                    if (!sameAttempt) {
+                        start(command, task);
                     }
                 }
                 case STOP -> {
-                    if (same && task.state != TaskState.EXITED) {
-                        exit(task, ExitReason.STOPPED);
+                    if (sameAttempt && !task.hasExited()) {
+                        task.exit(ExitReason.STOPPED);
                     }
                 }
                 case FORGET -> {
-                    if (same && task.state == TaskState.EXITED) {
-                        tasks.remove(workerCommand.taskId());
+                    if (sameAttempt && task.hasExited()) {
+                        tasks.remove(command.taskId());
                     }
                 }
             }
         }
     }
+
+    private void start(WorkerCommand command, FakeTask present) {
+        if (present != null && !present.hasExited()) {
+            throw new AssertionError("started " + command + " beside another attempt");
+        }
+        cluster.onStartCommand(command.taskId());
+        MonotonicTime imagePulledAt = cluster.loop().now().plus(cluster.imagePullTime());
+        tasks.put(command.taskId(), new FakeTask(command.attemptNumber(), imagePulledAt));
+    }
 }
--- a/src/test/java/org/meadowhollow/simulation/RandomFaultsTest.java
+++ b/src/test/java/org/meadowhollow/simulation/RandomFaultsTest.java
@@ -18,8 +18,8 @@
 import org.meadowhollow.model.Priority;
 
 /**
- * Troubles of all kinds at random times, from fixed seeds; the world checks the rules at every
- * step.
+ * Faults of all kinds at random times, from fixed seeds; {@link SimulatedCluster} checks the
+ * protocol's rules at every step.
  */
 class RandomFaultsTest {
     private static final int STEPS = 150;
@@ -30,327 +30,330 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void theRulesHoldWhateverFails(long seed) {
+    void invariantsHoldUnderRandomFaults(long seed) {
         Random random = new Random(seed);
-        SimulatedCluster cluster = new SimulatedCluster().team("team", 4, 20);
+        SimulatedCluster cluster = new SimulatedCluster().withTeam("team", 4, 20);
         if (seed % 2 == 0) {
-            cluster.standby();
+            cluster.enableStandbys();
         }
-        sixMachines(cluster);
+        addSixMachines(cluster);
         List<JobSpec> jobs = new ArrayList<>();
         for (int step = 0; step < STEPS; step++) {
-            trouble(cluster, random, jobs, step);
-            cluster.runS(1 + random.nextInt(5));
+            injectRandomFault(cluster, random, jobs, step);
+            cluster.runSeconds(1 + random.nextInt(5));
         }
-        ends(cluster, jobs, 30, 400);
+        assertAllJobsTerminate(cluster, jobs, 30, 400);
         for (int node = 0; node < 3; node++) {
             assertEquals(0, cluster.node(node).divergentRecordCount());
         }
     }
 
-    private static void sixMachines(SimulatedCluster cluster) {
+    private static void addSixMachines(SimulatedCluster cluster) {
         for (int at = 0; at < 6; at++) {
-            cluster.machine(
+            cluster.addMachine(
                     at % 2 == 0 ? SimulatedCluster.LARGE : SimulatedCluster.SMALL,
                     at < 3 ? "a" : "b");
         }
     }
 
     /**
-     * After all troubles, whatever was accepted comes to its end.
+     * Ends all faults; every accepted job then terminates.
      *
-     * @param settlesS seconds until no submission can come any more
-     * @param runsS seconds that what was still waiting for its team's share may take then
+     * @param settleSeconds until no submission can arrive any more
+     * @param runSeconds that jobs that still waited for their team's quota may take then
      */
-    private static void ends(
-            SimulatedCluster cluster, List<JobSpec> jobs, double settlesS, double runsS) {
-        calm(cluster);
-        cluster.runS(settlesS);
-        // Replicas would fill the team's limit for ever.
+    private static void assertAllJobsTerminate(
+            SimulatedCluster cluster, List<JobSpec> jobs, double settleSeconds, double runSeconds) {
+        endAllFaults(cluster);
+        cluster.runSeconds(settleSeconds);
+        // Replicas would use the team's limit for ever.
         for (JobSpec job : jobs) {
             if (job.kind() == JobKind.SERVICE) {
-                assertTrue(cluster.cancel(0, job.id()));
+                assertTrue(cluster.users().cancel(0, job.id()));
             }
         }
-        cluster.runS(runsS);
+        cluster.runSeconds(runSeconds);
         for (JobSpec job : jobs) {
-            Phase phase = cluster.poll(0, job.id()).map(JobStatus::phase).orElse(null);
+            Phase phase = cluster.users().poll(0, job.id()).map(JobStatus::phase).orElse(null);
             assertTrue(
                     phase == null || phase == Phase.CANCELLED || phase == Phase.DONE,
-                    job.id() + " is " + phase + " long after all troubles");
+                    job.id() + " is " + phase + " long after all faults");
         }
     }
 
-    private static LongStream quickSeeds() {
-        // A property of the system, Long.getLong, lets thousands run once.
+    private static LongStream quickRestartSeeds() {
+        // A system property lets thousands of seeds run once.
         return LongStream.rangeClosed(1, Long.getLong("quick.seeds", 30));
     }
 
     /**
-     * Processes and machines that are back within a fraction of a second, processes that stand
-     * still, late copies.
+     * Processes and machines that restart within a fraction of a second, paused processes, and late
+     * duplicates.
      */
     @ParameterizedTest
-    @MethodSource("quickSeeds")
-    void theRulesHoldWhenWhatEndsIsBackAtOnceAndMessagesComeAgain(long seed) {
+    @MethodSource("quickRestartSeeds")
+    void invariantsHoldUnderQuickRestartsAndDuplicatedMessages(long seed) {
         Random random = new Random(seed);
-        SimulatedCluster cluster = new SimulatedCluster().team("team", 4, 20).copies(seed);
+        SimulatedCluster cluster =
+                new SimulatedCluster().withTeam("team", 4, 20).duplicateMessages(seed);
         if (seed % 3 == 0) {
-            cluster.standby();
+            cluster.enableStandbys();
         }
-        sixMachines(cluster);
+        addSixMachines(cluster);
         List<JobSpec> jobs = new ArrayList<>();
         for (int step = 0; step < STEPS; step++) {
-            trouble(cluster, random, jobs, step);
-            int node = random.nextInt(3);
-            switch (random.nextInt(10)) {
-                case 0, 1, 2 -> cluster.bounce(node, back(random));
-                case 3 -> {
-                    for (int each = 0; each < 3; each++) {
-                        cluster.bounce(each, back(random));
-                    }
-                }
-                case 4 -> {
-                    for (int time = 0; time < 4; time++) {
-                        cluster.bounce(node, Duration.ofMillis(100));
-                        cluster.run(Duration.ofMillis(500));
-                    }
+            injectRandomFault(cluster, random, jobs, step);
+            restartAtRandom(cluster, random);
+            cluster.runSeconds(random.nextInt(5));
+        }
+        for (int node = 0; node < 3; node++) {
+            cluster.resume(node);
+        }
+        // A duplicate of a submission may arrive four minutes late.
+        assertAllJobsTerminate(cluster, jobs, 250, 400);
+    }
+
+    /** Restarts nodes or a machine within a fraction of a second, or pauses or resumes a node. */
+    private static void restartAtRandom(SimulatedCluster cluster, Random random) {
+        int node = random.nextInt(3);
+        switch (random.nextInt(10)) {
+            case 0, 1, 2 -> cluster.restartAfter(node, randomRestartDelay(random));
+            case 3 -> {
+                for (int each = 0; each < 3; each++) {
+                    cluster.restartAfter(each, randomRestartDelay(random));
                 }
-                case 5 -> cluster.freeze(node);
-                case 6 -> cluster.thaw(node);
-                case 7 -> {
-                    List<FakeWorker> workers = cluster.workers();
-                    if (!workers.isEmpty()) {
-                        workers.get(random.nextInt(workers.size())).reboot();
-                    }
+            }
+            case 4 -> {
+                for (int time = 0; time < 4; time++) {
+                    cluster.restartAfter(node, Duration.ofMillis(100));
+                    cluster.run(Duration.ofMillis(500));
                 }
-                default -> {
-                    // Nothing besides.
+            }
+            case 5 -> cluster.pause(node);
+            case 6 -> cluster.resume(node);
+            case 7 -> {
+                List<FakeWorker> workers = cluster.workers();
+                if (!workers.isEmpty()) {
+                    workers.get(random.nextInt(workers.size())).reboot();
                 }
             }
-            cluster.runS(random.nextInt(5));
-        }
-        for (int node = 0; node < 3; node++) {
-            cluster.thaw(node);
+            default -> {
+                // No additional fault.
+            }
         }
-        // A copy of a submission may come four minutes late.
-        ends(cluster, jobs, 250, 400);
     }
 
-    private static LongStream meetingSeeds() {
-        return LongStream.rangeClosed(1, Long.getLong("meeting.seeds", 40));
+    private static LongStream overlappingFaultSeeds() {
+        return LongStream.rangeClosed(1, Long.getLong("round.seeds", 40));
     }
 
     /**
-     * Two troubles that overlap, most of them of the leader, with long tasks and cancellations in
-     * the gap.
+     * Two faults that overlap, most of them at the leader, with long tasks and cancellations in
+     * between.
      */
     @ParameterizedTest
-    @MethodSource("meetingSeeds")
-    void theRulesHoldWhenTroublesMeet(long seed) {
+    @MethodSource("overlappingFaultSeeds")
+    void invariantsHoldUnderOverlappingFaults(long seed) {
         Random random = new Random(seed);
-        SimulatedCluster cluster = new SimulatedCluster().team("team", 4, 24);
+        SimulatedCluster cluster = new SimulatedCluster().withTeam("team", 4, 24);
         if (seed % 3 == 0) {
-            cluster.standby();
+            cluster.enableStandbys();
         }
-        sixMachines(cluster);
-        cluster.runS(10);
+        addSixMachines(cluster);
+        cluster.runSeconds(10);
         List<JobSpec> jobs = new ArrayList<>();
-        for (int meeting = 0; meeting < 10; meeting++) {
+        for (int round = 0; round < 10; round++) {
             for (int at = 0; at < 3; at++) {
                 JobKind kind = JobKind.values()[random.nextInt(3)];
                 JobSpec job =
                         SimulatedCluster.spec(
                                 jobs.size(), kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
                 jobs.add(job);
-                cluster.submit(
-                        random.nextInt(3),
-                        job,
-                        kind == JobKind.SERVICE
-                                ? null
-                                : Duration.ofSeconds(
-                                        random.nextBoolean() ? 300 : 5 + random.nextInt(40)));
+                cluster.users()
+                        .submit(
+                                random.nextInt(3),
+                                job,
+                                kind == JobKind.SERVICE
+                                        ? null
+                                        : Duration.ofSeconds(
+                                                random.nextBoolean()
+                                                        ? 300
+                                                        : 5 + random.nextInt(40)));
             }
-            cluster.runS(random.nextInt(20));
+            cluster.runSeconds(random.nextInt(20));
             List<Runnable> ends = new ArrayList<>();
             for (int each = 0; each < 2; each++) {
-                ends.add(Fault.begin(cluster, random));
-                askOrCancel(cluster, random, jobs, 6);
+                ends.add(Fault.injectBasic(cluster, random));
+                pollOrCancelJobs(cluster, random, jobs, 6);
             }
-            endAll(cluster, random, ends);
+            endFaultsInRandomOrder(cluster, random, ends);
         }
-        // The longest tasks take five minutes, and may have to begin anew.
-        ends(cluster, jobs, 60, 1000);
+        // The longest tasks take five minutes, and may have to restart.
+        assertAllJobsTerminate(cluster, jobs, 60, 1000);
     }
 
-    /** Users ask about some jobs, and call some off. */
-    private static void askOrCancel(
+    /** Users poll some jobs, and cancel some. */
+    private static void pollOrCancelJobs(
             SimulatedCluster cluster, Random random, List<JobSpec> jobs, int most) {
         for (int step = random.nextInt(most); step >= 0; step--) {
             JobSpec job = jobs.get(random.nextInt(jobs.size()));
             if (random.nextInt(3) == 0) {
-                cluster.poll(random.nextInt(3), job.id());
+                cluster.users().poll(random.nextInt(3), job.id());
             } else {
-                cluster.cancel(random.nextInt(3), job.id());
+                cluster.users().cancel(random.nextInt(3), job.id());
             }
-            cluster.runS(random.nextInt(4));
+            cluster.runSeconds(random.nextInt(4));
         }
     }
 
-    /** After a time the troubles end, one after the other in any order. */
-    private static void endAll(SimulatedCluster cluster, Random random, List<Runnable> ends) {
-        cluster.runS(random.nextInt(90));
+    /** After a time the faults end, one after the other in random order. */
+    private static void endFaultsInRandomOrder(
+            SimulatedCluster cluster, Random random, List<Runnable> ends) {
+        cluster.runSeconds(random.nextInt(90));
         Collections.shuffle(ends, random);
         for (Runnable end : ends) {
             end.run();
-            cluster.runS(random.nextInt(10));
+            cluster.runSeconds(random.nextInt(10));
         }
     }
 
-    private static LongStream furtherSeeds() {
+    private static LongStream additionalFaultSeeds() {
         return LongStream.rangeClosed(
                 Long.getLong("further.first", 1), Long.getLong("further.seeds", 40));
     }
 
     /**
-     * One of the further troubles with any other, two teams at their limits on every second day,
-     * and what is promised for the time after all troubles held against what workers and users saw.
+     * One of the additional faults with any other, two teams at their limits on every second day.
+     * After the faults, the guarantees for fault-free operation are checked against what workers
+     * and users observed.
      */
     @ParameterizedTest
-    @MethodSource("furtherSeeds")
-    void theRulesHoldWhenFurtherTroublesMeet(long seed) {
+    @MethodSource("additionalFaultSeeds")
+    void invariantsHoldUnderAdditionalOverlappingFaults(long seed) {
         Random random = new Random(seed);
         boolean limited = seed % 2 == 0;
         SimulatedCluster cluster =
                 new SimulatedCluster()
-                        .team("team", 4, limited ? 12 : 0)
-                        .team("other", 2, limited ? 8 : 0);
+                        .withTeam("team", 4, limited ? 12 : 0)
+                        .withTeam("other", 2, limited ? 8 : 0);
         if (seed % 3 == 0) {
-            cluster.standby();
+            cluster.enableStandbys();
         }
-        sixMachines(cluster);
-        cluster.runS(10);
+        addSixMachines(cluster);
+        cluster.runSeconds(10);
         List<JobSpec> jobs = new ArrayList<>();
-        for (int meeting = 0; meeting < 8; meeting++) {
+        for (int round = 0; round < 8; round++) {
             for (int at = 0; at < 4; at++) {
-                jobs.add(anyJob(cluster, random, jobs.size()));
+                jobs.add(submitJobOfAnyTeam(cluster, random, jobs.size()));
             }
-            cluster.runS(random.nextInt(20));
+            cluster.runSeconds(random.nextInt(20));
             List<Runnable> ends = new ArrayList<>();
-            ends.add(Fault.beginFurther(cluster, random));
+            ends.add(Fault.injectAdditional(cluster, random));
             cluster.run(Duration.ofMillis(250 * random.nextInt(16)));
             ends.add(
                     random.nextBoolean()
-                            ? Fault.begin(cluster, random)
-                            : Fault.beginFurther(cluster, random));
-            askOrCancel(cluster, random, jobs, 5);
-            endAll(cluster, random, ends);
+                            ? Fault.injectBasic(cluster, random)
+                            : Fault.injectAdditional(cluster, random));
+            pollOrCancelJobs(cluster, random, jobs, 5);
+            endFaultsInRandomOrder(cluster, random, ends);
         }
-        calm(cluster);
-        cluster.calm();
-        ends(cluster, jobs, 60, 1200);
+        endAllFaults(cluster);
+        cluster.beginFaultFreePhase();
+        assertAllJobsTerminate(cluster, jobs, 60, 1200);
         if (!limited) {
-            cluster.judge().served();
+            cluster.historyChecker().checkFairness();
         }
     }
 
-    private static JobSpec anyJob(SimulatedCluster cluster, Random random, int number) {
+    private static JobSpec submitJobOfAnyTeam(SimulatedCluster cluster, Random random, int number) {
         JobKind kind = JobKind.values()[random.nextInt(3)];
         JobSpec plain =
                 SimulatedCluster.spec(number, kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
         JobSpec job =
-                new JobSpec(
-                        plain.id(),
-                        kind.name(),
-                        random.nextInt(3) == 0 ? "other" : "team",
-                        kind,
-                        Priority.values()[random.nextInt(3)],
-                        plain.taskCount(),
-                        plain.resourcesPerTask(),
-                        null,
-                        random.nextInt(6) == 0 ? "a" : null,
-                        random.nextInt(4) == 0,
-                        false,
-                        false,
-                        plain.image(),
-                        plain.imageSizeGb(),
-                        plain.estimatedRuntimeSeconds(),
-                        0,
-                        0,
-                        Double.NaN);
-        cluster.submit(
-                random.nextInt(3),
-                job,
-                kind == JobKind.SERVICE
-                        ? null
-                        : Duration.ofSeconds(random.nextBoolean() ? 200 : 5 + random.nextInt(40)));
+                JobSpecBuilder.from(plain)
+                        .jobClass(kind.name())
+                        .team(random.nextInt(3) == 0 ? "other" : "team")
+                        .priority(Priority.values()[random.nextInt(3)])
+                        .zone(random.nextInt(6) == 0 ? "a" : null)
+                        .singleZone(random.nextInt(4) == 0)
+                        .build();
+        cluster.users()
+                .submit(
+                        random.nextInt(3),
+                        job,
+                        kind == JobKind.SERVICE
+                                ? null
+                                : Duration.ofSeconds(
+                                        random.nextBoolean() ? 200 : 5 + random.nextInt(40)));
         return job;
     }
 
-    private static Duration back(Random random) {
+    private static Duration randomRestartDelay(Random random) {
         return Duration.ofMillis(List.of(50, 200, 500, 1000).get(random.nextInt(4)));
     }
 
-    private static void trouble(
+    private static void injectRandomFault(
             SimulatedCluster cluster, Random random, List<JobSpec> jobs, int step) {
         int node = random.nextInt(3);
         switch (random.nextInt(16)) {
-            case 0, 1, 2, 3 -> {
-                JobKind kind = JobKind.values()[random.nextInt(3)];
-                JobSpec job =
-                        SimulatedCluster.spec(
-                                step, kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
-                // Without an answer it may have been accepted all the same.
-                jobs.add(job);
-                cluster.submit(
-                        node,
-                        job,
-                        kind == JobKind.SERVICE
-                                ? null
-                                : Duration.ofSeconds(5 + random.nextInt(40)));
-            }
+            case 0, 1, 2, 3 -> submitRandomJob(cluster, random, jobs, node, step);
             case 4, 5 -> {
                 if (!jobs.isEmpty()) {
-                    cluster.cancel(node, jobs.get(random.nextInt(jobs.size())).id());
+                    cluster.users().cancel(node, jobs.get(random.nextInt(jobs.size())).id());
                 }
             }
             case 6 -> cluster.crash(node);
             case 7, 8 -> cluster.restart(node);
-            case 9 -> cluster.line(node).cut(random.nextBoolean());
-            case 10 -> cluster.line(node).loseAnswers(random.nextInt(3) == 0);
-            case 11 -> cluster.line(node).hold(random.nextInt(3) == 0);
-            case 12 -> cluster.store().out(random.nextInt(3) == 0);
+            case 9 -> cluster.storeConnection(node).refuseRequests(random.nextBoolean());
+            case 10 -> cluster.storeConnection(node).loseResponses(random.nextInt(3) == 0);
+            case 11 -> cluster.storeConnection(node).holdRequests(random.nextInt(3) == 0);
+            case 12 -> cluster.store().setOutage(random.nextInt(3) == 0);
             case 13 -> cluster.cutFromWorkers(node, random.nextBoolean());
-            case 14 -> cluster.cloudOut(random.nextBoolean());
-            default -> {
-                List<FakeWorker> workers = cluster.workers();
-                if (!workers.isEmpty()) {
-                    FakeWorker worker = workers.get(random.nextInt(workers.size()));
-                    if (random.nextBoolean()) {
-                        worker.hang(random.nextBoolean());
-                    } else {
-                        worker.deaf(random.nextBoolean());
-                    }
-                }
-            }
+            case 14 -> cluster.cloud().setOutage(random.nextBoolean());
+            default -> disturbRandomWorker(cluster, random);
+        }
+    }
+
+    private static void submitRandomJob(
+            SimulatedCluster cluster, Random random, List<JobSpec> jobs, int node, int number) {
+        JobKind kind = JobKind.values()[random.nextInt(3)];
+        JobSpec job =
+                SimulatedCluster.spec(number, kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
+        // Without an answer it may have been accepted all the same.
+        jobs.add(job);
+        Duration runtime =
+                kind == JobKind.SERVICE ? null : Duration.ofSeconds(5 + random.nextInt(40));
+        cluster.users().submit(node, job, runtime);
+    }
+
+    private static void disturbRandomWorker(SimulatedCluster cluster, Random random) {
+        List<FakeWorker> workers = cluster.workers();
+        if (workers.isEmpty()) {
+            return;
+        }
+        FakeWorker worker = workers.get(random.nextInt(workers.size()));
+        if (random.nextBoolean()) {
+            worker.setHung(random.nextBoolean());
+        } else {
+            worker.loseIncoming(random.nextBoolean());
         }
     }
 
-    private static void calm(SimulatedCluster cluster) {
-        cluster.noMoreCopies();
-        cluster.store().out(false);
-        cluster.cloudOut(false);
+    private static void endAllFaults(SimulatedCluster cluster) {
+        cluster.network().stopDuplicatingMessages();
+        cluster.store().setOutage(false);
+        cluster.cloud().setOutage(false);
         for (int node = 0; node < 3; node++) {
-            cluster.line(node).cut(false);
-            cluster.line(node).loseAnswers(false);
-            cluster.line(node).hold(false);
+            cluster.storeConnection(node).refuseRequests(false);
+            cluster.storeConnection(node).loseResponses(false);
+            cluster.storeConnection(node).holdRequests(false);
             cluster.cutFromWorkers(node, false);
             cluster.restart(node);
         }
         for (FakeWorker worker : cluster.workers()) {
-            worker.hang(false);
-            worker.deaf(false);
-            worker.mute(false);
+            worker.setHung(false);
+            worker.loseIncoming(false);
+            worker.blockOutgoingConnections(false);
         }
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/ReservationScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/ReservationScenarioTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.time.LocalDateTime;
 import java.time.ZoneOffset;
@@ -24,33 +25,35 @@
 import org.meadowhollow.protocol.MessageReader;
 
 /**
- * Reservations and windows, and who runs into them, on a fleet of four machines that cannot grow.
+ * Reservations and maintenance windows, and the work that overlaps them, on a fleet of four
+ * machines that cannot grow.
  */
 class ReservationScenarioTest extends ClusterTestBase {
     private static final Duration HOUR = Duration.ofHours(1);
 
     @BeforeEach
-    void keepCalendar() {
-        cluster.calendar(Map.of());
-        cluster.mostMachines(cluster.workers().size());
-        cluster.runS(20);
+    void startWithReservations() {
+        cluster.enableReservations(Map.of());
+        cluster.cloud().limitMachines(cluster.workers().size());
+        cluster.runSeconds(20);
     }
 
-    /** A time of day some seconds from now. */
-    private String in(long seconds) {
+    /** The time of day some seconds from now, in the API's format. */
+    private String timeAfterSeconds(long seconds) {
         return LocalDateTime.ofEpochSecond(
                         cluster.loop().wallClockMillis() / 1000 + seconds, 0, ZoneOffset.UTC)
                 .toString();
     }
 
     private Http.Reply put(int node, String path, String version, Object... fields) {
-        return cluster.operate(
-                node,
-                "secret",
-                "PUT",
-                path,
-                version,
-                new String(JsonCodec.encode(MessageReader.mapOf(fields))));
+        return cluster.clients()
+                .sendReservationRequest(
+                        node,
+                        "secret",
+                        "PUT",
+                        path,
+                        version,
+                        new String(JsonCodec.encode(MessageReader.mapOf(fields))));
     }
 
     private Http.Reply reserve(
@@ -74,7 +77,7 @@
                 "class",
                 "night",
                 "start",
-                in(inS),
+                timeAfterSeconds(inS),
                 "length_s",
                 (double) lengthS);
     }
@@ -88,7 +91,7 @@
                 key,
                 List.of(target),
                 "start",
-                in(inS),
+                timeAfterSeconds(inS),
                 "length_s",
                 (double) lengthS,
                 "notice_s",
@@ -106,7 +109,9 @@
     }
 
     private MessageReader plan(int node) {
-        return body(cluster.operate(node, "reader", "GET", "plan", null, ""), 200);
+        return body(
+                cluster.clients().sendReservationRequest(node, "reader", "GET", "plan", null, ""),
+                200);
     }
 
     private static JobSpec job(
@@ -118,189 +123,182 @@
             double estimateS,
             double saveS) {
         JobSpec spec = SimulatedCluster.spec(number, JobKind.ARRAY, tasks, gpus);
-        return new JobSpec(
-                spec.id(),
-                jobClass,
-                spec.team(),
-                spec.kind(),
-                priority,
-                tasks,
-                spec.resourcesPerTask(),
-                null,
-                null,
-                false,
-                false,
-                false,
-                spec.image(),
-                spec.imageSizeGb(),
-                estimateS,
-                saveS > 0 ? 10 : 0,
-                saveS,
-                Double.NaN);
-    }
-
-    /** Fills all there is for a quarter of an hour, as its estimate says, and would again. */
-    private void longWork() {
+        return JobSpecBuilder.from(spec)
+                .jobClass(jobClass)
+                .priority(priority)
+                .estimatedRuntimeSeconds(estimateS)
+                .checkpoints(saveS > 0 ? 10 : 0, saveS)
+                .build();
+    }
+
+    /** Fills the whole fleet for a quarter of an hour, as its estimate says, and would again. */
+    private void submitLongWork() {
         assertTrue(
-                cluster.submit(
-                        0,
-                        job(1, "long", Priority.HIGH, 3 * gpus(), 1, 900, 0),
-                        Duration.ofSeconds(900)));
+                cluster.users()
+                        .submit(
+                                0,
+                                job(1, "long", Priority.HIGH, 3 * totalGpuCount(), 1, 900, 0),
+                                Duration.ofSeconds(900)));
     }
 
-    /** Comes to use a reservation, at its start or later. */
+    /** Submits the job that uses a reservation, at its start or later. */
     private JobSpec reservedRun(int number, int tasks) {
         JobSpec run = job(number, "night", Priority.HIGH, tasks, 1, 60, 0);
-        assertTrue(cluster.submit(1, run, Duration.ofSeconds(60)));
+        assertTrue(cluster.users().submit(1, run, Duration.ofSeconds(60)));
         return run;
     }
 
-    private int running(JobSpec spec) {
+    private int runningTaskCount(JobSpec spec) {
         int count = 0;
         for (int task = 0; task < spec.taskCount(); task++) {
-            count += cluster.on(new TaskId(spec.id(), task)).isEmpty() ? 0 : 1;
+            count += cluster.machinesRunning(new TaskId(spec.id(), task)).isEmpty() ? 0 : 1;
         }
         return count;
     }
 
-    private int gpus() {
+    private int totalGpuCount() {
         return cluster.workers().stream()
                 .mapToInt(worker -> worker.type().equals("small") ? 2 : 8)
                 .sum();
     }
 
     /**
-     * Fills what is free with long work, then asks for the reserved run at its time; says how much
-     * of it runs soon.
+     * Fills free capacity with long work, then submits the reserved run at its time.
+     *
+     * @return how many of its tasks run soon
      */
-    private int reservedRunAmongLongWork(boolean reserved) {
+    private int runReservedJobAmongLongWork(boolean reserved) {
         if (reserved) {
             body(reserve("calendars", "team", 6, 1, 300, 600), 201);
         }
-        longWork();
-        cluster.runS(305);
+        submitLongWork();
+        cluster.runSeconds(305);
         JobSpec run = reservedRun(2, 6);
-        cluster.runS(10);
-        return running(run);
+        cluster.runSeconds(10);
+        return runningTaskCount(run);
     }
 
     @Test
-    void aReservedRunStartsOnTimeThoughLongWorkWaitsForAllThereIs() {
-        assertEquals(6, reservedRunAmongLongWork(true));
+    void reservedRunStartsOnTimeDespiteBacklogOfLongWork() {
+        assertEquals(6, runReservedJobAmongLongWork(true));
     }
 
     @Test
-    void withoutItsReservationTheSameRunWaits() {
-        assertEquals(0, reservedRunAmongLongWork(false));
+    void sameRunWithoutReservationWaits() {
+        assertEquals(0, runReservedJobAmongLongWork(false));
     }
 
     @Test
-    void shortWorkUsesTheRoomUntilItIsNeeded() {
-        body(reserve("calendars", "team", gpus(), 1, 300, 600), 201);
+    void shortWorkUsesReservedCapacityUntilSlotBegins() {
+        body(reserve("calendars", "team", totalGpuCount(), 1, 300, 600), 201);
         JobSpec brief = job(1, "brief", Priority.HIGH, 8, 1, 20, 0);
         JobSpec endless = job(2, "long", Priority.HIGH, 4, 1, 2000, 0);
-        assertTrue(cluster.submit(0, brief, Duration.ofSeconds(20)));
-        assertTrue(cluster.submit(0, endless, HOUR));
-        cluster.runS(15);
-        assertEquals(8, running(brief));
-        assertEquals(0, running(endless));
-        cluster.runS(40);
-        assertEquals(Phase.DONE, phase(brief));
-        // The slot passes unused and is given back.
-        cluster.runS(300 + 600);
-        assertEquals(4, running(endless));
+        assertTrue(cluster.users().submit(0, brief, Duration.ofSeconds(20)));
+        assertTrue(cluster.users().submit(0, endless, HOUR));
+        cluster.runSeconds(15);
+        assertEquals(8, runningTaskCount(brief));
+        assertEquals(0, runningTaskCount(endless));
+        cluster.runSeconds(40);
+        assertEquals(Phase.DONE, phaseOf(brief));
+        // The slot passes unused and is released.
+        cluster.runSeconds(300 + 600);
+        assertEquals(4, runningTaskCount(endless));
     }
 
     @Test
-    void aSlotThatNobodyUsesIsGivenBackBeforeItsEnd() {
-        body(reserve("calendars", "team", gpus(), 1, 60, 7200), 201);
+    void unusedSlotIsReleasedBeforeItsEnd() {
+        body(reserve("calendars", "team", totalGpuCount(), 1, 60, 7200), 201);
         JobSpec endless = job(2, "long", Priority.HIGH, 4, 1, 2000, 0);
-        assertTrue(cluster.submit(0, endless, HOUR));
-        cluster.runS(500);
-        assertEquals(0, running(endless));
-        cluster.runS(200);
-        assertEquals(4, running(endless), "ten minutes after its start");
+        assertTrue(cluster.users().submit(0, endless, HOUR));
+        cluster.runSeconds(500);
+        assertEquals(0, runningTaskCount(endless));
+        cluster.runSeconds(200);
+        assertEquals(4, runningTaskCount(endless), "ten minutes after its start");
     }
 
     @Test
-    void theReservationHoldsThroughTheLossOfItsLeaderAndOfAllNodesAtItsStart() {
+    void reservationSurvivesLossOfLeaderAndOfAllControllersAtItsStart() {
         body(reserve("calendars", "team", 6, 1, 300, 600), 201);
-        longWork();
-        cluster.runS(290);
+        submitLongWork();
+        cluster.runSeconds(290);
         cluster.crash(cluster.leader());
-        cluster.runS(5);
+        cluster.runSeconds(5);
         cluster.crashAll();
-        cluster.runS(4);
+        cluster.runSeconds(4);
         cluster.restartAll();
-        cluster.runS(8);
+        cluster.runSeconds(8);
         JobSpec run = reservedRun(2, 6);
-        cluster.runS(12);
-        assertEquals(6, running(run));
+        cluster.runSeconds(12);
+        assertEquals(6, runningTaskCount(run));
         assertEquals(1, plan(2).map().get("slots") instanceof List<?> slots ? slots.size() : 0);
     }
 
     @Test
-    void aNewLeaderPlacesNothingBeforeItKnowsTheCalendar() {
-        body(reserve("calendars", "team", gpus(), 1, 60, 7200), 201);
+    void newLeaderPlacesNothingBeforeReservationsAreLoaded() {
+        body(reserve("calendars", "team", totalGpuCount(), 1, 60, 7200), 201);
         cluster.crashAll();
-        cluster.runS(8);
+        cluster.runSeconds(8);
         cluster.restartAll();
         for (int node = 0; node < 3; node++) {
-            cluster.line(node).hide("cal/");
+            cluster.storeConnection(node).hidePrefix("cal/");
         }
-        cluster.runS(3);
+        cluster.runSeconds(3);
         JobSpec work = job(1, "long", Priority.HIGH, 4, 1, 900, 0);
-        assertTrue(cluster.submit(0, work, HOUR));
-        cluster.runS(20);
-        assertEquals(0, running(work));
+        assertTrue(cluster.users().submit(0, work, HOUR));
+        cluster.runSeconds(20);
+        assertEquals(0, runningTaskCount(work));
         for (int node = 0; node < 3; node++) {
-            cluster.line(node).hide("/");
+            cluster.storeConnection(node).hidePrefix("/");
         }
-        cluster.runS(20);
-        assertEquals(0, running(work), "all is reserved");
-        assertEquals(Phase.QUEUED, phase(work));
+        cluster.runSeconds(20);
+        assertEquals(0, runningTaskCount(work), "all is reserved");
+        assertEquals(Phase.QUEUED, phaseOf(work));
     }
 
     @Test
-    void inItsSlotAReservedRunGoesBeforeOlderWorkOfItsTeamThatWaitsForTheSameLimit() {
-        cluster.team("team", 0, 4);
-        cluster.calendar(Map.of());
-        cluster.runS(15);
+    void reservedRunInItsSlotPrecedesOlderWorkOfSameTeam() {
+        cluster.withTeam("team", 0, 4);
+        cluster.enableReservations(Map.of());
+        cluster.runSeconds(15);
         body(reserve("calendars", "team", 4, 1, 60, 600), 201);
         assertTrue(
-                cluster.submit(
-                        0, job(1, "other", Priority.HIGH, 200, 1, 10, 0), Duration.ofSeconds(10)));
-        cluster.runS(62);
+                cluster.users()
+                        .submit(
+                                0,
+                                job(1, "other", Priority.HIGH, 200, 1, 10, 0),
+                                Duration.ofSeconds(10)));
+        cluster.runSeconds(62);
         JobSpec run = job(2, "night", Priority.HIGH, 4, 1, 300, 0);
-        assertTrue(cluster.submit(1, run, Duration.ofSeconds(300)));
-        cluster.runS(35);
-        assertEquals(4, running(run));
+        assertTrue(cluster.users().submit(1, run, Duration.ofSeconds(300)));
+        cluster.runSeconds(35);
+        assertEquals(4, runningTaskCount(run));
     }
 
     @Test
-    void whatIsNotDoneAgainstItsEstimateHasBeenWarnedAndGoesInTime() {
-        body(reserve("calendars", "team", gpus(), 1, 200, 600), 201);
-        JobSpec wrong = job(1, "other", Priority.LOW, gpus(), 1, 100, 0);
-        assertTrue(cluster.submit(0, wrong, HOUR));
-        cluster.runS(15);
-        assertEquals(gpus(), running(wrong), "it should be done long before");
-        cluster.runS(188);
-        JobSpec run = reservedRun(2, gpus());
-        cluster.runS(12);
-        assertEquals(gpus(), running(run));
+    void taskOverrunningItsEstimateIsWarnedAndStoppedInTime() {
+        body(reserve("calendars", "team", totalGpuCount(), 1, 200, 600), 201);
+        JobSpec wrong = job(1, "other", Priority.LOW, totalGpuCount(), 1, 100, 0);
+        assertTrue(cluster.users().submit(0, wrong, HOUR));
+        cluster.runSeconds(15);
+        assertEquals(totalGpuCount(), runningTaskCount(wrong), "it should be done long before");
+        cluster.runSeconds(188);
+        JobSpec run = reservedRun(2, totalGpuCount());
+        cluster.runSeconds(12);
+        assertEquals(totalGpuCount(), runningTaskCount(run));
     }
 
     @Test
-    void nothingIsRentedIntoAWindow() {
+    void noMachineIsRentedDuringMaintenanceWindow() {
         body(window("patches", "zones", "a", 30, 600, 0), 201);
-        cluster.mostMachines(40);
+        cluster.cloud().limitMachines(40);
         List<FakeWorker> before = cluster.workers();
         assertTrue(
-                cluster.submit(
-                        0,
-                        job(1, "other", Priority.HIGH, 200, 1, 300, 0),
-                        Duration.ofSeconds(300)));
-        cluster.runS(60);
+                cluster.users()
+                        .submit(
+                                0,
+                                job(1, "other", Priority.HIGH, 200, 1, 300, 0),
+                                Duration.ofSeconds(300)));
+        cluster.runSeconds(60);
         List<FakeWorker> rented =
                 cluster.workers().stream().filter(worker -> !before.contains(worker)).toList();
         assertFalse(rented.isEmpty());
@@ -308,217 +306,191 @@
     }
 
     @Test
-    void theLeaderKeepsWhatItKnowsWhileTheStateServiceIsOut() {
+    void leaderKeepsReservationsDuringStoreOutage() {
         body(reserve("calendars", "team", 6, 1, 300, 600), 201);
-        longWork();
-        cluster.runS(280);
+        submitLongWork();
+        cluster.runSeconds(280);
         JobSpec run = reservedRun(2, 6);
-        cluster.runS(5);
-        cluster.store().out(true);
+        cluster.runSeconds(5);
+        cluster.store().setOutage(true);
         assertEquals(503, reserve("another", "team", 1, 1, 500, 60).status());
-        cluster.runS(10);
-        cluster.store().out(false);
-        cluster.runS(25);
-        assertEquals(6, running(run));
+        cluster.runSeconds(10);
+        cluster.store().setOutage(false);
+        cluster.runSeconds(25);
+        assertEquals(6, runningTaskCount(run));
     }
 
     @Test
-    void nothingStartsThatWouldRunIntoAWindowAndNothingStartsInIt() {
+    void noTaskStartsThatWouldOverlapMaintenanceWindow() {
         body(window("patches", "zones", "a", 120, 300, 0), 201);
-        JobSpec long1 = job(1, "long", Priority.HIGH, gpus(), 1, 200, 0);
-        assertTrue(cluster.submit(0, long1, Duration.ofSeconds(200)));
+        JobSpec long1 = job(1, "long", Priority.HIGH, totalGpuCount(), 1, 200, 0);
+        assertTrue(cluster.users().submit(0, long1, Duration.ofSeconds(200)));
         for (int second = 0; second < 420; second += 10) {
-            cluster.runS(10);
+            cluster.runSeconds(10);
             assertTrue(
                     cluster.workers().stream()
                             .filter(worker -> worker.zone().equals("a"))
-                            .allMatch(worker -> worker.running().isEmpty()),
+                            .allMatch(worker -> worker.runningTasks().isEmpty()),
                     "at second " + second);
         }
-        cluster.runS(30);
+        cluster.runSeconds(30);
         assertTrue(
                 cluster.workers().stream()
                                 .filter(worker -> worker.zone().equals("a"))
-                                .anyMatch(worker -> !worker.running().isEmpty())
-                        || running(long1) == 0);
+                                .anyMatch(worker -> !worker.runningTasks().isEmpty())
+                        || runningTaskCount(long1) == 0);
     }
 
     @Test
-    void whatRunsIntoAWindowIsWarnedAndStoppedInTimeAndServicesLeaveOneByOne() {
-        JobSpec work = job(1, "long", Priority.HIGH, gpus() / 2, 1, 1000, 5);
-        assertTrue(cluster.submit(0, work, HOUR));
+    void tasksOverlappingWindowAreWarnedAndStoppedAndServicesMoveOneByOne() {
+        JobSpec work = job(1, "long", Priority.HIGH, totalGpuCount() / 2, 1, 1000, 5);
+        assertTrue(cluster.users().submit(0, work, HOUR));
         JobSpec service = SimulatedCluster.spec(2, JobKind.SERVICE, 4, 0);
-        assertTrue(cluster.submit(0, service, HOUR));
-        cluster.runS(20);
-        assertEquals(4, running(service));
+        assertTrue(cluster.users().submit(0, service, HOUR));
+        cluster.runSeconds(20);
+        assertEquals(4, runningTaskCount(service));
         long began = cluster.loop().wallClockMillis();
         body(window("patches", "zones", "a", 240, 600, 180), 201);
         int least = 4;
         for (int second = 0; second < 235; second++) {
-            cluster.runS(1);
-            least = Math.min(least, running(service));
+            cluster.runSeconds(1);
+            least = Math.min(least, runningTaskCount(service));
         }
         assertTrue(least >= 3, "replicas left: " + least);
-        assertEquals(4, running(service));
-        cluster.runS(5);
+        assertEquals(4, runningTaskCount(service));
+        cluster.runSeconds(5);
         assertTrue(
                 cluster.workers().stream()
                         .filter(worker -> worker.zone().equals("a"))
-                        .allMatch(worker -> worker.running().isEmpty()),
+                        .allMatch(worker -> worker.runningTasks().isEmpty()),
                 "all is gone when it begins");
         assertTrue(cluster.loop().wallClockMillis() - began < 260_000);
     }
 
     @Test
-    void aWindowThatBeginsAtOnceStillWarnsFirst() {
-        JobSpec work = job(1, "long", Priority.HIGH, gpus(), 1, 1000, 5);
-        assertTrue(cluster.submit(0, work, HOUR));
-        cluster.runS(10);
-        assertEquals(gpus(), running(work));
+    void immediateWindowStillWarnsFirst() {
+        JobSpec work = job(1, "long", Priority.HIGH, totalGpuCount(), 1, 1000, 5);
+        assertTrue(cluster.users().submit(0, work, HOUR));
+        cluster.runSeconds(10);
+        assertEquals(totalGpuCount(), runningTaskCount(work));
         body(window("now", "zones", "a", 0, 600, 0), 201);
-        cluster.runS(25);
-        assertEquals(gpus(), running(work), "half a minute");
-        cluster.runS(20);
-        assertTrue(running(work) < gpus());
+        cluster.runSeconds(25);
+        assertEquals(totalGpuCount(), runningTaskCount(work), "half a minute");
+        cluster.runSeconds(20);
+        assertTrue(runningTaskCount(work) < totalGpuCount());
     }
 
     @Test
-    void lowerWorkThatHasTheRoomIsWarnedAndStoppedAndEqualWorkIsNot() {
-        JobSpec low = job(1, "long", Priority.LOW, gpus() / 2, 1, 5000, 5);
-        JobSpec equal = job(2, "other", Priority.HIGH, gpus() / 2, 1, 5000, 5);
-        assertTrue(cluster.submit(0, low, HOUR));
-        assertTrue(cluster.submit(0, equal, HOUR));
-        cluster.runS(15);
-        int before = running(equal);
-        assertEquals(gpus(), running(low) + before);
+    void lowerPriorityWorkIsWarnedAndPreemptedAndEqualPriorityWorkIsNot() {
+        JobSpec low = job(1, "long", Priority.LOW, totalGpuCount() / 2, 1, 5000, 5);
+        JobSpec equal = job(2, "other", Priority.HIGH, totalGpuCount() / 2, 1, 5000, 5);
+        assertTrue(cluster.users().submit(0, low, HOUR));
+        assertTrue(cluster.users().submit(0, equal, HOUR));
+        cluster.runSeconds(15);
+        int before = runningTaskCount(equal);
+        assertEquals(totalGpuCount(), runningTaskCount(low) + before);
         body(reserve("calendars", "team", 4, 1, 200, 600), 201);
-        cluster.runS(202);
+        cluster.runSeconds(202);
         JobSpec run = reservedRun(3, 4);
-        cluster.runS(12);
-        assertEquals(4, running(run));
-        assertEquals(before, running(equal));
+        cluster.runSeconds(12);
+        assertEquals(4, runningTaskCount(run));
+        assertEquals(before, runningTaskCount(equal));
     }
 
     @Test
-    void machinesAreRentedInTimeForASlot() {
-        cluster.mostMachines(40);
+    void machinesAreRentedInTimeForSlot() {
+        cluster.cloud().limitMachines(40);
         int before = cluster.workers().size();
-        int tasks = gpus() + 8;
+        int tasks = totalGpuCount() + 8;
         body(reserve("calendars", "team", tasks, 1, 600, 600), 201);
-        cluster.runS(400);
+        cluster.runSeconds(400);
         assertTrue(cluster.workers().size() <= before, "not long before");
-        cluster.runS(190);
-        assertTrue(gpus() >= tasks, "of " + gpus());
+        cluster.runSeconds(190);
+        assertTrue(totalGpuCount() >= tasks, "of " + totalGpuCount());
         JobSpec run = reservedRun(2, tasks);
-        cluster.runS(20);
-        assertEquals(tasks, running(run));
+        cluster.runSeconds(20);
+        assertEquals(tasks, runningTaskCount(run));
     }
 
     @Test
-    void machinesThatAreLostBeforeTheSlotAreReplaced() {
-        cluster.mostMachines(40);
+    void machinesLostBeforeSlotAreReplaced() {
+        cluster.cloud().limitMachines(40);
         body(reserve("calendars", "team", 6, 1, 300, 600), 201);
-        longWork();
-        cluster.runS(180);
+        submitLongWork();
+        cluster.runSeconds(180);
         cluster.workers().stream()
-                .filter(worker -> worker.running().isEmpty())
-                .forEach(cluster::take);
-        cluster.mostMachines(80);
-        cluster.runS(125);
+                .filter(worker -> worker.runningTasks().isEmpty())
+                .forEach(cluster.cloud()::reclaim);
+        cluster.cloud().limitMachines(80);
+        cluster.runSeconds(125);
         JobSpec run = reservedRun(2, 6);
-        cluster.runS(12);
-        assertEquals(6, running(run));
+        cluster.runSeconds(12);
+        assertEquals(6, runningTaskCount(run));
     }
 
     @Test
-    void theRoomOfAJobThatIsCancelledInItsSlotIsThereForTheNext() {
+    void capacityOfJobCancelledInItsSlotIsReused() {
         body(reserve("calendars", "team", 6, 1, 300, 600), 201);
-        longWork();
-        cluster.runS(305);
+        submitLongWork();
+        cluster.runSeconds(305);
         JobSpec wrong = job(2, "night", Priority.HIGH, 6, 1, 60, 0);
-        assertTrue(cluster.submit(1, wrong, HOUR));
-        cluster.runS(15);
-        assertTrue(cluster.cancel(2, wrong.id()));
-        cluster.runS(8);
+        assertTrue(cluster.users().submit(1, wrong, HOUR));
+        cluster.runSeconds(15);
+        assertTrue(cluster.users().cancel(2, wrong.id()));
+        cluster.runSeconds(8);
         JobSpec right = reservedRun(3, 6);
-        cluster.runS(12);
-        assertEquals(6, running(right));
+        cluster.runSeconds(12);
+        assertEquals(6, runningTaskCount(right));
     }
 
     @Test
-    void aGangThatAWindowStopsGoesWholeAndComesBackElsewhere() {
+    void gangStoppedByWindowLeavesCompletelyAndRestartsElsewhere() {
         JobSpec spec = SimulatedCluster.spec(1, JobKind.GANG, 4, 1);
         JobSpec gang =
-                new JobSpec(
-                        spec.id(),
-                        "gang",
-                        "team",
-                        JobKind.GANG,
-                        Priority.HIGH,
-                        4,
-                        spec.resourcesPerTask(),
-                        null,
-                        null,
-                        true,
-                        false,
-                        false,
-                        spec.image(),
-                        1,
-                        500,
-                        10,
-                        4,
-                        Double.NaN);
-        assertTrue(cluster.submit(0, gang, HOUR));
-        cluster.runS(15);
-        assertEquals(4, running(gang));
-        String zone = placeOf(gang, 0).zone();
+                JobSpecBuilder.from(spec)
+                        .jobClass("gang")
+                        .priority(Priority.HIGH)
+                        .singleZone(true)
+                        .estimatedRuntimeSeconds(500)
+                        .checkpoints(10, 4)
+                        .build();
+        assertTrue(cluster.users().submit(0, gang, HOUR));
+        cluster.runSeconds(15);
+        assertEquals(4, runningTaskCount(gang));
+        String zone = machineRunning(gang, 0).zone();
         body(window("patches", "zones", zone, 150, 600, 0), 201);
-        cluster.runS(120);
-        assertEquals(4, running(gang), "not before it has to");
-        cluster.runS(45);
+        cluster.runSeconds(120);
+        assertEquals(4, runningTaskCount(gang), "not before it has to");
+        cluster.runSeconds(45);
         assertTrue(
                 cluster.workers().stream()
                         .filter(worker -> worker.zone().equals(zone))
-                        .allMatch(worker -> worker.running().isEmpty()));
-        assertEquals(4, running(gang), "in the other zone");
+                        .allMatch(worker -> worker.runningTasks().isEmpty()));
+        assertEquals(4, runningTaskCount(gang), "in the other zone");
     }
 
     @Test
-    void twoWindowsThatTogetherTakeAllZonesLeaveNothingRunningAndEndWithThem() {
+    void windowsCoveringAllZonesStopEverythingUntilTheyEnd() {
         body(window("one", "zones", "a", 60, 300, 0), 201);
         body(window("two", "zones", "b", 120, 120, 0), 201);
         JobSpec work = job(1, "long", Priority.HIGH, 4, 1, 100, 0);
-        assertTrue(cluster.submit(0, work, Duration.ofSeconds(100)));
-        cluster.runS(130);
-        assertEquals(0, running(work));
-        cluster.runS(90);
-        assertEquals(0, running(work));
-        cluster.runS(40);
-        assertEquals(4, running(work), "in the zone whose window is over");
+        assertTrue(cluster.users().submit(0, work, Duration.ofSeconds(100)));
+        cluster.runSeconds(130);
+        assertEquals(0, runningTaskCount(work));
+        cluster.runSeconds(90);
+        assertEquals(0, runningTaskCount(work));
+        cluster.runSeconds(40);
+        assertEquals(4, runningTaskCount(work), "in the zone whose window is over");
     }
 
     @Test
-    void aRequestIsJudgedOnceForAllNodesAndRepeatedFreely() throws MalformedMessageException {
-        cluster.team("team", 0, 10);
-        cluster.calendar(Map.of());
-        cluster.runS(15);
-        String start = in(600);
-        Object[] first = {
-            "team",
-            "team",
-            "tasks",
-            6,
-            "cpus",
-            1.0,
-            "gpus",
-            1.0,
-            "ram_gb",
-            4.0,
-            "start",
-            start,
-            "length_s",
-            60.0
-        };
+    void requestIsDecidedOnceForAllControllersAndIsIdempotent() throws MalformedMessageException {
+        cluster.withTeam("team", 0, 10);
+        cluster.enableReservations(Map.of());
+        cluster.runSeconds(15);
+        String start = timeAfterSeconds(600);
+
+        Object[] first = sixGpuReservation(start);
         long version =
                 body(put(0, "reservations/first", null, first), 201).nonNegativeLong("version");
         assertEquals(
@@ -535,75 +507,99 @@
                 body(put(2, "reservations/first", "\"" + version + "\"", first), 200)
                         .nonNegativeLong("version");
         assertTrue(changed > version);
-        // Two that fit alone and not together are asked of two nodes at the same moment.
+
+        assertOnlyOneIsAccepted(concurrentThreeGpuReservations(start));
+
+        assertEquals(200, delete(0, "reservations/first", String.valueOf(changed)).status());
+        assertEquals(200, delete(1, "reservations/first", null).status(), "repeated");
+        assertEquals(404, get(1, "reservations/first").status());
+        assertEquals(1, body(get(1, "reservations"), 200).nestedList("reservations").size());
+    }
+
+    /** The fields of a reservation of six tasks; their number is at index 3. */
+    private static Object[] sixGpuReservation(String start) {
+        return new Object[] {
+            "team",
+            "team",
+            "tasks",
+            6,
+            "cpus",
+            1.0,
+            "gpus",
+            1.0,
+            "ram_gb",
+            4.0,
+            "start",
+            start,
+            "length_s",
+            60.0
+        };
+    }
+
+    /** Requests two that fit alone and not together from two controllers at the same moment. */
+    private List<CompletableFuture<Http.Reply>> concurrentThreeGpuReservations(String start) {
+        Object[] fields = sixGpuReservation(start);
+        fields[3] = 3;
         String body =
-                new String(
-                        JsonCodec.encode(
-                                MessageReader.mapOf(
-                                        "team",
-                                        "team",
-                                        "tasks",
-                                        3,
-                                        "cpus",
-                                        1.0,
-                                        "gpus",
-                                        1.0,
-                                        "ram_gb",
-                                        4.0,
-                                        "start",
-                                        start,
-                                        "length_s",
-                                        60.0)));
-        List<CompletableFuture<Http.Reply>> both =
+                new String(JsonCodec.encode(MessageReader.mapOf(fields)), StandardCharsets.UTF_8);
+        List<CompletableFuture<Http.Reply>> replies =
                 List.of(
-                        cluster.asksDesk(0, "secret", "PUT", "reservations/one", null, body),
-                        cluster.asksDesk(1, "secret", "PUT", "reservations/two", null, body));
-        cluster.runS(3);
+                        cluster.clients()
+                                .sendReservationRequestAsync(
+                                        0, "secret", "PUT", "reservations/one", null, body),
+                        cluster.clients()
+                                .sendReservationRequestAsync(
+                                        1, "secret", "PUT", "reservations/two", null, body));
+        cluster.runSeconds(3);
+        return replies;
+    }
+
+    private static void assertOnlyOneIsAccepted(List<CompletableFuture<Http.Reply>> replies)
+            throws MalformedMessageException {
         assertEquals(
                 List.of(201, 409),
-                both.stream().map(reply -> reply.join().status()).sorted().toList());
-        MessageReader refused =
-                new MessageReader(
-                        JsonCodec.decode(
-                                both.stream()
-                                        .map(CompletableFuture::join)
-                                        .filter(reply -> reply.status() == 409)
-                                        .findFirst()
-                                        .orElseThrow()
-                                        .body()));
-        assertTrue(
-                refused.string("error").contains("limit of team team")
-                        && refused.string("error").contains("nearest"),
-                refused.string("error"));
+                replies.stream().map(reply -> reply.join().status()).sorted().toList());
+        Http.Reply rejection =
+                replies.stream()
+                        .map(CompletableFuture::join)
+                        .filter(reply -> reply.status() == 409)
+                        .findFirst()
+                        .orElseThrow();
+        String error = new MessageReader(JsonCodec.decode(rejection.body())).string("error");
+        assertTrue(error.contains("limit of team team") && error.contains("nearest"), error);
+    }
+
+    private Http.Reply delete(int node, String path, String version) {
+        return cluster.clients()
+                .sendReservationRequest(node, "secret", "DELETE", path, version, "");
+    }
+
+    private Http.Reply get(int node, String path) {
+        return cluster.clients().sendReservationRequest(node, "reader", "GET", path, null, "");
+    }
+
+    @Test
+    void invalidRequestIsRejectedByFieldAndUnauthorizedCallerIsDenied() {
         assertEquals(
-                200,
-                cluster.operate(
-                                0,
-                                "secret",
-                                "DELETE",
-                                "reservations/first",
-                                String.valueOf(changed),
-                                "")
+                401,
+                cluster.clients()
+                        .sendReservationRequest(0, "guess", "GET", "plan", null, "")
                         .status());
         assertEquals(
-                200,
-                cluster.operate(1, "secret", "DELETE", "reservations/first", null, "").status(),
-                "repeated");
+                403,
+                cluster.clients()
+                        .sendReservationRequest(0, "reader", "PUT", "windows/w", null, "{}")
+                        .status());
         assertEquals(
-                404, cluster.operate(1, "reader", "GET", "reservations/first", null, "").status());
+                405,
+                cluster.clients()
+                        .sendReservationRequest(0, "secret", "POST", "windows/w", null, "{}")
+                        .status());
         assertEquals(
-                1,
-                body(cluster.operate(1, "reader", "GET", "reservations", null, ""), 200)
-                        .nestedList("reservations")
-                        .size());
-    }
-
-    @Test
-    void whatIsWrongIsRefusedByNameAndWhoMayNotIsKeptOut() {
-        assertEquals(401, cluster.operate(0, "guess", "GET", "plan", null, "").status());
-        assertEquals(403, cluster.operate(0, "reader", "PUT", "windows/w", null, "{}").status());
-        assertEquals(405, cluster.operate(0, "secret", "POST", "windows/w", null, "{}").status());
-        assertEquals(404, cluster.operate(0, "secret", "GET", "elsewhere", null, "").status());
+                404,
+                cluster.clients()
+                        .sendReservationRequest(0, "secret", "GET", "elsewhere", null, "")
+                        .status());
         for (String[] wrong :
                 new String[][] {
                     {"windows/w", "{}", "machines"},
@@ -628,13 +624,15 @@
                     },
                     {"reservations/r", "{\"team\":\"t\",\"tasks\":0}", "tasks"}
                 }) {
-            Http.Reply reply = cluster.operate(0, "secret", "PUT", wrong[0], null, wrong[1]);
+            Http.Reply reply =
+                    cluster.clients()
+                            .sendReservationRequest(0, "secret", "PUT", wrong[0], null, wrong[1]);
             assertTrue(
                     body(reply, 400).map().get("error").toString().contains(wrong[2]),
                     new String(reply.body()));
         }
         assertEquals(422, reserve("r", "nobody", 1, 1, 60, 60).status());
         assertEquals(422, window("w", "zones", "moon", 60, 60, 0).status());
-        assertFalse(cluster.store().size("cal/") > 0, "nothing of it is kept");
+        assertFalse(cluster.store().recordCount("cal/") > 0, "nothing of it is kept");
     }
 }
