--- a/src/main/java/org/meadowhollow/coordination/scheduling/SchedulingSnapshot.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/SchedulingSnapshot.java
@@ -21,133 +21,114 @@
 import org.meadowhollow.model.TaskId;
 
 /**
- * What a round decides from: the machines that can take tasks, the jobs that wait in their order,
- * and the teams.
+ * What a round decides from: the machines that can take tasks, the waiting jobs in the order in
+ * which they are placed, and the quota usage of the teams. Built from {@link ClusterState} under
+ * the leader's lock; the rounds run on it change the candidates and the usage.
  */
 public final class SchedulingSnapshot {
-    /** Tasks of one job looked at in a round: more than fit on any fleet at once, and bounded. */
+    /** Tasks of one job considered in a round: more than fit on any cluster, and bounded. */
     private static final int MAX_TASKS_PER_JOB = 2000;
 
     private final ClusterState clusterState;
     private final DeploymentSettings deploymentSettings;
     private final MonotonicTime now;
-    private final List<PlacementRound.MachineCandidate> candidates = new ArrayList<>();
+    private final List<MachineCandidate> candidates = new ArrayList<>();
     private final List<PlacementRound.PendingJob> pendingJobs = new ArrayList<>();
+
+    /**
+     * Tasks that a machine may be running although no placement says so; not to be placed again.
+     */
     private final Set<TaskId> orphanedTasks = new HashSet<>();
+
     private final Map<JobId, Boolean> withinGuaranteedQuota;
-    private final Map<String, PlacementRound.TeamUsage> usageByTeam;
+    private final Map<String, TeamUsage> usageByTeam;
 
+    /** Takes the snapshot; the caller holds the leader's lock. */
     public SchedulingSnapshot(
             ClusterState clusterState,
             DeploymentSettings deploymentSettings,
-            ServiceLevelObjectives serviceLevelObjectives,
+            ServiceLevelObjectives objectives,
             MonotonicTime now) {
         this.clusterState = clusterState;
         this.deploymentSettings = deploymentSettings;
         this.now = now;
         this.withinGuaranteedQuota = findJobsWithinGuaranteedQuota();
         this.usageByTeam = computeUsageByTeam();
-        addCandidates(serviceLevelObjectives);
+        addCandidates(objectives);
         addPendingJobs();
     }
 
-    public List<PlacementRound.MachineCandidate> candidates() {
+    /** The machines that can take tasks, in the order of their ids. */
+    public List<MachineCandidate> candidates() {
         return candidates;
     }
 
+    /** The jobs with tasks that may be placed now, in the order in which they are placed. */
     public List<PlacementRound.PendingJob> pendingJobs() {
         return pendingJobs;
     }
 
-    public Map<String, PlacementRound.TeamUsage> usageByTeam() {
+    /** The usage and the limit of each team by its name. */
+    public Map<String, TeamUsage> usageByTeam() {
         return usageByTeam;
     }
 
     /**
-     * Whether a job fits into its team's guarantee together with the team's earlier unfinished
-     * jobs.
+     * Whether a job fits into its team's guaranteed quota together with the team's earlier
+     * unfinished jobs.
      */
     public boolean isWithinGuaranteedQuota(JobId job) {
         return withinGuaranteedQuota.getOrDefault(job, false);
     }
 
-    private void addCandidates(ServiceLevelObjectives serviceLevelObjectives) {
+    private void addCandidates(ServiceLevelObjectives objectives) {
         for (Machine machine : clusterState.machines().values()) {
             orphanedTasks.addAll(machine.orphanedTasks());
             if (clusterState.isSchedulable(machine, now)) {
-                candidates.add(
-                        new PlacementRound.MachineCandidate(
-                                        candidates.size(),
-                                        machine.id(),
-                                        machine.type().name(),
-                                        machine.zone(),
-                                        machine.isSpot(),
-                                        machine.type().capacity(),
-                                        machine.freeCapacity(),
-                                        machine.placements().size(),
-                                        countServiceReplicas(machine),
-                                        machine.imageCache(),
-                                        remainingPullSecondsByImage(machine),
-                                        machine.type().imagePullGbPerSecond(),
-                                        clusterState.riskTables().get(machine.id()),
-                                        serviceLevelObjectives.hasLargeTasksFor(machine.type()))
-                                .withReservationLimit(
-                                        clusterState.reservationView().limitFor(machine.id()))
-                                .heldForGang(machine.heldForGang(now)));
+                candidates.add(createCandidate(machine, objectives));
             }
         }
     }
 
-    private void addPendingJobs() {
-        List<Job> order = new ArrayList<>();
-        for (Job job : clusterState.jobs().values()) {
-            if (job.pendingTaskCount() > 0
-                    && !job.isComplete()
-                    && (job.backoffUntil() == null || job.backoffUntil().isBefore(now))) {
-                order.add(job);
-            }
-        }
-        order.sort(
-                Comparator.<Job, Boolean>comparing(
-                                job ->
-                                        !clusterState
-                                                .reservationView()
-                                                .hasActiveReservation(job.spec()))
-                        .thenComparing(job -> !isWithinGuaranteedQuota(job.id()))
-                        .thenComparing(job -> job.spec().priority())
-                        .thenComparingDouble(job -> deadlineEpochSeconds(job))
-                        .thenComparing(Job::acceptedAtMillis)
-                        .thenComparing(Job::id));
-        for (Job job : order) {
-            int[] tasks = findPlaceableTasks(job);
-            if (tasks.length > 0) {
-                pendingJobs.add(
-                        new PlacementRound.PendingJob(
-                                job.spec(),
-                                tasks,
-                                clusterState.countTasksByZone(job),
-                                now.elapsedSince(job.pendingSince())
-                                                .compareTo(
-                                                        ServiceLevelObjectives.RISK_IGNORED_AFTER)
-                                        > 0,
-                                job.recentlyFailedMachines()));
-            }
-        }
+    private MachineCandidate createCandidate(Machine machine, ServiceLevelObjectives objectives) {
+        MachineCandidate.Profile profile =
+                new MachineCandidate.Profile(
+                        machine.id(),
+                        machine.type().name(),
+                        machine.zone(),
+                        machine.isSpot(),
+                        machine.type().capacity(),
+                        machine.type().imagePullGbPerSecond());
+        MachineCandidate.Load load =
+                new MachineCandidate.Load(
+                        machine.freeCapacity(),
+                        machine.placements().size(),
+                        countServiceReplicas(machine),
+                        machine.imageCache(),
+                        remainingPullSecondsByImage(machine));
+        return new MachineCandidate(
+                        candidates.size(),
+                        profile,
+                        load,
+                        clusterState.riskTables().get(machine.id()),
+                        objectives.hasLargeTasksFor(machine.type()))
+                .withReservationLimit(clusterState.reservationView().limitFor(machine.id()))
+                .heldForGang(machine.heldForGang(now));
     }
 
-    /** The images on their way to a machine, each with the seconds that it will still take. */
+    /** Images being pulled to a machine, each with the seconds that its pull will still take. */
     private Object2DoubleOpenHashMap<String> remainingPullSecondsByImage(Machine machine) {
-        Object2DoubleOpenHashMap<String> fetches = new Object2DoubleOpenHashMap<>(0);
+        Object2DoubleOpenHashMap<String> remainingSeconds = new Object2DoubleOpenHashMap<>(0);
         for (Placement placement : machine.placements()) {
             JobSpec spec = placement.job().spec();
             if (!machine.imageCache().contains(spec.image())) {
-                double leftS =
+                double remaining =
                         spec.imageSizeGb() / machine.type().imagePullGbPerSecond()
                                 - now.secondsSince(placement.placedAt());
-                fetches.put(spec.image(), Math.max(0, leftS));
+                remainingSeconds.put(spec.image(), Math.max(0, remaining));
             }
         }
-        return fetches;
+        return remainingSeconds;
     }
 
     private static int countServiceReplicas(Machine machine) {
@@ -158,77 +139,130 @@
         return count;
     }
 
+    private void addPendingJobs() {
+        List<Job> ordered = new ArrayList<>();
+        for (Job job : clusterState.jobs().values()) {
+            if (job.pendingTaskCount() > 0 && !job.isComplete() && !isBackingOff(job)) {
+                ordered.add(job);
+            }
+        }
+        ordered.sort(jobOrder());
+        for (Job job : ordered) {
+            int[] tasks = findPlaceableTasks(job);
+            if (tasks.length > 0) {
+                pendingJobs.add(createPendingJob(job, tasks));
+            }
+        }
+    }
+
+    private boolean isBackingOff(Job job) {
+        return job.backoffUntil() != null && !job.backoffUntil().isBefore(now);
+    }
+
+    /**
+     * The order in which jobs are placed: with a reservation that has begun; within the guaranteed
+     * quota of their team; by priority; by deadline; the oldest first; by id.
+     */
+    private Comparator<Job> jobOrder() {
+        return Comparator.comparing(
+                        (Job job) ->
+                                !clusterState.reservationView().hasActiveReservation(job.spec()))
+                .thenComparing(job -> !isWithinGuaranteedQuota(job.id()))
+                .thenComparing(job -> job.spec().priority())
+                .thenComparingDouble(SchedulingSnapshot::deadlineEpochSeconds)
+                .thenComparing(Job::acceptedAtMillis)
+                .thenComparing(Job::id);
+    }
+
+    private PlacementRound.PendingJob createPendingJob(Job job, int[] tasks) {
+        boolean ignoresRisk =
+                now.elapsedSince(job.pendingSince())
+                                .compareTo(ServiceLevelObjectives.RISK_IGNORED_AFTER)
+                        > 0;
+        return new PlacementRound.PendingJob(
+                job.spec(),
+                tasks,
+                clusterState.countTasksByZone(job),
+                ignoresRisk,
+                job.recentlyFailedMachines());
+    }
+
+    /**
+     * The indices of the waiting tasks that may be placed now; empty for a gang that cannot be
+     * placed as a whole now.
+     */
     private int[] findPlaceableTasks(Job job) {
-        if (job.spec().kind() == JobKind.GANG
-                && (job.hasAttemptStarted() || job.completedTaskCount() > 0)) {
+        boolean gang = job.spec().kind() == JobKind.GANG;
+        if (gang && (job.hasAttemptStarted() || job.completedTaskCount() > 0)) {
             return new int[0];
         }
-        int most =
-                job.spec().kind() == JobKind.GANG
-                        ? Integer.MAX_VALUE
-                        : job.isSuspectedFaulty()
-                                ? Math.max(0, 1 - job.placements().size())
-                                : MAX_TASKS_PER_JOB;
-        int[] tasks = new int[Math.min(most, job.pendingTaskCount())];
+        int[] tasks = new int[Math.min(maxPlaceableTasks(job), job.pendingTaskCount())];
         int count = 0;
         for (int task = job.nextPendingTask(0);
                 task >= 0 && count < tasks.length;
                 task = job.nextPendingTask(task + 1)) {
             if (!orphanedTasks.contains(new TaskId(job.id(), task))) {
                 tasks[count++] = task;
-            } else if (job.spec().kind() == JobKind.GANG) {
+            } else if (gang) {
                 return new int[0];
             }
         }
         return count == tasks.length ? tasks : Arrays.copyOf(tasks, count);
     }
 
+    private static int maxPlaceableTasks(Job job) {
+        if (job.spec().kind() == JobKind.GANG) {
+            return Integer.MAX_VALUE;
+        }
+        // All tasks of a faulty job would fail alike, so one alone tries, and takes no more room.
+        return job.isSuspectedFaulty()
+                ? Math.max(0, 1 - job.placements().size())
+                : MAX_TASKS_PER_JOB;
+    }
+
     private static double deadlineEpochSeconds(Job job) {
         return Double.isNaN(job.spec().deadlineSeconds())
                 ? Double.MAX_VALUE
                 : job.acceptedAtMillis() / 1000.0 + job.spec().deadlineSeconds();
     }
 
-    private Map<String, PlacementRound.TeamUsage> computeUsageByTeam() {
+    private Map<String, TeamUsage> computeUsageByTeam() {
         Map<String, Resources> used = clusterState.usageByTeam();
-        Map<String, PlacementRound.TeamUsage> shares = new HashMap<>();
-        for (DeploymentSettings.TeamQuota teamQuota : deploymentSettings.teamQuotas().values()) {
-            shares.put(
-                    teamQuota.name(),
-                    new PlacementRound.TeamUsage(
-                            used.getOrDefault(teamQuota.name(), Resources.NONE),
-                            teamQuota.limit()));
+        Map<String, TeamUsage> usage = new HashMap<>();
+        for (DeploymentSettings.TeamQuota quota : deploymentSettings.teamQuotas().values()) {
+            usage.put(
+                    quota.name(),
+                    new TeamUsage(used.getOrDefault(quota.name(), Resources.NONE), quota.limit()));
         }
-        return shares;
+        return usage;
     }
 
-    /**
-     * The jobs that fit into their team's guarantee together with the team's earlier unfinished
-     * jobs.
-     */
     private Map<JobId, Boolean> findJobsWithinGuaranteedQuota() {
-        List<Job> byAge = new ArrayList<>(clusterState.jobs().values());
-        byAge.sort(Comparator.comparingLong(Job::acceptedAtMillis).thenComparing(Job::id));
-        Map<String, Resources> sums = new HashMap<>();
+        List<Job> oldestFirst = new ArrayList<>(clusterState.jobs().values());
+        oldestFirst.sort(Comparator.comparingLong(Job::acceptedAtMillis).thenComparing(Job::id));
+        Map<String, Resources> demandByTeam = new HashMap<>();
         Map<JobId, Boolean> within = new HashMap<>();
-        for (Job job : byAge) {
+        for (Job job : oldestFirst) {
             if (job.isCancelled()) {
                 continue;
             }
-            Resources all =
-                    job.spec()
-                            .resourcesPerTask()
-                            .times(job.spec().taskCount() - job.completedTaskCount());
-            Resources sum = sums.merge(job.spec().team(), all, Resources::plus);
-            DeploymentSettings.TeamQuota teamQuota =
-                    deploymentSettings.teamQuotas().get(job.spec().team());
-            Resources most = teamQuota.guaranteed();
-            within.put(
-                    job.id(),
-                    (most.cpu() > 0 || most.gpu() > 0)
-                            && (most.cpu() == 0 || sum.cpu() <= most.cpu())
-                            && (most.gpu() == 0 || sum.gpu() <= most.gpu()));
+            JobSpec spec = job.spec();
+            int unfinishedTasks = spec.taskCount() - job.completedTaskCount();
+            Resources demand =
+                    demandByTeam.merge(
+                            spec.team(),
+                            spec.resourcesPerTask().times(unfinishedTasks),
+                            Resources::plus);
+            Resources guaranteed = deploymentSettings.teamQuotas().get(spec.team()).guaranteed();
+            within.put(job.id(), isWithinGuarantee(demand, guaranteed));
         }
         return within;
     }
+
+    /** An amount of 0 guarantees nothing by itself; if all are 0, nothing is guaranteed at all. */
+    private static boolean isWithinGuarantee(Resources demand, Resources guaranteed) {
+        return (guaranteed.cpu() > 0 || guaranteed.gpu() > 0)
+                && (guaranteed.cpu() == 0 || demand.cpu() <= guaranteed.cpu())
+                && (guaranteed.gpu() == 0 || demand.gpu() <= guaranteed.gpu());
+    }
 }
--- a/src/main/java/org/meadowhollow/coordination/scheduling/ServiceLevelObjectives.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/ServiceLevelObjectives.java
@@ -41,7 +41,7 @@
     }
 
     private static boolean isLargeTask(JobSpec spec, MachineType type) {
-        return fits(spec, type) && PlacementRound.isLargeTask(spec, type.capacity());
+        return fits(spec, type) && PlacementOrder.isLargeTask(spec, type.capacity());
     }
 
     /** Whether tasks that need most of such a machine are about. */
--- a/src/test/java/org/meadowhollow/coordination/scheduling/PlacementOrderTest.java
+++ b/src/test/java/org/meadowhollow/coordination/scheduling/PlacementOrderTest.java
@@ -24,8 +24,8 @@
 import org.meadowhollow.model.Resources;
 
 /**
- * The round rates each machine once for a job. It must place a job's tasks together as it places
- * them one after the other, when it rates all machines anew for each.
+ * The round scores each machine once for a job. It must place a job's tasks together as it places
+ * them one after the other, when it scores all machines anew for each.
  */
 class PlacementOrderTest {
     private static final int MACHINES = 40;
@@ -36,9 +36,9 @@
         return LongStream.rangeClosed(1, 200);
     }
 
-    private static List<PlacementRound.MachineCandidate> seats(long seed) {
+    private static List<MachineCandidate> candidates(long seed) {
         Random random = new Random(seed);
-        List<PlacementRound.MachineCandidate> seats = new ArrayList<>();
+        List<MachineCandidate> candidates = new ArrayList<>();
         boolean forLarge = random.nextBoolean();
         for (int at = 0; at < MACHINES; at++) {
             MachineId id = new MachineId("vm-" + at);
@@ -46,12 +46,12 @@
             boolean spot = random.nextInt(3) == 0;
             MachineType type = new MachineType("type", WHOLE, 50, 1, 1, 1, 1, ZONES);
             Machine machine = new Machine(id, type, zone, spot);
-            Object2DoubleMap<String> fetches = new Object2DoubleOpenHashMap<>();
+            Object2DoubleMap<String> pulls = new Object2DoubleOpenHashMap<>();
             for (int image = 0; image < 3; image++) {
                 if (random.nextInt(3) == 0) {
                     machine.imageCache().recordUse("image-" + image, 12);
                 } else if (random.nextInt(3) == 0) {
-                    fetches.put("image-" + image, random.nextInt(12));
+                    pulls.put("image-" + image, random.nextInt(12));
                 }
             }
             RiskTable risk = new RiskTable();
@@ -63,24 +63,20 @@
                         new MonotonicTime(sample * 1_000_000_000L));
             }
             int used = random.nextInt(8);
-            seats.add(
-                    new PlacementRound.MachineCandidate(
+            candidates.add(
+                    new MachineCandidate(
                             at,
-                            id,
-                            "type",
-                            zone,
-                            spot,
-                            WHOLE,
-                            WHOLE.minus(Resources.of(used, used, used)),
-                            used,
-                            random.nextInt(used + 1),
-                            machine.imageCache(),
-                            fetches,
-                            1,
+                            new MachineCandidate.Profile(id, "type", zone, spot, WHOLE, 1),
+                            new MachineCandidate.Load(
+                                    WHOLE.minus(Resources.of(used, used, used)),
+                                    used,
+                                    random.nextInt(used + 1),
+                                    machine.imageCache(),
+                                    pulls),
                             risk,
                             forLarge));
         }
-        return seats;
+        return candidates;
     }
 
     private static JobSpec spec(long seed, JobKind kind) {
@@ -107,47 +103,47 @@
                 Double.NaN);
     }
 
-    private static Map<String, PlacementRound.TeamUsage> teams() {
-        return Map.of("team", new PlacementRound.TeamUsage(Resources.NONE, Resources.NONE));
+    private static Map<String, TeamUsage> teams() {
+        return Map.of("team", new TeamUsage(Resources.NONE, Resources.NONE));
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void tasksPlacedTogetherGoWhereTheyGoOneByOne(long seed) {
+    void placesTasksTogetherAsOneByOne(long seed) {
         JobSpec spec = spec(seed, seed % 2 == 0 ? JobKind.ARRAY : JobKind.SERVICE);
-        boolean desperate = seed % 3 == 0;
+        boolean ignoresRisk = seed % 3 == 0;
         int[] tasks = new int[spec.taskCount()];
         for (int task = 0; task < tasks.length; task++) {
             tasks[task] = task;
         }
         List<PlacementRound.Decision> together =
                 PlacementRound.run(
-                                seats(seed),
+                                candidates(seed),
                                 teams(),
                                 List.of(
                                         new PlacementRound.PendingJob(
                                                 spec,
                                                 tasks,
                                                 new Object2IntOpenHashMap<>(),
-                                                desperate)),
+                                                ignoresRisk)),
                                 1)
                         .decisions();
 
-        List<PlacementRound.MachineCandidate> seats = seats(seed);
+        List<MachineCandidate> candidates = candidates(seed);
         List<PlacementRound.Decision> oneByOne = new ArrayList<>();
         Object2IntOpenHashMap<String> zones = new Object2IntOpenHashMap<>();
         for (int task : tasks) {
             List<PlacementRound.Decision> next =
                     PlacementRound.run(
-                                    seats,
+                                    candidates,
                                     teams(),
                                     List.of(
                                             new PlacementRound.PendingJob(
-                                                    spec, new int[] {task}, zones, desperate)),
+                                                    spec, new int[] {task}, zones, ignoresRisk)),
                                     1)
                             .decisions();
             for (PlacementRound.Decision decision : next) {
-                seats.stream()
+                candidates.stream()
                         .filter(
                                 machineCandidate ->
                                         machineCandidate.machineId().equals(decision.machine()))
@@ -160,7 +156,7 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void aGangThatFindsNoRoomLeavesEverythingAsItWas(long seed) {
+    void gangWithoutRoomLeavesCandidatesUnchanged(long seed) {
         JobSpec gang = spec(seed, JobKind.GANG);
         JobSpec array = spec(seed + 1, JobKind.ARRAY);
         int[] tooMany = new int[MACHINES * 8 + 1];
@@ -168,10 +164,10 @@
         var pendingJob =
                 new PlacementRound.PendingJob(array, tasks, new Object2IntOpenHashMap<>(), false);
         List<PlacementRound.Decision> alone =
-                PlacementRound.run(seats(seed), teams(), List.of(pendingJob), 1).decisions();
+                PlacementRound.run(candidates(seed), teams(), List.of(pendingJob), 1).decisions();
         var outcome =
                 PlacementRound.run(
-                        seats(seed),
+                        candidates(seed),
                         teams(),
                         List.of(
                                 new PlacementRound.PendingJob(
--- a/src/test/java/org/meadowhollow/coordination/scheduling/PlacementRoundTest.java
+++ b/src/test/java/org/meadowhollow/coordination/scheduling/PlacementRoundTest.java
@@ -23,12 +23,11 @@
 
 class PlacementRoundTest {
     private static final Resources WHOLE = Resources.of(8, 8, 8);
-    private final List<PlacementRound.MachineCandidate> seats = new ArrayList<>();
-    private final List<Object2DoubleMap<String>> fetches = new ArrayList<>();
+    private final List<MachineCandidate> candidates = new ArrayList<>();
+    private final List<Object2DoubleMap<String>> pullsByCandidate = new ArrayList<>();
 
     /**
-     * A table that has seen 40 reports at the load that one task makes, with so many losses among
-     * them.
+     * A table with 40 samples at the load that one task makes, of which so many have a lost task.
      */
     private static RiskTable learned(int losses) {
         RiskTable table = new RiskTable();
@@ -39,29 +38,22 @@
         return table;
     }
 
-    private void seat(String name, double used, RiskTable risk, String... images) {
-        Object2DoubleMap<String> coming = new Object2DoubleOpenHashMap<>();
-        fetches.add(coming);
+    private void candidate(String name, double used, RiskTable risk, String... images) {
+        Object2DoubleMap<String> pulls = new Object2DoubleOpenHashMap<>();
+        pullsByCandidate.add(pulls);
         MachineType type = new MachineType("type", WHOLE, 50, 1, 1, 1, 1, List.of());
         ImageCache cache =
                 new Machine(new MachineId(name), type, name.substring(0, 1), false).imageCache();
         for (String image : images) {
             cache.recordUse(image, 1);
         }
-        seats.add(
-                new PlacementRound.MachineCandidate(
-                        seats.size(),
-                        new MachineId(name),
-                        "type",
-                        name.substring(0, 1),
-                        false,
-                        WHOLE,
-                        WHOLE.minus(Resources.of(used, used, used)),
-                        0,
-                        0,
-                        cache,
-                        coming,
-                        1,
+        candidates.add(
+                new MachineCandidate(
+                        candidates.size(),
+                        new MachineCandidate.Profile(
+                                new MachineId(name), "type", name.substring(0, 1), false, WHOLE, 1),
+                        new MachineCandidate.Load(
+                                WHOLE.minus(Resources.of(used, used, used)), 0, 0, cache, pulls),
                         risk,
                         false));
     }
@@ -88,8 +80,8 @@
                 Double.NaN);
     }
 
-    /** A job whose image takes 30 s to fetch. */
-    private static JobSpec large(JobKind kind, int tasks) {
+    /** A job whose image takes 30 s to pull. */
+    private static JobSpec withLargeImage(JobKind kind, int tasks) {
         return new JobSpec(
                 new JobId("req-1"),
                 "class",
@@ -111,23 +103,23 @@
                 Double.NaN);
     }
 
-    private void fetching(int seat, String image, double leftS) {
-        fetches.get(seat).put(image, leftS);
+    private void startPull(int candidate, String image, double remainingSeconds) {
+        pullsByCandidate.get(candidate).put(image, remainingSeconds);
     }
 
-    private List<String> run(JobSpec spec, boolean desperate) {
+    private List<String> run(JobSpec spec, boolean ignoresRisk) {
         int[] tasks = new int[spec.taskCount()];
         for (int at = 0; at < tasks.length; at++) {
             tasks[at] = at;
         }
-        Map<String, PlacementRound.TeamUsage> teams =
-                Map.of("team", new PlacementRound.TeamUsage(Resources.NONE, Resources.NONE));
+        Map<String, TeamUsage> teams =
+                Map.of("team", new TeamUsage(Resources.NONE, Resources.NONE));
         return PlacementRound.run(
-                        seats,
+                        candidates,
                         teams,
                         List.of(
                                 new PlacementRound.PendingJob(
-                                        spec, tasks, new Object2IntOpenHashMap<>(), desperate)),
+                                        spec, tasks, new Object2IntOpenHashMap<>(), ignoresRisk)),
                         100)
                 .decisions()
                 .stream()
@@ -139,61 +131,64 @@
     }
 
     @Test
-    void theLeastRiskComesBeforeTheMostRoom() {
-        seat("a1", 0, learned(4));
-        seat("a2", 0.1, learned(0));
+    void leastRiskComesBeforeMostRoom() {
+        candidate("a1", 0, learned(4));
+        candidate("a2", 0.1, learned(0));
         assertEquals(List.of("a2 by risk"), run(spec(JobKind.ARRAY, 1, false), false));
     }
 
     @Test
-    void atEqualRiskTheMostRoomWins() {
-        seat("a1", 0.1, learned(2));
-        seat("a2", 0, learned(2));
+    void mostRoomWinsAtEqualRisk() {
+        candidate("a1", 0.1, learned(2));
+        candidate("a2", 0, learned(2));
         assertEquals(List.of("a2 by risk"), run(spec(JobKind.ARRAY, 1, false), false));
     }
 
     @Test
-    void aMachineThatBreaksThePolicyIsUsedOnlyInDespair() {
-        seat("a1", 0, learned(20));
+    void machineAboveRiskThresholdIsUsedOnlyWhenRiskIsIgnored() {
+        candidate("a1", 0, learned(20));
         assertEquals(List.of(), run(spec(JobKind.ARRAY, 1, false), false));
         assertEquals(List.of("a1 by room"), run(spec(JobKind.ARRAY, 1, false), true));
     }
 
     @Test
-    void whatTheTableHasNotSeenIsJudgedByRoomAlone() {
-        seat("a1", 2, new RiskTable());
-        seat("a2", 0, new RiskTable());
+    void unknownRiskIsComparedByRoomAlone() {
+        candidate("a1", 2, new RiskTable());
+        candidate("a2", 0, new RiskTable());
         assertEquals(List.of("a2 by room"), run(spec(JobKind.ARRAY, 1, false), false));
     }
 
     @Test
-    void aCachedImageSavesItsFetch() {
-        seat("a1", 3, new RiskTable(), "image");
-        seat("a2", 0, new RiskTable());
+    void cachedImageComesBeforeMostRoom() {
+        candidate("a1", 3, new RiskTable(), "image");
+        candidate("a2", 0, new RiskTable());
         assertEquals(List.of("a1 by room"), run(spec(JobKind.ARRAY, 1, false), false));
     }
 
     @Test
-    void anImageComesSoonerOnALineThatNothingElseUses() {
-        seat("a1", 0, new RiskTable());
-        seat("a2", 2, new RiskTable());
-        fetching(0, "other", 30);
-        JobSpec large = large(JobKind.ARRAY, 1);
-        assertEquals(List.of("a2 by room"), run(large, false), "two fetches would share a1's line");
+    void concurrentPullsShareBandwidth() {
+        candidate("a1", 0, new RiskTable());
+        candidate("a2", 2, new RiskTable());
+        startPull(0, "other", 30);
+        JobSpec spec = withLargeImage(JobKind.ARRAY, 1);
+        assertEquals(
+                List.of("a2 by room"), run(spec, false), "two pulls would share a1's bandwidth");
     }
 
     @Test
-    void aReplicaBringsItsImageToOneMoreMachine() {
-        seat("a1", 0, new RiskTable());
-        seat("a2", 1, new RiskTable());
-        assertEquals(List.of("a1 by room", "a2 by room"), run(large(JobKind.SERVICE, 2), false));
+    void serviceReplicaPrefersMachineWithoutPullInProgress() {
+        candidate("a1", 0, new RiskTable());
+        candidate("a2", 1, new RiskTable());
+        assertEquals(
+                List.of("a1 by room", "a2 by room"),
+                run(withLargeImage(JobKind.SERVICE, 2), false));
     }
 
     @Test
-    void aGangGoesToTheZoneWhereItsLastImageComesSoonest() {
-        seat("a1", 0, new RiskTable());
-        seat("a2", 0, new RiskTable(), "image");
-        seat("b1", 6, new RiskTable(), "image");
+    void gangGoesToZoneWhereSlowestPullEndsFirst() {
+        candidate("a1", 0, new RiskTable());
+        candidate("a2", 0, new RiskTable(), "image");
+        candidate("b1", 6, new RiskTable(), "image");
         JobSpec one =
                 new JobSpec(
                         new JobId("req-1"),
@@ -215,19 +210,21 @@
                         0,
                         Double.NaN);
         assertEquals(List.of("a2 by room", "a2 by room"), run(one, false));
-        seats.remove(1);
+        candidates.remove(1);
         assertEquals(List.of("b1 by room", "b1 by room"), run(one, false));
     }
 
     @Test
-    void aGangGoesWholeIntoOneZoneThatHasRoom() {
-        seat("a1", 7, new RiskTable());
-        seat("b1", 6, new RiskTable());
-        seat("b2", 7, new RiskTable());
+    void singleZoneGangGoesToZoneWithRoomForAllTasks() {
+        candidate("a1", 7, new RiskTable());
+        candidate("b1", 6, new RiskTable());
+        candidate("b2", 7, new RiskTable());
         List<String> placed = run(spec(JobKind.GANG, 3, true), false);
         assertEquals(3, placed.size());
         assertTrue(placed.stream().allMatch(each -> each.startsWith("b")));
         assertEquals(
-                List.of(), run(spec(JobKind.GANG, 3, true), false), "a1 alone cannot hold three");
+                List.of(),
+                run(spec(JobKind.GANG, 3, true), false),
+                "a1 alone has no room for three");
     }
 }
