--- a/src/main/java/org/meadowhollow/coordination/scheduling/ArrivalForecast.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/ArrivalForecast.java
@@ -8,15 +8,16 @@
 import org.meadowhollow.model.MonotonicTime;
 
 /**
- * The jobs that are likely to come before a new machine could be ready for them: as many as came
- * lately, in twice the time that a new machine takes. Kept for tasks that need a machine of their
- * own, since others nearly always find some room.
+ * Predicts the jobs that will be submitted before a new machine could be ready for them: as many as
+ * were submitted lately, within twice the time that a new machine takes. Kept only for jobs whose
+ * tasks need most of a machine, since others nearly always find some room. Not thread-safe: guarded
+ * by the leader's lock.
  */
 public final class ArrivalForecast {
-    /** Jobs kept at most; bounds memory and what a round spends on them. */
+    /** Bounds memory and the time that a round spends on predicted jobs. */
     private static final int MAX_ARRIVALS = 64;
 
-    /** Arrivals come in bunches, so twice the time that a new machine takes is looked back. */
+    /** Jobs arrive in bursts, so the window is twice the time that a new machine takes. */
     private static final int LOOKBACK_FACTOR = 2;
 
     private record Arrival(JobSpec spec, MonotonicTime arrivedAt, Duration startupDelay) {}
@@ -24,28 +25,27 @@
     private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
 
     /**
-     * Notes a job.
+     * Records the submission of a job.
      *
-     * @param ready how long a new machine takes until it can run one of the job's tasks
+     * @param startupDelay how long a new machine takes until it can run one of the job's tasks
      */
-    public void recordArrival(JobSpec spec, MonotonicTime at, Duration ready) {
-        arrivals.add(new Arrival(spec, at, ready));
+    public void recordArrival(JobSpec spec, MonotonicTime arrivedAt, Duration startupDelay) {
+        arrivals.add(new Arrival(spec, arrivedAt, startupDelay));
         if (arrivals.size() > MAX_ARRIVALS) {
             arrivals.poll();
         }
     }
 
-    /** The jobs to keep room for, the latest first. */
+    /** The jobs to keep room for, the latest first; forgets those that are too long ago. */
     public List<JobSpec> predictedJobs(MonotonicTime now) {
-        arrivals.removeIf(
-                arrival ->
-                        now.elapsedSince(arrival.arrivedAt())
-                                        .compareTo(
-                                                arrival.startupDelay()
-                                                        .multipliedBy(LOOKBACK_FACTOR))
-                                > 0);
+        arrivals.removeIf(arrival -> isOutsideWindow(arrival, now));
         List<JobSpec> specs = new ArrayList<>();
         arrivals.descendingIterator().forEachRemaining(arrival -> specs.add(arrival.spec()));
         return specs;
     }
+
+    private static boolean isOutsideWindow(Arrival arrival, MonotonicTime now) {
+        Duration window = arrival.startupDelay().multipliedBy(LOOKBACK_FACTOR);
+        return now.elapsedSince(arrival.arrivedAt()).compareTo(window) > 0;
+    }
 }
--- a/src/main/java/org/meadowhollow/coordination/scheduling/PreemptionPlanner.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/PreemptionPlanner.java
@@ -9,6 +9,9 @@
 import java.util.TreeMap;
 import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.coordination.reservation.MachineReservationLimit;
+import org.meadowhollow.coordination.scheduling.VictimSelector.FreedSlot;
+import org.meadowhollow.coordination.scheduling.VictimSelector.PreemptionCandidate;
+import org.meadowhollow.coordination.scheduling.VictimSelector.RunningTask;
 import org.meadowhollow.model.Job;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
@@ -18,165 +21,200 @@
 import org.meadowhollow.model.Priority;
 import org.meadowhollow.model.Resources;
 
-/** Finds what to stop for waiting jobs that no new machine could serve in time. */
+/**
+ * Finds the tasks to preempt for waiting jobs that no new machine could serve in time. Reads {@link
+ * ClusterState} under the leader's lock; its only effect is that machines are held for a gang.
+ */
 public final class PreemptionPlanner {
     /**
-     * Time for a stop to take effect and the room to be used before more is stopped for the same
-     * job.
+     * Time for a preemption to take effect and the room to be used before more is preempted for the
+     * same job.
      */
     private static final Duration PREEMPTION_COOLDOWN = Duration.ofSeconds(10);
 
+    /** The machines on which best-effort tasks may be preempted, by zone in the order of names. */
+    private static final class BestEffortCandidates {
+        private final Map<String, List<PreemptionCandidate<Placement>>> candidatesByZone =
+                new TreeMap<>();
+        private final Map<PreemptionCandidate<Placement>, Machine> machineByCandidate =
+                new IdentityHashMap<>();
+
+        void add(Machine machine, PreemptionCandidate<Placement> candidate) {
+            candidatesByZone
+                    .computeIfAbsent(machine.zone(), unused -> new ArrayList<>())
+                    .add(candidate);
+            machineByCandidate.put(candidate, machine);
+        }
+
+        List<PreemptionCandidate<Placement>> inAllZones() {
+            return candidatesByZone.values().stream().flatMap(List::stream).toList();
+        }
+    }
+
     private final ClusterState clusterState;
     private final DeploymentSettings deploymentSettings;
     private final ServiceLevelObjectives objectives;
 
+    /** Creates a planner that reads the given state whenever it plans. */
     public PreemptionPlanner(
             ClusterState clusterState,
             DeploymentSettings deploymentSettings,
-            ServiceLevelObjectives serviceLevelObjectives) {
+            ServiceLevelObjectives objectives) {
         this.clusterState = clusterState;
         this.deploymentSettings = deploymentSettings;
-        this.objectives = serviceLevelObjectives;
+        this.objectives = objectives;
     }
 
     /**
-     * The tasks to stop for one of the job's; their room goes to it in a later round, in which it
-     * comes first.
+     * The tasks to preempt for one task of a job that has used up the time that it could wait; it
+     * gets their room in a later round, in which it comes first. Empty for gangs of several tasks.
+     *
+     * @param tasksByZone how many tasks of the job may be in each zone
+     * @param guaranteed whether the job is within the guaranteed quota of its team
      */
     public List<Placement> planPreemption(
-            Job job, Object2IntMap<String> zones, boolean guaranteed, MonotonicTime now) {
+            Job job, Object2IntMap<String> tasksByZone, boolean guaranteed, MonotonicTime now) {
         JobSpec spec = job.spec();
-        if (spec.kind() == JobKind.GANG && spec.taskCount() > 1
+        boolean largeGang = spec.kind() == JobKind.GANG && spec.taskCount() > 1;
+        if (largeGang
                 || now.secondsSince(job.pendingSince())
                         < objectives.waitBudgetSeconds(spec, guaranteed)
-                || job.lastPreemptionAt() != null
-                        && now.elapsedSince(job.lastPreemptionAt()).compareTo(PREEMPTION_COOLDOWN)
-                                < 0) {
+                || isCoolingDown(job, now)) {
             return List.of();
         }
-        Map<String, Resources> used = clusterState.usageByTeam();
-        List<VictimSelector.PreemptionCandidate<Placement>> places = new ArrayList<>();
+        Map<String, Resources> usageByTeam = clusterState.usageByTeam();
+        List<PreemptionCandidate<Placement>> candidates = new ArrayList<>();
         for (Machine machine : clusterState.machines().values()) {
-            if (canPreemptOn(machine, spec, zones, now) && machine.heldForGang(now) == null) {
-                places.add(
-                        new VictimSelector.PreemptionCandidate<>(
-                                machine.freeCapacity(),
-                                machine.imageCache().contains(spec.image()),
-                                listPreemptibleTasks(machine, used, now)));
+            if (canPreemptOn(machine, spec, tasksByZone, now) && machine.heldForGang(now) == null) {
+                candidates.add(createCandidate(machine, spec, usageByTeam, now));
             }
         }
-        return VictimSelector.selectVictims(spec, guaranteed, places);
+        return VictimSelector.selectVictims(spec, guaranteed, candidates);
     }
 
     /**
-     * The tasks of the lowest priority to stop for all of a job's that found no room, gangs
-     * included: at once, since such work is there only for as long as nobody else needs its place,
-     * and a fetch on an empty machine takes the time that there is.
+     * The best-effort tasks to preempt for all tasks of a job that found no room, gangs included:
+     * at once, since best-effort work runs only for as long as nobody else needs the capacity, and
+     * a pull on an empty machine takes the time that there is. The machines are then held for a
+     * gang until the cooldown ends.
      *
+     * @param tasksByZone how many tasks of the job may be in each zone
      * @param count how many tasks found no room
      */
     public List<Placement> planBestEffortPreemption(
-            Job job, Object2IntMap<String> zones, int count, MonotonicTime now) {
+            Job job, Object2IntMap<String> tasksByZone, int count, MonotonicTime now) {
         JobSpec spec = job.spec();
-        if (!spec.priority().isHigherThan(Priority.LOW)
-                || job.lastPreemptionAt() != null
-                        && now.elapsedSince(job.lastPreemptionAt()).compareTo(PREEMPTION_COOLDOWN)
-                                < 0) {
+        if (!spec.priority().isHigherThan(Priority.LOW) || isCoolingDown(job, now)) {
             return List.of();
         }
-        Map<String, Resources> used = clusterState.usageByTeam();
-        Map<String, List<VictimSelector.PreemptionCandidate<Placement>>> byZone = new TreeMap<>();
-        Map<VictimSelector.PreemptionCandidate<Placement>, Machine> machines =
-                new IdentityHashMap<>();
-        for (Machine machine : clusterState.machines().values()) {
-            if (!canPreemptOn(machine, spec, zones, now)
-                    || spec.requiresSingleZone()
-                            && !zones.isEmpty()
-                            && zones.getInt(machine.zone()) == 0) {
-                continue;
+        BestEffortCandidates candidates = findBestEffortCandidates(spec, tasksByZone, now);
+        boolean gang = spec.kind() == JobKind.GANG;
+        List<FreedSlot<Placement>> slots =
+                spec.requiresSingleZone()
+                        ? selectSlotsInBestZone(spec, count, gang, candidates)
+                        : VictimSelector.selectBestEffortVictims(
+                                spec, count, gang, candidates.inAllZones());
+        List<Placement> victims = slots.stream().flatMap(slot -> slot.victims().stream()).toList();
+        if (gang && !victims.isEmpty()) {
+            // Otherwise small tasks that are placed first would take a little of each machine that
+            // was cleared, and the gang would find none whole.
+            MonotonicTime heldUntil = now.plus(PREEMPTION_COOLDOWN);
+            for (FreedSlot<Placement> slot : slots) {
+                candidates
+                        .machineByCandidate
+                        .get(slot.candidate())
+                        .holdForGang(job.id(), heldUntil);
             }
-            VictimSelector.PreemptionCandidate<Placement> preemptionCandidate =
-                    new VictimSelector.PreemptionCandidate<>(
-                            machine.freeCapacity(),
-                            machine.imageCache().contains(spec.image()),
-                            listPreemptibleTasks(machine, used, now));
-            byZone.computeIfAbsent(machine.zone(), unused -> new ArrayList<>())
-                    .add(preemptionCandidate);
-            machines.put(preemptionCandidate, machine);
         }
-        boolean gang = spec.kind() == JobKind.GANG;
-        List<VictimSelector.FreedSlot<Placement>> best = List.of();
-        if (spec.requiresSingleZone()) {
-            double least = Double.MAX_VALUE;
-            for (List<VictimSelector.PreemptionCandidate<Placement>> places : byZone.values()) {
-                List<VictimSelector.FreedSlot<Placement>> gains =
-                        VictimSelector.selectBestEffortVictims(spec, count, gang, places);
-                double lostS =
-                        gains.stream().mapToDouble(VictimSelector.FreedSlot::lostWorkSeconds).sum();
-                if (!gains.isEmpty() && lostS < least) {
-                    best = gains;
-                    least = lostS;
-                }
+        return victims;
+    }
+
+    private BestEffortCandidates findBestEffortCandidates(
+            JobSpec spec, Object2IntMap<String> tasksByZone, MonotonicTime now) {
+        Map<String, Resources> usageByTeam = clusterState.usageByTeam();
+        BestEffortCandidates candidates = new BestEffortCandidates();
+        for (Machine machine : clusterState.machines().values()) {
+            boolean inOtherZone =
+                    spec.requiresSingleZone()
+                            && !tasksByZone.isEmpty()
+                            && tasksByZone.getInt(machine.zone()) == 0;
+            if (!inOtherZone && canPreemptOn(machine, spec, tasksByZone, now)) {
+                candidates.add(machine, createCandidate(machine, spec, usageByTeam, now));
             }
-        } else {
-            best =
-                    VictimSelector.selectBestEffortVictims(
-                            spec,
-                            count,
-                            gang,
-                            byZone.values().stream().flatMap(List::stream).toList());
         }
-        List<Placement> victims =
-                best.stream().flatMap(freedSlot -> freedSlot.victims().stream()).toList();
-        if (gang && !victims.isEmpty()) {
-            // Small tasks that come first took a little of each machine that was cleared, and the
-            // gang found none whole.
-            best.forEach(
-                    freedSlot ->
-                            machines.get(freedSlot.candidate())
-                                    .holdForGang(job.id(), now.plus(PREEMPTION_COOLDOWN)));
+        return candidates;
+    }
+
+    /** The slots in the zone where the least work is lost in total; of equal ones the first. */
+    private static List<FreedSlot<Placement>> selectSlotsInBestZone(
+            JobSpec spec, int count, boolean gang, BestEffortCandidates candidates) {
+        List<FreedSlot<Placement>> best = List.of();
+        double leastLoss = Double.MAX_VALUE;
+        for (List<PreemptionCandidate<Placement>> inZone : candidates.candidatesByZone.values()) {
+            List<FreedSlot<Placement>> slots =
+                    VictimSelector.selectBestEffortVictims(spec, count, gang, inZone);
+            double loss = slots.stream().mapToDouble(FreedSlot::lostWorkSeconds).sum();
+            if (!slots.isEmpty() && loss < leastLoss) {
+                best = slots;
+                leastLoss = loss;
+            }
         }
-        return victims;
+        return best;
+    }
+
+    private static boolean isCoolingDown(Job job, MonotonicTime now) {
+        return job.lastPreemptionAt() != null
+                && now.elapsedSince(job.lastPreemptionAt()).compareTo(PREEMPTION_COOLDOWN) < 0;
     }
 
     /**
-     * Whether the job could use room on a machine; what the calendar keeps it from needs no room
-     * made for it.
+     * Whether the job could use room on a machine; for a job that reservations keep off the machine
+     * nothing needs to be preempted there.
      */
     private boolean canPreemptOn(
-            Machine machine, JobSpec spec, Object2IntMap<String> zones, MonotonicTime now) {
+            Machine machine, JobSpec spec, Object2IntMap<String> tasksByZone, MonotonicTime now) {
         MachineReservationLimit limit = clusterState.reservationView().limitFor(machine.id());
         return (limit == null || limit.allows(spec, 0, machine.type().capacity()))
                 && clusterState.isEligibleFor(machine, spec, now)
-                && zones.getInt(machine.zone()) < spec.maxTasksPerZone();
+                && tasksByZone.getInt(machine.zone()) < spec.maxTasksPerZone();
     }
 
-    private List<VictimSelector.RunningTask<Placement>> listPreemptibleTasks(
-            Machine machine, Map<String, Resources> used, MonotonicTime now) {
-        List<VictimSelector.RunningTask<Placement>> running = new ArrayList<>();
+    private PreemptionCandidate<Placement> createCandidate(
+            Machine machine,
+            JobSpec waiting,
+            Map<String, Resources> usageByTeam,
+            MonotonicTime now) {
+        List<RunningTask<Placement>> running = new ArrayList<>();
         for (Placement placement : machine.placements()) {
             JobSpec spec = placement.job().spec();
-            if (spec.kind() == JobKind.SERVICE || placement.isStopping()) {
-                continue;
+            if (spec.kind() != JobKind.SERVICE && !placement.isStopping()) {
+                running.add(describe(placement, usageByTeam.get(spec.team()), now));
             }
-            double ranS =
-                    placement.runningSince() == null
-                            ? 0
-                            : now.secondsSince(placement.runningSince());
-            Resources guarantee = deploymentSettings.teamQuotas().get(spec.team()).guaranteed();
-            Resources uses = used.get(spec.team());
-            running.add(
-                    new VictimSelector.RunningTask<>(
-                            placement,
-                            spec.priority(),
-                            spec.team(),
-                            spec.resourcesPerTask(),
-                            spec.usesCheckpoints()
-                                    ? Math.min(ranS, spec.checkpointDurationSeconds())
-                                    : ranS,
-                            uses.gpu() > guarantee.gpu()
-                                    && (guarantee.cpu() == 0 || uses.cpu() > guarantee.cpu())));
         }
-        return running;
+        return new PreemptionCandidate<>(
+                machine.freeCapacity(), machine.imageCache().contains(waiting.image()), running);
+    }
+
+    private RunningTask<Placement> describe(
+            Placement placement, Resources teamUsage, MonotonicTime now) {
+        JobSpec spec = placement.job().spec();
+        double runningSeconds =
+                placement.runningSince() == null ? 0 : now.secondsSince(placement.runningSince());
+        // A task that checkpoints saves its work when it is stopped, so only the saving is lost.
+        double lostWorkSeconds =
+                spec.usesCheckpoints()
+                        ? Math.min(runningSeconds, spec.checkpointDurationSeconds())
+                        : runningSeconds;
+        Resources guaranteed = deploymentSettings.teamQuotas().get(spec.team()).guaranteed();
+        boolean overGuaranteedQuota =
+                teamUsage.gpu() > guaranteed.gpu()
+                        && (guaranteed.cpu() == 0 || teamUsage.cpu() > guaranteed.cpu());
+        return new RunningTask<>(
+                placement,
+                spec.priority(),
+                spec.team(),
+                spec.resourcesPerTask(),
+                lostWorkSeconds,
+                overGuaranteedQuota);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/scheduling/ReleaseForecast.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/ReleaseForecast.java
@@ -15,17 +15,24 @@
 import org.meadowhollow.model.Resources;
 
 /**
- * The places that tasks of arrays will leave soon. A waiting task that can still be in time on one
- * of them needs no machine of its own, which would hardly be ready sooner.
+ * The capacity that tasks of job arrays will release soon. A pending task that can still be in time
+ * on it needs no new machine, which would hardly be ready sooner. Belongs to one computation of the
+ * capacity demand; not thread-safe.
  */
 public final class ReleaseForecast {
-    /** Owners' estimates are often wrong by half. */
+    /** Runtime estimates of owners are often wrong by half. */
     private static final double RUNTIME_ESTIMATE_MARGIN = 1.3;
 
-    /** A job that is late in any case should not become later than this share of its time. */
+    /** A job that is late in any case should be delayed by no more than this share of its time. */
     private static final double MAX_ADDED_DELAY_SHARE = 0.5;
 
-    /** A place that is left in some seconds. */
+    /** A task is expected to run on for at least its expected runtime divided by this. */
+    private static final double MIN_REMAINING_DIVISOR = 4;
+
+    /** Divides the pull time: a pull whose progress is unknown is half done on average. */
+    private static final double PULL_PROGRESS_DIVISOR = 2;
+
+    /** The capacity of one task, released in some seconds. */
     private record ExpectedRelease(
             double releasedInSeconds,
             Resources resources,
@@ -38,12 +45,22 @@
                     && spec.allowsZone(zone)
                     && (spec.allowsSpot() || !spot);
         }
+
+        /** When a task that follows on this capacity releases it in turn. */
+        ExpectedRelease after(JobSpec spec) {
+            return new ExpectedRelease(
+                    releasedInSeconds + expectedRuntimeSeconds(spec),
+                    spec.resourcesPerTask(),
+                    type,
+                    zone,
+                    spot);
+        }
     }
 
     private final PriorityQueue<ExpectedRelease> releases =
             new PriorityQueue<>(Comparator.comparingDouble(ExpectedRelease::releasedInSeconds));
 
-    /** Notes the tasks of arrays that are on machines where others can follow them. */
+    /** Records the array tasks on machines that other tasks can be placed on after them. */
     public ReleaseForecast(List<Machine> machines, MonotonicTime now) {
         for (Machine machine : machines) {
             if (machine.isUnschedulable()) {
@@ -52,19 +69,9 @@
             for (Placement placement : machine.placements()) {
                 JobSpec spec = placement.job().spec();
                 if (spec.kind() == JobKind.ARRAY) {
-                    double leftS =
-                            placement.runningSince() == null
-                                    ? expectedRuntimeSeconds(spec)
-                                            + spec.imageSizeGb()
-                                                    / machine.type().imagePullGbPerSecond()
-                                                    / 2
-                                    : Math.max(
-                                            expectedRuntimeSeconds(spec)
-                                                    - now.secondsSince(placement.runningSince()),
-                                            expectedRuntimeSeconds(spec) / 4);
                     releases.add(
                             new ExpectedRelease(
-                                    leftS,
+                                    remainingSeconds(placement, machine, now),
                                     spec.resourcesPerTask(),
                                     machine.type(),
                                     machine.zone(),
@@ -74,16 +81,30 @@
         }
     }
 
+    private static double remainingSeconds(
+            Placement placement, Machine machine, MonotonicTime now) {
+        JobSpec spec = placement.job().spec();
+        double runtime = expectedRuntimeSeconds(spec);
+        if (placement.runningSince() == null) {
+            return runtime
+                    + spec.imageSizeGb()
+                            / machine.type().imagePullGbPerSecond()
+                            / PULL_PROGRESS_DIVISOR;
+        }
+        double remaining = runtime - now.secondsSince(placement.runningSince());
+        return Math.max(remaining, runtime / MIN_REMAINING_DIVISOR);
+    }
+
     private static double expectedRuntimeSeconds(JobSpec spec) {
         return spec.estimatedRuntimeSeconds() * RUNTIME_ESTIMATE_MARGIN;
     }
 
-    /** Notes a task that a machine not yet up will take first. */
+    /** Records a pending task that a machine still booting will run first. */
     public void addReleaseOnBootingMachine(
-            JobSpec spec, MachineType type, String zone, boolean spot, double readyInS) {
+            JobSpec spec, MachineType type, String zone, boolean spot, double readyInSeconds) {
         releases.add(
                 new ExpectedRelease(
-                        readyInS + expectedRuntimeSeconds(spec),
+                        readyInSeconds + expectedRuntimeSeconds(spec),
                         spec.resourcesPerTask(),
                         type,
                         zone,
@@ -91,51 +112,54 @@
     }
 
     /**
-     * Takes up to {@code tasks} tasks of an array; returns how many found a place in time.
+     * Claims released capacity for tasks of a job array, each piece for several tasks one after the
+     * other where that is in time.
      *
-     * @param agedS how long ago the job was submitted
-     * @param readyS how long a new machine takes until it could run a task
+     * @param maxTasks how many tasks need capacity
+     * @param ageSeconds how long ago the job was submitted
+     * @param startupDelaySeconds how long a new machine takes until it could run a task
+     * @return how many tasks found capacity in time
      */
-    public int claimReleases(JobSpec spec, int tasks, double agedS, double readyS) {
-        double startInS = latestStartInSeconds(spec, agedS, readyS);
-        Deque<ExpectedRelease> unsuited = new ArrayDeque<>();
-        List<ExpectedRelease> followed = new ArrayList<>();
-        int taken = 0;
-        while (taken < tasks
-                && !releases.isEmpty()
-                && releases.peek().releasedInSeconds() <= startInS) {
-            ExpectedRelease expectedRelease = releases.poll();
-            if (expectedRelease.canRun(spec)) {
-                followed.add(
-                        new ExpectedRelease(
-                                expectedRelease.releasedInSeconds() + expectedRuntimeSeconds(spec),
-                                spec.resourcesPerTask(),
-                                expectedRelease.type(),
-                                expectedRelease.zone(),
-                                expectedRelease.spot()));
-                taken++;
+    public int claimReleases(
+            JobSpec spec, int maxTasks, double ageSeconds, double startupDelaySeconds) {
+        double latestStart = latestStartInSeconds(spec, ageSeconds, startupDelaySeconds);
+        Deque<ExpectedRelease> unsuitable = new ArrayDeque<>();
+        List<ExpectedRelease> followUps = new ArrayList<>();
+        int claimed = 0;
+        while (claimed < maxTasks && hasReleaseUntil(latestStart)) {
+            ExpectedRelease release = releases.poll();
+            if (release.canRun(spec)) {
+                followUps.add(release.after(spec));
+                claimed++;
             } else {
-                unsuited.add(expectedRelease);
+                unsuitable.add(release);
             }
-            if (releases.isEmpty() || releases.peek().releasedInSeconds() > startInS) {
-                // One place can serve several tasks, one after the other.
-                releases.addAll(followed);
-                followed.clear();
+            if (!hasReleaseUntil(latestStart)) {
+                // Capacity that was claimed can serve another task when the first one ends.
+                releases.addAll(followUps);
+                followUps.clear();
             }
         }
-        releases.addAll(unsuited);
-        releases.addAll(followed);
-        return taken;
+        releases.addAll(unsuitable);
+        releases.addAll(followUps);
+        return claimed;
+    }
+
+    private boolean hasReleaseUntil(double seconds) {
+        return !releases.isEmpty() && releases.peek().releasedInSeconds() <= seconds;
     }
 
     /** When a task must start to be in time; never sooner than a new machine could help. */
-    private static double latestStartInSeconds(JobSpec spec, double agedS, double readyS) {
+    private static double latestStartInSeconds(
+            JobSpec spec, double ageSeconds, double startupDelaySeconds) {
         if (Double.isNaN(spec.deadlineSeconds())) {
-            return readyS;
+            return startupDelaySeconds;
+        }
+        double latestStart = spec.deadlineSeconds() - ageSeconds - expectedRuntimeSeconds(spec);
+        if (latestStart >= startupDelaySeconds) {
+            return latestStart;
         }
-        double startInS = spec.deadlineSeconds() - agedS - expectedRuntimeSeconds(spec);
-        return startInS >= readyS
-                ? startInS
-                : Math.max(readyS, startInS + spec.deadlineSeconds() * MAX_ADDED_DELAY_SHARE);
+        double withAddedDelay = latestStart + spec.deadlineSeconds() * MAX_ADDED_DELAY_SHARE;
+        return Math.max(startupDelaySeconds, withAddedDelay);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/scheduling/VictimSelector.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/VictimSelector.java
@@ -3,22 +3,24 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import java.util.function.Predicate;
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.Priority;
 import org.meadowhollow.model.Resources;
 
 /**
- * Which tasks to stop for one that finds no room: a pure function. Only work of lower priority may
- * be stopped, or, for a team within its guarantee, what another team runs beyond its own.
+ * Selects the tasks to preempt for one that finds no room, so that the least work is lost: pure
+ * functions. Only tasks of lower priority may be preempted, or, for a team within its guaranteed
+ * quota, those that another team runs beyond its own.
  */
 final class VictimSelector {
     private VictimSelector() {}
 
     /**
-     * A task that runs somewhere.
+     * A running task.
      *
-     * @param lostWorkSeconds seconds of work that stopping it would lose
-     * @param overGuaranteedQuota whether its team uses more than its guarantee
+     * @param lostWorkSeconds seconds of work that preempting it would lose
+     * @param overGuaranteedQuota whether its team uses more than its guaranteed quota
      */
     record RunningTask<T>(
             T task,
@@ -28,104 +30,125 @@
             double lostWorkSeconds,
             boolean overGuaranteedQuota) {}
 
-    /** A machine that the waiting task may use, what is free on it, and what runs there. */
+    /** A machine that the waiting task may use, its free capacity, and what runs there. */
     record PreemptionCandidate<T>(
             Resources freeCapacity, boolean imageCached, List<RunningTask<T>> runningTasks) {}
 
     /**
-     * The tasks to stop, all on one machine, that lose least; empty if no machine can be made to
-     * fit.
+     * Room for one more task on a machine.
+     *
+     * @param victims the tasks to preempt for it; empty if the room is free already
+     * @param lostWorkSeconds what preempting them loses, and for the first slot of a machine
+     *     without the image the size of the image in GB, which is counted as seconds
+     */
+    record FreedSlot<T>(
+            PreemptionCandidate<T> candidate, List<T> victims, double lostWorkSeconds) {}
+
+    /**
+     * The tasks to preempt, all on one machine, so that one more task fits there and the least work
+     * is lost; empty if there is no such machine.
      */
     static <T> List<T> selectVictims(
-            JobSpec spec, boolean guaranteed, List<PreemptionCandidate<T>> places) {
+            JobSpec spec, boolean guaranteed, List<PreemptionCandidate<T>> candidates) {
         List<T> best = List.of();
-        double bestLoss = Double.MAX_VALUE;
-        for (PreemptionCandidate<T> preemptionCandidate : places) {
-            List<RunningTask<T>> may = new ArrayList<>();
-            for (RunningTask<T> runningTask : preemptionCandidate.runningTasks()) {
-                if (mayPreempt(spec, guaranteed, runningTask)) {
-                    may.add(runningTask);
-                }
-            }
-            may.sort(Comparator.comparingDouble(RunningTask::lostWorkSeconds));
-            Resources free = preemptionCandidate.freeCapacity();
-            List<T> stopped = new ArrayList<>();
-            double loss = preemptionCandidate.imageCached() ? 0 : spec.imageSizeGb();
-            for (RunningTask<T> runningTask : may) {
+        double leastLoss = Double.MAX_VALUE;
+        for (PreemptionCandidate<T> candidate : candidates) {
+            List<RunningTask<T>> preemptible =
+                    leastLossFirst(candidate, task -> mayPreempt(spec, guaranteed, task));
+            Resources free = candidate.freeCapacity();
+            List<T> victims = new ArrayList<>();
+            double loss = imagePullLoss(spec, candidate);
+            for (RunningTask<T> victim : preemptible) {
                 if (spec.resourcesPerTask().fitsIn(free)) {
                     break;
                 }
-                free = free.plus(runningTask.allocated());
-                stopped.add(runningTask.task());
-                loss += runningTask.lostWorkSeconds();
+                free = free.plus(victim.allocated());
+                victims.add(victim.task());
+                loss += victim.lostWorkSeconds();
             }
-            if (!stopped.isEmpty() && spec.resourcesPerTask().fitsIn(free) && loss < bestLoss) {
-                best = stopped;
-                bestLoss = loss;
+            boolean fits = spec.resourcesPerTask().fitsIn(free);
+            if (!victims.isEmpty() && fits && loss < leastLoss) {
+                best = victims;
+                leastLoss = loss;
             }
         }
         return best;
     }
 
     /**
-     * Room for one more task at a place: what has to be stopped for it, and how much that loses.
-     */
-    record FreedSlot<T>(
-            PreemptionCandidate<T> candidate, List<T> victims, double lostWorkSeconds) {}
-
-    /**
-     * What to stop so that several tasks find room: only work of the lowest priority, which waits
-     * for what others leave. Least loss for each task goes first, and room that is free already
-     * costs nothing.
+     * What to preempt so that several tasks find room: only best-effort tasks, those of the lowest
+     * priority, which run on capacity that nobody else needs. The slots that lose least are chosen,
+     * and capacity that is free already costs nothing.
      *
-     * @param most tasks that want room
-     * @param whole whether room for fewer is of no use, as for a gang
+     * @param maxTasks the tasks that need room
+     * @param allOrNothing whether room for fewer is of no use, as for a gang
      */
     static <T> List<FreedSlot<T>> selectBestEffortVictims(
-            JobSpec spec, int most, boolean whole, List<PreemptionCandidate<T>> places) {
+            JobSpec spec,
+            int maxTasks,
+            boolean allOrNothing,
+            List<PreemptionCandidate<T>> candidates) {
         if (!spec.priority().isHigherThan(Priority.LOW)) {
             return List.of();
         }
-        List<FreedSlot<T>> gains = new ArrayList<>();
-        for (PreemptionCandidate<T> preemptionCandidate : places) {
-            List<RunningTask<T>> idle = new ArrayList<>();
-            for (RunningTask<T> runningTask : preemptionCandidate.runningTasks()) {
-                if (runningTask.priority() == Priority.LOW) {
-                    idle.add(runningTask);
-                }
+        List<FreedSlot<T>> slots = new ArrayList<>();
+        for (PreemptionCandidate<T> candidate : candidates) {
+            addSlots(spec, maxTasks, candidate, slots);
+        }
+        if (allOrNothing && slots.size() < maxTasks) {
+            return List.of();
+        }
+        slots.sort(Comparator.comparingDouble(FreedSlot::lostWorkSeconds));
+        return slots.subList(0, Math.min(maxTasks, slots.size()));
+    }
+
+    /** Adds the slots that preempting best-effort tasks on one machine can give. */
+    private static <T> void addSlots(
+            JobSpec spec,
+            int maxTasks,
+            PreemptionCandidate<T> candidate,
+            List<FreedSlot<T>> slots) {
+        List<RunningTask<T>> bestEffort =
+                leastLossFirst(candidate, task -> task.priority() == Priority.LOW);
+        Resources free = candidate.freeCapacity();
+        double loss = imagePullLoss(spec, candidate);
+        int next = 0;
+        for (int count = 0; count < maxTasks; count++) {
+            List<T> victims = new ArrayList<>();
+            while (!spec.resourcesPerTask().fitsIn(free) && next < bestEffort.size()) {
+                RunningTask<T> victim = bestEffort.get(next++);
+                free = free.plus(victim.allocated());
+                victims.add(victim.task());
+                loss += victim.lostWorkSeconds();
             }
-            idle.sort(Comparator.comparingDouble(RunningTask::lostWorkSeconds));
-            Resources free = preemptionCandidate.freeCapacity();
-            List<T> stopped = new ArrayList<>();
-            double loss = preemptionCandidate.imageCached() ? 0 : spec.imageSizeGb();
-            int next = 0;
-            for (int count = 0; count < most; count++) {
-                while (!spec.resourcesPerTask().fitsIn(free) && next < idle.size()) {
-                    free = free.plus(idle.get(next).allocated());
-                    stopped.add(idle.get(next).task());
-                    loss += idle.get(next++).lostWorkSeconds();
-                }
-                if (!spec.resourcesPerTask().fitsIn(free)) {
-                    break;
-                }
-                free = free.minus(spec.resourcesPerTask());
-                gains.add(new FreedSlot<>(preemptionCandidate, stopped, loss));
-                stopped = new ArrayList<>();
-                loss = 0;
+            if (!spec.resourcesPerTask().fitsIn(free)) {
+                return;
             }
+            free = free.minus(spec.resourcesPerTask());
+            slots.add(new FreedSlot<>(candidate, victims, loss));
+            loss = 0;
         }
-        if (whole && gains.size() < most) {
-            return List.of();
+    }
+
+    private static <T> List<RunningTask<T>> leastLossFirst(
+            PreemptionCandidate<T> candidate, Predicate<RunningTask<T>> preemptible) {
+        List<RunningTask<T>> tasks = new ArrayList<>();
+        for (RunningTask<T> task : candidate.runningTasks()) {
+            if (preemptible.test(task)) {
+                tasks.add(task);
+            }
         }
-        gains.sort(Comparator.comparingDouble(FreedSlot::lostWorkSeconds));
-        return gains.subList(0, Math.min(most, gains.size()));
+        tasks.sort(Comparator.comparingDouble(RunningTask::lostWorkSeconds));
+        return tasks;
+    }
+
+    /** A pull of the image counts as a second of lost work for each GB. */
+    private static double imagePullLoss(JobSpec spec, PreemptionCandidate<?> candidate) {
+        return candidate.imageCached() ? 0 : spec.imageSizeGb();
     }
 
-    private static boolean mayPreempt(
-            JobSpec spec, boolean guaranteed, RunningTask<?> runningTask) {
-        return spec.priority().isHigherThan(runningTask.priority())
-                || guaranteed
-                        && runningTask.overGuaranteedQuota()
-                        && !runningTask.team().equals(spec.team());
+    private static boolean mayPreempt(JobSpec spec, boolean guaranteed, RunningTask<?> task) {
+        return spec.priority().isHigherThan(task.priority())
+                || (guaranteed && task.overGuaranteedQuota() && !task.team().equals(spec.team()));
     }
 }
--- a/src/test/java/org/meadowhollow/coordination/scheduling/ArrivalForecastTest.java
+++ b/src/test/java/org/meadowhollow/coordination/scheduling/ArrivalForecastTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void whatCameWithinTwiceTheTimeOfANewMachineIsLikelyToComeAgain() {
+    void predictsJobsSubmittedWithinTwiceTheStartupDelay() {
         ArrivalForecast arrivalForecast = new ArrivalForecast();
         arrivalForecast.recordArrival(gang(1), at(0), Duration.ofSeconds(10));
         arrivalForecast.recordArrival(gang(2), at(15), Duration.ofSeconds(10));
--- a/src/test/java/org/meadowhollow/coordination/scheduling/PlacementRoundTest.java
+++ b/src/test/java/org/meadowhollow/coordination/scheduling/PlacementRoundTest.java
@@ -29,11 +29,11 @@
     /**
      * A table with 40 samples at the load that one task makes, of which so many have a lost task.
      */
-    private static RiskTable learned(int losses) {
+    private static RiskTable riskTable(int violations) {
         RiskTable table = new RiskTable();
         for (int at = 0; at < 40; at++) {
             table.recordSample(
-                    1, 0.13, at < losses ? 1 : 0, new MonotonicTime(at * 1_000_000_000L));
+                    1, 0.13, at < violations ? 1 : 0, new MonotonicTime(at * 1_000_000_000L));
         }
         return table;
     }
@@ -132,21 +132,21 @@
 
     @Test
     void leastRiskComesBeforeMostRoom() {
-        candidate("a1", 0, learned(4));
-        candidate("a2", 0.1, learned(0));
+        candidate("a1", 0, riskTable(4));
+        candidate("a2", 0.1, riskTable(0));
         assertEquals(List.of("a2 by risk"), run(spec(JobKind.ARRAY, 1, false), false));
     }
 
     @Test
     void mostRoomWinsAtEqualRisk() {
-        candidate("a1", 0.1, learned(2));
-        candidate("a2", 0, learned(2));
+        candidate("a1", 0.1, riskTable(2));
+        candidate("a2", 0, riskTable(2));
         assertEquals(List.of("a2 by risk"), run(spec(JobKind.ARRAY, 1, false), false));
     }
 
     @Test
     void machineAboveRiskThresholdIsUsedOnlyWhenRiskIsIgnored() {
-        candidate("a1", 0, learned(20));
+        candidate("a1", 0, riskTable(20));
         assertEquals(List.of(), run(spec(JobKind.ARRAY, 1, false), false));
         assertEquals(List.of("a1 by room"), run(spec(JobKind.ARRAY, 1, false), true));
     }
--- a/src/test/java/org/meadowhollow/coordination/scheduling/ReleaseForecastTest.java
+++ b/src/test/java/org/meadowhollow/coordination/scheduling/ReleaseForecastTest.java
@@ -12,17 +12,17 @@
 import org.meadowhollow.model.Priority;
 import org.meadowhollow.model.Resources;
 
-/** A place is taken by a task that would run for 10 s, with a margin 13 s. */
+/** Capacity is claimed by tasks whose estimated runtime is 10 s, with the margin 13 s. */
 class ReleaseForecastTest {
     private static final Resources ONE = Resources.of(1, 1, 1);
     private static final MachineType TYPE =
             new MachineType("type", ONE, 50, 1, 1, 1, 40, List.of("a"));
-    private static final double READY_S = 40;
+    private static final double STARTUP_DELAY_SECONDS = 40;
 
     private final ReleaseForecast releaseForecast =
             new ReleaseForecast(List.of(), new MonotonicTime(0));
 
-    private static JobSpec array(double deadlineS, boolean spot) {
+    private static JobSpec array(double deadlineSeconds, boolean spot) {
         return new JobSpec(
                 new JobId("req-1"),
                 "class",
@@ -41,35 +41,39 @@
                 10,
                 0,
                 0,
-                deadlineS);
+                deadlineSeconds);
     }
 
-    private void place(double leftInS, boolean spot) {
+    private void addRelease(double releasedInSeconds, boolean spot) {
         releaseForecast.addReleaseOnBootingMachine(
-                array(Double.NaN, spot), TYPE, "a", spot, leftInS - 13);
+                array(Double.NaN, spot), TYPE, "a", spot, releasedInSeconds - 13);
     }
 
     @Test
-    void aPlaceServesOneTaskAfterTheOtherWhileTheyAreInTime() {
-        place(5, false);
+    void capacityServesSeveralTasksInTurnWhileTheyAreInTime() {
+        addRelease(5, false);
         // The last start in time is at 80 - 13 s: at 5, 18, 31, 44 and 57 s.
-        assertEquals(5, releaseForecast.claimReleases(array(80, false), 9, 0, READY_S));
+        assertEquals(
+                5, releaseForecast.claimReleases(array(80, false), 9, 0, STARTUP_DELAY_SECONDS));
         assertEquals(
                 0,
-                releaseForecast.claimReleases(array(80, false), 9, 0, READY_S),
+                releaseForecast.claimReleases(array(80, false), 9, 0, STARTUP_DELAY_SECONDS),
                 "the next would start at 70 s");
     }
 
     @Test
-    void whatANewMachineCannotServeInTimeWaitsForAsLongAsItWouldTake() {
-        place(35, false);
-        assertEquals(1, releaseForecast.claimReleases(array(30, false), 9, 0, READY_S));
+    void lateTaskWaitsForReleaseUpToStartupDelay() {
+        addRelease(35, false);
+        assertEquals(
+                1, releaseForecast.claimReleases(array(30, false), 9, 0, STARTUP_DELAY_SECONDS));
     }
 
     @Test
-    void aPlaceOnASpotMachineIsOnlyForThoseThatMayUseIt() {
-        place(5, true);
-        assertEquals(0, releaseForecast.claimReleases(array(80, false), 9, 0, READY_S));
-        assertEquals(1, releaseForecast.claimReleases(array(80, true), 1, 0, READY_S));
+    void spotCapacityIsOnlyForTasksThatAllowIt() {
+        addRelease(5, true);
+        assertEquals(
+                0, releaseForecast.claimReleases(array(80, false), 9, 0, STARTUP_DELAY_SECONDS));
+        assertEquals(
+                1, releaseForecast.claimReleases(array(80, true), 1, 0, STARTUP_DELAY_SECONDS));
     }
 }
--- a/src/test/java/org/meadowhollow/coordination/scheduling/RiskTableTest.java
+++ b/src/test/java/org/meadowhollow/coordination/scheduling/RiskTableTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void saysNothingBeforeItHasSeenEnough() {
+    void predictsNothingFromTooFewSamples() {
         samples(RiskTable.MIN_SAMPLES - 1, 0);
         assertTrue(Double.isNaN(table.noViolationProbability(4, 0.5)));
         samples(1, 0);
@@ -26,25 +26,25 @@
     }
 
     @Test
-    void saysNothingOfLoadsItHasNotSeen() {
+    void predictsNothingForLoadsWithoutSamples() {
         samples(40, 0);
         assertTrue(Double.isNaN(table.noViolationProbability(9, 0.9)));
     }
 
     @Test
-    void predictsFromHowOftenTasksWereLost() {
+    void predictsShareOfSamplesWithoutViolation() {
         samples(30, 0);
         samples(10, 1);
         assertEquals(0.75, table.noViolationProbability(4, 0.5));
     }
 
     @Test
-    void isRebuiltFromTheLastTenMinutesWhenTheQualitySwings() {
+    void isRebuiltFromLastTenMinutesWhenViolationRateChanges() {
         for (int at = 0; at < 40; at++) {
             table.recordSample(9, 0.9, 0, new MonotonicTime((second += 3) * 1_000_000_000L));
         }
         samples(210, 0);
-        assertEquals(1, table.noViolationProbability(9, 0.9), "no swing, so nothing is forgotten");
+        assertEquals(1, table.noViolationProbability(9, 0.9), "no change, so nothing is forgotten");
         samples(50, 4);
         assertTrue(Double.isNaN(table.noViolationProbability(9, 0.9)));
         assertTrue(table.noViolationProbability(4, 0.5) < 0.9);
--- a/src/test/java/org/meadowhollow/coordination/scheduling/VictimSelectorTest.java
+++ b/src/test/java/org/meadowhollow/coordination/scheduling/VictimSelectorTest.java
@@ -36,8 +36,9 @@
     }
 
     private static VictimSelector.RunningTask<String> running(
-            String task, Priority priority, double lostS, boolean borrowed) {
-        return new VictimSelector.RunningTask<>(task, priority, "other", ONE, lostS, borrowed);
+            String task, Priority priority, double lostWorkSeconds, boolean overQuota) {
+        return new VictimSelector.RunningTask<>(
+                task, priority, "other", ONE, lostWorkSeconds, overQuota);
     }
 
     private static VictimSelector.PreemptionCandidate<String> full(
@@ -46,34 +47,32 @@
     }
 
     @Test
-    void onlyLowerPriorityGivesWay() {
-        var preemptionCandidate =
+    void onlyLowerPriorityIsPreempted() {
+        var candidate =
                 full(
                         List.of(
                                 running("same", Priority.HIGH, 1, true),
                                 running("low", Priority.LOW, 9, true)));
         assertEquals(
                 List.of("low"),
-                VictimSelector.selectVictims(
-                        spec(Priority.HIGH, 1), false, List.of(preemptionCandidate)));
+                VictimSelector.selectVictims(spec(Priority.HIGH, 1), false, List.of(candidate)));
         assertEquals(
                 List.of(),
-                VictimSelector.selectVictims(
-                        spec(Priority.LOW, 1), false, List.of(preemptionCandidate)));
+                VictimSelector.selectVictims(spec(Priority.LOW, 1), false, List.of(candidate)));
     }
 
     @Test
-    void whatATeamBorrowedIsGivenBackForAnothersGuarantee() {
+    void usageOverGuaranteeIsPreemptedForAnotherTeamsGuarantee() {
         var own = full(List.of(running("own", Priority.HIGH, 1, false)));
-        var borrowed = full(List.of(running("borrowed", Priority.HIGH, 5, true)));
+        var overQuota = full(List.of(running("over-quota", Priority.HIGH, 5, true)));
         assertEquals(
-                List.of("borrowed"),
-                VictimSelector.selectVictims(spec(Priority.LOW, 1), true, List.of(own, borrowed)));
+                List.of("over-quota"),
+                VictimSelector.selectVictims(spec(Priority.LOW, 1), true, List.of(own, overQuota)));
     }
 
     @Test
-    void theLeastWorkIsLostAndNothingInVain() {
-        var dear = full(List.of(running("long", Priority.LOW, 60, true)));
+    void leastWorkIsLostAndNoneWithoutUse() {
+        var expensive = full(List.of(running("long", Priority.LOW, 60, true)));
         var cheap =
                 full(
                         List.of(
@@ -81,17 +80,20 @@
                                 running("newer", Priority.LOW, 1, true)));
         assertEquals(
                 List.of("newer"),
-                VictimSelector.selectVictims(spec(Priority.HIGH, 1), false, List.of(dear, cheap)));
+                VictimSelector.selectVictims(
+                        spec(Priority.HIGH, 1), false, List.of(expensive, cheap)));
         assertEquals(
                 List.of("newer", "new"),
-                VictimSelector.selectVictims(spec(Priority.HIGH, 2), false, List.of(dear, cheap)));
+                VictimSelector.selectVictims(
+                        spec(Priority.HIGH, 2), false, List.of(expensive, cheap)));
         assertEquals(
                 List.of(),
-                VictimSelector.selectVictims(spec(Priority.HIGH, 3), false, List.of(dear, cheap)));
+                VictimSelector.selectVictims(
+                        spec(Priority.HIGH, 3), false, List.of(expensive, cheap)));
     }
 
     @Test
-    void idleWorkGivesWayToAllOfAGangOrNone() {
+    void bestEffortTasksArePreemptedForWholeGangOrNotAtAll() {
         var first =
                 full(
                         List.of(
@@ -102,15 +104,17 @@
                         List.of(
                                 running("b", Priority.LOW, 2, true),
                                 running("c", Priority.LOW, 1, true)));
-        assertEquals(List.of("c", "b"), stopped(Priority.NORMAL, 2, List.of(first, second)));
-        assertEquals(3, stopped(Priority.NORMAL, 3, List.of(first, second)).size());
-        assertEquals(List.of(), stopped(Priority.NORMAL, 4, List.of(first, second)));
-        assertEquals(List.of(), stopped(Priority.LOW, 1, List.of(first, second)));
+        assertEquals(List.of("c", "b"), victims(Priority.NORMAL, 2, List.of(first, second)));
+        assertEquals(3, victims(Priority.NORMAL, 3, List.of(first, second)).size());
+        assertEquals(List.of(), victims(Priority.NORMAL, 4, List.of(first, second)));
+        assertEquals(List.of(), victims(Priority.LOW, 1, List.of(first, second)));
     }
 
-    private static List<String> stopped(
-            Priority priority, int tasks, List<VictimSelector.PreemptionCandidate<String>> places) {
-        return VictimSelector.selectBestEffortVictims(spec(priority, 1), tasks, true, places)
+    private static List<String> victims(
+            Priority priority,
+            int tasks,
+            List<VictimSelector.PreemptionCandidate<String>> candidates) {
+        return VictimSelector.selectBestEffortVictims(spec(priority, 1), tasks, true, candidates)
                 .stream()
                 .flatMap(freedSlot -> freedSlot.victims().stream())
                 .toList();
