--- a/src/main/java/org/meadowhollow/coordination/metrics/FairnessMetrics.java
+++ b/src/main/java/org/meadowhollow/coordination/metrics/FairnessMetrics.java
@@ -16,96 +16,80 @@
 import org.meadowhollow.model.MonotonicTime;
 
 /**
- * What became of the jobs of each class and team in one leadership. A leadership begins with the
- * jobs that live then, so the counts of one day are those of all its leaders together, less what a
- * leader that ended had not yet logged. Guarded by the leader's lock.
+ * Counts what became of the jobs of each group, that is class and team, in one leadership, for the
+ * log. A leadership starts with the jobs that are unfinished then, so the counts of a day are those
+ * of all its leaders together, less what a leader that ended had not logged yet. Not thread-safe:
+ * guarded by the leader's lock.
  */
 public final class FairnessMetrics {
-    /** Between two accounts of all classes and teams. */
     private static final Duration REPORT_INTERVAL = Duration.ofMinutes(1);
 
-    /** A job that has waited for so long without a task running counts as left behind. */
+    /** A job that has waited for this long without a running task counts as starving. */
     private static final Duration STARVATION_THRESHOLD = Duration.ofMinutes(2);
 
-    /**
-     * Below this share of started jobs, of as many as this at least, a class or team is falling
-     * behind.
-     */
-    private static final double MIN_STARTED_SHARE = 0.7;
-
-    private static final int MIN_JOBS_JUDGED = 4;
-
-    /**
-     * A job with so much of the most tasks that a job of its class had is one of the class's
-     * largest.
-     */
+    /** A job with this share of the most tasks that a job of its group had is a large one. */
     private static final double LARGE_JOB_SHARE = 0.75;
 
-    /** Lines about large jobs that wait, the oldest first. */
+    /** Log lines about large jobs that are starving, the oldest first. */
     private static final int MAX_LARGE_JOB_LINES = 8;
 
-    /** Classes and teams counted; the settings name the teams, but users choose the classes. */
+    /** Bounds memory: the settings name the teams, but users choose the classes. */
     private static final int MAX_GROUPS = 256;
 
-    private record JobGroup(String jobClass, String team) {}
+    /** The class that stands for all others once there are too many groups. */
+    private static final String OTHER_CLASSES = "others";
 
-    private static final class JobCounts {
-        private int largestTaskCount;
-        private int admitted;
-        private int started;
-        private int completed;
-        private int missedDeadline;
-        private int cancelled;
-        private int pendingTasks;
-        private int starvingJobs;
-        private double longestWaitSeconds;
-        private int starvingLargeJobs;
-    }
+    private static final long MILLIS_PER_SECOND = 1000;
+
+    private record JobGroup(String jobClass, String team) {}
 
-    private final Map<JobGroup, JobCounts> countsByGroup =
+    private final Map<JobGroup, GroupCounts> countsByGroup =
             new TreeMap<>(Comparator.comparing(JobGroup::jobClass).thenComparing(JobGroup::team));
     private final Set<JobId> startedJobs = new HashSet<>();
+
+    /** Null until the first call of {@link #reportIfDue}. */
     private MonotonicTime lastReportAt;
 
-    /** A job was taken in. */
+    /** A job was admitted. */
     public void onJobAdmitted(JobSpec spec) {
-        JobCounts jobCounts = countsFor(spec);
-        jobCounts.admitted++;
-        jobCounts.largestTaskCount = Math.max(jobCounts.largestTaskCount, spec.taskCount());
+        countsFor(spec).onAdmitted(spec.taskCount());
     }
 
     /** A task of the job runs. */
     public void onTaskRunning(JobSpec spec) {
         if (startedJobs.add(spec.id())) {
-            countsFor(spec).started++;
+            countsFor(spec).onStarted();
         }
     }
 
     /**
-     * The job is over.
+     * The job has ended.
      *
-     * @param tookS how long ago it was accepted
+     * @param elapsedSeconds how long ago it was admitted
      */
-    public void onJobEnded(JobSpec spec, boolean cancelled, double tookS) {
+    public void onJobEnded(JobSpec spec, boolean cancelled, double elapsedSeconds) {
         startedJobs.remove(spec.id());
-        JobCounts jobCounts = countsFor(spec);
-        jobCounts.cancelled += cancelled ? 1 : 0;
-        jobCounts.completed += cancelled ? 0 : 1;
-        jobCounts.missedDeadline += !cancelled && tookS > spec.deadlineSeconds() ? 1 : 0;
+        if (cancelled) {
+            countsFor(spec).onCancelled();
+        } else {
+            // Never later than a deadline that is NaN, so a job without one is in time.
+            countsFor(spec).onCompleted(elapsedSeconds > spec.deadlineSeconds());
+        }
     }
 
     /**
-     * What there is to log now: nothing, or a line for each class and team, and one for each of the
-     * largest jobs of a class that has waited for long, up to eight.
+     * The lines to log now: none, or once a minute a line for each group, and one for each of the
+     * large jobs that are starving, up to eight.
      *
-     * @param jobs all that live
-     * @param waitsFor says what a job that waits is waiting for
+     * @param jobs all unfinished jobs
+     * @param wallMillis the wall clock in milliseconds since the epoch
+     * @param pendingReason says why a job has pending tasks
      */
     public List<String> reportIfDue(
             Collection<Job> jobs,
             MonotonicTime now,
             long wallMillis,
-            Function<Job, String> waitsFor) {
+            Function<Job, String> pendingReason) {
         if (lastReportAt == null) {
             lastReportAt = now;
         }
@@ -113,101 +97,69 @@
             return List.of();
         }
         lastReportAt = now;
-        countsByGroup
-                .values()
-                .forEach(
-                        jobCounts -> {
-                            jobCounts.pendingTasks = 0;
-                            jobCounts.starvingJobs = 0;
-                            jobCounts.longestWaitSeconds = 0;
-                            jobCounts.starvingLargeJobs = 0;
-                        });
-        List<Job> large = new ArrayList<>();
-        for (Job job : jobs) {
-            if (job.pendingTaskCount() > 0) {
-                JobCounts jobCounts = countsFor(job.spec());
-                double ageS = (wallMillis - job.acceptedAtMillis()) / 1000.0;
-                jobCounts.pendingTasks += job.pendingTaskCount();
-                jobCounts.longestWaitSeconds = Math.max(jobCounts.longestWaitSeconds, ageS);
-                boolean left =
-                        ageS > STARVATION_THRESHOLD.toSeconds() && !startedJobs.contains(job.id());
-                jobCounts.starvingJobs += left ? 1 : 0;
-                if (left && isLargeJob(job.spec(), jobCounts)) {
-                    jobCounts.starvingLargeJobs++;
-                    large.add(job);
-                }
-            }
-        }
+        List<Job> starvingLargeJobs = countPendingJobs(jobs, wallMillis);
         List<String> lines = new ArrayList<>();
-        countsByGroup.forEach(
-                (jobGroup, jobCounts) ->
-                        lines.add(
-                                "served: class "
-                                        + jobGroup.jobClass()
-                                        + " of "
-                                        + jobGroup.team()
-                                        + ": "
-                                        + jobCounts.admitted
-                                        + " jobs came, "
-                                        + jobCounts.started
-                                        + " started, "
-                                        + jobCounts.completed
-                                        + " done, "
-                                        + jobCounts.missedDeadline
-                                        + " late, "
-                                        + jobCounts.cancelled
-                                        + " cancelled; "
-                                        + jobCounts.pendingTasks
-                                        + " tasks wait, the oldest for "
-                                        + (long) jobCounts.longestWaitSeconds
-                                        + " s"
-                                        + (jobCounts.starvingLargeJobs > 0
-                                                ? "; "
-                                                        + jobCounts.starvingLargeJobs
-                                                        + " of its largest jobs wait"
-                                                : "")
-                                        + (isStarving(jobCounts)
-                                                ? "; FALLS BEHIND: "
-                                                        + jobCounts.starvingJobs
-                                                        + " jobs wait for over "
-                                                        + STARVATION_THRESHOLD.toSeconds()
-                                                        + " s"
-                                                : "")));
-        large.stream()
+        countsByGroup.forEach((group, counts) -> lines.add(formatGroup(group, counts)));
+        starvingLargeJobs.stream()
                 .sorted(Comparator.comparingLong(Job::acceptedAtMillis).thenComparing(Job::id))
                 .limit(MAX_LARGE_JOB_LINES)
-                .forEach(
-                        job ->
-                                lines.add(
-                                        "large job "
-                                                + job.id()
-                                                + " of class "
-                                                + job.spec().jobClass()
-                                                + ", "
-                                                + job.spec().taskCount()
-                                                + " tasks, waits for "
-                                                + (wallMillis - job.acceptedAtMillis()) / 1000
-                                                + " s: "
-                                                + waitsFor.apply(job)));
+                .map(job -> formatLargeJob(job, wallMillis, pendingReason.apply(job)))
+                .forEach(lines::add);
         return lines;
     }
 
-    private static boolean isLargeJob(JobSpec spec, JobCounts jobCounts) {
-        return spec.taskCount() > 1
-                && spec.taskCount() >= LARGE_JOB_SHARE * jobCounts.largestTaskCount;
+    /** Counts pending tasks and starving jobs anew; returns the large jobs among the latter. */
+    private List<Job> countPendingJobs(Collection<Job> jobs, long wallMillis) {
+        countsByGroup.values().forEach(GroupCounts::resetPending);
+        List<Job> starvingLargeJobs = new ArrayList<>();
+        for (Job job : jobs) {
+            if (job.pendingTaskCount() == 0) {
+                continue;
+            }
+            GroupCounts counts = countsFor(job.spec());
+            double age = (wallMillis - job.acceptedAtMillis()) / (double) MILLIS_PER_SECOND;
+            boolean starving =
+                    age > STARVATION_THRESHOLD.toSeconds() && !startedJobs.contains(job.id());
+            boolean large = isLargeJob(job.spec(), counts);
+            counts.onPending(job.pendingTaskCount(), age, starving, large);
+            if (starving && large) {
+                starvingLargeJobs.add(job);
+            }
+        }
+        return starvingLargeJobs;
+    }
+
+    private static String formatGroup(JobGroup group, GroupCounts counts) {
+        return "fairness class="
+                + group.jobClass()
+                + " team="
+                + group.team()
+                + counts.format(STARVATION_THRESHOLD);
     }
 
-    private static boolean isStarving(JobCounts jobCounts) {
-        int judged = jobCounts.started + jobCounts.starvingJobs;
-        return judged >= MIN_JOBS_JUDGED && jobCounts.started < MIN_STARTED_SHARE * judged;
+    private static String formatLargeJob(Job job, long wallMillis, String pendingReason) {
+        return "large job pending job="
+                + job.id()
+                + " class="
+                + job.spec().jobClass()
+                + " tasks="
+                + job.spec().taskCount()
+                + " age_s="
+                + (wallMillis - job.acceptedAtMillis()) / MILLIS_PER_SECOND
+                + " reason="
+                + pendingReason;
+    }
+
+    private static boolean isLargeJob(JobSpec spec, GroupCounts counts) {
+        return spec.taskCount() > 1
+                && spec.taskCount() >= LARGE_JOB_SHARE * counts.largestTaskCount();
     }
 
-    private JobCounts countsFor(JobSpec spec) {
-        JobGroup jobGroup = new JobGroup(spec.jobClass(), spec.team());
+    private GroupCounts countsFor(JobSpec spec) {
+        JobGroup group = new JobGroup(spec.jobClass(), spec.team());
+        boolean known = countsByGroup.size() < MAX_GROUPS || countsByGroup.containsKey(group);
         return countsByGroup.computeIfAbsent(
-                countsByGroup.size() < MAX_GROUPS || countsByGroup.containsKey(jobGroup)
-                        ? jobGroup
-                        : new JobGroup("others", spec.team()),
-                unused -> new JobCounts());
+                known ? group : new JobGroup(OTHER_CLASSES, spec.team()),
+                unused -> new GroupCounts());
     }
 }
--- a/src/test/java/org/meadowhollow/coordination/metrics/FairnessMetricsTest.java
+++ b/src/test/java/org/meadowhollow/coordination/metrics/FairnessMetricsTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void teamsAreCountedApartAndOneThatFallsBehindIsNamed() {
+    void teamsAreCountedSeparatelyAndStarvingOneIsMarked() {
         FairnessMetrics fairnessMetrics = new FairnessMetrics();
         List<Job> waiting = new ArrayList<>();
         for (int number = 0; number < 5; number++) {
@@ -57,18 +57,18 @@
                 fairnessMetrics.reportIfDue(
                         waiting, new MonotonicTime(130_000_000_000L), 130_000, job -> "room");
         assertTrue(
-                lines.get(0).contains("of guest: 5 jobs came, 0 started")
-                        && lines.get(0).contains("10 tasks wait")
-                        && lines.get(0).contains("FALLS BEHIND: 5 jobs"),
+                lines.get(0).contains("class=scan team=guest admitted=5 started=0")
+                        && lines.get(0).contains("pending_tasks=10")
+                        && lines.get(0).contains("STARVING jobs=5"),
                 lines.get(0));
         assertEquals(
-                "served: class scan of home: 5 jobs came, 5 started, 4 done, 1 late, 1 cancelled; 0 tasks wait,"
-                        + " the oldest for 0 s",
+                "fairness class=scan team=home admitted=5 started=5 completed=4 late=1 cancelled=1"
+                        + " pending_tasks=0 oldest_pending_s=0",
                 lines.get(1));
     }
 
     @Test
-    void theLargestJobsOfAClassAreCountedAndSayWhatTheyWaitFor() {
+    void starvingLargeJobsAreCountedAndLoggedWithReason() {
         FairnessMetrics fairnessMetrics = new FairnessMetrics();
         List<Job> jobs = new ArrayList<>();
         for (int number = 0; number < 8; number++) {
@@ -105,11 +105,12 @@
                         jobs,
                         new MonotonicTime(130_000_000_000L),
                         130_000,
-                        job -> "its team's limit");
-        assertTrue(lines.get(0).endsWith("1 of its largest jobs wait"), lines.get(0));
+                        job -> "limit of its team");
+        assertTrue(lines.get(0).endsWith("large_jobs_pending=1"), lines.get(0));
         assertEquals(
                 List.of(
-                        "large job req-000001 of class scan, 16 tasks, waits for 130 s: its team's limit"),
+                        "large job pending job=req-000001 class=scan tasks=16 age_s=130"
+                                + " reason=limit of its team"),
                 lines.subList(1, lines.size()));
     }
 }
