--- a/src/main/java/org/meadowhollow/coordination/reservation/MachineReservationLimit.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/MachineReservationLimit.java
@@ -8,19 +8,20 @@
 import org.meadowhollow.model.reservation.Reservation;
 
 /**
- * What the calendar says of one machine in one round: until when it can be used, and what room is
- * kept on it.
+ * What reservations and maintenance windows leave of one machine in one round: until when it can be
+ * used, and the room that is held on it. Changes with the round's decisions; guarded by the
+ * leader's lock.
  */
 public final class MachineReservationLimit {
-    /** Room for a reservation, from some seconds on; negative once its time has come. */
+    /** Room held for a reservation from some seconds on; negative once its slot has begun. */
     private static final class ResourceHold {
         private final Reservation reservation;
         private final double startsInSeconds;
         private int tasks;
 
-        ResourceHold(Reservation reservation, double startsInS, int tasks) {
+        ResourceHold(Reservation reservation, double startsInSeconds, int tasks) {
             this.reservation = reservation;
-            this.startsInSeconds = startsInS;
+            this.startsInSeconds = startsInSeconds;
             this.tasks = tasks;
         }
 
@@ -32,21 +33,21 @@
     private final RuntimeEstimator runtimeEstimator;
     private final List<ResourceHold> holds = new ArrayList<>();
 
-    /** Room that will be free before the first of the holds begins. */
-    private Resources freedBeforeHolds = Resources.NONE;
+    /** Room that running tasks release before the hold that was added last begins. */
+    private Resources releasedBeforeHold = Resources.NONE;
 
     private double secondsUntilOutage = Double.POSITIVE_INFINITY;
-    private double outageNoticeSeconds;
+    private double serviceEvictionLeadSeconds;
 
     MachineReservationLimit(RuntimeEstimator runtimeEstimator) {
         this.runtimeEstimator = runtimeEstimator;
     }
 
     /** A window takes the machine after some seconds; the earliest one counts. */
-    void limitByOutage(double inS, double noticed) {
-        if (inS < secondsUntilOutage) {
-            secondsUntilOutage = inS;
-            outageNoticeSeconds = noticed;
+    void limitByOutage(double startsInSeconds, double evictionLeadSeconds) {
+        if (startsInSeconds < secondsUntilOutage) {
+            secondsUntilOutage = startsInSeconds;
+            serviceEvictionLeadSeconds = evictionLeadSeconds;
         }
     }
 
@@ -54,16 +55,22 @@
         return secondsUntilOutage;
     }
 
-    void addHold(Reservation reservation, double startsInS, int tasks, Resources coming) {
-        holds.add(new ResourceHold(reservation, startsInS, tasks));
-        freedBeforeHolds = coming;
+    /**
+     * Holds room for tasks of a reservation.
+     *
+     * @param releasedByStart room that running tasks will have released when the slot begins
+     */
+    void addHold(
+            Reservation reservation, double startsInSeconds, int tasks, Resources releasedByStart) {
+        holds.add(new ResourceHold(reservation, startsInSeconds, tasks));
+        releasedBeforeHold = releasedByStart;
     }
 
-    /** All room that is kept here. */
+    /** All room that is held. */
     Resources heldResources() {
         Resources sum = Resources.NONE;
-        for (ResourceHold resourceHold : holds) {
-            sum = sum.plus(resourceHold.resources());
+        for (ResourceHold hold : holds) {
+            sum = sum.plus(hold.resources());
         }
         return sum;
     }
@@ -73,57 +80,68 @@
     }
 
     /**
-     * Whether a task may start here: it would not run into a window, and leaves the room that is
-     * kept for others unless it is done before that is needed. A service never is; it may run here
-     * until its notice begins.
+     * Whether a task may start here: it ends before a window takes the machine, and leaves the room
+     * that is held for others unless it ends before that is needed. A service replica never ends;
+     * it may start until the eviction lead of the window begins.
      *
-     * @param fetchS until its image is here
+     * @param pullSeconds until its image has been pulled
+     * @param free the machine's free capacity
      */
-    public boolean allows(JobSpec spec, double fetchS, Resources free) {
-        boolean stays = spec.kind() == JobKind.SERVICE;
-        double lastsS =
-                stays
-                        ? Double.POSITIVE_INFINITY
-                        : fetchS + runtimeEstimator.upperBoundSeconds(spec);
-        if (stays
-                ? secondsUntilOutage <= outageNoticeSeconds + fetchS
-                : lastsS > secondsUntilOutage) {
-            return false;
-        }
-        Resources kept = Resources.NONE;
-        for (ResourceHold resourceHold : holds) {
-            double untilS =
-                    stays || resourceHold.reservation.mayPreempt(spec)
-                            ? lastsS
-                            : fetchS + runtimeEstimator.conservativeUpperBoundSeconds(spec);
-            if (untilS > resourceHold.startsInSeconds && !resourceHold.reservation.admits(spec)) {
-                kept = kept.plus(resourceHold.resources());
+    public boolean allows(JobSpec spec, double pullSeconds, Resources free) {
+        return endsBeforeOutage(spec, pullSeconds) && leavesHeldRoom(spec, pullSeconds, free);
+    }
+
+    private boolean endsBeforeOutage(JobSpec spec, double pullSeconds) {
+        return spec.kind() == JobKind.SERVICE
+                ? secondsUntilOutage > serviceEvictionLeadSeconds + pullSeconds
+                : pullSeconds + runtimeEstimator.upperBoundSeconds(spec) <= secondsUntilOutage;
+    }
+
+    private boolean leavesHeldRoom(JobSpec spec, double pullSeconds, Resources free) {
+        Resources held = Resources.NONE;
+        for (ResourceHold hold : holds) {
+            boolean needed =
+                    endsInSeconds(spec, pullSeconds, hold.reservation) > hold.startsInSeconds;
+            if (needed && !hold.reservation.admits(spec)) {
+                held = held.plus(hold.resources());
             }
         }
-        return spec.resourcesPerTask().fitsIn(free.minus(subtractOrZero(kept, freedBeforeHolds)));
+        Resources heldOfFree = subtractOrZero(held, releasedBeforeHold);
+        return spec.resourcesPerTask().fitsIn(free.minus(heldOfFree));
+    }
+
+    /** When a task ends at the latest, with a larger margin if it may not be preempted. */
+    private double endsInSeconds(JobSpec spec, double pullSeconds, Reservation reservation) {
+        if (spec.kind() == JobKind.SERVICE) {
+            return Double.POSITIVE_INFINITY;
+        }
+        return pullSeconds
+                + (reservation.mayPreempt(spec)
+                        ? runtimeEstimator.upperBoundSeconds(spec)
+                        : runtimeEstimator.conservativeUpperBoundSeconds(spec));
     }
 
-    private static Resources subtractOrZero(Resources kept, Resources coming) {
+    private static Resources subtractOrZero(Resources from, Resources amount) {
         return new Resources(
-                Math.max(0, kept.cpu() - coming.cpu()),
-                Math.max(0, kept.gpu() - coming.gpu()),
-                Math.max(0, kept.memory() - coming.memory()));
+                Math.max(0, from.cpu() - amount.cpu()),
+                Math.max(0, from.gpu() - amount.gpu()),
+                Math.max(0, from.memory() - amount.memory()));
     }
 
-    /** A task starts here; if a reservation is for it, less is left to keep. */
+    /** A task is assigned to the machine; if a reservation admits it, less room is held. */
     public void onTaskAssigned(JobSpec spec) {
         adjustHeldTasks(spec, -1);
     }
 
-    /** It does not after all. */
+    /** The assignment of a task is taken back. */
     public void onTaskUnassigned(JobSpec spec) {
         adjustHeldTasks(spec, 1);
     }
 
-    private void adjustHeldTasks(JobSpec spec, int by) {
-        for (ResourceHold resourceHold : holds) {
-            if (resourceHold.reservation.admits(spec) && resourceHold.tasks + by >= 0) {
-                resourceHold.tasks += by;
+    private void adjustHeldTasks(JobSpec spec, int change) {
+        for (ResourceHold hold : holds) {
+            if (hold.reservation.admits(spec) && hold.tasks + change >= 0) {
+                hold.tasks += change;
                 return;
             }
         }
--- /dev/null
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservationPlanner.java
@@ -0,0 +1,197 @@
+package org.meadowhollow.coordination.reservation;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.Resources;
+import org.meadowhollow.model.reservation.Occurrence;
+import org.meadowhollow.model.reservation.Reservation;
+
+/**
+ * Assigns machines to the slots of a plan, each from what the slots planned before it leave. Used
+ * while one {@link ReservationPlan} is made; not thread-safe.
+ */
+final class ReservationPlanner {
+    private final ReservableCapacity capacity;
+    private final List<ReservationPlan.Outage> outages;
+    private final Map<String, UsageTimeline> machineUsageByTypeZone = new HashMap<>();
+    private final Map<String, UsageTimeline> cpuUsageByTeam = new HashMap<>();
+    private final Map<String, UsageTimeline> gpuUsageByTeam = new HashMap<>();
+
+    /** The slot being planned: machines and conflicts so far. */
+    private static final class SlotDraft {
+        private final Reservation reservation;
+        private final Occurrence occurrence;
+        private final Map<String, Integer> machinesByTypeZone = new LinkedHashMap<>();
+        private final List<String> conflicts = new ArrayList<>();
+        private int tasks;
+
+        SlotDraft(Reservation reservation, Occurrence occurrence) {
+            this.reservation = reservation;
+            this.occurrence = occurrence;
+        }
+
+        ReservationPlan.Slot toSlot() {
+            boolean fulfilled = tasks >= reservation.taskCount();
+            return new ReservationPlan.Slot(
+                    reservation,
+                    occurrence,
+                    machinesByTypeZone,
+                    tasks,
+                    fulfilled ? List.of() : conflicts.stream().distinct().toList());
+        }
+    }
+
+    ReservationPlanner(ReservableCapacity capacity, List<ReservationPlan.Outage> outages) {
+        this.capacity = capacity;
+        this.outages = outages;
+    }
+
+    /**
+     * Plans one occurrence of a reservation: the cheapest machines first, as far as the team's
+     * limit allows.
+     */
+    ReservationPlan.Slot planSlot(Reservation reservation, Occurrence occurrence) {
+        SlotDraft draft = new SlotDraft(reservation, occurrence);
+        int maxTasks = countTasksWithinTeamLimit(draft);
+        for (MachineType type : eligibleTypesByPrice(reservation)) {
+            for (String zone : type.zones()) {
+                boolean zoneAllowed =
+                        reservation.requiredZone() == null
+                                || reservation.requiredZone().equals(zone);
+                if (draft.tasks < maxTasks && zoneAllowed) {
+                    draft.tasks += allocate(draft, type, zone, maxTasks - draft.tasks);
+                }
+            }
+        }
+        if (draft.tasks > 0) {
+            addTeamUsage(draft);
+        }
+        return draft.toSlot();
+    }
+
+    private void addTeamUsage(SlotDraft draft) {
+        Reservation reservation = draft.reservation;
+        Resources usage = reservation.resourcesPerTask().times(draft.tasks);
+        timelineFor(cpuUsageByTeam, reservation.team())
+                .add(draft.occurrence, reservation.name(), usage.cpu());
+        timelineFor(gpuUsageByTeam, reservation.team())
+                .add(draft.occurrence, reservation.name(), usage.gpu());
+    }
+
+    /** The machine types that the reservation allows, by the price of a task, then by name. */
+    private List<MachineType> eligibleTypesByPrice(Reservation reservation) {
+        return capacity.machineTypes().stream()
+                .filter(type -> isEligible(type, reservation))
+                .sorted(
+                        Comparator.comparingDouble(
+                                        (MachineType type) -> hourlyPricePerTask(type, reservation))
+                                .thenComparing(MachineType::name))
+                .toList();
+    }
+
+    private static boolean isEligible(MachineType type, Reservation reservation) {
+        boolean allowed =
+                reservation.allowedMachineTypes() == null
+                        || reservation.allowedMachineTypes().contains(type.name());
+        return allowed && reservation.resourcesPerTask().fitsIn(type.capacity());
+    }
+
+    private static double hourlyPricePerTask(MachineType type, Reservation reservation) {
+        int tasksPerMachine =
+                reservation
+                        .resourcesPerTask()
+                        .maxCopiesIn(type.capacity(), reservation.taskCount());
+        return type.hourlyPrice() / tasksPerMachine;
+    }
+
+    /** How many tasks the team's limit leaves room for; adds a conflict if not for all. */
+    private int countTasksWithinTeamLimit(SlotDraft draft) {
+        Reservation reservation = draft.reservation;
+        String team = reservation.team();
+        Resources limit = capacity.teamLimits().getOrDefault(team, Resources.NONE);
+        Resources left =
+                new Resources(
+                        remaining(limit.cpu(), timelineFor(cpuUsageByTeam, team), draft),
+                        remaining(limit.gpu(), timelineFor(gpuUsageByTeam, team), draft),
+                        Long.MAX_VALUE);
+        int tasks = reservation.resourcesPerTask().maxCopiesIn(left, reservation.taskCount());
+        if (tasks < reservation.taskCount()) {
+            draft.conflicts.add(
+                    "the limit of team "
+                            + team
+                            + describeUsers(timelineFor(cpuUsageByTeam, team), draft));
+        }
+        return Math.min(reservation.taskCount(), tasks);
+    }
+
+    /** What is left of a limit, of which 0 means none. */
+    private static long remaining(long limit, UsageTimeline usage, SlotDraft draft) {
+        return limit == 0 ? Long.MAX_VALUE : limit - usage.peakDuring(draft.occurrence);
+    }
+
+    private static String describeUsers(UsageTimeline usage, SlotDraft draft) {
+        List<String> names = usage.reservationNamesDuring(draft.occurrence);
+        return names.isEmpty() ? "" : ", with " + String.join(", ", names);
+    }
+
+    /**
+     * Takes machines of a type in a zone; adds a conflict if that is not enough.
+     *
+     * @return for how many tasks they have room
+     */
+    private int allocate(SlotDraft draft, MachineType type, String zone, int tasks) {
+        for (ReservationPlan.Outage outage : outages) {
+            if (outage.occurrence().overlaps(draft.occurrence)
+                    && outage.window().coversAllOfType(type.name(), zone)) {
+                draft.conflicts.add(
+                        "window "
+                                + outage.window().name()
+                                + " takes "
+                                + type.name()
+                                + " in "
+                                + zone);
+                return 0;
+            }
+        }
+        int tasksPerMachine =
+                draft.reservation.resourcesPerTask().maxCopiesIn(type.capacity(), tasks);
+        int wanted = (tasks + tasksPerMachine - 1) / tasksPerMachine;
+        int machines = allocateMachines(draft, type, zone, wanted);
+        return Math.min(tasks, machines * tasksPerMachine);
+    }
+
+    private int allocateMachines(SlotDraft draft, MachineType type, String zone, int wanted) {
+        String typeZone = type.name() + '/' + zone;
+        UsageTimeline usage = timelineFor(machineUsageByTypeZone, typeZone);
+        int maxMachines = capacity.maxMachinesOf(type.name(), zone);
+        long available =
+                maxMachines == Integer.MAX_VALUE
+                        ? wanted
+                        : Math.max(0, maxMachines - usage.peakDuring(draft.occurrence));
+        int allocated = (int) Math.min(wanted, available);
+        if (allocated < wanted) {
+            draft.conflicts.add(
+                    "there are "
+                            + maxMachines
+                            + " of "
+                            + type.name()
+                            + " in "
+                            + zone
+                            + describeUsers(usage, draft));
+        }
+        if (allocated > 0) {
+            usage.add(draft.occurrence, draft.reservation.name(), allocated);
+            draft.machinesByTypeZone.put(typeZone, allocated);
+        }
+        return allocated;
+    }
+
+    private static UsageTimeline timelineFor(Map<String, UsageTimeline> timelines, String key) {
+        return timelines.computeIfAbsent(key, unused -> new UsageTimeline());
+    }
+}
--- /dev/null
+++ b/src/main/java/org/meadowhollow/coordination/reservation/SlotPlanner.java
@@ -0,0 +1,239 @@
+package org.meadowhollow.coordination.reservation;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.Placement;
+import org.meadowhollow.model.Resources;
+import org.meadowhollow.model.reservation.Reservation;
+
+/**
+ * Enters into a view what the slots of reservations mean: the room to hold on machines, the tasks
+ * to preempt for it, and the capacity that is short. The slots are planned in the order of the
+ * plan.
+ */
+final class SlotPlanner {
+    /** A boot can take half as long again as usual. */
+    private static final double BOOT_TIME_FACTOR = 1.5;
+
+    /** For the round and the call of the cloud provider that come before the boot. */
+    private static final double SCALE_OUT_MARGIN_SECONDS = 60;
+
+    /** The least share of its estimate that a task is expected to need, however long it has run. */
+    private static final double MIN_REMAINING_SHARE = 0.1;
+
+    private final ReservationView view;
+    private final RoundInputs inputs;
+    private final ReservationPlan plan;
+
+    /** Running tasks that use a slot; a task that two slots admit counts in the first one only. */
+    private final Set<Placement> countedPlacements = new HashSet<>();
+
+    SlotPlanner(ReservationView view, RoundInputs inputs, ReservationPlan plan) {
+        this.view = view;
+        this.inputs = inputs;
+        this.plan = plan;
+    }
+
+    void addSlots() {
+        for (ReservationPlan.Slot slot : plan.slots()) {
+            double startsIn = inputs.clocks().secondsUntil(slot.occurrence().startMillis());
+            if (startsIn <= ReservationView.HOLD_LEAD_SECONDS
+                    && !inputs.clocks().isCertainlyPast(slot.occurrence().endMillis())) {
+                addSlot(slot, startsIn);
+            }
+        }
+    }
+
+    private void addSlot(ReservationPlan.Slot slot, double startsIn) {
+        Reservation reservation = slot.reservation();
+        int left = slot.fulfilledTasks() - countUsedTasks(slot);
+        boolean wanted =
+                left < slot.fulfilledTasks()
+                        || inputs.pendingTasks().keySet().stream().anyMatch(reservation::admits);
+        if (startsIn < -ReservationView.UNUSED_RELEASE_SECONDS && !wanted) {
+            view.addUnusedReservation(reservation);
+            return;
+        }
+        if (startsIn <= 0 && left > 0) {
+            view.addActiveReservation(reservation);
+        }
+        left -= holdRoom(slot, startsIn, left);
+        // For what is pending for the slot already, machines are rented as for any pending job.
+        for (Map.Entry<JobSpec, Integer> pending : inputs.pendingTasks().entrySet()) {
+            left -= reservation.admits(pending.getKey()) ? pending.getValue() : 0;
+        }
+        if (left > 0 && startsIn < scaleOutLeadSeconds(reservation)) {
+            view.addShortfall(
+                    new ReservationView.CapacityShortfall(
+                            reservation, left, reservation.requiredZone()));
+        }
+    }
+
+    private double scaleOutLeadSeconds(Reservation reservation) {
+        double startupDelay =
+                inputs.startupDelaySeconds().applyAsDouble(reservation.toPlaceholderJobSpec());
+        return startupDelay * BOOT_TIME_FACTOR + SCALE_OUT_MARGIN_SECONDS;
+    }
+
+    private int countUsedTasks(ReservationPlan.Slot slot) {
+        int used = 0;
+        for (Machine machine : inputs.machines()) {
+            for (Placement placement : machine.placements()) {
+                if (used < slot.fulfilledTasks()
+                        && slot.reservation().admits(placement.job().spec())
+                        && countedPlacements.add(placement)) {
+                    used++;
+                }
+            }
+        }
+        return used;
+    }
+
+    /**
+     * Holds room on the machines that the slot may use: room that is free or will be by its start,
+     * and shortly before also room that can be preempted.
+     *
+     * @return for how many tasks room is held
+     */
+    private int holdRoom(ReservationPlan.Slot slot, double startsIn, int maxTasks) {
+        List<Machine> machines = usableMachines(slot);
+        int left = maxTasks;
+        for (Machine machine : machines) {
+            left -= holdFreeRoom(machine, slot.reservation(), startsIn, left);
+        }
+        if (left > 0 && startsIn < ReservationView.STOP_WARNING_SECONDS) {
+            for (Machine machine : machines) {
+                left -= holdByPreemption(machine, slot.reservation(), startsIn, left);
+            }
+        }
+        return maxTasks - left;
+    }
+
+    /**
+     * The machines that the slot may use, best first: with the image cached, of a type and zone
+     * that the plan chose, with the fewest tasks, and by id. Any other type and zone that the
+     * reservation allows will do where the plan's choice is not available.
+     */
+    private List<Machine> usableMachines(ReservationPlan.Slot slot) {
+        Reservation reservation = slot.reservation();
+        List<Machine> usable = new ArrayList<>();
+        for (Machine machine : inputs.machines()) {
+            if (inputs.schedulable().test(machine)
+                    && reservation.allowsMachine(machine.type().name(), machine.zone())
+                    && (reservation.allowsSpot() || !machine.isSpot())
+                    && !isInOutage(machine, slot)) {
+                usable.add(machine);
+            }
+        }
+        usable.sort(
+                Comparator.<Machine, Boolean>comparing(
+                                machine -> !machine.imageCache().contains(reservation.image()))
+                        .thenComparing(
+                                machine -> !slot.includes(machine.type().name(), machine.zone()))
+                        .thenComparing(machine -> machine.placements().size())
+                        .thenComparing(Machine::id));
+        return usable;
+    }
+
+    private boolean isInOutage(Machine machine, ReservationPlan.Slot slot) {
+        for (ReservationPlan.Outage outage : plan.outages()) {
+            if (outage.occurrence().overlaps(slot.occurrence())
+                    && outage.window()
+                            .coversMachine(machine.id(), machine.type().name(), machine.zone())) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Holds room that is free or will be by the start; returns for how many tasks. */
+    private int holdFreeRoom(
+            Machine machine, Reservation reservation, double startsIn, int maxTasks) {
+        Resources releasedByStart = Resources.NONE;
+        List<Placement> ending = new ArrayList<>();
+        for (Placement placement : machine.placements()) {
+            if (placement.isStopping() || remainingSeconds(placement, reservation) <= startsIn) {
+                releasedByStart = releasedByStart.plus(placement.job().spec().resourcesPerTask());
+                ending.add(placement);
+            }
+        }
+        Resources held = view.heldResources(machine);
+        Resources room = machine.freeCapacity().plus(releasedByStart).minus(held);
+        int tasks = reservation.resourcesPerTask().maxCopiesIn(room, maxTasks);
+        if (tasks == 0) {
+            return 0;
+        }
+        view.limitForUpdate(machine).addHold(reservation, startsIn, tasks, releasedByStart);
+        Resources heldThen = held.plus(reservation.resourcesPerTask().times(tasks));
+        boolean countsOnReleases = !heldThen.fitsIn(machine.freeCapacity());
+        if (startsIn < ReservationView.STOP_WARNING_SECONDS && countsOnReleases) {
+            // They are expected to end in time; one that does not, against all estimates, is
+            // preempted.
+            ending.stream()
+                    .filter(placement -> mayPreempt(placement, reservation))
+                    .forEach(placement -> planEviction(placement, reservation, startsIn));
+        }
+        return tasks;
+    }
+
+    /** Holds room that tasks of lower priority use, which are warned and stopped in time. */
+    private int holdByPreemption(
+            Machine machine, Reservation reservation, double startsIn, int maxTasks) {
+        Resources room = machine.freeCapacity().minus(view.heldResources(machine));
+        List<Placement> victims = new ArrayList<>();
+        Resources released = Resources.NONE;
+        int tasks = 0;
+        for (Placement placement : machine.placements()) {
+            if (tasks == maxTasks) {
+                break;
+            }
+            if (mayPreempt(placement, reservation)) {
+                Resources allocated = placement.job().spec().resourcesPerTask();
+                room = room.plus(allocated);
+                released = released.plus(allocated);
+                victims.add(placement);
+                tasks = reservation.resourcesPerTask().maxCopiesIn(room, maxTasks);
+            }
+        }
+        if (tasks > 0) {
+            view.limitForUpdate(machine).addHold(reservation, startsIn, tasks, released);
+            victims.forEach(placement -> planEviction(placement, reservation, startsIn));
+        }
+        return tasks;
+    }
+
+    /** How much longer a task runs at most, with a larger margin if it may not be preempted. */
+    private double remainingSeconds(Placement placement, Reservation reservation) {
+        JobSpec spec = placement.job().spec();
+        if (spec.kind() == JobKind.SERVICE) {
+            return Double.POSITIVE_INFINITY;
+        }
+        double runtime =
+                reservation.mayPreempt(spec)
+                        ? inputs.runtimeEstimator().upperBoundSeconds(spec)
+                        : inputs.runtimeEstimator().conservativeUpperBoundSeconds(spec);
+        double elapsed =
+                placement.runningSince() == null
+                        ? 0
+                        : inputs.clocks().now().secondsSince(placement.runningSince());
+        return Math.max(runtime - elapsed, runtime * MIN_REMAINING_SHARE);
+    }
+
+    private static boolean mayPreempt(Placement placement, Reservation reservation) {
+        return reservation.mayPreempt(placement.job().spec()) && !placement.isStopping();
+    }
+
+    private void planEviction(Placement placement, Reservation reservation, double startsIn) {
+        double latestStop = ReservationView.latestStopInSeconds(placement.job().spec(), startsIn);
+        String reason = "its room is reserved for " + reservation.name();
+        view.addEviction(
+                new ReservationView.PlannedEviction(placement, latestStop, latestStop, reason));
+    }
+}
