--- a/src/main/java/org/meadowhollow/coordination/reservation/Recurrence.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/Recurrence.java
@@ -16,36 +16,35 @@
 import org.meadowhollow.model.reservation.RecurringSchedule;
 
 /**
- * The times of a schedule. The rule is followed on the clocks of its place; what those clocks say
- * is then found in time: a time that they skip when they go forward is as much later as they skip,
- * and one that they show twice is the first of the two. A night of two hours stays two hours long.
+ * The occurrences of a recurring schedule. The recurrence rule is expanded in the local time of the
+ * schedule's time zone; the local times are then converted to instants. A local time that does not
+ * exist, because clocks are set forward, is later by as much as they are; of one that exists twice
+ * the first counts. The duration is elapsed time and does not change with the clocks.
  */
 public final class Recurrence {
-    /** Steps of a rule looked at for one expansion; a rule that names hardly any day ends here. */
+    /** Bounds one expansion of a rule that matches hardly any day. */
     private static final int MAX_RULE_STEPS = 5000;
 
     private static final Set<Freq> SUPPORTED_FREQUENCIES =
             Set.of(Freq.DAILY, Freq.WEEKLY, Freq.MONTHLY, Freq.YEARLY);
 
-    /**
-     * A rule's days are looked for from a day before, for clocks differ by less than that from any
-     * other.
-     */
+    /** Rules are expanded from this much earlier: local times differ by less than a day. */
     private static final Duration CLOCK_DIFFERENCE_MARGIN = Duration.ofDays(1);
 
     private Recurrence() {}
 
-    /** The schedule cannot be followed; the text says why. */
+    /** The schedule is not valid; the message says why. */
     public static final class InvalidScheduleException extends Exception {
-        InvalidScheduleException(String why) {
-            super(why);
+        InvalidScheduleException(String message) {
+            super(message);
         }
     }
 
     /**
-     * Checks a rule.
+     * Checks the recurrence rule of a schedule.
      *
-     * @throws InvalidScheduleException naming what is wrong with it
+     * @throws InvalidScheduleException if it is not of RFC 5545, repeats more often than daily, or
+     *     does not go with the first start
      */
     public static void validate(RecurringSchedule schedule) throws InvalidScheduleException {
         if (schedule.recurrenceRule() == null) {
@@ -57,18 +56,18 @@
         }
         try {
             rule.iterator(toFloatingDateTime(schedule.firstStart()));
-        } catch (IllegalArgumentException wrong) {
+        } catch (IllegalArgumentException invalid) {
             throw new InvalidScheduleException(
-                    "rule does not go with its start: " + wrong.getMessage());
+                    "rule does not go with its start: " + invalid.getMessage());
         }
     }
 
     private static RecurrenceRule parseRule(String text) throws InvalidScheduleException {
         try {
             return new RecurrenceRule(text, RecurrenceRule.RfcMode.RFC5545_STRICT);
-        } catch (InvalidRecurrenceRuleException | IllegalArgumentException wrong) {
+        } catch (InvalidRecurrenceRuleException | IllegalArgumentException invalid) {
             throw new InvalidScheduleException(
-                    "rule is not one of RFC 5545: " + wrong.getMessage());
+                    "rule is not one of RFC 5545: " + invalid.getMessage());
         }
     }
 
@@ -93,47 +92,56 @@
     }
 
     /**
-     * The times that overlap a span, in their order, {@code most} at most.
+     * The occurrences that overlap a span of time, in their order.
      *
-     * @param schedule that was checked
+     * @param schedule one that {@link #validate} accepted
+     * @param fromMillis the start of the span in milliseconds since the epoch
+     * @param untilMillis its end, exclusive
+     * @param maxOccurrences the most that are returned
      */
     public static List<Occurrence> occurrencesBetween(
-            RecurringSchedule schedule, long fromMillis, long untilMillis, int most) {
+            RecurringSchedule schedule, long fromMillis, long untilMillis, int maxOccurrences) {
         List<Occurrence> found = new ArrayList<>();
         if (schedule.recurrenceRule() == null) {
             addIfOverlapping(found, schedule, schedule.firstStart(), fromMillis, untilMillis);
             return found;
         }
         try {
-            RecurrenceRuleIterator times =
-                    parseRule(schedule.recurrenceRule())
-                            .iterator(toFloatingDateTime(schedule.firstStart()));
-            LocalDateTime early =
-                    LocalDateTime.ofInstant(
-                            Instant.ofEpochMilli(fromMillis)
-                                    .minus(schedule.duration())
-                                    .minus(CLOCK_DIFFERENCE_MARGIN),
-                            schedule.timeZone());
-            if (early.isAfter(schedule.firstStart())) {
-                times.fastForward(toFloatingDateTime(early));
-            }
+            RecurrenceRuleIterator starts = startsFrom(schedule, fromMillis);
             for (int step = 0;
-                    step < MAX_RULE_STEPS && times.hasNext() && found.size() < most;
+                    step < MAX_RULE_STEPS && starts.hasNext() && found.size() < maxOccurrences;
                     step++) {
-                LocalDateTime next = toLocalDateTime(times.nextDateTime());
-                if (startEpochMillis(schedule, next)
+                LocalDateTime start = toLocalDateTime(starts.nextDateTime());
+                if (startEpochMillis(schedule, start)
                         >= untilMillis + CLOCK_DIFFERENCE_MARGIN.toMillis()) {
                     break;
                 }
-                addIfOverlapping(found, schedule, next, fromMillis, untilMillis);
+                addIfOverlapping(found, schedule, start, fromMillis, untilMillis);
             }
         } catch (InvalidScheduleException | IllegalArgumentException | ArithmeticException spent) {
-            // A rule that was checked and has no more days, or none that the library finds.
+            // An accepted rule that has no more days, or none that the library finds.
             return found;
         }
         return found;
     }
 
+    /** The starts of a schedule, from the first whose occurrence could overlap a span. */
+    private static RecurrenceRuleIterator startsFrom(RecurringSchedule schedule, long fromMillis)
+            throws InvalidScheduleException {
+        RecurrenceRuleIterator starts =
+                parseRule(schedule.recurrenceRule())
+                        .iterator(toFloatingDateTime(schedule.firstStart()));
+        Instant earliest =
+                Instant.ofEpochMilli(fromMillis)
+                        .minus(schedule.duration())
+                        .minus(CLOCK_DIFFERENCE_MARGIN);
+        LocalDateTime earliestLocal = LocalDateTime.ofInstant(earliest, schedule.timeZone());
+        if (earliestLocal.isAfter(schedule.firstStart())) {
+            starts.fastForward(toFloatingDateTime(earliestLocal));
+        }
+        return starts;
+    }
+
     private static long startEpochMillis(RecurringSchedule schedule, LocalDateTime local) {
         return ZonedDateTime.of(local, schedule.timeZone()).toInstant().toEpochMilli();
     }
@@ -142,11 +150,11 @@
             List<Occurrence> found,
             RecurringSchedule schedule,
             LocalDateTime local,
-            long from,
-            long until) {
+            long fromMillis,
+            long untilMillis) {
         long start = startEpochMillis(schedule, local);
         long end = start + schedule.duration().toMillis();
-        if (start < until && end > from) {
+        if (start < untilMillis && end > fromMillis) {
             found.add(new Occurrence(start, end));
         }
     }
--- a/src/main/java/org/meadowhollow/coordination/reservation/ReservableCapacity.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservableCapacity.java
@@ -6,19 +6,20 @@
 import org.meadowhollow.model.Resources;
 
 /**
- * What there is to reserve from.
+ * The capacity that reservations are planned from.
  *
- * @param machineTypes that the cloud offers
- * @param teamLimits what each team may use at most; an amount of 0 is no limit
+ * @param machineTypes the machine types that the cloud provider offers
+ * @param teamLimits what each team may use at most; an amount of 0 means no limit
  * @param maxMachines machines of a type in a zone that the operators will have at a time, by {@code
- *     type/zone} or by type; what is not named has no bound here, since the cloud publishes none
+ *     type/zone} or by type; others have no bound, since the cloud provider publishes none
  */
 public record ReservableCapacity(
         List<MachineType> machineTypes,
         Map<String, Resources> teamLimits,
         Map<String, Integer> maxMachines) {
+    /** The bound for a type in a zone; {@link Integer#MAX_VALUE} if there is none. */
     int maxMachinesOf(String type, String zone) {
-        Integer pair = maxMachines.get(type + '/' + zone);
-        return pair != null ? pair : maxMachines.getOrDefault(type, Integer.MAX_VALUE);
+        Integer inZone = maxMachines.get(type + '/' + zone);
+        return inZone != null ? inZone : maxMachines.getOrDefault(type, Integer.MAX_VALUE);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/reservation/ReservationAdmission.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservationAdmission.java
@@ -17,17 +17,17 @@
 import org.meadowhollow.storage.CalendarSnapshot;
 
 /**
- * Whether a reservation can be promised, and what a window takes from those that were: pure
- * functions.
+ * Decides whether a reservation can be admitted, and which admitted ones a maintenance window
+ * affects: pure functions.
  */
 public final class ReservationAdmission {
-    /** How far ahead times are promised; a rule that goes on is looked at again as time passes. */
+    /** How far ahead occurrences are admitted; later ones are planned as time passes. */
     public static final Duration ADMISSION_HORIZON = Duration.ofDays(35);
 
-    /** Entries of a calendar: as many as one list of the state service, and its stamp, can hold. */
+    /** As many entries as one page of the key-value store can list, with the revision key. */
     public static final int MAX_ENTRIES = 999;
 
-    /** Other starts that are tried for one that cannot be met. */
+    /** Bounds the search for another start. */
     private static final int MAX_STARTS_TRIED = 50;
 
     private ReservationAdmission() {}
@@ -36,178 +36,189 @@
      * The answer to a request.
      *
      * @param infeasibleReason why it can never be met, or null
-     * @param conflicts what stands against it now; empty if it can be met
-     * @param nearestStart a later start of its first time at which all could be met, or null if
-     *     none was found
+     * @param conflicts why it cannot be met now; empty if it can
+     * @param nearestStart a later start of its first occurrence at which all could be met, by the
+     *     clocks of its time zone; null if none was found or none is needed
      */
     public record AdmissionResult(
             String infeasibleReason, List<String> conflicts, LocalDateTime nearestStart) {
+        /** Whether the reservation can be met. */
         public boolean isAdmitted() {
             return infeasibleReason == null && conflicts.isEmpty();
         }
     }
 
+    /**
+     * Evaluates a request for a reservation.
+     *
+     * @param zones the zones that exist
+     * @param now the wall clock in milliseconds since the epoch
+     */
     public static AdmissionResult evaluate(
-            CalendarSnapshot calendarSnapshot,
-            Reservation asked,
-            ReservableCapacity reservableCapacity,
+            CalendarSnapshot calendar,
+            Reservation requested,
+            ReservableCapacity capacity,
             Set<String> zones,
             long now) {
-        String never = findInfeasibleReason(asked, reservableCapacity, zones);
-        if (never != null) {
-            return new AdmissionResult(never, List.of(), null);
+        String infeasibleReason = findInfeasibleReason(requested, capacity, zones);
+        if (infeasibleReason != null) {
+            return new AdmissionResult(infeasibleReason, List.of(), null);
         }
-        List<String> against = findConflicts(calendarSnapshot, asked, reservableCapacity, now);
-        return new AdmissionResult(
-                null,
-                against,
-                against.isEmpty()
-                        ? null
-                        : findNearestStart(calendarSnapshot, asked, reservableCapacity, now));
+        List<String> conflicts = findConflicts(calendar, requested, capacity, now);
+        LocalDateTime nearestStart =
+                conflicts.isEmpty() ? null : findNearestStart(calendar, requested, capacity, now);
+        return new AdmissionResult(null, conflicts, nearestStart);
     }
 
     private static String findInfeasibleReason(
-            Reservation asked, ReservableCapacity reservableCapacity, Set<String> zones) {
-        if (!reservableCapacity.teamLimits().containsKey(asked.team())) {
-            return "there is no team " + asked.team();
-        }
-        if (asked.requiredZone() != null && !zones.contains(asked.requiredZone())) {
-            return "there is no zone " + asked.requiredZone();
+            Reservation requested, ReservableCapacity capacity, Set<String> zones) {
+        if (!capacity.teamLimits().containsKey(requested.team())) {
+            return "there is no team " + requested.team();
         }
-        Resources limit = reservableCapacity.teamLimits().get(asked.team());
-        Resources all = asked.resourcesPerTask().times(asked.taskCount());
-        if (limit.cpu() > 0 && all.cpu() > limit.cpu()
-                || limit.gpu() > 0 && all.gpu() > limit.gpu()) {
-            return "it is more than the limit of team " + asked.team();
+        if (requested.requiredZone() != null && !zones.contains(requested.requiredZone())) {
+            return "there is no zone " + requested.requiredZone();
         }
-        for (MachineType type : reservableCapacity.machineTypes()) {
-            if ((asked.allowedMachineTypes() == null
-                            || asked.allowedMachineTypes().contains(type.name()))
-                    && asked.resourcesPerTask().fitsIn(type.capacity())
-                    && (asked.requiredZone() == null
-                            || type.zones().contains(asked.requiredZone()))) {
-                return null;
-            }
+        Resources limit = capacity.teamLimits().get(requested.team());
+        Resources total = requested.resourcesPerTask().times(requested.taskCount());
+        boolean exceedsCpu = limit.cpu() > 0 && total.cpu() > limit.cpu();
+        boolean exceedsGpu = limit.gpu() > 0 && total.gpu() > limit.gpu();
+        if (exceedsCpu || exceedsGpu) {
+            return "it is more than the limit of team " + requested.team();
         }
-        return "a task fits no machine type that it allows";
+        boolean fitsAnyType =
+                capacity.machineTypes().stream().anyMatch(type -> fits(requested, type));
+        return fitsAnyType ? null : "a task fits no machine type that it allows";
+    }
+
+    private static boolean fits(Reservation requested, MachineType type) {
+        boolean typeAllowed =
+                requested.allowedMachineTypes() == null
+                        || requested.allowedMachineTypes().contains(type.name());
+        boolean inZone =
+                requested.requiredZone() == null || type.zones().contains(requested.requiredZone());
+        return typeAllowed && requested.resourcesPerTask().fitsIn(type.capacity()) && inZone;
     }
 
     /**
-     * What stands against it, and against those accepted before it, since it comes last, nothing
-     * changes for them.
+     * Why the reservation cannot be met now. It is planned last, so nothing changes for those
+     * admitted before.
      */
     private static List<String> findConflicts(
-            CalendarSnapshot calendarSnapshot,
-            Reservation asked,
-            ReservableCapacity reservableCapacity,
+            CalendarSnapshot calendar,
+            Reservation requested,
+            ReservableCapacity capacity,
             long now) {
-        ReservationPlan reservationPlan =
-                ReservationPlan.of(
-                        calendarSnapshot.with(asked),
-                        reservableCapacity,
-                        now,
-                        now + ADMISSION_HORIZON.toMillis());
-        Set<String> all = new LinkedHashSet<>();
-        boolean any = false;
-        for (ReservationPlan.Slot slot : reservationPlan.slots()) {
-            if (slot.reservation().name().equals(asked.name())) {
-                any = true;
-                all.addAll(slot.conflicts());
+        Set<String> conflicts = new LinkedHashSet<>();
+        boolean hasOccurrence = false;
+        for (ReservationPlan.Slot slot :
+                planToHorizon(calendar.with(requested), capacity, now).slots()) {
+            if (slot.reservation().name().equals(requested.name())) {
+                hasOccurrence = true;
+                conflicts.addAll(slot.conflicts());
             }
         }
-        if (!any) {
-            all.add("no time of it lies within the next " + ADMISSION_HORIZON.toDays() + " days");
+        if (!hasOccurrence) {
+            conflicts.add(
+                    "no time of it lies within the next " + ADMISSION_HORIZON.toDays() + " days");
         }
-        return List.copyOf(all);
+        return List.copyOf(conflicts);
     }
 
     /**
-     * Whatever stands against a time ends when some other entry does, so only those moments are
-     * tried.
+     * Whatever conflicts ends when another entry's occurrence does, so only those ends are tried.
      */
     private static LocalDateTime findNearestStart(
-            CalendarSnapshot calendarSnapshot,
-            Reservation asked,
-            ReservableCapacity reservableCapacity,
+            CalendarSnapshot calendar,
+            Reservation requested,
+            ReservableCapacity capacity,
             long now) {
-        List<Occurrence> own =
-                Recurrence.occurrencesBetween(
-                        asked.schedule(), now, now + ADMISSION_HORIZON.toMillis(), 1);
-        if (own.isEmpty()) {
+        List<Occurrence> first =
+                Recurrence.occurrencesBetween(requested.schedule(), now, horizon(now), 1);
+        if (first.isEmpty()) {
             return null;
         }
-        long start = own.get(0).startMillis();
+        ReservationPlan others =
+                planToHorizon(calendar.withoutReservation(requested.name()), capacity, now);
         TreeSet<Long> ends = new TreeSet<>();
-        ReservationPlan reservationPlan =
-                ReservationPlan.of(
-                        calendarSnapshot.withoutReservation(asked.name()),
-                        reservableCapacity,
-                        now,
-                        now + ADMISSION_HORIZON.toMillis());
-        reservationPlan.outages().forEach(outage -> ends.add(outage.occurrence().endMillis()));
-        reservationPlan.slots().forEach(slot -> ends.add(slot.occurrence().endMillis()));
+        others.outages().forEach(outage -> ends.add(outage.occurrence().endMillis()));
+        others.slots().forEach(slot -> ends.add(slot.occurrence().endMillis()));
         int tried = 0;
-        for (long end : ends.tailSet(start, false)) {
+        for (long end : ends.tailSet(first.get(0).startMillis(), false)) {
             if (tried++ == MAX_STARTS_TRIED) {
                 return null;
             }
-            RecurringSchedule was = asked.schedule();
-            LocalDateTime moved =
-                    LocalDateTime.ofInstant(Instant.ofEpochMilli(end), was.timeZone());
-            Reservation other =
-                    new Reservation(
-                            asked.name(),
-                            asked.team(),
-                            asked.priority(),
-                            asked.taskCount(),
-                            asked.resourcesPerTask(),
-                            asked.allowedMachineTypes(),
-                            asked.requiredZone(),
-                            asked.allowsSpot(),
-                            asked.image(),
-                            asked.imageSizeGb(),
-                            asked.jobClass(),
-                            asked.allowedJobs(),
-                            new RecurringSchedule(
-                                    moved, was.timeZone(), was.duration(), was.recurrenceRule()));
-            if (findConflicts(calendarSnapshot, other, reservableCapacity, now).isEmpty()) {
-                return moved;
+            LocalDateTime start =
+                    LocalDateTime.ofInstant(
+                            Instant.ofEpochMilli(end), requested.schedule().timeZone());
+            Reservation moved = withFirstStart(requested, start);
+            if (findConflicts(calendar, moved, capacity, now).isEmpty()) {
+                return start;
             }
         }
         return null;
     }
 
+    private static Reservation withFirstStart(Reservation reservation, LocalDateTime start) {
+        RecurringSchedule schedule = reservation.schedule();
+        return new Reservation(
+                reservation.name(),
+                reservation.team(),
+                reservation.priority(),
+                reservation.taskCount(),
+                reservation.resourcesPerTask(),
+                reservation.allowedMachineTypes(),
+                reservation.requiredZone(),
+                reservation.allowsSpot(),
+                reservation.image(),
+                reservation.imageSizeGb(),
+                reservation.jobClass(),
+                reservation.allowedJobs(),
+                new RecurringSchedule(
+                        start,
+                        schedule.timeZone(),
+                        schedule.duration(),
+                        schedule.recurrenceRule()));
+    }
+
     /**
-     * What a window that is declared or changed would take: times of accepted reservations that
-     * were met and are short with it, or are met from other machines. A window is never refused for
-     * it.
+     * What a new or changed window does to admitted reservations: which occurrences that had all
+     * their machines are short with it, and which move to other machines. A window is never refused
+     * for it.
+     *
+     * @param now the wall clock in milliseconds since the epoch
      */
     public static List<String> describeAffectedReservations(
-            CalendarSnapshot calendarSnapshot,
+            CalendarSnapshot calendar,
             MaintenanceWindow window,
-            ReservableCapacity reservableCapacity,
+            ReservableCapacity capacity,
             long now) {
-        long until = now + ADMISSION_HORIZON.toMillis();
-        List<ReservationPlan.Slot> before =
-                ReservationPlan.of(calendarSnapshot, reservableCapacity, now, until).slots();
-        List<ReservationPlan.Slot> after =
-                ReservationPlan.of(calendarSnapshot.with(window), reservableCapacity, now, until)
-                        .slots();
-        List<String> told = new ArrayList<>();
-        for (int at = 0; at < before.size(); at++) {
-            ReservationPlan.Slot was = before.get(at);
-            ReservationPlan.Slot is = after.get(at);
-            String which =
-                    was.reservation().name()
+        List<ReservationPlan.Slot> slotsBefore = planToHorizon(calendar, capacity, now).slots();
+        List<ReservationPlan.Slot> slotsAfter =
+                planToHorizon(calendar.with(window), capacity, now).slots();
+        List<String> notes = new ArrayList<>();
+        for (int index = 0; index < slotsBefore.size(); index++) {
+            ReservationPlan.Slot before = slotsBefore.get(index);
+            ReservationPlan.Slot after = slotsAfter.get(index);
+            String occurrence =
+                    before.reservation().name()
                             + " at "
-                            + Instant.ofEpochMilli(was.occurrence().startMillis());
-            if (was.isFulfilled() && !is.isFulfilled()) {
-                told.add(which + " is short: " + String.join("; ", is.conflicts()));
-            } else if (!was.machinesByTypeZone().equals(is.machinesByTypeZone())) {
-                told.add(
-                        which + " moves to " + String.join(", ", is.machinesByTypeZone().keySet()));
+                            + Instant.ofEpochMilli(before.occurrence().startMillis());
+            if (before.isFulfilled() && !after.isFulfilled()) {
+                notes.add(occurrence + " is short: " + String.join("; ", after.conflicts()));
+            } else if (!before.machinesByTypeZone().equals(after.machinesByTypeZone())) {
+                String machines = String.join(", ", after.machinesByTypeZone().keySet());
+                notes.add(occurrence + " moves to " + machines);
             }
         }
-        return told;
+        return notes;
+    }
+
+    private static ReservationPlan planToHorizon(
+            CalendarSnapshot calendar, ReservableCapacity capacity, long now) {
+        return ReservationPlan.of(calendar, capacity, now, horizon(now));
+    }
+
+    private static long horizon(long now) {
+        return now + ADMISSION_HORIZON.toMillis();
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/reservation/ReservationService.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservationService.java
@@ -29,16 +29,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What operators ask of the calendar, answered by any node straight from the state service. Every
- * change guards and writes one key, so that of two changes that were decided from the same calendar
- * one is decided again.
+ * Answers the operators' requests about reservations and maintenance windows, at any node, straight
+ * from the key-value store. Every change requires and writes one revision key, a compare-and-swap,
+ * so that of two changes that were decided from the same calendar one is decided again. Holds no
+ * state of its own and may be called on any thread.
  */
 public final class ReservationService {
     private static final Logger LOG = LoggerFactory.getLogger(ReservationService.class);
     private static final int MAX_ATTEMPTS = 5;
     private static final Duration RETRY_DELAY = Duration.ofMillis(200);
 
-    /** What became of a request. */
+    /** What a request has done to its entry. */
     public enum ChangeResult {
         CREATED,
         CHANGED,
@@ -46,40 +47,60 @@
     }
 
     /**
+     * The answer to a request that was carried out.
+     *
      * @param revision of the entry as it is now
-     * @param notes what it does to others, for the operator to read
+     * @param notes what it does to other entries, for the operator to read
      */
     public record ChangeOutcome(ChangeResult result, Revision revision, List<String> notes) {}
 
-    /** The request is not carried out; the text says why. */
+    /** The request is not carried out; the message says why. */
     public static final class RejectedException extends RuntimeException {
-        /** Why, in general. */
+        /** The kinds of reasons. */
         public enum Reason {
+            /** It can never be met. */
             INFEASIBLE,
+            /** Other entries leave too little. */
             INSUFFICIENT_CAPACITY,
+            /** The entry has another revision than the request expects. */
             REVISION_MISMATCH,
+            /** There is no entry to change. */
             NOT_FOUND,
+            /** There are too many entries. */
             CALENDAR_FULL
         }
 
         private final Reason reason;
 
-        RejectedException(Reason reason, String text) {
-            super(text, null, false, false);
+        RejectedException(Reason reason, String message) {
+            super(message, null, false, false);
             this.reason = reason;
         }
 
+        /** The kind of the reason. */
         public Reason reason() {
             return reason;
         }
     }
 
-    private record PendingChange(
+    /** What a request comes to, given the calendar. */
+    private sealed interface Decision permits NothingToChange, EntryChange {}
+
+    private record NothingToChange(Revision revision) implements Decision {}
+
+    /**
+     * A change of one entry.
+     *
+     * @param value the new record, or null to delete it
+     * @param expectedRevision the revision that the entry must still have
+     */
+    private record EntryChange(
             String key,
             Map<String, Object> value,
             Revision expectedRevision,
             ChangeResult result,
-            List<String> notes) {}
+            List<String> notes)
+            implements Decision {}
 
     private final KeyValueStore store;
     private final EventLoop loop;
@@ -88,40 +109,44 @@
     private final Map<String, Integer> maxMachines;
 
     /**
-     * @param most machines that the operators will have at a time, as in {@link ReservableCapacity}
+     * Creates a service.
+     *
+     * @param maxMachines machines that the operators will have at a time, as in {@link
+     *     ReservableCapacity}
      */
     public ReservationService(
             KeyValueStore store,
             EventLoop loop,
             MachineTypeCatalog machineTypeCatalog,
             DeploymentSettings deploymentSettings,
-            Map<String, Integer> most) {
+            Map<String, Integer> maxMachines) {
         this.store = store;
         this.loop = loop;
         this.machineTypeCatalog = machineTypeCatalog;
         this.deploymentSettings = deploymentSettings;
-        this.maxMachines = Map.copyOf(most);
+        this.maxMachines = Map.copyOf(maxMachines);
     }
 
+    /** The capacity that the machine types, the settings and the operators' limits allow. */
     public static ReservableCapacity reservableCapacity(
             MachineTypeCatalog machineTypeCatalog,
             DeploymentSettings deploymentSettings,
-            Map<String, Integer> most) {
+            Map<String, Integer> maxMachines) {
         Map<String, Resources> limits = new HashMap<>();
-        deploymentSettings
-                .teamQuotas()
-                .values()
-                .forEach(teamQuota -> limits.put(teamQuota.name(), teamQuota.limit()));
+        for (DeploymentSettings.TeamQuota quota : deploymentSettings.teamQuotas().values()) {
+            limits.put(quota.name(), quota.limit());
+        }
         List<MachineType> types = new ArrayList<>();
         machineTypeCatalog.types().forEach(types::add);
-        return new ReservableCapacity(types, limits, most);
+        return new ReservableCapacity(types, limits, maxMachines);
     }
 
     /**
-     * Fails with {@link AdmissionService.TemporarilyUnavailableException} while the machine types
-     * are not known.
+     * The capacity now.
+     *
+     * @throws AdmissionService.TemporarilyUnavailableException while no machine type is known
      */
-    private ReservableCapacity reservableCapacity() {
+    private ReservableCapacity currentCapacity() {
         if (machineTypeCatalog.isEmpty()) {
             throw new AdmissionService.TemporarilyUnavailableException(
                     "the machine types are not known yet");
@@ -129,29 +154,27 @@
         return reservableCapacity(machineTypeCatalog, deploymentSettings, maxMachines);
     }
 
-    /** The calendar, whose stamp is no newer than anything else in it. */
+    /** Reads the calendar; its revision is no newer than anything else in it. */
     public CompletableFuture<CalendarSnapshot> readCalendar() {
-        // The stamp first: read with the rest, it could be newer than an entry before it, and a
-        // change that was decided
-        // from the old entry would be applied.
+        // The revision first: read after an entry it could be newer than that entry, and a change
+        // that was decided from the old entry would be applied.
         return store.get(CalendarRecordCodec.REVISION_KEY, RequestPriority.USER)
                 .thenCompose(
-                        stamp ->
+                        revisionEntry ->
                                 readPages(null, new ArrayList<>())
-                                        .thenApply(
-                                                entries -> {
-                                                    CalendarSnapshot calendarSnapshot =
-                                                            CalendarSnapshot.fromRecords(entries);
-                                                    return new CalendarSnapshot(
-                                                            calendarSnapshot.reservations(),
-                                                            calendarSnapshot.windows(),
-                                                            stamp.map(KeyValueStore.Entry::revision)
-                                                                    .orElse(Revision.ABSENT));
-                                                }));
+                                        .thenApply(entries -> snapshot(entries, revisionEntry)));
+    }
+
+    private static CalendarSnapshot snapshot(
+            List<KeyValueStore.Entry> entries, Optional<KeyValueStore.Entry> revisionEntry) {
+        CalendarSnapshot read = CalendarSnapshot.fromRecords(entries);
+        Revision revision =
+                revisionEntry.map(KeyValueStore.Entry::revision).orElse(Revision.ABSENT);
+        return new CalendarSnapshot(read.reservations(), read.windows(), revision);
     }
 
     private CompletableFuture<List<KeyValueStore.Entry>> readPages(
-            String after, List<KeyValueStore.Entry> all) {
+            String after, List<KeyValueStore.Entry> entries) {
         return store.list(
                         CalendarRecordCodec.CALENDAR_PREFIX,
                         after,
@@ -159,271 +182,271 @@
                         RequestPriority.USER)
                 .thenCompose(
                         page -> {
-                            all.addAll(page.entries());
-                            return page.hasMore()
-                                    ? readPages(
-                                            page.entries().get(page.entries().size() - 1).key(),
-                                            all)
-                                    : CompletableFuture.completedFuture(all);
+                            entries.addAll(page.entries());
+                            if (!page.hasMore()) {
+                                return CompletableFuture.completedFuture(entries);
+                            }
+                            String last = page.entries().get(page.entries().size() - 1).key();
+                            return readPages(last, entries);
                         });
     }
 
-    /** The plan of some time ahead. */
-    public CompletableFuture<ReservationPlan> planAhead(Duration ahead) {
+    /** The plan from now on for some time. */
+    public CompletableFuture<ReservationPlan> planAhead(Duration span) {
         return readCalendar()
                 .thenApply(
-                        calendarSnapshot ->
+                        calendar ->
                                 ReservationPlan.of(
-                                        calendarSnapshot,
-                                        reservableCapacity(),
+                                        calendar,
+                                        currentCapacity(),
                                         loop.wallClockMillis(),
-                                        loop.wallClockMillis() + ahead.toMillis()));
+                                        loop.wallClockMillis() + span.toMillis()));
     }
 
     /**
-     * @param expected the version that is to be changed, or null for a new reservation
+     * Creates or changes a reservation; fails with {@link RejectedException} if it cannot be
+     * admitted. Repeating a request changes nothing.
+     *
+     * @param expected the revision that is to be changed, or null for a new reservation
      */
-    public CompletableFuture<ChangeOutcome> reserve(Reservation asked, Revision expected) {
-        return applyChange(
-                calendarSnapshot -> {
-                    Optional<CalendarSnapshot.CalendarEntry<Reservation>> held =
-                            calendarSnapshot.findReservation(asked.name());
-                    if (held.isPresent() && held.get().item().equals(asked)) {
-                        return unchanged(held.get());
-                    }
-                    checkExpectedRevision(calendarSnapshot, held, expected);
-                    ReservationAdmission.AdmissionResult admissionResult =
-                            ReservationAdmission.evaluate(
-                                    calendarSnapshot,
-                                    asked,
-                                    reservableCapacity(),
-                                    Set.copyOf(deploymentSettings.zones()),
-                                    loop.wallClockMillis());
-                    if (admissionResult.infeasibleReason() != null) {
-                        throw new RejectedException(
-                                RejectedException.Reason.INFEASIBLE,
-                                admissionResult.infeasibleReason());
-                    }
-                    if (!admissionResult.isAdmitted()) {
-                        throw new RejectedException(
-                                RejectedException.Reason.INSUFFICIENT_CAPACITY,
-                                String.join("; ", admissionResult.conflicts())
-                                        + (admissionResult.nearestStart() == null
-                                                ? "; no later start was found"
-                                                : "; the nearest start that could be met is "
-                                                        + admissionResult.nearestStart()));
-                    }
-                    return new PendingChange(
-                            CalendarRecordCodec.reservation(asked.name()),
-                            CalendarRecordCodec.encode(
-                                    asked, nextAcceptanceOrder(calendarSnapshot)),
-                            revisionOf(held),
-                            resultFor(held),
-                            List.of());
-                });
+    public CompletableFuture<ChangeOutcome> reserve(Reservation requested, Revision expected) {
+        return attemptChange(calendar -> decideReserve(calendar, requested, expected), 1);
+    }
+
+    private Decision decideReserve(
+            CalendarSnapshot calendar, Reservation requested, Revision expected) {
+        Optional<CalendarSnapshot.CalendarEntry<Reservation>> existing =
+                calendar.findReservation(requested.name());
+        if (existing.isPresent() && existing.get().item().equals(requested)) {
+            return new NothingToChange(existing.get().revision());
+        }
+        checkExpectedRevision(calendar, existing, expected);
+        requireAdmitted(
+                ReservationAdmission.evaluate(
+                        calendar,
+                        requested,
+                        currentCapacity(),
+                        Set.copyOf(deploymentSettings.zones()),
+                        loop.wallClockMillis()));
+        return new EntryChange(
+                CalendarRecordCodec.reservation(requested.name()),
+                CalendarRecordCodec.encode(requested, nextAcceptanceOrder(calendar)),
+                revisionOf(existing),
+                resultFor(existing),
+                List.of());
+    }
+
+    private static void requireAdmitted(ReservationAdmission.AdmissionResult admission) {
+        if (admission.infeasibleReason() != null) {
+            throw new RejectedException(
+                    RejectedException.Reason.INFEASIBLE, admission.infeasibleReason());
+        }
+        if (!admission.isAdmitted()) {
+            String nearest =
+                    admission.nearestStart() == null
+                            ? "; no later start was found"
+                            : "; the nearest start that could be met is "
+                                    + admission.nearestStart();
+            throw new RejectedException(
+                    RejectedException.Reason.INSUFFICIENT_CAPACITY,
+                    String.join("; ", admission.conflicts()) + nearest);
+        }
     }
 
     /**
-     * @param expected the version that is to be changed, or null for a new window
+     * Creates or changes a maintenance window, whatever reservations it affects; the notes name
+     * them. Repeating a request changes nothing.
+     *
+     * @param expected the revision that is to be changed, or null for a new window
      */
     public CompletableFuture<ChangeOutcome> declareWindow(
-            MaintenanceWindow asked, Revision expected) {
-        return applyChange(
-                calendarSnapshot -> {
-                    Optional<CalendarSnapshot.CalendarEntry<MaintenanceWindow>> held =
-                            calendarSnapshot.findWindow(asked.name());
-                    if (held.isPresent() && held.get().item().equals(asked)) {
-                        return unchanged(held.get());
-                    }
-                    checkExpectedRevision(calendarSnapshot, held, expected);
-                    if (asked.scope() == MaintenanceWindow.Scope.ZONE
-                            && !deploymentSettings.zones().containsAll(asked.targets())) {
-                        throw new RejectedException(
-                                RejectedException.Reason.INFEASIBLE, "there is no such zone");
-                    }
-                    List<String> notes =
-                            ReservationAdmission.describeAffectedReservations(
-                                    calendarSnapshot,
-                                    asked,
-                                    reservableCapacity(),
-                                    loop.wallClockMillis());
-                    return new PendingChange(
-                            CalendarRecordCodec.window(asked.name()),
-                            CalendarRecordCodec.encode(
-                                    asked, nextAcceptanceOrder(calendarSnapshot)),
-                            revisionOf(held),
-                            resultFor(held),
-                            notes);
-                });
+            MaintenanceWindow requested, Revision expected) {
+        return attemptChange(calendar -> decideDeclare(calendar, requested, expected), 1);
+    }
+
+    private Decision decideDeclare(
+            CalendarSnapshot calendar, MaintenanceWindow requested, Revision expected) {
+        Optional<CalendarSnapshot.CalendarEntry<MaintenanceWindow>> existing =
+                calendar.findWindow(requested.name());
+        if (existing.isPresent() && existing.get().item().equals(requested)) {
+            return new NothingToChange(existing.get().revision());
+        }
+        checkExpectedRevision(calendar, existing, expected);
+        if (requested.scope() == MaintenanceWindow.Scope.ZONE
+                && !deploymentSettings.zones().containsAll(requested.targets())) {
+            throw new RejectedException(
+                    RejectedException.Reason.INFEASIBLE, "there is no such zone");
+        }
+        List<String> notes =
+                ReservationAdmission.describeAffectedReservations(
+                        calendar, requested, currentCapacity(), loop.wallClockMillis());
+        return new EntryChange(
+                CalendarRecordCodec.window(requested.name()),
+                CalendarRecordCodec.encode(requested, nextAcceptanceOrder(calendar)),
+                revisionOf(existing),
+                resultFor(existing),
+                notes);
     }
 
     /**
-     * Takes an entry out; one that is not there is none any more.
+     * Deletes an entry; does nothing if there is none.
      *
-     * @param expected the version that is to go, or null for any
+     * @param window whether it is a maintenance window; otherwise a reservation
+     * @param expected the revision that is to be deleted, or null for any
      */
     public CompletableFuture<ChangeOutcome> withdraw(
             String name, boolean window, Revision expected) {
-        return applyChange(
-                calendarSnapshot -> {
-                    Optional<? extends CalendarSnapshot.CalendarEntry<?>> held =
-                            window
-                                    ? calendarSnapshot.findWindow(name)
-                                    : calendarSnapshot.findReservation(name);
-                    if (held.isEmpty()) {
-                        return new PendingChange(
-                                null, null, Revision.ABSENT, ChangeResult.UNCHANGED, List.of());
-                    }
-                    if (expected != null && !expected.equals(held.get().revision())) {
-                        throw revisionMismatch(held.get().revision());
-                    }
-                    return new PendingChange(
-                            window
-                                    ? CalendarRecordCodec.window(name)
-                                    : CalendarRecordCodec.reservation(name),
-                            null,
-                            held.get().revision(),
-                            ChangeResult.CHANGED,
-                            List.of());
-                });
+        return attemptChange(calendar -> decideWithdraw(calendar, name, window, expected), 1);
     }
 
-    private static PendingChange unchanged(CalendarSnapshot.CalendarEntry<?> calendarEntry) {
-        return new PendingChange(
-                null, null, calendarEntry.revision(), ChangeResult.UNCHANGED, List.of());
+    private static Decision decideWithdraw(
+            CalendarSnapshot calendar, String name, boolean window, Revision expected) {
+        Optional<? extends CalendarSnapshot.CalendarEntry<?>> existing =
+                window ? calendar.findWindow(name) : calendar.findReservation(name);
+        if (existing.isEmpty()) {
+            return new NothingToChange(Revision.ABSENT);
+        }
+        Revision revision = existing.get().revision();
+        if (expected != null && !expected.equals(revision)) {
+            throw revisionMismatch(revision);
+        }
+        String key =
+                window ? CalendarRecordCodec.window(name) : CalendarRecordCodec.reservation(name);
+        return new EntryChange(key, null, revision, ChangeResult.CHANGED, List.of());
     }
 
-    private static RejectedException revisionMismatch(Revision is) {
+    private static RejectedException revisionMismatch(Revision current) {
         return new RejectedException(
                 RejectedException.Reason.REVISION_MISMATCH,
-                "its version is " + is.value() + " by now");
+                "its version is " + current.value() + " by now");
     }
 
     private static <T> void checkExpectedRevision(
-            CalendarSnapshot calendarSnapshot,
-            Optional<CalendarSnapshot.CalendarEntry<T>> held,
+            CalendarSnapshot calendar,
+            Optional<CalendarSnapshot.CalendarEntry<T>> existing,
             Revision expected) {
-        if (held.isPresent() && !held.get().revision().equals(expected)) {
-            throw revisionMismatch(held.get().revision());
+        if (existing.isPresent() && !existing.get().revision().equals(expected)) {
+            throw revisionMismatch(existing.get().revision());
         }
-        if (held.isEmpty() && expected != null) {
+        if (existing.isEmpty() && expected != null) {
             throw new RejectedException(
                     RejectedException.Reason.NOT_FOUND, "there is none to change");
         }
-        if (held.isEmpty() && calendarSnapshot.size() >= ReservationAdmission.MAX_ENTRIES) {
+        if (existing.isEmpty() && calendar.size() >= ReservationAdmission.MAX_ENTRIES) {
             throw new RejectedException(
                     RejectedException.Reason.CALENDAR_FULL,
                     "there are " + ReservationAdmission.MAX_ENTRIES + " entries; withdraw some");
         }
     }
 
-    private static <T> Revision revisionOf(Optional<CalendarSnapshot.CalendarEntry<T>> held) {
-        return held.map(CalendarSnapshot.CalendarEntry::revision).orElse(Revision.ABSENT);
+    private static <T> Revision revisionOf(Optional<CalendarSnapshot.CalendarEntry<T>> existing) {
+        return existing.map(CalendarSnapshot.CalendarEntry::revision).orElse(Revision.ABSENT);
     }
 
-    private static <T> ChangeResult resultFor(Optional<CalendarSnapshot.CalendarEntry<T>> held) {
-        return held.isPresent() ? ChangeResult.CHANGED : ChangeResult.CREATED;
+    private static <T> ChangeResult resultFor(
+            Optional<CalendarSnapshot.CalendarEntry<T>> existing) {
+        return existing.isPresent() ? ChangeResult.CHANGED : ChangeResult.CREATED;
     }
 
-    /** Who comes later is later: the last of the orders, and one more. */
-    private static long nextAcceptanceOrder(CalendarSnapshot calendarSnapshot) {
+    /** One more than the last: an entry accepted later is served later. */
+    private static long nextAcceptanceOrder(CalendarSnapshot calendar) {
         long last = 0;
-        for (CalendarSnapshot.CalendarEntry<?> calendarEntry : calendarSnapshot.reservations()) {
-            last = Math.max(last, calendarEntry.acceptanceOrder());
+        for (CalendarSnapshot.CalendarEntry<?> entry : calendar.reservations()) {
+            last = Math.max(last, entry.acceptanceOrder());
         }
-        for (CalendarSnapshot.CalendarEntry<?> calendarEntry : calendarSnapshot.windows()) {
-            last = Math.max(last, calendarEntry.acceptanceOrder());
+        for (CalendarSnapshot.CalendarEntry<?> entry : calendar.windows()) {
+            last = Math.max(last, entry.acceptanceOrder());
         }
         return last + 1;
     }
 
-    private CompletableFuture<ChangeOutcome> applyChange(
-            Function<CalendarSnapshot, PendingChange> decide) {
-        return attemptChange(decide, 1);
-    }
-
+    /**
+     * Reads the calendar, decides and commits.
+     *
+     * @param attempt counts from 1 to {@link #MAX_ATTEMPTS}
+     */
     private CompletableFuture<ChangeOutcome> attemptChange(
-            Function<CalendarSnapshot, PendingChange> decide, int tries) {
+            Function<CalendarSnapshot, Decision> decide, int attempt) {
         return readCalendar()
                 .thenCompose(
-                        calendarSnapshot -> {
-                            PendingChange pendingChange = decide.apply(calendarSnapshot);
-                            if (pendingChange.key() == null) {
+                        calendar -> {
+                            Decision decision = decide.apply(calendar);
+                            if (decision instanceof EntryChange change) {
+                                return commit(change, calendar.revision(), decide, attempt);
+                            }
+                            Revision revision = ((NothingToChange) decision).revision();
+                            return CompletableFuture.completedFuture(
+                                    new ChangeOutcome(ChangeResult.UNCHANGED, revision, List.of()));
+                        });
+    }
+
+    private CompletableFuture<ChangeOutcome> commit(
+            EntryChange change,
+            Revision calendarRevision,
+            Function<CalendarSnapshot, Decision> decide,
+            int attempt) {
+        return store.commit(toTransaction(change, calendarRevision), RequestPriority.USER)
+                .handle(
+                        (commitResult, failure) -> {
+                            if (failure == null && commitResult.isApplied()) {
                                 return CompletableFuture.completedFuture(
-                                        new ChangeOutcome(
-                                                pendingChange.result(),
-                                                pendingChange.expectedRevision(),
-                                                pendingChange.notes()));
+                                        onApplied(change, commitResult.revision()));
                             }
-                            Transaction transaction =
-                                    new Transaction()
-                                            .requireRevision(
-                                                    CalendarRecordCodec.REVISION_KEY,
-                                                    calendarSnapshot.revision())
-                                            .requireRevision(
-                                                    pendingChange.key(),
-                                                    pendingChange.expectedRevision())
-                                            .put(CalendarRecordCodec.REVISION_KEY, Map.of());
-                            if (pendingChange.value() == null) {
-                                transaction.delete(pendingChange.key());
+                            // Not applied, or unknown: what is in the store by now decides, and
+                            // the conditions keep a late commit out.
+                            return retry(decide, attempt, failure);
+                        })
+                .thenCompose(outcome -> outcome);
+    }
+
+    private static Transaction toTransaction(EntryChange change, Revision calendarRevision) {
+        Transaction transaction =
+                new Transaction()
+                        .requireRevision(CalendarRecordCodec.REVISION_KEY, calendarRevision)
+                        .requireRevision(change.key(), change.expectedRevision())
+                        .put(CalendarRecordCodec.REVISION_KEY, Map.of());
+        if (change.value() == null) {
+            transaction.delete(change.key());
+        } else {
+            transaction.put(change.key(), change.value());
+        }
+        return transaction;
+    }
+
+    private static ChangeOutcome onApplied(EntryChange change, Revision revision) {
+        LOG.info(
+                "calendar changed key={} result={} notes={}",
+                change.key(),
+                change.value() == null ? "WITHDRAWN" : change.result(),
+                change.notes());
+        return new ChangeOutcome(change.result(), revision, change.notes());
+    }
+
+    private CompletableFuture<ChangeOutcome> retry(
+            Function<CalendarSnapshot, Decision> decide, int attempt, Throwable failure) {
+        boolean invalid =
+                failure != null
+                        && KeyValueStoreException.outcomeOf(failure) == Outcome.INVALID_REQUEST;
+        if (attempt == MAX_ATTEMPTS || invalid) {
+            return CompletableFuture.failedFuture(
+                    new AdmissionService.TemporarilyUnavailableException(
+                            "the calendar keeps changing, or the state service gives no answer"));
+        }
+        CompletableFuture<ChangeOutcome> result = new CompletableFuture<>();
+        loop.schedule(RETRY_DELAY, () -> completeWith(attemptChange(decide, attempt + 1), result));
+        return result;
+    }
+
+    private static void completeWith(
+            CompletableFuture<ChangeOutcome> source, CompletableFuture<ChangeOutcome> target) {
+        CompletableFuture<?> unused =
+                source.whenComplete(
+                        (outcome, failure) -> {
+                            if (failure == null) {
+                                target.complete(outcome);
                             } else {
-                                transaction.put(pendingChange.key(), pendingChange.value());
+                                target.completeExceptionally(failure);
                             }
-                            return store.commit(transaction, RequestPriority.USER)
-                                    .handle(
-                                            (commitResult, failure) -> {
-                                                if (failure == null && commitResult.isApplied()) {
-                                                    LOG.info(
-                                                            "the calendar's {} is {}; {}",
-                                                            pendingChange.key(),
-                                                            pendingChange.value() == null
-                                                                    ? "withdrawn"
-                                                                    : pendingChange.result(),
-                                                            pendingChange.notes());
-                                                    return CompletableFuture.completedFuture(
-                                                            new ChangeOutcome(
-                                                                    pendingChange.result(),
-                                                                    commitResult.revision(),
-                                                                    pendingChange.notes()));
-                                                }
-                                                // Not applied, or not known: what is there by now
-                                                // decides, and the guards keep a late one out.
-                                                if (tries == MAX_ATTEMPTS
-                                                        || failure != null
-                                                                && KeyValueStoreException.outcomeOf(
-                                                                                failure)
-                                                                        == Outcome
-                                                                                .INVALID_REQUEST) {
-                                                    return CompletableFuture
-                                                            .<ChangeOutcome>failedFuture(
-                                                                    new AdmissionService
-                                                                            .TemporarilyUnavailableException(
-                                                                            "the calendar keeps changing, or"
-                                                                                    + " the state service gives no answer"));
-                                                }
-                                                CompletableFuture<ChangeOutcome> later =
-                                                        new CompletableFuture<>();
-                                                loop.schedule(
-                                                        RETRY_DELAY,
-                                                        () ->
-                                                                attemptChange(decide, tries + 1)
-                                                                        .whenComplete(
-                                                                                (changeOutcome,
-                                                                                        lost) -> {
-                                                                                    if (lost
-                                                                                            == null) {
-                                                                                        later
-                                                                                                .complete(
-                                                                                                        changeOutcome);
-                                                                                    } else {
-                                                                                        later
-                                                                                                .completeExceptionally(
-                                                                                                        lost);
-                                                                                    }
-                                                                                }));
-                                                return later;
-                                            })
-                                    .thenCompose(outcome -> outcome);
                         });
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/reservation/RuntimeEstimator.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/RuntimeEstimator.java
@@ -8,26 +8,28 @@
 import org.meadowhollow.model.JobSpec;
 
 /**
- * How much longer tasks run than their owners say, by class of jobs: the ratio that nine of ten
- * lately kept below. A class that has not shown enough gets a margin that covers an estimate which
- * is wrong by half.
+ * Estimates how long tasks run at most: their owner's estimate times a margin, which is learned for
+ * each class of jobs as the ratio of actual to estimated runtime that nine of ten recent tasks stay
+ * below. A class with too few samples has a margin that covers an estimate which is wrong by half.
+ * Not thread-safe: guarded by the leader's lock.
  */
 public final class RuntimeEstimator {
     private static final int MIN_SAMPLES = 10;
     private static final int MAX_SAMPLES_PER_CLASS = 50;
+
+    /** Bounds memory; the class that was seen first is dropped. */
     private static final int MAX_CLASSES = 100;
+
     private static final double QUANTILE = 0.9;
     private static final double DEFAULT_MARGIN = 1.5;
 
-    /**
-     * Less than estimated is not counted on, and one class's strays must not keep machines empty
-     * for hours.
-     */
+    /** Tasks that end earlier than estimated are not counted on. */
     private static final double MIN_MARGIN = 1;
 
+    /** Outliers of one class must not keep machines empty for hours. */
     private static final double MAX_MARGIN = 4;
 
-    /** What is taken for a task whose owner gives no estimate. */
+    /** The estimate for a task whose owner gives none. */
     private static final double DEFAULT_ESTIMATE_SECONDS = 900;
 
     private final Map<String, ArrayDeque<Double>> runtimeRatiosByClass =
@@ -37,59 +39,60 @@
                     return size() > MAX_CLASSES;
                 }
             };
+
+    /** Margins computed since the last sample of their class. */
     private final Map<String, Double> marginByClass = new HashMap<>();
 
     /**
-     * A task was done.
+     * Records the runtime of a completed task.
      *
-     * @param ranS how long it ran, without its image's fetch
+     * @param runtimeSeconds without the pull of its image
      */
-    public void recordRuntime(JobSpec spec, double ranS) {
+    public void recordRuntime(JobSpec spec, double runtimeSeconds) {
         if (spec.estimatedRuntimeSeconds() <= 0) {
             return;
         }
-        ArrayDeque<Double> kept =
+        ArrayDeque<Double> ratios =
                 runtimeRatiosByClass.computeIfAbsent(spec.jobClass(), unused -> new ArrayDeque<>());
-        kept.add(ranS / spec.estimatedRuntimeSeconds());
-        if (kept.size() > MAX_SAMPLES_PER_CLASS) {
-            kept.poll();
+        ratios.add(runtimeSeconds / spec.estimatedRuntimeSeconds());
+        if (ratios.size() > MAX_SAMPLES_PER_CLASS) {
+            ratios.poll();
         }
         marginByClass.remove(spec.jobClass());
     }
 
+    /** The factor by which estimates of a class are multiplied. */
     public double marginFor(String jobClass) {
-        ArrayDeque<Double> kept = runtimeRatiosByClass.get(jobClass);
-        if (kept == null || kept.size() < MIN_SAMPLES) {
+        ArrayDeque<Double> ratios = runtimeRatiosByClass.get(jobClass);
+        if (ratios == null || ratios.size() < MIN_SAMPLES) {
             return DEFAULT_MARGIN;
         }
-        return marginByClass.computeIfAbsent(
-                jobClass,
-                unused -> {
-                    double[] sorted = kept.stream().mapToDouble(Double::doubleValue).toArray();
-                    Arrays.sort(sorted);
-                    return Math.max(
-                            MIN_MARGIN,
-                            Math.min(
-                                    MAX_MARGIN,
-                                    sorted[(int) Math.ceil(QUANTILE * sorted.length) - 1]));
-                });
+        return marginByClass.computeIfAbsent(jobClass, unused -> learnedMargin(ratios));
+    }
+
+    private static double learnedMargin(ArrayDeque<Double> ratios) {
+        double[] sorted = ratios.stream().mapToDouble(Double::doubleValue).toArray();
+        Arrays.sort(sorted);
+        double quantile = sorted[(int) Math.ceil(QUANTILE * sorted.length) - 1];
+        return Math.max(MIN_MARGIN, Math.min(MAX_MARGIN, quantile));
     }
 
     /**
-     * The same for a task that nobody may stop: one of ten that takes longer would be one too many.
+     * The upper bound in seconds for a task that may not be preempted: one in ten that takes longer
+     * would be one too many, so its margin is never below the default.
      */
     double conservativeUpperBoundSeconds(JobSpec spec) {
-        return (spec.estimatedRuntimeSeconds() > 0
-                        ? spec.estimatedRuntimeSeconds()
-                        : DEFAULT_ESTIMATE_SECONDS)
-                * Math.max(DEFAULT_MARGIN, marginFor(spec.jobClass()));
+        return estimateSeconds(spec) * Math.max(DEFAULT_MARGIN, marginFor(spec.jobClass()));
     }
 
     /** How long a task of a job that ends by itself is expected to run at most, in seconds. */
     public double upperBoundSeconds(JobSpec spec) {
-        return (spec.estimatedRuntimeSeconds() > 0
-                        ? spec.estimatedRuntimeSeconds()
-                        : DEFAULT_ESTIMATE_SECONDS)
-                * marginFor(spec.jobClass());
+        return estimateSeconds(spec) * marginFor(spec.jobClass());
+    }
+
+    private static double estimateSeconds(JobSpec spec) {
+        return spec.estimatedRuntimeSeconds() > 0
+                ? spec.estimatedRuntimeSeconds()
+                : DEFAULT_ESTIMATE_SECONDS;
     }
 }
--- a/src/test/java/org/meadowhollow/coordination/reservation/RecurrenceTest.java
+++ b/src/test/java/org/meadowhollow/coordination/reservation/RecurrenceTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void everyNightIsTheSameOnTheClocksThoughTheyChange() {
+    void dailyRuleKeepsLocalTimeAcrossClockChange() {
         // New York's clocks go forward on 8 March 2026 at 2 and back on 1 November at 2.
         assertEquals(
                 List.of("2026-03-07T06:00:00Z", "2026-03-08T06:00:00Z", "2026-03-09T05:00:00Z"),
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void aTimeThatIsSkippedComesLaterAndOneThatComesTwiceIsTheFirst() {
+    void skippedLocalTimeIsLaterAndRepeatedOneIsTheFirst() {
         assertEquals(
                 List.of("2026-03-07T07:30:00Z", "2026-03-08T07:30:00Z", "2026-03-09T06:30:00Z"),
                 starts(
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void whatHasBegunIsPartOfASpanAndWhatIsOverIsNot() {
+    void begunOccurrenceOverlapsSpanAndEndedOneDoesNot() {
         assertEquals(
                 List.of("2026-05-01T00:00:00Z"),
                 starts(
@@ -94,8 +94,8 @@
     }
 
     @Test
-    void rulesThatCannotBeFollowedAreNamedAndRulesWithoutDaysEnd() {
-        for (String wrong :
+    void invalidRulesAreRejectedAndRulesWithoutDaysEnd() {
+        for (String invalidRule :
                 List.of(
                         "FREQ=HOURLY",
                         "FREQ=SECONDLY",
@@ -112,8 +112,8 @@
                                                     LocalDateTime.parse("2026-01-01T00:00"),
                                                     ZoneId.of("Asia/Amman"),
                                                     Duration.ofHours(1),
-                                                    wrong)),
-                            wrong);
+                                                    invalidRule)),
+                            invalidRule);
             assertTrue(
                     invalidScheduleException.getMessage().startsWith("rule"),
                     invalidScheduleException.getMessage());
--- a/src/test/java/org/meadowhollow/coordination/reservation/ReservationPlanTest.java
+++ b/src/test/java/org/meadowhollow/coordination/reservation/ReservationPlanTest.java
@@ -37,13 +37,13 @@
                             "small", Resources.of(8, 2, 32), 50, 1, 2, 1, 30, List.of("a", "b")),
                     new MachineType(
                             "large", Resources.of(32, 8, 128), 50, 1, 7, 4, 30, List.of("a")));
-    private static final ReservableCapacity SUPPLY =
+    private static final ReservableCapacity CAPACITY =
             new ReservableCapacity(
                     TYPES,
                     Map.of("t", Resources.of(0, 10, 0), "u", Resources.NONE),
                     Map.of("small", 3, "large/a", 1));
-    private static final long HOUR = 3_600_000;
-    private static final long SPAN = 24 * HOUR;
+    private static final long HOUR_MILLIS = 3_600_000;
+    private static final long SPAN_MILLIS = 24 * HOUR_MILLIS;
 
     private static RecurringSchedule at(int minute, int length) {
         return new RecurringSchedule(
@@ -78,12 +78,12 @@
     }
 
     private static CalendarSnapshot random(Random random) {
-        CalendarSnapshot calendarSnapshot = CalendarSnapshot.EMPTY;
-        for (int at = random.nextInt(12); at > 0; at--) {
-            calendarSnapshot =
-                    calendarSnapshot.with(
+        CalendarSnapshot calendar = CalendarSnapshot.EMPTY;
+        for (int number = random.nextInt(12); number > 0; number--) {
+            calendar =
+                    calendar.with(
                             reservation(
-                                    "r" + at,
+                                    "r" + number,
                                     random.nextBoolean() ? "t" : "u",
                                     1 + random.nextInt(6),
                                     random.nextInt(3),
@@ -91,24 +91,24 @@
                                     random.nextInt(600),
                                     1 + random.nextInt(300)));
         }
-        for (int at = random.nextInt(4); at > 0; at--) {
-            calendarSnapshot =
-                    calendarSnapshot.with(
+        for (int number = random.nextInt(4); number > 0; number--) {
+            calendar =
+                    calendar.with(
                             random.nextBoolean()
                                     ? window(
-                                            "w" + at,
+                                            "w" + number,
                                             MaintenanceWindow.Scope.ZONE,
                                             "a",
                                             random.nextInt(600),
                                             60)
                                     : window(
-                                            "w" + at,
+                                            "w" + number,
                                             MaintenanceWindow.Scope.TYPE,
                                             "small",
                                             random.nextInt(600),
                                             60));
         }
-        return calendarSnapshot;
+        return calendar;
     }
 
     @Property(
@@ -117,17 +117,19 @@
             generation = GenerationMode.RANDOMIZED,
             edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
-    void noPlanGivesMoreThanThereIs(@ForAll long seed) {
-        ReservationPlan reservationPlan =
-                ReservationPlan.of(random(new Random(seed)), SUPPLY, 0, SPAN);
+    void planNeverExceedsCapacity(@ForAll long seed) {
+        ReservationPlan plan =
+                ReservationPlan.of(random(new Random(seed)), CAPACITY, 0, SPAN_MILLIS);
         for (long minute = 0; minute < 15 * 60; minute += 7) {
             long now = minute * 60_000;
             Map<String, Integer> machines = new HashMap<>();
             double gpus = 0;
-            for (ReservationPlan.Slot slot : reservationPlan.slots()) {
+            for (ReservationPlan.Slot slot : plan.slots()) {
                 if (slot.occurrence().startMillis() <= now && now < slot.occurrence().endMillis()) {
                     slot.machinesByTypeZone()
-                            .forEach((pair, count) -> machines.merge(pair, count, Integer::sum));
+                            .forEach(
+                                    (typeZone, count) ->
+                                            machines.merge(typeZone, count, Integer::sum));
                     gpus +=
                             slot.reservation().team().equals("t")
                                     ? slot.fulfilledTasks()
@@ -137,16 +139,19 @@
                 }
             }
             assertTrue(gpus <= 10, "over the limit of the team");
-            for (String pair : machines.keySet()) {
-                assertTrue(machines.get(pair) <= (pair.startsWith("small") ? 3 : 1), pair);
-                for (ReservationPlan.Outage outage : reservationPlan.outages()) {
+            for (String typeZone : machines.keySet()) {
+                assertTrue(
+                        machines.get(typeZone) <= (typeZone.startsWith("small") ? 3 : 1), typeZone);
+                for (ReservationPlan.Outage outage : plan.outages()) {
                     boolean covers =
-                            outage.window().coversAllOfType(pair.split("/")[0], pair.split("/")[1]);
+                            outage.window()
+                                    .coversAllOfType(
+                                            typeZone.split("/")[0], typeZone.split("/")[1]);
                     assertTrue(
                             !covers
                                     || now < outage.occurrence().startMillis()
                                     || now >= outage.occurrence().endMillis(),
-                            pair);
+                            typeZone);
                 }
             }
         }
@@ -158,32 +163,31 @@
             generation = GenerationMode.RANDOMIZED,
             edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
-    void theSameRecordsGiveTheSamePlanInWhateverOrderTheyAreRead(@ForAll long seed) {
-        CalendarSnapshot calendarSnapshot = random(new Random(seed));
+    void planDoesNotDependOnReadOrder(@ForAll long seed) {
+        CalendarSnapshot calendar = random(new Random(seed));
         List<KeyValueStore.Entry> entries = new ArrayList<>();
         long order = 0;
-        for (CalendarSnapshot.CalendarEntry<Reservation> calendarEntry :
-                calendarSnapshot.reservations()) {
+        for (CalendarSnapshot.CalendarEntry<Reservation> entry : calendar.reservations()) {
             entries.add(
                     new KeyValueStore.Entry(
-                            CalendarRecordCodec.reservation(calendarEntry.item().name()),
-                            CalendarRecordCodec.encode(calendarEntry.item(), ++order),
+                            CalendarRecordCodec.reservation(entry.item().name()),
+                            CalendarRecordCodec.encode(entry.item(), ++order),
                             new Revision(order)));
         }
-        for (CalendarSnapshot.CalendarEntry<MaintenanceWindow> calendarEntry :
-                calendarSnapshot.windows()) {
+        for (CalendarSnapshot.CalendarEntry<MaintenanceWindow> entry : calendar.windows()) {
             entries.add(
                     new KeyValueStore.Entry(
-                            CalendarRecordCodec.window(calendarEntry.item().name()),
-                            CalendarRecordCodec.encode(calendarEntry.item(), ++order),
+                            CalendarRecordCodec.window(entry.item().name()),
+                            CalendarRecordCodec.encode(entry.item(), ++order),
                             new Revision(order)));
         }
         List<ReservationPlan.Slot> slots =
-                ReservationPlan.of(calendarSnapshot, SUPPLY, 0, SPAN).slots();
+                ReservationPlan.of(calendar, CAPACITY, 0, SPAN_MILLIS).slots();
         Collections.shuffle(entries, new Random(seed));
         assertEquals(
                 slots,
-                ReservationPlan.of(CalendarSnapshot.fromRecords(entries), SUPPLY, 0, SPAN).slots());
+                ReservationPlan.of(CalendarSnapshot.fromRecords(entries), CAPACITY, 0, SPAN_MILLIS)
+                        .slots());
     }
 
     @Property(
@@ -192,71 +196,69 @@
             generation = GenerationMode.RANDOMIZED,
             edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
-    void whatIsAcceptedTakesNothingFromOthersAndLeavesNoTraceWhenItIsWithdrawn(@ForAll long seed) {
-        CalendarSnapshot calendarSnapshot = random(new Random(seed));
-        Reservation asked = reservation("asked", "u", 2, 1, null, 100, 200);
+    void admittedReservationTakesNothingFromOthersAndLeavesNothingWhenWithdrawn(@ForAll long seed) {
+        CalendarSnapshot calendar = random(new Random(seed));
+        Reservation requested = reservation("requested", "u", 2, 1, null, 100, 200);
         List<ReservationPlan.Slot> before =
-                ReservationPlan.of(calendarSnapshot, SUPPLY, 0, SPAN).slots();
+                ReservationPlan.of(calendar, CAPACITY, 0, SPAN_MILLIS).slots();
         List<ReservationPlan.Slot> with =
-                ReservationPlan.of(calendarSnapshot.with(asked), SUPPLY, 0, SPAN).slots();
-        assertTrue(with.containsAll(before), "who came earlier has what it had");
+                ReservationPlan.of(calendar.with(requested), CAPACITY, 0, SPAN_MILLIS).slots();
+        assertTrue(with.containsAll(before), "earlier reservations keep their machines");
         assertEquals(
                 before,
                 ReservationPlan.of(
-                                calendarSnapshot.with(asked).withoutReservation("asked"),
-                                SUPPLY,
+                                calendar.with(requested).withoutReservation("requested"),
+                                CAPACITY,
                                 0,
-                                SPAN)
+                                SPAN_MILLIS)
                         .slots());
-        ReservationAdmission.AdmissionResult admissionResult =
-                ReservationAdmission.evaluate(calendarSnapshot, asked, SUPPLY, Set.of("a", "b"), 0);
-        if (admissionResult.nearestStart() != null) {
+        ReservationAdmission.AdmissionResult admission =
+                ReservationAdmission.evaluate(calendar, requested, CAPACITY, Set.of("a", "b"), 0);
+        if (admission.nearestStart() != null) {
             long minute =
-                    Duration.between(
-                                    LocalDateTime.of(1970, 1, 1, 0, 0),
-                                    admissionResult.nearestStart())
+                    Duration.between(LocalDateTime.of(1970, 1, 1, 0, 0), admission.nearestStart())
                             .toMinutes();
             assertTrue(
                     ReservationAdmission.evaluate(
-                                    calendarSnapshot,
-                                    reservation("asked", "u", 2, 1, null, (int) minute, 200),
-                                    SUPPLY,
+                                    calendar,
+                                    reservation("requested", "u", 2, 1, null, (int) minute, 200),
+                                    CAPACITY,
                                     Set.of("a", "b"),
                                     0)
                             .isAdmitted(),
-                    "the start that is named can be met");
+                    "the nearest start can be met");
         }
     }
 
     @Example
-    void whatStandsAgainstAReservationIsNamedWithTheNearestStart() {
-        CalendarSnapshot calendarSnapshot =
+    void conflictsAreNamedWithNearestStart() {
+        CalendarSnapshot calendar =
                 CalendarSnapshot.EMPTY
                         .with(reservation("first", "t", 4, 2, null, 60, 120))
                         .with(window("works", MaintenanceWindow.Scope.ZONE, "a", 300, 60));
         ReservationAdmission.AdmissionResult limit =
                 ReservationAdmission.evaluate(
-                        calendarSnapshot,
+                        calendar,
                         reservation("more", "t", 2, 2, null, 100, 60),
-                        SUPPLY,
+                        CAPACITY,
                         Set.of("a", "b"),
                         0);
         assertEquals(List.of("the limit of team t, with first"), limit.conflicts());
         assertEquals(LocalDateTime.of(1970, 1, 1, 3, 0), limit.nearestStart());
         ReservationAdmission.AdmissionResult zone =
                 ReservationAdmission.evaluate(
-                        calendarSnapshot,
+                        calendar,
                         reservation("in-a", "u", 1, 0, "a", 270, 60),
-                        SUPPLY,
+                        CAPACITY,
                         Set.of("a", "b"),
                         0);
         assertTrue(zone.conflicts().contains("window works takes small in a"), () -> "" + zone);
         assertEquals(LocalDateTime.of(1970, 1, 1, 6, 0), zone.nearestStart());
         ReservationAdmission.AdmissionResult machines =
                 ReservationAdmission.evaluate(
-                        calendarSnapshot,
+                        calendar,
                         reservation("many", "u", 20, 2, "b", 900, 60),
-                        SUPPLY,
+                        CAPACITY,
                         Set.of("a", "b"),
                         0);
         assertEquals(List.of("there are 3 of small in b"), machines.conflicts());
@@ -264,34 +266,34 @@
         assertEquals(
                 "there is no zone z",
                 ReservationAdmission.evaluate(
-                                calendarSnapshot,
+                                calendar,
                                 reservation("z", "u", 1, 0, "z", 0, 1),
-                                SUPPLY,
+                                CAPACITY,
                                 Set.of("a", "b"),
                                 0)
                         .infeasibleReason());
         assertEquals(
                 "it is more than the limit of team t",
                 ReservationAdmission.evaluate(
-                                calendarSnapshot,
+                                calendar,
                                 reservation("z", "t", 6, 2, null, 0, 1),
-                                SUPPLY,
+                                CAPACITY,
                                 Set.of("a", "b"),
                                 0)
                         .infeasibleReason());
     }
 
     @Example
-    void aWindowDeclaredLaterMovesWhatItTakesOrSaysWhatIsShort() {
-        CalendarSnapshot calendarSnapshot =
+    void laterWindowMovesReservationsOrReportsThemShort() {
+        CalendarSnapshot calendar =
                 CalendarSnapshot.EMPTY
                         .with(reservation("moves", "u", 2, 1, null, 60, 60))
                         .with(reservation("bound", "u", 1, 1, "a", 60, 60));
         List<String> notes =
                 ReservationAdmission.describeAffectedReservations(
-                        calendarSnapshot,
+                        calendar,
                         window("works", MaintenanceWindow.Scope.ZONE, "a", 0, 200),
-                        SUPPLY,
+                        CAPACITY,
                         0);
         assertEquals(2, notes.size());
         assertTrue(
@@ -306,12 +308,11 @@
                         .anyMatch(note -> note.startsWith("moves") && note.endsWith("small/b")),
                 () -> "" + notes);
         CalendarSnapshot both =
-                calendarSnapshot
-                        .with(window("works", MaintenanceWindow.Scope.ZONE, "a", 0, 200))
+                calendar.with(window("works", MaintenanceWindow.Scope.ZONE, "a", 0, 200))
                         .with(window("more", MaintenanceWindow.Scope.ZONE, "b", 90, 200));
         assertTrue(
-                ReservationPlan.of(both, SUPPLY, 0, SPAN).slots().stream()
+                ReservationPlan.of(both, CAPACITY, 0, SPAN_MILLIS).slots().stream()
                         .noneMatch(ReservationPlan.Slot::isFulfilled),
-                "two windows take all");
+                "two windows take all machines");
     }
 }
