--- a/src/main/java/org/meadowhollow/protocol/reservation/ReservationApi.java
+++ b/src/main/java/org/meadowhollow/protocol/reservation/ReservationApi.java
@@ -1,6 +1,7 @@
 package org.meadowhollow.protocol.reservation;
 
 import java.time.Duration;
+import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -21,14 +22,17 @@
 import org.meadowhollow.storage.KeyValueStoreException;
 
 /**
- * What operators call: put, show, list and withdraw reservations and windows, and the plan; at
- * every node.
+ * The operators' HTTP interface: put, show, list and withdraw reservations and maintenance windows,
+ * and show the plan; at every node. Stateless; may be called on any thread.
  */
 public final class ReservationApi implements Http.RequestHandler {
     /** The name that tokens of those who may change the calendar have, in place of a team's. */
     public static final String OPERATOR = "operator";
 
     private static final String PATH_PREFIX = "/calendar/v1/";
+    private static final String PLAN_PATH = "plan";
+    private static final String RESERVATIONS_PATH = "reservations";
+    private static final String WINDOWS_PATH = "windows";
     private static final String JSON_TYPE = "application/json";
     private static final int RETRY_AFTER_SECONDS = 1;
     private static final int DEFAULT_PLAN_HOURS = 48;
@@ -36,23 +40,28 @@
     private final ReservationService reservationService;
     private final BearerTokens tokens;
 
-    public ReservationApi(ReservationService desk, BearerTokens tokens) {
-        this.reservationService = desk;
+    /**
+     * Creates the interface.
+     *
+     * @param tokens those of {@link #OPERATOR} may change the calendar, all others may read it
+     */
+    public ReservationApi(ReservationService reservationService, BearerTokens tokens) {
+        this.reservationService = reservationService;
         this.tokens = tokens;
     }
 
     private static final class HttpStatusException extends RuntimeException {
         private final int status;
 
-        HttpStatusException(int status, String why) {
-            super(why, null, false, false);
+        HttpStatusException(int status, String message) {
+            super(message, null, false, false);
             this.status = status;
         }
     }
 
     @Override
     public Http.Reply invalidBodyReply() {
-        return reply(413, "the body is larger than 64 KiB or was cut short");
+        return errorReply(413, "the body is larger than 64 KiB or was cut short");
     }
 
     @Override
@@ -60,29 +69,22 @@
         CompletableFuture<Http.Reply> reply;
         try {
             reply = route(request);
-        } catch (MalformedMessageException | HttpStatusException wrong) {
-            reply = CompletableFuture.failedFuture(wrong);
+        } catch (MalformedMessageException | HttpStatusException invalid) {
+            reply = CompletableFuture.failedFuture(invalid);
         }
-        return reply.exceptionally(ReservationApi::errorReply);
+        return reply.exceptionally(ReservationApi::replyToFailure);
     }
 
-    private static Http.Reply errorReply(Throwable failure) {
+    private static Http.Reply replyToFailure(Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-        if (cause instanceof HttpStatusException httpStatusException) {
-            return reply(httpStatusException.status, httpStatusException.getMessage());
+        if (cause instanceof HttpStatusException withStatus) {
+            return errorReply(withStatus.status, withStatus.getMessage());
         }
         if (cause instanceof MalformedMessageException) {
-            return reply(400, cause.getMessage());
+            return errorReply(400, cause.getMessage());
         }
-        if (cause instanceof ReservationService.RejectedException rejectedException) {
-            return reply(
-                    switch (rejectedException.reason()) {
-                        case INFEASIBLE -> 422;
-                        case INSUFFICIENT_CAPACITY, CALENDAR_FULL -> 409;
-                        case REVISION_MISMATCH -> 412;
-                        case NOT_FOUND -> 404;
-                    },
-                    rejectedException.getMessage());
+        if (cause instanceof ReservationService.RejectedException rejected) {
+            return errorReply(statusOf(rejected.reason()), rejected.getMessage());
         }
         if (cause instanceof AdmissionService.TemporarilyUnavailableException
                 || cause instanceof KeyValueStoreException) {
@@ -95,8 +97,17 @@
         throw new CompletionException(cause);
     }
 
-    private static Http.Reply reply(int status, String why) {
-        return reply(status, MessageReader.mapOf("error", why));
+    private static int statusOf(ReservationService.RejectedException.Reason reason) {
+        return switch (reason) {
+            case INFEASIBLE -> 422;
+            case INSUFFICIENT_CAPACITY, CALENDAR_FULL -> 409;
+            case REVISION_MISMATCH -> 412;
+            case NOT_FOUND -> 404;
+        };
+    }
+
+    private static Http.Reply errorReply(int status, String message) {
+        return reply(status, MessageReader.mapOf("error", message));
     }
 
     private static Http.Reply reply(int status, Map<String, Object> body) {
@@ -108,65 +119,25 @@
         if (!request.path().startsWith(PATH_PREFIX)) {
             throw new HttpStatusException(404, "no such path");
         }
-        String who =
-                tokens.teamOf(request.header().apply("Authorization"))
-                        .orElseThrow(
-                                () ->
-                                        new HttpStatusException(
-                                                401, "no token, or one that is not known"));
         boolean reads = request.method().equals("GET");
-        if (!reads && !who.equals(OPERATOR)) {
-            throw new HttpStatusException(403, "this token may only read");
-        }
+        authorize(request, reads);
         String[] parts = request.path().substring(PATH_PREFIX.length()).split("/", -1);
-        if (parts.length == 1 && parts[0].equals("plan") && reads) {
-            return reservationService
-                    .planAhead(Duration.ofHours(parsePlanHours(request)))
-                    .thenApply(
-                            reservationPlan ->
-                                    reply(200, ReservationCodec.encode(reservationPlan)));
+        if (parts.length == 1 && parts[0].equals(PLAN_PATH) && reads) {
+            return showPlan(request);
         }
-        boolean windows = parts[0].equals("windows");
-        if (parts.length > 2 || !windows && !parts[0].equals("reservations")) {
+        boolean windows = parts[0].equals(WINDOWS_PATH);
+        if (parts.length > 2 || (!windows && !parts[0].equals(RESERVATIONS_PATH))) {
             throw new HttpStatusException(404, "no such path");
         }
         if (parts.length == 1) {
             if (!reads) {
                 throw new HttpStatusException(405, "wrong method");
             }
-            return reservationService
-                    .readCalendar()
-                    .thenApply(
-                            calendarSnapshot ->
-                                    reply(
-                                            200,
-                                            MessageReader.mapOf(
-                                                    parts[0],
-                                                    entriesOf(calendarSnapshot, windows).stream()
-                                                            .map(ReservationCodec::encode)
-                                                            .toList())));
+            return listEntries(windows);
         }
         String name = ReservationCodec.requireValidName(parts[1]);
         return switch (request.method()) {
-            case "GET" ->
-                    reservationService
-                            .readCalendar()
-                            .thenApply(
-                                    calendarSnapshot ->
-                                            entriesOf(calendarSnapshot, windows).stream()
-                                                    .filter(held -> nameOf(held).equals(name))
-                                                    .findFirst()
-                                                    .map(
-                                                            held ->
-                                                                    reply(
-                                                                            200,
-                                                                            ReservationCodec.encode(
-                                                                                    held)))
-                                                    .orElseThrow(
-                                                            () ->
-                                                                    new HttpStatusException(
-                                                                            404,
-                                                                            "there is none of this name")));
+            case "GET" -> showEntry(name, windows);
             case "PUT" -> putEntry(name, windows, request);
             case "DELETE" ->
                     reservationService
@@ -176,15 +147,63 @@
         };
     }
 
+    private void authorize(Http.Request request, boolean reads) {
+        String holder =
+                tokens.teamOf(request.header().apply("Authorization"))
+                        .orElseThrow(
+                                () ->
+                                        new HttpStatusException(
+                                                401, "no token, or one that is not known"));
+        if (!reads && !holder.equals(OPERATOR)) {
+            throw new HttpStatusException(403, "this token may only read");
+        }
+    }
+
+    private CompletableFuture<Http.Reply> showPlan(Http.Request request)
+            throws MalformedMessageException {
+        return reservationService
+                .planAhead(Duration.ofHours(parsePlanHours(request)))
+                .thenApply(plan -> reply(200, ReservationCodec.encode(plan)));
+    }
+
+    private CompletableFuture<Http.Reply> listEntries(boolean windows) {
+        return reservationService
+                .readCalendar()
+                .thenApply(
+                        calendar -> {
+                            List<Map<String, Object>> entries = new ArrayList<>();
+                            entriesOf(calendar, windows)
+                                    .forEach(entry -> entries.add(ReservationCodec.encode(entry)));
+                            String field = windows ? WINDOWS_PATH : RESERVATIONS_PATH;
+                            return reply(200, MessageReader.mapOf(field, entries));
+                        });
+    }
+
+    private CompletableFuture<Http.Reply> showEntry(String name, boolean windows) {
+        return reservationService
+                .readCalendar()
+                .thenApply(
+                        calendar ->
+                                entriesOf(calendar, windows).stream()
+                                        .filter(entry -> nameOf(entry).equals(name))
+                                        .findFirst()
+                                        .map(entry -> reply(200, ReservationCodec.encode(entry)))
+                                        .orElseThrow(
+                                                () ->
+                                                        new HttpStatusException(
+                                                                404,
+                                                                "there is none of this name")));
+    }
+
     private static List<? extends CalendarSnapshot.CalendarEntry<?>> entriesOf(
-            CalendarSnapshot calendarSnapshot, boolean windows) {
-        return windows ? calendarSnapshot.windows() : calendarSnapshot.reservations();
+            CalendarSnapshot calendar, boolean windows) {
+        return windows ? calendar.windows() : calendar.reservations();
     }
 
-    private static String nameOf(CalendarSnapshot.CalendarEntry<?> calendarEntry) {
-        return calendarEntry.item() instanceof MaintenanceWindow window
+    private static String nameOf(CalendarSnapshot.CalendarEntry<?> entry) {
+        return entry.item() instanceof MaintenanceWindow window
                 ? window.name()
-                : ((Reservation) calendarEntry.item()).name();
+                : ((Reservation) entry.item()).name();
     }
 
     private CompletableFuture<Http.Reply> putEntry(
@@ -199,19 +218,16 @@
                 .thenApply(ReservationApi::changeReply);
     }
 
-    private static Http.Reply changeReply(ReservationService.ChangeOutcome changeOutcome) {
+    private static Http.Reply changeReply(ReservationService.ChangeOutcome outcome) {
         return reply(
-                changeOutcome.result() == ReservationService.ChangeResult.CREATED ? 201 : 200,
+                outcome.result() == ReservationService.ChangeResult.CREATED ? 201 : 200,
                 MessageReader.mapOf(
-                        "version",
-                        changeOutcome.revision().value(),
-                        "notes",
-                        changeOutcome.notes()));
+                        "version", outcome.revision().value(), "notes", outcome.notes()));
     }
 
     /**
-     * The version that a change is meant for, in the header that HTTP has for it, with quotes or
-     * without.
+     * The revision that a change is meant for, from the If-Match header, with quotes or without;
+     * null if there is no such header.
      */
     private static Revision parseExpectedRevision(Http.Request request)
             throws MalformedMessageException {
@@ -221,7 +237,7 @@
         }
         try {
             return new Revision(Long.parseLong(text.replace("\"", "").trim()));
-        } catch (NumberFormatException wrong) {
+        } catch (NumberFormatException invalid) {
             throw new MalformedMessageException("If-Match is not a version that was shown");
         }
     }
@@ -237,7 +253,7 @@
                 return hours;
             }
         } catch (NumberFormatException notANumber) {
-            // One message for every wrong number.
+            // The same message as for a number out of range.
         }
         throw new MalformedMessageException(
                 "hours is not from 1 to " + ReservationAdmission.ADMISSION_HORIZON.toHours());
--- a/src/main/java/org/meadowhollow/protocol/reservation/ReservationCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/reservation/ReservationCodec.java
@@ -20,8 +20,9 @@
 import org.meadowhollow.storage.CalendarSnapshot;
 
 /**
- * Reservations and windows as operators write and read them, in JSON; {@code docs/reservations.md}
- * has the fields.
+ * The JSON in which operators write and read reservations, maintenance windows and plans; {@code
+ * docs/reservations.md} describes the fields. Every field that is both written and read stands here
+ * once, as a constant.
  */
 final class ReservationCodec {
     private static final Pattern NAME_PATTERN = Pattern.compile("[a-z0-9][a-z0-9-]{0,39}");
@@ -29,19 +30,62 @@
     private static final int MAX_LIST_SIZE = 100;
     private static final long MAX_TASKS = 100_000;
     private static final double MAX_DURATION_SECONDS = Duration.ofDays(31).toSeconds();
+    private static final double MILLIS_PER_SECOND = 1000.0;
+
+    /** Resources count whole millionths; the fields have cores, devices and GB. */
+    private static final double MILLIONTHS_PER_UNIT = 1e6;
+
+    private static final String TEAM = "team";
+    private static final String PRIORITY = "priority";
+    private static final String TASKS = "tasks";
+    private static final String CPUS = "cpus";
+    private static final String GPUS = "gpus";
+    private static final String RAM_GB = "ram_gb";
+    private static final String MACHINES = "machines";
+    private static final String MACHINE_TYPES = "machine_types";
+    private static final String ZONE = "zone";
+    private static final String ZONES = "zones";
+    private static final String SPOT = "spot";
+    private static final String IMAGE = "image";
+    private static final String IMAGE_GB = "image_gb";
+    private static final String JOB_CLASS = "class";
+    private static final String JOBS = "jobs";
+    private static final String EVICTION_LEAD_SECONDS = "notice_s";
+    private static final String START = "start";
+    private static final String TIME_ZONE = "time_zone";
+    private static final String DURATION_SECONDS = "length_s";
+    private static final String RULE = "rule";
+
+    /** The priority of a reservation that names none. */
+    private static final String DEFAULT_PRIORITY = "normal";
+
+    private static final Map<String, MaintenanceWindow.Scope> SCOPE_BY_FIELD =
+            Map.of(
+                    MACHINES,
+                    MaintenanceWindow.Scope.MACHINE,
+                    MACHINE_TYPES,
+                    MaintenanceWindow.Scope.TYPE,
+                    ZONES,
+                    MaintenanceWindow.Scope.ZONE);
+
     private static final Map<String, Priority> PRIORITY_BY_WORD =
             Map.of(
                     "critical",
                     Priority.PRODUCTION,
                     "urgent",
                     Priority.HIGH,
-                    "normal",
+                    DEFAULT_PRIORITY,
                     Priority.NORMAL,
                     "idle",
                     Priority.LOW);
 
     private ReservationCodec() {}
 
+    /**
+     * Checks the name of an entry.
+     *
+     * @throws MalformedMessageException if it is not valid
+     */
     static String requireValidName(String text) throws MalformedMessageException {
         if (!NAME_PATTERN.matcher(text).matches()) {
             throw new MalformedMessageException(
@@ -50,63 +94,57 @@
         return text;
     }
 
+    /** Decodes a reservation; its name comes from the path. */
     static Reservation reservation(String name, MessageReader body)
             throws MalformedMessageException {
-        long tasks = body.nonNegativeLong("tasks");
+        long tasks = body.nonNegativeLong(TASKS);
         if (tasks < 1 || tasks > MAX_TASKS) {
             throw new MalformedMessageException("tasks is not from 1 to " + MAX_TASKS);
         }
-        String priority = body.has("priority") ? body.string("priority") : "normal";
+        String priority = body.has(PRIORITY) ? body.string(PRIORITY) : DEFAULT_PRIORITY;
         if (!PRIORITY_BY_WORD.containsKey(priority)) {
             throw new MalformedMessageException(
                     "priority is none of critical, urgent, normal, idle");
         }
         return new Reservation(
                 requireValidName(name),
-                readBoundedText(body, "team"),
+                readBoundedText(body, TEAM),
                 PRIORITY_BY_WORD.get(priority),
                 (int) tasks,
                 Resources.of(
-                        body.nonNegativeDouble("cpus"),
-                        body.nonNegativeDoubleOr("gpus", 0),
-                        body.nonNegativeDouble("ram_gb")),
-                readNamesOrNull(body, "machine_types"),
-                body.stringOrNull("zone"),
-                body.booleanOr("spot", false),
-                body.has("image") ? readBoundedText(body, "image") : "",
-                body.nonNegativeDoubleOr("image_gb", 0),
-                body.has("class") ? readBoundedText(body, "class") : null,
-                readNamesOrNull(body, "jobs"),
+                        body.nonNegativeDouble(CPUS),
+                        body.nonNegativeDoubleOr(GPUS, 0),
+                        body.nonNegativeDouble(RAM_GB)),
+                readNamesOrNull(body, MACHINE_TYPES),
+                body.stringOrNull(ZONE),
+                body.booleanOr(SPOT, false),
+                body.has(IMAGE) ? readBoundedText(body, IMAGE) : "",
+                body.nonNegativeDoubleOr(IMAGE_GB, 0),
+                body.has(JOB_CLASS) ? readBoundedText(body, JOB_CLASS) : null,
+                readNamesOrNull(body, JOBS),
                 decodeSchedule(body));
     }
 
+    /** Decodes a maintenance window; its name comes from the path. */
     static MaintenanceWindow window(String name, MessageReader body)
             throws MalformedMessageException {
         MaintenanceWindow.Scope scope = null;
         List<String> targets = null;
-        for (Map.Entry<String, MaintenanceWindow.Scope> each :
-                Map.of(
-                                "machines",
-                                MaintenanceWindow.Scope.MACHINE,
-                                "machine_types",
-                                MaintenanceWindow.Scope.TYPE,
-                                "zones",
-                                MaintenanceWindow.Scope.ZONE)
-                        .entrySet()) {
-            if (body.has(each.getKey())) {
+        for (Map.Entry<String, MaintenanceWindow.Scope> field : SCOPE_BY_FIELD.entrySet()) {
+            if (body.has(field.getKey())) {
                 if (scope != null) {
                     throw new MalformedMessageException(
                             "a window names either machines, machine_types or zones");
                 }
-                scope = each.getValue();
-                targets = readNamesOrNull(body, each.getKey());
+                scope = field.getValue();
+                targets = readNamesOrNull(body, field.getKey());
             }
         }
         if (scope == null || targets.isEmpty()) {
             throw new MalformedMessageException("a window names machines, machine_types or zones");
         }
-        double noticeS = body.nonNegativeDoubleOr("notice_s", 0);
-        if (noticeS > MAX_DURATION_SECONDS) {
+        double evictionLeadSeconds = body.nonNegativeDoubleOr(EVICTION_LEAD_SECONDS, 0);
+        if (evictionLeadSeconds > MAX_DURATION_SECONDS) {
             throw new MalformedMessageException("notice_s is longer than 31 days");
         }
         return new MaintenanceWindow(
@@ -114,28 +152,28 @@
                 scope,
                 targets,
                 decodeSchedule(body),
-                Duration.ofMillis((long) (noticeS * 1000)));
+                Duration.ofMillis((long) (evictionLeadSeconds * MILLIS_PER_SECOND)));
     }
 
     private static RecurringSchedule decodeSchedule(MessageReader body)
             throws MalformedMessageException {
-        double lengthS = body.nonNegativeDouble("length_s");
-        if (lengthS < 1 || lengthS > MAX_DURATION_SECONDS) {
+        double durationSeconds = body.nonNegativeDouble(DURATION_SECONDS);
+        if (durationSeconds < 1 || durationSeconds > MAX_DURATION_SECONDS) {
             throw new MalformedMessageException(
                     "length_s is not from 1 to " + (long) MAX_DURATION_SECONDS);
         }
         try {
             RecurringSchedule schedule =
                     new RecurringSchedule(
-                            LocalDateTime.parse(body.string("start")).withNano(0),
-                            ZoneId.of(body.has("time_zone") ? body.string("time_zone") : "UTC"),
-                            Duration.ofMillis((long) (lengthS * 1000)),
-                            body.has("rule") ? readBoundedText(body, "rule") : null);
+                            LocalDateTime.parse(body.string(START)).withNano(0),
+                            ZoneId.of(body.has(TIME_ZONE) ? body.string(TIME_ZONE) : "UTC"),
+                            Duration.ofMillis((long) (durationSeconds * MILLIS_PER_SECOND)),
+                            body.has(RULE) ? readBoundedText(body, RULE) : null);
             Recurrence.validate(schedule);
             return schedule;
-        } catch (Recurrence.InvalidScheduleException wrong) {
-            throw new MalformedMessageException(wrong.getMessage());
-        } catch (DateTimeException wrong) {
+        } catch (Recurrence.InvalidScheduleException invalid) {
+            throw new MalformedMessageException(invalid.getMessage());
+        } catch (DateTimeException invalid) {
             throw new MalformedMessageException(
                     "start is not of the form 2026-12-31T02:00, or time_zone is not one that is known");
         }
@@ -156,7 +194,7 @@
         List<String> names = body.stringListOrNull(key);
         if (names != null
                 && (names.size() > MAX_LIST_SIZE
-                        || names.stream().anyMatch(one -> one.length() > MAX_TEXT_LENGTH))) {
+                        || names.stream().anyMatch(name -> name.length() > MAX_TEXT_LENGTH))) {
             throw new MalformedMessageException(
                     key
                             + " holds more than "
@@ -167,122 +205,126 @@
         return names == null ? null : List.copyOf(names);
     }
 
-    // ---- what operators read ----
-
-    static Map<String, Object> encode(CalendarSnapshot.CalendarEntry<?> calendarEntry) {
+    /** An entry with its revision, which a later change names in If-Match. */
+    static Map<String, Object> encode(CalendarSnapshot.CalendarEntry<?> entry) {
         Map<String, Object> map =
-                calendarEntry.item() instanceof MaintenanceWindow window
-                        ? window(window)
-                        : reservation((Reservation) calendarEntry.item());
-        map.put("version", calendarEntry.revision().value());
+                entry.item() instanceof MaintenanceWindow window
+                        ? encodeWindow(window)
+                        : encodeReservation((Reservation) entry.item());
+        map.put("version", entry.revision().value());
         return map;
     }
 
-    private static Map<String, Object> reservation(Reservation one) {
+    private static Map<String, Object> encodeReservation(Reservation reservation) {
         Map<String, Object> map =
                 MessageReader.mapOf(
                         "name",
-                        one.name(),
-                        "team",
-                        one.team(),
-                        "priority",
-                        PRIORITY_BY_WORD.entrySet().stream()
-                                .filter(each -> each.getValue() == one.priority())
-                                .findFirst()
-                                .orElseThrow()
-                                .getKey(),
-                        "tasks",
-                        one.taskCount(),
-                        "cpus",
-                        one.resourcesPerTask().cpu() / 1e6,
-                        "gpus",
-                        one.resourcesPerTask().gpu() / 1e6,
-                        "ram_gb",
-                        one.resourcesPerTask().memory() / 1e6,
-                        "machine_types",
-                        one.allowedMachineTypes(),
-                        "zone",
-                        one.requiredZone(),
-                        "spot",
-                        one.allowsSpot(),
-                        "image",
-                        one.image(),
-                        "image_gb",
-                        one.imageSizeGb(),
-                        "class",
-                        one.jobClass(),
-                        "jobs",
-                        one.allowedJobs());
-        return putSchedule(map, one.schedule());
+                        reservation.name(),
+                        TEAM,
+                        reservation.team(),
+                        PRIORITY,
+                        wordOf(reservation.priority()),
+                        TASKS,
+                        reservation.taskCount(),
+                        CPUS,
+                        reservation.resourcesPerTask().cpu() / MILLIONTHS_PER_UNIT,
+                        GPUS,
+                        reservation.resourcesPerTask().gpu() / MILLIONTHS_PER_UNIT,
+                        RAM_GB,
+                        reservation.resourcesPerTask().memory() / MILLIONTHS_PER_UNIT,
+                        MACHINE_TYPES,
+                        reservation.allowedMachineTypes(),
+                        ZONE,
+                        reservation.requiredZone(),
+                        SPOT,
+                        reservation.allowsSpot(),
+                        IMAGE,
+                        reservation.image(),
+                        IMAGE_GB,
+                        reservation.imageSizeGb(),
+                        JOB_CLASS,
+                        reservation.jobClass(),
+                        JOBS,
+                        reservation.allowedJobs());
+        return withSchedule(map, reservation.schedule());
     }
 
-    private static Map<String, Object> window(MaintenanceWindow one) {
+    private static String wordOf(Priority priority) {
+        return PRIORITY_BY_WORD.entrySet().stream()
+                .filter(word -> word.getValue() == priority)
+                .findFirst()
+                .orElseThrow()
+                .getKey();
+    }
+
+    private static Map<String, Object> encodeWindow(MaintenanceWindow window) {
         String key =
-                switch (one.scope()) {
-                    case MACHINE -> "machines";
-                    case TYPE -> "machine_types";
-                    case ZONE -> "zones";
+                switch (window.scope()) {
+                    case MACHINE -> MACHINES;
+                    case TYPE -> MACHINE_TYPES;
+                    case ZONE -> ZONES;
                 };
-        return putSchedule(
+        return withSchedule(
                 MessageReader.mapOf(
                         "name",
-                        one.name(),
+                        window.name(),
                         key,
-                        one.targets(),
-                        "notice_s",
-                        one.serviceEvictionLead().toMillis() / 1000.0),
-                one.schedule());
+                        window.targets(),
+                        EVICTION_LEAD_SECONDS,
+                        window.serviceEvictionLead().toMillis() / MILLIS_PER_SECOND),
+                window.schedule());
     }
 
-    private static Map<String, Object> putSchedule(
+    private static Map<String, Object> withSchedule(
             Map<String, Object> map, RecurringSchedule schedule) {
-        map.put("start", schedule.firstStart().toString());
-        map.put("time_zone", schedule.timeZone().getId());
-        map.put("length_s", schedule.duration().toMillis() / 1000.0);
-        map.put("rule", schedule.recurrenceRule());
+        map.put(START, schedule.firstStart().toString());
+        map.put(TIME_ZONE, schedule.timeZone().getId());
+        map.put(DURATION_SECONDS, schedule.duration().toMillis() / MILLIS_PER_SECOND);
+        map.put(RULE, schedule.recurrenceRule());
         return map;
     }
 
-    static Map<String, Object> encode(ReservationPlan reservationPlan) {
+    /** A plan; {@code met} counts tasks with room, {@code against} says why others have none. */
+    static Map<String, Object> encode(ReservationPlan plan) {
         return MessageReader.mapOf(
                 "slots",
-                reservationPlan.slots().stream()
-                        .map(
-                                slot ->
-                                        MessageReader.mapOf(
-                                                "reservation",
-                                                slot.reservation().name(),
-                                                "team",
-                                                slot.reservation().team(),
-                                                "from",
-                                                formatTime(slot.occurrence().startMillis()),
-                                                "until",
-                                                formatTime(slot.occurrence().endMillis()),
-                                                "tasks",
-                                                slot.reservation().taskCount(),
-                                                "met",
-                                                slot.fulfilledTasks(),
-                                                "machines",
-                                                slot.machinesByTypeZone(),
-                                                "against",
-                                                slot.conflicts()))
-                        .toList(),
+                plan.slots().stream().map(ReservationCodec::encodeSlot).toList(),
                 "outages",
-                reservationPlan.outages().stream()
-                        .map(
-                                outage ->
-                                        MessageReader.mapOf(
-                                                "window",
-                                                outage.window().name(),
-                                                "scope",
-                                                outage.window().scope().name(),
-                                                "targets",
-                                                outage.window().targets(),
-                                                "from",
-                                                formatTime(outage.occurrence().startMillis()),
-                                                "until",
-                                                formatTime(outage.occurrence().endMillis())))
-                        .toList());
+                plan.outages().stream().map(ReservationCodec::encodeOutage).toList());
+    }
+
+    private static Map<String, Object> encodeSlot(ReservationPlan.Slot slot) {
+        return MessageReader.mapOf(
+                "reservation",
+                slot.reservation().name(),
+                TEAM,
+                slot.reservation().team(),
+                "from",
+                formatTime(slot.occurrence().startMillis()),
+                "until",
+                formatTime(slot.occurrence().endMillis()),
+                TASKS,
+                slot.reservation().taskCount(),
+                "met",
+                slot.fulfilledTasks(),
+                MACHINES,
+                slot.machinesByTypeZone(),
+                "against",
+                slot.conflicts());
+    }
+
+    private static Map<String, Object> encodeOutage(ReservationPlan.Outage outage) {
+        return MessageReader.mapOf(
+                "window",
+                outage.window().name(),
+                "scope",
+                outage.window().scope().name(),
+                "targets",
+                outage.window().targets(),
+                "from",
+                formatTime(outage.occurrence().startMillis()),
+                "until",
+                formatTime(outage.occurrence().endMillis()));
     }
 
     private static String formatTime(long millis) {
