--- a/src/main/java/org/meadowhollow/cli/ReservationOptions.java
+++ b/src/main/java/org/meadowhollow/cli/ReservationOptions.java
@@ -11,11 +11,11 @@
 import org.meadowhollow.protocol.tes.BearerTokens;
 
 /**
- * Where a controller takes reservations and windows, and what there is to reserve, as its
- * operator's flags say.
+ * Where a controller serves the operators' interface to reservations and maintenance windows, and
+ * the limits of the reservable capacity, as its flags say.
  *
- * @param certificateChainFile the certificate's file, or null for plain connections
- * @param privateKeyFile the file of the certificate's key, or null with it
+ * @param certificateChainFile the certificate's file, or null for connections without TLS
+ * @param privateKeyFile the file of the certificate's key; null if there is no certificate
  * @param maxMachines machines that the operators will have at a time, by {@code type/zone} or type
  */
 public record ReservationOptions(
@@ -24,87 +24,99 @@
         Path certificateChainFile,
         Path privateKeyFile,
         Map<String, Integer> maxMachines) {
-    /**
-     * Holds tokens like the flag, separated by blanks, where a command line could be read by
-     * others.
-     */
+    /** Tokens as in the flag, separated by blanks: others could read a command line. */
     static final String TOKENS_VARIABLE = "MEADOWHOLLOW_CALENDAR_TOKENS";
 
     /**
-     * Checks what the operator gave.
+     * Checks the values of the flags.
      *
-     * @param variables the environment
-     * @return null if there is to be no calendar
+     * @param listen of {@code --calendar-listen}, or null
+     * @param tokenFlags of {@code --calendar-token}
+     * @param certificateChain of {@code --calendar-cert}, or null
+     * @param privateKey of {@code --calendar-key}, or null
+     * @param maxMachineFlags of {@code --calendar-most}
+     * @param environment the environment variables
+     * @return null if the interface is not served
      * @throws Settings.InvalidSettingsException in one line, which names the flag
      */
     static ReservationOptions fromFlags(
             String listen,
-            List<String> tokens,
-            Path chain,
-            Path key,
-            List<String> most,
-            Map<String, String> variables)
+            List<String> tokenFlags,
+            Path certificateChain,
+            Path privateKey,
+            List<String> maxMachineFlags,
+            Map<String, String> environment)
             throws Settings.InvalidSettingsException {
         if (listen == null) {
-            if (!tokens.isEmpty() || chain != null || key != null || !most.isEmpty()) {
+            if (!tokenFlags.isEmpty()
+                    || certificateChain != null
+                    || privateKey != null
+                    || !maxMachineFlags.isEmpty()) {
                 throw new Settings.InvalidSettingsException(
                         "--calendar-token, --calendar-cert, --calendar-key and --calendar-most go"
                                 + " with --calendar-listen");
             }
             return null;
         }
-        if ((chain == null) != (key == null)) {
+        if ((certificateChain == null) != (privateKey == null)) {
             throw new Settings.InvalidSettingsException(
                     "--calendar-cert and --calendar-key go together");
         }
-        List<String> all = new ArrayList<>(tokens);
-        Arrays.stream(variables.getOrDefault(TOKENS_VARIABLE, "").split("\\s+"))
-                .filter(each -> !each.isEmpty())
-                .forEach(all::add);
         try {
-            BearerTokens known = BearerTokens.parse(all);
-            if (known.isEmpty()) {
-                throw new Settings.InvalidSettingsException(
-                        "--calendar-listen needs a --calendar-token or " + TOKENS_VARIABLE);
-            }
-            for (String name : known.teams()) {
-                if (!name.equals(ReservationApi.OPERATOR)
-                        && !name.equals(BearerTokens.READ_ONLY_TEAM)) {
-                    throw new Settings.InvalidSettingsException(
-                            "--calendar-token is for neither "
-                                    + ReservationApi.OPERATOR
-                                    + " nor "
-                                    + BearerTokens.READ_ONLY_TEAM);
-                }
-            }
+            BearerTokens tokens = parseTokens(tokenFlags, environment);
             return new ReservationOptions(
                     Settings.parseEndpoint(listen, "--calendar-listen"),
-                    known,
-                    chain,
-                    key,
-                    maxMachines(most));
-        } catch (MalformedMessageException wrong) {
-            throw new Settings.InvalidSettingsException(wrong.getMessage());
+                    tokens,
+                    certificateChain,
+                    privateKey,
+                    parseMaxMachines(maxMachineFlags));
+        } catch (MalformedMessageException invalid) {
+            throw new Settings.InvalidSettingsException(invalid.getMessage());
+        }
+    }
+
+    private static BearerTokens parseTokens(
+            List<String> tokenFlags, Map<String, String> environment)
+            throws Settings.InvalidSettingsException, MalformedMessageException {
+        List<String> entries = new ArrayList<>(tokenFlags);
+        Arrays.stream(environment.getOrDefault(TOKENS_VARIABLE, "").split("\\s+"))
+                .filter(entry -> !entry.isEmpty())
+                .forEach(entries::add);
+        BearerTokens tokens = BearerTokens.parse(entries);
+        if (tokens.isEmpty()) {
+            throw new Settings.InvalidSettingsException(
+                    "--calendar-listen needs a --calendar-token or " + TOKENS_VARIABLE);
+        }
+        for (String holder : tokens.teams()) {
+            if (!holder.equals(ReservationApi.OPERATOR)
+                    && !holder.equals(BearerTokens.READ_ONLY_TEAM)) {
+                throw new Settings.InvalidSettingsException(
+                        "--calendar-token is for neither "
+                                + ReservationApi.OPERATOR
+                                + " nor "
+                                + BearerTokens.READ_ONLY_TEAM);
+            }
         }
+        return tokens;
     }
 
-    private static Map<String, Integer> maxMachines(List<String> entries)
+    private static Map<String, Integer> parseMaxMachines(List<String> entries)
             throws Settings.InvalidSettingsException {
-        Map<String, Integer> most = new HashMap<>();
+        Map<String, Integer> maxMachines = new HashMap<>();
         for (String entry : entries) {
-            int equals = entry.lastIndexOf('=');
+            int separator = entry.lastIndexOf('=');
             try {
-                int count = Integer.parseInt(entry.substring(equals + 1));
-                if (equals > 0 && count >= 0) {
-                    most.put(entry.substring(0, equals), count);
+                int count = Integer.parseInt(entry.substring(separator + 1));
+                if (separator > 0 && count >= 0) {
+                    maxMachines.put(entry.substring(0, separator), count);
                     continue;
                 }
             } catch (NumberFormatException notANumber) {
-                // One message for every wrong entry.
+                // The same message as for a negative number.
             }
             throw new Settings.InvalidSettingsException(
                     "--calendar-most is not of the form TYPE=N or TYPE/ZONE=N");
         }
-        return most;
+        return maxMachines;
     }
 }
--- a/src/main/java/org/meadowhollow/cli/reservation/PlanRenderer.java
+++ b/src/main/java/org/meadowhollow/cli/reservation/PlanRenderer.java
@@ -16,100 +16,126 @@
 import org.meadowhollow.protocol.MalformedMessageException;
 import org.meadowhollow.protocol.MessageReader;
 
-/** A plan as a node tells it, from templates: a table in plain text, or a page. */
+/** Renders a plan that a node returned, from templates: as a table in plain text or as a page. */
 final class PlanRenderer {
+    private static final String TEMPLATE_FOLDER = "org/meadowhollow/cli/reservation";
     private static final DateTimeFormatter TIME_FORMAT =
             DateTimeFormatter.ofPattern("EEE d MMM HH:mm", Locale.ENGLISH);
 
-    private PlanRenderer() {}
+    /** What a line says of its entry; {@code problem} is empty if there is none. */
+    private record Description(String what, String detail, String problem, boolean bad) {}
 
-    /** A line of the plan; the fields are what the templates name. */
-    private static Map<String, Object> planLine(
-            MessageReader told, String what, String detail, String note, boolean bad, ZoneId zone)
-            throws MalformedMessageException {
-        Map<String, Object> line = new LinkedHashMap<>();
-        line.put("from", TIME_FORMAT.format(Instant.parse(told.string("from")).atZone(zone)));
-        line.put("until", TIME_FORMAT.format(Instant.parse(told.string("until")).atZone(zone)));
-        line.put("order", told.string("from"));
-        line.put("what", what);
-        line.put("detail", detail);
-        line.put("note", note);
-        line.put("bad", bad);
-        line.put(
-                "row",
-                "%-17s %-17s %-32s %s%s"
-                        .formatted(
-                                line.get("from"),
-                                line.get("until"),
-                                what,
-                                detail,
-                                note.isEmpty() ? "" : "  ! " + note));
-        return line;
+    private final ZoneId zone;
+
+    private PlanRenderer(ZoneId zone) {
+        this.zone = zone;
     }
 
     /**
+     * Renders a plan.
+     *
      * @param plan the body of a node's answer
-     * @param zoneId whose clocks the times are told by
-     * @throws MalformedMessageException if the answer or the time zone makes no sense
+     * @param zoneId the time zone in which times are shown
+     * @throws MalformedMessageException if the answer or the time zone is invalid
      */
     static String render(Map<String, Object> plan, String zoneId, boolean html)
             throws MalformedMessageException {
-        ZoneId zone;
+        List<Map<String, Object>> lines = new PlanRenderer(parseZone(zoneId)).lines(plan);
+        Mustache template =
+                new DefaultMustacheFactory(TEMPLATE_FOLDER)
+                        .compile(html ? "plan.html" : "plan.txt");
+        StringWriter page = new StringWriter();
+        Map<String, Object> scope = new LinkedHashMap<>();
+        scope.put("lines", lines);
+        scope.put("zone", zoneId);
+        scope.put("none", lines.isEmpty());
+        template.execute(page, scope);
+        return page.toString();
+    }
+
+    private static ZoneId parseZone(String zoneId) throws MalformedMessageException {
         try {
-            zone = ZoneId.of(zoneId);
+            return ZoneId.of(zoneId);
         } catch (DateTimeException unknown) {
             throw new MalformedMessageException("there is no time zone " + zoneId);
         }
-        MessageReader told = new MessageReader(plan);
+    }
+
+    /** A line for each slot and outage, in the order of their starts. */
+    private List<Map<String, Object>> lines(Map<String, Object> plan)
+            throws MalformedMessageException {
+        MessageReader reader = new MessageReader(plan);
         List<Map<String, Object>> lines = new ArrayList<>();
-        for (MessageReader slot : told.nestedList("slots")) {
-            long met = slot.nonNegativeLong("met");
-            long tasks = slot.nonNegativeLong("tasks");
-            List<String> machines = new ArrayList<>();
-            slot.nested("machines")
-                    .map()
-                    .forEach((pair, count) -> machines.add(count + " x " + pair));
-            lines.add(
-                    planLine(
-                            slot,
-                            "reservation " + slot.string("reservation"),
-                            "team "
-                                    + slot.string("team")
-                                    + ", "
-                                    + met
-                                    + " of "
-                                    + tasks
-                                    + " tasks, "
-                                    + String.join(" + ", machines),
-                            met < tasks ? String.join("; ", slot.stringListOrNull("against")) : "",
-                            met < tasks,
-                            zone));
+        for (MessageReader slot : reader.nestedList("slots")) {
+            lines.add(line(slot, describeSlot(slot)));
         }
-        for (MessageReader outage : told.nestedList("outages")) {
-            lines.add(
-                    planLine(
-                            outage,
-                            "window " + outage.string("window"),
-                            outage.string("scope").toLowerCase(Locale.ROOT)
-                                    + " "
-                                    + String.join(", ", outage.stringListOrNull("targets"))
-                                    + " out",
-                            "",
-                            false,
-                            zone));
+        for (MessageReader outage : reader.nestedList("outages")) {
+            lines.add(line(outage, describeOutage(outage)));
         }
         lines.sort(
                 Comparator.comparing((Map<String, Object> line) -> (String) line.get("order"))
                         .thenComparing(line -> (String) line.get("what")));
-        Mustache template =
-                new DefaultMustacheFactory("org/meadowhollow/cli/reservation")
-                        .compile(html ? "plan.html" : "plan.txt");
-        StringWriter page = new StringWriter();
-        Map<String, Object> scope = new LinkedHashMap<>();
-        scope.put("lines", lines);
-        scope.put("zone", zoneId);
-        scope.put("none", lines.isEmpty());
-        template.execute(page, scope);
-        return page.toString();
+        return lines;
+    }
+
+    private static Description describeSlot(MessageReader slot) throws MalformedMessageException {
+        long met = slot.nonNegativeLong("met");
+        long tasks = slot.nonNegativeLong("tasks");
+        List<String> machines = new ArrayList<>();
+        slot.nested("machines")
+                .map()
+                .forEach((typeZone, count) -> machines.add(count + " x " + typeZone));
+        String detail =
+                "team "
+                        + slot.string("team")
+                        + ", "
+                        + met
+                        + " of "
+                        + tasks
+                        + " tasks, "
+                        + String.join(" + ", machines);
+        String problem = met < tasks ? String.join("; ", slot.stringListOrNull("against")) : "";
+        return new Description(
+                "reservation " + slot.string("reservation"), detail, problem, met < tasks);
+    }
+
+    private static Description describeOutage(MessageReader outage)
+            throws MalformedMessageException {
+        String detail =
+                outage.string("scope").toLowerCase(Locale.ROOT)
+                        + " "
+                        + String.join(", ", outage.stringListOrNull("targets"))
+                        + " out";
+        return new Description("window " + outage.string("window"), detail, "", false);
+    }
+
+    /** The fields of a line; their names are those in the templates. */
+    private Map<String, Object> line(MessageReader entry, Description description)
+            throws MalformedMessageException {
+        String from = formatTime(entry.string("from"));
+        String until = formatTime(entry.string("until"));
+        String problem = description.problem();
+        Map<String, Object> line = new LinkedHashMap<>();
+        line.put("from", from);
+        line.put("until", until);
+        line.put("order", entry.string("from"));
+        line.put("what", description.what());
+        line.put("detail", description.detail());
+        line.put("note", problem);
+        line.put("bad", description.bad());
+        line.put(
+                "row",
+                "%-17s %-17s %-32s %s%s"
+                        .formatted(
+                                from,
+                                until,
+                                description.what(),
+                                description.detail(),
+                                problem.isEmpty() ? "" : "  ! " + problem));
+        return line;
+    }
+
+    private String formatTime(String instant) {
+        return TIME_FORMAT.format(Instant.parse(instant).atZone(zone));
     }
 }
--- /dev/null
+++ b/src/main/java/org/meadowhollow/cli/reservation/WindowCommand.java
@@ -0,0 +1,46 @@
+package org.meadowhollow.cli.reservation;
+
+import java.util.List;
+import java.util.Map;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+
+/** The command {@code window}. */
+@Command(name = "window", description = "Declares when machines are out.")
+final class WindowCommand extends EntryCommand {
+    @Option(names = "--machine", paramLabel = "NAME", description = "that is out; may be repeated")
+    private List<String> machines;
+
+    @Option(
+            names = "--type",
+            paramLabel = "TYPE",
+            description = "whose machines are out; may be repeated")
+    private List<String> types;
+
+    @Option(
+            names = "--zone",
+            paramLabel = "ZONE",
+            description = "whose machines are out; may be repeated")
+    private List<String> zones;
+
+    @Option(
+            names = "--notice",
+            paramLabel = "DURATION",
+            description = "how long before it services begin to move")
+    private String notice;
+
+    @Override
+    String collectionPath() {
+        return "windows";
+    }
+
+    @Override
+    void addFields(Map<String, Object> body) throws CommandFailedException {
+        ScheduleOptions.putIfGiven(body, "machines", machines);
+        ScheduleOptions.putIfGiven(body, "machine_types", types);
+        ScheduleOptions.putIfGiven(body, "zones", zones);
+        if (notice != null) {
+            body.put("notice_s", ScheduleOptions.parseSeconds(notice, "--notice"));
+        }
+    }
+}
--- a/src/test/java/org/meadowhollow/cli/reservation/ReservationCommandTest.java
+++ b/src/test/java/org/meadowhollow/cli/reservation/ReservationCommandTest.java
@@ -22,9 +22,9 @@
 import org.meadowhollow.transport.HttpServer;
 import org.meadowhollow.transport.XnioEventLoop;
 
-/** The commands against a node that notes what it is asked and answers as it is told. */
+/** The commands against a node that records requests and returns prepared answers. */
 class ReservationCommandTest {
-    private final List<String> asked = new ArrayList<>();
+    private final List<String> requests = new ArrayList<>();
     private final List<Http.Reply> answers = new ArrayList<>();
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
@@ -43,8 +43,8 @@
                         0,
                         Duration.ofMinutes(1),
                         request -> {
-                            synchronized (asked) {
-                                asked.add(
+                            synchronized (requests) {
+                                requests.add(
                                         request.method()
                                                 + ' '
                                                 + request.path()
@@ -89,8 +89,7 @@
     }
 
     @Test
-    void whatIsPutIsSentWholeAndSentAgainWhenTheNodeSaysWhenToComeBack()
-            throws MalformedMessageException {
+    void putIsSentWithAllFieldsAndRepeatedAfterRetryAfter() throws MalformedMessageException {
         answer(503, "error", "the state service is out");
         answer(201, "version", 7L, "notes", List.of());
         assertEquals(
@@ -119,18 +118,18 @@
                         "PT2H30M",
                         "--rule",
                         "FREQ=DAILY"));
-        assertEquals(2, asked.size());
-        assertEquals(asked.get(0), asked.get(1));
+        assertEquals(2, requests.size());
+        assertEquals(requests.get(0), requests.get(1));
         assertTrue(
-                asked.get(0)
+                requests.get(0)
                         .startsWith(
                                 "PUT /calendar/v1/reservations/calendars {} Bearer secret null {"),
-                asked.get(0));
+                requests.get(0));
         MessageReader body =
                 new MessageReader(
                         JsonCodec.decode(
-                                asked.get(0)
-                                        .substring(asked.get(0).indexOf("null {") + 5)
+                                requests.get(0)
+                                        .substring(requests.get(0).indexOf("null {") + 5)
                                         .getBytes()));
         assertEquals(9000.0, body.nonNegativeDouble("length_s"));
         assertEquals(List.of("small", "large"), body.stringListOrNull("machine_types"));
@@ -139,15 +138,15 @@
     }
 
     @Test
-    void refusalsAndWrongFlagsAreOneLineAndAnExitCode() {
+    void refusalsAndInvalidFlagsAreOneLineAndAnExitCode() {
         answer(
                 409,
                 "error",
                 "the limit of team t, with first; the nearest start that could be met is 2026-12-31T04:00");
         assertEquals(1, run("window", "withdraw", "w", "--version", "3"));
         assertTrue(
-                asked.get(0).startsWith("DELETE /calendar/v1/windows/w {} Bearer secret 3"),
-                asked.get(0));
+                requests.get(0).startsWith("DELETE /calendar/v1/windows/w {} Bearer secret 3"),
+                requests.get(0));
         assertEquals(
                 "meadowhollow: 409, the limit of team t, with first; the nearest start that could be met is "
                         + "2026-12-31T04:00",
@@ -163,11 +162,11 @@
             assertEquals(2, run(wrong), String.join(" ", wrong));
         }
         assertEquals(1, run("window", "put", "w", "--length", "two hours"));
-        assertEquals(1, asked.size(), "nothing of it is sent");
+        assertEquals(1, requests.size(), "nothing of it is sent");
     }
 
     @Test
-    void thePlanIsPrintedInTheOrderOfTimeAndShowsWhatIsShort() {
+    void planIsPrintedInOrderOfTimeWithConflicts() {
         for (int at = 0; at < 2; at++) {
             answer(
                     200,
@@ -205,7 +204,7 @@
                                     "2026-12-31T05:00:00Z")));
         }
         assertEquals(0, run("plan", "--hours", "24", "--time-zone", "Asia/Amman"));
-        assertTrue(asked.get(0).contains("{hours=[24]}"), asked.get(0));
+        assertTrue(requests.get(0).contains("{hours=[24]}"), requests.get(0));
         List<String> lines = out.toString().lines().toList();
         assertEquals("Plan, by the clocks of Asia/Amman", lines.get(0));
         assertTrue(
