--- a/src/main/java/org/meadowhollow/cli/Controller.java
+++ b/src/main/java/org/meadowhollow/cli/Controller.java
@@ -27,7 +27,10 @@
 import org.meadowhollow.protocol.cloud.CloudClient;
 import org.meadowhollow.protocol.jobs.JobApi;
 import org.meadowhollow.protocol.keyvalue.KeyValueStoreClient;
+import org.meadowhollow.protocol.peers.HandoverSource;
 import org.meadowhollow.protocol.peers.PeerClient;
+import org.meadowhollow.protocol.peers.PeerMessageCodec;
+import org.meadowhollow.protocol.peers.PeerServer;
 import org.meadowhollow.protocol.reservation.ReservationApi;
 import org.meadowhollow.protocol.tes.TesApi;
 import org.meadowhollow.protocol.workers.HeartbeatApi;
@@ -122,7 +125,9 @@
                         settings.cloudAddress(),
                         loop,
                         newRateLimiter(deploymentSettings.cloudRequestsPerSecond()));
-        PeerClient peers = new PeerClient(http, settings.peerAddresses());
+        PeerMessageCodec peerCodec = new PeerMessageCodec();
+        PeerClient peers = new PeerClient(http, settings.peerAddresses(), peerCodec);
+        PeerServer peerApi = new PeerServer(peerCodec);
         MachineTypeCatalog machineTypeCatalog = new MachineTypeCatalog();
         ControllerNode started =
                 new ControllerNode(
@@ -143,8 +148,8 @@
                         standby,
                         random);
         controllerNode = started;
-        peers.handoverSource(
-                new PeerClient.HandoverSource() {
+        peerApi.setHandoverSource(
+                new HandoverSource() {
                     @Override
                     public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest question) {
                         return started.riskTableDelta(question);
@@ -155,9 +160,10 @@
                         return started.recordDigests();
                     }
                 });
-        peers.leaderListener(controllerNode::observeLeader);
-        peers.storeReachable(() -> !state.seemsUnavailable());
-        peers.hearing(controllerNode::isMissingHeartbeats, controllerNode::recentlyHeardMachines);
+        peerApi.setLeaderListener(controllerNode::observeLeader);
+        peerApi.setStoreReachable(() -> !state.seemsUnavailable());
+        peerApi.setHeartbeatSources(
+                controllerNode::isMissingHeartbeats, controllerNode::recentlyHeardMachines);
         AdmissionService admissionService =
                 new AdmissionService(
                         state,
@@ -226,7 +232,7 @@
                         settings.peerEndpoint().port(),
                         0,
                         PEER_IDLE_TIMEOUT,
-                        peers);
+                        peerApi);
         controllerNode.start();
     }
 
--- /dev/null
+++ b/src/main/java/org/meadowhollow/protocol/peers/PeerServer.java
@@ -0,0 +1,133 @@
+package org.meadowhollow.protocol.peers;
+
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.BiConsumer;
+import java.util.function.BooleanSupplier;
+import org.meadowhollow.coordination.api.RiskTableDelta;
+import org.meadowhollow.coordination.api.RiskTableRequest;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.protocol.Http;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessageReader;
+import org.meadowhollow.protocol.peers.PeerMessages.LeaderMessage;
+import org.meadowhollow.storage.RecordDigests;
+
+/**
+ * Answers the other controllers from what this node knows; it keeps no state of its own. The
+ * sources are set once, before the server listens, and are called on the thread that reads the
+ * request. Until they are set a node says that nothing is known.
+ */
+public final class PeerServer implements Http.SimpleRequestHandler {
+    private static final HandoverSource NOT_LEADING =
+            new HandoverSource() {
+                @Override
+                public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest request) {
+                    return Optional.empty();
+                }
+
+                @Override
+                public Optional<RecordDigests> recordDigests() {
+                    return Optional.empty();
+                }
+            };
+
+    private final PeerMessageCodec codec;
+    private volatile BooleanSupplier storeReachable = () -> false;
+    private volatile BooleanSupplier isolated = () -> false;
+    private volatile HandoverSource handoverSource = NOT_LEADING;
+    private volatile RecentHeartbeatSource heartbeatSource = (machines, within) -> Set.of();
+    private volatile BiConsumer<FencingToken, String> leaderListener = (fencingToken, member) -> {};
+
+    public PeerServer(PeerMessageCodec codec) {
+        this.codec = codec;
+    }
+
+    /** Sets what says whether the key-value store answers this node. */
+    public void setStoreReachable(BooleanSupplier source) {
+        storeReachable = source;
+    }
+
+    /**
+     * Sets what knows of the workers' heartbeats.
+     *
+     * @param isolatedSource whether this node leads and misses the heartbeats of many workers
+     */
+    public void setHeartbeatSources(BooleanSupplier isolatedSource, RecentHeartbeatSource recent) {
+        isolated = isolatedSource;
+        heartbeatSource = recent;
+    }
+
+    /** Sets what answers standbys while this node leads. */
+    public void setHandoverSource(HandoverSource source) {
+        handoverSource = source;
+    }
+
+    /** Sets what is called with the leader's fencing token and name at each announcement. */
+    public void setLeaderListener(BiConsumer<FencingToken, String> listener) {
+        leaderListener = listener;
+    }
+
+    @Override
+    public CompletableFuture<Http.Reply> handle(String method, String path, byte[] body) {
+        return CompletableFuture.completedFuture(reply(method, path, body));
+    }
+
+    private Http.Reply reply(String method, String path, byte[] body) {
+        try {
+            return switch (method + ' ' + path) {
+                case "GET " + PeerPaths.STATUS -> status();
+                case "POST " + PeerPaths.RECENT_HEARTBEATS -> recentHeartbeats(body);
+                case "POST " + PeerPaths.RISK_TABLES -> riskTables(body);
+                case "GET " + PeerPaths.DIGESTS -> digests();
+                case "POST " + PeerPaths.LEADER -> observeLeader(body);
+                default -> Http.Reply.error(404, "no such path");
+            };
+        } catch (MalformedMessageException malformed) {
+            return Http.Reply.error(400, malformed.getMessage());
+        }
+    }
+
+    private Http.Reply status() {
+        return ok(codec.encodeStatus(storeReachable.getAsBoolean(), isolated.getAsBoolean()));
+    }
+
+    private Http.Reply recentHeartbeats(byte[] body) throws MalformedMessageException {
+        PeerMessageCodec.RecentHeartbeatsQuery query = codec.decodeRecentHeartbeatsRequest(body);
+        List<MachineId> machines = query.machines();
+        Set<MachineId> recent = heartbeatSource.recentlyHeard(machines, query.within());
+        return ok(codec.encodeRecentHeartbeats(storeReachable.getAsBoolean(), machines, recent));
+    }
+
+    private Http.Reply riskTables(byte[] body) throws MalformedMessageException {
+        RiskTableRequest request = codec.decodeRiskTableRequest(body);
+        return handoverSource
+                .riskTableDelta(request)
+                .map(delta -> ok(codec.encodeRiskTables(delta)))
+                .orElseGet(PeerServer::notLeading);
+    }
+
+    private Http.Reply digests() {
+        return handoverSource
+                .recordDigests()
+                .map(digests -> ok(codec.encodeDigests(digests)))
+                .orElseGet(PeerServer::notLeading);
+    }
+
+    private Http.Reply observeLeader(byte[] body) throws MalformedMessageException {
+        LeaderMessage announcement = codec.decodeLeader(body);
+        leaderListener.accept(new FencingToken(announcement.term()), announcement.member());
+        return Http.Reply.of(200, MessageReader.mapOf());
+    }
+
+    private static Http.Reply ok(byte[] body) {
+        return new Http.Reply(200, body, 0);
+    }
+
+    private static Http.Reply notLeading() {
+        return Http.Reply.error(404, "this node does not lead");
+    }
+}
--- a/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerFilesMain.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerFilesMain.java
@@ -14,12 +14,12 @@
 
     public static void main(String[] unused) throws IOException {
         GoldenPeers peer = new GoldenPeers();
-        peer.says(true, false);
-        peer.link.announceLeader("n1", new FencingToken(42));
+        peer.setStatus(true, false);
+        peer.client.announceLeader("n1", new FencingToken(42));
         write("peer-leader", peer, 0);
-        peer.link.queryRecentHeartbeats(GoldenPeers.MACHINES, Duration.ofMillis(6500));
+        peer.client.queryRecentHeartbeats(GoldenPeers.MACHINES, Duration.ofMillis(6500));
         write("peer-hearing-question", peer, 1);
-        peer.link.fetchRiskTables("n1", GoldenPeers.QUESTION);
+        peer.client.fetchRiskTables("n1", GoldenPeers.RISK_TABLE_REQUEST);
         write("peer-tables-question", peer, 2);
         GoldenFile.write("peer-served", "GET /served", peer.handle("GET", "/served", null));
         GoldenFile.write(
@@ -31,7 +31,7 @@
                 "POST /tables",
                 peer.handle("POST", "/tables", peer.sent.get(2).body()));
         GoldenFile.write("peer-digests", "GET /digests", peer.handle("GET", "/digests", null));
-        peer.says(false, true);
+        peer.setStatus(false, true);
         GoldenFile.write("peer-deaf", "GET /served", peer.handle("GET", "/served", null));
     }
 
--- a/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerMessagesTest.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerMessagesTest.java
@@ -46,47 +46,48 @@
     }
 
     @Test
-    void whoLeads() {
+    void leaderAnnouncement() {
         GoldenFile file = GoldenFile.read("peer-leader");
         assertEquals("POST /leader", file.key());
-        List<String> told = new ArrayList<>();
-        peer.link.leaderListener(
-                (fencingToken, member) -> told.add(member + " in " + fencingToken.value()));
+        List<String> announcements = new ArrayList<>();
+        peer.server.setLeaderListener(
+                (fencingToken, member) ->
+                        announcements.add(member + " in " + fencingToken.value()));
         peer.handle("POST", "/leader", file.bytes());
-        assertEquals(List.of("n1 in 42"), told);
-        peer.link.announceLeader("n1", new FencingToken(42));
+        assertEquals(List.of("n1 in 42"), announcements);
+        peer.client.announceLeader("n1", new FencingToken(42));
         assertSent(file);
     }
 
     @Test
-    void aNodeThatTheStateServiceServes() {
+    void statusOfANodeThatReachesTheStore() {
         GoldenFile file = GoldenFile.read("peer-served");
         assertEquals("GET /served", file.key());
         peer.answer = file.bytes();
-        assertTrue(peer.link.anyPeerReachesStore().join());
-        assertEquals(ProbeResult.HEALTHY, peer.link.probe("n1").join());
+        assertTrue(peer.client.anyPeerReachesStore().join());
+        assertEquals(ProbeResult.HEALTHY, peer.client.probe("n1").join());
         assertEquals("GET /served", peer.sent.get(0).method() + ' ' + peer.sent.get(0).path());
-        peer.says(true, false);
+        peer.setStatus(true, false);
         file.assertSameBytes(peer.handle("GET", "/served", null));
     }
 
     @Test
-    void aNodeThatIsNotServedAndLeadsDeaf() {
+    void statusOfAnIsolatedLeaderThatDoesNotReachTheStore() {
         GoldenFile file = GoldenFile.read("peer-deaf");
         peer.answer = file.bytes();
-        assertFalse(peer.link.anyPeerReachesStore().join());
-        assertEquals(ProbeResult.ISOLATED, peer.link.probe("n1").join());
-        peer.says(false, true);
+        assertFalse(peer.client.anyPeerReachesStore().join());
+        assertEquals(ProbeResult.ISOLATED, peer.client.probe("n1").join());
+        peer.setStatus(false, true);
         file.assertSameBytes(peer.handle("GET", "/served", null));
     }
 
     @Test
-    void whichMachinesANodeIsAskedAbout() {
+    void recentHeartbeatsRequest() {
         GoldenFile file = GoldenFile.read("peer-hearing-question");
         assertEquals("POST /hearing", file.key());
         List<MachineId> asked = new ArrayList<>();
         List<Duration> within = new ArrayList<>();
-        peer.link.hearing(
+        peer.server.setHeartbeatSources(
                 () -> false,
                 (machines, span) -> {
                     asked.addAll(machines);
@@ -101,12 +102,12 @@
                         new MachineId("vm-000003")),
                 asked);
         assertEquals(List.of(Duration.ofMillis(6500)), within);
-        peer.link.queryRecentHeartbeats(asked, within.get(0));
+        peer.client.queryRecentHeartbeats(asked, within.get(0));
         assertSent(file);
     }
 
     @Test
-    void whichMachinesANodeHasHeard() {
+    void recentHeartbeatsResponse() {
         GoldenFile file = GoldenFile.read("peer-hearing");
         peer.answer = file.bytes();
         assertEquals(
@@ -116,21 +117,21 @@
                                 true,
                                 true,
                                 Set.of(new MachineId("vm-000001"), new MachineId("vm-000003")))),
-                peer.link
+                peer.client
                         .queryRecentHeartbeats(GoldenPeers.MACHINES, Duration.ofMillis(6500))
                         .join());
-        peer.says(true, false);
+        peer.setStatus(true, false);
         file.assertSameBytes(
                 peer.handle("POST", "/hearing", GoldenFile.read("peer-hearing-question").bytes()));
     }
 
     @Test
-    void aQuestionAboutTables() {
+    void riskTablesRequest() {
         GoldenFile file = GoldenFile.read("peer-tables-question");
         assertEquals("POST /tables", file.key());
         List<RiskTableRequest> asked = new ArrayList<>();
-        peer.link.handoverSource(
-                new PeerClient.HandoverSource() {
+        peer.server.setHandoverSource(
+                new HandoverSource() {
                     @Override
                     public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest question) {
                         asked.add(question);
@@ -158,11 +159,11 @@
                                 "vm-000002")),
                 asked);
         peer.answer = GoldenFile.read("peer-tables").bytes();
-        peer.link.fetchRiskTables("n1", asked.get(0)).join();
+        peer.client.fetchRiskTables("n1", asked.get(0)).join();
         assertSent(file);
     }
 
-    private static void assertPart(
+    private static void assertEntry(
             String machine,
             int incarnation,
             long session,
@@ -179,17 +180,20 @@
     }
 
     @Test
-    void anAnswerAboutTables() {
+    void riskTablesResponse() {
         GoldenFile file = GoldenFile.read("peer-tables");
         peer.answer = file.bytes();
         RiskTableDelta delta =
-                peer.link.fetchRiskTables("n1", GoldenPeers.QUESTION).join().orElseThrow();
+                peer.client
+                        .fetchRiskTables("n1", GoldenPeers.RISK_TABLE_REQUEST)
+                        .join()
+                        .orElseThrow();
         assertEquals(new FencingToken(42), delta.token());
         assertEquals(1234, delta.lastSample());
         assertTrue(delta.fullTables());
         assertFalse(delta.hasMore());
         assertEquals(2, delta.entries().size());
-        assertPart(
+        assertEntry(
                 "vm-000001",
                 -5,
                 1,
@@ -197,7 +201,7 @@
                 new int[] {1, -2, 300},
                 new long[0],
                 delta.entries().get(0));
-        assertPart(
+        assertEntry(
                 "vm-000002",
                 6,
                 4_294_967_297L,
@@ -205,17 +209,17 @@
                 new int[0],
                 new long[] {1, 77, 20, -3},
                 delta.entries().get(1));
-        peer.says(true, false);
+        peer.setStatus(true, false);
         file.assertSameBytes(
                 peer.handle("POST", "/tables", GoldenFile.read("peer-tables-question").bytes()));
     }
 
     @Test
-    void digestsOfRecords() {
+    void digestsResponse() {
         GoldenFile file = GoldenFile.read("peer-digests");
         assertEquals("GET /digests", file.key());
         peer.answer = file.bytes();
-        RecordDigests recordDigests = peer.link.fetchDigests("n1").join().orElseThrow();
+        RecordDigests recordDigests = peer.client.fetchDigests("n1").join().orElseThrow();
         assertEquals("GET /digests", peer.sent.get(0).method() + ' ' + peer.sent.get(0).path());
         assertEquals(
                 new HashMap<>(
@@ -226,17 +230,17 @@
                                 new RecordDigests.PartDigest(70_000, -2))),
                 new HashMap<>(recordDigests.parts()));
         assertEquals(Set.of("job/req-1"), recordDigests.partsBeingWritten());
-        peer.says(true, false);
+        peer.setStatus(true, false);
         file.assertSameBytes(peer.handle("GET", "/digests", null));
     }
 
     /** What is sent now of what the files hold. */
     private byte[] sentNow(String name) {
-        peer.says(true, name.equals("peer-deaf"));
-        peer.link.announceLeader("n1", new FencingToken(42));
-        peer.link.queryRecentHeartbeats(GoldenPeers.MACHINES, Duration.ofMillis(6500));
+        peer.setStatus(true, name.equals("peer-deaf"));
+        peer.client.announceLeader("n1", new FencingToken(42));
+        peer.client.queryRecentHeartbeats(GoldenPeers.MACHINES, Duration.ofMillis(6500));
         peer.answer = GoldenFile.read("peer-tables").bytes();
-        peer.link.fetchRiskTables("n1", GoldenPeers.QUESTION);
+        peer.client.fetchRiskTables("n1", GoldenPeers.RISK_TABLE_REQUEST);
         return switch (name) {
             case "peer-leader" -> peer.sent.get(0).body();
             case "peer-hearing-question" -> peer.sent.get(1).body();
@@ -268,23 +272,23 @@
      * no message names, as the fields that hold them have no other type; they only move what is
      * registered behind them.
      *
-     * @param at the place of the number in the message; the second one is inside the sealed body,
-     *     behind its length
+     * @param at the place of the number in the message; the second one is inside the checksummed
+     *     body, behind its length
      */
     @ParameterizedTest
     @MethodSource("classes")
-    void theNumberOfEachClass(String name, int at, int number) {
+    void classNumbersFollowTheOrderOfRegistration(String name, int at, int number) {
         assertEquals(number, GoldenFile.read(name).bytes()[at]);
         assertEquals(number, sentNow(name)[at]);
     }
 
     /**
-     * A sealed answer ends with its form, a question about tables has it behind the two fields that
-     * come before.
+     * A checksummed response ends with its format version, a request for risk tables has it behind
+     * the two fields that come before.
      */
     @Test
-    void theForm() {
-        assertEquals(1, PeerClient.FORMAT_VERSION);
+    void formatVersion() {
+        assertEquals(1, PeerMessageCodec.FORMAT_VERSION);
         for (String name : List.of("peer-tables", "peer-digests")) {
             byte[] bytes = sentNow(name);
             assertEquals(
--- a/src/test/java/org/meadowhollow/protocol/peers/GoldenPeers.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/GoldenPeers.java
@@ -20,8 +20,8 @@
 import org.meadowhollow.storage.RecordDigests;
 
 /**
- * What the golden messages between controllers say, and a controller whose messages are seen and
- * given.
+ * The content of the golden messages between controllers, and a controller whose requests are
+ * recorded and whose responses are given.
  */
 final class GoldenPeers {
     static final List<MachineId> MACHINES =
@@ -29,7 +29,7 @@
                     new MachineId("vm-000001"),
                     new MachineId("vm-000002"),
                     new MachineId("vm-000003"));
-    static final RiskTableRequest QUESTION =
+    static final RiskTableRequest RISK_TABLE_REQUEST =
             new RiskTableRequest(
                     new ControllerStatus(
                             "n2", 0x1122334455667788L, "b", "2.1.0", 1, new Revision(123_456)),
@@ -40,13 +40,15 @@
     /** A request as it went out. */
     record Sent(String method, String path, byte[] body) {}
 
-    /** All that was sent. */
+    /** The requests sent, in their order. */
     final List<Sent> sent = new ArrayList<>();
 
-    /** The one answer that the other controller gives. */
+    /** The response of the other controller to every request. */
     byte[] answer = new byte[0];
 
-    final PeerClient link = new PeerClient(this::send, Map.of("n1", "a:1"));
+    private final PeerMessageCodec codec = new PeerMessageCodec();
+    final PeerClient client = new PeerClient(this::send, Map.of("n1", "a:1"), codec);
+    final PeerServer server = new PeerServer(codec);
 
     private CompletableFuture<Http.Reply> send(
             String address, String method, String path, byte[] body, Duration timeout) {
@@ -84,12 +86,13 @@
         return RecordDigests.of(new HashMap<>(parts), Set.of("job/req-1"));
     }
 
-    /** Makes the controller say these things of itself. */
-    void says(boolean served, boolean deaf) {
-        link.storeReachable(() -> served);
-        link.hearing(() -> deaf, (machines, within) -> Set.of(MACHINES.get(0), MACHINES.get(2)));
-        link.handoverSource(
-                new PeerClient.HandoverSource() {
+    /** Sets what the controller answers about itself; the rest of its answers is fixed. */
+    void setStatus(boolean storeReachable, boolean isolated) {
+        server.setStoreReachable(() -> storeReachable);
+        server.setHeartbeatSources(
+                () -> isolated, (machines, within) -> Set.of(MACHINES.get(0), MACHINES.get(2)));
+        server.setHandoverSource(
+                new HandoverSource() {
                     @Override
                     public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest question) {
                         return Optional.of(delta());
@@ -103,7 +106,7 @@
     }
 
     byte[] handle(String method, String path, byte[] body) {
-        Http.Reply reply = link.handle(method, path, body).join();
+        Http.Reply reply = server.handle(method, path, body).join();
         if (reply.status() != 200) {
             throw new AssertionError("answered " + reply.status());
         }
--- a/src/test/java/org/meadowhollow/protocol/peers/PeerClientTest.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/PeerClientTest.java
@@ -38,27 +38,28 @@
                                             new Http.ConnectionRefusedException("no connection"))
                                     : CompletableFuture.completedFuture(
                                             new Http.Reply(200, new byte[0], 0));
-    private final PeerClient link =
-            new PeerClient(http, Map.of("n1", "a:1", "n2", "a:2", "n3", "a:3"));
+    private final PeerClient client =
+            new PeerClient(
+                    http, Map.of("n1", "a:1", "n2", "a:2", "n3", "a:3"), new PeerMessageCodec());
 
     @Test
-    void aNodeThatAloneRefusesIsToldFromAFilterBetweenAll() {
-        assertEquals(ProbeResult.HEALTHY, link.probe("n1").join());
+    void aRefusalCountsOnlyWhileAnotherControllerAnswers() {
+        assertEquals(ProbeResult.HEALTHY, client.probe("n1").join());
         refusing.add("a:1");
-        assertEquals(ProbeResult.CONNECTION_REFUSED, link.probe("n1").join());
+        assertEquals(ProbeResult.CONNECTION_REFUSED, client.probe("n1").join());
         refusing.add("a:2");
         assertEquals(
-                ProbeResult.CONNECTION_REFUSED, link.probe("n1").join(), "the third one answers");
+                ProbeResult.CONNECTION_REFUSED, client.probe("n1").join(), "the third one answers");
         refusing.add("a:3");
         assertEquals(
                 ProbeResult.UNRESPONSIVE,
-                link.probe("n1").join(),
+                client.probe("n1").join(),
                 "all refuse, so the line is at fault");
     }
 
-    /** Asks another node for its tables; the answer is changed on its way. */
-    private Optional<RiskTableDelta> tables(UnaryOperator<byte[]> onItsWay) {
-        PeerClient leader = new PeerClient(http, Map.of());
+    /** Fetches the risk tables of a leader; the response is changed in transit. */
+    private Optional<RiskTableDelta> fetchRiskTables(UnaryOperator<byte[]> inTransit) {
+        PeerServer leader = new PeerServer(new PeerMessageCodec());
         RiskTableDelta delta =
                 new RiskTableDelta(
                         new FencingToken(3),
@@ -73,8 +74,8 @@
                                         77,
                                         new int[0],
                                         new long[] {1, 77, 20, 3})));
-        leader.handoverSource(
-                new PeerClient.HandoverSource() {
+        leader.setHandoverSource(
+                new HandoverSource() {
                     @Override
                     public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest question) {
                         return Optional.of(delta);
@@ -93,10 +94,11 @@
                                                 reply ->
                                                         new Http.Reply(
                                                                 reply.status(),
-                                                                onItsWay.apply(reply.body()),
+                                                                inTransit.apply(reply.body()),
                                                                 0)),
-                        Map.of("n1", "a:1"));
-        Optional<RiskTableDelta> got =
+                        Map.of("n1", "a:1"),
+                        new PeerMessageCodec());
+        Optional<RiskTableDelta> fetched =
                 standby.fetchRiskTables(
                                 "n1",
                                 new RiskTableRequest(
@@ -106,14 +108,14 @@
                                         7,
                                         ""))
                         .join();
-        got.ifPresent(
+        fetched.ifPresent(
                 each ->
                         assertArrayEquals(
                                 delta.entries().get(0).samples(), each.entries().get(0).samples()));
-        return got;
+        return fetched;
     }
 
-    private static UnaryOperator<byte[]> adding(int at, int more) {
+    private static UnaryOperator<byte[]> addingTo(int at, int more) {
         return body -> {
             body[at < 0 ? body.length + at : at] += (byte) more;
             return body;
@@ -121,25 +123,25 @@
     }
 
     @Test
-    void tablesArriveAsTheyAreOrNotAtAll() {
-        assertTrue(tables(body -> body).isPresent());
+    void riskTablesArriveIntactOrNotAtAll() {
+        assertTrue(fetchRiskTables(body -> body).isPresent());
         String damaged =
-                assertThrows(CompletionException.class, () -> tables(adding(-2, 1)))
+                assertThrows(CompletionException.class, () -> fetchRiskTables(addingTo(-2, 1)))
                         .getCause()
                         .getMessage();
         assertEquals("it is damaged", damaged);
         // Fields go by their names: the form comes last, behind the checksum.
         String form =
-                assertThrows(CompletionException.class, () -> tables(adding(-1, 2)))
+                assertThrows(CompletionException.class, () -> fetchRiskTables(addingTo(-1, 2)))
                         .getCause()
                         .getMessage();
         assertEquals("its form 2 is not known", form);
     }
 
     @Test
-    void silenceIsNoRefusal() {
+    void aTimeoutIsNotARefusal() {
         silent.add("a:1");
-        assertEquals(ProbeResult.UNRESPONSIVE, link.probe("n1").join());
-        assertEquals(ProbeResult.UNRESPONSIVE, link.probe("nobody").join());
+        assertEquals(ProbeResult.UNRESPONSIVE, client.probe("n1").join());
+        assertEquals(ProbeResult.UNRESPONSIVE, client.probe("nobody").join());
     }
 }
