--- a/src/main/java/org/meadowhollow/cli/ClassArchiveTraining.java
+++ b/src/main/java/org/meadowhollow/cli/ClassArchiveTraining.java
@@ -15,13 +15,16 @@
 import org.meadowhollow.transport.XnioEventLoop;
 
 /**
- * Run once by the build, to load the classes that a controller needs so that the JVM can archive
- * them. Starting from that archive costs a fraction of a cold start, which matters after a crash.
+ * The training run of class data sharing: the build runs it once to load the classes that a
+ * controller needs, so that the JVM can archive them. Starting from that archive takes a fraction
+ * of a cold start, which matters after a crash.
  */
 final class ClassArchiveTraining {
     private static final String OWN_CLASS_PATH_PREFIX = "org/meadowhollow/";
 
-    /** Loaded by those who trace, and by operators' commands, and by no node that only runs. */
+    /**
+     * Loaded with tracing and by operators' commands only, and not by a controller without them.
+     */
     private static final List<String> EXCLUDED_PATH_PREFIXES =
             List.of(
                     OWN_CLASS_PATH_PREFIX + "transport/tracing/",
@@ -32,16 +35,16 @@
     private ClassArchiveTraining() {}
 
     /**
-     * Lets a controller lead and run one job among stand-ins, then loads the rest of its own
-     * classes by name.
+     * Lets a controller become leader and run one job against stubs of the platform, then loads the
+     * rest of its own classes by name.
      */
     static void run()
             throws IOException, Settings.InvalidSettingsException, ClassNotFoundException {
-        Path file = Files.createTempFile("meadowhollow", ".json");
-        XnioEventLoop outside = new XnioEventLoop();
-        try (HttpServer standIn =
+        Path settingsFile = Files.createTempFile("meadowhollow", ".json");
+        XnioEventLoop stubLoop = new XnioEventLoop();
+        try (HttpServer platformStub =
                 new HttpServer(
-                        outside,
+                        stubLoop,
                         Controller.newBufferPool(),
                         "127.0.0.1",
                         0,
@@ -49,9 +52,9 @@
                         Duration.ofMinutes(1),
                         new PlatformStub())) {
             Files.writeString(
-                    file,
+                    settingsFile,
                     """
-                    {"member":"rehearsal","area":"z","listen":"127.0.0.1:0","back":"127.0.0.1:0",
+                    {"member":"training","area":"z","listen":"127.0.0.1:0","back":"127.0.0.1:0",
                      "known":[{"member":"other","area":"z","addr":"127.0.0.1:9"}],
                      "external":{"cloud":"127.0.0.1:%1$d","state":"127.0.0.1:%1$d"},
                      "settings":{"size":1,"zones":["z"],"teams":[{"name":"t"}],
@@ -59,24 +62,24 @@
                       "workers":{"report_s":3.0,"lease_s":18.0,"gang_wait_s":30.0,"gang_peer_s":6.0,"cancel_s":48.0},
                       "state":{"rps":80.0,"write_rps":30.0,"value_kb":16.0,"txn_ops":12},
                       "cloud":{"rps":8.0,"list_lag_s":10.0}}}"""
-                            .formatted(standIn.port()));
-            try (Controller controller = Controller.builder(Settings.read(file)).start()) {
+                            .formatted(platformStub.port()));
+            try (Controller controller = Controller.builder(Settings.read(settingsFile)).start()) {
                 exerciseController(controller.port());
             }
         } finally {
-            outside.close();
-            Files.delete(file);
+            stubLoop.close();
+            Files.delete(settingsFile);
         }
         loadOwnClasses();
     }
 
     private static void exerciseController(int port) throws IOException {
         sendRequest(port, "GET", "/ready", new byte[0]);
-        // Waits until the controller leads, and is answered by it.
+        // The response waits until the controller leads.
         sendRequest(port, "POST", "/hello", PlatformStub.heartbeatBody(1, 0, null));
         sendRequest(port, "POST", "/submissions", PlatformStub.submissionBody());
         sendRequest(port, "GET", "/submissions/req-1", new byte[0]);
-        // These two are held until the task can start, or for a while.
+        // The responses to these two are delayed until the task can start, or for a bounded time.
         sendRequest(port, "POST", "/hello", PlatformStub.heartbeatBody(2, 1, null));
         sendRequest(port, "POST", "/hello", PlatformStub.heartbeatBody(3, 1, null));
         sendRequest(port, "POST", "/hello", PlatformStub.heartbeatBody(4, 1, "running"));
@@ -93,14 +96,14 @@
                             (method
                                             + ' '
                                             + path
-                                            + " HTTP/1.1\r\nHost: rehearsal\r\n"
+                                            + " HTTP/1.1\r\nHost: training\r\n"
                                             + "Connection: close\r\nContent-Length: "
                                             + body.length
                                             + "\r\n\r\n")
                                     .getBytes(StandardCharsets.US_ASCII));
             socket.getOutputStream().write(body);
-            InputStream answer = socket.getInputStream();
-            answer.readAllBytes();
+            InputStream response = socket.getInputStream();
+            response.readAllBytes();
         }
     }
 
--- a/src/main/java/org/meadowhollow/cli/Main.java
+++ b/src/main/java/org/meadowhollow/cli/Main.java
@@ -47,7 +47,7 @@
     /** A hand-over takes one change in the state service. */
     private static final Duration HANDOVER_TIMEOUT = Duration.ofSeconds(2);
 
-    private static final String TRAIN_CLASS_ARCHIVE = "--rehearse";
+    private static final String TRAIN_CLASS_ARCHIVE = "--train-class-archive";
 
     private final CommandSpec spec =
             CommandSpec.wrapWithoutInspection(this)
--- a/src/main/java/org/meadowhollow/protocol/training/PlatformStub.java
+++ b/src/main/java/org/meadowhollow/protocol/training/PlatformStub.java
@@ -9,8 +9,9 @@
 import org.meadowhollow.protocol.MessageReader;
 
 /**
- * Stands in for the state service and the cloud, as far as it takes for one controller to lead and
- * to run one job, while the build finds out which classes that needs. It keeps nothing.
+ * A stub of the key-value store and the cloud for the training run of class data sharing: just
+ * enough for one controller to lead and to run one job. It stores nothing but a revision counter,
+ * guarded by its own lock.
  */
 public final class PlatformStub implements Http.SimpleRequestHandler {
     private static final String JOB = "req-1";
