--- a/src/main/java/org/meadowhollow/cli/Controller.java
+++ b/src/main/java/org/meadowhollow/cli/Controller.java
@@ -3,6 +3,7 @@
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.server.DefaultByteBufferPool;
 import java.io.IOException;
+import java.nio.file.Path;
 import java.time.Duration;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
@@ -13,269 +14,181 @@
 import javax.net.ssl.SSLContext;
 import org.meadowhollow.coordination.ControllerNode;
 import org.meadowhollow.coordination.admission.AdmissionService;
-import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.coordination.api.RiskTableDelta;
 import org.meadowhollow.coordination.api.RiskTableRequest;
 import org.meadowhollow.coordination.failover.StandbySettings;
-import org.meadowhollow.coordination.fleet.HeartbeatTimeoutMonitor;
 import org.meadowhollow.coordination.reservation.ReservationService;
 import org.meadowhollow.coordination.reservation.ReservationSettings;
 import org.meadowhollow.model.JobEventListeners;
 import org.meadowhollow.model.MachineTypeCatalog;
-import org.meadowhollow.protocol.AdaptiveRateLimiter;
+import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.PublicApiRouter;
-import org.meadowhollow.protocol.cloud.CloudClient;
 import org.meadowhollow.protocol.jobs.JobApi;
-import org.meadowhollow.protocol.keyvalue.KeyValueStoreClient;
 import org.meadowhollow.protocol.peers.HandoverSource;
-import org.meadowhollow.protocol.peers.PeerClient;
 import org.meadowhollow.protocol.peers.PeerMessageCodec;
 import org.meadowhollow.protocol.peers.PeerServer;
 import org.meadowhollow.protocol.reservation.ReservationApi;
 import org.meadowhollow.protocol.tes.TesApi;
 import org.meadowhollow.protocol.workers.HeartbeatApi;
-import org.meadowhollow.protocol.workers.WorkerClient;
 import org.meadowhollow.storage.RecordDigests;
 import org.meadowhollow.transport.HttpClient;
 import org.meadowhollow.transport.HttpServer;
 import org.meadowhollow.transport.PemKeyManager;
 import org.meadowhollow.transport.XnioEventLoop;
 
-/** One controller node, to start and to close; the daemon is a thin shell around it. */
+/**
+ * One running controller: wires the coordination of a node to its clients and HTTP servers. It is
+ * built on the thread of its event loop, on which all of its work is done; its public methods may
+ * be called on any other thread.
+ */
 public final class Controller implements AutoCloseable {
     /** Bytes of a network buffer; nearly every message fits into one. */
     private static final int BUFFER_BYTES = 8 * 1024;
 
     private static final int MAX_POOLED_BUFFERS = 64;
 
-    /**
-     * The limits of the state service and the cloud hold for all nodes together. The leader does
-     * most of the work and may take most of them; the rest is left to what the others do for users.
-     */
-    private static final double RATE_SHARE_PER_NODE = 0.7;
-
-    /** Longer than the pause between two hints while there is anything to say. */
-    private static final Duration PEER_IDLE_TIMEOUT = Duration.ofMinutes(2);
-
-    /**
-     * Workers report and users poll every few seconds, so that whoever says nothing for this many
-     * reports is gone or behind a cut; but at least for so long, since a slow caller loses a
-     * request on a connection that is closed.
-     */
-    private static final int IDLE_HEARTBEATS = 6;
-
-    private static final Duration MIN_IDLE_TIMEOUT = Duration.ofSeconds(20);
-
-    /** While a lease is handed over. */
+    /** How often a handover is checked for its completion. */
     private static final Duration HANDOVER_POLL_INTERVAL = Duration.ofMillis(20);
 
-    /** Sockets and files that the process itself needs beside its connections. */
-    private static final int RESERVED_FILE_DESCRIPTORS = 64;
-
-    /** The least share of its sockets that a process leaves to those who come to it. */
-    private static final double MIN_CALLER_SHARE = 0.5;
-
-    /**
-     * The share of callers' connections that clients of the task execution API may take beside
-     * them.
-     */
-    private static final int TES_CONNECTIONS_DIVISOR = 8;
-
-    /** Connections of those who plan by hand or by a script. */
-    private static final int MAX_OPERATOR_CONNECTIONS = 16;
-
     private final XnioEventLoop loop;
+    private final ExternalClients clients;
+    private final MachineTypeCatalog machineTypeCatalog = new MachineTypeCatalog();
+    private final ControllerNode controllerNode;
+    private final AdmissionService admissionService;
     private final HttpServer publicServer;
+    private final Optional<HttpServer> tesServer;
+    private final Optional<HttpServer> reservationServer;
     private final HttpServer peerServer;
-
-    /** Null unless the task execution API is served. */
-    private final HttpServer tesServer;
-
-    /** Null unless reservations and windows are taken. */
-    private final HttpServer calendar;
-
-    private final ControllerNode controllerNode;
     private final JobEventListeners jobEventListeners;
 
     private Controller(
             XnioEventLoop loop,
-            Settings settings,
-            TesOptions tesOptions,
-            SSLContext tesKeys,
-            ReservationOptions reservationOptions,
-            SSLContext calendarKeys,
-            StandbySettings standby,
-            JobEventListeners jobEventListeners,
-            RandomGenerator random) {
+            Builder options,
+            Optional<SSLContext> tesTls,
+            Optional<SSLContext> reservationTls) {
         this.loop = loop;
-        this.jobEventListeners = jobEventListeners;
-        DeploymentSettings deploymentSettings = settings.deployment();
+        this.jobEventListeners = options.jobEventListeners;
         ByteBufferPool buffers = newBufferPool();
-        HttpClient http = new HttpClient(loop, buffers);
-        KeyValueStoreClient state =
-                new KeyValueStoreClient(
-                        http,
-                        settings.storeAddress(),
-                        loop,
-                        newRateLimiter(deploymentSettings.storeRequestsPerSecond()),
-                        newRateLimiter(deploymentSettings.storeWritesPerSecond()));
-        CloudClient cloud =
-                new CloudClient(
-                        http,
-                        settings.cloudAddress(),
-                        loop,
-                        newRateLimiter(deploymentSettings.cloudRequestsPerSecond()));
         PeerMessageCodec peerCodec = new PeerMessageCodec();
-        PeerClient peers = new PeerClient(http, settings.peerAddresses(), peerCodec);
-        PeerServer peerApi = new PeerServer(peerCodec);
-        MachineTypeCatalog machineTypeCatalog = new MachineTypeCatalog();
-        ControllerNode started =
-                new ControllerNode(
+        clients =
+                ExternalClients.create(
+                        options.settings, loop, new HttpClient(loop, buffers), peerCodec);
+        controllerNode = newControllerNode(options);
+        admissionService = newAdmissionService(options.settings);
+        Listeners listeners = new Listeners(loop, buffers, options.settings);
+        publicServer = listeners.openPublic(publicApi());
+        tesServer =
+                Optional.ofNullable(options.tes)
+                        .map(tes -> listeners.openTes(tes.listen(), tesTls, tesApi(options)));
+        reservationServer =
+                Optional.ofNullable(options.reservations)
+                        .map(
+                                reservations ->
+                                        listeners.openReservations(
+                                                reservations.listenEndpoint(),
+                                                reservationTls,
+                                                reservationApi(options)));
+        peerServer = listeners.openPeers(peerApi(peerCodec));
+        controllerNode.start();
+    }
+
+    private ControllerNode newControllerNode(Builder options) {
+        ReservationSettings reservationSettings =
+                options.reservations == null
+                        ? ReservationSettings.OFF
+                        : new ReservationSettings(
+                                true,
+                                options.reservations.maxMachines(),
+                                options.settings.clockSkewBound());
+        return new ControllerNode(
+                loop,
+                clients.store(),
+                clients.workers(),
+                clients.cloud(),
+                clients.peers(),
+                options.settings.deployment(),
+                machineTypeCatalog,
+                jobEventListeners,
+                reservationSettings,
+                options.standby,
+                options.random);
+    }
+
+    private AdmissionService newAdmissionService(Settings settings) {
+        return new AdmissionService(
+                clients.store(),
+                loop,
+                machineTypeCatalog,
+                settings.deployment(),
+                jobEventListeners,
+                controllerNode::liveJobState);
+    }
+
+    private Http.RequestHandler publicApi() {
+        return new PublicApiRouter(
+                new JobApi(admissionService),
+                new HeartbeatApi(controllerNode::handleHeartbeat),
+                controllerNode::isReadyForUsers);
+    }
+
+    private Http.RequestHandler tesApi(Builder options) {
+        return new TesApi(
+                admissionService,
+                clients.store(),
+                loop,
+                options.settings.deployment(),
+                options.tes.tokens(),
+                jobEventListeners.tracer(),
+                options.random);
+    }
+
+    private Http.RequestHandler reservationApi(Builder options) {
+        return new ReservationApi(
+                new ReservationService(
+                        clients.store(),
                         loop,
-                        state,
-                        new WorkerClient(http),
-                        cloud,
-                        peers,
-                        deploymentSettings,
                         machineTypeCatalog,
-                        jobEventListeners,
-                        reservationOptions == null
-                                ? ReservationSettings.OFF
-                                : new ReservationSettings(
-                                        true,
-                                        reservationOptions.maxMachines(),
-                                        settings.clockSkewBound()),
-                        standby,
-                        random);
-        controllerNode = started;
+                        options.settings.deployment(),
+                        options.reservations.maxMachines()),
+                options.reservations.tokens());
+    }
+
+    private Http.RequestHandler peerApi(PeerMessageCodec codec) {
+        PeerServer peerApi = new PeerServer(codec);
         peerApi.setHandoverSource(
                 new HandoverSource() {
                     @Override
-                    public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest question) {
-                        return started.riskTableDelta(question);
+                    public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest request) {
+                        return controllerNode.riskTableDelta(request);
                     }
 
                     @Override
                     public Optional<RecordDigests> recordDigests() {
-                        return started.recordDigests();
+                        return controllerNode.recordDigests();
                     }
                 });
         peerApi.setLeaderListener(controllerNode::observeLeader);
-        peerApi.setStoreReachable(() -> !state.seemsUnavailable());
+        peerApi.setStoreReachable(() -> !clients.store().seemsUnavailable());
         peerApi.setHeartbeatSources(
                 controllerNode::isMissingHeartbeats, controllerNode::recentlyHeardMachines);
-        AdmissionService admissionService =
-                new AdmissionService(
-                        state,
-                        loop,
-                        machineTypeCatalog,
-                        deploymentSettings,
-                        jobEventListeners,
-                        controllerNode::liveJobState);
-        PublicApiRouter api =
-                new PublicApiRouter(
-                        new JobApi(admissionService),
-                        new HeartbeatApi(controllerNode::handleHeartbeat),
-                        controllerNode::isReadyForUsers);
-        publicServer =
-                new HttpServer(
-                        loop,
-                        buffers,
-                        settings.publicEndpoint().host(),
-                        settings.publicEndpoint().port(),
-                        maxCallerConnections(settings),
-                        callerIdleTimeout(deploymentSettings),
-                        api);
-        tesServer =
-                tesOptions == null
-                        ? null
-                        : new HttpServer(
-                                loop,
-                                buffers,
-                                tesOptions.listen().host(),
-                                tesOptions.listen().port(),
-                                maxCallerConnections(settings) / TES_CONNECTIONS_DIVISOR,
-                                callerIdleTimeout(deploymentSettings),
-                                tesKeys,
-                                new TesApi(
-                                        admissionService,
-                                        state,
-                                        loop,
-                                        deploymentSettings,
-                                        tesOptions.tokens(),
-                                        jobEventListeners.tracer(),
-                                        random));
-        calendar =
-                reservationOptions == null
-                        ? null
-                        : new HttpServer(
-                                loop,
-                                buffers,
-                                reservationOptions.listenEndpoint().host(),
-                                reservationOptions.listenEndpoint().port(),
-                                MAX_OPERATOR_CONNECTIONS,
-                                callerIdleTimeout(deploymentSettings),
-                                calendarKeys,
-                                new ReservationApi(
-                                        new ReservationService(
-                                                state,
-                                                loop,
-                                                machineTypeCatalog,
-                                                deploymentSettings,
-                                                reservationOptions.maxMachines()),
-                                        reservationOptions.tokens()));
-        peerServer =
-                new HttpServer(
-                        loop,
-                        buffers,
-                        settings.peerEndpoint().host(),
-                        settings.peerEndpoint().port(),
-                        0,
-                        PEER_IDLE_TIMEOUT,
-                        peerApi);
-        controllerNode.start();
-    }
-
-    /**
-     * Connections for users and workers: what the process may have, less a reserve for those it
-     * opens itself, so that it can always reach the state service, the cloud, its peers and some
-     * silent workers.
-     */
-    static int maxCallerConnections(Settings settings) {
-        int reserve =
-                RESERVED_FILE_DESCRIPTORS
-                        + HttpClient.MAX_OPEN_PER_ADDRESS * (2 + settings.peerAddresses().size())
-                        + HeartbeatTimeoutMonitor.MAX_PROBES_IN_FLIGHT;
-        int least = (int) (settings.fileDescriptorLimit() * MIN_CALLER_SHARE);
-        return settings.fileDescriptorLimit() == 0
-                ? 0
-                : Math.max(least, settings.fileDescriptorLimit() - reserve);
-    }
-
-    private static Duration callerIdleTimeout(DeploymentSettings deploymentSettings) {
-        Duration reports = deploymentSettings.heartbeatInterval().multipliedBy(IDLE_HEARTBEATS);
-        return reports.compareTo(MIN_IDLE_TIMEOUT) > 0 ? reports : MIN_IDLE_TIMEOUT;
+        return peerApi;
     }
 
     static ByteBufferPool newBufferPool() {
         return new DefaultByteBufferPool(false, BUFFER_BYTES, MAX_POOLED_BUFFERS, 0);
     }
 
-    private static AdaptiveRateLimiter newRateLimiter(double perSecond) {
-        return new AdaptiveRateLimiter(
-                perSecond * RATE_SHARE_PER_NODE, perSecond * RATE_SHARE_PER_NODE);
-    }
-
+    /** Begins to collect what a controller with these settings needs. */
     public static Builder builder(Settings settings) {
         return new Builder(settings);
     }
 
-    /** Collects what a controller needs before it starts. */
+    /** Collects what a controller needs before it starts. Not thread-safe. */
     public static final class Builder {
         private final Settings settings;
         private RandomGenerator random = RandomGenerator.getDefault();
         private TesOptions tes;
-        private ReservationOptions calendar;
+        private ReservationOptions reservations;
         private StandbySettings standby = StandbySettings.DISABLED;
         private JobEventListeners jobEventListeners = JobEventListeners.NONE;
 
@@ -283,6 +196,7 @@
             this.settings = settings;
         }
 
+        /** Sets the source of random numbers; by default one that is seeded by the JDK. */
         public Builder random(RandomGenerator source) {
             random = source;
             return this;
@@ -295,118 +209,121 @@
         }
 
         /**
-         * Plans around reservations and windows, and takes them; null, as by default, does neither.
+         * Accepts reservations and maintenance windows and schedules around them; null, as by
+         * default, does neither.
          */
         public Builder calendar(ReservationOptions options) {
-            calendar = options;
+            reservations = options;
             return this;
         }
 
         /**
-         * Keeps warm what is needed to take over while another node leads.
+         * Keeps the state warm that is needed to take over while another node leads.
          *
-         * @param program the version that other nodes are told
+         * @param softwareVersion the version that other nodes are told
          */
-        public Builder standby(String program) {
-            standby = new StandbySettings(true, program, settings.zone());
+        public Builder standby(String softwareVersion) {
+            standby = new StandbySettings(true, softwareVersion, settings.zone());
             return this;
         }
 
         /**
-         * Are told what happens to jobs; by default nobody is. The traces are closed with the
-         * controller.
+         * Sets the listeners for the events of jobs; by default there are none. The tracer is
+         * closed with the controller.
          */
-        public Builder eventListeners(JobEventListeners told) {
-            jobEventListeners = told;
+        public Builder eventListeners(JobEventListeners listeners) {
+            jobEventListeners = listeners;
             return this;
         }
 
+        /**
+         * Starts the controller.
+         *
+         * @throws IOException if a certificate or its key cannot be used, or there can be no event
+         *     loop
+         * @throws RuntimeException if an address cannot be listened on
+         */
         public Controller start() throws IOException {
-            SSLContext keys =
-                    tes == null || tes.certificateFile() == null
-                            ? null
-                            : PemKeyManager.sslContext(tes.certificateFile(), tes.privateKeyFile());
-            SSLContext calendarKeys =
-                    calendar == null || calendar.certificateChainFile() == null
-                            ? null
-                            : PemKeyManager.sslContext(
-                                    calendar.certificateChainFile(), calendar.privateKeyFile());
+            Optional<SSLContext> tesTls =
+                    tes == null
+                            ? Optional.empty()
+                            : loadTls(tes.certificateFile(), tes.privateKeyFile());
+            Optional<SSLContext> reservationTls =
+                    reservations == null
+                            ? Optional.empty()
+                            : loadTls(
+                                    reservations.certificateChainFile(),
+                                    reservations.privateKeyFile());
             XnioEventLoop loop = new XnioEventLoop();
             try {
-                // Built where it runs, so that one thread alone loads classes and reads files while
-                // it starts.
-                return loop.callAndWait(
-                        () ->
-                                new Controller(
-                                        loop,
-                                        settings,
-                                        tes,
-                                        keys,
-                                        calendar,
-                                        calendarKeys,
-                                        standby,
-                                        jobEventListeners,
-                                        random));
+                // Built on the loop's thread, so that one thread alone loads classes and reads
+                // files while the controller starts.
+                return loop.callAndWait(() -> new Controller(loop, this, tesTls, reservationTls));
             } catch (RuntimeException failure) {
                 loop.close();
                 throw failure;
             }
         }
+
+        /** Empty without a certificate: connections are then plain. */
+        private static Optional<SSLContext> loadTls(Path chain, Path key) throws IOException {
+            return chain == null
+                    ? Optional.empty()
+                    : Optional.of(PemKeyManager.sslContext(chain, key));
+        }
     }
 
+    /** The port for users and workers. */
     public int port() {
         return publicServer.port();
     }
 
     /** The port of the task execution API, or -1 if it is not served. */
     public int tesPort() {
-        return tesServer == null ? -1 : tesServer.port();
+        return tesServer.map(HttpServer::port).orElse(-1);
     }
 
-    /** The port for reservations and windows, or -1 if none are taken. */
+    /** The port for reservations and maintenance windows, or -1 if none are accepted. */
     public int calendarPort() {
-        return calendar == null ? -1 : calendar.port();
+        return reservationServer.map(HttpServer::port).orElse(-1);
     }
 
     /**
-     * Gives the lease to the standby that could take over best, if this node leads, before it is
-     * closed.
+     * Hands the leadership over to the standby that is best prepared, if this node leads. Blocks
+     * until it no longer leads; to be called before {@link #close}, not on the loop's thread.
      *
-     * @param most how long to wait for that
+     * @param timeout how long to wait at most
      */
-    public void handOver(Duration most) {
-        CompletableFuture<Void> over = new CompletableFuture<>();
+    public void handOver(Duration timeout) {
+        CompletableFuture<Void> completion = new CompletableFuture<>();
         loop.callAndWait(
                 () -> {
                     controllerNode.handOver();
-                    completeWhenNotLeading(over);
-                    return over;
+                    completeWhenNotLeading(completion);
+                    return completion;
                 });
         try {
-            over.get(most.toMillis(), TimeUnit.MILLISECONDS);
+            completion.get(timeout.toMillis(), TimeUnit.MILLISECONDS);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException late) {
-            // Whoever is to lead next finds the lease ended, or waits until it has.
+            // The next leader finds the lease revoked, or waits until it expires.
         }
     }
 
-    private void completeWhenNotLeading(CompletableFuture<Void> over) {
+    private void completeWhenNotLeading(CompletableFuture<Void> completion) {
         if (controllerNode.isLeader()) {
-            loop.schedule(HANDOVER_POLL_INTERVAL, () -> completeWhenNotLeading(over));
+            loop.schedule(HANDOVER_POLL_INTERVAL, () -> completeWhenNotLeading(completion));
         } else {
-            over.complete(null);
+            completion.complete(null);
         }
     }
 
+    /** Stops the servers first, then the node and its event loop, then the tracer. */
     @Override
     public void close() {
-        if (tesServer != null) {
-            tesServer.close();
-        }
-        if (calendar != null) {
-            calendar.close();
-        }
+        tesServer.ifPresent(HttpServer::close);
+        reservationServer.ifPresent(HttpServer::close);
         publicServer.close();
         peerServer.close();
         controllerNode.close();
--- a/src/main/java/org/meadowhollow/transport/HttpServer.java
+++ b/src/main/java/org/meadowhollow/transport/HttpServer.java
@@ -34,36 +34,47 @@
     private final ConnectionLimiter<ServerConnection> connectionLimiter;
 
     /**
-     * @param most connections kept open at a time, 0 for no bound; the one without a request for
-     *     longest goes first
-     * @param idle longer than any caller keeps a connection without a word; then the socket is
-     *     wanted elsewhere
+     * Where a server listens, and what connections it takes.
+     *
+     * @param port 0 for one that the system chooses
+     * @param maxConnections open at a time, 0 for no bound; beyond it the one whose last request is
+     *     the longest ago is closed
+     * @param idleTimeout after which a connection without a request is closed; longer than callers
+     *     pause between requests
+     * @param tls secures the connections; null for plain ones
      */
+    public record Options(
+            String host, int port, int maxConnections, Duration idleTimeout, SSLContext tls) {}
+
+    /** Opens a server with plain connections; see {@link Options} for the bounds. */
     public HttpServer(
             XnioEventLoop loop,
             ByteBufferPool buffers,
             String host,
             int port,
-            int most,
-            Duration idle,
+            int maxConnections,
+            Duration idleTimeout,
             Http.RequestHandler requestHandler) {
-        this(loop, buffers, host, port, most, idle, null, requestHandler);
+        this(
+                loop,
+                buffers,
+                new Options(host, port, maxConnections, idleTimeout, null),
+                requestHandler);
     }
 
     /**
-     * @param tls what connections are secured with, or null for plain ones
+     * Opens a server; it accepts requests at once.
+     *
+     * @param requestHandler called on the loop's thread
+     * @throws RuntimeException if the address cannot be listened on
      */
     public HttpServer(
             XnioEventLoop loop,
             ByteBufferPool buffers,
-            String host,
-            int port,
-            int most,
-            Duration idle,
-            SSLContext tls,
+            Options options,
             Http.RequestHandler requestHandler) {
-        connectionLimiter = new ConnectionLimiter<>(most, IoUtils::safeClose);
-        int idleMs = (int) idle.toMillis();
+        connectionLimiter = new ConnectionLimiter<>(options.maxConnections(), IoUtils::safeClose);
+        int idleMillis = (int) options.idleTimeout().toMillis();
         HttpHandler handler = exchange -> receive(exchange, requestHandler);
         Undertow.Builder builder =
                 Undertow.builder()
@@ -71,13 +82,14 @@
                         .setByteBufferPool(buffers)
                         .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
                         .setServerOption(UndertowOptions.ENABLE_HTTP2, false)
-                        .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, idleMs)
-                        .setServerOption(UndertowOptions.IDLE_TIMEOUT, idleMs);
-        server =
-                (tls == null
-                                ? builder.addHttpListener(port, host, handler)
-                                : builder.addHttpsListener(port, host, tls, handler))
-                        .build();
+                        .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, idleMillis)
+                        .setServerOption(UndertowOptions.IDLE_TIMEOUT, idleMillis);
+        if (options.tls() == null) {
+            builder.addHttpListener(options.port(), options.host(), handler);
+        } else {
+            builder.addHttpsListener(options.port(), options.host(), options.tls(), handler);
+        }
+        server = builder.build();
         server.start();
     }
 
@@ -92,7 +104,7 @@
             connection.addCloseListener(connectionLimiter::connectionClosed);
         }
         exchange.addExchangeCompleteListener(
-                (over, next) -> {
+                (finished, next) -> {
                     connectionLimiter.requestFinished(connection);
                     next.proceed();
                 });
--- a/src/test/java/org/meadowhollow/cli/ControllerTest.java
+++ b/src/test/java/org/meadowhollow/cli/ControllerTest.java
@@ -18,7 +18,7 @@
 import org.meadowhollow.protocol.MessagePackCodec;
 import org.meadowhollow.protocol.MessageReader;
 
-/** A real controller on loopback whose state service and cloud cannot be reached. */
+/** A real controller on loopback whose key-value store and cloud cannot be reached. */
 class ControllerTest {
     private static final String SETTINGS =
             """
@@ -38,7 +38,7 @@
         return Settings.read(file);
     }
 
-    private static String ask(int port, String method, String path, byte[] body)
+    private static String exchange(int port, String method, String path, byte[] body)
             throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(10_000);
@@ -55,37 +55,37 @@
             try {
                 socket.getOutputStream().write(body);
             } catch (IOException refusedEarly) {
-                // The answer may come before the whole of a body that is too large.
+                // The response may come before the whole of a body that is too large.
             }
-            InputStream answer = socket.getInputStream();
-            return new String(answer.readAllBytes(), StandardCharsets.ISO_8859_1);
+            InputStream response = socket.getInputStream();
+            return new String(response.readAllBytes(), StandardCharsets.ISO_8859_1);
         }
     }
 
-    private static String status(String answer) {
-        return answer.split(" ")[1];
+    private static String status(String response) {
+        return response.split(" ")[1];
     }
 
     @Test
-    void everyRequestGetsACleanAnswer() throws Exception {
+    void malformedAndUnanswerableRequestsGetAnErrorStatus() throws Exception {
         try (Controller controller = Controller.builder(settings(SETTINGS)).start()) {
             int port = controller.port();
             byte[] none = new byte[0];
-            assertEquals("503", status(ask(port, "GET", "/ready", none)));
-            assertEquals("404", status(ask(port, "GET", "/elsewhere", none)));
-            assertEquals("404", status(ask(port, "GET", "/submissions/nonsense", none)));
-            assertEquals("405", status(ask(port, "PUT", "/submissions", none)));
-            assertEquals("400", status(ask(port, "POST", "/submissions", none)));
+            assertEquals("503", status(exchange(port, "GET", "/ready", none)));
+            assertEquals("404", status(exchange(port, "GET", "/elsewhere", none)));
+            assertEquals("404", status(exchange(port, "GET", "/submissions/nonsense", none)));
+            assertEquals("405", status(exchange(port, "PUT", "/submissions", none)));
+            assertEquals("400", status(exchange(port, "POST", "/submissions", none)));
             assertEquals(
                     "400",
                     status(
-                            ask(
+                            exchange(
                                     port,
                                     "POST",
                                     "/hello",
                                     MessagePackCodec.encode(MessageReader.mapOf("stall", "m")))));
-            assertEquals("400", status(ask(port, "POST", "/submissions", new byte[70_000])));
-            String later = ask(port, "GET", "/submissions/req-1", none);
+            assertEquals("400", status(exchange(port, "POST", "/submissions", new byte[70_000])));
+            String later = exchange(port, "GET", "/submissions/req-1", none);
             assertEquals("503", status(later), "nothing confirms that there is no such job");
             assertTrue(later.contains("Retry-After: 1"));
         }
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void theTaskExecutionApiAnswersOnAListenerOfItsOwn() throws Exception {
+    void theTaskExecutionApiHasItsOwnPort() throws Exception {
         TesOptions options =
                 tes("127.0.0.1:0", null, Map.of(TesOptions.TOKENS_VARIABLE, "t=" + HASH));
         try (Controller controller = Controller.builder(settings(SETTINGS)).tes(options).start()) {
@@ -114,18 +114,20 @@
             byte[] none = new byte[0];
             assertEquals(
                     "404",
-                    status(ask(controller.port(), "GET", "/ga4gh/tes/v1/service-info", none)));
-            String info = ask(port, "GET", "/ga4gh/tes/v1/service-info", none);
+                    status(exchange(controller.port(), "GET", "/ga4gh/tes/v1/service-info", none)));
+            String info = exchange(port, "GET", "/ga4gh/tes/v1/service-info", none);
             assertEquals("200", status(info));
             assertTrue(
                     info.contains("Content-Type: application/json") && info.contains("\"1.1.0\""),
                     info);
-            String unknown = ask(port, "GET", "/ga4gh/tes/v1/tasks", none);
+            String unknown = exchange(port, "GET", "/ga4gh/tes/v1/tasks", none);
             assertEquals("401", status(unknown));
             assertTrue(unknown.contains("WWW-Authenticate: Bearer"), unknown);
-            assertEquals("404", status(ask(port, "GET", "/submissions/req-1", none)));
-            assertEquals("405", status(ask(port, "DELETE", "/ga4gh/tes/v1/service-info", none)));
-            assertEquals("413", status(ask(port, "POST", "/ga4gh/tes/v1/tasks", new byte[70_000])));
+            assertEquals("404", status(exchange(port, "GET", "/submissions/req-1", none)));
+            assertEquals(
+                    "405", status(exchange(port, "DELETE", "/ga4gh/tes/v1/service-info", none)));
+            assertEquals(
+                    "413", status(exchange(port, "POST", "/ga4gh/tes/v1/tasks", new byte[70_000])));
         }
         try (Controller controller = Controller.builder(settings(SETTINGS)).start()) {
             assertEquals(-1, controller.tesPort(), "off by default");
@@ -133,7 +135,7 @@
     }
 
     @Test
-    void flagsOfTheTaskExecutionApiThatCannotBeUsedAreNamed() throws Exception {
+    void errorsNameTheInvalidFlagOfTheTaskExecutionApi() throws Exception {
         assertNull(tes(null, null, Map.of()));
         assertEquals(List.of("t"), tes("127.0.0.1:0", "t=" + HASH, Map.of()).tokens().teams());
         for (String[] wrong :
@@ -156,7 +158,7 @@
     }
 
     @Test
-    void theCalendarIsTakenOnAListenerOfItsOwn() throws Exception {
+    void theReservationApiHasItsOwnPort() throws Exception {
         ReservationOptions options =
                 ReservationOptions.fromFlags(
                         "127.0.0.1:0",
@@ -170,12 +172,13 @@
             byte[] none = new byte[0];
             assertEquals(
                     "401",
-                    status(ask(controller.calendarPort(), "GET", "/calendar/v1/plan", none)));
-            assertEquals("404", status(ask(controller.port(), "GET", "/calendar/v1/plan", none)));
+                    status(exchange(controller.calendarPort(), "GET", "/calendar/v1/plan", none)));
+            assertEquals(
+                    "404", status(exchange(controller.port(), "GET", "/calendar/v1/plan", none)));
             assertEquals(
                     "413",
                     status(
-                            ask(
+                            exchange(
                                     controller.calendarPort(),
                                     "PUT",
                                     "/calendar/v1/windows/w",
@@ -207,22 +210,22 @@
     }
 
     @Test
-    void someSocketsAreLeftForWhatANodeOpensItself() throws Exception {
+    void fileDescriptorsAreReservedForOutboundConnections() throws Exception {
         assertEquals(
                 0,
-                Controller.maxCallerConnections(settings(SETTINGS)),
+                Listeners.maxCallerConnections(settings(SETTINGS)),
                 "the file does not say how many there are");
         String more =
                 SETTINGS.replace(
                         "\"state\":{\"rps\"", "\"quota\":{\"fd_limit\":2000},\"state\":{\"rps\"");
-        int most = Controller.maxCallerConnections(settings(more));
+        int most = Listeners.maxCallerConnections(settings(more));
         assertTrue(most >= 1500 && most <= 1700, "a few hundred are kept back: " + most);
-        int few = Controller.maxCallerConnections(settings(more.replace("2000", "300")));
+        int few = Listeners.maxCallerConnections(settings(more.replace("2000", "300")));
         assertEquals(150, few, "callers get half in any case");
     }
 
     @Test
-    void settingsThatCannotBeUsedAreNamed() {
+    void invalidSettingsGiveAOneLineError() {
         for (String[] wrong :
                 new String[][] {
                     {"127.0.0.1:0\",\"back", "nowhere\",\"back"},
--- a/src/test/java/org/meadowhollow/transport/PemKeyManagerTest.java
+++ b/src/test/java/org/meadowhollow/transport/PemKeyManagerTest.java
@@ -115,11 +115,12 @@
         return new HttpServer(
                 loop,
                 new DefaultByteBufferPool(false, 8192),
-                "127.0.0.1",
-                0,
-                0,
-                Duration.ofMinutes(1),
-                PemKeyManager.sslContext(chain(), key()),
+                new HttpServer.Options(
+                        "127.0.0.1",
+                        0,
+                        0,
+                        Duration.ofMinutes(1),
+                        PemKeyManager.sslContext(chain(), key())),
                 (Http.SimpleRequestHandler)
                         (method, path, body) ->
                                 CompletableFuture.completedFuture(
