--- /dev/null
+++ b/src/main/java/org/meadowhollow/protocol/keyvalue/KeyValueCodec.java
@@ -0,0 +1,228 @@
+package org.meadowhollow.protocol.keyvalue;
+
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.protocol.Http;
+import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessagePackCodec;
+import org.meadowhollow.protocol.MessageReader;
+import org.meadowhollow.storage.KeyValueStore.Change;
+import org.meadowhollow.storage.KeyValueStore.ChangeBatch;
+import org.meadowhollow.storage.KeyValueStore.CommitResult;
+import org.meadowhollow.storage.KeyValueStore.Entry;
+import org.meadowhollow.storage.KeyValueStore.Page;
+import org.meadowhollow.storage.KeyValueStoreException;
+import org.meadowhollow.storage.KeyValueStoreException.Outcome;
+import org.meadowhollow.storage.LeaseId;
+import org.meadowhollow.storage.Transaction;
+
+/**
+ * The key-value store's HTTP protocol: paths, the platform's names of fields, and what a status
+ * tells of a request. Stateless. All decoding methods fail with a {@link KeyValueStoreException} of
+ * the outcome {@link Outcome#INDETERMINATE} if a response is malformed.
+ */
+final class KeyValueCodec {
+    static final String TRANSACTION_PATH = "/multi";
+    static final String LEASES_PATH = "/grants";
+    private static final String KEYS_PATH = "/kv";
+    private static final String CHANGES_PATH = "/changes";
+
+    // The platform's names of fields.
+    private static final String KEY = "key";
+    private static final String VALUE = "v";
+    private static final String SET = "set";
+    private static final String REMOVE = "remove";
+    private static final String CONDITIONS = "guards";
+    private static final String WRITES = "writes";
+    private static final String CONFLICTING_KEYS = "failed";
+    private static final String ENTRIES = "items";
+    private static final String HAS_MORE = "truncated";
+    private static final String CHANGES = "log";
+    private static final String ENTRY_REVISION = "stamp";
+    private static final String STORE_REVISION = "ledgerRev";
+    private static final String LEASE = "tether";
+    private static final String LEASE_TTL_MILLIS = "ttlMs";
+
+    /** What the body of a response with status 400 says if the lease does not exist. */
+    private static final String LEASE_NOT_FOUND = "no such lease";
+
+    private KeyValueCodec() {}
+
+    static String entryPath(String key) {
+        return KEYS_PATH + "/" + key;
+    }
+
+    /**
+     * @param after the key to begin after, or null
+     */
+    static String listPath(String prefix, String after, int maxEntries) {
+        return KEYS_PATH
+                + "?prefix="
+                + prefix
+                + (after == null ? "" : "&after=" + after)
+                + "&most="
+                + maxEntries;
+    }
+
+    static String renewalPath(LeaseId lease) {
+        return leasePath(lease) + "/renew";
+    }
+
+    static String leasePath(LeaseId lease) {
+        return LEASES_PATH + "/" + lease.value();
+    }
+
+    static String changesPath(String prefix, Revision after, Duration wait) {
+        return CHANGES_PATH
+                + "?prefix="
+                + prefix
+                + "&after="
+                + after.value()
+                + "&blockMs="
+                + wait.toMillis();
+    }
+
+    static byte[] encodeTransaction(Transaction transaction) {
+        List<Map<String, Object>> conditions = new ArrayList<>();
+        transaction
+                .conditions()
+                .forEach(
+                        (key, revision) ->
+                                conditions.add(
+                                        MessageReader.mapOf(
+                                                KEY, key, ENTRY_REVISION, revision.value())));
+        List<Map<String, Object>> writes = new ArrayList<>();
+        transaction.writes().forEach((key, write) -> writes.add(encodeWrite(key, write)));
+        return MessagePackCodec.encode(MessageReader.mapOf(CONDITIONS, conditions, WRITES, writes));
+    }
+
+    private static Map<String, Object> encodeWrite(String key, Transaction.Write write) {
+        if (write.value() == null) {
+            return MessageReader.mapOf(REMOVE, key);
+        }
+        if (write.lease() == null) {
+            return MessageReader.mapOf(SET, key, VALUE, write.value());
+        }
+        return MessageReader.mapOf(SET, key, VALUE, write.value(), LEASE, write.lease().value());
+    }
+
+    static byte[] encodeLeaseGrant(Duration ttl) {
+        return MessagePackCodec.encode(MessageReader.mapOf(LEASE_TTL_MILLIS, ttl.toMillis()));
+    }
+
+    static byte[] encodeLeaseRenewal() {
+        return MessagePackCodec.encode(Map.of());
+    }
+
+    /**
+     * Lets responses pass that tell something of the keys: success, not found, and conflict.
+     *
+     * @throws KeyValueStoreException of the outcome that any other status tells
+     */
+    static Http.Reply requireServed(Http.Reply reply) {
+        return switch (reply.status()) {
+            case 200, 404, 409 -> reply;
+            case 429, 503 -> throw answered(Outcome.REJECTED, reply);
+            case 410 ->
+                    throw new KeyValueStoreException(
+                            Outcome.COMPACTED, "the watch began too long ago");
+            case 400 ->
+                    throw answered(
+                            saysLeaseNotFound(reply)
+                                    ? Outcome.LEASE_EXPIRED
+                                    : Outcome.INVALID_REQUEST,
+                            reply);
+            default -> throw answered(Outcome.INDETERMINATE, reply);
+        };
+    }
+
+    private static KeyValueStoreException answered(Outcome outcome, Http.Reply reply) {
+        return new KeyValueStoreException(outcome, "answered " + reply.status());
+    }
+
+    private static boolean saysLeaseNotFound(Http.Reply reply) {
+        return new String(reply.body(), StandardCharsets.UTF_8).contains(LEASE_NOT_FOUND);
+    }
+
+    /** Empty if there is no such key. */
+    static Optional<Entry> decodeEntry(Http.Reply reply) {
+        return reply.status() == 404
+                ? Optional.empty()
+                : Optional.of(decode(reply, KeyValueCodec::entry));
+    }
+
+    static Page decodePage(Http.Reply reply) {
+        return decode(
+                reply,
+                body -> {
+                    List<Entry> entries = new ArrayList<>();
+                    for (MessageReader item : body.nestedList(ENTRIES)) {
+                        entries.add(entry(item));
+                    }
+                    return new Page(entries, body.booleanOr(HAS_MORE, false), revision(body));
+                });
+    }
+
+    static CommitResult decodeCommitResult(Http.Reply reply) {
+        boolean applied = reply.status() == 200;
+        return decode(
+                reply,
+                body ->
+                        new CommitResult(
+                                applied,
+                                revision(body),
+                                applied ? List.of() : body.stringListOrNull(CONFLICTING_KEYS)));
+    }
+
+    static LeaseId decodeLease(Http.Reply reply) {
+        return decode(reply, body -> new LeaseId(body.nonNegativeLong(LEASE)));
+    }
+
+    static ChangeBatch decodeChanges(Http.Reply reply) {
+        return decode(
+                reply,
+                body -> {
+                    List<Change> changes = new ArrayList<>();
+                    for (MessageReader item : body.nestedList(CHANGES)) {
+                        changes.add(change(item));
+                    }
+                    return new ChangeBatch(revision(body), changes);
+                });
+    }
+
+    private static Entry entry(MessageReader item) throws MalformedMessageException {
+        return new Entry(
+                item.string(KEY),
+                item.nested(VALUE).map(),
+                new Revision(item.nonNegativeLong(ENTRY_REVISION)));
+    }
+
+    private static Change change(MessageReader item) throws MalformedMessageException {
+        Revision revision = new Revision(item.nonNegativeLong(ENTRY_REVISION));
+        return item.has(REMOVE)
+                ? new Change(item.string(REMOVE), null, revision)
+                : new Change(item.string(SET), item.nested(VALUE).map(), revision);
+    }
+
+    private static Revision revision(MessageReader body) throws MalformedMessageException {
+        return new Revision(body.nonNegativeLong(STORE_REVISION));
+    }
+
+    private interface BodyDecoder<T> {
+        T decode(MessageReader body) throws MalformedMessageException;
+    }
+
+    private static <T> T decode(Http.Reply reply, BodyDecoder<T> decoder) {
+        try {
+            return decoder.decode(MessageReader.decode(reply.body()));
+        } catch (MalformedMessageException broken) {
+            throw new KeyValueStoreException(
+                    Outcome.INDETERMINATE, "the answer makes no sense: " + broken.getMessage());
+        }
+    }
+}
--- a/src/test/java/org/meadowhollow/protocol/keyvalue/KeyValueStoreClientTest.java
+++ b/src/test/java/org/meadowhollow/protocol/keyvalue/KeyValueStoreClientTest.java
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void requestsKeepToTheBudgetAndTheMostUrgentGoFirst() {
+    void requestsKeepToTheLimitInTheOrderOfPriority() {
         for (int at = 0; at < 4; at++) {
             client.get("background/" + at, RequestPriority.BACKGROUND);
         }
@@ -58,14 +58,14 @@
     }
 
     @Test
-    void aBurstWaitsItsTurnInsteadOfOpeningAConnectionForEachCall() {
-        List<CompletableFuture<Http.Reply>> onTheirWay = new ArrayList<>();
+    void aBurstIsQueuedInsteadOfOpeningAConnectionForEachRequest() {
+        List<CompletableFuture<Http.Reply>> inFlight = new ArrayList<>();
         Http.Client slow =
                 (address, method, path, body, timeout) -> {
-                    onTheirWay.add(new CompletableFuture<>());
-                    return onTheirWay.get(onTheirWay.size() - 1);
+                    inFlight.add(new CompletableFuture<>());
+                    return inFlight.get(inFlight.size() - 1);
                 };
-        KeyValueStoreClient busy =
+        KeyValueStoreClient queueing =
                 new KeyValueStoreClient(
                         slow,
                         "state:1",
@@ -73,21 +73,22 @@
                         new AdaptiveRateLimiter(100, 100),
                         new AdaptiveRateLimiter(10, 2));
         for (int at = 0; at < 60; at++) {
-            busy.get("user/" + at, RequestPriority.USER);
+            queueing.get("user/" + at, RequestPriority.USER);
         }
-        int most = onTheirWay.size();
-        assertTrue(most < 24, "fewer than may be open to one address");
-        busy.renewLease(new LeaseId(1));
-        assertEquals(most + 1, onTheirWay.size(), "a leadership's lease does not wait for users");
-        for (int at = 0; at < onTheirWay.size(); at++) {
-            onTheirWay.get(at).complete(Http.Reply.of(404, Map.of()));
+        int maxInFlight = inFlight.size();
+        assertTrue(maxInFlight < 24, "fewer than may be open to one address");
+        queueing.renewLease(new LeaseId(1));
+        assertEquals(
+                maxInFlight + 1, inFlight.size(), "the leader's lease does not wait for users");
+        for (int at = 0; at < inFlight.size(); at++) {
+            inFlight.get(at).complete(Http.Reply.of(404, Map.of()));
         }
-        assertEquals(61, onTheirWay.size());
-        assertFalse(busy.seemsUnavailable());
+        assertEquals(61, inFlight.size());
+        assertFalse(queueing.seemsUnavailable());
     }
 
     @Test
-    void answersSayWhatIsKnownOfTheRequest() {
+    void statusCodesMapToOutcomes() {
         assertTrue(client.get("key", RequestPriority.USER).join().isEmpty());
         status = 503;
         assertEquals(Outcome.REJECTED, outcomeOf(client.get("key", RequestPriority.USER)));
@@ -99,7 +100,9 @@
         assertEquals(Outcome.INDETERMINATE, outcomeOf(client.get("key", RequestPriority.USER)));
     }
 
-    /** With users always first, a leader that many asked neither loaded nor wrote its records. */
+    /**
+     * With users always first, a leader that many users asked neither loaded nor wrote its records.
+     */
     @Test
     void usersAndTheLeaderTakeTurns() {
         for (int at = 0; at < 40; at++) {
@@ -114,9 +117,9 @@
                 "sent: " + sent);
     }
 
-    /** A queue in which every call comes too late serves nobody. */
+    /** A queue in which every request is too late serves nobody. */
     @Test
-    void aUsersCallThatHasWaitedTooLongIsRefusedAndNotSent() {
+    void aUserRequestThatHasWaitedTooLongIsRejectedAndNotSent() {
         List<CompletableFuture<?>> calls = new ArrayList<>();
         for (int at = 0; at < 40; at++) {
             calls.add(client.get("user/" + at, RequestPriority.USER));
@@ -130,7 +133,7 @@
 
     /** All nodes share the limits, and each alone would keep to them. */
     @Test
-    void aRefusalForTooManyRequestsSlowsDownAndTimeWithoutOneSpeedsUp() {
+    void aRefusalForTooManyRequestsLowersTheRateAndTimeWithoutOneRaisesIt() {
         KeyValueStoreClient fast =
                 new KeyValueStoreClient(
                         http,
@@ -161,26 +164,26 @@
     }
 
     /**
-     * A state service that took somewhat longer than it was waited for was as good as out, for as
-     * long as it was slow.
+     * A key-value store that took somewhat longer than the timeout was as good as out, for as long
+     * as it was slow.
      */
     @Test
-    void aSlowStateServiceIsWaitedForLongerUntilItIsSoonAgain() {
-        List<Duration> waited = new ArrayList<>();
+    void theTimeoutIsLongerWhileTheStoreIsSlow() {
+        List<Duration> timeouts = new ArrayList<>();
         Duration[] takes = {Duration.ofMillis(2000)};
         Http.Client slow =
                 (address, method, path, body, timeout) -> {
-                    waited.add(timeout);
-                    CompletableFuture<Http.Reply> answer = new CompletableFuture<>();
-                    loop.schedule(takes[0], () -> answer.complete(Http.Reply.of(404, Map.of())));
+                    timeouts.add(timeout);
+                    CompletableFuture<Http.Reply> response = new CompletableFuture<>();
+                    loop.schedule(takes[0], () -> response.complete(Http.Reply.of(404, Map.of())));
                     loop.schedule(
                             timeout,
                             () ->
-                                    answer.completeExceptionally(
+                                    response.completeExceptionally(
                                             new IllegalStateException("no answer in time")));
-                    return answer;
+                    return response;
                 };
-        KeyValueStoreClient asking =
+        KeyValueStoreClient slowClient =
                 new KeyValueStoreClient(
                         slow,
                         "state:1",
@@ -189,7 +192,7 @@
                         new AdaptiveRateLimiter(10, 2));
         List<CompletableFuture<?>> calls = new ArrayList<>();
         for (int at = 0; at < 5; at++) {
-            calls.add(asking.get("key/" + at, RequestPriority.USER));
+            calls.add(slowClient.get("key/" + at, RequestPriority.USER));
             loop.run(Duration.ofMillis(4000));
         }
         assertEquals(Outcome.INDETERMINATE, outcomeOf(calls.get(2)));
@@ -197,14 +200,15 @@
                 calls.get(3).join().equals(Optional.empty())
                         && calls.get(4).join().equals(Optional.empty()),
                 "answered after 2 s");
-        assertFalse(asking.seemsUnavailable());
+        assertFalse(slowClient.seemsUnavailable());
         assertTrue(
-                waited.get(4).compareTo(Duration.ofMillis(3500)) < 0,
+                timeouts.get(4).compareTo(Duration.ofMillis(3500)) < 0,
                 "sooner than users give up, and than a lease ends");
         takes[0] = Duration.ofMillis(5);
-        asking.get("key/5", RequestPriority.USER);
+        slowClient.get("key/5", RequestPriority.USER);
         loop.run(Duration.ofMillis(10));
-        asking.get("key/6", RequestPriority.USER);
-        assertEquals(waited.get(0), waited.get(6), "a dead line is noticed as soon as before");
+        slowClient.get("key/6", RequestPriority.USER);
+        assertEquals(
+                timeouts.get(0), timeouts.get(6), "a dead connection is noticed as soon as before");
     }
 }
