--- a/src/main/java/org/meadowhollow/protocol/jobs/JobApi.java
+++ b/src/main/java/org/meadowhollow/protocol/jobs/JobApi.java
@@ -1,6 +1,5 @@
 package org.meadowhollow.protocol.jobs;
 
-import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
@@ -12,7 +11,10 @@
 import org.meadowhollow.protocol.MessageReader;
 import org.meadowhollow.storage.KeyValueStoreException;
 
-/** What users call: submit, poll and cancel. */
+/**
+ * What users call: submit, poll and cancel. Stateless; {@link AdmissionService} decides. A repeated
+ * submission of a job is idempotent and gets status 200 instead of 201.
+ */
 public final class JobApi {
     /** The protocol's shortest pause before a retry, in seconds. */
     private static final int RETRY_AFTER_SECONDS = 1;
@@ -23,6 +25,7 @@
         this.admissionService = admissionService;
     }
 
+    /** Submits the job that a body describes; 400 if it is malformed, 422 if it can never run. */
     public CompletableFuture<Http.Reply> submit(byte[] body) {
         JobSpec spec;
         try {
@@ -34,34 +37,38 @@
                 admissionService
                         .submit(spec)
                         .thenApply(
-                                submissionResult ->
-                                        Http.Reply.of(
-                                                submissionResult.isNew() ? 201 : 200,
-                                                encodeState(submissionResult.status()))));
+                                result ->
+                                        statusReply(result.isNew() ? 201 : 200, result.status())));
     }
 
-    public CompletableFuture<Http.Reply> poll(String ref) {
-        return JobId.isWellFormed(ref)
-                ? replyWithState(admissionService.getStatus(new JobId(ref)))
+    /** The status of a job; 404 if there is none of this id. */
+    public CompletableFuture<Http.Reply> poll(String id) {
+        return JobId.isWellFormed(id)
+                ? replyWithStatus(admissionService.getStatus(new JobId(id)))
                 : jobNotFound();
     }
 
-    public CompletableFuture<Http.Reply> cancel(String ref) {
-        return JobId.isWellFormed(ref)
-                ? replyWithState(admissionService.cancel(new JobId(ref)))
+    /** Cancels a job; 404 if there is none of this id. */
+    public CompletableFuture<Http.Reply> cancel(String id) {
+        return JobId.isWellFormed(id)
+                ? replyWithStatus(admissionService.cancel(new JobId(id)))
                 : jobNotFound();
     }
 
+    private static Http.Reply statusReply(int status, AdmissionService.JobStatus job) {
+        return new Http.Reply(status, JobStatusCodec.encode(job), 0);
+    }
+
     private static CompletableFuture<Http.Reply> jobNotFound() {
         return CompletableFuture.completedFuture(Http.Reply.error(404, "no such job"));
     }
 
-    private static CompletableFuture<Http.Reply> replyWithState(
-            CompletableFuture<Optional<AdmissionService.JobStatus>> state) {
+    private static CompletableFuture<Http.Reply> replyWithStatus(
+            CompletableFuture<Optional<AdmissionService.JobStatus>> status) {
         return mapFailuresToReplies(
-                state.thenApply(
+                status.thenApply(
                         job ->
-                                job.map(known -> Http.Reply.of(200, encodeState(known)))
+                                job.map(known -> statusReply(200, known))
                                         .orElseGet(() -> Http.Reply.error(404, "no such job"))));
     }
 
@@ -81,23 +88,4 @@
                     throw new CompletionException(cause);
                 });
     }
-
-    private static Map<String, Object> encodeState(AdmissionService.JobStatus state) {
-        String phase =
-                switch (state.phase()) {
-                    case QUEUED -> "pending";
-                    case RUNNING -> "running";
-                    case DONE -> "done";
-                    case CANCELLED -> "aborted";
-                };
-        return MessageReader.mapOf(
-                "ref",
-                state.id().value(),
-                "phase",
-                phase,
-                "done",
-                (long) state.done(),
-                "running",
-                (long) state.running());
-    }
 }
--- a/src/main/java/org/meadowhollow/protocol/jobs/SubmissionCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/jobs/SubmissionCodec.java
@@ -10,96 +10,130 @@
 import org.meadowhollow.protocol.MalformedMessageException;
 import org.meadowhollow.protocol.MessageReader;
 
-/** A submission between its wire names and a {@link JobSpec}. */
+/**
+ * A submission between its fields on the wire and a {@link JobSpec}. The platform's words stand
+ * here and nowhere else. Stateless.
+ */
 public final class SubmissionCodec {
+    private static final String JOB_ID = "ref";
+    private static final String TASK_COUNT = "chores";
+    private static final String CPUS = "cores";
+    private static final String GPUS = "gpus";
+    private static final String MEMORY_GB = "memGb";
+    private static final String MACHINE_TYPES = "breeds";
+    private static final String JOB_CLASS = "herd";
+    private static final String TEAM = "crew";
+    private static final String KIND = "shape";
+    private static final String PRIORITY = "urgency";
+    private static final String ZONE = "field";
+    private static final String REQUIRES_SINGLE_ZONE = "together";
+    private static final String SPREADS_ACROSS_ZONES = "spread";
+    private static final String ALLOWS_SPOT = "loaners";
+    private static final String IMAGE = "bundle";
+    private static final String IMAGE_GB = "pullGb";
+    private static final String ESTIMATED_RUNTIME_SECONDS = "expectedS";
+    private static final String CHECKPOINT_INTERVAL_SECONDS = "bookmarkS";
+    private static final String CHECKPOINT_DURATION_SECONDS = "stashS";
+    private static final String DEADLINE_SECONDS = "dueS";
+
+    private static final String KIND_ARRAY = "array";
+    private static final String KIND_GANG = "ensemble";
+    private static final String KIND_SERVICE = "standing";
+
+    private static final String PRIORITY_PRODUCTION = "critical";
+    private static final String PRIORITY_HIGH = "urgent";
+    private static final String PRIORITY_NORMAL = "normal";
+    private static final String PRIORITY_LOW = "idle";
+
     private static final int MAX_TASKS = 100_000;
     private static final int MAX_NAME_LENGTH = 200;
 
     private SubmissionCodec() {}
 
     /**
-     * Reads a submission. Only {@code breeds}, {@code field} and {@code dueS} may be null, and so
+     * Decodes a submission. Only the machine types, the zone and the deadline may be null, and so
      * may be left out.
      *
      * @throws MalformedMessageException if a field is missing, of another type or out of its range
      */
     public static JobSpec decode(MessageReader body) throws MalformedMessageException {
-        String ref = body.string("ref");
+        String ref = body.string(JOB_ID);
         if (!JobId.isWellFormed(ref)) {
-            throw new MalformedMessageException("ref is not a job id");
+            throw new MalformedMessageException(JOB_ID + " is not a job id");
         }
-        long tasks = body.nonNegativeLong("chores");
+        long tasks = body.nonNegativeLong(TASK_COUNT);
         if (tasks < 1 || tasks > MAX_TASKS) {
-            throw new MalformedMessageException("chores is not from 1 to " + MAX_TASKS);
+            throw new MalformedMessageException(TASK_COUNT + " is not from 1 to " + MAX_TASKS);
         }
         Resources perTask =
                 Resources.of(
-                        body.nonNegativeDouble("cores"),
-                        body.nonNegativeDouble("gpus"),
-                        body.nonNegativeDouble("memGb"));
-        List<String> types = body.stringListOrNull("breeds");
+                        body.nonNegativeDouble(CPUS),
+                        body.nonNegativeDouble(GPUS),
+                        body.nonNegativeDouble(MEMORY_GB));
+        List<String> types = body.stringListOrNull(MACHINE_TYPES);
         return new JobSpec(
                 new JobId(ref),
-                requireValidName(body, "herd"),
-                requireValidName(body, "crew"),
-                decodeKind(body.string("shape")),
-                decodePriority(body.string("urgency")),
+                requireValidName(body, JOB_CLASS),
+                requireValidName(body, TEAM),
+                decodeKind(body.string(KIND)),
+                decodePriority(body.string(PRIORITY)),
                 (int) tasks,
                 perTask,
                 types == null ? null : List.copyOf(types),
-                body.stringOrNull("field"),
-                body.booleanValue("together"),
-                body.booleanValue("spread"),
-                body.booleanValue("loaners"),
-                requireValidName(body, "bundle"),
-                body.nonNegativeDouble("pullGb"),
-                body.nonNegativeDouble("expectedS"),
-                body.nonNegativeDouble("bookmarkS"),
-                body.nonNegativeDouble("stashS"),
-                body.nonNegativeDoubleOr("dueS", Double.NaN));
+                body.stringOrNull(ZONE),
+                body.booleanValue(REQUIRES_SINGLE_ZONE),
+                body.booleanValue(SPREADS_ACROSS_ZONES),
+                body.booleanValue(ALLOWS_SPOT),
+                requireValidName(body, IMAGE),
+                body.nonNegativeDouble(IMAGE_GB),
+                body.nonNegativeDouble(ESTIMATED_RUNTIME_SECONDS),
+                body.nonNegativeDouble(CHECKPOINT_INTERVAL_SECONDS),
+                body.nonNegativeDouble(CHECKPOINT_DURATION_SECONDS),
+                body.nonNegativeDoubleOr(DEADLINE_SECONDS, Double.NaN));
     }
 
+    /** The fields of a submission, as a client sends them. */
     public static Map<String, Object> encode(JobSpec spec) {
         return MessageReader.mapOf(
-                "ref",
+                JOB_ID,
                 spec.id().value(),
-                "herd",
+                JOB_CLASS,
                 spec.jobClass(),
-                "crew",
+                TEAM,
                 spec.team(),
-                "shape",
-                wireWordOfKind(spec.kind()),
-                "urgency",
-                wireWordOfPriority(spec.priority()),
-                "chores",
+                KIND,
+                encodeKind(spec.kind()),
+                PRIORITY,
+                encodePriority(spec.priority()),
+                TASK_COUNT,
                 (long) spec.taskCount(),
-                "cores",
+                CPUS,
                 spec.resourcesPerTask().cpu() / 1e6,
-                "gpus",
+                GPUS,
                 spec.resourcesPerTask().gpu() / 1e6,
-                "memGb",
+                MEMORY_GB,
                 spec.resourcesPerTask().memory() / 1e6,
-                "breeds",
+                MACHINE_TYPES,
                 spec.allowedMachineTypes(),
-                "field",
+                ZONE,
                 spec.requiredZone(),
-                "together",
+                REQUIRES_SINGLE_ZONE,
                 spec.requiresSingleZone(),
-                "spread",
+                SPREADS_ACROSS_ZONES,
                 spec.spreadsAcrossZones(),
-                "loaners",
+                ALLOWS_SPOT,
                 spec.allowsSpot(),
-                "bundle",
+                IMAGE,
                 spec.image(),
-                "pullGb",
+                IMAGE_GB,
                 spec.imageSizeGb(),
-                "expectedS",
+                ESTIMATED_RUNTIME_SECONDS,
                 spec.estimatedRuntimeSeconds(),
-                "bookmarkS",
+                CHECKPOINT_INTERVAL_SECONDS,
                 spec.checkpointIntervalSeconds(),
-                "stashS",
+                CHECKPOINT_DURATION_SECONDS,
                 spec.checkpointDurationSeconds(),
-                "dueS",
+                DEADLINE_SECONDS,
                 Double.isNaN(spec.deadlineSeconds()) ? null : spec.deadlineSeconds());
     }
 
@@ -112,43 +146,43 @@
         return name;
     }
 
-    private static JobKind decodeKind(String text) throws MalformedMessageException {
-        return switch (text) {
-            case "array" -> JobKind.ARRAY;
-            case "ensemble" -> JobKind.GANG;
-            case "standing" -> JobKind.SERVICE;
+    private static JobKind decodeKind(String word) throws MalformedMessageException {
+        return switch (word) {
+            case KIND_ARRAY -> JobKind.ARRAY;
+            case KIND_GANG -> JobKind.GANG;
+            case KIND_SERVICE -> JobKind.SERVICE;
             default ->
                     throw new MalformedMessageException(
                             "shape is none of array, ensemble, standing");
         };
     }
 
-    private static String wireWordOfKind(JobKind kind) {
+    private static String encodeKind(JobKind kind) {
         return switch (kind) {
-            case ARRAY -> "array";
-            case GANG -> "ensemble";
-            case SERVICE -> "standing";
+            case ARRAY -> KIND_ARRAY;
+            case GANG -> KIND_GANG;
+            case SERVICE -> KIND_SERVICE;
         };
     }
 
-    private static Priority decodePriority(String text) throws MalformedMessageException {
-        return switch (text) {
-            case "critical" -> Priority.PRODUCTION;
-            case "urgent" -> Priority.HIGH;
-            case "normal" -> Priority.NORMAL;
-            case "idle" -> Priority.LOW;
+    private static Priority decodePriority(String word) throws MalformedMessageException {
+        return switch (word) {
+            case PRIORITY_PRODUCTION -> Priority.PRODUCTION;
+            case PRIORITY_HIGH -> Priority.HIGH;
+            case PRIORITY_NORMAL -> Priority.NORMAL;
+            case PRIORITY_LOW -> Priority.LOW;
             default ->
                     throw new MalformedMessageException(
                             "urgency is none of critical, urgent, normal, idle");
         };
     }
 
-    private static String wireWordOfPriority(Priority priority) {
+    private static String encodePriority(Priority priority) {
         return switch (priority) {
-            case PRODUCTION -> "critical";
-            case HIGH -> "urgent";
-            case NORMAL -> "normal";
-            case LOW -> "idle";
+            case PRODUCTION -> PRIORITY_PRODUCTION;
+            case HIGH -> PRIORITY_HIGH;
+            case NORMAL -> PRIORITY_NORMAL;
+            case LOW -> PRIORITY_LOW;
         };
     }
 }
--- a/src/main/java/org/meadowhollow/protocol/workers/HeartbeatApi.java
+++ b/src/main/java/org/meadowhollow/protocol/workers/HeartbeatApi.java
@@ -6,39 +6,41 @@
 import org.meadowhollow.model.Heartbeat;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.MalformedMessageException;
-import org.meadowhollow.protocol.MessageReader;
 
-/** Takes workers' reports and answers them. */
+/** Receives the heartbeats of workers and responds with commands or a redirect. Stateless. */
 public final class HeartbeatApi {
+    /** The status that sends a worker to another controller. */
+    private static final int MISDIRECTED_REQUEST = 421;
+
     private final Function<Heartbeat, CompletableFuture<HeartbeatResponse>> heartbeatHandler;
 
-    public HeartbeatApi(Function<Heartbeat, CompletableFuture<HeartbeatResponse>> reports) {
-        this.heartbeatHandler = reports;
+    /**
+     * @param heartbeatHandler called on the thread that reads the request
+     */
+    public HeartbeatApi(
+            Function<Heartbeat, CompletableFuture<HeartbeatResponse>> heartbeatHandler) {
+        this.heartbeatHandler = heartbeatHandler;
     }
 
+    /** Handles the body of one heartbeat; a malformed one gets status 400. */
     public CompletableFuture<Http.Reply> receiveHeartbeat(byte[] body) {
         Heartbeat heartbeat;
         try {
-            heartbeat = WorkerCodec.decodeHeartbeat(MessageReader.decode(body));
+            heartbeat = WorkerCodec.decodeHeartbeat(body);
         } catch (MalformedMessageException broken) {
             return CompletableFuture.completedFuture(Http.Reply.error(400, broken.getMessage()));
         }
         return heartbeatHandler.apply(heartbeat).thenApply(HeartbeatApi::toReply);
     }
 
-    private static Http.Reply toReply(HeartbeatResponse heartbeatResponse) {
-        if (heartbeatResponse instanceof HeartbeatResponse.Commands commands) {
-            return Http.Reply.of(
+    private static Http.Reply toReply(HeartbeatResponse response) {
+        if (response instanceof HeartbeatResponse.Commands commands) {
+            return new Http.Reply(
                     200,
-                    MessageReader.mapOf(
-                            "baton",
-                            commands.token().value(),
-                            "orders",
-                            WorkerCodec.encodeCommands(commands.commands())));
+                    WorkerCodec.encodeHeartbeatResponse(commands.token(), commands.commands()),
+                    0);
         }
-        String member = ((HeartbeatResponse.Redirect) heartbeatResponse).member();
-        return Http.Reply.of(
-                421,
-                member == null ? MessageReader.mapOf() : MessageReader.mapOf("herder", member));
+        String leader = ((HeartbeatResponse.Redirect) response).member();
+        return new Http.Reply(MISDIRECTED_REQUEST, WorkerCodec.encodeRedirect(leader), 0);
     }
 }
--- a/src/main/java/org/meadowhollow/protocol/workers/WorkerClient.java
+++ b/src/main/java/org/meadowhollow/protocol/workers/WorkerClient.java
@@ -11,12 +11,12 @@
 import org.meadowhollow.model.WorkerIncarnation;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.MalformedMessageException;
-import org.meadowhollow.protocol.MessagePackCodec;
-import org.meadowhollow.protocol.MessageReader;
 
-/** Direct commands to workers. */
+/** Sends commands to workers directly, without waiting for their next heartbeat. Stateless. */
 public final class WorkerClient implements WorkerGateway {
-    /** A worker answers at once; a hung one answers much later or never. */
+    private static final String COMMANDS_PATH = "/orders";
+
+    /** A worker responds at once; a hung one responds much later or never. */
     private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(3);
 
     private final Http.Client http;
@@ -29,31 +29,24 @@
     public CompletableFuture<Heartbeat> sendCommands(
             String address,
             FencingToken token,
-            WorkerIncarnation workerIncarnation,
-            List<WorkerCommand> orders) {
-        byte[] body =
-                MessagePackCodec.encode(
-                        MessageReader.mapOf(
-                                "baton",
-                                token.value(),
-                                "tenure",
-                                workerIncarnation.value(),
-                                "orders",
-                                WorkerCodec.encodeCommands(orders)));
-        return http.send(address, "POST", "/orders", body, RESPONSE_TIMEOUT)
-                .thenApply(
-                        reply -> {
-                            if (reply.status() != 200 && reply.status() != 409) {
-                                throw new CompletionException(
-                                        new MalformedMessageException(
-                                                "the worker answered " + reply.status()));
-                            }
-                            try {
-                                return WorkerCodec.decodeHeartbeat(
-                                        MessageReader.decode(reply.body()));
-                            } catch (MalformedMessageException broken) {
-                                throw new CompletionException(broken);
-                            }
-                        });
+            WorkerIncarnation incarnation,
+            List<WorkerCommand> commands) {
+        byte[] body = WorkerCodec.encodeCommandRequest(token, incarnation, commands);
+        return http.send(address, "POST", COMMANDS_PATH, body, RESPONSE_TIMEOUT)
+                .thenApply(WorkerClient::decodeResponse);
+    }
+
+    /**
+     * A worker sends its state whether it has executed the commands (200) or refused them (409).
+     */
+    private static Heartbeat decodeResponse(Http.Reply reply) {
+        try {
+            if (reply.status() != 200 && reply.status() != 409) {
+                throw new MalformedMessageException("the worker answered " + reply.status());
+            }
+            return WorkerCodec.decodeHeartbeat(reply.body());
+        } catch (MalformedMessageException broken) {
+            throw new CompletionException(broken);
+        }
     }
 }
--- a/src/main/java/org/meadowhollow/protocol/workers/WorkerCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/workers/WorkerCodec.java
@@ -13,90 +13,166 @@
 import org.meadowhollow.model.WorkerCommand;
 import org.meadowhollow.model.WorkerIncarnation;
 import org.meadowhollow.protocol.MalformedMessageException;
+import org.meadowhollow.protocol.MessagePackCodec;
 import org.meadowhollow.protocol.MessageReader;
 
-/** Workers' reports and the orders to them, between their wire names and ours. */
+/**
+ * Heartbeats of workers and commands to them, between bytes and the domain types. The platform's
+ * words for fields and states stand here and nowhere else. Stateless.
+ */
 final class WorkerCodec {
+    private static final String MACHINE_ID = "stall";
+    private static final String ADDRESS = "endpoint";
+    private static final String MACHINE_TYPE = "breed";
+    private static final String ZONE = "field";
+    private static final String IS_SPOT = "loaners";
+    private static final String INCARNATION = "tenure";
+    private static final String SEQUENCE_NUMBER = "tally";
+    private static final String FENCING_TOKEN = "baton";
+    private static final String PREEMPTION_NOTICE_SECONDS = "warningS";
+    private static final String TASKS = "chores";
+    private static final String TASK_ID = "chore";
+    private static final String ATTEMPT_NUMBER = "try";
+    private static final String TASK_STATE = "phase";
+    private static final String EXIT_REASON = "cause";
+    private static final String COMMANDS = "orders";
+    private static final String ACTION = "verb";
+    private static final String GRACE_SECONDS = "leewayS";
+    private static final String LEADER = "herder";
+
+    private static final String ACTION_START = "run";
+    private static final String ACTION_STOP = "halt";
+    private static final String ACTION_FORGET = "reap";
+
+    private static final String STATE_PULLING_IMAGE = "pulling";
+    private static final String STATE_WAITING_FOR_GANG = "waiting";
+    private static final String STATE_RUNNING = "running";
+    private static final String STATE_CHECKPOINTING = "flushing";
+    private static final String STATE_EXITED = "ended";
+
+    private static final String REASON_DONE = "done";
+    private static final String REASON_STOPPED = "stopped";
+    private static final String REASON_PEERS = "peers";
+    private static final String REASON_ALONE = "incomplete";
+    private static final String REASON_NO_ROOM = "no_room";
+    private static final String REASON_BUSY = "in_use";
+    private static final String REASON_UNKNOWN = "unknown";
+
     private WorkerCodec() {}
 
-    static Heartbeat decodeHeartbeat(MessageReader body) throws MalformedMessageException {
+    static Heartbeat decodeHeartbeat(byte[] bytes) throws MalformedMessageException {
+        MessageReader body = MessageReader.decode(bytes);
         List<Heartbeat.TaskStatus> tasks = new ArrayList<>();
-        for (MessageReader item : body.nestedList("chores")) {
-            TaskId id = TaskId.parse(item.string("chore"));
-            if (id == null) {
-                throw new MalformedMessageException("chore is not a task's name");
-            }
-            TaskState state = decodeTaskState(item.string("phase"));
-            tasks.add(
-                    new Heartbeat.TaskStatus(
-                            id,
-                            new AttemptNumber((int) item.nonNegativeLong("try")),
-                            state,
-                            state == TaskState.EXITED
-                                    ? decodeExitReason(item.stringOrNull("cause"))
-                                    : null));
+        for (MessageReader item : body.nestedList(TASKS)) {
+            tasks.add(decodeTaskStatus(item));
         }
         return new Heartbeat(
-                new MachineId(body.string("stall")),
-                body.string("endpoint"),
-                body.string("breed"),
-                body.string("field"),
-                body.booleanOr("loaners", false),
-                new WorkerIncarnation(body.nonNegativeLong("tenure")),
-                body.nonNegativeLong("tally"),
-                new FencingToken(body.has("baton") ? body.nonNegativeLong("baton") : 0),
-                body.nonNegativeDoubleOr("warningS", Double.NaN),
+                new MachineId(body.string(MACHINE_ID)),
+                body.string(ADDRESS),
+                body.string(MACHINE_TYPE),
+                body.string(ZONE),
+                body.booleanOr(IS_SPOT, false),
+                new WorkerIncarnation(body.nonNegativeLong(INCARNATION)),
+                body.nonNegativeLong(SEQUENCE_NUMBER),
+                new FencingToken(body.has(FENCING_TOKEN) ? body.nonNegativeLong(FENCING_TOKEN) : 0),
+                body.nonNegativeDoubleOr(PREEMPTION_NOTICE_SECONDS, Double.NaN),
                 tasks);
     }
 
-    static List<Map<String, Object>> encodeCommands(List<WorkerCommand> orders) {
-        List<Map<String, Object>> list = new ArrayList<>(orders.size());
-        for (WorkerCommand workerCommand : orders) {
+    private static Heartbeat.TaskStatus decodeTaskStatus(MessageReader item)
+            throws MalformedMessageException {
+        TaskId id = TaskId.parse(item.string(TASK_ID));
+        if (id == null) {
+            throw new MalformedMessageException(TASK_ID + " is not a task's name");
+        }
+        TaskState state = decodeTaskState(item.string(TASK_STATE));
+        return new Heartbeat.TaskStatus(
+                id,
+                new AttemptNumber((int) item.nonNegativeLong(ATTEMPT_NUMBER)),
+                state,
+                state == TaskState.EXITED
+                        ? decodeExitReason(item.stringOrNull(EXIT_REASON))
+                        : null);
+    }
+
+    /** The body of a request that sends commands to a worker. */
+    static byte[] encodeCommandRequest(
+            FencingToken token, WorkerIncarnation incarnation, List<WorkerCommand> commands) {
+        return MessagePackCodec.encode(
+                MessageReader.mapOf(
+                        FENCING_TOKEN,
+                        token.value(),
+                        INCARNATION,
+                        incarnation.value(),
+                        COMMANDS,
+                        encodeCommands(commands)));
+    }
+
+    /** The body of the response to a heartbeat that the leader has handled. */
+    static byte[] encodeHeartbeatResponse(FencingToken token, List<WorkerCommand> commands) {
+        return MessagePackCodec.encode(
+                MessageReader.mapOf(
+                        FENCING_TOKEN, token.value(), COMMANDS, encodeCommands(commands)));
+    }
+
+    /**
+     * The body of the response of a node that does not lead.
+     *
+     * @param leader the leader's name, or null if it is not known
+     */
+    static byte[] encodeRedirect(String leader) {
+        return MessagePackCodec.encode(
+                leader == null ? MessageReader.mapOf() : MessageReader.mapOf(LEADER, leader));
+    }
+
+    private static List<Map<String, Object>> encodeCommands(List<WorkerCommand> commands) {
+        List<Map<String, Object>> list = new ArrayList<>(commands.size());
+        for (WorkerCommand command : commands) {
             Map<String, Object> map =
                     MessageReader.mapOf(
-                            "verb",
-                            wireWordOfAction(workerCommand.action()),
-                            "chore",
-                            workerCommand.taskId().toString(),
-                            "try",
-                            (long) workerCommand.attemptNumber().value());
-            if (workerCommand.action() == WorkerCommand.Action.STOP) {
-                map.put("leewayS", workerCommand.graceSeconds());
+                            ACTION,
+                            encodeAction(command.action()),
+                            TASK_ID,
+                            command.taskId().toString(),
+                            ATTEMPT_NUMBER,
+                            (long) command.attemptNumber().value());
+            if (command.action() == WorkerCommand.Action.STOP) {
+                map.put(GRACE_SECONDS, command.graceSeconds());
             }
             list.add(map);
         }
         return list;
     }
 
-    private static String wireWordOfAction(WorkerCommand.Action action) {
+    private static String encodeAction(WorkerCommand.Action action) {
         return switch (action) {
-            case START -> "run";
-            case STOP -> "halt";
-            case FORGET -> "reap";
+            case START -> ACTION_START;
+            case STOP -> ACTION_STOP;
+            case FORGET -> ACTION_FORGET;
         };
     }
 
-    private static TaskState decodeTaskState(String phase) throws MalformedMessageException {
-        return switch (phase) {
-            case "pulling" -> TaskState.PULLING_IMAGE;
-            case "waiting" -> TaskState.WAITING_FOR_GANG;
-            case "running" -> TaskState.RUNNING;
-            case "flushing" -> TaskState.CHECKPOINTING;
-            case "ended" -> TaskState.EXITED;
-            default -> throw new MalformedMessageException("unknown phase " + phase);
+    private static TaskState decodeTaskState(String word) throws MalformedMessageException {
+        return switch (word) {
+            case STATE_PULLING_IMAGE -> TaskState.PULLING_IMAGE;
+            case STATE_WAITING_FOR_GANG -> TaskState.WAITING_FOR_GANG;
+            case STATE_RUNNING -> TaskState.RUNNING;
+            case STATE_CHECKPOINTING -> TaskState.CHECKPOINTING;
+            case STATE_EXITED -> TaskState.EXITED;
+            default -> throw new MalformedMessageException("unknown phase " + word);
         };
     }
 
-    private static ExitReason decodeExitReason(String cause) {
-        return switch (cause == null ? "" : cause) {
-            case "done" -> ExitReason.DONE;
-            case "stopped" -> ExitReason.STOPPED;
-            case "peers" -> ExitReason.PEERS;
-            case "incomplete" -> ExitReason.ALONE;
-            case "no_room" -> ExitReason.NO_ROOM;
-            case "in_use" -> ExitReason.BUSY;
-            case "unknown" -> ExitReason.UNKNOWN;
-            // A cause that this version does not know is some failure.
+    private static ExitReason decodeExitReason(String word) {
+        return switch (word == null ? "" : word) {
+            case REASON_DONE -> ExitReason.DONE;
+            case REASON_STOPPED -> ExitReason.STOPPED;
+            case REASON_PEERS -> ExitReason.PEERS;
+            case REASON_ALONE -> ExitReason.ALONE;
+            case REASON_NO_ROOM -> ExitReason.NO_ROOM;
+            case REASON_BUSY -> ExitReason.BUSY;
+            case REASON_UNKNOWN -> ExitReason.UNKNOWN;
+            // A reason that this version does not know is some failure.
             default -> ExitReason.ERROR;
         };
     }
