--- a/src/main/java/org/meadowhollow/protocol/JsonCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/JsonCodec.java
@@ -10,11 +10,12 @@
 
 /**
  * JSON objects from and to maps with the same kinds of values as {@link MessagePackCodec} gives.
+ * Stateless.
  */
 public final class JsonCodec {
     /**
-     * Far deeper than anything that is read here. The library's own bound is a thousand, for which
-     * the stack of a node as it is deployed does not suffice.
+     * Far deeper than any message here. The library's own bound is a thousand, for which the stack
+     * of a node as it is deployed does not suffice.
      */
     private static final int MAX_NESTING_DEPTH = 32;
 
@@ -31,8 +32,8 @@
     private JsonCodec() {}
 
     /**
-     * Reads an object, nested at most 32 levels deep. The length of numbers is bounded by the
-     * library, the size by who hands the bytes over.
+     * Decodes an object, nested at most 32 levels deep. The library bounds the length of numbers,
+     * the caller the size.
      *
      * @throws MalformedMessageException if the bytes are no JSON object
      */
@@ -51,6 +52,7 @@
         throw new MalformedMessageException("not a JSON object");
     }
 
+    /** Encodes a map of the kinds of values that {@link #decode} gives. */
     public static byte[] encode(Map<String, ?> map) {
         try {
             return JACKSON.asBytes(map);
@@ -60,14 +62,14 @@
         }
     }
 
-    /** Whole numbers come as int or long; the checks know one kind. */
+    /** The library gives whole numbers as int or long; callers expect long. */
     private static Map<String, Object> normalize(Map<String, Object> map) {
-        Map<String, Object> wide = new LinkedHashMap<>();
-        map.forEach((key, value) -> wide.put(requirePairedSurrogates(key), normalize(value)));
-        return wide;
+        Map<String, Object> normalized = new LinkedHashMap<>();
+        map.forEach((key, value) -> normalized.put(requirePairedSurrogates(key), normalize(value)));
+        return normalized;
     }
 
-    /** JSON can name half of a character, which no other encoding can hold. */
+    /** JSON can escape half of a surrogate pair, which UTF-8 cannot encode. */
     private static String requirePairedSurrogates(String text) {
         for (int at = 0; at < text.length(); at++) {
             char unit = text.charAt(at);
--- a/src/main/java/org/meadowhollow/protocol/MessagePackCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/MessagePackCodec.java
@@ -11,7 +11,10 @@
 import org.msgpack.core.MessageUnpacker;
 import org.msgpack.value.ValueType;
 
-/** MessagePack bodies as maps keyed by text, lists, text, numbers, booleans and null. */
+/**
+ * MessagePack bodies as maps keyed by text, lists, text, numbers (long and double), booleans and
+ * null. Stateless.
+ */
 public final class MessagePackCodec {
     /**
      * Deeper nesting than any message of the protocol has; guards the stack against hostile bodies.
@@ -20,6 +23,11 @@
 
     private MessagePackCodec() {}
 
+    /**
+     * Encodes a map in the order of its entries.
+     *
+     * @throws IllegalArgumentException for a value of another type
+     */
     public static byte[] encode(Map<String, ?> body) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             pack(packer, body);
@@ -72,11 +80,11 @@
         }
     }
 
-    private static Map<String, Object> unpackMap(MessageUnpacker unpacker, int most, int depth)
+    private static Map<String, Object> unpackMap(MessageUnpacker unpacker, int maxLength, int depth)
             throws IOException, MalformedMessageException {
         int size = unpacker.unpackMapHeader();
         // A header may promise far more than the body holds; each entry takes two bytes at least.
-        if (size > most / 2 || depth > MAX_NESTING_DEPTH) {
+        if (size > maxLength / 2 || depth > MAX_NESTING_DEPTH) {
             throw new MalformedMessageException(
                     depth > MAX_NESTING_DEPTH
                             ? "the body is nested too deeply"
@@ -87,12 +95,12 @@
             if (unpacker.getNextFormat().getValueType() != ValueType.STRING) {
                 throw new MalformedMessageException("a key is not text");
             }
-            map.put(unpacker.unpackString(), unpackValue(unpacker, most, depth + 1));
+            map.put(unpacker.unpackString(), unpackValue(unpacker, maxLength, depth + 1));
         }
         return map;
     }
 
-    private static Object unpackValue(MessageUnpacker unpacker, int most, int depth)
+    private static Object unpackValue(MessageUnpacker unpacker, int maxLength, int depth)
             throws IOException, MalformedMessageException {
         switch (unpacker.getNextFormat().getValueType()) {
             case NIL -> {
@@ -113,7 +121,7 @@
             }
             case ARRAY -> {
                 int size = unpacker.unpackArrayHeader();
-                if (size > most || depth > MAX_NESTING_DEPTH) {
+                if (size > maxLength || depth > MAX_NESTING_DEPTH) {
                     throw new MalformedMessageException(
                             depth > MAX_NESTING_DEPTH
                                     ? "the body is nested too deeply"
@@ -121,12 +129,12 @@
                 }
                 List<Object> list = new ArrayList<>(size);
                 for (int at = 0; at < size; at++) {
-                    list.add(unpackValue(unpacker, most, depth + 1));
+                    list.add(unpackValue(unpacker, maxLength, depth + 1));
                 }
                 return list;
             }
             case MAP -> {
-                return unpackMap(unpacker, most, depth);
+                return unpackMap(unpacker, maxLength, depth);
             }
             default ->
                     throw new MalformedMessageException("binary and extension values are not used");
--- a/src/main/java/org/meadowhollow/protocol/MessageReader.java
+++ b/src/main/java/org/meadowhollow/protocol/MessageReader.java
@@ -5,9 +5,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Checked access to the fields of a decoded map. An absent field equals null. */
+/**
+ * Checked access to the fields of a decoded map. An absent field equals null. Every method fails
+ * with {@link MalformedMessageException}, naming the field, if it is of another type or out of its
+ * range.
+ */
 public record MessageReader(Map<String, Object> map) {
-    /** Starts a map to be sent, filled by pairs of key and value. */
+    /** A map of pairs of key and value, in their order, to be encoded. */
     public static Map<String, Object> mapOf(Object... pairs) {
         Map<String, Object> map = new LinkedHashMap<>(pairs.length);
         for (int at = 0; at < pairs.length; at += 2) {
@@ -16,31 +20,38 @@
         return map;
     }
 
+    /** Decodes a MessagePack body that must be one map. */
     public static MessageReader decode(byte[] body) throws MalformedMessageException {
         return new MessageReader(MessagePackCodec.decode(body));
     }
 
+    /** Whether the field is present and not null. */
     public boolean has(String key) {
         return map.get(key) != null;
     }
 
+    /** A text that must be present. */
     public String string(String key) throws MalformedMessageException {
         return requirePresent(key, stringOrNull(key));
     }
 
+    /** A text, or null if it is absent. */
     public String stringOrNull(String key) throws MalformedMessageException {
         return valueOfType(key, String.class, "text");
     }
 
+    /** A boolean that must be present. */
     public boolean booleanValue(String key) throws MalformedMessageException {
         return requirePresent(key, valueOfType(key, Boolean.class, "true or false"));
     }
 
+    /** A boolean, or a default if it is absent. */
     public boolean booleanOr(String key, boolean otherwise) throws MalformedMessageException {
         Boolean flag = valueOfType(key, Boolean.class, "true or false");
         return flag == null ? otherwise : flag;
     }
 
+    /** A whole number from 0 on that must be present. */
     public long nonNegativeLong(String key) throws MalformedMessageException {
         Object value = requirePresent(key, map.get(key));
         if (value instanceof Long number && number >= 0) {
@@ -49,13 +60,14 @@
         throw new MalformedMessageException(key + " is not a whole number from 0 on");
     }
 
-    /** A decimal amount that is finite and not negative. */
+    /** A number from 0 to below 1e12 that must be present. */
     public double nonNegativeDouble(String key) throws MalformedMessageException {
         double amount = nonNegativeDoubleOr(key, Double.NaN);
         requirePresent(key, Double.isNaN(amount) ? null : amount);
         return amount;
     }
 
+    /** A number from 0 to below 1e12, or a default if it is absent. */
     public double nonNegativeDoubleOr(String key, double otherwise)
             throws MalformedMessageException {
         Object value = map.get(key);
@@ -71,6 +83,7 @@
         throw new MalformedMessageException(key + " is not an amount from 0 on");
     }
 
+    /** A map that must be present. */
     public MessageReader nested(String key) throws MalformedMessageException {
         return toReader(key, requirePresent(key, map.get(key)));
     }
@@ -99,6 +112,7 @@
         return all;
     }
 
+    /** A list of any values; an absent list is empty. */
     public List<?> rawList(String key) throws MalformedMessageException {
         List<?> list = valueOfType(key, List.class, "a list");
         return list == null ? List.of() : list;
--- a/src/main/java/org/meadowhollow/transport/AttemptCapturingIoThread.java
+++ b/src/main/java/org/meadowhollow/transport/AttemptCapturingIoThread.java
@@ -9,11 +9,11 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Stands in for the loop's thread where Undertow's client opens a connection, and keeps hold of the
- * attempt, which that client does not hand out. An attempt that is given up must be cancelled:
- * behind a cut it keeps its socket for two minutes, and a leader that asked hundreds of silent
- * machines ran out of sockets for its users and healthy workers. It is never started as a thread;
- * everything is handed to the real one.
+ * A proxy of the event loop's thread that captures the attempt when Undertow's client opens a
+ * connection, because that client does not return it. An attempt that has timed out must be
+ * cancelled: behind a network partition it keeps its socket for two minutes, and a leader that
+ * probed hundreds of unresponsive machines ran out of sockets for its users and healthy workers. It
+ * is never started as a thread and delegates everything to the real one.
  */
 final class AttemptCapturingIoThread extends XnioIoThread {
     private final XnioIoThread delegate;
@@ -25,7 +25,7 @@
     }
 
     /**
-     * The attempt begun last, which this forgets; to be called right after it began, on the loop's
+     * Returns the latest attempt and forgets it; to be called right after it began, on the loop's
      * thread.
      */
     IoFuture<StreamConnection> takeLatestAttempt() {
--- a/src/main/java/org/meadowhollow/transport/ConnectionLimiter.java
+++ b/src/main/java/org/meadowhollow/transport/ConnectionLimiter.java
@@ -6,30 +6,30 @@
 import java.util.function.Consumer;
 
 /**
- * The connections that others have opened to a listener, at most so many. Behind a cut the far ends
- * of hundreds are gone, which nothing says here, while the same callers come again on new ones; so
- * when there are too many, the one without a request for longest goes first. All work is done on
- * the loop's thread.
+ * Bounds the connections that others have opened to a server. Behind a network partition the far
+ * ends of hundreds may be gone without a sign, while the same callers return on new connections; so
+ * above the bound the idle connection whose last request is the longest ago is closed. Not
+ * thread-safe: used on the event loop's thread only.
  */
 final class ConnectionLimiter<C> {
     private final int limit;
     private final Consumer<C> closer;
 
     /**
-     * Requests that are being answered on each connection, in the order of the last request's
+     * The number of requests in progress on each connection, in the order of the last request's
      * arrival.
      */
     private final Map<C, Integer> activeRequests = new LinkedHashMap<>();
 
     /**
-     * @param most connections kept open, 0 for no bound
+     * @param limit of open connections, 0 for no bound
      */
-    ConnectionLimiter(int most, Consumer<C> close) {
-        this.limit = most;
-        this.closer = close;
+    ConnectionLimiter(int limit, Consumer<C> closer) {
+        this.limit = limit;
+        this.closer = closer;
     }
 
-    /** A request has come; true if it is the connection's first. */
+    /** Counts a request that has arrived; true if it is the connection's first. */
     boolean requestStarted(C connection) {
         Integer before = activeRequests.remove(connection);
         activeRequests.put(connection, before == null ? 1 : before + 1);
@@ -39,7 +39,7 @@
         return before == null;
     }
 
-    /** A request has been answered. */
+    /** Counts a request whose response has been sent. */
     void requestFinished(C connection) {
         activeRequests.computeIfPresent(connection, (same, requests) -> requests - 1);
     }
@@ -53,8 +53,8 @@
     }
 
     /**
-     * One that still waits for its answer is spared: its caller is more likely there than that of
-     * any idle one.
+     * Spares connections with a request in progress: their callers are more likely there than that
+     * of any idle one.
      */
     private void closeLeastRecentlyUsed() {
         Iterator<Map.Entry<C, Integer>> all = activeRequests.entrySet().iterator();
--- a/src/main/java/org/meadowhollow/transport/HttpClient.java
+++ b/src/main/java/org/meadowhollow/transport/HttpClient.java
@@ -20,6 +20,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
 import org.meadowhollow.protocol.Http;
 import org.xnio.IoFuture;
 import org.xnio.IoUtils;
@@ -30,19 +31,21 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Requests to other parties: one at a time on a connection, idle connections kept for the next one.
- * All work is done on the loop's thread.
+ * Sends HTTP requests: one at a time on a connection; idle connections are kept for the next
+ * request. {@link #send} may be called on any thread; all other work is done on the event loop's
+ * thread, to which connections and pools belong.
  */
 public final class HttpClient implements Http.Client {
-    /** Idle connections kept for an address: as many as a busy caller has requests on their way. */
+    /** Idle connections kept for an address: as many as a busy caller has requests in flight. */
     private static final int MAX_IDLE_PER_ADDRESS = 12;
 
     /**
-     * Open and opening connections for an address; a dead one must not eat the process's sockets.
+     * Open and opening connections for an address; an unresponsive one must not use up the
+     * process's sockets.
      */
     public static final int MAX_OPEN_PER_ADDRESS = 24;
 
-    /** A list of the state service holds 512 KiB; a watch may answer with all that has changed. */
+    /** A page of the key-value store holds 512 KiB; a watch may return all that has changed. */
     private static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
 
     private final XnioEventLoop loop;
@@ -50,14 +53,20 @@
     private final AttemptCapturingIoThread attemptCapture;
     private final Map<String, ConnectionPool> poolsByAddress = new HashMap<>();
 
+    /**
+     * @param buffers for the bodies of responses
+     */
     public HttpClient(XnioEventLoop loop, ByteBufferPool buffers) {
         this.loop = loop;
         this.buffers = buffers;
         this.attemptCapture = new AttemptCapturingIoThread(loop.ioThread());
     }
 
+    /** The connections to one address. */
     private static final class ConnectionPool {
         private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
+
+        /** Idle, used and opening connections. */
         private int openCount;
     }
 
@@ -80,7 +89,7 @@
         return pendingRequest.reply;
     }
 
-    /** One request; every method runs on the loop's thread. */
+    /** One request in flight; every method runs on the loop's thread. */
     private final class PendingRequest {
         private final String address;
         private final String method;
@@ -91,11 +100,14 @@
         private XnioExecutor.Key timeoutTimer;
         private ClientConnection connection;
 
-        /** Where this call waits for its connection, until it has it or gives it up. */
+        /** The pool whose slot this request holds while its connection is being opened, or null. */
         private ConnectionPool connectingPool;
 
         private IoFuture<StreamConnection> connectAttempt;
+
+        /** Whether the request may have reached the other side. */
         private boolean sent;
+
         private boolean refused;
         private boolean completed;
 
@@ -117,10 +129,10 @@
                     loop.ioThread()
                             .executeAfter(
                                     () -> {
-                                        long more =
+                                        long extension =
                                                 adaptiveTimeout.extensionNanos(System.nanoTime());
-                                        if (more > 0) {
-                                            armTimeout(more);
+                                        if (extension > 0) {
+                                            armTimeout(extension);
                                         } else {
                                             fail("no answer in time");
                                         }
@@ -130,34 +142,38 @@
         }
 
         void start() {
-            ConnectionPool connectionPool =
+            ConnectionPool pool =
                     poolsByAddress.computeIfAbsent(address, unused -> new ConnectionPool());
             ClientConnection kept;
-            while ((kept = connectionPool.idle.poll()) != null) {
+            while ((kept = pool.idle.poll()) != null) {
                 if (kept.isOpen()) {
                     sendOn(kept);
                     return;
                 }
             }
-            if (connectionPool.openCount >= MAX_OPEN_PER_ADDRESS) {
+            if (pool.openCount >= MAX_OPEN_PER_ADDRESS) {
                 fail("too many open connections to " + address);
                 return;
             }
-            connectionPool.openCount++;
-            connectingPool = connectionPool;
+            connect(pool);
+        }
+
+        private void connect(ConnectionPool pool) {
+            pool.openCount++;
+            connectingPool = pool;
             UndertowClient.getInstance()
                     .connect(
                             new ClientCallback<>() {
                                 @Override
-                                public void completed(ClientConnection made) {
+                                public void completed(ClientConnection opened) {
                                     if (connectingPool == null) {
-                                        IoUtils.safeClose(made);
+                                        // The request has failed and released its slot.
+                                        IoUtils.safeClose(opened);
                                         return;
                                     }
                                     connectingPool = null;
-                                    made.getCloseSetter()
-                                            .set(unused -> releaseOpenSlot(connectionPool));
-                                    sendOn(made);
+                                    opened.getCloseSetter().set(unused -> releaseSlot(pool));
+                                    sendOn(opened);
                                 }
 
                                 @Override
@@ -173,16 +189,20 @@
             connectAttempt = attemptCapture.takeLatestAttempt();
         }
 
-        private void releaseOpenSlot(ConnectionPool connectionPool) {
-            connectionPool.openCount--;
-            if (connectionPool.openCount == 0) {
-                poolsByAddress.remove(address, connectionPool);
+        private void releaseSlot(ConnectionPool pool) {
+            pool.openCount--;
+            if (pool.openCount == 0) {
+                poolsByAddress.remove(address, pool);
             }
         }
 
-        private void sendOn(ClientConnection free) {
-            connection = free;
+        private void sendOn(ClientConnection idleConnection) {
+            connection = idleConnection;
             sent = true;
+            connection.sendRequest(request(), new ExchangeCallback(this::exchangeStarted));
+        }
+
+        private ClientRequest request() {
             ClientRequest request =
                     new ClientRequest().setMethod(new HttpString(method)).setPath(path);
             request.getRequestHeaders().put(Headers.HOST, address);
@@ -190,35 +210,37 @@
                 request.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/msgpack");
                 request.getRequestHeaders().put(Headers.CONTENT_LENGTH, body.length);
             }
-            connection.sendRequest(
-                    request,
-                    new ClientCallback<>() {
-                        @Override
-                        public void completed(ClientExchange exchange) {
-                            exchange.setResponseListener(
-                                    new ClientCallback<>() {
-                                        @Override
-                                        public void completed(ClientExchange answered) {
-                                            readResponse(answered, new ByteArrayOutputStream());
-                                        }
+            return request;
+        }
 
-                                        @Override
-                                        public void failed(IOException failure) {
-                                            failConnectionLost(failure);
-                                        }
-                                    });
-                            try {
-                                writeBody(exchange.getRequestChannel());
-                            } catch (IOException failure) {
-                                failConnectionLost(failure);
-                            }
-                        }
-
-                        @Override
-                        public void failed(IOException failure) {
-                            failConnectionLost(failure);
-                        }
-                    });
+        private void exchangeStarted(ClientExchange exchange) {
+            exchange.setResponseListener(
+                    new ExchangeCallback(
+                            answered -> readResponse(answered, new ByteArrayOutputStream())));
+            try {
+                writeBody(exchange.getRequestChannel());
+            } catch (IOException failure) {
+                failConnectionLost(failure);
+            }
+        }
+
+        /** Goes on with an exchange, or fails the request if the connection is lost. */
+        private final class ExchangeCallback implements ClientCallback<ClientExchange> {
+            private final Consumer<ClientExchange> next;
+
+            ExchangeCallback(Consumer<ClientExchange> next) {
+                this.next = next;
+            }
+
+            @Override
+            public void completed(ClientExchange exchange) {
+                next.accept(exchange);
+            }
+
+            @Override
+            public void failed(IOException failure) {
+                failConnectionLost(failure);
+            }
         }
 
         private void writeBody(StreamSinkChannel channel) throws IOException {
@@ -227,37 +249,43 @@
                 flushRequest(channel);
                 return;
             }
-            ByteBuffer left = ByteBuffer.wrap(body);
-            while (left.hasRemaining()) {
-                if (channel.write(left) == 0) {
-                    channel.getWriteSetter()
-                            .set(
-                                    same -> {
-                                        try {
-                                            while (left.hasRemaining()) {
-                                                if (channel.write(left) == 0) {
-                                                    return;
-                                                }
-                                            }
-                                            channel.shutdownWrites();
-                                            flushRequest(channel);
-                                        } catch (IOException failure) {
-                                            failConnectionLost(failure);
-                                        }
-                                    });
-                    channel.resumeWrites();
-                    return;
-                }
+            ByteBuffer remaining = ByteBuffer.wrap(body);
+            if (!writeAvailable(channel, remaining)) {
+                channel.getWriteSetter().set(unused -> resumeBody(channel, remaining));
+                channel.resumeWrites();
+                return;
             }
             channel.shutdownWrites();
             flushRequest(channel);
         }
 
+        private void resumeBody(StreamSinkChannel channel, ByteBuffer remaining) {
+            try {
+                if (writeAvailable(channel, remaining)) {
+                    channel.shutdownWrites();
+                    flushRequest(channel);
+                }
+            } catch (IOException failure) {
+                failConnectionLost(failure);
+            }
+        }
+
+        /** Writes what the channel takes now; true if that was all. */
+        private static boolean writeAvailable(StreamSinkChannel channel, ByteBuffer remaining)
+                throws IOException {
+            while (remaining.hasRemaining()) {
+                if (channel.write(remaining) == 0) {
+                    return false;
+                }
+            }
+            return true;
+        }
+
         private void flushRequest(StreamSinkChannel channel) throws IOException {
             if (!channel.flush()) {
                 channel.getWriteSetter()
                         .set(
-                                same -> {
+                                unused -> {
                                     try {
                                         if (channel.flush()) {
                                             channel.suspendWrites();
@@ -270,14 +298,16 @@
             }
         }
 
-        private void readResponse(ClientExchange exchange, ByteArrayOutputStream read) {
+        private void readResponse(ClientExchange exchange, ByteArrayOutputStream received) {
             StreamSourceChannel channel = exchange.getResponseChannel();
-            channel.getReadSetter().set(same -> readAvailable(exchange, channel, read));
-            readAvailable(exchange, channel, read);
+            channel.getReadSetter().set(unused -> readAvailable(exchange, channel, received));
+            readAvailable(exchange, channel, received);
         }
 
         private void readAvailable(
-                ClientExchange exchange, StreamSourceChannel channel, ByteArrayOutputStream read) {
+                ClientExchange exchange,
+                StreamSourceChannel channel,
+                ByteArrayOutputStream received) {
             try (PooledByteBuffer pooled = buffers.allocate()) {
                 ByteBuffer buffer = pooled.getBuffer();
                 while (true) {
@@ -288,14 +318,14 @@
                         return;
                     }
                     if (count < 0) {
-                        succeed(exchange, read.toByteArray());
+                        succeed(exchange, received.toByteArray());
                         return;
                     }
                     buffer.flip();
                     byte[] part = new byte[count];
                     buffer.get(part);
-                    read.write(part, 0, count);
-                    if (read.size() > MAX_BODY_BYTES) {
+                    received.write(part, 0, count);
+                    if (received.size() > MAX_BODY_BYTES) {
                         fail("the answer is too large");
                         return;
                     }
@@ -311,13 +341,14 @@
             }
             completed = true;
             timeoutTimer.remove();
-            ConnectionPool connectionPool = poolsByAddress.get(address);
-            String keep = exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION);
-            if (connectionPool != null
-                    && connectionPool.idle.size() < MAX_IDLE_PER_ADDRESS
+            ConnectionPool pool = poolsByAddress.get(address);
+            String keepAlive =
+                    exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION);
+            if (pool != null
+                    && pool.idle.size() < MAX_IDLE_PER_ADDRESS
                     && connection.isOpen()
-                    && !"close".equalsIgnoreCase(keep)) {
-                connectionPool.idle.push(connection);
+                    && !"close".equalsIgnoreCase(keepAlive)) {
+                pool.idle.push(connection);
             } else {
                 IoUtils.safeClose(connection);
             }
@@ -325,13 +356,13 @@
         }
 
         /**
-         * What one connection suffers its idle neighbours have suffered too; a new call needs a new
-         * one.
+         * A failure of one connection is most likely one of the idle connections as well; the next
+         * request opens a new one.
          */
         private void closeIdleConnections() {
-            ConnectionPool connectionPool = poolsByAddress.get(address);
+            ConnectionPool pool = poolsByAddress.get(address);
             ClientConnection kept;
-            while (connectionPool != null && (kept = connectionPool.idle.poll()) != null) {
+            while (pool != null && (kept = pool.idle.poll()) != null) {
                 IoUtils.safeClose(kept);
             }
         }
@@ -340,18 +371,19 @@
             fail("connection lost: " + failure.getMessage());
         }
 
-        private void fail(String why) {
+        private void fail(String reason) {
             if (completed) {
-                // Closing the connection below comes back here, with a cause that hides the first
-                // one.
+                // Closing the connection below leads here again, with a reason that would hide the
+                // first one.
                 return;
             }
             completed = true;
             timeoutTimer.remove();
             if (connectingPool != null) {
-                // Given up, it counts no more: behind a cut, attempts that hang would use up all
-                // that may be open.
-                releaseOpenSlot(connectingPool);
+                // A failed attempt counts no more: behind a network partition, hanging attempts
+                // would
+                // use up all slots.
+                releaseSlot(connectingPool);
                 connectingPool = null;
                 if (connectAttempt != null) {
                     connectAttempt.cancel();
@@ -361,12 +393,16 @@
             if (sent) {
                 closeIdleConnections();
             }
-            reply.completeExceptionally(
-                    sent
-                            ? new Http.NoResponseException(why)
-                            : refused
-                                    ? new Http.ConnectionRefusedException(why)
-                                    : new Http.RequestNotSentException(why));
+            reply.completeExceptionally(failure(reason));
+        }
+
+        private RuntimeException failure(String reason) {
+            if (sent) {
+                return new Http.NoResponseException(reason);
+            }
+            return refused
+                    ? new Http.ConnectionRefusedException(reason)
+                    : new Http.RequestNotSentException(reason);
         }
     }
 }
--- a/src/main/java/org/meadowhollow/transport/HttpServer.java
+++ b/src/main/java/org/meadowhollow/transport/HttpServer.java
@@ -23,7 +23,10 @@
 import org.slf4j.LoggerFactory;
 import org.xnio.IoUtils;
 
-/** Listens on one address and hands whole requests to a handler. */
+/**
+ * Listens on one address and passes whole requests to a handler, on the event loop's thread. A
+ * failed handler gets its caller a status 503 and is logged.
+ */
 public final class HttpServer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
@@ -93,7 +96,7 @@
         server.start();
     }
 
-    /** The port listened on, chosen by the system if 0 was asked for. */
+    /** The port listened on. */
     public int port() {
         return ((InetSocketAddress) server.getListenerInfo().get(0).getAddress()).getPort();
     }
@@ -115,11 +118,11 @@
         Receiver receiver = exchange.getRequestReceiver();
         receiver.setMaxBufferSize(MAX_BODY_BYTES);
         receiver.receiveFullBytes(
-                (same, body) ->
+                (unused, body) ->
                         exchange.dispatch(
                                 SameThreadExecutor.INSTANCE,
                                 () -> handle(exchange, requestHandler, body)),
-                (same, failure) -> rejectBody(exchange, requestHandler));
+                (unused, failure) -> rejectBody(exchange, requestHandler));
     }
 
     private static void rejectBody(
@@ -130,9 +133,9 @@
 
     private static void handle(
             HttpServerExchange exchange, Http.RequestHandler requestHandler, byte[] body) {
-        CompletableFuture<Http.Reply> answer;
+        CompletableFuture<Http.Reply> response;
         try {
-            answer =
+            response =
                     requestHandler.answer(
                             new Http.Request(
                                     exchange.getRequestMethod().toString(),
@@ -140,22 +143,23 @@
                                     queryParameters(exchange),
                                     name -> exchange.getRequestHeaders().getFirst(name),
                                     body));
-        } catch (RuntimeException mistake) {
-            answer = CompletableFuture.failedFuture(mistake);
+        } catch (RuntimeException defect) {
+            response = CompletableFuture.failedFuture(defect);
         }
-        answer.whenComplete(
-                (reply, failure) -> {
-                    if (failure != null) {
-                        LOG.error(
-                                "a request failed: {} {}",
-                                exchange.getRequestMethod(),
-                                exchange.getRequestPath(),
-                                failure);
-                        send(exchange, Http.Reply.retryLater(503, 1, "internal error"));
-                    } else {
-                        send(exchange, reply);
-                    }
-                });
+        CompletableFuture<Http.Reply> unusedResponse =
+                response.whenComplete(
+                        (reply, failure) -> {
+                            if (failure != null) {
+                                LOG.error(
+                                        "request failed method={} path={}",
+                                        exchange.getRequestMethod(),
+                                        exchange.getRequestPath(),
+                                        failure);
+                                send(exchange, Http.Reply.retryLater(503, 1, "internal error"));
+                            } else {
+                                send(exchange, reply);
+                            }
+                        });
     }
 
     private static Map<String, List<String>> queryParameters(HttpServerExchange exchange) {
--- a/src/main/java/org/meadowhollow/transport/XnioEventLoop.java
+++ b/src/main/java/org/meadowhollow/transport/XnioEventLoop.java
@@ -19,7 +19,7 @@
 
 /**
  * One XNIO thread for all connections and timers. With a fraction of a core, more threads would
- * only add switches between them.
+ * only add context switches. Thread-safe.
  */
 public final class XnioEventLoop implements EventLoop, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(XnioEventLoop.class);
@@ -27,6 +27,11 @@
     private final XnioIoThread ioThread;
     private volatile boolean closed;
 
+    /**
+     * Starts the thread, which keeps the process alive until {@link #close}.
+     *
+     * @throws IOException if there can be no worker
+     */
     public XnioEventLoop() throws IOException {
         worker =
                 Xnio.getInstance(XnioEventLoop.class.getClassLoader())
@@ -49,7 +54,11 @@
         return ioThread;
     }
 
-    /** Does some work on the loop's thread and waits for its result. */
+    /**
+     * Runs work on the loop's thread and blocks until it is done; not to be called on that thread.
+     *
+     * @throws RuntimeException as the work threw it
+     */
     public <T> T callAndWait(Supplier<T> work) {
         CompletableFuture<T> result = new CompletableFuture<>();
         ioThread.execute(
@@ -78,24 +87,23 @@
     }
 
     @Override
-    public void schedule(Duration pause, Runnable work) {
+    public void schedule(Duration delay, Runnable work) {
         if (closed) {
-            // What runs while the loop ends may still want to go on later; there is no later.
+            // Work that runs while the loop is being closed may still set timers; none will run.
             return;
         }
         ioThread.executeAfter(
                 () -> {
                     try {
                         work.run();
-                    } catch (RejectedExecutionException atTheEnd) {
-                        LOG.debug("a timer came while the loop ended", atTheEnd);
-                    } catch (RuntimeException mistake) {
-                        // One broken piece of work must not end the loop that everything else runs
-                        // on.
-                        LOG.error("a timer's work failed", mistake);
+                    } catch (RejectedExecutionException closing) {
+                        LOG.debug("timer ran while the event loop was being closed", closing);
+                    } catch (RuntimeException defect) {
+                        // One defect must not end the loop that everything else runs on.
+                        LOG.error("timer failed", defect);
                     }
                 },
-                Math.max(0, pause.toNanos()),
+                Math.max(0, delay.toNanos()),
                 TimeUnit.NANOSECONDS);
     }
 
--- a/src/main/java/org/meadowhollow/transport/tracing/OtlpTaskTracer.java
+++ b/src/main/java/org/meadowhollow/transport/tracing/OtlpTaskTracer.java
@@ -1,5 +1,6 @@
 package org.meadowhollow.transport.tracing;
 
+import com.google.errorprone.annotations.concurrent.GuardedBy;
 import io.opentelemetry.api.common.AttributeKey;
 import io.opentelemetry.api.common.Attributes;
 import io.opentelemetry.api.trace.Span;
@@ -33,40 +34,42 @@
 import org.meadowhollow.model.TaskTracer;
 
 /**
- * Sends spans by OTLP over HTTP with the OpenTelemetry SDK. A span's id is a hash of what it tells,
- * so that one that is told again after a takeover is the same span, and a child can name a parent
- * that another node will tell of.
+ * Exports spans by OTLP over HTTP with the OpenTelemetry SDK. A span's id is a hash of its content,
+ * so that a span that is exported again after a failover has the same id, and a child can name a
+ * parent that another node will export.
  *
  * <p>What cannot be sent in time is dropped: a collector that hangs costs a bounded queue and one
- * thread.
+ * thread. Thread-safe: the tracer's lock guards the SDK's provider and the generator of ids.
  */
 public final class OtlpTaskTracer implements TaskTracer {
     private static final String TRACES_PATH = "/v1/traces";
 
-    /** The span of a task from its acceptance to its end, the parent of all others. */
+    /** The span of a task from its admission to its end, the parent of all others. */
     private static final String TASK_SPAN_NAME = "task";
 
     /**
-     * Spans that wait to be sent, about a kilobyte each; a small node has some megabytes to spare.
+     * Spans waiting for export, about a kilobyte each; a small node has some megabytes to spare.
      */
     private static final int MAX_QUEUED_SPANS = 1024;
 
     private static final int MAX_SPANS_PER_EXPORT = 256;
 
-    /** How long spans are collected: a message every few seconds is no burden on a small node. */
+    /** How long spans are batched: an export every few seconds is no burden on a small node. */
     private static final Duration EXPORT_INTERVAL = Duration.ofSeconds(5);
 
     private static final Duration EXPORT_TIMEOUT = Duration.ofSeconds(5);
 
-    /** A process that ends waits no longer than this for a collector that may be gone as well. */
+    /** How long a process that ends waits at most for a collector that may be gone as well. */
     private static final Duration CLOSE_TIMEOUT = Duration.ofSeconds(2);
 
     private static final int MAX_ATTRIBUTES = 16;
 
-    /** What W3C's trace context names the header, and how long a value of its first version is. */
+    /** The header of W3C's trace context. */
     private static final String TRACEPARENT_HEADER = "traceparent";
 
+    /** The length of a header of the first version. */
     private static final int TRACEPARENT_LENGTH = 55;
+
     private static final AttributeKey<String> TASK_ATTRIBUTE =
             AttributeKey.stringKey("meadowhollow.task");
     private static final AttributeKey<String> TEAM_ATTRIBUTE =
@@ -96,10 +99,11 @@
     private final String member;
     private final PresetSpanIdGenerator spanIds = new PresetSpanIdGenerator();
 
-    /** Made for the first span: it takes longer than all the rest of a start. */
+    /** Created for the first span: it takes longer than all the rest of a start. */
+    @GuardedBy("this")
     private SdkTracerProvider tracerProvider;
 
-    /** Gives the next span the id that was chosen for it. Guarded by the traces' lock. */
+    /** Gives the next span the id that was set for it. Guarded by the tracer's lock. */
     private static final class PresetSpanIdGenerator implements IdGenerator {
         private String nextSpanId;
 
@@ -119,14 +123,15 @@
         this.member = member;
     }
 
+    @GuardedBy("this")
     private Tracer tracer() {
         if (tracerProvider == null) {
-            tracerProvider = tracerProvider();
+            tracerProvider = newTracerProvider();
         }
         return tracerProvider.get("org.meadowhollow");
     }
 
-    private SdkTracerProvider tracerProvider() {
+    private SdkTracerProvider newTracerProvider() {
         OtlpHttpSpanExporter exporter =
                 OtlpHttpSpanExporter.builder()
                         .setEndpoint(endpoint)
@@ -155,15 +160,17 @@
     }
 
     /**
-     * @param collector where a collector takes OTLP over HTTP; {@code /v1/traces} is added if it
+     * A tracer that exports to a collector; no connection is made before the first span.
+     *
+     * @param collector where a collector accepts OTLP over HTTP; {@code /v1/traces} is added if it
      *     names no path
-     * @param member the node's name, told with every span
+     * @param member the node's name, an attribute of every span
      */
     public static OtlpTaskTracer exportingTo(URI collector, String member) {
-        boolean whole = collector.getPath() != null && collector.getPath().length() > 1;
+        boolean hasPath = collector.getPath() != null && collector.getPath().length() > 1;
         String base = collector.toString();
         return new OtlpTaskTracer(
-                whole
+                hasPath
                         ? base
                         : (base.endsWith("/") ? base.substring(0, base.length() - 1) : base)
                                 + TRACES_PATH,
@@ -175,11 +182,10 @@
         if (traceparent == null || traceparent.length() < TRACEPARENT_LENGTH) {
             return null;
         }
-        // A later version may add to the header, and what it has in common with the first one is
-        // kept.
-        String first = traceparent.substring(0, TRACEPARENT_LENGTH);
-        SpanContext context = parseContext(first);
-        return context.isValid() && context.isSampled() ? first : null;
+        // A later version may append to the header; the part of the first version is kept.
+        String firstVersion = traceparent.substring(0, TRACEPARENT_LENGTH);
+        SpanContext context = parseContext(firstVersion);
+        return context.isValid() && context.isSampled() ? firstVersion : null;
     }
 
     private static SpanContext parseContext(String traceparent) {
@@ -253,7 +259,7 @@
 
     @Override
     public void onTaskEnded(TracedTask task, JobPhase how, long fromMillis, long untilMillis) {
-        boolean asWished = how == JobPhase.DONE || how == JobPhase.CANCELLED;
+        boolean succeeded = how == JobPhase.DONE || how == JobPhase.CANCELLED;
         recordSpan(
                 task,
                 parseContext(task.traceContext()),
@@ -262,10 +268,10 @@
                 fromMillis,
                 untilMillis,
                 Attributes.of(STATE_ATTRIBUTE, how.name()),
-                asWished ? null : how.name());
+                succeeded ? null : how.name());
     }
 
-    /** The context of the span of the whole task, whichever node tells of it. */
+    /** The context of the span of the whole task, whichever node exports it. */
     private static SpanContext taskSpanContext(TracedTask task) {
         SpanContext client = parseContext(task.traceContext());
         return SpanContext.createFromRemoteParent(
@@ -289,7 +295,7 @@
     }
 
     /**
-     * @param failure why what the span tells of failed, or null
+     * @param failure why the operation of the span failed, or null
      */
     private synchronized void recordSpan(
             TracedTask task,
@@ -313,7 +319,7 @@
         if (failure != null) {
             span.setStatus(StatusCode.ERROR, failure);
         }
-        // Two nodes' clocks may differ by more than a step took.
+        // Two nodes' clocks may differ by more than the operation took.
         span.end(Math.max(fromMillis, untilMillis), TimeUnit.MILLISECONDS);
     }
 
--- /dev/null
+++ b/src/main/java/org/meadowhollow/transport/tracing/package-info.java
@@ -0,0 +1,5 @@
+/**
+ * Traces of tasks, exported by OTLP over HTTP. The package is loaded only by a controller that
+ * traces. Spans are recorded under the tracer's lock; the SDK exports them on a thread of its own.
+ */
+package org.meadowhollow.transport.tracing;
--- a/src/test/java/org/meadowhollow/protocol/JsonCodecTest.java
+++ b/src/test/java/org/meadowhollow/protocol/JsonCodecTest.java
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void whatIsNoObjectIsRefusedQuickly() {
+    void bodiesThatAreNoObjectAreRejectedQuickly() {
         for (String wrong :
                 List.of(
                         "",
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void deepNestingIsRefusedOnASmallStack() throws InterruptedException {
+    void deepNestingIsRejectedOnASmallStack() throws InterruptedException {
         for (int depth : new int[] {40, 200, 900, 1100, 30_000}) {
             Throwable[] thrown = {null};
             // Smaller than the stack of a deployed node, which is half a megabyte.
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void valuesComeBackAsTheWireWouldGiveThem() throws MalformedMessageException {
+    void decodedValuesHaveTheKindsOfMessagePackValues() throws MalformedMessageException {
         Map<String, Object> map =
                 JsonCodec.decode(
                         bytes("{\"a\":1,\"b\":[1.5,true,null,\"\\ud83d\\ude91\"],\"c\":{}}"));
--- a/src/test/java/org/meadowhollow/protocol/jobs/SubmissionCodecTest.java
+++ b/src/test/java/org/meadowhollow/protocol/jobs/SubmissionCodecTest.java
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void aSubmissionIsReadAsTheProtocolSays() throws MalformedMessageException {
+    void aSubmissionIsDecodedAsTheProtocolSays() throws MalformedMessageException {
         JobSpec spec = decode(body());
         assertEquals(JobKind.GANG, spec.kind());
         assertEquals(Priority.HIGH, spec.priority());
@@ -91,8 +91,7 @@
     }
 
     /**
-     * The protocol names three fields that may be null; a job that lacks any other one is not
-     * taken.
+     * The protocol names three fields that may be null; a job that lacks any other one is rejected.
      */
     @ParameterizedTest
     @ValueSource(
@@ -115,7 +114,7 @@
                 "bookmarkS",
                 "stashS"
             })
-    void everyOtherFieldHasToBeThereAndOfItsType(String field) {
+    void everyOtherFieldMustBePresentAndOfItsType(String field) {
         Map<String, Object> without = new HashMap<>(body());
         without.remove(field);
         assertThrows(MalformedMessageException.class, () -> decode(without), "missing");
@@ -135,7 +134,7 @@
     }
 
     @Test
-    void wrongFieldsAreMalformed() {
+    void invalidValuesAreMalformed() {
         for (Object[] wrong :
                 new Object[][] {
                     {"ref", "job-1"},
@@ -178,7 +177,7 @@
         byte[] good = MessagePackCodec.encode(body());
         byte[] deep = new byte[5000];
         Arrays.fill(deep, (byte) 0x91);
-        byte[] promising = {(byte) 0xdf, 0x7f, (byte) 0xff, (byte) 0xff, (byte) 0xff};
+        byte[] oversizedHeader = {(byte) 0xdf, 0x7f, (byte) 0xff, (byte) 0xff, (byte) 0xff};
         byte[] nested = new byte[deep.length + 3];
         nested[0] = (byte) 0x81;
         nested[1] = (byte) 0xa1;
@@ -192,7 +191,7 @@
                     Arrays.copyOf(good, good.length + 1),
                     deep,
                     nested,
-                    promising
+                    oversizedHeader
                 }) {
             assertThrows(MalformedMessageException.class, () -> MessagePackCodec.decode(broken));
         }
--- a/src/test/java/org/meadowhollow/transport/AdaptiveTimeoutTest.java
+++ b/src/test/java/org/meadowhollow/transport/AdaptiveTimeoutTest.java
@@ -8,12 +8,12 @@
     private static final long SECOND = 1_000_000_000;
 
     @Test
-    void anAnswerIsGivenUpAtItsTime() {
+    void aTimerOnTimeTimesOutAtOnce() {
         assertEquals(0, new AdaptiveTimeout(0, SECOND).extensionNanos(SECOND + 3_000_000));
     }
 
     @Test
-    void aLoopThatIsBehindReadsOnceMoreBeforeItGivesUp() {
+    void aLateTimerExtendsTheTimeoutOnce() {
         AdaptiveTimeout adaptiveTimeout = new AdaptiveTimeout(0, SECOND);
         assertEquals(
                 2 * SECOND, adaptiveTimeout.extensionNanos(3 * SECOND), "as long as it was late");
--- a/src/test/java/org/meadowhollow/transport/ConnectionLimiterTest.java
+++ b/src/test/java/org/meadowhollow/transport/ConnectionLimiterTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void theOneIdleForLongestGoesFirst() {
+    void theLeastRecentlyUsedConnectionIsClosedFirst() {
         request("half-dead");
         request("worker");
         request("user");
@@ -32,22 +32,22 @@
     }
 
     @Test
-    void whoWaitsForAnAnswerIsSpared() {
-        assertTrue(connectionLimiter.requestStarted("held report"));
+    void connectionsWithARequestInProgressAreSpared() {
+        assertTrue(connectionLimiter.requestStarted("deferred heartbeat"));
         request("idle");
         connectionLimiter.requestStarted("slow");
         connectionLimiter.requestStarted("newcomer");
         assertEquals(List.of("idle"), closed);
         connectionLimiter.requestStarted("one more");
         assertEquals(List.of("idle"), closed, "all of them wait");
-        connectionLimiter.requestFinished("held report");
+        connectionLimiter.requestFinished("deferred heartbeat");
         assertFalse(connectionLimiter.requestStarted("slow"));
         connectionLimiter.requestStarted("yet another");
-        assertEquals(List.of("idle", "held report"), closed);
+        assertEquals(List.of("idle", "deferred heartbeat"), closed);
     }
 
     @Test
-    void whatClosedByItselfCountsNoMore() {
+    void aConnectionClosedByItsCallerCountsNoMore() {
         request("a");
         request("b");
         request("c");
--- a/src/test/java/org/meadowhollow/transport/HttpClientTest.java
+++ b/src/test/java/org/meadowhollow/transport/HttpClientTest.java
@@ -24,16 +24,16 @@
 import org.meadowhollow.protocol.Http;
 
 class HttpClientTest {
-    private static final int CALLS = 20;
+    private static final int REQUESTS = 20;
 
     /**
-     * How the system's table of connections writes the state of one whose first packet has no
-     * answer.
+     * The state, in the system's table of connections, of one whose first packet is not
+     * acknowledged.
      */
     private static final String SYN_SENT = "02";
 
-    /** Connections to a port whose first packet was sent and not answered. */
-    private static long attempts(int port) throws IOException {
+    /** Connections to a port whose first packet was sent and not acknowledged. */
+    private static long unansweredAttempts(int port) throws IOException {
         String remote = ":%04X".formatted(port);
         long count = 0;
         for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
@@ -48,13 +48,13 @@
 
     @Test
     @EnabledOnOs(OS.LINUX)
-    void anAttemptToConnectThatIsGivenUpLeavesNoSocketBehind() throws Exception {
+    void aConnectionAttemptThatTimesOutLeavesNoSocketBehind() throws Exception {
         InetAddress here = InetAddress.getByName("127.0.0.1");
         List<Socket> filling = new ArrayList<>();
         try (ServerSocket full = new ServerSocket(0, 1, here);
                 XnioEventLoop loop = new XnioEventLoop()) {
-            // Nobody accepts, and once its queue is full the system leaves further attempts without
-            // an answer.
+            // Nothing accepts, and once the backlog is full the system does not acknowledge further
+            // attempts.
             assertThrows(
                     SocketTimeoutException.class,
                     () -> {
@@ -65,9 +65,9 @@
                         }
                     });
             HttpClient client = new HttpClient(loop, new DefaultByteBufferPool(false, 8192, 4, 0));
-            List<CompletableFuture<Http.Reply>> calls = new ArrayList<>();
-            for (int at = 0; at < CALLS; at++) {
-                calls.add(
+            List<CompletableFuture<Http.Reply>> requests = new ArrayList<>();
+            for (int at = 0; at < REQUESTS; at++) {
+                requests.add(
                         client.send(
                                 "127.0.0.1:" + full.getLocalPort(),
                                 "GET",
@@ -75,13 +75,14 @@
                                 null,
                                 Duration.ofMillis(200)));
             }
-            for (CompletableFuture<Http.Reply> call : calls) {
-                CompletionException failure = assertThrows(CompletionException.class, call::join);
+            for (CompletableFuture<Http.Reply> request : requests) {
+                CompletionException failure =
+                        assertThrows(CompletionException.class, request::join);
                 assertTrue(failure.getCause() instanceof Http.RequestNotSentException);
             }
-            // Closed on the loop's thread, by whatever stands behind this in its queue.
+            // Sockets are closed on the loop's thread, before this runs there.
             loop.callAndWait(() -> true);
-            assertEquals(0, attempts(full.getLocalPort()));
+            assertEquals(0, unansweredAttempts(full.getLocalPort()));
         } finally {
             for (Socket socket : filling) {
                 socket.close();
@@ -90,19 +91,19 @@
     }
 
     @Test
-    void aCallThatIsGivenUpSaysThatNoAnswerCame() throws Exception {
+    void aRequestThatTimesOutFailsWithNoResponse() throws Exception {
         InetAddress here = InetAddress.getByName("127.0.0.1");
-        try (ServerSocket mute = new ServerSocket(0, 5, here);
+        try (ServerSocket unresponsive = new ServerSocket(0, 5, here);
                 XnioEventLoop loop = new XnioEventLoop()) {
             HttpClient client = new HttpClient(loop, new DefaultByteBufferPool(false, 8192, 4, 0));
-            CompletableFuture<Http.Reply> call =
+            CompletableFuture<Http.Reply> request =
                     client.send(
-                            "127.0.0.1:" + mute.getLocalPort(),
+                            "127.0.0.1:" + unresponsive.getLocalPort(),
                             "GET",
                             "/",
                             null,
                             Duration.ofMillis(300));
-            CompletionException failure = assertThrows(CompletionException.class, call::join);
+            CompletionException failure = assertThrows(CompletionException.class, request::join);
             assertTrue(failure.getCause() instanceof Http.NoResponseException);
             assertEquals("no answer in time", failure.getCause().getMessage());
         }
--- a/src/test/java/org/meadowhollow/transport/PemKeyManagerTest.java
+++ b/src/test/java/org/meadowhollow/transport/PemKeyManagerTest.java
@@ -38,12 +38,12 @@
     private int made;
 
     @BeforeEach
-    void begin() throws IOException {
+    void startLoop() throws IOException {
         loop = new XnioEventLoop();
     }
 
     @AfterEach
-    void end() {
+    void stopLoop() {
         loop.close();
     }
 
@@ -157,7 +157,7 @@
     }
 
     @Test
-    void newConnectionsTakeANewCertificateAndOldOnesGoOn() throws Exception {
+    void newConnectionsUseANewCertificateAndOldOnesContinue() throws Exception {
         X509Certificate first = make("EC");
         try (HttpServer server = serve();
                 SSLSocket early = connect(server.port(), first)) {
@@ -175,7 +175,7 @@
     }
 
     @Test
-    void filesThatCannotBeUsedLeaveTheLastGoodOnesInForce() throws Exception {
+    void unusableFilesLeaveTheLastGoodCertificateInUse() throws Exception {
         X509Certificate good = make("EC");
         String whole = Files.readString(chain());
         try (HttpServer server = serve()) {
@@ -202,7 +202,7 @@
     }
 
     @Test
-    void whatCannotBeUsedAtTheStartIsSaidInOneLine() throws Exception {
+    void unusableFilesAtTheStartGiveAOneLineError() throws Exception {
         make("RSA");
         String otherKey = Files.readString(key());
         make("EC");
@@ -220,7 +220,7 @@
     }
 
     @Test
-    void whoSpeaksPlainlyToATlsListenerIsNotServed() throws Exception {
+    void plainHttpToATlsServerIsNotServed() throws Exception {
         make("EC");
         try (HttpServer server = serve();
                 java.net.Socket plain = new java.net.Socket("127.0.0.1", server.port())) {
--- a/src/test/java/org/meadowhollow/transport/tracing/OtlpTaskTracerTest.java
+++ b/src/test/java/org/meadowhollow/transport/tracing/OtlpTaskTracerTest.java
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void theSpansOfATaskHangTogetherThoughTwoNodesTellThem() {
+    void spansOfATaskFormOneTreeThoughTwoNodesExportThem() {
         TracedTask task = new TracedTask(CONTEXT, new JobId("tes-1"), "team");
         try (OtlpTaskTracer first = traces("n0");
                 OtlpTaskTracer second = traces("n1")) {
@@ -110,7 +110,7 @@
             second.onAttemptEnded(task, 4000, new AttemptRecord(2, "m2", 5000, 0, 6000, "LOST"));
             second.onAttemptEnded(task, 6000, new AttemptRecord(3, "m3", 7000, 7500, 7400, "DONE"));
             second.onTaskEnded(task, JobPhase.DONE, 1005, 9000);
-            // What a successor tells again is the same span.
+            // What a new leader exports again is the same span.
             first.onTaskEnded(task, JobPhase.DONE, 1005, 9000);
         }
         Map<String, Span> byId =
@@ -156,7 +156,7 @@
     }
 
     @Test
-    void onlyAContextThatIsWholeAndWantedIsKept() {
+    void onlyAValidSampledContextIsKept() {
         try (OtlpTaskTracer traces = traces("n0")) {
             assertEquals(CONTEXT, traces.traceContextOf(CONTEXT));
             assertEquals(
@@ -180,7 +180,7 @@
     }
 
     @Test
-    void aCollectorThatIsGoneHoldsNobodyUp() {
+    void anUnavailableCollectorBlocksNothing() {
         TracedTask task = new TracedTask(CONTEXT, new JobId("tes-1"), "team");
         int port = collector.port();
         collector.close();
