--- a/src/main/java/org/meadowhollow/protocol/Http.java
+++ b/src/main/java/org/meadowhollow/protocol/Http.java
@@ -90,6 +90,8 @@
      * @param query the values of each parameter, decoded, in their order of arrival
      * @param header the value of a header by its name, or null
      */
+    // The body is handed on as it is; no request is compared with another.
+    @SuppressWarnings("ArrayRecordComponent")
     record Request(
             String method,
             String path,
--- a/src/main/java/org/meadowhollow/protocol/keyvalue/RequestQueue.java
+++ b/src/main/java/org/meadowhollow/protocol/keyvalue/RequestQueue.java
@@ -192,7 +192,7 @@
         boolean writesWait = false;
         for (RequestPriority priority : dispatchOrder()) {
             QueuedRequest first = queues.get(priority).peek();
-            if (first == null || inFlight >= MAX_IN_FLIGHT && priority != RequestPriority.LEASE) {
+            if (first == null || (inFlight >= MAX_IN_FLIGHT && priority != RequestPriority.LEASE)) {
                 continue;
             }
             Duration requestDelay = requestLimiter.delayUntilAvailable(1, now);
--- a/src/main/java/org/meadowhollow/protocol/tes/BearerTokens.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/BearerTokens.java
@@ -15,19 +15,22 @@
  */
 public final class BearerTokens {
     /**
-     * Whoever has a token of this team may read the tasks of all teams and do nothing else; workers
-     * do.
+     * A token of this team may read the tasks of all teams and do nothing else; workers have one.
      */
     public static final String READ_ONLY_TEAM = "*";
 
     private static final String BEARER_PREFIX = "Bearer ";
     private static final int HASH_BYTES = 32;
 
+    // Compared by MessageDigest.isEqual alone.
+    @SuppressWarnings("ArrayRecordComponent")
     private record HashedToken(String team, byte[] hash) {}
 
     private final List<HashedToken> hashedTokens = new ArrayList<>();
 
     /**
+     * Parses the tokens that an operator gives.
+     *
      * @param entries each a team's name, {@code =}, and the SHA-256 of a token of that team as 64
      *     hex digits
      * @throws MalformedMessageException naming the entry that is not of this form, without its hash
@@ -53,6 +56,7 @@
         return tokens;
     }
 
+    /** Whether there are no tokens, so that nobody is authorised. */
     public boolean isEmpty() {
         return hashedTokens.isEmpty();
     }
--- a/src/main/java/org/meadowhollow/protocol/tes/TesApi.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesApi.java
@@ -1,22 +1,16 @@
 package org.meadowhollow.protocol.tes;
 
 import java.nio.charset.StandardCharsets;
-import java.time.Instant;
-import java.util.ArrayList;
 import java.util.HexFormat;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.CompletionException;
 import java.util.random.RandomGenerator;
 import org.meadowhollow.coordination.admission.AdmissionService;
 import org.meadowhollow.coordination.api.DeploymentSettings;
-import org.meadowhollow.model.AttemptRecord;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.JobId;
-import org.meadowhollow.model.JobPhase;
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.SecondaryRecord;
 import org.meadowhollow.model.TaskTracer;
@@ -26,34 +20,16 @@
 import org.meadowhollow.protocol.MessageReader;
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
-import org.meadowhollow.storage.KeyValueStoreException;
 
 /**
- * The GA4GH task execution API, version 1.1, on the same admission as native jobs: any node
- * answers, from the state service alone, so that no answer is older than another node's. {@code
- * docs/tes.md} has the ways that were weighed.
+ * The GA4GH task execution API, version 1.1, on the same admission as native jobs. Any node
+ * responds, from the key-value store alone, so that no response is staler than another node's.
+ * {@code docs/tes.md} has the alternatives that were considered. Thread-safe.
  */
 public final class TesApi implements Http.RequestHandler {
     private static final String ROOT = "/ga4gh/tes/v1";
     private static final String TASKS = ROOT + "/tasks";
     private static final String CANCEL_SUFFIX = ":cancel";
-    private static final String JSON_TYPE = "application/json";
-    private static final int RETRY_AFTER_SECONDS = 1;
-
-    /** The states that the API names; the first and PAUSED never occur here. */
-    static final List<String> STATES =
-            List.of(
-                    "UNKNOWN",
-                    "QUEUED",
-                    "INITIALIZING",
-                    "RUNNING",
-                    "PAUSED",
-                    "COMPLETE",
-                    "EXECUTOR_ERROR",
-                    "SYSTEM_ERROR",
-                    "CANCELED",
-                    "PREEMPTED",
-                    "CANCELING");
 
     /**
      * Hex digits of an id after its prefix: 104 bits, which nobody guesses and no two tasks share.
@@ -62,9 +38,6 @@
 
     private static final int MAX_IDEMPOTENCY_KEY_LENGTH = 200;
 
-    /** Tasks, which never change once accepted, that are kept in memory: some kilobytes each. */
-    private static final int MAX_CACHED_TASKS = 256;
-
     /** Bytes around the fields of a record. */
     private static final int RECORD_OVERHEAD_BYTES = 512;
 
@@ -75,54 +48,36 @@
     private final BearerTokens tokens;
     private final RandomGenerator random;
     private final TaskTracer tracer;
+    private final TesTaskStore tasks;
     private final TesTaskListing listing;
-    private final Map<String, StoredTask> taskCache =
-            new LinkedHashMap<>(16, 0.75f, true) {
-                @Override
-                protected boolean removeEldestEntry(Map.Entry<String, StoredTask> eldest) {
-                    return size() > MAX_CACHED_TASKS;
-                }
-            };
-
-    /** What is kept of a task for ever, as its client sent it. */
-    record StoredTask(
-            String team,
-            long createdMillis,
-            String entryKey,
-            String digest,
-            Map<String, Object> document) {}
 
+    /**
+     * @param store read for every answer, so that it is no older than any other node's
+     * @param tracer which decides whether a client's trace is continued
+     * @param random the source of ids
+     */
     public TesApi(
             AdmissionService admissionService,
             KeyValueStore store,
             EventLoop loop,
             DeploymentSettings deploymentSettings,
             BearerTokens tokens,
-            TaskTracer traces,
+            TaskTracer tracer,
             RandomGenerator random) {
-        this.tracer = traces;
+        this.tracer = tracer;
         this.admissionService = admissionService;
         this.store = store;
         this.loop = loop;
         this.deploymentSettings = deploymentSettings;
         this.tokens = tokens;
         this.random = random;
-        this.listing = new TesTaskListing(this, store);
-    }
-
-    /** The request cannot be answered as it was asked; the text says why. */
-    static final class HttpStatusException extends RuntimeException {
-        private final int status;
-
-        HttpStatusException(int status, String why) {
-            super(why, null, false, false);
-            this.status = status;
-        }
+        this.tasks = new TesTaskStore(store);
+        this.listing = new TesTaskListing(tasks, store);
     }
 
     @Override
     public Http.Reply invalidBodyReply() {
-        return errorReply(413, "the body is larger than 64 KiB or was cut short");
+        return TesReplies.error(413, "the body is larger than 64 KiB or was cut short");
     }
 
     @Override
@@ -130,46 +85,10 @@
         CompletableFuture<Http.Reply> reply;
         try {
             reply = route(request);
-        } catch (MalformedMessageException | HttpStatusException refused) {
-            reply = CompletableFuture.failedFuture(refused);
-        }
-        return reply.exceptionally(TesApi::failureReply);
-    }
-
-    private static Http.Reply failureReply(Throwable failure) {
-        Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-        if (cause instanceof HttpStatusException httpStatusException) {
-            return errorReply(httpStatusException.status, httpStatusException.getMessage());
-        }
-        if (cause instanceof MalformedMessageException
-                || cause instanceof AdmissionService.UnschedulableJobException) {
-            return errorReply(400, cause.getMessage());
-        }
-        if (cause instanceof AdmissionService.TemporarilyUnavailableException
-                || cause instanceof KeyValueStoreException) {
-            return retryLater(cause.getMessage());
+        } catch (MalformedMessageException | HttpStatusException rejected) {
+            reply = CompletableFuture.failedFuture(rejected);
         }
-        throw new CompletionException(cause);
-    }
-
-    static Http.Reply retryLater(String why) {
-        return new Http.Reply(
-                503,
-                JsonCodec.encode(MessageReader.mapOf("status_code", 503, "msg", why)),
-                RETRY_AFTER_SECONDS,
-                JSON_TYPE);
-    }
-
-    private static Http.Reply errorReply(int status, String why) {
-        return new Http.Reply(
-                status,
-                JsonCodec.encode(MessageReader.mapOf("status_code", status, "msg", why)),
-                0,
-                JSON_TYPE);
-    }
-
-    static Http.Reply okReply(Map<String, Object> body) {
-        return new Http.Reply(200, JsonCodec.encode(body), 0, JSON_TYPE);
+        return reply.exceptionally(TesReplies::failure);
     }
 
     private CompletableFuture<Http.Reply> route(Http.Request request)
@@ -177,7 +96,7 @@
         String path = request.path();
         if (path.equals(ROOT + "/service-info")) {
             requireMethod(request, "GET");
-            return CompletableFuture.completedFuture(okReply(serviceInfo()));
+            return CompletableFuture.completedFuture(TesReplies.ok(serviceInfo()));
         }
         if (!path.equals(TASKS) && !path.startsWith(TASKS + "/")) {
             throw new HttpStatusException(404, "no such path");
@@ -201,8 +120,7 @@
             return cancel(id.substring(0, id.length() - CANCEL_SUFFIX.length()), team);
         }
         requireMethod(request, "GET");
-        View view = View.fromQuery(request.query());
-        return get(id, team, view);
+        return get(id, team, TesTaskView.fromQuery(request.query()));
     }
 
     private static void requireMethod(Http.Request request, String method) {
@@ -239,13 +157,7 @@
         requireWriteAccess(team);
         TesCodec.TaskRequest taskRequest =
                 TesCodec.decode(new MessageReader(JsonCodec.decode(request.body())));
-        String repeatKey = request.header().apply("Idempotency-Key");
-        if (repeatKey != null
-                && (repeatKey.isEmpty() || repeatKey.length() > MAX_IDEMPOTENCY_KEY_LENGTH)) {
-            throw new MalformedMessageException(
-                    "Idempotency-Key is empty or longer than " + MAX_IDEMPOTENCY_KEY_LENGTH);
-        }
-        JobId id = repeatKey == null ? randomId() : idForIdempotencyKey(team, repeatKey);
+        JobId id = newTaskId(request, team);
         JobSpec spec = TesCodec.toJobSpec(id, team, taskRequest, deploymentSettings.zones());
         long now = loop.wallClockMillis();
         byte[] document = JsonCodec.encode(taskRequest.document());
@@ -259,44 +171,64 @@
                         TesTaskListing.entryKey(team, now, id),
                         digest(document),
                         taskRequest.document());
-        int room = deploymentSettings.maxValueBytes() - RECORD_OVERHEAD_BYTES;
-        // The job's own record holds the entry as well, with what it takes to place the task.
-        if (document.length > room || 2 * listedTask.encodedSize() > room) {
+        requireFits(document.length, listedTask.encodedSize());
+        SecondaryRecord listEntry =
+                new SecondaryRecord(
+                        storedTask.entryKey(),
+                        listedTask.encode(),
+                        TesCodec.maxAttempts(taskRequest),
+                        tracer.traceContextOf(request.header().apply("traceparent")));
+        return submit(spec, storedTask, listEntry);
+    }
+
+    /** A random id, or the id that belongs to the request's idempotency key. */
+    private JobId newTaskId(Http.Request request, String team) throws MalformedMessageException {
+        String idempotencyKey = request.header().apply("Idempotency-Key");
+        if (idempotencyKey == null) {
+            return randomId();
+        }
+        if (idempotencyKey.isEmpty() || idempotencyKey.length() > MAX_IDEMPOTENCY_KEY_LENGTH) {
+            throw new MalformedMessageException(
+                    "Idempotency-Key is empty or longer than " + MAX_IDEMPOTENCY_KEY_LENGTH);
+        }
+        return idForIdempotencyKey(team, idempotencyKey);
+    }
+
+    /** The job's own record holds the list entry as well, with what it takes to place the task. */
+    private void requireFits(int documentBytes, int listEntryBytes) {
+        int maxBytes = deploymentSettings.maxValueBytes() - RECORD_OVERHEAD_BYTES;
+        if (documentBytes > maxBytes || 2 * listEntryBytes > maxBytes) {
             throw new HttpStatusException(
                     413,
                     "the task takes "
-                            + document.length
+                            + documentBytes
                             + " bytes, its name and tags "
-                            + listedTask.encodedSize()
+                            + listEntryBytes
                             + "; at most "
-                            + room
+                            + maxBytes
                             + " and "
-                            + room / 2
+                            + maxBytes / 2
                             + " can be kept");
         }
-        SecondaryRecord secondaryRecord =
-                new SecondaryRecord(
-                        storedTask.entryKey(),
-                        listedTask.encode(),
-                        TesCodec.maxAttempts(taskRequest),
-                        tracer.traceContextOf(request.header().apply("traceparent")));
+    }
+
+    private CompletableFuture<Http.Reply> submit(
+            JobSpec spec, StoredTask storedTask, SecondaryRecord listEntry) {
+        String id = spec.id().value();
         return admissionService
-                .submit(
-                        spec,
-                        secondaryRecord,
-                        Map.of(recordKey(id.value()), encodeTask(storedTask)))
+                .submit(spec, listEntry, Map.of(StoredTask.recordKey(id), storedTask.encode()))
                 .thenCompose(
-                        submissionResult ->
-                                submissionResult.isNew()
+                        result ->
+                                result.isNew()
                                         ? CompletableFuture.completedFuture(storedTask)
-                                        : loadTask(id.value(), RequestPriority.USER))
+                                        : tasks.load(id, RequestPriority.USER))
                 .thenApply(
-                        stands -> {
-                            if (!stands.digest().equals(storedTask.digest())) {
+                        accepted -> {
+                            if (!accepted.digest().equals(storedTask.digest())) {
                                 throw new HttpStatusException(
                                         400, "the Idempotency-Key was used for another task");
                             }
-                            return okReply(MessageReader.mapOf("id", id.value()));
+                            return TesReplies.ok(MessageReader.mapOf("id", id));
                         });
     }
 
@@ -313,8 +245,8 @@
     }
 
     /** The same key of the same team always gives the same id. */
-    private static JobId idForIdempotencyKey(String team, String repeatKey) {
-        String hash = HexFormat.of().formatHex(BearerTokens.sha256(team + '\n' + repeatKey));
+    private static JobId idForIdempotencyKey(String team, String idempotencyKey) {
+        String hash = HexFormat.of().formatHex(BearerTokens.sha256(team + '\n' + idempotencyKey));
         return new JobId(TesTaskListing.ID_PREFIX + hash.substring(0, ID_DIGITS));
     }
 
@@ -323,64 +255,8 @@
                 .formatHex(BearerTokens.sha256(new String(document, StandardCharsets.UTF_8)));
     }
 
-    private static String recordKey(String id) {
-        return "tes/" + id;
-    }
-
-    private static Map<String, Object> encodeTask(StoredTask storedTask) {
-        return MessageReader.mapOf(
-                "team",
-                storedTask.team(),
-                "created",
-                storedTask.createdMillis(),
-                "entry",
-                storedTask.entryKey(),
-                "digest",
-                storedTask.digest(),
-                "document",
-                storedTask.document());
-    }
-
-    @SuppressWarnings("unchecked")
-    private static StoredTask decodeTask(Map<String, Object> record) {
-        return new StoredTask(
-                (String) record.get("team"),
-                ((Number) record.get("created")).longValue(),
-                (String) record.get("entry"),
-                (String) record.get("digest"),
-                (Map<String, Object>) record.get("document"));
-    }
-
-    /** What is kept of a task; fails with 404 if there is none. */
-    CompletableFuture<StoredTask> loadTask(String id, RequestPriority requestPriority) {
-        if (!TesTaskListing.isId(id)) {
-            throw new HttpStatusException(404, "no such task");
-        }
-        synchronized (taskCache) {
-            StoredTask known = taskCache.get(id);
-            if (known != null) {
-                return CompletableFuture.completedFuture(known);
-            }
-        }
-        return store.get(recordKey(id), requestPriority)
-                .thenApply(
-                        found -> {
-                            StoredTask storedTask =
-                                    decodeTask(
-                                            found.orElseThrow(
-                                                            () ->
-                                                                    new HttpStatusException(
-                                                                            404, "no such task"))
-                                                    .value());
-                            synchronized (taskCache) {
-                                taskCache.put(id, storedTask);
-                            }
-                            return storedTask;
-                        });
-    }
-
     private CompletableFuture<StoredTask> loadReadableTask(String id, String team) {
-        return loadTask(id, RequestPriority.USER)
+        return tasks.load(id, RequestPriority.USER)
                 .thenApply(
                         storedTask -> {
                             if (!storedTask.team().equals(team)
@@ -392,148 +268,33 @@
                         });
     }
 
-    private CompletableFuture<Http.Reply> get(String id, String team, View view) {
+    private CompletableFuture<Http.Reply> get(String id, String team, TesTaskView view) {
         return loadReadableTask(id, team)
                 .thenCompose(
                         storedTask ->
                                 store.get(storedTask.entryKey(), RequestPriority.USER)
                                         .thenApply(
-                                                entry -> {
-                                                    Map<String, Object> state =
-                                                            entry.orElseThrow(
-                                                                            () ->
-                                                                                    new AdmissionService
-                                                                                            .TemporarilyUnavailableException(
-                                                                                            "the task's entry is missing"))
-                                                                    .value();
-                                                    return okReply(
-                                                            view == View.MINIMAL
-                                                                    ? minimalView(state)
-                                                                    : detailedView(
-                                                                            id,
-                                                                            storedTask,
-                                                                            state,
-                                                                            view));
-                                                }));
+                                                entry ->
+                                                        TesReplies.ok(
+                                                                view.render(
+                                                                        id,
+                                                                        storedTask,
+                                                                        requireEntry(entry)))));
+    }
+
+    private static Map<String, Object> requireEntry(Optional<KeyValueStore.Entry> entry) {
+        return entry.orElseThrow(
+                        () ->
+                                new AdmissionService.TemporarilyUnavailableException(
+                                        "the task's entry is missing"))
+                .value();
     }
 
     private CompletableFuture<Http.Reply> cancel(String id, String team) {
         requireWriteAccess(team);
-        // A task that is over stays as it is, and the request has nothing left to do.
+        // A task that has ended stays as it is, and the request has nothing left to do.
         return loadReadableTask(id, team)
                 .thenCompose(storedTask -> admissionService.cancel(new JobId(id)))
-                .thenApply(state -> okReply(Map.of()));
-    }
-
-    // ---- how a task is told ----
-
-    /** How much of a task is told. */
-    enum View {
-        MINIMAL,
-        BASIC,
-        FULL;
-
-        static View fromQuery(Map<String, List<String>> query) throws MalformedMessageException {
-            String name = query.getOrDefault("view", List.of("MINIMAL")).get(0);
-            for (View view : values()) {
-                if (view.name().equals(name)) {
-                    return view;
-                }
-            }
-            throw new MalformedMessageException("view is none of MINIMAL, BASIC, FULL");
-        }
-    }
-
-    static String stateName(JobPhase jobPhase) {
-        return switch (jobPhase) {
-            case QUEUED -> "QUEUED";
-            case PREPARING -> "INITIALIZING";
-            case RUNNING -> "RUNNING";
-            case CANCELING -> "CANCELING";
-            case DONE -> "COMPLETE";
-            case CANCELLED -> "CANCELED";
-            case FAILED -> "EXECUTOR_ERROR";
-            case LOST -> "SYSTEM_ERROR";
-            case PREEMPTED -> "PREEMPTED";
-        };
-    }
-
-    static Map<String, Object> minimalView(Map<String, Object> entry) {
-        return MessageReader.mapOf(
-                "id", entry.get("id"), "state", stateName(SecondaryRecord.phaseOf(entry)));
-    }
-
-    static Map<String, Object> detailedView(
-            String id, StoredTask storedTask, Map<String, Object> entry, View view) {
-        Map<String, Object> task =
-                MessageReader.mapOf("id", id, "state", stateName(SecondaryRecord.phaseOf(entry)));
-        storedTask
-                .document()
-                .forEach(
-                        (key, value) ->
-                                task.put(
-                                        key,
-                                        key.equals("inputs") && view == View.BASIC
-                                                ? withoutInlineContent(value)
-                                                : value));
-        task.put("creation_time", formatTime(storedTask.createdMillis()));
-        List<Object> logs = new ArrayList<>();
-        for (AttemptRecord attempt : SecondaryRecord.attemptsOf(entry)) {
-            logs.add(attemptLogView(attempt, view));
-        }
-        task.put("logs", logs);
-        return task;
-    }
-
-    @SuppressWarnings("unchecked")
-    private static List<Object> withoutInlineContent(Object inputs) {
-        List<Object> shorter = new ArrayList<>();
-        for (Object input : (List<?>) inputs) {
-            Map<String, Object> copy = new LinkedHashMap<>((Map<String, Object>) input);
-            copy.remove("content");
-            shorter.add(copy);
-        }
-        return shorter;
-    }
-
-    private static Map<String, Object> attemptLogView(AttemptRecord attempt, View view) {
-        boolean completed = "DONE".equals(attempt.endReason());
-        Map<String, Object> log =
-                MessageReader.mapOf(
-                        "logs",
-                        completed ? List.of(MessageReader.mapOf("exit_code", 0)) : List.of(),
-                        "metadata",
-                        MessageReader.mapOf(
-                                "attempt",
-                                String.valueOf(attempt.attemptNumber()),
-                                "machine",
-                                attempt.machineName(),
-                                "cause",
-                                attempt.endReason() == null ? "" : attempt.endReason()),
-                        "outputs",
-                        List.of());
-        if (attempt.startedAtMillis() > 0) {
-            log.put("start_time", formatTime(attempt.startedAtMillis()));
-        }
-        if (attempt.endedAtMillis() > 0) {
-            log.put("end_time", formatTime(attempt.endedAtMillis()));
-        }
-        if (view == View.FULL) {
-            List<Object> system = new ArrayList<>();
-            system.add(
-                    "placed on "
-                            + attempt.machineName()
-                            + " at "
-                            + formatTime(attempt.placedAtMillis()));
-            if (attempt.endReason() != null && !completed) {
-                system.add("ended: " + attempt.endReason());
-            }
-            log.put("system_logs", system);
-        }
-        return log;
-    }
-
-    private static String formatTime(long millis) {
-        return Instant.ofEpochMilli(millis).toString();
+                .thenApply(state -> TesReplies.ok(Map.of()));
     }
 }
--- a/src/main/java/org/meadowhollow/protocol/tes/TesCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesCodec.java
@@ -14,11 +14,11 @@
 import org.meadowhollow.protocol.MessageReader;
 
 /**
- * A task of the GA4GH task execution API (TES 1.1) as it is checked, kept and run. What is kept
- * holds the fields that the API names and nothing else.
+ * Validates a task of the GA4GH task execution API (TES 1.1) and turns it into a job. The document
+ * that is stored holds the fields that the API names and nothing else. Stateless.
  */
 final class TesCodec {
-    /** Backend parameters that are understood; {@code docs/tes.md} says what each means. */
+    /** The supported backend parameters; {@code docs/tes.md} says what each means. */
     static final List<String> SUPPORTED_PARAMETERS =
             List.of(
                     "class",
@@ -41,10 +41,7 @@
     private static final int MAX_ITEMS = 1000;
     private static final int MAX_NAME_LENGTH = 200;
 
-    /**
-     * What is taken for an image whose size the client does not tell; decides where to place, and
-     * nothing else.
-     */
+    /** The size of an image if the client gives none, in GB; affects placement and nothing else. */
     private static final double DEFAULT_IMAGE_GB = 2;
 
     private static final double DEFAULT_CPUS = 1;
@@ -61,10 +58,7 @@
                     "idle",
                     Priority.LOW);
 
-    /**
-     * What can be said of a task that is well formed: what is kept of it, and its backend
-     * parameters.
-     */
+    /** A valid task: the document that is stored, and its backend parameters. */
     record TaskRequest(Map<String, Object> document, Map<String, Object> parameters) {
         String name() {
             return (String) document.get("name");
@@ -260,7 +254,7 @@
         return map;
     }
 
-    // ---- how a task runs ----
+    // ---- the job of a task ----
 
     /**
      * The job that runs a task: an array of one.
--- a/src/main/java/org/meadowhollow/protocol/tes/TesTaskListing.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesTaskListing.java
@@ -1,5 +1,6 @@
 package org.meadowhollow.protocol.tes;
 
+import com.google.errorprone.annotations.concurrent.GuardedBy;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Base64;
@@ -19,9 +20,9 @@
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
 
 /**
- * Lists a team's tasks, the newest first, from one entry a task whose key never changes. A page
- * ends at a key, so the next one goes on from there at any node, and no task that is there all the
- * while is missed or told twice.
+ * Lists a team's tasks, the newest first, from one entry per task whose key never changes. A page
+ * ends at a key, so the next one continues from there at any node, and no task that exists all the
+ * while is missed or listed twice. Thread-safe: the lock guards the count of listings in progress.
  */
 final class TesTaskListing {
     static final String ID_PREFIX = "tes-";
@@ -43,21 +44,21 @@
     private static final int MAX_PAGE_SIZE = 2048;
 
     /**
-     * Reads of the state service for one request, each of up to 1,000 entries; a page may come out
+     * Reads of the key-value store for one request, each of up to 1,000 entries; a page may be
      * shorter for it.
      */
     private static final int MAX_READS_PER_REQUEST = 4;
 
-    /** Tasks told with more than their state on a page, each of which takes a read of its own. */
+    /** Tasks on a page of a detailed view, each of which takes a read of its own. */
     private static final int MAX_DETAILED_TASKS = 32;
 
     /**
-     * Lists at a time; others are told to come back, for the state service serves native users as
-     * well.
+     * Listings in progress at a time; others are told to retry, for the key-value store serves
+     * native users as well.
      */
     private static final int MAX_CONCURRENT_LISTINGS = 4;
 
-    /** What the list keeps of a task; its state and its attempts come beside it. */
+    /** The part of a task's list entry that never changes; its state and attempts are beside it. */
     record ListedTask(String id, String name, Map<String, Object> tags, long createdMillis) {
         Map<String, Object> encode() {
             return MessageReader.mapOf(
@@ -81,10 +82,11 @@
             String namePrefix,
             String state,
             Map<String, String> tags,
-            TesApi.View view,
+            TesTaskView view,
             int limit) {
         /**
-         * Without a filter every entry is told, so that no more need be read than go onto the page.
+         * Without a filter every entry matches, so that no more need be read than fit onto the
+         * page.
          */
         int nextReadSize(int found) {
             boolean all = namePrefix == null && state == null && tags.isEmpty();
@@ -94,12 +96,14 @@
         }
     }
 
-    private final TesApi api;
+    private final TesTaskStore taskStore;
     private final KeyValueStore store;
+
+    @GuardedBy("this")
     private int activeListings;
 
-    TesTaskListing(TesApi api, KeyValueStore store) {
-        this.api = api;
+    TesTaskListing(TesTaskStore taskStore, KeyValueStore store) {
+        this.taskStore = taskStore;
         this.store = store;
     }
 
@@ -122,8 +126,8 @@
 
     CompletableFuture<Http.Reply> list(String team, Map<String, List<String>> parameters)
             throws MalformedMessageException {
-        TesApi.View view = TesApi.View.fromQuery(parameters);
-        int most = parsePageSize(parameters);
+        TesTaskView view = TesTaskView.fromQuery(parameters);
+        int pageSize = parsePageSize(parameters);
         Query query =
                 new Query(
                         team,
@@ -131,12 +135,14 @@
                         parseStateFilter(parameters),
                         parseTagFilter(parameters),
                         view,
-                        view == TesApi.View.MINIMAL ? most : Math.min(most, MAX_DETAILED_TASKS));
+                        view == TesTaskView.MINIMAL
+                                ? pageSize
+                                : Math.min(pageSize, MAX_DETAILED_TASKS));
         String after = parsePageToken(team, firstValueOrNull(parameters, "page_token"));
         synchronized (this) {
             if (activeListings >= MAX_CONCURRENT_LISTINGS) {
                 return CompletableFuture.completedFuture(
-                        TesApi.retryLater("too many lists are being made"));
+                        TesReplies.retryLater("too many lists are being made"));
             }
             activeListings++;
         }
@@ -174,8 +180,8 @@
     private static String parseStateFilter(Map<String, List<String>> parameters)
             throws MalformedMessageException {
         String state = firstValueOrNull(parameters, "state");
-        if (state != null && !TesApi.STATES.contains(state)) {
-            throw new MalformedMessageException("state is none of " + TesApi.STATES);
+        if (state != null && !TesTaskView.STATES.contains(state)) {
+            throw new MalformedMessageException("state is none of " + TesTaskView.STATES);
         }
         return state;
     }
@@ -245,10 +251,11 @@
     @SuppressWarnings("unchecked")
     private static boolean matches(Map<String, Object> entry, Query query) {
         if (query.namePrefix() != null
-                        && !((String) entry.get("name")).startsWith(query.namePrefix())
-                || query.state() != null
-                        && !query.state()
-                                .equals(TesApi.stateName(SecondaryRecord.phaseOf(entry)))) {
+                && !((String) entry.get("name")).startsWith(query.namePrefix())) {
+            return false;
+        }
+        if (query.state() != null
+                && !query.state().equals(TesTaskView.stateName(SecondaryRecord.phaseOf(entry)))) {
             return false;
         }
         Map<String, Object> tags = (Map<String, Object>) entry.get("tags");
@@ -261,6 +268,26 @@
                                                         .equals(tags.get(asked.getKey()))));
     }
 
+    /** Detailed views take a read of the task's record each. */
+    private CompletableFuture<Map<String, Object>> renderTask(
+            Map<String, Object> entry, TesTaskView view) {
+        if (view == TesTaskView.MINIMAL) {
+            return CompletableFuture.completedFuture(TesTaskView.minimal(entry));
+        }
+        String id = (String) entry.get("id");
+        return taskStore
+                .load(id, RequestPriority.BACKGROUND)
+                .thenApply(storedTask -> view.render(id, storedTask, entry));
+    }
+
+    /** The token of the page that begins after a key; {@link #parsePageToken} reads it. */
+    private static String pageToken(String team, String last) {
+        String rest = last.substring(teamKeyPrefix(team).length());
+        return Base64.getUrlEncoder()
+                .withoutPadding()
+                .encodeToString(rest.getBytes(StandardCharsets.US_ASCII));
+    }
+
     /**
      * @param last the key that the next page begins after, or null if there is none
      */
@@ -268,17 +295,7 @@
             Query query, List<Map<String, Object>> found, String last) {
         List<CompletableFuture<Map<String, Object>>> tasks = new ArrayList<>();
         for (Map<String, Object> entry : found) {
-            tasks.add(
-                    query.view() == TesApi.View.MINIMAL
-                            ? CompletableFuture.completedFuture(TesApi.minimalView(entry))
-                            : api.loadTask((String) entry.get("id"), RequestPriority.BACKGROUND)
-                                    .thenApply(
-                                            storedTask ->
-                                                    TesApi.detailedView(
-                                                            (String) entry.get("id"),
-                                                            storedTask,
-                                                            entry,
-                                                            query.view())));
+            tasks.add(renderTask(entry, query.view()));
         }
         return CompletableFuture.allOf(tasks.toArray(CompletableFuture[]::new))
                 .thenApply(
@@ -288,19 +305,9 @@
                                             "tasks",
                                             tasks.stream().map(CompletableFuture::join).toList());
                             if (last != null) {
-                                body.put(
-                                        "next_page_token",
-                                        Base64.getUrlEncoder()
-                                                .withoutPadding()
-                                                .encodeToString(
-                                                        last.substring(
-                                                                        teamKeyPrefix(query.team())
-                                                                                .length())
-                                                                .getBytes(
-                                                                        StandardCharsets
-                                                                                .US_ASCII)));
+                                body.put("next_page_token", pageToken(query.team(), last));
                             }
-                            return TesApi.okReply(body);
+                            return TesReplies.ok(body);
                         });
     }
 }
--- /dev/null
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesTaskStore.java
@@ -0,0 +1,65 @@
+package org.meadowhollow.protocol.tes;
+
+import com.google.errorprone.annotations.concurrent.GuardedBy;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Optional;
+import java.util.concurrent.CompletableFuture;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.KeyValueStore.Entry;
+import org.meadowhollow.storage.KeyValueStore.RequestPriority;
+
+/**
+ * Reads the records of tasks, with a cache: records never change once accepted. Thread-safe; the
+ * cache's lock is not held during a read of the key-value store.
+ */
+final class TesTaskStore {
+    /** Records kept in memory, the most recently used ones: some kilobytes each. */
+    private static final int MAX_CACHED_TASKS = 256;
+
+    private final KeyValueStore store;
+
+    @GuardedBy("cache")
+    private final Map<String, StoredTask> cache =
+            new LinkedHashMap<>(16, 0.75f, true) {
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<String, StoredTask> eldest) {
+                    return size() > MAX_CACHED_TASKS;
+                }
+            };
+
+    TesTaskStore(KeyValueStore store) {
+        this.store = store;
+    }
+
+    /**
+     * The record of a task; the future fails with status 404 if there is none.
+     *
+     * @throws HttpStatusException 404 if the text is not the id of any task
+     */
+    CompletableFuture<StoredTask> load(String id, RequestPriority requestPriority) {
+        if (!TesTaskListing.isId(id)) {
+            throw noSuchTask();
+        }
+        synchronized (cache) {
+            StoredTask cached = cache.get(id);
+            if (cached != null) {
+                return CompletableFuture.completedFuture(cached);
+            }
+        }
+        return store.get(StoredTask.recordKey(id), requestPriority)
+                .thenApply(entry -> decodeAndCache(id, entry));
+    }
+
+    private StoredTask decodeAndCache(String id, Optional<Entry> entry) {
+        StoredTask task = StoredTask.decode(entry.orElseThrow(TesTaskStore::noSuchTask).value());
+        synchronized (cache) {
+            cache.put(id, task);
+        }
+        return task;
+    }
+
+    private static HttpStatusException noSuchTask() {
+        return new HttpStatusException(404, "no such task");
+    }
+}
