--- a/src/main/java/org/meadowhollow/cli/Main.java
+++ b/src/main/java/org/meadowhollow/cli/Main.java
@@ -4,6 +4,7 @@
 import java.io.PrintWriter;
 import java.net.URI;
 import java.net.URISyntaxException;
+import java.nio.charset.Charset;
 import java.nio.file.Path;
 import java.time.Duration;
 import java.time.Instant;
@@ -44,7 +45,7 @@
     private static final String TRACE_OTLP = "--trace-otlp";
     private static final String STANDBY = "--standby";
 
-    /** A hand-over takes one change in the state service. */
+    /** A handover takes one transaction of the key-value store. */
     private static final Duration HANDOVER_TIMEOUT = Duration.ofSeconds(2);
 
     private static final String TRAIN_CLASS_ARCHIVE = "--train-class-archive";
@@ -183,7 +184,7 @@
     }
 
     /**
-     * Wrong flags get one line. A class of its own, for the archive of classes takes no lambda of
+     * Invalid flags get one line. A class of its own, since the class archive takes no lambda of
      * this kind.
      */
     static final class OneLineErrorHandler implements CommandLine.IParameterExceptionHandler {
@@ -194,6 +195,7 @@
         }
     }
 
+    /** Runs the command and exits, unless it started a controller. */
     public static void main(String[] args) {
         String level = System.getenv().getOrDefault("LOG_LEVEL", "info").toLowerCase(Locale.ROOT);
         if (!LOG_LEVELS.contains(level)) {
@@ -203,8 +205,8 @@
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level);
         System.setProperty("org.jboss.logging.provider", "slf4j");
         // XNIO and its thread pool would set up the JVM's management, a quarter of the processor
-        // time of a start,
-        // for beans that nobody reads; without a server for them they go on without.
+        // time
+        // of a start, for beans that nobody reads; without a server for them they do without.
         System.setProperty("javax.management.builder.initial", "none");
         System.setProperty("jboss.threads.eqe.register-mbean", "false");
         if (ReservationCommand.handles(args)) {
@@ -212,8 +214,8 @@
                     ReservationCommand.run(
                             args,
                             System.getenv(),
-                            new PrintWriter(System.out, true),
-                            new PrintWriter(System.err, true)));
+                            new PrintWriter(System.out, true, Charset.defaultCharset()),
+                            new PrintWriter(System.err, true, Charset.defaultCharset())));
         }
         CommandLine command = new CommandLine(new Main().spec);
         command.setParameterExceptionHandler(new OneLineErrorHandler());
@@ -226,84 +228,44 @@
     /** Not an exit code: the controller's own threads keep the process going. */
     private static final int KEEP_RUNNING = -1;
 
+    /**
+     * What the settings file, the flags and the environment say, checked.
+     *
+     * @param tes null if the task execution API is not served
+     * @param reservations null if no reservations are accepted
+     * @param traceCollector null if nothing is traced
+     */
+    private record Options(
+            Settings settings,
+            TesOptions tes,
+            ReservationOptions reservations,
+            URI traceCollector) {}
+
+    /** Runs the command; returns the exit code, or that the process is to go on. */
     @Override
     public Integer call() throws Exception {
-        CommandLine.ParseResult given = spec.commandLine().getParseResult();
-        if (given.hasMatchedOption(TRAIN_CLASS_ARCHIVE)) {
+        CommandLine.ParseResult flags = spec.commandLine().getParseResult();
+        if (flags.hasMatchedOption(TRAIN_CLASS_ARCHIVE)) {
             ClassArchiveTraining.run();
             return CommandLine.ExitCode.OK;
         }
-        Path config = given.matchedOptionValue(CONFIG, null);
+        Path config = flags.matchedOptionValue(CONFIG, null);
         if (config == null) {
             System.err.println("meadowhollow: --config FILE is missing (see --help)");
             return CommandLine.ExitCode.USAGE;
         }
-        Settings settings;
-        TesOptions tes;
-        ReservationOptions calendar;
-        URI traces;
+        Options options;
         try {
-            settings = Settings.read(config);
-            tes =
-                    TesOptions.parse(
-                            given.matchedOptionValue(TES_LISTEN, null),
-                            given.matchedOptionValue(TES_TOKEN, List.of()),
-                            given.matchedOptionValue(TES_CERT, null),
-                            given.matchedOptionValue(TES_KEY, null),
-                            System.getenv(),
-                            settings);
-            calendar =
-                    ReservationOptions.fromFlags(
-                            given.matchedOptionValue(CALENDAR_LISTEN, null),
-                            given.matchedOptionValue(CALENDAR_TOKEN, List.of()),
-                            given.matchedOptionValue(CALENDAR_CERT, null),
-                            given.matchedOptionValue(CALENDAR_KEY, null),
-                            given.matchedOptionValue(CALENDAR_MOST, List.of()),
-                            System.getenv());
-            traces = parseCollectorUrl(given.matchedOptionValue(TRACE_OTLP, null));
+            options = readOptions(config, flags);
         } catch (Settings.InvalidSettingsException invalidSettingsException) {
             System.err.println("meadowhollow: " + invalidSettingsException.getMessage());
             return CommandLine.ExitCode.USAGE;
         }
-        if (given.hasMatchedOption(CHECK)) {
+        if (flags.hasMatchedOption(CHECK)) {
             return CommandLine.ExitCode.OK;
         }
         try {
-            JobEventLog order =
-                    given.hasMatchedOption(ORDER_LOG)
-                            ? new JobEventLog(
-                                    event ->
-                                            LoggerFactory.getLogger(JobEventLog.class)
-                                                    .info("{}", event))
-                            : JobEventLog.NONE;
-            Controller.Builder builder =
-                    Controller.builder(settings)
-                            .tes(tes)
-                            .calendar(calendar)
-                            .eventListeners(
-                                    new JobEventListeners(
-                                            order,
-                                            traces == null
-                                                    ? TaskTracer.NONE
-                                                    : createTracer(
-                                                            traces,
-                                                            settings.deployment().member())));
-            boolean standby = given.hasMatchedOption(STANDBY);
-            if (standby) {
-                builder.standby(new ManifestVersionProvider().getVersion()[0]);
-            }
-            Controller controller = builder.start();
-            if (standby) {
-                Runtime.getRuntime()
-                        .addShutdownHook(
-                                new Thread(
-                                        () -> controller.handOver(HANDOVER_TIMEOUT), "hand-over"));
-            }
-            // The log counts milliseconds from the start, for formatting the time of day made every
-            // start a fifth
-            // longer. This line tells what the count was at which time.
-            LoggerFactory.getLogger(Main.class)
-                    .info("{} runs, at {}", settings.deployment().member(), Instant.now());
+            start(options, flags);
         } catch (IOException | RuntimeException failure) {
             System.err.println("meadowhollow: cannot start: " + failure.getMessage());
             return CommandLine.ExitCode.SOFTWARE;
@@ -311,9 +273,73 @@
         return KEEP_RUNNING;
     }
 
+    private static Options readOptions(Path config, CommandLine.ParseResult flags)
+            throws Settings.InvalidSettingsException {
+        Settings settings = Settings.read(config);
+        TesOptions tes =
+                TesOptions.parse(
+                        flags.matchedOptionValue(TES_LISTEN, null),
+                        flags.matchedOptionValue(TES_TOKEN, List.of()),
+                        flags.matchedOptionValue(TES_CERT, null),
+                        flags.matchedOptionValue(TES_KEY, null),
+                        System.getenv(),
+                        settings);
+        ReservationOptions reservations =
+                ReservationOptions.fromFlags(
+                        flags.matchedOptionValue(CALENDAR_LISTEN, null),
+                        flags.matchedOptionValue(CALENDAR_TOKEN, List.of()),
+                        flags.matchedOptionValue(CALENDAR_CERT, null),
+                        flags.matchedOptionValue(CALENDAR_KEY, null),
+                        flags.matchedOptionValue(CALENDAR_MOST, List.of()),
+                        System.getenv());
+        return new Options(
+                settings,
+                tes,
+                reservations,
+                parseCollectorUrl(flags.matchedOptionValue(TRACE_OTLP, null)));
+    }
+
+    private static void start(Options options, CommandLine.ParseResult flags) throws IOException {
+        String member = options.settings().deployment().member();
+        Controller.Builder builder =
+                Controller.builder(options.settings())
+                        .tes(options.tes())
+                        .calendar(options.reservations())
+                        .eventListeners(newEventListeners(options, flags, member));
+        boolean standby = flags.hasMatchedOption(STANDBY);
+        if (standby) {
+            builder.standby(new ManifestVersionProvider().getVersion()[0]);
+        }
+        Controller controller = builder.start();
+        if (standby) {
+            Runtime.getRuntime()
+                    .addShutdownHook(
+                            new Thread(() -> controller.handOver(HANDOVER_TIMEOUT), "hand-over"));
+        }
+        // Log lines count milliseconds from the start, since formatting the time of day made every
+        // start a fifth longer. This line says what the count was at which time.
+        LoggerFactory.getLogger(Main.class).info("{} runs, at {}", member, Instant.now());
+    }
+
+    private static JobEventListeners newEventListeners(
+            Options options, CommandLine.ParseResult flags, String member) {
+        JobEventLog eventLog =
+                flags.hasMatchedOption(ORDER_LOG)
+                        ? new JobEventLog(
+                                event ->
+                                        LoggerFactory.getLogger(JobEventLog.class)
+                                                .info("{}", event))
+                        : JobEventLog.NONE;
+        TaskTracer tracer =
+                options.traceCollector() == null
+                        ? TaskTracer.NONE
+                        : createTracer(options.traceCollector(), member);
+        return new JobEventListeners(eventLog, tracer);
+    }
+
     /**
-     * Only a process that traces loads what this names, and has its library log where all else
-     * does.
+     * Only a process that traces loads the classes that this names, and redirects their library's
+     * log to its own.
      */
     private static TaskTracer createTracer(URI collector, String member) {
         SLF4JBridgeHandler.removeHandlersForRootLogger();
@@ -322,6 +348,8 @@
     }
 
     /**
+     * The address of a collector of traces; null if none is given.
+     *
      * @throws Settings.InvalidSettingsException in one line, which names the flag
      */
     static URI parseCollectorUrl(String url) throws Settings.InvalidSettingsException {
--- a/src/main/java/org/meadowhollow/cli/Settings.java
+++ b/src/main/java/org/meadowhollow/cli/Settings.java
@@ -18,8 +18,8 @@
 /**
  * The platform's settings file, checked.
  *
- * @param clockSkewBound how far the time of day may be off on either side, zero if the file does
- *     not say
+ * @param clockSkewBound the most that the time of day may be off on either side, zero if the file
+ *     does not say
  * @param zone that this node is in, empty if the file does not say
  * @param fileDescriptorLimit how many sockets and files the process may have open, 0 if the file
  *     does not say
@@ -40,11 +40,16 @@
 
     /** The settings cannot be used; the text says why. */
     public static final class InvalidSettingsException extends Exception {
-        InvalidSettingsException(String why) {
-            super(why);
+        InvalidSettingsException(String reason) {
+            super(reason);
         }
     }
 
+    /**
+     * Reads and checks a settings file.
+     *
+     * @throws InvalidSettingsException in one line, if it cannot be read or used
+     */
     public static Settings read(Path file) throws InvalidSettingsException {
         byte[] bytes;
         try {
@@ -92,6 +97,34 @@
 
     private static DeploymentSettings deployment(String member, MessageReader settings)
             throws MalformedMessageException {
+        List<String> zones = settings.stringListOrNull("zones");
+        MessageReader workers = settings.nested("workers");
+        MessageReader state = settings.nested("state");
+        MessageReader cloud = settings.nested("cloud");
+        Duration lease = positiveSeconds(workers, "lease_s");
+        Duration cancel = positiveSeconds(workers, "cancel_s");
+        if (cancel.compareTo(lease) <= 0) {
+            throw new MalformedMessageException("cancel_s must be longer than lease_s");
+        }
+        return new DeploymentSettings(
+                member,
+                zones == null ? List.of() : zones,
+                teamQuotas(settings),
+                objectives(settings),
+                positiveSeconds(workers, "report_s"),
+                lease,
+                positiveSeconds(workers, "gang_wait_s"),
+                cancel,
+                positiveNumber(state, "rps"),
+                positiveNumber(state, "write_rps"),
+                (int) (positiveNumber(state, "value_kb") * 1024),
+                (int) positiveNumber(state, "txn_ops"),
+                positiveNumber(cloud, "rps"),
+                positiveSeconds(cloud, "list_lag_s"));
+    }
+
+    private static Map<String, DeploymentSettings.TeamQuota> teamQuotas(MessageReader settings)
+            throws MalformedMessageException {
         Map<String, DeploymentSettings.TeamQuota> teams = new LinkedHashMap<>();
         for (MessageReader team : settings.nestedList("teams")) {
             teams.put(
@@ -107,6 +140,11 @@
                                     team.nonNegativeDoubleOr("gpus_max", 0),
                                     0)));
         }
+        return teams;
+    }
+
+    private static List<DeploymentSettings.ServiceLevelTarget> objectives(MessageReader settings)
+            throws MalformedMessageException {
         List<DeploymentSettings.ServiceLevelTarget> objectives = new ArrayList<>();
         for (MessageReader objective : settings.nestedList("objectives")) {
             objectives.add(
@@ -115,40 +153,17 @@
                             objective.stringOrNull("class"),
                             objective.nonNegativeDoubleOr("within_s", Double.NaN)));
         }
-        List<String> zones = settings.stringListOrNull("zones");
-        MessageReader workers = settings.nested("workers");
-        MessageReader state = settings.nested("state");
-        MessageReader cloud = settings.nested("cloud");
-        Duration lease = positiveSeconds(workers, "lease_s");
-        Duration cancel = positiveSeconds(workers, "cancel_s");
-        if (cancel.compareTo(lease) <= 0) {
-            throw new MalformedMessageException("cancel_s must be longer than lease_s");
-        }
-        return new DeploymentSettings(
-                member,
-                zones == null ? List.of() : zones,
-                teams,
-                objectives,
-                positiveSeconds(workers, "report_s"),
-                lease,
-                positiveSeconds(workers, "gang_wait_s"),
-                cancel,
-                positiveNumber(state, "rps"),
-                positiveNumber(state, "write_rps"),
-                (int) (positiveNumber(state, "value_kb") * 1024),
-                (int) positiveNumber(state, "txn_ops"),
-                positiveNumber(cloud, "rps"),
-                positiveSeconds(cloud, "list_lag_s"));
+        return objectives;
     }
 
-    private static Duration positiveSeconds(MessageReader messageReader, String key)
+    private static Duration positiveSeconds(MessageReader section, String key)
             throws MalformedMessageException {
-        return Duration.ofNanos((long) (positiveNumber(messageReader, key) * 1e9));
+        return Duration.ofNanos((long) (positiveNumber(section, key) * 1e9));
     }
 
-    private static double positiveNumber(MessageReader messageReader, String key)
+    private static double positiveNumber(MessageReader section, String key)
             throws MalformedMessageException {
-        double amount = messageReader.nonNegativeDouble(key);
+        double amount = section.nonNegativeDouble(key);
         if (amount <= 0) {
             throw new MalformedMessageException(key + " must be above 0");
         }
--- a/src/main/java/org/meadowhollow/cli/TesOptions.java
+++ b/src/main/java/org/meadowhollow/cli/TesOptions.java
@@ -9,8 +9,8 @@
 import org.meadowhollow.protocol.tes.BearerTokens;
 
 /**
- * Where and how a controller serves the task execution API, as its operator's flags and variables
- * say.
+ * Where and how a controller serves the task execution API, from the operator's flags and
+ * environment variables.
  *
  * @param certificateFile the certificate's file, or null for plain connections
  * @param privateKeyFile the file of the certificate's key, or null with it
@@ -18,13 +18,13 @@
 public record TesOptions(
         Settings.Endpoint listen, BearerTokens tokens, Path certificateFile, Path privateKeyFile) {
     /**
-     * Holds tokens like the flag, separated by blanks, where a command line could be read by
-     * others.
+     * Holds tokens as the flag takes them, separated by blanks, for hosts on which others can read
+     * a command line.
      */
     static final String TOKENS_VARIABLE = "MEADOWHOLLOW_TES_TOKENS";
 
     /**
-     * Checks what the operator gave.
+     * Checks the flags and variables.
      *
      * @param variables the environment
      * @return null if the API is not to be served
--- a/src/main/java/org/meadowhollow/protocol/training/PlatformStub.java
+++ b/src/main/java/org/meadowhollow/protocol/training/PlatformStub.java
@@ -11,7 +11,8 @@
 /**
  * A stub of the key-value store and the cloud for the training run of class data sharing: just
  * enough for one controller to lead and to run one job. It stores nothing but a revision counter,
- * guarded by its own lock.
+ * guarded by its own lock. It stands for the other side of the protocols and therefore speaks their
+ * words as they are on the wire.
  */
 public final class PlatformStub implements Http.SimpleRequestHandler {
     private static final String JOB = "req-1";
@@ -44,57 +45,14 @@
             case "/multi" -> commitReply(body);
             case "/grants" -> Http.Reply.of(200, MessageReader.mapOf("tether", 1L));
             case "/machine_types" ->
-                    Http.Reply.of(
-                            200,
-                            MessageReader.mapOf(
-                                    "breeds",
-                                    List.of(
-                                            MessageReader.mapOf(
-                                                    "label",
-                                                    TYPE,
-                                                    "cores",
-                                                    8.0,
-                                                    "gpus",
-                                                    1.0,
-                                                    "memGb",
-                                                    32.0,
-                                                    "cacheGb",
-                                                    50.0,
-                                                    "fetchGbPerS",
-                                                    1.0,
-                                                    "hourly",
-                                                    1.0,
-                                                    "spotPrice",
-                                                    0.5,
-                                                    "readyS",
-                                                    30.0,
-                                                    "fields",
-                                                    List.of("z")))));
+                    Http.Reply.of(200, MessageReader.mapOf("breeds", List.of(machineType())));
             case "/rentals" ->
                     Http.Reply.of(
                             200,
                             method.equals("POST")
                                     ? MessageReader.mapOf("stalls", List.of(MACHINE))
                                     : MessageReader.mapOf(
-                                            "stalls",
-                                            List.of(
-                                                    MessageReader.mapOf(
-                                                            "ref",
-                                                            MACHINE,
-                                                            "endpoint",
-                                                            "127.0.0.1:9",
-                                                            "breed",
-                                                            TYPE,
-                                                            "field",
-                                                            "z",
-                                                            "loaners",
-                                                            false,
-                                                            "phase",
-                                                            "running",
-                                                            "heldS",
-                                                            60.0)),
-                                            "truncated",
-                                            false));
+                                            "stalls", List.of(machine()), "truncated", false));
             default ->
                     path.startsWith("/kv/")
                             ? Http.Reply.of(404, MessageReader.mapOf("ledgerRev", revision))
@@ -102,10 +60,49 @@
         };
     }
 
-    /**
-     * Lets every transaction through, and shows the watching leader the job that one of them
-     * accepts.
-     */
+    private static Map<String, Object> machineType() {
+        return MessageReader.mapOf(
+                "label",
+                TYPE,
+                "cores",
+                8.0,
+                "gpus",
+                1.0,
+                "memGb",
+                32.0,
+                "cacheGb",
+                50.0,
+                "fetchGbPerS",
+                1.0,
+                "hourly",
+                1.0,
+                "spotPrice",
+                0.5,
+                "readyS",
+                30.0,
+                "fields",
+                List.of("z"));
+    }
+
+    private static Map<String, Object> machine() {
+        return MessageReader.mapOf(
+                "ref",
+                MACHINE,
+                "endpoint",
+                "127.0.0.1:9",
+                "breed",
+                TYPE,
+                "field",
+                "z",
+                "loaners",
+                false,
+                "phase",
+                "running",
+                "heldS",
+                60.0);
+    }
+
+    /** Applies every transaction, and shows the watching leader the job that one of them adds. */
     private Http.Reply commitReply(byte[] body) {
         revision++;
         try {
@@ -134,7 +131,7 @@
         return Http.Reply.of(200, MessageReader.mapOf("ledgerRev", revision));
     }
 
-    /** What a user sends to submit the job. */
+    /** The body with which a user submits the job. */
     public static byte[] submissionBody() {
         return MessagePackCodec.encode(
                 MessageReader.mapOf(
@@ -171,11 +168,11 @@
     }
 
     /**
-     * A report of the machine.
+     * The body of a heartbeat of the machine.
      *
      * @param phase of the job's task there, as the wire has it; null while it is not there
      */
-    public static byte[] heartbeatBody(long number, long token, String phase) {
+    public static byte[] heartbeatBody(long sequenceNumber, long fencingToken, String phase) {
         return MessagePackCodec.encode(
                 MessageReader.mapOf(
                         "stall",
@@ -191,9 +188,9 @@
                         "tenure",
                         1L,
                         "tally",
-                        number,
+                        sequenceNumber,
                         "baton",
-                        token,
+                        fencingToken,
                         "chores",
                         phase == null
                                 ? List.of()
--- a/src/main/java/org/meadowhollow/transport/tracing/OtlpTaskTracer.java
+++ b/src/main/java/org/meadowhollow/transport/tracing/OtlpTaskTracer.java
@@ -215,14 +215,7 @@
     public void onAttemptEnded(TracedTask task, long waitedFromMillis, AttemptRecord attempt) {
         SpanContext parent = taskSpanContext(task);
         String suffix = " " + attempt.attemptNumber();
-        Attributes attributes =
-                Attributes.of(
-                        ATTEMPT_ATTRIBUTE,
-                        (long) attempt.attemptNumber(),
-                        MACHINE_ATTRIBUTE,
-                        attempt.machineName(),
-                        CAUSE_ATTRIBUTE,
-                        attempt.endReason());
+        Attributes attributes = attributesOf(attempt);
         String failure =
                 ExitReason.DONE.name().equals(attempt.endReason()) ? null : attempt.endReason();
         boolean ran = attempt.startedAtMillis() > 0;
@@ -257,6 +250,16 @@
         }
     }
 
+    private static Attributes attributesOf(AttemptRecord attempt) {
+        return Attributes.of(
+                ATTEMPT_ATTRIBUTE,
+                (long) attempt.attemptNumber(),
+                MACHINE_ATTRIBUTE,
+                attempt.machineName(),
+                CAUSE_ATTRIBUTE,
+                attempt.endReason());
+    }
+
     @Override
     public void onTaskEnded(TracedTask task, JobPhase how, long fromMillis, long untilMillis) {
         boolean succeeded = how == JobPhase.DONE || how == JobPhase.CANCELLED;
