--- a/src/main/java/org/meadowhollow/protocol/jobs/SubmissionCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/jobs/SubmissionCodec.java
@@ -94,19 +94,26 @@
 
     /** The fields of a submission, as a client sends them. */
     public static Map<String, Object> encode(JobSpec spec) {
+        Map<String, Object> fields =
+                MessageReader.mapOf(
+                        JOB_ID,
+                        spec.id().value(),
+                        JOB_CLASS,
+                        spec.jobClass(),
+                        TEAM,
+                        spec.team(),
+                        KIND,
+                        encodeKind(spec.kind()),
+                        PRIORITY,
+                        encodePriority(spec.priority()),
+                        TASK_COUNT,
+                        (long) spec.taskCount());
+        fields.putAll(encodeRequirements(spec));
+        return fields;
+    }
+
+    private static Map<String, Object> encodeRequirements(JobSpec spec) {
         return MessageReader.mapOf(
-                JOB_ID,
-                spec.id().value(),
-                JOB_CLASS,
-                spec.jobClass(),
-                TEAM,
-                spec.team(),
-                KIND,
-                encodeKind(spec.kind()),
-                PRIORITY,
-                encodePriority(spec.priority()),
-                TASK_COUNT,
-                (long) spec.taskCount(),
                 CPUS,
                 spec.resourcesPerTask().cpu() / 1e6,
                 GPUS,
--- a/src/main/java/org/meadowhollow/protocol/tes/TesCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesCodec.java
@@ -274,10 +274,7 @@
                     "priority is none of critical, urgent, normal, idle");
         }
         String types = parameters.stringOrNull("machine_types");
-        String jobClass = stringParameter(parameters, "class", DEFAULT_JOB_CLASS);
-        if (jobClass.isEmpty() || jobClass.length() > MAX_NAME_LENGTH) {
-            throw new MalformedMessageException("class is empty or too long");
-        }
+        String jobClass = requireJobClass(parameters);
         double cpus =
                 resources.has("cpu_cores") ? resources.nonNegativeLong("cpu_cores") : DEFAULT_CPUS;
         return new JobSpec(
@@ -326,6 +323,15 @@
                         .get("image");
     }
 
+    private static String requireJobClass(MessageReader parameters)
+            throws MalformedMessageException {
+        String jobClass = stringParameter(parameters, "class", DEFAULT_JOB_CLASS);
+        if (jobClass.isEmpty() || jobClass.length() > MAX_NAME_LENGTH) {
+            throw new MalformedMessageException("class is empty or too long");
+        }
+        return jobClass;
+    }
+
     /** A job is bound to one zone or to none, so a choice of some zones cannot be kept. */
     private static String singleZoneOrNull(List<String> asked, List<String> all)
             throws MalformedMessageException {
--- a/src/main/java/org/meadowhollow/transport/HttpClient.java
+++ b/src/main/java/org/meadowhollow/transport/HttpClient.java
@@ -15,7 +15,6 @@
 import java.net.URI;
 import java.nio.ByteBuffer;
 import java.time.Duration;
-import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
@@ -62,14 +61,6 @@
         this.attemptCapture = new AttemptCapturingIoThread(loop.ioThread());
     }
 
-    /** The connections to one address. */
-    private static final class ConnectionPool {
-        private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
-
-        /** Idle, used and opening connections. */
-        private int openCount;
-    }
-
     @Override
     public CompletableFuture<Http.Reply> send(
             String address, String method, String path, byte[] body, Duration timeout) {
@@ -144,12 +135,10 @@
         void start() {
             ConnectionPool pool =
                     poolsByAddress.computeIfAbsent(address, unused -> new ConnectionPool());
-            ClientConnection kept;
-            while ((kept = pool.idle.poll()) != null) {
-                if (kept.isOpen()) {
-                    sendOn(kept);
-                    return;
-                }
+            ClientConnection kept = pool.takeOpenIdle();
+            if (kept != null) {
+                sendOn(kept);
+                return;
             }
             if (pool.openCount >= MAX_OPEN_PER_ADDRESS) {
                 fail("too many open connections to " + address);
@@ -361,9 +350,8 @@
          */
         private void closeIdleConnections() {
             ConnectionPool pool = poolsByAddress.get(address);
-            ClientConnection kept;
-            while (pool != null && (kept = pool.idle.poll()) != null) {
-                IoUtils.safeClose(kept);
+            if (pool != null) {
+                pool.closeIdle();
             }
         }
 
