--- a/src/main/java/org/meadowhollow/transport/HttpServer.java
+++ b/src/main/java/org/meadowhollow/transport/HttpServer.java
@@ -23,7 +23,10 @@
 import org.slf4j.LoggerFactory;
 import org.xnio.IoUtils;
 
-/** Listens on one address and hands whole requests to a handler. */
+/**
+ * Listens on one address and passes whole requests to a handler, on the event loop's thread. A
+ * failed handler gets its caller a status 503 and is logged.
+ */
 public final class HttpServer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
@@ -34,36 +37,47 @@
     private final ConnectionLimiter<ServerConnection> connectionLimiter;
 
     /**
-     * @param most connections kept open at a time, 0 for no bound; the one without a request for
-     *     longest goes first
-     * @param idle longer than any caller keeps a connection without a word; then the socket is
-     *     wanted elsewhere
+     * Where a server listens, and what connections it takes.
+     *
+     * @param port 0 for one that the system chooses
+     * @param maxConnections open at a time, 0 for no bound; beyond it the one whose last request is
+     *     the longest ago is closed
+     * @param idleTimeout after which a connection without a request is closed; longer than callers
+     *     pause between requests
+     * @param tls secures the connections; null for plain ones
      */
+    public record Options(
+            String host, int port, int maxConnections, Duration idleTimeout, SSLContext tls) {}
+
+    /** Opens a server with plain connections; see {@link Options} for the bounds. */
     public HttpServer(
             XnioEventLoop loop,
             ByteBufferPool buffers,
             String host,
             int port,
-            int most,
-            Duration idle,
+            int maxConnections,
+            Duration idleTimeout,
             Http.RequestHandler requestHandler) {
-        this(loop, buffers, host, port, most, idle, null, requestHandler);
+        this(
+                loop,
+                buffers,
+                new Options(host, port, maxConnections, idleTimeout, null),
+                requestHandler);
     }
 
     /**
-     * @param tls what connections are secured with, or null for plain ones
+     * Opens a server; it accepts requests at once.
+     *
+     * @param requestHandler called on the loop's thread
+     * @throws RuntimeException if the address cannot be listened on
      */
     public HttpServer(
             XnioEventLoop loop,
             ByteBufferPool buffers,
-            String host,
-            int port,
-            int most,
-            Duration idle,
-            SSLContext tls,
+            Options options,
             Http.RequestHandler requestHandler) {
-        connectionLimiter = new ConnectionLimiter<>(most, IoUtils::safeClose);
-        int idleMs = (int) idle.toMillis();
+        connectionLimiter = new ConnectionLimiter<>(options.maxConnections(), IoUtils::safeClose);
+        int idleMillis = (int) options.idleTimeout().toMillis();
         HttpHandler handler = exchange -> receive(exchange, requestHandler);
         Undertow.Builder builder =
                 Undertow.builder()
@@ -71,17 +85,18 @@
                         .setByteBufferPool(buffers)
                         .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
                         .setServerOption(UndertowOptions.ENABLE_HTTP2, false)
-                        .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, idleMs)
-                        .setServerOption(UndertowOptions.IDLE_TIMEOUT, idleMs);
-        server =
-                (tls == null
-                                ? builder.addHttpListener(port, host, handler)
-                                : builder.addHttpsListener(port, host, tls, handler))
-                        .build();
+                        .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, idleMillis)
+                        .setServerOption(UndertowOptions.IDLE_TIMEOUT, idleMillis);
+        if (options.tls() == null) {
+            builder.addHttpListener(options.port(), options.host(), handler);
+        } else {
+            builder.addHttpsListener(options.port(), options.host(), options.tls(), handler);
+        }
+        server = builder.build();
         server.start();
     }
 
-    /** The port listened on, chosen by the system if 0 was asked for. */
+    /** The port listened on. */
     public int port() {
         return ((InetSocketAddress) server.getListenerInfo().get(0).getAddress()).getPort();
     }
@@ -92,7 +107,7 @@
             connection.addCloseListener(connectionLimiter::connectionClosed);
         }
         exchange.addExchangeCompleteListener(
-                (over, next) -> {
+                (finished, next) -> {
                     connectionLimiter.requestFinished(connection);
                     next.proceed();
                 });
@@ -103,11 +118,11 @@
         Receiver receiver = exchange.getRequestReceiver();
         receiver.setMaxBufferSize(MAX_BODY_BYTES);
         receiver.receiveFullBytes(
-                (same, body) ->
+                (unused, body) ->
                         exchange.dispatch(
                                 SameThreadExecutor.INSTANCE,
                                 () -> handle(exchange, requestHandler, body)),
-                (same, failure) -> rejectBody(exchange, requestHandler));
+                (unused, failure) -> rejectBody(exchange, requestHandler));
     }
 
     private static void rejectBody(
@@ -118,9 +133,9 @@
 
     private static void handle(
             HttpServerExchange exchange, Http.RequestHandler requestHandler, byte[] body) {
-        CompletableFuture<Http.Reply> answer;
+        CompletableFuture<Http.Reply> response;
         try {
-            answer =
+            response =
                     requestHandler.answer(
                             new Http.Request(
                                     exchange.getRequestMethod().toString(),
@@ -128,22 +143,23 @@
                                     queryParameters(exchange),
                                     name -> exchange.getRequestHeaders().getFirst(name),
                                     body));
-        } catch (RuntimeException mistake) {
-            answer = CompletableFuture.failedFuture(mistake);
+        } catch (RuntimeException defect) {
+            response = CompletableFuture.failedFuture(defect);
         }
-        answer.whenComplete(
-                (reply, failure) -> {
-                    if (failure != null) {
-                        LOG.error(
-                                "a request failed: {} {}",
-                                exchange.getRequestMethod(),
-                                exchange.getRequestPath(),
-                                failure);
-                        send(exchange, Http.Reply.retryLater(503, 1, "internal error"));
-                    } else {
-                        send(exchange, reply);
-                    }
-                });
+        CompletableFuture<Http.Reply> unusedResponse =
+                response.whenComplete(
+                        (reply, failure) -> {
+                            if (failure != null) {
+                                LOG.error(
+                                        "request failed method={} path={}",
+                                        exchange.getRequestMethod(),
+                                        exchange.getRequestPath(),
+                                        failure);
+                                send(exchange, Http.Reply.retryLater(503, 1, "internal error"));
+                            } else {
+                                send(exchange, reply);
+                            }
+                        });
     }
 
     private static Map<String, List<String>> queryParameters(HttpServerExchange exchange) {
