--- a/src/main/java/org/meadowhollow/model/ExitReason.java
+++ b/src/main/java/org/meadowhollow/model/ExitReason.java
@@ -1,13 +1,32 @@
 package org.meadowhollow.model;
 
-/** Why a task exited. */
-public enum ExitReason {
-    DONE,
-    STOPPED,
-    PEERS,
-    ALONE,
-    ERROR,
-    NO_ROOM,
-    BUSY,
-    UNKNOWN
+/** Why a task exited, as its worker reported it. */
+public enum ExitReason implements StoredWord {
+    /** The task completed. */
+    DONE("DONE"),
+    /** The task was stopped by a command of the controller. */
+    STOPPED("STOPPED"),
+    /** Another task of its gang failed or was lost. */
+    PEERS("PEERS"),
+    /** The task's gang was not complete on its machines in time, so none of its tasks ran. */
+    ALONE("ALONE"),
+    /** The task failed by itself. */
+    ERROR("ERROR"),
+    /** The machine had not enough free resources to start the task. */
+    NO_ROOM("NO_ROOM"),
+    /** The worker reported that what the task needs was still in use. */
+    BUSY("BUSY"),
+    /** The worker does not know the task. */
+    UNKNOWN("UNKNOWN");
+
+    private final String storedWord;
+
+    ExitReason(String storedWord) {
+        this.storedWord = storedWord;
+    }
+
+    @Override
+    public String storedWord() {
+        return storedWord;
+    }
 }
--- a/src/main/java/org/meadowhollow/model/JobKind.java
+++ b/src/main/java/org/meadowhollow/model/JobKind.java
@@ -1,11 +1,31 @@
 package org.meadowhollow.model;
 
-/** How the tasks of a job belong together. */
-public enum JobKind {
-    /** Independent tasks, each runs to completion. */
-    ARRAY,
-    /** All tasks run at the same time or none does. */
-    GANG,
+/** How the tasks of a job depend on each other at run time. */
+public enum JobKind implements StoredWord {
+    /** A job array: independent tasks, each of which runs to completion. */
+    ARRAY("ARRAY"),
+    /** Gang scheduling: all tasks run at the same time or none does. */
+    GANG("GANG"),
     /** Replicas that run until the job is cancelled. */
-    SERVICE
+    SERVICE("SERVICE");
+
+    private final String storedWord;
+
+    JobKind(String storedWord) {
+        this.storedWord = storedWord;
+    }
+
+    @Override
+    public String storedWord() {
+        return storedWord;
+    }
+
+    /**
+     * The kind that a stored word stands for.
+     *
+     * @throws IllegalArgumentException if there is none
+     */
+    public static JobKind fromStoredWord(String storedWord) {
+        return StoredWord.find(values(), storedWord);
+    }
 }
--- a/src/main/java/org/meadowhollow/model/JobPhase.java
+++ b/src/main/java/org/meadowhollow/model/JobPhase.java
@@ -1,23 +1,46 @@
 package org.meadowhollow.model;
 
 /**
- * How far a job has come that another interface than the native one accepted; each of those has its
- * own words for it.
+ * The life-cycle phase of a job that was submitted through a secondary interface; each of those
+ * interfaces maps it to words of its own.
  */
-public enum JobPhase {
-    /** Accepted, and on no machine. */
-    QUEUED,
-    /** Its place is committed; its image may be on the way. */
-    PREPARING,
-    RUNNING,
-    /** To be cancelled, while something of it may be running. */
-    CANCELING,
-    DONE,
-    CANCELLED,
-    /** Out of attempts, the last of which ended by itself with an error. */
-    FAILED,
+public enum JobPhase implements StoredWord {
+    /** Admitted, and placed on no machine. */
+    QUEUED("QUEUED"),
+    /** Its placement is decided; the container image may still be pulled. */
+    PREPARING("PREPARING"),
+    /** Reported as running. */
+    RUNNING("RUNNING"),
+    /** Cancelled by its user while an attempt may still be running. */
+    CANCELING("CANCELING"),
+    /** Completed. */
+    DONE("DONE"),
+    /** Cancelled by its user, and no attempt is running. */
+    CANCELLED("CANCELLED"),
+    /** Out of attempts, the last of which exited with an error of its own. */
+    FAILED("FAILED"),
     /** Out of attempts, the last of which was lost with its machine. */
-    LOST,
-    /** Out of attempts, the last of which was stopped for others or taken with its machine. */
-    PREEMPTED
+    LOST("LOST"),
+    /** Out of attempts, the last of which was preempted or ended with its preempted machine. */
+    PREEMPTED("PREEMPTED");
+
+    private final String storedWord;
+
+    JobPhase(String storedWord) {
+        this.storedWord = storedWord;
+    }
+
+    @Override
+    public String storedWord() {
+        return storedWord;
+    }
+
+    /**
+     * The phase that a stored word stands for.
+     *
+     * @throws IllegalArgumentException if there is none
+     */
+    public static JobPhase fromStoredWord(String storedWord) {
+        return StoredWord.find(values(), storedWord);
+    }
 }
--- a/src/main/java/org/meadowhollow/model/Priority.java
+++ b/src/main/java/org/meadowhollow/model/Priority.java
@@ -1,13 +1,38 @@
 package org.meadowhollow.model;
 
-/** From most to least pressing. */
-public enum Priority {
-    PRODUCTION,
-    HIGH,
-    NORMAL,
-    LOW;
+/** The priority of a job, declared from the highest to the lowest. */
+public enum Priority implements StoredWord {
+    /** The highest priority. */
+    PRODUCTION("PRODUCTION"),
+    /** Above {@link #NORMAL}. */
+    HIGH("HIGH"),
+    /** The priority of ordinary work. */
+    NORMAL("NORMAL"),
+    /** Best-effort work, which also has its records written last. */
+    LOW("LOW");
 
+    private final String storedWord;
+
+    Priority(String storedWord) {
+        this.storedWord = storedWord;
+    }
+
+    @Override
+    public String storedWord() {
+        return storedWord;
+    }
+
+    /**
+     * The priority that a stored word stands for.
+     *
+     * @throws IllegalArgumentException if there is none
+     */
+    public static Priority fromStoredWord(String storedWord) {
+        return StoredWord.find(values(), storedWord);
+    }
+
+    /** Whether this priority comes strictly before the other one. */
     public boolean isHigherThan(Priority other) {
-        return ordinal() < other.ordinal();
+        return compareTo(other) < 0;
     }
 }
--- a/src/main/java/org/meadowhollow/model/SecondaryRecord.java
+++ b/src/main/java/org/meadowhollow/model/SecondaryRecord.java
@@ -107,7 +107,7 @@
         int at = indexOfAttempt(attemptNumber);
         if (at >= 0 && attemptHistory.get(at).endReason() == null) {
             AttemptRecord open = attemptHistory.get(at);
-            if (open.startedAtMillis() == 0 && cause.equals(ExitReason.DONE.name())) {
+            if (open.startedAtMillis() == 0 && cause.equals(ExitReason.DONE.storedWord())) {
                 // Shorter than the pause between two reports: all that is known is that it ran
                 // after it was placed.
                 open = open.withStart(open.placedAtMillis());
@@ -152,7 +152,7 @@
     }
 
     private static JobPhase failurePhaseOf(String cause) {
-        return cause.equals(ExitReason.DONE.name())
+        return cause.equals(ExitReason.DONE.storedWord())
                 ? null
                 : cause.equals(PREEMPTED_REASON)
                         ? JobPhase.PREEMPTED
@@ -209,7 +209,7 @@
 
     private Map<String, Object> encodeWith(JobPhase jobPhase, List<Object> attempts) {
         Map<String, Object> map = new LinkedHashMap<>(constantFields);
-        map.put(PHASE_FIELD, jobPhase.name());
+        map.put(PHASE_FIELD, jobPhase.storedWord());
         map.put(ATTEMPTS_FIELD, attempts);
         return map;
     }
@@ -217,12 +217,12 @@
     /** An entry with the cancellation noted, as its user is told of it. */
     public static Map<String, Object> withCancellationRequested(Map<String, Object> entry) {
         Map<String, Object> copy = new LinkedHashMap<>(entry);
-        copy.put(PHASE_FIELD, JobPhase.CANCELING.name());
+        copy.put(PHASE_FIELD, JobPhase.CANCELING.storedWord());
         return copy;
     }
 
     public static JobPhase phaseOf(Map<String, Object> entry) {
-        return JobPhase.valueOf((String) entry.get(PHASE_FIELD));
+        return JobPhase.fromStoredWord((String) entry.get(PHASE_FIELD));
     }
 
     public static List<AttemptRecord> attemptsOf(Map<String, Object> entry) {
--- /dev/null
+++ b/src/main/java/org/meadowhollow/model/StoredWord.java
@@ -0,0 +1,25 @@
+package org.meadowhollow.model;
+
+/**
+ * An enum whose constants are persisted. The stored word is part of the persisted format and must
+ * never change, whatever the constant is called in the source.
+ */
+public interface StoredWord {
+    /** The word that stands for this constant in stored records; unique within its enum. */
+    String storedWord();
+
+    /**
+     * The constant that a stored word stands for.
+     *
+     * @param constants all constants of the enum
+     * @throws IllegalArgumentException if no constant has this word, {@code null} included
+     */
+    static <E extends StoredWord> E find(E[] constants, String storedWord) {
+        for (E constant : constants) {
+            if (constant.storedWord().equals(storedWord)) {
+                return constant;
+            }
+        }
+        throw new IllegalArgumentException("unknown stored word: " + storedWord);
+    }
+}
--- a/src/main/java/org/meadowhollow/model/reservation/MaintenanceWindow.java
+++ b/src/main/java/org/meadowhollow/model/reservation/MaintenanceWindow.java
@@ -3,12 +3,14 @@
 import java.time.Duration;
 import java.util.List;
 import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.StoredWord;
 
 /**
- * Machines that are out for a time.
+ * Machines that are taken out of service for a time, once or repeatedly.
  *
  * @param targets names of machines, machine types or zones, as the scope says
- * @param serviceEvictionLead how long before its start services begin to leave, one after the other
+ * @param serviceEvictionLead how long before the start the replicas of services begin to be
+ *     evicted, one after the other
  */
 public record MaintenanceWindow(
         String name,
@@ -17,12 +19,36 @@
         RecurringSchedule schedule,
         Duration serviceEvictionLead) {
     /** What the targets name. */
-    public enum Scope {
-        MACHINE,
-        TYPE,
-        ZONE
+    public enum Scope implements StoredWord {
+        /** Single machines. */
+        MACHINE("MACHINE"),
+        /** All machines of a type. */
+        TYPE("TYPE"),
+        /** All machines in a zone. */
+        ZONE("ZONE");
+
+        private final String storedWord;
+
+        Scope(String storedWord) {
+            this.storedWord = storedWord;
+        }
+
+        @Override
+        public String storedWord() {
+            return storedWord;
+        }
+
+        /**
+         * The scope that a stored word stands for.
+         *
+         * @throws IllegalArgumentException if there is none
+         */
+        public static Scope fromStoredWord(String storedWord) {
+            return StoredWord.find(values(), storedWord);
+        }
     }
 
+    /** Whether a machine with this name, type and zone is out of service during the window. */
     public boolean coversMachine(MachineId machine, String type, String zone) {
         return switch (scope) {
             case MACHINE -> targets.contains(machine.value());
@@ -31,7 +57,7 @@
         };
     }
 
-    /** Whether all machines of a type in a zone are out. */
+    /** Whether all machines of a type in a zone are out of service during the window. */
     public boolean coversAllOfType(String type, String zone) {
         return scope == Scope.TYPE && targets.contains(type)
                 || scope == Scope.ZONE && targets.contains(zone);
--- a/src/main/java/org/meadowhollow/storage/CalendarRecordCodec.java
+++ b/src/main/java/org/meadowhollow/storage/CalendarRecordCodec.java
@@ -45,7 +45,7 @@
     public static Map<String, Object> encode(Reservation reservation, long order) {
         Map<String, Object> map = schedule(reservation.name(), reservation.schedule(), order);
         map.put("team", reservation.team());
-        map.put("priority", reservation.priority().name());
+        map.put("priority", reservation.priority().storedWord());
         map.put("tasks", (long) reservation.taskCount());
         map.put("cpu", reservation.resourcesPerTask().cpu());
         map.put("gpu", reservation.resourcesPerTask().gpu());
@@ -62,7 +62,7 @@
 
     public static Map<String, Object> encode(MaintenanceWindow window, long order) {
         Map<String, Object> map = schedule(window.name(), window.schedule(), order);
-        map.put("scope", window.scope().name());
+        map.put("scope", window.scope().storedWord());
         map.put("targets", window.targets());
         map.put("notice", window.serviceEvictionLead().toMillis());
         return map;
@@ -93,7 +93,7 @@
         return new Reservation(
                 (String) map.get("name"),
                 (String) map.get("team"),
-                Priority.valueOf((String) map.get("priority")),
+                Priority.fromStoredWord((String) map.get("priority")),
                 number(map, "tasks").intValue(),
                 new Resources(
                         number(map, "cpu").longValue(),
@@ -113,7 +113,7 @@
     static MaintenanceWindow window(Map<String, Object> map) {
         return new MaintenanceWindow(
                 (String) map.get("name"),
-                MaintenanceWindow.Scope.valueOf((String) map.get("scope")),
+                MaintenanceWindow.Scope.fromStoredWord((String) map.get("scope")),
                 (List<String>) map.get("targets"),
                 schedule(map),
                 Duration.ofMillis(number(map, "notice").longValue()));
--- /dev/null
+++ b/src/main/java/org/meadowhollow/storage/ImageLocationsCodec.java
@@ -0,0 +1,69 @@
+package org.meadowhollow.storage;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.meadowhollow.model.MachineId;
+
+/**
+ * The record of which machines have a container image cached, and how large the image is. Field
+ * names and the order of machines are part of the persisted format.
+ */
+public final class ImageLocationsCodec {
+    private static final String SIZE_GB = "gb";
+    private static final String MACHINES = "machines";
+
+    /** Bytes around a machine's name in a list, and around the list. */
+    private static final int FRAMING_BYTES = 8;
+
+    private ImageLocationsCodec() {}
+
+    /**
+     * An encoded record.
+     *
+     * @param estimatedBytes about how large the record is in the key-value store
+     */
+    public record EncodedImageLocations(Map<String, Object> fields, int estimatedBytes) {}
+
+    /**
+     * Encodes where an image is cached; of more machines than fit into a value the last ones are
+     * kept.
+     *
+     * @param sizeGb the size of the image in gigabytes
+     * @param machines in the order in which they are known to have the image; the record lists them
+     *     in the opposite order
+     * @param maxValueBytes the largest value that the key-value store takes
+     */
+    public static EncodedImageLocations encode(
+            double sizeGb, List<MachineId> machines, int maxValueBytes) {
+        List<Object> names = new ArrayList<>();
+        int bytes = 4 * FRAMING_BYTES;
+        for (int at = machines.size() - 1; at >= 0; at--) {
+            String name = machines.get(at).value();
+            bytes += name.length() + FRAMING_BYTES;
+            if (bytes > maxValueBytes) {
+                break;
+            }
+            names.add(name);
+        }
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put(SIZE_GB, sizeGb);
+        fields.put(MACHINES, names);
+        return new EncodedImageLocations(fields, bytes);
+    }
+
+    /** The size of the image in gigabytes. */
+    public static double sizeGbOf(Map<String, Object> fields) {
+        return RecordFields.decimal(fields, SIZE_GB);
+    }
+
+    /** The machines that have the image, the last encoded one first. */
+    public static List<MachineId> machinesOf(Map<String, Object> fields) {
+        List<MachineId> machines = new ArrayList<>();
+        for (Object name : (List<?>) fields.get(MACHINES)) {
+            machines.add(new MachineId((String) name));
+        }
+        return machines;
+    }
+}
--- /dev/null
+++ b/src/main/java/org/meadowhollow/storage/JobRecordCodec.java
@@ -0,0 +1,159 @@
+package org.meadowhollow.storage;
+
+import java.util.LinkedHashMap;
+import java.util.Map;
+import org.meadowhollow.model.Job;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.JobSpec;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Priority;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.model.SecondaryRecord;
+
+/**
+ * The record of a live job: its specification, when it was admitted, how it is sharded, whether it
+ * was cancelled, and the reference to its secondary record. What becomes of its tasks is in the
+ * records of its shards. Field names and the order of fields are part of the persisted format.
+ */
+public final class JobRecordCodec {
+    private static final String JOB_CLASS = "class";
+    private static final String TEAM = "team";
+    private static final String KIND = "kind";
+    private static final String PRIORITY = "priority";
+    private static final String TASK_COUNT = "tasks";
+    private static final String ALLOWED_MACHINE_TYPES = "types";
+    private static final String REQUIRED_ZONE = "zone";
+    private static final String REQUIRES_SINGLE_ZONE = "oneZone";
+    private static final String SPREADS_ACROSS_ZONES = "spread";
+    private static final String ALLOWS_SPOT = "spot";
+    private static final String IMAGE = "image";
+    private static final String IMAGE_SIZE_GB = "imageGb";
+    private static final String ESTIMATED_RUNTIME_SECONDS = "estimate";
+    private static final String CHECKPOINT_INTERVAL_SECONDS = "checkpoint";
+    private static final String CHECKPOINT_DURATION_SECONDS = "save";
+    private static final String DEADLINE_SECONDS = "deadline";
+    private static final String ACCEPTED_AT_MILLIS = "accepted";
+    private static final String SHARD_SIZE = "chunk";
+    private static final String CANCELLED = "cancelled";
+    private static final String SECONDARY_RECORD = "companion";
+
+    private JobRecordCodec() {}
+
+    /**
+     * Encodes a job.
+     *
+     * @param acceptedAtMillis when the job was admitted, in milliseconds of wall-clock time
+     * @param shardSize tasks in each of its shards
+     * @param secondaryRecord what another interface keeps beside the job, or null
+     */
+    public static Map<String, Object> encode(
+            JobSpec spec,
+            long acceptedAtMillis,
+            int shardSize,
+            boolean isCancelled,
+            SecondaryRecord secondaryRecord) {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        putSpec(fields, spec);
+        fields.put(ACCEPTED_AT_MILLIS, acceptedAtMillis);
+        fields.put(SHARD_SIZE, (long) shardSize);
+        fields.put(CANCELLED, isCancelled);
+        if (secondaryRecord != null) {
+            fields.put(SECONDARY_RECORD, secondaryRecord.encodeReference());
+        }
+        return fields;
+    }
+
+    private static void putSpec(Map<String, Object> fields, JobSpec spec) {
+        fields.put(JOB_CLASS, spec.jobClass());
+        fields.put(TEAM, spec.team());
+        fields.put(KIND, spec.kind().storedWord());
+        fields.put(PRIORITY, spec.priority().storedWord());
+        fields.put(TASK_COUNT, (long) spec.taskCount());
+        RecordFields.putResources(fields, spec.resourcesPerTask());
+        fields.put(ALLOWED_MACHINE_TYPES, spec.allowedMachineTypes());
+        fields.put(REQUIRED_ZONE, spec.requiredZone());
+        fields.put(REQUIRES_SINGLE_ZONE, spec.requiresSingleZone());
+        fields.put(SPREADS_ACROSS_ZONES, spec.spreadsAcrossZones());
+        fields.put(ALLOWS_SPOT, spec.allowsSpot());
+        fields.put(IMAGE, spec.image());
+        fields.put(IMAGE_SIZE_GB, spec.imageSizeGb());
+        fields.put(ESTIMATED_RUNTIME_SECONDS, spec.estimatedRuntimeSeconds());
+        fields.put(CHECKPOINT_INTERVAL_SECONDS, spec.checkpointIntervalSeconds());
+        fields.put(CHECKPOINT_DURATION_SECONDS, spec.checkpointDurationSeconds());
+        fields.put(
+                DEADLINE_SECONDS,
+                Double.isNaN(spec.deadlineSeconds()) ? null : spec.deadlineSeconds());
+    }
+
+    /**
+     * Decodes a job as it was when the record was written; none of its tasks is placed or complete
+     * until its shards are restored.
+     *
+     * @param revision of the record
+     * @param now when a cancellation in the record counts as observed
+     */
+    public static Job decode(
+            JobId id, Map<String, Object> fields, Revision revision, MonotonicTime now) {
+        Job job =
+                new Job(
+                        decodeSpec(id, fields),
+                        RecordFields.longInteger(fields, ACCEPTED_AT_MILLIS),
+                        RecordFields.integer(fields, SHARD_SIZE),
+                        revision,
+                        SecondaryRecord.decodeReference(fields.get(SECONDARY_RECORD)));
+        if (isCancelled(fields)) {
+            job.cancel(now);
+        }
+        return job;
+    }
+
+    private static JobSpec decodeSpec(JobId id, Map<String, Object> fields) {
+        return new JobSpec(
+                id,
+                RecordFields.text(fields, JOB_CLASS),
+                RecordFields.text(fields, TEAM),
+                JobKind.fromStoredWord(RecordFields.text(fields, KIND)),
+                Priority.fromStoredWord(RecordFields.text(fields, PRIORITY)),
+                taskCountOf(fields),
+                RecordFields.resources(fields),
+                RecordFields.texts(fields, ALLOWED_MACHINE_TYPES),
+                RecordFields.text(fields, REQUIRED_ZONE),
+                RecordFields.flag(fields, REQUIRES_SINGLE_ZONE),
+                RecordFields.flag(fields, SPREADS_ACROSS_ZONES),
+                RecordFields.flag(fields, ALLOWS_SPOT),
+                RecordFields.text(fields, IMAGE),
+                RecordFields.decimal(fields, IMAGE_SIZE_GB),
+                RecordFields.decimal(fields, ESTIMATED_RUNTIME_SECONDS),
+                RecordFields.decimal(fields, CHECKPOINT_INTERVAL_SECONDS),
+                RecordFields.decimal(fields, CHECKPOINT_DURATION_SECONDS),
+                RecordFields.decimalOrNan(fields, DEADLINE_SECONDS));
+    }
+
+    /** Whether the job was cancelled when the record was written. */
+    public static boolean isCancelled(Map<String, Object> fields) {
+        return RecordFields.flag(fields, CANCELLED);
+    }
+
+    /** A copy of the record with the cancellation noted. */
+    public static Map<String, Object> withCancellation(Map<String, Object> fields) {
+        Map<String, Object> copy = new LinkedHashMap<>(fields);
+        copy.put(CANCELLED, true);
+        return copy;
+    }
+
+    /** The team whose quota the job counts against. */
+    public static String teamOf(Map<String, Object> fields) {
+        return RecordFields.text(fields, TEAM);
+    }
+
+    /** The number of the job's tasks. */
+    public static int taskCountOf(Map<String, Object> fields) {
+        return RecordFields.integer(fields, TASK_COUNT);
+    }
+
+    /** The key of the job's secondary record, or null if it has none. */
+    public static String secondaryRecordKeyOf(Map<String, Object> fields) {
+        return SecondaryRecord.keyInReference(fields.get(SECONDARY_RECORD));
+    }
+}
--- a/src/main/java/org/meadowhollow/storage/RecordCodec.java
+++ b/src/main/java/org/meadowhollow/storage/RecordCodec.java
@@ -1,384 +1,182 @@
 package org.meadowhollow.storage;
 
-import java.util.ArrayList;
-import java.util.BitSet;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.regex.Pattern;
-import org.meadowhollow.model.AttemptNumber;
 import org.meadowhollow.model.Job;
 import org.meadowhollow.model.JobId;
-import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.MachineId;
 import org.meadowhollow.model.MachineType;
 import org.meadowhollow.model.MonotonicTime;
-import org.meadowhollow.model.Placement;
-import org.meadowhollow.model.Priority;
-import org.meadowhollow.model.Resources;
 import org.meadowhollow.model.Revision;
 import org.meadowhollow.model.SecondaryRecord;
-import org.meadowhollow.model.TaskId;
-import org.meadowhollow.model.TaskShard;
-import org.meadowhollow.model.WorkerIncarnation;
 
-/** The keys and values under which everything is kept in the state service. */
+/**
+ * The earlier entry point to {@link RecordKeys} and the codecs of each kind of record. Every member
+ * only delegates; callers outside this package move to the types named in each comment, and then
+ * this type goes.
+ */
 public final class RecordCodec {
-    public static final String FENCING_TOKEN_KEY = "meta/term";
-    public static final String LEADER_KEY = "meta/leader";
-    public static final String MACHINE_TYPES_KEY = "meta/types";
-    public static final String JOB_PREFIX = "job/";
-    public static final String TASK_PREFIX = "task/";
-    public static final String IMAGE_PREFIX = "image/";
+    /** See {@link RecordKeys#FENCING_TOKEN_KEY}. */
+    public static final String FENCING_TOKEN_KEY = RecordKeys.FENCING_TOKEN_KEY;
 
-    /**
-     * Snapshots of the risk tables, in chunks, and the record that says which of them are the
-     * newest.
-     */
-    public static final String RISK_TABLE_PREFIX = "table/";
+    /** See {@link RecordKeys#LEADER_KEY}. */
+    public static final String LEADER_KEY = RecordKeys.LEADER_KEY;
 
-    public static final String RISK_TABLE_HEAD_KEY = RISK_TABLE_PREFIX + "head";
-    private static final String SECONDARY_RECORD_FIELD = "companion";
-    private static final String ATTEMPTS_FIELD = "log";
+    /** See {@link RecordKeys#MACHINE_TYPES_KEY}. */
+    public static final String MACHINE_TYPES_KEY = RecordKeys.MACHINE_TYPES_KEY;
 
-    /** Image names that can be part of a key as they are. */
-    private static final Pattern VALID_IMAGE_KEY = Pattern.compile("[A-Za-z0-9._:/-]{1,150}");
+    /** See {@link RecordKeys#JOB_PREFIX}. */
+    public static final String JOB_PREFIX = RecordKeys.JOB_PREFIX;
 
-    /** Bytes around a machine's name in a list, and around the list. */
-    private static final int FRAMING_BYTES = 8;
+    /** See {@link RecordKeys#TASK_PREFIX}. */
+    public static final String TASK_PREFIX = RecordKeys.TASK_PREFIX;
 
-    /** Bytes that one task's entry takes in a chunk's record at most. */
-    private static final int MAX_TASK_ENTRY_BYTES = 64;
+    /** See {@link RecordKeys#IMAGE_PREFIX}. */
+    public static final String IMAGE_PREFIX = RecordKeys.IMAGE_PREFIX;
 
-    /** Tasks in a chunk at most: a round's changes to a job then mostly fit into one record. */
-    private static final int MAX_TASKS_PER_SHARD = 100;
+    /** See {@link RecordKeys#RISK_TABLE_PREFIX}. */
+    public static final String RISK_TABLE_PREFIX = RecordKeys.RISK_TABLE_PREFIX;
 
-    /** The form of the records that this program reads and writes. */
-    public static final int SCHEMA_VERSION = 1;
+    /** See {@link RecordKeys#RISK_TABLE_HEAD_KEY}. */
+    public static final String RISK_TABLE_HEAD_KEY = RecordKeys.RISK_TABLE_HEAD_KEY;
+
+    /** See {@link RecordKeys#SCHEMA_VERSION}. */
+    public static final int SCHEMA_VERSION = RecordKeys.SCHEMA_VERSION;
 
     private RecordCodec() {}
 
+    /** See {@link ImageLocationsCodec.EncodedImageLocations}. */
+    public record ImageLocationsRecord(Map<String, Object> fields, int estimatedBytes) {}
+
+    /** See {@link TaskShardCodec#shardSizeFor}. */
     public static int shardSize(int valueBytes) {
-        return Math.max(1, Math.min(MAX_TASKS_PER_SHARD, valueBytes / MAX_TASK_ENTRY_BYTES));
+        return TaskShardCodec.shardSizeFor(valueBytes);
     }
 
+    /** See {@link RecordKeys#job}. */
     public static String job(JobId id) {
-        return JOB_PREFIX + id.value();
+        return RecordKeys.job(id);
     }
 
+    /** See {@link RecordKeys#endedJob}. */
     public static String ended(JobId id) {
-        return "ended/" + id.value();
-    }
-
-    static String shardKey(TaskShard taskShard) {
-        return TASK_PREFIX + taskShard.job().id().value() + '/' + taskShard.index();
+        return RecordKeys.endedJob(id);
     }
 
-    /** The prefix of a set's chunks. */
+    /** See {@link RecordKeys#riskTableSetPrefix}. */
     public static String riskTableSetPrefix(int set) {
-        return RISK_TABLE_PREFIX + set + '/';
+        return RecordKeys.riskTableSetPrefix(set);
     }
 
+    /** See {@link RecordKeys#riskTableChunk}. */
     public static String riskTableChunkKey(int set, int chunk) {
-        return riskTableSetPrefix(set) + chunk;
+        return RecordKeys.riskTableChunk(set, chunk);
     }
 
+    /** See {@link RecordKeys#jobIdOfKey}. */
     public static JobId jobIdOfKey(String key) {
-        return new JobId(key.substring(JOB_PREFIX.length()));
+        return RecordKeys.jobIdOfKey(key);
     }
 
-    public static Map<String, Object> job(
-            JobSpec spec, long acceptedAtMillis, int chunkSize, boolean cancelled) {
-        return job(spec, acceptedAtMillis, chunkSize, cancelled, null);
-    }
-
-    /**
-     * @param secondaryRecord what another interface keeps beside the job, or null
-     */
+    /** See {@link JobRecordCodec#encode}. */
     public static Map<String, Object> job(
             JobSpec spec,
             long acceptedAtMillis,
-            int chunkSize,
-            boolean cancelled,
+            int shardSize,
+            boolean isCancelled,
             SecondaryRecord secondaryRecord) {
-        Map<String, Object> map = new LinkedHashMap<>();
-        map.put("class", spec.jobClass());
-        map.put("team", spec.team());
-        map.put("kind", spec.kind().name());
-        map.put("priority", spec.priority().name());
-        map.put("tasks", (long) spec.taskCount());
-        map.put("cpu", spec.resourcesPerTask().cpu());
-        map.put("gpu", spec.resourcesPerTask().gpu());
-        map.put("memory", spec.resourcesPerTask().memory());
-        map.put("types", spec.allowedMachineTypes());
-        map.put("zone", spec.requiredZone());
-        map.put("oneZone", spec.requiresSingleZone());
-        map.put("spread", spec.spreadsAcrossZones());
-        map.put("spot", spec.allowsSpot());
-        map.put("image", spec.image());
-        map.put("imageGb", spec.imageSizeGb());
-        map.put("estimate", spec.estimatedRuntimeSeconds());
-        map.put("checkpoint", spec.checkpointIntervalSeconds());
-        map.put("save", spec.checkpointDurationSeconds());
-        map.put("deadline", Double.isNaN(spec.deadlineSeconds()) ? null : spec.deadlineSeconds());
-        map.put("accepted", acceptedAtMillis);
-        map.put("chunk", (long) chunkSize);
-        map.put("cancelled", cancelled);
-        if (secondaryRecord != null) {
-            map.put(SECONDARY_RECORD_FIELD, secondaryRecord.encodeReference());
-        }
-        return map;
+        return JobRecordCodec.encode(
+                spec, acceptedAtMillis, shardSize, isCancelled, secondaryRecord);
     }
 
-    @SuppressWarnings("unchecked")
-    public static Job job(JobId id, Map<String, Object> map, Revision revision, MonotonicTime now) {
-        Object deadline = map.get("deadline");
-        JobSpec spec =
-                new JobSpec(
-                        id,
-                        (String) map.get("class"),
-                        (String) map.get("team"),
-                        JobKind.valueOf((String) map.get("kind")),
-                        Priority.valueOf((String) map.get("priority")),
-                        number(map, "tasks").intValue(),
-                        new Resources(
-                                number(map, "cpu").longValue(),
-                                number(map, "gpu").longValue(),
-                                number(map, "memory").longValue()),
-                        (List<String>) map.get("types"),
-                        (String) map.get("zone"),
-                        flag(map, "oneZone"),
-                        flag(map, "spread"),
-                        flag(map, "spot"),
-                        (String) map.get("image"),
-                        number(map, "imageGb").doubleValue(),
-                        number(map, "estimate").doubleValue(),
-                        number(map, "checkpoint").doubleValue(),
-                        number(map, "save").doubleValue(),
-                        deadline == null ? Double.NaN : ((Number) deadline).doubleValue());
-        Job job =
-                new Job(
-                        spec,
-                        number(map, "accepted").longValue(),
-                        number(map, "chunk").intValue(),
-                        revision,
-                        SecondaryRecord.decodeReference(map.get(SECONDARY_RECORD_FIELD)));
-        if (flag(map, "cancelled")) {
-            job.cancel(now);
-        }
-        return job;
+    /** See {@link JobRecordCodec#decode}. */
+    public static Job job(
+            JobId id, Map<String, Object> fields, Revision revision, MonotonicTime now) {
+        return JobRecordCodec.decode(id, fields, revision, now);
     }
 
-    /** The key of what another interface keeps beside a job, or null. */
+    /** See {@link JobRecordCodec#secondaryRecordKeyOf}. */
     public static String secondaryRecordKey(Map<String, Object> jobRecord) {
-        return SecondaryRecord.keyInReference(jobRecord.get(SECONDARY_RECORD_FIELD));
+        return JobRecordCodec.secondaryRecordKeyOf(jobRecord);
     }
 
-    public static boolean isCancelled(Map<String, Object> jobRecord) {
-        return flag(jobRecord, "cancelled");
+    /** See {@link JobRecordCodec#isCancelled} and {@link EndedJobCodec#isCancelled}. */
+    public static boolean isCancelled(Map<String, Object> record) {
+        return JobRecordCodec.isCancelled(record);
     }
 
-    /** The same record with the cancellation noted. */
+    /** See {@link JobRecordCodec#withCancellation}. */
     public static Map<String, Object> withCancellation(Map<String, Object> jobRecord) {
-        Map<String, Object> copy = new LinkedHashMap<>(jobRecord);
-        copy.put("cancelled", true);
-        return copy;
+        return JobRecordCodec.withCancellation(jobRecord);
     }
 
+    /** See {@link JobRecordCodec#teamOf}. */
     public static String teamOf(Map<String, Object> jobRecord) {
-        return (String) jobRecord.get("team");
+        return JobRecordCodec.teamOf(jobRecord);
     }
 
+    /** See {@link JobRecordCodec#taskCountOf} and {@link EndedJobCodec#taskCountOf}. */
     public static int taskCountOf(Map<String, Object> record) {
-        return number(record, "tasks").intValue();
-    }
-
-    /** The final state of a job, kept for ever. */
-    static Map<String, Object> ended(Job job) {
-        Map<String, Object> map = new LinkedHashMap<>();
-        map.put("cancelled", job.isCancelled());
-        map.put("tasks", (long) job.spec().taskCount());
-        map.put("done", (long) job.completedTaskCount());
-        return map;
+        return JobRecordCodec.taskCountOf(record);
     }
 
+    /** See {@link EndedJobCodec#completedTaskCountOf}. */
     public static int completedTaskCountOf(Map<String, Object> endedRecord) {
-        return number(endedRecord, "done").intValue();
-    }
-
-    /** A chunk's record: the last attempt, runs of done tasks, and what may be running where. */
-    static Map<String, Object> encodeShard(TaskShard taskShard) {
-        Job job = taskShard.job();
-        List<Object> runs = new ArrayList<>();
-        BitSet done = job.completedTasks();
-        int end = taskShard.endTaskExclusive();
-        for (int from = done.nextSetBit(taskShard.firstTask()); from >= 0 && from < end; ) {
-            int to = Math.min(end, done.nextClearBit(from));
-            runs.add((long) from);
-            runs.add((long) to - from);
-            from = done.nextSetBit(to);
-        }
-        List<Object> placed = new ArrayList<>();
-        for (int task = taskShard.firstTask(); task < end; task++) {
-            Placement placement = job.placement(task);
-            if (placement != null) {
-                placed.add(
-                        List.of(
-                                (long) task,
-                                (long) placement.attemptNumber().value(),
-                                placement.machineId().value(),
-                                placement.incarnation().value()));
-            }
-        }
-        Map<String, Object> map = new LinkedHashMap<>();
-        map.put("last", (long) taskShard.highestAttempt());
-        map.put("done", runs);
-        map.put("placed", placed);
-        if (job.secondaryRecord() != null) {
-            map.put(ATTEMPTS_FIELD, job.secondaryRecord().encodeAttempts());
-        }
-        return map;
+        return EndedJobCodec.completedTaskCountOf(endedRecord);
     }
 
-    /** Takes a chunk's record in; false if it belongs to no live job and can be removed. */
+    /** See {@link TaskShardCodec#restore}. */
     public static boolean restoreShard(
             KeyValueStore.Entry entry, Map<JobId, Job> jobs, MonotonicTime now) {
-        String path = entry.key().substring(TASK_PREFIX.length());
-        TaskId name = TaskId.parse(path);
-        Job job = name == null ? null : jobs.get(name.jobId());
-        if (job == null || name.index() >= job.shardCount()) {
-            return false;
-        }
-        TaskShard taskShard = job.shard(name.index());
-        taskShard.adoptRevision(entry.revision());
-        taskShard.recordAttempt(number(entry.value(), "last").intValue());
-        if (job.secondaryRecord() != null) {
-            job.secondaryRecord().restoreAttempts(entry.value().get(ATTEMPTS_FIELD));
-        }
-        List<?> runs = (List<?>) entry.value().get("done");
-        for (int at = 0; at < runs.size(); at += 2) {
-            job.restoreCompletedTasks(
-                    ((Number) runs.get(at)).intValue(), ((Number) runs.get(at + 1)).intValue());
-        }
-        for (Object item : (List<?>) entry.value().get("placed")) {
-            List<?> placed = (List<?>) item;
-            job.restorePlacement(
-                    ((Number) placed.get(0)).intValue(),
-                    new AttemptNumber(((Number) placed.get(1)).intValue()),
-                    new MachineId((String) placed.get(2)),
-                    new WorkerIncarnation(((Number) placed.get(3)).longValue()),
-                    now);
-        }
-        return true;
+        return TaskShardCodec.restore(entry, jobs, now);
     }
 
-    /** Adds the versions of a live job's records, as far as they are known. */
+    /** See {@link RecordDigests#addRecordsOf}. */
     public static void addToDigests(Job job, RecordDigests recordDigests) {
-        recordDigests.add(job(job.id()), job.recordRevision());
-        for (int at = 0; at < job.shardCount(); at++) {
-            if (job.hasPersistedShard(at) || job.shard(at).inFlight()) {
-                TaskShard taskShard = job.shard(at);
-                recordDigests.add(
-                        shardKey(taskShard),
-                        taskShard.inFlight() ? null : taskShard.recordRevision());
-            }
-        }
+        recordDigests.addRecordsOf(job);
     }
 
-    /** Which machines have an image, and about how large that is in the state service. */
-    public record ImageLocationsRecord(Map<String, Object> fields, int estimatedBytes) {}
-
+    /** See {@link RecordKeys#isValidImageKey}. */
     public static boolean isImageKey(String image) {
-        return VALID_IMAGE_KEY.matcher(image).matches();
+        return RecordKeys.isValidImageKey(image);
     }
 
+    /** See {@link RecordKeys#image}. */
     public static String imageKey(String image) {
-        return IMAGE_PREFIX + image;
+        return RecordKeys.image(image);
     }
 
+    /** See {@link RecordKeys#imageOfKey}. */
     public static String imageOfKey(String key) {
-        return key.substring(IMAGE_PREFIX.length());
+        return RecordKeys.imageOfKey(key);
     }
 
-    /** The latest machines come last in a list and are kept if not all fit into a value. */
+    /** See {@link ImageLocationsCodec#encode}. */
     public static ImageLocationsRecord encodeImageLocations(
             double gb, List<MachineId> machines, int valueBytes) {
-        List<Object> names = new ArrayList<>();
-        int bytes = 4 * FRAMING_BYTES;
-        for (int at = machines.size() - 1; at >= 0; at--) {
-            bytes += machines.get(at).value().length() + FRAMING_BYTES;
-            if (bytes > valueBytes) {
-                break;
-            }
-            names.add(machines.get(at).value());
-        }
-        Map<String, Object> map = new LinkedHashMap<>();
-        map.put("gb", gb);
-        map.put("machines", names);
-        return new ImageLocationsRecord(map, bytes);
+        ImageLocationsCodec.EncodedImageLocations encoded =
+                ImageLocationsCodec.encode(gb, machines, valueBytes);
+        return new ImageLocationsRecord(encoded.fields(), encoded.estimatedBytes());
     }
 
+    /** See {@link ImageLocationsCodec#sizeGbOf}. */
     public static double imageSizeGbOf(Map<String, Object> record) {
-        return number(record, "gb").doubleValue();
+        return ImageLocationsCodec.sizeGbOf(record);
     }
 
+    /** See {@link ImageLocationsCodec#machinesOf}. */
     public static List<MachineId> machinesWithImage(Map<String, Object> record) {
-        List<MachineId> machines = new ArrayList<>();
-        for (Object name : (List<?>) record.get("machines")) {
-            machines.add(new MachineId((String) name));
-        }
-        return machines;
+        return ImageLocationsCodec.machinesOf(record);
     }
 
+    /** See {@link MachineTypesCodec#encode}. */
     public static Map<String, Object> types(List<MachineType> types) {
-        List<Object> list = new ArrayList<>();
-        for (MachineType type : types) {
-            Map<String, Object> map = new LinkedHashMap<>();
-            map.put("name", type.name());
-            map.put("cpu", type.capacity().cpu());
-            map.put("gpu", type.capacity().gpu());
-            map.put("memory", type.capacity().memory());
-            map.put("cacheGb", type.imageCacheGb());
-            map.put("fetchGbPerS", type.imagePullGbPerSecond());
-            map.put("price", type.hourlyPrice());
-            map.put("spotPrice", type.hourlySpotPrice());
-            map.put("bootS", type.bootSeconds());
-            map.put("zones", type.zones());
-            list.add(map);
-        }
-        Map<String, Object> record = new LinkedHashMap<>();
-        record.put("types", list);
-        return record;
+        return MachineTypesCodec.encode(types);
     }
 
-    @SuppressWarnings("unchecked")
+    /** See {@link MachineTypesCodec#decode}. */
     public static List<MachineType> types(Map<String, Object> record) {
-        List<MachineType> types = new ArrayList<>();
-        for (Object item : (List<?>) record.get("types")) {
-            Map<String, Object> map = (Map<String, Object>) item;
-            types.add(
-                    new MachineType(
-                            (String) map.get("name"),
-                            new Resources(
-                                    number(map, "cpu").longValue(),
-                                    number(map, "gpu").longValue(),
-                                    number(map, "memory").longValue()),
-                            number(map, "cacheGb").doubleValue(),
-                            number(map, "fetchGbPerS").doubleValue(),
-                            number(map, "price").doubleValue(),
-                            number(map, "spotPrice").doubleValue(),
-                            number(map, "bootS").doubleValue(),
-                            (List<String>) map.get("zones")));
-        }
-        return types;
-    }
-
-    private static Number number(Map<String, Object> map, String key) {
-        return (Number) map.get(key);
-    }
-
-    private static boolean flag(Map<String, Object> map, String key) {
-        return Boolean.TRUE.equals(map.get(key));
+        return MachineTypesCodec.decode(record);
     }
 }
--- a/src/main/java/org/meadowhollow/storage/RecordDigests.java
+++ b/src/main/java/org/meadowhollow/storage/RecordDigests.java
@@ -8,7 +8,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import org.meadowhollow.model.Job;
 import org.meadowhollow.model.Revision;
+import org.meadowhollow.model.TaskShard;
 
 /**
  * Digests of records by part: how many there are, and a sum over the hashes of their keys with
@@ -57,6 +59,20 @@
         parts.put(part, new PartDigest(before.recordCount() + 1, before.hashSum() + hash));
     }
 
+    /**
+     * Adds the records of a live job: its own and those of its shards that are stored or being
+     * written.
+     */
+    public void addRecordsOf(Job job) {
+        add(RecordKeys.job(job.id()), job.recordRevision());
+        for (int at = 0; at < job.shardCount(); at++) {
+            if (job.hasPersistedShard(at) || job.shard(at).inFlight()) {
+                TaskShard shard = job.shard(at);
+                add(RecordKeys.taskShard(shard), shard.inFlight() ? null : shard.recordRevision());
+            }
+        }
+    }
+
     /** Adds the digests of other parts. */
     public void add(RecordDigests other) {
         parts.putAll(other.parts);
--- /dev/null
+++ b/src/main/java/org/meadowhollow/storage/RecordFields.java
@@ -0,0 +1,68 @@
+package org.meadowhollow.storage;
+
+import java.util.List;
+import java.util.Map;
+import org.meadowhollow.model.Resources;
+
+/** Typed access to the fields of a stored record, and the fields that several kinds share. */
+final class RecordFields {
+    private static final String CPU = "cpu";
+    private static final String GPU = "gpu";
+    private static final String MEMORY = "memory";
+
+    private RecordFields() {}
+
+    /** A text field; null if it is absent. */
+    static String text(Map<String, Object> fields, String name) {
+        return (String) fields.get(name);
+    }
+
+    /** A numeric field; throws {@link NullPointerException} if it is absent. */
+    static int integer(Map<String, Object> fields, String name) {
+        return number(fields, name).intValue();
+    }
+
+    /** A numeric field; throws {@link NullPointerException} if it is absent. */
+    static long longInteger(Map<String, Object> fields, String name) {
+        return number(fields, name).longValue();
+    }
+
+    /** A numeric field; throws {@link NullPointerException} if it is absent. */
+    static double decimal(Map<String, Object> fields, String name) {
+        return number(fields, name).doubleValue();
+    }
+
+    /** A numeric field, or NaN if it is absent. */
+    static double decimalOrNan(Map<String, Object> fields, String name) {
+        Number value = number(fields, name);
+        return value == null ? Double.NaN : value.doubleValue();
+    }
+
+    /** A truth value; false if it is absent. */
+    static boolean flag(Map<String, Object> fields, String name) {
+        return Boolean.TRUE.equals(fields.get(name));
+    }
+
+    /** A list of texts; null if it is absent. */
+    @SuppressWarnings("unchecked") // The codec of the store decodes lists of texts as such.
+    static List<String> texts(Map<String, Object> fields, String name) {
+        return (List<String>) fields.get(name);
+    }
+
+    /** Adds the three amounts of a resource vector, in millionths, to a record. */
+    static void putResources(Map<String, Object> fields, Resources resources) {
+        fields.put(CPU, resources.cpu());
+        fields.put(GPU, resources.gpu());
+        fields.put(MEMORY, resources.memory());
+    }
+
+    /** The resource vector of a record. */
+    static Resources resources(Map<String, Object> fields) {
+        return new Resources(
+                longInteger(fields, CPU), longInteger(fields, GPU), longInteger(fields, MEMORY));
+    }
+
+    private static Number number(Map<String, Object> fields, String name) {
+        return (Number) fields.get(name);
+    }
+}
--- a/src/main/java/org/meadowhollow/storage/RecordWriter.java
+++ b/src/main/java/org/meadowhollow/storage/RecordWriter.java
@@ -156,7 +156,7 @@
         traceEndedAttempts(job, untracedEndedAttempts(job), loop.wallClockMillis());
         for (int at = 0; at < job.shardCount(); at++) {
             if (job.hasPersistedShard(at)) {
-                addObsoleteKey(RecordCodec.shardKey(job.shard(at)));
+                addObsoleteKey(RecordKeys.taskShard(job.shard(at)));
             }
         }
         job.markEnded();
@@ -190,7 +190,7 @@
                 && inFlight < MAX_TRANSACTIONS_IN_FLIGHT
                 && !(dirtyShards.isEmpty() && endPending.isEmpty())) {
             Transaction transaction =
-                    new Transaction().requireRevision(RecordCodec.LEADER_KEY, leaderKeyRevision);
+                    new Transaction().requireRevision(RecordKeys.LEADER_KEY, leaderKeyRevision);
             List<JobEndWrite> ends = new ArrayList<>();
             List<ShardWrite> saves = new ArrayList<>();
             Map<String, Object> touched = new HashMap<>();
@@ -229,7 +229,7 @@
      */
     private void deleteObsoleteKeys() {
         Transaction transaction =
-                new Transaction().requireRevision(RecordCodec.LEADER_KEY, leaderKeyRevision);
+                new Transaction().requireRevision(RecordKeys.LEADER_KEY, leaderKeyRevision);
         while (!obsoleteKeys.isEmpty() && transaction.writes().size() < currentWriteLimit) {
             transaction.delete(obsoleteKeys.remove(obsoleteKeys.size() - 1));
         }
@@ -319,15 +319,15 @@
                             loop.wallClockMillis(),
                             new ArrayList<>());
             ends.add(end);
-            touched.put(RecordCodec.job(job.id()), job);
+            touched.put(RecordKeys.job(job.id()), job);
             transaction
-                    .requireRevision(RecordCodec.job(job.id()), job.recordRevision())
-                    .put(RecordCodec.ended(job.id()), RecordCodec.ended(job))
-                    .delete(RecordCodec.job(job.id()));
+                    .requireRevision(RecordKeys.job(job.id()), job.recordRevision())
+                    .put(RecordKeys.endedJob(job.id()), EndedJobCodec.encode(job))
+                    .delete(RecordKeys.job(job.id()));
             putSecondaryRecord(transaction, job);
             for (int at = 0; at < job.shardCount(); at++) {
                 if (job.hasPersistedShard(at)) {
-                    String key = RecordCodec.shardKey(job.shard(at));
+                    String key = RecordKeys.taskShard(job.shard(at));
                     // A job's end is what its user waits for; what is left of it can go when less
                     // is to be written.
                     if (!pressed && transaction.writes().size() < currentWriteLimit) {
@@ -393,14 +393,14 @@
                                     ? taskShard.currentLocations()
                                     : null,
                             untracedEndedAttempts(job)));
-            String key = RecordCodec.shardKey(taskShard);
+            String key = RecordKeys.taskShard(taskShard);
             touched.put(key, taskShard);
-            touched.put(RecordCodec.job(job.id()), job);
+            touched.put(RecordKeys.job(job.id()), job);
             // A start must not be committed after the user was told of a cancellation.
             transaction
-                    .requireRevision(RecordCodec.job(job.id()), job.recordRevision())
+                    .requireRevision(RecordKeys.job(job.id()), job.recordRevision())
                     .requireRevision(key, taskShard.recordRevision())
-                    .put(key, RecordCodec.encodeShard(taskShard));
+                    .put(key, TaskShardCodec.encode(taskShard));
             putSecondaryRecord(transaction, job);
         }
     }
@@ -515,7 +515,7 @@
             pauseBeforeRetry();
             return;
         }
-        if (commitResult.conflictingKeys().contains(RecordCodec.LEADER_KEY)) {
+        if (commitResult.conflictingKeys().contains(RecordKeys.LEADER_KEY)) {
             handleLeadershipLost();
             return;
         }
--- a/src/test/java/org/meadowhollow/storage/GoldenFilesMain.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenFilesMain.java
@@ -179,22 +179,25 @@
     private static void jobs() throws IOException {
         job(
                 "job-array",
-                RecordCodec.job(fullArray(), 1_700_000_000_000L, 100, false),
+                JobRecordCodec.encode(fullArray(), 1_700_000_000_000L, 100, false, null),
                 "req-000101");
-        job("job-gang", RecordCodec.job(gang(), 1_700_000_000_100L, 100, false), "req-000102");
+        job(
+                "job-gang",
+                JobRecordCodec.encode(gang(), 1_700_000_000_100L, 100, false, null),
+                "req-000102");
         job(
                 "job-service",
-                RecordCodec.job(service(), 1_700_000_000_200L, 100, false),
+                JobRecordCodec.encode(service(), 1_700_000_000_200L, 100, false, null),
                 "req-000103");
         job(
                 "job-cancelled",
-                RecordCodec.withCancellation(
-                        RecordCodec.job(cancelled(), 1_700_000_000_300L, 100, false)),
+                JobRecordCodec.withCancellation(
+                        JobRecordCodec.encode(cancelled(), 1_700_000_000_300L, 100, false, null)),
                 "req-000104");
         job(
                 "job-accompanied",
                 GoldenFile.sorted(
-                        RecordCodec.job(
+                        JobRecordCodec.encode(
                                 accompanied(),
                                 1_700_000_000_400L,
                                 100,
@@ -205,11 +208,11 @@
     }
 
     private static void job(String name, Map<String, Object> record, String id) throws IOException {
-        GoldenFile.write(name, RecordCodec.job(new JobId(id)), record);
+        GoldenFile.write(name, RecordKeys.job(new JobId(id)), record);
     }
 
     private static void chunk(String name, TaskShard taskShard) throws IOException {
-        GoldenFile.write(name, RecordCodec.shardKey(taskShard), RecordCodec.encodeShard(taskShard));
+        GoldenFile.write(name, RecordKeys.taskShard(taskShard), TaskShardCodec.encode(taskShard));
     }
 
     private static void chunks() throws IOException {
@@ -287,26 +290,28 @@
         Job done = new Job(gang(), 0, 100, VERSION);
         done.restoreCompletedTasks(0, 4);
         GoldenFile.write(
-                "ended-done", RecordCodec.ended(new JobId("req-000105")), RecordCodec.ended(done));
+                "ended-done",
+                RecordKeys.endedJob(new JobId("req-000105")),
+                EndedJobCodec.encode(done));
         Job stopped = new Job(service(), 0, 100, VERSION);
         stopped.markTaskComplete(1);
         stopped.cancel(NOW);
         GoldenFile.write(
                 "ended-cancelled",
-                RecordCodec.ended(new JobId("req-000106")),
-                RecordCodec.ended(stopped));
+                RecordKeys.endedJob(new JobId("req-000106")),
+                EndedJobCodec.encode(stopped));
         GoldenFile.write(
                 "image",
-                RecordCodec.imageKey("registry/image:1"),
-                RecordCodec.encodeImageLocations(
+                RecordKeys.image("registry/image:1"),
+                ImageLocationsCodec.encode(
                                 2.5,
                                 List.of(new MachineId("vm-000001"), new MachineId("vm-000002")),
                                 16 * 1024)
                         .fields());
         GoldenFile.write(
                 "types",
-                RecordCodec.MACHINE_TYPES_KEY,
-                RecordCodec.types(
+                RecordKeys.MACHINE_TYPES_KEY,
+                MachineTypesCodec.encode(
                         List.of(
                                 new MachineType(
                                         "small",
@@ -330,27 +335,27 @@
 
     private static void leadership() throws IOException {
         GoldenStore store = new GoldenStore();
-        store.put(RecordCodec.FENCING_TOKEN_KEY, Map.of("term", 41L));
+        store.put(RecordKeys.FENCING_TOKEN_KEY, Map.of("term", 41L));
         GoldenStore.candidate("n1", store, new GoldenStore.Noted()).start();
         GoldenFile.write(
-                "term", RecordCodec.FENCING_TOKEN_KEY, store.get(RecordCodec.FENCING_TOKEN_KEY));
+                "term", RecordKeys.FENCING_TOKEN_KEY, store.get(RecordKeys.FENCING_TOKEN_KEY));
         GoldenFile.write(
                 "leader",
-                RecordCodec.LEADER_KEY,
-                GoldenFile.sorted(store.get(RecordCodec.LEADER_KEY)));
+                RecordKeys.LEADER_KEY,
+                GoldenFile.sorted(store.get(RecordKeys.LEADER_KEY)));
         GoldenFile.write(
                 "term-resigned",
-                RecordCodec.FENCING_TOKEN_KEY,
+                RecordKeys.FENCING_TOKEN_KEY,
                 CandidacyPolicy.resignationRecord(42, "n1", "n2"));
         store = new GoldenStore();
-        store.put(RecordCodec.FENCING_TOKEN_KEY, Map.of("term", 41L));
+        store.put(RecordKeys.FENCING_TOKEN_KEY, Map.of("term", 41L));
         var leaving = GoldenStore.candidate("n1", store, new GoldenStore.Noted());
         leaving.start();
         GoldenStore.handOver(leaving, "n2");
         GoldenFile.write(
                 "term-handed-over",
-                RecordCodec.FENCING_TOKEN_KEY,
-                GoldenFile.sorted(store.get(RecordCodec.FENCING_TOKEN_KEY)));
+                RecordKeys.FENCING_TOKEN_KEY,
+                GoldenFile.sorted(store.get(RecordKeys.FENCING_TOKEN_KEY)));
     }
 
     private static void tables() throws IOException {
@@ -391,12 +396,12 @@
                 GoldenStore.withSnapshot(parts, Optional.empty(), 1_700_000_000_000L, 160);
         GoldenFile.write(
                 "table-head",
-                RecordCodec.RISK_TABLE_HEAD_KEY,
-                GoldenFile.sorted(store.get(RecordCodec.RISK_TABLE_HEAD_KEY)));
+                RecordKeys.RISK_TABLE_HEAD_KEY,
+                GoldenFile.sorted(store.get(RecordKeys.RISK_TABLE_HEAD_KEY)));
         for (int at = 0;
-                at < ((Number) store.get(RecordCodec.RISK_TABLE_HEAD_KEY).get("chunks")).intValue();
+                at < ((Number) store.get(RecordKeys.RISK_TABLE_HEAD_KEY).get("chunks")).intValue();
                 at++) {
-            String key = RecordCodec.riskTableChunkKey(1, at);
+            String key = RecordKeys.riskTableChunk(1, at);
             GoldenFile.write("table-chunk-" + at, key, store.get(key));
         }
     }
--- a/src/test/java/org/meadowhollow/storage/GoldenRecordsTest.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenRecordsTest.java
@@ -66,9 +66,9 @@
     private static final long TABLES_AT = 1_700_000_000_000L;
 
     private static Job job(GoldenFile file) {
-        JobId id = RecordCodec.jobIdOfKey(file.key());
-        assertEquals(file.key(), RecordCodec.job(id));
-        Job job = RecordCodec.job(id, file.value(), VERSION, NOW);
+        JobId id = RecordKeys.jobIdOfKey(file.key());
+        assertEquals(file.key(), RecordKeys.job(id));
+        Job job = JobRecordCodec.decode(id, file.value(), VERSION, NOW);
         assertEquals(id, job.id());
         assertEquals(VERSION, job.recordRevision());
         return job;
@@ -76,13 +76,13 @@
 
     private static Map<String, Object> encoded(Job job) {
         Map<String, Object> record =
-                RecordCodec.job(
+                JobRecordCodec.encode(
                         job.spec(),
                         job.acceptedAtMillis(),
                         job.shardSize(),
                         false,
                         job.secondaryRecord());
-        return job.isCancelled() ? RecordCodec.withCancellation(record) : record;
+        return job.isCancelled() ? JobRecordCodec.withCancellation(record) : record;
     }
 
     private static void assertJob(
@@ -124,10 +124,10 @@
                 false,
                 job);
         assertNull(job.secondaryRecord());
-        assertNull(RecordCodec.secondaryRecordKey(file.value()));
-        assertEquals("team", RecordCodec.teamOf(file.value()));
-        assertEquals(250, RecordCodec.taskCountOf(file.value()));
-        assertFalse(RecordCodec.isCancelled(file.value()));
+        assertNull(JobRecordCodec.secondaryRecordKeyOf(file.value()));
+        assertEquals("team", JobRecordCodec.teamOf(file.value()));
+        assertEquals(250, JobRecordCodec.taskCountOf(file.value()));
+        assertFalse(JobRecordCodec.isCancelled(file.value()));
         file.assertSameBytes(encoded(job));
     }
 
@@ -218,7 +218,7 @@
                 1_700_000_000_300L,
                 true,
                 job);
-        assertTrue(RecordCodec.isCancelled(file.value()));
+        assertTrue(JobRecordCodec.isCancelled(file.value()));
         file.assertSameBytes(encoded(job));
     }
 
@@ -256,7 +256,7 @@
                 job);
         String key = "tesx/0123456789abcdef/9998299999998-tes-00112233445566778899aabbcc";
         assertEquals(key, job.secondaryRecord().key());
-        assertEquals(key, RecordCodec.secondaryRecordKey(file.value()));
+        assertEquals(key, JobRecordCodec.secondaryRecordKeyOf(file.value()));
         assertEquals(
                 Map.of(
                         "key",
@@ -292,10 +292,10 @@
     // ---- tasks ----
 
     private static TaskShard loaded(GoldenFile file, Job job, int index) {
-        assertTrue(RecordCodec.restoreShard(file.entry(7), Map.of(job.id(), job), NOW));
+        assertTrue(TaskShardCodec.restore(file.entry(7), Map.of(job.id(), job), NOW));
         TaskShard taskShard = job.shard(index);
         assertEquals(new Revision(7), taskShard.recordRevision());
-        assertEquals(file.key(), RecordCodec.shardKey(taskShard));
+        assertEquals(file.key(), RecordKeys.taskShard(taskShard));
         return taskShard;
     }
 
@@ -317,7 +317,7 @@
         done.set(0, 100);
         assertEquals(done, job.completedTasks());
         assertTrue(job.placements().isEmpty());
-        file.assertSameBytes(RecordCodec.encodeShard(taskShard));
+        file.assertSameBytes(TaskShardCodec.encode(taskShard));
     }
 
     @Test
@@ -335,7 +335,7 @@
         assertEquals(2, job.placements().size());
         assertPlaced(2, "vm-000001", 1, job.placement(160));
         assertPlaced(7, "vm-000003", 4_294_967_297L, job.placement(161));
-        file.assertSameBytes(RecordCodec.encodeShard(taskShard));
+        file.assertSameBytes(TaskShardCodec.encode(taskShard));
     }
 
     @Test
@@ -351,7 +351,7 @@
         for (int task = 0; task < 4; task++) {
             assertPlaced(3, task % 2 == 0 ? "vm-000001" : "vm-000002", 1, job.placement(task));
         }
-        file.assertSameBytes(RecordCodec.encodeShard(taskShard));
+        file.assertSameBytes(TaskShardCodec.encode(taskShard));
     }
 
     /** What is stored of why an attempt ended, by attempt; the tenth has not. */
@@ -396,7 +396,7 @@
         assertEquals(1, job.placements().size());
         assertPlaced(10, "vm-000010", 1, job.placement(0));
         assertLog(SecondaryRecord.attemptsOf(Map.of("log", file.value().get("log"))));
-        file.assertSameBytes(RecordCodec.encodeShard(taskShard));
+        file.assertSameBytes(TaskShardCodec.encode(taskShard));
     }
 
     /**
@@ -420,7 +420,7 @@
                                                 ExitReason.BUSY,
                                                 ExitReason.UNKNOWN,
                                                 ExitReason.DONE)
-                                        .map(ExitReason::name))
+                                        .map(ExitReason::storedWord))
                         .toList();
         for (int at = 0; at < 10; at++) {
             AttemptNumber attemptNumber = new AttemptNumber(at + 1);
@@ -434,7 +434,7 @@
                 job.addPlacement(0, attemptNumber, machine, new WorkerIncarnation(1), NOW);
             }
         }
-        file.assertSameBytes(RecordCodec.encodeShard(job.shard(0)));
+        file.assertSameBytes(TaskShardCodec.encode(job.shard(0)));
     }
 
     // ---- the list of another interface ----
@@ -499,13 +499,16 @@
     void wordsOfEnumsThatAreStored() {
         assertEquals(
                 List.of("ARRAY", "GANG", "SERVICE"),
-                Stream.of(JobKind.values()).map(JobKind::name).toList());
+                Stream.of(JobKind.values()).map(JobKind::storedWord).toList());
         assertEquals(
                 List.of("PRODUCTION", "HIGH", "NORMAL", "LOW"),
-                Stream.of(Priority.values()).map(Priority::name).toList());
+                Stream.of(Priority.values()).map(Priority::storedWord).toList());
+        List<String> exitReasons =
+                List.of("DONE", "STOPPED", "PEERS", "ALONE", "ERROR", "NO_ROOM", "BUSY", "UNKNOWN");
         assertEquals(
-                List.of("DONE", "STOPPED", "PEERS", "ALONE", "ERROR", "NO_ROOM", "BUSY", "UNKNOWN"),
-                Stream.of(ExitReason.values()).map(ExitReason::name).toList());
+                exitReasons, Stream.of(ExitReason.values()).map(ExitReason::storedWord).toList());
+        // The leader takes the word of an exit from the constant's name.
+        assertEquals(exitReasons, Stream.of(ExitReason.values()).map(ExitReason::name).toList());
         assertEquals(
                 List.of(
                         "QUEUED",
@@ -517,11 +520,11 @@
                         "FAILED",
                         "LOST",
                         "PREEMPTED"),
-                Stream.of(JobPhase.values()).map(JobPhase::name).toList());
+                Stream.of(JobPhase.values()).map(JobPhase::storedWord).toList());
         assertEquals(
                 List.of("MACHINE", "TYPE", "ZONE"),
                 Stream.of(MaintenanceWindow.Scope.values())
-                        .map(MaintenanceWindow.Scope::name)
+                        .map(MaintenanceWindow.Scope::storedWord)
                         .toList());
         assertEquals("PREEMPTED", SecondaryRecord.PREEMPTED_REASON);
         assertEquals("LOST", SecondaryRecord.LOST_REASON);
@@ -532,43 +535,43 @@
     @Test
     void theEndOfAJobThatIsDone() {
         GoldenFile file = GoldenFile.read("ended-done");
-        assertEquals(file.key(), RecordCodec.ended(new JobId("req-000105")));
+        assertEquals(file.key(), RecordKeys.endedJob(new JobId("req-000105")));
         assertEquals("ended/req-000105", file.key());
-        assertFalse(RecordCodec.isCancelled(file.value()));
-        assertEquals(4, RecordCodec.taskCountOf(file.value()));
-        assertEquals(4, RecordCodec.completedTaskCountOf(file.value()));
+        assertFalse(EndedJobCodec.isCancelled(file.value()));
+        assertEquals(4, EndedJobCodec.taskCountOf(file.value()));
+        assertEquals(4, EndedJobCodec.completedTaskCountOf(file.value()));
         Job job = job(GoldenFile.read("job-gang"));
         job.restoreCompletedTasks(0, 4);
-        file.assertSameBytes(RecordCodec.ended(job));
+        file.assertSameBytes(EndedJobCodec.encode(job));
     }
 
     @Test
     void theEndOfAJobThatWasCancelled() {
         GoldenFile file = GoldenFile.read("ended-cancelled");
-        assertEquals(file.key(), RecordCodec.ended(new JobId("req-000106")));
-        assertTrue(RecordCodec.isCancelled(file.value()));
-        assertEquals(3, RecordCodec.taskCountOf(file.value()));
-        assertEquals(1, RecordCodec.completedTaskCountOf(file.value()));
+        assertEquals(file.key(), RecordKeys.endedJob(new JobId("req-000106")));
+        assertTrue(EndedJobCodec.isCancelled(file.value()));
+        assertEquals(3, EndedJobCodec.taskCountOf(file.value()));
+        assertEquals(1, EndedJobCodec.completedTaskCountOf(file.value()));
         Job job = job(GoldenFile.read("job-service"));
         job.markTaskComplete(1);
         job.cancel(NOW);
-        file.assertSameBytes(RecordCodec.ended(job));
+        file.assertSameBytes(EndedJobCodec.encode(job));
     }
 
     @Test
     void whichMachinesHaveAnImage() {
         GoldenFile file = GoldenFile.read("image");
         assertEquals("image/registry/image:1", file.key());
-        assertEquals("registry/image:1", RecordCodec.imageOfKey(file.key()));
-        assertEquals(file.key(), RecordCodec.imageKey("registry/image:1"));
-        assertEquals(2.5, RecordCodec.imageSizeGbOf(file.value()));
+        assertEquals("registry/image:1", RecordKeys.imageOfKey(file.key()));
+        assertEquals(file.key(), RecordKeys.image("registry/image:1"));
+        assertEquals(2.5, ImageLocationsCodec.sizeGbOf(file.value()));
         // The latest come first in the record.
         assertEquals(
                 List.of(new MachineId("vm-000002"), new MachineId("vm-000001")),
-                RecordCodec.machinesWithImage(file.value()));
+                ImageLocationsCodec.machinesOf(file.value()));
         file.assertSameBytes(
-                RecordCodec.encodeImageLocations(
-                                RecordCodec.imageSizeGbOf(file.value()),
+                ImageLocationsCodec.encode(
+                                ImageLocationsCodec.sizeGbOf(file.value()),
                                 List.of(new MachineId("vm-000001"), new MachineId("vm-000002")),
                                 16 * 1024)
                         .fields());
@@ -578,8 +581,8 @@
     void machineTypes() {
         GoldenFile file = GoldenFile.read("types");
         assertEquals("meta/types", file.key());
-        assertEquals(file.key(), RecordCodec.MACHINE_TYPES_KEY);
-        List<MachineType> types = RecordCodec.types(file.value());
+        assertEquals(file.key(), RecordKeys.MACHINE_TYPES_KEY);
+        List<MachineType> types = MachineTypesCodec.decode(file.value());
         assertEquals(
                 List.of(
                         new MachineType(
@@ -601,7 +604,7 @@
                                 10.75,
                                 List.of("a"))),
                 types);
-        file.assertSameBytes(RecordCodec.types(types));
+        file.assertSameBytes(MachineTypesCodec.encode(types));
     }
 
     // ---- who leads ----
@@ -646,10 +649,10 @@
         GoldenStore.Noted noted = new GoldenStore.Noted();
         GoldenStore.candidate("n2", store, noted).start();
         assertEquals(List.of(new FencingToken(43)), noted.elected);
-        assertEquals(Map.of("term", 43L), store.get(RecordCodec.FENCING_TOKEN_KEY));
+        assertEquals(Map.of("term", 43L), store.get(RecordKeys.FENCING_TOKEN_KEY));
         assertEquals(
                 Map.of("member", "n2", "term", 43L, "lease", GoldenStore.LEASE),
-                store.get(RecordCodec.LEADER_KEY));
+                store.get(RecordKeys.LEADER_KEY));
     }
 
     @Test
@@ -692,8 +695,8 @@
         var leaving = GoldenStore.candidate("n1", store, new GoldenStore.Noted());
         leaving.start();
         leaving.handOver("n2");
-        assertNull(store.get(RecordCodec.LEADER_KEY));
-        file.assertSameFields(store.get(RecordCodec.FENCING_TOKEN_KEY));
+        assertNull(store.get(RecordKeys.LEADER_KEY));
+        file.assertSameFields(store.get(RecordKeys.FENCING_TOKEN_KEY));
     }
 
     // ---- risk tables ----
@@ -742,7 +745,7 @@
     void aSnapshotOfRiskTables() throws IOException {
         GoldenFile head = GoldenFile.read("table-head");
         assertEquals("table/head", head.key());
-        assertEquals(head.key(), RecordCodec.RISK_TABLE_HEAD_KEY);
+        assertEquals(head.key(), RecordKeys.RISK_TABLE_HEAD_KEY);
         assertEquals("table/1/0", GoldenFile.read("table-chunk-0").key());
         assertEquals("table/1/1", GoldenFile.read("table-chunk-1").key());
         byte[] body = body(tables(), 1, TABLE_FILES.size());
@@ -795,7 +798,7 @@
         assertArrayEquals(new long[0], parts.get(1).samples());
 
         GoldenStore again = GoldenStore.withSnapshot(parts, Optional.empty(), TABLES_AT, 160);
-        Map<String, Object> written = again.get(RecordCodec.RISK_TABLE_HEAD_KEY);
+        Map<String, Object> written = again.get(RecordKeys.RISK_TABLE_HEAD_KEY);
         int chunks = ((Number) written.get("chunks")).intValue();
         byte[] bodyAgain = body(again, 1, chunks);
         assertArrayEquals(inflated(body), inflated(bodyAgain));
@@ -961,12 +964,12 @@
 
     @Test
     void theFormOfTheRecords() {
-        assertEquals(1, RecordCodec.SCHEMA_VERSION);
-        assertEquals(100, RecordCodec.shardSize(16 * 1024));
-        assertEquals("job/", RecordCodec.JOB_PREFIX);
-        assertEquals("task/", RecordCodec.TASK_PREFIX);
-        assertEquals("image/", RecordCodec.IMAGE_PREFIX);
-        assertEquals("table/", RecordCodec.RISK_TABLE_PREFIX);
+        assertEquals(1, RecordKeys.SCHEMA_VERSION);
+        assertEquals(100, TaskShardCodec.shardSizeFor(16 * 1024));
+        assertEquals("job/", RecordKeys.JOB_PREFIX);
+        assertEquals("task/", RecordKeys.TASK_PREFIX);
+        assertEquals("image/", RecordKeys.IMAGE_PREFIX);
+        assertEquals("table/", RecordKeys.RISK_TABLE_PREFIX);
         assertEquals("cal/", CalendarRecordCodec.CALENDAR_PREFIX);
     }
 }
