--- a/src/main/java/org/meadowhollow/model/AttemptRecord.java
+++ b/src/main/java/org/meadowhollow/model/AttemptRecord.java
@@ -4,10 +4,12 @@
 import java.util.Map;
 
 /**
- * One attempt of a task as told to those who ask. Times are milliseconds of the time of day, as the
- * leader's clock had it, right within the bound of the settings; 0 means not yet.
+ * One attempt of a task as shown to users. Times are milliseconds of the leader's wall-clock time,
+ * which is right within the bound that the settings give; 0 means that it has not happened. Field
+ * names are part of the persisted format.
  *
- * @param endReason why it ended, or null while it has not
+ * @param machineName the name of the machine that the task was placed on
+ * @param endReason the stored word of why the attempt ended, or null while it has not
  */
 public record AttemptRecord(
         int attemptNumber,
@@ -16,37 +18,43 @@
         long startedAtMillis,
         long endedAtMillis,
         String endReason) {
+    private static final String ATTEMPT_NUMBER = "attempt";
+    private static final String MACHINE_NAME = "machine";
+    private static final String PLACED_AT_MILLIS = "placed";
+    private static final String STARTED_AT_MILLIS = "started";
+    private static final String ENDED_AT_MILLIS = "ended";
+    private static final String END_REASON = "cause";
 
     AttemptRecord withStart(long millis) {
         return new AttemptRecord(
                 attemptNumber, machineName, placedAtMillis, millis, endedAtMillis, endReason);
     }
 
-    AttemptRecord withEnd(long millis, String why) {
+    AttemptRecord withEnd(long millis, String reason) {
         return new AttemptRecord(
-                attemptNumber, machineName, placedAtMillis, startedAtMillis, millis, why);
+                attemptNumber, machineName, placedAtMillis, startedAtMillis, millis, reason);
     }
 
     Map<String, Object> encode() {
-        Map<String, Object> map = new LinkedHashMap<>();
-        map.put("attempt", (long) attemptNumber);
-        map.put("machine", machineName);
-        map.put("placed", placedAtMillis);
-        map.put("started", startedAtMillis);
-        map.put("ended", endedAtMillis);
-        map.put("cause", endReason);
-        return map;
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put(ATTEMPT_NUMBER, (long) attemptNumber);
+        fields.put(MACHINE_NAME, machineName);
+        fields.put(PLACED_AT_MILLIS, placedAtMillis);
+        fields.put(STARTED_AT_MILLIS, startedAtMillis);
+        fields.put(ENDED_AT_MILLIS, endedAtMillis);
+        fields.put(END_REASON, endReason);
+        return fields;
     }
 
-    @SuppressWarnings("unchecked")
-    static AttemptRecord decode(Object item) {
-        Map<String, Object> map = (Map<String, Object>) item;
+    @SuppressWarnings("unchecked") // The codec of the store decodes maps with texts as keys.
+    static AttemptRecord decode(Object encoded) {
+        Map<String, Object> fields = (Map<String, Object>) encoded;
         return new AttemptRecord(
-                ((Number) map.get("attempt")).intValue(),
-                (String) map.get("machine"),
-                ((Number) map.get("placed")).longValue(),
-                ((Number) map.get("started")).longValue(),
-                ((Number) map.get("ended")).longValue(),
-                (String) map.get("cause"));
+                ((Number) fields.get(ATTEMPT_NUMBER)).intValue(),
+                (String) fields.get(MACHINE_NAME),
+                ((Number) fields.get(PLACED_AT_MILLIS)).longValue(),
+                ((Number) fields.get(STARTED_AT_MILLIS)).longValue(),
+                ((Number) fields.get(ENDED_AT_MILLIS)).longValue(),
+                (String) fields.get(END_REASON));
     }
 }
--- a/src/main/java/org/meadowhollow/model/Job.java
+++ b/src/main/java/org/meadowhollow/model/Job.java
@@ -3,10 +3,13 @@
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 import java.util.BitSet;
 import java.util.Collection;
-import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** A live job as the leader keeps it. */
+/**
+ * A live job as the leader keeps it: the specification, which tasks are completed, and which may be
+ * running where. Changes of tasks are counted in the job's {@link TaskShard shards} until they are
+ * persisted. Not thread-safe: its leader guards it.
+ */
 public final class Job {
     private final JobSpec spec;
     private final long acceptedAtMillis;
@@ -14,6 +17,8 @@
     private final TaskShard[] shards;
     private final BitSet completedTasks = new BitSet();
     private final Int2ObjectOpenHashMap<Placement> placements = new Int2ObjectOpenHashMap<>();
+    private final FailureHistory failures = new FailureHistory();
+    private final SecondaryRecord secondaryRecord;
     private Revision recordRevision;
     private boolean isCancelled;
     private boolean isEnded;
@@ -22,36 +27,58 @@
     private MonotonicTime backoffUntil;
     private MonotonicTime lastPreemptionAt;
 
-    /**
-     * Failures of different tasks, or of one again and again, after which a job is tried with one
-     * task.
-     */
-    private static final int FAILURES_BEFORE_SUSPECTED = 3;
-
-    private static final int MAX_RECENTLY_FAILED_MACHINES = 8;
-    private int consecutiveFailures;
-    private final Set<MachineId> recentlyFailedMachines = new LinkedHashSet<>();
-    private final SecondaryRecord secondaryRecord;
-
-    public Job(JobSpec spec, long acceptedAtMillis, int chunkSize, Revision revision) {
-        this(spec, acceptedAtMillis, chunkSize, revision, null);
+    /** Creates a job without a secondary record. */
+    public Job(JobSpec spec, long acceptedAtMillis, int shardSize, Revision recordRevision) {
+        this(spec, acceptedAtMillis, shardSize, recordRevision, null);
     }
 
     /**
+     * Creates a job none of whose tasks is placed or completed.
+     *
+     * @param acceptedAtMillis when the job was admitted, in milliseconds of wall-clock time
+     * @param shardSize tasks in each shard; the last shard can have fewer
+     * @param recordRevision of the job's own record
      * @param secondaryRecord what another interface keeps beside the job, or null
      */
     public Job(
             JobSpec spec,
             long acceptedAtMillis,
-            int chunkSize,
-            Revision revision,
+            int shardSize,
+            Revision recordRevision,
             SecondaryRecord secondaryRecord) {
         this.secondaryRecord = secondaryRecord;
         this.spec = spec;
         this.acceptedAtMillis = acceptedAtMillis;
-        this.shardSize = chunkSize;
-        this.recordRevision = revision;
-        this.shards = new TaskShard[(spec.taskCount() + chunkSize - 1) / chunkSize];
+        this.shardSize = shardSize;
+        this.recordRevision = recordRevision;
+        this.shards = new TaskShard[(spec.taskCount() + shardSize - 1) / shardSize];
+    }
+
+    // ---- the job and its record ----
+
+    /** What the user asked for. */
+    public JobSpec spec() {
+        return spec;
+    }
+
+    /** The job's identifier. */
+    public JobId id() {
+        return spec.id();
+    }
+
+    /** When the job was admitted, in milliseconds of wall-clock time. */
+    public long acceptedAtMillis() {
+        return acceptedAtMillis;
+    }
+
+    /** The revision of the job's own record, as this leader last saw it. */
+    public Revision recordRevision() {
+        return recordRevision;
+    }
+
+    /** Sets the revision of the job's own record. */
+    public void recordRevision(Revision current) {
+        recordRevision = current;
     }
 
     /** What another interface keeps beside the job, or null. */
@@ -59,12 +86,9 @@
         return secondaryRecord;
     }
 
-    /** Whether the job has used up the attempts that its user allowed. */
-    public boolean hasExhaustedAttempts() {
-        return secondaryRecord != null && secondaryRecord.terminalFailure() != null;
-    }
+    // ---- life cycle ----
 
-    /** How far the job has come. */
+    /** The phase that interfaces with a secondary record show. */
     public JobPhase phase() {
         if (isComplete()) {
             return JobPhase.DONE;
@@ -80,52 +104,55 @@
                 : JobPhase.PREPARING;
     }
 
-    public JobSpec spec() {
-        return spec;
-    }
-
-    public JobId id() {
-        return spec.id();
-    }
-
-    public long acceptedAtMillis() {
-        return acceptedAtMillis;
-    }
-
-    public int shardSize() {
-        return shardSize;
-    }
-
-    public Revision recordRevision() {
-        return recordRevision;
+    /** Whether all tasks are completed; never so for a service. */
+    public boolean isComplete() {
+        return spec.kind() != JobKind.SERVICE && completedTasks.cardinality() == spec.taskCount();
     }
 
-    public void recordRevision(Revision now) {
-        recordRevision = now;
+    /** Whether the job has used up the attempts that its user allowed. */
+    public boolean hasExhaustedAttempts() {
+        return secondaryRecord != null && secondaryRecord.terminalFailure() != null;
     }
 
+    /** Whether the user cancelled the job. */
     public boolean isCancelled() {
         return isCancelled;
     }
 
+    /** Notes that the user cancelled the job and that this leader learned of it now. */
     public void cancel(MonotonicTime now) {
         isCancelled = true;
         cancelObservedAt = now;
     }
 
+    /** When this leader learned of the cancellation, or null while the job is not cancelled. */
     public MonotonicTime cancelObservedAt() {
         return cancelObservedAt;
     }
 
-    /** Whether the job's end is in the state service. */
+    /** Whether the job's end is persisted. */
     public boolean isEnded() {
         return isEnded;
     }
 
+    /** Notes that the job's end is persisted. */
     public void markEnded() {
         isEnded = true;
     }
 
+    // ---- shards ----
+
+    /** The number of tasks in each shard; the last shard can have fewer. */
+    public int shardSize() {
+        return shardSize;
+    }
+
+    /** The number of shards. */
+    public int shardCount() {
+        return shards.length;
+    }
+
+    /** The shard with an index from 0 to {@link #shardCount} - 1; created when first used. */
     public TaskShard shard(int index) {
         if (shards[index] == null) {
             shards[index] = new TaskShard(this, index);
@@ -133,38 +160,56 @@
         return shards[index];
     }
 
-    public int shardCount() {
-        return shards.length;
+    /** The shard that a task belongs to. */
+    public TaskShard shardOfTask(int task) {
+        return shard(task / shardSize);
     }
 
+    /** Whether a shard has a record in the key-value store, as far as this leader knows. */
     public boolean hasPersistedShard(int index) {
         return shards[index] != null && !shards[index].recordRevision().equals(Revision.ABSENT);
     }
 
-    public TaskShard shardOfTask(int task) {
-        return shard(task / shardSize);
-    }
+    // ---- completed tasks ----
 
+    /** Whether a task is completed. */
     public boolean isTaskComplete(int task) {
         return completedTasks.get(task);
     }
 
-    public boolean isComplete() {
-        return spec.kind() != JobKind.SERVICE && completedTasks.cardinality() == spec.taskCount();
-    }
-
+    /** The number of completed tasks. */
     public int completedTaskCount() {
         return completedTasks.cardinality();
     }
 
+    /** The completed tasks; not to be changed by callers. */
+    public BitSet completedTasks() {
+        return completedTasks;
+    }
+
+    /** Notes that a task is completed; the caller counts the change in the task's shard. */
+    public void markTaskComplete(int task) {
+        completedTasks.set(task);
+    }
+
+    /** Restores a run of completed tasks from a record. */
+    public void restoreCompletedTasks(int firstTask, int count) {
+        completedTasks.set(firstTask, firstTask + count);
+    }
+
+    // ---- placements ----
+
+    /** All placements, in no particular order; not to be changed by callers. */
     public Collection<Placement> placements() {
         return placements.values();
     }
 
-    /**
-     * Whether a gang's attempt has run or is being stopped, so that it cannot be completed any
-     * more.
-     */
+    /** The placement of a task, or null. */
+    public Placement placement(int task) {
+        return placements.get(task);
+    }
+
+    /** Whether an attempt of a gang has run or is being stopped and so cannot be completed. */
     public boolean hasAttemptStarted() {
         for (Placement placement : placements.values()) {
             if (placement.runningSince() != null || placement.isStopping()) {
@@ -174,11 +219,14 @@
         return false;
     }
 
-    public Placement placement(int task) {
-        return placements.get(task);
+    /** The number of tasks that wait to be placed. */
+    public int pendingTaskCount() {
+        return isCancelled || isEnded || hasExhaustedAttempts()
+                ? 0
+                : spec.taskCount() - completedTasks.cardinality() - placements.size();
     }
 
-    /** The first task from {@code from} on that is neither done nor placed, or -1. */
+    /** The first task from {@code from} on that is neither completed nor placed, or -1. */
     public int nextPendingTask(int from) {
         if (hasExhaustedAttempts()) {
             return -1;
@@ -193,13 +241,7 @@
         return -1;
     }
 
-    public int pendingTaskCount() {
-        return isCancelled || isEnded || hasExhaustedAttempts()
-                ? 0
-                : spec.taskCount() - completedTasks.cardinality() - placements.size();
-    }
-
-    /** The number for the next attempt of a task. */
+    /** The number for the next attempt of a task that is in no gang. */
     public AttemptNumber nextAttemptNumber(int task) {
         return new AttemptNumber(shardOfTask(task).highestAttempt() + 1);
     }
@@ -212,129 +254,123 @@
         if (!placements.isEmpty()) {
             return placements.values().iterator().next().attemptNumber();
         }
-        int last = 0;
-        for (TaskShard taskShard : shards) {
-            last = Math.max(last, taskShard == null ? 0 : taskShard.highestAttempt());
+        int highest = 0;
+        for (TaskShard shard : shards) {
+            highest = Math.max(highest, shard == null ? 0 : shard.highestAttempt());
         }
-        return new AttemptNumber(last + 1);
+        return new AttemptNumber(highest + 1);
     }
 
+    /** Places a task; the placement is committed once its shard is persisted. */
     public Placement addPlacement(
             int task,
             AttemptNumber attemptNumber,
-            MachineId machine,
-            WorkerIncarnation workerIncarnation,
+            MachineId machineId,
+            WorkerIncarnation incarnation,
             MonotonicTime now) {
-        TaskShard taskShard = shardOfTask(task);
-        taskShard.recordAttempt(attemptNumber.value());
-        Placement placement =
-                new Placement(
-                        this,
-                        new TaskId(id(), task),
-                        attemptNumber,
-                        machine,
-                        workerIncarnation,
-                        taskShard.recordChange(),
-                        now);
-        placements.put(task, placement);
-        return placement;
+        TaskShard shard = shardOfTask(task);
+        shard.recordAttempt(attemptNumber.value());
+        return putPlacement(task, attemptNumber, machineId, incarnation, shard.recordChange(), now);
     }
 
-    /** Takes in a placement that a predecessor committed. */
+    /** Restores a placement that a predecessor committed. */
     public Placement restorePlacement(
             int task,
             AttemptNumber attemptNumber,
-            MachineId machine,
-            WorkerIncarnation workerIncarnation,
+            MachineId machineId,
+            WorkerIncarnation incarnation,
+            MonotonicTime now) {
+        return putPlacement(
+                task, attemptNumber, machineId, incarnation, TaskShard.PERSISTED_CHANGE, now);
+    }
+
+    private Placement putPlacement(
+            int task,
+            AttemptNumber attemptNumber,
+            MachineId machineId,
+            WorkerIncarnation incarnation,
+            long shardChange,
             MonotonicTime now) {
         Placement placement =
                 new Placement(
                         this,
                         new TaskId(id(), task),
                         attemptNumber,
-                        machine,
-                        workerIncarnation,
-                        0,
+                        machineId,
+                        incarnation,
+                        shardChange,
                         now);
         placements.put(task, placement);
         return placement;
     }
 
     /**
-     * Removes a placement that is proven gone; the returned change must be saved before it is
-     * forgotten.
+     * Removes a placement that is proven not to be running any more.
+     *
+     * @return the change of the task's shard, which must be persisted before the worker may forget
+     *     the exit
      */
     public long removePlacement(Placement placement) {
         placements.remove(placement.taskId().index(), placement);
         return shardOfTask(placement.taskId().index()).recordChange();
     }
 
-    public void markTaskComplete(int task) {
-        completedTasks.set(task);
-    }
-
-    public void restoreCompletedTasks(int from, int count) {
-        completedTasks.set(from, from + count);
-    }
-
-    public BitSet completedTasks() {
-        return completedTasks;
-    }
+    // ---- scheduling ----
 
+    /** Since when the job waits for a placement, or null. */
     public MonotonicTime pendingSince() {
         return pendingSince;
     }
 
+    /** Sets since when the job waits for a placement; null if it does not. */
     public void pendingSince(MonotonicTime since) {
         pendingSince = since;
     }
 
-    /** Until when no new attempt is made after failures; null for no such time. */
+    /** Until when no new attempt is made after failures, or null. */
     public MonotonicTime backoffUntil() {
         return backoffUntil;
     }
 
+    /** Sets until when no new attempt is made after failures. */
     public void backoffUntil(MonotonicTime until) {
         backoffUntil = until;
     }
 
-    /** When others were last stopped for this job, or null. */
+    /** When tasks were last preempted for this job, or null. */
     public MonotonicTime lastPreemptionAt() {
         return lastPreemptionAt;
     }
 
-    public void lastPreemptionAt(MonotonicTime at) {
-        lastPreemptionAt = at;
+    /** Notes that tasks were preempted for this job. */
+    public void lastPreemptionAt(MonotonicTime now) {
+        lastPreemptionAt = now;
     }
 
-    /** Counts a task's own failure and says how many there were since one was done. */
-    public int recordTaskFailure(MachineId machine) {
-        recentlyFailedMachines.add(machine);
-        if (recentlyFailedMachines.size() > MAX_RECENTLY_FAILED_MACHINES) {
-            recentlyFailedMachines.remove(recentlyFailedMachines.iterator().next());
-        }
-        return ++consecutiveFailures;
+    // ---- failures ----
+
+    /** Counts a task's own failure and returns how many there were since a task last completed. */
+    public int recordTaskFailure(MachineId machineId) {
+        return failures.record(machineId);
     }
 
-    /** A task was done, so what failed before was not the job's fault. */
+    /** A task completed, so earlier failures were not the job's fault. */
     public void resetFailures() {
-        consecutiveFailures = 0;
+        failures.resetCount();
         backoffUntil = null;
     }
 
     /**
-     * Whether the job itself seems to be the mistake: its tasks failed on several machines, and
-     * none was done. Then one task alone tries, for all would fail alike, each on a place and with
-     * a fetch that others could have.
+     * Whether the job itself seems to be at fault: its tasks failed on several machines, and none
+     * was ever completed. Then a single task is tried at a time, for all would fail alike, and each
+     * would take resources and an image pull from other jobs.
      */
     public boolean isSuspectedFaulty() {
-        return consecutiveFailures >= FAILURES_BEFORE_SUSPECTED
-                && recentlyFailedMachines.size() > 1
-                && completedTasks.isEmpty();
+        return failures.suggestsFaultyJob() && completedTasks.isEmpty();
     }
 
-    /** Machines on which its tasks failed, the latest few. */
+    /** The last few machines on which the job's tasks failed. */
     public Set<MachineId> recentlyFailedMachines() {
-        return recentlyFailedMachines;
+        return failures.machines();
     }
 }
--- a/src/main/java/org/meadowhollow/model/Machine.java
+++ b/src/main/java/org/meadowhollow/model/Machine.java
@@ -7,81 +7,112 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A rented machine as the leader knows it. */
+/**
+ * A rented machine as the leader knows it: what the cloud provider and the worker's heartbeats said
+ * of it, and what is placed on it. Not thread-safe: its leader guards it.
+ */
 public final class Machine {
-    /** An exit whose record is not in the state service yet; only then may the worker forget it. */
+    /**
+     * An exit that is not persisted yet; only when it is may the worker forget the attempt.
+     *
+     * @param shardChange the change of the shard that holds the exit
+     */
     public record UnpersistedExit(AttemptNumber attemptNumber, TaskShard shard, long shardChange) {
+        /** Whether the exit, or the end of the whole job, is persisted by now. */
         public boolean isPersisted() {
             return shard.isPersisted(shardChange) || shard.job().isEnded();
         }
     }
 
-    private JobId heldForGang;
-    private MonotonicTime holdExpiresAt;
+    /** Lower than every sequence number that a worker sends. */
+    private static final long NO_SEQUENCE_NUMBER = -1;
+
+    // What the machine is.
     private final MachineId id;
     private final MachineType type;
     private final String zone;
     private final boolean isSpot;
     private String address;
+
+    // What is known of its worker.
     private WorkerIncarnation incarnation;
-    private long lastSequenceNumber = -1;
+    private long lastSequenceNumber = NO_SEQUENCE_NUMBER;
     private FencingToken highestFencingToken = FencingToken.NONE;
     private MonotonicTime knownSince;
     private MonotonicTime lastListedAt;
     private MonotonicTime lastContactAt;
     private MonotonicTime lastAnsweredHeartbeatAt;
+
+    // Whether it takes tasks.
     private MonotonicTime preemptionDeadline;
-    private boolean isUnschedulable;
+    private boolean isCordoned;
     private boolean isIncarnationReset;
-    private boolean releasing;
+    private boolean isReleasing;
     private MonotonicTime idleSince;
+    private JobId heldForGang;
+    private MonotonicTime holdExpiresAt;
+
+    // What is on it.
     private final List<Placement> placements = new ArrayList<>();
     private final Map<TaskId, UnpersistedExit> unpersistedExits = new Object2ObjectOpenHashMap<>();
     private final Set<TaskId> orphanedTasks = new HashSet<>();
     private final ImageCache imageCache;
     private int lostTasksSinceHeartbeat;
 
-    public Machine(MachineId id, MachineType type, String zone, boolean spot) {
+    /** Creates a machine with nothing on it. */
+    public Machine(MachineId id, MachineType type, String zone, boolean isSpot) {
         this.id = id;
         this.type = type;
         this.zone = zone;
-        this.isSpot = spot;
+        this.isSpot = isSpot;
         this.imageCache = new ImageCache(type.imageCacheGb());
     }
 
+    // ---- identity ----
+
+    /** The name that the cloud provider gave it. */
     public MachineId id() {
         return id;
     }
 
+    /** Its type, which says what resources it has. */
     public MachineType type() {
         return type;
     }
 
+    /** The zone that it is in. */
     public String zone() {
         return zone;
     }
 
+    /** Whether it is a spot instance, which the cloud provider can preempt. */
     public boolean isSpot() {
         return isSpot;
     }
 
+    /** The network address of its worker, or null while it is unknown. */
     public String address() {
         return address;
     }
 
-    public void address(String known) {
-        address = known;
+    /** Sets the network address of its worker. */
+    public void address(String current) {
+        address = current;
     }
 
-    /** The session last reported, or null before the first report. */
+    // ---- heartbeats and contact ----
+
+    /** The worker's incarnation as last reported, or null before the first heartbeat. */
     public WorkerIncarnation incarnation() {
         return incarnation;
     }
 
+    /** The sequence number of the last heartbeat, or -1 before the first one. */
     public long lastSequenceNumber() {
         return lastSequenceNumber;
     }
 
+    /** Takes in what a heartbeat says of the worker itself. */
     public void recordHeartbeat(Heartbeat heartbeat) {
         incarnation = heartbeat.incarnation();
         lastSequenceNumber = heartbeat.sequenceNumber();
@@ -90,135 +121,168 @@
         }
     }
 
-    /** The highest token that the worker has shown. */
+    /** The highest fencing token that the worker has reported. */
     public FencingToken highestFencingToken() {
         return highestFencingToken;
     }
 
-    /** When this leader first knew of the machine, by the cloud's list or by a report. */
+    /** When this leader first knew of the machine, from the provider's list or a heartbeat. */
     public MonotonicTime knownSince() {
         return knownSince;
     }
 
-    public void knownSince(MonotonicTime now) {
-        knownSince = now;
+    /** Sets when this leader first knew of the machine. */
+    public void knownSince(MonotonicTime since) {
+        knownSince = since;
     }
 
-    /** When the cloud's list last named the machine, or null. */
+    /** When the cloud provider's list last named the machine, or null. */
     public MonotonicTime lastListedAt() {
         return lastListedAt;
     }
 
+    /** Notes that the cloud provider's list names the machine. */
     public void recordListing(MonotonicTime now) {
         lastListedAt = now;
     }
 
     /**
-     * When the last news came of the machine, by a report or by an answer to a direct command, or
-     * null.
+     * When the worker last proved to be alive, by a heartbeat or by the response to a direct
+     * command, or null.
      */
     public MonotonicTime lastContactAt() {
         return lastContactAt;
     }
 
+    /** Notes that the worker proved to be alive other than by an answered heartbeat. */
+    public void recordContact(MonotonicTime now) {
+        lastContactAt = now;
+    }
+
     /**
-     * When the last report arrived that this leader answered, or null; only that renews the
-     * worker's lease.
+     * When the last heartbeat arrived that this leader answered, or null; only the answer renews
+     * the worker's lease.
      */
     public MonotonicTime lastAnsweredHeartbeatAt() {
         return lastAnsweredHeartbeatAt;
     }
 
+    /** Notes that a heartbeat arrived and is answered. */
     public void recordAnsweredHeartbeat(MonotonicTime now) {
         lastAnsweredHeartbeatAt = now;
         lastContactAt = now;
     }
 
-    public void recordContact(MonotonicTime now) {
-        lastContactAt = now;
-    }
+    // ---- whether it takes tasks ----
 
+    /** When the cloud provider is going to take the machine away, or null if it did not say so. */
     public MonotonicTime preemptionDeadline() {
         return preemptionDeadline;
     }
 
-    public void preemptionDeadline(MonotonicTime end) {
-        preemptionDeadline = end;
+    /** Sets when the cloud provider is going to take the machine away. */
+    public void preemptionDeadline(MonotonicTime deadline) {
+        preemptionDeadline = deadline;
     }
 
-    /** Whether nothing more is placed here. */
+    /** Whether nothing more is placed here, because it is cordoned or being returned. */
     public boolean isUnschedulable() {
-        return isUnschedulable || releasing;
+        return isCordoned || isReleasing;
     }
 
+    /** Has nothing more placed here from now on. */
     public void cordon() {
-        isUnschedulable = true;
+        isCordoned = true;
     }
 
     /**
-     * The machine is in another life than the one whose numbers were taken in; it takes no more
-     * tasks.
+     * Notes that the worker's incarnations began again, so that it is another life of the machine
+     * than the one whose numbers are known; it is cordoned.
      */
     public void markIncarnationReset() {
         isIncarnationReset = true;
-        isUnschedulable = true;
+        isCordoned = true;
     }
 
     /**
-     * Whether it is to be returned with all that may be on it, since its reports cannot be told
-     * from late copies.
+     * Whether the machine is to be returned with all that may be on it, since its heartbeats cannot
+     * be told from late duplicates.
      */
     public boolean isIncarnationReset() {
         return isIncarnationReset;
     }
 
+    /** Whether the machine is being returned to the cloud provider. */
     public boolean releasing() {
-        return releasing;
+        return isReleasing;
     }
 
-    public void releasing(boolean now) {
-        releasing = now;
+    /** Notes that the machine is being returned to the cloud provider, or that this failed. */
+    public void releasing(boolean isReleasingNow) {
+        isReleasing = isReleasingNow;
     }
 
+    /** Since when the machine is idle, or null while it is not. */
     public MonotonicTime idleSince() {
         return idleSince;
     }
 
+    /** Sets since when the machine is idle; null if it is not. */
     public void idleSince(MonotonicTime since) {
         idleSince = since;
     }
 
+    /** Holds what is free here for a gang for which other tasks were preempted. */
+    public void holdForGang(JobId jobId, MonotonicTime until) {
+        heldForGang = jobId;
+        holdExpiresAt = until;
+    }
+
+    /** The gang that what is free here is held for, or null. */
+    public JobId heldForGang(MonotonicTime now) {
+        return heldForGang != null && now.isBefore(holdExpiresAt) ? heldForGang : null;
+    }
+
+    // ---- what is on it ----
+
+    /** The placements on the machine; changed by the leader only. */
     public List<Placement> placements() {
         return placements;
     }
 
+    /** The exits that the worker reported and that are not persisted yet. */
     public Map<TaskId, UnpersistedExit> unpersistedExits() {
         return unpersistedExits;
     }
 
     /**
-     * Tasks on the machine that no record knows of; they are being stopped and count until they are
-     * gone.
+     * Tasks that the worker reports and that no record places here. They are being stopped, and
+     * block their start elsewhere until they have exited.
      */
     public Set<TaskId> orphanedTasks() {
         return orphanedTasks;
     }
 
+    /** The container images that the machine probably has cached. */
     public ImageCache imageCache() {
         return imageCache;
     }
 
+    /** Counts tasks that were lost on the machine. */
     public void recordLostTasks(int tasks) {
         lostTasksSinceHeartbeat += tasks;
     }
 
-    /** The tasks lost since the last call. */
+    /** Returns the number of tasks lost since the last call, and starts counting again. */
     public int takeLostTaskCount() {
         int lost = lostTasksSinceHeartbeat;
         lostTasksSinceHeartbeat = 0;
         return lost;
     }
 
+    // ---- resources ----
+
+    /** The resources that the placements take. */
     public Resources allocated() {
         Resources sum = Resources.NONE;
         for (Placement placement : placements) {
@@ -227,27 +291,17 @@
         return sum;
     }
 
-    /** Whether something of everything is free. */
-    public boolean hasFreeCapacity() {
-        Resources free = freeCapacity();
-        Resources room = type.capacity();
-        return (free.cpu() > 0 || room.cpu() == 0)
-                && (free.gpu() > 0 || room.gpu() == 0)
-                && (free.memory() > 0 || room.memory() == 0);
-    }
-
+    /** The resources that no placement takes. */
     public Resources freeCapacity() {
         return type.capacity().minus(allocated());
     }
 
-    /** Keeps what is free here for a gang for which it was cleared. */
-    public void holdForGang(JobId job, MonotonicTime until) {
-        heldForGang = job;
-        holdExpiresAt = until;
-    }
-
-    /** The gang that what is free here is kept for, or null. */
-    public JobId heldForGang(MonotonicTime now) {
-        return heldForGang != null && now.isBefore(holdExpiresAt) ? heldForGang : null;
+    /** Whether some of every resource that the machine has is free. */
+    public boolean hasFreeCapacity() {
+        Resources free = freeCapacity();
+        Resources capacity = type.capacity();
+        return (free.cpu() > 0 || capacity.cpu() == 0)
+                && (free.gpu() > 0 || capacity.gpu() == 0)
+                && (free.memory() > 0 || capacity.memory() == 0);
     }
 }
--- a/src/main/java/org/meadowhollow/model/SecondaryRecord.java
+++ b/src/main/java/org/meadowhollow/model/SecondaryRecord.java
@@ -6,225 +6,280 @@
 import java.util.Map;
 
 /**
- * What another interface keeps beside a job of one task: an entry in a list of its own, written in
- * the same transactions as the job's records, so that no reader sees one of them older than the
- * other. Guarded like its job.
+ * What another interface than the native one keeps beside a job of one task: an entry under a key
+ * of its own with the job's phase and attempts. It is written in the same transactions as the job's
+ * records, so that no reader sees one of them older than the other. Not thread-safe: guarded like
+ * its job.
+ *
+ * <p>Field names and words here are part of the persisted format.
  */
 public final class SecondaryRecord {
-    /**
-     * Attempts kept in an entry; older ones are counted and left out, for an entry must stay small.
-     */
+    /** Attempts that an entry keeps; older ones are dropped, because an entry must stay small. */
     static final int MAX_RETAINED_ATTEMPTS = 10;
 
-    /** The words in the log for what is no exit of the task's own. */
+    /** The stored reason of an attempt that was preempted or ended with its preempted machine. */
     public static final String PREEMPTED_REASON = "PREEMPTED";
 
+    /** The stored reason of an attempt that was lost with its machine. */
     public static final String LOST_REASON = "LOST";
+
+    // Fields of the reference in the job's record.
+    private static final String KEY_FIELD = "key";
+    private static final String CONSTANT_FIELDS_FIELD = "entry";
+    private static final String MAX_ATTEMPTS_FIELD = "most";
+    private static final String TRACE_CONTEXT_FIELD = "trace";
+
+    // Fields of the entry itself, beside the constant ones.
     private static final String PHASE_FIELD = "progress";
     private static final String ATTEMPTS_FIELD = "log";
 
     private final String key;
     private final Map<String, Object> constantFields;
     private final int maxAttempts;
-    private final String trace;
-    private final List<AttemptRecord> attemptHistory = new ArrayList<>();
+    private final String traceContext;
+    private final List<AttemptRecord> attempts = new ArrayList<>();
     private JobPhase terminalFailure;
 
-    /** The last attempt whose end those who trace the task were told. */
+    /** The number of the last attempt whose end was traced. */
     private int lastTracedAttempt;
 
     /**
-     * @param key of the entry in the state service
-     * @param entry what never changes of it
-     * @param mostAttempts after which the job is given up, 0 for as many as it takes
-     * @param trace the context in which the job is traced, or null
+     * Creates the secondary record of a job without attempts.
+     *
+     * @param key of the entry in the key-value store
+     * @param constantFields the fields of the entry that never change
+     * @param maxAttempts after which the job fails, or 0 for any number
+     * @param traceContext the context in which the job is traced, or null
      */
-    public SecondaryRecord(String key, Map<String, Object> entry, int mostAttempts, String trace) {
+    public SecondaryRecord(
+            String key, Map<String, Object> constantFields, int maxAttempts, String traceContext) {
         this.key = key;
-        this.constantFields = Map.copyOf(entry);
-        this.maxAttempts = mostAttempts;
-        this.trace = trace;
+        this.constantFields = Map.copyOf(constantFields);
+        this.maxAttempts = maxAttempts;
+        this.traceContext = traceContext;
     }
 
+    /** The key of the entry in the key-value store. */
     public String key() {
         return key;
     }
 
+    // ---- the reference in the job's record ----
+
+    /** Encodes what a leader needs to write the entry again, to be kept in the job's record. */
     public Map<String, Object> encodeReference() {
-        Map<String, Object> map = new LinkedHashMap<>();
-        map.put("key", key);
-        map.put("entry", constantFields);
-        map.put("most", (long) maxAttempts);
-        if (trace != null) {
-            map.put("trace", trace);
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put(KEY_FIELD, key);
+        fields.put(CONSTANT_FIELDS_FIELD, constantFields);
+        fields.put(MAX_ATTEMPTS_FIELD, (long) maxAttempts);
+        if (traceContext != null) {
+            fields.put(TRACE_CONTEXT_FIELD, traceContext);
         }
-        return map;
+        return fields;
     }
 
-    /** The key in a record, without the rest of it. */
-    public static String keyInReference(Object record) {
-        return record instanceof Map<?, ?> map ? (String) map.get("key") : null;
+    /**
+     * The key in a reference.
+     *
+     * @param reference the reference in a job's record, or null if there is none
+     * @return null if there is no reference
+     */
+    public static String keyInReference(Object reference) {
+        return reference instanceof Map<?, ?> fields ? (String) fields.get(KEY_FIELD) : null;
     }
 
-    @SuppressWarnings("unchecked")
-    public static SecondaryRecord decodeReference(Object record) {
-        if (!(record instanceof Map<?, ?> map)) {
+    /**
+     * Decodes a reference.
+     *
+     * @param reference the reference in a job's record, or null if there is none
+     * @return null if there is no reference
+     */
+    @SuppressWarnings("unchecked") // The codec of the store decodes maps with texts as keys.
+    public static SecondaryRecord decodeReference(Object reference) {
+        if (!(reference instanceof Map<?, ?> fields)) {
             return null;
         }
         return new SecondaryRecord(
-                (String) map.get("key"),
-                (Map<String, Object>) map.get("entry"),
-                ((Number) map.get("most")).intValue(),
-                (String) map.get("trace"));
+                (String) fields.get(KEY_FIELD),
+                (Map<String, Object>) fields.get(CONSTANT_FIELDS_FIELD),
+                ((Number) fields.get(MAX_ATTEMPTS_FIELD)).intValue(),
+                (String) fields.get(TRACE_CONTEXT_FIELD));
     }
 
     // ---- attempts ----
 
-    /** Its task has a place now. */
-    public void recordPlacement(AttemptNumber attemptNumber, MachineId machine, long millis) {
-        attemptHistory.add(
-                new AttemptRecord(attemptNumber.value(), machine.value(), millis, 0, 0, null));
-        if (attemptHistory.size() > MAX_RETAINED_ATTEMPTS) {
-            attemptHistory.remove(0);
+    /**
+     * Notes that the task is placed, which is a new attempt.
+     *
+     * @param nowMillis wall-clock time in milliseconds, here and below
+     */
+    public void recordPlacement(AttemptNumber attemptNumber, MachineId machineId, long nowMillis) {
+        attempts.add(
+                new AttemptRecord(attemptNumber.value(), machineId.value(), nowMillis, 0, 0, null));
+        if (attempts.size() > MAX_RETAINED_ATTEMPTS) {
+            attempts.remove(0);
         }
     }
 
-    /** Its task runs; true if that is news. */
-    public boolean recordStart(AttemptNumber attemptNumber, long millis) {
+    /** Notes that the task is running; returns false if that was known. */
+    public boolean recordStart(AttemptNumber attemptNumber, long nowMillis) {
         int at = indexOfAttempt(attemptNumber);
-        if (at < 0 || attemptHistory.get(at).startedAtMillis() > 0) {
+        if (at < 0 || attempts.get(at).startedAtMillis() > 0) {
             return false;
         }
-        attemptHistory.set(at, attemptHistory.get(at).withStart(millis));
+        attempts.set(at, attempts.get(at).withStart(nowMillis));
         return true;
     }
 
     /**
-     * An attempt is over; when it was the last one allowed and did not complete the job, so is the
-     * job.
+     * Notes that an attempt has ended. If it was the last one allowed and did not complete the job,
+     * the job has failed.
+     *
+     * @param reason the stored word of an exit reason, or one of the reasons of this class
      */
-    public void recordAttemptEnd(AttemptNumber attemptNumber, String cause, long millis) {
+    public void recordAttemptEnd(AttemptNumber attemptNumber, String reason, long nowMillis) {
         int at = indexOfAttempt(attemptNumber);
-        if (at >= 0 && attemptHistory.get(at).endReason() == null) {
-            AttemptRecord open = attemptHistory.get(at);
-            if (open.startedAtMillis() == 0 && cause.equals(ExitReason.DONE.storedWord())) {
-                // Shorter than the pause between two reports: all that is known is that it ran
-                // after it was placed.
-                open = open.withStart(open.placedAtMillis());
+        if (at >= 0 && attempts.get(at).endReason() == null) {
+            AttemptRecord attempt = attempts.get(at);
+            if (attempt.startedAtMillis() == 0 && isCompletion(reason)) {
+                // It was shorter than the interval between two heartbeats: all that is known is
+                // that it ran after it was placed.
+                attempt = attempt.withStart(attempt.placedAtMillis());
             }
-            attemptHistory.set(at, open.withEnd(millis, cause));
+            attempts.set(at, attempt.withEnd(nowMillis, reason));
         }
         if (maxAttempts > 0 && attemptNumber.value() >= maxAttempts) {
-            terminalFailure = failurePhaseOf(cause);
+            terminalFailure = failurePhaseOf(reason);
         }
     }
 
     private int indexOfAttempt(AttemptNumber attemptNumber) {
-        for (int at = attemptHistory.size() - 1; at >= 0; at--) {
-            if (attemptHistory.get(at).attemptNumber() == attemptNumber.value()) {
+        for (int at = attempts.size() - 1; at >= 0; at--) {
+            if (attempts.get(at).attemptNumber() == attemptNumber.value()) {
                 return at;
             }
         }
         return -1;
     }
 
-    /** How the job ended that ran out of attempts, or null. */
+    private static boolean isCompletion(String reason) {
+        return reason.equals(ExitReason.DONE.storedWord());
+    }
+
+    private static JobPhase failurePhaseOf(String reason) {
+        if (isCompletion(reason)) {
+            return null;
+        }
+        return switch (reason) {
+            case PREEMPTED_REASON -> JobPhase.PREEMPTED;
+            case LOST_REASON -> JobPhase.LOST;
+            default -> JobPhase.FAILED;
+        };
+    }
+
+    /** The phase in which the job ended because it ran out of attempts, or null. */
     JobPhase terminalFailure() {
         return terminalFailure;
     }
 
+    /** Encodes the attempts, to be kept in the record of the task's shard and in the entry. */
     public List<Object> encodeAttempts() {
-        return new ArrayList<>(attemptHistory.stream().map(AttemptRecord::encode).toList());
+        return new ArrayList<>(attempts.stream().map(AttemptRecord::encode).toList());
     }
 
     /**
-     * Takes in what a predecessor wrote of the attempts. None of them is the last one allowed: an
-     * attempt that ends the job is written together with the job's end, never before it.
+     * Restores the attempts that a predecessor persisted. None of them is the last one allowed: an
+     * attempt that ends the job is persisted together with the job's end, never before it.
+     *
+     * @param encoded the encoded attempts, or null if there are none
      */
     public void restoreAttempts(Object encoded) {
-        attemptHistory.clear();
+        attempts.clear();
         if (encoded instanceof List<?> items) {
-            items.forEach(item -> attemptHistory.add(AttemptRecord.decode(item)));
-            // The predecessor told of those that its records show as over.
+            items.forEach(item -> attempts.add(AttemptRecord.decode(item)));
+            // The predecessor traced those that its records show as ended.
             untracedEndedAttempts(0)
-                    .forEach(each -> lastTracedAttempt = each.attempt().attemptNumber());
+                    .forEach(ended -> lastTracedAttempt = ended.attempt().attemptNumber());
         }
     }
 
-    private static JobPhase failurePhaseOf(String cause) {
-        return cause.equals(ExitReason.DONE.storedWord())
-                ? null
-                : cause.equals(PREEMPTED_REASON)
-                        ? JobPhase.PREEMPTED
-                        : cause.equals(LOST_REASON) ? JobPhase.LOST : JobPhase.FAILED;
-    }
-
-    // ---- for those who trace the job ----
+    // ---- tracing ----
 
-    /** An attempt that is over, and since when the job had waited for it. */
+    /**
+     * An attempt that has ended.
+     *
+     * @param pendingSinceMillis since when the job had waited for the attempt, in milliseconds of
+     *     wall-clock time
+     */
     public record EndedAttempt(long pendingSinceMillis, AttemptRecord attempt) {}
 
-    /** The job as it is traced, or null. */
-    public TaskTracer.TracedTask tracedTask(JobId id, String team) {
-        return trace == null ? null : new TaskTracer.TracedTask(trace, id, team);
-    }
-
-    /** The attempts that are over and that nobody was told of. */
-    public List<EndedAttempt> untracedEndedAttempts(long acceptedMillis) {
-        List<EndedAttempt> over = new ArrayList<>();
-        for (int at = 0; at < attemptHistory.size(); at++) {
-            AttemptRecord each = attemptHistory.get(at);
-            if (each.endReason() != null && each.attemptNumber() > lastTracedAttempt) {
-                long since =
-                        at > 0
-                                ? attemptHistory.get(at - 1).endedAtMillis()
-                                : each.attemptNumber() == 1
-                                        ? acceptedMillis
-                                        : each.placedAtMillis();
-                over.add(new EndedAttempt(since, each));
+    /** The task as it is traced, or null if it is not. */
+    public TaskTracer.TracedTask tracedTask(JobId jobId, String team) {
+        return traceContext == null ? null : new TaskTracer.TracedTask(traceContext, jobId, team);
+    }
+
+    /** The attempts that have ended and are not traced yet. */
+    public List<EndedAttempt> untracedEndedAttempts(long acceptedAtMillis) {
+        List<EndedAttempt> ended = new ArrayList<>();
+        for (int at = 0; at < attempts.size(); at++) {
+            AttemptRecord attempt = attempts.get(at);
+            if (attempt.endReason() != null && attempt.attemptNumber() > lastTracedAttempt) {
+                ended.add(new EndedAttempt(pendingSinceMillis(at, acceptedAtMillis), attempt));
             }
         }
-        return over;
+        return ended;
+    }
+
+    /** Since when the job waited for an attempt, as far as the attempts that are kept tell. */
+    private long pendingSinceMillis(int at, long acceptedAtMillis) {
+        if (at > 0) {
+            return attempts.get(at - 1).endedAtMillis();
+        }
+        AttemptRecord attempt = attempts.get(at);
+        return attempt.attemptNumber() == 1 ? acceptedAtMillis : attempt.placedAtMillis();
     }
 
-    /** Tells of what a record that was written says is over. */
-    public void trace(TaskTracer traces, TaskTracer.TracedTask task, List<EndedAttempt> over) {
-        for (EndedAttempt each : over) {
-            lastTracedAttempt = each.attempt().attemptNumber();
-            traces.onAttemptEnded(task, each.pendingSinceMillis(), each.attempt());
+    /** Traces attempts that a persisted record shows as ended. */
+    public void trace(
+            TaskTracer tracer, TaskTracer.TracedTask task, List<EndedAttempt> endedAttempts) {
+        for (EndedAttempt ended : endedAttempts) {
+            lastTracedAttempt = ended.attempt().attemptNumber();
+            tracer.onAttemptEnded(task, ended.pendingSinceMillis(), ended.attempt());
         }
     }
 
     // ---- the entry ----
 
-    /** The entry of a job that was just accepted. */
+    /** Encodes the entry of a job that was just admitted. */
     public Map<String, Object> encodeAccepted() {
         return encodeWith(JobPhase.QUEUED, List.of());
     }
 
-    /** The entry of a job as it is. */
-    public Map<String, Object> encode(JobPhase jobPhase) {
-        return encodeWith(jobPhase, encodeAttempts());
+    /** Encodes the entry of a job in a phase, with its attempts. */
+    public Map<String, Object> encode(JobPhase phase) {
+        return encodeWith(phase, encodeAttempts());
     }
 
-    private Map<String, Object> encodeWith(JobPhase jobPhase, List<Object> attempts) {
-        Map<String, Object> map = new LinkedHashMap<>(constantFields);
-        map.put(PHASE_FIELD, jobPhase.storedWord());
-        map.put(ATTEMPTS_FIELD, attempts);
-        return map;
+    private Map<String, Object> encodeWith(JobPhase phase, List<Object> encodedAttempts) {
+        Map<String, Object> entry = new LinkedHashMap<>(constantFields);
+        entry.put(PHASE_FIELD, phase.storedWord());
+        entry.put(ATTEMPTS_FIELD, encodedAttempts);
+        return entry;
     }
 
-    /** An entry with the cancellation noted, as its user is told of it. */
+    /** A copy of an entry with the cancellation noted. */
     public static Map<String, Object> withCancellationRequested(Map<String, Object> entry) {
         Map<String, Object> copy = new LinkedHashMap<>(entry);
         copy.put(PHASE_FIELD, JobPhase.CANCELING.storedWord());
         return copy;
     }
 
+    /** The phase in an entry. */
     public static JobPhase phaseOf(Map<String, Object> entry) {
         return JobPhase.fromStoredWord((String) entry.get(PHASE_FIELD));
     }
 
+    /** The attempts in an entry, the oldest one first. */
     public static List<AttemptRecord> attemptsOf(Map<String, Object> entry) {
         return ((List<?>) entry.get(ATTEMPTS_FIELD)).stream().map(AttemptRecord::decode).toList();
     }
--- a/src/main/java/org/meadowhollow/model/TaskShard.java
+++ b/src/main/java/org/meadowhollow/model/TaskShard.java
@@ -2,133 +2,173 @@
 
 import java.util.HashMap;
 import java.util.Map;
-
-/** Some tasks of a job, next to each other, whose progress is one record in the state service. */
+import org.meadowhollow.model.JobEventLog.EventType;
+import org.meadowhollow.model.JobEventLog.TaskLocation;
+
+/**
+ * Adjacent tasks of a job whose state is one record in the key-value store. Changes of the tasks
+ * are numbered, so that it is known which of them are persisted. Not thread-safe: guarded like its
+ * job.
+ */
 public final class TaskShard {
+    /** The number of a change that was persisted before this leader loaded the shard. */
+    static final long PERSISTED_CHANGE = 0;
+
     private final Job job;
     private final int index;
     private Revision recordRevision = Revision.ABSENT;
-    private long latestChange;
-    private long persisted;
-    private boolean inFlight;
+    private long latestChange = PERSISTED_CHANGE;
+    private long latestPersistedChange = PERSISTED_CHANGE;
+    private boolean isWriteInFlight;
     private int highestAttempt;
-    private Map<Integer, JobEventLog.TaskLocation> persistedLocations = Map.of();
+    private Map<Integer, TaskLocation> persistedLocations = Map.of();
 
     TaskShard(Job job, int index) {
         this.job = job;
         this.index = index;
     }
 
+    /** The job that the tasks belong to. */
     public Job job() {
         return job;
     }
 
+    /** The position among the job's shards, from 0. */
     public int index() {
         return index;
     }
 
+    /** The first task of the shard. */
+    public int firstTask() {
+        return index * job.shardSize();
+    }
+
+    /** The task after the last one of the shard. */
+    public int endTaskExclusive() {
+        return Math.min(job.spec().taskCount(), firstTask() + job.shardSize());
+    }
+
+    // ---- changes ----
+
     /**
-     * Counts a change that is not in the record yet; the change is saved once {@link #isPersisted}
-     * says so.
+     * Counts a change that is not in the record yet.
+     *
+     * @return the number of the change, for {@link #isPersisted}
      */
     public long recordChange() {
         return ++latestChange;
     }
 
+    /** Whether a change is in the record. */
     public boolean isPersisted(long change) {
-        return persisted >= change;
+        return latestPersistedChange >= change;
     }
 
+    /** Whether there are changes that are not in the record. */
     public boolean isDirty() {
-        return persisted < latestChange;
+        return latestPersistedChange < latestChange;
     }
 
+    /** The number of the last change. */
     public long latestChange() {
         return latestChange;
     }
 
-    public void persisted(long change, Revision now) {
-        persisted = Math.max(persisted, change);
-        recordRevision = now;
+    /**
+     * Notes that the record was written.
+     *
+     * @param change the last change that is in the record
+     * @param revision of the record
+     */
+    public void markPersisted(long change, Revision revision) {
+        latestPersistedChange = Math.max(latestPersistedChange, change);
+        recordRevision = revision;
     }
 
-    public void adoptRevision(Revision found) {
-        recordRevision = found;
-    }
+    // ---- the record ----
 
+    /** The revision of the record, or {@link Revision#ABSENT} while there is none. */
     public Revision recordRevision() {
         return recordRevision;
     }
 
-    public boolean inFlight() {
-        return inFlight;
+    /** Sets the revision of the record as it was read. */
+    public void adoptRevision(Revision current) {
+        recordRevision = current;
+    }
+
+    /** Whether the record is being written or read; it is written by one request at a time. */
+    public boolean isWriteInFlight() {
+        return isWriteInFlight;
     }
 
-    public void inFlight(boolean now) {
-        inFlight = now;
+    /** Notes that the record is being written or read, or not any more. */
+    public void setWriteInFlight(boolean inFlight) {
+        isWriteInFlight = inFlight;
     }
 
+    // ---- attempts ----
+
+    /** The highest attempt number that any task of the shard was given; 0 if none was. */
     public int highestAttempt() {
         return highestAttempt;
     }
 
+    /** Notes that a task of the shard was given an attempt number. */
     public void recordAttempt(int attempt) {
         highestAttempt = Math.max(highestAttempt, attempt);
     }
 
-    /** Where its tasks are by now. */
-    public Map<Integer, JobEventLog.TaskLocation> currentLocations() {
-        Map<Integer, JobEventLog.TaskLocation> placed = new HashMap<>();
+    // ---- locations, for the event log ----
+
+    /** Where the tasks are placed now, by task. */
+    public Map<Integer, TaskLocation> currentLocations() {
+        Map<Integer, TaskLocation> locations = new HashMap<>();
         for (int task = firstTask(); task < endTaskExclusive(); task++) {
             Placement placement = job.placement(task);
             if (placement != null) {
-                placed.put(
-                        task,
-                        new JobEventLog.TaskLocation(
-                                placement.machineId(), placement.attemptNumber()));
+                locations.put(
+                        task, new TaskLocation(placement.machineId(), placement.attemptNumber()));
             }
         }
-        return placed;
+        return locations;
     }
 
-    /** All that is placed was read from the record. */
+    /** Notes that all placements were restored from the record. */
     public void markLocationsPersisted() {
         persistedLocations = currentLocations();
     }
 
-    /** Tells what a record that was written says other than the one before it. */
+    /**
+     * Logs how a record that was written differs from the one before it.
+     *
+     * @param revision of the record
+     * @param locations where the tasks are according to the record, by task
+     */
     public void logLocationChanges(
-            JobEventLog order, Revision revision, Map<Integer, JobEventLog.TaskLocation> now) {
+            JobEventLog eventLog, Revision revision, Map<Integer, TaskLocation> locations) {
         persistedLocations.forEach(
-                (task, was) -> {
-                    if (!was.equals(now.get(task))) {
-                        order.logTaskEvent(
-                                revision,
-                                JobEventLog.EventType.GONE,
-                                new TaskId(job.id(), task),
-                                job.spec().team(),
-                                was);
+                (task, location) -> {
+                    if (!location.equals(locations.get(task))) {
+                        logTaskEvent(eventLog, revision, EventType.GONE, task, location);
                     }
                 });
-        now.forEach(
-                (task, is) -> {
-                    if (!is.equals(persistedLocations.get(task))) {
-                        order.logTaskEvent(
-                                revision,
-                                JobEventLog.EventType.PLACED,
-                                new TaskId(job.id(), task),
-                                job.spec().team(),
-                                is);
+        locations.forEach(
+                (task, location) -> {
+                    if (!location.equals(persistedLocations.get(task))) {
+                        logTaskEvent(eventLog, revision, EventType.PLACED, task, location);
                     }
                 });
-        persistedLocations = now;
+        persistedLocations = locations;
     }
 
-    public int firstTask() {
-        return index * job.shardSize();
-    }
-
-    public int endTaskExclusive() {
-        return Math.min(job.spec().taskCount(), firstTask() + job.shardSize());
+    private void logTaskEvent(
+            JobEventLog eventLog,
+            Revision revision,
+            EventType eventType,
+            int task,
+            TaskLocation location) {
+        eventLog.logTaskEvent(
+                revision, eventType, new TaskId(job.id(), task), job.spec().team(), location);
     }
 }
--- a/src/main/java/org/meadowhollow/storage/CalendarRecordCodec.java
+++ b/src/main/java/org/meadowhollow/storage/CalendarRecordCodec.java
@@ -4,122 +4,147 @@
 import java.time.LocalDateTime;
 import java.time.ZoneId;
 import java.util.LinkedHashMap;
-import java.util.List;
 import java.util.Map;
 import org.meadowhollow.model.Priority;
-import org.meadowhollow.model.Resources;
 import org.meadowhollow.model.reservation.MaintenanceWindow;
 import org.meadowhollow.model.reservation.RecurringSchedule;
 import org.meadowhollow.model.reservation.Reservation;
 
-/** The keys and values under which reservations and windows are kept in the state service. */
+/**
+ * The keys and the records of the reservation calendar: reservations, maintenance windows, and the
+ * key whose revision is that of the whole calendar. Keys, field names and the order of fields are
+ * part of the persisted format.
+ */
 public final class CalendarRecordCodec {
+    /** Prefix of all records of the calendar. */
     public static final String CALENDAR_PREFIX = "cal/";
 
     /**
-     * Written by every change, so that of two that were decided from the same calendar only one is
-     * applied.
+     * Required and written by every change of the calendar, so that of two changes that were
+     * decided on the same calendar only one is applied. Its value is empty.
      */
     public static final String REVISION_KEY = CALENDAR_PREFIX + "stamp";
 
     static final String RESERVATION_PREFIX = CALENDAR_PREFIX + "reservation/";
     static final String WINDOW_PREFIX = CALENDAR_PREFIX + "window/";
 
+    private static final String NAME = "name";
+    private static final String ACCEPTANCE_ORDER = "order";
+    private static final String FIRST_START = "start";
+    private static final String TIME_ZONE = "clocks";
+    private static final String DURATION_MILLIS = "length";
+    private static final String RECURRENCE_RULE = "rule";
+
+    private static final String TEAM = "team";
+    private static final String PRIORITY = "priority";
+    private static final String TASK_COUNT = "tasks";
+    private static final String ALLOWED_MACHINE_TYPES = "types";
+    private static final String REQUIRED_ZONE = "in";
+    private static final String ALLOWS_SPOT = "spot";
+    private static final String IMAGE = "image";
+    private static final String IMAGE_SIZE_GB = "imageGb";
+    private static final String JOB_CLASS = "class";
+    private static final String ALLOWED_JOBS = "jobs";
+
+    private static final String SCOPE = "scope";
+    private static final String TARGETS = "targets";
+    private static final String SERVICE_EVICTION_LEAD_MILLIS = "notice";
+
     private CalendarRecordCodec() {}
 
+    /** The key of a reservation. */
     public static String reservation(String name) {
         return RESERVATION_PREFIX + name;
     }
 
+    /** The key of a maintenance window. */
     public static String window(String name) {
         return WINDOW_PREFIX + name;
     }
 
-    static long acceptanceOrderOf(Map<String, Object> record) {
-        return ((Number) record.get("order")).longValue();
+    /**
+     * Encodes a reservation.
+     *
+     * @param acceptanceOrder counts up with each change of the calendar
+     */
+    public static Map<String, Object> encode(Reservation reservation, long acceptanceOrder) {
+        Map<String, Object> fields =
+                encodeSchedule(reservation.name(), reservation.schedule(), acceptanceOrder);
+        fields.put(TEAM, reservation.team());
+        fields.put(PRIORITY, reservation.priority().storedWord());
+        fields.put(TASK_COUNT, (long) reservation.taskCount());
+        RecordFields.putResources(fields, reservation.resourcesPerTask());
+        fields.put(ALLOWED_MACHINE_TYPES, reservation.allowedMachineTypes());
+        fields.put(REQUIRED_ZONE, reservation.requiredZone());
+        fields.put(ALLOWS_SPOT, reservation.allowsSpot());
+        fields.put(IMAGE, reservation.image());
+        fields.put(IMAGE_SIZE_GB, reservation.imageSizeGb());
+        fields.put(JOB_CLASS, reservation.jobClass());
+        fields.put(ALLOWED_JOBS, reservation.allowedJobs());
+        return fields;
     }
 
     /**
-     * @param order of the change that writes it
+     * Encodes a maintenance window.
+     *
+     * @param acceptanceOrder counts up with each change of the calendar
      */
-    public static Map<String, Object> encode(Reservation reservation, long order) {
-        Map<String, Object> map = schedule(reservation.name(), reservation.schedule(), order);
-        map.put("team", reservation.team());
-        map.put("priority", reservation.priority().storedWord());
-        map.put("tasks", (long) reservation.taskCount());
-        map.put("cpu", reservation.resourcesPerTask().cpu());
-        map.put("gpu", reservation.resourcesPerTask().gpu());
-        map.put("memory", reservation.resourcesPerTask().memory());
-        map.put("types", reservation.allowedMachineTypes());
-        map.put("in", reservation.requiredZone());
-        map.put("spot", reservation.allowsSpot());
-        map.put("image", reservation.image());
-        map.put("imageGb", reservation.imageSizeGb());
-        map.put("class", reservation.jobClass());
-        map.put("jobs", reservation.allowedJobs());
-        return map;
+    public static Map<String, Object> encode(MaintenanceWindow window, long acceptanceOrder) {
+        Map<String, Object> fields =
+                encodeSchedule(window.name(), window.schedule(), acceptanceOrder);
+        fields.put(SCOPE, window.scope().storedWord());
+        fields.put(TARGETS, window.targets());
+        fields.put(SERVICE_EVICTION_LEAD_MILLIS, window.serviceEvictionLead().toMillis());
+        return fields;
     }
 
-    public static Map<String, Object> encode(MaintenanceWindow window, long order) {
-        Map<String, Object> map = schedule(window.name(), window.schedule(), order);
-        map.put("scope", window.scope().storedWord());
-        map.put("targets", window.targets());
-        map.put("notice", window.serviceEvictionLead().toMillis());
-        return map;
+    private static Map<String, Object> encodeSchedule(
+            String name, RecurringSchedule schedule, long acceptanceOrder) {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put(NAME, name);
+        fields.put(ACCEPTANCE_ORDER, acceptanceOrder);
+        fields.put(FIRST_START, schedule.firstStart().toString());
+        fields.put(TIME_ZONE, schedule.timeZone().getId());
+        fields.put(DURATION_MILLIS, schedule.duration().toMillis());
+        fields.put(RECURRENCE_RULE, schedule.recurrenceRule());
+        return fields;
     }
 
-    private static Map<String, Object> schedule(
-            String name, RecurringSchedule schedule, long order) {
-        Map<String, Object> map = new LinkedHashMap<>();
-        map.put("name", name);
-        map.put("order", order);
-        map.put("start", schedule.firstStart().toString());
-        map.put("clocks", schedule.timeZone().getId());
-        map.put("length", schedule.duration().toMillis());
-        map.put("rule", schedule.recurrenceRule());
-        return map;
+    private static RecurringSchedule decodeSchedule(Map<String, Object> fields) {
+        return new RecurringSchedule(
+                LocalDateTime.parse(RecordFields.text(fields, FIRST_START)),
+                ZoneId.of(RecordFields.text(fields, TIME_ZONE)),
+                Duration.ofMillis(RecordFields.longInteger(fields, DURATION_MILLIS)),
+                RecordFields.text(fields, RECURRENCE_RULE));
     }
 
-    private static RecurringSchedule schedule(Map<String, Object> map) {
-        return new RecurringSchedule(
-                LocalDateTime.parse((String) map.get("start")),
-                ZoneId.of((String) map.get("clocks")),
-                Duration.ofMillis(number(map, "length").longValue()),
-                (String) map.get("rule"));
+    static long acceptanceOrderOf(Map<String, Object> fields) {
+        return RecordFields.longInteger(fields, ACCEPTANCE_ORDER);
     }
 
-    @SuppressWarnings("unchecked")
-    static Reservation reservation(Map<String, Object> map) {
+    static Reservation decodeReservation(Map<String, Object> fields) {
         return new Reservation(
-                (String) map.get("name"),
-                (String) map.get("team"),
-                Priority.fromStoredWord((String) map.get("priority")),
-                number(map, "tasks").intValue(),
-                new Resources(
-                        number(map, "cpu").longValue(),
-                        number(map, "gpu").longValue(),
-                        number(map, "memory").longValue()),
-                (List<String>) map.get("types"),
-                (String) map.get("in"),
-                (Boolean) map.get("spot"),
-                (String) map.get("image"),
-                number(map, "imageGb").doubleValue(),
-                (String) map.get("class"),
-                (List<String>) map.get("jobs"),
-                schedule(map));
+                RecordFields.text(fields, NAME),
+                RecordFields.text(fields, TEAM),
+                Priority.fromStoredWord(RecordFields.text(fields, PRIORITY)),
+                RecordFields.integer(fields, TASK_COUNT),
+                RecordFields.resources(fields),
+                RecordFields.texts(fields, ALLOWED_MACHINE_TYPES),
+                RecordFields.text(fields, REQUIRED_ZONE),
+                (Boolean) fields.get(ALLOWS_SPOT),
+                RecordFields.text(fields, IMAGE),
+                RecordFields.decimal(fields, IMAGE_SIZE_GB),
+                RecordFields.text(fields, JOB_CLASS),
+                RecordFields.texts(fields, ALLOWED_JOBS),
+                decodeSchedule(fields));
     }
 
-    @SuppressWarnings("unchecked")
-    static MaintenanceWindow window(Map<String, Object> map) {
+    static MaintenanceWindow decodeWindow(Map<String, Object> fields) {
         return new MaintenanceWindow(
-                (String) map.get("name"),
-                MaintenanceWindow.Scope.fromStoredWord((String) map.get("scope")),
-                (List<String>) map.get("targets"),
-                schedule(map),
-                Duration.ofMillis(number(map, "notice").longValue()));
-    }
-
-    private static Number number(Map<String, Object> map, String key) {
-        return (Number) map.get(key);
+                RecordFields.text(fields, NAME),
+                MaintenanceWindow.Scope.fromStoredWord(RecordFields.text(fields, SCOPE)),
+                RecordFields.texts(fields, TARGETS),
+                decodeSchedule(fields),
+                Duration.ofMillis(RecordFields.longInteger(fields, SERVICE_EVICTION_LEAD_MILLIS)));
     }
 }
--- a/src/main/java/org/meadowhollow/storage/CalendarSnapshot.java
+++ b/src/main/java/org/meadowhollow/storage/CalendarSnapshot.java
@@ -4,96 +4,107 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Optional;
+import java.util.function.Function;
 import org.meadowhollow.model.Revision;
 import org.meadowhollow.model.reservation.MaintenanceWindow;
 import org.meadowhollow.model.reservation.Reservation;
 
 /**
- * All that is reserved and declared, as the state service had it at one time.
+ * The reservation calendar as it was stored at one time. Immutable.
  *
- * @param reservations in the order in which they were accepted, which is who comes first
- * @param revision of the key that every change of the calendar guards and writes
+ * @param reservations in the order in which they were accepted, by which earlier ones take
+ *     precedence
+ * @param windows the maintenance windows, in the order in which they were accepted
+ * @param revision of {@link CalendarRecordCodec#REVISION_KEY}, which every change of the calendar
+ *     requires and writes
  */
 public record CalendarSnapshot(
         List<CalendarEntry<Reservation>> reservations,
         List<CalendarEntry<MaintenanceWindow>> windows,
         Revision revision) {
+    /** A calendar that was never changed. */
     public static final CalendarSnapshot EMPTY =
             new CalendarSnapshot(List.of(), List.of(), Revision.ABSENT);
 
     /**
-     * An entry and its place among the others.
+     * A reservation or maintenance window with its position in the calendar.
      *
      * @param acceptanceOrder counts up with each change of the calendar
+     * @param revision of its record
      */
     public record CalendarEntry<T>(T item, long acceptanceOrder, Revision revision) {}
 
-    /** Makes sense of the records under {@link CalendarRecordCodec#CALENDAR_PREFIX}. */
+    /** Decodes the records under {@link CalendarRecordCodec#CALENDAR_PREFIX}. */
     public static CalendarSnapshot fromRecords(List<KeyValueStore.Entry> entries) {
         List<CalendarEntry<Reservation>> reservations = new ArrayList<>();
         List<CalendarEntry<MaintenanceWindow>> windows = new ArrayList<>();
-        Revision stamp = Revision.ABSENT;
+        Revision revision = Revision.ABSENT;
         for (KeyValueStore.Entry entry : entries) {
             if (entry.key().equals(CalendarRecordCodec.REVISION_KEY)) {
-                stamp = entry.revision();
+                revision = entry.revision();
             } else if (entry.key().startsWith(CalendarRecordCodec.RESERVATION_PREFIX)) {
                 reservations.add(
-                        new CalendarEntry<>(
-                                CalendarRecordCodec.reservation(entry.value()),
-                                CalendarRecordCodec.acceptanceOrderOf(entry.value()),
-                                entry.revision()));
+                        decode(entry, CalendarRecordCodec.decodeReservation(entry.value())));
             } else if (entry.key().startsWith(CalendarRecordCodec.WINDOW_PREFIX)) {
-                windows.add(
-                        new CalendarEntry<>(
-                                CalendarRecordCodec.window(entry.value()),
-                                CalendarRecordCodec.acceptanceOrderOf(entry.value()),
-                                entry.revision()));
+                windows.add(decode(entry, CalendarRecordCodec.decodeWindow(entry.value())));
             }
         }
         reservations.sort(Comparator.comparingLong(CalendarEntry::acceptanceOrder));
         windows.sort(Comparator.comparingLong(CalendarEntry::acceptanceOrder));
-        return new CalendarSnapshot(List.copyOf(reservations), List.copyOf(windows), stamp);
+        return new CalendarSnapshot(List.copyOf(reservations), List.copyOf(windows), revision);
     }
 
+    private static <T> CalendarEntry<T> decode(KeyValueStore.Entry entry, T item) {
+        return new CalendarEntry<>(
+                item, CalendarRecordCodec.acceptanceOrderOf(entry.value()), entry.revision());
+    }
+
+    /** The reservation with a name, if there is one. */
     public Optional<CalendarEntry<Reservation>> findReservation(String name) {
-        return reservations.stream()
-                .filter(calendarEntry -> calendarEntry.item().name().equals(name))
-                .findFirst();
+        return find(reservations, Reservation::name, name);
     }
 
+    /** The maintenance window with a name, if there is one. */
     public Optional<CalendarEntry<MaintenanceWindow>> findWindow(String name) {
-        return windows.stream()
-                .filter(calendarEntry -> calendarEntry.item().name().equals(name))
+        return find(windows, MaintenanceWindow::name, name);
+    }
+
+    private static <T> Optional<CalendarEntry<T>> find(
+            List<CalendarEntry<T>> entries, Function<T, String> nameOf, String name) {
+        return entries.stream()
+                .filter(entry -> nameOf.apply(entry.item()).equals(name))
                 .findFirst();
     }
 
+    /** The number of reservations and maintenance windows. */
     public int size() {
         return reservations.size() + windows.size();
     }
 
-    /** The calendar with a reservation put in or changed, as the last one accepted. */
+    /** The calendar with a reservation added or replaced, as the last one accepted. */
     public CalendarSnapshot with(Reservation reservation) {
-        List<CalendarEntry<Reservation>> all =
-                new ArrayList<>(without(reservations, reservation.name()));
-        all.add(new CalendarEntry<>(reservation, Long.MAX_VALUE, Revision.ABSENT));
-        return new CalendarSnapshot(all, windows, revision);
+        List<CalendarEntry<Reservation>> changed =
+                new ArrayList<>(without(reservations, Reservation::name, reservation.name()));
+        changed.add(new CalendarEntry<>(reservation, Long.MAX_VALUE, Revision.ABSENT));
+        return new CalendarSnapshot(changed, windows, revision);
     }
 
+    /** The calendar with a maintenance window added or replaced, as the last one accepted. */
     public CalendarSnapshot with(MaintenanceWindow window) {
-        List<CalendarEntry<MaintenanceWindow>> all = new ArrayList<>(windows);
-        all.removeIf(calendarEntry -> calendarEntry.item().name().equals(window.name()));
-        all.add(new CalendarEntry<>(window, Long.MAX_VALUE, Revision.ABSENT));
-        return new CalendarSnapshot(reservations, all, revision);
+        List<CalendarEntry<MaintenanceWindow>> changed =
+                new ArrayList<>(without(windows, MaintenanceWindow::name, window.name()));
+        changed.add(new CalendarEntry<>(window, Long.MAX_VALUE, Revision.ABSENT));
+        return new CalendarSnapshot(reservations, changed, revision);
     }
 
+    /** The calendar without the reservation of a name. */
     public CalendarSnapshot withoutReservation(String name) {
-        return new CalendarSnapshot(without(reservations, name), windows, revision);
+        return new CalendarSnapshot(
+                without(reservations, Reservation::name, name), windows, revision);
     }
 
-    private static List<CalendarEntry<Reservation>> without(
-            List<CalendarEntry<Reservation>> all, String name) {
-        return all.stream()
-                .filter(calendarEntry -> !calendarEntry.item().name().equals(name))
-                .toList();
+    private static <T> List<CalendarEntry<T>> without(
+            List<CalendarEntry<T>> entries, Function<T, String> nameOf, String name) {
+        return entries.stream().filter(entry -> !nameOf.apply(entry.item()).equals(name)).toList();
     }
 }
--- a/src/main/java/org/meadowhollow/storage/KeyspaceReplica.java
+++ b/src/main/java/org/meadowhollow/storage/KeyspaceReplica.java
@@ -9,12 +9,18 @@
 import org.meadowhollow.storage.KeyValueStore.ChangeBatch;
 import org.meadowhollow.storage.KeyValueStore.Entry;
 
-/** The records under a prefix as they stood at a revision, decoded. Guarded by whoever keeps it. */
+/**
+ * A copy of the records under a prefix as of a revision, decoded. It is built from pages and kept
+ * up to date with changes. Not thread-safe: its owner guards it.
+ */
 public final class KeyspaceReplica {
-    /** About what a number, a text and an item of a map or list take in memory, in bytes. */
+    /** Estimated memory of a number, in bytes. */
     private static final int NUMBER_BYTES = 24;
 
+    /** Estimated memory of a text without its characters, in bytes. */
     private static final int TEXT_BYTES = 48;
+
+    /** Estimated memory of an item of a map or list without what it holds, in bytes. */
     private static final int ITEM_BYTES = 40;
 
     private final String prefix;
@@ -23,72 +29,73 @@
     private long estimatedBytes;
 
     /**
-     * @param revision as of the first page that is going to be added, since what changed after it
-     *     is told by changes
+     * Creates an empty replica.
+     *
+     * @param revision as of the first page that is going to be added, since what changes after it
+     *     arrives as changes
      */
     public KeyspaceReplica(String prefix, Revision revision) {
         this.prefix = prefix;
         this.revision = revision;
     }
 
+    /** The prefix of all keys. */
     public String prefix() {
         return prefix;
     }
 
-    /** All changes up to this one are in. */
+    /** The revision up to which all changes are applied. */
     public Revision revision() {
         return revision;
     }
 
+    /** The number of records. */
     public int size() {
         return entries.size();
     }
 
-    /** About what the records take in memory, in bytes. */
+    /** The estimated memory that the records take, in bytes. */
     public long estimatedBytes() {
         return estimatedBytes;
     }
 
-    /** In the order of their keys. */
+    /** All records in the order of their keys. */
     public Collection<Entry> entries() {
         return entries.values();
     }
 
-    /** Those whose keys begin with some text. */
-    public Collection<Entry> entries(String beginning) {
-        return entries.subMap(beginning, beginning + Character.MAX_VALUE).values();
+    /** The records whose keys begin with {@code keyPrefix}, in the order of their keys. */
+    public Collection<Entry> entries(String keyPrefix) {
+        return entries.subMap(keyPrefix, keyPrefix + Character.MAX_VALUE).values();
     }
 
+    /** Adds the records of a page that was read. */
     public void addPage(List<Entry> page) {
         page.forEach(this::put);
     }
 
-    /** Takes in changes that follow the revision; what a later page already had is not undone. */
+    /** Applies changes that follow {@link #revision}; a newer record of a later page stays. */
     public void apply(ChangeBatch changeBatch) {
-        for (Change change : changeBatch.changes()) {
-            Entry known = entries.get(change.key());
-            if (known != null && known.revision().isAfter(change.revision())) {
-                continue;
-            }
-            if (change.value() != null) {
-                put(new Entry(change.key(), change.value(), change.revision()));
-            } else if (known != null) {
-                entries.remove(change.key());
-                estimatedBytes -= estimateBytes(known);
-            }
-        }
+        changeBatch.changes().forEach(this::apply);
         revision = changeBatch.revision();
     }
 
-    /** Puts what was read anew in the place of the records whose keys begin with some text. */
-    public void replacePrefix(String beginning, List<Entry> read) {
-        List.copyOf(entries(beginning))
-                .forEach(
-                        entry -> {
-                            entries.remove(entry.key());
-                            estimatedBytes -= estimateBytes(entry);
-                        });
-        addPage(read);
+    private void apply(Change change) {
+        Entry known = entries.get(change.key());
+        if (known != null && known.revision().isAfter(change.revision())) {
+            return;
+        }
+        if (change.value() != null) {
+            put(new Entry(change.key(), change.value(), change.revision()));
+        } else if (known != null) {
+            remove(known);
+        }
+    }
+
+    /** Replaces the records whose keys begin with {@code keyPrefix} by those read again. */
+    public void replacePrefix(String keyPrefix, List<Entry> entriesRead) {
+        List.copyOf(entries(keyPrefix)).forEach(this::remove);
+        addPage(entriesRead);
     }
 
     private void put(Entry entry) {
@@ -96,6 +103,11 @@
         estimatedBytes += estimateBytes(entry) - (before == null ? 0 : estimateBytes(before));
     }
 
+    private void remove(Entry entry) {
+        entries.remove(entry.key());
+        estimatedBytes -= estimateBytes(entry);
+    }
+
     private static long estimateBytes(Entry entry) {
         return TEXT_BYTES + ITEM_BYTES + entry.key().length() + estimateBytes(entry.value());
     }
@@ -103,8 +115,8 @@
     private static long estimateBytes(Object value) {
         if (value instanceof Map<?, ?> map) {
             long sum = ITEM_BYTES;
-            for (Map.Entry<?, ?> item : map.entrySet()) {
-                sum += ITEM_BYTES + estimateBytes(item.getValue());
+            for (Object item : map.values()) {
+                sum += ITEM_BYTES + estimateBytes(item);
             }
             return sum;
         }
--- a/src/main/java/org/meadowhollow/storage/LeaseId.java
+++ b/src/main/java/org/meadowhollow/storage/LeaseId.java
@@ -1,4 +1,4 @@
 package org.meadowhollow.storage;
 
-/** A lease of the state service. */
+/** The identifier of a lease that the key-value store granted. */
 public record LeaseId(long value) {}
--- a/src/main/java/org/meadowhollow/storage/RecordDigests.java
+++ b/src/main/java/org/meadowhollow/storage/RecordDigests.java
@@ -13,14 +13,18 @@
 import org.meadowhollow.model.TaskShard;
 
 /**
- * Digests of records by part: how many there are, and a sum over the hashes of their keys with
- * their versions. A part is named by what its keys begin with, up to their first digit, so that it
- * can be read again by itself.
+ * Digests of records, by which a standby compares its replica with the leader's records. Records
+ * are grouped into parts; the digest of a part is the number of its records and the sum of the
+ * hashes of their keys with their revisions. A part is named by what its keys begin with, up to and
+ * including their first digit, so that a part that differs can be read again by itself.
+ *
+ * <p>Not thread-safe: its owner guards it.
  */
 public final class RecordDigests {
+    /** No records at all; not to be added to. */
     public static final RecordDigests EMPTY = new RecordDigests();
 
-    /** One part's digest. */
+    /** The digest of one part; the sum of the hashes wraps around. */
     public record PartDigest(int recordCount, long hashSum) {
         static final PartDigest EMPTY = new PartDigest(0, 0);
     }
@@ -28,24 +32,27 @@
     private final Map<String, PartDigest> parts = new TreeMap<>();
     private final Set<String> partsBeingWritten = new HashSet<>();
 
-    public static RecordDigests of(KeyspaceReplica image) {
-        RecordDigests recordDigests = new RecordDigests();
-        for (KeyValueStore.Entry entry : image.entries()) {
-            recordDigests.add(entry.key(), entry.revision());
+    /** The digests of the records of a replica. */
+    public static RecordDigests of(KeyspaceReplica replica) {
+        RecordDigests digests = new RecordDigests();
+        for (KeyValueStore.Entry entry : replica.entries()) {
+            digests.add(entry.key(), entry.revision());
         }
-        return recordDigests;
+        return digests;
     }
 
-    /** Of parts as another node gave them. */
-    public static RecordDigests of(Map<String, PartDigest> parts, Set<String> unsettled) {
-        RecordDigests recordDigests = new RecordDigests();
-        recordDigests.parts.putAll(parts);
-        recordDigests.partsBeingWritten.addAll(unsettled);
-        return recordDigests;
+    /** The digests that another node sent. */
+    public static RecordDigests of(Map<String, PartDigest> parts, Set<String> partsBeingWritten) {
+        RecordDigests digests = new RecordDigests();
+        digests.parts.putAll(parts);
+        digests.partsBeingWritten.addAll(partsBeingWritten);
+        return digests;
     }
 
     /**
-     * @param revision null while a write is under way, so that nothing can be said of the part
+     * Adds a record.
+     *
+     * @param revision null while the record is being written, so that its part cannot be compared
      */
     public void add(String key, Revision revision) {
         String part = partOf(key);
@@ -66,28 +73,32 @@
     public void addRecordsOf(Job job) {
         add(RecordKeys.job(job.id()), job.recordRevision());
         for (int at = 0; at < job.shardCount(); at++) {
-            if (job.hasPersistedShard(at) || job.shard(at).inFlight()) {
+            if (job.hasPersistedShard(at) || job.shard(at).isWriteInFlight()) {
                 TaskShard shard = job.shard(at);
-                add(RecordKeys.taskShard(shard), shard.inFlight() ? null : shard.recordRevision());
+                add(
+                        RecordKeys.taskShard(shard),
+                        shard.isWriteInFlight() ? null : shard.recordRevision());
             }
         }
     }
 
-    /** Adds the digests of other parts. */
+    /** Adds the digests of parts that are not in this one yet. */
     public void add(RecordDigests other) {
         parts.putAll(other.parts);
         partsBeingWritten.addAll(other.partsBeingWritten);
     }
 
+    /** The digests by the name of the part, in the order of the names. */
     public Map<String, PartDigest> parts() {
         return parts;
     }
 
+    /** The parts of which a record is being written. */
     public Set<String> partsBeingWritten() {
         return partsBeingWritten;
     }
 
-    /** The parts that are not the same here and there, as far as both can tell. */
+    /** The names of the parts that differ, in their order; those being written are left out. */
     public List<String> differingParts(RecordDigests other) {
         Set<String> all = new HashSet<>(parts.keySet());
         all.addAll(other.parts.keySet());
@@ -95,8 +106,7 @@
         for (String part : all) {
             if (!partsBeingWritten.contains(part)
                     && !other.partsBeingWritten.contains(part)
-                    && !parts.getOrDefault(part, PartDigest.EMPTY)
-                            .equals(other.parts.getOrDefault(part, PartDigest.EMPTY))) {
+                    && !digestOf(part).equals(other.digestOf(part))) {
                 differing.add(part);
             }
         }
@@ -104,6 +114,10 @@
         return differing;
     }
 
+    private PartDigest digestOf(String part) {
+        return parts.getOrDefault(part, PartDigest.EMPTY);
+    }
+
     private static String partOf(String key) {
         int at = key.indexOf('/') + 1;
         while (at < key.length() && !Character.isDigit(key.charAt(at))) {
--- a/src/main/java/org/meadowhollow/storage/RecordWriter.java
+++ b/src/main/java/org/meadowhollow/storage/RecordWriter.java
@@ -204,8 +204,8 @@
     private void handleApplied(WriteBatch batch, Revision revision) {
         for (WriteBatch.ShardWrite shardWrite : batch.shardWrites()) {
             TaskShard shard = shardWrite.shard();
-            shard.inFlight(false);
-            shard.persisted(shardWrite.change(), revision);
+            shard.setWriteInFlight(false);
+            shard.markPersisted(shardWrite.change(), revision);
             publisher.publishShard(shardWrite, revision);
             if (shard.isDirty()) {
                 markDirty(shard);
@@ -248,7 +248,7 @@
 
     private void returnToPending(WriteBatch batch) {
         for (WriteBatch.ShardWrite shardWrite : batch.shardWrites()) {
-            shardWrite.shard().inFlight(false);
+            shardWrite.shard().setWriteInFlight(false);
             if (shardWrite.shard().isDirty()) {
                 markDirty(shardWrite.shard());
             }
@@ -262,12 +262,12 @@
      * it left.
      */
     private void refreshShardRevision(String key, TaskShard shard) {
-        shard.inFlight(true);
+        shard.setWriteInFlight(true);
         CompletableFuture<?> unused =
                 store.get(key, RequestPriority.PLACEMENT)
                         .whenComplete(
                                 (entry, failure) -> {
-                                    shard.inFlight(false);
+                                    shard.setWriteInFlight(false);
                                     if (failure == null) {
                                         shard.adoptRevision(
                                                 entry.map(KeyValueStore.Entry::revision)
--- a/src/main/java/org/meadowhollow/storage/Transaction.java
+++ b/src/main/java/org/meadowhollow/storage/Transaction.java
@@ -5,39 +5,55 @@
 import org.meadowhollow.model.Revision;
 
 /**
- * Changes that happen together, or not at all if a guarded key has another version than expected.
+ * A compare-and-swap of several keys: the writes are applied together, or not at all if a key does
+ * not have its required revision. Built by one thread and not changed after it is committed.
  */
 public final class Transaction {
-    /** A value to put under a key, attached to a lease or not; a null value removes the key. */
+    /**
+     * What is written under a key.
+     *
+     * @param value null deletes the key
+     * @param lease the lease that the key is attached to, or null
+     */
     public record Write(Map<String, Object> value, LeaseId lease) {}
 
     private final Map<String, Revision> conditions = new LinkedHashMap<>();
     private final Map<String, Write> writes = new LinkedHashMap<>();
 
+    /**
+     * Requires that a key has a revision.
+     *
+     * @param revision {@link Revision#ABSENT} requires that the key does not exist
+     */
     public Transaction requireRevision(String key, Revision revision) {
         conditions.put(key, revision);
         return this;
     }
 
+    /** Writes a value. */
     public Transaction put(String key, Map<String, Object> value) {
         writes.put(key, new Write(value, null));
         return this;
     }
 
+    /** Writes a value that is deleted when the lease ends. */
     public Transaction put(String key, Map<String, Object> value, LeaseId lease) {
         writes.put(key, new Write(value, lease));
         return this;
     }
 
+    /** Deletes a key, whether or not it exists. */
     public Transaction delete(String key) {
         writes.put(key, new Write(null, null));
         return this;
     }
 
+    /** The required revisions by key, in the order in which they were added. */
     public Map<String, Revision> conditions() {
         return conditions;
     }
 
+    /** The writes by key, in the order in which they were added. */
     public Map<String, Write> writes() {
         return writes;
     }
--- a/src/main/java/org/meadowhollow/storage/WriteBatchBuilder.java
+++ b/src/main/java/org/meadowhollow/storage/WriteBatchBuilder.java
@@ -90,7 +90,7 @@
     private boolean canBeWritten(TaskShard shard, boolean urgent) {
         Job job = shard.job();
         return PendingRecords.isUrgent(job) == urgent
-                && !shard.inFlight()
+                && !shard.isWriteInFlight()
                 && !pending.isEndInFlight(job)
                 && !pending.endedJobs().contains(job);
     }
@@ -102,7 +102,7 @@
     }
 
     private void addShard(TaskShard shard, WriteBatch batch) {
-        shard.inFlight(true);
+        shard.setWriteInFlight(true);
         batch.addShard(
                 new WriteBatch.ShardWrite(
                         shard,
@@ -138,7 +138,7 @@
 
     private static boolean hasShardInFlight(Job job) {
         for (int at = 0; at < job.shardCount(); at++) {
-            if (job.shard(at).inFlight()) {
+            if (job.shard(at).isWriteInFlight()) {
                 return true;
             }
         }
