--- a/src/main/java/org/meadowhollow/model/AttemptNumber.java
+++ b/src/main/java/org/meadowhollow/model/AttemptNumber.java
@@ -1,6 +1,6 @@
 package org.meadowhollow.model;
 
-/** Number of one start of a task; all tasks of a gang share it. */
+/** The number of an attempt to run a task, from 1; all tasks of a gang's attempt share it. */
 public record AttemptNumber(int value) {
     @Override
     public String toString() {
--- a/src/main/java/org/meadowhollow/model/EventLoop.java
+++ b/src/main/java/org/meadowhollow/model/EventLoop.java
@@ -2,12 +2,14 @@
 
 import java.time.Duration;
 
-/** The clock and the timers that everything runs on; tests bring one with virtual time. */
+/** The clocks and timers that the program runs on; tests provide one with virtual time. */
 public interface EventLoop {
+    /** The current time of the monotonic clock. */
     MonotonicTime now();
 
-    /** The time of day in milliseconds, right within the bound that the settings give. */
+    /** Wall-clock time in milliseconds, right within the bound that the settings give. */
     long wallClockMillis();
 
-    void schedule(Duration pause, Runnable work);
+    /** Runs a task once after a delay, on the loop's thread. */
+    void schedule(Duration delay, Runnable task);
 }
--- a/src/main/java/org/meadowhollow/model/Heartbeat.java
+++ b/src/main/java/org/meadowhollow/model/Heartbeat.java
@@ -3,9 +3,14 @@
 import java.util.List;
 
 /**
- * A worker's account of itself.
+ * A heartbeat: a worker's periodic status message.
  *
- * @param preemptionNoticeSeconds seconds until the cloud takes the machine away, or NaN
+ * @param address the network address of the worker
+ * @param sequenceNumber counts up with each heartbeat of an incarnation
+ * @param fencingToken the highest fencing token that the worker has accepted
+ * @param preemptionNoticeSeconds seconds until the cloud provider takes the machine away, or NaN if
+ *     it gave no notice
+ * @param tasks all tasks that are on the machine, running or exited
  */
 public record Heartbeat(
         MachineId machineId,
@@ -19,12 +24,17 @@
         double preemptionNoticeSeconds,
         List<TaskStatus> tasks) {
 
-    /** A task on the machine; {@code cause} is null until it has exited. */
+    /**
+     * The status of a task on the machine.
+     *
+     * @param exitReason null while the task has not exited
+     */
     public record TaskStatus(
             TaskId taskId, AttemptNumber attemptNumber, TaskState state, ExitReason exitReason) {}
 
-    public boolean isNewerThan(WorkerIncarnation otherSession, long otherSeq) {
-        return incarnation.isAfter(otherSession)
-                || incarnation.equals(otherSession) && sequenceNumber > otherSeq;
+    /** Whether the worker sent this heartbeat after the one with these numbers. */
+    public boolean isNewerThan(WorkerIncarnation otherIncarnation, long otherSequenceNumber) {
+        return incarnation.isAfter(otherIncarnation)
+                || (incarnation.equals(otherIncarnation) && sequenceNumber > otherSequenceNumber);
     }
 }
--- a/src/main/java/org/meadowhollow/model/ImageCache.java
+++ b/src/main/java/org/meadowhollow/model/ImageCache.java
@@ -4,7 +4,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What a machine probably has cached: the images most recently used on it, as far as they fit. */
+/**
+ * The container images that a machine probably has cached: those most recently used on it, as far
+ * as they fit. Not thread-safe: guarded like its machine.
+ */
 public final class ImageCache {
     private static final int INITIAL_CAPACITY = 8;
     private static final float LOAD_FACTOR = 0.75f;
@@ -14,24 +17,27 @@
             new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
     private double usedGb;
 
-    ImageCache(double roomGb) {
-        this.capacityGb = roomGb;
+    ImageCache(double capacityGb) {
+        this.capacityGb = capacityGb;
     }
 
+    /** Whether an image is probably cached. */
     public boolean contains(String image) {
         return sizeGbByImage.containsKey(image);
     }
 
     /**
-     * Notes that a task with this image is on the machine; what was used longest ago makes room for
-     * it.
+     * Notes that a task with this image is on the machine; the least recently used images are
+     * evicted for it.
+     *
+     * @param sizeGb the size of the image in gigabytes
      */
-    public void recordUse(String image, double gb) {
+    public void recordUse(String image, double sizeGb) {
         if (sizeGbByImage.get(image) != null) {
             return;
         }
-        sizeGbByImage.put(image, gb);
-        usedGb += gb;
+        sizeGbByImage.put(image, sizeGb);
+        usedGb += sizeGb;
         for (Iterator<Double> eldest = sizeGbByImage.values().iterator();
                 usedGb > capacityGb && sizeGbByImage.size() > 1; ) {
             usedGb -= eldest.next();
--- a/src/main/java/org/meadowhollow/model/JobEventListeners.java
+++ b/src/main/java/org/meadowhollow/model/JobEventListeners.java
@@ -1,7 +1,8 @@
 package org.meadowhollow.model;
 
-/** Those who are told what happens to jobs, and who change nothing by it. */
+/** Where what happens to jobs is published; the listeners do not influence the scheduler. */
 public record JobEventListeners(JobEventLog eventLog, TaskTracer tracer) {
+    /** Publishes nothing. */
     public static final JobEventListeners NONE =
             new JobEventListeners(JobEventLog.NONE, TaskTracer.NONE);
 }
--- a/src/main/java/org/meadowhollow/model/JobEventLog.java
+++ b/src/main/java/org/meadowhollow/model/JobEventLog.java
@@ -5,33 +5,36 @@
 
 /**
  * What happened to jobs, native ones and those of other interfaces alike, in one sequence: the
- * state service's revisions give the order, across nodes and leaders. Each node logs what it wrote
- * itself, so the sequence is that of all nodes' events by revision; those of one revision happened
- * together. An event whose transaction got no answer is left out, and what its record says then
- * shows in a later one.
+ * revisions of the key-value store order the events across nodes and leaders, and events of one
+ * revision happened together. Each node logs what it wrote itself, so that the logs of all nodes
+ * make up the sequence. An event whose transaction got no response is left out; what its record
+ * says then shows in a later event.
  */
 public final class JobEventLog {
-    /** Keeps nothing, and costs nothing. */
+    /** Logs nothing, at no cost. */
     public static final JobEventLog NONE = new JobEventLog(null);
 
     /** What happened. */
     public enum EventType {
-        /** A user was told that the job will run. */
+        /** The user got the response that the job is admitted. */
         ACCEPTED,
-        /** A user was told that nothing of it starts any more. */
+        /** The user got the response that no more tasks of the job start. */
         CANCELLED,
-        /** From now on the task may be running there. */
+        /** From now on the task may be running on the machine. */
         PLACED,
-        /** The task is proven gone from there: done, stopped, or lost. */
+        /** The task is proven not to run on the machine any more: done, stopped or lost. */
         GONE,
-        /** Nothing of the job is left to do. */
+        /** The job has ended. */
         ENDED
     }
 
     /**
-     * @param taskIndex the task's number, or -1 where the event is of the whole job
-     * @param machineName where, or null
-     * @param attemptNumber the attempt's number, or 0
+     * An event of a job or of one of its tasks.
+     *
+     * @param revision of the transaction that persisted the event
+     * @param taskIndex the task's index, or -1 for an event of the whole job
+     * @param machineName the machine that the task is placed on, or null for the whole job
+     * @param attemptNumber the number of the attempt, or 0 for the whole job
      */
     public record Event(
             Revision revision,
@@ -41,65 +44,68 @@
             int taskIndex,
             String machineName,
             int attemptNumber) {
+        /** The line that is logged; its form is documented for users of the log. */
         @Override
         public String toString() {
-            String whole =
-                    "order "
-                            + revision.value()
-                            + ' '
-                            + type.name().toLowerCase(Locale.ROOT)
-                            + ' '
-                            + jobId;
-            return (taskIndex < 0
-                            ? whole
-                            : whole
-                                    + '/'
-                                    + taskIndex
-                                    + " attempt "
-                                    + attemptNumber
-                                    + " on "
-                                    + machineName)
+            String subject = jobId.value();
+            if (taskIndex != WHOLE_JOB) {
+                subject += "/" + taskIndex + " attempt " + attemptNumber + " on " + machineName;
+            }
+            return "order "
+                    + revision.value()
+                    + ' '
+                    + type.name().toLowerCase(Locale.ROOT)
+                    + ' '
+                    + subject
                     + " team "
                     + team;
         }
     }
 
+    /** The task index of an event of a whole job. */
+    private static final int WHOLE_JOB = -1;
+
     private final Consumer<Event> sink;
 
     /**
-     * @param sink takes each event, quickly and without failing; null keeps nothing
+     * Creates a log.
+     *
+     * @param sink takes each event, without blocking or failing; null logs nothing
      */
     public JobEventLog(Consumer<Event> sink) {
         this.sink = sink;
     }
 
+    /** Whether events are logged; if not, callers need not prepare them. */
     public boolean isEnabled() {
         return sink != null;
     }
 
-    public void logJobEvent(Revision revision, EventType eventType, JobId job, String team) {
+    /** Logs an event of a whole job. */
+    public void logJobEvent(Revision revision, EventType eventType, JobId jobId, String team) {
         if (sink != null) {
-            sink.accept(new Event(revision, eventType, job, team, -1, null, 0));
+            sink.accept(new Event(revision, eventType, jobId, team, WHOLE_JOB, null, 0));
         }
     }
 
+    /** Logs an event of a task; the log must be enabled. */
     void logTaskEvent(
             Revision revision,
             EventType eventType,
-            TaskId task,
+            TaskId taskId,
             String team,
-            TaskLocation taskLocation) {
+            TaskLocation location) {
         sink.accept(
                 new Event(
                         revision,
                         eventType,
-                        task.jobId(),
+                        taskId.jobId(),
                         team,
-                        task.index(),
-                        taskLocation.machineId().value(),
-                        taskLocation.attemptNumber().value()));
+                        taskId.index(),
+                        location.machineId().value(),
+                        location.attemptNumber().value()));
     }
 
-    /** Where a task may be running, as a record has it. */
+    /** Where a task may be running according to a record. */
     public record TaskLocation(MachineId machineId, AttemptNumber attemptNumber) {}
 }
--- a/src/main/java/org/meadowhollow/model/JobId.java
+++ b/src/main/java/org/meadowhollow/model/JobId.java
@@ -2,11 +2,11 @@
 
 import java.util.regex.Pattern;
 
-/** A job's name, chosen by its user. */
+/** The identifier of a job; native ones are chosen by the user. */
 public record JobId(String value) implements Comparable<JobId> {
     private static final Pattern VALID_FORM = Pattern.compile("req-[0-9]{1,19}");
 
-    /** Whether users' ids always look like this; anything else can never have been accepted. */
+    /** Whether a text has the form of all native identifiers; no other can have been admitted. */
     public static boolean isWellFormed(String text) {
         return VALID_FORM.matcher(text).matches();
     }
--- a/src/main/java/org/meadowhollow/model/JobSpec.java
+++ b/src/main/java/org/meadowhollow/model/JobSpec.java
@@ -3,10 +3,21 @@
 import java.util.List;
 
 /**
- * What a user asked for.
+ * The specification of a job, as its user submitted it.
  *
- * @param allowedMachineTypes allowed machine types, or null for any
- * @param requiredZone the only allowed zone, or null
+ * @param jobClass the class of similar jobs that the job belongs to
+ * @param team the team whose quota the job counts against
+ * @param resourcesPerTask what each task takes
+ * @param allowedMachineTypes the names of the allowed machine types, or null for any
+ * @param requiredZone the only allowed zone, or null for any
+ * @param requiresSingleZone whether all tasks must run in the same zone
+ * @param spreadsAcrossZones whether no zone may have more than half of the tasks
+ * @param allowsSpot whether tasks may run on spot instances
+ * @param image the container image of the tasks
+ * @param imageSizeGb the size of the image in gigabytes
+ * @param estimatedRuntimeSeconds the user's estimate of a task's run time
+ * @param checkpointIntervalSeconds the time between two checkpoints, or 0 for none
+ * @param checkpointDurationSeconds how long saving a checkpoint takes
  * @param deadlineSeconds seconds from submission, or NaN for none
  */
 public record JobSpec(
@@ -29,14 +40,17 @@
         double checkpointDurationSeconds,
         double deadlineSeconds) {
 
+    /** Whether tasks may run on machines of a type. */
     public boolean allowsMachineType(String type) {
         return allowedMachineTypes == null || allowedMachineTypes.contains(type);
     }
 
-    public boolean allowsZone(String name) {
-        return requiredZone == null || requiredZone.equals(name);
+    /** Whether tasks may run in a zone. */
+    public boolean allowsZone(String zone) {
+        return requiredZone == null || requiredZone.equals(zone);
     }
 
+    /** Whether tasks save checkpoints, from which a later attempt goes on. */
     public boolean usesCheckpoints() {
         return checkpointIntervalSeconds > 0;
     }
--- a/src/main/java/org/meadowhollow/model/MachineTypeCatalog.java
+++ b/src/main/java/org/meadowhollow/model/MachineTypeCatalog.java
@@ -4,25 +4,32 @@
 import java.util.List;
 import java.util.Map;
 
-/** The machine types of the cloud, as far as they are known. */
+/**
+ * The machine types that the cloud provider offers, as far as they are known. Thread-safe: readers
+ * see the last list as a whole.
+ */
 public final class MachineTypeCatalog {
     private volatile Map<String, MachineType> types = Map.of();
 
+    /** Whether no machine type is known yet. */
     public boolean isEmpty() {
         return types.isEmpty();
     }
 
+    /** The type with a name, or null if it is not known. */
     public MachineType typeNamed(String name) {
         return types.get(name);
     }
 
+    /** All known types, in the order in which they were listed. */
     public Iterable<MachineType> types() {
         return types.values();
     }
 
-    public void replaceAll(List<MachineType> found) {
+    /** Replaces all known types by those that were listed. */
+    public void replaceAll(List<MachineType> listed) {
         Map<String, MachineType> byName = new LinkedHashMap<>();
-        for (MachineType type : found) {
+        for (MachineType type : listed) {
             byName.put(type.name(), type);
         }
         types = byName;
--- a/src/main/java/org/meadowhollow/model/Resources.java
+++ b/src/main/java/org/meadowhollow/model/Resources.java
@@ -1,13 +1,20 @@
 package org.meadowhollow.model;
 
 /**
- * What a task takes or a machine has. Whole millionths, so that adding and taking away in any order
- * comes out even.
+ * A resource vector: what a task takes or a machine has. Amounts are integers, so that sums and
+ * differences are exact in any order.
+ *
+ * @param cpu cores, in millionths
+ * @param gpu GPUs, in millionths
+ * @param memory gigabytes, in millionths
  */
 public record Resources(long cpu, long gpu, long memory) {
+    /** Nothing of any resource. */
     public static final Resources NONE = new Resources(0, 0, 0);
+
     private static final double MILLIONTHS_PER_UNIT = 1e6;
 
+    /** The vector of so many cores, GPUs and gigabytes, rounded to millionths. */
     public static Resources of(double cpus, double gpus, double memoryGb) {
         return new Resources(
                 Math.round(cpus * MILLIONTHS_PER_UNIT),
@@ -15,40 +22,44 @@
                 Math.round(memoryGb * MILLIONTHS_PER_UNIT));
     }
 
+    /** The sum, resource by resource. */
     public Resources plus(Resources other) {
         return new Resources(cpu + other.cpu, gpu + other.gpu, memory + other.memory);
     }
 
+    /** The difference, resource by resource; amounts can become negative. */
     public Resources minus(Resources other) {
         return new Resources(cpu - other.cpu, gpu - other.gpu, memory - other.memory);
     }
 
+    /** The vector of so many equal tasks. */
     public Resources times(int count) {
         return new Resources(cpu * count, gpu * count, memory * count);
     }
 
-    public boolean fitsIn(Resources room) {
-        return cpu <= room.cpu && gpu <= room.gpu && memory <= room.memory;
+    /** Whether no amount is larger than that of the capacity. */
+    public boolean fitsIn(Resources capacity) {
+        return cpu <= capacity.cpu && gpu <= capacity.gpu && memory <= capacity.memory;
     }
 
-    /** The largest share of {@code whole} that any one amount of this takes. */
+    /** The dominant share: the largest share of {@code whole} that any amount of this one takes. */
     public double dominantShareOf(Resources whole) {
         return Math.max(
                 share(cpu, whole.cpu),
                 Math.max(share(gpu, whole.gpu), share(memory, whole.memory)));
     }
 
-    /** How often this fits into {@code room}, at most {@code most} times. */
-    public int maxCopiesIn(Resources room, int most) {
-        long count = most;
+    /** How often this vector fits into a capacity, at most {@code maxCopies} times. */
+    public int maxCopiesIn(Resources capacity, int maxCopies) {
+        long count = maxCopies;
         if (cpu > 0) {
-            count = Math.min(count, Math.max(0, room.cpu) / cpu);
+            count = Math.min(count, Math.max(0, capacity.cpu) / cpu);
         }
         if (gpu > 0) {
-            count = Math.min(count, Math.max(0, room.gpu) / gpu);
+            count = Math.min(count, Math.max(0, capacity.gpu) / gpu);
         }
         if (memory > 0) {
-            count = Math.min(count, Math.max(0, room.memory) / memory);
+            count = Math.min(count, Math.max(0, capacity.memory) / memory);
         }
         return (int) count;
     }
--- a/src/main/java/org/meadowhollow/model/TaskId.java
+++ b/src/main/java/org/meadowhollow/model/TaskId.java
@@ -1,11 +1,19 @@
 package org.meadowhollow.model;
 
-/** One task of a job, numbered from 0. */
+/**
+ * The identifier of a task.
+ *
+ * @param index the task's position in its job, from 0
+ */
 public record TaskId(JobId jobId, int index) {
-    /** Reads the form {@code req-000412/3}; null if the text is not of that form. */
+    /** Digits of an index at most, so that it cannot overflow. */
+    private static final int MAX_INDEX_DIGITS = 7;
+
+    /** Parses the form {@code req-000412/3}; returns null for a text that is not of that form. */
     public static TaskId parse(String text) {
         int slash = text.indexOf('/');
-        if (slash < 1 || slash == text.length() - 1 || text.length() - slash > 8) {
+        int digits = text.length() - slash - 1;
+        if (slash < 1 || digits < 1 || digits > MAX_INDEX_DIGITS) {
             return null;
         }
         int index = 0;
@@ -14,7 +22,7 @@
             if (digit < '0' || digit > '9') {
                 return null;
             }
-            index = index * 10 + digit - '0';
+            index = index * 10 + (digit - '0');
         }
         return new TaskId(new JobId(text.substring(0, slash)), index);
     }
--- a/src/main/java/org/meadowhollow/model/TaskState.java
+++ b/src/main/java/org/meadowhollow/model/TaskState.java
@@ -1,10 +1,15 @@
 package org.meadowhollow.model;
 
-/** What a worker says of a task. */
+/** The state of a task as its worker reports it. */
 public enum TaskState {
+    /** The container image is being pulled. */
     PULLING_IMAGE,
+    /** Ready to run as soon as all tasks of its gang are. */
     WAITING_FOR_GANG,
+    /** The task is running. */
     RUNNING,
+    /** The task is being stopped and saves a checkpoint. */
     CHECKPOINTING,
+    /** The task has exited, and the worker remembers why. */
     EXITED
 }
--- a/src/main/java/org/meadowhollow/model/TaskTracer.java
+++ b/src/main/java/org/meadowhollow/model/TaskTracer.java
@@ -1,12 +1,12 @@
 package org.meadowhollow.model;
 
 /**
- * Takes the spans of tasks whose clients sent a trace context. Each span is told once what it tells
- * is in the state service; one whose node dies in that moment is lost, and none is told differently
- * by two nodes. Calls return at once and never fail.
+ * Takes the spans of tasks whose clients sent a trace context. Each span is published after what it
+ * shows is persisted; one whose node fails at that moment is lost, and no two nodes publish
+ * different ones. Calls do not block and do not fail. Times are milliseconds of wall-clock time.
  */
 public interface TaskTracer extends AutoCloseable {
-    /** Takes no context, so that nothing is ever traced. */
+    /** Traces nothing: it accepts no trace context. */
     TaskTracer NONE =
             new TaskTracer() {
                 @Override
@@ -29,33 +29,32 @@
                 public void close() {}
             };
 
-    /** A task that is traced, with the context that its client sent. */
+    /** A traced task with the trace context that its client sent. */
     record TracedTask(String traceContext, JobId jobId, String team) {}
 
     /**
+     * Parses a trace context.
+     *
      * @param traceparent the header as the client sent it, or null
      * @return what is to be kept with the task, at most 55 characters; null if the task is not to
      *     be traced
      */
     String traceContextOf(String traceparent);
 
-    /**
-     * The request that brought the task was answered. Times, here and below, are milliseconds of
-     * the time of day.
-     */
+    /** The request that submitted the task was answered. */
     void onTaskAccepted(TracedTask task, long fromMillis, long untilMillis);
 
     /**
-     * An attempt is over.
+     * An attempt has ended.
      *
-     * @param waitedFromMillis since when the task had waited for it
+     * @param waitedFromMillis since when the task had waited for the attempt
      */
     void onAttemptEnded(TracedTask task, long waitedFromMillis, AttemptRecord attempt);
 
-    /** Nothing of the task is left to do. */
+    /** The task has ended in a phase. */
     void onTaskEnded(TracedTask task, JobPhase how, long fromMillis, long untilMillis);
 
-    /** Sends what is left, within a few seconds. */
+    /** Sends the spans that are left, within a few seconds. */
     @Override
     void close();
 }
--- a/src/main/java/org/meadowhollow/model/WorkerIncarnation.java
+++ b/src/main/java/org/meadowhollow/model/WorkerIncarnation.java
@@ -1,7 +1,10 @@
 package org.meadowhollow.model;
 
-/** A worker's life between two expiries of its lease. */
+/**
+ * The number of a worker's life between two expiries of its lease; a later life has a higher one.
+ */
 public record WorkerIncarnation(long value) {
+    /** Whether this incarnation is strictly later than the other one. */
     public boolean isAfter(WorkerIncarnation other) {
         return value > other.value;
     }
--- a/src/main/java/org/meadowhollow/model/reservation/RecurringSchedule.java
+++ b/src/main/java/org/meadowhollow/model/reservation/RecurringSchedule.java
@@ -5,12 +5,13 @@
 import java.time.ZoneId;
 
 /**
- * When something is to be, once or again and again, by the clocks of a place.
+ * A schedule in the local time of a time zone, for one occurrence or recurring ones.
  *
- * @param firstStart of the first time, on those clocks
- * @param duration from each start on, in time that passes: two hours are two hours while clocks
+ * @param firstStart the local time at which the first occurrence starts
+ * @param duration of each occurrence in elapsed time: two hours are two hours also while clocks
  *     change
- * @param recurrenceRule how it repeats, by RFC 5545 (RRULE) on those clocks, or null for once
+ * @param recurrenceRule how it recurs, as an RRULE of RFC 5545 in local time, or null for a single
+ *     occurrence
  */
 public record RecurringSchedule(
         LocalDateTime firstStart, ZoneId timeZone, Duration duration, String recurrenceRule) {}
--- a/src/main/java/org/meadowhollow/model/reservation/Reservation.java
+++ b/src/main/java/org/meadowhollow/model/reservation/Reservation.java
@@ -8,17 +8,19 @@
 import org.meadowhollow.model.Resources;
 
 /**
- * Room that is kept for some jobs of a team.
+ * Capacity that is reserved for some jobs of a team.
  *
- * @param priority work of a lower one may be stopped for it
- * @param taskCount how many tasks of the size it has room for
- * @param allowedMachineTypes allowed machine types, or null for any
- * @param requiredZone the only allowed zone, or null
- * @param allowsSpot whether spot machines will do
- * @param image that the tasks are likely to need, and its size; decides how early machines are
- *     rented
- * @param jobClass of the jobs that may use it, or null for any class
- * @param allowedJobs that may use it, or null for any of the team and class
+ * @param priority tasks of a lower priority may be preempted for the reservation
+ * @param taskCount how many tasks of the size have capacity reserved
+ * @param resourcesPerTask the largest task that may use the reservation
+ * @param allowedMachineTypes the names of the allowed machine types, or null for any
+ * @param requiredZone the only allowed zone, or null for any
+ * @param allowsSpot whether spot instances may be used
+ * @param image the container image that the tasks are likely to need; with its size it decides how
+ *     early machines are rented
+ * @param imageSizeGb the size of the image in gigabytes
+ * @param jobClass the class of the jobs that may use it, or null for any class
+ * @param allowedJobs the jobs that may use it, or null for any of the team and class
  */
 public record Reservation(
         String name,
@@ -35,7 +37,7 @@
         List<String> allowedJobs,
         RecurringSchedule schedule) {
 
-    /** Whether a job's tasks may use it. */
+    /** Whether a job's tasks may use the reserved capacity. */
     public boolean admits(JobSpec spec) {
         return spec.team().equals(team)
                 && (jobClass == null || jobClass.equals(spec.jobClass()))
@@ -44,8 +46,8 @@
     }
 
     /**
-     * Whether a job's tasks may be stopped for it: as the protocol has it, for a higher priority,
-     * and no service.
+     * Whether a job's tasks may be preempted for the reservation: as the protocol requires, only
+     * tasks of a lower priority, and none of a service.
      */
     public boolean mayPreempt(JobSpec spec) {
         return !admits(spec)
@@ -53,12 +55,13 @@
                 && spec.kind() != JobKind.SERVICE;
     }
 
-    public boolean allowsMachine(String type, String in) {
+    /** Whether the reservation may use machines of a type in a zone. */
+    public boolean allowsMachine(String type, String zone) {
         return (allowedMachineTypes == null || allowedMachineTypes.contains(type))
-                && (requiredZone == null || requiredZone.equals(in));
+                && (requiredZone == null || requiredZone.equals(zone));
     }
 
-    /** A job that would need the room, for what looks for room by jobs. */
+    /** A job that would need the reserved capacity, for code that finds capacity for jobs. */
     public JobSpec toPlaceholderJobSpec() {
         return new JobSpec(
                 new JobId("reserved/" + name),
