--- a/src/main/java/org/meadowhollow/model/reservation/MaintenanceWindow.java
+++ b/src/main/java/org/meadowhollow/model/reservation/MaintenanceWindow.java
@@ -59,7 +59,7 @@
 
     /** Whether all machines of a type in a zone are out of service during the window. */
     public boolean coversAllOfType(String type, String zone) {
-        return scope == Scope.TYPE && targets.contains(type)
-                || scope == Scope.ZONE && targets.contains(zone);
+        return (scope == Scope.TYPE && targets.contains(type))
+                || (scope == Scope.ZONE && targets.contains(zone));
     }
 }
--- a/src/main/java/org/meadowhollow/storage/ObsoleteRecordCleaner.java
+++ b/src/main/java/org/meadowhollow/storage/ObsoleteRecordCleaner.java
@@ -69,7 +69,7 @@
     void deleteIfDue(boolean isWriterIdle, int maxWrites) {
         if (isBusy
                 || obsoleteKeys.isEmpty()
-                || !isWriterIdle && obsoleteKeys.size() <= MAX_WAITING_KEYS) {
+                || (!isWriterIdle && obsoleteKeys.size() <= MAX_WAITING_KEYS)) {
             return;
         }
         Transaction transaction =
--- a/src/test/java/org/meadowhollow/model/ImageCacheTest.java
+++ b/src/test/java/org/meadowhollow/model/ImageCacheTest.java
@@ -5,9 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Which container images a machine probably has cached. */
 class ImageCacheTest {
     @Test
-    void whatWasUsedLongestAgoMakesRoom() {
+    void theLeastRecentlyUsedImageIsEvicted() {
         ImageCache cache = new ImageCache(10);
         cache.recordUse("one", 4);
         cache.recordUse("two", 4);
@@ -18,7 +19,7 @@
     }
 
     @Test
-    void anImageLargerThanTheCacheIsThereWhileItIsUsed() {
+    void anImageLargerThanTheCacheIsKeptWhileItIsTheLatest() {
         ImageCache cache = new ImageCache(10);
         cache.recordUse("small", 4);
         cache.recordUse("huge", 12);
--- a/src/test/java/org/meadowhollow/storage/RecordWriterTest.java
+++ b/src/test/java/org/meadowhollow/storage/RecordWriterTest.java
@@ -25,15 +25,16 @@
 import org.meadowhollow.storage.KeyValueStoreException.Outcome;
 
 /**
- * In which order a leader's records are written when there are more than the state service takes.
+ * The order in which a leader's records are written when there are more than the key-value store
+ * accepts at once.
  */
 class RecordWriterTest {
-    private static final int MOST_WRITES = 12;
+    private static final int MAX_WRITES = 12;
 
     private record Sent(
             Transaction transaction,
-            RequestPriority urgency,
-            CompletableFuture<KeyValueStore.CommitResult> answer) {
+            RequestPriority priority,
+            CompletableFuture<KeyValueStore.CommitResult> result) {
         boolean writes(String prefix) {
             return transaction.writes().keySet().stream().anyMatch(key -> key.startsWith(prefix));
         }
@@ -53,7 +54,7 @@
                                                 (Transaction) arguments[0],
                                                 (RequestPriority) arguments[1],
                                                 new CompletableFuture<>()));
-                                return sent.get(sent.size() - 1).answer();
+                                return sent.get(sent.size() - 1).result();
                             });
     private final EventLoop loop =
             new EventLoop() {
@@ -68,15 +69,15 @@
                 }
 
                 @Override
-                public void schedule(Duration pause, Runnable work) {
-                    timers.add(work);
+                public void schedule(Duration delay, Runnable task) {
+                    timers.add(task);
                 }
             };
     private final RecordWriter recordWriter =
             new RecordWriter(
                     store,
                     loop,
-                    MOST_WRITES,
+                    MAX_WRITES,
                     new Revision(1),
                     JobEventListeners.NONE,
                     new RecordWriter.Listener() {
@@ -124,82 +125,85 @@
         return job;
     }
 
-    private void starts(int first, int count, Priority priority) {
+    private void markPlacementsDirty(int first, int count, Priority priority) {
         for (int number = first; number < first + count; number++) {
             recordWriter.markDirty(job(number, priority).shardOfTask(0));
         }
     }
 
-    /** Hundreds of small jobs that ended together held up every start for a minute. */
+    /** Hundreds of small jobs that ended together used to delay every start for a minute. */
     @Test
-    void startsDoNotWaitBehindTheEndsOfOtherJobs() {
+    void placementsAreNotDelayedByTheEndsOfOtherJobs() {
         for (int number = 0; number < 50; number++) {
             recordWriter.endPending(job(number, Priority.NORMAL));
         }
-        starts(100, 3, Priority.NORMAL);
+        markPlacementsDirty(100, 3, Priority.NORMAL);
         recordWriter.flush();
         assertTrue(sent.get(0).writes("task/req-000100") && sent.get(0).writes("ended/"));
     }
 
     /**
-     * A guest's swarm stood before the records of everybody else, and before users' submissions.
+     * Many best-effort jobs of one team used to go before the records of all others, and before
+     * users' submissions.
      */
     @Test
-    void recordsOfTheLowestPriorityGoBehindAllOthers() {
-        starts(0, 30, Priority.LOW);
-        starts(100, 5, Priority.NORMAL);
+    void recordsOfTheLowestPriorityAreWrittenAfterAllOthers() {
+        markPlacementsDirty(0, 30, Priority.LOW);
+        markPlacementsDirty(100, 5, Priority.NORMAL);
         recordWriter.flush();
-        assertEquals(RequestPriority.PLACEMENT, sent.get(0).urgency());
+        assertEquals(RequestPriority.PLACEMENT, sent.get(0).priority());
         assertEquals(5, sent.get(0).transaction().writes().size());
-        assertEquals(RequestPriority.BACKGROUND, sent.get(1).urgency());
-        assertEquals(MOST_WRITES, sent.get(1).transaction().writes().size());
+        assertEquals(RequestPriority.BACKGROUND, sent.get(1).priority());
+        assertEquals(MAX_WRITES, sent.get(1).transaction().writes().size());
     }
 
-    /** A large transaction finds no room in a budget that others use up one by one. */
+    /** A large transaction finds no room in a rate limit that others use up with small ones. */
     @Test
-    void aRefusedTransactionComesAgainInSmallerOnes() {
-        starts(0, 40, Priority.NORMAL);
+    void aRejectedTransactionIsRepeatedInSmallerOnes() {
+        markPlacementsDirty(0, 40, Priority.NORMAL);
         recordWriter.flush();
         sent.get(0)
-                .answer()
+                .result()
                 .completeExceptionally(
                         new KeyValueStoreException(Outcome.REJECTED, "answered 429"));
         timers.forEach(Runnable::run);
-        assertEquals(MOST_WRITES / 2, sent.get(2).transaction().writes().size());
+        assertEquals(MAX_WRITES / 2, sent.get(2).transaction().writes().size());
         sent.get(2)
-                .answer()
+                .result()
                 .complete(new KeyValueStore.CommitResult(true, new Revision(5), List.of()));
-        assertEquals(MOST_WRITES / 2 + 1, sent.get(3).transaction().writes().size());
+        assertEquals(MAX_WRITES / 2 + 1, sent.get(3).transaction().writes().size());
     }
 
     /**
-     * In a crowd of one-task jobs what was left of the ended ones took a fifth of the changes that
-     * users waited for.
+     * In a surge of one-task jobs, deletions for the ended ones used to take a fifth of the rate
+     * limit for the changes that users waited for.
      */
     @Test
-    void whatIsOnlyClearedAwayGoesBehindWhatIsWaitedFor() {
+    void obsoleteRecordsAreDeletedAfterAllOtherWrites() {
         for (int number = 0; number < 12; number++) {
             recordWriter.addObsoleteKey("task/req-%06d/0".formatted(number));
         }
-        starts(100, 3, Priority.NORMAL);
+        markPlacementsDirty(100, 3, Priority.NORMAL);
         recordWriter.flush();
-        assertEquals(RequestPriority.PLACEMENT, sent.get(0).urgency());
-        assertEquals(3, sent.get(0).transaction().writes().size(), "starts alone");
+        assertEquals(RequestPriority.PLACEMENT, sent.get(0).priority());
+        assertEquals(3, sent.get(0).transaction().writes().size(), "placements alone");
         assertEquals(1, sent.size());
         sent.get(0)
-                .answer()
+                .result()
                 .complete(new KeyValueStore.CommitResult(true, new Revision(5), List.of()));
-        assertEquals(RequestPriority.BACKGROUND, sent.get(1).urgency());
+        assertEquals(RequestPriority.BACKGROUND, sent.get(1).priority());
         assertEquals(
-                12, sent.get(1).transaction().writes().size(), "and the rest behind users' calls");
+                12,
+                sent.get(1).transaction().writes().size(),
+                "and the deletions with the lowest priority");
     }
 
     /**
-     * Cleared away before it, or with a transaction that failed: a successor ran done tasks again,
-     * or the records stayed.
+     * If they were deleted before the end is persisted, the next leader would run completed tasks
+     * again; if they were forgotten with a failed transaction, they would stay for ever.
      */
     @Test
-    void whatIsLeftOfAJobIsClearedAwayOnceItsEndIsWrittenAndNotLost() {
+    void shardsOfAnEndedJobAreDeletedOnceItsEndIsPersisted() {
         List<Job> ends = new ArrayList<>();
         for (int number = 0; number < 6; number++) {
             Job job = job(number, Priority.NORMAL);
@@ -208,29 +212,29 @@
         }
         recordWriter.flush();
         sent.get(0)
-                .answer()
+                .result()
                 .complete(new KeyValueStore.CommitResult(true, new Revision(5), List.of()));
         ends.forEach(recordWriter::endPending);
         recordWriter.flush();
         for (int at = 1; at < 3; at++) {
             sent.get(at)
-                    .answer()
+                    .result()
                     .completeExceptionally(
                             new KeyValueStoreException(Outcome.REJECTED, "answered 429"));
         }
-        assertEquals(3, sent.size(), "nothing is cleared away while no end is written");
-        // As the answers come, everything goes through, but for every third transaction.
+        assertEquals(3, sent.size(), "nothing is deleted while no end is persisted");
+        // From now on all transactions are applied, except for every third one.
         for (int at = 3, round = 0; round < 40; round++) {
             List.copyOf(timers).forEach(Runnable::run);
             for (; at < sent.size(); at++) {
                 if (at % 3 == 0) {
                     sent.get(at)
-                            .answer()
+                            .result()
                             .completeExceptionally(
                                     new KeyValueStoreException(Outcome.REJECTED, "answered 429"));
                 } else {
                     sent.get(at)
-                            .answer()
+                            .result()
                             .complete(
                                     new KeyValueStore.CommitResult(
                                             true, new Revision(6 + at), List.of()));
@@ -239,19 +243,20 @@
         }
         for (int number = 0; number < 6; number++) {
             String name = "req-%06d".formatted(number);
-            assertTrue(applied("ended/" + name) >= 0, name);
+            assertTrue(lastAppliedWriteOf("ended/" + name) >= 0, name);
             assertTrue(
-                    applied("task/" + name + "/0") >= applied("ended/" + name),
-                    name + " is cleared away, and not before its end");
+                    lastAppliedWriteOf("task/" + name + "/0")
+                            >= lastAppliedWriteOf("ended/" + name),
+                    name + " is deleted, and not before its end");
         }
     }
 
-    /** The last transaction that was applied and wrote a key; -1 if none. */
-    private int applied(String key) {
+    /** The index of the last transaction that was applied and wrote a key, or -1. */
+    private int lastAppliedWriteOf(String key) {
         for (int at = sent.size() - 1; at >= 0; at--) {
             if (sent.get(at).writes(key)
-                    && sent.get(at).answer().isDone()
-                    && !sent.get(at).answer().isCompletedExceptionally()) {
+                    && sent.get(at).result().isDone()
+                    && !sent.get(at).result().isCompletedExceptionally()) {
                 return at;
             }
         }
