--- a/src/main/java/org/meadowhollow/coordination/leadership/CandidacyPolicy.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/CandidacyPolicy.java
@@ -5,72 +5,105 @@
 import java.util.Map;
 
 /**
- * Who may take a lease that a deaf leader gave up, and when. After any other end of a leadership
- * everybody stands at once; after this one, first the node that was named, then those that workers
- * come to, then the one that gave up, and last the rest: if nobody hears the workers, the lease
- * goes back to where it was instead of round all nodes.
+ * Which members may stand for election, and when, once the leader record is gone. The token counter
+ * says how the last leadership ended:
+ *
+ * <ul>
+ *   <li>It expired, or was revoked: every member may stand at once.
+ *   <li>It was handed over: the preferred successor may stand at once, the others after {@link
+ *       #PREFERRED_SUCCESSOR_HEAD_START}.
+ *   <li>It was released because its holder was isolated from the workers: first the preferred
+ *       successor, then members that workers reach, then the member that released it, and last the
+ *       rest. So the lease returns to where it was if no member is reached by workers, instead of
+ *       passing through all of them.
+ * </ul>
+ *
+ * <p>The delays only save failovers. Safety does not depend on them: the leader record is written
+ * with a compare-and-swap by whoever stands. All functions are pure.
  */
 public final class CandidacyPolicy {
-    /** Names the leader that gave up, in the record of terms; absent after any other end. */
-    static final String ISOLATED_MEMBER_FIELD = "deaf";
-
-    /** Names the node that it gave up for, or is absent. */
-    static final String PREFERRED_SUCCESSOR_FIELD = "heir";
+    /** What the preferred successor needs to see the key vacant and take it, with slow replies. */
+    static final Duration PREFERRED_SUCCESSOR_HEAD_START = Duration.ofSeconds(1);
 
     /**
-     * What the node that was named needs to see that the lease is free and to take it, with a slow
-     * answer or two.
+     * Within this time workers that try one controller after another have reached each controller
+     * that they can reach.
      */
-    static final Duration PREFERRED_SUCCESSOR_HEAD_START = Duration.ofSeconds(1);
-
-    /** In this time workers that go round have come to each node that they can reach. */
     static final Duration REACHABLE_NODES_HEAD_START = Duration.ofSeconds(4);
 
-    /** After this the node that gave up seems to be gone as well. */
+    /** After this the member that released the lease has probably failed as well. */
     static final Duration ISOLATED_LEADER_HEAD_START = Duration.ofSeconds(6);
 
     private CandidacyPolicy() {}
 
-    /** The record of terms as a leader leaves it that gives up for want of hearing. */
-    public static Map<String, Object> resignationRecord(long term, String member, String heir) {
+    /**
+     * The token counter as a leader leaves it that releases its lease because it is isolated.
+     *
+     * @param fencingToken of its leadership
+     * @param member its name
+     * @param preferredSuccessor the member that should be elected, or null if none is known
+     */
+    public static Map<String, Object> resignationRecord(
+            long fencingToken, String member, String preferredSuccessor) {
         Map<String, Object> record = new LinkedHashMap<>();
-        record.put("term", term);
-        record.put(ISOLATED_MEMBER_FIELD, member);
-        if (heir != null) {
-            record.put(PREFERRED_SUCCESSOR_FIELD, heir);
+        record.put(LeadershipRecordCodec.TOKEN_FIELD, fencingToken);
+        record.put(LeadershipRecordCodec.ISOLATED_MEMBER_FIELD, member);
+        if (preferredSuccessor != null) {
+            record.put(LeadershipRecordCodec.PREFERRED_SUCCESSOR_FIELD, preferredSuccessor);
         }
         return record;
     }
 
-    /** The record of terms as a leader leaves it that is going to end. */
-    static Map<String, Object> handoverRecord(long term, String heir) {
-        return heir == null
-                ? Map.of("term", term)
-                : Map.of("term", term, PREFERRED_SUCCESSOR_FIELD, heir);
+    /**
+     * The token counter as a leader leaves it whose process is about to end.
+     *
+     * @param fencingToken of its leadership
+     * @param preferredSuccessor the member that should be elected, or null if any may be
+     */
+    static Map<String, Object> handoverRecord(long fencingToken, String preferredSuccessor) {
+        return preferredSuccessor == null
+                ? Map.of(LeadershipRecordCodec.TOKEN_FIELD, fencingToken)
+                : Map.of(
+                        LeadershipRecordCodec.TOKEN_FIELD,
+                        fencingToken,
+                        LeadershipRecordCodec.PREFERRED_SUCCESSOR_FIELD,
+                        preferredSuccessor);
     }
 
     /**
-     * How long after the lease became free this node leaves it to others.
+     * How long after the leader record disappeared a member leaves the election to others.
      *
-     * @param terms the record of terms, or null if there is none
-     * @param hears whether workers have come to this node lately
-     * @param deaf whether this node gave a lease up for want of hearing, and has heard nobody since
+     * @param counter the token counter, or null if there is none
+     * @param member the member that asks
+     * @param workersReachMember whether several workers have reached it lately
+     * @param isolated whether it released a lease because it was isolated, and no worker has
+     *     reached it since
+     * @return zero if it may stand at once
      */
     public static Duration candidacyDelay(
-            Map<String, Object> terms, String member, boolean hears, boolean deaf) {
-        Object gaveUp = terms == null ? null : terms.get(ISOLATED_MEMBER_FIELD);
-        Object heir = terms == null ? null : terms.get(PREFERRED_SUCCESSOR_FIELD);
-        if (hears) {
-            return heir == null || heir.equals(member)
+            Map<String, Object> counter,
+            String member,
+            boolean workersReachMember,
+            boolean isolated) {
+        Object isolatedMember = read(counter, LeadershipRecordCodec.ISOLATED_MEMBER_FIELD);
+        Object preferred = read(counter, LeadershipRecordCodec.PREFERRED_SUCCESSOR_FIELD);
+        boolean releasedByIsolated = isolatedMember != null;
+        boolean isPreferred = member.equals(preferred);
+        if (workersReachMember) {
+            return preferred == null || isPreferred
                     ? Duration.ZERO
                     : PREFERRED_SUCCESSOR_HEAD_START;
         }
-        if (deaf || member.equals(gaveUp)) {
+        if (isolated || member.equals(isolatedMember)) {
             return REACHABLE_NODES_HEAD_START;
         }
-        if (heir == null && gaveUp == null || member.equals(heir)) {
+        if (isPreferred || (preferred == null && !releasedByIsolated)) {
             return Duration.ZERO;
         }
-        return gaveUp == null ? PREFERRED_SUCCESSOR_HEAD_START : ISOLATED_LEADER_HEAD_START;
+        return releasedByIsolated ? ISOLATED_LEADER_HEAD_START : PREFERRED_SUCCESSOR_HEAD_START;
+    }
+
+    private static Object read(Map<String, Object> counter, String field) {
+        return counter == null ? null : counter.get(field);
     }
 }
--- /dev/null
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeaderFailureDetection.java
@@ -0,0 +1,163 @@
+package org.meadowhollow.coordination.leadership;
+
+import java.time.Duration;
+import org.meadowhollow.coordination.api.PeerGateway.ProbeResult;
+import org.meadowhollow.coordination.leadership.LeadershipEffect.NotifyFollowing;
+import org.meadowhollow.coordination.leadership.LeadershipEffect.ProbeSuspect;
+import org.meadowhollow.coordination.leadership.LeadershipEffect.RevokeSuspectLease;
+import org.meadowhollow.coordination.leadership.LeadershipEvent.ProbeCompleted;
+import org.meadowhollow.coordination.leadership.LeadershipEvent.RevocationFailed;
+import org.meadowhollow.coordination.leadership.LeadershipEvent.WorkerArrived;
+import org.meadowhollow.coordination.leadership.LeadershipState.ObservedLeader;
+import org.meadowhollow.coordination.leadership.LeadershipState.Suspicion;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.MonotonicTime;
+
+/**
+ * The part of {@link LeadershipStateMachine} that replaces a leader whose process has ended before
+ * its lease expires. Workers that such a leader answered last turn to other controllers. The first
+ * of them makes this node probe the leader; if it refuses several connections in a row, and several
+ * distinct workers have left it, its lease is revoked.
+ *
+ * <p>A wrong suspicion costs a failover and nothing else: whoever leads next writes the leader
+ * record with a compare-and-swap and a higher fencing token, as ever. Silence and timeouts are no
+ * evidence; only refused connections are.
+ *
+ * <p>Pure functions of state, event and clock.
+ */
+final class LeaderFailureDetection {
+    /**
+     * Distinct workers that must have left a leader before its lease is revoked. One or two lose a
+     * connection now and then, also while packet filters between the controllers refuse connections
+     * though the leader is healthy.
+     */
+    private static final int MIN_DEPARTED_WORKERS = 3;
+
+    /**
+     * Refusals in a row. Between two of them a process that has only run out of sockets has closed
+     * some.
+     */
+    private static final int MIN_CONSECUTIVE_REFUSALS = 2;
+
+    private static final Duration PROBE_INTERVAL = Duration.ofMillis(250);
+
+    /**
+     * Probes after which the suspicion is dropped; together they last about as long as heartbeats
+     * are deferred while a leader is suspected.
+     */
+    private static final int MAX_PROBES = 8;
+
+    /** How long a leader is not suspected again after it answered a probe. */
+    private static final Duration TRUST_DURATION = Duration.ofSeconds(2);
+
+    private final String member;
+
+    /**
+     * @param member the name of this node
+     */
+    LeaderFailureDetection(String member) {
+        this.member = member;
+    }
+
+    /**
+     * Whether a worker that has left the leader speaks against it: this node follows another
+     * member, the worker has shown the highest token, and the leader has not answered a probe
+     * lately.
+     *
+     * @param shown the fencing token that the worker has shown
+     */
+    boolean leaderMayHaveFailed(LeadershipState state, FencingToken shown, MonotonicTime now) {
+        return followsOtherMember(state)
+                && shown.equals(state.observedLeader().highestToken())
+                && !answeredRecently(state.suspicion(), now);
+    }
+
+    private boolean followsOtherMember(LeadershipState state) {
+        String leader = state.observedLeader().leader();
+        return !state.isLeader() && leader != null && !member.equals(leader);
+    }
+
+    private static boolean answeredRecently(Suspicion suspicion, MonotonicTime now) {
+        MonotonicTime answeredAt = suspicion.lastAnsweredAt();
+        return answeredAt != null && now.elapsedSince(answeredAt).compareTo(TRUST_DURATION) < 0;
+    }
+
+    /** Notes that a worker has left the leader, and probes the leader unless that is going on. */
+    LeadershipTransition onWorkerArrived(
+            LeadershipState state, WorkerArrived event, MonotonicTime now) {
+        if (!leaderMayHaveFailed(state, event.shownToken(), now)) {
+            return LeadershipTransition.unchanged(state);
+        }
+        Suspicion suspicion = state.suspicion().withDeparture(event.worker(), MIN_DEPARTED_WORKERS);
+        if (suspicion.probing()) {
+            return LeadershipTransition.to(state.with(suspicion));
+        }
+        String suspect = state.observedLeader().leader();
+        return LeadershipTransition.to(
+                state.with(suspicion.withProbing(true)),
+                new ProbeSuspect(state.epoch(), suspect, 0, 0, Duration.ZERO));
+    }
+
+    /** Drops the suspicion, revokes the lease of the suspect, or probes it again. */
+    LeadershipTransition onProbeCompleted(
+            LeadershipState state, ProbeCompleted event, MonotonicTime now) {
+        if (event.probeResult() == ProbeResult.HEALTHY) {
+            return LeadershipTransition.to(
+                    state.with(Suspicion.cleared(now)), new NotifyFollowing(event.suspect()));
+        }
+        if (isOutdated(state, event) || event.probesSent() >= MAX_PROBES) {
+            return LeadershipTransition.to(state.with(Suspicion.cleared(null)));
+        }
+        int refusals =
+                event.probeResult() == ProbeResult.CONNECTION_REFUSED
+                        ? event.consecutiveRefusals() + 1
+                        : 0;
+        if (hasCertainlyFailed(state, refusals)) {
+            return revokeLeaseOf(event.suspect(), state);
+        }
+        return LeadershipTransition.to(
+                state,
+                new ProbeSuspect(
+                        state.epoch(),
+                        event.suspect(),
+                        event.probesSent() + 1,
+                        refusals,
+                        PROBE_INTERVAL));
+    }
+
+    /** Whether another leadership has begun since the probe was sent. */
+    private static boolean isOutdated(LeadershipState state, ProbeCompleted event) {
+        return event.epoch() != state.epoch()
+                || !event.suspect().equals(state.observedLeader().leader());
+    }
+
+    private static boolean hasCertainlyFailed(LeadershipState state, int refusals) {
+        return refusals >= MIN_CONSECUTIVE_REFUSALS
+                && state.suspicion().departedWorkers().size() >= MIN_DEPARTED_WORKERS
+                && state.observedLeader().lease() != null;
+    }
+
+    private static LeadershipTransition revokeLeaseOf(String suspect, LeadershipState state) {
+        Suspicion suspicion = state.suspicion();
+        ObservedLeader observed = state.observedLeader();
+        return LeadershipTransition.to(
+                state.with(suspicion.withProbing(false)).with(observed.withoutLeader()),
+                new RevokeSuspectLease(
+                        state.epoch(), suspect, observed.lease(), suspicion.departureCount()));
+    }
+
+    /** The lease could not be revoked, so its holder remains the leader. */
+    LeadershipTransition onRevocationFailed(LeadershipState state, RevocationFailed event) {
+        ObservedLeader observed = state.observedLeader();
+        if (observed.leader() != null) {
+            return LeadershipTransition.unchanged(state);
+        }
+        return LeadershipTransition.to(
+                state.with(
+                        new ObservedLeader(
+                                event.suspect(),
+                                observed.highestToken(),
+                                event.lease(),
+                                observed.vacantSince())));
+    }
+}
--- a/src/main/java/org/meadowhollow/coordination/leadership/Leadership.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/Leadership.java
@@ -1,212 +1,255 @@
 package org.meadowhollow.coordination.leadership;
 
+import com.google.errorprone.annotations.concurrent.GuardedBy;
 import java.time.Duration;
-import java.util.Map;
+import java.util.concurrent.CompletableFuture;
 import java.util.random.RandomGenerator;
 import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.coordination.api.PeerGateway;
 import org.meadowhollow.coordination.heartbeat.HeartbeatTracker;
+import org.meadowhollow.coordination.leadership.LeadershipEffect.Notification;
+import org.meadowhollow.coordination.leadership.LeadershipEffect.NotifyElected;
+import org.meadowhollow.coordination.leadership.LeadershipEffect.NotifyFollowing;
+import org.meadowhollow.coordination.leadership.LeadershipEffect.NotifyLeadershipLost;
+import org.meadowhollow.coordination.leadership.LeadershipEffect.ProbeSuspect;
+import org.meadowhollow.coordination.leadership.LeadershipEffect.ReadLeaderKey;
+import org.meadowhollow.coordination.leadership.LeadershipEffect.ScheduleRenewalCheck;
+import org.meadowhollow.coordination.leadership.LeadershipEffect.StoreRequest;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.MachineId;
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.Revision;
 import org.meadowhollow.storage.KeyValueStore;
-import org.meadowhollow.storage.KeyValueStore.RequestPriority;
-import org.meadowhollow.storage.KeyValueStoreException;
-import org.meadowhollow.storage.KeyValueStoreException.Outcome;
-import org.meadowhollow.storage.RecordCodec;
-import org.meadowhollow.storage.Transaction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Who leads: the holder of a leased key in the state service. The term comes from a counter that
- * only grows, raised in the same transaction that takes the key. What follows from what is decided
- * by {@link LeadershipStateMachine}, under a short lock; this does what it asks for.
+ * This node's part in leader election: the leader is the member that holds a leased record in the
+ * key-value store, and its fencing token comes from a counter that is raised in the transaction
+ * that writes this record.
+ *
+ * <p>{@link LeadershipStateMachine} decides what follows from what; this class keeps its state,
+ * feeds it events and performs its effects. {@link LeadershipSafety} says what a leader may do and
+ * until when, with the argument why that is safe.
+ *
+ * <p>Thread-safe. The state is guarded by this object's own lock, which is held only for the pure
+ * step: effects, and so all I/O and all calls of the {@link Listener}, happen after it is released,
+ * on the thread that brought the event. That thread may hold the lock of a caller.
  */
 public final class Leadership {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
     private static final Duration RENEWAL_CHECK_INTERVAL = Duration.ofMillis(500);
+
+    /** Before another attempt to read the leader record; up to half as long again by chance. */
     private static final Duration RETRY_DELAY = Duration.ofMillis(400);
 
-    /** A watch of the leader's key; it returns at once when the key goes. */
-    private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(20);
+    private static final double MAX_RELATIVE_JITTER = 0.5;
 
-    /**
-     * For what a worker takes to notice that its lease is over. An answer that is held back or late
-     * needs none: a lease counts from when its report was sent, which is before it was taken in
-     * here.
-     */
-    private static final Duration LEASE_END_MARGIN = Duration.ofSeconds(1);
+    /** Distinct workers that must have reached this node lately for it to count as reachable. */
+    private static final int MIN_REACHING_WORKERS = 3;
 
     /**
-     * Workers that must have come here within some seconds for this node to count as one that hears
-     * them. Those of a silent leader go round all nodes, one every 5 s and more.
+     * What counts as lately: workers of a leader that does not answer try all controllers in turn,
+     * one every 5 s or more.
      */
-    private static final int MIN_REACHING_WORKERS = 3;
-
     private static final Duration REACHING_WORKERS_WINDOW = Duration.ofSeconds(6);
 
-    /** What follows from a change of leadership. */
+    /** Is told of changes of the leadership, without any lock of {@link Leadership} held. */
     public interface Listener {
         /**
          * This member leads from now on.
          *
-         * @param leaderVersion the revision of the transaction that took the key
-         * @param noticedAt when this node saw that nobody leads, or null
+         * @param fencingToken of this leadership
+         * @param leaderVersion the revision of the transaction that wrote the leader record
+         * @param noticedAt when this node saw that there is no leader, or null if it never did
          */
         void elected(FencingToken fencingToken, Revision leaderVersion, MonotonicTime noticedAt);
 
-        /** This member does not lead any more. */
+        /**
+         * This member does not lead any more.
+         *
+         * @param why for the log
+         */
         void leadershipLost(String why);
 
-        /** Another member leads, as far as is known. */
+        /**
+         * Another member leads, as far as is known.
+         *
+         * @param leader its name
+         */
         void following(String leader);
     }
 
-    private final KeyValueStore store;
     private final EventLoop loop;
     private final PeerGateway peerGateway;
     private final String member;
     private final LeadershipStateMachine stateMachine;
+    private final LeadershipStoreClient storeClient;
     private final Duration workerLeaseRenewalBound;
     private final HeartbeatTracker heartbeatTracker;
     private final RandomGenerator random;
     private final Listener listener;
+
+    @GuardedBy("this")
     private LeadershipState state = LeadershipState.INITIAL;
 
+    /**
+     * A node that does not stand for election before {@link #start()}.
+     *
+     * @param deploymentSettings for this member's name, the cancellation bound and the duration of
+     *     worker leases
+     * @param heartbeatTracker knows which workers have reached this node lately
+     * @param random for the jitter of retries
+     * @param listener is told of changes
+     */
     public Leadership(
             KeyValueStore store,
             EventLoop loop,
             PeerGateway peerGateway,
             DeploymentSettings deploymentSettings,
-            HeartbeatTracker earshot,
+            HeartbeatTracker heartbeatTracker,
             RandomGenerator random,
             Listener listener) {
-        this.store = store;
         this.loop = loop;
         this.peerGateway = peerGateway;
         this.member = deploymentSettings.member();
         this.stateMachine = new LeadershipStateMachine(member);
-        this.heartbeatTracker = earshot;
+        this.storeClient =
+                new LeadershipStoreClient(
+                        store, loop, member, this::workersReachNode, this::handle);
+        this.heartbeatTracker = heartbeatTracker;
         this.workerLeaseRenewalBound =
-                deploymentSettings
-                        .cancellationBound()
-                        .minus(deploymentSettings.workerLease())
-                        .minus(LEASE_END_MARGIN);
+                LeadershipSafety.renewalBound(
+                        deploymentSettings.cancellationBound(), deploymentSettings.workerLease());
         this.random = random;
         this.listener = listener;
     }
 
+    /** Begins to follow the leader record, and to stand for election when it is vacant. */
     public void start() {
         handle(new LeadershipEvent.Started());
     }
 
-    /** Whether new starts may go out: the lease certainly holds. */
+    // ---- what this node may do now ----
+
+    /** Whether this node may make decisions, see {@link LeadershipSafety#canDecide}. */
     public synchronized boolean canDecide() {
-        return LeadershipStateMachine.canDecide(state, loop.now());
+        return LeadershipSafety.canDecide(state, loop.now());
     }
 
     /**
-     * Whether starts may be sent to workers: the lease certainly holds, and no cancellation of a
-     * moment ago is unknown here.
+     * Whether starts of tasks may be sent to workers, see {@link LeadershipSafety#canStartTasks}.
      */
     public synchronized boolean canStartTasks() {
-        return LeadershipStateMachine.canStartTasks(state, loop.now());
+        return LeadershipSafety.canStartTasks(state, loop.now());
     }
 
     /**
-     * Whether reports may be answered. A leader that cannot renew keeps the tasks running, but only
-     * so long that all leases it renewed are over before a cancellation it never heard of is due.
-     * Before it has loaded it may not.
+     * Whether heartbeats may be answered, which renews the leases of workers, see {@link
+     * LeadershipSafety#canRenewWorkerLeases}. A leader that cannot reach the store may still do so
+     * for a while, which keeps the tasks running.
      */
     public synchronized boolean canRenewWorkerLeases() {
-        return LeadershipStateMachine.canRenewWorkerLeases(
-                workerLeaseRenewalBound, state, loop.now());
+        return LeadershipSafety.canRenewWorkerLeases(workerLeaseRenewalBound, state, loop.now());
     }
 
-    /**
-     * The leader of a term knows all cancellations up to a moment.
-     *
-     * @param upTo when the request was sent whose answer showed the last of them
-     */
-    public void advanceFreshness(FencingToken fencingToken, MonotonicTime upTo) {
-        handle(new LeadershipEvent.FreshnessAdvanced(fencingToken, upTo));
-    }
+    // ---- what this node knows ----
 
-    /** The term of this node's last leadership. */
+    /** The fencing token of this node's last leadership, {@link FencingToken#NONE} before it. */
     public synchronized FencingToken fencingToken() {
         return state.fencingToken();
     }
 
-    /** The highest term heard of, by whomever it was shown. */
+    /** The highest fencing token that any node or worker has shown. */
     public synchronized FencingToken highestObservedToken() {
         return state.observedLeader().highestToken();
     }
 
-    /** The leader last heard of, or null. */
+    /** The name of the leader last heard of, or null if none is known. */
     public synchronized String lastKnownLeader() {
         return state.observedLeader().leader();
     }
 
-    /** Whether this node gave its lease up for want of hearing, and has heard nobody since. */
+    /**
+     * Whether this node released its lease because it was isolated from the workers, and none has
+     * reached it since.
+     */
     public synchronized boolean isIsolated() {
         return state.isolated();
     }
 
-    /** Whether giving up without knowing of a node that hears has not been tried for a time. */
+    /**
+     * Whether the last release without a known successor is long enough ago for another.
+     *
+     * @param pause the least time between two of them
+     */
     public synchronized boolean canResignWithoutSuccessor(Duration pause) {
-        return state.resignedWithoutSuccessorAt() == null
-                || loop.now().elapsedSince(state.resignedWithoutSuccessorAt()).compareTo(pause)
-                        >= 0;
+        MonotonicTime lastAt = state.resignedWithoutSuccessorAt();
+        return lastAt == null || loop.now().elapsedSince(lastAt).compareTo(pause) >= 0;
     }
 
-    /** A peer or a worker told of a term; a higher one than ours ends our leadership. */
+    // ---- what other parts of the controller report ----
+
+    /**
+     * The leader knows all cancellations up to a moment. Ignored if the leadership of that token is
+     * over.
+     *
+     * @param fencingToken of the leadership for which they were read
+     * @param upTo when the request was sent whose answer showed the last of them
+     */
+    public void advanceFreshness(FencingToken fencingToken, MonotonicTime upTo) {
+        handle(new LeadershipEvent.FreshnessAdvanced(fencingToken, upTo));
+    }
+
+    /**
+     * A peer or a worker has shown a fencing token; one above this node's ends its leadership.
+     *
+     * @param otherLeader the member that the token belongs to, or null if that is not known
+     */
     public void observeToken(FencingToken other, String otherLeader) {
         handle(new LeadershipEvent.TokenObserved(other, otherLeader));
     }
 
-    /** Gives the leadership up, when a write has shown that it is lost. */
+    /** A write has shown that the leader record is not this node's any more. */
     public void stepDown() {
         handle(new LeadershipEvent.LeaderKeyLost());
     }
 
-    /** A worker was heard of again, so this node may stand like any other. */
+    /** A worker has reached this node, so it may stand for election like any other. */
     public void restoreWorkerContact() {
         handle(new LeadershipEvent.WorkerContactRestored());
     }
 
     /**
-     * Gives the lease up because hardly any worker is heard here; the record of terms says so, and
-     * for whom. Its key is removed under a guard, so nothing is given up that another has taken.
-     * Until the answer comes this node answers reports and decides nothing; refused, it leads on
-     * and tries again when asked to.
+     * Releases the lease because hardly any worker reaches this node. The leader record is deleted
+     * with a compare-and-swap, so nothing of another leader's is released. Until the reply this
+     * node answers heartbeats but decides nothing; if the store refuses the request, it goes on
+     * leading, and the caller may try again.
      *
-     * @param heir a node that hears them, or null if none is known
+     * @param successor a member that workers reach, or null if none is known
      */
-    public void resign(String heir) {
-        handle(new LeadershipEvent.ReleaseRequested(true, heir));
+    public void resign(String successor) {
+        handle(new LeadershipEvent.ReleaseRequested(true, successor));
     }
 
     /**
-     * Gives the lease to another node, because this one is going to end. The others leave it to
-     * that node for a moment.
+     * Releases the lease because this process is about to end. The other members leave the election
+     * to the successor for a moment.
      *
-     * @param heir the node that is to take it, or null if it does not matter which
+     * @param successor the member that should be elected, or null if any may be
      */
-    public void handOver(String heir) {
-        handle(new LeadershipEvent.ReleaseRequested(false, heir));
+    public void handOver(String successor) {
+        handle(new LeadershipEvent.ReleaseRequested(false, successor));
     }
 
     /**
-     * A worker has come here. If the leader answered it last, it has left the leader, whose process
-     * may have ended: the leader is asked, and if it refuses connections while several workers have
-     * left it, its lease is ended at once instead of when it runs out. That is a matter of time
-     * alone: whoever leads next takes the key and a higher term as ever, so a leader that is
-     * wrongly suspected loses its place, and no more.
+     * A worker has turned to this node, which does not lead. If the leader answered it last, its
+     * process may have ended: the leader is probed, and replaced early if it has, see {@link
+     * LeaderFailureDetection}.
      *
-     * @return whether it is better to wait for what comes of this than to send the worker back to
+     * @param shown the fencing token that the worker has shown
+     * @return whether to let the worker wait for what comes of that, rather than to redirect it to
      *     the leader
      */
     public boolean recordWorkerArrival(MachineId worker, FencingToken shown) {
@@ -220,26 +263,23 @@
     }
 
     /**
-     * Sends a renewal that is due. Called by a timer, and in between by long work: a node that
-     * computes slowly can be busy with hundreds of reports or with a round for longer than its
-     * lease lasts, and while its timer waited the leadership went round from one starved node to
-     * the next, each of which had to load everything anew.
+     * Sends a renewal of this node's lease if one is due. Long work calls this in between: on a
+     * slow node hundreds of heartbeats or a scheduling round can take longer than the lease lasts,
+     * while the renewal timer waits for its turn.
      */
     public void renewIfDue() {
         synchronized (this) {
-            if (state.heldLeadership() == null
-                    || !state.heldLeadership()
-                            .isRenewalDue(loop.now(), LeadershipStateMachine.RENEWAL_INTERVAL)) {
+            if (!LeadershipStateMachine.isRenewalDue(state, loop.now())) {
                 return;
             }
         }
         handle(new LeadershipEvent.RenewalCheckpointReached());
     }
 
-    // ---- what steps ask for ----
+    // ---- events and effects ----
 
     private void handle(LeadershipEvent event) {
-        LeadershipStateMachine.Transition transition;
+        LeadershipTransition transition;
         synchronized (this) {
             transition = stateMachine.apply(state, event, loop.now());
             state = transition.next();
@@ -247,224 +287,79 @@
         transition.effects().forEach(this::perform);
     }
 
-    private synchronized boolean isCurrentEpoch(int expected) {
-        return state.epoch() == expected;
+    private void perform(LeadershipEffect effect) {
+        if (effect instanceof ReadLeaderKey read && read.afterDelay()) {
+            readLeaderKeyAfterDelay(read);
+        } else if (effect instanceof StoreRequest request) {
+            storeClient.send(request);
+        } else if (effect instanceof ScheduleRenewalCheck check) {
+            loop.schedule(
+                    RENEWAL_CHECK_INTERVAL,
+                    () -> handle(new LeadershipEvent.RenewalTimerFired(check.epoch())));
+        } else if (effect instanceof ProbeSuspect probe) {
+            probeAfterDelay(probe);
+        } else if (effect instanceof Notification notification) {
+            publish(notification);
+        }
     }
 
-    private void runAfterJitteredDelay(Duration pause, int expected, Runnable work) {
-        Duration jittered =
-                pause.plus(Duration.ofNanos((long) (pause.toNanos() * random.nextDouble() * 0.5)));
+    /** The jitter keeps members apart that lost the same leader at the same moment. */
+    private void readLeaderKeyAfterDelay(ReadLeaderKey read) {
+        double jitter = random.nextDouble() * MAX_RELATIVE_JITTER;
+        Duration delay =
+                RETRY_DELAY.plus(Duration.ofNanos((long) (RETRY_DELAY.toNanos() * jitter)));
         loop.schedule(
-                jittered,
+                delay,
                 () -> {
-                    if (isCurrentEpoch(expected)) {
-                        work.run();
+                    if (isCurrentEpoch(read.epoch())) {
+                        storeClient.send(read);
                     }
                 });
     }
 
-    private void perform(LeadershipEffect effect) {
-        if (effect instanceof LeadershipEffect.ReadLeaderKey readLeaderKey) {
-            if (readLeaderKey.afterDelay()) {
-                runAfterJitteredDelay(
-                        RETRY_DELAY,
-                        readLeaderKey.epoch(),
-                        () -> readLeaderKey(readLeaderKey.epoch()));
-            } else {
-                readLeaderKey(readLeaderKey.epoch());
-            }
-        } else if (effect instanceof LeadershipEffect.WatchLeaderKey watchLeaderKey) {
-            store.watch(RecordCodec.LEADER_KEY, watchLeaderKey.afterRevision(), WATCH_TIMEOUT)
-                    .whenComplete(
-                            (changeBatch, failure) ->
-                                    handle(
-                                            new LeadershipEvent.LeaderKeyWatchEnded(
-                                                    watchLeaderKey.epoch(),
-                                                    failure == null ? changeBatch : null)));
-        } else if (effect instanceof LeadershipEffect.ReadTokenCounter read) {
-            store.get(RecordCodec.FENCING_TOKEN_KEY, RequestPriority.LEASE)
-                    .whenComplete(
-                            (counter, failure) ->
-                                    handle(
-                                            new LeadershipEvent.TokenCounterRead(
-                                                    read.epoch(),
-                                                    read.leaderKeyRevision(),
-                                                    failure == null ? counter : null,
-                                                    heartbeatTracker.countRecent(
-                                                                    REACHING_WORKERS_WINDOW,
-                                                                    loop.now())
-                                                            >= MIN_REACHING_WORKERS)));
-        } else if (effect instanceof LeadershipEffect.GrantLease grantLease) {
-            MonotonicTime sentAt = loop.now();
-            store.grantLease(LeadershipStateMachine.LEASE_TTL)
-                    .whenComplete(
-                            (lease, failure) ->
-                                    handle(
-                                            new LeadershipEvent.LeaseGrantCompleted(
-                                                    grantLease.epoch(),
-                                                    grantLease.leaderKeyRevision(),
-                                                    grantLease.counter(),
-                                                    failure == null ? lease : null,
-                                                    sentAt)));
-        } else if (effect instanceof LeadershipEffect.ClaimLeaderKey claimLeaderKey) {
-            store.commit(buildTransaction(claimLeaderKey), RequestPriority.LEASE)
-                    .whenComplete(
-                            (commitResult, failure) ->
-                                    handle(
-                                            new LeadershipEvent.LeaderKeyClaimCompleted(
-                                                    claimLeaderKey.epoch(),
-                                                    claimLeaderKey.fencingToken(),
-                                                    claimLeaderKey.lease(),
-                                                    claimLeaderKey.sentAt(),
-                                                    failure == null ? commitResult : null)));
-        } else if (effect instanceof LeadershipEffect.ScheduleRenewalCheck tick) {
-            loop.schedule(
-                    RENEWAL_CHECK_INTERVAL,
-                    () -> handle(new LeadershipEvent.RenewalTimerFired(tick.epoch())));
-        } else if (effect instanceof LeadershipEffect.RenewLease renewLease) {
-            store.renewLease(renewLease.lease())
-                    .whenComplete(
-                            (unused, failure) ->
-                                    handle(
-                                            new LeadershipEvent.RenewalCompleted(
-                                                    renewLease.epoch(),
-                                                    renewLease.sentAt(),
-                                                    failure == null
-                                                            ? LeadershipEvent.RenewalOutcome.RENEWED
-                                                            : KeyValueStoreException.outcomeOf(
-                                                                                    failure)
-                                                                            == Outcome.LEASE_EXPIRED
-                                                                    ? LeadershipEvent.RenewalOutcome
-                                                                            .LEASE_EXPIRED
-                                                                    : LeadershipEvent.RenewalOutcome
-                                                                            .UNKNOWN)));
-        } else if (effect instanceof LeadershipEffect.ReleaseLeaderKey releaseLeaderKey) {
-            releaseLeaderKey(releaseLeaderKey);
-        } else if (effect instanceof LeadershipEffect.RevokeOwnLease revokeOwnLease) {
-            store.revokeLease(revokeOwnLease.lease());
-        } else if (effect instanceof LeadershipEffect.RevokeSuspectLease revoke) {
-            LOG.info(
-                    "{} workers have left {}, which refuses connections: its lease is ended",
-                    revoke.departureCount(),
-                    revoke.suspect());
-            store.revokeLease(revoke.lease())
-                    .whenComplete(
-                            (unused, failure) -> {
-                                if (failure != null) {
-                                    handle(
-                                            new LeadershipEvent.RevocationFailed(
-                                                    revoke.epoch(),
-                                                    revoke.suspect(),
-                                                    revoke.lease()));
-                                }
-                            });
-        } else if (effect instanceof LeadershipEffect.ProbeSuspect probeSuspect) {
-            if (probeSuspect.delay().isZero()) {
-                probeSuspect(probeSuspect);
-            } else {
-                loop.schedule(probeSuspect.delay(), () -> probeSuspect(probeSuspect));
-            }
-        } else if (effect instanceof LeadershipEffect.NotifyElected notifyElected) {
-            LOG.info("elected: {} leads in term {}", member, notifyElected.fencingToken());
-            listener.elected(
-                    notifyElected.fencingToken(),
-                    notifyElected.leaderKeyRevision(),
-                    notifyElected.vacantSince());
-            peerGateway.announceLeader(member, notifyElected.fencingToken());
-        } else if (effect instanceof LeadershipEffect.NotifyLeadershipLost notifyLeadershipLost) {
-            LOG.info(
-                    "leadership of term {} lost: {}",
-                    notifyLeadershipLost.fencingToken(),
-                    notifyLeadershipLost.reason());
-            listener.leadershipLost(notifyLeadershipLost.reason());
-        } else if (effect instanceof LeadershipEffect.NotifyFollowing notifyFollowing) {
-            listener.following(notifyFollowing.leader());
-        }
-    }
-
-    private void readLeaderKey(int epoch) {
-        store.list(RecordCodec.LEADER_KEY, null, RequestPriority.LEASE)
-                .whenComplete(
-                        (page, failure) ->
-                                handle(
-                                        new LeadershipEvent.LeaderKeyRead(
-                                                epoch, failure == null ? page : null)));
+    private synchronized boolean isCurrentEpoch(int expected) {
+        return state.epoch() == expected;
     }
 
-    private void probeSuspect(LeadershipEffect.ProbeSuspect probeSuspect) {
-        peerGateway
-                .probe(probeSuspect.suspect())
-                .thenAccept(
-                        probeResult ->
-                                handle(
-                                        new LeadershipEvent.ProbeCompleted(
-                                                probeSuspect.epoch(),
-                                                probeSuspect.suspect(),
-                                                probeSuspect.probesSent(),
-                                                probeSuspect.consecutiveRefusals(),
-                                                probeResult)));
+    private boolean workersReachNode() {
+        return heartbeatTracker.countRecent(REACHING_WORKERS_WINDOW, loop.now())
+                >= MIN_REACHING_WORKERS;
     }
 
-    private void releaseLeaderKey(LeadershipEffect.ReleaseLeaderKey releaseLeaderKey) {
-        LOG.info(
-                "term {} {} its lease {}{}",
-                releaseLeaderKey.fencingToken(),
-                releaseLeaderKey.becauseIsolated()
-                        ? "hears hardly any worker and gives"
-                        : "is to end and hands",
-                releaseLeaderKey.becauseIsolated() ? "up" : "over",
-                releaseLeaderKey.preferredSuccessor() == null
-                        ? ""
-                        : " to " + releaseLeaderKey.preferredSuccessor());
-        store.commit(buildTransaction(releaseLeaderKey), RequestPriority.LEASE)
-                .whenComplete(
-                        (commitResult, failure) ->
-                                handle(
-                                        new LeadershipEvent.ReleaseCompleted(
-                                                releaseLeaderKey.epoch(),
-                                                releaseLeaderKey.lease(),
-                                                releaseLeaderKey.becauseIsolated(),
-                                                releaseLeaderKey.preferredSuccessor(),
-                                                failure == null ? commitResult : null,
-                                                failure != null
-                                                        && KeyValueStoreException.outcomeOf(failure)
-                                                                == Outcome.REJECTED)));
+    private void probeAfterDelay(ProbeSuspect probe) {
+        if (probe.delay().isZero()) {
+            probe(probe);
+        } else {
+            loop.schedule(probe.delay(), () -> probe(probe));
+        }
     }
 
-    private Transaction buildTransaction(LeadershipEffect.ClaimLeaderKey claimLeaderKey) {
-        return new Transaction()
-                .requireRevision(RecordCodec.LEADER_KEY, claimLeaderKey.expectedLeaderKeyRevision())
-                .requireRevision(
-                        RecordCodec.FENCING_TOKEN_KEY, claimLeaderKey.expectedCounterRevision())
-                .put(
-                        RecordCodec.FENCING_TOKEN_KEY,
-                        Map.of("term", claimLeaderKey.fencingToken().value()))
-                .put(
-                        RecordCodec.LEADER_KEY,
-                        Map.of(
-                                "member",
-                                member,
-                                "term",
-                                claimLeaderKey.fencingToken().value(),
-                                "lease",
-                                claimLeaderKey.lease().value()),
-                        claimLeaderKey.lease());
+    private void probe(ProbeSuspect probe) {
+        CompletableFuture<?> unusedReply =
+                peerGateway
+                        .probe(probe.suspect())
+                        .thenAccept(
+                                result ->
+                                        handle(
+                                                new LeadershipEvent.ProbeCompleted(
+                                                        probe.epoch(),
+                                                        probe.suspect(),
+                                                        probe.probesSent(),
+                                                        probe.consecutiveRefusals(),
+                                                        result)));
     }
 
-    private Transaction buildTransaction(LeadershipEffect.ReleaseLeaderKey releaseLeaderKey) {
-        return new Transaction()
-                .requireRevision(
-                        RecordCodec.LEADER_KEY, releaseLeaderKey.expectedLeaderKeyRevision())
-                .delete(RecordCodec.LEADER_KEY)
-                .put(
-                        RecordCodec.FENCING_TOKEN_KEY,
-                        releaseLeaderKey.becauseIsolated()
-                                ? CandidacyPolicy.resignationRecord(
-                                        releaseLeaderKey.fencingToken().value(),
-                                        member,
-                                        releaseLeaderKey.preferredSuccessor())
-                                : CandidacyPolicy.handoverRecord(
-                                        releaseLeaderKey.fencingToken().value(),
-                                        releaseLeaderKey.preferredSuccessor()));
+    private void publish(Notification notification) {
+        if (notification instanceof NotifyElected elected) {
+            LOG.info("member elected leader member={} token={}", member, elected.fencingToken());
+            listener.elected(
+                    elected.fencingToken(), elected.leaderKeyRevision(), elected.vacantSince());
+            peerGateway.announceLeader(member, elected.fencingToken());
+        } else if (notification instanceof NotifyLeadershipLost lost) {
+            LOG.info("leadership lost token={} reason=\"{}\"", lost.fencingToken(), lost.reason());
+            listener.leadershipLost(lost.reason());
+        } else if (notification instanceof NotifyFollowing following) {
+            listener.following(following.leader());
+        }
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipEvent.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipEvent.java
@@ -9,43 +9,55 @@
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.LeaseId;
 
-/** What can happen to a node's leadership. Answers name the epoch that they were asked for in. */
+/** What can happen to the leadership of a node: an input of {@link LeadershipStateMachine}. */
 sealed interface LeadershipEvent {
-    record Started() implements LeadershipEvent {}
+    /**
+     * The reply to an effect of an epoch, or its timer. It is ignored once that epoch is over, so
+     * that what a former leadership began does not act on the next.
+     */
+    sealed interface EpochBound extends LeadershipEvent {
+        /** The epoch of the effect, see {@link LeadershipState#epoch()}. */
+        int epoch();
+    }
+
+    // ---- replies and timers ----
 
     /**
-     * The leader's key was read.
+     * The leader record was read.
      *
-     * @param page null if it could not be
+     * @param page null if the read failed
      */
-    record LeaderKeyRead(int epoch, KeyValueStore.Page page) implements LeadershipEvent {}
+    record LeaderKeyRead(int epoch, KeyValueStore.Page page) implements EpochBound {}
 
     /**
-     * The watch of the leader's key has ended.
+     * The watch of the leader record ended.
      *
-     * @param changes null if it failed
+     * @param changes null if the watch failed; without changes if it timed out
      */
     record LeaderKeyWatchEnded(int epoch, KeyValueStore.ChangeBatch changes)
-            implements LeadershipEvent {}
+            implements EpochBound {}
 
     /**
-     * The record of terms was read.
+     * The token counter was read.
      *
-     * @param leaderKeyRevision the version of the leader's key for which it was
-     * @param counter null if it could not be
-     * @param workersReachNode whether workers have come to this node lately
+     * @param leaderKeyRevision the revision of the leader record for which it was read
+     * @param counter null if the read failed; empty if there is none
+     * @param workersReachNode whether several workers have reached this node lately
      */
     record TokenCounterRead(
             int epoch,
             Revision leaderKeyRevision,
             Optional<KeyValueStore.Entry> counter,
             boolean workersReachNode)
-            implements LeadershipEvent {}
+            implements EpochBound {}
 
     /**
-     * A lease was asked for.
+     * A lease was requested.
      *
-     * @param lease null if there is none
+     * @param leaderKeyRevision as in {@link TokenCounterRead}
+     * @param counter the token counter that was read before
+     * @param lease null if the request failed
+     * @param sentAt when the request was sent, from when on the lease counts
      */
     record LeaseGrantCompleted(
             int epoch,
@@ -53,12 +65,13 @@
             Optional<KeyValueStore.Entry> counter,
             LeaseId lease,
             MonotonicTime sentAt)
-            implements LeadershipEvent {}
+            implements EpochBound {}
 
     /**
-     * The key was claimed.
+     * The transaction that writes the leader record ended.
      *
-     * @param commit null if that was not answered
+     * @param sentAt when the lease was requested
+     * @param commit null if there was no reply, so that it may have been or may yet be executed
      */
     record LeaderKeyClaimCompleted(
             int epoch,
@@ -66,51 +79,36 @@
             LeaseId lease,
             MonotonicTime sentAt,
             KeyValueStore.CommitResult commit)
-            implements LeadershipEvent {}
-
-    /** A timer's turn, by which a renewal may be due. */
-    record RenewalTimerFired(int epoch) implements LeadershipEvent {}
+            implements EpochBound {}
 
-    /** Long work has come to a point at which a renewal may be sent. */
-    record RenewalCheckpointReached() implements LeadershipEvent {}
+    /** The timer that checks whether a renewal is due. */
+    record RenewalTimerFired(int epoch) implements EpochBound {}
 
+    /** How a renewal ended. */
     enum RenewalOutcome {
+        /** The lease was extended. */
         RENEWED,
+        /** The store does not know the lease any more. */
         LEASE_EXPIRED,
+        /** No reply; the lease may or may not have been extended. */
         UNKNOWN
     }
 
-    record RenewalCompleted(int epoch, MonotonicTime sentAt, RenewalOutcome outcome)
-            implements LeadershipEvent {}
-
     /**
-     * All changes of jobs up to a moment are known here.
+     * A renewal of this node's lease ended.
      *
-     * @param fencingToken of the leadership that knows them
-     * @param freshAsOf when the request was sent whose answer showed the last of them
+     * @param sentAt when the renewal was sent
      */
-    record FreshnessAdvanced(FencingToken fencingToken, MonotonicTime freshAsOf)
-            implements LeadershipEvent {}
-
-    /** A peer or a worker told of a term. */
-    record TokenObserved(FencingToken fencingToken, String leader) implements LeadershipEvent {}
-
-    /** A write has shown that the key is not this node's any more. */
-    record LeaderKeyLost() implements LeadershipEvent {}
+    record RenewalCompleted(int epoch, MonotonicTime sentAt, RenewalOutcome outcome)
+            implements EpochBound {}
 
     /**
-     * The lease is to be given up.
+     * The transaction that releases the lease ended.
      *
-     * @param becauseIsolated whether because hardly any worker is heard, or else because the
-     *     process is to end
-     * @param preferredSuccessor the node that is to take it, or null
-     */
-    record ReleaseRequested(boolean becauseIsolated, String preferredSuccessor)
-            implements LeadershipEvent {}
-
-    /**
-     * @param commit null if that was not answered, or refused
-     * @param refused whether it is certain that nothing was and will be executed
+     * @param becauseIsolated as in {@link ReleaseRequested}
+     * @param preferredSuccessor as in {@link ReleaseRequested}
+     * @param commit null if there was no reply, or it was refused
+     * @param refused whether it certainly was not and will not be executed
      */
     record ReleaseCompleted(
             int epoch,
@@ -119,12 +117,19 @@
             String preferredSuccessor,
             KeyValueStore.CommitResult commit,
             boolean refused)
-            implements LeadershipEvent {}
+            implements EpochBound {}
 
-    /** A worker has come that has left the leader. */
-    record WorkerArrived(MachineId worker, FencingToken shownToken) implements LeadershipEvent {}
+    /** The lease of a suspected leader could not be revoked. */
+    record RevocationFailed(int epoch, String suspect, LeaseId lease) implements EpochBound {}
 
-    /** A leader that may have ended was asked, or could not be. */
+    /**
+     * A suspected leader was probed. Not {@link EpochBound}: a probe that an earlier epoch began
+     * ends that epoch's suspicion when it returns.
+     *
+     * @param suspect the member that was probed
+     * @param probesSent how many probes went before this one
+     * @param consecutiveRefusals how many of the probes just before this one were refused
+     */
     record ProbeCompleted(
             int epoch,
             String suspect,
@@ -133,9 +138,50 @@
             PeerGateway.ProbeResult probeResult)
             implements LeadershipEvent {}
 
-    /** Another leader's lease could not be ended. */
-    record RevocationFailed(int epoch, String suspect, LeaseId lease) implements LeadershipEvent {}
+    // ---- inputs from other parts of the controller ----
+
+    /** The node has started. */
+    record Started() implements LeadershipEvent {}
+
+    /** Long work has reached a point at which a renewal may be sent. */
+    record RenewalCheckpointReached() implements LeadershipEvent {}
+
+    /**
+     * This node knows all changes of jobs up to a moment.
+     *
+     * @param fencingToken of the leadership for which they were read
+     * @param freshAsOf when the request was sent whose answer showed the last of them
+     */
+    record FreshnessAdvanced(FencingToken fencingToken, MonotonicTime freshAsOf)
+            implements LeadershipEvent {}
+
+    /**
+     * A peer or a worker has shown a fencing token.
+     *
+     * @param leader the member that it belongs to, or null if that is not known
+     */
+    record TokenObserved(FencingToken fencingToken, String leader) implements LeadershipEvent {}
+
+    /** A write has shown that the leader record is not this node's any more. */
+    record LeaderKeyLost() implements LeadershipEvent {}
+
+    /**
+     * This node is to release its lease.
+     *
+     * @param becauseIsolated true if hardly any worker reaches this node, false if its process is
+     *     about to end
+     * @param preferredSuccessor the member that should be elected, or null
+     */
+    record ReleaseRequested(boolean becauseIsolated, String preferredSuccessor)
+            implements LeadershipEvent {}
+
+    /**
+     * A worker has turned to this node instead of to the leader that answered it last.
+     *
+     * @param shownToken the fencing token of that leader
+     */
+    record WorkerArrived(MachineId worker, FencingToken shownToken) implements LeadershipEvent {}
 
-    /** A worker was heard of again. */
+    /** A worker has reached this node again after it was isolated. */
     record WorkerContactRestored() implements LeadershipEvent {}
 }
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipState.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipState.java
@@ -10,16 +10,19 @@
 import org.meadowhollow.storage.LeaseId;
 
 /**
- * What a node knows of who leads; {@link LeadershipStateMachine} makes the next one of it.
+ * What a node knows of who leads. Immutable; {@link LeadershipStateMachine} makes the next one of
+ * it. Times are points on this node's monotonic clock.
  *
- * @param epoch raised by the end of each leadership, so that what was begun before is not heeded
- *     after
- * @param fencingToken of this node's last leadership
+ * @param epoch raised at the end of each leadership of this node; replies to requests of an earlier
+ *     epoch are ignored
+ * @param fencingToken of this node's last leadership, {@link FencingToken#NONE} before the first
  * @param heldLeadership null unless this node leads
- * @param isolated whether this node gave its lease up for want of hearing, and has heard nobody
- *     since
- * @param resignedWithoutSuccessorAt when it last did so without knowing of a node that hears, or
- *     null
+ * @param observedLeader the leader last heard of
+ * @param suspicion that this leader has failed
+ * @param isolated whether this node released its lease because it was isolated, and no worker has
+ *     reached it since
+ * @param resignedWithoutSuccessorAt when it last did so without knowing a member that workers
+ *     reach, or null
  */
 record LeadershipState(
         int epoch,
@@ -29,7 +32,7 @@
         Suspicion suspicion,
         boolean isolated,
         MonotonicTime resignedWithoutSuccessorAt) {
-    /** Of a node that has just started. */
+    /** The state of a node that has just started. */
     static final LeadershipState INITIAL =
             new LeadershipState(
                     0,
@@ -41,13 +44,18 @@
                     null);
 
     /**
-     * The key and the lease of this node's leadership.
+     * This node's own leadership.
      *
-     * @param leaseValidFrom when the last answered renewal was sent, from when on the lease counts
-     * @param lastRenewalSentAt when the last renewal was sent, or null if one is to be sent at once
-     * @param leaderKeyRevision the revision of the transaction that took the key
-     * @param freshAsOf the moment up to which all changes of jobs are known here, or null while
-     *     they are not loaded
+     * @param lease that the leader record is stored under
+     * @param leaseValidFrom when the last confirmed renewal was sent; the lease lasts for {@link
+     *     LeadershipSafety#LEASE_TTL} from then at least
+     * @param lastRenewalSentAt when the last renewal was sent, or null if one is due at once
+     * @param renewing whether a renewal is in flight
+     * @param leaderKeyRevision the revision of the transaction that wrote the leader record, on
+     *     which each transaction of this leadership is conditional
+     * @param resigning whether a release is in flight; it may have been executed
+     * @param freshAsOf the moment up to which all changes of jobs are known here, or null until the
+     *     records are loaded
      */
     record HeldLeadership(
             LeaseId lease,
@@ -57,12 +65,21 @@
             Revision leaderKeyRevision,
             boolean resigning,
             MonotonicTime freshAsOf) {
-        HeldLeadership renewing(MonotonicTime now) {
+        /** Just elected, under a lease that was requested at a moment. */
+        static HeldLeadership begin(
+                LeaseId lease, MonotonicTime requestedAt, Revision leaderKeyRevision) {
+            return new HeldLeadership(
+                    lease, requestedAt, requestedAt, false, leaderKeyRevision, false, null);
+        }
+
+        /** A renewal is sent now. */
+        HeldLeadership withRenewalSent(MonotonicTime now) {
             return new HeldLeadership(
                     lease, leaseValidFrom, now, true, leaderKeyRevision, resigning, freshAsOf);
         }
 
-        HeldLeadership renewed(MonotonicTime sentAt) {
+        /** A renewal was confirmed; confirmations may arrive out of order. */
+        HeldLeadership withRenewalConfirmed(MonotonicTime sentAt) {
             return new HeldLeadership(
                     lease,
                     MonotonicTime.latestOf(leaseValidFrom, sentAt),
@@ -73,22 +90,25 @@
                     freshAsOf);
         }
 
-        HeldLeadership renewalFailed() {
+        /** A renewal got no reply, so that the next one is due at once. */
+        HeldLeadership withRenewalFailed() {
             return new HeldLeadership(
                     lease, leaseValidFrom, null, false, leaderKeyRevision, resigning, freshAsOf);
         }
 
-        HeldLeadership resigning(boolean now) {
+        /** A release is in flight, or was refused. */
+        HeldLeadership withResigning(boolean inFlight) {
             return new HeldLeadership(
                     lease,
                     leaseValidFrom,
                     lastRenewalSentAt,
                     renewing,
                     leaderKeyRevision,
-                    now,
+                    inFlight,
                     freshAsOf);
         }
 
+        /** All changes of jobs are known up to a moment; an earlier one than before is ignored. */
         HeldLeadership withFreshness(MonotonicTime upTo) {
             return new HeldLeadership(
                     lease,
@@ -100,125 +120,168 @@
                     freshAsOf == null ? upTo : MonotonicTime.latestOf(freshAsOf, upTo));
         }
 
-        boolean isRenewalDue(MonotonicTime now, Duration every) {
+        /** Whether none is in flight and the last one was sent an interval ago. */
+        boolean isRenewalDue(MonotonicTime now, Duration interval) {
             return !renewing
                     && (lastRenewalSentAt == null
-                            || now.elapsedSince(lastRenewalSentAt).compareTo(every) >= 0);
+                            || now.elapsedSince(lastRenewalSentAt).compareTo(interval) >= 0);
         }
     }
 
     /**
      * The leader last heard of.
      *
-     * @param leader its name, or null
-     * @param highestToken the highest term heard of
-     * @param lease of its key, or null
-     * @param vacantSince since when the key is known to be free, or null
+     * @param leader its name, or null if none is known
+     * @param highestToken the highest fencing token that any node or worker has shown
+     * @param lease that the leader record is stored under, or null if not known
+     * @param vacantSince since when there is no leader record, or null if there is one
      */
     record ObservedLeader(
             String leader, FencingToken highestToken, LeaseId lease, MonotonicTime vacantSince) {
-        ObservedLeader withoutLeader(MonotonicTime now) {
+        /** There is no leader record, as was seen now. */
+        ObservedLeader vacant(MonotonicTime now) {
             return new ObservedLeader(
                     null, highestToken, null, vacantSince == null ? now : vacantSince);
         }
 
-        ObservedLeader leader(String name) {
-            return new ObservedLeader(name, highestToken, lease, vacantSince);
+        /** The same without a leader's name. */
+        ObservedLeader withoutLeader() {
+            return new ObservedLeader(null, highestToken, lease, vacantSince);
         }
     }
 
     /**
-     * Of the leader, that its process has ended.
+     * What speaks for it that the process of the observed leader has ended.
      *
-     * @param departedWorkers workers that have left it, as many as are needed to tell
-     * @param left how many have, in all
-     * @param probing whether it is being asked
-     * @param lastAnsweredAt when it last answered, or null
+     * @param departedWorkers workers that have left it, as many as are needed as evidence
+     * @param departureCount how often a worker has left it, in all
+     * @param probing whether it is being probed
+     * @param lastAnsweredAt when it last answered a probe, or null
      */
     record Suspicion(
             Set<MachineId> departedWorkers,
-            int left,
+            int departureCount,
             boolean probing,
             MonotonicTime lastAnsweredAt) {
-        static final Suspicion NONE = new Suspicion(Set.of(), 0, false, null);
+        /** Nothing speaks for it. */
+        static final Suspicion NONE = cleared(null);
 
-        Suspicion left(MachineId worker, int enough) {
+        /** Nothing speaks for it any more. */
+        static Suspicion cleared(MonotonicTime lastAnsweredAt) {
+            return new Suspicion(Set.of(), 0, false, lastAnsweredAt);
+        }
+
+        /**
+         * One more worker has left the leader.
+         *
+         * @param enough how many distinct workers are remembered at most
+         */
+        Suspicion withDeparture(MachineId worker, int enough) {
             if (departedWorkers.size() >= enough || departedWorkers.contains(worker)) {
-                return new Suspicion(departedWorkers, left + 1, probing, lastAnsweredAt);
+                return new Suspicion(departedWorkers, departureCount + 1, probing, lastAnsweredAt);
             }
-            Set<MachineId> more = new HashSet<>(departedWorkers);
-            more.add(worker);
-            return new Suspicion(more, left + 1, probing, lastAnsweredAt);
+            Set<MachineId> workers = new HashSet<>(departedWorkers);
+            workers.add(worker);
+            return new Suspicion(workers, departureCount + 1, probing, lastAnsweredAt);
         }
 
-        Suspicion probing(boolean now) {
-            return new Suspicion(departedWorkers, left, now, lastAnsweredAt);
+        /** The leader is being probed, or not any more. */
+        Suspicion withProbing(boolean inProgress) {
+            return new Suspicion(departedWorkers, departureCount, inProgress, lastAnsweredAt);
         }
 
+        /** The departures spoke against an earlier leader. */
         Suspicion withoutDepartures() {
             return new Suspicion(Set.of(), 0, probing, lastAnsweredAt);
         }
     }
 
-    LeadershipState with(HeldLeadership now) {
+    /** Whether this node holds the leader record, as far as it knows. */
+    boolean isLeader() {
+        return heldLeadership != null;
+    }
+
+    /** The same with another leadership of this node. */
+    LeadershipState with(HeldLeadership held) {
         return new LeadershipState(
                 epoch,
                 fencingToken,
-                now,
+                held,
                 observedLeader,
                 suspicion,
                 isolated,
                 resignedWithoutSuccessorAt);
     }
 
-    LeadershipState with(ObservedLeader now) {
+    /** The same with another observed leader. */
+    LeadershipState with(ObservedLeader leader) {
         return new LeadershipState(
                 epoch,
                 fencingToken,
                 heldLeadership,
-                now,
+                leader,
                 suspicion,
                 isolated,
                 resignedWithoutSuccessorAt);
     }
 
-    LeadershipState with(Suspicion now) {
+    /** The same with another suspicion. */
+    LeadershipState with(Suspicion changed) {
         return new LeadershipState(
                 epoch,
                 fencingToken,
                 heldLeadership,
                 observedLeader,
-                now,
+                changed,
                 isolated,
                 resignedWithoutSuccessorAt);
     }
 
-    LeadershipState isolated(boolean now, MonotonicTime aloneAt) {
+    /** This node has released its lease because it was isolated. */
+    LeadershipState withIsolation(MonotonicTime withoutSuccessorAt) {
+        return new LeadershipState(
+                epoch,
+                fencingToken,
+                heldLeadership,
+                observedLeader,
+                suspicion,
+                true,
+                withoutSuccessorAt);
+    }
+
+    /** A worker has reached this node. */
+    LeadershipState withoutIsolation() {
         return new LeadershipState(
-                epoch, fencingToken, heldLeadership, observedLeader, suspicion, now, aloneAt);
+                epoch,
+                fencingToken,
+                heldLeadership,
+                observedLeader,
+                suspicion,
+                false,
+                resignedWithoutSuccessorAt);
     }
 
-    /** The leadership is over. */
+    /** This node's leadership is over. */
     LeadershipState steppedDown(String member) {
         return new LeadershipState(
                 epoch + 1,
                 fencingToken,
                 null,
                 member.equals(observedLeader.leader())
-                        ? observedLeader.leader(null)
+                        ? observedLeader.withoutLeader()
                         : observedLeader,
                 suspicion,
                 isolated,
                 resignedWithoutSuccessorAt);
     }
 
-    /** The key is this node's. */
-    LeadershipState elected(String member, FencingToken now, HeldLeadership held) {
+    /** This node has been elected. */
+    LeadershipState elected(String member, FencingToken token, HeldLeadership held) {
         return new LeadershipState(
                 epoch,
-                now,
+                token,
                 held,
-                new ObservedLeader(member, now, observedLeader.lease(), null),
+                new ObservedLeader(member, token, observedLeader.lease(), null),
                 suspicion,
                 isolated,
                 resignedWithoutSuccessorAt);
--- a/src/main/java/org/meadowhollow/coordination/leadership/package-info.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/package-info.java
@@ -1,5 +1,23 @@
 /**
- * Who leads: the key under a lease in the state service, its term, and who may stand for it when.
- * Touches the records of the term and of the leader, and nothing else.
+ * Leader election and the leader's lease.
+ *
+ * <p><b>Decides</b> which controller leads, with which fencing token, which controllers may stand
+ * for election and when ({@link org.meadowhollow.coordination.leadership.CandidacyPolicy}), and
+ * what a leader may do at a given moment: decide, start tasks, renew the leases of workers. The
+ * rules and the argument why they are safe are in {@link
+ * org.meadowhollow.coordination.leadership.LeadershipSafety}.
+ *
+ * <p><b>Owns</b> two records of the key-value store: the leader record (written under a lease, so
+ * that it disappears with its holder) and the token counter (the highest fencing token given out,
+ * and after a release, who should be elected next). Nothing else is written here.
+ *
+ * <p><b>May call</b> the key-value store, the event loop, the peers (probes and announcements,
+ * which save time and prove nothing) and the heartbeat tracker.
+ *
+ * <p><b>Structure.</b> {@link org.meadowhollow.coordination.leadership.LeadershipStateMachine} is a
+ * pure function from a state, an event and the clock to the next state and a list of effects.
+ * {@link org.meadowhollow.coordination.leadership.Leadership} holds the state under its own lock,
+ * and performs the effects after it has released that lock: no I/O and no callback happens under
+ * it. Model-checking tests explore the same state machine.
  */
 package org.meadowhollow.coordination.leadership;
--- a/src/test/java/org/meadowhollow/coordination/leadership/CancellationFreshnessModelTest.java
+++ b/src/test/java/org/meadowhollow/coordination/leadership/CancellationFreshnessModelTest.java
@@ -13,6 +13,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
+import org.meadowhollow.coordination.leadership.CancellationModel.LeaderLease;
+import org.meadowhollow.coordination.leadership.CancellationModel.Message;
+import org.meadowhollow.coordination.leadership.CancellationModel.Node;
+import org.meadowhollow.coordination.leadership.CancellationModel.StoreFaults;
+import org.meadowhollow.coordination.leadership.CancellationModel.Worker;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.Revision;
@@ -20,433 +25,344 @@
 import org.meadowhollow.storage.LeaseId;
 
 /**
- * All that can happen, up to a bound, to a cancellation, a worker, a leader and its successor,
- * which run {@link LeadershipStateMachine}: the state service refuses the leader alone, several
- * times, and is then out for all and stays so; looks and renewals are executed and answered at any
- * later time, or lost; the worker reports to whom it likes. What must hold: the task of a cancelled
- * job is gone in time, and a successor may count on an old leader's silence after that time. The
- * times are shorter than any deployment's, so that all worlds can be gone through.
+ * Model checking of invariants 2 and 3 of {@link LeadershipSafety}: breadth-first search over all
+ * that can happen, up to a bound, to a cancellation, a worker, a leader and its successor, which
+ * run {@link LeadershipStateMachine}. The key-value store refuses the first leader alone, several
+ * times, and is then unavailable to all and stays so; reads and renewals are executed and answered
+ * at any later time, or lost; the worker sends its heartbeats to whom it likes.
+ *
+ * <p>Checked in every state: the task of a cancelled job is gone within the cancellation bound; and
+ * within the same time after a successor's election no worker keeps a task under the former leader.
+ * All times are in seconds and shorter than in any deployment, so that the search is complete.
  */
 class CancellationFreshnessModelTest {
-    private static final int TICK_S = 2;
-    private static final int CANCEL_S = 14;
-    private static final int LEASE_S = 6;
+    private static final int FORMER_LEADER = 0;
+    private static final int SUCCESSOR = 1;
+    private static final int CANCELLATION_BOUND_S = 14;
+    private static final int WORKER_LEASE_S = 6;
 
-    /** As {@link Leadership} counts it, with a margin of one second. */
-    private static final Duration ANSWER_FOR = Duration.ofSeconds(CANCEL_S - LEASE_S - 1);
+    private static final Duration RENEWAL_BOUND =
+            LeadershipSafety.renewalBound(
+                    Duration.ofSeconds(CANCELLATION_BOUND_S), Duration.ofSeconds(WORKER_LEASE_S));
 
-    private static final int MOST_TICKS = 8;
-    private static final int MOST_REFUSALS = 1;
+    private static final int MAX_TICKS = 8;
+    private static final int MAX_REFUSALS = 1;
 
-    /** The nearest worlds that are looked at; what is broken in any variant is found far below. */
-    private static final int MOST_WORLDS = 400_000;
+    /** The nearest states that are explored; every violation without a safeguard is far nearer. */
+    private static final int MAX_STATES = 400_000;
 
-    /** What is taken away to see that it is needed; all of it is how the sources were before. */
+    private static final int MIN_STATES = 100_000;
+
+    /** A safeguard that is removed to see that an invariant breaks without it. */
     private enum RemovedSafeguard {
         NOTHING,
-        /** A renewal counts as knowledge. */
-        KNOWLEDGE,
-        /** A new leader counts from its key. */
-        LOADING,
-        /** An answer counts from when it came. */
-        SENDING,
-        /** Whoever reads may answer, leading or not. */
-        LEASE
+        /** A confirmed renewal counts as if everything had been read. */
+        FRESHNESS_BY_READING,
+        /** A new leader counts as fresh from its election on, before it has loaded the records. */
+        NO_FRESHNESS_BEFORE_LOADING,
+        /** A reply counts from when it arrived instead of from when the request was sent. */
+        FRESHNESS_FROM_SENDING,
+        /** Whoever reads may answer heartbeats, whether its own lease is renewed or not. */
+        OWN_LEASE
     }
 
-    /**
-     * What there is of a successor; where it only takes the key, nobody cancels, and renewals are
-     * lost one by one.
-     */
-    private enum Successor {
+    /** What the successor does. */
+    private enum SuccessorBehaviour {
         NONE,
-        TAKES_THE_KEY,
-        ANSWERS
+        /** It is elected and does nothing more; no faults and no cancellation happen. */
+        IS_ELECTED,
+        /** It is elected, reads, and answers heartbeats. */
+        ANSWERS_HEARTBEATS
     }
 
-    private record Node(LeadershipState state, boolean knows) {
-        Node with(LeadershipState next) {
-            return new Node(next, knows);
-        }
-    }
+    private final List<LeadershipStateMachine> stateMachines =
+            List.of(new LeadershipStateMachine("n0"), new LeadershipStateMachine("n1"));
+    private RemovedSafeguard removed = RemovedSafeguard.NOTHING;
+    private SuccessorBehaviour successorBehaviour;
+    private int exploredStates;
+    private int cancellationsWhileRefused;
 
-    /**
-     * On its way, at most one of a kind for each node.
-     *
-     * @param renewal or else a look at what has changed
-     * @param shows of a look, null until it was executed; then whether the cancellation was there
-     */
-    private record Message(int node, boolean renewal, int sentAt, Boolean shows) {}
-
-    /**
-     * @param keyLease when the old leader's lease ends at the state service
-     * @param successorAt when the new leader took the key, -1 before
-     * @param cancelledAt when the cancellation was confirmed, -1 before
-     * @param workerLease when the worker's lease ends
-     * @param shown whether the worker has shown the new leader's term
-     */
-    private record ModelState(
-            int tick,
-            Node old,
-            Node next,
-            Set<Message> messages,
-            int keyLease,
-            int successorAt,
-            int cancelledAt,
-            int workerLease,
-            boolean shown,
-            boolean gone,
-            boolean refused,
-            int refusals,
-            boolean out) {
-        MonotonicTime now() {
-            return at(tick);
-        }
+    @Test
+    void noHeartbeatAnswerKeepsACancelledTaskForTooLong() {
+        assertNull(explore(), "after " + exploredStates + " states");
+        assertTrue(
+                cancellationsWhileRefused > 0 && exploredStates > MIN_STATES,
+                "all of " + exploredStates + " states");
+    }
 
-        ModelState with(int node, Node now, Set<Message> rest) {
-            return new ModelState(
-                    tick,
-                    node == 0 ? now : old,
-                    node == 1 ? now : next,
-                    rest,
-                    keyLease,
-                    successorAt,
-                    cancelledAt,
-                    workerLease,
-                    shown,
-                    gone,
-                    refused,
-                    refusals,
-                    out);
-        }
+    @ParameterizedTest
+    @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NOTHING")
+    void withoutAnySafeguardAnInvariantIsViolated(RemovedSafeguard safeguard) {
+        removed = safeguard;
+        assertNotNull(explore(), "after " + exploredStates + " states");
+    }
 
-        Node node(int node) {
-            return node == 0 ? old : next;
-        }
+    // ---- the search ----
 
-        boolean served(int node) {
-            return !out && !(node == 0 && refused);
+    /** The first violation that is found, or null. */
+    private String explore() {
+        for (SuccessorBehaviour behaviour : SuccessorBehaviour.values()) {
+            successorBehaviour = behaviour;
+            String violation = exploreFrom(initialState());
+            if (violation != null) {
+                return violation;
+            }
         }
+        return null;
     }
 
-    private RemovedSafeguard removedSafeguard = RemovedSafeguard.NOTHING;
-    private Successor successor;
-    private final List<LeadershipStateMachine> steps =
-            List.of(new LeadershipStateMachine("n0"), new LeadershipStateMachine("n1"));
-    private int worlds;
-    private int cancelledWhileRefused;
-
-    private static MonotonicTime at(int tick) {
-        return new MonotonicTime(Duration.ofSeconds((long) tick * TICK_S).toNanos());
+    private CancellationModel initialState() {
+        Node idle = new Node(LeadershipState.INITIAL, false);
+        return new CancellationModel(
+                0,
+                List.of(elected(FORMER_LEADER, idle, 0), idle),
+                Set.of(),
+                new LeaderLease((int) LeadershipSafety.LEASE_TTL.toSeconds(), LeaderLease.NEVER),
+                CancellationModel.NEVER,
+                new Worker(WORKER_LEASE_S, false, false),
+                new StoreFaults(false, 0, false));
     }
 
-    private Node elected(int node, Node before, int tick) {
-        Node leads =
-                before.with(
-                        steps.get(node)
-                                .apply(
-                                        before.state(),
-                                        new LeadershipEvent.LeaderKeyClaimCompleted(
-                                                0,
-                                                new FencingToken(node + 1),
-                                                new LeaseId(node + 1),
-                                                at(tick),
-                                                new KeyValueStore.CommitResult(
-                                                        true, new Revision(node + 1), List.of())),
-                                        at(tick))
-                                .next());
-        return removedSafeguard == RemovedSafeguard.LOADING
-                        || removedSafeguard == RemovedSafeguard.KNOWLEDGE
-                ? knowing(node, leads, at(tick))
-                : leads;
+    private String exploreFrom(CancellationModel initial) {
+        Set<CancellationModel> seen = new HashSet<>(Set.of(initial));
+        ArrayDeque<CancellationModel> queue = new ArrayDeque<>(seen);
+        String[] violation = {null};
+        for (int count = 0;
+                !queue.isEmpty() && violation[0] == null && count < MAX_STATES;
+                count++) {
+            exploredStates++;
+            forEachSuccessor(
+                    queue.poll(),
+                    successor -> {
+                        violation[0] = violation[0] == null ? violationIn(successor) : violation[0];
+                        // Once the task is gone nothing can be violated any more.
+                        if (!successor.worker().taskGone() && seen.add(successor)) {
+                            queue.add(successor);
+                        }
+                    });
+        }
+        return violation[0];
     }
 
-    private Node knowing(int node, Node leads, MonotonicTime upTo) {
-        return leads.with(
-                steps.get(node)
-                        .apply(
-                                leads.state(),
-                                new LeadershipEvent.FreshnessAdvanced(
-                                        leads.state().fencingToken(), upTo),
-                                upTo)
-                        .next());
+    /** A worker lease that lasts too long is a violation at once: no further answer may arrive. */
+    private static String violationIn(CancellationModel state) {
+        Worker worker = state.worker();
+        LeaderLease lease = state.leaderLease();
+        if (worker.taskGone()) {
+            return null;
+        }
+        if (state.isCancelled()
+                && worker.leaseEndsAt() > state.cancelledAt() + CANCELLATION_BOUND_S) {
+            return "the task of a cancelled job may run for too long";
+        }
+        if (lease.hasSuccessor()
+                && !worker.showsSuccessorToken()
+                && worker.leaseEndsAt() > lease.successorElectedAt() + CANCELLATION_BOUND_S) {
+            return "a former leader keeps a task that its successor counts as gone";
+        }
+        return null;
     }
 
-    /** The worlds that come next. */
-    private void successors(ModelState w, Consumer<ModelState> to) {
-        if (w.tick() < MOST_TICKS) {
-            // A worker whose lease is over kills its tasks.
-            to.accept(
-                    new ModelState(
-                            w.tick() + 1,
-                            w.old(),
-                            w.next(),
-                            w.messages(),
-                            w.keyLease(),
-                            w.successorAt(),
-                            w.cancelledAt(),
-                            w.workerLease(),
-                            w.shown(),
-                            w.gone() || w.workerLease() <= (w.tick() + 1) * TICK_S,
-                            w.refused(),
-                            w.refusals(),
-                            w.out()));
-        }
-        boolean troubled = successor != Successor.TAKES_THE_KEY;
-        if (!w.out() && troubled) {
-            to.accept(
-                    new ModelState(
-                            w.tick(),
-                            w.old(),
-                            w.next(),
-                            w.messages(),
-                            w.keyLease(),
-                            w.successorAt(),
-                            w.cancelledAt(),
-                            w.workerLease(),
-                            w.shown(),
-                            w.gone(),
-                            w.refused(),
-                            w.refusals(),
-                            true));
-            if (w.refused() || w.refusals() < MOST_REFUSALS) {
-                to.accept(
-                        new ModelState(
-                                w.tick(),
-                                w.old(),
-                                w.next(),
-                                w.messages(),
-                                w.keyLease(),
-                                w.successorAt(),
-                                w.cancelledAt(),
-                                w.workerLease(),
-                                w.shown(),
-                                w.gone(),
-                                !w.refused(),
-                                w.refusals() + (w.refused() ? 0 : 1),
-                                false));
-            }
-            if (w.cancelledAt() < 0) {
-                cancelledWhileRefused += w.refused() ? 1 : 0;
-                to.accept(
-                        new ModelState(
-                                w.tick(),
-                                w.old(),
-                                w.next(),
-                                w.messages(),
-                                w.keyLease(),
-                                w.successorAt(),
-                                w.tick() * TICK_S,
-                                w.workerLease(),
-                                w.shown(),
-                                w.gone(),
-                                w.refused(),
-                                w.refusals(),
-                                false));
-            }
+    private void forEachSuccessor(CancellationModel state, Consumer<CancellationModel> successors) {
+        if (state.tick() < MAX_TICKS) {
+            successors.accept(state.afterTick());
         }
-        if (!w.out()) {
-            if (successor != Successor.NONE
-                    && w.successorAt() < 0
-                    && w.keyLease() <= w.tick() * TICK_S) {
-                to.accept(
-                        new ModelState(
-                                w.tick(),
-                                w.old(),
-                                elected(1, w.next(), w.tick()),
-                                w.messages(),
-                                w.keyLease(),
-                                w.tick() * TICK_S,
-                                w.cancelledAt(),
-                                w.workerLease(),
-                                w.shown(),
-                                w.gone(),
-                                w.refused(),
-                                w.refusals(),
-                                false));
+        if (!state.faults().unavailable()) {
+            if (successorBehaviour != SuccessorBehaviour.IS_ELECTED) {
+                failStoreOrCancel(state, successors);
             }
+            electSuccessor(state, successors);
         }
-        for (int node = 0; node < 2; node++) {
-            if (w.node(node).state().heldLeadership() != null
-                    && (node == 0 || successor == Successor.ANSWERS)) {
-                leads(w, node, to);
+        for (int node : new int[] {FORMER_LEADER, SUCCESSOR}) {
+            if (state.node(node).state().isLeader() && sendsMessages(node)) {
+                actAsLeader(state, node, successors);
             }
         }
-        for (Message message : w.messages()) {
-            Set<Message> rest = new HashSet<>(w.messages());
+        for (Message message : state.messages()) {
+            Set<Message> rest = new HashSet<>(state.messages());
             rest.remove(message);
-            travels(w, message, rest, to);
+            deliver(state, message, rest, successors);
         }
     }
 
-    /** What a leader may do now: look, renew, and answer a report of the worker. */
-    private void leads(ModelState w, int node, Consumer<ModelState> to) {
-        Node leader = w.node(node);
-        for (boolean renewal : node == 0 ? new boolean[] {true, false} : new boolean[] {false}) {
-            if (w.messages().stream()
-                    .noneMatch(each -> each.node() == node && each.renewal() == renewal)) {
-                Set<Message> more = new HashSet<>(w.messages());
-                more.add(new Message(node, renewal, w.tick(), null));
-                to.accept(w.with(node, leader, more));
-            }
+    private boolean sendsMessages(int node) {
+        return node == FORMER_LEADER || successorBehaviour == SuccessorBehaviour.ANSWERS_HEARTBEATS;
+    }
+
+    // ---- the store, the user, and the election ----
+
+    private void failStoreOrCancel(
+            CancellationModel state, Consumer<CancellationModel> successors) {
+        StoreFaults faults = state.faults();
+        successors.accept(state.with(faults.withOutage()));
+        if (faults.refusesLeader() || faults.refusals() < MAX_REFUSALS) {
+            successors.accept(state.with(faults.withRefusalToggled()));
         }
-        // The successor renews at each turn; it is the old leader's renewals that are looked at.
-        Node fresh = node == 0 ? leader : leader.with(renewed(node, leader, w.now()));
-        if (LeadershipStateMachine.canRenewWorkerLeases(ANSWER_FOR, fresh.state(), w.now())
-                && !w.gone()
-                && !(node == 0 && w.shown())) {
-            to.accept(
-                    new ModelState(
-                            w.tick(),
-                            w.old(),
-                            w.next(),
-                            w.messages(),
-                            w.keyLease(),
-                            w.successorAt(),
-                            w.cancelledAt(),
-                            w.tick() * TICK_S + LEASE_S,
-                            w.shown() || node == 1,
-                            w.gone() || leader.knows(),
-                            w.refused(),
-                            w.refusals(),
-                            w.out()));
+        if (!state.isCancelled()) {
+            cancellationsWhileRefused += faults.refusesLeader() ? 1 : 0;
+            successors.accept(state.cancelledNow());
         }
     }
 
-    private LeadershipState renewed(int node, Node leader, MonotonicTime sentAt) {
-        return steps.get(node)
-                .apply(
-                        leader.state(),
-                        new LeadershipEvent.RenewalCompleted(
-                                0, sentAt, LeadershipEvent.RenewalOutcome.RENEWED),
-                        sentAt)
-                .next();
+    private void electSuccessor(CancellationModel state, Consumer<CancellationModel> successors) {
+        LeaderLease lease = state.leaderLease();
+        if (successorBehaviour != SuccessorBehaviour.NONE
+                && !lease.hasSuccessor()
+                && lease.endsAt() <= state.second()) {
+            Node leader = elected(SUCCESSOR, state.node(SUCCESSOR), state.tick());
+            successors.accept(
+                    state.with(SUCCESSOR, leader).with(lease.withSuccessor(state.second())));
+        }
     }
 
-    private void travels(
-            ModelState w, Message message, Set<Message> rest, Consumer<ModelState> to) {
-        int node = message.node();
-        Node leader = w.node(node);
-        if (message.renewal()) {
-            to.accept(w.with(node, leader, rest));
-            if (w.served(node) && w.successorAt() < 0 && w.keyLease() > w.tick() * TICK_S) {
-                Node held = leader.with(renewed(node, leader, at(message.sentAt())));
-                Node next =
-                        removedSafeguard == RemovedSafeguard.KNOWLEDGE
-                                ? knowing(node, held, at(message.sentAt()))
-                                : held;
-                to.accept(
-                        new ModelState(
-                                w.tick(),
-                                next,
-                                w.next(),
-                                rest,
-                                (int)
-                                        (w.tick() * TICK_S
-                                                + LeadershipStateMachine.LEASE_TTL.toSeconds()),
-                                w.successorAt(),
-                                w.cancelledAt(),
-                                w.workerLease(),
-                                w.shown(),
-                                w.gone(),
-                                w.refused(),
-                                w.refusals(),
-                                w.out()));
-            }
-        } else if (message.shows() == null) {
-            to.accept(w.with(node, leader, rest));
-            if (w.served(node)) {
-                Set<Message> executed = new HashSet<>(rest);
-                executed.add(new Message(node, false, message.sentAt(), w.cancelledAt() >= 0));
-                to.accept(w.with(node, leader, executed));
-            }
-        } else {
-            Node told = new Node(leader.state(), leader.knows() || message.shows());
-            Node knows =
-                    knowing(
-                            node,
-                            told,
-                            removedSafeguard == RemovedSafeguard.SENDING
-                                    ? w.now()
-                                    : at(message.sentAt()));
-            to.accept(
-                    w.with(
-                            node,
-                            removedSafeguard == RemovedSafeguard.LEASE
-                                    ? knows.with(renewed(node, knows, w.now()))
-                                    : knows,
-                            rest));
+    // ---- leaders ----
+
+    /** A leader may read, renew its lease, and answer a heartbeat of the worker. */
+    private void actAsLeader(
+            CancellationModel state, int node, Consumer<CancellationModel> successors) {
+        // The successor renews at each tick by itself; only the former leader's renewals matter.
+        if (node == FORMER_LEADER) {
+            sendUnlessInFlight(state, node, true, successors);
+        }
+        sendUnlessInFlight(state, node, false, successors);
+        Node leader = state.node(node);
+        LeadershipState renewed =
+                node == FORMER_LEADER ? leader.state() : renew(node, leader, state.now());
+        Worker worker = state.worker();
+        boolean workerRejects = node == FORMER_LEADER && worker.showsSuccessorToken();
+        if (LeadershipSafety.canRenewWorkerLeases(RENEWAL_BOUND, renewed, state.now())
+                && !worker.taskGone()
+                && !workerRejects) {
+            successors.accept(
+                    state.with(
+                            new Worker(
+                                    state.second() + WORKER_LEASE_S,
+                                    worker.showsSuccessorToken() || node == SUCCESSOR,
+                                    worker.taskGone() || leader.knowsCancellation())));
         }
     }
 
-    /** A lease that lasts too long is broken at once, for the worker may hear nothing more. */
-    private static String broken(ModelState w) {
-        return w.gone()
-                ? null
-                : w.cancelledAt() >= 0 && w.workerLease() > w.cancelledAt() + CANCEL_S
-                        ? "a cancelled job's task may be there too late"
-                        : w.successorAt() >= 0
-                                        && !w.shown()
-                                        && w.workerLease() > w.successorAt() + CANCEL_S
-                                ? "an old leader keeps a task that its successor counts as gone"
-                                : null;
+    private static void sendUnlessInFlight(
+            CancellationModel state,
+            int node,
+            boolean renewal,
+            Consumer<CancellationModel> successors) {
+        boolean inFlight =
+                state.messages().stream()
+                        .anyMatch(each -> each.node() == node && each.isRenewal() == renewal);
+        if (!inFlight) {
+            Set<Message> messages = new HashSet<>(state.messages());
+            messages.add(new Message(node, renewal, state.tick(), null));
+            successors.accept(state.with(messages));
+        }
     }
 
-    private String explore() {
-        for (Successor each : Successor.values()) {
-            successor = each;
-            String found =
-                    exploreFrom(
-                            new ModelState(
-                                    0,
-                                    elected(0, new Node(LeadershipState.INITIAL, false), 0),
-                                    new Node(LeadershipState.INITIAL, false),
-                                    Set.of(),
-                                    (int) LeadershipStateMachine.LEASE_TTL.toSeconds(),
-                                    -1,
-                                    -1,
-                                    LEASE_S,
-                                    false,
-                                    false,
-                                    false,
-                                    0,
-                                    false));
-            if (found != null) {
-                return found;
-            }
+    private void deliver(
+            CancellationModel state,
+            Message message,
+            Set<Message> rest,
+            Consumer<CancellationModel> successors) {
+        if (message.isRenewal()) {
+            successors.accept(state.with(rest));
+            executeRenewal(state, message, rest, successors);
+        } else if (message.showsCancellation() == null) {
+            successors.accept(state.with(rest));
+            executeRead(state, message, rest, successors);
+        } else {
+            successors.accept(receiveReadReply(state, message, rest));
         }
-        return null;
     }
 
-    private String exploreFrom(ModelState first) {
-        Set<ModelState> seen = new HashSet<>(Set.of(first));
-        ArrayDeque<ModelState> next = new ArrayDeque<>(seen);
-        String[] found = {null};
-        for (int count = 0; !next.isEmpty() && found[0] == null && count < MOST_WORLDS; count++) {
-            worlds++;
-            successors(
-                    next.poll(),
-                    to -> {
-                        found[0] = found[0] == null ? broken(to) : found[0];
-                        // Where the task is gone nothing can break any more.
-                        if (!to.gone() && seen.add(to)) {
-                            next.add(to);
-                        }
-                    });
+    private void executeRenewal(
+            CancellationModel state,
+            Message message,
+            Set<Message> rest,
+            Consumer<CancellationModel> successors) {
+        int node = message.node();
+        LeaderLease lease = state.leaderLease();
+        if (!state.storeServes(node) || lease.hasSuccessor() || lease.endsAt() <= state.second()) {
+            return;
         }
-        return found[0];
+        MonotonicTime sentAt = CancellationModel.timeOf(message.sentAt());
+        Node leader = state.node(node);
+        Node renewed = leader.with(renew(node, leader, sentAt));
+        Node next =
+                removed == RemovedSafeguard.FRESHNESS_BY_READING
+                        ? advanceFreshness(node, renewed, sentAt)
+                        : renewed;
+        int endsAt = (int) (state.second() + LeadershipSafety.LEASE_TTL.toSeconds());
+        successors.accept(state.with(rest).with(FORMER_LEADER, next).with(lease.withEnd(endsAt)));
     }
 
-    @Test
-    void noAnswerKeepsWhatIsCancelled() {
-        assertNull(explore(), "after " + worlds + " worlds");
-        assertTrue(cancelledWhileRefused > 0 && worlds > 100_000, "all of " + worlds + " worlds");
+    private static void executeRead(
+            CancellationModel state,
+            Message message,
+            Set<Message> rest,
+            Consumer<CancellationModel> successors) {
+        if (state.storeServes(message.node())) {
+            Set<Message> messages = new HashSet<>(rest);
+            messages.add(new Message(message.node(), false, message.sentAt(), state.isCancelled()));
+            successors.accept(state.with(messages));
+        }
     }
 
-    @ParameterizedTest
-    @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NOTHING")
-    void eachClauseIsNeeded(RemovedSafeguard clause) {
-        removedSafeguard = clause;
-        assertNotNull(explore(), "after " + worlds + " worlds");
+    private CancellationModel receiveReadReply(
+            CancellationModel state, Message message, Set<Message> rest) {
+        int node = message.node();
+        MonotonicTime freshAsOf =
+                removed == RemovedSafeguard.FRESHNESS_FROM_SENDING
+                        ? state.now()
+                        : CancellationModel.timeOf(message.sentAt());
+        Node before = state.node(node);
+        Node informed =
+                new Node(before.state(), before.knowsCancellation() || message.showsCancellation());
+        Node fresh = advanceFreshness(node, informed, freshAsOf);
+        Node next =
+                removed == RemovedSafeguard.OWN_LEASE
+                        ? fresh.with(renew(node, fresh, state.now()))
+                        : fresh;
+        return state.with(rest).with(node, next);
+    }
+
+    // ---- steps of the state machine ----
+
+    private Node elected(int node, Node before, int tick) {
+        MonotonicTime now = CancellationModel.timeOf(tick);
+        Node leader =
+                before.with(
+                        apply(
+                                node,
+                                before,
+                                new LeadershipEvent.LeaderKeyClaimCompleted(
+                                        0,
+                                        new FencingToken(node + 1),
+                                        new LeaseId(node + 1),
+                                        now,
+                                        new KeyValueStore.CommitResult(
+                                                true, new Revision(node + 1), List.of())),
+                                now));
+        return removed == RemovedSafeguard.NO_FRESHNESS_BEFORE_LOADING
+                        || removed == RemovedSafeguard.FRESHNESS_BY_READING
+                ? advanceFreshness(node, leader, now)
+                : leader;
+    }
+
+    private Node advanceFreshness(int node, Node leader, MonotonicTime upTo) {
+        FencingToken token = leader.state().fencingToken();
+        return leader.with(
+                apply(node, leader, new LeadershipEvent.FreshnessAdvanced(token, upTo), upTo));
+    }
+
+    private LeadershipState renew(int node, Node leader, MonotonicTime sentAt) {
+        return apply(
+                node,
+                leader,
+                new LeadershipEvent.RenewalCompleted(
+                        0, sentAt, LeadershipEvent.RenewalOutcome.RENEWED),
+                sentAt);
+    }
+
+    private LeadershipState apply(int node, Node leader, LeadershipEvent event, MonotonicTime now) {
+        return stateMachines.get(node).apply(leader.state(), event, now).next();
     }
 }
--- a/src/test/java/org/meadowhollow/coordination/leadership/LeadershipModelTest.java
+++ b/src/test/java/org/meadowhollow/coordination/leadership/LeadershipModelTest.java
@@ -3,689 +3,376 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
-import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.meadowhollow.coordination.failover.FailoverPreconditions;
+import org.meadowhollow.coordination.failover.FailoverPreconditions.Precondition;
+import org.meadowhollow.coordination.leadership.LeadershipState.HeldLeadership;
+import org.meadowhollow.coordination.leadership.ModelCluster.Message;
+import org.meadowhollow.coordination.leadership.ModelCluster.Node;
+import org.meadowhollow.coordination.leadership.ModelStore.Decision;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.Revision;
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.LeaseId;
-import org.meadowhollow.storage.RecordCodec;
 
 /**
- * All that can happen, up to a bound, to three nodes that run {@link LeadershipStateMachine} and
- * {@link FailoverPreconditions} against one state service: requests that are answered, lost, or
- * executed late, answers that come late, leases that run out, a leader that hands over,
- * announcements in any order. A decision is a transaction, and an image is what a node has seen of
- * those before. Announcements go to the first node alone, at any time; the others hear of none.
+ * Model checking of invariant 1 of {@link LeadershipSafety}: breadth-first search over all that can
+ * happen, up to a bound, to three nodes that run {@link LeadershipStateMachine} and {@link
+ * FailoverPreconditions} against one key-value store. Requests are answered, lost or executed late,
+ * replies arrive late, leases expire, a leader hands over. A decision is a transaction. A new
+ * leader is announced to the first node alone, at any later time, so that the others never hear of
+ * it.
+ *
+ * <p>Checked in every state: at most one node may decide; no fencing token is given out twice; no
+ * decision of a former leader is committed after one of its successor; every decision is made on a
+ * replica that covers what the predecessor decided.
  */
 class LeadershipModelTest {
     private static final int NODES = 3;
-    private static final Duration TICK = Duration.ofSeconds(3);
+    private static final int MAX_TICKS = 2;
+    private static final int MAX_FAULTS = 1;
+    private static final int MAX_STATES = 400_000;
+    private static final long FIRST_LEASE = 1;
 
-    /** What is taken away to see that it is needed. */
-    private enum RemovedSafeguard {
+    /** A safeguard that is removed to see that an invariant breaks without it. */
+    enum RemovedSafeguard {
         NOTHING,
-        DECISIONS_GUARD,
-        CLAIMS_COUNTER_GUARD,
-        IMAGE_CHECK,
+        /** Decisions are not conditional on the leader record. */
+        LEADER_KEY_REVISION_OF_DECISIONS,
+        /** Elections are not conditional on the token counter. */
+        COUNTER_REVISION_OF_CLAIMS,
+        /** The replica need not cover the leader record. */
+        REPLICA_COVERS_LEADER_KEY,
+        /** Whoever holds the leader record may decide, whether its lease has expired or not. */
         LEASE_CHECK
     }
 
-    /** A leader's decision on its way; {@code seen} counts the decisions that it knew of. */
-    private record PendingDecision(FencingToken term, Revision guard, int seen) {}
+    /** A request that its node has given up, and that the store may execute later. */
+    private record AbandonedRequest(Object content) {}
 
-    /** A node; its image stands at a revision and holds the first {@code seen} decisions. */
-    private record Node(LeadershipState state, Revision imageAt, int seen, boolean decided) {
-        Node with(LeadershipState next) {
-            return new Node(next, imageAt, seen, decided && next.heldLeadership() != null);
+    private final List<LeadershipStateMachine> stateMachines = new ArrayList<>();
+    private RemovedSafeguard removed = RemovedSafeguard.NOTHING;
+    private int exploredStates;
+
+    LeadershipModelTest() {
+        for (int node = 0; node < NODES; node++) {
+            stateMachines.add(new LeadershipStateMachine(nameOf(node)));
         }
     }
 
-    /**
-     * The state service: the leader's key (version 0 if there is none), the counter, leases, and
-     * who decided what.
-     */
-    private record Store(
-            long revision,
-            String holder,
-            long term,
-            long keyAt,
-            long keyLease,
-            long counter,
-            long counterAt,
-            String heir,
-            Map<Long, MonotonicTime> leases,
-            long nextLease,
-            List<PendingDecision> decisions) {}
-
-    /**
-     * On its way: to the state service if it is an effect or a decision, to the node if it is an
-     * event.
-     */
-    private record Message(int node, Object what) {}
-
-    /**
-     * @param trouble how many more requests or answers may be late or lost
-     */
-    private record ModelState(
-            Store store,
-            List<Node> nodes,
-            Set<Message> messages,
-            int ticks,
-            int trouble,
-            boolean handOver,
-            Set<Long> terms,
-            String broken) {
-        MonotonicTime now() {
-            return new MonotonicTime(TICK.toNanos() * ticks);
-        }
+    private static String nameOf(int node) {
+        return "n" + node;
     }
 
-    private static final int MOST_TICKS = 2;
-    private static final int MOST_STATES = 400_000;
+    @Test
+    void noReachableStateViolatesAnInvariant() {
+        assertNull(explore(), "after " + exploredStates + " states");
+    }
 
-    private RemovedSafeguard removedSafeguard = RemovedSafeguard.NOTHING;
-    private final List<LeadershipStateMachine> steps = new ArrayList<>();
-    private int states;
+    @ParameterizedTest
+    @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NOTHING")
+    void withoutAnySafeguardAnInvariantIsViolated(RemovedSafeguard safeguard) {
+        removed = safeguard;
+        assertNotNull(explore(), "after " + exploredStates + " states");
+    }
 
-    LeadershipModelTest() {
-        for (int node = 0; node < NODES; node++) {
-            steps.add(new LeadershipStateMachine("n" + node));
+    // ---- the search ----
+
+    /** The first violation that is found, nearest states first, or null. */
+    private String explore() {
+        Set<ModelCluster> seen = new HashSet<>();
+        ArrayDeque<ModelCluster> queue = new ArrayDeque<>();
+        queue.add(initialState());
+        while (!queue.isEmpty() && exploredStates < MAX_STATES) {
+            ModelCluster state = queue.poll();
+            exploredStates++;
+            String[] violation = {null};
+            forEachSuccessor(
+                    state,
+                    successor -> {
+                        violation[0] = violation[0] == null ? successor.violation() : violation[0];
+                        if (seen.add(successor)) {
+                            queue.add(successor);
+                        }
+                    });
+            if (violation[0] != null) {
+                return violation[0];
+            }
         }
+        return null;
     }
 
-    /** The first node has just taken the key, the others are about to look. */
-    private ModelState first(int trouble) {
+    /** The first node has just been elected, the others are about to read the leader record. */
+    private ModelCluster initialState() {
         List<Node> nodes = new ArrayList<>();
         Set<Message> messages = new HashSet<>();
         for (int node = 0; node < NODES; node++) {
-            nodes.add(new Node(LeadershipState.INITIAL, Revision.ABSENT, 0, false));
+            nodes.add(Node.INITIAL);
             if (node > 0) {
                 messages.add(new Message(node, new LeadershipEffect.ReadLeaderKey(0, false)));
             }
         }
-        ModelState modelState =
-                new ModelState(
-                        new Store(
-                                1,
-                                "n0",
-                                1,
-                                1,
-                                1,
-                                1,
-                                1,
-                                null,
-                                Map.of(
-                                        1L,
-                                        new MonotonicTime(0)
-                                                .plus(LeadershipStateMachine.LEASE_TTL)),
-                                2,
-                                List.of()),
-                        nodes,
-                        messages,
-                        0,
-                        trouble,
-                        true,
-                        Set.of(),
-                        null);
-        return stepped(
-                modelState,
+        MonotonicTime start = new MonotonicTime(0);
+        ModelStore store =
+                ModelStore.withLeader(
+                        nameOf(0), FIRST_LEASE, start.plus(LeadershipSafety.LEASE_TTL));
+        return applyEvent(
+                new ModelCluster(store, nodes, messages, 0, MAX_FAULTS, true, Set.of(), null),
                 0,
                 new LeadershipEvent.LeaderKeyClaimCompleted(
                         0,
                         new FencingToken(1),
-                        new LeaseId(1),
-                        new MonotonicTime(0),
+                        new LeaseId(FIRST_LEASE),
+                        start,
                         new KeyValueStore.CommitResult(true, new Revision(1), List.of())));
     }
 
-    /** Goes through all worlds that can come, the nearest first; the first broken one, or null. */
-    private String explore(int mostTicks, int trouble, int mostStates) {
-        Set<ModelState> seen = new HashSet<>();
-        ArrayDeque<ModelState> next = new ArrayDeque<>();
-        next.add(first(trouble));
-        while (!next.isEmpty() && states < mostStates) {
-            ModelState modelState = next.poll();
-            states++;
-            String[] broken = {null};
-            successors(
-                    modelState,
-                    mostTicks,
-                    to -> {
-                        broken[0] = broken[0] == null ? to.broken() : broken[0];
-                        if (seen.add(to)) {
-                            next.add(to);
-                        }
-                    });
-            if (broken[0] != null) {
-                return broken[0];
-            }
+    private void forEachSuccessor(ModelCluster state, Consumer<ModelCluster> successors) {
+        if (state.ticks() < MAX_TICKS) {
+            successors.accept(checked(state.afterTick()));
         }
-        return null;
-    }
-
-    @Test
-    void nothingThatCanHappenBreaksIt() {
-        assertNull(explore(MOST_TICKS, 1, MOST_STATES), "after " + states + " worlds");
-    }
-
-    @ParameterizedTest
-    @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NOTHING")
-    void eachClauseIsNeeded(RemovedSafeguard clause) {
-        removedSafeguard = clause;
-        assertNotNull(explore(MOST_TICKS, 1, MOST_STATES), "after " + states + " worlds");
-    }
-
-    private void successors(ModelState modelState, int mostTicks, Consumer<ModelState> to) {
-        if (modelState.ticks() < mostTicks) {
-            to.accept(
-                    checked(
-                            new ModelState(
-                                    modelState.store(),
-                                    modelState.nodes(),
-                                    modelState.messages(),
-                                    modelState.ticks() + 1,
-                                    modelState.trouble(),
-                                    modelState.handOver(),
-                                    modelState.terms(),
-                                    null)));
-        }
-        modelState
-                .store()
+        state.store()
                 .leases()
                 .forEach(
-                        (lease, end) -> {
-                            if (!modelState.now().isBefore(end)) {
-                                to.accept(
-                                        with(
-                                                modelState,
-                                                ended(modelState.store(), lease),
-                                                modelState.messages()));
+                        (lease, expiry) -> {
+                            if (!state.now().isBefore(expiry)) {
+                                successors.accept(expireLease(state, lease));
                             }
                         });
         for (int node = 0; node < NODES; node++) {
-            own(modelState, node, to);
+            actAsLeader(state, node, successors);
         }
-        for (Message message : modelState.messages()) {
-            Set<Message> rest = new HashSet<>(modelState.messages());
+        for (Message message : state.messages()) {
+            Set<Message> rest = new HashSet<>(state.messages());
             rest.remove(message);
-            deliver(modelState, message, rest, to);
+            deliver(state, message, rest, successors);
         }
     }
 
-    /** What a node does by itself: follow, hand over, decide. */
-    private void own(ModelState modelState, int at, Consumer<ModelState> to) {
-        Node node = modelState.nodes().get(at);
-        Store store = modelState.store();
-        LeadershipState.HeldLeadership held = node.state().heldLeadership();
+    private ModelCluster expireLease(ModelCluster state, long lease) {
+        return checked(state.with(state.store().withLeaseExpired(lease), state.messages()));
+    }
+
+    // ---- what a leader does by itself ----
+
+    private void actAsLeader(ModelCluster state, int index, Consumer<ModelCluster> successors) {
+        Node node = state.nodes().get(index);
+        HeldLeadership held = node.state().heldLeadership();
         if (held == null) {
             return;
         }
-        // What a standby follows may be as old as can be; a leader catches up sooner or later.
-        if (held.leaderKeyRevision().isAfter(node.imageAt())) {
-            to.accept(
-                    replaced(
-                            modelState,
-                            at,
-                            new Node(
-                                    node.state(),
-                                    new Revision(store.revision()),
-                                    store.decisions().size(),
-                                    node.decided())));
+        // A standby's replica may be as old as can be; a leader catches up sooner or later.
+        if (held.leaderKeyRevision().isAfter(node.replicaRevision())) {
+            successors.accept(checked(state.with(index, node.caughtUpWith(state.store()))));
+        }
+        if (state.mayHandOver()) {
+            String successor = nameOf((index + 1) % NODES);
+            successors.accept(
+                    applyEvent(
+                            state.withHandoverUsed(),
+                            index,
+                            new LeadershipEvent.ReleaseRequested(false, successor)));
         }
-        if (modelState.handOver()) {
-            to.accept(
-                    stepped(
-                            new ModelState(
-                                    store,
-                                    modelState.nodes(),
-                                    modelState.messages(),
-                                    modelState.ticks(),
-                                    modelState.trouble(),
-                                    false,
-                                    modelState.terms(),
-                                    null),
-                            at,
-                            new LeadershipEvent.ReleaseRequested(false, "n" + (at + 1) % NODES)));
+        if (!node.hasDecided() && unmetPreconditions(state, node).isEmpty()) {
+            successors.accept(decide(state, index));
         }
-        boolean holds =
-                removedSafeguard == RemovedSafeguard.LEASE_CHECK
-                        || LeadershipStateMachine.canDecide(node.state(), modelState.now());
-        Set<FailoverPreconditions.Precondition> failing =
+    }
+
+    private Set<Precondition> unmetPreconditions(ModelCluster state, Node node) {
+        Set<Precondition> unmet =
                 FailoverPreconditions.findUnmet(
                         new FailoverPreconditions.Facts(
-                                holds,
+                                mayDecide(node, state.now()),
                                 node.state().fencingToken(),
                                 node.state().observedLeader().highestToken(),
-                                held.leaderKeyRevision(),
-                                node.imageAt(),
+                                node.state().heldLeadership().leaderKeyRevision(),
+                                node.replicaRevision(),
                                 true,
                                 true,
                                 true,
                                 1,
                                 1));
-        if (removedSafeguard == RemovedSafeguard.IMAGE_CHECK) {
-            failing.remove(FailoverPreconditions.Precondition.RECORDS_COVER_LEADER_KEY);
-        }
-        if (!node.decided() && failing.isEmpty()) {
-            Set<Message> more = new HashSet<>(modelState.messages());
-            more.add(
-                    new Message(
-                            at,
-                            new PendingDecision(
-                                    node.state().fencingToken(),
-                                    held.leaderKeyRevision(),
-                                    node.seen())));
-            to.accept(
-                    replaced(
-                            with(modelState, store, more),
-                            at,
-                            new Node(node.state(), node.imageAt(), node.seen(), true)));
+        if (removed == RemovedSafeguard.REPLICA_COVERS_LEADER_KEY) {
+            unmet.remove(Precondition.RECORDS_COVER_LEADER_KEY);
         }
+        return unmet;
     }
 
+    private boolean mayDecide(Node node, MonotonicTime now) {
+        return removed == RemovedSafeguard.LEASE_CHECK
+                ? node.state().heldLeadership() != null
+                : LeadershipSafety.canDecide(node.state(), now);
+    }
+
+    private ModelCluster decide(ModelCluster state, int index) {
+        Node node = state.nodes().get(index);
+        Decision decision =
+                new Decision(
+                        node.state().fencingToken(),
+                        node.state().heldLeadership().leaderKeyRevision(),
+                        node.knownDecisions());
+        Set<Message> messages = new HashSet<>(state.messages());
+        messages.add(new Message(index, decision));
+        return checked(state.with(messages).with(index, node.decided()));
+    }
+
+    // ---- messages ----
+
     private void deliver(
-            ModelState modelState, Message message, Set<Message> rest, Consumer<ModelState> to) {
+            ModelCluster state,
+            Message message,
+            Set<Message> rest,
+            Consumer<ModelCluster> successors) {
         int node = message.node();
-        if (message.what() instanceof LeadershipEvent event) {
-            to.accept(stepped(with(modelState, modelState.store(), rest), node, event));
+        if (message.content() instanceof LeadershipEvent event) {
+            successors.accept(applyEvent(checked(state.with(rest)), node, event));
             return;
         }
-        now = modelState.now();
-        claimant = "n" + node;
-        Store[] after = {modelState.store()};
-        LeadershipEvent answer =
-                message.what() instanceof AbandonedRequest abandonedRequest
-                        ? execute(abandonedRequest.what(), after)
-                        : execute(message.what(), after);
-        if (message.what() instanceof LeadershipEffect.WatchLeaderKey && answer == null) {
+        boolean abandoned = message.content() instanceof AbandonedRequest;
+        Object request =
+                message.content() instanceof AbandonedRequest given
+                        ? given.content()
+                        : message.content();
+        ModelStore.Executed executed =
+                state.store().execute(request, nameOf(node), state.now(), removed);
+        if (message.content() instanceof LeadershipEffect.WatchLeaderKey
+                && executed.reply() == null) {
             return;
         }
-        ModelState executed = with(modelState, after[0], rest);
-        if (message.what() instanceof AbandonedRequest
-                || message.what() instanceof PendingDecision) {
-            to.accept(executed);
+        ModelCluster after = checked(state.with(executed.after(), rest));
+        if (abandoned || request instanceof Decision) {
+            successors.accept(after);
             return;
         }
-        to.accept(stepped(executed, node, answer));
-        boolean matters =
-                message.what() instanceof LeadershipEffect.ClaimLeaderKey
-                        || message.what() instanceof LeadershipEffect.RenewLease
-                        || message.what() instanceof LeadershipEffect.ReleaseLeaderKey;
-        if (matters && modelState.trouble() > 0) {
-            Set<Message> withAnswer = new HashSet<>(rest);
-            withAnswer.add(new Message(node, answer));
-            to.accept(troubled(with(modelState, after[0], withAnswer)));
-            Set<Message> withLate = new HashSet<>(rest);
-            withLate.add(new Message(node, new AbandonedRequest(message.what())));
-            to.accept(
-                    troubled(
-                            stepped(
-                                    with(modelState, modelState.store(), withLate),
-                                    node,
-                                    failed(message.what()))));
+        successors.accept(applyEvent(after, node, executed.reply()));
+        if (changesStore(request) && state.faultsLeft() > 0) {
+            delayReply(state, executed, node, rest, successors);
+            loseRequest(state, request, node, rest, successors);
         }
     }
 
-    /** A request that its node has given up. */
-    private record AbandonedRequest(Object what) {}
+    /** Only for these does it matter whether they are executed though the node has no reply. */
+    private static boolean changesStore(Object request) {
+        return request instanceof LeadershipEffect.ClaimLeaderKey
+                || request instanceof LeadershipEffect.RenewLease
+                || request instanceof LeadershipEffect.ReleaseLeaderKey;
+    }
+
+    private void delayReply(
+            ModelCluster state,
+            ModelStore.Executed executed,
+            int node,
+            Set<Message> rest,
+            Consumer<ModelCluster> successors) {
+        Set<Message> messages = new HashSet<>(rest);
+        messages.add(new Message(node, executed.reply()));
+        successors.accept(checked(state.with(executed.after(), messages)).withOneFaultLess());
+    }
+
+    /** The node takes the request for failed, and the store executes it later or never. */
+    private void loseRequest(
+            ModelCluster state,
+            Object request,
+            int node,
+            Set<Message> rest,
+            Consumer<ModelCluster> successors) {
+        Set<Message> messages = new HashSet<>(rest);
+        messages.add(new Message(node, new AbandonedRequest(request)));
+        successors.accept(
+                applyEvent(checked(state.with(messages)), node, withoutReply(request))
+                        .withOneFaultLess());
+    }
 
-    private static LeadershipEvent failed(Object what) {
-        if (what instanceof LeadershipEffect.ClaimLeaderKey claimLeaderKey) {
+    private static LeadershipEvent withoutReply(Object request) {
+        if (request instanceof LeadershipEffect.ClaimLeaderKey claim) {
             return new LeadershipEvent.LeaderKeyClaimCompleted(
-                    claimLeaderKey.epoch(),
-                    claimLeaderKey.fencingToken(),
-                    claimLeaderKey.lease(),
-                    claimLeaderKey.sentAt(),
-                    null);
+                    claim.epoch(), claim.fencingToken(), claim.lease(), claim.sentAt(), null);
         }
-        if (what instanceof LeadershipEffect.RenewLease renewLease) {
+        if (request instanceof LeadershipEffect.RenewLease renewal) {
             return new LeadershipEvent.RenewalCompleted(
-                    renewLease.epoch(),
-                    renewLease.sentAt(),
-                    LeadershipEvent.RenewalOutcome.UNKNOWN);
+                    renewal.epoch(), renewal.sentAt(), LeadershipEvent.RenewalOutcome.UNKNOWN);
         }
-        LeadershipEffect.ReleaseLeaderKey releaseLeaderKey =
-                (LeadershipEffect.ReleaseLeaderKey) what;
+        LeadershipEffect.ReleaseLeaderKey release = (LeadershipEffect.ReleaseLeaderKey) request;
         return new LeadershipEvent.ReleaseCompleted(
-                releaseLeaderKey.epoch(),
-                releaseLeaderKey.lease(),
-                false,
-                releaseLeaderKey.preferredSuccessor(),
-                null,
-                false);
+                release.epoch(), release.lease(), false, release.preferredSuccessor(), null, false);
     }
 
-    /** What the state service does and answers; null where a watch has nothing to tell. */
-    private LeadershipEvent execute(Object what, Store[] at) {
-        Store s = at[0];
-        if (what instanceof LeadershipEffect.ReadLeaderKey readLeaderKey) {
-            return new LeadershipEvent.LeaderKeyRead(
-                    readLeaderKey.epoch(),
-                    new KeyValueStore.Page(
-                            s.keyAt() == 0
-                                    ? List.of()
-                                    : List.of(
-                                            new KeyValueStore.Entry(
-                                                    RecordCodec.LEADER_KEY,
-                                                    Map.of(
-                                                            "member",
-                                                            s.holder(),
-                                                            "term",
-                                                            s.term(),
-                                                            "lease",
-                                                            s.keyLease()),
-                                                    new Revision(s.keyAt()))),
-                            false,
-                            new Revision(s.revision())));
-        }
-        if (what instanceof LeadershipEffect.WatchLeaderKey watchLeaderKey) {
-            return s.revision() <= watchLeaderKey.afterRevision().value()
-                    ? null
-                    : new LeadershipEvent.LeaderKeyWatchEnded(
-                            watchLeaderKey.epoch(),
-                            new KeyValueStore.ChangeBatch(
-                                    new Revision(s.revision()),
-                                    List.of(
-                                            new KeyValueStore.Change(
-                                                    RecordCodec.LEADER_KEY,
-                                                    null,
-                                                    new Revision(s.revision())))));
-        }
-        if (what instanceof LeadershipEffect.ReadTokenCounter read) {
-            return new LeadershipEvent.TokenCounterRead(
-                    read.epoch(),
-                    read.leaderKeyRevision(),
-                    s.counterAt() == 0
-                            ? Optional.empty()
-                            : Optional.of(
-                                    new KeyValueStore.Entry(
-                                            RecordCodec.FENCING_TOKEN_KEY,
-                                            CandidacyPolicy.handoverRecord(s.counter(), s.heir()),
-                                            new Revision(s.counterAt()))),
-                    false);
-        }
-        if (what instanceof LeadershipEffect.GrantLease grantLease) {
-            Map<Long, MonotonicTime> leases = new HashMap<>(s.leases());
-            leases.put(s.nextLease(), now.plus(LeadershipStateMachine.LEASE_TTL));
-            at[0] =
-                    new Store(
-                            s.revision(),
-                            s.holder(),
-                            s.term(),
-                            s.keyAt(),
-                            s.keyLease(),
-                            s.counter(),
-                            s.counterAt(),
-                            s.heir(),
-                            leases,
-                            s.nextLease() + 1,
-                            s.decisions());
-            return new LeadershipEvent.LeaseGrantCompleted(
-                    grantLease.epoch(),
-                    grantLease.leaderKeyRevision(),
-                    grantLease.counter(),
-                    new LeaseId(s.nextLease()),
-                    now);
-        }
-        if (what instanceof LeadershipEffect.ClaimLeaderKey claimLeaderKey) {
-            boolean applies =
-                    claimLeaderKey.expectedLeaderKeyRevision().value() == s.keyAt()
-                            && s.leases().containsKey(claimLeaderKey.lease().value())
-                            && (claimLeaderKey.expectedCounterRevision().value() == s.counterAt()
-                                    || removedSafeguard == RemovedSafeguard.CLAIMS_COUNTER_GUARD);
-            long revision = s.revision() + 1;
-            at[0] =
-                    !applies
-                            ? s
-                            : new Store(
-                                    revision,
-                                    claimant,
-                                    claimLeaderKey.fencingToken().value(),
-                                    revision,
-                                    claimLeaderKey.lease().value(),
-                                    claimLeaderKey.fencingToken().value(),
-                                    revision,
-                                    null,
-                                    s.leases(),
-                                    s.nextLease(),
-                                    s.decisions());
-            return new LeadershipEvent.LeaderKeyClaimCompleted(
-                    claimLeaderKey.epoch(),
-                    claimLeaderKey.fencingToken(),
-                    claimLeaderKey.lease(),
-                    claimLeaderKey.sentAt(),
-                    new KeyValueStore.CommitResult(
-                            applies, new Revision(at[0].revision()), List.of()));
-        }
-        if (what instanceof LeadershipEffect.RenewLease renewLease) {
-            boolean lives = s.leases().containsKey(renewLease.lease().value());
-            Map<Long, MonotonicTime> leases = new HashMap<>(s.leases());
-            leases.computeIfPresent(
-                    renewLease.lease().value(),
-                    (lease, end) -> now.plus(LeadershipStateMachine.LEASE_TTL));
-            at[0] =
-                    new Store(
-                            s.revision(),
-                            s.holder(),
-                            s.term(),
-                            s.keyAt(),
-                            s.keyLease(),
-                            s.counter(),
-                            s.counterAt(),
-                            s.heir(),
-                            leases,
-                            s.nextLease(),
-                            s.decisions());
-            return new LeadershipEvent.RenewalCompleted(
-                    renewLease.epoch(),
-                    renewLease.sentAt(),
-                    lives
-                            ? LeadershipEvent.RenewalOutcome.RENEWED
-                            : LeadershipEvent.RenewalOutcome.LEASE_EXPIRED);
-        }
-        if (what instanceof LeadershipEffect.ReleaseLeaderKey releaseLeaderKey) {
-            boolean applies = releaseLeaderKey.expectedLeaderKeyRevision().value() == s.keyAt();
-            long revision = s.revision() + 1;
-            at[0] =
-                    !applies
-                            ? s
-                            : new Store(
-                                    revision,
-                                    null,
-                                    0,
-                                    0,
-                                    0,
-                                    releaseLeaderKey.fencingToken().value(),
-                                    revision,
-                                    releaseLeaderKey.preferredSuccessor(),
-                                    s.leases(),
-                                    s.nextLease(),
-                                    s.decisions());
-            return new LeadershipEvent.ReleaseCompleted(
-                    releaseLeaderKey.epoch(),
-                    releaseLeaderKey.lease(),
-                    false,
-                    releaseLeaderKey.preferredSuccessor(),
-                    new KeyValueStore.CommitResult(
-                            applies, new Revision(at[0].revision()), List.of()),
-                    false);
-        }
-        if (what instanceof PendingDecision pendingDecision) {
-            if (pendingDecision.guard().value() == s.keyAt()
-                    || removedSafeguard == RemovedSafeguard.DECISIONS_GUARD) {
-                List<PendingDecision> more = new ArrayList<>(s.decisions());
-                more.add(pendingDecision);
-                at[0] =
-                        new Store(
-                                s.revision() + 1,
-                                s.holder(),
-                                s.term(),
-                                s.keyAt(),
-                                s.keyLease(),
-                                s.counter(),
-                                s.counterAt(),
-                                s.heir(),
-                                s.leases(),
-                                s.nextLease(),
-                                more);
-            }
-            return null;
+    // ---- steps of the state machine ----
+
+    private ModelCluster applyEvent(ModelCluster state, int index, LeadershipEvent event) {
+        Node node = state.nodes().get(index);
+        LeadershipTransition transition =
+                stateMachines.get(index).apply(node.state(), event, state.now());
+        ModelCluster next = state;
+        for (LeadershipEffect effect : transition.effects()) {
+            next = perform(next, index, effect);
         }
-        return null;
+        return checked(next.with(index, node.with(transition.next())));
     }
 
-    /** The clock, and whose request is executed, while a world's successors are made. */
-    private MonotonicTime now;
-
-    private String claimant;
-
-    private static Store ended(Store s, long lease) {
-        Map<Long, MonotonicTime> leases = new HashMap<>(s.leases());
-        leases.remove(lease);
-        boolean key = s.keyAt() != 0 && s.keyLease() == lease;
-        return new Store(
-                key ? s.revision() + 1 : s.revision(),
-                key ? null : s.holder(),
-                key ? 0 : s.term(),
-                key ? 0 : s.keyAt(),
-                key ? 0 : s.keyLease(),
-                s.counter(),
-                s.counterAt(),
-                s.heir(),
-                leases,
-                s.nextLease(),
-                s.decisions());
+    private static ModelCluster perform(ModelCluster state, int index, LeadershipEffect effect) {
+        Set<Message> messages = new HashSet<>(state.messages());
+        if (effect instanceof LeadershipEffect.NotifyElected elected) {
+            if (index != 0) {
+                messages.add(
+                        new Message(
+                                0,
+                                new LeadershipEvent.TokenObserved(
+                                        elected.fencingToken(), nameOf(index))));
+            }
+            return state.with(messages).withElection(elected.fencingToken().value());
+        }
+        if (effect instanceof LeadershipEffect.ScheduleRenewalCheck check) {
+            messages.add(new Message(index, new LeadershipEvent.RenewalTimerFired(check.epoch())));
+        } else if (needsReply(effect)) {
+            messages.add(new Message(index, effect));
+        }
+        return state.with(messages);
     }
 
-    // ---- worlds ----
-
-    private ModelState with(ModelState modelState, Store store, Set<Message> messages) {
-        return checked(
-                new ModelState(
-                        store,
-                        modelState.nodes(),
-                        messages,
-                        modelState.ticks(),
-                        modelState.trouble(),
-                        modelState.handOver(),
-                        modelState.terms(),
-                        modelState.broken()));
+    private static boolean needsReply(LeadershipEffect effect) {
+        return !(effect instanceof LeadershipEffect.Notification
+                || effect instanceof LeadershipEffect.RevokeOwnLease);
     }
 
-    private static ModelState troubled(ModelState modelState) {
-        return new ModelState(
-                modelState.store(),
-                modelState.nodes(),
-                modelState.messages(),
-                modelState.ticks(),
-                modelState.trouble() - 1,
-                modelState.handOver(),
-                modelState.terms(),
-                modelState.broken());
-    }
+    // ---- the invariants ----
 
-    private ModelState replaced(ModelState modelState, int at, Node node) {
-        List<Node> nodes = new ArrayList<>(modelState.nodes());
-        nodes.set(at, node);
-        return checked(
-                new ModelState(
-                        modelState.store(),
-                        nodes,
-                        modelState.messages(),
-                        modelState.ticks(),
-                        modelState.trouble(),
-                        modelState.handOver(),
-                        modelState.terms(),
-                        modelState.broken()));
+    /** The state, marked if it violates an invariant. */
+    private ModelCluster checked(ModelCluster state) {
+        String violation = violationByDecisions(state.store().decisions());
+        if (countDeciding(state) > 1) {
+            violation = "two nodes may decide at once";
+        }
+        return violation == null ? state : state.withViolation(violation);
     }
 
-    private ModelState stepped(ModelState modelState, int at, LeadershipEvent event) {
-        LeadershipStateMachine.Transition transition =
-                steps.get(at).apply(modelState.nodes().get(at).state(), event, modelState.now());
-        Set<Message> messages = new HashSet<>(modelState.messages());
-        Set<Long> terms = new HashSet<>(modelState.terms());
-        String broken = modelState.broken();
-        for (LeadershipEffect effect : transition.effects()) {
-            if (effect instanceof LeadershipEffect.NotifyElected notifyElected) {
-                broken =
-                        terms.add(notifyElected.fencingToken().value())
-                                ? broken
-                                : "term " + notifyElected.fencingToken() + " came twice";
-                if (at != 0) {
-                    messages.add(
-                            new Message(
-                                    0,
-                                    new LeadershipEvent.TokenObserved(
-                                            notifyElected.fencingToken(), "n" + at)));
-                }
-            } else if (effect instanceof LeadershipEffect.ScheduleRenewalCheck tick) {
-                messages.add(new Message(at, new LeadershipEvent.RenewalTimerFired(tick.epoch())));
-            } else if (!(effect instanceof LeadershipEffect.NotifyLeadershipLost
-                    || effect instanceof LeadershipEffect.NotifyFollowing
-                    || effect instanceof LeadershipEffect.RevokeOwnLease)) {
-                messages.add(new Message(at, effect));
-            }
-        }
-        ModelState next =
-                new ModelState(
-                        modelState.store(),
-                        modelState.nodes(),
-                        messages,
-                        modelState.ticks(),
-                        modelState.trouble(),
-                        modelState.handOver(),
-                        terms,
-                        broken);
-        return replaced(next, at, modelState.nodes().get(at).with(transition.next()));
+    private long countDeciding(ModelCluster state) {
+        return state.nodes().stream().filter(node -> mayDecide(node, state.now())).count();
     }
 
-    /** What must never be. */
-    private ModelState checked(ModelState modelState) {
-        String broken = modelState.broken();
-        List<PendingDecision> decisions = modelState.store().decisions();
-        for (int at = 0; at < decisions.size(); at++) {
-            for (int before = 0; before < at; before++) {
-                if (decisions.get(before).term().isAfter(decisions.get(at).term())) {
-                    broken = "a deposed leader's decision was taken in after its successor's";
-                } else if (!decisions.get(before).term().equals(decisions.get(at).term())
-                        && decisions.get(at).seen() <= before) {
-                    broken = "a decision was made on an image older than the key";
+    private static String violationByDecisions(List<Decision> decisions) {
+        String violation = null;
+        for (int later = 0; later < decisions.size(); later++) {
+            for (int earlier = 0; earlier < later; earlier++) {
+                FencingToken tokenBefore = decisions.get(earlier).fencingToken();
+                FencingToken token = decisions.get(later).fencingToken();
+                if (tokenBefore.isAfter(token)) {
+                    violation = "a former leader's decision was committed after its successor's";
+                } else if (!tokenBefore.equals(token)
+                        && decisions.get(later).knownDecisions() <= earlier) {
+                    violation = "a decision was made on a replica older than the leader record";
                 }
             }
         }
-        int leading = 0;
-        for (Node node : modelState.nodes()) {
-            boolean decides =
-                    removedSafeguard == RemovedSafeguard.LEASE_CHECK
-                            ? node.state().heldLeadership() != null
-                            : LeadershipStateMachine.canDecide(node.state(), modelState.now());
-            leading += decides ? 1 : 0;
-        }
-        broken = leading > 1 ? "two nodes may decide at once" : broken;
-        return broken == null
-                ? modelState
-                : new ModelState(
-                        modelState.store(),
-                        modelState.nodes(),
-                        modelState.messages(),
-                        modelState.ticks(),
-                        modelState.trouble(),
-                        modelState.handOver(),
-                        modelState.terms(),
-                        broken);
+        return violation;
     }
 }
