--- a/src/main/java/org/meadowhollow/coordination/ControllerNode.java
+++ b/src/main/java/org/meadowhollow/coordination/ControllerNode.java
@@ -18,6 +18,7 @@
 import org.meadowhollow.coordination.failover.HandoverState;
 import org.meadowhollow.coordination.failover.StandbySettings;
 import org.meadowhollow.coordination.failover.WarmStandby;
+import org.meadowhollow.coordination.heartbeat.DeferredHeartbeats;
 import org.meadowhollow.coordination.heartbeat.HeartbeatTracker;
 import org.meadowhollow.coordination.leadership.Leadership;
 import org.meadowhollow.coordination.reservation.ReservationSettings;
--- a/src/main/java/org/meadowhollow/coordination/HeartbeatReconciler.java
+++ b/src/main/java/org/meadowhollow/coordination/HeartbeatReconciler.java
@@ -8,6 +8,7 @@
 import org.meadowhollow.coordination.failover.HandoverState;
 import org.meadowhollow.coordination.failover.RiskTablePublisher;
 import org.meadowhollow.coordination.leadership.Leadership;
+import org.meadowhollow.coordination.lifecycle.ImageCacheRecorder;
 import org.meadowhollow.coordination.scheduling.ClusterState;
 import org.meadowhollow.model.ExitReason;
 import org.meadowhollow.model.FencingToken;
--- a/src/main/java/org/meadowhollow/coordination/LeaderService.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderService.java
@@ -7,7 +7,6 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Objects;
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
@@ -31,9 +30,12 @@
 import org.meadowhollow.coordination.fleet.HeartbeatTimeoutMonitor;
 import org.meadowhollow.coordination.fleet.LeadershipContext;
 import org.meadowhollow.coordination.fleet.UnreachableMachineReturnPolicy;
+import org.meadowhollow.coordination.heartbeat.DeferredHeartbeats;
 import org.meadowhollow.coordination.heartbeat.LeaderReachability;
 import org.meadowhollow.coordination.leadership.Leadership;
-import org.meadowhollow.coordination.metrics.FairnessMetrics;
+import org.meadowhollow.coordination.lifecycle.ImageCacheRecorder;
+import org.meadowhollow.coordination.lifecycle.JobTracker;
+import org.meadowhollow.coordination.lifecycle.MachineRegistry;
 import org.meadowhollow.coordination.reservation.ReservationSettings;
 import org.meadowhollow.coordination.scheduling.ArrivalForecast;
 import org.meadowhollow.coordination.scheduling.ClusterState;
@@ -53,7 +55,6 @@
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.Machine;
 import org.meadowhollow.model.MachineId;
-import org.meadowhollow.model.MachineType;
 import org.meadowhollow.model.MachineTypeCatalog;
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.Placement;
@@ -62,7 +63,6 @@
 import org.meadowhollow.model.SecondaryRecord;
 import org.meadowhollow.model.TaskId;
 import org.meadowhollow.model.TaskShard;
-import org.meadowhollow.model.TaskState;
 import org.meadowhollow.model.WorkerCommand;
 import org.meadowhollow.model.WorkerIncarnation;
 import org.meadowhollow.storage.KeyValueStore;
@@ -148,9 +148,6 @@
 
     private static final int MAX_BACKOFF_SECONDS = 60;
 
-    /** Failures of different tasks on a machine after which it counts as faulty. */
-    private static final int FAILURES_BEFORE_CORDON = 3;
-
     private final EventLoop loop;
     private final KeyValueStore store;
     private final WorkerGateway workerGateway;
@@ -184,11 +181,9 @@
     private final RiskTablePublisher riskTablePublisher;
     private final RiskTableSnapshotStore riskTableSnapshots;
     private final Membership membership = new Membership();
-    private final Object2IntOpenHashMap<MachineId> failuresByMachine =
-            new Object2IntOpenHashMap<>();
     private final ArrivalForecast arrivalForecast = new ArrivalForecast();
-    private final FairnessMetrics fairnessMetrics = new FairnessMetrics();
-    private boolean listed;
+    private final JobTracker jobTracker;
+    private final MachineRegistry machineRegistry;
     private boolean fullRoundGathered;
     private boolean firstRoundAllowed;
 
@@ -251,6 +246,14 @@
                         jobEventListeners,
                         this);
         this.imageCacheRecorder = new ImageCacheRecorder(store, leaderVersion, deploymentSettings);
+        this.jobTracker = new JobTracker(loop, clusterState);
+        this.machineRegistry =
+                new MachineRegistry(
+                        loop,
+                        clusterState,
+                        machineTypeCatalog,
+                        imageCacheRecorder,
+                        this::isReturned);
         this.stateRecovery =
                 new StateRecovery(
                         this,
@@ -309,6 +312,10 @@
                         unreachableReturnPolicy);
     }
 
+    private boolean isReturned(MachineId id) {
+        return autoscaler.isReturned(id);
+    }
+
     /** Loads all live jobs, then begins its rounds. */
     public void start() {
         stateRecovery.start();
@@ -336,7 +343,7 @@
 
     /** A job was taken in, from a user or from the records. */
     void onJobAdmitted(Job job) {
-        fairnessMetrics.onJobAdmitted(job.spec());
+        jobTracker.onJobAdmitted(job);
     }
 
     void renewLeadershipIfDue() {
@@ -352,12 +359,7 @@
 
     @Override
     public synchronized void onJobEndPersisted(Job job) {
-        jobs.remove(job.id());
-        fairnessMetrics.onJobEnded(
-                job.spec(),
-                job.isCancelled(),
-                (loop.wallClockMillis() - job.acceptedAtMillis()) / 1000.0);
-        LOG.info("job {} is {}", job.id(), job.isCancelled() ? "cancelled and gone" : "done");
+        jobTracker.onJobEndPersisted(job);
     }
 
     @Override
@@ -408,7 +410,7 @@
         if (!leadership.canRenewWorkerLeases()) {
             return early.defer(heartbeat, now.plus(MAX_FRESHNESS_WAIT));
         }
-        Machine machine = findOrRegister(heartbeat);
+        Machine machine = machineRegistry.findOrRegister(heartbeat);
         if (machine == null) {
             // What is not known as a machine gets no orders, so its lease is not renewed either.
             return CompletableFuture.completedFuture(new HeartbeatResponse.Redirect(null));
@@ -478,7 +480,7 @@
     private void applyAndRedirect(DeferredHeartbeats.DeferredHeartbeat waited) {
         synchronized (this) {
             MonotonicTime now = loop.now();
-            Machine machine = closed ? null : findOrRegister(waited.heartbeat());
+            Machine machine = closed ? null : machineRegistry.findOrRegister(waited.heartbeat());
             applyWithoutLeaseRenewal(machine, waited.heartbeat(), now);
         }
         waited.response().complete(new HeartbeatResponse.Redirect(null));
@@ -540,32 +542,6 @@
         waiting.forEach(this::answerDeferred);
     }
 
-    private Machine findOrRegister(Heartbeat heartbeat) {
-        Machine machine = machines.get(heartbeat.machineId());
-        if (machine == null) {
-            MachineType type = machineTypeCatalog.typeNamed(heartbeat.machineType());
-            if (type == null || autoscaler.isReturned(heartbeat.machineId())) {
-                return null;
-            }
-            machine =
-                    registerMachine(
-                            new Machine(
-                                    heartbeat.machineId(),
-                                    type,
-                                    heartbeat.zone(),
-                                    heartbeat.isSpot()));
-        }
-        machine.address(heartbeat.address());
-        return machine;
-    }
-
-    private Machine registerMachine(Machine machine) {
-        machine.knownSince(loop.now());
-        clusterState.addMachine(machine);
-        imageCacheRecorder.onMachineRegistered(machine);
-        return machine;
-    }
-
     // ---- the end of placements ----
 
     void onTaskExited(
@@ -599,7 +575,7 @@
                 onTaskFailed(machine, job, exitReason, now);
             }
         }
-        recordAttemptEnd(
+        jobTracker.recordAttemptEnd(
                 placement,
                 exitReason == ExitReason.STOPPED
                         ? SecondaryRecord.PREEMPTED_REASON
@@ -623,14 +599,8 @@
                             MAX_BACKOFF_SECONDS,
                             1 << Math.min(10, failures - FAILURES_BEFORE_BACKOFF));
             job.backoffUntil(now.plus(Duration.ofSeconds(hold)));
-        } else if (exitReason == ExitReason.ERROR
-                && failuresByMachine.addTo(machine.id(), 1) + 1 >= FAILURES_BEFORE_CORDON
-                && !machine.isUnschedulable()) {
-            LOG.info(
-                    "machine {} is taken out: {} tasks failed on it",
-                    machine.id(),
-                    FAILURES_BEFORE_CORDON);
-            machine.cordon();
+        } else if (exitReason == ExitReason.ERROR) {
+            machineRegistry.recordTaskFailure(machine);
         }
     }
 
@@ -646,7 +616,7 @@
             machine.recordLostTasks(1);
         }
         boolean taken = machine != null && machine.preemptionDeadline() != null;
-        recordAttemptEnd(
+        jobTracker.recordAttemptEnd(
                 placement, taken ? SecondaryRecord.PREEMPTED_REASON : SecondaryRecord.LOST_REASON);
         // A gang that has not begun waits on for a replacement with the attempt's number.
         removePlacement(
@@ -656,21 +626,9 @@
                 placement.job().hasAttemptStarted() || placement.runningSince() != null);
     }
 
-    /** Notes the end of an attempt for those who ask about the job through another interface. */
-    private void recordAttemptEnd(Placement placement, String cause) {
-        SecondaryRecord secondaryRecord = placement.job().secondaryRecord();
-        if (secondaryRecord != null) {
-            secondaryRecord.recordAttemptEnd(
-                    placement.attemptNumber(), cause, loop.wallClockMillis());
-        }
-    }
-
     /** A worker has reported a task as running. */
     void onTaskRunning(Placement placement) {
-        fairnessMetrics.onTaskRunning(placement.job().spec());
-        SecondaryRecord secondaryRecord = placement.job().secondaryRecord();
-        if (secondaryRecord != null
-                && secondaryRecord.recordStart(placement.attemptNumber(), loop.wallClockMillis())) {
+        if (jobTracker.onTaskRunning(placement)) {
             TaskShard taskShard = placement.job().shardOfTask(placement.taskId().index());
             taskShard.recordChange();
             recordWriter.markDirty(taskShard);
@@ -784,11 +742,11 @@
             return;
         }
         MonotonicTime now = loop.now();
-        Machine machine = findOrRegister(heartbeat);
+        Machine machine = machineRegistry.findOrRegister(heartbeat);
         if (machine == asked
                 && knownSession != null
                 && !heartbeat.isNewerThan(knownSession, knownSeq)) {
-            onIncarnationReset(machine, now);
+            machineRegistry.onIncarnationReset(machine, now);
         } else {
             applyWithoutLeaseRenewal(machine, heartbeat, now);
         }
@@ -806,21 +764,6 @@
         }
     }
 
-    /**
-     * A machine answered after it was asked, with a number below one that it had shown before:
-     * numbers only grow, so it is in another life. Its reports cannot be told from late copies of
-     * its other life's, and which of its tasks are of which life is not known either, so it is
-     * returned, which proves all of them gone. Without this all its reports counted as copies, it
-     * as silent, and a leader most of whose machines were back in this way as deaf.
-     */
-    private static void onIncarnationReset(Machine machine, MonotonicTime now) {
-        if (!machine.isIncarnationReset()) {
-            LOG.info("machine {} has begun anew and is to be returned", machine.id());
-            machine.markIncarnationReset();
-        }
-        machine.recordContact(now);
-    }
-
     // ---- rounds ----
 
     private void runRound() {
@@ -839,13 +782,7 @@
             if (maySchedule(now)) {
                 scheduleRound(now);
             }
-            fairnessMetrics
-                    .reportIfDue(
-                            jobs.values(),
-                            now,
-                            loop.wallClockMillis(),
-                            job -> clusterState.describePendingReason(job, now))
-                    .forEach(LOG::info);
+            jobTracker.reportMetricsIfDue(now);
             recordWriter.flush();
             imageCacheRecorder.writeIfDue(machines.values(), now);
             if (riskTablesSettled && leadership.canDecide()) {
@@ -952,20 +889,13 @@
                                 reservationEnforcer.isReady(),
                                 failureDetector.reachability()
                                         != LeaderReachability.Reachability.ISOLATED,
-                                heardMachineCount(),
+                                machineRegistry.contactedMachineCount(),
                                 heartbeatsNeeded(now)));
         failoverTimeline.onPreconditionsUnmet(failing);
         firstRoundAllowed = failing.isEmpty();
         return firstRoundAllowed;
     }
 
-    private int heardMachineCount() {
-        return (int)
-                machines.values().stream()
-                        .filter(machine -> machine.lastContactAt() != null)
-                        .count();
-    }
-
     /**
      * Machines whose reports the first round needs; what then is only placed, and not rented or
      * made room for.
@@ -977,7 +907,10 @@
         int awaited = handoverState.countExpectedMachines(now);
         return awaited == 0
                 ? Integer.MAX_VALUE
-                : (int) Math.ceil(WARM_FIRST_ROUND_SHARE * (awaited + heardMachineCount()));
+                : (int)
+                        Math.ceil(
+                                WARM_FIRST_ROUND_SHARE
+                                        * (awaited + machineRegistry.contactedMachineCount()));
     }
 
     /**
@@ -1004,11 +937,7 @@
 
     /** Some workers' addresses, to see later whether this node hears them again. */
     synchronized List<String> sampleAddresses(int most) {
-        return machines.values().stream()
-                .map(Machine::address)
-                .filter(Objects::nonNull)
-                .limit(most)
-                .toList();
+        return machineRegistry.sampleAddresses(most);
     }
 
     /**
@@ -1022,15 +951,14 @@
             fullRoundGathered =
                     now.secondsSince(startedAt)
                                     > reportS * LATEST_HEARTBEAT_FACTOR + NEXT_NODE_SECONDS
-                            || listed && nearlyAllHeard();
+                            || machineRegistry.isListedByCloud() && nearlyAllHeard();
         }
         return fullRoundGathered;
     }
 
     private boolean nearlyAllHeard() {
-        return heardMachineCount()
-                >= FULL_ROUND_SHARE
-                        * (machines.size() + clusterState.placementsOnUnseenMachines().size());
+        return machineRegistry.contactedMachineCount()
+                >= FULL_ROUND_SHARE * machineRegistry.knownMachineCount();
     }
 
     /** Stops a task so that it can save what it did. */
@@ -1079,7 +1007,7 @@
         applyPlacements(idleOutcome.decisions(), now);
         if (!failoverTimeline.isLogged()) {
             failoverTimeline.onFirstRound(
-                    heardMachineCount(),
+                    machineRegistry.contactedMachineCount(),
                     heartbeatsNeeded(now),
                     outcome.decisions().size() + idleOutcome.decisions().size(),
                     now);
@@ -1122,7 +1050,7 @@
                             job.spec(),
                             count,
                             requiredZone(pendingJob),
-                            (loop.wallClockMillis() - job.acceptedAtMillis()) / 1000.0));
+                            jobTracker.secondsSinceAcceptance(job)));
             abandonIncompleteGang(job, now);
             if (preempting < MAX_PREEMPTING_JOBS) {
                 List<Placement> victims =
@@ -1290,31 +1218,11 @@
      */
     @Override
     public synchronized void applyMachineList(List<CloudProvider.ListedMachine> list) {
-        listed = true;
+        machineRegistry.markListed();
         MonotonicTime now = loop.now();
         failureDetector.recordMachineList(now);
         for (CloudProvider.ListedMachine item : list) {
-            Machine machine = machines.get(item.id());
-            if (machine == null
-                    && item.phase() == CloudProvider.MachinePhase.RUNNING
-                    && machineTypeCatalog.typeNamed(item.type()) != null) {
-                machine =
-                        registerMachine(
-                                new Machine(
-                                        item.id(),
-                                        machineTypeCatalog.typeNamed(item.type()),
-                                        item.zone(),
-                                        item.spot()));
-            }
-            if (machine != null) {
-                machine.recordListing(now);
-                if (machine.address() == null) {
-                    machine.address(item.address());
-                }
-                if (item.phase() == CloudProvider.MachinePhase.FAILED) {
-                    machine.cordon();
-                }
-            }
+            machineRegistry.applyListedMachine(item, now);
             if (item.phase() == CloudProvider.MachinePhase.FAILED) {
                 markMachineGone(item.id(), "the cloud lists its machine as failed", false);
             }
@@ -1337,10 +1245,8 @@
         if (machine != null) {
             machine.orphanedTasks().clear();
             if (forget) {
-                machines.remove(id);
-                clusterState.riskTables().remove(id);
+                machineRegistry.remove(id);
                 heartbeatTimeoutMonitor.forget(id);
-                failuresByMachine.removeInt(id);
             }
         }
         recordWriter.flush();
@@ -1365,9 +1271,7 @@
         if (closed || !stateRecovery.isComplete()) {
             return Optional.empty();
         }
-        RecordDigests recordDigests = new RecordDigests();
-        jobs.values().forEach(job -> RecordCodec.addToDigests(job, recordDigests));
-        return Optional.of(recordDigests);
+        return Optional.of(jobTracker.recordDigests());
     }
 
     /** The standby that could take over best, as far as is known. */
@@ -1377,23 +1281,6 @@
 
     /** Counts of a live job for display; empty when it is not known here. */
     public synchronized Optional<AdmissionService.JobStatus> liveJobState(JobId id) {
-        Job job = jobs.get(id);
-        if (job == null || !stateRecovery.isComplete()) {
-            return Optional.empty();
-        }
-        int running = 0;
-        for (Placement placement : job.placements()) {
-            if (placement.reportedState() == TaskState.RUNNING) {
-                running++;
-            }
-        }
-        return Optional.of(
-                new AdmissionService.JobStatus(
-                        id,
-                        running > 0
-                                ? AdmissionService.Phase.RUNNING
-                                : AdmissionService.Phase.QUEUED,
-                        job.completedTaskCount(),
-                        running));
+        return stateRecovery.isComplete() ? jobTracker.liveJobState(id) : Optional.empty();
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/StateRecovery.java
+++ b/src/main/java/org/meadowhollow/coordination/StateRecovery.java
@@ -8,6 +8,7 @@
 import java.util.function.Consumer;
 import org.meadowhollow.coordination.failover.FailoverTimeline;
 import org.meadowhollow.coordination.failover.HandoverState;
+import org.meadowhollow.coordination.lifecycle.ImageCacheRecorder;
 import org.meadowhollow.coordination.scheduling.ArrivalForecast;
 import org.meadowhollow.coordination.scheduling.ClusterState;
 import org.meadowhollow.coordination.scheduling.ServiceLevelObjectives;
--- a/src/main/java/org/meadowhollow/coordination/DeferredHeartbeats.java
+++ b/src/main/java/org/meadowhollow/coordination/heartbeat/DeferredHeartbeats.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination;
+package org.meadowhollow.coordination.heartbeat;
 
 import java.util.ArrayList;
 import java.util.Iterator;
@@ -16,9 +16,9 @@
  * alone, so that a machine can be told to start a task at once, instead of with its next report;
  * another node while no leader is known.
  */
-final class DeferredHeartbeats {
+public final class DeferredHeartbeats {
     /** A report, and where its answer goes. */
-    record DeferredHeartbeat(
+    public record DeferredHeartbeat(
             Heartbeat heartbeat,
             CompletableFuture<HeartbeatResponse> response,
             MonotonicTime deadline) {}
@@ -26,7 +26,7 @@
     /** In the order in which they are due, for all are held for the same time. */
     private final Map<MachineId, DeferredHeartbeat> byMachine = new LinkedHashMap<>();
 
-    CompletableFuture<HeartbeatResponse> defer(Heartbeat heartbeat, MonotonicTime until) {
+    public CompletableFuture<HeartbeatResponse> defer(Heartbeat heartbeat, MonotonicTime until) {
         discardEarlier(heartbeat.machineId());
         DeferredHeartbeat entry =
                 new DeferredHeartbeat(heartbeat, new CompletableFuture<>(), until);
@@ -38,24 +38,24 @@
      * Lets go of a machine's earlier report: it has one in flight at a time, so nobody waits for
      * that answer.
      */
-    void discardEarlier(MachineId machine) {
+    public void discardEarlier(MachineId machine) {
         DeferredHeartbeat earlier = byMachine.remove(machine);
         if (earlier != null) {
             earlier.response().complete(new HeartbeatResponse.Redirect(null));
         }
     }
 
-    boolean isEmpty() {
+    public boolean isEmpty() {
         return byMachine.isEmpty();
     }
 
     /** The machine's held report, which is held no more; null if there is none. */
-    DeferredHeartbeat take(MachineId machine) {
+    public DeferredHeartbeat take(MachineId machine) {
         return byMachine.remove(machine);
     }
 
     /** Those that have been held for long enough, which are held no more. */
-    List<DeferredHeartbeat> takeDue(MonotonicTime now) {
+    public List<DeferredHeartbeat> takeDue(MonotonicTime now) {
         List<DeferredHeartbeat> due = new ArrayList<>();
         for (Iterator<DeferredHeartbeat> all = byMachine.values().iterator(); all.hasNext(); ) {
             DeferredHeartbeat next = all.next();
@@ -69,11 +69,11 @@
     }
 
     /** Sends workers to a member, or to their next node if it is null; that renews no lease. */
-    static void redirectAll(List<DeferredHeartbeat> reports, String member) {
+    public static void redirectAll(List<DeferredHeartbeat> reports, String member) {
         reports.forEach(each -> each.response().complete(new HeartbeatResponse.Redirect(member)));
     }
 
-    List<DeferredHeartbeat> takeAll() {
+    public List<DeferredHeartbeat> takeAll() {
         List<DeferredHeartbeat> all = List.copyOf(byMachine.values());
         byMachine.clear();
         return all;
--- a/src/main/java/org/meadowhollow/coordination/ImageCacheRecorder.java
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/ImageCacheRecorder.java
@@ -1,4 +1,4 @@
-package org.meadowhollow.coordination;
+package org.meadowhollow.coordination.lifecycle;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -24,7 +24,7 @@
  * successor that does not know fetches everything anew. Only hints: a note that is late or wrong
  * costs a fetch, no more.
  */
-final class ImageCacheRecorder {
+public final class ImageCacheRecorder {
     /**
      * How much a takeover forgets at most; each change costs a write, and most images change all
      * the time.
@@ -47,7 +47,7 @@
     private MonotonicTime lastWrittenAt;
     private boolean writeInFlight;
 
-    ImageCacheRecorder(
+    public ImageCacheRecorder(
             KeyValueStore store, Revision leaderVersion, DeploymentSettings deploymentSettings) {
         this.store = store;
         this.leaderVersion = leaderVersion;
@@ -58,7 +58,7 @@
     /**
      * Takes in what a predecessor noted; what its machines do not have any more is put right later.
      */
-    void restore(List<KeyValueStore.Entry> entries, MonotonicTime now) {
+    public void restore(List<KeyValueStore.Entry> entries, MonotonicTime now) {
         // By the first write all live machines have reported.
         lastWrittenAt = now;
         for (KeyValueStore.Entry entry : entries) {
@@ -75,7 +75,7 @@
     }
 
     /** Fills in what was noted of a machine that is new to this leader. */
-    void onMachineRegistered(Machine machine) {
+    public void onMachineRegistered(Machine machine) {
         Map<String, Double> images = recordedByPredecessor.remove(machine.id());
         if (images != null) {
             images.forEach((image, gb) -> recordCachedImage(machine, image, gb));
@@ -83,7 +83,7 @@
     }
 
     /** Notes that a machine has an image. */
-    void recordCachedImage(Machine machine, String image, double gb) {
+    public void recordCachedImage(Machine machine, String image, double gb) {
         boolean isNew = !machine.imageCache().contains(image);
         machine.imageCache().recordUse(image, gb);
         if (isNew && RecordCodec.isImageKey(image)) {
@@ -93,7 +93,7 @@
     }
 
     /** Writes what has changed, now and then, as far as one transaction goes. */
-    void writeIfDue(Collection<Machine> machines, MonotonicTime now) {
+    public void writeIfDue(Collection<Machine> machines, MonotonicTime now) {
         if (writeInFlight
                 || changedImages.isEmpty()
                 || lastWrittenAt != null
--- a/src/test/java/org/meadowhollow/LayersTest.java
+++ b/src/test/java/org/meadowhollow/LayersTest.java
@@ -47,7 +47,8 @@
                     "metrics",
                     "leadership",
                     "failover",
-                    "fleet");
+                    "fleet",
+                    "lifecycle");
 
     private static final Path SOURCES = Path.of("src/main/java", ROOT.split("\\."));
     private static final Pattern IMPORT =
