--- a/src/main/java/org/meadowhollow/coordination/LeaderService.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderService.java
@@ -36,7 +36,19 @@
 import org.meadowhollow.coordination.lifecycle.ImageCacheRecorder;
 import org.meadowhollow.coordination.lifecycle.JobTracker;
 import org.meadowhollow.coordination.lifecycle.MachineRegistry;
+import org.meadowhollow.coordination.lifecycle.TaskLifecycle;
+import org.meadowhollow.coordination.reconciliation.HeartbeatReconciler;
+import org.meadowhollow.coordination.reconciliation.RiskTableUpdater;
+import org.meadowhollow.coordination.recovery.JobRecordApplier;
+import org.meadowhollow.coordination.recovery.RecordRestorer;
+import org.meadowhollow.coordination.recovery.RecoveryContext;
+import org.meadowhollow.coordination.recovery.RecoveryListener;
+import org.meadowhollow.coordination.recovery.StateRecovery;
+import org.meadowhollow.coordination.reservation.ReservableCapacity;
+import org.meadowhollow.coordination.reservation.ReservationCalendarReplica;
+import org.meadowhollow.coordination.reservation.ReservationService;
 import org.meadowhollow.coordination.reservation.ReservationSettings;
+import org.meadowhollow.coordination.rounds.ReservationEnforcer;
 import org.meadowhollow.coordination.scheduling.ArrivalForecast;
 import org.meadowhollow.coordination.scheduling.ClusterState;
 import org.meadowhollow.coordination.scheduling.PlacementRound;
@@ -45,7 +57,6 @@
 import org.meadowhollow.coordination.scheduling.ServiceLevelObjectives;
 import org.meadowhollow.model.AttemptNumber;
 import org.meadowhollow.model.EventLoop;
-import org.meadowhollow.model.ExitReason;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Heartbeat;
 import org.meadowhollow.model.Job;
@@ -60,9 +71,6 @@
 import org.meadowhollow.model.Placement;
 import org.meadowhollow.model.Priority;
 import org.meadowhollow.model.Revision;
-import org.meadowhollow.model.SecondaryRecord;
-import org.meadowhollow.model.TaskId;
-import org.meadowhollow.model.TaskShard;
 import org.meadowhollow.model.WorkerCommand;
 import org.meadowhollow.model.WorkerIncarnation;
 import org.meadowhollow.storage.KeyValueStore;
@@ -77,7 +85,7 @@
  * One leadership: everything that the leader of one term knows and does. A new term begins with a
  * new object, so nothing that an old term believed can leak into it.
  */
-final class LeaderService implements RecordWriter.Listener, LeadershipContext {
+final class LeaderService implements RecordWriter.Listener, RecoveryListener, LeadershipContext {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderService.class);
 
     /** The design's round. */
@@ -143,11 +151,6 @@
     /** How often a warm leader looks whether its first round can be. */
     private static final Duration WARM_CHECK_INTERVAL = Duration.ofMillis(200);
 
-    /** Failures of a job's tasks after which it has to wait before the next start. */
-    private static final int FAILURES_BEFORE_BACKOFF = 3;
-
-    private static final int MAX_BACKOFF_SECONDS = 60;
-
     private final EventLoop loop;
     private final KeyValueStore store;
     private final WorkerGateway workerGateway;
@@ -174,6 +177,7 @@
     private final HeartbeatReconciler heartbeatReconciler;
     private final FailureDetector failureDetector;
     private final UnreachableMachineReturnPolicy unreachableReturnPolicy;
+    private final ReservationSettings reservationSettings;
     private final ReservationEnforcer reservationEnforcer;
     private final Revision leaderKeyRevision;
     private final HandoverState handoverState;
@@ -184,6 +188,8 @@
     private final ArrivalForecast arrivalForecast = new ArrivalForecast();
     private final JobTracker jobTracker;
     private final MachineRegistry machineRegistry;
+    private final TaskLifecycle taskLifecycle;
+    private final JobRecordApplier jobRecords;
     private boolean fullRoundGathered;
     private boolean firstRoundAllowed;
 
@@ -218,6 +224,7 @@
         this.workerGateway = workerGateway;
         this.deploymentSettings = deploymentSettings;
         this.machineTypeCatalog = machineTypeCatalog;
+        this.reservationSettings = reservationSettings;
         this.leadership = leadership;
         this.fencingToken = fencingToken;
         this.leaderKeyRevision = leaderVersion;
@@ -254,16 +261,34 @@
                         machineTypeCatalog,
                         imageCacheRecorder,
                         this::isReturned);
-        this.stateRecovery =
-                new StateRecovery(
-                        this,
-                        store,
+        this.taskLifecycle =
+                new TaskLifecycle(
+                        loop,
+                        recordWriter,
+                        machineRegistry,
+                        jobTracker,
+                        this::recordRuntime,
+                        this::sendCommands);
+        this.jobRecords =
+                new JobRecordApplier(
                         loop,
                         clusterState,
                         objectives,
                         arrivalForecast,
                         recordWriter,
-                        imageCacheRecorder,
+                        jobTracker,
+                        taskLifecycle);
+        this.stateRecovery =
+                new StateRecovery(
+                        new RecoveryContext(this, this, store, loop),
+                        new RecordRestorer(
+                                loop,
+                                clusterState,
+                                recordWriter,
+                                imageCacheRecorder,
+                                jobRecords,
+                                taskLifecycle),
+                        jobRecords,
                         fencingToken,
                         leaderVersion,
                         handoverState,
@@ -273,13 +298,12 @@
                         this, clusterState, deploymentSettings, fencingToken, startedAt);
         this.heartbeatReconciler =
                 new HeartbeatReconciler(
-                        this,
-                        clusterState,
+                        taskLifecycle,
                         imageCacheRecorder,
+                        new RiskTableUpdater(clusterState, handoverState, riskTablePublisher),
                         leadership,
                         fencingToken,
-                        handoverState,
-                        riskTablePublisher);
+                        stateRecovery::isComplete);
         this.failureDetector =
                 new FailureDetector(
                         this,
@@ -293,14 +317,13 @@
                 new UnreachableMachineReturnPolicy(failureDetector, deploymentSettings);
         this.reservationEnforcer =
                 new ReservationEnforcer(
-                        this,
+                        taskLifecycle,
                         clusterState,
                         objectives,
-                        machineTypeCatalog,
-                        deploymentSettings,
-                        store,
                         loop,
-                        reservationSettings);
+                        reservationSettings,
+                        new ReservationCalendarReplica(store, loop, this::isClosed),
+                        this::reservableCapacity);
         this.autoscaler =
                 new Autoscaler(
                         this,
@@ -312,6 +335,15 @@
                         unreachableReturnPolicy);
     }
 
+    private void recordRuntime(JobSpec spec, double seconds) {
+        reservationEnforcer.recordRuntime(spec, seconds);
+    }
+
+    private ReservableCapacity reservableCapacity() {
+        return ReservationService.reservableCapacity(
+                machineTypeCatalog, deploymentSettings, reservationSettings.machineLimits());
+    }
+
     private boolean isReturned(MachineId id) {
         return autoscaler.isReturned(id);
     }
@@ -341,12 +373,8 @@
         DeferredHeartbeats.redirectAll(unanswered, null);
     }
 
-    /** A job was taken in, from a user or from the records. */
-    void onJobAdmitted(Job job) {
-        jobTracker.onJobAdmitted(job);
-    }
-
-    void renewLeadershipIfDue() {
+    @Override
+    public void renewLeadershipIfDue() {
         leadership.renewIfDue();
     }
 
@@ -373,7 +401,7 @@
                                     return;
                                 }
                                 if (entry.isPresent()) {
-                                    stateRecovery.applyJobRecord(
+                                    jobRecords.apply(
                                             entry.get().key(),
                                             entry.get().value(),
                                             entry.get().revision());
@@ -486,13 +514,9 @@
         waited.response().complete(new HeartbeatResponse.Redirect(null));
     }
 
-    /**
-     * All cancellations up to a moment are known. With the first such moment those are answered
-     * whose reports waited.
-     *
-     * @param upTo when the request was sent whose answer showed the last of them
-     */
-    synchronized void onCancellationsKnownUpTo(MonotonicTime upTo) {
+    /** Answers the heartbeats that were deferred until the cancellations are known. */
+    @Override
+    public synchronized void onCancellationsKnownUpTo(MonotonicTime upTo) {
         leadership.advanceFreshness(fencingToken, upTo);
         if (!early.isEmpty()) {
             loop.schedule(Duration.ZERO, this::answerThoseAwaitingFreshness);
@@ -542,173 +566,14 @@
         waiting.forEach(this::answerDeferred);
     }
 
-    // ---- the end of placements ----
-
-    void onTaskExited(
-            Machine machine, Placement placement, ExitReason exitReason, MonotonicTime now) {
-        Job job = placement.job();
-        int task = placement.taskId().index();
-        if (exitReason == ExitReason.DONE) {
-            job.resetFailures();
-            if (placement.runningSince() != null) {
-                reservationEnforcer.recordRuntime(
-                        job.spec(), now.secondsSince(placement.runningSince()));
-            }
-            if (job.spec().kind() == JobKind.GANG) {
-                // The tasks of a gang complete together, so one that is done speaks for all.
-                for (int other = 0; other < job.spec().taskCount(); other++) {
-                    job.markTaskComplete(other);
-                }
-            } else {
-                job.markTaskComplete(task);
-            }
-        } else if (!placement.isStopping() && !job.isCancelled()) {
-            LOG.info(
-                    "task {} attempt {} on {} exited: {}",
-                    placement.taskId(),
-                    placement.attemptNumber(),
-                    machine.id(),
-                    exitReason);
-            if (exitReason == ExitReason.ERROR
-                    || exitReason == ExitReason.UNKNOWN
-                    || exitReason == ExitReason.NO_ROOM) {
-                onTaskFailed(machine, job, exitReason, now);
-            }
-        }
-        jobTracker.recordAttemptEnd(
-                placement,
-                exitReason == ExitReason.STOPPED
-                        ? SecondaryRecord.PREEMPTED_REASON
-                        : exitReason.name());
-        long change = removePlacement(machine, placement, now, true);
-        machine.unpersistedExits()
-                .put(
-                        placement.taskId(),
-                        new Machine.UnpersistedExit(
-                                placement.attemptNumber(), job.shardOfTask(task), change));
-        if (job.isComplete()) {
-            recordWriter.endPending(job);
-        }
-    }
-
-    private void onTaskFailed(Machine machine, Job job, ExitReason exitReason, MonotonicTime now) {
-        int failures = job.recordTaskFailure(machine.id());
-        if (failures >= FAILURES_BEFORE_BACKOFF) {
-            int hold =
-                    Math.min(
-                            MAX_BACKOFF_SECONDS,
-                            1 << Math.min(10, failures - FAILURES_BEFORE_BACKOFF));
-            job.backoffUntil(now.plus(Duration.ofSeconds(hold)));
-        } else if (exitReason == ExitReason.ERROR) {
-            machineRegistry.recordTaskFailure(machine);
-        }
-    }
-
     @Override
     public void markTaskLost(Machine machine, Placement placement, String why, MonotonicTime now) {
-        LOG.info(
-                "task {} attempt {} on {} is lost: {}",
-                placement.taskId(),
-                placement.attemptNumber(),
-                placement.machineId(),
-                why);
-        if (machine != null) {
-            machine.recordLostTasks(1);
-        }
-        boolean taken = machine != null && machine.preemptionDeadline() != null;
-        jobTracker.recordAttemptEnd(
-                placement, taken ? SecondaryRecord.PREEMPTED_REASON : SecondaryRecord.LOST_REASON);
-        // A gang that has not begun waits on for a replacement with the attempt's number.
-        removePlacement(
-                machine,
-                placement,
-                now,
-                placement.job().hasAttemptStarted() || placement.runningSince() != null);
-    }
-
-    /** A worker has reported a task as running. */
-    void onTaskRunning(Placement placement) {
-        if (jobTracker.onTaskRunning(placement)) {
-            TaskShard taskShard = placement.job().shardOfTask(placement.taskId().index());
-            taskShard.recordChange();
-            recordWriter.markDirty(taskShard);
-        }
-        Job job = placement.job();
-        if (job.spec().kind() == JobKind.GANG
-                && !placement.isStopping()
-                && job.pendingTaskCount() > 0) {
-            // Its other tasks were lost before this leader heard that the gang had begun, so the
-            // attempt cannot be completed;
-            // it would keep its machine, and the gang would wait, for ever.
-            stopRestOfGang(job, new TaskId(job.id(), job.nextPendingTask(0)));
-        }
-    }
-
-    /**
-     * @param endsAttempt whether a gang's attempt is over with this task; its others must then be
-     *     gone before the next
-     */
-    long removePlacement(
-            Machine machine, Placement placement, MonotonicTime now, boolean endsAttempt) {
-        if (machine != null) {
-            machine.placements().remove(placement);
-        }
-        Job job = placement.job();
-        long change = job.removePlacement(placement);
-        job.pendingSince(now);
-        recordWriter.markDirty(job.shardOfTask(placement.taskId().index()));
-        if (endsAttempt && job.spec().kind() == JobKind.GANG && !job.isComplete()) {
-            stopRestOfGang(job, placement.taskId());
-        }
-        if ((job.isCancelled() || job.hasExhaustedAttempts()) && job.placements().isEmpty()) {
-            recordWriter.endPending(job);
-        }
-        return change;
-    }
-
-    private void stopRestOfGang(Job gang, TaskId lost) {
-        for (Placement other : List.copyOf(gang.placements())) {
-            if (!other.isStopping()) {
-                stopTask(other, 0, "its gang lost task " + lost);
-            }
-        }
-    }
-
-    void stopAllTasks(Job job, double graceS, String why) {
-        for (Placement placement : List.copyOf(job.placements())) {
-            stopTask(placement, graceS, why);
-        }
-        if (job.placements().isEmpty()) {
-            recordWriter.endPending(job);
-            recordWriter.flush();
-        }
+        taskLifecycle.markTaskLost(machine, placement, why, now);
     }
 
-    private void stopTask(Placement placement, double graceS, String why) {
-        MonotonicTime now = loop.now();
-        if (!placement.isStopping()) {
-            LOG.info(
-                    "task {} attempt {} on {} is stopped: {}",
-                    placement.taskId(),
-                    placement.attemptNumber(),
-                    placement.machineId(),
-                    why);
-        }
-        placement.requestStop(graceS);
-        Machine machine = machines.get(placement.machineId());
-        if (!placement.isCommitted()) {
-            // Its start was never sent and cannot be: nothing to wait for.
-            removePlacement(machine, placement, now, true);
-            return;
-        }
-        if (machine != null && machine.address() != null) {
-            sendCommands(
-                    machine,
-                    placement.incarnation(),
-                    List.of(
-                            WorkerCommand.stop(
-                                    placement.taskId(), placement.attemptNumber(), graceS)));
-        }
+    @Override
+    public void stopWithCheckpoint(Placement placement, String why) {
+        taskLifecycle.stopWithCheckpoint(placement, why);
     }
 
     @Override
@@ -961,20 +826,6 @@
                 >= FULL_ROUND_SHARE * machineRegistry.knownMachineCount();
     }
 
-    /** Stops a task so that it can save what it did. */
-    @Override
-    public void stopWithCheckpoint(Placement placement, String why) {
-        Job job = placement.job();
-        if (job.spec().kind() == JobKind.GANG) {
-            // An orderly stop saves only if all tasks hear of it together.
-            for (Placement each : List.copyOf(job.placements())) {
-                stopTask(each, job.spec().checkpointDurationSeconds(), why);
-            }
-        } else {
-            stopTask(placement, job.spec().checkpointDurationSeconds(), why);
-        }
-    }
-
     private void scheduleRound(MonotonicTime now) {
         boolean full = hasGatheredFullRound(now);
         reservationEnforcer.refreshView(now);
@@ -1051,7 +902,7 @@
                             count,
                             requiredZone(pendingJob),
                             jobTracker.secondsSinceAcceptance(job)));
-            abandonIncompleteGang(job, now);
+            taskLifecycle.abandonIncompleteGang(job, deploymentSettings.gangStartTimeout(), now);
             if (preempting < MAX_PREEMPTING_JOBS) {
                 List<Placement> victims =
                         preemptionPlanner.planPreemption(
@@ -1172,20 +1023,6 @@
                 : job.spec().requiredZone();
     }
 
-    /**
-     * Ends an attempt of a gang that no replacement was found for, so that it does not hold its
-     * machines.
-     */
-    private void abandonIncompleteGang(Job job, MonotonicTime now) {
-        if (job.spec().kind() == JobKind.GANG
-                && now.elapsedSince(job.pendingSince())
-                                .compareTo(deploymentSettings.gangStartTimeout())
-                        > 0) {
-            int missing = job.nextPendingTask(0);
-            stopRestOfGang(job, new TaskId(job.id(), missing));
-        }
-    }
-
     // ---- for the fleet ----
 
     @Override
--- /dev/null
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/CommandSender.java
@@ -0,0 +1,17 @@
+package org.meadowhollow.coordination.lifecycle;
+
+import java.util.List;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.WorkerCommand;
+import org.meadowhollow.model.WorkerIncarnation;
+
+/** Sends commands straight to a worker, without waiting for its next heartbeat. */
+@FunctionalInterface
+public interface CommandSender {
+    /**
+     * Sends commands to a worker whose address is known. Returns at once; the answer is taken in as
+     * a heartbeat later, under the leader's lock, and a failure is ignored. Called with the
+     * leader's lock held.
+     */
+    void sendCommands(Machine machine, WorkerIncarnation incarnation, List<WorkerCommand> commands);
+}
--- /dev/null
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/TaskLifecycle.java
@@ -0,0 +1,253 @@
+package org.meadowhollow.coordination.lifecycle;
+
+import java.time.Duration;
+import java.util.List;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.ExitReason;
+import org.meadowhollow.model.Job;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Placement;
+import org.meadowhollow.model.SecondaryRecord;
+import org.meadowhollow.model.TaskId;
+import org.meadowhollow.model.TaskShard;
+import org.meadowhollow.model.WorkerCommand;
+import org.meadowhollow.storage.RecordWriter;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Carries placements from their first running heartbeat to their end: exits, failures with backoff,
+ * losses, and stops on request, with the rules for gangs. Marks what changes for the record writer;
+ * the caller flushes. Keeps no state of its own beside the jobs' placements. Guarded by the
+ * leader's lock.
+ */
+public final class TaskLifecycle implements PlacementEvents, TaskStopper {
+    private static final Logger LOG = LoggerFactory.getLogger(TaskLifecycle.class);
+
+    /** Failures of a job's tasks after which it has to wait before the next start. */
+    private static final int FAILURES_BEFORE_BACKOFF = 3;
+
+    private static final int MAX_BACKOFF_SECONDS = 60;
+
+    /** Bounds the shift that doubles the backoff. */
+    private static final int MAX_BACKOFF_DOUBLINGS = 10;
+
+    private final EventLoop loop;
+    private final RecordWriter recordWriter;
+    private final MachineRegistry machineRegistry;
+    private final JobTracker jobTracker;
+    private final RuntimeListener runtimeListener;
+    private final CommandSender commandSender;
+
+    /** Creates the lifecycle of one leadership's tasks. */
+    public TaskLifecycle(
+            EventLoop loop,
+            RecordWriter recordWriter,
+            MachineRegistry machineRegistry,
+            JobTracker jobTracker,
+            RuntimeListener runtimeListener,
+            CommandSender commandSender) {
+        this.loop = loop;
+        this.recordWriter = recordWriter;
+        this.machineRegistry = machineRegistry;
+        this.jobTracker = jobTracker;
+        this.runtimeListener = runtimeListener;
+        this.commandSender = commandSender;
+    }
+
+    @Override
+    public void onTaskExited(
+            Machine machine, Placement placement, ExitReason exitReason, MonotonicTime now) {
+        Job job = placement.job();
+        int task = placement.taskId().index();
+        if (exitReason == ExitReason.DONE) {
+            completeTask(placement, now);
+        } else if (!placement.isStopping() && !job.isCancelled()) {
+            LOG.info(
+                    "task {} attempt {} on {} exited: {}",
+                    placement.taskId(),
+                    placement.attemptNumber(),
+                    machine.id(),
+                    exitReason);
+            if (exitReason == ExitReason.ERROR
+                    || exitReason == ExitReason.UNKNOWN
+                    || exitReason == ExitReason.NO_ROOM) {
+                onTaskFailed(machine, job, exitReason, now);
+            }
+        }
+        jobTracker.recordAttemptEnd(
+                placement,
+                exitReason == ExitReason.STOPPED
+                        ? SecondaryRecord.PREEMPTED_REASON
+                        : exitReason.name());
+        long change = removePlacement(machine, placement, now, true);
+        machine.unpersistedExits()
+                .put(
+                        placement.taskId(),
+                        new Machine.UnpersistedExit(
+                                placement.attemptNumber(), job.shardOfTask(task), change));
+        if (job.isComplete()) {
+            recordWriter.endPending(job);
+        }
+    }
+
+    private void completeTask(Placement placement, MonotonicTime now) {
+        Job job = placement.job();
+        job.resetFailures();
+        if (placement.runningSince() != null) {
+            runtimeListener.recordRuntime(job.spec(), now.secondsSince(placement.runningSince()));
+        }
+        if (job.spec().kind() == JobKind.GANG) {
+            // The tasks of a gang complete together, so one that is done speaks for all.
+            for (int other = 0; other < job.spec().taskCount(); other++) {
+                job.markTaskComplete(other);
+            }
+        } else {
+            job.markTaskComplete(placement.taskId().index());
+        }
+    }
+
+    private void onTaskFailed(Machine machine, Job job, ExitReason exitReason, MonotonicTime now) {
+        int failures = job.recordTaskFailure(machine.id());
+        if (failures >= FAILURES_BEFORE_BACKOFF) {
+            int doublings = Math.min(MAX_BACKOFF_DOUBLINGS, failures - FAILURES_BEFORE_BACKOFF);
+            int backoffSeconds = Math.min(MAX_BACKOFF_SECONDS, 1 << doublings);
+            job.backoffUntil(now.plus(Duration.ofSeconds(backoffSeconds)));
+        } else if (exitReason == ExitReason.ERROR) {
+            machineRegistry.recordTaskFailure(machine);
+        }
+    }
+
+    @Override
+    public void markTaskLost(
+            Machine machine, Placement placement, String reason, MonotonicTime now) {
+        LOG.info(
+                "task {} attempt {} on {} is lost: {}",
+                placement.taskId(),
+                placement.attemptNumber(),
+                placement.machineId(),
+                reason);
+        if (machine != null) {
+            machine.recordLostTasks(1);
+        }
+        boolean isMachinePreempted = machine != null && machine.preemptionDeadline() != null;
+        jobTracker.recordAttemptEnd(
+                placement,
+                isMachinePreempted
+                        ? SecondaryRecord.PREEMPTED_REASON
+                        : SecondaryRecord.LOST_REASON);
+        // A gang that has not started keeps its attempt and waits for a replacement of this task.
+        removePlacement(
+                machine,
+                placement,
+                now,
+                placement.job().hasAttemptStarted() || placement.runningSince() != null);
+    }
+
+    @Override
+    public void onTaskRunning(Placement placement) {
+        Job job = placement.job();
+        if (jobTracker.onTaskRunning(placement)) {
+            TaskShard taskShard = job.shardOfTask(placement.taskId().index());
+            taskShard.recordChange();
+            recordWriter.markDirty(taskShard);
+        }
+        if (job.spec().kind() == JobKind.GANG
+                && !placement.isStopping()
+                && job.pendingTaskCount() > 0) {
+            // Its other tasks were lost before this leader learned that the gang had started, so
+            // the attempt cannot be completed; this task would keep its machine, and the gang would
+            // wait, for ever.
+            stopRestOfGang(job, new TaskId(job.id(), job.nextPendingTask(0)));
+        }
+    }
+
+    @Override
+    public long removePlacement(
+            Machine machine, Placement placement, MonotonicTime now, boolean endsAttempt) {
+        if (machine != null) {
+            machine.placements().remove(placement);
+        }
+        Job job = placement.job();
+        long change = job.removePlacement(placement);
+        job.pendingSince(now);
+        recordWriter.markDirty(job.shardOfTask(placement.taskId().index()));
+        if (endsAttempt && job.spec().kind() == JobKind.GANG && !job.isComplete()) {
+            stopRestOfGang(job, placement.taskId());
+        }
+        if ((job.isCancelled() || job.hasExhaustedAttempts()) && job.placements().isEmpty()) {
+            recordWriter.endPending(job);
+        }
+        return change;
+    }
+
+    /**
+     * Ends the attempt of a gang that has waited longer than {@code timeout} for a missing task, so
+     * that it does not keep its machines.
+     */
+    public void abandonIncompleteGang(Job job, Duration timeout, MonotonicTime now) {
+        if (job.spec().kind() == JobKind.GANG
+                && now.elapsedSince(job.pendingSince()).compareTo(timeout) > 0) {
+            stopRestOfGang(job, new TaskId(job.id(), job.nextPendingTask(0)));
+        }
+    }
+
+    private void stopRestOfGang(Job gang, TaskId lost) {
+        for (Placement other : List.copyOf(gang.placements())) {
+            if (!other.isStopping()) {
+                stopTask(other, 0, "its gang lost task " + lost);
+            }
+        }
+    }
+
+    @Override
+    public void stopAllTasks(Job job, double graceSeconds, String reason) {
+        for (Placement placement : List.copyOf(job.placements())) {
+            stopTask(placement, graceSeconds, reason);
+        }
+        if (job.placements().isEmpty()) {
+            recordWriter.endPending(job);
+            recordWriter.flush();
+        }
+    }
+
+    @Override
+    public void stopWithCheckpoint(Placement placement, String reason) {
+        Job job = placement.job();
+        double graceSeconds = job.spec().checkpointDurationSeconds();
+        if (job.spec().kind() == JobKind.GANG) {
+            // A gang saves its checkpoint only if all its tasks are stopped together.
+            for (Placement each : List.copyOf(job.placements())) {
+                stopTask(each, graceSeconds, reason);
+            }
+        } else {
+            stopTask(placement, graceSeconds, reason);
+        }
+    }
+
+    private void stopTask(Placement placement, double graceSeconds, String reason) {
+        MonotonicTime now = loop.now();
+        if (!placement.isStopping()) {
+            LOG.info(
+                    "task {} attempt {} on {} is stopped: {}",
+                    placement.taskId(),
+                    placement.attemptNumber(),
+                    placement.machineId(),
+                    reason);
+        }
+        placement.requestStop(graceSeconds);
+        Machine machine = machineRegistry.find(placement.machineId());
+        if (!placement.isCommitted()) {
+            // Its start was never sent and cannot be: nothing to wait for.
+            removePlacement(machine, placement, now, true);
+            return;
+        }
+        if (machine != null && machine.address() != null) {
+            WorkerCommand stop =
+                    WorkerCommand.stop(placement.taskId(), placement.attemptNumber(), graceSeconds);
+            commandSender.sendCommands(machine, placement.incarnation(), List.of(stop));
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatReconciler.java
@@ -0,0 +1,313 @@
+package org.meadowhollow.coordination.reconciliation;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.BooleanSupplier;
+import org.meadowhollow.coordination.leadership.Leadership;
+import org.meadowhollow.coordination.lifecycle.ImageCacheRecorder;
+import org.meadowhollow.coordination.lifecycle.PlacementEvents;
+import org.meadowhollow.model.ExitReason;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.Heartbeat;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Placement;
+import org.meadowhollow.model.TaskId;
+import org.meadowhollow.model.TaskState;
+import org.meadowhollow.model.WorkerCommand;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Reconciles the tasks that a worker's heartbeat lists with the recorded placements, and finds the
+ * commands that bring them together. Guarded by the leader's lock.
+ */
+public final class HeartbeatReconciler {
+    private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReconciler.class);
+
+    /** Commands in one answer; keeps it below the protocol's 64 KiB. */
+    private static final int MAX_COMMANDS = 400;
+
+    private static final double MILLIS_PER_SECOND = 1000;
+
+    private final PlacementEvents placementEvents;
+    private final ImageCacheRecorder imageCacheRecorder;
+    private final RiskTableUpdater riskTableUpdater;
+    private final Leadership leadership;
+    private final FencingToken fencingToken;
+    private final BooleanSupplier isStateRecovered;
+
+    /**
+     * Creates the reconciler of one leadership.
+     *
+     * @param isStateRecovered whether all records of earlier leaders are loaded; before that no
+     *     task is compared with them
+     */
+    public HeartbeatReconciler(
+            PlacementEvents placementEvents,
+            ImageCacheRecorder imageCacheRecorder,
+            RiskTableUpdater riskTableUpdater,
+            Leadership leadership,
+            FencingToken fencingToken,
+            BooleanSupplier isStateRecovered) {
+        this.placementEvents = placementEvents;
+        this.imageCacheRecorder = imageCacheRecorder;
+        this.riskTableUpdater = riskTableUpdater;
+        this.leadership = leadership;
+        this.fencingToken = fencingToken;
+        this.isStateRecovered = isStateRecovered;
+    }
+
+    /**
+     * Takes in what a heartbeat reports.
+     *
+     * @return false if the heartbeat is older than what is known, and was ignored
+     */
+    public boolean applyHeartbeat(Machine machine, Heartbeat heartbeat, MonotonicTime now) {
+        if (machine.incarnation() != null
+                && !heartbeat.isNewerThan(machine.incarnation(), machine.lastSequenceNumber())) {
+            return false;
+        }
+        if (machine.incarnation() == null) {
+            riskTableUpdater.inheritTable(machine, heartbeat, now);
+        }
+        machine.recordHeartbeat(heartbeat);
+        if (!isStateRecovered.getAsBoolean()) {
+            return true;
+        }
+        recordPreemptionNotice(machine, heartbeat, now);
+        Map<TaskId, Heartbeat.TaskStatus> listedTasks = statusByTask(heartbeat);
+        for (Placement placement : List.copyOf(machine.placements())) {
+            reconcilePlacement(
+                    machine, placement, heartbeat, listedTasks.get(placement.taskId()), now);
+        }
+        recordOrphanedTasks(machine, heartbeat);
+        machine.unpersistedExits().keySet().removeIf(task -> !listedTasks.containsKey(task));
+        riskTableUpdater.recordSample(machine, now);
+        return true;
+    }
+
+    private static Map<TaskId, Heartbeat.TaskStatus> statusByTask(Heartbeat heartbeat) {
+        Map<TaskId, Heartbeat.TaskStatus> listedTasks = new HashMap<>();
+        heartbeat.tasks().forEach(status -> listedTasks.put(status.taskId(), status));
+        return listedTasks;
+    }
+
+    private static void recordPreemptionNotice(
+            Machine machine, Heartbeat heartbeat, MonotonicTime now) {
+        double noticeSeconds = heartbeat.preemptionNoticeSeconds();
+        if (Double.isNaN(noticeSeconds) || machine.preemptionDeadline() != null) {
+            return;
+        }
+        machine.preemptionDeadline(
+                now.plus(Duration.ofMillis((long) (noticeSeconds * MILLIS_PER_SECOND))));
+        LOG.info("machine {} will be preempted in {} s", machine.id(), noticeSeconds);
+        machine.cordon();
+    }
+
+    /** Applies what a heartbeat says of one placement. */
+    private void reconcilePlacement(
+            Machine machine,
+            Placement placement,
+            Heartbeat heartbeat,
+            Heartbeat.TaskStatus status,
+            MonotonicTime now) {
+        if (heartbeat.incarnation().isAfter(placement.incarnation())) {
+            // Without our fencing token it may be a copy from before a machine restarted its
+            // incarnations; the next heartbeat will tell.
+            if (heartbeat.fencingToken().equals(fencingToken)) {
+                placementEvents.markTaskLost(machine, placement, "the worker's lease ran out", now);
+            }
+        } else if (placement.incarnation().isAfter(heartbeat.incarnation())) {
+            if (heartbeat.fencingToken().equals(fencingToken)
+                    && heartbeat.sequenceNumber() > placement.startSentSequenceNumber()) {
+                // It shows our fencing token, so it was sent after the recorded incarnation was
+                // seen, and incarnations only grow: the machine restarted them. Without this its
+                // task would be waited for, and its job with it, for ever.
+                placementEvents.markTaskLost(
+                        machine, placement, "its machine restarted its incarnations", now);
+            }
+            // Otherwise it is a copy from before the placement: the same attempt of a gang may
+            // have ended here then.
+        } else if (status != null && status.attemptNumber().equals(placement.attemptNumber())) {
+            applyTaskStatus(machine, placement, heartbeat, status, now);
+        }
+    }
+
+    private void applyTaskStatus(
+            Machine machine,
+            Placement placement,
+            Heartbeat heartbeat,
+            Heartbeat.TaskStatus status,
+            MonotonicTime now) {
+        if (status.state() == TaskState.EXITED
+                && isFinalExit(placement, status.exitReason(), heartbeat)) {
+            placementEvents.onTaskExited(machine, placement, status.exitReason(), now);
+            return;
+        }
+        if (placement.reportedState() != status.state()) {
+            LOG.debug("task {} on {} is {}", status.taskId(), machine.id(), status.state());
+        }
+        placement.reportedState(status.state(), now);
+        if (status.state() == TaskState.RUNNING) {
+            placementEvents.onTaskRunning(placement);
+        }
+        if (status.state() != TaskState.PULLING_IMAGE && status.state() != TaskState.EXITED) {
+            imageCacheRecorder.recordCachedImage(
+                    machine, placement.job().spec().image(), placement.job().spec().imageSizeGb());
+        }
+    }
+
+    private static void recordOrphanedTasks(Machine machine, Heartbeat heartbeat) {
+        machine.orphanedTasks().clear();
+        for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
+            if (status.state() != TaskState.EXITED && placementOf(machine, status) == null) {
+                machine.orphanedTasks().add(status.taskId());
+            }
+        }
+    }
+
+    private static Placement placementOf(Machine machine, Heartbeat.TaskStatus status) {
+        for (Placement placement : machine.placements()) {
+            if (placement.taskId().equals(status.taskId())
+                    && placement.attemptNumber().equals(status.attemptNumber())) {
+                return placement;
+            }
+        }
+        return null;
+    }
+
+    /** The commands for the answer to a heartbeat that {@link #applyHeartbeat} has taken in. */
+    public List<WorkerCommand> commandsFor(
+            Machine machine, Heartbeat heartbeat, MonotonicTime now) {
+        List<WorkerCommand> commands = new ArrayList<>();
+        for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
+            if (commands.size() >= MAX_COMMANDS) {
+                break;
+            }
+            addCommandsForListedTask(machine, heartbeat, status, commands);
+        }
+        // All listed tasks count as listed, also those for which there is no room in the answer:
+        // a placement that seems not to be listed may be removed.
+        Map<TaskId, Heartbeat.TaskStatus> listedTasks = statusByTask(heartbeat);
+        for (Placement placement : List.copyOf(machine.placements())) {
+            Heartbeat.TaskStatus status = listedTasks.get(placement.taskId());
+            if (status == null || !status.attemptNumber().equals(placement.attemptNumber())) {
+                startOrRemoveUnlisted(machine, heartbeat, placement, commands, now);
+            }
+        }
+        return commands;
+    }
+
+    private void addCommandsForListedTask(
+            Machine machine,
+            Heartbeat heartbeat,
+            Heartbeat.TaskStatus status,
+            List<WorkerCommand> commands) {
+        Placement placement = placementOf(machine, status);
+        if (placement != null) {
+            if (placement.isStopping()
+                    && (status.state() != TaskState.CHECKPOINTING
+                            || placement.graceSeconds() == 0)) {
+                commands.add(
+                        WorkerCommand.stop(
+                                status.taskId(), status.attemptNumber(), placement.graceSeconds()));
+            } else if (status.state() == TaskState.EXITED
+                    && mayStart(placement, machine, heartbeat)) {
+                // It gave up waiting for its gang, whose image pulls go on; its record stands, so
+                // it may wait anew.
+                placement.recordStartSent(heartbeat.sequenceNumber());
+                commands.add(WorkerCommand.forget(status.taskId(), status.attemptNumber()));
+                commands.add(WorkerCommand.start(status.taskId(), status.attemptNumber()));
+            }
+        } else if (status.state() != TaskState.EXITED) {
+            // No record names this task, so nothing else would ever stop it or count it.
+            commands.add(WorkerCommand.stop(status.taskId(), status.attemptNumber(), 0));
+        } else if (!isExitUnpersisted(machine, status)) {
+            commands.add(WorkerCommand.forget(status.taskId(), status.attemptNumber()));
+        }
+    }
+
+    /** Whether the exit of a listed task is taken in, but not yet written. */
+    private static boolean isExitUnpersisted(Machine machine, Heartbeat.TaskStatus status) {
+        Machine.UnpersistedExit exit = machine.unpersistedExits().get(status.taskId());
+        return exit != null
+                && exit.attemptNumber().equals(status.attemptNumber())
+                && !exit.isPersisted();
+    }
+
+    private void startOrRemoveUnlisted(
+            Machine machine,
+            Heartbeat heartbeat,
+            Placement placement,
+            List<WorkerCommand> commands,
+            MonotonicTime now) {
+        if (placement.isStopping() || placement.job().isCancelled()) {
+            if (canNeverStart(placement, machine, heartbeat)) {
+                placementEvents.removePlacement(machine, placement, now, true);
+            }
+        } else if (commands.size() < MAX_COMMANDS && mayStart(placement, machine, heartbeat)) {
+            placement.recordStartSent(heartbeat.sequenceNumber());
+            commands.add(WorkerCommand.start(placement.taskId(), placement.attemptNumber()));
+        }
+    }
+
+    /**
+     * Whether a placement that a heartbeat does not list can never start any more. A start is sent
+     * only in the answer to a heartbeat, and a worker has one heartbeat in flight at a time; so a
+     * later heartbeat without the task proves that no answer with its start will be obeyed, once
+     * the worker has shown our fencing token, which shuts out the answers of earlier leaders.
+     */
+    private boolean canNeverStart(Placement placement, Machine machine, Heartbeat heartbeat) {
+        return heartbeat.fencingToken().equals(fencingToken)
+                && heartbeat.incarnation().equals(placement.incarnation())
+                && heartbeat.sequenceNumber() > placement.startSentSequenceNumber()
+                && machine.lastContactAt() != null;
+    }
+
+    /**
+     * Whether the answer to a heartbeat may start a placement. Not in another incarnation than that
+     * for which it was placed: the next heartbeat would prove that incarnation over, and the task
+     * just started would be one that no record names.
+     */
+    private boolean mayStart(Placement placement, Machine machine, Heartbeat heartbeat) {
+        return leadership.canStartTasks()
+                && placement.isCommitted()
+                && !machine.releasing()
+                && placement.incarnation().equals(heartbeat.incarnation())
+                && isWholeGangCommitted(placement);
+    }
+
+    /**
+     * Whether an exit that a heartbeat of the placement's incarnation lists is its end. A task that
+     * only timed out waiting for its gang is started again in the same attempt, for image pulls
+     * differ by more than that timeout, and ending the attempt would abandon the pulls of all its
+     * other tasks. Where the task is not wanted any more, its exit is proof only if no leader can
+     * have restarted it since: an old heartbeat that reached the next leader first let a cancelled
+     * gang end while it ran.
+     */
+    private boolean isFinalExit(Placement placement, ExitReason exitReason, Heartbeat heartbeat) {
+        if (exitReason != ExitReason.ALONE) {
+            return true;
+        }
+        return (placement.isStopping() || placement.job().isCancelled())
+                && heartbeat.fencingToken().equals(fencingToken)
+                && heartbeat.sequenceNumber() > placement.startSentSequenceNumber();
+    }
+
+    private static boolean isWholeGangCommitted(Placement placement) {
+        if (placement.job().spec().kind() != JobKind.GANG) {
+            return true;
+        }
+        for (Placement other : placement.job().placements()) {
+            if (!other.isCommitted()) {
+                return false;
+            }
+        }
+        return placement.job().placements().size() == placement.job().spec().taskCount();
+    }
+}
--- /dev/null
+++ b/src/main/java/org/meadowhollow/coordination/recovery/JobRecordApplier.java
@@ -0,0 +1,121 @@
+package org.meadowhollow.coordination.recovery;
+
+import java.time.Duration;
+import java.util.Map;
+import org.meadowhollow.coordination.lifecycle.JobTracker;
+import org.meadowhollow.coordination.lifecycle.TaskStopper;
+import org.meadowhollow.coordination.scheduling.ArrivalForecast;
+import org.meadowhollow.coordination.scheduling.ClusterState;
+import org.meadowhollow.coordination.scheduling.ServiceLevelObjectives;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.Job;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordWriter;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Applies records of live jobs to the leader's memory: admits new jobs, and cancels those that a
+ * user cancelled. Guarded by the leader's lock.
+ */
+public final class JobRecordApplier {
+    private static final Logger LOG = LoggerFactory.getLogger(JobRecordApplier.class);
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final double MILLIS_PER_SECOND = 1000;
+
+    private final EventLoop loop;
+    private final ClusterState clusterState;
+    private final ServiceLevelObjectives objectives;
+    private final ArrivalForecast arrivalForecast;
+    private final RecordWriter recordWriter;
+    private final JobTracker jobTracker;
+    private final TaskStopper taskStopper;
+    private boolean recoveryComplete;
+
+    /** Creates an applier that admits jobs to {@code clusterState}. */
+    public JobRecordApplier(
+            EventLoop loop,
+            ClusterState clusterState,
+            ServiceLevelObjectives objectives,
+            ArrivalForecast arrivalForecast,
+            RecordWriter recordWriter,
+            JobTracker jobTracker,
+            TaskStopper taskStopper) {
+        this.loop = loop;
+        this.clusterState = clusterState;
+        this.objectives = objectives;
+        this.arrivalForecast = arrivalForecast;
+        this.recordWriter = recordWriter;
+        this.jobTracker = jobTracker;
+        this.taskStopper = taskStopper;
+    }
+
+    /**
+     * All earlier records are in, with their tasks: a job that is new and cancelled from now on has
+     * no tasks to stop.
+     */
+    void onRecoveryComplete() {
+        recoveryComplete = true;
+    }
+
+    /**
+     * Applies one record of a job; one that is older than what is known is ignored.
+     *
+     * @param record the fields of the record as stored
+     * @param revision the revision of the change that wrote it
+     */
+    public void apply(String key, Map<String, Object> record, Revision revision) {
+        JobId id = RecordCodec.jobIdOfKey(key);
+        Job job = clusterState.jobs().get(id);
+        MonotonicTime now = loop.now();
+        if (job == null) {
+            admit(RecordCodec.job(id, record, revision, now), now);
+            return;
+        }
+        if (!revision.isAfter(job.recordRevision())) {
+            return;
+        }
+        job.recordRevision(revision);
+        if (RecordCodec.isCancelled(record) && !job.isCancelled()) {
+            job.cancel(now);
+            taskStopper.stopAllTasks(job, 0, StateRecovery.CANCELLED_BY_USER);
+        }
+    }
+
+    private void admit(Job job, MonotonicTime now) {
+        job.pendingSince(now);
+        clusterState.jobs().put(job.id(), job);
+        objectives.recordJob(job.spec());
+        jobTracker.onJobAdmitted(job);
+        LOG.info(
+                "job {}: {} of {} tasks of about {} s for team {}, class {}, due in {} s",
+                job.id(),
+                job.spec().kind(),
+                job.spec().taskCount(),
+                job.spec().estimatedRuntimeSeconds(),
+                job.spec().team(),
+                job.spec().jobClass(),
+                job.spec().deadlineSeconds());
+        if (objectives.needsSpareMachines(job.spec())) {
+            recordArrival(job, now);
+        }
+        if (job.isCancelled() && recoveryComplete) {
+            // Admitted and cancelled between two watches: there is nothing to stop, but its end is
+            // still to be written.
+            recordWriter.endPending(job);
+            recordWriter.flush();
+        }
+    }
+
+    private void recordArrival(Job job, MonotonicTime now) {
+        long ageMillis = Math.max(0, loop.wallClockMillis() - job.acceptedAtMillis());
+        double startupSeconds = objectives.startupDelaySeconds(job.spec());
+        arrivalForecast.recordArrival(
+                job.spec(),
+                new MonotonicTime(now.nanos() - ageMillis * NANOS_PER_MILLI),
+                Duration.ofMillis((long) (startupSeconds * MILLIS_PER_SECOND)));
+    }
+}
--- /dev/null
+++ b/src/main/java/org/meadowhollow/coordination/recovery/JobWatcher.java
@@ -0,0 +1,131 @@
+package org.meadowhollow.coordination.recovery;
+
+import java.time.Duration;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.KeyValueStoreException;
+import org.meadowhollow.storage.KeyValueStoreException.Outcome;
+import org.meadowhollow.storage.RecordCodec;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Watches the job records after the recovery, so that the leader learns of new jobs and
+ * cancellations, and of how fresh that knowledge is. Guarded by the leader's lock.
+ */
+final class JobWatcher {
+    private static final Logger LOG = LoggerFactory.getLogger(JobWatcher.class);
+
+    /**
+     * A watch's answer shows that all was known up to when the watch was sent. Its length is
+     * therefore how old that knowledge is at most, which is taken off the time for which workers
+     * are answered in an outage.
+     */
+    private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(1);
+
+    /**
+     * How long watches may fail, while other calls may be answered, before all jobs are read
+     * instead.
+     */
+    private static final Duration MAX_WATCH_FAILURE = Duration.ofSeconds(6);
+
+    private final RecoveryContext context;
+    private final PageReader pageReader;
+    private final RecordRestorer restorer;
+    private final JobRecordApplier jobRecords;
+
+    /** When the last watch that was answered was sent. */
+    private MonotonicTime lastWatchSentAt;
+
+    JobWatcher(
+            RecoveryContext context,
+            PageReader pageReader,
+            RecordRestorer restorer,
+            JobRecordApplier jobRecords) {
+        this.context = context;
+        this.pageReader = pageReader;
+        this.restorer = restorer;
+        this.jobRecords = jobRecords;
+    }
+
+    /** Asks for what has changed by now, which is answered at once, and goes on to watch. */
+    void watchFromNow(Revision after) {
+        watch(after, Duration.ZERO);
+    }
+
+    private void watch(Revision after, Duration timeout) {
+        MonotonicTime sentAt = context.loop().now();
+        if (lastWatchSentAt == null) {
+            lastWatchSentAt = sentAt;
+        }
+        context.store()
+                .watch(RecordCodec.JOB_PREFIX, after, timeout)
+                .whenComplete(
+                        (changes, failure) -> {
+                            synchronized (context.lock()) {
+                                if (context.listener().isClosed()) {
+                                    return;
+                                }
+                                if (failure == null) {
+                                    onChanges(changes, after, sentAt);
+                                } else {
+                                    onFailure(failure, after, sentAt);
+                                }
+                            }
+                        });
+    }
+
+    private void onChanges(KeyValueStore.ChangeBatch batch, Revision after, MonotonicTime sentAt) {
+        if (after.isAfter(batch.revision())) {
+            LOG.info(
+                    "the state service shows changes up to {}, and has shown {}: not taken in",
+                    batch.revision(),
+                    after);
+            retryLater(after);
+            return;
+        }
+        for (KeyValueStore.Change change : batch.changes()) {
+            if (change.value() != null) {
+                jobRecords.apply(change.key(), change.value(), change.revision());
+            }
+        }
+        lastWatchSentAt = sentAt;
+        context.listener().onCancellationsKnownUpTo(sentAt);
+        watch(batch.revision(), WATCH_TIMEOUT);
+    }
+
+    private void onFailure(Throwable failure, Revision after, MonotonicTime sentAt) {
+        if (KeyValueStoreException.outcomeOf(failure) == Outcome.COMPACTED
+                || watchesKeepFailing(sentAt)) {
+            readAllJobs();
+        } else {
+            retryLater(after);
+        }
+    }
+
+    private void retryLater(Revision after) {
+        context.loop().schedule(StateRecovery.RETRY_DELAY, () -> watchFromNow(after));
+    }
+
+    private void readAllJobs() {
+        MonotonicTime begunAt = context.loop().now();
+        lastWatchSentAt = begunAt;
+        pageReader.readAll(
+                RecordCodec.JOB_PREFIX,
+                restorer::restoreJobs,
+                watchFrom -> {
+                    context.listener().onCancellationsKnownUpTo(begunAt);
+                    watchFromNow(watchFrom);
+                });
+    }
+
+    /**
+     * Whether other calls are answered, but watches have not been for long: their answer may be too
+     * large to take.
+     */
+    private boolean watchesKeepFailing(MonotonicTime now) {
+        return !context.store().seemsUnavailable()
+                && now.elapsedSince(lastWatchSentAt).compareTo(MAX_WATCH_FAILURE) > 0;
+    }
+}
--- /dev/null
+++ b/src/main/java/org/meadowhollow/coordination/recovery/PageReader.java
@@ -0,0 +1,86 @@
+package org.meadowhollow.coordination.recovery;
+
+import java.util.List;
+import java.util.function.Consumer;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.KeyValueStore.RequestPriority;
+
+/** Reads all records under a key prefix, page by page. Guarded by the leader's lock. */
+final class PageReader {
+    private final RecoveryContext context;
+    private int recordCount;
+
+    PageReader(RecoveryContext context) {
+        this.context = context;
+    }
+
+    /** How many records were read so far. */
+    int recordCount() {
+        return recordCount;
+    }
+
+    /**
+     * Reads all records under a prefix; a page that fails is asked for again until the leadership
+     * ends.
+     *
+     * @param onPage takes in the entries of each page, under the leader's lock
+     * @param onComplete takes the revision of the first page, from which changes must be watched
+     */
+    void readAll(
+            String prefix,
+            Consumer<List<KeyValueStore.Entry>> onPage,
+            Consumer<Revision> onComplete) {
+        new Listing(prefix, onPage, onComplete).readAfter(null, null);
+    }
+
+    /** The reading of one prefix. */
+    private final class Listing {
+        private final String prefix;
+        private final Consumer<List<KeyValueStore.Entry>> onPage;
+        private final Consumer<Revision> onComplete;
+
+        Listing(
+                String prefix,
+                Consumer<List<KeyValueStore.Entry>> onPage,
+                Consumer<Revision> onComplete) {
+            this.prefix = prefix;
+            this.onPage = onPage;
+            this.onComplete = onComplete;
+        }
+
+        void readAfter(String lastKey, Revision firstRevision) {
+            context.store()
+                    .list(prefix, lastKey, RequestPriority.PLACEMENT)
+                    .whenComplete(
+                            (page, failure) -> {
+                                synchronized (context.lock()) {
+                                    if (context.listener().isClosed()) {
+                                        return;
+                                    }
+                                    if (failure != null) {
+                                        context.loop()
+                                                .schedule(
+                                                        StateRecovery.RETRY_DELAY,
+                                                        () -> readAfter(lastKey, firstRevision));
+                                        return;
+                                    }
+                                    takePage(page, firstRevision);
+                                }
+                            });
+        }
+
+        private void takePage(KeyValueStore.Page page, Revision firstRevision) {
+            recordCount += page.entries().size();
+            onPage.accept(page.entries());
+            context.listener().renewLeadershipIfDue();
+            Revision watchFrom = firstRevision == null ? page.revision() : firstRevision;
+            if (page.hasMore()) {
+                String lastKey = page.entries().get(page.entries().size() - 1).key();
+                readAfter(lastKey, watchFrom);
+            } else {
+                onComplete.accept(watchFrom);
+            }
+        }
+    }
+}
--- a/src/test/java/org/meadowhollow/LayersTest.java
+++ b/src/test/java/org/meadowhollow/LayersTest.java
@@ -48,7 +48,10 @@
                     "leadership",
                     "failover",
                     "fleet",
-                    "lifecycle");
+                    "lifecycle",
+                    "recovery",
+                    "reconciliation",
+                    "rounds");
 
     private static final Path SOURCES = Path.of("src/main/java", ROOT.split("\\."));
     private static final Pattern IMPORT =
