--- a/src/main/java/org/meadowhollow/coordination/LeaderService.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderService.java
@@ -37,6 +37,9 @@
 import org.meadowhollow.coordination.lifecycle.JobTracker;
 import org.meadowhollow.coordination.lifecycle.MachineRegistry;
 import org.meadowhollow.coordination.lifecycle.TaskLifecycle;
+import org.meadowhollow.coordination.reconciliation.DirectCommandSender;
+import org.meadowhollow.coordination.reconciliation.HeartbeatContext;
+import org.meadowhollow.coordination.reconciliation.HeartbeatHandler;
 import org.meadowhollow.coordination.reconciliation.HeartbeatReconciler;
 import org.meadowhollow.coordination.reconciliation.RiskTableUpdater;
 import org.meadowhollow.coordination.recovery.JobRecordApplier;
@@ -100,29 +103,6 @@
      */
     private static final int MAX_JOBS_DISPLACING_BEST_EFFORT = 8;
 
-    /**
-     * How long a report of a machine with room is held: less than the three quarters of a report's
-     * interval after which the next goes out, and well below the 4 s that a worker waits for its
-     * answer.
-     */
-    private static final double DEFERRAL_SHARE_OF_INTERVAL = 0.6;
-
-    private static final Duration MAX_DEFERRAL = Duration.ofMillis(2500);
-
-    /**
-     * How long a report waits while no lease may be renewed, below the 4 s that a worker waits.
-     * Sent on at once, hundreds of workers went round all nodes every second throughout an outage.
-     */
-    private static final Duration MAX_FRESHNESS_WAIT = Duration.ofSeconds(3);
-
-    /**
-     * Direct answers that can overtake a report on its way: one for each task that is stopped
-     * meanwhile.
-     */
-    private static final int MAX_OVERTAKEN_HEARTBEATS = 16;
-
-    private static final Duration DEFERRAL_SWEEP_INTERVAL = Duration.ofMillis(250);
-
     /** Reports come up to a quarter late, and a worker turns to the next node a second later. */
     private static final double LATEST_HEARTBEAT_FACTOR = 1.25;
 
@@ -153,18 +133,12 @@
 
     private final EventLoop loop;
     private final KeyValueStore store;
-    private final WorkerGateway workerGateway;
     private final DeploymentSettings deploymentSettings;
     private final MachineTypeCatalog machineTypeCatalog;
     private final Leadership leadership;
     private final Autoscaler autoscaler;
     private final RecordWriter recordWriter;
     private final ImageCacheRecorder imageCacheRecorder;
-    private final DeferredHeartbeats deferredHeartbeats = new DeferredHeartbeats();
-
-    /** Those that came while this leader did not know which jobs are cancelled. */
-    private final DeferredHeartbeats early = new DeferredHeartbeats();
-
     private final FencingToken fencingToken;
     private final MonotonicTime startedAt;
     private final ClusterState clusterState;
@@ -174,9 +148,9 @@
     private final PreemptionPlanner preemptionPlanner;
     private final StateRecovery stateRecovery;
     private final HeartbeatTimeoutMonitor heartbeatTimeoutMonitor;
-    private final HeartbeatReconciler heartbeatReconciler;
+    private final HeartbeatHandler heartbeatHandler;
+    private final DirectCommandSender directCommandSender;
     private final FailureDetector failureDetector;
-    private final UnreachableMachineReturnPolicy unreachableReturnPolicy;
     private final ReservationSettings reservationSettings;
     private final ReservationEnforcer reservationEnforcer;
     private final Revision leaderKeyRevision;
@@ -221,7 +195,6 @@
             MonotonicTime noticedAt) {
         this.loop = loop;
         this.store = store;
-        this.workerGateway = workerGateway;
         this.deploymentSettings = deploymentSettings;
         this.machineTypeCatalog = machineTypeCatalog;
         this.reservationSettings = reservationSettings;
@@ -296,14 +269,6 @@
         this.heartbeatTimeoutMonitor =
                 new HeartbeatTimeoutMonitor(
                         this, clusterState, deploymentSettings, fencingToken, startedAt);
-        this.heartbeatReconciler =
-                new HeartbeatReconciler(
-                        taskLifecycle,
-                        imageCacheRecorder,
-                        new RiskTableUpdater(clusterState, handoverState, riskTablePublisher),
-                        leadership,
-                        fencingToken,
-                        stateRecovery::isComplete);
         this.failureDetector =
                 new FailureDetector(
                         this,
@@ -313,8 +278,30 @@
                         peerGateway,
                         leadership,
                         startedAt);
-        this.unreachableReturnPolicy =
+        UnreachableMachineReturnPolicy unreachableReturnPolicy =
                 new UnreachableMachineReturnPolicy(failureDetector, deploymentSettings);
+        HeartbeatReconciler heartbeatReconciler =
+                new HeartbeatReconciler(
+                        taskLifecycle,
+                        imageCacheRecorder,
+                        new RiskTableUpdater(clusterState, handoverState, riskTablePublisher),
+                        leadership,
+                        fencingToken,
+                        stateRecovery::isComplete);
+        HeartbeatContext heartbeatContext =
+                new HeartbeatContext(this, this::isClosed, loop, leadership, fencingToken);
+        this.heartbeatHandler =
+                new HeartbeatHandler(
+                        heartbeatContext,
+                        deploymentSettings,
+                        clusterState,
+                        machineRegistry,
+                        heartbeatReconciler,
+                        unreachableReturnPolicy,
+                        recordWriter);
+        this.directCommandSender =
+                new DirectCommandSender(
+                        heartbeatContext, workerGateway, machineRegistry, heartbeatHandler);
         this.reservationEnforcer =
                 new ReservationEnforcer(
                         taskLifecycle,
@@ -357,7 +344,7 @@
         if (handoverState.isWarm()) {
             loop.schedule(WARM_CHECK_INTERVAL, this::early);
         }
-        loop.schedule(DEFERRAL_SWEEP_INTERVAL, this::sweepDeferred);
+        heartbeatHandler.start();
     }
 
     public void close() {
@@ -366,8 +353,7 @@
             closed = true;
             recordWriter.close();
             autoscaler.close();
-            unanswered = new ArrayList<>(deferredHeartbeats.takeAll());
-            unanswered.addAll(early.takeAll());
+            unanswered = heartbeatHandler.takeAll();
         }
         // Whoever leads now may renew their leases; this leader must not.
         DeferredHeartbeats.redirectAll(unanswered, null);
@@ -422,148 +408,21 @@
 
     // ---- reports ----
 
-    /**
-     * Answers a worker's report, so that its lease is kept: at once, or a little later if it has
-     * room. While this leader cannot know of all cancellations nothing is answered that would renew
-     * a lease, so reports wait until it does, or for as long as they can.
-     */
-    public synchronized CompletableFuture<HeartbeatResponse> handleHeartbeat(Heartbeat heartbeat) {
-        MonotonicTime now = loop.now();
-        leadership.renewIfDue();
-        if (heartbeat.fencingToken().isAfter(fencingToken)) {
-            leadership.observeToken(heartbeat.fencingToken(), null);
-            return CompletableFuture.completedFuture(
-                    new HeartbeatResponse.Redirect(leadership.lastKnownLeader()));
-        }
-        if (!leadership.canRenewWorkerLeases()) {
-            return early.defer(heartbeat, now.plus(MAX_FRESHNESS_WAIT));
-        }
-        Machine machine = machineRegistry.findOrRegister(heartbeat);
-        if (machine == null) {
-            // What is not known as a machine gets no orders, so its lease is not renewed either.
-            return CompletableFuture.completedFuture(new HeartbeatResponse.Redirect(null));
-        }
-        if (!heartbeatReconciler.applyHeartbeat(machine, heartbeat, now)) {
-            return CompletableFuture.completedFuture(
-                    respondToStaleHeartbeat(machine, heartbeat, now));
-        }
-        deferredHeartbeats.discardEarlier(heartbeat.machineId());
-        unreachableReturnPolicy.onHeartbeat(machine, now);
-        machine.recordAnsweredHeartbeat(now);
-        List<WorkerCommand> orders = heartbeatReconciler.commandsFor(machine, heartbeat, now);
-        recordWriter.flush();
-        if (orders.isEmpty()
-                && leadership.canDecide()
-                && machine.hasFreeCapacity()
-                && clusterState.isSchedulable(machine, now)) {
-            return deferredHeartbeats.defer(heartbeat, now.plus(deferralTime()));
-        }
-        return CompletableFuture.completedFuture(
-                new HeartbeatResponse.Commands(fencingToken, orders));
-    }
-
-    /**
-     * The answer to a report that is older than what is known. One that a direct answer has
-     * overtaken renews the lease, and so its machine counts as heard; any other is a late copy, or
-     * comes from a machine that has begun anew: its lease must not be renewed, for its tasks are
-     * taken for lost by its silence.
-     */
-    private HeartbeatResponse respondToStaleHeartbeat(
-            Machine machine, Heartbeat heartbeat, MonotonicTime now) {
-        if (heartbeat.fencingToken().equals(fencingToken)
-                && heartbeat.incarnation().equals(machine.incarnation())
-                && machine.lastSequenceNumber() - heartbeat.sequenceNumber()
-                        <= MAX_OVERTAKEN_HEARTBEATS) {
-            machine.recordContact(now);
-            return new HeartbeatResponse.Commands(fencingToken, List.of());
-        }
-        return new HeartbeatResponse.Redirect(null);
-    }
-
-    private Duration deferralTime() {
-        Duration share =
-                Duration.ofNanos(
-                        (long)
-                                (deploymentSettings.heartbeatInterval().toNanos()
-                                        * DEFERRAL_SHARE_OF_INTERVAL));
-        return share.compareTo(MAX_DEFERRAL) < 0 ? share : MAX_DEFERRAL;
-    }
-
-    private void sweepDeferred() {
-        List<DeferredHeartbeats.DeferredHeartbeat> due;
-        List<DeferredHeartbeats.DeferredHeartbeat> tooEarly;
-        synchronized (this) {
-            if (closed) {
-                return;
-            }
-            due = deferredHeartbeats.takeDue(loop.now());
-            tooEarly = early.takeDue(loop.now());
-        }
-        loop.schedule(DEFERRAL_SWEEP_INTERVAL, this::sweepDeferred);
-        due.forEach(this::answerDeferred);
-        tooEarly.forEach(this::applyAndRedirect);
-    }
-
-    /** Sends a worker on whose lease may not be renewed; what it reports is news all the same. */
-    private void applyAndRedirect(DeferredHeartbeats.DeferredHeartbeat waited) {
-        synchronized (this) {
-            MonotonicTime now = loop.now();
-            Machine machine = closed ? null : machineRegistry.findOrRegister(waited.heartbeat());
-            applyWithoutLeaseRenewal(machine, waited.heartbeat(), now);
-        }
-        waited.response().complete(new HeartbeatResponse.Redirect(null));
+    /** Answers a worker's heartbeat, or defers its answer. */
+    CompletableFuture<HeartbeatResponse> handleHeartbeat(Heartbeat heartbeat) {
+        return heartbeatHandler.handleHeartbeat(heartbeat);
     }
 
     /** Answers the heartbeats that were deferred until the cancellations are known. */
     @Override
     public synchronized void onCancellationsKnownUpTo(MonotonicTime upTo) {
         leadership.advanceFreshness(fencingToken, upTo);
-        if (!early.isEmpty()) {
-            loop.schedule(Duration.ZERO, this::answerThoseAwaitingFreshness);
-        }
-    }
-
-    private void answerThoseAwaitingFreshness() {
-        List<DeferredHeartbeats.DeferredHeartbeat> waiting;
-        synchronized (this) {
-            waiting = early.takeAll();
-        }
-        waiting.forEach(
-                each -> handleHeartbeat(each.heartbeat()).thenAccept(each.response()::complete));
-    }
-
-    /** Answers a report that was held, with the orders that there are by now. */
-    private void answerDeferred(DeferredHeartbeats.DeferredHeartbeat late) {
-        HeartbeatResponse.Commands answer;
-        synchronized (this) {
-            Machine machine = machines.get(late.heartbeat().machineId());
-            answer =
-                    new HeartbeatResponse.Commands(
-                            fencingToken,
-                            closed || machine == null
-                                    ? List.of()
-                                    : heartbeatReconciler.commandsFor(
-                                            machine, late.heartbeat(), loop.now()));
-            recordWriter.flush();
-        }
-        late.response().complete(answer);
+        heartbeatHandler.onCancellationsKnown();
     }
 
     @Override
     public void onTasksPersisted(Job job) {
-        List<DeferredHeartbeats.DeferredHeartbeat> waiting = new ArrayList<>();
-        synchronized (this) {
-            for (Placement placement : job.placements()) {
-                DeferredHeartbeats.DeferredHeartbeat report =
-                        placement.startSentSequenceNumber() < 0 && placement.isCommitted()
-                                ? deferredHeartbeats.take(placement.machineId())
-                                : null;
-                if (report != null) {
-                    waiting.add(report);
-                }
-            }
-        }
-        waiting.forEach(this::answerDeferred);
+        heartbeatHandler.onTasksPersisted(job);
     }
 
     @Override
@@ -578,55 +437,8 @@
 
     @Override
     public void sendCommands(
-            Machine machine, WorkerIncarnation workerIncarnation, List<WorkerCommand> orders) {
-        WorkerIncarnation knownSession = machine.incarnation();
-        long knownSeq = machine.lastSequenceNumber();
-        workerGateway
-                .sendCommands(machine.address(), fencingToken, workerIncarnation, orders)
-                .whenComplete(
-                        (heartbeat, failure) -> {
-                            if (failure == null) {
-                                onDirectResponse(heartbeat, machine, knownSession, knownSeq);
-                            }
-                        });
-    }
-
-    /**
-     * A report that answers a direct command: news as good as any, but it renews no lease.
-     *
-     * @param knownSession of the machine that was asked, when it was, or null
-     * @param knownSeq the number of its latest report then
-     */
-    private synchronized void onDirectResponse(
-            Heartbeat heartbeat, Machine asked, WorkerIncarnation knownSession, long knownSeq) {
-        if (closed) {
-            return;
-        }
-        if (heartbeat.fencingToken().isAfter(fencingToken)) {
-            leadership.observeToken(heartbeat.fencingToken(), null);
-            return;
-        }
-        MonotonicTime now = loop.now();
-        Machine machine = machineRegistry.findOrRegister(heartbeat);
-        if (machine == asked
-                && knownSession != null
-                && !heartbeat.isNewerThan(knownSession, knownSeq)) {
-            machineRegistry.onIncarnationReset(machine, now);
-        } else {
-            applyWithoutLeaseRenewal(machine, heartbeat, now);
-        }
-    }
-
-    /**
-     * Takes in a report that renews no lease, unless it is of no machine known here or older than
-     * what is known.
-     */
-    private void applyWithoutLeaseRenewal(Machine machine, Heartbeat heartbeat, MonotonicTime now) {
-        if (machine != null && heartbeatReconciler.applyHeartbeat(machine, heartbeat, now)) {
-            unreachableReturnPolicy.onHeartbeat(machine, now);
-            machine.recordContact(now);
-            recordWriter.flush();
-        }
+            Machine machine, WorkerIncarnation incarnation, List<WorkerCommand> commands) {
+        directCommandSender.sendCommands(machine, incarnation, commands);
     }
 
     // ---- rounds ----
