--- a/src/main/java/org/meadowhollow/coordination/LeaderService.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderService.java
@@ -46,11 +46,13 @@
 import org.meadowhollow.coordination.recovery.RecordRestorer;
 import org.meadowhollow.coordination.recovery.RecoveryContext;
 import org.meadowhollow.coordination.recovery.RecoveryListener;
+import org.meadowhollow.coordination.recovery.RiskTableRestorer;
 import org.meadowhollow.coordination.recovery.StateRecovery;
 import org.meadowhollow.coordination.reservation.ReservableCapacity;
 import org.meadowhollow.coordination.reservation.ReservationCalendarReplica;
 import org.meadowhollow.coordination.reservation.ReservationService;
 import org.meadowhollow.coordination.reservation.ReservationSettings;
+import org.meadowhollow.coordination.rounds.FirstRoundGate;
 import org.meadowhollow.coordination.rounds.ReservationEnforcer;
 import org.meadowhollow.coordination.scheduling.ArrivalForecast;
 import org.meadowhollow.coordination.scheduling.ClusterState;
@@ -103,31 +105,6 @@
      */
     private static final int MAX_JOBS_DISPLACING_BEST_EFFORT = 8;
 
-    /** Reports come up to a quarter late, and a worker turns to the next node a second later. */
-    private static final double LATEST_HEARTBEAT_FACTOR = 1.25;
-
-    private static final double NEXT_NODE_SECONDS = 1;
-
-    /**
-     * The share of the known machines whose reports make a full round. Among hundreds some are
-     * always hung, dead or about to be taken, and are listed for long after; waiting for them took
-     * each takeover the whole time.
-     */
-    private static final double FULL_ROUND_SHARE = 0.9;
-
-    /**
-     * The share of the machines that the last leader heard of which a warm leader's first round
-     * needs. Most of them have waited at this node for a leader; for the rest it knows the tables
-     * and what may run there.
-     */
-    private static final double WARM_FIRST_ROUND_SHARE = 0.5;
-
-    /**
-     * After the state service did not say which tables are noted there; until it does, none is
-     * written over.
-     */
-    private static final Duration SNAPSHOT_READ_RETRY = Duration.ofSeconds(2);
-
     /** How often a warm leader looks whether its first round can be. */
     private static final Duration WARM_CHECK_INTERVAL = Duration.ofMillis(200);
 
@@ -164,16 +141,8 @@
     private final MachineRegistry machineRegistry;
     private final TaskLifecycle taskLifecycle;
     private final JobRecordApplier jobRecords;
-    private boolean fullRoundGathered;
-    private boolean firstRoundAllowed;
-
-    /**
-     * Whether all tables are here that there are: a snapshot of fewer would take the place of a
-     * better one.
-     */
-    private boolean riskTablesSettled;
-
-    private boolean riskTablesRequested;
+    private final RiskTableRestorer riskTableRestorer;
+    private final FirstRoundGate firstRoundGate;
     private boolean closed;
     private long placedByRisk;
     private long placedByCapacity;
@@ -251,9 +220,12 @@
                         recordWriter,
                         jobTracker,
                         taskLifecycle);
+        RecoveryContext recoveryContext = new RecoveryContext(this, this, store, loop);
+        this.riskTableRestorer =
+                new RiskTableRestorer(recoveryContext, clusterState, handoverState);
         this.stateRecovery =
                 new StateRecovery(
-                        new RecoveryContext(this, this, store, loop),
+                        recoveryContext,
                         new RecordRestorer(
                                 loop,
                                 clusterState,
@@ -311,6 +283,14 @@
                         reservationSettings,
                         new ReservationCalendarReplica(store, loop, this::isClosed),
                         this::reservableCapacity);
+        this.firstRoundGate =
+                new FirstRoundGate(
+                        startedAt,
+                        deploymentSettings.heartbeatInterval(),
+                        machineRegistry,
+                        handoverState,
+                        failoverTimeline,
+                        new RoundConditions());
         this.autoscaler =
                 new Autoscaler(
                         this,
@@ -342,7 +322,7 @@
         autoscaler.start();
         loop.schedule(ROUND_INTERVAL, this::runRound);
         if (handoverState.isWarm()) {
-            loop.schedule(WARM_CHECK_INTERVAL, this::early);
+            loop.schedule(WARM_CHECK_INTERVAL, this::checkWarmStart);
         }
         heartbeatHandler.start();
     }
@@ -456,13 +436,13 @@
             leadership.renewIfDue();
             failureDetector.evaluate(now);
             heartbeatTimeoutMonitor.checkAllMachines(now);
-            if (maySchedule(now)) {
+            if (firstRoundGate.maySchedule(now)) {
                 scheduleRound(now);
             }
             jobTracker.reportMetricsIfDue(now);
             recordWriter.flush();
             imageCacheRecorder.writeIfDue(machines.values(), now);
-            if (riskTablesSettled && leadership.canDecide()) {
+            if (riskTableRestorer.isComplete() && leadership.canDecide()) {
                 riskTableSnapshots.writeNext(
                         () ->
                                 RiskTablePublisher.exportAll(
@@ -480,114 +460,50 @@
      * The first round of a warm leader, as soon as it may decide; its other rounds come every
      * second from its begin.
      */
-    private void early() {
+    private void checkWarmStart() {
+        boolean mustReadRiskTables;
         synchronized (this) {
             if (closed) {
                 return;
             }
             MonotonicTime now = loop.now();
-            if (stateRecovery.isComplete() && !firstRoundAllowed && maySchedule(now)) {
+            if (stateRecovery.isComplete()
+                    && !firstRoundGate.isFirstRoundAllowed()
+                    && firstRoundGate.maySchedule(now)) {
                 scheduleRound(now);
                 recordWriter.flush();
             }
-            if (!firstRoundAllowed) {
-                loop.schedule(WARM_CHECK_INTERVAL, this::early);
+            if (!firstRoundGate.isFirstRoundAllowed()) {
+                loop.schedule(WARM_CHECK_INTERVAL, this::checkWarmStart);
             }
-            if (!stateRecovery.isComplete() || riskTablesRequested) {
-                return;
-            }
-            riskTablesRequested = true;
-            riskTablesSettled = !handoverState.hasNoTables();
+            mustReadRiskTables = stateRecovery.isComplete() && riskTableRestorer.begin();
         }
-        if (!riskTablesSettled()) {
-            readStoredRiskTables();
+        if (mustReadRiskTables) {
+            riskTableRestorer.readSnapshot();
         }
     }
 
-    private void readStoredRiskTables() {
-        RiskTableSnapshotStore.read(store, loop)
-                .whenComplete(
-                        (read, failure) -> {
-                            if (failure != null) {
-                                if (!isClosed()) {
-                                    loop.schedule(SNAPSHOT_READ_RETRY, this::readStoredRiskTables);
-                                }
-                                return;
-                            }
-                            synchronized (this) {
-                                read.ifPresent(
-                                        snapshot ->
-                                                handoverState.snapshotTables(snapshot, loop.now()));
-                            }
-                            restoreStoredRiskTables();
-                        });
-    }
-
-    private synchronized boolean riskTablesSettled() {
-        return riskTablesSettled;
-    }
-
-    /** Hands over what was noted in the state service, some tables at a time. */
-    private void restoreStoredRiskTables() {
-        synchronized (this) {
-            leadership.renewIfDue();
-            if (closed) {
-                return;
-            }
-            if (handoverState.handOverSnapshotTables(
-                    machines, clusterState.riskTables(), loop.now())) {
-                loop.schedule(WARM_CHECK_INTERVAL, this::restoreStoredRiskTables);
-            } else {
-                riskTablesSettled = true;
-                LOG.info(
-                        "{} tables of machines were noted in the state service and go on",
-                        handoverState.inheritedTableCount());
-            }
+    /** What a round needs of this leader. */
+    private final class RoundConditions implements FirstRoundGate.LeaderConditions {
+        @Override
+        public FailoverPreconditions.Facts facts(int machinesReported, int machinesRequired) {
+            return new FailoverPreconditions.Facts(
+                    leadership.canDecide(),
+                    fencingToken,
+                    leadership.highestObservedToken(),
+                    leaderKeyRevision,
+                    stateRecovery.recoveredRevision(),
+                    !machineTypeCatalog.isEmpty(),
+                    reservationEnforcer.isReady(),
+                    failureDetector.reachability() != LeaderReachability.Reachability.ISOLATED,
+                    machinesReported,
+                    machinesRequired);
         }
-    }
 
-    /**
-     * Whether a round may decide: for the first one all checks hold, for later ones those that can
-     * fail again.
-     */
-    private boolean maySchedule(MonotonicTime now) {
-        if (firstRoundAllowed) {
+        @Override
+        public boolean maySchedule() {
             return canActAsLeader() && reservationEnforcer.isReady();
         }
-        Set<FailoverPreconditions.Precondition> failing =
-                FailoverPreconditions.findUnmet(
-                        new FailoverPreconditions.Facts(
-                                leadership.canDecide(),
-                                fencingToken,
-                                leadership.highestObservedToken(),
-                                leaderKeyRevision,
-                                stateRecovery.recoveredRevision(),
-                                !machineTypeCatalog.isEmpty(),
-                                reservationEnforcer.isReady(),
-                                failureDetector.reachability()
-                                        != LeaderReachability.Reachability.ISOLATED,
-                                machineRegistry.contactedMachineCount(),
-                                heartbeatsNeeded(now)));
-        failoverTimeline.onPreconditionsUnmet(failing);
-        firstRoundAllowed = failing.isEmpty();
-        return firstRoundAllowed;
-    }
-
-    /**
-     * Machines whose reports the first round needs; what then is only placed, and not rented or
-     * made room for.
-     */
-    private int heartbeatsNeeded(MonotonicTime now) {
-        if (hasGatheredFullRound(now)) {
-            return 0;
-        }
-        int awaited = handoverState.countExpectedMachines(now);
-        return awaited == 0
-                ? Integer.MAX_VALUE
-                : (int)
-                        Math.ceil(
-                                WARM_FIRST_ROUND_SHARE
-                                        * (awaited + machineRegistry.contactedMachineCount()));
     }
 
     /**
@@ -617,29 +533,8 @@
         return machineRegistry.sampleAddresses(most);
     }
 
-    /**
-     * Whether a full round of reports is in, so that placements, rentals and stops are not decided
-     * from the few machines that happened to report first. What was listed but is silent is not
-     * waited for any longer.
-     */
-    private boolean hasGatheredFullRound(MonotonicTime now) {
-        if (!fullRoundGathered) {
-            double reportS = deploymentSettings.heartbeatInterval().toNanos() / 1e9;
-            fullRoundGathered =
-                    now.secondsSince(startedAt)
-                                    > reportS * LATEST_HEARTBEAT_FACTOR + NEXT_NODE_SECONDS
-                            || machineRegistry.isListedByCloud() && nearlyAllHeard();
-        }
-        return fullRoundGathered;
-    }
-
-    private boolean nearlyAllHeard() {
-        return machineRegistry.contactedMachineCount()
-                >= FULL_ROUND_SHARE * machineRegistry.knownMachineCount();
-    }
-
     private void scheduleRound(MonotonicTime now) {
-        boolean full = hasGatheredFullRound(now);
+        boolean full = firstRoundGate.hasGatheredFullRound(now);
         reservationEnforcer.refreshView(now);
         SchedulingSnapshot schedulingSnapshot =
                 new SchedulingSnapshot(clusterState, deploymentSettings, objectives, now);
@@ -668,19 +563,14 @@
                         byIdle.get(true),
                         Math.max(0, recordWritesPerRound() - recordWriter.dirtyShardCount()));
         applyPlacements(idleOutcome.decisions(), now);
-        if (!failoverTimeline.isLogged()) {
-            failoverTimeline.onFirstRound(
-                    machineRegistry.contactedMachineCount(),
-                    heartbeatsNeeded(now),
-                    outcome.decisions().size() + idleOutcome.decisions().size(),
-                    now);
-        }
+        firstRoundGate.recordRound(
+                outcome.decisions().size() + idleOutcome.decisions().size(), now);
         if (!full) {
             // From some of the machines it cannot be told what lacks room: nothing is rented,
             // stopped or given up for it.
             return;
         }
-        failoverTimeline.onFullRound(handoverState.inheritedTableCount(), now);
+        firstRoundGate.recordFullRound(now);
         List<Autoscaler.CapacityDemand> needs = new ArrayList<>();
         int preempting = 0;
         int makingRoom = 0;
--- /dev/null
+++ b/src/main/java/org/meadowhollow/coordination/recovery/RiskTableRestorer.java
@@ -0,0 +1,98 @@
+package org.meadowhollow.coordination.recovery;
+
+import java.time.Duration;
+import org.meadowhollow.coordination.failover.HandoverState;
+import org.meadowhollow.coordination.failover.RiskTableSnapshotStore;
+import org.meadowhollow.coordination.scheduling.ClusterState;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Restores the machines' risk tables from the snapshot in the key-value store, for a leader that
+ * inherited none as a standby. Owns whether all tables that exist are known here. Guarded by the
+ * leader's lock, which it takes itself where it is not said to be held.
+ */
+public final class RiskTableRestorer {
+    private static final Logger LOG = LoggerFactory.getLogger(RiskTableRestorer.class);
+
+    /** The pause after the snapshot could not be read; until it is, none is written over it. */
+    private static final Duration READ_RETRY_DELAY = Duration.ofSeconds(2);
+
+    /** The pause between two batches of restored tables. */
+    private static final Duration BATCH_INTERVAL = Duration.ofMillis(200);
+
+    private final RecoveryContext context;
+    private final ClusterState clusterState;
+    private final HandoverState handoverState;
+    private boolean started;
+    private boolean complete;
+
+    /** Creates a restorer into {@code clusterState}. */
+    public RiskTableRestorer(
+            RecoveryContext context, ClusterState clusterState, HandoverState handoverState) {
+        this.context = context;
+        this.clusterState = clusterState;
+        this.handoverState = handoverState;
+    }
+
+    /**
+     * Begins the restoration, at the first call only. Called with the leader's lock held.
+     *
+     * @return whether the stored snapshot must be read, with {@link #readSnapshot}
+     */
+    public boolean begin() {
+        if (started) {
+            return false;
+        }
+        started = true;
+        complete = !handoverState.hasNoTables();
+        return !complete;
+    }
+
+    /**
+     * Whether all tables that exist are known here: a snapshot of fewer would replace a better one.
+     * Called with the leader's lock held.
+     */
+    public boolean isComplete() {
+        return complete;
+    }
+
+    /** Reads the stored snapshot, until that succeeds. Called without the leader's lock. */
+    public void readSnapshot() {
+        RiskTableSnapshotStore.read(context.store(), context.loop())
+                .whenComplete(
+                        (read, failure) -> {
+                            if (failure != null) {
+                                if (!context.listener().isClosed()) {
+                                    context.loop().schedule(READ_RETRY_DELAY, this::readSnapshot);
+                                }
+                                return;
+                            }
+                            synchronized (context.lock()) {
+                                read.ifPresent(
+                                        snapshot ->
+                                                handoverState.snapshotTables(
+                                                        snapshot, context.loop().now()));
+                            }
+                            restoreBatch();
+                        });
+    }
+
+    private void restoreBatch() {
+        synchronized (context.lock()) {
+            context.listener().renewLeadershipIfDue();
+            if (context.listener().isClosed()) {
+                return;
+            }
+            if (handoverState.handOverSnapshotTables(
+                    clusterState.machines(), clusterState.riskTables(), context.loop().now())) {
+                context.loop().schedule(BATCH_INTERVAL, this::restoreBatch);
+            } else {
+                complete = true;
+                LOG.info(
+                        "{} tables of machines were noted in the state service and go on",
+                        handoverState.inheritedTableCount());
+            }
+        }
+    }
+}
