--- a/src/main/java/org/meadowhollow/coordination/LeaderService.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderService.java
@@ -1,16 +1,10 @@
 package org.meadowhollow.coordination;
 
-import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.time.Duration;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import java.util.stream.Collectors;
 import org.meadowhollow.coordination.admission.AdmissionService;
 import org.meadowhollow.coordination.api.CloudProvider;
 import org.meadowhollow.coordination.api.DeploymentSettings;
@@ -54,27 +48,25 @@
 import org.meadowhollow.coordination.reservation.ReservationSettings;
 import org.meadowhollow.coordination.rounds.FirstRoundGate;
 import org.meadowhollow.coordination.rounds.ReservationEnforcer;
+import org.meadowhollow.coordination.rounds.RoundContext;
+import org.meadowhollow.coordination.rounds.RoundScheduler;
+import org.meadowhollow.coordination.rounds.UnplacedJobHandler;
 import org.meadowhollow.coordination.scheduling.ArrivalForecast;
 import org.meadowhollow.coordination.scheduling.ClusterState;
-import org.meadowhollow.coordination.scheduling.PlacementRound;
 import org.meadowhollow.coordination.scheduling.PreemptionPlanner;
-import org.meadowhollow.coordination.scheduling.SchedulingSnapshot;
 import org.meadowhollow.coordination.scheduling.ServiceLevelObjectives;
-import org.meadowhollow.model.AttemptNumber;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Heartbeat;
 import org.meadowhollow.model.Job;
 import org.meadowhollow.model.JobEventListeners;
 import org.meadowhollow.model.JobId;
-import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.Machine;
 import org.meadowhollow.model.MachineId;
 import org.meadowhollow.model.MachineTypeCatalog;
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.Placement;
-import org.meadowhollow.model.Priority;
 import org.meadowhollow.model.Revision;
 import org.meadowhollow.model.WorkerCommand;
 import org.meadowhollow.model.WorkerIncarnation;
@@ -93,18 +85,6 @@
 final class LeaderService implements RecordWriter.Listener, RecoveryListener, LeadershipContext {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderService.class);
 
-    /** The design's round. */
-    private static final Duration ROUND_INTERVAL = Duration.ofSeconds(1);
-
-    /** Jobs in a round for which others are stopped: what is stopped must be seen to help first. */
-    private static final int MAX_PREEMPTING_JOBS = 4;
-
-    /**
-     * Jobs in a round for which idle work is stopped; each is a look at all machines, and what is
-     * stopped saves first.
-     */
-    private static final int MAX_JOBS_DISPLACING_BEST_EFFORT = 8;
-
     /** How often a warm leader looks whether its first round can be. */
     private static final Duration WARM_CHECK_INTERVAL = Duration.ofMillis(200);
 
@@ -122,7 +102,6 @@
     private final Map<JobId, Job> jobs;
     private final Map<MachineId, Machine> machines;
     private final ServiceLevelObjectives objectives;
-    private final PreemptionPlanner preemptionPlanner;
     private final StateRecovery stateRecovery;
     private final HeartbeatTimeoutMonitor heartbeatTimeoutMonitor;
     private final HeartbeatHandler heartbeatHandler;
@@ -136,16 +115,14 @@
     private final RiskTablePublisher riskTablePublisher;
     private final RiskTableSnapshotStore riskTableSnapshots;
     private final Membership membership = new Membership();
-    private final ArrivalForecast arrivalForecast = new ArrivalForecast();
     private final JobTracker jobTracker;
     private final MachineRegistry machineRegistry;
     private final TaskLifecycle taskLifecycle;
     private final JobRecordApplier jobRecords;
     private final RiskTableRestorer riskTableRestorer;
     private final FirstRoundGate firstRoundGate;
+    private final RoundScheduler roundScheduler;
     private boolean closed;
-    private long placedByRisk;
-    private long placedByCapacity;
 
     public LeaderService(
             EventLoop loop,
@@ -184,8 +161,6 @@
         this.jobs = clusterState.jobs();
         this.machines = clusterState.machines();
         this.objectives = new ServiceLevelObjectives(deploymentSettings, machineTypeCatalog);
-        this.preemptionPlanner =
-                new PreemptionPlanner(clusterState, deploymentSettings, objectives);
         this.recordWriter =
                 new RecordWriter(
                         store,
@@ -211,6 +186,7 @@
                         jobTracker,
                         this::recordRuntime,
                         this::sendCommands);
+        ArrivalForecast arrivalForecast = new ArrivalForecast();
         this.jobRecords =
                 new JobRecordApplier(
                         loop,
@@ -300,6 +276,20 @@
                         loop,
                         fencingToken,
                         unreachableReturnPolicy);
+        RoundContext roundContext =
+                new RoundContext(loop, deploymentSettings, clusterState, objectives, recordWriter);
+        this.roundScheduler =
+                new RoundScheduler(
+                        roundContext,
+                        firstRoundGate,
+                        reservationEnforcer,
+                        arrivalForecast,
+                        new UnplacedJobHandler(
+                                roundContext,
+                                new PreemptionPlanner(clusterState, deploymentSettings, objectives),
+                                taskLifecycle,
+                                jobTracker),
+                        autoscaler::capacityDemand);
     }
 
     private void recordRuntime(JobSpec spec, double seconds) {
@@ -320,7 +310,7 @@
         stateRecovery.start();
         reservationEnforcer.start();
         autoscaler.start();
-        loop.schedule(ROUND_INTERVAL, this::runRound);
+        loop.schedule(RoundScheduler.ROUND_INTERVAL, this::runRound);
         if (handoverState.isWarm()) {
             loop.schedule(WARM_CHECK_INTERVAL, this::checkWarmStart);
         }
@@ -428,7 +418,7 @@
             if (closed) {
                 return;
             }
-            loop.schedule(ROUND_INTERVAL, this::runRound);
+            loop.schedule(RoundScheduler.ROUND_INTERVAL, this::runRound);
             if (!stateRecovery.isComplete()) {
                 return;
             }
@@ -437,7 +427,7 @@
             failureDetector.evaluate(now);
             heartbeatTimeoutMonitor.checkAllMachines(now);
             if (firstRoundGate.maySchedule(now)) {
-                scheduleRound(now);
+                roundScheduler.runRound(now);
             }
             jobTracker.reportMetricsIfDue(now);
             recordWriter.flush();
@@ -470,7 +460,7 @@
             if (stateRecovery.isComplete()
                     && !firstRoundGate.isFirstRoundAllowed()
                     && firstRoundGate.maySchedule(now)) {
-                scheduleRound(now);
+                roundScheduler.runRound(now);
                 recordWriter.flush();
             }
             if (!firstRoundGate.isFirstRoundAllowed()) {
@@ -533,198 +523,6 @@
         return machineRegistry.sampleAddresses(most);
     }
 
-    private void scheduleRound(MonotonicTime now) {
-        boolean full = firstRoundGate.hasGatheredFullRound(now);
-        reservationEnforcer.refreshView(now);
-        SchedulingSnapshot schedulingSnapshot =
-                new SchedulingSnapshot(clusterState, deploymentSettings, objectives, now);
-        Map<Boolean, List<PlacementRound.PendingJob>> byIdle =
-                schedulingSnapshot.pendingJobs().stream()
-                        .collect(
-                                Collectors.partitioningBy(
-                                        pendingJob ->
-                                                pendingJob.spec().priority() == Priority.LOW));
-        PlacementRound.Outcome outcome =
-                PlacementRound.run(
-                        schedulingSnapshot.candidates(),
-                        schedulingSnapshot.usageByTeam(),
-                        byIdle.get(false),
-                        maxJobsPerRound());
-        applyPlacements(outcome.decisions(), now);
-        List<Autoscaler.CapacityDemand> likelyNeeds = new ArrayList<>();
-        Set<MachineId> reserved =
-                full ? reserveForPredictedJobs(schedulingSnapshot, likelyNeeds, now) : Set.of();
-        // Idle work takes what neither others nor those that are likely to come need: it would soon
-        // be stopped again.
-        PlacementRound.Outcome idleOutcome =
-                PlacementRound.run(
-                        schedulingSnapshot.candidates(),
-                        schedulingSnapshot.usageByTeam(),
-                        byIdle.get(true),
-                        Math.max(0, recordWritesPerRound() - recordWriter.dirtyShardCount()));
-        applyPlacements(idleOutcome.decisions(), now);
-        firstRoundGate.recordRound(
-                outcome.decisions().size() + idleOutcome.decisions().size(), now);
-        if (!full) {
-            // From some of the machines it cannot be told what lacks room: nothing is rented,
-            // stopped or given up for it.
-            return;
-        }
-        firstRoundGate.recordFullRound(now);
-        List<Autoscaler.CapacityDemand> needs = new ArrayList<>();
-        int preempting = 0;
-        int makingRoom = 0;
-        long idle = bestEffortTaskCount();
-        for (PlacementRound.PendingJob pendingJob : schedulingSnapshot.pendingJobs()) {
-            Integer count =
-                    (pendingJob.spec().priority() == Priority.LOW ? idleOutcome : outcome)
-                            .unplacedTasksByJob()
-                            .get(pendingJob.spec().id());
-            if (count == null) {
-                continue;
-            }
-            Job job = jobs.get(pendingJob.spec().id());
-            if (idle > 0 && makingRoom < MAX_JOBS_DISPLACING_BEST_EFFORT) {
-                List<Placement> victims =
-                        preemptionPlanner.planBestEffortPreemption(
-                                job, pendingJob.tasksByZone(), count, now);
-                if (!victims.isEmpty()) {
-                    victims.forEach(
-                            victim ->
-                                    stopWithCheckpoint(
-                                            victim, "idle work gives way to " + job.id()));
-                    job.lastPreemptionAt(now);
-                    idle -= victims.size();
-                    makingRoom++;
-                }
-            }
-            needs.add(
-                    new Autoscaler.CapacityDemand(
-                            job.spec(),
-                            count,
-                            requiredZone(pendingJob),
-                            jobTracker.secondsSinceAcceptance(job)));
-            taskLifecycle.abandonIncompleteGang(job, deploymentSettings.gangStartTimeout(), now);
-            if (preempting < MAX_PREEMPTING_JOBS) {
-                List<Placement> victims =
-                        preemptionPlanner.planPreemption(
-                                job,
-                                pendingJob.tasksByZone(),
-                                schedulingSnapshot.isWithinGuaranteedQuota(job.id()),
-                                now);
-                victims.forEach(
-                        victim -> stopWithCheckpoint(victim, "room is needed for " + job.id()));
-                if (!victims.isEmpty()) {
-                    job.lastPreemptionAt(now);
-                    preempting++;
-                }
-            }
-        }
-        reservationEnforcer.enforce(now);
-        needs.addAll(likelyNeeds);
-        reserved.addAll(clusterState.reservationView().reservedMachines());
-        needs.addAll(reservationEnforcer.capacityDemand());
-        autoscaler.capacityDemand(needs, reserved);
-    }
-
-    /** Notes what a round decided; the starts go out once their records are written. */
-    private void applyPlacements(List<PlacementRound.Decision> decisions, MonotonicTime now) {
-        Map<JobId, AttemptNumber> attempts = new HashMap<>();
-        for (PlacementRound.Decision decision : decisions) {
-            Job job = jobs.get(decision.spec().id());
-            Machine machine = machines.get(decision.machine());
-            AttemptNumber attemptNumber =
-                    job.spec().kind() == JobKind.GANG
-                            ? attempts.computeIfAbsent(job.id(), unused -> job.gangAttemptNumber())
-                            : job.nextAttemptNumber(decision.task());
-            Placement placement =
-                    job.addPlacement(
-                            decision.task(),
-                            attemptNumber,
-                            machine.id(),
-                            machine.incarnation(),
-                            now);
-            if (job.secondaryRecord() != null) {
-                job.secondaryRecord()
-                        .recordPlacement(attemptNumber, machine.id(), loop.wallClockMillis());
-            }
-            machine.placements().add(placement);
-            machine.idleSince(null);
-            recordWriter.markDirty(job.shardOfTask(decision.task()));
-            if (decision.byRiskTable()) {
-                placedByRisk++;
-            } else {
-                placedByCapacity++;
-            }
-            LOG.debug(
-                    "task {} attempt {} goes to {} by {}",
-                    placement.taskId(),
-                    attemptNumber,
-                    machine.id(),
-                    decision.byRiskTable() ? "risk" : "room");
-        }
-        if (!decisions.isEmpty()) {
-            LOG.info(
-                    "placed {} tasks; so far {} by risk, {} by room alone",
-                    decisions.size(),
-                    placedByRisk,
-                    placedByCapacity);
-        }
-    }
-
-    /**
-     * Looks for room for the jobs that are likely to come, after all that wait but idle work; what
-     * finds none is rented for. Returns the machines that it would take, which are not to be
-     * returned.
-     */
-    private Set<MachineId> reserveForPredictedJobs(
-            SchedulingSnapshot left, List<Autoscaler.CapacityDemand> needs, MonotonicTime now) {
-        List<PlacementRound.PendingJob> likely = new ArrayList<>();
-        for (JobSpec spec : arrivalForecast.predictedJobs(now)) {
-            int[] tasks = new int[spec.taskCount()];
-            likely.add(
-                    new PlacementRound.PendingJob(
-                            spec, tasks, new Object2IntOpenHashMap<>(), true));
-        }
-        PlacementRound.Outcome outcome =
-                PlacementRound.run(left.candidates(), left.usageByTeam(), likely, likely.size());
-        Set<MachineId> reserved = new HashSet<>();
-        outcome.decisions().forEach(decision -> reserved.add(decision.machine()));
-        for (PlacementRound.PendingJob job : likely) {
-            Integer count = outcome.unplacedTasksByJob().get(job.spec().id());
-            if (count != null) {
-                needs.add(
-                        new Autoscaler.CapacityDemand(
-                                job.spec(), count, job.spec().requiredZone(), 0));
-            }
-        }
-        return reserved;
-    }
-
-    /** Jobs to place in a round: what a round decides should be written before the next one. */
-    private int maxJobsPerRound() {
-        return Math.max(0, recordWritesPerRound() - recordWriter.urgentDirtyShardCount());
-    }
-
-    /** Tasks of the lowest priority that may be running, and could make room. */
-    private long bestEffortTaskCount() {
-        return jobs.values().stream()
-                .filter(job -> job.spec().priority() == Priority.LOW)
-                .mapToLong(job -> job.placements().size())
-                .sum();
-    }
-
-    private int recordWritesPerRound() {
-        return (int) (deploymentSettings.storeWritesPerSecond() * ROUND_INTERVAL.toSeconds());
-    }
-
-    /** The zone that a job with tasks in place is bound to, or null. */
-    private static String requiredZone(PlacementRound.PendingJob job) {
-        return job.spec().requiresSingleZone() && !job.tasksByZone().isEmpty()
-                ? job.tasksByZone().keySet().iterator().next()
-                : job.spec().requiredZone();
-    }
-
     // ---- for the fleet ----
 
     @Override
--- /dev/null
+++ b/src/main/java/org/meadowhollow/coordination/rounds/CapacityDemandSink.java
@@ -0,0 +1,17 @@
+package org.meadowhollow.coordination.rounds;
+
+import java.util.List;
+import java.util.Set;
+import org.meadowhollow.coordination.fleet.Autoscaler;
+import org.meadowhollow.model.MachineId;
+
+/** Takes what a scheduling round found lacking. Called with the leader's lock held. */
+@FunctionalInterface
+public interface CapacityDemandSink {
+    /**
+     * Replaces the demand of the round before.
+     *
+     * @param retainedMachines machines that must not be returned to the cloud
+     */
+    void capacityDemand(List<Autoscaler.CapacityDemand> demands, Set<MachineId> retainedMachines);
+}
--- /dev/null
+++ b/src/main/java/org/meadowhollow/coordination/rounds/RoundScheduler.java
@@ -0,0 +1,127 @@
+package org.meadowhollow.coordination.rounds;
+
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.stream.Collectors;
+import org.meadowhollow.coordination.fleet.Autoscaler;
+import org.meadowhollow.coordination.scheduling.ArrivalForecast;
+import org.meadowhollow.coordination.scheduling.PlacementRound;
+import org.meadowhollow.coordination.scheduling.SchedulingSnapshot;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.MachineId;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Priority;
+
+/**
+ * Holds one scheduling round at a time: places what fits, keeps capacity for predicted jobs, and
+ * once nearly all machines have reported also preempts, enforces reservations and demands capacity
+ * from the autoscaler. When a round is held is the leader's choice. Guarded by the leader's lock;
+ * does no I/O but through the record writer and the task lifecycle.
+ */
+public final class RoundScheduler {
+    /** The time from one round to the next. */
+    public static final Duration ROUND_INTERVAL = Duration.ofSeconds(1);
+
+    private final RoundContext context;
+    private final FirstRoundGate firstRoundGate;
+    private final ReservationEnforcer reservationEnforcer;
+    private final UnplacedJobHandler unplacedJobHandler;
+    private final CapacityDemandSink capacityDemandSink;
+    private final PlacementApplier placementApplier;
+    private final PredictedJobPlanner predictedJobPlanner;
+
+    /** Creates the scheduler of one leadership's rounds. */
+    public RoundScheduler(
+            RoundContext context,
+            FirstRoundGate firstRoundGate,
+            ReservationEnforcer reservationEnforcer,
+            ArrivalForecast arrivalForecast,
+            UnplacedJobHandler unplacedJobHandler,
+            CapacityDemandSink capacityDemandSink) {
+        this.context = context;
+        this.firstRoundGate = firstRoundGate;
+        this.reservationEnforcer = reservationEnforcer;
+        this.unplacedJobHandler = unplacedJobHandler;
+        this.capacityDemandSink = capacityDemandSink;
+        this.placementApplier = new PlacementApplier(context);
+        this.predictedJobPlanner = new PredictedJobPlanner(arrivalForecast);
+    }
+
+    /** Holds a round; the caller has asked the gate, and flushes the record writer afterwards. */
+    public void runRound(MonotonicTime now) {
+        boolean full = firstRoundGate.hasGatheredFullRound(now);
+        reservationEnforcer.refreshView(now);
+        SchedulingSnapshot snapshot =
+                new SchedulingSnapshot(
+                        context.clusterState(),
+                        context.deploymentSettings(),
+                        context.objectives(),
+                        now);
+        Map<Boolean, List<PlacementRound.PendingJob>> byBestEffort =
+                snapshot.pendingJobs().stream()
+                        .collect(Collectors.partitioningBy(RoundScheduler::isBestEffort));
+        PlacementRound.Outcome regular =
+                place(snapshot, byBestEffort.get(false), maxJobsPerRound(), now);
+        PredictedJobPlanner.Plan predicted =
+                full ? predictedJobPlanner.plan(snapshot, now) : PredictedJobPlanner.Plan.empty();
+        // Best-effort work takes what neither other jobs nor predicted ones need: it would soon be
+        // preempted again.
+        PlacementRound.Outcome bestEffort =
+                place(snapshot, byBestEffort.get(true), maxBestEffortJobsPerRound(), now);
+        firstRoundGate.recordRound(regular.decisions().size() + bestEffort.decisions().size(), now);
+        if (!full) {
+            // From some of the machines it cannot be known what lacks capacity: nothing is rented,
+            // stopped or abandoned for it.
+            return;
+        }
+        firstRoundGate.recordFullRound(now);
+        Map<JobId, Integer> unplacedTasks = new HashMap<>(regular.unplacedTasksByJob());
+        unplacedTasks.putAll(bestEffort.unplacedTasksByJob());
+        List<Autoscaler.CapacityDemand> demands =
+                unplacedJobHandler.handle(snapshot, unplacedTasks, now);
+        reservationEnforcer.enforce(now);
+        demandCapacity(demands, predicted);
+    }
+
+    private static boolean isBestEffort(PlacementRound.PendingJob pendingJob) {
+        return pendingJob.spec().priority() == Priority.LOW;
+    }
+
+    private PlacementRound.Outcome place(
+            SchedulingSnapshot snapshot,
+            List<PlacementRound.PendingJob> pendingJobs,
+            int maxJobs,
+            MonotonicTime now) {
+        PlacementRound.Outcome outcome =
+                PlacementRound.run(
+                        snapshot.candidates(), snapshot.usageByTeam(), pendingJobs, maxJobs);
+        placementApplier.apply(outcome.decisions(), now);
+        return outcome;
+    }
+
+    private void demandCapacity(
+            List<Autoscaler.CapacityDemand> demands, PredictedJobPlanner.Plan predicted) {
+        demands.addAll(predicted.demands());
+        Set<MachineId> retained = predicted.machines();
+        retained.addAll(context.clusterState().reservationView().reservedMachines());
+        demands.addAll(reservationEnforcer.capacityDemand());
+        capacityDemandSink.capacityDemand(demands, retained);
+    }
+
+    /** Jobs to place in a round: what a round decides should be written before the next one. */
+    private int maxJobsPerRound() {
+        return Math.max(0, recordWritesPerRound() - context.recordWriter().urgentDirtyShardCount());
+    }
+
+    private int maxBestEffortJobsPerRound() {
+        return Math.max(0, recordWritesPerRound() - context.recordWriter().dirtyShardCount());
+    }
+
+    private int recordWritesPerRound() {
+        return (int)
+                (context.deploymentSettings().storeWritesPerSecond() * ROUND_INTERVAL.toSeconds());
+    }
+}
--- /dev/null
+++ b/src/main/java/org/meadowhollow/coordination/rounds/UnplacedJobHandler.java
@@ -0,0 +1,151 @@
+package org.meadowhollow.coordination.rounds;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.meadowhollow.coordination.fleet.Autoscaler;
+import org.meadowhollow.coordination.lifecycle.JobTracker;
+import org.meadowhollow.coordination.lifecycle.TaskLifecycle;
+import org.meadowhollow.coordination.scheduling.PlacementRound;
+import org.meadowhollow.coordination.scheduling.PreemptionPlanner;
+import org.meadowhollow.coordination.scheduling.SchedulingSnapshot;
+import org.meadowhollow.model.Job;
+import org.meadowhollow.model.JobId;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.model.Placement;
+import org.meadowhollow.model.Priority;
+
+/**
+ * Makes capacity for jobs whose tasks found none in a round: preempts best-effort and other work,
+ * and gathers what is to be rented. Keeps no state between rounds. Guarded by the leader's lock.
+ */
+public final class UnplacedJobHandler {
+    /** Jobs in a round for which others are preempted: a stop must be seen to help first. */
+    private static final int MAX_PREEMPTING_JOBS = 4;
+
+    /**
+     * Jobs in a round for which best-effort work is preempted; each examines all machines, and what
+     * is preempted saves a checkpoint first.
+     */
+    private static final int MAX_JOBS_DISPLACING_BEST_EFFORT = 8;
+
+    private final RoundContext context;
+    private final PreemptionPlanner preemptionPlanner;
+    private final TaskLifecycle taskLifecycle;
+    private final JobTracker jobTracker;
+
+    /** Creates a handler that stops tasks through {@code taskLifecycle}. */
+    public UnplacedJobHandler(
+            RoundContext context,
+            PreemptionPlanner preemptionPlanner,
+            TaskLifecycle taskLifecycle,
+            JobTracker jobTracker) {
+        this.context = context;
+        this.preemptionPlanner = preemptionPlanner;
+        this.taskLifecycle = taskLifecycle;
+        this.jobTracker = jobTracker;
+    }
+
+    /**
+     * Handles all jobs with unplaced tasks, in the round's order.
+     *
+     * @param unplacedTasks how many tasks found no capacity, by job
+     * @return what is to be rented for them, in the same order
+     */
+    List<Autoscaler.CapacityDemand> handle(
+            SchedulingSnapshot snapshot, Map<JobId, Integer> unplacedTasks, MonotonicTime now) {
+        Pass pass = new Pass(snapshot, now);
+        for (PlacementRound.PendingJob pendingJob : snapshot.pendingJobs()) {
+            Integer unplaced = unplacedTasks.get(pendingJob.spec().id());
+            if (unplaced != null) {
+                pass.handleJob(pendingJob, unplaced);
+            }
+        }
+        return pass.demands;
+    }
+
+    /** One round's pass over the unplaced jobs, with its budgets. */
+    private final class Pass {
+        private final SchedulingSnapshot snapshot;
+        private final MonotonicTime now;
+        private final List<Autoscaler.CapacityDemand> demands = new ArrayList<>();
+        private int preemptingJobs;
+        private int displacingJobs;
+        private long bestEffortTasks;
+
+        Pass(SchedulingSnapshot snapshot, MonotonicTime now) {
+            this.snapshot = snapshot;
+            this.now = now;
+            this.bestEffortTasks = bestEffortTaskCount();
+        }
+
+        void handleJob(PlacementRound.PendingJob pendingJob, int unplaced) {
+            Job job = context.clusterState().jobs().get(pendingJob.spec().id());
+            displaceBestEffort(job, pendingJob, unplaced);
+            demands.add(
+                    new Autoscaler.CapacityDemand(
+                            job.spec(),
+                            unplaced,
+                            requiredZone(pendingJob),
+                            jobTracker.secondsSinceAcceptance(job)));
+            taskLifecycle.abandonIncompleteGang(
+                    job, context.deploymentSettings().gangStartTimeout(), now);
+            preempt(job, pendingJob);
+        }
+
+        private void displaceBestEffort(
+                Job job, PlacementRound.PendingJob pendingJob, int unplaced) {
+            if (bestEffortTasks <= 0 || displacingJobs >= MAX_JOBS_DISPLACING_BEST_EFFORT) {
+                return;
+            }
+            List<Placement> victims =
+                    preemptionPlanner.planBestEffortPreemption(
+                            job, pendingJob.tasksByZone(), unplaced, now);
+            if (victims.isEmpty()) {
+                return;
+            }
+            victims.forEach(
+                    victim ->
+                            taskLifecycle.stopWithCheckpoint(
+                                    victim, "best-effort work is preempted for " + job.id()));
+            job.lastPreemptionAt(now);
+            bestEffortTasks -= victims.size();
+            displacingJobs++;
+        }
+
+        private void preempt(Job job, PlacementRound.PendingJob pendingJob) {
+            if (preemptingJobs >= MAX_PREEMPTING_JOBS) {
+                return;
+            }
+            List<Placement> victims =
+                    preemptionPlanner.planPreemption(
+                            job,
+                            pendingJob.tasksByZone(),
+                            snapshot.isWithinGuaranteedQuota(job.id()),
+                            now);
+            victims.forEach(
+                    victim ->
+                            taskLifecycle.stopWithCheckpoint(
+                                    victim, "its capacity is needed for " + job.id()));
+            if (!victims.isEmpty()) {
+                job.lastPreemptionAt(now);
+                preemptingJobs++;
+            }
+        }
+    }
+
+    /** Tasks of the lowest priority that may be running, and could be preempted. */
+    private long bestEffortTaskCount() {
+        return context.clusterState().jobs().values().stream()
+                .filter(job -> job.spec().priority() == Priority.LOW)
+                .mapToLong(job -> job.placements().size())
+                .sum();
+    }
+
+    /** The zone to which a job with placed tasks is bound, or null. */
+    private static String requiredZone(PlacementRound.PendingJob pendingJob) {
+        return pendingJob.spec().requiresSingleZone() && !pendingJob.tasksByZone().isEmpty()
+                ? pendingJob.tasksByZone().keySet().iterator().next()
+                : pendingJob.spec().requiredZone();
+    }
+}
--- /dev/null
+++ b/src/test/java/org/meadowhollow/coordination/lifecycle/TaskLifecycleTest.java
@@ -0,0 +1,93 @@
+package org.meadowhollow.coordination.lifecycle;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.time.Duration;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.meadowhollow.model.ExitReason;
+import org.meadowhollow.model.Job;
+import org.meadowhollow.model.JobKind;
+import org.meadowhollow.model.Machine;
+import org.meadowhollow.model.Placement;
+import org.meadowhollow.model.TaskState;
+
+class TaskLifecycleTest {
+    private final LifecycleFixture fixture = new LifecycleFixture();
+    private final TaskLifecycle lifecycle = fixture.taskLifecycle;
+
+    private void fail(Job job, Machine machine) {
+        Placement placement = fixture.place(job, 0, machine);
+        lifecycle.onTaskExited(machine, placement, ExitReason.ERROR, fixture.now());
+    }
+
+    @Test
+    void aCompletedTaskLeavesItsMachineAndItsRuntimeIsRecorded() {
+        Machine machine = fixture.machine("vm-1");
+        Job job = fixture.job("req-1", JobKind.ARRAY, 2);
+        Placement placement = fixture.place(job, 0, machine);
+        placement.reportedState(TaskState.RUNNING, fixture.now());
+        fixture.advance(Duration.ofSeconds(7));
+        lifecycle.onTaskExited(machine, placement, ExitReason.DONE, fixture.now());
+        assertTrue(job.isTaskComplete(0));
+        assertEquals(1, job.pendingTaskCount());
+        assertTrue(machine.placements().isEmpty());
+        assertTrue(machine.unpersistedExits().containsKey(placement.taskId()));
+        assertEquals(List.of(7.0), fixture.recordedRuntimes);
+        assertEquals(1, fixture.recordWriter.dirtyShardCount());
+    }
+
+    @Test
+    void aJobBacksOffFromItsThirdFailureInARowAndDoublesThePause() {
+        Job job = fixture.job("req-1", JobKind.ARRAY, 1);
+        fail(job, fixture.machine("vm-1"));
+        fail(job, fixture.machine("vm-2"));
+        assertNull(job.backoffUntil());
+        fail(job, fixture.machine("vm-3"));
+        assertEquals(fixture.now().plus(Duration.ofSeconds(1)), job.backoffUntil());
+        fail(job, fixture.machine("vm-4"));
+        assertEquals(fixture.now().plus(Duration.ofSeconds(2)), job.backoffUntil());
+    }
+
+    @Test
+    void theBackoffIsOneMinuteAtMost() {
+        Job job = fixture.job("req-1", JobKind.ARRAY, 1);
+        for (int failure = 0; failure < 50; failure++) {
+            fail(job, fixture.machine("vm-" + failure));
+        }
+        assertEquals(fixture.now().plus(Duration.ofSeconds(60)), job.backoffUntil());
+    }
+
+    @Test
+    void theRestOfAGangIsStoppedWhenOneTaskOfARunningAttemptIsLost() {
+        Machine first = fixture.machine("vm-1");
+        Machine second = fixture.machine("vm-2");
+        Job gang = fixture.job("req-1", JobKind.GANG, 2);
+        Placement lost = fixture.place(gang, 0, first);
+        fixture.place(gang, 1, second);
+        lost.reportedState(TaskState.RUNNING, fixture.now());
+        lifecycle.markTaskLost(first, lost, "test", fixture.now());
+        // The other start was never persisted, so there is nothing to wait for.
+        assertTrue(gang.placements().isEmpty());
+        assertTrue(second.placements().isEmpty());
+        assertEquals(List.of(), fixture.sentCommands);
+    }
+
+    @Test
+    void aGangThatHasNotStartedKeepsItsOtherTasksWhenOneIsLost() {
+        Machine first = fixture.machine("vm-1");
+        Machine second = fixture.machine("vm-2");
+        Job gang = fixture.job("req-1", JobKind.GANG, 2);
+        Placement lost = fixture.place(gang, 0, first);
+        Placement kept = fixture.place(gang, 1, second);
+        lifecycle.markTaskLost(first, lost, "test", fixture.now());
+        assertEquals(List.of(kept), List.copyOf(gang.placements()));
+        lifecycle.abandonIncompleteGang(gang, Duration.ofSeconds(30), fixture.now());
+        assertEquals(1, gang.placements().size());
+        fixture.advance(Duration.ofSeconds(31));
+        lifecycle.abandonIncompleteGang(gang, Duration.ofSeconds(30), fixture.now());
+        assertTrue(gang.placements().isEmpty());
+    }
+}
