--- a/src/main/java/org/meadowhollow/coordination/ControllerNode.java
+++ b/src/main/java/org/meadowhollow/coordination/ControllerNode.java
@@ -308,20 +308,22 @@
             FencingToken fencingToken, Revision leaderVersion, MonotonicTime noticedAt) {
         LeaderService begun =
                 new LeaderService(
-                        loop,
-                        store,
-                        workerGateway,
-                        cloudProvider,
-                        peerGateway,
-                        deploymentSettings,
-                        machineTypeCatalog,
-                        leadership,
-                        fencingToken,
-                        leaderVersion,
-                        jobEventListeners,
-                        reservationSettings,
-                        warmStandby == null ? HandoverState.EMPTY : warmStandby.handOver(),
-                        noticedAt);
+                        new ControllerServices(
+                                loop,
+                                store,
+                                workerGateway,
+                                cloudProvider,
+                                peerGateway,
+                                deploymentSettings,
+                                machineTypeCatalog,
+                                jobEventListeners,
+                                reservationSettings),
+                        new LeadershipTerm(
+                                leadership,
+                                fencingToken,
+                                leaderVersion,
+                                warmStandby == null ? HandoverState.EMPTY : warmStandby.handOver(),
+                                noticedAt));
         synchronized (this) {
             if (leaderService != null) {
                 leaderService.close();
--- /dev/null
+++ b/src/main/java/org/meadowhollow/coordination/ControllerServices.java
@@ -0,0 +1,23 @@
+package org.meadowhollow.coordination;
+
+import org.meadowhollow.coordination.api.CloudProvider;
+import org.meadowhollow.coordination.api.DeploymentSettings;
+import org.meadowhollow.coordination.api.PeerGateway;
+import org.meadowhollow.coordination.api.WorkerGateway;
+import org.meadowhollow.coordination.reservation.ReservationSettings;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.JobEventListeners;
+import org.meadowhollow.model.MachineTypeCatalog;
+import org.meadowhollow.storage.KeyValueStore;
+
+/** What a controller node works with for its whole life, and each of its leaderships as well. */
+record ControllerServices(
+        EventLoop loop,
+        KeyValueStore store,
+        WorkerGateway workerGateway,
+        CloudProvider cloudProvider,
+        PeerGateway peerGateway,
+        DeploymentSettings deploymentSettings,
+        MachineTypeCatalog machineTypeCatalog,
+        JobEventListeners jobEventListeners,
+        ReservationSettings reservationSettings) {}
--- a/src/main/java/org/meadowhollow/coordination/LeaderService.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderService.java
@@ -2,30 +2,23 @@
 
 import java.time.Duration;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.meadowhollow.coordination.admission.AdmissionService;
 import org.meadowhollow.coordination.api.CloudProvider;
 import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.coordination.api.HeartbeatResponse;
-import org.meadowhollow.coordination.api.PeerGateway;
 import org.meadowhollow.coordination.api.RiskTableDelta;
 import org.meadowhollow.coordination.api.RiskTableRequest;
-import org.meadowhollow.coordination.api.WorkerGateway;
 import org.meadowhollow.coordination.failover.FailoverPreconditions;
 import org.meadowhollow.coordination.failover.FailoverTimeline;
-import org.meadowhollow.coordination.failover.HandoverState;
-import org.meadowhollow.coordination.failover.Membership;
-import org.meadowhollow.coordination.failover.RiskTablePublisher;
-import org.meadowhollow.coordination.failover.RiskTableSnapshotStore;
 import org.meadowhollow.coordination.fleet.Autoscaler;
 import org.meadowhollow.coordination.fleet.FailureDetector;
 import org.meadowhollow.coordination.fleet.HeartbeatTimeoutMonitor;
 import org.meadowhollow.coordination.fleet.LeadershipContext;
 import org.meadowhollow.coordination.fleet.UnreachableMachineReturnPolicy;
 import org.meadowhollow.coordination.heartbeat.DeferredHeartbeats;
-import org.meadowhollow.coordination.heartbeat.LeaderReachability;
+import org.meadowhollow.coordination.heartbeat.LeaderReachability.Reachability;
 import org.meadowhollow.coordination.leadership.Leadership;
 import org.meadowhollow.coordination.lifecycle.ImageCacheRecorder;
 import org.meadowhollow.coordination.lifecycle.JobTracker;
@@ -45,7 +38,6 @@
 import org.meadowhollow.coordination.reservation.ReservableCapacity;
 import org.meadowhollow.coordination.reservation.ReservationCalendarReplica;
 import org.meadowhollow.coordination.reservation.ReservationService;
-import org.meadowhollow.coordination.reservation.ReservationSettings;
 import org.meadowhollow.coordination.rounds.FirstRoundGate;
 import org.meadowhollow.coordination.rounds.ReservationEnforcer;
 import org.meadowhollow.coordination.rounds.RoundContext;
@@ -56,18 +48,14 @@
 import org.meadowhollow.coordination.scheduling.PreemptionPlanner;
 import org.meadowhollow.coordination.scheduling.ServiceLevelObjectives;
 import org.meadowhollow.model.EventLoop;
-import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Heartbeat;
 import org.meadowhollow.model.Job;
-import org.meadowhollow.model.JobEventListeners;
 import org.meadowhollow.model.JobId;
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.Machine;
 import org.meadowhollow.model.MachineId;
-import org.meadowhollow.model.MachineTypeCatalog;
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.Placement;
-import org.meadowhollow.model.Revision;
 import org.meadowhollow.model.WorkerCommand;
 import org.meadowhollow.model.WorkerIncarnation;
 import org.meadowhollow.storage.KeyValueStore;
@@ -75,221 +63,246 @@
 import org.meadowhollow.storage.RecordCodec;
 import org.meadowhollow.storage.RecordDigests;
 import org.meadowhollow.storage.RecordWriter;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /**
- * One leadership: everything that the leader of one term knows and does. A new term begins with a
- * new object, so nothing that an old term believed can leak into it.
+ * One leadership of this node: wires its parts and runs its timers. Each leadership has an object
+ * of its own, so nothing that an earlier one believed can leak into it.
+ *
+ * <p>This object's monitor is the leader's lock, the only one that its parts share; what they own
+ * is read and changed with it held. Requests to the cloud and to peers are sent, and deferred
+ * responses completed, outside it.
  */
 final class LeaderService implements RecordWriter.Listener, RecoveryListener, LeadershipContext {
-    private static final Logger LOG = LoggerFactory.getLogger(LeaderService.class);
-
-    /** How often a warm leader looks whether its first round can be. */
+    /** How often a warm leader checks whether it may hold its first round. */
     private static final Duration WARM_CHECK_INTERVAL = Duration.ofMillis(200);
 
+    private final ControllerServices services;
+    private final LeadershipTerm term;
     private final EventLoop loop;
     private final KeyValueStore store;
     private final DeploymentSettings deploymentSettings;
-    private final MachineTypeCatalog machineTypeCatalog;
     private final Leadership leadership;
-    private final Autoscaler autoscaler;
-    private final RecordWriter recordWriter;
-    private final ImageCacheRecorder imageCacheRecorder;
-    private final FencingToken fencingToken;
     private final MonotonicTime startedAt;
+    private final FailoverTimeline failoverTimeline;
     private final ClusterState clusterState;
-    private final Map<JobId, Job> jobs;
-    private final Map<MachineId, Machine> machines;
     private final ServiceLevelObjectives objectives;
-    private final StateRecovery stateRecovery;
-    private final HeartbeatTimeoutMonitor heartbeatTimeoutMonitor;
-    private final HeartbeatHandler heartbeatHandler;
-    private final DirectCommandSender directCommandSender;
-    private final FailureDetector failureDetector;
-    private final ReservationSettings reservationSettings;
-    private final ReservationEnforcer reservationEnforcer;
-    private final Revision leaderKeyRevision;
-    private final HandoverState handoverState;
-    private final FailoverTimeline failoverTimeline;
-    private final RiskTablePublisher riskTablePublisher;
-    private final RiskTableSnapshotStore riskTableSnapshots;
-    private final Membership membership = new Membership();
+    private final ArrivalForecast arrivalForecast = new ArrivalForecast();
+    private final RecordWriter recordWriter;
+    private final ImageCacheRecorder imageCacheRecorder;
+    private final StandbySupport standbySupport;
     private final JobTracker jobTracker;
     private final MachineRegistry machineRegistry;
     private final TaskLifecycle taskLifecycle;
     private final JobRecordApplier jobRecords;
     private final RiskTableRestorer riskTableRestorer;
+    private final StateRecovery stateRecovery;
+    private final FailureDetector failureDetector;
+    private final HeartbeatTimeoutMonitor heartbeatTimeoutMonitor;
+    private final HeartbeatHandler heartbeatHandler;
+    private final DirectCommandSender directCommandSender;
+    private final ReservationEnforcer reservationEnforcer;
     private final FirstRoundGate firstRoundGate;
+    private final Autoscaler autoscaler;
     private final RoundScheduler roundScheduler;
+
+    /** Guarded by this object's monitor, as everything that changes. */
     private boolean closed;
 
-    public LeaderService(
-            EventLoop loop,
-            KeyValueStore store,
-            WorkerGateway workerGateway,
-            CloudProvider cloudProvider,
-            PeerGateway peerGateway,
-            DeploymentSettings deploymentSettings,
-            MachineTypeCatalog machineTypeCatalog,
-            Leadership leadership,
-            FencingToken fencingToken,
-            Revision leaderVersion,
-            JobEventListeners jobEventListeners,
-            ReservationSettings reservationSettings,
-            HandoverState handoverState,
-            MonotonicTime noticedAt) {
-        this.loop = loop;
-        this.store = store;
-        this.deploymentSettings = deploymentSettings;
-        this.machineTypeCatalog = machineTypeCatalog;
-        this.reservationSettings = reservationSettings;
-        this.leadership = leadership;
-        this.fencingToken = fencingToken;
-        this.leaderKeyRevision = leaderVersion;
-        this.handoverState = handoverState;
+    /** Creates a leadership that has begun; {@link #start} sets it going. */
+    LeaderService(ControllerServices services, LeadershipTerm term) {
+        this.services = services;
+        this.term = term;
+        this.loop = services.loop();
+        this.store = services.store();
+        this.deploymentSettings = services.deploymentSettings();
+        this.leadership = term.leadership();
         this.startedAt = loop.now();
-        this.failoverTimeline = new FailoverTimeline(fencingToken, noticedAt, startedAt);
-        this.riskTablePublisher = new RiskTablePublisher(fencingToken, handoverState.isWarm());
-        this.riskTableSnapshots =
-                new RiskTableSnapshotStore(
-                        store,
-                        leaderVersion,
-                        deploymentSettings.maxTransactionOperations(),
-                        deploymentSettings.maxValueBytes());
-        this.clusterState = new ClusterState(deploymentSettings, fencingToken);
-        this.jobs = clusterState.jobs();
-        this.machines = clusterState.machines();
-        this.objectives = new ServiceLevelObjectives(deploymentSettings, machineTypeCatalog);
-        this.recordWriter =
-                new RecordWriter(
-                        store,
-                        loop,
-                        deploymentSettings.maxTransactionOperations(),
-                        leaderVersion,
-                        jobEventListeners,
-                        this);
-        this.imageCacheRecorder = new ImageCacheRecorder(store, leaderVersion, deploymentSettings);
+        this.failoverTimeline =
+                new FailoverTimeline(term.fencingToken(), term.noticedAt(), startedAt);
+        this.clusterState = new ClusterState(deploymentSettings, term.fencingToken());
+        this.objectives =
+                new ServiceLevelObjectives(deploymentSettings, services.machineTypeCatalog());
+        this.recordWriter = createRecordWriter();
+        this.imageCacheRecorder =
+                new ImageCacheRecorder(store, term.leaderKeyRevision(), deploymentSettings);
+        this.standbySupport = new StandbySupport(services, term, clusterState);
         this.jobTracker = new JobTracker(loop, clusterState);
-        this.machineRegistry =
-                new MachineRegistry(
-                        loop,
-                        clusterState,
-                        machineTypeCatalog,
-                        imageCacheRecorder,
-                        this::isReturned);
-        this.taskLifecycle =
-                new TaskLifecycle(
-                        loop,
-                        recordWriter,
-                        machineRegistry,
-                        jobTracker,
-                        this::recordRuntime,
-                        this::sendCommands);
-        ArrivalForecast arrivalForecast = new ArrivalForecast();
-        this.jobRecords =
-                new JobRecordApplier(
-                        loop,
-                        clusterState,
-                        objectives,
-                        arrivalForecast,
-                        recordWriter,
-                        jobTracker,
-                        taskLifecycle);
+        this.machineRegistry = createMachineRegistry();
+        this.taskLifecycle = createTaskLifecycle();
+        this.jobRecords = createJobRecordApplier();
         RecoveryContext recoveryContext = new RecoveryContext(this, this, store, loop);
         this.riskTableRestorer =
-                new RiskTableRestorer(recoveryContext, clusterState, handoverState);
-        this.stateRecovery =
-                new StateRecovery(
-                        recoveryContext,
-                        new RecordRestorer(
-                                loop,
-                                clusterState,
-                                recordWriter,
-                                imageCacheRecorder,
-                                jobRecords,
-                                taskLifecycle),
-                        jobRecords,
-                        fencingToken,
-                        leaderVersion,
-                        handoverState,
-                        failoverTimeline);
+                new RiskTableRestorer(recoveryContext, clusterState, term.handoverState());
+        this.stateRecovery = createStateRecovery(recoveryContext);
+        this.failureDetector = createFailureDetector();
         this.heartbeatTimeoutMonitor =
                 new HeartbeatTimeoutMonitor(
-                        this, clusterState, deploymentSettings, fencingToken, startedAt);
-        this.failureDetector =
-                new FailureDetector(
-                        this,
-                        clusterState,
-                        deploymentSettings,
-                        loop,
-                        peerGateway,
-                        leadership,
-                        startedAt);
+                        this, clusterState, deploymentSettings, term.fencingToken(), startedAt);
         UnreachableMachineReturnPolicy unreachableReturnPolicy =
                 new UnreachableMachineReturnPolicy(failureDetector, deploymentSettings);
+        HeartbeatContext heartbeatContext =
+                new HeartbeatContext(this, this::isClosed, loop, leadership, term.fencingToken());
+        this.heartbeatHandler = createHeartbeatHandler(heartbeatContext, unreachableReturnPolicy);
+        this.directCommandSender =
+                new DirectCommandSender(
+                        heartbeatContext,
+                        services.workerGateway(),
+                        machineRegistry,
+                        heartbeatHandler);
+        this.reservationEnforcer = createReservationEnforcer();
+        this.firstRoundGate = createFirstRoundGate();
+        this.autoscaler = createAutoscaler(unreachableReturnPolicy);
+        this.roundScheduler = createRoundScheduler();
+    }
+
+    // ---- Wiring: each method uses only parts that are created before it in the constructor ----
+
+    private RecordWriter createRecordWriter() {
+        return new RecordWriter(
+                store,
+                loop,
+                deploymentSettings.maxTransactionOperations(),
+                term.leaderKeyRevision(),
+                services.jobEventListeners(),
+                this);
+    }
+
+    private MachineRegistry createMachineRegistry() {
+        return new MachineRegistry(
+                loop,
+                clusterState,
+                services.machineTypeCatalog(),
+                imageCacheRecorder,
+                this::isReturned);
+    }
+
+    private TaskLifecycle createTaskLifecycle() {
+        return new TaskLifecycle(
+                loop,
+                recordWriter,
+                machineRegistry,
+                jobTracker,
+                this::recordRuntime,
+                this::sendCommands);
+    }
+
+    private JobRecordApplier createJobRecordApplier() {
+        return new JobRecordApplier(
+                loop,
+                clusterState,
+                objectives,
+                arrivalForecast,
+                recordWriter,
+                jobTracker,
+                taskLifecycle);
+    }
+
+    private StateRecovery createStateRecovery(RecoveryContext recoveryContext) {
+        RecordRestorer restorer =
+                new RecordRestorer(
+                        loop,
+                        clusterState,
+                        recordWriter,
+                        imageCacheRecorder,
+                        jobRecords,
+                        taskLifecycle);
+        return new StateRecovery(
+                recoveryContext,
+                restorer,
+                jobRecords,
+                term.fencingToken(),
+                term.leaderKeyRevision(),
+                term.handoverState(),
+                failoverTimeline);
+    }
+
+    private FailureDetector createFailureDetector() {
+        return new FailureDetector(
+                this,
+                clusterState,
+                deploymentSettings,
+                loop,
+                services.peerGateway(),
+                leadership,
+                startedAt);
+    }
+
+    private HeartbeatHandler createHeartbeatHandler(
+            HeartbeatContext heartbeatContext,
+            UnreachableMachineReturnPolicy unreachableReturnPolicy) {
         HeartbeatReconciler heartbeatReconciler =
                 new HeartbeatReconciler(
                         taskLifecycle,
                         imageCacheRecorder,
-                        new RiskTableUpdater(clusterState, handoverState, riskTablePublisher),
+                        new RiskTableUpdater(
+                                clusterState,
+                                term.handoverState(),
+                                standbySupport.riskTablePublisher()),
                         leadership,
-                        fencingToken,
+                        term.fencingToken(),
                         stateRecovery::isComplete);
-        HeartbeatContext heartbeatContext =
-                new HeartbeatContext(this, this::isClosed, loop, leadership, fencingToken);
-        this.heartbeatHandler =
-                new HeartbeatHandler(
-                        heartbeatContext,
-                        deploymentSettings,
-                        clusterState,
-                        machineRegistry,
-                        heartbeatReconciler,
-                        unreachableReturnPolicy,
-                        recordWriter);
-        this.directCommandSender =
-                new DirectCommandSender(
-                        heartbeatContext, workerGateway, machineRegistry, heartbeatHandler);
-        this.reservationEnforcer =
-                new ReservationEnforcer(
-                        taskLifecycle,
-                        clusterState,
-                        objectives,
-                        loop,
-                        reservationSettings,
-                        new ReservationCalendarReplica(store, loop, this::isClosed),
-                        this::reservableCapacity);
-        this.firstRoundGate =
-                new FirstRoundGate(
-                        startedAt,
-                        deploymentSettings.heartbeatInterval(),
-                        machineRegistry,
-                        handoverState,
-                        failoverTimeline,
-                        new RoundConditions());
-        this.autoscaler =
-                new Autoscaler(
-                        this,
-                        cloudProvider,
-                        deploymentSettings,
-                        machineTypeCatalog,
-                        loop,
-                        fencingToken,
-                        unreachableReturnPolicy);
+        return new HeartbeatHandler(
+                heartbeatContext,
+                deploymentSettings,
+                clusterState,
+                machineRegistry,
+                heartbeatReconciler,
+                unreachableReturnPolicy,
+                recordWriter);
+    }
+
+    private ReservationEnforcer createReservationEnforcer() {
+        return new ReservationEnforcer(
+                taskLifecycle,
+                clusterState,
+                objectives,
+                loop,
+                services.reservationSettings(),
+                new ReservationCalendarReplica(store, loop, this::isClosed),
+                this::reservableCapacity);
+    }
+
+    private FirstRoundGate createFirstRoundGate() {
+        return new FirstRoundGate(
+                startedAt,
+                deploymentSettings.heartbeatInterval(),
+                machineRegistry,
+                term.handoverState(),
+                failoverTimeline,
+                new RoundConditions());
+    }
+
+    private Autoscaler createAutoscaler(UnreachableMachineReturnPolicy unreachableReturnPolicy) {
+        return new Autoscaler(
+                this,
+                services.cloudProvider(),
+                deploymentSettings,
+                services.machineTypeCatalog(),
+                loop,
+                term.fencingToken(),
+                unreachableReturnPolicy);
+    }
+
+    private RoundScheduler createRoundScheduler() {
         RoundContext roundContext =
                 new RoundContext(loop, deploymentSettings, clusterState, objectives, recordWriter);
-        this.roundScheduler =
-                new RoundScheduler(
+        UnplacedJobHandler unplacedJobHandler =
+                new UnplacedJobHandler(
                         roundContext,
-                        firstRoundGate,
-                        reservationEnforcer,
-                        arrivalForecast,
-                        new UnplacedJobHandler(
-                                roundContext,
-                                new PreemptionPlanner(clusterState, deploymentSettings, objectives),
-                                taskLifecycle,
-                                jobTracker),
-                        autoscaler::capacityDemand);
+                        new PreemptionPlanner(clusterState, deploymentSettings, objectives),
+                        taskLifecycle,
+                        jobTracker);
+        return new RoundScheduler(
+                roundContext,
+                firstRoundGate,
+                reservationEnforcer,
+                arrivalForecast,
+                unplacedJobHandler,
+                autoscaler::capacityDemand);
+    }
+
+    private boolean isReturned(MachineId id) {
+        return autoscaler.isReturned(id);
     }
 
     private void recordRuntime(JobSpec spec, double seconds) {
@@ -298,26 +311,27 @@
 
     private ReservableCapacity reservableCapacity() {
         return ReservationService.reservableCapacity(
-                machineTypeCatalog, deploymentSettings, reservationSettings.machineLimits());
+                services.machineTypeCatalog(),
+                deploymentSettings,
+                services.reservationSettings().machineLimits());
     }
 
-    private boolean isReturned(MachineId id) {
-        return autoscaler.isReturned(id);
-    }
+    // ---- Start and end ----
 
-    /** Loads all live jobs, then begins its rounds. */
-    public void start() {
+    /** Begins to load all live jobs, and schedules the rounds. */
+    void start() {
         stateRecovery.start();
         reservationEnforcer.start();
         autoscaler.start();
         loop.schedule(RoundScheduler.ROUND_INTERVAL, this::runRound);
-        if (handoverState.isWarm()) {
+        if (term.handoverState().isWarm()) {
             loop.schedule(WARM_CHECK_INTERVAL, this::checkWarmStart);
         }
         heartbeatHandler.start();
     }
 
-    public void close() {
+    /** Ends this leadership; answers of requests in flight are ignored from now on. */
+    void close() {
         List<DeferredHeartbeats.DeferredHeartbeat> unanswered;
         synchronized (this) {
             closed = true;
@@ -325,93 +339,16 @@
             autoscaler.close();
             unanswered = heartbeatHandler.takeAll();
         }
-        // Whoever leads now may renew their leases; this leader must not.
+        // The next leader may renew their leases; this one must not.
         DeferredHeartbeats.redirectAll(unanswered, null);
     }
 
-    @Override
-    public void renewLeadershipIfDue() {
-        leadership.renewIfDue();
-    }
-
     @Override
     public synchronized boolean isClosed() {
         return closed;
     }
 
-    // ---- what the ledger tells ----
-
-    @Override
-    public synchronized void onJobEndPersisted(Job job) {
-        jobTracker.onJobEndPersisted(job);
-    }
-
-    @Override
-    public void onConcurrentJobChange(JobId id) {
-        store.get(RecordCodec.job(id), RequestPriority.PLACEMENT)
-                .whenComplete(
-                        (entry, failure) -> {
-                            synchronized (this) {
-                                Job job = jobs.get(id);
-                                if (failure != null || closed || job == null) {
-                                    return;
-                                }
-                                if (entry.isPresent()) {
-                                    jobRecords.apply(
-                                            entry.get().key(),
-                                            entry.get().value(),
-                                            entry.get().revision());
-                                } else {
-                                    // Only our own unanswered transaction can have moved it to its
-                                    // final record.
-                                    recordWriter.recordUnacknowledgedEnd(job);
-                                }
-                                recordWriter.flush();
-                            }
-                        });
-    }
-
-    @Override
-    public void onLeadershipLost() {
-        leadership.stepDown();
-    }
-
-    // ---- reports ----
-
-    /** Answers a worker's heartbeat, or defers its answer. */
-    CompletableFuture<HeartbeatResponse> handleHeartbeat(Heartbeat heartbeat) {
-        return heartbeatHandler.handleHeartbeat(heartbeat);
-    }
-
-    /** Answers the heartbeats that were deferred until the cancellations are known. */
-    @Override
-    public synchronized void onCancellationsKnownUpTo(MonotonicTime upTo) {
-        leadership.advanceFreshness(fencingToken, upTo);
-        heartbeatHandler.onCancellationsKnown();
-    }
-
-    @Override
-    public void onTasksPersisted(Job job) {
-        heartbeatHandler.onTasksPersisted(job);
-    }
-
-    @Override
-    public void markTaskLost(Machine machine, Placement placement, String why, MonotonicTime now) {
-        taskLifecycle.markTaskLost(machine, placement, why, now);
-    }
-
-    @Override
-    public void stopWithCheckpoint(Placement placement, String why) {
-        taskLifecycle.stopWithCheckpoint(placement, why);
-    }
-
-    @Override
-    public void sendCommands(
-            Machine machine, WorkerIncarnation incarnation, List<WorkerCommand> commands) {
-        directCommandSender.sendCommands(machine, incarnation, commands);
-    }
-
-    // ---- rounds ----
+    // ---- Rounds ----
 
     private void runRound() {
         synchronized (this) {
@@ -431,15 +368,9 @@
             }
             jobTracker.reportMetricsIfDue(now);
             recordWriter.flush();
-            imageCacheRecorder.writeIfDue(machines.values(), now);
+            imageCacheRecorder.writeIfDue(clusterState.machines().values(), now);
             if (riskTableRestorer.isComplete() && leadership.canDecide()) {
-                riskTableSnapshots.writeNext(
-                        () ->
-                                RiskTablePublisher.exportAll(
-                                        clusterState.machines(), clusterState.riskTables(), now),
-                        recordWriter.dirtyShardCount() == 0,
-                        now,
-                        loop.wallClockMillis());
+                standbySupport.writeSnapshotIfDue(recordWriter.dirtyShardCount() == 0, now);
             }
         }
         failureDetector.queryPeersAndMaybeResign();
@@ -447,8 +378,8 @@
     }
 
     /**
-     * The first round of a warm leader, as soon as it may decide; its other rounds come every
-     * second from its begin.
+     * Holds the first round of a warm leader as soon as it may decide; its other rounds are every
+     * second from the start.
      */
     private void checkWarmStart() {
         boolean mustReadRiskTables;
@@ -479,13 +410,13 @@
         public FailoverPreconditions.Facts facts(int machinesReported, int machinesRequired) {
             return new FailoverPreconditions.Facts(
                     leadership.canDecide(),
-                    fencingToken,
+                    term.fencingToken(),
                     leadership.highestObservedToken(),
-                    leaderKeyRevision,
+                    term.leaderKeyRevision(),
                     stateRecovery.recoveredRevision(),
-                    !machineTypeCatalog.isEmpty(),
+                    !services.machineTypeCatalog().isEmpty(),
                     reservationEnforcer.isReady(),
-                    failureDetector.reachability() != LeaderReachability.Reachability.ISOLATED,
+                    failureDetector.reachability() != Reachability.ISOLATED,
                     machinesReported,
                     machinesRequired);
         }
@@ -496,21 +427,94 @@
         }
     }
 
+    // ---- Heartbeats and commands ----
+
+    /** Answers a worker's heartbeat, or defers the answer. */
+    CompletableFuture<HeartbeatResponse> handleHeartbeat(Heartbeat heartbeat) {
+        return heartbeatHandler.handleHeartbeat(heartbeat);
+    }
+
+    @Override
+    public void sendCommands(
+            Machine machine, WorkerIncarnation incarnation, List<WorkerCommand> commands) {
+        directCommandSender.sendCommands(machine, incarnation, commands);
+    }
+
+    // ---- The record writer's listener ----
+
+    @Override
+    public synchronized void onJobEndPersisted(Job job) {
+        jobTracker.onJobEndPersisted(job);
+    }
+
+    @Override
+    public void onTasksPersisted(Job job) {
+        heartbeatHandler.onTasksPersisted(job);
+    }
+
+    @Override
+    public void onConcurrentJobChange(JobId id) {
+        store.get(RecordCodec.job(id), RequestPriority.PLACEMENT)
+                .whenComplete(
+                        (entry, failure) -> {
+                            synchronized (this) {
+                                Job job = clusterState.jobs().get(id);
+                                if (failure == null && !closed && job != null) {
+                                    applyConcurrentChange(job, entry);
+                                }
+                            }
+                        });
+    }
+
+    private void applyConcurrentChange(Job job, Optional<KeyValueStore.Entry> entry) {
+        if (entry.isPresent()) {
+            jobRecords.apply(entry.get().key(), entry.get().value(), entry.get().revision());
+        } else {
+            // Only our own unanswered transaction can have moved it to its final record.
+            recordWriter.recordUnacknowledgedEnd(job);
+        }
+        recordWriter.flush();
+    }
+
+    @Override
+    public void onLeadershipLost() {
+        leadership.stepDown();
+    }
+
+    // ---- The recovery's listener ----
+
+    @Override
+    public void renewLeadershipIfDue() {
+        leadership.renewIfDue();
+    }
+
+    @Override
+    public synchronized void onCancellationsKnownUpTo(MonotonicTime upTo) {
+        leadership.advanceFreshness(term.fencingToken(), upTo);
+        heartbeatHandler.onCancellationsKnown();
+    }
+
+    // ---- The context of the fleet's parts ----
+
+    @Override
+    public synchronized boolean isStateRecovered() {
+        return stateRecovery.isComplete();
+    }
+
     /**
-     * Whether to place, stop, rent and return: the lease certainly holds, and the workers are
-     * heard. To a deaf leader everything that waits seems to lack room, and what it would do about
-     * it comes too early or hits what is healthy.
+     * Whether to place, stop, rent and return: the lease certainly holds, and the workers can reach
+     * this node. To an isolated leader all pending jobs seem to lack capacity, and what it would do
+     * about it is too early or hits what is healthy.
      */
     @Override
     public synchronized boolean canActAsLeader() {
-        return leadership.canDecide()
-                && failureDetector.reachability() != LeaderReachability.Reachability.ISOLATED;
+        return leadership.canDecide() && failureDetector.reachability() != Reachability.ISOLATED;
     }
 
-    /** Whether what is silent is so for its own reasons, as far as can be told. */
+    /** Whether machines that are silent are so for their own reasons, as far as can be known. */
     @Override
     public synchronized boolean isReachabilityHealthy() {
-        return failureDetector.reachability() == LeaderReachability.Reachability.HEALTHY;
+        return failureDetector.reachability() == Reachability.HEALTHY;
     }
 
     @Override
@@ -518,16 +522,9 @@
         return failureDetector.isHeartbeatOverdue(machine, now);
     }
 
-    /** Some workers' addresses, to see later whether this node hears them again. */
-    synchronized List<String> sampleAddresses(int most) {
-        return machineRegistry.sampleAddresses(most);
-    }
-
-    // ---- for the fleet ----
-
     @Override
     public synchronized List<Machine> snapshotMachines() {
-        return List.copyOf(machines.values());
+        return List.copyOf(clusterState.machines().values());
     }
 
     @Override
@@ -535,48 +532,41 @@
         return objectives.startupDelaySeconds(spec);
     }
 
-    @Override
-    public synchronized boolean isInOutageWindow(String type, String zone) {
-        return clusterState.reservationView().isInOutageWindow(type, zone);
-    }
-
     @Override
     public synchronized double largestImageGb() {
         return objectives.largestImageGb();
     }
 
     @Override
-    public synchronized boolean isStateRecovered() {
-        return stateRecovery.isComplete();
+    public synchronized boolean isInOutageWindow(String type, String zone) {
+        return clusterState.reservationView().isInOutageWindow(type, zone);
     }
 
-    /**
-     * Takes in what the cloud lists: machines not yet heard of, their addresses, and failed ones.
-     */
+    /** Takes in the cloud's list: machines that are new, their addresses, and failed ones. */
     @Override
     public synchronized void applyMachineList(List<CloudProvider.ListedMachine> list) {
         machineRegistry.markListed();
         MonotonicTime now = loop.now();
         failureDetector.recordMachineList(now);
-        for (CloudProvider.ListedMachine item : list) {
-            machineRegistry.applyListedMachine(item, now);
-            if (item.phase() == CloudProvider.MachinePhase.FAILED) {
-                markMachineGone(item.id(), "the cloud lists its machine as failed", false);
+        for (CloudProvider.ListedMachine listed : list) {
+            machineRegistry.applyListedMachine(listed, now);
+            if (listed.phase() == CloudProvider.MachinePhase.FAILED) {
+                markMachineGone(listed.id(), "the cloud lists its machine as failed", false);
             }
         }
     }
 
-    /** Takes a machine, and all that was on it, as gone. */
+    /** Takes all tasks of a machine that is certainly gone as lost. */
     @Override
-    public synchronized void markMachineGone(MachineId id, String why, boolean forget) {
+    public synchronized void markMachineGone(MachineId id, String reason, boolean forget) {
         MonotonicTime now = loop.now();
-        Machine machine = machines.get(id);
+        Machine machine = machineRegistry.find(id);
         List<Placement> placements =
                 machine != null
                         ? List.copyOf(machine.placements())
                         : clusterState.placementsOnUnseenMachines().getOrDefault(id, List.of());
         for (Placement placement : List.copyOf(placements)) {
-            markTaskLost(machine, placement, why, now);
+            taskLifecycle.markTaskLost(machine, placement, reason, now);
         }
         clusterState.placementsOnUnseenMachines().remove(id);
         if (machine != null) {
@@ -589,35 +579,45 @@
         recordWriter.flush();
     }
 
-    // ---- for standbys ----
+    @Override
+    public void markTaskLost(
+            Machine machine, Placement placement, String reason, MonotonicTime now) {
+        taskLifecycle.markTaskLost(machine, placement, reason, now);
+    }
 
-    /**
-     * What the tables have come to know since a standby last asked; empty until the records are in.
-     */
-    synchronized Optional<RiskTableDelta> riskTableDelta(RiskTableRequest asked) {
-        if (closed || !stateRecovery.isComplete() || !handoverState.isWarm()) {
-            return Optional.empty();
-        }
-        membership.recordStatus(asked.requester(), loop.now());
-        return Optional.of(
-                riskTablePublisher.answerRequest(
-                        asked, clusterState.machines(), clusterState.riskTables(), loop.now()));
+    @Override
+    public void stopWithCheckpoint(Placement placement, String reason) {
+        taskLifecycle.stopWithCheckpoint(placement, reason);
     }
 
+    // ---- For the node: standbys, users and isolation ----
+
+    /** What the risk tables have learned since a standby last asked; empty until the recovery. */
+    synchronized Optional<RiskTableDelta> riskTableDelta(RiskTableRequest request) {
+        return isAnswering() ? standbySupport.riskTableDelta(request) : Optional.empty();
+    }
+
+    /** The digests of all live jobs' records; empty until the recovery is complete. */
     synchronized Optional<RecordDigests> recordDigests() {
-        if (closed || !stateRecovery.isComplete()) {
-            return Optional.empty();
-        }
-        return Optional.of(jobTracker.recordDigests());
+        return isAnswering() ? Optional.of(jobTracker.recordDigests()) : Optional.empty();
+    }
+
+    private boolean isAnswering() {
+        return !closed && stateRecovery.isComplete();
     }
 
     /** The standby that could take over best, as far as is known. */
     synchronized Optional<String> preferredSuccessor() {
-        return membership.preferredSuccessor(RecordCodec.SCHEMA_VERSION, loop.now());
+        return standbySupport.preferredSuccessor();
+    }
+
+    /** Up to {@code most} workers' addresses, to find out later whether they reach this node. */
+    synchronized List<String> sampleAddresses(int most) {
+        return machineRegistry.sampleAddresses(most);
     }
 
-    /** Counts of a live job for display; empty when it is not known here. */
-    public synchronized Optional<AdmissionService.JobStatus> liveJobState(JobId id) {
+    /** The counts of a live job for display; empty when it is not known here. */
+    synchronized Optional<AdmissionService.JobStatus> liveJobState(JobId id) {
         return stateRecovery.isComplete() ? jobTracker.liveJobState(id) : Optional.empty();
     }
 }
