--- a/src/main/java/org/meadowhollow/coordination/ControllerNode.java
+++ b/src/main/java/org/meadowhollow/coordination/ControllerNode.java
@@ -19,6 +19,7 @@
 import org.meadowhollow.coordination.failover.StandbySettings;
 import org.meadowhollow.coordination.failover.WarmStandby;
 import org.meadowhollow.coordination.heartbeat.DeferredHeartbeats;
+import org.meadowhollow.coordination.heartbeat.DeferredHeartbeats.DeferredHeartbeat;
 import org.meadowhollow.coordination.heartbeat.HeartbeatTracker;
 import org.meadowhollow.coordination.leadership.Leadership;
 import org.meadowhollow.coordination.reservation.ReservationSettings;
@@ -31,83 +32,33 @@
 import org.meadowhollow.model.MachineTypeCatalog;
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.Revision;
-import org.meadowhollow.model.WorkerIncarnation;
 import org.meadowhollow.storage.KeyValueStore;
-import org.meadowhollow.storage.KeyValueStore.RequestPriority;
 import org.meadowhollow.storage.RecordCodec;
 import org.meadowhollow.storage.RecordDigests;
-import org.meadowhollow.storage.Transaction;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
-/** A controller node: follows the leader, and leads when elected. */
+/**
+ * A controller node: follows the leader, and leads when elected. Its monitor guards which
+ * leadership it has, and the state of its parts.
+ */
 public final class ControllerNode implements Leadership.Listener {
-    private static final Logger LOG = LoggerFactory.getLogger(ControllerNode.class);
-    private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
-
-    /**
-     * How long another node's word holds that the state service serves it; a few probes of the
-     * balancer.
-     */
-    private static final Duration PEER_REACHES_STORE_VALIDITY = Duration.ofSeconds(3);
-
-    /**
-     * How long a report waits here for a leader to be known; well below the 4 s that a worker waits
-     * for an answer. Sent on at once, hundreds of workers would go round all nodes every second,
-     * each time on a new connection, while these have to find a leader; and the new one would hear
-     * of most of them late.
-     */
-    private static final Duration MAX_LEADER_WAIT = Duration.ofMillis(2500);
-
-    private static final Duration SWEEP_INTERVAL = Duration.ofMillis(500);
-
-    /**
-     * Workers that a deaf node asks whether they can be reached again, and how often; one answer
-     * will do.
-     */
-    private static final int MAX_WORKERS_PROBED = 3;
-
-    private static final Duration WORKER_PROBE_INTERVAL = Duration.ofSeconds(4);
-
-    /** How often a node looks how late it comes to its own work. */
-    private static final Duration LOAD_CHECK_INTERVAL = Duration.ofMillis(500);
-
-    /** Later than this a node is short of time; a pause of the collector is shorter. */
-    private static final Duration LATE_THRESHOLD = Duration.ofMillis(300);
-
-    /**
-     * Looks in a row that were late before a leader sends users elsewhere, about what the
-     * balancer's probes need.
-     */
-    private static final int LATE_CHECKS_BEFORE_SHEDDING = 3;
-
-    /** For how long it does; the balancer lets no node back sooner than after a few seconds. */
-    private static final Duration LOAD_SHEDDING_DURATION = Duration.ofSeconds(10);
-
     private final EventLoop loop;
-    private final KeyValueStore store;
-    private final WorkerGateway workerGateway;
-    private final CloudProvider cloudProvider;
-    private final DeploymentSettings deploymentSettings;
-    private final MachineTypeCatalog machineTypeCatalog;
-    private final JobEventListeners jobEventListeners;
-    private final ReservationSettings reservationSettings;
+    private final ControllerServices services;
     private final Leadership leadership;
-    private final PeerGateway peerGateway;
-    private final DeferredHeartbeats heartbeatsAwaitingLeader = new DeferredHeartbeats();
     private final HeartbeatTracker heartbeatTracker = new HeartbeatTracker();
+    private final LeaderlessHeartbeats leaderlessHeartbeats;
+    private final UserReadiness userReadiness;
+    private final MachineTypeLoader machineTypeLoader;
+    private final WorkerContactProbe workerContactProbe;
 
     /** Null unless this node keeps warm what a successor needs. */
     private final WarmStandby warmStandby;
 
+    /** The current leadership, or null while this node does not lead. */
     private LeaderService leaderService;
-    private boolean sweeping;
-    private MonotonicTime peerReachedStoreAt;
+
     private boolean closed;
-    private boolean cloudFailureLogged;
-    private int consecutiveLateChecks;
-    private MonotonicTime sheddingUntil;
 
+    /** Creates a node that has no effect until {@link #start}. */
     public ControllerNode(
             EventLoop loop,
             KeyValueStore store,
@@ -117,18 +68,21 @@
             DeploymentSettings deploymentSettings,
             MachineTypeCatalog machineTypeCatalog,
             JobEventListeners jobEventListeners,
-            ReservationSettings calendar,
+            ReservationSettings reservationSettings,
             StandbySettings standbySettings,
             RandomGenerator random) {
-        this.reservationSettings = calendar;
-        this.jobEventListeners = jobEventListeners;
         this.loop = loop;
-        this.store = store;
-        this.workerGateway = workerGateway;
-        this.cloudProvider = cloudProvider;
-        this.deploymentSettings = deploymentSettings;
-        this.machineTypeCatalog = machineTypeCatalog;
-        this.peerGateway = peerGateway;
+        this.services =
+                new ControllerServices(
+                        loop,
+                        store,
+                        workerGateway,
+                        cloudProvider,
+                        peerGateway,
+                        deploymentSettings,
+                        machineTypeCatalog,
+                        jobEventListeners,
+                        reservationSettings);
         this.leadership =
                 new Leadership(
                         store,
@@ -138,165 +92,47 @@
                         heartbeatTracker,
                         random,
                         this);
+        this.leaderlessHeartbeats = new LeaderlessHeartbeats(this, loop);
+        this.userReadiness = new UserReadiness(this, services, this::isLeader, this::isClosed);
+        this.machineTypeLoader = new MachineTypeLoader(services, this::isClosed);
+        this.workerContactProbe =
+                new WorkerContactProbe(loop, workerGateway, leadership, this::isClosed);
         this.warmStandby =
-                standbySettings.enabled()
-                        ? new WarmStandby(
-                                loop,
-                                store,
-                                peerGateway,
-                                new ControllerStatus(
-                                        deploymentSettings.member(),
-                                        random.nextLong(),
-                                        standbySettings.zone(),
-                                        standbySettings.programVersion(),
-                                        RecordCodec.SCHEMA_VERSION,
-                                        Revision.ABSENT),
-                                leadership::lastKnownLeader,
-                                leadership::highestObservedToken)
-                        : null;
+                standbySettings.enabled() ? createWarmStandby(standbySettings, random) : null;
+    }
+
+    private WarmStandby createWarmStandby(StandbySettings settings, RandomGenerator random) {
+        ControllerStatus status =
+                new ControllerStatus(
+                        services.deploymentSettings().member(),
+                        random.nextLong(),
+                        settings.zone(),
+                        settings.programVersion(),
+                        RecordCodec.SCHEMA_VERSION,
+                        Revision.ABSENT);
+        return new WarmStandby(
+                loop,
+                services.store(),
+                services.peerGateway(),
+                status,
+                leadership::lastKnownLeader,
+                leadership::highestObservedToken);
     }
 
+    /** Begins to follow or lead, and to watch what the node depends on. */
     public void start() {
         leadership.start();
         if (warmStandby != null) {
             warmStandby.start();
         }
-        loadMachineTypes();
-        probeStoreDuringOutage();
-        watchLoad(loop.now());
+        machineTypeLoader.load();
+        userReadiness.probeStoreDuringOutage();
+        userReadiness.watchLoad(loop.now());
     }
 
-    /**
-     * Whether this node comes to its work in time. A leader that users ask many times as often,
-     * beside the reports of hundreds of workers, answered these too late: their leases ran out with
-     * all their tasks.
-     */
-    private void watchLoad(MonotonicTime last) {
-        if (isClosed()) {
-            return;
-        }
-        MonotonicTime now = loop.now();
-        boolean late =
-                now.elapsedSince(last).compareTo(LOAD_CHECK_INTERVAL.plus(LATE_THRESHOLD)) > 0;
-        boolean ask;
-        synchronized (this) {
-            consecutiveLateChecks = late ? consecutiveLateChecks + 1 : 0;
-            if (consecutiveLateChecks >= LATE_CHECKS_BEFORE_SHEDDING && leaderService != null) {
-                if (sheddingUntil == null || sheddingUntil.isBefore(now)) {
-                    LOG.info(
-                            "this node leads and is short of time: users are sent to others for {} s",
-                            LOAD_SHEDDING_DURATION.toSeconds());
-                }
-                sheddingUntil = now.plus(LOAD_SHEDDING_DURATION);
-            }
-            ask = sheddingUntil != null && now.isBefore(sheddingUntil);
-        }
-        if (ask) {
-            askPeersAboutStore();
-        }
-        loop.schedule(LOAD_CHECK_INTERVAL, () -> watchLoad(now));
-    }
-
-    private void askPeersAboutStore() {
-        peerGateway
-                .anyPeerReachesStore()
-                .thenAccept(
-                        served -> {
-                            if (served) {
-                                onPeerReachesStore();
-                            }
-                        });
-    }
-
-    /**
-     * While the state service does not serve this node: whether it is back, and whether it serves
-     * others.
-     */
-    private void probeStoreDuringOutage() {
-        if (isClosed()) {
-            return;
-        }
-        loop.schedule(RETRY_DELAY, this::probeStoreDuringOutage);
-        if (store.seemsUnavailable()) {
-            store.get(RecordCodec.FENCING_TOKEN_KEY, RequestPriority.BACKGROUND);
-            askPeersAboutStore();
-        }
-    }
-
-    private synchronized void onPeerReachesStore() {
-        peerReachedStoreAt = loop.now();
-    }
-
-    /**
-     * Whether users should come here. A node that the state service alone refuses sends them to the
-     * others; in an outage for all it stays, for a node that leaves is let back late. A leader that
-     * is short of time sends them to the others as well, for reports and its lease come first.
-     */
-    public synchronized boolean isReadyForUsers() {
-        boolean shedding =
-                leaderService != null
-                        && sheddingUntil != null
-                        && loop.now().isBefore(sheddingUntil);
-        return !machineTypeCatalog.isEmpty()
-                && !((store.seemsUnavailable() || shedding)
-                        && peerReachedStoreAt != null
-                        && loop.now()
-                                        .elapsedSince(peerReachedStoreAt)
-                                        .compareTo(PEER_REACHES_STORE_VALIDITY)
-                                < 0);
-    }
-
-    /** The types as an earlier node noted them, so that a node can start while the cloud is out. */
-    private void loadMachineTypes() {
-        store.get(RecordCodec.MACHINE_TYPES_KEY, RequestPriority.USER)
-                .whenComplete(
-                        (entry, failure) -> {
-                            if (isClosed() || !machineTypeCatalog.isEmpty()) {
-                                return;
-                            }
-                            if (failure != null) {
-                                loop.schedule(RETRY_DELAY, this::loadMachineTypes);
-                            } else if (entry.isPresent()) {
-                                machineTypeCatalog.replaceAll(
-                                        RecordCodec.types(entry.get().value()));
-                                LOG.info(
-                                        "the state service names {} machine types",
-                                        RecordCodec.types(entry.get().value()).size());
-                            } else {
-                                fetchMachineTypes();
-                            }
-                        });
-    }
-
-    private void fetchMachineTypes() {
-        cloudProvider
-                .listMachineTypes()
-                .whenComplete(
-                        (types, failure) -> {
-                            if (isClosed()) {
-                                return;
-                            }
-                            if (failure != null || types.isEmpty()) {
-                                if (!cloudFailureLogged) {
-                                    LOG.info(
-                                            "the cloud does not name its machine types: {}; trying on",
-                                            failure == null ? "it has none" : failure.getMessage());
-                                }
-                                cloudFailureLogged = true;
-                                loop.schedule(RETRY_DELAY, this::loadMachineTypes);
-                                return;
-                            }
-                            machineTypeCatalog.replaceAll(types);
-                            LOG.info("the cloud offers {} machine types", types.size());
-                            store.commit(
-                                    new Transaction()
-                                            .requireRevision(
-                                                    RecordCodec.MACHINE_TYPES_KEY, Revision.ABSENT)
-                                            .put(
-                                                    RecordCodec.MACHINE_TYPES_KEY,
-                                                    RecordCodec.types(types)),
-                                    RequestPriority.BACKGROUND);
-                        });
+    /** Whether users should be sent to this node; the load balancer's probes ask for it. */
+    public boolean isReadyForUsers() {
+        return userReadiness.isReadyForUsers();
     }
 
     private synchronized boolean isClosed() {
@@ -305,45 +141,38 @@
 
     @Override
     public void elected(
-            FencingToken fencingToken, Revision leaderVersion, MonotonicTime noticedAt) {
-        LeaderService begun =
+            FencingToken fencingToken, Revision leaderKeyRevision, MonotonicTime noticedAt) {
+        HandoverState handoverState =
+                warmStandby == null ? HandoverState.EMPTY : warmStandby.handOver();
+        LeaderService elected =
                 new LeaderService(
-                        new ControllerServices(
-                                loop,
-                                store,
-                                workerGateway,
-                                cloudProvider,
-                                peerGateway,
-                                deploymentSettings,
-                                machineTypeCatalog,
-                                jobEventListeners,
-                                reservationSettings),
+                        services,
                         new LeadershipTerm(
                                 leadership,
                                 fencingToken,
-                                leaderVersion,
-                                warmStandby == null ? HandoverState.EMPTY : warmStandby.handOver(),
+                                leaderKeyRevision,
+                                handoverState,
                                 noticedAt));
         synchronized (this) {
             if (leaderService != null) {
                 leaderService.close();
             }
-            leaderService = begun;
+            leaderService = elected;
         }
-        begun.start();
-        for (DeferredHeartbeats.DeferredHeartbeat each : takeHeartbeatsAwaitingLeader()) {
-            begun.handleHeartbeat(each.heartbeat()).thenAccept(each.response()::complete);
+        elected.start();
+        for (DeferredHeartbeat each : leaderlessHeartbeats.takeAll()) {
+            elected.handleHeartbeat(each.heartbeat()).thenAccept(each.response()::complete);
         }
     }
 
     @Override
-    public void leadershipLost(String why) {
+    public void leadershipLost(String reason) {
         List<String> addresses = List.of();
         synchronized (this) {
             if (leaderService != null) {
                 addresses =
                         leadership.isIsolated()
-                                ? leaderService.sampleAddresses(MAX_WORKERS_PROBED)
+                                ? leaderService.sampleAddresses(WorkerContactProbe.MAX_WORKERS)
                                 : addresses;
                 leaderService.close();
                 leaderService = null;
@@ -352,45 +181,24 @@
         if (warmStandby != null && !isClosed()) {
             warmStandby.start();
         }
-        probeWorkersWhileIsolated(addresses);
+        workerContactProbe.probeWhileIsolated(addresses);
     }
 
     /**
-     * While this node is deaf: whether some workers answer it again, since none comes to a node
-     * that does not lead.
+     * Whether this node leads and misses the heartbeats of more workers than fail by themselves.
      */
-    private void probeWorkersWhileIsolated(List<String> addresses) {
-        if (isClosed() || addresses.isEmpty() || !leadership.isIsolated()) {
-            return;
-        }
-        FencingToken shown = leadership.fencingToken();
-        addresses.forEach(
-                address ->
-                        workerGateway
-                                .sendCommands(address, shown, new WorkerIncarnation(1), List.of())
-                                .thenAccept(
-                                        heartbeat -> {
-                                            LOG.info(
-                                                    "worker {} answers this node again",
-                                                    heartbeat.machineId());
-                                            leadership.restoreWorkerContact();
-                                        }));
-        loop.schedule(WORKER_PROBE_INTERVAL, () -> probeWorkersWhileIsolated(addresses));
-    }
-
-    /** Whether this node leads and misses the reports of more workers than fail by themselves. */
     public boolean isMissingHeartbeats() {
-        LeaderService now = leader();
-        return now != null && !now.isReachabilityHealthy();
+        LeaderService leader = currentLeadership();
+        return leader != null && !leader.isReachabilityHealthy();
     }
 
     /**
-     * What this node's tables have come to know, for a standby that asks; empty if it does not
-     * lead.
+     * What this node's risk tables have learned, for a standby that asks; empty if this node does
+     * not lead.
      */
-    public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest question) {
-        LeaderService now = leader();
-        return now == null ? Optional.empty() : now.riskTableDelta(question);
+    public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest request) {
+        return Optional.ofNullable(currentLeadership())
+                .flatMap(leader -> leader.riskTableDelta(request));
     }
 
     /**
@@ -398,112 +206,91 @@
      * loaded them.
      */
     public Optional<RecordDigests> recordDigests() {
-        LeaderService now = leader();
-        return now == null ? Optional.empty() : now.recordDigests();
+        return Optional.ofNullable(currentLeadership()).flatMap(LeaderService::recordDigests);
     }
 
-    /** Records that audits found wrong in what this node follows. */
+    /** How many records audits found wrong in what this node follows as a standby. */
     public long divergentRecordCount() {
         return warmStandby == null ? 0 : warmStandby.mismatchedRecordCount();
     }
 
-    /**
-     * Gives the lease to the standby that could take over best, because this node is about to end.
-     */
+    /** Hands the lease to the best standby, because this node is about to end. */
     public void handOver() {
-        LeaderService now = leader();
-        if (now != null) {
-            leadership.handOver(now.preferredSuccessor().orElse(null));
+        LeaderService leader = currentLeadership();
+        if (leader != null) {
+            leadership.handOver(leader.preferredSuccessor().orElse(null));
         }
     }
 
     /** Whether this node leads. */
     public boolean isLeader() {
-        return leader() != null;
+        return currentLeadership() != null;
     }
 
-    /** Those of some machines whose reports have come to this node within a time. */
+    /** Those of some machines from which this node received a heartbeat within a time. */
     public Set<MachineId> recentlyHeardMachines(List<MachineId> machines, Duration within) {
         return heartbeatTracker.recentAmong(machines, within, loop.now());
     }
 
-    private synchronized LeaderService leader() {
+    private synchronized LeaderService currentLeadership() {
         return leaderService;
     }
 
     /**
-     * Answers a worker's report, or sends it to the leader; while none is known, the worker waits a
-     * little.
+     * Answers a worker's heartbeat, or redirects the worker to the leader; while none is known, the
+     * answer is deferred for a while.
      */
     public CompletableFuture<HeartbeatResponse> handleHeartbeat(Heartbeat heartbeat) {
         heartbeatTracker.recordHeartbeat(heartbeat.machineId(), loop.now());
         if (leadership.isIsolated()) {
             leadership.restoreWorkerContact();
         }
-        LeaderService now = leader();
-        if (now != null) {
-            return now.handleHeartbeat(heartbeat);
+        LeaderService leader = currentLeadership();
+        if (leader != null) {
+            return leader.handleHeartbeat(heartbeat);
         }
         leadership.observeToken(heartbeat.fencingToken(), null);
         boolean mayBeGone =
                 leadership.recordWorkerArrival(heartbeat.machineId(), heartbeat.fencingToken());
-        String other = leadership.lastKnownLeader();
-        boolean known = other != null && !deploymentSettings.member().equals(other) && !mayBeGone;
-        if (known || store.seemsUnavailable()) {
+        String lastKnownLeader = leadership.lastKnownLeader();
+        boolean known = lastKnownLeader != null && !isThisNode(lastKnownLeader) && !mayBeGone;
+        if (known || services.store().seemsUnavailable()) {
             return CompletableFuture.completedFuture(
-                    new HeartbeatResponse.Redirect(known ? other : null));
-        }
-        return deferUntilLeaderKnown(heartbeat);
-    }
-
-    private synchronized CompletableFuture<HeartbeatResponse> deferUntilLeaderKnown(
-            Heartbeat heartbeat) {
-        if (!sweeping) {
-            sweeping = true;
-            loop.schedule(SWEEP_INTERVAL, this::redirectExpired);
-        }
-        return heartbeatsAwaitingLeader.defer(heartbeat, loop.now().plus(MAX_LEADER_WAIT));
-    }
-
-    private void redirectExpired() {
-        List<DeferredHeartbeats.DeferredHeartbeat> due;
-        synchronized (this) {
-            due = heartbeatsAwaitingLeader.takeDue(loop.now());
-            sweeping = !closed && !heartbeatsAwaitingLeader.isEmpty();
-            if (sweeping) {
-                loop.schedule(SWEEP_INTERVAL, this::redirectExpired);
-            }
+                    new HeartbeatResponse.Redirect(known ? lastKnownLeader : null));
         }
-        DeferredHeartbeats.redirectAll(due, null);
+        return leaderlessHeartbeats.defer(heartbeat);
     }
 
-    private synchronized List<DeferredHeartbeats.DeferredHeartbeat> takeHeartbeatsAwaitingLeader() {
-        return heartbeatsAwaitingLeader.takeAll();
+    private boolean isThisNode(String member) {
+        return services.deploymentSettings().member().equals(member);
     }
 
     @Override
-    public void following(String other) {
-        boolean isOther = !deploymentSettings.member().equals(other);
-        DeferredHeartbeats.redirectAll(takeHeartbeatsAwaitingLeader(), isOther ? other : null);
+    public void following(String leader) {
+        DeferredHeartbeats.redirectAll(
+                leaderlessHeartbeats.takeAll(), isThisNode(leader) ? null : leader);
     }
 
+    /** Notes a leader of which a peer has told. */
     public void observeLeader(FencingToken fencingToken, String member) {
         leadership.observeToken(fencingToken, member);
     }
 
+    /** The counts of a live job for display; empty if this node does not lead or know the job. */
     public Optional<AdmissionService.JobStatus> liveJobState(JobId id) {
-        LeaderService now = leader();
-        return now == null ? Optional.empty() : now.liveJobState(id);
+        return Optional.ofNullable(currentLeadership()).flatMap(leader -> leader.liveJobState(id));
     }
 
+    /** Ends this node's part in the cluster; it starts nothing any more. */
     public synchronized void close() {
         closed = true;
+        leaderlessHeartbeats.close();
         if (warmStandby != null) {
             warmStandby.close();
         }
         if (leaderService != null) {
             leaderService.close();
         }
-        DeferredHeartbeats.redirectAll(heartbeatsAwaitingLeader.takeAll(), null);
+        DeferredHeartbeats.redirectAll(leaderlessHeartbeats.takeAll(), null);
     }
 }
--- /dev/null
+++ b/src/main/java/org/meadowhollow/coordination/LeaderlessHeartbeats.java
@@ -0,0 +1,72 @@
+package org.meadowhollow.coordination;
+
+import java.time.Duration;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import org.meadowhollow.coordination.api.HeartbeatResponse;
+import org.meadowhollow.coordination.heartbeat.DeferredHeartbeats;
+import org.meadowhollow.coordination.heartbeat.DeferredHeartbeats.DeferredHeartbeat;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.Heartbeat;
+
+/**
+ * Heartbeats that wait at a node until a leader is known. Guarded by the node's lock, which it
+ * takes itself; responses are completed outside it.
+ */
+final class LeaderlessHeartbeats {
+    /**
+     * How long a heartbeat waits for a leader to be known; well below the 4 s that a worker waits
+     * for an answer. Redirected at once, hundreds of workers would go round all nodes every second,
+     * each time on a new connection, while these have to elect a leader; and the new one would get
+     * most of their heartbeats late.
+     */
+    private static final Duration MAX_LEADER_WAIT = Duration.ofMillis(2500);
+
+    private static final Duration SWEEP_INTERVAL = Duration.ofMillis(500);
+
+    private final Object lock;
+    private final EventLoop loop;
+    private final DeferredHeartbeats waiting = new DeferredHeartbeats();
+    private boolean sweeping;
+    private boolean closed;
+
+    LeaderlessHeartbeats(Object lock, EventLoop loop) {
+        this.lock = lock;
+        this.loop = loop;
+    }
+
+    /** Defers the response until a leader is known, or for as long as a heartbeat may wait. */
+    CompletableFuture<HeartbeatResponse> defer(Heartbeat heartbeat) {
+        synchronized (lock) {
+            if (!sweeping) {
+                sweeping = true;
+                loop.schedule(SWEEP_INTERVAL, this::redirectExpired);
+            }
+            return waiting.defer(heartbeat, loop.now().plus(MAX_LEADER_WAIT));
+        }
+    }
+
+    private void redirectExpired() {
+        List<DeferredHeartbeat> due;
+        synchronized (lock) {
+            due = waiting.takeDue(loop.now());
+            sweeping = !closed && !waiting.isEmpty();
+            if (sweeping) {
+                loop.schedule(SWEEP_INTERVAL, this::redirectExpired);
+            }
+        }
+        DeferredHeartbeats.redirectAll(due, null);
+    }
+
+    /** Takes all that wait, to be answered by the caller. */
+    List<DeferredHeartbeat> takeAll() {
+        synchronized (lock) {
+            return waiting.takeAll();
+        }
+    }
+
+    /** No sweep is scheduled any more. Called with the node's lock held. */
+    void close() {
+        closed = true;
+    }
+}
--- /dev/null
+++ b/src/main/java/org/meadowhollow/coordination/MachineTypeLoader.java
@@ -0,0 +1,101 @@
+package org.meadowhollow.coordination;
+
+import java.time.Duration;
+import java.util.List;
+import java.util.function.BooleanSupplier;
+import org.meadowhollow.coordination.api.CloudProvider;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.MachineType;
+import org.meadowhollow.model.MachineTypeCatalog;
+import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.KeyValueStore.RequestPriority;
+import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.Transaction;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Fills a node's catalog of machine types once: from the record of an earlier node, so that a node
+ * can start while the cloud is unavailable, or else from the cloud, whose answer it records. Has
+ * one request in flight at a time and needs no lock; the catalog has its own.
+ */
+final class MachineTypeLoader {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineTypeLoader.class);
+    private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
+
+    private final EventLoop loop;
+    private final KeyValueStore store;
+    private final CloudProvider cloudProvider;
+    private final MachineTypeCatalog machineTypeCatalog;
+    private final BooleanSupplier isClosed;
+    private boolean cloudFailureLogged;
+
+    MachineTypeLoader(ControllerServices services, BooleanSupplier isClosed) {
+        this.loop = services.loop();
+        this.store = services.store();
+        this.cloudProvider = services.cloudProvider();
+        this.machineTypeCatalog = services.machineTypeCatalog();
+        this.isClosed = isClosed;
+    }
+
+    /** Loads the types, and tries again every second until there are any. */
+    void load() {
+        store.get(RecordCodec.MACHINE_TYPES_KEY, RequestPriority.USER)
+                .whenComplete(
+                        (entry, failure) -> {
+                            if (isClosed.getAsBoolean() || !machineTypeCatalog.isEmpty()) {
+                                return;
+                            }
+                            if (failure != null) {
+                                loop.schedule(RETRY_DELAY, this::load);
+                            } else if (entry.isPresent()) {
+                                machineTypeCatalog.replaceAll(
+                                        RecordCodec.types(entry.get().value()));
+                                LOG.info(
+                                        "the state service names {} machine types",
+                                        RecordCodec.types(entry.get().value()).size());
+                            } else {
+                                fetchFromCloud();
+                            }
+                        });
+    }
+
+    private void fetchFromCloud() {
+        cloudProvider
+                .listMachineTypes()
+                .whenComplete(
+                        (types, failure) -> {
+                            if (isClosed.getAsBoolean()) {
+                                return;
+                            }
+                            if (failure != null || types.isEmpty()) {
+                                logCloudFailure(failure);
+                                loop.schedule(RETRY_DELAY, this::load);
+                                return;
+                            }
+                            machineTypeCatalog.replaceAll(types);
+                            LOG.info("the cloud offers {} machine types", types.size());
+                            record(types);
+                        });
+    }
+
+    private void logCloudFailure(Throwable failure) {
+        if (!cloudFailureLogged) {
+            LOG.info(
+                    "the cloud does not name its machine types: {}; trying on",
+                    failure == null ? "it has none" : failure.getMessage());
+        }
+        cloudFailureLogged = true;
+    }
+
+    /** Records the types unless a node has done so; a failure leaves them for a later start. */
+    private void record(List<MachineType> types) {
+        var unusedCommit =
+                store.commit(
+                        new Transaction()
+                                .requireRevision(RecordCodec.MACHINE_TYPES_KEY, Revision.ABSENT)
+                                .put(RecordCodec.MACHINE_TYPES_KEY, RecordCodec.types(types)),
+                        RequestPriority.BACKGROUND);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/meadowhollow/coordination/UserReadiness.java
@@ -0,0 +1,173 @@
+package org.meadowhollow.coordination;
+
+import java.time.Duration;
+import java.util.function.BooleanSupplier;
+import org.meadowhollow.coordination.api.PeerGateway;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.MachineTypeCatalog;
+import org.meadowhollow.model.MonotonicTime;
+import org.meadowhollow.storage.KeyValueStore;
+import org.meadowhollow.storage.KeyValueStore.RequestPriority;
+import org.meadowhollow.storage.RecordCodec;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Decides whether users should be sent to this node. Watches how late the node runs its timers and
+ * whether the key-value store serves it and its peers. Owns what it found. Guarded by the node's
+ * lock, which it takes itself.
+ */
+final class UserReadiness {
+    private static final Logger LOG = LoggerFactory.getLogger(UserReadiness.class);
+
+    /** How often a node asks for the key-value store while that does not serve it. */
+    private static final Duration OUTAGE_PROBE_INTERVAL = Duration.ofSeconds(1);
+
+    /**
+     * How long another node's statement holds that the key-value store serves it; a few probes of
+     * the load balancer.
+     */
+    private static final Duration PEER_REACHES_STORE_VALIDITY = Duration.ofSeconds(3);
+
+    /** How often a node measures how late its timers run. */
+    private static final Duration LOAD_CHECK_INTERVAL = Duration.ofMillis(500);
+
+    /** Later than this a node is overloaded; a pause of the garbage collector is shorter. */
+    private static final Duration LATE_THRESHOLD = Duration.ofMillis(300);
+
+    /**
+     * Late checks in a row before a leader sends users elsewhere, about what the load balancer's
+     * probes need.
+     */
+    private static final int LATE_CHECKS_BEFORE_SHEDDING = 3;
+
+    /** For how long it does; the load balancer lets no node back sooner than after some seconds. */
+    private static final Duration LOAD_SHEDDING_DURATION = Duration.ofSeconds(10);
+
+    private final Object lock;
+    private final EventLoop loop;
+    private final KeyValueStore store;
+    private final PeerGateway peerGateway;
+    private final MachineTypeCatalog machineTypeCatalog;
+    private final BooleanSupplier isLeading;
+    private final BooleanSupplier isClosed;
+    private MonotonicTime peerReachedStoreAt;
+    private int consecutiveLateChecks;
+    private MonotonicTime sheddingUntil;
+
+    /**
+     * @param lock the node's lock
+     * @param isLeading whether this node leads; asked with the lock held
+     * @param isClosed whether the node is closed; takes the lock itself
+     */
+    UserReadiness(
+            Object lock,
+            ControllerServices services,
+            BooleanSupplier isLeading,
+            BooleanSupplier isClosed) {
+        this.lock = lock;
+        this.loop = services.loop();
+        this.store = services.store();
+        this.peerGateway = services.peerGateway();
+        this.machineTypeCatalog = services.machineTypeCatalog();
+        this.isLeading = isLeading;
+        this.isClosed = isClosed;
+    }
+
+    /**
+     * While the key-value store does not serve this node: asks whether it does again, and whether
+     * it serves others.
+     */
+    void probeStoreDuringOutage() {
+        if (isClosed.getAsBoolean()) {
+            return;
+        }
+        loop.schedule(OUTAGE_PROBE_INTERVAL, this::probeStoreDuringOutage);
+        if (store.seemsUnavailable()) {
+            var unusedProbe = store.get(RecordCodec.FENCING_TOKEN_KEY, RequestPriority.BACKGROUND);
+            askPeersAboutStore();
+        }
+    }
+
+    /**
+     * Measures whether this node runs its timers in time. A leader that users ask many times as
+     * often, beside the heartbeats of hundreds of workers, answered these too late: their leases
+     * expired with all their tasks.
+     *
+     * @param lastCheckAt when this was measured last
+     */
+    void watchLoad(MonotonicTime lastCheckAt) {
+        if (isClosed.getAsBoolean()) {
+            return;
+        }
+        MonotonicTime now = loop.now();
+        boolean late =
+                now.elapsedSince(lastCheckAt).compareTo(LOAD_CHECK_INTERVAL.plus(LATE_THRESHOLD))
+                        > 0;
+        boolean shedding;
+        synchronized (lock) {
+            recordLoadCheck(late, now);
+            shedding = sheddingUntil != null && now.isBefore(sheddingUntil);
+        }
+        if (shedding) {
+            askPeersAboutStore();
+        }
+        loop.schedule(LOAD_CHECK_INTERVAL, () -> watchLoad(now));
+    }
+
+    private void recordLoadCheck(boolean late, MonotonicTime now) {
+        consecutiveLateChecks = late ? consecutiveLateChecks + 1 : 0;
+        if (consecutiveLateChecks < LATE_CHECKS_BEFORE_SHEDDING || !isLeading.getAsBoolean()) {
+            return;
+        }
+        if (sheddingUntil == null || sheddingUntil.isBefore(now)) {
+            LOG.info(
+                    "this node leads and is short of time: users are sent to others for {} s",
+                    LOAD_SHEDDING_DURATION.toSeconds());
+        }
+        sheddingUntil = now.plus(LOAD_SHEDDING_DURATION);
+    }
+
+    private void askPeersAboutStore() {
+        var unusedAnswer =
+                peerGateway
+                        .anyPeerReachesStore()
+                        .thenAccept(
+                                served -> {
+                                    if (served) {
+                                        onPeerReachesStore();
+                                    }
+                                });
+    }
+
+    private void onPeerReachesStore() {
+        synchronized (lock) {
+            peerReachedStoreAt = loop.now();
+        }
+    }
+
+    /**
+     * Whether users should be sent to this node. A node that the key-value store alone refuses
+     * sends them to its peers; in an outage for all it stays ready, for a node that leaves the load
+     * balancer is let back late. A leader that is overloaded sends them to its peers as well, for
+     * heartbeats and its lease come first.
+     */
+    boolean isReadyForUsers() {
+        synchronized (lock) {
+            boolean shedding =
+                    isLeading.getAsBoolean()
+                            && sheddingUntil != null
+                            && loop.now().isBefore(sheddingUntil);
+            return !machineTypeCatalog.isEmpty()
+                    && !((store.seemsUnavailable() || shedding) && isStoreReachedByPeer());
+        }
+    }
+
+    private boolean isStoreReachedByPeer() {
+        return peerReachedStoreAt != null
+                && loop.now()
+                                .elapsedSince(peerReachedStoreAt)
+                                .compareTo(PEER_REACHES_STORE_VALIDITY)
+                        < 0;
+    }
+}
--- /dev/null
+++ b/src/main/java/org/meadowhollow/coordination/WorkerContactProbe.java
@@ -0,0 +1,66 @@
+package org.meadowhollow.coordination;
+
+import java.time.Duration;
+import java.util.List;
+import java.util.function.BooleanSupplier;
+import org.meadowhollow.coordination.api.WorkerGateway;
+import org.meadowhollow.coordination.leadership.Leadership;
+import org.meadowhollow.model.EventLoop;
+import org.meadowhollow.model.FencingToken;
+import org.meadowhollow.model.WorkerIncarnation;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Finds out whether workers answer a node again that gave up its leadership because it was isolated
+ * from them, since workers send no heartbeats to a node that does not lead. Keeps no state.
+ */
+final class WorkerContactProbe {
+    private static final Logger LOG = LoggerFactory.getLogger(WorkerContactProbe.class);
+
+    /** Workers that an isolated node asks; one answer will do. */
+    static final int MAX_WORKERS = 3;
+
+    private static final Duration INTERVAL = Duration.ofSeconds(4);
+
+    private final EventLoop loop;
+    private final WorkerGateway workerGateway;
+    private final Leadership leadership;
+    private final BooleanSupplier isClosed;
+
+    WorkerContactProbe(
+            EventLoop loop,
+            WorkerGateway workerGateway,
+            Leadership leadership,
+            BooleanSupplier isClosed) {
+        this.loop = loop;
+        this.workerGateway = workerGateway;
+        this.leadership = leadership;
+        this.isClosed = isClosed;
+    }
+
+    /**
+     * Asks workers at some addresses, now and at intervals, for as long as this node is isolated.
+     */
+    void probeWhileIsolated(List<String> addresses) {
+        if (isClosed.getAsBoolean() || addresses.isEmpty() || !leadership.isIsolated()) {
+            return;
+        }
+        FencingToken fencingToken = leadership.fencingToken();
+        addresses.forEach(address -> probe(address, fencingToken));
+        loop.schedule(INTERVAL, () -> probeWhileIsolated(addresses));
+    }
+
+    private void probe(String address, FencingToken fencingToken) {
+        var unusedAnswer =
+                workerGateway
+                        .sendCommands(address, fencingToken, new WorkerIncarnation(1), List.of())
+                        .thenAccept(
+                                heartbeat -> {
+                                    LOG.info(
+                                            "worker {} answers this node again",
+                                            heartbeat.machineId());
+                                    leadership.restoreWorkerContact();
+                                });
+    }
+}
