--- a/src/main/java/org/meadowhollow/coordination/api/CloudProvider.java
+++ b/src/main/java/org/meadowhollow/coordination/api/CloudProvider.java
@@ -6,9 +6,17 @@
 import org.meadowhollow.model.MachineId;
 import org.meadowhollow.model.MachineType;
 
-/** Whoever rents out the machines. */
+/**
+ * The cloud from which machines are rented. All calls return at once; a failed future means that
+ * the outcome is not known, unless it says otherwise.
+ */
 public interface CloudProvider {
-    /** A machine in the cloud's list, which is late. */
+    /**
+     * A machine in the cloud's list, which may lag behind what was rented and returned.
+     *
+     * @param address where its worker can be reached, or null while that is not known
+     * @param ageSeconds since it was rented
+     */
     record ListedMachine(
             MachineId id,
             String address,
@@ -18,7 +26,7 @@
             MachinePhase phase,
             double ageSeconds) {}
 
-    /** What the cloud says of a machine. */
+    /** The phase in which the cloud lists a machine. */
     enum MachinePhase {
         BOOTING,
         RUNNING,
@@ -26,17 +34,25 @@
     }
 
     /**
-     * The cloud has answered that a request was not executed, because it is out or too many came.
+     * The cloud has answered that a request was not executed, because it is unavailable or limits
+     * the rate of requests.
      */
     final class RequestRefusedException extends RuntimeException {
-        public RequestRefusedException(String why) {
-            super(why, null, false, false);
+        /** Creates it without a stack trace. */
+        public RequestRefusedException(String reason) {
+            super(reason, null, false, false);
         }
     }
 
+    /** The machine types that the cloud offers. */
     CompletableFuture<List<MachineType>> listMachineTypes();
 
-    /** Rents up to {@code count} machines; empty when there are none of this kind. */
+    /**
+     * Rents up to {@code count} machines; empty when there are none of this type and zone.
+     *
+     * @param request an id that makes the request idempotent
+     * @param spot whether the cloud may preempt them
+     */
     CompletableFuture<Optional<List<MachineId>>> rentMachines(
             String request, String type, String zone, boolean spot, int count);
 
@@ -47,5 +63,6 @@
      */
     CompletableFuture<Void> releaseMachines(List<MachineId> machines);
 
+    /** All machines that are rented. */
     CompletableFuture<List<ListedMachine>> listMachines();
 }
--- a/src/main/java/org/meadowhollow/coordination/api/DeploymentSettings.java
+++ b/src/main/java/org/meadowhollow/coordination/api/DeploymentSettings.java
@@ -6,9 +6,21 @@
 import org.meadowhollow.model.Resources;
 
 /**
- * What the platform's settings say of a deployment.
+ * The settings of a deployment, as the platform gives them.
  *
- * @param team limits by name; 0 in a limit means none
+ * @param member the name of this node among the controllers
+ * @param zones the zones in which machines may be rented
+ * @param teamQuotas quotas by team; 0 in a limit means none
+ * @param heartbeatInterval how often a worker sends a heartbeat
+ * @param workerLease how long a worker runs tasks without an answered heartbeat
+ * @param gangStartTimeout how long tasks of a gang wait for the others
+ * @param cancellationBound within which a cancelled job has stopped everywhere
+ * @param storeRequestsPerSecond the limit of requests to the key-value store
+ * @param storeWritesPerSecond the limit of records written to it
+ * @param maxValueBytes the largest value that it takes
+ * @param maxTransactionOperations the most operations in one of its transactions
+ * @param cloudRequestsPerSecond the limit of requests to the cloud
+ * @param cloudListingDelay by how much the cloud's list may be late
  */
 public record DeploymentSettings(
         String member,
@@ -26,9 +38,9 @@
         double cloudRequestsPerSecond,
         Duration cloudListingDelay) {
 
-    /** What a team is guaranteed and what it may use at most, in cpu and gpu. */
+    /** What a team is guaranteed and the most it may use, in CPUs and GPUs. */
     public record TeamQuota(String name, Resources guaranteed, Resources limit) {}
 
-    /** An aim for a class of jobs; {@code jobClass} is null where it holds for all. */
+    /** An objective for a class of jobs; {@code jobClass} is null where it holds for all. */
     public record ServiceLevelTarget(String kind, String jobClass, double thresholdSeconds) {}
 }
--- a/src/main/java/org/meadowhollow/coordination/api/PeerGateway.java
+++ b/src/main/java/org/meadowhollow/coordination/api/PeerGateway.java
@@ -8,48 +8,55 @@
 import org.meadowhollow.model.MachineId;
 import org.meadowhollow.storage.RecordDigests;
 
-/** The other controllers. What they are told saves time and proves nothing. */
+/**
+ * The other controllers. What they tell and are told is a hint that saves time; nothing is
+ * concluded from it that must be certain. All calls return at once.
+ */
 public interface PeerGateway {
+    /** Tells all peers who leads, and with which token. */
     void announceLeader(String leader, FencingToken fencingToken);
 
-    /** Whether the state service serves any of the others. */
+    /** Whether the key-value store serves any of the peers. */
     CompletableFuture<Boolean> anyPeerReachesStore();
 
-    /**
-     * How another controller takes a question: REFUSES if it alone does, while some other one
-     * answers; DEAF if it answers, leads, and misses the reports of many workers.
-     */
+    /** How a peer answers a probe. */
     enum ProbeResult {
+        /** It answers. */
         HEALTHY,
+        /** It answers, leads, and misses the heartbeats of many workers. */
         ISOLATED,
+        /** It alone refuses the connection, while some other peer answers. */
         CONNECTION_REFUSED,
+        /** There is no answer, for whatever reason. */
         UNRESPONSIVE
     }
 
+    /** Probes a peer. */
     CompletableFuture<ProbeResult> probe(String member);
 
     /**
-     * What each of the others says of machines: which have reported to it within a time before its
+     * Asks all peers from which machines they received a heartbeat within a time before their
      * answer.
      */
     CompletableFuture<List<PeerReachabilityReport>> queryRecentHeartbeats(
             List<MachineId> machines, Duration within);
 
-    /** An answer was not understood: it is damaged, or of another version. */
+    /** An answer could not be decoded: it is damaged, or of another version. */
     final class UnreadableResponseException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
-        public UnreadableResponseException(String why) {
-            super(why);
+        /** Creates it with what is wrong with the answer. */
+        public UnreadableResponseException(String reason) {
+            super(reason);
         }
     }
 
     /**
-     * What a leader's risk tables have come to know; empty if there is no answer or the node does
-     * not lead. Fails with {@link UnreadableResponseException}.
+     * What a leader's risk tables have learned; empty if there is no answer or the node does not
+     * lead. Fails with {@link UnreadableResponseException}.
      */
     CompletableFuture<Optional<RiskTableDelta>> fetchRiskTables(
-            String leader, RiskTableRequest question);
+            String leader, RiskTableRequest request);
 
     /**
      * The digests of a leader's records; empty if there is no answer or the node does not lead.
--- a/src/main/java/org/meadowhollow/coordination/api/RiskTableDelta.java
+++ b/src/main/java/org/meadowhollow/coordination/api/RiskTableDelta.java
@@ -6,10 +6,10 @@
 import org.meadowhollow.model.WorkerIncarnation;
 
 /**
- * What a leader's risk tables have come to know since a standby last asked.
+ * What a leader's risk tables have learned since a standby last asked.
  *
- * @param token of the leader that it comes from
- * @param lastSample the last sample that is in it, to go on from
+ * @param token the fencing token of the leader that sent it
+ * @param lastSample the number of the last sample in it, from which to go on
  * @param fullTables whether it holds whole tables, and not samples
  * @param hasMore whether to ask again at once; with whole tables, after the last machine in it
  */
@@ -20,13 +20,14 @@
         boolean hasMore,
         List<MachineEntry> entries) {
     /**
-     * Of one machine.
+     * What is new of one machine.
      *
-     * @param machineIdentityHash a hash of what the machine's name means: its type, zone, kind and
-     *     address
-     * @param workerIncarnation and {@code seq}: of the last report that is in it
-     * @param table a whole table as {@code RiskTable.export} gives it; empty if there are samples
-     * @param samples four numbers each, oldest first: session, number of the report, age in
+     * @param machineIdentityHash a hash of what the machine's name stands for: its type, zone,
+     *     price model and address
+     * @param workerIncarnation the incarnation of the last heartbeat that is in it
+     * @param sequenceNumber the number of that heartbeat
+     * @param table a whole table as {@code RiskTable} exports its state; empty if there are samples
+     * @param samples four numbers each, oldest first: incarnation, sequence number, age in
      *     milliseconds, sample
      */
     public record MachineEntry(
--- a/src/main/java/org/meadowhollow/coordination/api/WorkerGateway.java
+++ b/src/main/java/org/meadowhollow/coordination/api/WorkerGateway.java
@@ -8,14 +8,17 @@
 import org.meadowhollow.model.WorkerIncarnation;
 
 /**
- * The way straight to the workers. Starts never go this way, for a delayed one would come minutes
- * late.
+ * Direct requests to the workers. Starts are never sent this way, for a delayed one would arrive
+ * minutes late.
  */
 public interface WorkerGateway {
-    /** Sends orders; the worker's report comes back whether or not they were executed. */
+    /**
+     * Sends commands to the worker at an address. The worker answers with a heartbeat, whether or
+     * not it executed them; the future fails if there is no answer in time.
+     */
     CompletableFuture<Heartbeat> sendCommands(
             String address,
             FencingToken token,
             WorkerIncarnation workerIncarnation,
-            List<WorkerCommand> orders);
+            List<WorkerCommand> commands);
 }
--- a/src/main/java/org/meadowhollow/coordination/api/package-info.java
+++ b/src/main/java/org/meadowhollow/coordination/api/package-info.java
@@ -1,5 +1,7 @@
 /**
- * What a node runs on and talks to: settings, cloud, workers and the other controllers, as ports
- * that the protocol layer fills. Decides nothing.
+ * The ports of a controller: settings, cloud, workers and peers, as interfaces that the protocol
+ * layer implements, and the messages that cross them. It decides nothing and owns no state; it may
+ * use {@code model} and {@code storage} only. Implementations are called also with the leader's
+ * lock held, so they must not block.
  */
 package org.meadowhollow.coordination.api;
--- a/src/main/java/org/meadowhollow/coordination/heartbeat/DeferredHeartbeats.java
+++ b/src/main/java/org/meadowhollow/coordination/heartbeat/DeferredHeartbeats.java
@@ -12,20 +12,21 @@
 import org.meadowhollow.model.MonotonicTime;
 
 /**
- * Reports that are answered a little later. A leader holds them since starts go out in answers
- * alone, so that a machine can be told to start a task at once, instead of with its next report;
- * another node while no leader is known.
+ * Heartbeats that are answered a little later. A leader defers them because starts are sent in
+ * answers alone, so that a machine can start a task at once instead of with its next heartbeat;
+ * another node defers them while no leader is known. Guarded by the lock of its owner.
  */
 public final class DeferredHeartbeats {
-    /** A report, and where its answer goes. */
+    /** A heartbeat, the future of its response, and when that is due. */
     public record DeferredHeartbeat(
             Heartbeat heartbeat,
             CompletableFuture<HeartbeatResponse> response,
             MonotonicTime deadline) {}
 
-    /** In the order in which they are due, for all are held for the same time. */
+    /** In the order in which they are due, for all are deferred by the same time. */
     private final Map<MachineId, DeferredHeartbeat> byMachine = new LinkedHashMap<>();
 
+    /** Defers the response to a heartbeat until it is taken, or else due at a time. */
     public CompletableFuture<HeartbeatResponse> defer(Heartbeat heartbeat, MonotonicTime until) {
         discardEarlier(heartbeat.machineId());
         DeferredHeartbeat entry =
@@ -35,8 +36,8 @@
     }
 
     /**
-     * Lets go of a machine's earlier report: it has one in flight at a time, so nobody waits for
-     * that answer.
+     * Redirects a machine's earlier heartbeat: a worker has one in flight at a time, so it does not
+     * wait for that response any more.
      */
     public void discardEarlier(MachineId machine) {
         DeferredHeartbeat earlier = byMachine.remove(machine);
@@ -45,16 +46,17 @@
         }
     }
 
+    /** Whether no heartbeat is deferred. */
     public boolean isEmpty() {
         return byMachine.isEmpty();
     }
 
-    /** The machine's held report, which is held no more; null if there is none. */
+    /** Removes and returns the machine's deferred heartbeat; null if there is none. */
     public DeferredHeartbeat take(MachineId machine) {
         return byMachine.remove(machine);
     }
 
-    /** Those that have been held for long enough, which are held no more. */
+    /** Removes and returns those that are due. */
     public List<DeferredHeartbeat> takeDue(MonotonicTime now) {
         List<DeferredHeartbeat> due = new ArrayList<>();
         for (Iterator<DeferredHeartbeat> all = byMachine.values().iterator(); all.hasNext(); ) {
@@ -68,11 +70,13 @@
         return due;
     }
 
-    /** Sends workers to a member, or to their next node if it is null; that renews no lease. */
-    public static void redirectAll(List<DeferredHeartbeat> reports, String member) {
-        reports.forEach(each -> each.response().complete(new HeartbeatResponse.Redirect(member)));
+    /** Redirects workers to a member, or to their next node if it is null; renews no lease. */
+    public static void redirectAll(List<DeferredHeartbeat> heartbeats, String member) {
+        heartbeats.forEach(
+                each -> each.response().complete(new HeartbeatResponse.Redirect(member)));
     }
 
+    /** Removes and returns all. */
     public List<DeferredHeartbeat> takeAll() {
         List<DeferredHeartbeat> all = List.copyOf(byMachine.values());
         byMachine.clear();
--- a/src/main/java/org/meadowhollow/coordination/lifecycle/ImageCacheRecorder.java
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/ImageCacheRecorder.java
@@ -20,14 +20,15 @@
 import org.meadowhollow.storage.Transaction;
 
 /**
- * Notes in the state service which machines have which image cached, for no report tells, and a
- * successor that does not know fetches everything anew. Only hints: a note that is late or wrong
- * costs a fetch, no more.
+ * Records in the key-value store which machines have which container image cached, because no
+ * heartbeat tells it and a successor that does not know pulls all images again. The records are
+ * hints: one that is late or wrong costs an image pull, no more. Guarded by the leader's lock, but
+ * for the flag that a write is in flight, which the store's answer clears.
  */
 public final class ImageCacheRecorder {
     /**
-     * How much a takeover forgets at most; each change costs a write, and most images change all
-     * the time.
+     * How much of the changes a failover forgets at most; each change costs a write, and most
+     * images change all the time.
      */
     private static final Duration WRITE_INTERVAL = Duration.ofSeconds(10);
 
@@ -41,12 +42,13 @@
     private final Map<String, Double> imageSizesGb = new HashMap<>();
     private final Set<String> changedImages = new LinkedHashSet<>();
 
-    /** What a predecessor noted of machines that this leader has not met yet. */
+    /** What a predecessor recorded of machines that are not registered here yet. */
     private final Map<MachineId, Map<String, Double>> recordedByPredecessor = new HashMap<>();
 
     private MonotonicTime lastWrittenAt;
     private boolean writeInFlight;
 
+    /** Creates a recorder for the leader that wrote the leader key at a revision. */
     public ImageCacheRecorder(
             KeyValueStore store, Revision leaderVersion, DeploymentSettings deploymentSettings) {
         this.store = store;
@@ -55,11 +57,9 @@
         this.maxValueBytes = deploymentSettings.maxValueBytes();
     }
 
-    /**
-     * Takes in what a predecessor noted; what its machines do not have any more is put right later.
-     */
+    /** Restores what a predecessor recorded; what is not true any more is corrected later. */
     public void restore(List<KeyValueStore.Entry> entries, MonotonicTime now) {
-        // By the first write all live machines have reported.
+        // By the first write all live machines have sent a heartbeat.
         lastWrittenAt = now;
         for (KeyValueStore.Entry entry : entries) {
             String image = RecordCodec.imageOfKey(entry.key());
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Fills in what was noted of a machine that is new to this leader. */
+    /** Restores the image cache of a machine that is new to this leader. */
     public void onMachineRegistered(Machine machine) {
         Map<String, Double> images = recordedByPredecessor.remove(machine.id());
         if (images != null) {
@@ -82,7 +82,11 @@
         }
     }
 
-    /** Notes that a machine has an image. */
+    /**
+     * Records that a machine has an image cached.
+     *
+     * @param gb the size of the image in gigabytes
+     */
     public void recordCachedImage(Machine machine, String image, double gb) {
         boolean isNew = !machine.imageCache().contains(image);
         machine.imageCache().recordUse(image, gb);
@@ -92,7 +96,10 @@
         }
     }
 
-    /** Writes what has changed, now and then, as far as one transaction goes. */
+    /**
+     * Writes what has changed, in one transaction, unless one is in flight or the last was written
+     * within the interval. A transaction that fails is not sent again.
+     */
     public void writeIfDue(Collection<Machine> machines, MonotonicTime now) {
         if (writeInFlight
                 || changedImages.isEmpty()
@@ -100,18 +107,24 @@
                         && now.elapsedSince(lastWrittenAt).compareTo(WRITE_INTERVAL) < 0) {
             return;
         }
+        Transaction transaction = collectChanges(machines);
+        // The pause begins once all is written.
+        lastWrittenAt = changedImages.isEmpty() ? now : lastWrittenAt;
+        writeInFlight = true;
+        var unusedCommit =
+                store.commit(transaction, RequestPriority.BACKGROUND)
+                        .whenComplete((commitResult, failure) -> writeInFlight = false);
+    }
+
+    /** Takes as many changes as fit into one transaction. */
+    private Transaction collectChanges(Collection<Machine> machines) {
         Transaction transaction =
                 new Transaction().requireRevision(RecordCodec.LEADER_KEY, leaderVersion);
         int bytes = 0;
         for (Iterator<String> images = changedImages.iterator();
                 images.hasNext() && transaction.writes().size() < maxWrites; ) {
             String image = images.next();
-            List<MachineId> having = new ArrayList<>();
-            for (Machine machine : machines) {
-                if (machine.imageCache().contains(image)) {
-                    having.add(machine.id());
-                }
-            }
+            List<MachineId> having = machinesWithImage(machines, image);
             RecordCodec.ImageLocationsRecord record =
                     RecordCodec.encodeImageLocations(
                             imageSizesGb.get(image), having, maxValueBytes);
@@ -127,10 +140,16 @@
                 transaction.put(RecordCodec.imageKey(image), record.fields());
             }
         }
-        // The pause begins once all is written.
-        lastWrittenAt = changedImages.isEmpty() ? now : lastWrittenAt;
-        writeInFlight = true;
-        store.commit(transaction, RequestPriority.BACKGROUND)
-                .whenComplete((commitResult, failure) -> writeInFlight = false);
+        return transaction;
+    }
+
+    private static List<MachineId> machinesWithImage(Collection<Machine> machines, String image) {
+        List<MachineId> having = new ArrayList<>();
+        for (Machine machine : machines) {
+            if (machine.imageCache().contains(image)) {
+                having.add(machine.id());
+            }
+        }
+        return having;
     }
 }
