--- a/src/main/java/org/meadowhollow/coordination/LeaderService.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderService.java
@@ -1,68 +1,61 @@
 package org.meadowhollow.coordination;
 
-import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.time.Duration;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
-import java.util.Objects;
 import java.util.Optional;
-import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import java.util.stream.Collectors;
 import org.meadowhollow.coordination.admission.AdmissionService;
 import org.meadowhollow.coordination.api.CloudProvider;
 import org.meadowhollow.coordination.api.DeploymentSettings;
 import org.meadowhollow.coordination.api.HeartbeatResponse;
-import org.meadowhollow.coordination.api.PeerGateway;
 import org.meadowhollow.coordination.api.RiskTableDelta;
 import org.meadowhollow.coordination.api.RiskTableRequest;
-import org.meadowhollow.coordination.api.WorkerGateway;
 import org.meadowhollow.coordination.failover.FailoverPreconditions;
 import org.meadowhollow.coordination.failover.FailoverTimeline;
-import org.meadowhollow.coordination.failover.HandoverState;
-import org.meadowhollow.coordination.failover.Membership;
-import org.meadowhollow.coordination.failover.RiskTablePublisher;
-import org.meadowhollow.coordination.failover.RiskTableSnapshotStore;
 import org.meadowhollow.coordination.fleet.Autoscaler;
 import org.meadowhollow.coordination.fleet.FailureDetector;
 import org.meadowhollow.coordination.fleet.HeartbeatTimeoutMonitor;
 import org.meadowhollow.coordination.fleet.LeadershipContext;
 import org.meadowhollow.coordination.fleet.UnreachableMachineReturnPolicy;
-import org.meadowhollow.coordination.heartbeat.LeaderReachability;
+import org.meadowhollow.coordination.heartbeat.DeferredHeartbeats;
+import org.meadowhollow.coordination.heartbeat.LeaderReachability.Reachability;
 import org.meadowhollow.coordination.leadership.Leadership;
-import org.meadowhollow.coordination.metrics.FairnessMetrics;
-import org.meadowhollow.coordination.reservation.ReservationSettings;
+import org.meadowhollow.coordination.lifecycle.ImageCacheRecorder;
+import org.meadowhollow.coordination.lifecycle.JobTracker;
+import org.meadowhollow.coordination.lifecycle.MachineRegistry;
+import org.meadowhollow.coordination.lifecycle.TaskLifecycle;
+import org.meadowhollow.coordination.reconciliation.DirectCommandSender;
+import org.meadowhollow.coordination.reconciliation.HeartbeatContext;
+import org.meadowhollow.coordination.reconciliation.HeartbeatHandler;
+import org.meadowhollow.coordination.reconciliation.HeartbeatReconciler;
+import org.meadowhollow.coordination.reconciliation.RiskTableUpdater;
+import org.meadowhollow.coordination.recovery.JobRecordApplier;
+import org.meadowhollow.coordination.recovery.RecordRestorer;
+import org.meadowhollow.coordination.recovery.RecoveryContext;
+import org.meadowhollow.coordination.recovery.RecoveryListener;
+import org.meadowhollow.coordination.recovery.RiskTableRestorer;
+import org.meadowhollow.coordination.recovery.StateRecovery;
+import org.meadowhollow.coordination.reservation.ReservableCapacity;
+import org.meadowhollow.coordination.reservation.ReservationCalendarReplica;
+import org.meadowhollow.coordination.reservation.ReservationService;
+import org.meadowhollow.coordination.rounds.FirstRoundGate;
+import org.meadowhollow.coordination.rounds.ReservationEnforcer;
+import org.meadowhollow.coordination.rounds.RoundContext;
+import org.meadowhollow.coordination.rounds.RoundScheduler;
+import org.meadowhollow.coordination.rounds.UnplacedJobHandler;
 import org.meadowhollow.coordination.scheduling.ArrivalForecast;
 import org.meadowhollow.coordination.scheduling.ClusterState;
-import org.meadowhollow.coordination.scheduling.PlacementRound;
 import org.meadowhollow.coordination.scheduling.PreemptionPlanner;
-import org.meadowhollow.coordination.scheduling.SchedulingSnapshot;
 import org.meadowhollow.coordination.scheduling.ServiceLevelObjectives;
-import org.meadowhollow.model.AttemptNumber;
 import org.meadowhollow.model.EventLoop;
-import org.meadowhollow.model.ExitReason;
-import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Heartbeat;
 import org.meadowhollow.model.Job;
-import org.meadowhollow.model.JobEventListeners;
 import org.meadowhollow.model.JobId;
-import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.Machine;
 import org.meadowhollow.model.MachineId;
-import org.meadowhollow.model.MachineType;
-import org.meadowhollow.model.MachineTypeCatalog;
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.Placement;
-import org.meadowhollow.model.Priority;
-import org.meadowhollow.model.Revision;
-import org.meadowhollow.model.SecondaryRecord;
-import org.meadowhollow.model.TaskId;
-import org.meadowhollow.model.TaskShard;
-import org.meadowhollow.model.TaskState;
 import org.meadowhollow.model.WorkerCommand;
 import org.meadowhollow.model.WorkerIncarnation;
 import org.meadowhollow.storage.KeyValueStore;
@@ -70,765 +63,299 @@
 import org.meadowhollow.storage.RecordCodec;
 import org.meadowhollow.storage.RecordDigests;
 import org.meadowhollow.storage.RecordWriter;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /**
- * One leadership: everything that the leader of one term knows and does. A new term begins with a
- * new object, so nothing that an old term believed can leak into it.
+ * One leadership of this node: wires its parts and runs its timers. Each leadership has an object
+ * of its own, so nothing that an earlier one believed can leak into it.
+ *
+ * <p>This object's monitor is the leader's lock, the only one that its parts share; what they own
+ * is read and changed with it held. Requests to the cloud and to peers are sent, and deferred
+ * responses completed, outside it.
  */
-final class LeaderService implements RecordWriter.Listener, LeadershipContext {
-    private static final Logger LOG = LoggerFactory.getLogger(LeaderService.class);
-
-    /** The design's round. */
-    private static final Duration ROUND_INTERVAL = Duration.ofSeconds(1);
-
-    /** Jobs in a round for which others are stopped: what is stopped must be seen to help first. */
-    private static final int MAX_PREEMPTING_JOBS = 4;
-
-    /**
-     * Jobs in a round for which idle work is stopped; each is a look at all machines, and what is
-     * stopped saves first.
-     */
-    private static final int MAX_JOBS_DISPLACING_BEST_EFFORT = 8;
-
-    /**
-     * How long a report of a machine with room is held: less than the three quarters of a report's
-     * interval after which the next goes out, and well below the 4 s that a worker waits for its
-     * answer.
-     */
-    private static final double DEFERRAL_SHARE_OF_INTERVAL = 0.6;
-
-    private static final Duration MAX_DEFERRAL = Duration.ofMillis(2500);
-
-    /**
-     * How long a report waits while no lease may be renewed, below the 4 s that a worker waits.
-     * Sent on at once, hundreds of workers went round all nodes every second throughout an outage.
-     */
-    private static final Duration MAX_FRESHNESS_WAIT = Duration.ofSeconds(3);
-
-    /**
-     * Direct answers that can overtake a report on its way: one for each task that is stopped
-     * meanwhile.
-     */
-    private static final int MAX_OVERTAKEN_HEARTBEATS = 16;
-
-    private static final Duration DEFERRAL_SWEEP_INTERVAL = Duration.ofMillis(250);
-
-    /** Reports come up to a quarter late, and a worker turns to the next node a second later. */
-    private static final double LATEST_HEARTBEAT_FACTOR = 1.25;
-
-    private static final double NEXT_NODE_SECONDS = 1;
-
-    /**
-     * The share of the known machines whose reports make a full round. Among hundreds some are
-     * always hung, dead or about to be taken, and are listed for long after; waiting for them took
-     * each takeover the whole time.
-     */
-    private static final double FULL_ROUND_SHARE = 0.9;
-
-    /**
-     * The share of the machines that the last leader heard of which a warm leader's first round
-     * needs. Most of them have waited at this node for a leader; for the rest it knows the tables
-     * and what may run there.
-     */
-    private static final double WARM_FIRST_ROUND_SHARE = 0.5;
-
-    /**
-     * After the state service did not say which tables are noted there; until it does, none is
-     * written over.
-     */
-    private static final Duration SNAPSHOT_READ_RETRY = Duration.ofSeconds(2);
-
-    /** How often a warm leader looks whether its first round can be. */
+final class LeaderService implements RecordWriter.Listener, RecoveryListener, LeadershipContext {
+    /** How often a warm leader checks whether it may hold its first round. */
     private static final Duration WARM_CHECK_INTERVAL = Duration.ofMillis(200);
 
-    /** Failures of a job's tasks after which it has to wait before the next start. */
-    private static final int FAILURES_BEFORE_BACKOFF = 3;
-
-    private static final int MAX_BACKOFF_SECONDS = 60;
-
-    /** Failures of different tasks on a machine after which it counts as faulty. */
-    private static final int FAILURES_BEFORE_CORDON = 3;
-
+    private final ControllerServices services;
+    private final LeadershipTerm term;
     private final EventLoop loop;
     private final KeyValueStore store;
-    private final WorkerGateway workerGateway;
     private final DeploymentSettings deploymentSettings;
-    private final MachineTypeCatalog machineTypeCatalog;
     private final Leadership leadership;
-    private final Autoscaler autoscaler;
-    private final RecordWriter recordWriter;
-    private final ImageCacheRecorder imageCacheRecorder;
-    private final DeferredHeartbeats deferredHeartbeats = new DeferredHeartbeats();
-
-    /** Those that came while this leader did not know which jobs are cancelled. */
-    private final DeferredHeartbeats early = new DeferredHeartbeats();
-
-    private final FencingToken fencingToken;
     private final MonotonicTime startedAt;
+    private final FailoverTimeline failoverTimeline;
     private final ClusterState clusterState;
-    private final Map<JobId, Job> jobs;
-    private final Map<MachineId, Machine> machines;
     private final ServiceLevelObjectives objectives;
-    private final PreemptionPlanner preemptionPlanner;
+    private final ArrivalForecast arrivalForecast = new ArrivalForecast();
+    private final RecordWriter recordWriter;
+    private final ImageCacheRecorder imageCacheRecorder;
+    private final StandbySupport standbySupport;
+    private final JobTracker jobTracker;
+    private final MachineRegistry machineRegistry;
+    private final TaskLifecycle taskLifecycle;
+    private final JobRecordApplier jobRecords;
+    private final RiskTableRestorer riskTableRestorer;
     private final StateRecovery stateRecovery;
-    private final HeartbeatTimeoutMonitor heartbeatTimeoutMonitor;
-    private final HeartbeatReconciler heartbeatReconciler;
     private final FailureDetector failureDetector;
-    private final UnreachableMachineReturnPolicy unreachableReturnPolicy;
+    private final HeartbeatTimeoutMonitor heartbeatTimeoutMonitor;
+    private final HeartbeatHandler heartbeatHandler;
+    private final DirectCommandSender directCommandSender;
     private final ReservationEnforcer reservationEnforcer;
-    private final Revision leaderKeyRevision;
-    private final HandoverState handoverState;
-    private final FailoverTimeline failoverTimeline;
-    private final RiskTablePublisher riskTablePublisher;
-    private final RiskTableSnapshotStore riskTableSnapshots;
-    private final Membership membership = new Membership();
-    private final Object2IntOpenHashMap<MachineId> failuresByMachine =
-            new Object2IntOpenHashMap<>();
-    private final ArrivalForecast arrivalForecast = new ArrivalForecast();
-    private final FairnessMetrics fairnessMetrics = new FairnessMetrics();
-    private boolean listed;
-    private boolean fullRoundGathered;
-    private boolean firstRoundAllowed;
-
-    /**
-     * Whether all tables are here that there are: a snapshot of fewer would take the place of a
-     * better one.
-     */
-    private boolean riskTablesSettled;
+    private final FirstRoundGate firstRoundGate;
+    private final Autoscaler autoscaler;
+    private final RoundScheduler roundScheduler;
 
-    private boolean riskTablesRequested;
+    /** Guarded by this object's monitor, as everything that changes. */
     private boolean closed;
-    private long placedByRisk;
-    private long placedByCapacity;
 
-    public LeaderService(
-            EventLoop loop,
-            KeyValueStore store,
-            WorkerGateway workerGateway,
-            CloudProvider cloudProvider,
-            PeerGateway peerGateway,
-            DeploymentSettings deploymentSettings,
-            MachineTypeCatalog machineTypeCatalog,
-            Leadership leadership,
-            FencingToken fencingToken,
-            Revision leaderVersion,
-            JobEventListeners jobEventListeners,
-            ReservationSettings reservationSettings,
-            HandoverState handoverState,
-            MonotonicTime noticedAt) {
-        this.loop = loop;
-        this.store = store;
-        this.workerGateway = workerGateway;
-        this.deploymentSettings = deploymentSettings;
-        this.machineTypeCatalog = machineTypeCatalog;
-        this.leadership = leadership;
-        this.fencingToken = fencingToken;
-        this.leaderKeyRevision = leaderVersion;
-        this.handoverState = handoverState;
+    /** Creates a leadership that has begun; {@link #start} sets it going. */
+    LeaderService(ControllerServices services, LeadershipTerm term) {
+        this.services = services;
+        this.term = term;
+        this.loop = services.loop();
+        this.store = services.store();
+        this.deploymentSettings = services.deploymentSettings();
+        this.leadership = term.leadership();
         this.startedAt = loop.now();
-        this.failoverTimeline = new FailoverTimeline(fencingToken, noticedAt, startedAt);
-        this.riskTablePublisher = new RiskTablePublisher(fencingToken, handoverState.isWarm());
-        this.riskTableSnapshots =
-                new RiskTableSnapshotStore(
-                        store,
-                        leaderVersion,
-                        deploymentSettings.maxTransactionOperations(),
-                        deploymentSettings.maxValueBytes());
-        this.clusterState = new ClusterState(deploymentSettings, fencingToken);
-        this.jobs = clusterState.jobs();
-        this.machines = clusterState.machines();
-        this.objectives = new ServiceLevelObjectives(deploymentSettings, machineTypeCatalog);
-        this.preemptionPlanner =
-                new PreemptionPlanner(clusterState, deploymentSettings, objectives);
-        this.recordWriter =
-                new RecordWriter(
-                        store,
-                        loop,
-                        deploymentSettings.maxTransactionOperations(),
-                        leaderVersion,
-                        jobEventListeners,
-                        this);
-        this.imageCacheRecorder = new ImageCacheRecorder(store, leaderVersion, deploymentSettings);
-        this.stateRecovery =
-                new StateRecovery(
-                        this,
-                        store,
+        this.failoverTimeline =
+                new FailoverTimeline(term.fencingToken(), term.noticedAt(), startedAt);
+        this.clusterState = new ClusterState(deploymentSettings, term.fencingToken());
+        this.objectives =
+                new ServiceLevelObjectives(deploymentSettings, services.machineTypeCatalog());
+        this.recordWriter = createRecordWriter();
+        this.imageCacheRecorder =
+                new ImageCacheRecorder(store, term.leaderKeyRevision(), deploymentSettings);
+        this.standbySupport = new StandbySupport(services, term, clusterState);
+        this.jobTracker = new JobTracker(loop, clusterState);
+        this.machineRegistry = createMachineRegistry();
+        this.taskLifecycle = createTaskLifecycle();
+        this.jobRecords = createJobRecordApplier();
+        RecoveryContext recoveryContext = new RecoveryContext(this, this, store, loop);
+        this.riskTableRestorer =
+                new RiskTableRestorer(recoveryContext, clusterState, term.handoverState());
+        this.stateRecovery = createStateRecovery(recoveryContext);
+        this.failureDetector = createFailureDetector();
+        this.heartbeatTimeoutMonitor =
+                new HeartbeatTimeoutMonitor(
+                        this, clusterState, deploymentSettings, term.fencingToken(), startedAt);
+        UnreachableMachineReturnPolicy unreachableReturnPolicy =
+                new UnreachableMachineReturnPolicy(failureDetector, deploymentSettings);
+        HeartbeatContext heartbeatContext =
+                new HeartbeatContext(this, this::isClosed, loop, leadership, term.fencingToken());
+        this.heartbeatHandler = createHeartbeatHandler(heartbeatContext, unreachableReturnPolicy);
+        this.directCommandSender =
+                new DirectCommandSender(
+                        heartbeatContext,
+                        services.workerGateway(),
+                        machineRegistry,
+                        heartbeatHandler);
+        this.reservationEnforcer = createReservationEnforcer();
+        this.firstRoundGate = createFirstRoundGate();
+        this.autoscaler = createAutoscaler(unreachableReturnPolicy);
+        this.roundScheduler = createRoundScheduler();
+    }
+
+    // ---- Wiring: each method uses only parts that are created before it in the constructor ----
+
+    private RecordWriter createRecordWriter() {
+        return new RecordWriter(
+                store,
+                loop,
+                deploymentSettings.maxTransactionOperations(),
+                term.leaderKeyRevision(),
+                services.jobEventListeners(),
+                this);
+    }
+
+    private MachineRegistry createMachineRegistry() {
+        return new MachineRegistry(
+                loop,
+                clusterState,
+                services.machineTypeCatalog(),
+                imageCacheRecorder,
+                this::isReturned);
+    }
+
+    private TaskLifecycle createTaskLifecycle() {
+        return new TaskLifecycle(
+                loop,
+                recordWriter,
+                machineRegistry,
+                jobTracker,
+                this::recordRuntime,
+                this::sendCommands);
+    }
+
+    private JobRecordApplier createJobRecordApplier() {
+        return new JobRecordApplier(
+                loop,
+                clusterState,
+                objectives,
+                arrivalForecast,
+                recordWriter,
+                jobTracker,
+                taskLifecycle);
+    }
+
+    private StateRecovery createStateRecovery(RecoveryContext recoveryContext) {
+        RecordRestorer restorer =
+                new RecordRestorer(
                         loop,
                         clusterState,
-                        objectives,
-                        arrivalForecast,
                         recordWriter,
                         imageCacheRecorder,
-                        fencingToken,
-                        leaderVersion,
-                        handoverState,
-                        failoverTimeline);
-        this.heartbeatTimeoutMonitor =
-                new HeartbeatTimeoutMonitor(
-                        this, clusterState, deploymentSettings, fencingToken, startedAt);
-        this.heartbeatReconciler =
+                        jobRecords,
+                        taskLifecycle);
+        return new StateRecovery(
+                recoveryContext,
+                restorer,
+                jobRecords,
+                term.fencingToken(),
+                term.leaderKeyRevision(),
+                term.handoverState(),
+                failoverTimeline);
+    }
+
+    private FailureDetector createFailureDetector() {
+        return new FailureDetector(
+                this,
+                clusterState,
+                deploymentSettings,
+                loop,
+                services.peerGateway(),
+                leadership,
+                startedAt);
+    }
+
+    private HeartbeatHandler createHeartbeatHandler(
+            HeartbeatContext heartbeatContext,
+            UnreachableMachineReturnPolicy unreachableReturnPolicy) {
+        HeartbeatReconciler heartbeatReconciler =
                 new HeartbeatReconciler(
-                        this,
-                        clusterState,
+                        taskLifecycle,
                         imageCacheRecorder,
+                        new RiskTableUpdater(
+                                clusterState,
+                                term.handoverState(),
+                                standbySupport.riskTablePublisher()),
                         leadership,
-                        fencingToken,
-                        handoverState,
-                        riskTablePublisher);
-        this.failureDetector =
-                new FailureDetector(
-                        this,
-                        clusterState,
-                        deploymentSettings,
-                        loop,
-                        peerGateway,
-                        leadership,
-                        startedAt);
-        this.unreachableReturnPolicy =
-                new UnreachableMachineReturnPolicy(failureDetector, deploymentSettings);
-        this.reservationEnforcer =
-                new ReservationEnforcer(
-                        this,
-                        clusterState,
-                        objectives,
-                        machineTypeCatalog,
-                        deploymentSettings,
-                        store,
-                        loop,
-                        reservationSettings);
-        this.autoscaler =
-                new Autoscaler(
-                        this,
-                        cloudProvider,
-                        deploymentSettings,
-                        machineTypeCatalog,
-                        loop,
-                        fencingToken,
-                        unreachableReturnPolicy);
-    }
-
-    /** Loads all live jobs, then begins its rounds. */
-    public void start() {
+                        term.fencingToken(),
+                        stateRecovery::isComplete);
+        return new HeartbeatHandler(
+                heartbeatContext,
+                deploymentSettings,
+                clusterState,
+                machineRegistry,
+                heartbeatReconciler,
+                unreachableReturnPolicy,
+                recordWriter);
+    }
+
+    private ReservationEnforcer createReservationEnforcer() {
+        return new ReservationEnforcer(
+                taskLifecycle,
+                clusterState,
+                objectives,
+                loop,
+                services.reservationSettings(),
+                new ReservationCalendarReplica(store, loop, this::isClosed),
+                this::reservableCapacity);
+    }
+
+    private FirstRoundGate createFirstRoundGate() {
+        return new FirstRoundGate(
+                startedAt,
+                deploymentSettings.heartbeatInterval(),
+                machineRegistry,
+                term.handoverState(),
+                failoverTimeline,
+                new RoundConditions());
+    }
+
+    private Autoscaler createAutoscaler(UnreachableMachineReturnPolicy unreachableReturnPolicy) {
+        return new Autoscaler(
+                this,
+                services.cloudProvider(),
+                deploymentSettings,
+                services.machineTypeCatalog(),
+                loop,
+                term.fencingToken(),
+                unreachableReturnPolicy);
+    }
+
+    private RoundScheduler createRoundScheduler() {
+        RoundContext roundContext =
+                new RoundContext(loop, deploymentSettings, clusterState, objectives, recordWriter);
+        UnplacedJobHandler unplacedJobHandler =
+                new UnplacedJobHandler(
+                        roundContext,
+                        new PreemptionPlanner(clusterState, deploymentSettings, objectives),
+                        taskLifecycle,
+                        jobTracker);
+        return new RoundScheduler(
+                roundContext,
+                firstRoundGate,
+                reservationEnforcer,
+                arrivalForecast,
+                unplacedJobHandler,
+                autoscaler::capacityDemand);
+    }
+
+    private boolean isReturned(MachineId id) {
+        return autoscaler.isReturned(id);
+    }
+
+    private void recordRuntime(JobSpec spec, double seconds) {
+        reservationEnforcer.recordRuntime(spec, seconds);
+    }
+
+    private ReservableCapacity reservableCapacity() {
+        return ReservationService.reservableCapacity(
+                services.machineTypeCatalog(),
+                deploymentSettings,
+                services.reservationSettings().machineLimits());
+    }
+
+    // ---- Start and end ----
+
+    /** Begins to load all live jobs, and schedules the rounds. */
+    void start() {
         stateRecovery.start();
         reservationEnforcer.start();
         autoscaler.start();
-        loop.schedule(ROUND_INTERVAL, this::runRound);
-        if (handoverState.isWarm()) {
-            loop.schedule(WARM_CHECK_INTERVAL, this::early);
+        loop.schedule(RoundScheduler.ROUND_INTERVAL, this::runRound);
+        if (term.handoverState().isWarm()) {
+            loop.schedule(WARM_CHECK_INTERVAL, this::checkWarmStart);
         }
-        loop.schedule(DEFERRAL_SWEEP_INTERVAL, this::sweepDeferred);
+        heartbeatHandler.start();
     }
 
-    public void close() {
+    /** Ends this leadership; answers of requests in flight are ignored from now on. */
+    void close() {
         List<DeferredHeartbeats.DeferredHeartbeat> unanswered;
         synchronized (this) {
             closed = true;
             recordWriter.close();
             autoscaler.close();
-            unanswered = new ArrayList<>(deferredHeartbeats.takeAll());
-            unanswered.addAll(early.takeAll());
+            unanswered = heartbeatHandler.takeAll();
         }
-        // Whoever leads now may renew their leases; this leader must not.
+        // The next leader may renew their leases; this one must not.
         DeferredHeartbeats.redirectAll(unanswered, null);
     }
 
-    /** A job was taken in, from a user or from the records. */
-    void onJobAdmitted(Job job) {
-        fairnessMetrics.onJobAdmitted(job.spec());
-    }
-
-    void renewLeadershipIfDue() {
-        leadership.renewIfDue();
-    }
-
     @Override
     public synchronized boolean isClosed() {
         return closed;
     }
 
-    // ---- what the ledger tells ----
-
-    @Override
-    public synchronized void onJobEndPersisted(Job job) {
-        jobs.remove(job.id());
-        fairnessMetrics.onJobEnded(
-                job.spec(),
-                job.isCancelled(),
-                (loop.wallClockMillis() - job.acceptedAtMillis()) / 1000.0);
-        LOG.info("job {} is {}", job.id(), job.isCancelled() ? "cancelled and gone" : "done");
-    }
-
-    @Override
-    public void onConcurrentJobChange(JobId id) {
-        store.get(RecordCodec.job(id), RequestPriority.PLACEMENT)
-                .whenComplete(
-                        (entry, failure) -> {
-                            synchronized (this) {
-                                Job job = jobs.get(id);
-                                if (failure != null || closed || job == null) {
-                                    return;
-                                }
-                                if (entry.isPresent()) {
-                                    stateRecovery.applyJobRecord(
-                                            entry.get().key(),
-                                            entry.get().value(),
-                                            entry.get().revision());
-                                } else {
-                                    // Only our own unanswered transaction can have moved it to its
-                                    // final record.
-                                    recordWriter.recordUnacknowledgedEnd(job);
-                                }
-                                recordWriter.flush();
-                            }
-                        });
-    }
-
-    @Override
-    public void onLeadershipLost() {
-        leadership.stepDown();
-    }
-
-    // ---- reports ----
-
-    /**
-     * Answers a worker's report, so that its lease is kept: at once, or a little later if it has
-     * room. While this leader cannot know of all cancellations nothing is answered that would renew
-     * a lease, so reports wait until it does, or for as long as they can.
-     */
-    public synchronized CompletableFuture<HeartbeatResponse> handleHeartbeat(Heartbeat heartbeat) {
-        MonotonicTime now = loop.now();
-        leadership.renewIfDue();
-        if (heartbeat.fencingToken().isAfter(fencingToken)) {
-            leadership.observeToken(heartbeat.fencingToken(), null);
-            return CompletableFuture.completedFuture(
-                    new HeartbeatResponse.Redirect(leadership.lastKnownLeader()));
-        }
-        if (!leadership.canRenewWorkerLeases()) {
-            return early.defer(heartbeat, now.plus(MAX_FRESHNESS_WAIT));
-        }
-        Machine machine = findOrRegister(heartbeat);
-        if (machine == null) {
-            // What is not known as a machine gets no orders, so its lease is not renewed either.
-            return CompletableFuture.completedFuture(new HeartbeatResponse.Redirect(null));
-        }
-        if (!heartbeatReconciler.applyHeartbeat(machine, heartbeat, now)) {
-            return CompletableFuture.completedFuture(
-                    respondToStaleHeartbeat(machine, heartbeat, now));
-        }
-        deferredHeartbeats.discardEarlier(heartbeat.machineId());
-        unreachableReturnPolicy.onHeartbeat(machine, now);
-        machine.recordAnsweredHeartbeat(now);
-        List<WorkerCommand> orders = heartbeatReconciler.commandsFor(machine, heartbeat, now);
-        recordWriter.flush();
-        if (orders.isEmpty()
-                && leadership.canDecide()
-                && machine.hasFreeCapacity()
-                && clusterState.isSchedulable(machine, now)) {
-            return deferredHeartbeats.defer(heartbeat, now.plus(deferralTime()));
-        }
-        return CompletableFuture.completedFuture(
-                new HeartbeatResponse.Commands(fencingToken, orders));
-    }
-
-    /**
-     * The answer to a report that is older than what is known. One that a direct answer has
-     * overtaken renews the lease, and so its machine counts as heard; any other is a late copy, or
-     * comes from a machine that has begun anew: its lease must not be renewed, for its tasks are
-     * taken for lost by its silence.
-     */
-    private HeartbeatResponse respondToStaleHeartbeat(
-            Machine machine, Heartbeat heartbeat, MonotonicTime now) {
-        if (heartbeat.fencingToken().equals(fencingToken)
-                && heartbeat.incarnation().equals(machine.incarnation())
-                && machine.lastSequenceNumber() - heartbeat.sequenceNumber()
-                        <= MAX_OVERTAKEN_HEARTBEATS) {
-            machine.recordContact(now);
-            return new HeartbeatResponse.Commands(fencingToken, List.of());
-        }
-        return new HeartbeatResponse.Redirect(null);
-    }
-
-    private Duration deferralTime() {
-        Duration share =
-                Duration.ofNanos(
-                        (long)
-                                (deploymentSettings.heartbeatInterval().toNanos()
-                                        * DEFERRAL_SHARE_OF_INTERVAL));
-        return share.compareTo(MAX_DEFERRAL) < 0 ? share : MAX_DEFERRAL;
-    }
-
-    private void sweepDeferred() {
-        List<DeferredHeartbeats.DeferredHeartbeat> due;
-        List<DeferredHeartbeats.DeferredHeartbeat> tooEarly;
-        synchronized (this) {
-            if (closed) {
-                return;
-            }
-            due = deferredHeartbeats.takeDue(loop.now());
-            tooEarly = early.takeDue(loop.now());
-        }
-        loop.schedule(DEFERRAL_SWEEP_INTERVAL, this::sweepDeferred);
-        due.forEach(this::answerDeferred);
-        tooEarly.forEach(this::applyAndRedirect);
-    }
-
-    /** Sends a worker on whose lease may not be renewed; what it reports is news all the same. */
-    private void applyAndRedirect(DeferredHeartbeats.DeferredHeartbeat waited) {
-        synchronized (this) {
-            MonotonicTime now = loop.now();
-            Machine machine = closed ? null : findOrRegister(waited.heartbeat());
-            applyWithoutLeaseRenewal(machine, waited.heartbeat(), now);
-        }
-        waited.response().complete(new HeartbeatResponse.Redirect(null));
-    }
-
-    /**
-     * All cancellations up to a moment are known. With the first such moment those are answered
-     * whose reports waited.
-     *
-     * @param upTo when the request was sent whose answer showed the last of them
-     */
-    synchronized void onCancellationsKnownUpTo(MonotonicTime upTo) {
-        leadership.advanceFreshness(fencingToken, upTo);
-        if (!early.isEmpty()) {
-            loop.schedule(Duration.ZERO, this::answerThoseAwaitingFreshness);
-        }
-    }
-
-    private void answerThoseAwaitingFreshness() {
-        List<DeferredHeartbeats.DeferredHeartbeat> waiting;
-        synchronized (this) {
-            waiting = early.takeAll();
-        }
-        waiting.forEach(
-                each -> handleHeartbeat(each.heartbeat()).thenAccept(each.response()::complete));
-    }
-
-    /** Answers a report that was held, with the orders that there are by now. */
-    private void answerDeferred(DeferredHeartbeats.DeferredHeartbeat late) {
-        HeartbeatResponse.Commands answer;
-        synchronized (this) {
-            Machine machine = machines.get(late.heartbeat().machineId());
-            answer =
-                    new HeartbeatResponse.Commands(
-                            fencingToken,
-                            closed || machine == null
-                                    ? List.of()
-                                    : heartbeatReconciler.commandsFor(
-                                            machine, late.heartbeat(), loop.now()));
-            recordWriter.flush();
-        }
-        late.response().complete(answer);
-    }
-
-    @Override
-    public void onTasksPersisted(Job job) {
-        List<DeferredHeartbeats.DeferredHeartbeat> waiting = new ArrayList<>();
-        synchronized (this) {
-            for (Placement placement : job.placements()) {
-                DeferredHeartbeats.DeferredHeartbeat report =
-                        placement.startSentSequenceNumber() < 0 && placement.isCommitted()
-                                ? deferredHeartbeats.take(placement.machineId())
-                                : null;
-                if (report != null) {
-                    waiting.add(report);
-                }
-            }
-        }
-        waiting.forEach(this::answerDeferred);
-    }
-
-    private Machine findOrRegister(Heartbeat heartbeat) {
-        Machine machine = machines.get(heartbeat.machineId());
-        if (machine == null) {
-            MachineType type = machineTypeCatalog.typeNamed(heartbeat.machineType());
-            if (type == null || autoscaler.isReturned(heartbeat.machineId())) {
-                return null;
-            }
-            machine =
-                    registerMachine(
-                            new Machine(
-                                    heartbeat.machineId(),
-                                    type,
-                                    heartbeat.zone(),
-                                    heartbeat.isSpot()));
-        }
-        machine.address(heartbeat.address());
-        return machine;
-    }
-
-    private Machine registerMachine(Machine machine) {
-        machine.knownSince(loop.now());
-        clusterState.addMachine(machine);
-        imageCacheRecorder.onMachineRegistered(machine);
-        return machine;
-    }
-
-    // ---- the end of placements ----
-
-    void onTaskExited(
-            Machine machine, Placement placement, ExitReason exitReason, MonotonicTime now) {
-        Job job = placement.job();
-        int task = placement.taskId().index();
-        if (exitReason == ExitReason.DONE) {
-            job.resetFailures();
-            if (placement.runningSince() != null) {
-                reservationEnforcer.recordRuntime(
-                        job.spec(), now.secondsSince(placement.runningSince()));
-            }
-            if (job.spec().kind() == JobKind.GANG) {
-                // The tasks of a gang complete together, so one that is done speaks for all.
-                for (int other = 0; other < job.spec().taskCount(); other++) {
-                    job.markTaskComplete(other);
-                }
-            } else {
-                job.markTaskComplete(task);
-            }
-        } else if (!placement.isStopping() && !job.isCancelled()) {
-            LOG.info(
-                    "task {} attempt {} on {} exited: {}",
-                    placement.taskId(),
-                    placement.attemptNumber(),
-                    machine.id(),
-                    exitReason);
-            if (exitReason == ExitReason.ERROR
-                    || exitReason == ExitReason.UNKNOWN
-                    || exitReason == ExitReason.NO_ROOM) {
-                onTaskFailed(machine, job, exitReason, now);
-            }
-        }
-        recordAttemptEnd(
-                placement,
-                exitReason == ExitReason.STOPPED
-                        ? SecondaryRecord.PREEMPTED_REASON
-                        : exitReason.name());
-        long change = removePlacement(machine, placement, now, true);
-        machine.unpersistedExits()
-                .put(
-                        placement.taskId(),
-                        new Machine.UnpersistedExit(
-                                placement.attemptNumber(), job.shardOfTask(task), change));
-        if (job.isComplete()) {
-            recordWriter.endPending(job);
-        }
-    }
-
-    private void onTaskFailed(Machine machine, Job job, ExitReason exitReason, MonotonicTime now) {
-        int failures = job.recordTaskFailure(machine.id());
-        if (failures >= FAILURES_BEFORE_BACKOFF) {
-            int hold =
-                    Math.min(
-                            MAX_BACKOFF_SECONDS,
-                            1 << Math.min(10, failures - FAILURES_BEFORE_BACKOFF));
-            job.backoffUntil(now.plus(Duration.ofSeconds(hold)));
-        } else if (exitReason == ExitReason.ERROR
-                && failuresByMachine.addTo(machine.id(), 1) + 1 >= FAILURES_BEFORE_CORDON
-                && !machine.isUnschedulable()) {
-            LOG.info(
-                    "machine {} is taken out: {} tasks failed on it",
-                    machine.id(),
-                    FAILURES_BEFORE_CORDON);
-            machine.cordon();
-        }
-    }
-
-    @Override
-    public void markTaskLost(Machine machine, Placement placement, String why, MonotonicTime now) {
-        LOG.info(
-                "task {} attempt {} on {} is lost: {}",
-                placement.taskId(),
-                placement.attemptNumber(),
-                placement.machineId(),
-                why);
-        if (machine != null) {
-            machine.recordLostTasks(1);
-        }
-        boolean taken = machine != null && machine.preemptionDeadline() != null;
-        recordAttemptEnd(
-                placement, taken ? SecondaryRecord.PREEMPTED_REASON : SecondaryRecord.LOST_REASON);
-        // A gang that has not begun waits on for a replacement with the attempt's number.
-        removePlacement(
-                machine,
-                placement,
-                now,
-                placement.job().hasAttemptStarted() || placement.runningSince() != null);
-    }
-
-    /** Notes the end of an attempt for those who ask about the job through another interface. */
-    private void recordAttemptEnd(Placement placement, String cause) {
-        SecondaryRecord secondaryRecord = placement.job().secondaryRecord();
-        if (secondaryRecord != null) {
-            secondaryRecord.recordAttemptEnd(
-                    placement.attemptNumber(), cause, loop.wallClockMillis());
-        }
-    }
-
-    /** A worker has reported a task as running. */
-    void onTaskRunning(Placement placement) {
-        fairnessMetrics.onTaskRunning(placement.job().spec());
-        SecondaryRecord secondaryRecord = placement.job().secondaryRecord();
-        if (secondaryRecord != null
-                && secondaryRecord.recordStart(placement.attemptNumber(), loop.wallClockMillis())) {
-            TaskShard taskShard = placement.job().shardOfTask(placement.taskId().index());
-            taskShard.recordChange();
-            recordWriter.markDirty(taskShard);
-        }
-        Job job = placement.job();
-        if (job.spec().kind() == JobKind.GANG
-                && !placement.isStopping()
-                && job.pendingTaskCount() > 0) {
-            // Its other tasks were lost before this leader heard that the gang had begun, so the
-            // attempt cannot be completed;
-            // it would keep its machine, and the gang would wait, for ever.
-            stopRestOfGang(job, new TaskId(job.id(), job.nextPendingTask(0)));
-        }
-    }
-
-    /**
-     * @param endsAttempt whether a gang's attempt is over with this task; its others must then be
-     *     gone before the next
-     */
-    long removePlacement(
-            Machine machine, Placement placement, MonotonicTime now, boolean endsAttempt) {
-        if (machine != null) {
-            machine.placements().remove(placement);
-        }
-        Job job = placement.job();
-        long change = job.removePlacement(placement);
-        job.pendingSince(now);
-        recordWriter.markDirty(job.shardOfTask(placement.taskId().index()));
-        if (endsAttempt && job.spec().kind() == JobKind.GANG && !job.isComplete()) {
-            stopRestOfGang(job, placement.taskId());
-        }
-        if ((job.isCancelled() || job.hasExhaustedAttempts()) && job.placements().isEmpty()) {
-            recordWriter.endPending(job);
-        }
-        return change;
-    }
-
-    private void stopRestOfGang(Job gang, TaskId lost) {
-        for (Placement other : List.copyOf(gang.placements())) {
-            if (!other.isStopping()) {
-                stopTask(other, 0, "its gang lost task " + lost);
-            }
-        }
-    }
-
-    void stopAllTasks(Job job, double graceS, String why) {
-        for (Placement placement : List.copyOf(job.placements())) {
-            stopTask(placement, graceS, why);
-        }
-        if (job.placements().isEmpty()) {
-            recordWriter.endPending(job);
-            recordWriter.flush();
-        }
-    }
-
-    private void stopTask(Placement placement, double graceS, String why) {
-        MonotonicTime now = loop.now();
-        if (!placement.isStopping()) {
-            LOG.info(
-                    "task {} attempt {} on {} is stopped: {}",
-                    placement.taskId(),
-                    placement.attemptNumber(),
-                    placement.machineId(),
-                    why);
-        }
-        placement.requestStop(graceS);
-        Machine machine = machines.get(placement.machineId());
-        if (!placement.isCommitted()) {
-            // Its start was never sent and cannot be: nothing to wait for.
-            removePlacement(machine, placement, now, true);
-            return;
-        }
-        if (machine != null && machine.address() != null) {
-            sendCommands(
-                    machine,
-                    placement.incarnation(),
-                    List.of(
-                            WorkerCommand.stop(
-                                    placement.taskId(), placement.attemptNumber(), graceS)));
-        }
-    }
-
-    @Override
-    public void sendCommands(
-            Machine machine, WorkerIncarnation workerIncarnation, List<WorkerCommand> orders) {
-        WorkerIncarnation knownSession = machine.incarnation();
-        long knownSeq = machine.lastSequenceNumber();
-        workerGateway
-                .sendCommands(machine.address(), fencingToken, workerIncarnation, orders)
-                .whenComplete(
-                        (heartbeat, failure) -> {
-                            if (failure == null) {
-                                onDirectResponse(heartbeat, machine, knownSession, knownSeq);
-                            }
-                        });
-    }
-
-    /**
-     * A report that answers a direct command: news as good as any, but it renews no lease.
-     *
-     * @param knownSession of the machine that was asked, when it was, or null
-     * @param knownSeq the number of its latest report then
-     */
-    private synchronized void onDirectResponse(
-            Heartbeat heartbeat, Machine asked, WorkerIncarnation knownSession, long knownSeq) {
-        if (closed) {
-            return;
-        }
-        if (heartbeat.fencingToken().isAfter(fencingToken)) {
-            leadership.observeToken(heartbeat.fencingToken(), null);
-            return;
-        }
-        MonotonicTime now = loop.now();
-        Machine machine = findOrRegister(heartbeat);
-        if (machine == asked
-                && knownSession != null
-                && !heartbeat.isNewerThan(knownSession, knownSeq)) {
-            onIncarnationReset(machine, now);
-        } else {
-            applyWithoutLeaseRenewal(machine, heartbeat, now);
-        }
-    }
-
-    /**
-     * Takes in a report that renews no lease, unless it is of no machine known here or older than
-     * what is known.
-     */
-    private void applyWithoutLeaseRenewal(Machine machine, Heartbeat heartbeat, MonotonicTime now) {
-        if (machine != null && heartbeatReconciler.applyHeartbeat(machine, heartbeat, now)) {
-            unreachableReturnPolicy.onHeartbeat(machine, now);
-            machine.recordContact(now);
-            recordWriter.flush();
-        }
-    }
-
-    /**
-     * A machine answered after it was asked, with a number below one that it had shown before:
-     * numbers only grow, so it is in another life. Its reports cannot be told from late copies of
-     * its other life's, and which of its tasks are of which life is not known either, so it is
-     * returned, which proves all of them gone. Without this all its reports counted as copies, it
-     * as silent, and a leader most of whose machines were back in this way as deaf.
-     */
-    private static void onIncarnationReset(Machine machine, MonotonicTime now) {
-        if (!machine.isIncarnationReset()) {
-            LOG.info("machine {} has begun anew and is to be returned", machine.id());
-            machine.markIncarnationReset();
-        }
-        machine.recordContact(now);
-    }
-
-    // ---- rounds ----
+    // ---- Rounds ----
 
     private void runRound() {
         synchronized (this) {
             if (closed) {
                 return;
             }
-            loop.schedule(ROUND_INTERVAL, this::runRound);
+            loop.schedule(RoundScheduler.ROUND_INTERVAL, this::runRound);
             if (!stateRecovery.isComplete()) {
                 return;
             }
@@ -836,26 +363,14 @@
             leadership.renewIfDue();
             failureDetector.evaluate(now);
             heartbeatTimeoutMonitor.checkAllMachines(now);
-            if (maySchedule(now)) {
-                scheduleRound(now);
+            if (firstRoundGate.maySchedule(now)) {
+                roundScheduler.runRound(now);
             }
-            fairnessMetrics
-                    .reportIfDue(
-                            jobs.values(),
-                            now,
-                            loop.wallClockMillis(),
-                            job -> clusterState.describePendingReason(job, now))
-                    .forEach(LOG::info);
+            jobTracker.reportMetricsIfDue(now);
             recordWriter.flush();
-            imageCacheRecorder.writeIfDue(machines.values(), now);
-            if (riskTablesSettled && leadership.canDecide()) {
-                riskTableSnapshots.writeNext(
-                        () ->
-                                RiskTablePublisher.exportAll(
-                                        clusterState.machines(), clusterState.riskTables(), now),
-                        recordWriter.dirtyShardCount() == 0,
-                        now,
-                        loop.wallClockMillis());
+            imageCacheRecorder.writeIfDue(clusterState.machines().values(), now);
+            if (riskTableRestorer.isComplete() && leadership.canDecide()) {
+                standbySupport.writeSnapshotIfDue(recordWriter.dirtyShardCount() == 0, now);
             }
         }
         failureDetector.queryPeersAndMaybeResign();
@@ -863,406 +378,153 @@
     }
 
     /**
-     * The first round of a warm leader, as soon as it may decide; its other rounds come every
-     * second from its begin.
+     * Holds the first round of a warm leader as soon as it may decide; its other rounds are every
+     * second from the start.
      */
-    private void early() {
+    private void checkWarmStart() {
+        boolean mustReadRiskTables;
         synchronized (this) {
             if (closed) {
                 return;
             }
             MonotonicTime now = loop.now();
-            if (stateRecovery.isComplete() && !firstRoundAllowed && maySchedule(now)) {
-                scheduleRound(now);
+            if (stateRecovery.isComplete()
+                    && !firstRoundGate.isFirstRoundAllowed()
+                    && firstRoundGate.maySchedule(now)) {
+                roundScheduler.runRound(now);
                 recordWriter.flush();
             }
-            if (!firstRoundAllowed) {
-                loop.schedule(WARM_CHECK_INTERVAL, this::early);
+            if (!firstRoundGate.isFirstRoundAllowed()) {
+                loop.schedule(WARM_CHECK_INTERVAL, this::checkWarmStart);
             }
-            if (!stateRecovery.isComplete() || riskTablesRequested) {
-                return;
-            }
-            riskTablesRequested = true;
-            riskTablesSettled = !handoverState.hasNoTables();
+            mustReadRiskTables = stateRecovery.isComplete() && riskTableRestorer.begin();
         }
-        if (!riskTablesSettled()) {
-            readStoredRiskTables();
+        if (mustReadRiskTables) {
+            riskTableRestorer.readSnapshot();
         }
     }
 
-    private void readStoredRiskTables() {
-        RiskTableSnapshotStore.read(store, loop)
-                .whenComplete(
-                        (read, failure) -> {
-                            if (failure != null) {
-                                if (!isClosed()) {
-                                    loop.schedule(SNAPSHOT_READ_RETRY, this::readStoredRiskTables);
-                                }
-                                return;
-                            }
-                            synchronized (this) {
-                                read.ifPresent(
-                                        snapshot ->
-                                                handoverState.snapshotTables(snapshot, loop.now()));
-                            }
-                            restoreStoredRiskTables();
-                        });
-    }
-
-    private synchronized boolean riskTablesSettled() {
-        return riskTablesSettled;
-    }
-
-    /** Hands over what was noted in the state service, some tables at a time. */
-    private void restoreStoredRiskTables() {
-        synchronized (this) {
-            leadership.renewIfDue();
-            if (closed) {
-                return;
-            }
-            if (handoverState.handOverSnapshotTables(
-                    machines, clusterState.riskTables(), loop.now())) {
-                loop.schedule(WARM_CHECK_INTERVAL, this::restoreStoredRiskTables);
-            } else {
-                riskTablesSettled = true;
-                LOG.info(
-                        "{} tables of machines were noted in the state service and go on",
-                        handoverState.inheritedTableCount());
-            }
+    /** What a round needs of this leader. */
+    private final class RoundConditions implements FirstRoundGate.LeaderConditions {
+        @Override
+        public FailoverPreconditions.Facts facts(int machinesReported, int machinesRequired) {
+            return new FailoverPreconditions.Facts(
+                    leadership.canDecide(),
+                    term.fencingToken(),
+                    leadership.highestObservedToken(),
+                    term.leaderKeyRevision(),
+                    stateRecovery.recoveredRevision(),
+                    !services.machineTypeCatalog().isEmpty(),
+                    reservationEnforcer.isReady(),
+                    failureDetector.reachability() != Reachability.ISOLATED,
+                    machinesReported,
+                    machinesRequired);
         }
-    }
 
-    /**
-     * Whether a round may decide: for the first one all checks hold, for later ones those that can
-     * fail again.
-     */
-    private boolean maySchedule(MonotonicTime now) {
-        if (firstRoundAllowed) {
+        @Override
+        public boolean maySchedule() {
             return canActAsLeader() && reservationEnforcer.isReady();
         }
-        Set<FailoverPreconditions.Precondition> failing =
-                FailoverPreconditions.findUnmet(
-                        new FailoverPreconditions.Facts(
-                                leadership.canDecide(),
-                                fencingToken,
-                                leadership.highestObservedToken(),
-                                leaderKeyRevision,
-                                stateRecovery.recoveredRevision(),
-                                !machineTypeCatalog.isEmpty(),
-                                reservationEnforcer.isReady(),
-                                failureDetector.reachability()
-                                        != LeaderReachability.Reachability.ISOLATED,
-                                heardMachineCount(),
-                                heartbeatsNeeded(now)));
-        failoverTimeline.onPreconditionsUnmet(failing);
-        firstRoundAllowed = failing.isEmpty();
-        return firstRoundAllowed;
     }
 
-    private int heardMachineCount() {
-        return (int)
-                machines.values().stream()
-                        .filter(machine -> machine.lastContactAt() != null)
-                        .count();
-    }
+    // ---- Heartbeats and commands ----
 
-    /**
-     * Machines whose reports the first round needs; what then is only placed, and not rented or
-     * made room for.
-     */
-    private int heartbeatsNeeded(MonotonicTime now) {
-        if (hasGatheredFullRound(now)) {
-            return 0;
-        }
-        int awaited = handoverState.countExpectedMachines(now);
-        return awaited == 0
-                ? Integer.MAX_VALUE
-                : (int) Math.ceil(WARM_FIRST_ROUND_SHARE * (awaited + heardMachineCount()));
+    /** Answers a worker's heartbeat, or defers the answer. */
+    CompletableFuture<HeartbeatResponse> handleHeartbeat(Heartbeat heartbeat) {
+        return heartbeatHandler.handleHeartbeat(heartbeat);
     }
 
-    /**
-     * Whether to place, stop, rent and return: the lease certainly holds, and the workers are
-     * heard. To a deaf leader everything that waits seems to lack room, and what it would do about
-     * it comes too early or hits what is healthy.
-     */
     @Override
-    public synchronized boolean canActAsLeader() {
-        return leadership.canDecide()
-                && failureDetector.reachability() != LeaderReachability.Reachability.ISOLATED;
+    public void sendCommands(
+            Machine machine, WorkerIncarnation incarnation, List<WorkerCommand> commands) {
+        directCommandSender.sendCommands(machine, incarnation, commands);
     }
 
-    /** Whether what is silent is so for its own reasons, as far as can be told. */
+    // ---- The record writer's listener ----
+
     @Override
-    public synchronized boolean isReachabilityHealthy() {
-        return failureDetector.reachability() == LeaderReachability.Reachability.HEALTHY;
+    public synchronized void onJobEndPersisted(Job job) {
+        jobTracker.onJobEndPersisted(job);
     }
 
     @Override
-    public synchronized boolean isHeartbeatOverdue(Machine machine, MonotonicTime now) {
-        return failureDetector.isHeartbeatOverdue(machine, now);
+    public void onTasksPersisted(Job job) {
+        heartbeatHandler.onTasksPersisted(job);
     }
 
-    /** Some workers' addresses, to see later whether this node hears them again. */
-    synchronized List<String> sampleAddresses(int most) {
-        return machines.values().stream()
-                .map(Machine::address)
-                .filter(Objects::nonNull)
-                .limit(most)
-                .toList();
+    @Override
+    public void onConcurrentJobChange(JobId id) {
+        store.get(RecordCodec.job(id), RequestPriority.PLACEMENT)
+                .whenComplete(
+                        (entry, failure) -> {
+                            synchronized (this) {
+                                Job job = clusterState.jobs().get(id);
+                                if (failure == null && !closed && job != null) {
+                                    applyConcurrentChange(job, entry);
+                                }
+                            }
+                        });
     }
 
-    /**
-     * Whether a full round of reports is in, so that placements, rentals and stops are not decided
-     * from the few machines that happened to report first. What was listed but is silent is not
-     * waited for any longer.
-     */
-    private boolean hasGatheredFullRound(MonotonicTime now) {
-        if (!fullRoundGathered) {
-            double reportS = deploymentSettings.heartbeatInterval().toNanos() / 1e9;
-            fullRoundGathered =
-                    now.secondsSince(startedAt)
-                                    > reportS * LATEST_HEARTBEAT_FACTOR + NEXT_NODE_SECONDS
-                            || listed && nearlyAllHeard();
+    private void applyConcurrentChange(Job job, Optional<KeyValueStore.Entry> entry) {
+        if (entry.isPresent()) {
+            jobRecords.apply(entry.get().key(), entry.get().value(), entry.get().revision());
+        } else {
+            // Only our own unanswered transaction can have moved it to its final record.
+            recordWriter.recordUnacknowledgedEnd(job);
         }
-        return fullRoundGathered;
-    }
-
-    private boolean nearlyAllHeard() {
-        return heardMachineCount()
-                >= FULL_ROUND_SHARE
-                        * (machines.size() + clusterState.placementsOnUnseenMachines().size());
+        recordWriter.flush();
     }
 
-    /** Stops a task so that it can save what it did. */
     @Override
-    public void stopWithCheckpoint(Placement placement, String why) {
-        Job job = placement.job();
-        if (job.spec().kind() == JobKind.GANG) {
-            // An orderly stop saves only if all tasks hear of it together.
-            for (Placement each : List.copyOf(job.placements())) {
-                stopTask(each, job.spec().checkpointDurationSeconds(), why);
-            }
-        } else {
-            stopTask(placement, job.spec().checkpointDurationSeconds(), why);
-        }
+    public void onLeadershipLost() {
+        leadership.stepDown();
     }
 
-    private void scheduleRound(MonotonicTime now) {
-        boolean full = hasGatheredFullRound(now);
-        reservationEnforcer.refreshView(now);
-        SchedulingSnapshot schedulingSnapshot =
-                new SchedulingSnapshot(clusterState, deploymentSettings, objectives, now);
-        Map<Boolean, List<PlacementRound.PendingJob>> byIdle =
-                schedulingSnapshot.pendingJobs().stream()
-                        .collect(
-                                Collectors.partitioningBy(
-                                        pendingJob ->
-                                                pendingJob.spec().priority() == Priority.LOW));
-        PlacementRound.Outcome outcome =
-                PlacementRound.run(
-                        schedulingSnapshot.candidates(),
-                        schedulingSnapshot.usageByTeam(),
-                        byIdle.get(false),
-                        maxJobsPerRound());
-        applyPlacements(outcome.decisions(), now);
-        List<Autoscaler.CapacityDemand> likelyNeeds = new ArrayList<>();
-        Set<MachineId> reserved =
-                full ? reserveForPredictedJobs(schedulingSnapshot, likelyNeeds, now) : Set.of();
-        // Idle work takes what neither others nor those that are likely to come need: it would soon
-        // be stopped again.
-        PlacementRound.Outcome idleOutcome =
-                PlacementRound.run(
-                        schedulingSnapshot.candidates(),
-                        schedulingSnapshot.usageByTeam(),
-                        byIdle.get(true),
-                        Math.max(0, recordWritesPerRound() - recordWriter.dirtyShardCount()));
-        applyPlacements(idleOutcome.decisions(), now);
-        if (!failoverTimeline.isLogged()) {
-            failoverTimeline.onFirstRound(
-                    heardMachineCount(),
-                    heartbeatsNeeded(now),
-                    outcome.decisions().size() + idleOutcome.decisions().size(),
-                    now);
-        }
-        if (!full) {
-            // From some of the machines it cannot be told what lacks room: nothing is rented,
-            // stopped or given up for it.
-            return;
-        }
-        failoverTimeline.onFullRound(handoverState.inheritedTableCount(), now);
-        List<Autoscaler.CapacityDemand> needs = new ArrayList<>();
-        int preempting = 0;
-        int makingRoom = 0;
-        long idle = bestEffortTaskCount();
-        for (PlacementRound.PendingJob pendingJob : schedulingSnapshot.pendingJobs()) {
-            Integer count =
-                    (pendingJob.spec().priority() == Priority.LOW ? idleOutcome : outcome)
-                            .unplacedTasksByJob()
-                            .get(pendingJob.spec().id());
-            if (count == null) {
-                continue;
-            }
-            Job job = jobs.get(pendingJob.spec().id());
-            if (idle > 0 && makingRoom < MAX_JOBS_DISPLACING_BEST_EFFORT) {
-                List<Placement> victims =
-                        preemptionPlanner.planBestEffortPreemption(
-                                job, pendingJob.tasksByZone(), count, now);
-                if (!victims.isEmpty()) {
-                    victims.forEach(
-                            victim ->
-                                    stopWithCheckpoint(
-                                            victim, "idle work gives way to " + job.id()));
-                    job.lastPreemptionAt(now);
-                    idle -= victims.size();
-                    makingRoom++;
-                }
-            }
-            needs.add(
-                    new Autoscaler.CapacityDemand(
-                            job.spec(),
-                            count,
-                            requiredZone(pendingJob),
-                            (loop.wallClockMillis() - job.acceptedAtMillis()) / 1000.0));
-            abandonIncompleteGang(job, now);
-            if (preempting < MAX_PREEMPTING_JOBS) {
-                List<Placement> victims =
-                        preemptionPlanner.planPreemption(
-                                job,
-                                pendingJob.tasksByZone(),
-                                schedulingSnapshot.isWithinGuaranteedQuota(job.id()),
-                                now);
-                victims.forEach(
-                        victim -> stopWithCheckpoint(victim, "room is needed for " + job.id()));
-                if (!victims.isEmpty()) {
-                    job.lastPreemptionAt(now);
-                    preempting++;
-                }
-            }
-        }
-        reservationEnforcer.enforce(now);
-        needs.addAll(likelyNeeds);
-        reserved.addAll(clusterState.reservationView().reservedMachines());
-        needs.addAll(reservationEnforcer.capacityDemand());
-        autoscaler.capacityDemand(needs, reserved);
-    }
+    // ---- The recovery's listener ----
 
-    /** Notes what a round decided; the starts go out once their records are written. */
-    private void applyPlacements(List<PlacementRound.Decision> decisions, MonotonicTime now) {
-        Map<JobId, AttemptNumber> attempts = new HashMap<>();
-        for (PlacementRound.Decision decision : decisions) {
-            Job job = jobs.get(decision.spec().id());
-            Machine machine = machines.get(decision.machine());
-            AttemptNumber attemptNumber =
-                    job.spec().kind() == JobKind.GANG
-                            ? attempts.computeIfAbsent(job.id(), unused -> job.gangAttemptNumber())
-                            : job.nextAttemptNumber(decision.task());
-            Placement placement =
-                    job.addPlacement(
-                            decision.task(),
-                            attemptNumber,
-                            machine.id(),
-                            machine.incarnation(),
-                            now);
-            if (job.secondaryRecord() != null) {
-                job.secondaryRecord()
-                        .recordPlacement(attemptNumber, machine.id(), loop.wallClockMillis());
-            }
-            machine.placements().add(placement);
-            machine.idleSince(null);
-            recordWriter.markDirty(job.shardOfTask(decision.task()));
-            if (decision.byRiskTable()) {
-                placedByRisk++;
-            } else {
-                placedByCapacity++;
-            }
-            LOG.debug(
-                    "task {} attempt {} goes to {} by {}",
-                    placement.taskId(),
-                    attemptNumber,
-                    machine.id(),
-                    decision.byRiskTable() ? "risk" : "room");
-        }
-        if (!decisions.isEmpty()) {
-            LOG.info(
-                    "placed {} tasks; so far {} by risk, {} by room alone",
-                    decisions.size(),
-                    placedByRisk,
-                    placedByCapacity);
-        }
+    @Override
+    public void renewLeadershipIfDue() {
+        leadership.renewIfDue();
     }
 
-    /**
-     * Looks for room for the jobs that are likely to come, after all that wait but idle work; what
-     * finds none is rented for. Returns the machines that it would take, which are not to be
-     * returned.
-     */
-    private Set<MachineId> reserveForPredictedJobs(
-            SchedulingSnapshot left, List<Autoscaler.CapacityDemand> needs, MonotonicTime now) {
-        List<PlacementRound.PendingJob> likely = new ArrayList<>();
-        for (JobSpec spec : arrivalForecast.predictedJobs(now)) {
-            int[] tasks = new int[spec.taskCount()];
-            likely.add(
-                    new PlacementRound.PendingJob(
-                            spec, tasks, new Object2IntOpenHashMap<>(), true));
-        }
-        PlacementRound.Outcome outcome =
-                PlacementRound.run(left.candidates(), left.usageByTeam(), likely, likely.size());
-        Set<MachineId> reserved = new HashSet<>();
-        outcome.decisions().forEach(decision -> reserved.add(decision.machine()));
-        for (PlacementRound.PendingJob job : likely) {
-            Integer count = outcome.unplacedTasksByJob().get(job.spec().id());
-            if (count != null) {
-                needs.add(
-                        new Autoscaler.CapacityDemand(
-                                job.spec(), count, job.spec().requiredZone(), 0));
-            }
-        }
-        return reserved;
+    @Override
+    public synchronized void onCancellationsKnownUpTo(MonotonicTime upTo) {
+        leadership.advanceFreshness(term.fencingToken(), upTo);
+        heartbeatHandler.onCancellationsKnown();
     }
 
-    /** Jobs to place in a round: what a round decides should be written before the next one. */
-    private int maxJobsPerRound() {
-        return Math.max(0, recordWritesPerRound() - recordWriter.urgentDirtyShardCount());
-    }
+    // ---- The context of the fleet's parts ----
 
-    /** Tasks of the lowest priority that may be running, and could make room. */
-    private long bestEffortTaskCount() {
-        return jobs.values().stream()
-                .filter(job -> job.spec().priority() == Priority.LOW)
-                .mapToLong(job -> job.placements().size())
-                .sum();
+    @Override
+    public synchronized boolean isStateRecovered() {
+        return stateRecovery.isComplete();
     }
 
-    private int recordWritesPerRound() {
-        return (int) (deploymentSettings.storeWritesPerSecond() * ROUND_INTERVAL.toSeconds());
+    /**
+     * Whether to place, stop, rent and return: the lease certainly holds, and the workers can reach
+     * this node. To an isolated leader all pending jobs seem to lack capacity, and what it would do
+     * about it is too early or hits what is healthy.
+     */
+    @Override
+    public synchronized boolean canActAsLeader() {
+        return leadership.canDecide() && failureDetector.reachability() != Reachability.ISOLATED;
     }
 
-    /** The zone that a job with tasks in place is bound to, or null. */
-    private static String requiredZone(PlacementRound.PendingJob job) {
-        return job.spec().requiresSingleZone() && !job.tasksByZone().isEmpty()
-                ? job.tasksByZone().keySet().iterator().next()
-                : job.spec().requiredZone();
+    /** Whether machines that are silent are so for their own reasons, as far as can be known. */
+    @Override
+    public synchronized boolean isReachabilityHealthy() {
+        return failureDetector.reachability() == Reachability.HEALTHY;
     }
 
-    /**
-     * Ends an attempt of a gang that no replacement was found for, so that it does not hold its
-     * machines.
-     */
-    private void abandonIncompleteGang(Job job, MonotonicTime now) {
-        if (job.spec().kind() == JobKind.GANG
-                && now.elapsedSince(job.pendingSince())
-                                .compareTo(deploymentSettings.gangStartTimeout())
-                        > 0) {
-            int missing = job.nextPendingTask(0);
-            stopRestOfGang(job, new TaskId(job.id(), missing));
-        }
+    @Override
+    public synchronized boolean isHeartbeatOverdue(Machine machine, MonotonicTime now) {
+        return failureDetector.isHeartbeatOverdue(machine, now);
     }
 
-    // ---- for the fleet ----
-
     @Override
     public synchronized List<Machine> snapshotMachines() {
-        return List.copyOf(machines.values());
+        return List.copyOf(clusterState.machines().values());
     }
 
     @Override
@@ -1270,130 +532,92 @@
         return objectives.startupDelaySeconds(spec);
     }
 
-    @Override
-    public synchronized boolean isInOutageWindow(String type, String zone) {
-        return clusterState.reservationView().isInOutageWindow(type, zone);
-    }
-
     @Override
     public synchronized double largestImageGb() {
         return objectives.largestImageGb();
     }
 
     @Override
-    public synchronized boolean isStateRecovered() {
-        return stateRecovery.isComplete();
+    public synchronized boolean isInOutageWindow(String type, String zone) {
+        return clusterState.reservationView().isInOutageWindow(type, zone);
     }
 
-    /**
-     * Takes in what the cloud lists: machines not yet heard of, their addresses, and failed ones.
-     */
+    /** Takes in the cloud's list: machines that are new, their addresses, and failed ones. */
     @Override
     public synchronized void applyMachineList(List<CloudProvider.ListedMachine> list) {
-        listed = true;
+        machineRegistry.markListed();
         MonotonicTime now = loop.now();
         failureDetector.recordMachineList(now);
-        for (CloudProvider.ListedMachine item : list) {
-            Machine machine = machines.get(item.id());
-            if (machine == null
-                    && item.phase() == CloudProvider.MachinePhase.RUNNING
-                    && machineTypeCatalog.typeNamed(item.type()) != null) {
-                machine =
-                        registerMachine(
-                                new Machine(
-                                        item.id(),
-                                        machineTypeCatalog.typeNamed(item.type()),
-                                        item.zone(),
-                                        item.spot()));
-            }
-            if (machine != null) {
-                machine.recordListing(now);
-                if (machine.address() == null) {
-                    machine.address(item.address());
-                }
-                if (item.phase() == CloudProvider.MachinePhase.FAILED) {
-                    machine.cordon();
-                }
-            }
-            if (item.phase() == CloudProvider.MachinePhase.FAILED) {
-                markMachineGone(item.id(), "the cloud lists its machine as failed", false);
+        for (CloudProvider.ListedMachine listed : list) {
+            machineRegistry.applyListedMachine(listed, now);
+            if (listed.phase() == CloudProvider.MachinePhase.FAILED) {
+                markMachineGone(listed.id(), "the cloud lists its machine as failed", false);
             }
         }
     }
 
-    /** Takes a machine, and all that was on it, as gone. */
+    /** Takes all tasks of a machine that is certainly gone as lost. */
     @Override
-    public synchronized void markMachineGone(MachineId id, String why, boolean forget) {
+    public synchronized void markMachineGone(MachineId id, String reason, boolean forget) {
         MonotonicTime now = loop.now();
-        Machine machine = machines.get(id);
+        Machine machine = machineRegistry.find(id);
         List<Placement> placements =
                 machine != null
                         ? List.copyOf(machine.placements())
                         : clusterState.placementsOnUnseenMachines().getOrDefault(id, List.of());
         for (Placement placement : List.copyOf(placements)) {
-            markTaskLost(machine, placement, why, now);
+            taskLifecycle.markTaskLost(machine, placement, reason, now);
         }
         clusterState.placementsOnUnseenMachines().remove(id);
         if (machine != null) {
             machine.orphanedTasks().clear();
             if (forget) {
-                machines.remove(id);
-                clusterState.riskTables().remove(id);
+                machineRegistry.remove(id);
                 heartbeatTimeoutMonitor.forget(id);
-                failuresByMachine.removeInt(id);
             }
         }
         recordWriter.flush();
     }
 
-    // ---- for standbys ----
+    @Override
+    public void markTaskLost(
+            Machine machine, Placement placement, String reason, MonotonicTime now) {
+        taskLifecycle.markTaskLost(machine, placement, reason, now);
+    }
 
-    /**
-     * What the tables have come to know since a standby last asked; empty until the records are in.
-     */
-    synchronized Optional<RiskTableDelta> riskTableDelta(RiskTableRequest asked) {
-        if (closed || !stateRecovery.isComplete() || !handoverState.isWarm()) {
-            return Optional.empty();
-        }
-        membership.recordStatus(asked.requester(), loop.now());
-        return Optional.of(
-                riskTablePublisher.answerRequest(
-                        asked, clusterState.machines(), clusterState.riskTables(), loop.now()));
+    @Override
+    public void stopWithCheckpoint(Placement placement, String reason) {
+        taskLifecycle.stopWithCheckpoint(placement, reason);
     }
 
+    // ---- For the node: standbys, users and isolation ----
+
+    /** What the risk tables have learned since a standby last asked; empty until the recovery. */
+    synchronized Optional<RiskTableDelta> riskTableDelta(RiskTableRequest request) {
+        return isAnswering() ? standbySupport.riskTableDelta(request) : Optional.empty();
+    }
+
+    /** The digests of all live jobs' records; empty until the recovery is complete. */
     synchronized Optional<RecordDigests> recordDigests() {
-        if (closed || !stateRecovery.isComplete()) {
-            return Optional.empty();
-        }
-        RecordDigests recordDigests = new RecordDigests();
-        jobs.values().forEach(job -> RecordCodec.addToDigests(job, recordDigests));
-        return Optional.of(recordDigests);
+        return isAnswering() ? Optional.of(jobTracker.recordDigests()) : Optional.empty();
+    }
+
+    private boolean isAnswering() {
+        return !closed && stateRecovery.isComplete();
     }
 
     /** The standby that could take over best, as far as is known. */
     synchronized Optional<String> preferredSuccessor() {
-        return membership.preferredSuccessor(RecordCodec.SCHEMA_VERSION, loop.now());
+        return standbySupport.preferredSuccessor();
     }
 
-    /** Counts of a live job for display; empty when it is not known here. */
-    public synchronized Optional<AdmissionService.JobStatus> liveJobState(JobId id) {
-        Job job = jobs.get(id);
-        if (job == null || !stateRecovery.isComplete()) {
-            return Optional.empty();
-        }
-        int running = 0;
-        for (Placement placement : job.placements()) {
-            if (placement.reportedState() == TaskState.RUNNING) {
-                running++;
-            }
-        }
-        return Optional.of(
-                new AdmissionService.JobStatus(
-                        id,
-                        running > 0
-                                ? AdmissionService.Phase.RUNNING
-                                : AdmissionService.Phase.QUEUED,
-                        job.completedTaskCount(),
-                        running));
+    /** Up to {@code most} workers' addresses, to find out later whether they reach this node. */
+    synchronized List<String> sampleAddresses(int most) {
+        return machineRegistry.sampleAddresses(most);
+    }
+
+    /** The counts of a live job for display; empty when it is not known here. */
+    synchronized Optional<AdmissionService.JobStatus> liveJobState(JobId id) {
+        return stateRecovery.isComplete() ? jobTracker.liveJobState(id) : Optional.empty();
     }
 }
--- a/src/test/java/org/meadowhollow/LayersTest.java
+++ b/src/test/java/org/meadowhollow/LayersTest.java
@@ -47,7 +47,11 @@
                     "metrics",
                     "leadership",
                     "failover",
-                    "fleet");
+                    "fleet",
+                    "lifecycle",
+                    "recovery",
+                    "reconciliation",
+                    "rounds");
 
     private static final Path SOURCES = Path.of("src/main/java", ROOT.split("\\."));
     private static final Pattern IMPORT =
