--- a/src/main/java/org/meadowhollow/coordination/failover/FailoverPreconditions.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/FailoverPreconditions.java
@@ -6,48 +6,47 @@
 import org.meadowhollow.model.Revision;
 
 /**
- * What a new leader checks before its first decision: a pure function over what is so in the turn
- * that decides, so that nothing can change between the check and the decision. docs/standby.md has
- * the list with the story of each.
+ * What a new leader checks before its first decision: a pure function over facts that are taken in
+ * the same turn as the decision, so that nothing can change in between. docs/standby.md explains
+ * each check.
  */
 public final class FailoverPreconditions {
     /** What a leader does while a check fails. */
     public enum FailureAction {
+        /** Decide nothing yet, and check again. */
         WAIT,
+        /** Read all records again. */
         RELOAD,
+        /** Give up the leadership. */
         STEP_DOWN
     }
 
-    /** The checks, in the order in which they come true. */
+    /** The checks, in the order in which they usually become true. */
     public enum Precondition {
         /**
-         * A process that stood still, or lost its lease to another, would decide beside its
+         * A process that was suspended, or has lost its lease, would decide at the same time as its
          * successor.
          */
         LEASE_VALID(FailureAction.WAIT),
         /**
-         * Workers drop the answers of a term below what they have shown; nothing that it decides
-         * would be heeded.
+         * Workers reject answers with a fencing token below the highest that they have seen, so no
+         * decision would take effect.
          */
         TOKEN_IS_HIGHEST(FailureAction.STEP_DOWN),
-        /** A task that no record here knows of would be started a second time. */
+        /** A task whose record is not loaded would be started a second time. */
         RECORDS_LOADED(FailureAction.WAIT),
         /**
-         * An image that is older than the key may lack what the last leader committed just before
-         * its end.
+         * A replica that is older than the leader record may lack what the last leader committed
+         * just before it ended.
          */
         RECORDS_COVER_LEADER_KEY(FailureAction.RELOAD),
-        /** What is fitted to no machine type looks as if it could never run. */
+        /** Without machine types every task seems too large for any machine. */
         MACHINE_TYPES_KNOWN(FailureAction.WAIT),
-        /**
-         * Where reservations are taken, a machine that is promised looks free until they are known.
-         */
+        /** Where reservations are in use, a reserved machine seems free until they are loaded. */
         RESERVATIONS_LOADED(FailureAction.WAIT),
-        /**
-         * A leader that hears hardly anyone would do what only helps it, and hits what is healthy.
-         */
+        /** A leader that hardly any worker reaches would take healthy machines for failed ones. */
         WORKERS_REACHABLE(FailureAction.WAIT),
-        /** From the few machines that happen to report first, everything seems to lack room. */
+        /** The few machines whose heartbeats arrive first seem to lack capacity for everything. */
         ENOUGH_MACHINES_REPORTED(FailureAction.WAIT);
 
         private final FailureAction actionOnFailure;
@@ -56,19 +55,26 @@
             this.actionOnFailure = failureAction;
         }
 
+        /** What a leader does while this check fails. */
         public FailureAction actionOnFailure() {
             return actionOnFailure;
         }
     }
 
     /**
-     * What is so now.
+     * The facts of this turn.
      *
-     * @param leaderKeyRevision the revision of the transaction that took the key
-     * @param recordsRevision the revision of the records in hand, or null while they are not in
-     * @param highestObservedToken the highest term that any worker or node has told of
-     * @param machinesReported machines that have reported
-     * @param machinesRequired machines whose reports the first round needs
+     * @param leaseValid whether the lease certainly has not expired
+     * @param fencingToken of this leadership
+     * @param highestObservedToken the highest fencing token that any worker or node has shown
+     * @param leaderKeyRevision the revision of the transaction that wrote the leader record
+     * @param recordsRevision the revision that the loaded records cover, or null until they are
+     *     loaded
+     * @param machineTypesKnown whether the cloud's machine types are known
+     * @param reservationsLoaded whether reservations are loaded, or not in use
+     * @param workersReachable whether enough workers reach this node
+     * @param machinesReported how many machines have sent a heartbeat to this node
+     * @param machinesRequired how many of them the first scheduling round needs
      */
     public record Facts(
             boolean leaseValid,
@@ -84,34 +90,33 @@
 
     private FailoverPreconditions() {}
 
-    /** The checks that fail, none if the first decision may be made. */
+    /** The checks that fail; empty if the first decision may be made. */
     public static Set<Precondition> findUnmet(Facts facts) {
-        Set<Precondition> failing = EnumSet.noneOf(Precondition.class);
-        require(facts.leaseValid(), Precondition.LEASE_VALID, failing);
+        Set<Precondition> unmet = EnumSet.noneOf(Precondition.class);
+        require(facts.leaseValid(), Precondition.LEASE_VALID, unmet);
         require(
                 !facts.highestObservedToken().isAfter(facts.fencingToken()),
                 Precondition.TOKEN_IS_HIGHEST,
-                failing);
-        require(facts.recordsRevision() != null, Precondition.RECORDS_LOADED, failing);
+                unmet);
+        require(facts.recordsRevision() != null, Precondition.RECORDS_LOADED, unmet);
         require(
                 facts.recordsRevision() == null
                         || !facts.leaderKeyRevision().isAfter(facts.recordsRevision()),
                 Precondition.RECORDS_COVER_LEADER_KEY,
-                failing);
-        require(facts.machineTypesKnown(), Precondition.MACHINE_TYPES_KNOWN, failing);
-        require(facts.reservationsLoaded(), Precondition.RESERVATIONS_LOADED, failing);
-        require(facts.workersReachable(), Precondition.WORKERS_REACHABLE, failing);
+                unmet);
+        require(facts.machineTypesKnown(), Precondition.MACHINE_TYPES_KNOWN, unmet);
+        require(facts.reservationsLoaded(), Precondition.RESERVATIONS_LOADED, unmet);
+        require(facts.workersReachable(), Precondition.WORKERS_REACHABLE, unmet);
         require(
                 facts.machinesReported() >= facts.machinesRequired(),
                 Precondition.ENOUGH_MACHINES_REPORTED,
-                failing);
-        return failing;
+                unmet);
+        return unmet;
     }
 
-    private static void require(
-            boolean holds, Precondition precondition, Set<Precondition> failing) {
+    private static void require(boolean holds, Precondition precondition, Set<Precondition> unmet) {
         if (!holds) {
-            failing.add(precondition);
+            unmet.add(precondition);
         }
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/failover/FailoverTimeline.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/FailoverTimeline.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The phases of one takeover, as one line of the log once the first full round is over. Guarded by
- * the leader's lock.
+ * Measures the phases of one failover and logs them in one line after the first scheduling round
+ * that nearly all machines took part in. Guarded by the leader's lock.
  */
 public final class FailoverTimeline {
     private static final Logger LOG = LoggerFactory.getLogger(FailoverTimeline.class);
@@ -25,31 +25,45 @@
     private boolean logged;
 
     /**
-     * @param noticedAt when this node saw that nobody leads, or null if it did not come to see it
+     * A failover that begins.
+     *
+     * @param fencingToken of the new leadership
+     * @param vacantSince when this node saw that there is no leader, or null if it never did
+     * @param leaderKeyTakenAt when the leader record was written
      */
     public FailoverTimeline(
-            FencingToken fencingToken, MonotonicTime noticedAt, MonotonicTime keyAt) {
+            FencingToken fencingToken, MonotonicTime vacantSince, MonotonicTime leaderKeyTakenAt) {
         this.fencingToken = fencingToken;
-        this.vacantSince = noticedAt;
-        this.leaderKeyTakenAt = keyAt;
+        this.vacantSince = vacantSince;
+        this.leaderKeyTakenAt = leaderKeyTakenAt;
     }
 
     /**
-     * @param from what they were read from
+     * All records are loaded.
+     *
+     * @param source what they were read from, for the log
+     * @param count how many there are
      */
-    public void onRecordsLoaded(String from, int count, MonotonicTime now) {
+    public void onRecordsLoaded(String source, int count, MonotonicTime now) {
         recordsLoadedAt = now;
-        recordsSummary = count + " from " + from;
+        recordsSummary = count + " from " + source;
     }
 
     /**
-     * A round was not begun yet because of these checks; the last to fail is what the first round
-     * waited for.
+     * A round was not begun because of these preconditions; the last of them are what the first
+     * round waited for.
      */
-    public void onPreconditionsUnmet(Set<FailoverPreconditions.Precondition> failing) {
-        lastUnmet = failing.isEmpty() ? lastUnmet : failing;
+    public void onPreconditionsUnmet(Set<FailoverPreconditions.Precondition> unmet) {
+        lastUnmet = unmet.isEmpty() ? lastUnmet : unmet;
     }
 
+    /**
+     * A scheduling round is over; only the first one counts.
+     *
+     * @param reported how many machines had sent a heartbeat
+     * @param needed how many of them the round needed
+     * @param placed how many tasks it placed
+     */
     public void onFirstRound(int reported, int needed, int placed, MonotonicTime now) {
         if (firstRoundAt == null) {
             firstRoundAt = now;
@@ -64,12 +78,17 @@
         }
     }
 
-    /** Whether the line is out, so that nothing more is to be noted. */
+    /** Whether the line has been logged, so that nothing more is to be measured. */
     public boolean isLogged() {
         return logged;
     }
 
-    /** A round for which nearly all machines had reported; says it all with the first. */
+    /**
+     * A scheduling round is over for which nearly all machines had sent a heartbeat; the first one
+     * ends the failover and is logged.
+     *
+     * @param tables how many risk tables were inherited
+     */
     public void onFullRound(int tables, MonotonicTime now) {
         if (!logged) {
             logged = true;
--- a/src/main/java/org/meadowhollow/coordination/failover/GenerationCounter.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/GenerationCounter.java
@@ -1,32 +1,43 @@
 package org.meadowhollow.coordination.failover;
 
+import com.google.errorprone.annotations.concurrent.GuardedBy;
 import java.time.Duration;
 import org.meadowhollow.model.EventLoop;
 
-/** Numbers what is begun anew, so that timers and answers of what came before are not heeded. */
+/**
+ * Numbers the generations of an activity that is restarted, so that timers and replies of an
+ * earlier generation are ignored. Thread-safe, with a lock of its own.
+ */
 final class GenerationCounter {
     private final EventLoop loop;
+
+    @GuardedBy("this")
     private int current;
 
     GenerationCounter(EventLoop loop) {
         this.loop = loop;
     }
 
-    /** Ends what runs; the number of what begins. */
+    /**
+     * Ends the current generation.
+     *
+     * @return the number of the next one
+     */
     synchronized int startNext() {
         return ++current;
     }
 
-    synchronized boolean isCurrent(int life) {
-        return life == current;
+    /** Whether a generation has not ended. */
+    synchronized boolean isCurrent(int generation) {
+        return generation == current;
     }
 
-    /** Does some work of a life after a pause, unless another has begun by then. */
-    void runLater(Duration pause, int life, Runnable work) {
+    /** Runs some work after a delay, unless its generation has ended by then. */
+    void runLater(Duration delay, int generation, Runnable work) {
         loop.schedule(
-                pause,
+                delay,
                 () -> {
-                    if (isCurrent(life)) {
+                    if (isCurrent(generation)) {
                         work.run();
                     }
                 });
--- a/src/main/java/org/meadowhollow/coordination/failover/HandoverState.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/HandoverState.java
@@ -16,57 +16,63 @@
 import org.meadowhollow.model.Revision;
 import org.meadowhollow.storage.KeyspaceReplica;
 
-/** What a standby hands to the leadership that begins on its node. Guarded by the leader's lock. */
+/**
+ * What a warm standby hands over to the leadership that begins on its node: replicas of the records
+ * and of the risk tables. Guarded by the leader's lock.
+ */
 public final class HandoverState {
-    /** Of a node that followed nothing. */
+    /** The state of a node that was no standby. */
     public static final HandoverState EMPTY = new HandoverState(Map.of(), new RiskTableReplica());
 
     /**
-     * Machines that the last leader heard of within this time, before it ended, are likely to
-     * report again.
+     * Machines whose heartbeat the last leader received within this time before it ended will
+     * probably send one to this leader.
      */
     private static final Duration RECENT_HEARTBEAT_WINDOW =
             WarmStandby.PULL_INTERVAL.multipliedBy(3);
 
     /**
-     * Tables of a snapshot that are made at a time: a starved node must come to renew its lease in
-     * between.
+     * Tables of a snapshot that are restored in one batch: a slow node must be able to renew its
+     * lease in between.
      */
     private static final int MAX_TABLES_PER_BATCH = 50;
 
     private final Map<String, ChangeFeedFollower> followers;
     private final RiskTableReplica tableReplica;
 
-    /** What a snapshot holds and has not been handed over yet, and when that was so. */
+    /** Tables of a stored snapshot that have not been handed over yet. */
     private final ArrayDeque<RiskTableDelta.MachineEntry> snapshotTables = new ArrayDeque<>();
 
     private MonotonicTime snapshotTakenAt;
     private int inheritedTableCount;
 
-    HandoverState(Map<String, ChangeFeedFollower> followers, RiskTableReplica copies) {
+    HandoverState(Map<String, ChangeFeedFollower> followers, RiskTableReplica tableReplica) {
         this.followers = followers;
-        this.tableReplica = copies;
+        this.tableReplica = tableReplica;
     }
 
-    /** Whether anything was followed, so that a leader need not begin from nothing. */
+    /** Whether this node was a standby, so that the leader need not load everything anew. */
     public boolean isWarm() {
         return !followers.isEmpty();
     }
 
     /**
-     * The records by prefix, each with all changes up to a revision and maybe more; empty if one of
-     * the images is missing, older than that, or of another history than the one that is served.
+     * Takes the replicas of the records.
+     *
+     * @param atLeast the revision that each replica must cover; it may cover a later one
+     * @return the replicas by prefix; empty if one is missing, is older than that, or has a history
+     *     other than the one that the store serves
      */
     public CompletableFuture<Optional<Map<String, KeyspaceReplica>>> takeRecords(Revision atLeast) {
-        List<CompletableFuture<Optional<KeyspaceReplica>>> images =
+        List<CompletableFuture<Optional<KeyspaceReplica>>> replicas =
                 followers.values().stream().map(follower -> follower.handOver(atLeast)).toList();
-        return CompletableFuture.allOf(images.toArray(CompletableFuture[]::new))
+        return CompletableFuture.allOf(replicas.toArray(CompletableFuture[]::new))
                 .thenApply(
                         unused -> {
                             Map<String, KeyspaceReplica> byPrefix = new TreeMap<>();
-                            images.forEach(
-                                    image ->
-                                            image.join()
+                            replicas.forEach(
+                                    replica ->
+                                            replica.join()
                                                     .ifPresent(
                                                             each ->
                                                                     byPrefix.put(
@@ -78,8 +84,9 @@
     }
 
     /**
-     * The table of a machine whose first report has come, if what is there is of the machine as it
-     * is now.
+     * Takes the risk table of a machine whose first heartbeat has arrived.
+     *
+     * @return empty if there is none, or its machine is not the one that has this name now
      */
     public Optional<RiskTable> takeTable(Heartbeat heartbeat, MonotonicTime now) {
         return countInherited(
@@ -101,22 +108,23 @@
     }
 
     /**
-     * Takes in the tables that were noted in the state service, where no leader handed any over
-     * because all nodes ended.
+     * Adds the tables of a stored snapshot, for a leader that found no standby's tables because all
+     * nodes had ended.
      */
     public void snapshotTables(RiskTableSnapshotStore.StoredTables snapshot, MonotonicTime now) {
         snapshotTables.addAll(snapshot.parts());
         snapshotTakenAt = new MonotonicTime(now.nanos() - snapshot.age().toNanos());
     }
 
-    /** Whether no leader handed any tables over. */
+    /** Whether the standby had no tables from any leader. */
     public boolean hasNoTables() {
         return isWarm() && inheritedTableCount == 0 && tableReplica.size() == 0;
     }
 
     /**
-     * Hands over some of the tables that were read, to machines that have reported.
+     * Hands over one batch of the snapshot's tables, to machines that have sent a heartbeat.
      *
+     * @param risks receives the tables
      * @return whether there are more
      */
     public boolean handOverSnapshotTables(
@@ -139,13 +147,13 @@
         return !snapshotTables.isEmpty();
     }
 
-    /** Tables that were handed over so far. */
+    /** How many tables were handed over so far. */
     public int inheritedTableCount() {
         return inheritedTableCount;
     }
 
     /**
-     * Machines that the last leader heard of lately, and whose first report has not come here yet.
+     * How many machines the last leader had a recent heartbeat of that have not sent one here yet.
      */
     public int countExpectedMachines(MonotonicTime now) {
         return tableReplica.countUpdatedWithin(RECENT_HEARTBEAT_WINDOW, now);
--- a/src/main/java/org/meadowhollow/coordination/failover/Membership.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/Membership.java
@@ -11,15 +11,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The standbys as a leader knows them by their questions. It serves the hand-over and decides
- * nothing that the lease decides. Guarded by the leader's lock.
+ * The standbys of a leader, as their requests describe them, for the choice of a preferred
+ * successor. A hint: who leads next is decided by the lease alone. Guarded by the leader's lock.
  */
 public final class Membership {
     private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
 
     /**
-     * Two questions that a standby did not get through; of one that has been silent for longer
-     * nothing is known.
+     * Long enough for two lost requests; a standby that has been silent for longer may have failed.
      */
     static final Duration MAX_STATUS_AGE = WarmStandby.PULL_INTERVAL.multipliedBy(5).dividedBy(2);
 
@@ -27,11 +26,12 @@
 
     private final Map<String, ReceivedStatus> statusByMember = new TreeMap<>();
 
-    /** A standby has asked. */
+    /** A standby has sent a request with its status. */
     public void recordStatus(ControllerStatus status, MonotonicTime now) {
-        ReceivedStatus before =
+        ReceivedStatus previous =
                 statusByMember.put(status.member(), new ReceivedStatus(status, now));
-        if (before == null || before.status().processIncarnation() != status.processIncarnation()) {
+        if (previous == null
+                || previous.status().processIncarnation() != status.processIncarnation()) {
             LOG.info(
                     "{} in {} follows, program {}, records of schema {}",
                     status.member(),
@@ -42,9 +42,12 @@
     }
 
     /**
-     * Who could take over best: of those heard of lately that read records of our schema, the one
-     * that stands at the latest revision; of equal ones the first by name, so that one of them is
-     * meant.
+     * The standby that should be elected next: of those with a recent status that read records of
+     * this schema, the one whose replica is at the latest revision, and of equal ones the first by
+     * name.
+     *
+     * @param schema the version of the record schema that this leader writes
+     * @return empty if no standby qualifies
      */
     public Optional<String> preferredSuccessor(int schema, MonotonicTime now) {
         return statusByMember.values().stream()
