--- a/src/main/java/org/meadowhollow/coordination/MachineTypeLoader.java
+++ b/src/main/java/org/meadowhollow/coordination/MachineTypeLoader.java
@@ -53,7 +53,7 @@
                                 machineTypeCatalog.replaceAll(
                                         RecordCodec.types(entry.get().value()));
                                 LOG.info(
-                                        "the state service names {} machine types",
+                                        "loaded {} machine types from the key-value store",
                                         RecordCodec.types(entry.get().value()).size());
                             } else {
                                 fetchFromCloud();
@@ -83,7 +83,7 @@
     private void logCloudFailure(Throwable failure) {
         if (!cloudFailureLogged) {
             LOG.info(
-                    "the cloud does not name its machine types: {}; trying on",
+                    "the cloud does not list its machine types: {}; retrying",
                     failure == null ? "it has none" : failure.getMessage());
         }
         cloudFailureLogged = true;
--- a/src/main/java/org/meadowhollow/coordination/UserReadiness.java
+++ b/src/main/java/org/meadowhollow/coordination/UserReadiness.java
@@ -122,7 +122,7 @@
         }
         if (sheddingUntil == null || sheddingUntil.isBefore(now)) {
             LOG.info(
-                    "this node leads and is short of time: users are sent to others for {} s",
+                    "leader is overloaded: users are redirected to other nodes for {} s",
                     LOAD_SHEDDING_DURATION.toSeconds());
         }
         sheddingUntil = now.plus(LOAD_SHEDDING_DURATION);
--- a/src/main/java/org/meadowhollow/coordination/lifecycle/JobTracker.java
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/JobTracker.java
@@ -47,7 +47,7 @@
     public void onJobEndPersisted(Job job) {
         jobs.remove(job.id());
         fairnessMetrics.onJobEnded(job.spec(), job.isCancelled(), secondsSinceAcceptance(job));
-        LOG.info("job {} is {}", job.id(), job.isCancelled() ? "cancelled and gone" : "done");
+        LOG.info("job {} is {}", job.id(), job.isCancelled() ? "cancelled" : "done");
     }
 
     /**
--- a/src/main/java/org/meadowhollow/coordination/lifecycle/MachineRegistry.java
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/MachineRegistry.java
@@ -92,7 +92,7 @@
         return machine;
     }
 
-    /** Notes that a list of the cloud's machines has arrived. */
+    /** Records that a list of the cloud's machines has arrived. */
     public void markListed() {
         listedByCloud = true;
     }
--- a/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatHandler.java
+++ b/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatHandler.java
@@ -29,9 +29,9 @@
  */
 public final class HeartbeatHandler {
     /**
-     * How long the answer to a machine with room is deferred, as a share of the heartbeat interval:
-     * less than the three quarters after which the next heartbeat is sent, and well below the 4 s
-     * that a worker waits for its answer.
+     * How long the answer to a machine with free capacity is deferred, as a share of the heartbeat
+     * interval: less than the three quarters after which the next heartbeat is sent, and well below
+     * the 4 s that a worker waits for its answer.
      */
     private static final double DEFERRAL_SHARE_OF_INTERVAL = 0.6;
 
@@ -63,7 +63,7 @@
     private final UnreachableMachineReturnPolicy unreachableReturnPolicy;
     private final RecordWriter recordWriter;
 
-    /** Heartbeats of machines with room, which a placement may still be sent with. */
+    /** Heartbeats of machines with free capacity, whose answers may still carry a start. */
     private final DeferredHeartbeats awaitingCommands = new DeferredHeartbeats();
 
     /** Heartbeats received while this leader did not know which jobs are cancelled. */
@@ -96,9 +96,9 @@
     }
 
     /**
-     * Answers a heartbeat: at once, or a little later if the machine has room. While this leader
-     * cannot know of all cancellations nothing is answered that would renew a lease, so heartbeats
-     * wait until it does, or for as long as they can.
+     * Answers a heartbeat: at once, or a little later if the machine has free capacity. While this
+     * leader cannot know of all cancellations nothing is answered that would renew a lease, so
+     * heartbeats wait until it does, or for as long as they can.
      */
     public CompletableFuture<HeartbeatResponse> handleHeartbeat(Heartbeat heartbeat) {
         synchronized (context.lock()) {
--- a/src/main/java/org/meadowhollow/coordination/recovery/JobWatcher.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/JobWatcher.java
@@ -79,7 +79,7 @@
     private void onChanges(KeyValueStore.ChangeBatch batch, Revision after, MonotonicTime sentAt) {
         if (after.isAfter(batch.revision())) {
             LOG.info(
-                    "the state service shows changes up to {}, and has shown {}: not taken in",
+                    "key-value store answers a watch with revision {} below {}: ignored",
                     batch.revision(),
                     after);
             retryLater(after);
--- a/src/main/java/org/meadowhollow/coordination/recovery/RiskTableRestorer.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/RiskTableRestorer.java
@@ -90,7 +90,7 @@
             } else {
                 complete = true;
                 LOG.info(
-                        "{} tables of machines were noted in the state service and go on",
+                        "restored {} risk tables from the key-value store",
                         handoverState.inheritedTableCount());
             }
         }
--- a/src/main/java/org/meadowhollow/coordination/recovery/StateRecovery.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/StateRecovery.java
@@ -77,7 +77,7 @@
                                 }
                                 if (replicas.isEmpty()) {
                                     LOG.info(
-                                            "term {} reads all records: what was followed here does not reach to its key",
+                                            "term {} reads all records: the local replica does not reach the leader key",
                                             fencingToken);
                                     readJobs();
                                 } else {
