--- a/src/test/java/org/meadowhollow/simulation/OverlappingFaultsScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/OverlappingFaultsScenarioTest.java
@@ -17,7 +17,7 @@
 
 /**
  * Cancellations that the leader does not know of: the store refuses the leader alone, another
- * controller confirms them, and then the store is out for all. docs/meetings.md says what each
+ * controller confirms them, and then the store is out for all. docs/overlapping-faults.md says what each
  * party believes at each step.
  */
 class OverlappingFaultsScenarioTest extends ClusterTestBase {
--- a/src/test/java/org/meadowhollow/simulation/RandomFaultsTest.java
+++ b/src/test/java/org/meadowhollow/simulation/RandomFaultsTest.java
@@ -144,7 +144,7 @@
     }
 
     private static LongStream overlappingFaultSeeds() {
-        return LongStream.rangeClosed(1, Long.getLong("round.seeds", 40));
+        return LongStream.rangeClosed(1, Long.getLong("overlapping.seeds", 40));
     }
 
     /**
