--- a/src/main/java/org/meadowhollow/coordination/ControllerNode.java
+++ b/src/main/java/org/meadowhollow/coordination/ControllerNode.java
@@ -33,8 +33,8 @@
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.Revision;
 import org.meadowhollow.storage.KeyValueStore;
-import org.meadowhollow.storage.RecordCodec;
 import org.meadowhollow.storage.RecordDigests;
+import org.meadowhollow.storage.RecordKeys;
 
 /**
  * A controller node: follows the leader, and leads when elected. Its monitor guards which
@@ -108,7 +108,7 @@
                         random.nextLong(),
                         settings.zone(),
                         settings.programVersion(),
-                        RecordCodec.SCHEMA_VERSION,
+                        RecordKeys.SCHEMA_VERSION,
                         Revision.ABSENT);
         return new WarmStandby(
                 loop,
--- a/src/main/java/org/meadowhollow/coordination/LeaderParts.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderParts.java
@@ -275,7 +275,7 @@
                 reservationEnforcer,
                 arrivalForecast,
                 unplacedJobHandler,
-                autoscaler::capacityDemand);
+                autoscaler::updateCapacityDemand);
     }
 
     private boolean isReturned(MachineId id) {
--- a/src/main/java/org/meadowhollow/coordination/LeaderService.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderService.java
@@ -28,8 +28,8 @@
 import org.meadowhollow.model.WorkerIncarnation;
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
-import org.meadowhollow.storage.RecordCodec;
 import org.meadowhollow.storage.RecordDigests;
+import org.meadowhollow.storage.RecordKeys;
 import org.meadowhollow.storage.RecordWriter;
 
 /**
@@ -178,7 +178,7 @@
     @Override
     public void onConcurrentJobChange(JobId id) {
         parts.store
-                .get(RecordCodec.job(id), RequestPriority.PLACEMENT)
+                .get(RecordKeys.job(id), RequestPriority.PLACEMENT)
                 .whenComplete(
                         (entry, failure) -> {
                             synchronized (this) {
--- a/src/main/java/org/meadowhollow/coordination/MachineTypeLoader.java
+++ b/src/main/java/org/meadowhollow/coordination/MachineTypeLoader.java
@@ -10,7 +10,8 @@
 import org.meadowhollow.model.Revision;
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
-import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.MachineTypesCodec;
+import org.meadowhollow.storage.RecordKeys;
 import org.meadowhollow.storage.Transaction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -41,7 +42,7 @@
 
     /** Loads the types, and tries again every second until there are any. */
     void load() {
-        store.get(RecordCodec.MACHINE_TYPES_KEY, RequestPriority.USER)
+        store.get(RecordKeys.MACHINE_TYPES_KEY, RequestPriority.USER)
                 .whenComplete(
                         (entry, failure) -> {
                             if (isClosed.getAsBoolean() || !machineTypeCatalog.isEmpty()) {
@@ -51,10 +52,10 @@
                                 loop.schedule(RETRY_DELAY, this::load);
                             } else if (entry.isPresent()) {
                                 machineTypeCatalog.replaceAll(
-                                        RecordCodec.types(entry.get().value()));
+                                        MachineTypesCodec.decode(entry.get().value()));
                                 LOG.info(
                                         "loaded {} machine types from the key-value store",
-                                        RecordCodec.types(entry.get().value()).size());
+                                        MachineTypesCodec.decode(entry.get().value()).size());
                             } else {
                                 fetchFromCloud();
                             }
@@ -94,8 +95,8 @@
         var unusedCommit =
                 store.commit(
                         new Transaction()
-                                .requireRevision(RecordCodec.MACHINE_TYPES_KEY, Revision.ABSENT)
-                                .put(RecordCodec.MACHINE_TYPES_KEY, RecordCodec.types(types)),
+                                .requireRevision(RecordKeys.MACHINE_TYPES_KEY, Revision.ABSENT)
+                                .put(RecordKeys.MACHINE_TYPES_KEY, MachineTypesCodec.encode(types)),
                         RequestPriority.BACKGROUND);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/StandbySupport.java
+++ b/src/main/java/org/meadowhollow/coordination/StandbySupport.java
@@ -10,7 +10,7 @@
 import org.meadowhollow.coordination.scheduling.ClusterState;
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.MonotonicTime;
-import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordKeys;
 
 /**
  * What a leader does for its standbys: answers their requests for risk tables, knows which of them
@@ -57,7 +57,7 @@
 
     /** The standby that could take over best, as far as is known. */
     Optional<String> preferredSuccessor() {
-        return membership.preferredSuccessor(RecordCodec.SCHEMA_VERSION, loop.now());
+        return membership.preferredSuccessor(RecordKeys.SCHEMA_VERSION, loop.now());
     }
 
     /**
--- a/src/main/java/org/meadowhollow/coordination/UserReadiness.java
+++ b/src/main/java/org/meadowhollow/coordination/UserReadiness.java
@@ -8,7 +8,7 @@
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
-import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordKeys;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -84,7 +84,7 @@
         }
         loop.schedule(OUTAGE_PROBE_INTERVAL, this::probeStoreDuringOutage);
         if (store.seemsUnavailable()) {
-            var unusedProbe = store.get(RecordCodec.FENCING_TOKEN_KEY, RequestPriority.BACKGROUND);
+            var unusedProbe = store.get(RecordKeys.FENCING_TOKEN_KEY, RequestPriority.BACKGROUND);
             askPeersAboutStore();
         }
     }
--- a/src/main/java/org/meadowhollow/coordination/admission/AdmissionService.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/AdmissionService.java
@@ -15,9 +15,11 @@
 import org.meadowhollow.model.Revision;
 import org.meadowhollow.model.SecondaryRecord;
 import org.meadowhollow.model.TaskTracer;
+import org.meadowhollow.storage.JobRecordCodec;
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
-import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordKeys;
+import org.meadowhollow.storage.TaskShardCodec;
 import org.meadowhollow.storage.Transaction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -224,17 +226,17 @@
     private Transaction acceptance(
             JobSpec spec, SecondaryRecord secondaryRecord, long acceptedAtMillis) {
         Map<String, Object> record =
-                RecordCodec.job(
+                JobRecordCodec.encode(
                         spec,
                         acceptedAtMillis,
-                        RecordCodec.shardSize(deploymentSettings.maxValueBytes()),
+                        TaskShardCodec.shardSizeFor(deploymentSettings.maxValueBytes()),
                         false,
                         secondaryRecord);
         Transaction accept =
                 new Transaction()
-                        .requireRevision(RecordCodec.job(spec.id()), Revision.ABSENT)
-                        .requireRevision(RecordCodec.ended(spec.id()), Revision.ABSENT)
-                        .put(RecordCodec.job(spec.id()), record);
+                        .requireRevision(RecordKeys.job(spec.id()), Revision.ABSENT)
+                        .requireRevision(RecordKeys.endedJob(spec.id()), Revision.ABSENT)
+                        .put(RecordKeys.job(spec.id()), record);
         if (secondaryRecord != null) {
             accept.put(secondaryRecord.key(), secondaryRecord.encodeAccepted());
         }
@@ -335,8 +337,8 @@
             JobId id, StoredJob job, MonotonicTime requestBeganAt) {
         Transaction cancel =
                 new Transaction()
-                        .requireRevision(RecordCodec.job(id), job.revision())
-                        .put(RecordCodec.job(id), RecordCodec.withCancellation(job.record()));
+                        .requireRevision(RecordKeys.job(id), job.revision())
+                        .put(RecordKeys.job(id), JobRecordCodec.withCancellation(job.record()));
         return withSecondaryRecord(cancel, job.record())
                 .thenCompose(whole -> transactionRetrier.commit(whole, requestBeganAt))
                 .thenCompose(
@@ -351,7 +353,7 @@
                                             result.revision(),
                                             JobEventLog.EventType.CANCELLED,
                                             id,
-                                            RecordCodec.teamOf(job.record()));
+                                            JobRecordCodec.teamOf(job.record()));
                             return CompletableFuture.completedFuture(
                                     Optional.of(new JobStatus(id, Phase.CANCELLED, 0, 0)));
                         });
@@ -373,7 +375,7 @@
      */
     private CompletableFuture<Transaction> withSecondaryRecord(
             Transaction cancel, Map<String, Object> jobRecord) {
-        String key = RecordCodec.secondaryRecordKey(jobRecord);
+        String key = JobRecordCodec.secondaryRecordKeyOf(jobRecord);
         if (key == null) {
             return CompletableFuture.completedFuture(cancel);
         }
--- a/src/main/java/org/meadowhollow/coordination/admission/JobRecordReader.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/JobRecordReader.java
@@ -5,9 +5,10 @@
 import java.util.concurrent.CompletableFuture;
 import org.meadowhollow.model.JobId;
 import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.JobRecordCodec;
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
-import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordKeys;
 
 /**
  * Reads jobs' records from the key-value store, and offers the live ones to the {@link
@@ -17,12 +18,12 @@
     /**
      * A job's record as read.
      *
-     * @param record the encoded record, which {@link RecordCodec} takes apart
+     * @param record the encoded record, which {@link RecordKeys} takes apart
      * @param finished whether it is the record of a finished job, not of a live one
      */
     record StoredJob(Map<String, Object> record, Revision revision, boolean finished) {
         boolean isCancelled() {
-            return RecordCodec.isCancelled(record);
+            return JobRecordCodec.isCancelled(record);
         }
     }
 
@@ -40,7 +41,7 @@
      */
     CompletableFuture<Optional<StoredJob>> read(JobId id) {
         JobStatusCache.CacheVersion versionAtRead = statusCache.beginRead();
-        return store.get(RecordCodec.job(id), RequestPriority.USER)
+        return store.get(RecordKeys.job(id), RequestPriority.USER)
                 .thenCompose(
                         live -> {
                             if (live.isEmpty()) {
@@ -55,7 +56,7 @@
 
     /** Reads a job that is known to have finished; empty if its record is gone. */
     CompletableFuture<Optional<StoredJob>> readFinished(JobId id) {
-        return store.get(RecordCodec.ended(id), RequestPriority.USER)
+        return store.get(RecordKeys.endedJob(id), RequestPriority.USER)
                 .thenApply(finished -> finished.map(entry -> toStoredJob(entry, true)));
     }
 
--- a/src/main/java/org/meadowhollow/coordination/admission/JobStatusCache.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/JobStatusCache.java
@@ -10,11 +10,12 @@
 import org.meadowhollow.model.JobId;
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.JobRecordCodec;
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
 import org.meadowhollow.storage.KeyValueStoreException;
 import org.meadowhollow.storage.KeyValueStoreException.Outcome;
-import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordKeys;
 
 /**
  * The states of live jobs as this node last saw them, for users who poll. A cached state may be
@@ -274,9 +275,9 @@
     /** Without a revision to follow from, asks for the current one; the batch is empty then. */
     private CompletableFuture<KeyValueStore.ChangeBatch> requestChanges(Revision from) {
         if (from != null) {
-            return store.watch(RecordCodec.JOB_PREFIX, from, Duration.ZERO);
+            return store.watch(RecordKeys.JOB_PREFIX, from, Duration.ZERO);
         }
-        return store.list(RecordCodec.LEADER_KEY, null, 1, RequestPriority.USER)
+        return store.list(RecordKeys.LEADER_KEY, null, 1, RequestPriority.USER)
                 .thenApply(page -> new KeyValueStore.ChangeBatch(page.revision(), List.of()));
     }
 
@@ -327,7 +328,7 @@
         }
         for (KeyValueStore.Change change : changes.changes()) {
             entries.update(
-                    RecordCodec.jobIdOfKey(change.key()), statusAfter(change), change.revision());
+                    RecordKeys.jobIdOfKey(change.key()), statusAfter(change), change.revision());
         }
         syncedRevision = changes.revision();
     }
@@ -336,6 +337,8 @@
         if (change.value() == null) {
             return CachedStatus.FINISHED;
         }
-        return RecordCodec.isCancelled(change.value()) ? CachedStatus.CANCELLED : CachedStatus.LIVE;
+        return JobRecordCodec.isCancelled(change.value())
+                ? CachedStatus.CANCELLED
+                : CachedStatus.LIVE;
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/admission/JobStatusResolver.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/JobStatusResolver.java
@@ -5,7 +5,7 @@
 import org.meadowhollow.coordination.admission.AdmissionService.LiveStatusSource;
 import org.meadowhollow.coordination.admission.AdmissionService.Phase;
 import org.meadowhollow.model.JobId;
-import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.EndedJobCodec;
 
 /**
  * Derives the state that users see from a job's record, with the counts of a live job from whoever
@@ -30,7 +30,7 @@
             return liveStatus(id, job.isCancelled());
         }
         Phase phase = job.isCancelled() ? Phase.CANCELLED : Phase.DONE;
-        int completedTasks = RecordCodec.completedTaskCountOf(job.record());
+        int completedTasks = EndedJobCodec.completedTaskCountOf(job.record());
         JobStatus status = new JobStatus(id, phase, completedTasks, 0);
         finalStatusCache.add(status);
         return status;
--- a/src/main/java/org/meadowhollow/coordination/failover/RiskTableSnapshotStore.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTableSnapshotStore.java
@@ -27,7 +27,7 @@
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.KeyValueStore.Entry;
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
-import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordKeys;
 import org.meadowhollow.storage.Transaction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -116,7 +116,7 @@
             setBegunAt = now;
         }
         Transaction transaction =
-                new Transaction().requireRevision(RecordCodec.LEADER_KEY, leaderKeyRevision);
+                new Transaction().requireRevision(RecordKeys.LEADER_KEY, leaderKeyRevision);
         int bytes = 0;
         int next = chunksWritten;
         while (next < chunks.size()
@@ -124,13 +124,12 @@
                 && bytes + chunks.get(next).length() <= MAX_TRANSACTION_BYTES) {
             bytes += chunks.get(next).length();
             transaction.put(
-                    RecordCodec.riskTableChunkKey(currentSet, next),
-                    Map.of("text", chunks.get(next)));
+                    RecordKeys.riskTableChunk(currentSet, next), Map.of("text", chunks.get(next)));
             next++;
         }
         boolean last = next == chunks.size();
         if (last) {
-            transaction.put(RecordCodec.RISK_TABLE_HEAD_KEY, pendingHead);
+            transaction.put(RecordKeys.RISK_TABLE_HEAD_KEY, pendingHead);
         }
         int reached = next;
         requestInFlight = true;
@@ -148,7 +147,7 @@
     /** The set that an earlier leader wrote last must stand until there is a newer one. */
     private void findSet() {
         requestInFlight = true;
-        store.get(RecordCodec.RISK_TABLE_HEAD_KEY, RequestPriority.BACKGROUND)
+        store.get(RecordKeys.RISK_TABLE_HEAD_KEY, RequestPriority.BACKGROUND)
                 .whenComplete(
                         (found, failure) -> {
                             requestInFlight = false;
@@ -247,7 +246,7 @@
      */
     public static CompletableFuture<Optional<StoredTables>> read(
             KeyValueStore store, EventLoop loop) {
-        return store.get(RecordCodec.RISK_TABLE_HEAD_KEY, RequestPriority.PLACEMENT)
+        return store.get(RecordKeys.RISK_TABLE_HEAD_KEY, RequestPriority.PLACEMENT)
                 .thenCompose(
                         found -> {
                             if (found.isEmpty()) {
@@ -271,7 +270,7 @@
                                                 + " s old");
                             }
                             return store.list(
-                                            RecordCodec.riskTableSetPrefix(
+                                            RecordKeys.riskTableSetPrefix(
                                                     (int) readNumber(head, "set")),
                                             null,
                                             RequestPriority.PLACEMENT)
@@ -285,8 +284,7 @@
         entries.forEach(entry -> texts.put(entry.key(), entry.value().get("text")));
         StringBuilder text = new StringBuilder();
         for (int at = 0; at < readNumber(head, "chunks"); at++) {
-            text.append(
-                    texts.get(RecordCodec.riskTableChunkKey((int) readNumber(head, "set"), at)));
+            text.append(texts.get(RecordKeys.riskTableChunk((int) readNumber(head, "set"), at)));
         }
         try {
             byte[] body = Base64.getDecoder().decode(text.toString());
--- a/src/main/java/org/meadowhollow/coordination/failover/WarmStandby.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/WarmStandby.java
@@ -14,8 +14,8 @@
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Revision;
 import org.meadowhollow.storage.KeyValueStore;
-import org.meadowhollow.storage.RecordCodec;
 import org.meadowhollow.storage.RecordDigests;
+import org.meadowhollow.storage.RecordKeys;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -52,7 +52,7 @@
 
     /** Parts of the records that the leader's digests cover; it knows the versions of no others. */
     private static final List<String> AUDITED_PREFIXES =
-            List.of(RecordCodec.JOB_PREFIX, RecordCodec.TASK_PREFIX);
+            List.of(RecordKeys.JOB_PREFIX, RecordKeys.TASK_PREFIX);
 
     private final EventLoop loop;
     private final GenerationCounter generations;
@@ -83,10 +83,7 @@
         this.leaderSupplier = leader;
         this.highestTokenSupplier = highest;
         for (String prefix :
-                List.of(
-                        RecordCodec.JOB_PREFIX,
-                        RecordCodec.TASK_PREFIX,
-                        RecordCodec.IMAGE_PREFIX)) {
+                List.of(RecordKeys.JOB_PREFIX, RecordKeys.TASK_PREFIX, RecordKeys.IMAGE_PREFIX)) {
             followers.put(
                     prefix, new ChangeFeedFollower(store, loop, prefix, MAX_RECORD_BYTES / 2));
         }
--- a/src/main/java/org/meadowhollow/coordination/fleet/Autoscaler.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/Autoscaler.java
@@ -123,7 +123,7 @@
      * @param demand in the order in which it is met
      * @param retained the machines to keep although they are idle, for work that is expected
      */
-    public void capacityDemand(List<CapacityDemand> demand, Set<MachineId> retained) {
+    public void updateCapacityDemand(List<CapacityDemand> demand, Set<MachineId> retained) {
         synchronized (lock) {
             currentDemand = demand;
             retainedMachines = retained;
--- a/src/main/java/org/meadowhollow/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/FailureDetector.java
@@ -116,7 +116,7 @@
         int knownCount = unseenMachines;
         int overdueCount = areUnseenMachinesOverdue(now) ? unseenMachines : 0;
         for (Machine machine : clusterState.machines().values()) {
-            if (machine.releasing()) {
+            if (machine.isReleasing()) {
                 continue;
             }
             if (!isHeartbeatOverdue(machine, now)) {
--- a/src/main/java/org/meadowhollow/coordination/fleet/MachineReturner.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/MachineReturner.java
@@ -104,7 +104,7 @@
                 leader.snapshotMachines().stream()
                         .filter(machine -> batchIds.contains(machine.id()))
                         .toList();
-        machines.forEach(machine -> machine.releasing(true));
+        machines.forEach(machine -> machine.setReleasing(true));
         LOG.info("machine return requested machines={} reason={}", batch, reason);
         CompletableFuture<Void> unusedHandled =
                 cloudProvider
@@ -154,7 +154,7 @@
                 instanceof CloudProvider.RequestRefusedException)) {
             machines.forEach(Machine::cordon);
         }
-        machines.forEach(machine -> machine.releasing(false));
+        machines.forEach(machine -> machine.setReleasing(false));
     }
 
     private static Throwable unwrapCompletionException(Throwable failure) {
--- a/src/main/java/org/meadowhollow/coordination/fleet/ScaleInPolicy.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/ScaleInPolicy.java
@@ -37,7 +37,7 @@
      * @param retainedMachines the machines to keep although they are idle
      */
     boolean shouldReturn(Machine machine, Set<MachineId> retainedMachines, MonotonicTime now) {
-        if (machine.releasing()) {
+        if (machine.isReleasing()) {
             return false;
         }
         if (machine.isIncarnationReset() || hasOverdueCancellation(machine, now)) {
--- a/src/main/java/org/meadowhollow/coordination/fleet/UnreachableMachineReturnPolicy.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/UnreachableMachineReturnPolicy.java
@@ -140,7 +140,7 @@
     /** The silent machines to return now, the longest silent first. */
     List<MachineId> selectForReturn(List<Machine> machines, MonotonicTime now) {
         List<Machine> inService =
-                machines.stream().filter(machine -> !machine.releasing()).toList();
+                machines.stream().filter(machine -> !machine.isReleasing()).toList();
         List<Machine> candidates =
                 inService.stream().filter(machine -> isSilentTooLong(machine, now)).toList();
         if (candidates.isEmpty()) {
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipStoreClient.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipStoreClient.java
@@ -31,7 +31,7 @@
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
 import org.meadowhollow.storage.KeyValueStoreException;
 import org.meadowhollow.storage.KeyValueStoreException.Outcome;
-import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordKeys;
 import org.meadowhollow.storage.Transaction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -96,7 +96,7 @@
 
     private void readLeaderKey(ReadLeaderKey request) {
         CompletableFuture<?> unusedReply =
-                store.list(RecordCodec.LEADER_KEY, null, RequestPriority.LEASE)
+                store.list(RecordKeys.LEADER_KEY, null, RequestPriority.LEASE)
                         .whenComplete(
                                 (page, failure) ->
                                         replies.accept(
@@ -107,7 +107,7 @@
 
     private void watchLeaderKey(WatchLeaderKey request) {
         CompletableFuture<?> unusedReply =
-                store.watch(RecordCodec.LEADER_KEY, request.afterRevision(), WATCH_TIMEOUT)
+                store.watch(RecordKeys.LEADER_KEY, request.afterRevision(), WATCH_TIMEOUT)
                         .whenComplete(
                                 (changes, failure) ->
                                         replies.accept(
@@ -118,7 +118,7 @@
 
     private void readTokenCounter(ReadTokenCounter request) {
         CompletableFuture<?> unusedReply =
-                store.get(RecordCodec.FENCING_TOKEN_KEY, RequestPriority.LEASE)
+                store.get(RecordKeys.FENCING_TOKEN_KEY, RequestPriority.LEASE)
                         .whenComplete(
                                 (counter, failure) ->
                                         replies.accept(
@@ -161,13 +161,13 @@
     private Transaction claimTransaction(ClaimLeaderKey request) {
         LeaderRecord leader = new LeaderRecord(member, request.fencingToken(), request.lease());
         return new Transaction()
-                .requireRevision(RecordCodec.LEADER_KEY, request.expectedLeaderKeyRevision())
-                .requireRevision(RecordCodec.FENCING_TOKEN_KEY, request.expectedCounterRevision())
+                .requireRevision(RecordKeys.LEADER_KEY, request.expectedLeaderKeyRevision())
+                .requireRevision(RecordKeys.FENCING_TOKEN_KEY, request.expectedCounterRevision())
                 .put(
-                        RecordCodec.FENCING_TOKEN_KEY,
+                        RecordKeys.FENCING_TOKEN_KEY,
                         LeadershipRecordCodec.encodeCounter(request.fencingToken()))
                 .put(
-                        RecordCodec.LEADER_KEY,
+                        RecordKeys.LEADER_KEY,
                         LeadershipRecordCodec.encodeLeader(leader),
                         request.lease());
     }
@@ -225,9 +225,9 @@
                                 token, member, request.preferredSuccessor())
                         : CandidacyPolicy.handoverRecord(token, request.preferredSuccessor());
         return new Transaction()
-                .requireRevision(RecordCodec.LEADER_KEY, request.expectedLeaderKeyRevision())
-                .delete(RecordCodec.LEADER_KEY)
-                .put(RecordCodec.FENCING_TOKEN_KEY, counter);
+                .requireRevision(RecordKeys.LEADER_KEY, request.expectedLeaderKeyRevision())
+                .delete(RecordKeys.LEADER_KEY)
+                .put(RecordKeys.FENCING_TOKEN_KEY, counter);
     }
 
     private void revokeSuspectLease(RevokeSuspectLease request) {
--- a/src/main/java/org/meadowhollow/coordination/lifecycle/ImageCacheRecorder.java
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/ImageCacheRecorder.java
@@ -14,9 +14,10 @@
 import org.meadowhollow.model.MachineId;
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.Revision;
+import org.meadowhollow.storage.ImageLocationsCodec;
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
-import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordKeys;
 import org.meadowhollow.storage.Transaction;
 
 /**
@@ -62,11 +63,11 @@
         // By the first write all live machines have sent a heartbeat.
         lastWrittenAt = now;
         for (KeyValueStore.Entry entry : entries) {
-            String image = RecordCodec.imageOfKey(entry.key());
-            double gb = RecordCodec.imageSizeGbOf(entry.value());
+            String image = RecordKeys.imageOfKey(entry.key());
+            double gb = ImageLocationsCodec.sizeGbOf(entry.value());
             imageSizesGb.put(image, gb);
             changedImages.add(image);
-            for (MachineId machine : RecordCodec.machinesWithImage(entry.value())) {
+            for (MachineId machine : ImageLocationsCodec.machinesOf(entry.value())) {
                 recordedByPredecessor
                         .computeIfAbsent(machine, unused -> new HashMap<>())
                         .put(image, gb);
@@ -90,7 +91,7 @@
     public void recordCachedImage(Machine machine, String image, double gb) {
         boolean isNew = !machine.imageCache().contains(image);
         machine.imageCache().recordUse(image, gb);
-        if (isNew && RecordCodec.isImageKey(image)) {
+        if (isNew && RecordKeys.isValidImageKey(image)) {
             imageSizesGb.put(image, gb);
             changedImages.add(image);
         }
@@ -119,25 +120,24 @@
     /** Takes as many changes as fit into one transaction. */
     private Transaction collectChanges(Collection<Machine> machines) {
         Transaction transaction =
-                new Transaction().requireRevision(RecordCodec.LEADER_KEY, leaderVersion);
+                new Transaction().requireRevision(RecordKeys.LEADER_KEY, leaderVersion);
         int bytes = 0;
         for (Iterator<String> images = changedImages.iterator();
                 images.hasNext() && transaction.writes().size() < maxWrites; ) {
             String image = images.next();
             List<MachineId> having = machinesWithImage(machines, image);
-            RecordCodec.ImageLocationsRecord record =
-                    RecordCodec.encodeImageLocations(
-                            imageSizesGb.get(image), having, maxValueBytes);
+            ImageLocationsCodec.EncodedImageLocations record =
+                    ImageLocationsCodec.encode(imageSizesGb.get(image), having, maxValueBytes);
             bytes += record.estimatedBytes();
             if (bytes > MAX_TRANSACTION_BYTES && !transaction.writes().isEmpty()) {
                 break;
             }
             images.remove();
             if (having.isEmpty()) {
-                transaction.delete(RecordCodec.imageKey(image));
+                transaction.delete(RecordKeys.image(image));
                 imageSizesGb.remove(image);
             } else {
-                transaction.put(RecordCodec.imageKey(image), record.fields());
+                transaction.put(RecordKeys.image(image), record.fields());
             }
         }
         return transaction;
--- a/src/main/java/org/meadowhollow/coordination/lifecycle/JobTracker.java
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/JobTracker.java
@@ -12,7 +12,6 @@
 import org.meadowhollow.model.Placement;
 import org.meadowhollow.model.SecondaryRecord;
 import org.meadowhollow.model.TaskState;
-import org.meadowhollow.storage.RecordCodec;
 import org.meadowhollow.storage.RecordDigests;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -90,7 +89,7 @@
     /** The digests of the records of all live jobs. */
     public RecordDigests recordDigests() {
         RecordDigests recordDigests = new RecordDigests();
-        jobs.values().forEach(job -> RecordCodec.addToDigests(job, recordDigests));
+        jobs.values().forEach(job -> recordDigests.addRecordsOf(job));
         return recordDigests;
     }
 
--- a/src/main/java/org/meadowhollow/coordination/lifecycle/TaskLifecycle.java
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/TaskLifecycle.java
@@ -89,7 +89,7 @@
                         new Machine.UnpersistedExit(
                                 placement.attemptNumber(), job.shardOfTask(task), change));
         if (job.isComplete()) {
-            recordWriter.endPending(job);
+            recordWriter.markEndPending(job);
         }
     }
 
@@ -178,7 +178,7 @@
             stopRestOfGang(job, placement.taskId());
         }
         if ((job.isCancelled() || job.hasExhaustedAttempts()) && job.placements().isEmpty()) {
-            recordWriter.endPending(job);
+            recordWriter.markEndPending(job);
         }
         return change;
     }
@@ -208,7 +208,7 @@
             stopTask(placement, graceSeconds, reason);
         }
         if (job.placements().isEmpty()) {
-            recordWriter.endPending(job);
+            recordWriter.markEndPending(job);
             recordWriter.flush();
         }
     }
--- a/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatReconciler.java
+++ b/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatReconciler.java
@@ -277,7 +277,7 @@
     private boolean mayStart(Placement placement, Machine machine, Heartbeat heartbeat) {
         return leadership.canStartTasks()
                 && placement.isCommitted()
-                && !machine.releasing()
+                && !machine.isReleasing()
                 && placement.incarnation().equals(heartbeat.incarnation())
                 && isWholeGangCommitted(placement);
     }
--- a/src/main/java/org/meadowhollow/coordination/recovery/JobRecordApplier.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/JobRecordApplier.java
@@ -12,7 +12,8 @@
 import org.meadowhollow.model.JobId;
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.Revision;
-import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.JobRecordCodec;
+import org.meadowhollow.storage.RecordKeys;
 import org.meadowhollow.storage.RecordWriter;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -68,18 +69,18 @@
      * @param revision the revision of the change that wrote it
      */
     public void apply(String key, Map<String, Object> record, Revision revision) {
-        JobId id = RecordCodec.jobIdOfKey(key);
+        JobId id = RecordKeys.jobIdOfKey(key);
         Job job = clusterState.jobs().get(id);
         MonotonicTime now = loop.now();
         if (job == null) {
-            admit(RecordCodec.job(id, record, revision, now), now);
+            admit(JobRecordCodec.decode(id, record, revision, now), now);
             return;
         }
         if (!revision.isAfter(job.recordRevision())) {
             return;
         }
         job.recordRevision(revision);
-        if (RecordCodec.isCancelled(record) && !job.isCancelled()) {
+        if (JobRecordCodec.isCancelled(record) && !job.isCancelled()) {
             job.cancel(now);
             taskStopper.stopAllTasks(job, 0, StateRecovery.CANCELLED_BY_USER);
         }
@@ -105,7 +106,7 @@
         if (job.isCancelled() && recoveryComplete) {
             // Admitted and cancelled between two watches: there is nothing to stop, but its end is
             // still to be written.
-            recordWriter.endPending(job);
+            recordWriter.markEndPending(job);
             recordWriter.flush();
         }
     }
--- a/src/main/java/org/meadowhollow/coordination/recovery/JobWatcher.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/JobWatcher.java
@@ -6,7 +6,7 @@
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.KeyValueStoreException;
 import org.meadowhollow.storage.KeyValueStoreException.Outcome;
-import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordKeys;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -60,7 +60,7 @@
             lastWatchSentAt = sentAt;
         }
         context.store()
-                .watch(RecordCodec.JOB_PREFIX, after, timeout)
+                .watch(RecordKeys.JOB_PREFIX, after, timeout)
                 .whenComplete(
                         (changes, failure) -> {
                             synchronized (context.lock()) {
@@ -112,7 +112,7 @@
         MonotonicTime begunAt = context.loop().now();
         lastWatchSentAt = begunAt;
         pageReader.readAll(
-                RecordCodec.JOB_PREFIX,
+                RecordKeys.JOB_PREFIX,
                 restorer::restoreJobs,
                 watchFrom -> {
                     context.listener().onCancellationsKnownUpTo(begunAt);
--- a/src/main/java/org/meadowhollow/coordination/recovery/RecordRestorer.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/RecordRestorer.java
@@ -9,8 +9,8 @@
 import org.meadowhollow.model.Job;
 import org.meadowhollow.model.Placement;
 import org.meadowhollow.storage.KeyValueStore;
-import org.meadowhollow.storage.RecordCodec;
 import org.meadowhollow.storage.RecordWriter;
+import org.meadowhollow.storage.TaskShardCodec;
 
 /**
  * Turns the records of each kind back into the leader's memory. Jobs come before their task shards.
@@ -47,7 +47,7 @@
     /** Restores task shards; those of jobs that have ended are marked to be deleted. */
     void restoreTasks(Collection<KeyValueStore.Entry> entries) {
         for (KeyValueStore.Entry entry : entries) {
-            if (!RecordCodec.restoreShard(entry, clusterState.jobs(), loop.now())) {
+            if (!TaskShardCodec.restore(entry, clusterState.jobs(), loop.now())) {
                 recordWriter.addObsoleteKey(entry.key());
             }
         }
@@ -77,7 +77,7 @@
             } else if (job.isComplete()) {
                 // The predecessor recorded the end of the last attempt but did not get to write
                 // the job's end.
-                recordWriter.endPending(job);
+                recordWriter.markEndPending(job);
             }
         }
         jobRecords.onRecoveryComplete();
--- a/src/main/java/org/meadowhollow/coordination/recovery/StateRecovery.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/StateRecovery.java
@@ -9,7 +9,7 @@
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.Revision;
 import org.meadowhollow.storage.KeyspaceReplica;
-import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordKeys;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -88,12 +88,12 @@
     }
 
     private void restoreFromReplicas(Map<String, KeyspaceReplica> replicas) {
-        KeyspaceReplica jobs = replicas.get(RecordCodec.JOB_PREFIX);
+        KeyspaceReplica jobs = replicas.get(RecordKeys.JOB_PREFIX);
         restorer.restoreJobs(jobs.entries());
         context.listener().renewLeadershipIfDue();
-        restorer.restoreTasks(replicas.get(RecordCodec.TASK_PREFIX).entries());
+        restorer.restoreTasks(replicas.get(RecordKeys.TASK_PREFIX).entries());
         context.listener().renewLeadershipIfDue();
-        restorer.restoreImageCaches(List.copyOf(replicas.get(RecordCodec.IMAGE_PREFIX).entries()));
+        restorer.restoreImageCaches(List.copyOf(replicas.get(RecordKeys.IMAGE_PREFIX).entries()));
         int recordCount = replicas.values().stream().mapToInt(KeyspaceReplica::size).sum();
         Revision reached =
                 replicas.values().stream()
@@ -115,19 +115,19 @@
     }
 
     private void readJobs() {
-        pageReader.readAll(RecordCodec.JOB_PREFIX, restorer::restoreJobs, this::readTasks);
+        pageReader.readAll(RecordKeys.JOB_PREFIX, restorer::restoreJobs, this::readTasks);
     }
 
     private void readTasks(Revision watchFrom) {
         pageReader.readAll(
-                RecordCodec.TASK_PREFIX,
+                RecordKeys.TASK_PREFIX,
                 restorer::restoreTasks,
                 unused -> readImageCaches(watchFrom));
     }
 
     private void readImageCaches(Revision watchFrom) {
         pageReader.readAll(
-                RecordCodec.IMAGE_PREFIX,
+                RecordKeys.IMAGE_PREFIX,
                 restorer::restoreImageCaches,
                 unused -> {
                     finish("pages", pageReader.recordCount(), watchFrom);
--- a/src/main/java/org/meadowhollow/coordination/reservation/ReservationService.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservationService.java
@@ -229,7 +229,7 @@
                         Set.copyOf(deploymentSettings.zones()),
                         loop.wallClockMillis()));
         return new EntryChange(
-                CalendarRecordCodec.reservation(requested.name()),
+                CalendarRecordCodec.reservationKey(requested.name()),
                 CalendarRecordCodec.encode(requested, nextAcceptanceOrder(calendar)),
                 revisionOf(existing),
                 resultFor(existing),
@@ -281,7 +281,7 @@
                 ReservationAdmission.describeAffectedReservations(
                         calendar, requested, currentCapacity(), loop.wallClockMillis());
         return new EntryChange(
-                CalendarRecordCodec.window(requested.name()),
+                CalendarRecordCodec.windowKey(requested.name()),
                 CalendarRecordCodec.encode(requested, nextAcceptanceOrder(calendar)),
                 revisionOf(existing),
                 resultFor(existing),
@@ -311,7 +311,9 @@
             throw revisionMismatch(revision);
         }
         String key =
-                window ? CalendarRecordCodec.window(name) : CalendarRecordCodec.reservation(name);
+                window
+                        ? CalendarRecordCodec.windowKey(name)
+                        : CalendarRecordCodec.reservationKey(name);
         return new EntryChange(key, null, revision, ChangeResult.CHANGED, List.of());
     }
 
--- a/src/main/java/org/meadowhollow/model/Machine.java
+++ b/src/main/java/org/meadowhollow/model/Machine.java
@@ -213,12 +213,12 @@
     }
 
     /** Whether the machine is being returned to the cloud provider. */
-    public boolean releasing() {
+    public boolean isReleasing() {
         return isReleasing;
     }
 
     /** Notes that the machine is being returned to the cloud provider, or that this failed. */
-    public void releasing(boolean isReleasingNow) {
+    public void setReleasing(boolean isReleasingNow) {
         isReleasing = isReleasingNow;
     }
 
--- a/src/main/java/org/meadowhollow/protocol/keyvalue/KeyValueCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/keyvalue/KeyValueCodec.java
@@ -11,6 +11,7 @@
 import org.meadowhollow.protocol.MalformedMessageException;
 import org.meadowhollow.protocol.MessagePackCodec;
 import org.meadowhollow.protocol.MessageReader;
+import org.meadowhollow.storage.IndeterminateOutcomeException;
 import org.meadowhollow.storage.KeyValueStore.Change;
 import org.meadowhollow.storage.KeyValueStore.ChangeBatch;
 import org.meadowhollow.storage.KeyValueStore.CommitResult;
@@ -20,6 +21,7 @@
 import org.meadowhollow.storage.KeyValueStoreException.Outcome;
 import org.meadowhollow.storage.LeaseId;
 import org.meadowhollow.storage.Transaction;
+import org.meadowhollow.storage.WatchCompactedException;
 
 /**
  * The key-value store's HTTP protocol: paths, the platform's names of fields, and what a status
@@ -128,9 +130,7 @@
         return switch (reply.status()) {
             case 200, 404, 409 -> reply;
             case 429, 503 -> throw answered(Outcome.REJECTED, reply);
-            case 410 ->
-                    throw new KeyValueStoreException(
-                            Outcome.COMPACTED, "the watch began too long ago");
+            case 410 -> throw new WatchCompactedException("the watch began too long ago");
             case 400 ->
                     throw answered(
                             saysLeaseNotFound(reply)
@@ -142,7 +142,7 @@
     }
 
     private static KeyValueStoreException answered(Outcome outcome, Http.Reply reply) {
-        return new KeyValueStoreException(outcome, "answered " + reply.status());
+        return KeyValueStoreException.of(outcome, "answered " + reply.status());
     }
 
     private static boolean saysLeaseNotFound(Http.Reply reply) {
@@ -221,8 +221,8 @@
         try {
             return decoder.decode(MessageReader.decode(reply.body()));
         } catch (MalformedMessageException broken) {
-            throw new KeyValueStoreException(
-                    Outcome.INDETERMINATE, "the answer makes no sense: " + broken.getMessage());
+            throw new IndeterminateOutcomeException(
+                    "the answer makes no sense: " + broken.getMessage());
         }
     }
 }
--- a/src/main/java/org/meadowhollow/protocol/keyvalue/KeyValueStoreClient.java
+++ b/src/main/java/org/meadowhollow/protocol/keyvalue/KeyValueStoreClient.java
@@ -9,9 +9,11 @@
 import org.meadowhollow.protocol.AdaptiveRateLimiter;
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.keyvalue.RequestQueue.QueuedRequest;
+import org.meadowhollow.storage.IndeterminateOutcomeException;
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.KeyValueStoreException;
 import org.meadowhollow.storage.KeyValueStoreException.Outcome;
+import org.meadowhollow.storage.LeaseExpiredException;
 import org.meadowhollow.storage.LeaseId;
 import org.meadowhollow.storage.Transaction;
 
@@ -103,7 +105,7 @@
 
     private static void requireLeaseExists(Http.Reply reply) {
         if (reply.status() == 404) {
-            throw new KeyValueStoreException(Outcome.LEASE_EXPIRED, "the lease has ended");
+            throw new LeaseExpiredException("the lease has ended");
         }
     }
 
@@ -116,8 +118,7 @@
                 .handle(
                         (reply, failure) -> {
                             if (failure != null) {
-                                throw new KeyValueStoreException(
-                                        Outcome.INDETERMINATE, "no answer to the watch");
+                                throw new IndeterminateOutcomeException("no answer to the watch");
                             }
                             return KeyValueCodec.decodeChanges(KeyValueCodec.requireServed(reply));
                         });
@@ -157,7 +158,7 @@
             queuedRequest
                     .reply()
                     .completeExceptionally(
-                            new KeyValueStoreException(outcome, failure.getMessage()));
+                            KeyValueStoreException.of(outcome, failure.getMessage()));
             return;
         }
         try {
--- a/src/main/java/org/meadowhollow/protocol/keyvalue/RequestQueue.java
+++ b/src/main/java/org/meadowhollow/protocol/keyvalue/RequestQueue.java
@@ -15,7 +15,7 @@
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
 import org.meadowhollow.storage.KeyValueStoreException;
-import org.meadowhollow.storage.KeyValueStoreException.Outcome;
+import org.meadowhollow.storage.RequestRejectedException;
 
 /**
  * Requests to the key-value store that wait for the limits of requests and writes per second, and
@@ -144,8 +144,7 @@
         synchronized (this) {
             if (queuedCount >= MAX_QUEUED && request.priority() != RequestPriority.LEASE) {
                 return CompletableFuture.failedFuture(
-                        new KeyValueStoreException(
-                                Outcome.REJECTED, "too many requests are waiting"));
+                        new RequestRejectedException("too many requests are waiting"));
             }
             queues.get(request.priority()).add(queuedRequest);
             queuedCount++;
@@ -250,8 +249,7 @@
         queuedRequest
                 .reply()
                 .completeExceptionally(
-                        new KeyValueStoreException(
-                                Outcome.REJECTED, "waited too long for its turn"));
+                        new RequestRejectedException("waited too long for its turn"));
     }
 
     /**
--- a/src/main/java/org/meadowhollow/storage/CalendarRecordCodec.java
+++ b/src/main/java/org/meadowhollow/storage/CalendarRecordCodec.java
@@ -53,12 +53,12 @@
     private CalendarRecordCodec() {}
 
     /** The key of a reservation. */
-    public static String reservation(String name) {
+    public static String reservationKey(String name) {
         return RESERVATION_PREFIX + name;
     }
 
     /** The key of a maintenance window. */
-    public static String window(String name) {
+    public static String windowKey(String name) {
         return WINDOW_PREFIX + name;
     }
 
--- a/src/main/java/org/meadowhollow/storage/RecordWriter.java
+++ b/src/main/java/org/meadowhollow/storage/RecordWriter.java
@@ -107,7 +107,7 @@
     }
 
     /** Notes that nothing of the job is left to do, so that its final state is to be written. */
-    public void endPending(Job job) {
+    public void markEndPending(Job job) {
         pending.addEndedJob(job);
     }
 
--- a/src/main/java/org/meadowhollow/transport/tracing/OtlpTaskTracer.java
+++ b/src/main/java/org/meadowhollow/transport/tracing/OtlpTaskTracer.java
@@ -217,7 +217,9 @@
         String suffix = " " + attempt.attemptNumber();
         Attributes attributes = attributesOf(attempt);
         String failure =
-                ExitReason.DONE.name().equals(attempt.endReason()) ? null : attempt.endReason();
+                ExitReason.DONE.storedWord().equals(attempt.endReason())
+                        ? null
+                        : attempt.endReason();
         boolean ran = attempt.startedAtMillis() > 0;
         recordSpan(
                 task,
--- a/src/test/java/org/meadowhollow/coordination/admission/JobStatusCacheTest.java
+++ b/src/test/java/org/meadowhollow/coordination/admission/JobStatusCacheTest.java
@@ -15,7 +15,7 @@
 import org.meadowhollow.model.Revision;
 import org.meadowhollow.simulation.VirtualEventLoop;
 import org.meadowhollow.storage.KeyValueStore;
-import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordKeys;
 
 /** What the cache keeps when syncs are answered out of order. */
 class JobStatusCacheTest {
@@ -51,7 +51,7 @@
 
     private static KeyValueStore.Change change(boolean cancelled, long revision) {
         return new KeyValueStore.Change(
-                RecordCodec.job(JOB), Map.of("cancelled", cancelled), new Revision(revision));
+                RecordKeys.job(JOB), Map.of("cancelled", cancelled), new Revision(revision));
     }
 
     private static KeyValueStore.ChangeBatch upTo(long revision, KeyValueStore.Change... changes) {
--- a/src/test/java/org/meadowhollow/coordination/leadership/ModelStore.java
+++ b/src/test/java/org/meadowhollow/coordination/leadership/ModelStore.java
@@ -11,7 +11,7 @@
 import org.meadowhollow.model.Revision;
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.LeaseId;
-import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordKeys;
 
 /**
  * The key-value store of {@link LeadershipModelTest}, immutable.
@@ -101,7 +101,7 @@
                 leaderKey.isPresent()
                         ? List.of(
                                 new KeyValueStore.Entry(
-                                        RecordCodec.LEADER_KEY,
+                                        RecordKeys.LEADER_KEY,
                                         Map.of(
                                                 "member",
                                                 leaderKey.member(),
@@ -120,7 +120,7 @@
             return null;
         }
         KeyValueStore.Change change =
-                new KeyValueStore.Change(RecordCodec.LEADER_KEY, null, new Revision(revision));
+                new KeyValueStore.Change(RecordKeys.LEADER_KEY, null, new Revision(revision));
         return new LeadershipEvent.LeaderKeyWatchEnded(
                 request.epoch(),
                 new KeyValueStore.ChangeBatch(new Revision(revision), List.of(change)));
@@ -132,7 +132,7 @@
                         ? Optional.empty()
                         : Optional.of(
                                 new KeyValueStore.Entry(
-                                        RecordCodec.FENCING_TOKEN_KEY,
+                                        RecordKeys.FENCING_TOKEN_KEY,
                                         CandidacyPolicy.handoverRecord(
                                                 counter.fencingToken(),
                                                 counter.preferredSuccessor()),
--- a/src/test/java/org/meadowhollow/coordination/reservation/ReservationPlanTest.java
+++ b/src/test/java/org/meadowhollow/coordination/reservation/ReservationPlanTest.java
@@ -170,14 +170,14 @@
         for (CalendarSnapshot.CalendarEntry<Reservation> entry : calendar.reservations()) {
             entries.add(
                     new KeyValueStore.Entry(
-                            CalendarRecordCodec.reservation(entry.item().name()),
+                            CalendarRecordCodec.reservationKey(entry.item().name()),
                             CalendarRecordCodec.encode(entry.item(), ++order),
                             new Revision(order)));
         }
         for (CalendarSnapshot.CalendarEntry<MaintenanceWindow> entry : calendar.windows()) {
             entries.add(
                     new KeyValueStore.Entry(
-                            CalendarRecordCodec.window(entry.item().name()),
+                            CalendarRecordCodec.windowKey(entry.item().name()),
                             CalendarRecordCodec.encode(entry.item(), ++order),
                             new Revision(order)));
         }
--- a/src/test/java/org/meadowhollow/simulation/FakeKeyValueStore.java
+++ b/src/test/java/org/meadowhollow/simulation/FakeKeyValueStore.java
@@ -14,8 +14,9 @@
 import org.meadowhollow.protocol.MessagePackCodec;
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.KeyValueStoreException;
-import org.meadowhollow.storage.KeyValueStoreException.Outcome;
+import org.meadowhollow.storage.LeaseExpiredException;
 import org.meadowhollow.storage.LeaseId;
+import org.meadowhollow.storage.RequestRejectedException;
 import org.meadowhollow.storage.Transaction;
 
 /**
@@ -192,7 +193,7 @@
         List<String> failed = failedConditions(transaction);
         for (Transaction.Write write : transaction.writes().values()) {
             if (write.lease() != null && !leases.containsKey(write.lease().value())) {
-                throw new KeyValueStoreException(Outcome.LEASE_EXPIRED, "no such lease");
+                throw new LeaseExpiredException("no such lease");
             }
         }
         if (!failed.isEmpty()) {
@@ -214,7 +215,7 @@
     void renewLease(LeaseId id) {
         Lease lease = leases.get(id.value());
         if (lease == null) {
-            throw new KeyValueStoreException(Outcome.LEASE_EXPIRED, "the lease has expired");
+            throw new LeaseExpiredException("the lease has expired");
         }
         leases.put(id.value(), new Lease(loop.now().plus(lease.ttl()), lease.ttl()));
     }
@@ -263,7 +264,7 @@
             writeBudgetAt = loop.now();
             if (writeBudget < writes) {
                 rejectedCount++;
-                throw new KeyValueStoreException(Outcome.REJECTED, "too many changes");
+                throw new RequestRejectedException("too many changes");
             }
             writeBudget -= writes;
         }
--- a/src/test/java/org/meadowhollow/simulation/FakeStoreConnection.java
+++ b/src/test/java/org/meadowhollow/simulation/FakeStoreConnection.java
@@ -16,7 +16,8 @@
 import org.meadowhollow.storage.KeyValueStoreException;
 import org.meadowhollow.storage.KeyValueStoreException.Outcome;
 import org.meadowhollow.storage.LeaseId;
-import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordKeys;
+import org.meadowhollow.storage.RequestRejectedException;
 import org.meadowhollow.storage.Transaction;
 
 /**
@@ -220,11 +221,11 @@
     @Override
     public CompletableFuture<Page> list(
             String prefix, String after, int limit, RequestPriority requestPriority) {
-        pageReadCount += prefix.equals(RecordCodec.LEADER_KEY) ? 0 : 1;
+        pageReadCount += prefix.equals(RecordKeys.LEADER_KEY) ? 0 : 1;
         return call(
                 () -> {
                     if (prefix.startsWith(hiddenPrefix)) {
-                        throw new KeyValueStoreException(Outcome.REJECTED, "hidden");
+                        throw new RequestRejectedException("hidden");
                     }
                     return store.list(prefix, after, limit);
                 });
@@ -377,7 +378,7 @@
                 () -> {
                     if (!isClosed) {
                         answer.completeExceptionally(
-                                new KeyValueStoreException(
+                                KeyValueStoreException.of(
                                         outcome, "the fake store says " + outcome));
                     }
                 });
@@ -389,7 +390,7 @@
             Revision after,
             MonotonicTime until) {
         store.expireLeases();
-        boolean ofLeader = prefix.equals(RecordCodec.LEADER_KEY);
+        boolean ofLeader = prefix.equals(RecordKeys.LEADER_KEY);
         if (failsWatches && !ofLeader) {
             loop.schedule(store.latency(), () -> fail(answer, Outcome.INDETERMINATE));
             return;
--- a/src/test/java/org/meadowhollow/simulation/LoopbackIntegrationTest.java
+++ b/src/test/java/org/meadowhollow/simulation/LoopbackIntegrationTest.java
@@ -46,7 +46,7 @@
 import org.meadowhollow.protocol.MessageReader;
 import org.meadowhollow.protocol.jobs.SubmissionCodec;
 import org.meadowhollow.protocol.tes.BearerTokens;
-import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordKeys;
 import org.meadowhollow.transport.HttpServer;
 import org.meadowhollow.transport.XnioEventLoop;
 import org.meadowhollow.transport.tracing.OtlpTaskTracer;
@@ -327,7 +327,7 @@
     }
 
     private String leader() {
-        Map<String, Object> record = loop.callAndWait(() -> store.valueOf(RecordCodec.LEADER_KEY));
+        Map<String, Object> record = loop.callAndWait(() -> store.valueOf(RecordKeys.LEADER_KEY));
         return record == null ? null : (String) record.get("member");
     }
 
--- a/src/test/java/org/meadowhollow/simulation/OverlappingFaultsScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/OverlappingFaultsScenarioTest.java
@@ -13,12 +13,12 @@
 import org.meadowhollow.coordination.admission.AdmissionService.Phase;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
-import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordKeys;
 
 /**
  * Cancellations that the leader does not know of: the store refuses the leader alone, another
- * controller confirms them, and then the store is out for all. docs/overlapping-faults.md says what each
- * party believes at each step.
+ * controller confirms them, and then the store is out for all. docs/overlapping-faults.md says what
+ * each party believes at each step.
  */
 class OverlappingFaultsScenarioTest extends ClusterTestBase {
     private List<JobSpec> longJobs() {
@@ -60,7 +60,7 @@
 
     private void hideTaskRecords() {
         for (int node = 0; node < 3; node++) {
-            cluster.storeConnection(node).hidePrefix(RecordCodec.TASK_PREFIX);
+            cluster.storeConnection(node).hidePrefix(RecordKeys.TASK_PREFIX);
         }
     }
 
@@ -192,7 +192,7 @@
         assertTrue(cluster.users().cancel(nodeAfter(leader, 1), job.id()));
         // All jobs are read instead, which shows at once that the job is cancelled.
         cluster.runSeconds(20);
-        assertEquals(0, cluster.store().recordCount(RecordCodec.JOB_PREFIX), "its end is written");
+        assertEquals(0, cluster.store().recordCount(RecordKeys.JOB_PREFIX), "its end is written");
     }
 
     @Test
@@ -232,7 +232,7 @@
         cluster.runSeconds(15);
         assertEquals(
                 0,
-                cluster.store().recordCount(RecordCodec.TASK_PREFIX),
+                cluster.store().recordCount(RecordKeys.TASK_PREFIX),
                 "what it left is cleared away");
     }
 
@@ -270,8 +270,8 @@
         assertEquals(2, cluster.startCount(), "no finished task runs again");
         assertEquals(
                 0,
-                cluster.store().recordCount(RecordCodec.JOB_PREFIX)
-                        + cluster.store().recordCount(RecordCodec.TASK_PREFIX));
+                cluster.store().recordCount(RecordKeys.JOB_PREFIX)
+                        + cluster.store().recordCount(RecordKeys.TASK_PREFIX));
     }
 
     /**
@@ -315,8 +315,8 @@
         assertTrue(allTasksRunning(stays));
         assertEquals(
                 2,
-                cluster.store().recordCount(RecordCodec.JOB_PREFIX)
-                        + cluster.store().recordCount(RecordCodec.TASK_PREFIX));
+                cluster.store().recordCount(RecordKeys.JOB_PREFIX)
+                        + cluster.store().recordCount(RecordKeys.TASK_PREFIX));
     }
 
     /**
@@ -344,8 +344,8 @@
         assertEquals(fromS % 2 == 0 ? Phase.DONE : Phase.CANCELLED, phaseOf(second));
         assertEquals(
                 0,
-                cluster.store().recordCount(RecordCodec.JOB_PREFIX)
-                        + cluster.store().recordCount(RecordCodec.TASK_PREFIX));
+                cluster.store().recordCount(RecordKeys.JOB_PREFIX)
+                        + cluster.store().recordCount(RecordKeys.TASK_PREFIX));
     }
 
     /**
@@ -377,7 +377,7 @@
         assertEquals(null, machineRunning(job, 0), "its task had ended");
         assertEquals(leader, cluster.leader());
         Map<String, Object> record =
-                cluster.store().valueOf(RecordCodec.TASK_PREFIX + job.id() + "/0");
+                cluster.store().valueOf(RecordKeys.TASK_PREFIX + job.id() + "/0");
         assertEquals(
                 1,
                 ((List<?>) record.get("placed")).size(),
@@ -416,8 +416,8 @@
         }
         assertEquals(
                 0,
-                cluster.store().recordCount(RecordCodec.JOB_PREFIX)
-                        + cluster.store().recordCount(RecordCodec.TASK_PREFIX));
+                cluster.store().recordCount(RecordKeys.JOB_PREFIX)
+                        + cluster.store().recordCount(RecordKeys.TASK_PREFIX));
     }
 
     /**
@@ -432,9 +432,7 @@
         assertTrue(cluster.users().submit(nodeAfter(leader, 1), job, HOURS_RUNTIME));
         cluster.runSeconds(1.5);
         assertEquals(
-                1,
-                cluster.store().recordCount(RecordCodec.TASK_PREFIX),
-                "its places are committed");
+                1, cluster.store().recordCount(RecordKeys.TASK_PREFIX), "its places are committed");
         cluster.network().cutPeers(true);
         cluster.storeConnection(leader).refuseRequests(true);
         assertTrue(cluster.users().cancel(nodeAfter(leader, 1), job.id()));
--- a/src/test/java/org/meadowhollow/simulation/ScaleTest.java
+++ b/src/test/java/org/meadowhollow/simulation/ScaleTest.java
@@ -11,7 +11,7 @@
 import org.meadowhollow.coordination.admission.AdmissionService.Phase;
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
-import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordKeys;
 
 /** What a large deployment must bear; it counts messages and records, not wall-clock seconds. */
 class ScaleTest {
@@ -98,7 +98,7 @@
         cluster.runSeconds(1);
         assertEquals(
                 1,
-                cluster.store().recordCount(RecordCodec.TASK_PREFIX + waiting.id().value()),
+                cluster.store().recordCount(RecordKeys.TASK_PREFIX + waiting.id().value()),
                 "placed within a second or so");
         assertEquals(
                 pages[next],
--- a/src/test/java/org/meadowhollow/simulation/SimulatedCluster.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedCluster.java
@@ -24,7 +24,8 @@
 import org.meadowhollow.model.Resources;
 import org.meadowhollow.model.Revision;
 import org.meadowhollow.model.TaskId;
-import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.JobRecordCodec;
+import org.meadowhollow.storage.RecordKeys;
 
 /**
  * A deployment in memory and in virtual time: three controllers, the key-value store, a cloud,
@@ -84,7 +85,7 @@
     private int startCommandCount;
 
     SimulatedCluster() {
-        store.onPut(RecordCodec.LEADER_KEY, network::deliverKeptHeartbeats);
+        store.onPut(RecordKeys.LEADER_KEY, network::deliverKeptHeartbeats);
         withTeam("team", 0, 0);
         withTeam("other", 0, 0);
         for (int index = 0; index < NODE_COUNT; index++) {
@@ -427,9 +428,9 @@
                 id,
                 unknown -> {
                     historyChecker.recordSubmission(id);
-                    return RecordCodec.job(
+                    return JobRecordCodec.decode(
                                     id,
-                                    store.valueOf(RecordCodec.job(id)),
+                                    store.valueOf(RecordKeys.job(id)),
                                     Revision.ABSENT,
                                     loop.now())
                             .spec();
--- a/src/test/java/org/meadowhollow/simulation/StoreFaults.java
+++ b/src/test/java/org/meadowhollow/simulation/StoreFaults.java
@@ -1,7 +1,7 @@
 package org.meadowhollow.simulation;
 
 import java.time.Duration;
-import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordKeys;
 
 /** Faults of the key-value store and of the nodes' connections to it. */
 final class StoreFaults {
@@ -48,7 +48,7 @@
     }
 
     static Runnable hideTaskRecords(FaultTarget target) {
-        hide(target, RecordCodec.TASK_PREFIX);
+        hide(target, RecordKeys.TASK_PREFIX);
         return () -> hide(target, "/");
     }
 
--- a/src/test/java/org/meadowhollow/simulation/TesScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/TesScenarioTest.java
@@ -29,7 +29,7 @@
 import org.meadowhollow.protocol.JsonCodec;
 import org.meadowhollow.protocol.MalformedMessageException;
 import org.meadowhollow.protocol.MessageReader;
-import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordKeys;
 
 /** Tasks of the task execution API, beside native jobs, while faults happen. */
 class TesScenarioTest extends ClusterTestBase {
@@ -261,7 +261,7 @@
                 cluster.users().poll(0, job.id()).orElseThrow().phase());
         assertEquals(
                 0,
-                cluster.store().recordCount(RecordCodec.JOB_PREFIX),
+                cluster.store().recordCount(RecordKeys.JOB_PREFIX),
                 "no record of a job that is over comes back");
         assertEquals(2, cluster.startCount());
     }
--- a/src/test/java/org/meadowhollow/simulation/WarmStandbyScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/WarmStandbyScenarioTest.java
@@ -22,7 +22,7 @@
 import org.meadowhollow.model.JobKind;
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.Revision;
-import org.meadowhollow.storage.RecordCodec;
+import org.meadowhollow.storage.RecordKeys;
 
 /** What a warm standby replicates, what it takes over, and what must not mislead it. */
 class WarmStandbyScenarioTest extends ClusterTestBase {
@@ -115,7 +115,7 @@
         cluster.runSeconds(10);
         int dead = cluster.leader();
         for (int node = 0; node < 3; node++) {
-            cluster.storeConnection(node).hidePrefix(RecordCodec.TASK_PREFIX);
+            cluster.storeConnection(node).hidePrefix(RecordKeys.TASK_PREFIX);
         }
         JobSpec lately = array(2, 4);
         assertTrue(cluster.users().submit(other(dead), lately, SHORT_RUNTIME));
@@ -203,7 +203,7 @@
         cluster.runSeconds(1.5);
         assertEquals(
                 0,
-                cluster.store().recordCount(RecordCodec.TASK_PREFIX + "req-000001"),
+                cluster.store().recordCount(RecordKeys.TASK_PREFIX + "req-000001"),
                 "two of six have reported");
     }
 
@@ -228,12 +228,12 @@
     @Test
     void newFencingTokenExceedsAllTokensReportedByWorkers() {
         cluster.crashAll();
-        cluster.store().put(RecordCodec.FENCING_TOKEN_KEY, Map.of("term", 50L));
+        cluster.store().put(RecordKeys.FENCING_TOKEN_KEY, Map.of("term", 50L));
         cluster.restartAll();
         cluster.runSeconds(10);
         assertEquals(51, cluster.fencingToken());
         cluster.crashAll();
-        cluster.store().put(RecordCodec.FENCING_TOKEN_KEY, Map.of("term", 1L));
+        cluster.store().put(RecordKeys.FENCING_TOKEN_KEY, Map.of("term", 1L));
         cluster.restartAll();
         cluster.runSeconds(6);
         assertTrue(cluster.fencingToken() > 51, "answers of a lower one would be dropped");
@@ -244,7 +244,7 @@
         int dead = cluster.leader();
         int successor = other(dead);
         cluster.crash(3 - dead - successor);
-        cluster.storeConnection(successor).hideChanges(RecordCodec.JOB_PREFIX);
+        cluster.storeConnection(successor).hideChanges(RecordKeys.JOB_PREFIX);
         JobSpec job = array(1, 5);
         assertTrue(cluster.users().submit(dead, job, Duration.ofSeconds(60)));
         cluster.runSeconds(10);
@@ -296,7 +296,7 @@
     void auditFindsDivergentRecordOfStandby() {
         JobSpec job = array(1, 4);
         int standby = other(cluster.leader());
-        cluster.storeConnection(standby).skipChangesOf(RecordCodec.job(job.id()));
+        cluster.storeConnection(standby).skipChangesOf(RecordKeys.job(job.id()));
         assertTrue(cluster.users().submit(cluster.leader(), job, LONG_RUNTIME));
         cluster.runSeconds(130);
         cluster.storeConnection(standby).skipChangesOf(null);
@@ -386,7 +386,7 @@
         cluster.runSeconds(6);
         cluster.restartAll();
         for (int node = 0; node < 3; node++) {
-            cluster.storeConnection(node).hidePrefix(RecordCodec.RISK_TABLE_PREFIX);
+            cluster.storeConnection(node).hidePrefix(RecordKeys.RISK_TABLE_PREFIX);
         }
         cluster.runSeconds(10);
         for (int node = 0; node < 3; node++) {
@@ -399,13 +399,12 @@
     @Test
     void incompleteSnapshotIsNotUsed() {
         cluster.runSeconds(3 * LEARNT_S);
-        Map<String, Object> head = cluster.store().valueOf(RecordCodec.RISK_TABLE_HEAD_KEY);
+        Map<String, Object> head = cluster.store().valueOf(RecordKeys.RISK_TABLE_HEAD_KEY);
         int set = (int) (long) head.get("set");
-        Map<String, Object> older =
-                cluster.store().valueOf(RecordCodec.riskTableChunkKey(1 - set, 0));
-        Map<String, Object> newest = cluster.store().valueOf(RecordCodec.riskTableChunkKey(set, 0));
+        Map<String, Object> older = cluster.store().valueOf(RecordKeys.riskTableChunk(1 - set, 0));
+        Map<String, Object> newest = cluster.store().valueOf(RecordKeys.riskTableChunk(set, 0));
         cluster.crashAll();
-        cluster.store().put(RecordCodec.riskTableChunkKey(set, 0), older);
+        cluster.store().put(RecordKeys.riskTableChunk(set, 0), older);
         cluster.restartAll();
         cluster.runSeconds(20);
         assertEquals(
@@ -413,10 +412,10 @@
                 learnedObservationCount(cluster.leader()),
                 "another chunk is there than the head says");
         cluster.crashAll();
-        cluster.store().put(RecordCodec.riskTableChunkKey(set, 0), newest);
+        cluster.store().put(RecordKeys.riskTableChunk(set, 0), newest);
         Map<String, Object> unknown = new HashMap<>(head);
         unknown.put("form", 2L);
-        cluster.store().put(RecordCodec.RISK_TABLE_HEAD_KEY, unknown);
+        cluster.store().put(RecordKeys.RISK_TABLE_HEAD_KEY, unknown);
         cluster.restartAll();
         cluster.runSeconds(20);
         assertEquals(0, learnedObservationCount(cluster.leader()), "a form that is not known");
--- a/src/test/java/org/meadowhollow/storage/GoldenFilesMain.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenFilesMain.java
@@ -428,7 +428,7 @@
                                 "FREQ=DAILY;COUNT=10"));
         GoldenFile.write(
                 "reservation",
-                CalendarRecordCodec.reservation(full.name()),
+                CalendarRecordCodec.reservationKey(full.name()),
                 CalendarRecordCodec.encode(full, 3));
         Reservation plain =
                 new Reservation(
@@ -451,7 +451,7 @@
                                 null));
         GoldenFile.write(
                 "reservation-plain",
-                CalendarRecordCodec.reservation(plain.name()),
+                CalendarRecordCodec.reservationKey(plain.name()),
                 CalendarRecordCodec.encode(plain, 4));
         for (MaintenanceWindow.Scope scope : MaintenanceWindow.Scope.values()) {
             MaintenanceWindow window =
@@ -467,7 +467,7 @@
                             Duration.ofSeconds(90));
             GoldenFile.write(
                     "window-" + List.of("machine", "type", "zone").get(scope.ordinal()),
-                    CalendarRecordCodec.window(window.name()),
+                    CalendarRecordCodec.windowKey(window.name()),
                     CalendarRecordCodec.encode(window, 5 + scope.ordinal()));
         }
         GoldenFile.write("calendar-stamp", CalendarRecordCodec.REVISION_KEY, Map.of());
--- a/src/test/java/org/meadowhollow/storage/GoldenRecordsTest.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenRecordsTest.java
@@ -862,7 +862,7 @@
         assertEquals(ZoneId.of("Europe/Berlin"), is.schedule().timeZone());
         assertEquals(Duration.ofMinutes(90), is.schedule().duration());
         assertEquals("FREQ=DAILY;COUNT=10", is.schedule().recurrenceRule());
-        assertEquals(file.key(), CalendarRecordCodec.reservation(is.name()));
+        assertEquals(file.key(), CalendarRecordCodec.reservationKey(is.name()));
         file.assertSameBytes(CalendarRecordCodec.encode(is, calendarEntry.acceptanceOrder()));
     }
 
@@ -931,7 +931,7 @@
         assertEquals(ZoneId.of("America/New_York"), is.schedule().timeZone());
         assertEquals(Duration.ofHours(2), is.schedule().duration());
         assertEquals(rule, is.schedule().recurrenceRule());
-        assertEquals(key, CalendarRecordCodec.window(is.name()));
+        assertEquals(key, CalendarRecordCodec.windowKey(is.name()));
         file.assertSameBytes(CalendarRecordCodec.encode(is, order));
     }
 
--- a/src/test/java/org/meadowhollow/storage/RecordWriterTest.java
+++ b/src/test/java/org/meadowhollow/storage/RecordWriterTest.java
@@ -22,7 +22,6 @@
 import org.meadowhollow.model.Revision;
 import org.meadowhollow.model.WorkerIncarnation;
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
-import org.meadowhollow.storage.KeyValueStoreException.Outcome;
 
 /**
  * The order in which a leader's records are written when there are more than the key-value store
@@ -135,7 +134,7 @@
     @Test
     void placementsAreNotDelayedByTheEndsOfOtherJobs() {
         for (int number = 0; number < 50; number++) {
-            recordWriter.endPending(job(number, Priority.NORMAL));
+            recordWriter.markEndPending(job(number, Priority.NORMAL));
         }
         markPlacementsDirty(100, 3, Priority.NORMAL);
         recordWriter.flush();
@@ -162,10 +161,7 @@
     void aRejectedTransactionIsRepeatedInSmallerOnes() {
         markPlacementsDirty(0, 40, Priority.NORMAL);
         recordWriter.flush();
-        sent.get(0)
-                .result()
-                .completeExceptionally(
-                        new KeyValueStoreException(Outcome.REJECTED, "answered 429"));
+        sent.get(0).result().completeExceptionally(new RequestRejectedException("answered 429"));
         timers.forEach(Runnable::run);
         assertEquals(MAX_WRITES / 2, sent.get(2).transaction().writes().size());
         sent.get(2)
@@ -214,13 +210,12 @@
         sent.get(0)
                 .result()
                 .complete(new KeyValueStore.CommitResult(true, new Revision(5), List.of()));
-        ends.forEach(recordWriter::endPending);
+        ends.forEach(recordWriter::markEndPending);
         recordWriter.flush();
         for (int at = 1; at < 3; at++) {
             sent.get(at)
                     .result()
-                    .completeExceptionally(
-                            new KeyValueStoreException(Outcome.REJECTED, "answered 429"));
+                    .completeExceptionally(new RequestRejectedException("answered 429"));
         }
         assertEquals(3, sent.size(), "nothing is deleted while no end is persisted");
         // From now on all transactions are applied, except for every third one.
@@ -230,8 +225,7 @@
                 if (at % 3 == 0) {
                     sent.get(at)
                             .result()
-                            .completeExceptionally(
-                                    new KeyValueStoreException(Outcome.REJECTED, "answered 429"));
+                            .completeExceptionally(new RequestRejectedException("answered 429"));
                 } else {
                     sent.get(at)
                             .result()
