--- a/src/main/java/org/meadowhollow/cli/ClassArchiveTraining.java
+++ b/src/main/java/org/meadowhollow/cli/ClassArchiveTraining.java
@@ -88,6 +88,8 @@
         sendRequest(port, "POST", "/submissions", new byte[0]);
     }
 
+    // A literal address of the local host: no name is resolved, and there is no other to select.
+    @SuppressWarnings("AddressSelection")
     private static void sendRequest(int port, String method, String path, byte[] body)
             throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
--- a/src/main/java/org/meadowhollow/cli/reservation/NodeOptions.java
+++ b/src/main/java/org/meadowhollow/cli/reservation/NodeOptions.java
@@ -21,6 +21,8 @@
                             + TOKEN_VARIABLE)
     private String node;
 
+    // Only picocli uses the field, by reflection, to know whether help was asked for.
+    @SuppressWarnings("UnusedVariable")
     @Option(
             names = {"-h", "--help"},
             usageHelp = true,
--- a/src/main/java/org/meadowhollow/coordination/ControllerNode.java
+++ b/src/main/java/org/meadowhollow/coordination/ControllerNode.java
@@ -139,6 +139,8 @@
         return closed;
     }
 
+    // The chain hands each response on; nothing waits for the chain itself.
+    @SuppressWarnings("FutureReturnValueIgnored")
     @Override
     public void elected(
             FencingToken fencingToken, Revision leaderKeyRevision, MonotonicTime noticedAt) {
--- a/src/main/java/org/meadowhollow/coordination/LeaderService.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderService.java
@@ -175,6 +175,8 @@
         parts.heartbeatHandler.onTasksPersisted(job);
     }
 
+    // A failed read changes nothing: the write is repeated and meets the same conflict again.
+    @SuppressWarnings("FutureReturnValueIgnored")
     @Override
     public void onConcurrentJobChange(JobId id) {
         parts.store
--- a/src/main/java/org/meadowhollow/coordination/MachineTypeLoader.java
+++ b/src/main/java/org/meadowhollow/coordination/MachineTypeLoader.java
@@ -41,6 +41,8 @@
     }
 
     /** Loads the types, and tries again every second until there are any. */
+    // The chain handles success and failure itself; a failed read is repeated.
+    @SuppressWarnings("FutureReturnValueIgnored")
     void load() {
         store.get(RecordKeys.MACHINE_TYPES_KEY, RequestPriority.USER)
                 .whenComplete(
@@ -62,6 +64,8 @@
                         });
     }
 
+    // The chain handles success and failure itself; a failed request is repeated.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private void fetchFromCloud() {
         cloudProvider
                 .listMachineTypes()
--- a/src/main/java/org/meadowhollow/coordination/api/RiskTableDelta.java
+++ b/src/main/java/org/meadowhollow/coordination/api/RiskTableDelta.java
@@ -30,6 +30,8 @@
      * @param samples four numbers each, oldest first: incarnation, sequence number, age in
      *     milliseconds, sample
      */
+    // The arrays are handed on as they are; no entry is compared with another.
+    @SuppressWarnings("ArrayRecordComponent")
     public record MachineEntry(
             MachineId machine,
             int machineIdentityHash,
--- a/src/main/java/org/meadowhollow/coordination/failover/ChangeFeedFollower.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/ChangeFeedFollower.java
@@ -89,6 +89,8 @@
      * Reads a page of the records, and then the next; {@code after} and {@code begun} are null for
      * the first.
      */
+    // The chain handles success and failure itself; a failed read is repeated.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private void readPage(int mine, String after, KeyspaceReplica begun) {
         store.list(prefix, after, RequestPriority.BACKGROUND)
                 .whenComplete(
@@ -139,6 +141,8 @@
         return true;
     }
 
+    // The chain handles success and failure itself, and watches or reads again.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private void watchChanges(int mine) {
         KeyspaceReplica followed;
         synchronized (this) {
--- a/src/main/java/org/meadowhollow/coordination/failover/RiskTablePublisher.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTablePublisher.java
@@ -117,6 +117,8 @@
                 new long[0]);
     }
 
+    // Far below the range of int: the loop ends once the product passes MAX_NUMBERS_PER_ANSWER.
+    @SuppressWarnings("NarrowCalculation")
     private RiskTableDelta samplesSince(
             long after, SortedMap<MachineId, Machine> machines, MonotonicTime now) {
         Map<MachineId, LongArrayList> byMachine = new LinkedHashMap<>();
--- a/src/main/java/org/meadowhollow/coordination/failover/RiskTableReplica.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTableReplica.java
@@ -160,7 +160,7 @@
             long itsSeq = machineEntry.samples()[at + 1];
             // Whole tables that came page by page may have some of them already.
             if (itsSession.isAfter(workerIncarnation)
-                    || itsSession.equals(workerIncarnation) && itsSeq > seq) {
+                    || (itsSession.equals(workerIncarnation) && itsSeq > seq)) {
                 table.replaySample(
                         (int) machineEntry.samples()[at + 3],
                         new MonotonicTime(
@@ -192,8 +192,8 @@
         boolean isOlder =
                 replicatedTable != null
                         && (workerIncarnation.isAfter(replicatedTable.workerIncarnation())
-                                || workerIncarnation.equals(replicatedTable.workerIncarnation())
-                                        && seq >= replicatedTable.seq());
+                                || (workerIncarnation.equals(replicatedTable.workerIncarnation())
+                                        && seq >= replicatedTable.seq()));
         return isOlder
                         && replicatedTable.identityHash() == incarnation
                         && now.elapsedSince(replicatedTable.updatedAt()).compareTo(MAX_AGE) <= 0
--- a/src/main/java/org/meadowhollow/coordination/failover/RiskTableSnapshotStore.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTableSnapshotStore.java
@@ -95,6 +95,8 @@
      *
      * @param idle whether no other records wait to be written
      */
+    // The chain notes the result; after a failure the next call writes the same part again.
+    @SuppressWarnings("FutureReturnValueIgnored")
     public void writeNext(
             Supplier<List<RiskTableDelta.MachineEntry>> tables,
             boolean idle,
@@ -145,6 +147,8 @@
     }
 
     /** The set that an earlier leader wrote last must stand until there is a newer one. */
+    // The chain notes the result; after a failure the next call reads again.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private void findSet() {
         requestInFlight = true;
         store.get(RecordKeys.RISK_TABLE_HEAD_KEY, RequestPriority.BACKGROUND)
--- a/src/main/java/org/meadowhollow/coordination/failover/WarmStandby.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/WarmStandby.java
@@ -112,6 +112,7 @@
         return new HandoverState(followers, tableReplica);
     }
 
+    /** Ends the following without handing over what was followed. */
     public synchronized void close() {
         generations.startNext();
         followers.values().forEach(ChangeFeedFollower::stop);
@@ -149,6 +150,8 @@
                 oldestRevision());
     }
 
+    // The chain handles success and failure itself, and schedules the next pull.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private void pullTables(int mine) {
         String asked = leaderSupplier.get();
         if (!isOtherMember(asked)) {
@@ -210,6 +213,8 @@
 
     // ---- the audit ----
 
+    // An audit that fails tells nothing; the next one is scheduled already.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private void audit(int mine) {
         generations.runLater(AUDIT_INTERVAL, mine, () -> audit(mine));
         String asked = leaderSupplier.get();
@@ -240,6 +245,8 @@
                 : Optional.empty();
     }
 
+    // The follower turns a failed read into an empty list, and the chain logs the rest.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private void verifyAndRepair(int mine, String part) {
         String prefix = part.substring(0, part.indexOf('/') + 1);
         followers
--- a/src/main/java/org/meadowhollow/coordination/lifecycle/ImageCacheRecorder.java
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/ImageCacheRecorder.java
@@ -104,8 +104,8 @@
     public void writeIfDue(Collection<Machine> machines, MonotonicTime now) {
         if (writeInFlight
                 || changedImages.isEmpty()
-                || lastWrittenAt != null
-                        && now.elapsedSince(lastWrittenAt).compareTo(WRITE_INTERVAL) < 0) {
+                || (lastWrittenAt != null
+                        && now.elapsedSince(lastWrittenAt).compareTo(WRITE_INTERVAL) < 0)) {
             return;
         }
         Transaction transaction = collectChanges(machines);
--- a/src/main/java/org/meadowhollow/coordination/reconciliation/DirectCommandSender.java
+++ b/src/main/java/org/meadowhollow/coordination/reconciliation/DirectCommandSender.java
@@ -36,6 +36,9 @@
     private record Recipient(
             Machine machine, WorkerIncarnation incarnation, long lastSequenceNumber) {}
 
+    // A command that is lost is not repeated here: the response to the next heartbeat has what is
+    // still needed.
+    @SuppressWarnings("FutureReturnValueIgnored")
     @Override
     public void sendCommands(
             Machine machine, WorkerIncarnation incarnation, List<WorkerCommand> commands) {
--- a/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatHandler.java
+++ b/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatHandler.java
@@ -223,6 +223,8 @@
         }
     }
 
+    // The chain hands each response on; nothing waits for the chain itself.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private void answerThoseAwaitingFreshness() {
         List<DeferredHeartbeat> waiting;
         synchronized (context.lock()) {
--- a/src/main/java/org/meadowhollow/coordination/recovery/JobWatcher.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/JobWatcher.java
@@ -54,6 +54,8 @@
         watch(after, Duration.ZERO);
     }
 
+    // The chain handles success and failure itself, and goes on to watch.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private void watch(Revision after, Duration timeout) {
         MonotonicTime sentAt = context.loop().now();
         if (lastWatchSentAt == null) {
--- a/src/main/java/org/meadowhollow/coordination/recovery/PageReader.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/PageReader.java
@@ -49,6 +49,8 @@
             this.onComplete = onComplete;
         }
 
+        // The chain handles success and failure itself; a failed read is repeated.
+        @SuppressWarnings("FutureReturnValueIgnored")
         void readAfter(String lastKey, Revision firstRevision) {
             context.store()
                     .list(prefix, lastKey, RequestPriority.PLACEMENT)
--- a/src/main/java/org/meadowhollow/coordination/recovery/RiskTableRestorer.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/RiskTableRestorer.java
@@ -58,6 +58,8 @@
     }
 
     /** Reads the stored snapshot, until that succeeds. Called without the leader's lock. */
+    // The chain handles success and failure itself; a failed read is repeated.
+    @SuppressWarnings("FutureReturnValueIgnored")
     public void readSnapshot() {
         RiskTableSnapshotStore.read(context.store(), context.loop())
                 .whenComplete(
--- a/src/main/java/org/meadowhollow/coordination/recovery/StateRecovery.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/StateRecovery.java
@@ -62,6 +62,8 @@
     }
 
     /** Takes over the records that this node has followed, or else reads them page by page. */
+    // A replica that cannot be brought up to date counts as absent, for which the chain reads all.
+    @SuppressWarnings("FutureReturnValueIgnored")
     public void start() {
         if (!handoverState.isWarm()) {
             readJobs();
--- a/src/main/java/org/meadowhollow/coordination/reservation/ReservationService.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservationService.java
@@ -382,6 +382,8 @@
                         });
     }
 
+    // No future is ignored: thenCompose unwraps the one that the handler returns.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private CompletableFuture<ChangeOutcome> commit(
             EntryChange change,
             Revision calendarRevision,
--- a/src/main/java/org/meadowhollow/coordination/rounds/FirstRoundGate.java
+++ b/src/main/java/org/meadowhollow/coordination/rounds/FirstRoundGate.java
@@ -125,7 +125,7 @@
                     intervalSeconds * LATEST_HEARTBEAT_FACTOR + NEXT_NODE_SECONDS;
             fullRoundGathered =
                     now.secondsSince(startedAt) > longestWaitSeconds
-                            || machineRegistry.isListedByCloud() && haveNearlyAllReported();
+                            || (machineRegistry.isListedByCloud() && haveNearlyAllReported());
         }
         return fullRoundGathered;
     }
--- a/src/main/java/org/meadowhollow/coordination/rounds/ReservationEnforcer.java
+++ b/src/main/java/org/meadowhollow/coordination/rounds/ReservationEnforcer.java
@@ -224,11 +224,11 @@
     private boolean mayStopReplica(Job job, MonotonicTime now) {
         MonotonicTime last = lastMoveByService.get(job.id());
         return job.spec().kind() != JobKind.SERVICE
-                || job.pendingTaskCount() == 0
+                || (job.pendingTaskCount() == 0
                         && (last == null
                                 || now.elapsedSince(last).compareTo(REPLICA_MOVE_INTERVAL) >= 0)
                         && job.placements().stream()
-                                .allMatch(one -> one.runningSince() != null && !one.isStopping());
+                                .allMatch(one -> one.runningSince() != null && !one.isStopping()));
     }
 
     /** Logs once, and not in every round, what operators should know. */
--- a/src/main/java/org/meadowhollow/coordination/scheduling/PlacementRound.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/PlacementRound.java
@@ -30,6 +30,8 @@
      * @param failedMachines machines on which its tasks failed, which come after others of equal
      *     risk
      */
+    // The indices are only read; no pending job is compared with another.
+    @SuppressWarnings("ArrayRecordComponent")
     public record PendingJob(
             JobSpec spec,
             int[] tasks,
--- a/src/main/java/org/meadowhollow/coordination/scheduling/PreemptionPlanner.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/PreemptionPlanner.java
@@ -36,6 +36,9 @@
     private static final class BestEffortCandidates {
         private final Map<String, List<PreemptionCandidate<Placement>>> candidatesByZone =
                 new TreeMap<>();
+
+        // By identity on purpose: candidates of two machines may be equal records.
+        @SuppressWarnings("IdentityHashMapUsage")
         private final Map<PreemptionCandidate<Placement>, Machine> machineByCandidate =
                 new IdentityHashMap<>();
 
--- a/src/main/java/org/meadowhollow/protocol/cloud/CloudClient.java
+++ b/src/main/java/org/meadowhollow/protocol/cloud/CloudClient.java
@@ -27,6 +27,12 @@
     private final EventLoop loop;
     private final AdaptiveRateLimiter requestLimiter;
 
+    /**
+     * Creates a client of the cloud at an address.
+     *
+     * @param loop the event loop that sends the requests above the limit later
+     * @param requestLimiter the limit that all requests of this client count against
+     */
     public CloudClient(
             Http.Client http, String address, EventLoop loop, AdaptiveRateLimiter requestLimiter) {
         this.http = http;
--- a/src/main/java/org/meadowhollow/protocol/jobs/JobApi.java
+++ b/src/main/java/org/meadowhollow/protocol/jobs/JobApi.java
@@ -21,6 +21,7 @@
 
     private final AdmissionService admissionService;
 
+    /** Creates an interface to the jobs that {@code admissionService} admits. */
     public JobApi(AdmissionService admissionService) {
         this.admissionService = admissionService;
     }
--- a/src/main/java/org/meadowhollow/protocol/keyvalue/StoreRequest.java
+++ b/src/main/java/org/meadowhollow/protocol/keyvalue/StoreRequest.java
@@ -13,6 +13,7 @@
 @SuppressWarnings("ArrayRecordComponent")
 record StoreRequest(
         String method, String path, byte[] body, int writeCount, RequestPriority priority) {
+    /** A read: no body, and no key that is written. */
     static StoreRequest get(String path, RequestPriority priority) {
         return new StoreRequest("GET", path, null, 0, priority);
     }
--- a/src/main/java/org/meadowhollow/protocol/peers/PeerServer.java
+++ b/src/main/java/org/meadowhollow/protocol/peers/PeerServer.java
@@ -42,6 +42,7 @@
     private volatile RecentHeartbeatSource heartbeatSource = (machines, within) -> Set.of();
     private volatile BiConsumer<FencingToken, String> leaderListener = (fencingToken, member) -> {};
 
+    /** Creates a server that knows nothing until its sources are set. */
     public PeerServer(PeerMessageCodec codec) {
         this.codec = codec;
     }
--- a/src/main/java/org/meadowhollow/protocol/workers/WorkerClient.java
+++ b/src/main/java/org/meadowhollow/protocol/workers/WorkerClient.java
@@ -21,6 +21,7 @@
 
     private final Http.Client http;
 
+    /** Creates a client that sends its requests with {@code http}. */
     public WorkerClient(Http.Client http) {
         this.http = http;
     }
--- a/src/main/java/org/meadowhollow/transport/tracing/OtlpTaskTracer.java
+++ b/src/main/java/org/meadowhollow/transport/tracing/OtlpTaskTracer.java
@@ -82,6 +82,9 @@
             AttributeKey.stringKey("meadowhollow.cause");
     private static final AttributeKey<Long> ATTEMPT_ATTRIBUTE =
             AttributeKey.longKey("meadowhollow.attempt");
+
+    // The deprecated method "keys" is overridden since its default lists no headers.
+    @SuppressWarnings("deprecation")
     private static final TextMapGetter<Map<String, String>> MAP_GETTER =
             new TextMapGetter<>() {
                 @Override
@@ -302,6 +305,8 @@
     /**
      * @param failure why the operation of the span failed, or null
      */
+    // No name of a span begins with a space and a digit, so there always is a first part.
+    @SuppressWarnings("StringSplitter")
     private synchronized void recordSpan(
             TracedTask task,
             SpanContext parent,
