--- a/src/test/java/org/meadowhollow/golden/GoldenFile.java
+++ b/src/test/java/org/meadowhollow/golden/GoldenFile.java
@@ -28,6 +28,8 @@
  * @param name of the file, without its suffix
  * @param key under which the record is stored, or the path of the message
  */
+// The bytes are read by the tests; no two files are compared as records.
+@SuppressWarnings("ArrayRecordComponent")
 public record GoldenFile(String name, String key, byte[] bytes) {
     private static final Path DIRECTORY = Path.of("src", "test", "resources", "golden");
     private static final String SUFFIX = ".hex";
--- a/src/test/java/org/meadowhollow/simulation/FakeKeyValueStore.java
+++ b/src/test/java/org/meadowhollow/simulation/FakeKeyValueStore.java
@@ -34,6 +34,8 @@
     private static final Duration TIMEOUT = Duration.ofMillis(1500);
     private static final Duration SLOW_TIMEOUT = Duration.ofMillis(3200);
 
+    // The value is handed on as it is; no two stored values are compared as records.
+    @SuppressWarnings("ArrayRecordComponent")
     private record StoredValue(byte[] value, long revision, long lease) {}
 
     private record Lease(MonotonicTime expiresAt, Duration ttl) {}
--- a/src/test/java/org/meadowhollow/simulation/FakeStoreConnection.java
+++ b/src/test/java/org/meadowhollow/simulation/FakeStoreConnection.java
@@ -236,7 +236,7 @@
             Transaction transaction, RequestPriority requestPriority) {
         largestCommitWrites = Math.max(largestCommitWrites, transaction.writes().size());
         if (delayOfAllCommits != null
-                || delayedShare > 0 && delayRandom.nextDouble() < delayedShare) {
+                || (delayedShare > 0 && delayRandom.nextDouble() < delayedShare)) {
             return commitLate(transaction);
         }
         if (lostResponseShare > 0 && lossRandom.nextDouble() < lostResponseShare) {
@@ -277,8 +277,9 @@
 
     private CompletableFuture<CommitResult> commitWithoutResponse(Transaction transaction) {
         CompletableFuture<CommitResult> answer = new CompletableFuture<>();
-        call(() -> store.commit(transaction))
-                .thenAccept(result -> lostCommitCount += result.isApplied() ? 1 : 0);
+        CompletableFuture<Void> unused =
+                call(() -> store.commit(transaction))
+                        .thenAccept(result -> lostCommitCount += result.isApplied() ? 1 : 0);
         loop.schedule(store.requestTimeout(), () -> fail(answer, Outcome.INDETERMINATE));
         return answer;
     }
@@ -402,7 +403,7 @@
         }
         boolean seesNothing =
                 seemsUnavailable()
-                        || hiddenChangesPrefix != null && prefix.startsWith(hiddenChangesPrefix);
+                        || (hiddenChangesPrefix != null && prefix.startsWith(hiddenChangesPrefix));
         if (!seesNothing && store.isCompacted(after)) {
             loop.schedule(store.latency(), () -> fail(answer, Outcome.COMPACTED));
             return;
--- a/src/test/java/org/meadowhollow/simulation/Fault.java
+++ b/src/test/java/org/meadowhollow/simulation/Fault.java
@@ -62,6 +62,8 @@
         Runnable begin(FaultTarget target);
     }
 
+    // Each is a static method, without state of its own.
+    @SuppressWarnings("ImmutableEnumChecker")
     private final Injection injection;
 
     Fault(Injection injection) {
--- a/src/test/java/org/meadowhollow/simulation/FreeCapacity.java
+++ b/src/test/java/org/meadowhollow/simulation/FreeCapacity.java
@@ -33,7 +33,7 @@
         boolean isGang = spec.kind() == JobKind.GANG;
         int needed = isGang ? spec.taskCount() : 1;
         if (held + completedTasks >= spec.taskCount()
-                || isGang && held > 0
+                || (isGang && held > 0)
                 || !HistoryChecker.fitsLimit(
                         usedByTeam.plus(spec.resourcesPerTask().times(needed)), limit)) {
             return false;
--- a/src/test/java/org/meadowhollow/simulation/GoldenStoreTest.java
+++ b/src/test/java/org/meadowhollow/simulation/GoldenStoreTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.List;
@@ -245,7 +246,8 @@
                         cluster.clients()
                                 .sendReservationRequest(
                                         0, "secret", "GET", "reservations", null, "")
-                                .body());
+                                .body(),
+                        StandardCharsets.UTF_8);
         for (String part :
                 List.of(
                         "nightly",
@@ -262,7 +264,7 @@
     // ---- a task of the task execution API ----
 
     private static Map<String, Object> body(Http.Reply reply) throws MalformedMessageException {
-        assertEquals(200, reply.status(), new String(reply.body()));
+        assertEquals(200, reply.status(), new String(reply.body(), StandardCharsets.UTF_8));
         return JsonCodec.decode(reply.body());
     }
 
@@ -281,7 +283,8 @@
         assertEquals(state, task.get("state"));
         assertEquals(GoldenTesTask.ID, task.get("id"));
         assertEquals("2023-11-14T22:14:32Z", task.get("creation_time"));
-        Map<String, Object> asked = JsonCodec.decode(GoldenTesTask.BODY.getBytes());
+        Map<String, Object> asked =
+                JsonCodec.decode(GoldenTesTask.BODY.getBytes(StandardCharsets.UTF_8));
         asked.forEach((key, value) -> assertEquals(value, task.get(key), key));
         Map<String, Object> listed =
                 body(
@@ -336,7 +339,9 @@
         assertEquals(
                 "78870d7c944a25f146bda50eade3e1ad2299f950b9a8ff7bef7a452ec590d94f",
                 task.get("digest"));
-        assertEquals(JsonCodec.decode(GoldenTesTask.BODY.getBytes()), task.get("document"));
+        assertEquals(
+                JsonCodec.decode(GoldenTesTask.BODY.getBytes(StandardCharsets.UTF_8)),
+                task.get("document"));
         Map<String, Object> kept =
                 Map.of(
                         "id",
--- a/src/test/java/org/meadowhollow/simulation/GoldenTesTask.java
+++ b/src/test/java/org/meadowhollow/simulation/GoldenTesTask.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.Map;
 import org.meadowhollow.protocol.Http;
@@ -52,7 +53,7 @@
                                 Map.of(),
                                 Map.of("Idempotency-Key", KEY),
                                 BODY);
-        assertEquals(200, reply.status(), new String(reply.body()));
+        assertEquals(200, reply.status(), new String(reply.body(), StandardCharsets.UTF_8));
         return cluster;
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/LoadTestMain.java
+++ b/src/test/java/org/meadowhollow/simulation/LoadTestMain.java
@@ -59,6 +59,8 @@
     private LoadTestMain() {}
 
     /**
+     * Runs the load test and ends the process.
+     *
      * @param args the command that starts a controller, up to its {@code --config}
      */
     public static void main(String[] args) throws Exception {
@@ -314,26 +316,29 @@
             return;
         }
         HttpRequest sent = request.apply(at);
-        http.sendAsync(sent, HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8))
-                .whenComplete(
-                        (reply, failure) -> {
-                            int status = failure != null ? 0 : reply.statusCode();
-                            answers.merge(status, 1, Integer::sum);
-                            if (status == 200
-                                    && sent.method().equals("POST")
-                                    && reply.body().startsWith("{\"id\":\"")) {
-                                ids.add(reply.body().substring(7, reply.body().length() - 2));
-                            }
-                            left.countDown();
-                            one(next, count, request, left, answers);
-                        });
+        CompletableFuture<HttpResponse<String>> unused =
+                http.sendAsync(sent, HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8))
+                        .whenComplete(
+                                (reply, failure) -> {
+                                    int status = failure != null ? 0 : reply.statusCode();
+                                    answers.merge(status, 1, Integer::sum);
+                                    if (status == 200
+                                            && sent.method().equals("POST")
+                                            && reply.body().startsWith("{\"id\":\"")) {
+                                        ids.add(
+                                                reply.body()
+                                                        .substring(7, reply.body().length() - 2));
+                                    }
+                                    left.countDown();
+                                    one(next, count, request, left, answers);
+                                });
     }
 
     private double cpuS() throws IOException {
         String[] stat =
                 Files.readString(Path.of("/proc/" + node.pid() + "/stat"))
                         .replaceAll(".*\\) ", "")
-                        .split(" ");
+                        .split(" ", -1);
         return (Long.parseLong(stat[11]) + Long.parseLong(stat[12])) / 100.0;
     }
 
--- a/src/test/java/org/meadowhollow/simulation/LoopbackIntegrationTest.java
+++ b/src/test/java/org/meadowhollow/simulation/LoopbackIntegrationTest.java
@@ -15,6 +15,7 @@
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -125,7 +126,10 @@
                                     name,
                                     fronts.get(name),
                                     backs.get(name),
-                                    new String(JsonCodec.encode(MessageReader.mapOf("l", known)))
+                                    new String(
+                                                    JsonCodec.encode(
+                                                            MessageReader.mapOf("l", known)),
+                                                    StandardCharsets.UTF_8)
                                             .replaceAll("^\\{\"l\":|\\}$", ""),
                                     cloud,
                                     state,
@@ -278,7 +282,7 @@
 
     private String createTesTask(int node, int number) throws Exception {
         HttpResponse<byte[]> reply = tes(node, "POST", "/tasks", TASK.formatted(number));
-        assertEquals(200, reply.statusCode(), new String(reply.body()));
+        assertEquals(200, reply.statusCode(), new String(reply.body(), StandardCharsets.UTF_8));
         return new MessageReader(JsonCodec.decode(reply.body())).string("id");
     }
 
--- a/src/test/java/org/meadowhollow/simulation/LoopbackWorker.java
+++ b/src/test/java/org/meadowhollow/simulation/LoopbackWorker.java
@@ -140,30 +140,31 @@
         }
         long sentAt = System.nanoTime();
         long sender = incarnation;
-        http.send(nodes.get(node), "POST", "/hello", snapshot(), RESPONSE_TIMEOUT)
-                .whenComplete(
-                        (reply, failure) -> {
-                            if (closed || sender != incarnation) {
-                                return;
-                            }
-                            try {
-                                if (failure != null || reply.status() != 200) {
-                                    connectToNext(
-                                            failure == null && reply.status() == 421
-                                                    ? MessageReader.decode(reply.body())
-                                                            .stringOrNull("herder")
-                                                    : null);
-                                    return;
-                                }
-                                MessageReader answer = MessageReader.decode(reply.body());
-                                if (answer.nonNegativeLong(FENCING_TOKEN) >= fencingToken) {
-                                    renewedAt = sentAt;
-                                    execute(answer);
-                                }
-                            } catch (MalformedMessageException broken) {
-                                throw new AssertionError(broken);
-                            }
-                        });
+        CompletableFuture<?> unused =
+                http.send(nodes.get(node), "POST", "/hello", snapshot(), RESPONSE_TIMEOUT)
+                        .whenComplete(
+                                (reply, failure) -> {
+                                    if (closed || sender != incarnation) {
+                                        return;
+                                    }
+                                    try {
+                                        if (failure != null || reply.status() != 200) {
+                                            connectToNext(
+                                                    failure == null && reply.status() == 421
+                                                            ? MessageReader.decode(reply.body())
+                                                                    .stringOrNull("herder")
+                                                            : null);
+                                            return;
+                                        }
+                                        MessageReader answer = MessageReader.decode(reply.body());
+                                        if (answer.nonNegativeLong(FENCING_TOKEN) >= fencingToken) {
+                                            renewedAt = sentAt;
+                                            execute(answer);
+                                        }
+                                    } catch (MalformedMessageException broken) {
+                                        throw new AssertionError(broken);
+                                    }
+                                });
     }
 
     private void connectToNext(String leader) {
--- a/src/test/java/org/meadowhollow/simulation/MachineFailureScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/MachineFailureScenarioTest.java
@@ -5,6 +5,7 @@
 
 import java.time.Duration;
 import java.util.List;
+import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 import org.meadowhollow.coordination.admission.AdmissionService.Phase;
 import org.meadowhollow.model.ExitReason;
@@ -120,7 +121,7 @@
                                         place.attemptOf(new TaskId(job.id(), 0)),
                                         TaskState.EXITED,
                                         ExitReason.ERROR)));
-        cluster.network().deliverHeartbeat(cluster.leader(), late);
+        CompletableFuture<?> unused = cluster.network().deliverHeartbeat(cluster.leader(), late);
         cluster.runSeconds(15);
         assertEquals(1, cluster.startCount());
     }
--- a/src/test/java/org/meadowhollow/simulation/OverlappingFaultsScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/OverlappingFaultsScenarioTest.java
@@ -7,6 +7,7 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
+import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -332,11 +333,14 @@
         cluster.runSeconds(fromS);
         int leader = cluster.leader();
         cluster.storeConnection(leader).delayCommits(1, fromS);
-        cluster.users().submitAsync(nodeAfter(leader, 1), second, SHORT_RUNTIME);
+        CompletableFuture<?> unusedSubmission =
+                cluster.users().submitAsync(nodeAfter(leader, 1), second, SHORT_RUNTIME);
         cluster.runSeconds(1.75);
         cluster.storeConnection(leader).delayCommits(0, 0);
-        cluster.users()
-                .cancelAsync(nodeAfter(leader, 1), fromS % 2 == 0 ? first.id() : second.id());
+        CompletableFuture<?> unusedCancellation =
+                cluster.users()
+                        .cancelAsync(
+                                nodeAfter(leader, 1), fromS % 2 == 0 ? first.id() : second.id());
         cluster.runSeconds(40);
         assertTrue(
                 cluster.storeConnection(leader).lateCommitCount() > 0, "executed after newer ones");
--- a/src/test/java/org/meadowhollow/simulation/OverloadScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/OverloadScenarioTest.java
@@ -7,6 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
+import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 import org.meadowhollow.coordination.admission.AdmissionService.Phase;
 import org.meadowhollow.model.JobKind;
@@ -166,9 +167,11 @@
                     cluster.loop()
                             .schedule(
                                     Duration.ofMillis(500 + random.nextInt(12_000)),
-                                    () ->
-                                            cluster.users()
-                                                    .cancelAsync(nodeAfter(node, 1), job.id()));
+                                    () -> {
+                                        CompletableFuture<?> unused =
+                                                cluster.users()
+                                                        .cancelAsync(nodeAfter(node, 1), job.id());
+                                    });
                 }
                 cluster.run(Duration.ofMillis(250));
             }
@@ -194,28 +197,29 @@
     /** Submits as users do: again after a second, until there is an answer. */
     private void submitUntilAccepted(
             int node, JobSpec job, MonotonicTime since, List<Boolean> inTime) {
-        cluster.users()
-                .submitAsync(node, job, SHORT_RUNTIME)
-                .whenComplete(
-                        (state, failure) -> {
-                            if (failure == null) {
-                                inTime.add(
+        CompletableFuture<?> unused =
+                cluster.users()
+                        .submitAsync(node, job, SHORT_RUNTIME)
+                        .whenComplete(
+                                (state, failure) -> {
+                                    if (failure == null) {
+                                        inTime.add(
+                                                cluster.loop()
+                                                                .now()
+                                                                .elapsedSince(since)
+                                                                .compareTo(Duration.ofSeconds(1))
+                                                        <= 0);
+                                    } else {
                                         cluster.loop()
-                                                        .now()
-                                                        .elapsedSince(since)
-                                                        .compareTo(Duration.ofSeconds(1))
-                                                <= 0);
-                            } else {
-                                cluster.loop()
-                                        .schedule(
-                                                Duration.ofSeconds(1),
-                                                () ->
-                                                        submitUntilAccepted(
-                                                                nodeAfter(node, 1),
-                                                                job,
-                                                                since,
-                                                                inTime));
-                            }
-                        });
+                                                .schedule(
+                                                        Duration.ofSeconds(1),
+                                                        () ->
+                                                                submitUntilAccepted(
+                                                                        nodeAfter(node, 1),
+                                                                        job,
+                                                                        since,
+                                                                        inTime));
+                                    }
+                                });
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/QuotaScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/QuotaScenarioTest.java
@@ -7,6 +7,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.concurrent.CompletableFuture;
 import java.util.function.BiConsumer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -36,6 +37,8 @@
         CANNOT_CONNECT(FakeWorker::blockOutgoingConnections),
         LOSES_INCOMING(FakeWorker::loseIncoming);
 
+        // Each is a function without state of its own.
+        @SuppressWarnings("ImmutableEnumChecker")
         private final BiConsumer<FakeWorker, Boolean> fault;
 
         OutOfReach(BiConsumer<FakeWorker, Boolean> fault) {
@@ -180,7 +183,8 @@
                             ? SimulatedCluster.spec(number, JobKind.GANG, 2, 1)
                             : array(number, 1);
             jobs.add(job);
-            cluster.users().submitAsync(number % 3, job, HOURS_RUNTIME);
+            CompletableFuture<?> unused =
+                    cluster.users().submitAsync(number % 3, job, HOURS_RUNTIME);
         }
         cluster.runSeconds(10);
         jobs.forEach(job -> assertTrue(allTasksRunning(job)));
@@ -192,7 +196,8 @@
                 changeLeader(how, leader);
             }
             // Through a controller that believes that another one leads.
-            cluster.users().cancelAsync(nodeAfter(leader, 1 + at % 2), jobs.get(at).id());
+            CompletableFuture<?> unused =
+                    cluster.users().cancelAsync(nodeAfter(leader, 1 + at % 2), jobs.get(at).id());
             cluster.run(Duration.ofMillis(250));
             during +=
                     at >= 4 && (cluster.leader() < 0 || cluster.fencingToken() == fencingToken)
@@ -329,7 +334,8 @@
             cluster.storeConnection(node).delayCommits(0.7, 1_000_003L * (node + 1));
         }
         JobSpec more = SimulatedCluster.spec(2, JobKind.ARRAY, 40, 4);
-        cluster.users().submitAsync(nodeAfter(leader, 1), more, Duration.ofSeconds(20));
+        CompletableFuture<?> unused =
+                cluster.users().submitAsync(nodeAfter(leader, 1), more, Duration.ofSeconds(20));
         for (int step = 0; step < 80 && cluster.workers().size() == before; step++) {
             cluster.run(Duration.ofMillis(250));
         }
--- a/src/test/java/org/meadowhollow/simulation/RandomFaultsTest.java
+++ b/src/test/java/org/meadowhollow/simulation/RandomFaultsTest.java
@@ -23,6 +23,8 @@
  */
 class RandomFaultsTest {
     private static final int STEPS = 150;
+    private static final List<JobKind> JOB_KINDS = List.of(JobKind.values());
+    private static final List<Priority> PRIORITIES = List.of(Priority.values());
 
     private static LongStream seeds() {
         return LongStream.rangeClosed(1, 60);
@@ -164,7 +166,7 @@
         List<JobSpec> jobs = new ArrayList<>();
         for (int round = 0; round < 10; round++) {
             for (int at = 0; at < 3; at++) {
-                JobKind kind = JobKind.values()[random.nextInt(3)];
+                JobKind kind = JOB_KINDS.get(random.nextInt(3));
                 JobSpec job =
                         SimulatedCluster.spec(
                                 jobs.size(), kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
@@ -249,7 +251,7 @@
             cluster.runSeconds(random.nextInt(20));
             List<Runnable> ends = new ArrayList<>();
             ends.add(Fault.injectAdditional(cluster, random));
-            cluster.run(Duration.ofMillis(250 * random.nextInt(16)));
+            cluster.run(Duration.ofMillis(250L * random.nextInt(16)));
             ends.add(
                     random.nextBoolean()
                             ? Fault.injectBasic(cluster, random)
@@ -266,14 +268,14 @@
     }
 
     private static JobSpec submitJobOfAnyTeam(SimulatedCluster cluster, Random random, int number) {
-        JobKind kind = JobKind.values()[random.nextInt(3)];
+        JobKind kind = JOB_KINDS.get(random.nextInt(3));
         JobSpec plain =
                 SimulatedCluster.spec(number, kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
         JobSpec job =
                 JobSpecBuilder.from(plain)
                         .jobClass(kind.name())
                         .team(random.nextInt(3) == 0 ? "other" : "team")
-                        .priority(Priority.values()[random.nextInt(3)])
+                        .priority(PRIORITIES.get(random.nextInt(3)))
                         .zone(random.nextInt(6) == 0 ? "a" : null)
                         .singleZone(random.nextInt(4) == 0)
                         .build();
@@ -316,7 +318,7 @@
 
     private static void submitRandomJob(
             SimulatedCluster cluster, Random random, List<JobSpec> jobs, int node, int number) {
-        JobKind kind = JobKind.values()[random.nextInt(3)];
+        JobKind kind = JOB_KINDS.get(random.nextInt(3));
         JobSpec job =
                 SimulatedCluster.spec(number, kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
         // Without an answer it may have been accepted all the same.
--- a/src/test/java/org/meadowhollow/simulation/ReadYourWritesScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/ReadYourWritesScenarioTest.java
@@ -55,9 +55,10 @@
             cluster.users().poll((number + 1) % 3, job.id());
             cluster.storeConnection(latecomer).failWatches(number % 2 == 0);
             if (number % 3 == 1) {
-                cluster.users().cancelAsync((number + 2) % 3, job.id());
+                CompletableFuture<?> unused =
+                        cluster.users().cancelAsync((number + 2) % 3, job.id());
             }
-            cluster.run(Duration.ofMillis(250 * (number % 4)));
+            cluster.run(Duration.ofMillis(250L * (number % 4)));
         }
         cluster.runSeconds(30);
         cluster.storeConnection(latecomer).failWatches(false);
--- a/src/test/java/org/meadowhollow/simulation/ReservationScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/ReservationScenarioTest.java
@@ -53,7 +53,9 @@
                         "PUT",
                         path,
                         version,
-                        new String(JsonCodec.encode(MessageReader.mapOf(fields))));
+                        new String(
+                                JsonCodec.encode(MessageReader.mapOf(fields)),
+                                StandardCharsets.UTF_8));
     }
 
     private Http.Reply reserve(
@@ -101,7 +103,7 @@
     private static MessageReader body(Http.Reply reply, int status) {
         assertNotNull(reply);
         try {
-            assertEquals(status, reply.status(), new String(reply.body()));
+            assertEquals(status, reply.status(), new String(reply.body(), StandardCharsets.UTF_8));
             return new MessageReader(JsonCodec.decode(reply.body()));
         } catch (MalformedMessageException wrong) {
             throw new AssertionError(wrong);
@@ -138,7 +140,7 @@
                         .submit(
                                 0,
                                 job(1, "long", Priority.HIGH, 3 * totalGpuCount(), 1, 900, 0),
-                                Duration.ofSeconds(900)));
+                                Duration.ofMinutes(15)));
     }
 
     /** Submits the job that uses a reservation, at its start or later. */
@@ -269,7 +271,7 @@
                                 Duration.ofSeconds(10)));
         cluster.runSeconds(62);
         JobSpec run = job(2, "night", Priority.HIGH, 4, 1, 300, 0);
-        assertTrue(cluster.users().submit(1, run, Duration.ofSeconds(300)));
+        assertTrue(cluster.users().submit(1, run, Duration.ofMinutes(5)));
         cluster.runSeconds(35);
         assertEquals(4, runningTaskCount(run));
     }
@@ -297,7 +299,7 @@
                         .submit(
                                 0,
                                 job(1, "other", Priority.HIGH, 200, 1, 300, 0),
-                                Duration.ofSeconds(300)));
+                                Duration.ofMinutes(5)));
         cluster.runSeconds(60);
         List<FakeWorker> rented =
                 cluster.workers().stream().filter(worker -> !before.contains(worker)).toList();
@@ -629,7 +631,7 @@
                             .sendReservationRequest(0, "secret", "PUT", wrong[0], null, wrong[1]);
             assertTrue(
                     body(reply, 400).map().get("error").toString().contains(wrong[2]),
-                    new String(reply.body()));
+                    new String(reply.body(), StandardCharsets.UTF_8));
         }
         assertEquals(422, reserve("r", "nobody", 1, 1, 60, 60).status());
         assertEquals(422, window("w", "zones", "moon", 60, 60, 0).status());
--- a/src/test/java/org/meadowhollow/simulation/SimulatedNetwork.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedNetwork.java
@@ -99,15 +99,17 @@
         maybeDuplicate(() -> deliverWithoutAnswer(node, heartbeat));
         ControllerNode process = node.controller();
         node.runWhenResumed(
-                () ->
-                        process.handleHeartbeat(heartbeat)
-                                .thenAccept(
-                                        response -> {
-                                            if (node.controller() == process
-                                                    && node.reachesZone(heartbeat.zone())) {
-                                                answer.complete(response);
-                                            }
-                                        }));
+                () -> {
+                    CompletableFuture<Void> unused =
+                            process.handleHeartbeat(heartbeat)
+                                    .thenAccept(
+                                            response -> {
+                                                if (node.controller() == process
+                                                        && node.reachesZone(heartbeat.zone())) {
+                                                    answer.complete(response);
+                                                }
+                                            });
+                });
         return answer;
     }
 
--- a/src/test/java/org/meadowhollow/simulation/SimulatedPeerGateway.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedPeerGateway.java
@@ -68,7 +68,8 @@
     private ProbeResult probe(SimulatedNode target) {
         boolean refuses =
                 hasPathTo(target)
-                        && (target.refusesPeers() || !target.isRunning() && !target.isPoweredOff());
+                        && (target.refusesPeers()
+                                || (!target.isRunning() && !target.isPoweredOff()));
         if (refuses && connectsToAnyBesides(target)) {
             return ProbeResult.CONNECTION_REFUSED;
         }
--- a/src/test/java/org/meadowhollow/simulation/SimulatedUsers.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedUsers.java
@@ -71,7 +71,12 @@
      */
     boolean submit(int node, JobSpec spec, Duration runtime) {
         recordSubmission(spec, runtime);
-        cluster.network().maybeDuplicate(() -> resubmitAsync(node, spec));
+        cluster.network()
+                .maybeDuplicate(
+                        () -> {
+                            CompletableFuture<Optional<JobStatus>> unused =
+                                    resubmitAsync(node, spec);
+                        });
         return await(node, admissionService -> submit(admissionService, spec)).isPresent();
     }
 
@@ -136,7 +141,11 @@
     /** Cancels a job and waits five seconds for the answer; false if none comes. */
     boolean cancel(int node, JobId id) {
         historyChecker.recordCancelRequest(id);
-        cluster.network().maybeDuplicate(() -> cancelAsync(node, id));
+        cluster.network()
+                .maybeDuplicate(
+                        () -> {
+                            CompletableFuture<Optional<JobStatus>> unused = cancelAsync(node, id);
+                        });
         return await(node, admissionService -> checked(id, admissionService.cancel(id)))
                 .isPresent();
     }
@@ -159,7 +168,10 @@
             cluster.loop()
                     .schedule(
                             Duration.ofMillis((long) CANCELLATION_SPREAD_MILLIS * at / jobs.size()),
-                            () -> cancelAsync(node, job.id()));
+                            () -> {
+                                CompletableFuture<Optional<JobStatus>> unused =
+                                        cancelAsync(node, job.id());
+                            });
             cluster.workers().stream()
                     .filter(worker -> worker.runsTaskOf(job.id()))
                     .forEach(running::add);
@@ -183,16 +195,19 @@
     void onTaskCompleted(JobSpec spec) {
         boolean ends =
                 spec.kind() == JobKind.GANG
-                        || !historyChecker.isReportedEnded(spec.id())
+                        || (!historyChecker.isReportedEnded(spec.id())
                                 && IntStream.range(0, spec.taskCount())
                                         .mapToObj(task -> new TaskId(spec.id(), task))
-                                        .allMatch(historyChecker::isCompleted);
+                                        .allMatch(historyChecker::isCompleted));
         if (ends && cancelRandom != null && cancelRandom.nextDouble() < cancelledShare) {
             int node = cancelRandom.nextInt(cluster.nodeCount());
             cluster.loop()
                     .schedule(
                             Duration.ofMillis(cancelRandom.nextInt(MAX_CANCELLATION_DELAY_MILLIS)),
-                            () -> cancelAsync(node, spec.id()));
+                            () -> {
+                                CompletableFuture<Optional<JobStatus>> unused =
+                                        cancelAsync(node, spec.id());
+                            });
         }
     }
 
@@ -230,7 +245,10 @@
             cluster.loop()
                     .schedule(
                             Duration.ofMillis(3 + node),
-                            () -> resubmitAsync(target, cluster.spec(id)));
+                            () -> {
+                                CompletableFuture<Optional<JobStatus>> unused =
+                                        resubmitAsync(target, cluster.spec(id));
+                            });
         }
     }
 
@@ -254,10 +272,12 @@
         }
         JobSpec job = known.get(random.nextInt(known.size()));
         switch (random.nextInt(5)) {
-            case 0, 1 -> resubmitAsync(node, job);
+            case 0, 1 -> {
+                CompletableFuture<Optional<JobStatus>> unused = resubmitAsync(node, job);
+            }
             case 2 -> {
                 if (historyChecker.isReportedEnded(job.id())) {
-                    cancelAsync(node, job.id());
+                    CompletableFuture<Optional<JobStatus>> unused = cancelAsync(node, job.id());
                 }
             }
             case 3 -> postUnschedulable(node, random);
--- a/src/test/java/org/meadowhollow/simulation/StaleHeartbeatScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/StaleHeartbeatScenarioTest.java
@@ -6,6 +6,7 @@
 
 import java.time.Duration;
 import java.util.List;
+import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -203,7 +204,7 @@
         assertTrue(cluster.users().cancel(cluster.leader(), fills.id()));
         cluster.runSeconds(3);
         worker.setHung(true);
-        cluster.network().deliverHeartbeat(cluster.leader(), former);
+        CompletableFuture<?> unused = cluster.network().deliverHeartbeat(cluster.leader(), former);
         cluster.runSeconds(8);
         assertEquals(worker, machineRunning(job, 0), "it may go on at any time");
         worker.setHung(false);
--- a/src/test/java/org/meadowhollow/simulation/TesFuzzTest.java
+++ b/src/test/java/org/meadowhollow/simulation/TesFuzzTest.java
@@ -167,7 +167,7 @@
                         "/tasks",
                         Map.of(),
                         SHAPE.formatted(GOOD.toArray()).getBytes(StandardCharsets.UTF_8));
-        assertEquals(200, reply.status(), new String(reply.body()));
+        assertEquals(200, reply.status(), new String(reply.body(), StandardCharsets.UTF_8));
     }
 
     @Provide
@@ -213,7 +213,7 @@
         Http.Reply reply = ask("POST", "/tasks", Map.of(), body);
         assertTrue(
                 FINE.contains(reply.status()),
-                () -> reply.status() + " " + new String(reply.body()));
+                () -> reply.status() + " " + new String(reply.body(), StandardCharsets.UTF_8));
         // If all bodies were rejected, or all accepted, only half would be tested.
         Statistics.collect(reply.status());
         Statistics.coverage(
@@ -308,7 +308,7 @@
         Http.Reply reply = ask("GET", "/tasks", query, new byte[0]);
         assertTrue(
                 Set.of(200, 400).contains(reply.status()),
-                () -> reply.status() + " " + new String(reply.body()));
+                () -> reply.status() + " " + new String(reply.body(), StandardCharsets.UTF_8));
         JsonCodec.decode(reply.body());
     }
 
@@ -382,7 +382,9 @@
         assertEquals(replies[0].status(), replies[1].status());
         assertTrue(Set.of(200, 400).contains(replies[0].status()));
         if (replies[0].status() == 200) {
-            assertEquals(new String(replies[0].body()), new String(replies[1].body()));
+            assertEquals(
+                    new String(replies[0].body(), StandardCharsets.UTF_8),
+                    new String(replies[1].body(), StandardCharsets.UTF_8));
             String id = new MessageReader(JsonCodec.decode(replies[0].body())).string("id");
             assertEquals(
                     200, ask("POST", "/tasks/" + id + ":cancel", Map.of(), new byte[0]).status());
--- a/src/test/java/org/meadowhollow/simulation/TesScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/TesScenarioTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 import java.time.Duration;
@@ -57,7 +58,7 @@
 
     private static Map<String, Object> body(Http.Reply reply) {
         try {
-            assertEquals(200, reply.status(), new String(reply.body()));
+            assertEquals(200, reply.status(), new String(reply.body(), StandardCharsets.UTF_8));
             return JsonCodec.decode(reply.body());
         } catch (MalformedMessageException wrong) {
             throw new AssertionError(wrong);
@@ -474,7 +475,7 @@
                     }
                 }) {
             Http.Reply reply = create(0, wrong[0], null);
-            String said = new String(reply.body());
+            String said = new String(reply.body(), StandardCharsets.UTF_8);
             assertEquals(400, reply.status(), said);
             assertTrue(said.contains(wrong[1]), said);
         }
@@ -488,7 +489,8 @@
                                                     "1",
                                                     ", \"deadline_s\": \"" + number + '"'),
                                             null)
-                                    .body());
+                                    .body(),
+                            StandardCharsets.UTF_8);
             assertTrue(said.contains("deadline_s"), said);
         }
         assertEquals(413, create(0, TASK.formatted("x".repeat(20_000), "1", ""), null).status());
@@ -535,7 +537,9 @@
     private void storeEndedTasks(int count) throws NoSuchAlgorithmException {
         String team =
                 HexFormat.of()
-                        .formatHex(MessageDigest.getInstance("SHA-256").digest("team".getBytes()))
+                        .formatHex(
+                                MessageDigest.getInstance("SHA-256")
+                                        .digest("team".getBytes(StandardCharsets.UTF_8)))
                         .substring(0, 16);
         for (int at = 0; at < count; at++) {
             String id = "tes-%026x".formatted(at);
@@ -609,7 +613,7 @@
                         "9999999999999-tes-0",
                         "0".repeat(13) + "-tes-" + "0".repeat(26) + "&prefix=job/")) {
             String token =
-                    Base64.getUrlEncoder().encodeToString(forged.getBytes())
+                    Base64.getUrlEncoder().encodeToString(forged.getBytes(StandardCharsets.UTF_8))
                             + (forged.isEmpty() ? "AA" : "");
             assertEquals(
                     400,
@@ -765,7 +769,7 @@
         // first.
         for (int at = 0; at < 12; at++) {
             String id = createTask(LONG_RUNTIME);
-            cluster.run(Duration.ofMillis(250 * (at % 6)));
+            cluster.run(Duration.ofMillis(250L * (at % 6)));
             body(ask(at % 3, "POST", "/tasks/" + id + ":cancel", Map.of()));
             int before = cluster.startCount();
             cluster.runSeconds(12);
--- a/src/test/java/org/meadowhollow/simulation/UserFaults.java
+++ b/src/test/java/org/meadowhollow/simulation/UserFaults.java
@@ -34,7 +34,7 @@
     static Runnable sendUnusualRequests(FaultTarget target) {
         for (int request = 0; request < UNUSUAL_REQUESTS; request++) {
             target.cluster().users().sendUnusualRequest(target.random());
-            target.cluster().run(Duration.ofMillis(250 * target.random().nextInt(4)));
+            target.cluster().run(Duration.ofMillis(250L * target.random().nextInt(4)));
         }
         return FaultTarget.nothingToEnd();
     }
