--- a/src/test/java/org/meadowhollow/cli/ControllerTest.java
+++ b/src/test/java/org/meadowhollow/cli/ControllerTest.java
@@ -7,6 +7,7 @@
 
 import java.io.IOException;
 import java.io.InputStream;
+import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -40,7 +41,7 @@
 
     private static String exchange(int port, String method, String path, byte[] body)
             throws IOException {
-        try (Socket socket = new Socket("127.0.0.1", port)) {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(10_000);
             socket.getOutputStream()
                     .write(
@@ -63,7 +64,7 @@
     }
 
     private static String status(String response) {
-        return response.split(" ")[1];
+        return response.split(" ", -1)[1];
     }
 
     @Test
--- a/src/test/java/org/meadowhollow/cli/reservation/ReservationCommandTest.java
+++ b/src/test/java/org/meadowhollow/cli/reservation/ReservationCommandTest.java
@@ -7,6 +7,7 @@
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.io.StringWriter;
+import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -55,7 +56,8 @@
                                                 + ' '
                                                 + request.header().apply("If-Match")
                                                 + ' '
-                                                + new String(request.body()));
+                                                + new String(
+                                                        request.body(), StandardCharsets.UTF_8));
                                 return CompletableFuture.completedFuture(answers.remove(0));
                             }
                         });
@@ -130,7 +132,7 @@
                         JsonCodec.decode(
                                 requests.get(0)
                                         .substring(requests.get(0).indexOf("null {") + 5)
-                                        .getBytes()));
+                                        .getBytes(StandardCharsets.UTF_8)));
         assertEquals(9000.0, body.nonNegativeDouble("length_s"));
         assertEquals(List.of("small", "large"), body.stringListOrNull("machine_types"));
         assertEquals("Asia/Amman", body.string("time_zone"));
--- a/src/test/java/org/meadowhollow/coordination/reservation/ReservationPlanTest.java
+++ b/src/test/java/org/meadowhollow/coordination/reservation/ReservationPlanTest.java
@@ -1,6 +1,7 @@
 package org.meadowhollow.coordination.reservation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.time.Duration;
@@ -143,10 +144,10 @@
                 assertTrue(
                         machines.get(typeZone) <= (typeZone.startsWith("small") ? 3 : 1), typeZone);
                 for (ReservationPlan.Outage outage : plan.outages()) {
+                    String[] typeAndZone = typeZone.split("/", -1);
+                    assertNotEquals("", typeAndZone[1], typeZone);
                     boolean covers =
-                            outage.window()
-                                    .coversAllOfType(
-                                            typeZone.split("/")[0], typeZone.split("/")[1]);
+                            outage.window().coversAllOfType(typeAndZone[0], typeAndZone[1]);
                     assertTrue(
                             !covers
                                     || now < outage.occurrence().startMillis()
--- a/src/test/java/org/meadowhollow/protocol/keyvalue/KeyValueStoreClientTest.java
+++ b/src/test/java/org/meadowhollow/protocol/keyvalue/KeyValueStoreClientTest.java
@@ -42,6 +42,8 @@
     }
 
     @Test
+    // The requests that are sent are checked, not their results.
+    @SuppressWarnings("FutureReturnValueIgnored")
     void requestsKeepToTheLimitInTheOrderOfPriority() {
         for (int at = 0; at < 4; at++) {
             client.get("background/" + at, RequestPriority.BACKGROUND);
@@ -58,6 +60,8 @@
     }
 
     @Test
+    // The requests that are sent are checked, not their results.
+    @SuppressWarnings("FutureReturnValueIgnored")
     void aBurstIsQueuedInsteadOfOpeningAConnectionForEachRequest() {
         List<CompletableFuture<Http.Reply>> inFlight = new ArrayList<>();
         Http.Client slow =
@@ -104,6 +108,8 @@
      * With users always first, a leader that many users asked neither loaded nor wrote its records.
      */
     @Test
+    // The requests that are sent are checked, not their results.
+    @SuppressWarnings("FutureReturnValueIgnored")
     void usersAndTheLeaderTakeTurns() {
         for (int at = 0; at < 40; at++) {
             client.get("user/" + at, RequestPriority.USER);
@@ -127,12 +133,14 @@
         loop.run(Duration.ofSeconds(10));
         assertTrue(sent.size() < 25, "sent: " + sent.size());
         assertEquals(Outcome.REJECTED, outcomeOf(calls.get(39)));
-        client.get("late", RequestPriority.USER);
+        CompletableFuture<?> unused = client.get("late", RequestPriority.USER);
         assertEquals("/kv/late", sent.get(sent.size() - 1), "the next one goes at once");
     }
 
     /** All nodes share the limits, and each alone would keep to them. */
     @Test
+    // The requests that are sent are checked, not their results.
+    @SuppressWarnings("FutureReturnValueIgnored")
     void aRefusalForTooManyRequestsLowersTheRateAndTimeWithoutOneRaisesIt() {
         KeyValueStoreClient fast =
                 new KeyValueStoreClient(
@@ -170,7 +178,7 @@
     @Test
     void theTimeoutIsLongerWhileTheStoreIsSlow() {
         List<Duration> timeouts = new ArrayList<>();
-        Duration[] takes = {Duration.ofMillis(2000)};
+        Duration[] takes = {Duration.ofSeconds(2)};
         Http.Client slow =
                 (address, method, path, body, timeout) -> {
                     timeouts.add(timeout);
@@ -193,7 +201,7 @@
         List<CompletableFuture<?>> calls = new ArrayList<>();
         for (int at = 0; at < 5; at++) {
             calls.add(slowClient.get("key/" + at, RequestPriority.USER));
-            loop.run(Duration.ofMillis(4000));
+            loop.run(Duration.ofSeconds(4));
         }
         assertEquals(Outcome.INDETERMINATE, outcomeOf(calls.get(2)));
         assertTrue(
@@ -205,9 +213,9 @@
                 timeouts.get(4).compareTo(Duration.ofMillis(3500)) < 0,
                 "sooner than users give up, and than a lease ends");
         takes[0] = Duration.ofMillis(5);
-        slowClient.get("key/5", RequestPriority.USER);
+        calls.add(slowClient.get("key/5", RequestPriority.USER));
         loop.run(Duration.ofMillis(10));
-        slowClient.get("key/6", RequestPriority.USER);
+        calls.add(slowClient.get("key/6", RequestPriority.USER));
         assertEquals(
                 timeouts.get(0), timeouts.get(6), "a dead connection is noticed as soon as before");
     }
--- a/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerFilesMain.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerFilesMain.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.time.Duration;
+import java.util.concurrent.CompletableFuture;
 import org.meadowhollow.golden.GoldenFile;
 import org.meadowhollow.model.FencingToken;
 
@@ -17,9 +18,11 @@
         peer.setStatus(true, false);
         peer.client.announceLeader("n1", new FencingToken(42));
         write("peer-leader", peer, 0);
-        peer.client.queryRecentHeartbeats(GoldenPeers.MACHINES, Duration.ofMillis(6500));
+        CompletableFuture<?> unusedHeartbeats =
+                peer.client.queryRecentHeartbeats(GoldenPeers.MACHINES, Duration.ofMillis(6500));
         write("peer-hearing-question", peer, 1);
-        peer.client.fetchRiskTables("n1", GoldenPeers.RISK_TABLE_REQUEST);
+        CompletableFuture<?> unusedTables =
+                peer.client.fetchRiskTables("n1", GoldenPeers.RISK_TABLE_REQUEST);
         write("peer-tables-question", peer, 2);
         GoldenFile.write("peer-served", "GET /served", peer.handle("GET", "/served", null));
         GoldenFile.write(
--- a/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerMessagesTest.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerMessagesTest.java
@@ -12,6 +12,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
+import java.util.concurrent.CompletableFuture;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -102,7 +103,7 @@
                         new MachineId("vm-000003")),
                 asked);
         assertEquals(List.of(Duration.ofMillis(6500)), within);
-        peer.client.queryRecentHeartbeats(asked, within.get(0));
+        CompletableFuture<?> unused = peer.client.queryRecentHeartbeats(asked, within.get(0));
         assertSent(file);
     }
 
@@ -238,9 +239,11 @@
     private byte[] sentNow(String name) {
         peer.setStatus(true, name.equals("peer-deaf"));
         peer.client.announceLeader("n1", new FencingToken(42));
-        peer.client.queryRecentHeartbeats(GoldenPeers.MACHINES, Duration.ofMillis(6500));
+        CompletableFuture<?> unusedHeartbeats =
+                peer.client.queryRecentHeartbeats(GoldenPeers.MACHINES, Duration.ofMillis(6500));
         peer.answer = GoldenFile.read("peer-tables").bytes();
-        peer.client.fetchRiskTables("n1", GoldenPeers.RISK_TABLE_REQUEST);
+        CompletableFuture<?> unusedTables =
+                peer.client.fetchRiskTables("n1", GoldenPeers.RISK_TABLE_REQUEST);
         return switch (name) {
             case "peer-leader" -> peer.sent.get(0).body();
             case "peer-hearing-question" -> peer.sent.get(1).body();
--- a/src/test/java/org/meadowhollow/protocol/peers/GoldenPeers.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/GoldenPeers.java
@@ -38,6 +38,8 @@
                     "vm-000002");
 
     /** A request as it went out. */
+    // The array is never modified, and requests are compared by their parts, never as a whole.
+    @SuppressWarnings("ArrayRecordComponent")
     record Sent(String method, String path, byte[] body) {}
 
     /** The requests sent, in their order. */
--- a/src/test/java/org/meadowhollow/storage/GoldenFilesMain.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenFilesMain.java
@@ -453,10 +453,12 @@
                 "reservation-plain",
                 CalendarRecordCodec.reservationKey(plain.name()),
                 CalendarRecordCodec.encode(plain, 4));
-        for (MaintenanceWindow.Scope scope : MaintenanceWindow.Scope.values()) {
+        List<MaintenanceWindow.Scope> scopes = List.of(MaintenanceWindow.Scope.values());
+        for (int at = 0; at < scopes.size(); at++) {
+            MaintenanceWindow.Scope scope = scopes.get(at);
             MaintenanceWindow window =
                     new MaintenanceWindow(
-                            "window-" + scope.ordinal(),
+                            "window-" + at,
                             scope,
                             List.of("x", "y"),
                             new RecurringSchedule(
@@ -466,9 +468,9 @@
                                     scope == MaintenanceWindow.Scope.TYPE ? null : "FREQ=WEEKLY"),
                             Duration.ofSeconds(90));
             GoldenFile.write(
-                    "window-" + List.of("machine", "type", "zone").get(scope.ordinal()),
+                    "window-" + List.of("machine", "type", "zone").get(at),
                     CalendarRecordCodec.windowKey(window.name()),
-                    CalendarRecordCodec.encode(window, 5 + scope.ordinal()));
+                    CalendarRecordCodec.encode(window, 5 + at));
         }
         GoldenFile.write("calendar-stamp", CalendarRecordCodec.REVISION_KEY, Map.of());
     }
--- a/src/test/java/org/meadowhollow/storage/GoldenRecordsTest.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenRecordsTest.java
@@ -371,7 +371,7 @@
     private static void assertLog(List<AttemptRecord> log) {
         assertEquals(ENDS.size(), log.size());
         for (int at = 0; at < ENDS.size(); at++) {
-            long placed = 1_700_000_001_000L + 1000 * at;
+            long placed = 1_700_000_001_000L + 1000L * at;
             boolean over = ENDS.get(at) != null;
             assertEquals(
                     new AttemptRecord(
@@ -425,7 +425,7 @@
         for (int at = 0; at < 10; at++) {
             AttemptNumber attemptNumber = new AttemptNumber(at + 1);
             MachineId machine = new MachineId("vm-%06d".formatted(at + 1));
-            long placed = 1_700_000_001_000L + 1000 * at;
+            long placed = 1_700_000_001_000L + 1000L * at;
             job.secondaryRecord().recordPlacement(attemptNumber, machine, placed);
             if (at < 9) {
                 job.secondaryRecord().recordStart(attemptNumber, placed + 100);
--- a/src/test/java/org/meadowhollow/transport/HttpClientTest.java
+++ b/src/test/java/org/meadowhollow/transport/HttpClientTest.java
@@ -49,7 +49,7 @@
     @Test
     @EnabledOnOs(OS.LINUX)
     void aConnectionAttemptThatTimesOutLeavesNoSocketBehind() throws Exception {
-        InetAddress here = InetAddress.getByName("127.0.0.1");
+        InetAddress here = InetAddress.getLoopbackAddress();
         List<Socket> filling = new ArrayList<>();
         try (ServerSocket full = new ServerSocket(0, 1, here);
                 XnioEventLoop loop = new XnioEventLoop()) {
@@ -92,7 +92,7 @@
 
     @Test
     void aRequestThatTimesOutFailsWithNoResponse() throws Exception {
-        InetAddress here = InetAddress.getByName("127.0.0.1");
+        InetAddress here = InetAddress.getLoopbackAddress();
         try (ServerSocket unresponsive = new ServerSocket(0, 5, here);
                 XnioEventLoop loop = new XnioEventLoop()) {
             HttpClient client = new HttpClient(loop, new DefaultByteBufferPool(false, 8192, 4, 0));
--- a/src/test/java/org/meadowhollow/transport/PemKeyManagerTest.java
+++ b/src/test/java/org/meadowhollow/transport/PemKeyManagerTest.java
@@ -8,6 +8,8 @@
 import io.undertow.server.DefaultByteBufferPool;
 import java.io.IOException;
 import java.io.InputStream;
+import java.net.InetAddress;
+import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -223,7 +225,7 @@
     void plainHttpToATlsServerIsNotServed() throws Exception {
         make("EC");
         try (HttpServer server = serve();
-                java.net.Socket plain = new java.net.Socket("127.0.0.1", server.port())) {
+                Socket plain = new Socket(InetAddress.getLoopbackAddress(), server.port())) {
             plain.setSoTimeout(20_000);
             plain.getOutputStream()
                     .write("GET / HTTP/1.1\r\nHost: h\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
--- a/src/test/java/org/meadowhollow/transport/tracing/OtlpTaskTracerTest.java
+++ b/src/test/java/org/meadowhollow/transport/tracing/OtlpTaskTracerTest.java
@@ -132,7 +132,7 @@
         for (Span span : byId.values()) {
             assertEquals(TRACE, hex(span.getTraceId()));
             assertTrue(
-                    span == whole || span.getParentSpanId().equals(whole.getSpanId()),
+                    span.equals(whole) || span.getParentSpanId().equals(whole.getSpanId()),
                     span.getName());
             assertTrue(span.getStartTimeUnixNano() <= span.getEndTimeUnixNano(), span.getName());
         }
