--- a/src/main/java/org/meadowhollow/coordination/scheduling/CandidateQueue.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/CandidateQueue.java
@@ -10,12 +10,13 @@
 import org.meadowhollow.model.MachineId;
 
 /**
- * The machines that the tasks of one job may go to, best first in {@link PlacementOrder}. A task
- * changes only the machine that takes it, so each machine is scored once for the job and once more
- * for each of its tasks that it takes. Only one queue may use a candidate at a time.
+ * The machines that the tasks of one job may be assigned to, best first in {@link PlacementOrder}.
+ * An assignment changes only the machine that takes the task, so each machine is scored once for
+ * the job and once more after each task assigned to it. Only one queue may use a candidate at a
+ * time, since it overwrites the candidate's score.
  */
 final class CandidateQueue {
-    /** Which machines may be used. */
+    /** The machines that may be used, by their predicted risk. */
     enum RiskPolicy {
         /** Only machines whose predicted risk is known and accepted. */
         ACCEPTED_ONLY,
@@ -28,7 +29,8 @@
     /**
      * The best machine for the next task.
      *
-     * @param byRiskTable whether its predicted risk was accepted; otherwise room alone decided
+     * @param byRiskTable whether the machine was chosen by its predicted risk, which was accepted;
+     *     otherwise by preference alone
      */
     record Selection(MachineCandidate candidate, boolean byRiskTable) {}
 
@@ -47,7 +49,7 @@
                             MachineCandidate::score, PlacementOrder::compareByPreference));
 
     /**
-     * Scores the candidates for a job.
+     * Creates a queue and scores the candidates for a job.
      *
      * @param onlyZone the zone to use, or empty for all
      */
@@ -87,7 +89,7 @@
         };
     }
 
-    /** The best machine for the next task, or empty if no machine can take one. */
+    /** Returns the best machine for the next task, or empty if no machine can take one. */
     Optional<Selection> selectBest() {
         MachineCandidate accepted = peekUsable(acceptedByRisk);
         MachineCandidate byPreference = peekUsable(rankedByPreference);
@@ -103,8 +105,9 @@
     }
 
     /**
-     * The first machine that still satisfies the constraints, or null. The tasks assigned since it
-     * was added may have filled its zone, which stays full for this job, so it is dropped for good.
+     * Returns the first machine that still satisfies the constraints, or null. Machines before it
+     * are removed for good: tasks assigned since they were added have exhausted the job's limit in
+     * their zone or bound the job to another zone, and neither changes back for this job.
      */
     private MachineCandidate peekUsable(PriorityQueue<MachineCandidate> queue) {
         MachineCandidate candidate = queue.peek();
--- a/src/main/java/org/meadowhollow/coordination/scheduling/CandidateScore.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/CandidateScore.java
@@ -4,14 +4,14 @@
 import org.meadowhollow.model.JobSpec;
 
 /**
- * How a machine rates for one more task of the job being placed; {@link PlacementOrder} compares
- * these values. Each candidate owns one instance, which is overwritten for each job, so that a
- * round allocates nothing for scores. It must not change while its candidate is in a queue.
+ * The ranking criteria of a machine for one more task of the job being placed, as compared by
+ * {@link PlacementOrder}. Each candidate owns one instance, which is overwritten for each job, so
+ * that a round allocates no scores. It must not change while its candidate is in a queue.
  */
 final class CandidateScore {
     /**
-     * Estimates of image pulls that differ by less than this count as equal, since pull rates vary
-     * by a third.
+     * Estimates of image pulls are compared in steps of this length, since pull rates vary by a
+     * third.
      */
     private static final double PULL_STEP_SECONDS = 5;
 
@@ -28,12 +28,13 @@
         this.tieBreakRank = tieBreakRank;
     }
 
+    /** Recomputes all criteria for one more task of a job. */
     void update(MachineCandidate candidate, JobSpec spec, boolean failedHere) {
         boolean service = spec.kind() == JobKind.SERVICE;
         jobFailedHere = failedHere;
         noViolationProbability = candidate.noViolationProbabilityWith(spec);
         pullSteps = estimatePullSteps(candidate, spec);
-        // A user waits for every replica, so its image pull counts before the price.
+        // Users wait for each replica, so a short image pull matters more than the spot price.
         spotPreferred = candidate.profile().spot() && !service;
         imagePullInProgress = service && pullSteps > 0 && candidate.isPulling(spec.image());
         keptForLargeTasks = candidate.isKeptForLargeTasks(spec);
@@ -47,7 +48,7 @@
         return 1 + Math.floor(candidate.estimatePullSeconds(spec) / PULL_STEP_SECONDS);
     }
 
-    /** The predicted probability of no violation; NaN if the risk table cannot tell. */
+    /** The predicted probability of no violation; NaN if the risk table has too few samples. */
     double noViolationProbability() {
         return noViolationProbability;
     }
@@ -57,12 +58,12 @@
         return pullSteps;
     }
 
-    /** Whether it is a spot machine and the job should run on one if it may. */
+    /** Whether this is a spot machine and the job, not being a service, should run on one. */
     boolean spotPreferred() {
         return spotPreferred;
     }
 
-    /** For a service: whether the machine pulls its image already. */
+    /** Whether the job is a service and the machine is already pulling its image. */
     boolean imagePullInProgress() {
         return imagePullInProgress;
     }
@@ -71,7 +72,7 @@
         return keptForLargeTasks;
     }
 
-    /** Whether a task of the job failed on this machine lately. */
+    /** Whether a task of the job failed on this machine recently. */
     boolean jobFailedHere() {
         return jobFailedHere;
     }
--- a/src/main/java/org/meadowhollow/coordination/scheduling/GangPlanner.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/GangPlanner.java
@@ -9,12 +9,11 @@
 import org.meadowhollow.coordination.scheduling.CandidateQueue.Selection;
 
 /**
- * Gang scheduling: finds machines for all tasks of a gang, or none. Each zone that the gang could
- * use is tried in turn and the assignments are taken back, so planning leaves the candidates as
- * they were.
+ * Finds machines for all tasks of a gang, or for none. Tries each zone that the gang could use and
+ * then undoes the assignments, so planning leaves the candidates unchanged.
  */
 final class GangPlanner {
-    /** An assignment made while trying, and whether it started an image pull. */
+    /** A tentative assignment, and whether it started an image pull. */
     private record TrialAssignment(MachineCandidate candidate, boolean pullStarted) {}
 
     private final List<MachineCandidate> candidates;
@@ -26,9 +25,9 @@
     }
 
     /**
-     * A machine for each task, in the order of the tasks, or an empty list. Of several zones, the
-     * one where the slowest image pull ends first wins, because a gang starts when the last of its
-     * images has been pulled; of equal ones, the first.
+     * Returns a machine for each task, in the order of the tasks, or an empty list if no zone has
+     * enough capacity. Of several zones, chooses the one where the slowest image pull ends first,
+     * because a gang starts only after its last image pull; of equal ones, the first.
      */
     List<MachineCandidate> plan(RiskPolicy riskPolicy) {
         List<MachineCandidate> best = List.of();
@@ -45,7 +44,8 @@
     }
 
     /**
-     * The zones of the candidates, in their order; a single empty one if the gang may be spread.
+     * Returns the zones of the candidates, in their order; a single empty value, which stands for
+     * all zones, if the gang may be spread over several.
      */
     private Set<Optional<String>> zonesToTry() {
         if (!gang.spec().requiresSingleZone()) {
@@ -59,10 +59,10 @@
     }
 
     /**
-     * Assigns as many tasks as find a machine, then takes all assignments back.
+     * Assigns as many tasks of the gang as possible, then undoes all assignments.
      *
-     * @param machines takes the machines found
-     * @return the steps that the slowest image pull takes
+     * @param machines receives the machine of each assigned task
+     * @return the length of the slowest image pull, in steps of {@link CandidateScore#pullSteps}
      */
     private double tryZone(
             Optional<String> zone, RiskPolicy riskPolicy, List<MachineCandidate> machines) {
@@ -75,7 +75,7 @@
                 break;
             }
             MachineCandidate candidate = selection.get().candidate();
-            // Read before the assignment, which scores the candidate for the next task.
+            // Read before the assignment, which updates the score for the next task.
             slowestPull = Math.max(slowestPull, candidate.score().pullSteps());
             boolean pullStarted = queue.assign(selection.get());
             assignments.add(new TrialAssignment(candidate, pullStarted));
--- a/src/main/java/org/meadowhollow/coordination/scheduling/MachineCandidate.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/MachineCandidate.java
@@ -16,7 +16,7 @@
  */
 public final class MachineCandidate {
     /**
-     * What does not change during a round.
+     * The properties of a machine that do not change during a round.
      *
      * @param capacity what an empty machine of this type offers to tasks
      * @param imagePullGbPerSecond the rate of a single image pull, in GB per second
@@ -32,8 +32,8 @@
     /**
      * The load at the start of a round.
      *
-     * @param taskCount all tasks on the machine
-     * @param serviceReplicaCount those of services among them
+     * @param taskCount the number of all tasks on the machine
+     * @param serviceReplicaCount the number of service replicas among them
      * @param cachedImages the images that are probably cached on the machine
      * @param remainingPullSeconds the images being pulled, each with the seconds that its pull will
      *     still take; the round adds the pulls that its decisions start
@@ -60,9 +60,10 @@
     /**
      * Creates a candidate without a reservation limit or a gang that holds it.
      *
-     * @param tieBreakRank decides between candidates that are equal in all else; the lower one is
+     * @param tieBreakRank decides between candidates that are otherwise equal; the lower one is
      *     preferred
-     * @param wantedForLargeTasks whether there are jobs whose tasks need most of such a machine
+     * @param wantedForLargeTasks whether there are jobs whose tasks need most of a machine of this
+     *     type
      */
     public MachineCandidate(
             int tieBreakRank,
@@ -82,7 +83,7 @@
     }
 
     /**
-     * Sets what reservations and maintenance windows leave of the machine.
+     * Sets the limit that reservations and maintenance windows impose on the machine's use.
      *
      * @param limit null if there is no limit
      */
@@ -92,9 +93,9 @@
     }
 
     /**
-     * Sets the only job that may take the free capacity.
+     * Sets the gang for which the free capacity is held.
      *
-     * @param gang null if any job may take it
+     * @param gang the only job that may use it; null if any job may
      */
     MachineCandidate heldForGang(JobId gang) {
         gangHoldingMachine = gang;
@@ -122,7 +123,7 @@
         return score;
     }
 
-    /** Computes all that the placement order depends on, for one more task of a job. */
+    /** Updates the score, on which the placement order depends, for one more task of a job. */
     void updateScore(JobSpec spec, Set<MachineId> failedMachines) {
         score.update(this, spec, failedMachines.contains(profile.id()));
     }
@@ -151,8 +152,8 @@
     }
 
     /**
-     * Estimated seconds until an image that is not cached has been pulled. Concurrent pulls share
-     * the machine's bandwidth, so each takes as many times longer as there are pulls.
+     * Estimates the seconds until an image that is not cached has been pulled. Concurrent pulls
+     * share the machine's bandwidth, so the time is multiplied by the number of pulls.
      */
     double estimatePullSeconds(JobSpec spec) {
         return isPulling(spec.image())
@@ -163,9 +164,9 @@
     }
 
     /**
-     * Whether the machine should stay available for large tasks: an empty machine is not for short
-     * tasks, and one without service replicas is not for replicas, which would block it for as long
-     * as they run.
+     * Whether the machine should stay available for large tasks rather than take a smaller one: an
+     * array or gang task if the machine is empty, or a service replica if it has no other replica.
+     * A replica would block it for as long as the service runs.
      */
     boolean isKeptForLargeTasks(JobSpec spec) {
         return wantedForLargeTasks
@@ -173,12 +174,12 @@
                 && (spec.kind() == JobKind.SERVICE ? serviceReplicaCount : taskCount) == 0;
     }
 
-    /** Whether a gang that the job does not belong to holds the free capacity. */
+    /** Whether the free capacity is held for a gang other than this job. */
     boolean isHeldForOtherJob(JobSpec spec) {
         return gangHoldingMachine != null && !gangHoldingMachine.equals(spec.id());
     }
 
-    /** Whether reservations and maintenance windows leave room for one more task of a job. */
+    /** Whether reservations and maintenance windows allow one more task of a job. */
     boolean isAllowedByReservations(JobSpec spec) {
         return reservationLimit == null
                 || reservationLimit.allows(
@@ -209,7 +210,7 @@
     }
 
     /**
-     * Takes back {@link #assign} for a task of a gang; replicas of services are never taken back.
+     * Undoes {@link #assign} for a task of a gang; service replicas are never unassigned.
      *
      * @param pullStarted what {@code assign} returned
      */
--- a/src/main/java/org/meadowhollow/coordination/scheduling/PlacementConstraints.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/PlacementConstraints.java
@@ -8,9 +8,9 @@
     private PlacementConstraints() {}
 
     /**
-     * Whether one more task of a job may go to a machine.
+     * Whether one more task of a job may be assigned to a machine.
      *
-     * @param tasksByZone how many tasks of the job may be in each zone already
+     * @param tasksByZone the number of tasks of the job that may be running in each zone already
      */
     static boolean areSatisfied(
             JobSpec spec, Object2IntMap<String> tasksByZone, MachineCandidate candidate) {
@@ -34,7 +34,7 @@
         return !spec.spreadsAcrossZones() || tasksByZone.getInt(zone) < spec.maxTasksPerZone();
     }
 
-    /** Whether no task of a job that must stay in one zone may be in another zone. */
+    /** Whether a job that must stay in one zone certainly has no task in another zone. */
     private static boolean allowsSingleZone(
             JobSpec spec, Object2IntMap<String> tasksByZone, String zone) {
         if (!spec.requiresSingleZone()) {
--- a/src/main/java/org/meadowhollow/coordination/scheduling/PlacementOrder.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/PlacementOrder.java
@@ -4,65 +4,67 @@
 import org.meadowhollow.model.Resources;
 
 /**
- * The placement policy: which of the machines that a task may use is the best. It follows the
- * paper's EfficiencyFirst design, least predicted risk first and then most room, in four steps:
+ * The placement policy: ranks the machines that a task may use. It implements EfficiencyFirst (the
+ * policy of the paper behind the risk model): lowest predicted risk first, then most free capacity.
+ * A machine is chosen in four steps:
  *
  * <ol>
- *   <li>Machines that violate a hard constraint are out ({@link PlacementConstraints}).
+ *   <li>Machines that violate a hard constraint are excluded ({@link PlacementConstraints}).
  *   <li>A machine whose predicted probability of no violation is at least {@value
  *       #MIN_NO_VIOLATION_PROBABILITY} is accepted. Accepted machines are compared by that
  *       probability, the highest first, and at equal probability by preference ({@link
  *       #compareByRisk}).
  *   <li>A machine whose risk is unknown, because its table has too few samples at that load, is
  *       compared by preference alone ({@link #compareByPreference}). So is one whose predicted risk
- *       is too high, once the task has waited so long that risk is ignored; before, it is out.
- *   <li>The best accepted machine wins against the best of those compared by preference alone,
+ *       is too high, once the task has waited so long that risk is ignored; until then the machine
+ *       is excluded.
+ *   <li>The best accepted machine is chosen over the best of those compared by preference alone,
  *       unless its image pull would take longer ({@link #prefersAccepted}).
  * </ol>
  *
- * <p>The preference is, from the most to the least significant:
+ * <p>Machines are preferred by these criteria, from the most to the least significant:
  *
  * <ol>
- *   <li>no task of the job failed on the machine, so that a faulty machine can be told from a
- *       faulty job;
+ *   <li>no task of the job failed on the machine recently: a retry elsewhere shows whether the
+ *       machine or the job is faulty;
  *   <li>the image is cached;
- *   <li>it is a spot machine, for a task that may use one and is not a service replica;
+ *   <li>the machine is a spot machine, for a task that may use one and is not a service replica;
  *   <li>the shortest image pull, in steps of 5 s;
- *   <li>for a service replica, the image is not being pulled there already, so that one more
- *       machine will have it;
+ *   <li>for a service replica, the image is not being pulled to the machine already, so that one
+ *       more machine will have it;
  *   <li>the machine is not kept for large tasks;
- *   <li>the most room: the largest free share;
- *   <li>the lowest tie-break rank, which is the order of machine ids.
+ *   <li>the largest free share;
+ *   <li>the lowest tie-break rank, which follows the order of machine ids.
  * </ol>
  */
 final class PlacementOrder {
-    /** The paper's EfficiencyFirst: no violation with at least this probability. */
+    /** The threshold of EfficiencyFirst: the lowest accepted probability of no violation. */
     static final double MIN_NO_VIOLATION_PROBABILITY = 0.8;
 
-    /** A task that takes more than this share of a machine has it to itself. */
+    /** A task is large if it takes more than this share of a machine: no second one fits. */
     private static final double LARGE_TASK_SHARE = 0.5;
 
     private PlacementOrder() {}
 
-    /** Whether the predicted risk is known and below the threshold. */
+    /** Whether the probability of no violation is known and high enough. */
     static boolean isRiskAccepted(CandidateScore score) {
         return score.noViolationProbability() >= MIN_NO_VIOLATION_PROBABILITY;
     }
 
-    /** Whether the risk table has too few samples at the load to predict anything. */
+    /** Whether the risk table has too few samples to predict the risk at this load. */
     static boolean isRiskUnknown(CandidateScore score) {
         return Double.isNaN(score.noViolationProbability());
     }
 
     /**
-     * Whether an accepted machine goes before one that is compared by preference alone. A load
-     * without samples is no reason to wait longer for an image.
+     * Whether an accepted machine is chosen over one that is compared by preference alone. Missing
+     * samples do not justify a longer image pull.
      */
     static boolean prefersAccepted(CandidateScore accepted, CandidateScore byPreference) {
         return accepted.pullSteps() <= byPreference.pullSteps();
     }
 
-    /** Compares accepted machines: least predicted risk first, then by preference. */
+    /** Compares accepted machines: lowest predicted risk first, then by preference. */
     static int compareByRisk(CandidateScore one, CandidateScore other) {
         int result = Double.compare(other.noViolationProbability(), one.noViolationProbability());
         return result != 0 ? result : compareByPreference(one, other);
@@ -92,7 +94,7 @@
         return result != 0 ? result : Integer.compare(one.tieBreakRank(), other.tieBreakRank());
     }
 
-    /** Whether a task needs so much of a machine that no second one fits beside it. */
+    /** Whether two tasks of a job do not fit on one machine of the given capacity. */
     static boolean isLargeTask(JobSpec spec, Resources capacity) {
         return spec.resourcesPerTask().dominantShareOf(capacity) > LARGE_TASK_SHARE;
     }
--- a/src/main/java/org/meadowhollow/coordination/scheduling/PlacementRound.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/PlacementRound.java
@@ -16,19 +16,20 @@
 import org.meadowhollow.model.Resources;
 
 /**
- * One scheduling round, a pure function of a snapshot: takes the waiting jobs in their order,
- * checks the quota of their team, and gives each task the best machine in {@link PlacementOrder}.
+ * One scheduling round, whose result depends only on a snapshot: takes the waiting jobs in their
+ * order, checks the quota of their team, and gives each task the best machine in {@link
+ * PlacementOrder}.
  */
 public final class PlacementRound {
     /**
      * A job with waiting tasks.
      *
      * @param tasks the indices of the waiting tasks that may be placed now; all of them for a gang;
-     *     not to be changed
-     * @param tasksByZone how many tasks of the job may be in each zone already
-     * @param ignoresRisk whether it has waited so long that the predicted risk is ignored
-     * @param failedMachines machines on which its tasks failed, which come after others of equal
-     *     risk
+     *     must not be modified
+     * @param tasksByZone the number of tasks of the job that may be running in each zone already
+     * @param ignoresRisk whether the job has waited so long that the predicted risk is ignored
+     * @param failedMachines machines on which tasks of the job failed, which rank after others of
+     *     equal risk
      */
     // The indices are only read; no pending job is compared with another.
     @SuppressWarnings("ArrayRecordComponent")
@@ -38,7 +39,7 @@
             Object2IntMap<String> tasksByZone,
             boolean ignoresRisk,
             Set<MachineId> failedMachines) {
-        /** Creates a job whose tasks failed nowhere. */
+        /** Creates a pending job without failed machines. */
         public PendingJob(
                 JobSpec spec, int[] tasks, Object2IntMap<String> tasksByZone, boolean ignoresRisk) {
             this(spec, tasks, tasksByZone, ignoresRisk, Set.of());
@@ -46,19 +47,19 @@
     }
 
     /**
-     * A task and the machine it goes to.
+     * The choice of a machine for a task.
      *
      * @param task the index of the task in its job
-     * @param byRiskTable whether the predicted risk was accepted; otherwise room alone decided, for
-     *     a gang for all of its tasks
+     * @param byRiskTable whether the machine was chosen by its predicted risk, which was accepted;
+     *     otherwise by preference alone. The same for all tasks of a gang
      */
     public record Decision(JobSpec spec, int task, MachineId machine, boolean byRiskTable) {}
 
     /**
-     * What a round decided.
+     * The result of a round.
      *
-     * @param unplacedTasksByJob how many tasks of each job found no machine for lack of room; jobs
-     *     that their team's quota keeps waiting are not in it
+     * @param unplacedTasksByJob the number of tasks of each job that could not be placed for lack
+     *     of capacity; omits jobs that wait because of their team's quota
      */
     public record Outcome(List<Decision> decisions, Map<JobId, Integer> unplacedTasksByJob) {}
 
@@ -73,9 +74,10 @@
     }
 
     /**
-     * Places jobs in the order given, and decides for the first {@code maxDecidedJobs} that find
-     * room. The others are placed only to find out which of them lack room. The candidates and the
-     * usage are changed by all jobs, also by those that nothing is decided for.
+     * Places jobs in the order given and returns the decisions for the first {@code maxDecidedJobs}
+     * of which a task could be placed. Later jobs are placed only to find out which of them lack
+     * capacity. All jobs change the candidates and the usage, including those without decisions in
+     * the outcome.
      */
     public static Outcome run(
             List<MachineCandidate> candidates,
@@ -136,7 +138,7 @@
         if (!team.allows(total)) {
             return;
         }
-        // All tasks by accepted risk, or else all of them by room alone.
+        // Either the risk is accepted for all tasks, or it is ignored for all of them.
         if (placeWholeGang(gang, RiskPolicy.ACCEPTED_ONLY)
                 || placeWholeGang(gang, RiskPolicy.IGNORED)) {
             team.add(total);
--- a/src/main/java/org/meadowhollow/coordination/scheduling/package-info.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/package-info.java
@@ -3,12 +3,13 @@
  *
  * <ul>
  *   <li>{@link org.meadowhollow.coordination.scheduling.PlacementOrder} is the placement policy:
- *       least predicted risk below the threshold, then most room. It stands there and nowhere else.
+ *       lowest predicted risk below the threshold, then most free capacity. No other class contains
+ *       placement preferences.
  *   <li>{@link org.meadowhollow.coordination.scheduling.PlacementRound} places the pending jobs of
  *       a {@link org.meadowhollow.coordination.scheduling.SchedulingSnapshot} one after the other;
- *       {@code GangPlanner} does so for gangs, all or nothing.
- *   <li>{@link org.meadowhollow.coordination.scheduling.RiskTable} learns from heartbeats how
- *       likely a load is to end in lost tasks.
+ *       {@code GangPlanner} finds machines for all tasks of a gang or for none.
+ *   <li>{@link org.meadowhollow.coordination.scheduling.RiskTable} estimates from heartbeats how
+ *       likely tasks are lost at a given load.
  *   <li>{@link org.meadowhollow.coordination.scheduling.PreemptionPlanner} selects the tasks to
  *       preempt, with {@code VictimSelector}.
  *   <li>{@link org.meadowhollow.coordination.scheduling.ArrivalForecast} and {@link
@@ -17,9 +18,9 @@
  * </ul>
  *
  * <p>State: {@link org.meadowhollow.coordination.scheduling.ClusterState} holds the jobs and
- * machines of one leadership. It and all else here is guarded by the leader's lock; a round runs on
- * a snapshot under the same lock. The clock is passed in, and nothing here sends, writes or starts
- * threads. It may call {@code coordination.api}, {@code coordination.admission}, {@code
- * coordination.reservation} and {@code model}.
+ * machines of one leadership. All state of this package is guarded by the leader's lock; a round
+ * runs on a snapshot under the same lock. Callers pass in the current time, and no class here sends
+ * messages, writes records or starts threads. The package may call {@code coordination.api}, {@code
+ * coordination.admission}, {@code coordination.reservation} and {@code model}.
  */
 package org.meadowhollow.coordination.scheduling;
--- a/src/test/java/org/meadowhollow/coordination/scheduling/PlacementOrderTest.java
+++ b/src/test/java/org/meadowhollow/coordination/scheduling/PlacementOrderTest.java
@@ -24,8 +24,9 @@
 import org.meadowhollow.model.Resources;
 
 /**
- * The round scores each machine once for a job. It must place a job's tasks together as it places
- * them one after the other, when it scores all machines anew for each.
+ * Compares the incremental scores of a round with a full evaluation. A round scores each machine
+ * once for a job and updates only the machine that takes a task; it must decide the same as rounds
+ * of a single task each, which score all machines anew.
  */
 class PlacementOrderTest {
     private static final int MACHINES = 40;
--- a/src/test/java/org/meadowhollow/coordination/scheduling/PlacementRoundTest.java
+++ b/src/test/java/org/meadowhollow/coordination/scheduling/PlacementRoundTest.java
@@ -27,7 +27,9 @@
     private final List<Object2DoubleMap<String>> pullsByCandidate = new ArrayList<>();
 
     /**
-     * A table with 40 samples at the load that one task makes, of which so many have a lost task.
+     * Returns a table with 40 samples at the load of one task.
+     *
+     * @param violations the number of samples with a lost task
      */
     private static RiskTable riskTable(int violations) {
         RiskTable table = new RiskTable();
@@ -225,6 +227,6 @@
         assertEquals(
                 List.of(),
                 run(spec(JobKind.GANG, 3, true), false),
-                "a1 alone has no room for three");
+                "a1 alone has no capacity for three tasks");
     }
 }
