--- a/src/main/java/org/meadowhollow/coordination/scheduling/ClusterState.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/ClusterState.java
@@ -21,8 +21,8 @@
 import org.meadowhollow.model.Resources;
 
 /**
- * The jobs and machines as far as the leader of one leadership knows them, with the risk table of
- * each machine. Not thread-safe: guarded by the leader's lock.
+ * The jobs and machines that the leader knows during one leadership, with the risk table of each
+ * machine. Not thread-safe: guarded by the leader's lock.
  */
 public final class ClusterState {
     /** Heartbeats missed in a row before a machine counts as silent. */
@@ -30,13 +30,13 @@
 
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** Key of the machines with room for a job that may be spread over zones. */
+    /** Key that stands for all zones when the tasks of a job may be in several. */
     private static final String ANY_ZONE = "any zone";
 
     private final DeploymentSettings deploymentSettings;
     private final FencingToken fencingToken;
 
-    /** Sorted, so that every leader goes through them in the same order. */
+    /** Sorted so that every leader iterates over the jobs in the same order. */
     private final Map<JobId, Job> jobs = new TreeMap<>();
 
     private final SortedMap<MachineId, Machine> machines = new TreeMap<>();
@@ -47,41 +47,41 @@
     /**
      * Creates a state without jobs and machines.
      *
-     * @param fencingToken the token of the leadership that it belongs to
+     * @param fencingToken the token of the leadership that this state belongs to
      */
     public ClusterState(DeploymentSettings deploymentSettings, FencingToken fencingToken) {
         this.deploymentSettings = deploymentSettings;
         this.fencingToken = fencingToken;
     }
 
-    /** The jobs that have not ended, by id; changes write through. */
+    /** The live map of the jobs that have not ended, by id; callers may change it. */
     public Map<JobId, Job> jobs() {
         return jobs;
     }
 
-    /** The known machines by id; added by {@link #addMachine} only. */
+    /** The live map of the known machines by id; only {@link #addMachine} adds machines. */
     public SortedMap<MachineId, Machine> machines() {
         return machines;
     }
 
-    /** What reservations and maintenance windows mean for the current round. */
+    /** The reservations and maintenance windows as they apply to the current round. */
     public ReservationView reservationView() {
         return reservationView;
     }
 
-    /** Replaces the reservation view; done once a round. */
+    /** Replaces the reservation view; called once per round. */
     public void reservationView(ReservationView view) {
         reservationView = view;
     }
 
-    /** The risk table of each known machine; changes write through. */
+    /** The live map of the risk tables of the known machines; callers may change it. */
     public Map<MachineId, RiskTable> riskTables() {
         return riskTables;
     }
 
     /**
-     * What may be running on machines that neither a machine list nor a heartbeat has shown yet;
-     * changes write through.
+     * The live map of placements that may be running on machines that neither a machine list nor a
+     * heartbeat has shown yet; callers may change it.
      */
     public Map<MachineId, List<Placement>> placementsOnUnseenMachines() {
         return placementsOnUnseenMachines;
@@ -125,7 +125,7 @@
                                 / NANOS_PER_SECOND;
     }
 
-    /** Whether a machine can take tasks of a job now, if it has room. */
+    /** Whether a machine can take tasks of a job now, provided that it has free capacity. */
     boolean isEligibleFor(Machine machine, JobSpec spec, MonotonicTime now) {
         JobId heldFor = machine.heldForGang(now);
         return isSchedulable(machine, now)
@@ -135,7 +135,7 @@
                 && (spec.allowsSpot() || !machine.isSpot());
     }
 
-    /** Why a job has pending tasks, for the log. */
+    /** Describes for the log why a job has pending tasks. */
     public String describePendingReason(Job job, MonotonicTime now) {
         long stopping = job.placements().stream().filter(Placement::isStopping).count();
         if (job.backoffUntil() != null && now.isBefore(job.backoffUntil())) {
@@ -147,15 +147,18 @@
         }
         Object2IntOpenHashMap<String> machinesWithRoom = countMachinesWithRoom(job.spec(), now);
         return job.placements().isEmpty()
-                ? "no room: machines with room for a task " + machinesWithRoom
+                ? "insufficient capacity: machines with capacity for a task " + machinesWithRoom
                 : job.placements().size()
                         + " tasks placed, "
                         + job.pendingTaskCount()
-                        + " not: machines with room for a task "
+                        + " unplaced: machines with capacity for a task "
                         + machinesWithRoom;
     }
 
-    /** Whether the next task of an array, or all pending tasks of another job, exceed the limit. */
+    /**
+     * Whether placing the next task of an array, or all pending tasks of any other job, would
+     * exceed the limit of its team.
+     */
     private boolean exceedsTeamLimit(Job job) {
         JobSpec spec = job.spec();
         Resources limit = deploymentSettings.teamQuotas().get(spec.team()).limit();
@@ -168,7 +171,7 @@
                 || (limit.gpu() > 0 && total.gpu() > limit.gpu());
     }
 
-    /** Machines with room for a task, by zone if the job must stay in one. */
+    /** Counts the machines with capacity for a task, by zone if the job must stay in one zone. */
     private Object2IntOpenHashMap<String> countMachinesWithRoom(JobSpec spec, MonotonicTime now) {
         Object2IntOpenHashMap<String> counts = new Object2IntOpenHashMap<>();
         for (Machine machine : machines.values()) {
@@ -180,12 +183,12 @@
         return counts;
     }
 
-    /** How many of a job's tasks may be in each zone; only zones with any are in it. */
+    /** Counts the tasks of a job that may be running in each zone; omits zones without any. */
     Object2IntOpenHashMap<String> countTasksByZone(Job job) {
         Object2IntOpenHashMap<String> zones = new Object2IntOpenHashMap<>();
         for (Placement placement : job.placements()) {
             Machine machine = machines.get(placement.machineId());
-            // A machine that is not known yet may be in any zone, so it counts in all of them.
+            // A machine that is not known yet may be in any zone, so its task counts in all.
             if (machine != null) {
                 zones.addTo(machine.zone(), 1);
             } else {
@@ -195,10 +198,11 @@
         return zones;
     }
 
-    /** The resources allocated to each team's tasks, by the name of the team. */
+    /** Sums the resources allocated to each team's tasks, by the name of the team. */
     Map<String, Resources> usageByTeam() {
         Map<String, Resources> used = new HashMap<>();
-        // By machine, not by job: a task counts until its end is proven, even if its job has ended.
+        // Iterates over machines, not jobs: a task counts until its end is proven, even if its job
+        // has ended.
         for (Machine machine : machines.values()) {
             addUsage(machine.placements(), used);
         }
--- a/src/main/java/org/meadowhollow/coordination/scheduling/PreemptionPlanner.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/PreemptionPlanner.java
@@ -22,22 +22,23 @@
 import org.meadowhollow.model.Resources;
 
 /**
- * Finds the tasks to preempt for waiting jobs that no new machine could serve in time. Reads {@link
- * ClusterState} under the leader's lock; its only effect is that machines are held for a gang.
+ * Selects the tasks to preempt for waiting jobs that no new machine could serve in time. Reads
+ * {@link ClusterState} under the leader's lock; the only state that it changes is the hold of
+ * machines for a gang.
  */
 public final class PreemptionPlanner {
     /**
-     * Time for a preemption to take effect and the room to be used before more is preempted for the
-     * same job.
+     * The shortest time between preemptions for the same job: the tasks need time to stop, and the
+     * job to be placed on the freed capacity.
      */
     private static final Duration PREEMPTION_COOLDOWN = Duration.ofSeconds(10);
 
-    /** The machines on which best-effort tasks may be preempted, by zone in the order of names. */
+    /** The machines on which best-effort tasks may be preempted, by zone in name order. */
     private static final class BestEffortCandidates {
         private final Map<String, List<PreemptionCandidate<Placement>>> candidatesByZone =
                 new TreeMap<>();
 
-        // By identity on purpose: candidates of two machines may be equal records.
+        // Compares by identity because the candidates of two machines may be equal records.
         @SuppressWarnings("IdentityHashMapUsage")
         private final Map<PreemptionCandidate<Placement>, Machine> machineByCandidate =
                 new IdentityHashMap<>();
@@ -58,7 +59,7 @@
     private final DeploymentSettings deploymentSettings;
     private final ServiceLevelObjectives objectives;
 
-    /** Creates a planner that reads the given state whenever it plans. */
+    /** Creates a planner that reads the current content of the given state for each plan. */
     public PreemptionPlanner(
             ClusterState clusterState,
             DeploymentSettings deploymentSettings,
@@ -69,10 +70,11 @@
     }
 
     /**
-     * The tasks to preempt for one task of a job that has used up the time that it could wait; it
-     * gets their room in a later round, in which it comes first. Empty for gangs of several tasks.
+     * Selects the tasks to preempt for one task of a job whose wait budget is used up. The freed
+     * capacity is assigned in a later round, in which the job is expected to come first. Returns an
+     * empty list for gangs of several tasks.
      *
-     * @param tasksByZone how many tasks of the job may be in each zone
+     * @param tasksByZone the number of tasks of the job that may be running in each zone
      * @param guaranteed whether the job is within the guaranteed quota of its team
      */
     public List<Placement> planPreemption(
@@ -96,13 +98,13 @@
     }
 
     /**
-     * The best-effort tasks to preempt for all tasks of a job that found no room, gangs included:
-     * at once, since best-effort work runs only for as long as nobody else needs the capacity, and
-     * a pull on an empty machine takes the time that there is. The machines are then held for a
-     * gang until the cooldown ends.
+     * Selects the best-effort tasks to preempt for all unplaced tasks of a job, gangs included. The
+     * wait budget is ignored: best-effort work runs only while nobody else needs the capacity, and
+     * an image pull on an empty machine would use up the budget. For a gang, the machines are then
+     * held until the cooldown ends.
      *
-     * @param tasksByZone how many tasks of the job may be in each zone
-     * @param count how many tasks found no room
+     * @param tasksByZone the number of tasks of the job that may be running in each zone
+     * @param count the number of tasks that could not be placed for lack of capacity
      */
     public List<Placement> planBestEffortPreemption(
             Job job, Object2IntMap<String> tasksByZone, int count, MonotonicTime now) {
@@ -119,8 +121,8 @@
                                 spec, count, gang, candidates.inAllZones());
         List<Placement> victims = slots.stream().flatMap(slot -> slot.victims().stream()).toList();
         if (gang && !victims.isEmpty()) {
-            // Otherwise small tasks that are placed first would take a little of each machine that
-            // was cleared, and the gang would find none whole.
+            // Without the hold, smaller tasks that are placed first would take part of the freed
+            // capacity on each machine, and the gang would not fit any more.
             MonotonicTime heldUntil = now.plus(PREEMPTION_COOLDOWN);
             for (FreedSlot<Placement> slot : slots) {
                 candidates
@@ -148,7 +150,10 @@
         return candidates;
     }
 
-    /** The slots in the zone where the least work is lost in total; of equal ones the first. */
+    /**
+     * Returns the slots of the zone where the least work is lost in total, or of the first such
+     * zone by name.
+     */
     private static List<FreedSlot<Placement>> selectSlotsInBestZone(
             JobSpec spec, int count, boolean gang, BestEffortCandidates candidates) {
         List<FreedSlot<Placement>> best = List.of();
@@ -171,8 +176,8 @@
     }
 
     /**
-     * Whether the job could use room on a machine; for a job that reservations keep off the machine
-     * nothing needs to be preempted there.
+     * Whether a job could use capacity that preemption frees on a machine. It could not where
+     * reservations, the machine's properties or the spread over zones exclude the job.
      */
     private boolean canPreemptOn(
             Machine machine, JobSpec spec, Object2IntMap<String> tasksByZone, MonotonicTime now) {
@@ -203,7 +208,8 @@
         JobSpec spec = placement.job().spec();
         double runningSeconds =
                 placement.runningSince() == null ? 0 : now.secondsSince(placement.runningSince());
-        // A task that checkpoints saves its work when it is stopped, so only the saving is lost.
+        // A task with checkpoints saves its state when it is stopped, so only the time that the
+        // checkpoint takes is lost.
         double lostWorkSeconds =
                 spec.usesCheckpoints()
                         ? Math.min(runningSeconds, spec.checkpointDurationSeconds())
--- a/src/main/java/org/meadowhollow/coordination/scheduling/SchedulingSnapshot.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/SchedulingSnapshot.java
@@ -21,12 +21,12 @@
 import org.meadowhollow.model.TaskId;
 
 /**
- * What a round decides from: the machines that can take tasks, the waiting jobs in the order in
- * which they are placed, and the quota usage of the teams. Built from {@link ClusterState} under
- * the leader's lock; the rounds run on it change the candidates and the usage.
+ * The input of a scheduling round: the machines that can take tasks, the waiting jobs in the order
+ * in which they are placed, and the quota usage of the teams. Built from {@link ClusterState} under
+ * the leader's lock; a round that runs on it changes the candidates and the usage.
  */
 public final class SchedulingSnapshot {
-    /** Tasks of one job considered in a round: more than fit on any cluster, and bounded. */
+    /** Limits the tasks of one job considered in a round; more than fit on any cluster. */
     private static final int MAX_TASKS_PER_JOB = 2000;
 
     private final ClusterState clusterState;
@@ -36,7 +36,8 @@
     private final List<PlacementRound.PendingJob> pendingJobs = new ArrayList<>();
 
     /**
-     * Tasks that a machine may be running although no placement says so; not to be placed again.
+     * Tasks that a machine may be running without a recorded placement; they must not be placed
+     * again.
      */
     private final Set<TaskId> orphanedTasks = new HashSet<>();
 
@@ -116,7 +117,7 @@
                 .heldForGang(machine.heldForGang(now));
     }
 
-    /** Images being pulled to a machine, each with the seconds that its pull will still take. */
+    /** Returns the images being pulled to a machine with the seconds that each pull still takes. */
     private Object2DoubleOpenHashMap<String> remainingPullSecondsByImage(Machine machine) {
         Object2DoubleOpenHashMap<String> remainingSeconds = new Object2DoubleOpenHashMap<>(0);
         for (Placement placement : machine.placements()) {
@@ -160,8 +161,9 @@
     }
 
     /**
-     * The order in which jobs are placed: with a reservation that has begun; within the guaranteed
-     * quota of their team; by priority; by deadline; the oldest first; by id.
+     * Returns the order in which jobs are placed. The criteria are, from the most to the least
+     * significant: a reservation slot that has begun, the guaranteed quota of the team, the
+     * priority, the deadline, the time of acceptance (oldest first) and the id.
      */
     private Comparator<Job> jobOrder() {
         return Comparator.comparing(
@@ -188,8 +190,8 @@
     }
 
     /**
-     * The indices of the waiting tasks that may be placed now; empty for a gang that cannot be
-     * placed as a whole now.
+     * Returns the indices of the waiting tasks that may be placed now; none for a gang that cannot
+     * be placed as a whole now.
      */
     private int[] findPlaceableTasks(Job job) {
         boolean gang = job.spec().kind() == JobKind.GANG;
@@ -214,7 +216,8 @@
         if (job.spec().kind() == JobKind.GANG) {
             return Integer.MAX_VALUE;
         }
-        // All tasks of a faulty job would fail alike, so one alone tries, and takes no more room.
+        // All tasks of a faulty job would fail alike, so only one at a time is tried and uses
+        // capacity.
         return job.isSuspectedFaulty()
                 ? Math.max(0, 1 - job.placements().size())
                 : MAX_TASKS_PER_JOB;
@@ -259,7 +262,10 @@
         return within;
     }
 
-    /** An amount of 0 guarantees nothing by itself; if all are 0, nothing is guaranteed at all. */
+    /**
+     * Whether a demand is covered by a guaranteed quota. A guaranteed amount of 0 does not restrict
+     * the demand for that resource; if all amounts are 0, nothing is guaranteed.
+     */
     private static boolean isWithinGuarantee(Resources demand, Resources guaranteed) {
         return (guaranteed.cpu() > 0 || guaranteed.gpu() > 0)
                 && (guaranteed.cpu() == 0 || demand.cpu() <= guaranteed.cpu())
--- a/src/main/java/org/meadowhollow/coordination/scheduling/ServiceLevelObjectives.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/ServiceLevelObjectives.java
@@ -10,18 +10,18 @@
 import org.meadowhollow.model.MachineTypeCatalog;
 
 /**
- * What the service-level objectives and the machine types mean for the jobs recorded so far: how
- * long a job can wait, and which machines its tasks need most of. Not thread-safe: guarded by the
+ * Derives from the service-level objectives and the machine types how long a job can wait, and of
+ * which machine types the jobs recorded so far have large tasks. Not thread-safe: guarded by the
  * leader's lock.
  */
 public final class ServiceLevelObjectives {
-    /** After this long a pending task is placed by room alone (the design's starting value). */
+    /** A task that has been pending for longer is placed without regard to the predicted risk. */
     static final Duration RISK_IGNORED_AFTER = Duration.ofSeconds(30);
 
-    /** Words of the settings: an objective on the wait of a class of jobs. */
+    /** Kind in the settings: an objective on the waiting time of a job class. */
     private static final String WAIT_TARGET = "wait";
 
-    /** Words of the settings: an objective on the wait of jobs within the guaranteed quota. */
+    /** Kind in the settings: an objective on the waiting time within the guaranteed quota. */
     private static final String GUARANTEE_TARGET = "guarantee";
 
     private final DeploymentSettings deploymentSettings;
@@ -29,14 +29,14 @@
     private final Set<String> typesWithLargeTasks = new HashSet<>();
     private double largestImageGb;
 
-    /** Creates the objectives of a leadership that has recorded no job yet. */
+    /** Creates the objectives for a new leadership, without any recorded job. */
     public ServiceLevelObjectives(
             DeploymentSettings deploymentSettings, MachineTypeCatalog machineTypeCatalog) {
         this.deploymentSettings = deploymentSettings;
         this.machineTypeCatalog = machineTypeCatalog;
     }
 
-    /** Records the machine types that a job's tasks need most of, and the size of its image. */
+    /** Records the size of a job's image, and the machine types on which its tasks are large. */
     public void recordJob(JobSpec spec) {
         largestImageGb = Math.max(largestImageGb, spec.imageSizeGb());
         for (MachineType type : machineTypeCatalog.types()) {
@@ -55,19 +55,21 @@
         return fits(spec, type) && PlacementOrder.isLargeTask(spec, type.capacity());
     }
 
-    /** Whether a job was recorded whose tasks need most of such a machine. */
+    /** Whether a job was recorded whose tasks are large on machines of this type. */
     boolean hasLargeTasksFor(MachineType type) {
         return typesWithLargeTasks.contains(type.name());
     }
 
-    /** The size of the largest image of a recorded job, in GB; 0 if there is none. */
+    /** The size of the largest image of a recorded job, in GB; 0 without recorded jobs. */
     public double largestImageGb() {
         return largestImageGb;
     }
 
     /**
-     * How long a job can wait, in seconds, before only the place of a running task can still serve
-     * it in time; negative if a new machine is always too late.
+     * Returns how many seconds a job can wait until a new machine would be too late for its
+     * strictest objective, so that only preemption can still serve it in time; negative if a new
+     * machine is always too late. A job without an objective can wait for {@link
+     * #RISK_IGNORED_AFTER}.
      *
      * @param guaranteed whether the job is within the guaranteed quota of its team
      */
@@ -92,8 +94,8 @@
     }
 
     /**
-     * How long a new machine takes at best until it can run one of the job's tasks, in seconds;
-     * {@link Double#MAX_VALUE} if no machine type fits.
+     * Returns the shortest time, in seconds, that a new machine takes to boot and pull the job's
+     * image; {@link Double#MAX_VALUE} if no machine type fits.
      */
     public double startupDelaySeconds(JobSpec spec) {
         double shortest = Double.MAX_VALUE;
@@ -106,7 +108,10 @@
         return shortest;
     }
 
-    /** Whether a job needs most of a machine and could not be started in time on a new one. */
+    /**
+     * Whether the tasks of a job are large and could not be started in time on a new machine; never
+     * for a service.
+     */
     public boolean needsSpareMachines(JobSpec spec) {
         boolean large = false;
         for (MachineType type : machineTypeCatalog.types()) {
--- a/src/main/java/org/meadowhollow/coordination/scheduling/TeamUsage.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/TeamUsage.java
@@ -3,15 +3,15 @@
 import org.meadowhollow.model.Resources;
 
 /**
- * What a team's tasks use, and the quota that limits it. Belongs to one round and grows with its
- * decisions; not thread-safe.
+ * The resources that a team's tasks use, and the limit of the team's quota. Belongs to one round,
+ * which adds the tasks that it places; not thread-safe.
  */
 public final class TeamUsage {
     private final Resources limit;
     private Resources used;
 
     /**
-     * Creates the usage at the start of a round.
+     * Creates the usage of a team at the start of a round.
      *
      * @param limit the most that the team may use; an amount of 0 means no limit
      */
@@ -20,7 +20,7 @@
         this.limit = limit;
     }
 
-    /** Whether the team may use this much more; memory is not limited. */
+    /** Whether the team may use additional resources; memory is not limited. */
     boolean allows(Resources additional) {
         Resources sum = used.plus(additional);
         return (limit.cpu() == 0 || sum.cpu() <= limit.cpu())
--- a/src/main/java/org/meadowhollow/coordination/scheduling/VictimSelector.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/VictimSelector.java
@@ -9,9 +9,9 @@
 import org.meadowhollow.model.Resources;
 
 /**
- * Selects the tasks to preempt for one that finds no room, so that the least work is lost: pure
- * functions. Only tasks of lower priority may be preempted, or, for a team within its guaranteed
- * quota, those that another team runs beyond its own.
+ * Selects the tasks to preempt for a waiting task so that the least work is lost. Only tasks of
+ * lower priority may be preempted, or, for a job within its team's guaranteed quota, tasks of
+ * another team that exceeds its own. All functions are pure.
  */
 final class VictimSelector {
     private VictimSelector() {}
@@ -30,23 +30,23 @@
             double lostWorkSeconds,
             boolean overGuaranteedQuota) {}
 
-    /** A machine that the waiting task may use, its free capacity, and what runs there. */
+    /** A machine that the waiting task may use, with its free capacity and running tasks. */
     record PreemptionCandidate<T>(
             Resources freeCapacity, boolean imageCached, List<RunningTask<T>> runningTasks) {}
 
     /**
-     * Room for one more task on a machine.
+     * Capacity for one more task on a machine.
      *
-     * @param victims the tasks to preempt for it; empty if the room is free already
-     * @param lostWorkSeconds what preempting them loses, and for the first slot of a machine
-     *     without the image the size of the image in GB, which is counted as seconds
+     * @param victims the tasks to preempt for it; empty if the capacity is free already
+     * @param lostWorkSeconds the work that preempting the victims loses; the first slot of a
+     *     machine without the image adds one second for each GB of the image
      */
     record FreedSlot<T>(
             PreemptionCandidate<T> candidate, List<T> victims, double lostWorkSeconds) {}
 
     /**
-     * The tasks to preempt, all on one machine, so that one more task fits there and the least work
-     * is lost; empty if there is no such machine.
+     * Returns the tasks to preempt, all on one machine, so that one more task fits there and the
+     * least work is lost; empty if there is no such machine.
      */
     static <T> List<T> selectVictims(
             JobSpec spec, boolean guaranteed, List<PreemptionCandidate<T>> candidates) {
@@ -76,12 +76,13 @@
     }
 
     /**
-     * What to preempt so that several tasks find room: only best-effort tasks, those of the lowest
-     * priority, which run on capacity that nobody else needs. The slots that lose least are chosen,
-     * and capacity that is free already costs nothing.
+     * Returns the slots with the least lost work for several tasks. Only best-effort tasks are
+     * preempted: those of the lowest priority, which run on capacity that nobody else needs.
+     * Capacity that is free already costs nothing.
      *
-     * @param maxTasks the tasks that need room
-     * @param allOrNothing whether room for fewer is of no use, as for a gang
+     * @param maxTasks the number of tasks that need capacity
+     * @param allOrNothing whether to return no slots if there are fewer than {@code maxTasks}, as
+     *     for a gang
      */
     static <T> List<FreedSlot<T>> selectBestEffortVictims(
             JobSpec spec,
@@ -102,7 +103,7 @@
         return slots.subList(0, Math.min(maxTasks, slots.size()));
     }
 
-    /** Adds the slots that preempting best-effort tasks on one machine can give. */
+    /** Adds the slots on one machine, both free ones and those that preemption frees. */
     private static <T> void addSlots(
             JobSpec spec,
             int maxTasks,
@@ -142,7 +143,7 @@
         return tasks;
     }
 
-    /** A pull of the image counts as a second of lost work for each GB. */
+    /** An image pull counts as one second of lost work for each GB. */
     private static double imagePullLoss(JobSpec spec, PreemptionCandidate<?> candidate) {
         return candidate.imageCached() ? 0 : spec.imageSizeGb();
     }
