--- a/src/main/java/org/meadowhollow/coordination/scheduling/ArrivalForecast.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/ArrivalForecast.java
@@ -8,16 +8,16 @@
 import org.meadowhollow.model.MonotonicTime;
 
 /**
- * Predicts the jobs that will be submitted before a new machine could be ready for them: as many as
- * were submitted lately, within twice the time that a new machine takes. Kept only for jobs whose
- * tasks need most of a machine, since others nearly always find some room. Not thread-safe: guarded
- * by the leader's lock.
+ * Predicts the jobs that will be submitted before a new machine could be ready for them: the same
+ * jobs as were submitted recently, within twice the time that a new machine takes. Callers record
+ * only jobs whose tasks need most of a machine, since smaller tasks nearly always fit somewhere.
+ * Not thread-safe: guarded by the leader's lock.
  */
 public final class ArrivalForecast {
-    /** Bounds memory and the time that a round spends on predicted jobs. */
+    /** Limits the memory and the time that a round spends on predicted jobs. */
     private static final int MAX_ARRIVALS = 64;
 
-    /** Jobs arrive in bursts, so the window is twice the time that a new machine takes. */
+    /** Length of the window in startup delays; more than one because jobs arrive in bursts. */
     private static final int LOOKBACK_FACTOR = 2;
 
     private record Arrival(JobSpec spec, MonotonicTime arrivedAt, Duration startupDelay) {}
@@ -36,7 +36,7 @@
         }
     }
 
-    /** The jobs to keep room for, the latest first; forgets those that are too long ago. */
+    /** Returns the predicted jobs, the latest first; discards arrivals outside the window. */
     public List<JobSpec> predictedJobs(MonotonicTime now) {
         arrivals.removeIf(arrival -> isOutsideWindow(arrival, now));
         List<JobSpec> specs = new ArrayList<>();
--- a/src/main/java/org/meadowhollow/coordination/scheduling/RecentSamples.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/RecentSamples.java
@@ -9,7 +9,10 @@
  * the oldest sample is overwritten after that. Guarded by the lock of its table.
  */
 final class RecentSamples {
-    /** Bounds memory: ten minutes of periodic heartbeats, with room for those sent on a change. */
+    /**
+     * Limits memory: ten minutes of periodic heartbeats, with a margin for heartbeats that are sent
+     * on a change.
+     */
     static final int MAX_SAMPLES = 400;
 
     private static final int INITIAL_CAPACITY = 16;
@@ -27,7 +30,7 @@
     }
 
     /**
-     * The packed sample at an index.
+     * Returns the packed sample at an index.
      *
      * @param index 0 for the oldest
      */
@@ -81,8 +84,8 @@
     }
 
     /**
-     * Appends the samples as runs of equal ones: sample, length, and the ages of the first and the
-     * last in milliseconds.
+     * Appends the samples in run-length encoding. Each run of equal samples has four numbers: the
+     * sample, the length of the run, and the ages of its first and last sample in milliseconds.
      */
     void exportRuns(IntArrayList out, MonotonicTime now) {
         int index = 0;
@@ -98,7 +101,7 @@
         }
     }
 
-    /** The age of a time in milliseconds, within the range of non-negative ints. */
+    /** Returns the age of a time in milliseconds, limited to the range of non-negative ints. */
     static int ageMillis(MonotonicTime now, MonotonicTime then) {
         long age = (now.nanos() - then.nanos()) / NANOS_PER_MILLI;
         return (int) Math.max(0, Math.min(Integer.MAX_VALUE, age));
--- a/src/main/java/org/meadowhollow/coordination/scheduling/ReleaseForecast.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/ReleaseForecast.java
@@ -15,24 +15,30 @@
 import org.meadowhollow.model.Resources;
 
 /**
- * The capacity that tasks of job arrays will release soon. A pending task that can still be in time
- * on it needs no new machine, which would hardly be ready sooner. Belongs to one computation of the
- * capacity demand; not thread-safe.
+ * Predicts the capacity that tasks of job arrays will release soon. A pending task that can start
+ * in time on such capacity needs no new machine, which would hardly be ready sooner. Belongs to one
+ * computation of the capacity demand; not thread-safe.
  */
 public final class ReleaseForecast {
-    /** Runtime estimates of owners are often wrong by half. */
+    /** Factor on the runtime estimates of job owners, which are often wrong by half. */
     private static final double RUNTIME_ESTIMATE_MARGIN = 1.3;
 
-    /** A job that is late in any case should be delayed by no more than this share of its time. */
+    /**
+     * Limits the delay that waiting for released capacity adds to a job that is late in any case,
+     * as a share of its deadline.
+     */
     private static final double MAX_ADDED_DELAY_SHARE = 0.5;
 
-    /** A task is expected to run on for at least its expected runtime divided by this. */
+    /**
+     * The remaining runtime of a running task is assumed to be at least its expected runtime
+     * divided by this.
+     */
     private static final double MIN_REMAINING_DIVISOR = 4;
 
     /** Divides the pull time: a pull whose progress is unknown is half done on average. */
     private static final double PULL_PROGRESS_DIVISOR = 2;
 
-    /** The capacity of one task, released in some seconds. */
+    /** The capacity that the end of one task releases. */
     private record ExpectedRelease(
             double releasedInSeconds,
             Resources resources,
@@ -46,7 +52,7 @@
                     && (spec.allowsSpot() || !spot);
         }
 
-        /** When a task that follows on this capacity releases it in turn. */
+        /** Returns the release by a task that runs on this capacity next. */
         ExpectedRelease after(JobSpec spec) {
             return new ExpectedRelease(
                     releasedInSeconds + expectedRuntimeSeconds(spec),
@@ -60,7 +66,7 @@
     private final PriorityQueue<ExpectedRelease> releases =
             new PriorityQueue<>(Comparator.comparingDouble(ExpectedRelease::releasedInSeconds));
 
-    /** Records the array tasks on machines that other tasks can be placed on after them. */
+    /** Creates a forecast of the releases by array tasks on machines that may take new tasks. */
     public ReleaseForecast(List<Machine> machines, MonotonicTime now) {
         for (Machine machine : machines) {
             if (machine.isUnschedulable()) {
@@ -99,7 +105,7 @@
         return spec.estimatedRuntimeSeconds() * RUNTIME_ESTIMATE_MARGIN;
     }
 
-    /** Records a pending task that a machine still booting will run first. */
+    /** Adds the release by a pending task that is expected to run first on a booting machine. */
     public void addReleaseOnBootingMachine(
             JobSpec spec, MachineType type, String zone, boolean spot, double readyInSeconds) {
         releases.add(
@@ -112,13 +118,13 @@
     }
 
     /**
-     * Claims released capacity for tasks of a job array, each piece for several tasks one after the
-     * other where that is in time.
+     * Claims released capacity for pending tasks of a job array. The same capacity may serve
+     * several tasks one after the other, as long as each can start in time.
      *
-     * @param maxTasks how many tasks need capacity
-     * @param ageSeconds how long ago the job was submitted
-     * @param startupDelaySeconds how long a new machine takes until it could run a task
-     * @return how many tasks found capacity in time
+     * @param maxTasks the number of tasks that need capacity
+     * @param ageSeconds the time since the job was submitted
+     * @param startupDelaySeconds the time that a new machine takes until it could run a task
+     * @return the number of tasks for which capacity was claimed
      */
     public int claimReleases(
             JobSpec spec, int maxTasks, double ageSeconds, double startupDelaySeconds) {
@@ -135,7 +141,7 @@
                 unsuitable.add(release);
             }
             if (!hasReleaseUntil(latestStart)) {
-                // Capacity that was claimed can serve another task when the first one ends.
+                // Claimed capacity can serve another task after the first one ends.
                 releases.addAll(followUps);
                 followUps.clear();
             }
@@ -149,7 +155,10 @@
         return !releases.isEmpty() && releases.peek().releasedInSeconds() <= seconds;
     }
 
-    /** When a task must start to be in time; never sooner than a new machine could help. */
+    /**
+     * Returns in how many seconds a task must start to be in time; never less than the startup
+     * delay of a new machine, which could not help sooner.
+     */
     private static double latestStartInSeconds(
             JobSpec spec, double ageSeconds, double startupDelaySeconds) {
         if (Double.isNaN(spec.deadlineSeconds())) {
--- a/src/main/java/org/meadowhollow/coordination/scheduling/RiskSample.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/RiskSample.java
@@ -3,19 +3,22 @@
 /**
  * A sample of a risk table packed into one non-negative int: from the highest bits down the lost
  * tasks (violations), the tasks on the machine, and the load bucket. Both counts are capped at
- * 8191, so that a sample stays small in memory and between nodes.
+ * 8191, so that a sample stays compact in memory and in messages between nodes.
  */
 final class RiskSample {
-    /** The paper's groups V1 to V4: 0, 1 or 2, 3 or 4, and 5 or more violations. */
+    /** The violation groups V1 to V4 of the paper: 0, 1 or 2, 3 or 4, and 5 or more violations. */
     static final int VIOLATION_GROUPS = 4;
 
     private static final int SHARE_BUCKETS = 5;
     private static final int COUNT_BUCKETS = 6;
 
-    /** Load buckets: each combines a range of task counts with a range of allocated shares. */
+    /**
+     * Number of load buckets; each combines a range of task counts with a range of allocated
+     * shares.
+     */
     private static final int LOAD_BUCKETS = COUNT_BUCKETS * SHARE_BUCKETS;
 
-    /** Cells of a table: one for each load bucket and violation group. */
+    /** Number of cells of a table: one for each load bucket and violation group. */
     static final int CELLS = LOAD_BUCKETS * VIOLATION_GROUPS;
 
     private static final int BUCKET_BITS = 5;
@@ -35,7 +38,7 @@
         return (counts << BUCKET_BITS) | loadBucket(tasks, allocatedShare);
     }
 
-    /** Whether a number can be a packed sample. */
+    /** Whether a number is a valid packed sample. */
     static boolean isValid(int sample) {
         return sample >= 0 && loadBucketOf(sample) < LOAD_BUCKETS;
     }
@@ -48,7 +51,7 @@
         return sample >> (BUCKET_BITS + COUNT_BITS);
     }
 
-    /** The cell of a table that counts this sample. */
+    /** Returns the cell of a table that counts a packed sample. */
     static int cellOf(int sample) {
         return cell(loadBucketOf(sample), violationGroup(violationCountOf(sample)));
     }
@@ -57,7 +60,10 @@
         return loadBucket * VIOLATION_GROUPS + violationGroup;
     }
 
-    /** The bucket of a load: 0, 1, 2, 3 to 4, 5 to 8 or more tasks, and a fifth of the machine. */
+    /**
+     * Returns the bucket of a load. Task counts are grouped into 0, 1, 2, 3 to 4, 5 to 8, and more;
+     * allocated shares into fifths of the machine.
+     */
     static int loadBucket(int tasks, double allocatedShare) {
         int countBucket = tasks <= 2 ? tasks : tasks <= 4 ? 3 : tasks <= 8 ? 4 : 5;
         int shareBucket =
--- a/src/main/java/org/meadowhollow/coordination/scheduling/RiskTable.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/RiskTable.java
@@ -6,21 +6,21 @@
 import org.meadowhollow.model.MonotonicTime;
 
 /**
- * What one machine's history predicts of violations, that is lost tasks, at a load: how many
- * samples of each violation group were taken in each bucket of task count and allocated share. When
- * the machine's behaviour changes, the table is rebuilt from its recent samples. Not thread-safe:
- * guarded by the leader's lock.
+ * Predicts from one machine's history how likely violations, that is lost tasks, are at a load. The
+ * table counts the samples of each violation group in each bucket of task count and allocated
+ * share. When the machine's violation rate changes, the table is rebuilt from its recent samples.
+ * Not thread-safe: guarded by the leader's lock.
  */
 public final class RiskTable {
-    /** Fewer samples than this predict nothing (the design's starting value). */
+    /** The number of samples below which the table makes no prediction. */
     static final int MIN_SAMPLES = 20;
 
-    /** The violation rate is compared over windows of this length (the design's starting value). */
+    /** Length of the consecutive windows whose violation rates are compared. */
     private static final Duration RATE_WINDOW = Duration.ofMinutes(2);
 
     private static final int RATE_WINDOW_COUNT = 3;
 
-    /** Older samples are left out of a rebuilt table (the design's starting value). */
+    /** Older samples are left out of a rebuilt table. */
     public static final Duration SAMPLE_RETENTION = Duration.ofMinutes(10);
 
     /**
@@ -29,22 +29,22 @@
      */
     private static final double RATE_CHANGE_THRESHOLD = 0.2;
 
-    /** Positions in an exported table. */
+    /** Positions in the header of an exported table. */
     private static final int EXPORTED_SAMPLE_COUNT = 0;
 
     private static final int EXPORTED_WINDOW_AGE = 1;
     private static final int EXPORTED_CELL_COUNT = 2;
     private static final int EXPORTED_HEADER_LENGTH = 3;
 
-    /** Numbers of a cell in an exported table: cell, count. */
+    /** Number of ints for a cell in an exported table: cell, count. */
     private static final int INTS_PER_CELL = 2;
 
-    /** Numbers of a run of equal samples in an exported table: sample, length, two ages. */
+    /** Number of ints for a run of samples in an exported table: sample, length, two ages. */
     private static final int INTS_PER_RUN = 4;
 
     private static final double NANOS_PER_MILLI = 1e6;
 
-    /** Samples by {@link RiskSample#cellOf}. */
+    /** Number of samples by {@link RiskSample#cellOf}. */
     private final Int2IntCounterMap countsByCell = new Int2IntCounterMap(0);
 
     private final RecentSamples recentSamples = new RecentSamples();
@@ -54,7 +54,7 @@
     private MonotonicTime firstWindowStart;
 
     /**
-     * Adds what one heartbeat showed: the load, and the tasks lost since the heartbeat before.
+     * Adds a sample from a heartbeat: the load, and the tasks lost since the previous heartbeat.
      *
      * @param allocatedShare the share of the machine that its tasks are allocated, from 0 to 1
      * @return the packed sample, for {@link #replaySample} on a replica
@@ -66,14 +66,14 @@
     }
 
     /**
-     * Adds a sample that {@link #recordSample} of another table returned, at the same time, so that
-     * both tables become equal.
+     * Adds a sample that {@link #recordSample} of another table returned, with the time of that
+     * call, so that both tables become equal.
      *
      * @throws IllegalArgumentException if the number is not a packed sample
      */
     public void replaySample(int sample, MonotonicTime now) {
         if (!RiskSample.isValid(sample)) {
-            throw new IllegalArgumentException("not a risk sample: " + sample);
+            throw new IllegalArgumentException("invalid risk sample: " + sample);
         }
         countsByCell.incrementAndGet(RiskSample.cellOf(sample));
         countedSamples++;
@@ -91,7 +91,8 @@
     }
 
     /**
-     * The predicted probability of no violation at a load, or NaN if there are too few samples.
+     * Returns the predicted probability of no violation at a load, or NaN if there are too few
+     * samples.
      *
      * @param allocatedShare the share of the machine that its tasks are allocated, from 0 to 1
      */
@@ -122,7 +123,7 @@
         return highest - lowest > RATE_CHANGE_THRESHOLD;
     }
 
-    /** Violations per task in the samples of a window; 0 without tasks. */
+    /** Returns the violations per task in the samples of a window; 0 without tasks. */
     private double violationRate(MonotonicTime from, MonotonicTime to) {
         long tasks = 0;
         long violations = 0;
@@ -149,9 +150,10 @@
     }
 
     /**
-     * The table as numbers that mean the same to any process: a header of sample count, age of the
-     * first window and number of cells; the cells with their counts; the recent samples as runs of
-     * equal ones, of whose times only the first and the last are kept. Ages are in milliseconds.
+     * Exports the table as numbers that do not depend on the clock of this process: a header of
+     * sample count, age of the first window and number of cells; the cells with their counts; and
+     * the recent samples in run-length encoding, where only the first and the last time of a run
+     * are kept. Times are exported as ages in milliseconds.
      */
     public int[] exportState(MonotonicTime now) {
         IntArrayList out = new IntArrayList();
@@ -168,8 +170,8 @@
     }
 
     /**
-     * A table of what {@link #exportState} returned; times within a run of samples are spread
-     * evenly.
+     * Creates a table from the result of {@link #exportState}. The times within a run of samples
+     * are interpolated linearly.
      *
      * @throws IllegalArgumentException if the numbers are not an exported table
      */
@@ -191,11 +193,11 @@
                 || cells > RiskSample.CELLS
                 || exported[EXPORTED_SAMPLE_COUNT] < 0
                 || exported[EXPORTED_WINDOW_AGE] < 0) {
-            throw new IllegalArgumentException("not a risk table: invalid header");
+            throw new IllegalArgumentException("risk table has an invalid header");
         }
         int runsLength = exported.length - EXPORTED_HEADER_LENGTH - INTS_PER_CELL * cells;
         if (runsLength < 0 || runsLength % INTS_PER_RUN != 0) {
-            throw new IllegalArgumentException("not a risk table: invalid length");
+            throw new IllegalArgumentException("risk table has an invalid length");
         }
         return cells;
     }
@@ -206,13 +208,14 @@
             int cell = exported[at];
             int count = exported[at + 1];
             if (cell < 0 || cell >= RiskSample.CELLS || count <= 0) {
-                throw new IllegalArgumentException("not a risk table: invalid cell");
+                throw new IllegalArgumentException("risk table has an invalid cell");
             }
             countsByCell.put(cell, count);
             imported += count;
         }
         if (imported != exported[EXPORTED_SAMPLE_COUNT]) {
-            throw new IllegalArgumentException("not a risk table: counts do not add up");
+            throw new IllegalArgumentException(
+                    "risk table has cell counts that do not add up to its sample count");
         }
         countedSamples = imported;
     }
@@ -227,7 +230,7 @@
                 || length > RecentSamples.MAX_SAMPLES
                 || lastAge < 0
                 || firstAge < lastAge) {
-            throw new IllegalArgumentException("not a risk table: invalid run of samples");
+            throw new IllegalArgumentException("risk table has an invalid run of samples");
         }
         for (int index = 0; index < length; index++) {
             double age =
@@ -240,7 +243,7 @@
         return new MonotonicTime(now.nanos() - (long) (millis * NANOS_PER_MILLI));
     }
 
-    /** Whether both tables predict the same; their recent samples may differ. */
+    /** Whether both tables make the same predictions; their recent samples may differ. */
     @Override
     public boolean equals(Object other) {
         if (!(other instanceof RiskTable table)
--- a/src/test/java/org/meadowhollow/coordination/scheduling/ReleaseForecastTest.java
+++ b/src/test/java/org/meadowhollow/coordination/scheduling/ReleaseForecastTest.java
@@ -12,7 +12,7 @@
 import org.meadowhollow.model.Priority;
 import org.meadowhollow.model.Resources;
 
-/** Capacity is claimed by tasks whose estimated runtime is 10 s, with the margin 13 s. */
+/** All tasks have an estimated runtime of 10 s, so the forecast expects 13 s for each. */
 class ReleaseForecastTest {
     private static final Resources ONE = Resources.of(1, 1, 1);
     private static final MachineType TYPE =
@@ -52,13 +52,13 @@
     @Test
     void capacityServesSeveralTasksInTurnWhileTheyAreInTime() {
         addRelease(5, false);
-        // The last start in time is at 80 - 13 s: at 5, 18, 31, 44 and 57 s.
+        // The latest start in time is at 80 - 13 = 67 s, so tasks start at 5, 18, 31, 44 and 57 s.
         assertEquals(
                 5, releaseForecast.claimReleases(array(80, false), 9, 0, STARTUP_DELAY_SECONDS));
         assertEquals(
                 0,
                 releaseForecast.claimReleases(array(80, false), 9, 0, STARTUP_DELAY_SECONDS),
-                "the next would start at 70 s");
+                "the next task would start at 70 s");
     }
 
     @Test
--- a/src/test/java/org/meadowhollow/coordination/scheduling/RiskTableTest.java
+++ b/src/test/java/org/meadowhollow/coordination/scheduling/RiskTableTest.java
@@ -44,7 +44,7 @@
             table.recordSample(9, 0.9, 0, new MonotonicTime((second += 3) * 1_000_000_000L));
         }
         samples(210, 0);
-        assertEquals(1, table.noViolationProbability(9, 0.9), "no change, so nothing is forgotten");
+        assertEquals(1, table.noViolationProbability(9, 0.9), "an unchanged rate rebuilds nothing");
         samples(50, 4);
         assertTrue(Double.isNaN(table.noViolationProbability(9, 0.9)));
         assertTrue(table.noViolationProbability(4, 0.5) < 0.9);
