--- a/src/main/java/org/meadowhollow/coordination/scheduling/ClusterState.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/ClusterState.java
@@ -137,22 +137,23 @@
 
     /** Describes for the log why a job has pending tasks. */
     public String describePendingReason(Job job, MonotonicTime now) {
-        long stopping = job.placements().stream().filter(Placement::isStopping).count();
+        long stoppingTasks = job.placements().stream().filter(Placement::isStopping).count();
         if (job.backoffUntil() != null && now.isBefore(job.backoffUntil())) {
             return "backoff after failed tasks";
-        } else if (stopping > 0) {
-            return stopping + " tasks of the last attempt may still be running";
+        } else if (stoppingTasks > 0) {
+            return stoppingTasks + " tasks of the last attempt may still be running";
         } else if (exceedsTeamLimit(job)) {
             return "limit of its team";
         }
-        Object2IntOpenHashMap<String> machinesWithRoom = countMachinesWithRoom(job.spec(), now);
+        Object2IntOpenHashMap<String> machinesWithCapacity =
+                countMachinesWithCapacity(job.spec(), now);
         return job.placements().isEmpty()
-                ? "insufficient capacity: machines with capacity for a task " + machinesWithRoom
+                ? "insufficient capacity: machines with capacity for a task " + machinesWithCapacity
                 : job.placements().size()
                         + " tasks placed, "
                         + job.pendingTaskCount()
                         + " unplaced: machines with capacity for a task "
-                        + machinesWithRoom;
+                        + machinesWithCapacity;
     }
 
     /**
@@ -172,7 +173,8 @@
     }
 
     /** Counts the machines with capacity for a task, by zone if the job must stay in one zone. */
-    private Object2IntOpenHashMap<String> countMachinesWithRoom(JobSpec spec, MonotonicTime now) {
+    private Object2IntOpenHashMap<String> countMachinesWithCapacity(
+            JobSpec spec, MonotonicTime now) {
         Object2IntOpenHashMap<String> counts = new Object2IntOpenHashMap<>();
         for (Machine machine : machines.values()) {
             if (isEligibleFor(machine, spec, now)
--- a/src/main/java/org/meadowhollow/coordination/scheduling/PlacementRound.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/PlacementRound.java
@@ -90,8 +90,8 @@
         for (PendingJob job : jobs) {
             int tasksBefore = round.decisions.size();
             round.place(job);
-            boolean foundRoom = round.decisions.size() > tasksBefore;
-            if (foundRoom && placedJobs++ < maxDecidedJobs) {
+            boolean placedAnyTask = round.decisions.size() > tasksBefore;
+            if (placedAnyTask && placedJobs++ < maxDecidedJobs) {
                 decidedTasks = round.decisions.size();
             }
         }
@@ -127,7 +127,7 @@
             }
             queue.assign(selection.get());
             team.add(perTask);
-            decide(job, index, selection.get().candidate(), selection.get().byRiskTable());
+            addDecision(job, index, selection.get().candidate(), selection.get().byRiskTable());
         }
     }
 
@@ -152,12 +152,12 @@
         boolean byRiskTable = riskPolicy == RiskPolicy.ACCEPTED_ONLY;
         for (int index = 0; index < plan.size(); index++) {
             plan.get(index).assign(gang.spec());
-            decide(gang, index, plan.get(index), byRiskTable);
+            addDecision(gang, index, plan.get(index), byRiskTable);
         }
         return !plan.isEmpty();
     }
 
-    private void decide(
+    private void addDecision(
             PendingJob job, int index, MachineCandidate candidate, boolean byRiskTable) {
         decisions.add(
                 new Decision(job.spec(), job.tasks()[index], candidate.machineId(), byRiskTable));
--- a/src/main/java/org/meadowhollow/coordination/scheduling/PreemptionPlanner.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/PreemptionPlanner.java
@@ -50,7 +50,7 @@
             machineByCandidate.put(candidate, machine);
         }
 
-        List<PreemptionCandidate<Placement>> inAllZones() {
+        List<PreemptionCandidate<Placement>> allCandidates() {
             return candidatesByZone.values().stream().flatMap(List::stream).toList();
         }
     }
@@ -80,8 +80,8 @@
     public List<Placement> planPreemption(
             Job job, Object2IntMap<String> tasksByZone, boolean guaranteed, MonotonicTime now) {
         JobSpec spec = job.spec();
-        boolean largeGang = spec.kind() == JobKind.GANG && spec.taskCount() > 1;
-        if (largeGang
+        boolean multiTaskGang = spec.kind() == JobKind.GANG && spec.taskCount() > 1;
+        if (multiTaskGang
                 || now.secondsSince(job.pendingSince())
                         < objectives.waitBudgetSeconds(spec, guaranteed)
                 || isCoolingDown(job, now)) {
@@ -118,7 +118,7 @@
                 spec.requiresSingleZone()
                         ? selectSlotsInBestZone(spec, count, gang, candidates)
                         : VictimSelector.selectBestEffortVictims(
-                                spec, count, gang, candidates.inAllZones());
+                                spec, count, gang, candidates.allCandidates());
         List<Placement> victims = slots.stream().flatMap(slot -> slot.victims().stream()).toList();
         if (gang && !victims.isEmpty()) {
             // Without the hold, smaller tasks that are placed first would take part of the freed
@@ -158,9 +158,10 @@
             JobSpec spec, int count, boolean gang, BestEffortCandidates candidates) {
         List<FreedSlot<Placement>> best = List.of();
         double leastLoss = Double.MAX_VALUE;
-        for (List<PreemptionCandidate<Placement>> inZone : candidates.candidatesByZone.values()) {
+        for (List<PreemptionCandidate<Placement>> zoneCandidates :
+                candidates.candidatesByZone.values()) {
             List<FreedSlot<Placement>> slots =
-                    VictimSelector.selectBestEffortVictims(spec, count, gang, inZone);
+                    VictimSelector.selectBestEffortVictims(spec, count, gang, zoneCandidates);
             double loss = slots.stream().mapToDouble(FreedSlot::lostWorkSeconds).sum();
             if (!slots.isEmpty() && loss < leastLoss) {
                 best = slots;
@@ -189,21 +190,23 @@
 
     private PreemptionCandidate<Placement> createCandidate(
             Machine machine,
-            JobSpec waiting,
+            JobSpec waitingSpec,
             Map<String, Resources> usageByTeam,
             MonotonicTime now) {
         List<RunningTask<Placement>> running = new ArrayList<>();
         for (Placement placement : machine.placements()) {
             JobSpec spec = placement.job().spec();
             if (spec.kind() != JobKind.SERVICE && !placement.isStopping()) {
-                running.add(describe(placement, usageByTeam.get(spec.team()), now));
+                running.add(createRunningTask(placement, usageByTeam.get(spec.team()), now));
             }
         }
         return new PreemptionCandidate<>(
-                machine.freeCapacity(), machine.imageCache().contains(waiting.image()), running);
+                machine.freeCapacity(),
+                machine.imageCache().contains(waitingSpec.image()),
+                running);
     }
 
-    private RunningTask<Placement> describe(
+    private RunningTask<Placement> createRunningTask(
             Placement placement, Resources teamUsage, MonotonicTime now) {
         JobSpec spec = placement.job().spec();
         double runningSeconds =
--- a/src/main/java/org/meadowhollow/coordination/scheduling/RecentSamples.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/RecentSamples.java
@@ -90,20 +90,20 @@
     void exportRuns(IntArrayList out, MonotonicTime now) {
         int index = 0;
         while (index < count) {
-            int first = index;
-            while (index < count && sampleAt(index) == sampleAt(first)) {
+            int runStart = index;
+            while (index < count && sampleAt(index) == sampleAt(runStart)) {
                 index++;
             }
-            out.add(sampleAt(first));
-            out.add(index - first);
-            out.add(ageMillis(now, timeAt(first)));
+            out.add(sampleAt(runStart));
+            out.add(index - runStart);
+            out.add(ageMillis(now, timeAt(runStart)));
             out.add(ageMillis(now, timeAt(index - 1)));
         }
     }
 
     /** Returns the age of a time in milliseconds, limited to the range of non-negative ints. */
-    static int ageMillis(MonotonicTime now, MonotonicTime then) {
-        long age = (now.nanos() - then.nanos()) / NANOS_PER_MILLI;
+    static int ageMillis(MonotonicTime now, MonotonicTime time) {
+        long age = (now.nanos() - time.nanos()) / NANOS_PER_MILLI;
         return (int) Math.max(0, Math.min(Integer.MAX_VALUE, age));
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/scheduling/ReleaseForecast.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/ReleaseForecast.java
@@ -53,7 +53,7 @@
         }
 
         /** Returns the release by a task that runs on this capacity next. */
-        ExpectedRelease after(JobSpec spec) {
+        ExpectedRelease followUpRelease(JobSpec spec) {
             return new ExpectedRelease(
                     releasedInSeconds + expectedRuntimeSeconds(spec),
                     spec.resourcesPerTask(),
@@ -132,15 +132,15 @@
         Deque<ExpectedRelease> unsuitable = new ArrayDeque<>();
         List<ExpectedRelease> followUps = new ArrayList<>();
         int claimed = 0;
-        while (claimed < maxTasks && hasReleaseUntil(latestStart)) {
+        while (claimed < maxTasks && hasReleaseWithin(latestStart)) {
             ExpectedRelease release = releases.poll();
             if (release.canRun(spec)) {
-                followUps.add(release.after(spec));
+                followUps.add(release.followUpRelease(spec));
                 claimed++;
             } else {
                 unsuitable.add(release);
             }
-            if (!hasReleaseUntil(latestStart)) {
+            if (!hasReleaseWithin(latestStart)) {
                 // Claimed capacity can serve another task after the first one ends.
                 releases.addAll(followUps);
                 followUps.clear();
@@ -151,7 +151,7 @@
         return claimed;
     }
 
-    private boolean hasReleaseUntil(double seconds) {
+    private boolean hasReleaseWithin(double seconds) {
         return !releases.isEmpty() && releases.peek().releasedInSeconds() <= seconds;
     }
 
--- a/src/main/java/org/meadowhollow/coordination/scheduling/RiskTable.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/RiskTable.java
@@ -128,8 +128,8 @@
         long tasks = 0;
         long violations = 0;
         for (int index = 0; index < recentSamples.count(); index++) {
-            MonotonicTime at = recentSamples.timeAt(index);
-            if (!at.isBefore(from) && at.isBefore(to)) {
+            MonotonicTime sampledAt = recentSamples.timeAt(index);
+            if (!sampledAt.isBefore(from) && sampledAt.isBefore(to)) {
                 tasks += RiskSample.taskCountOf(recentSamples.sampleAt(index));
                 violations += RiskSample.violationCountOf(recentSamples.sampleAt(index));
             }
@@ -176,18 +176,18 @@
      * @throws IllegalArgumentException if the numbers are not an exported table
      */
     public static RiskTable fromExportedState(int[] exported, MonotonicTime now) {
-        int runsStart = EXPORTED_HEADER_LENGTH + INTS_PER_CELL * validCellCount(exported);
+        int runsStart = EXPORTED_HEADER_LENGTH + INTS_PER_CELL * validatedCellCount(exported);
         RiskTable table = new RiskTable();
         table.importCells(exported, runsStart);
         table.firstWindowStart =
                 table.countedSamples == 0 ? null : millisBefore(now, exported[EXPORTED_WINDOW_AGE]);
-        for (int at = runsStart; at < exported.length; at += INTS_PER_RUN) {
-            table.importRun(exported, at, now);
+        for (int position = runsStart; position < exported.length; position += INTS_PER_RUN) {
+            table.importRun(exported, position, now);
         }
         return table;
     }
 
-    private static int validCellCount(int[] exported) {
+    private static int validatedCellCount(int[] exported) {
         int cells = exported.length < EXPORTED_HEADER_LENGTH ? -1 : exported[EXPORTED_CELL_COUNT];
         if (cells < 0
                 || cells > RiskSample.CELLS
@@ -204,9 +204,9 @@
 
     private void importCells(int[] exported, int end) {
         int imported = 0;
-        for (int at = EXPORTED_HEADER_LENGTH; at < end; at += INTS_PER_CELL) {
-            int cell = exported[at];
-            int count = exported[at + 1];
+        for (int position = EXPORTED_HEADER_LENGTH; position < end; position += INTS_PER_CELL) {
+            int cell = exported[position];
+            int count = exported[position + 1];
             if (cell < 0 || cell >= RiskSample.CELLS || count <= 0) {
                 throw new IllegalArgumentException("risk table has an invalid cell");
             }
@@ -220,11 +220,11 @@
         countedSamples = imported;
     }
 
-    private void importRun(int[] exported, int at, MonotonicTime now) {
-        int sample = exported[at];
-        int length = exported[at + 1];
-        double firstAge = exported[at + 2];
-        double lastAge = exported[at + 3];
+    private void importRun(int[] exported, int position, MonotonicTime now) {
+        int sample = exported[position];
+        int length = exported[position + 1];
+        double firstAge = exported[position + 2];
+        double lastAge = exported[position + 3];
         if (!RiskSample.isValid(sample)
                 || length <= 0
                 || length > RecentSamples.MAX_SAMPLES
--- a/src/main/java/org/meadowhollow/coordination/scheduling/SchedulingSnapshot.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/SchedulingSnapshot.java
@@ -141,14 +141,14 @@
     }
 
     private void addPendingJobs() {
-        List<Job> ordered = new ArrayList<>();
+        List<Job> jobsToPlace = new ArrayList<>();
         for (Job job : clusterState.jobs().values()) {
             if (job.pendingTaskCount() > 0 && !job.isComplete() && !isBackingOff(job)) {
-                ordered.add(job);
+                jobsToPlace.add(job);
             }
         }
-        ordered.sort(jobOrder());
-        for (Job job : ordered) {
+        jobsToPlace.sort(jobOrder());
+        for (Job job : jobsToPlace) {
             int[] tasks = findPlaceableTasks(job);
             if (tasks.length > 0) {
                 pendingJobs.add(createPendingJob(job, tasks));
@@ -244,7 +244,7 @@
         List<Job> oldestFirst = new ArrayList<>(clusterState.jobs().values());
         oldestFirst.sort(Comparator.comparingLong(Job::acceptedAtMillis).thenComparing(Job::id));
         Map<String, Resources> demandByTeam = new HashMap<>();
-        Map<JobId, Boolean> within = new HashMap<>();
+        Map<JobId, Boolean> withinQuotaByJob = new HashMap<>();
         for (Job job : oldestFirst) {
             if (job.isCancelled()) {
                 continue;
@@ -257,9 +257,9 @@
                             spec.resourcesPerTask().times(unfinishedTasks),
                             Resources::plus);
             Resources guaranteed = deploymentSettings.teamQuotas().get(spec.team()).guaranteed();
-            within.put(job.id(), isWithinGuarantee(demand, guaranteed));
+            withinQuotaByJob.put(job.id(), isWithinGuarantee(demand, guaranteed));
         }
-        return within;
+        return withinQuotaByJob;
     }
 
     /**
--- a/src/main/java/org/meadowhollow/coordination/scheduling/ServiceLevelObjectives.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/ServiceLevelObjectives.java
@@ -19,10 +19,10 @@
     static final Duration RISK_IGNORED_AFTER = Duration.ofSeconds(30);
 
     /** Kind in the settings: an objective on the waiting time of a job class. */
-    private static final String WAIT_TARGET = "wait";
+    private static final String WAIT_TARGET_KIND = "wait";
 
     /** Kind in the settings: an objective on the waiting time within the guaranteed quota. */
-    private static final String GUARANTEE_TARGET = "guarantee";
+    private static final String GUARANTEE_TARGET_KIND = "guarantee";
 
     private final DeploymentSettings deploymentSettings;
     private final MachineTypeCatalog machineTypeCatalog;
@@ -74,23 +74,23 @@
      * @param guaranteed whether the job is within the guaranteed quota of its team
      */
     double waitBudgetSeconds(JobSpec spec, boolean guaranteed) {
-        double strictest = Double.MAX_VALUE;
+        double strictestThreshold = Double.MAX_VALUE;
         for (DeploymentSettings.ServiceLevelTarget target :
                 deploymentSettings.serviceLevelTargets()) {
             if (appliesTo(target, spec, guaranteed)) {
-                strictest = Math.min(strictest, target.thresholdSeconds());
+                strictestThreshold = Math.min(strictestThreshold, target.thresholdSeconds());
             }
         }
-        return strictest == Double.MAX_VALUE
+        return strictestThreshold == Double.MAX_VALUE
                 ? RISK_IGNORED_AFTER.toSeconds()
-                : strictest - startupDelaySeconds(spec);
+                : strictestThreshold - startupDelaySeconds(spec);
     }
 
     private static boolean appliesTo(
             DeploymentSettings.ServiceLevelTarget target, JobSpec spec, boolean guaranteed) {
-        boolean onItsClass =
-                target.kind().equals(WAIT_TARGET) && spec.jobClass().equals(target.jobClass());
-        return onItsClass || (target.kind().equals(GUARANTEE_TARGET) && guaranteed);
+        boolean matchesClass =
+                target.kind().equals(WAIT_TARGET_KIND) && spec.jobClass().equals(target.jobClass());
+        return matchesClass || (target.kind().equals(GUARANTEE_TARGET_KIND) && guaranteed);
     }
 
     /**
@@ -98,14 +98,14 @@
      * image; {@link Double#MAX_VALUE} if no machine type fits.
      */
     public double startupDelaySeconds(JobSpec spec) {
-        double shortest = Double.MAX_VALUE;
+        double shortestDelay = Double.MAX_VALUE;
         for (MachineType type : machineTypeCatalog.types()) {
             if (fits(spec, type)) {
                 double pullSeconds = spec.imageSizeGb() / type.imagePullGbPerSecond();
-                shortest = Math.min(shortest, type.bootSeconds() + pullSeconds);
+                shortestDelay = Math.min(shortestDelay, type.bootSeconds() + pullSeconds);
             }
         }
-        return shortest;
+        return shortestDelay;
     }
 
     /**
--- a/src/main/java/org/meadowhollow/coordination/scheduling/VictimSelector.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/VictimSelector.java
@@ -54,10 +54,11 @@
         double leastLoss = Double.MAX_VALUE;
         for (PreemptionCandidate<T> candidate : candidates) {
             List<RunningTask<T>> preemptible =
-                    leastLossFirst(candidate, task -> mayPreempt(spec, guaranteed, task));
+                    preemptibleTasksByLostWork(
+                            candidate, task -> mayPreempt(spec, guaranteed, task));
             Resources free = candidate.freeCapacity();
             List<T> victims = new ArrayList<>();
-            double loss = imagePullLoss(spec, candidate);
+            double loss = imagePullLossSeconds(spec, candidate);
             for (RunningTask<T> victim : preemptible) {
                 if (spec.resourcesPerTask().fitsIn(free)) {
                     break;
@@ -110,14 +111,14 @@
             PreemptionCandidate<T> candidate,
             List<FreedSlot<T>> slots) {
         List<RunningTask<T>> bestEffort =
-                leastLossFirst(candidate, task -> task.priority() == Priority.LOW);
+                preemptibleTasksByLostWork(candidate, task -> task.priority() == Priority.LOW);
         Resources free = candidate.freeCapacity();
-        double loss = imagePullLoss(spec, candidate);
-        int next = 0;
+        double loss = imagePullLossSeconds(spec, candidate);
+        int nextVictim = 0;
         for (int count = 0; count < maxTasks; count++) {
             List<T> victims = new ArrayList<>();
-            while (!spec.resourcesPerTask().fitsIn(free) && next < bestEffort.size()) {
-                RunningTask<T> victim = bestEffort.get(next++);
+            while (!spec.resourcesPerTask().fitsIn(free) && nextVictim < bestEffort.size()) {
+                RunningTask<T> victim = bestEffort.get(nextVictim++);
                 free = free.plus(victim.allocated());
                 victims.add(victim.task());
                 loss += victim.lostWorkSeconds();
@@ -131,7 +132,7 @@
         }
     }
 
-    private static <T> List<RunningTask<T>> leastLossFirst(
+    private static <T> List<RunningTask<T>> preemptibleTasksByLostWork(
             PreemptionCandidate<T> candidate, Predicate<RunningTask<T>> preemptible) {
         List<RunningTask<T>> tasks = new ArrayList<>();
         for (RunningTask<T> task : candidate.runningTasks()) {
@@ -144,7 +145,7 @@
     }
 
     /** An image pull counts as one second of lost work for each GB. */
-    private static double imagePullLoss(JobSpec spec, PreemptionCandidate<?> candidate) {
+    private static double imagePullLossSeconds(JobSpec spec, PreemptionCandidate<?> candidate) {
         return candidate.imageCached() ? 0 : spec.imageSizeGb();
     }
 
