--- a/src/test/java/org/meadowhollow/coordination/scheduling/PlacementOrderTest.java
+++ b/src/test/java/org/meadowhollow/coordination/scheduling/PlacementOrderTest.java
@@ -30,7 +30,7 @@
  */
 class PlacementOrderTest {
     private static final int MACHINES = 40;
-    private static final Resources WHOLE = Resources.of(8, 8, 8);
+    private static final Resources MACHINE_CAPACITY = Resources.of(8, 8, 8);
     private static final List<String> ZONES = List.of("a", "b", "c");
 
     private static LongStream seeds() {
@@ -40,24 +40,24 @@
     private static List<MachineCandidate> candidates(long seed) {
         Random random = new Random(seed);
         List<MachineCandidate> candidates = new ArrayList<>();
-        boolean forLarge = random.nextBoolean();
-        for (int at = 0; at < MACHINES; at++) {
-            MachineId id = new MachineId("vm-" + at);
+        boolean wantedForLargeTasks = random.nextBoolean();
+        for (int index = 0; index < MACHINES; index++) {
+            MachineId id = new MachineId("vm-" + index);
             String zone = ZONES.get(random.nextInt(ZONES.size()));
             boolean spot = random.nextInt(3) == 0;
-            MachineType type = new MachineType("type", WHOLE, 50, 1, 1, 1, 1, ZONES);
+            MachineType type = new MachineType("type", MACHINE_CAPACITY, 50, 1, 1, 1, 1, ZONES);
             Machine machine = new Machine(id, type, zone, spot);
-            Object2DoubleMap<String> pulls = new Object2DoubleOpenHashMap<>();
+            Object2DoubleMap<String> remainingPullSeconds = new Object2DoubleOpenHashMap<>();
             for (int image = 0; image < 3; image++) {
                 if (random.nextInt(3) == 0) {
                     machine.imageCache().recordUse("image-" + image, 12);
                 } else if (random.nextInt(3) == 0) {
-                    pulls.put("image-" + image, random.nextInt(12));
+                    remainingPullSeconds.put("image-" + image, random.nextInt(12));
                 }
             }
-            RiskTable risk = new RiskTable();
+            RiskTable riskTable = new RiskTable();
             for (int sample = 0, samples = random.nextInt(60); sample < samples; sample++) {
-                risk.recordSample(
+                riskTable.recordSample(
                         random.nextInt(8),
                         random.nextDouble(),
                         random.nextInt(6) == 0 ? 1 : 0,
@@ -66,16 +66,17 @@
             int used = random.nextInt(8);
             candidates.add(
                     new MachineCandidate(
-                            at,
-                            new MachineCandidate.Profile(id, "type", zone, spot, WHOLE, 1),
+                            index,
+                            new MachineCandidate.Profile(
+                                    id, "type", zone, spot, MACHINE_CAPACITY, 1),
                             new MachineCandidate.Load(
-                                    WHOLE.minus(Resources.of(used, used, used)),
+                                    MACHINE_CAPACITY.minus(Resources.of(used, used, used)),
                                     used,
                                     random.nextInt(used + 1),
                                     machine.imageCache(),
-                                    pulls),
-                            risk,
-                            forLarge));
+                                    remainingPullSeconds),
+                            riskTable,
+                            wantedForLargeTasks));
         }
         return candidates;
     }
@@ -104,13 +105,13 @@
                 Double.NaN);
     }
 
-    private static Map<String, TeamUsage> teams() {
+    private static Map<String, TeamUsage> unlimitedTeam() {
         return Map.of("team", new TeamUsage(Resources.NONE, Resources.NONE));
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void placesTasksTogetherAsOneByOne(long seed) {
+    void placesTasksTogetherAsInSingleTaskRounds(long seed) {
         JobSpec spec = spec(seed, seed % 2 == 0 ? JobKind.ARRAY : JobKind.SERVICE);
         boolean ignoresRisk = seed % 3 == 0;
         int[] tasks = new int[spec.taskCount()];
@@ -120,7 +121,7 @@
         List<PlacementRound.Decision> together =
                 PlacementRound.run(
                                 candidates(seed),
-                                teams(),
+                                unlimitedTeam(),
                                 List.of(
                                         new PlacementRound.PendingJob(
                                                 spec,
@@ -132,15 +133,18 @@
 
         List<MachineCandidate> candidates = candidates(seed);
         List<PlacementRound.Decision> oneByOne = new ArrayList<>();
-        Object2IntOpenHashMap<String> zones = new Object2IntOpenHashMap<>();
+        Object2IntOpenHashMap<String> tasksByZone = new Object2IntOpenHashMap<>();
         for (int task : tasks) {
             List<PlacementRound.Decision> next =
                     PlacementRound.run(
                                     candidates,
-                                    teams(),
+                                    unlimitedTeam(),
                                     List.of(
                                             new PlacementRound.PendingJob(
-                                                    spec, new int[] {task}, zones, ignoresRisk)),
+                                                    spec,
+                                                    new int[] {task},
+                                                    tasksByZone,
+                                                    ignoresRisk)),
                                     1)
                             .decisions();
             for (PlacementRound.Decision decision : next) {
@@ -148,7 +152,7 @@
                         .filter(
                                 machineCandidate ->
                                         machineCandidate.machineId().equals(decision.machine()))
-                        .forEach(machineCandidate -> zones.addTo(machineCandidate.zone(), 1));
+                        .forEach(machineCandidate -> tasksByZone.addTo(machineCandidate.zone(), 1));
             }
             oneByOne.addAll(next);
         }
@@ -160,22 +164,26 @@
     void gangWithoutRoomLeavesCandidatesUnchanged(long seed) {
         JobSpec gang = spec(seed, JobKind.GANG);
         JobSpec array = spec(seed + 1, JobKind.ARRAY);
-        int[] tooMany = new int[MACHINES * 8 + 1];
+        int[] tasksBeyondCapacity = new int[MACHINES * 8 + 1];
         int[] tasks = new int[array.taskCount()];
         var pendingJob =
                 new PlacementRound.PendingJob(array, tasks, new Object2IntOpenHashMap<>(), false);
-        List<PlacementRound.Decision> alone =
-                PlacementRound.run(candidates(seed), teams(), List.of(pendingJob), 1).decisions();
+        List<PlacementRound.Decision> decisionsWithoutGang =
+                PlacementRound.run(candidates(seed), unlimitedTeam(), List.of(pendingJob), 1)
+                        .decisions();
         var outcome =
                 PlacementRound.run(
                         candidates(seed),
-                        teams(),
+                        unlimitedTeam(),
                         List.of(
                                 new PlacementRound.PendingJob(
-                                        gang, tooMany, new Object2IntOpenHashMap<>(), false),
+                                        gang,
+                                        tasksBeyondCapacity,
+                                        new Object2IntOpenHashMap<>(),
+                                        false),
                                 pendingJob),
                         1);
-        assertEquals(alone, outcome.decisions());
+        assertEquals(decisionsWithoutGang, outcome.decisions());
         assertTrue(outcome.unplacedTasksByJob().containsKey(gang.id()));
     }
 }
--- a/src/test/java/org/meadowhollow/coordination/scheduling/PlacementRoundTest.java
+++ b/src/test/java/org/meadowhollow/coordination/scheduling/PlacementRoundTest.java
@@ -22,7 +22,7 @@
 import org.meadowhollow.model.Resources;
 
 class PlacementRoundTest {
-    private static final Resources WHOLE = Resources.of(8, 8, 8);
+    private static final Resources MACHINE_CAPACITY = Resources.of(8, 8, 8);
     private final List<MachineCandidate> candidates = new ArrayList<>();
     private final List<Object2DoubleMap<String>> pullsByCandidate = new ArrayList<>();
 
@@ -33,17 +33,17 @@
      */
     private static RiskTable riskTable(int violations) {
         RiskTable table = new RiskTable();
-        for (int at = 0; at < 40; at++) {
+        for (int index = 0; index < 40; index++) {
             table.recordSample(
-                    1, 0.13, at < violations ? 1 : 0, new MonotonicTime(at * 1_000_000_000L));
+                    1, 0.13, index < violations ? 1 : 0, new MonotonicTime(index * 1_000_000_000L));
         }
         return table;
     }
 
-    private void candidate(String name, double used, RiskTable risk, String... images) {
+    private void addCandidate(String name, double used, RiskTable risk, String... images) {
         Object2DoubleMap<String> pulls = new Object2DoubleOpenHashMap<>();
         pullsByCandidate.add(pulls);
-        MachineType type = new MachineType("type", WHOLE, 50, 1, 1, 1, 1, List.of());
+        MachineType type = new MachineType("type", MACHINE_CAPACITY, 50, 1, 1, 1, 1, List.of());
         ImageCache cache =
                 new Machine(new MachineId(name), type, name.substring(0, 1), false).imageCache();
         for (String image : images) {
@@ -53,9 +53,18 @@
                 new MachineCandidate(
                         candidates.size(),
                         new MachineCandidate.Profile(
-                                new MachineId(name), "type", name.substring(0, 1), false, WHOLE, 1),
+                                new MachineId(name),
+                                "type",
+                                name.substring(0, 1),
+                                false,
+                                MACHINE_CAPACITY,
+                                1),
                         new MachineCandidate.Load(
-                                WHOLE.minus(Resources.of(used, used, used)), 0, 0, cache, pulls),
+                                MACHINE_CAPACITY.minus(Resources.of(used, used, used)),
+                                0,
+                                0,
+                                cache,
+                                pulls),
                         risk,
                         false));
     }
@@ -83,7 +92,7 @@
     }
 
     /** A job whose image takes 30 s to pull. */
-    private static JobSpec withLargeImage(JobKind kind, int tasks) {
+    private static JobSpec specWithLargeImage(JobKind kind, int tasks) {
         return new JobSpec(
                 new JobId("req-1"),
                 "class",
@@ -109,10 +118,10 @@
         pullsByCandidate.get(candidate).put(image, remainingSeconds);
     }
 
-    private List<String> run(JobSpec spec, boolean ignoresRisk) {
+    private List<String> runRound(JobSpec spec, boolean ignoresRisk) {
         int[] tasks = new int[spec.taskCount()];
-        for (int at = 0; at < tasks.length; at++) {
-            tasks[at] = at;
+        for (int index = 0; index < tasks.length; index++) {
+            tasks[index] = index;
         }
         Map<String, TeamUsage> teams =
                 Map.of("team", new TeamUsage(Resources.NONE, Resources.NONE));
@@ -128,70 +137,72 @@
                 .map(
                         decision ->
                                 decision.machine()
-                                        + (decision.byRiskTable() ? " by risk" : " by room"))
+                                        + (decision.byRiskTable() ? " by risk" : " by preference"))
                 .toList();
     }
 
     @Test
     void leastRiskComesBeforeMostRoom() {
-        candidate("a1", 0, riskTable(4));
-        candidate("a2", 0.1, riskTable(0));
-        assertEquals(List.of("a2 by risk"), run(spec(JobKind.ARRAY, 1, false), false));
+        addCandidate("a1", 0, riskTable(4));
+        addCandidate("a2", 0.1, riskTable(0));
+        assertEquals(List.of("a2 by risk"), runRound(spec(JobKind.ARRAY, 1, false), false));
     }
 
     @Test
     void mostRoomWinsAtEqualRisk() {
-        candidate("a1", 0.1, riskTable(2));
-        candidate("a2", 0, riskTable(2));
-        assertEquals(List.of("a2 by risk"), run(spec(JobKind.ARRAY, 1, false), false));
+        addCandidate("a1", 0.1, riskTable(2));
+        addCandidate("a2", 0, riskTable(2));
+        assertEquals(List.of("a2 by risk"), runRound(spec(JobKind.ARRAY, 1, false), false));
     }
 
     @Test
     void machineAboveRiskThresholdIsUsedOnlyWhenRiskIsIgnored() {
-        candidate("a1", 0, riskTable(20));
-        assertEquals(List.of(), run(spec(JobKind.ARRAY, 1, false), false));
-        assertEquals(List.of("a1 by room"), run(spec(JobKind.ARRAY, 1, false), true));
+        addCandidate("a1", 0, riskTable(20));
+        assertEquals(List.of(), runRound(spec(JobKind.ARRAY, 1, false), false));
+        assertEquals(List.of("a1 by preference"), runRound(spec(JobKind.ARRAY, 1, false), true));
     }
 
     @Test
     void unknownRiskIsComparedByRoomAlone() {
-        candidate("a1", 2, new RiskTable());
-        candidate("a2", 0, new RiskTable());
-        assertEquals(List.of("a2 by room"), run(spec(JobKind.ARRAY, 1, false), false));
+        addCandidate("a1", 2, new RiskTable());
+        addCandidate("a2", 0, new RiskTable());
+        assertEquals(List.of("a2 by preference"), runRound(spec(JobKind.ARRAY, 1, false), false));
     }
 
     @Test
     void cachedImageComesBeforeMostRoom() {
-        candidate("a1", 3, new RiskTable(), "image");
-        candidate("a2", 0, new RiskTable());
-        assertEquals(List.of("a1 by room"), run(spec(JobKind.ARRAY, 1, false), false));
+        addCandidate("a1", 3, new RiskTable(), "image");
+        addCandidate("a2", 0, new RiskTable());
+        assertEquals(List.of("a1 by preference"), runRound(spec(JobKind.ARRAY, 1, false), false));
     }
 
     @Test
     void concurrentPullsShareBandwidth() {
-        candidate("a1", 0, new RiskTable());
-        candidate("a2", 2, new RiskTable());
+        addCandidate("a1", 0, new RiskTable());
+        addCandidate("a2", 2, new RiskTable());
         startPull(0, "other", 30);
-        JobSpec spec = withLargeImage(JobKind.ARRAY, 1);
+        JobSpec spec = specWithLargeImage(JobKind.ARRAY, 1);
         assertEquals(
-                List.of("a2 by room"), run(spec, false), "two pulls would share a1's bandwidth");
+                List.of("a2 by preference"),
+                runRound(spec, false),
+                "two pulls would share a1's bandwidth");
     }
 
     @Test
     void serviceReplicaPrefersMachineWithoutPullInProgress() {
-        candidate("a1", 0, new RiskTable());
-        candidate("a2", 1, new RiskTable());
+        addCandidate("a1", 0, new RiskTable());
+        addCandidate("a2", 1, new RiskTable());
         assertEquals(
-                List.of("a1 by room", "a2 by room"),
-                run(withLargeImage(JobKind.SERVICE, 2), false));
+                List.of("a1 by preference", "a2 by preference"),
+                runRound(specWithLargeImage(JobKind.SERVICE, 2), false));
     }
 
     @Test
     void gangGoesToZoneWhereSlowestPullEndsFirst() {
-        candidate("a1", 0, new RiskTable());
-        candidate("a2", 0, new RiskTable(), "image");
-        candidate("b1", 6, new RiskTable(), "image");
-        JobSpec one =
+        addCandidate("a1", 0, new RiskTable());
+        addCandidate("a2", 0, new RiskTable(), "image");
+        addCandidate("b1", 6, new RiskTable(), "image");
+        JobSpec gang =
                 new JobSpec(
                         new JobId("req-1"),
                         "class",
@@ -211,22 +222,22 @@
                         0,
                         0,
                         Double.NaN);
-        assertEquals(List.of("a2 by room", "a2 by room"), run(one, false));
+        assertEquals(List.of("a2 by preference", "a2 by preference"), runRound(gang, false));
         candidates.remove(1);
-        assertEquals(List.of("b1 by room", "b1 by room"), run(one, false));
+        assertEquals(List.of("b1 by preference", "b1 by preference"), runRound(gang, false));
     }
 
     @Test
     void singleZoneGangGoesToZoneWithRoomForAllTasks() {
-        candidate("a1", 7, new RiskTable());
-        candidate("b1", 6, new RiskTable());
-        candidate("b2", 7, new RiskTable());
-        List<String> placed = run(spec(JobKind.GANG, 3, true), false);
+        addCandidate("a1", 7, new RiskTable());
+        addCandidate("b1", 6, new RiskTable());
+        addCandidate("b2", 7, new RiskTable());
+        List<String> placed = runRound(spec(JobKind.GANG, 3, true), false);
         assertEquals(3, placed.size());
-        assertTrue(placed.stream().allMatch(each -> each.startsWith("b")));
+        assertTrue(placed.stream().allMatch(placement -> placement.startsWith("b")));
         assertEquals(
                 List.of(),
-                run(spec(JobKind.GANG, 3, true), false),
+                runRound(spec(JobKind.GANG, 3, true), false),
                 "a1 alone has no capacity for three tasks");
     }
 }
--- a/src/test/java/org/meadowhollow/coordination/scheduling/RiskTableTest.java
+++ b/src/test/java/org/meadowhollow/coordination/scheduling/RiskTableTest.java
@@ -10,8 +10,8 @@
     private final RiskTable table = new RiskTable();
     private long second;
 
-    private void samples(int count, int violations) {
-        for (int at = 0; at < count; at++) {
+    private void recordSamples(int count, int violations) {
+        for (int index = 0; index < count; index++) {
             table.recordSample(
                     4, 0.5, violations, new MonotonicTime((second += 3) * 1_000_000_000L));
         }
@@ -19,33 +19,33 @@
 
     @Test
     void predictsNothingFromTooFewSamples() {
-        samples(RiskTable.MIN_SAMPLES - 1, 0);
+        recordSamples(RiskTable.MIN_SAMPLES - 1, 0);
         assertTrue(Double.isNaN(table.noViolationProbability(4, 0.5)));
-        samples(1, 0);
+        recordSamples(1, 0);
         assertEquals(1, table.noViolationProbability(4, 0.5));
     }
 
     @Test
     void predictsNothingForLoadsWithoutSamples() {
-        samples(40, 0);
+        recordSamples(40, 0);
         assertTrue(Double.isNaN(table.noViolationProbability(9, 0.9)));
     }
 
     @Test
     void predictsShareOfSamplesWithoutViolation() {
-        samples(30, 0);
-        samples(10, 1);
+        recordSamples(30, 0);
+        recordSamples(10, 1);
         assertEquals(0.75, table.noViolationProbability(4, 0.5));
     }
 
     @Test
     void isRebuiltFromLastTenMinutesWhenViolationRateChanges() {
-        for (int at = 0; at < 40; at++) {
+        for (int index = 0; index < 40; index++) {
             table.recordSample(9, 0.9, 0, new MonotonicTime((second += 3) * 1_000_000_000L));
         }
-        samples(210, 0);
+        recordSamples(210, 0);
         assertEquals(1, table.noViolationProbability(9, 0.9), "an unchanged rate rebuilds nothing");
-        samples(50, 4);
+        recordSamples(50, 4);
         assertTrue(Double.isNaN(table.noViolationProbability(9, 0.9)));
         assertTrue(table.noViolationProbability(4, 0.5) < 0.9);
     }
--- a/src/test/java/org/meadowhollow/coordination/scheduling/VictimSelectorTest.java
+++ b/src/test/java/org/meadowhollow/coordination/scheduling/VictimSelectorTest.java
@@ -35,13 +35,13 @@
                 Double.NaN);
     }
 
-    private static VictimSelector.RunningTask<String> running(
+    private static VictimSelector.RunningTask<String> runningTask(
             String task, Priority priority, double lostWorkSeconds, boolean overQuota) {
         return new VictimSelector.RunningTask<>(
                 task, priority, "other", ONE, lostWorkSeconds, overQuota);
     }
 
-    private static VictimSelector.PreemptionCandidate<String> full(
+    private static VictimSelector.PreemptionCandidate<String> fullMachine(
             List<VictimSelector.RunningTask<String>> running) {
         return new VictimSelector.PreemptionCandidate<>(Resources.NONE, true, running);
     }
@@ -49,10 +49,10 @@
     @Test
     void onlyLowerPriorityIsPreempted() {
         var candidate =
-                full(
+                fullMachine(
                         List.of(
-                                running("same", Priority.HIGH, 1, true),
-                                running("low", Priority.LOW, 9, true)));
+                                runningTask("same", Priority.HIGH, 1, true),
+                                runningTask("low", Priority.LOW, 9, true)));
         assertEquals(
                 List.of("low"),
                 VictimSelector.selectVictims(spec(Priority.HIGH, 1), false, List.of(candidate)));
@@ -63,21 +63,21 @@
 
     @Test
     void usageOverGuaranteeIsPreemptedForAnotherTeamsGuarantee() {
-        var own = full(List.of(running("own", Priority.HIGH, 1, false)));
-        var overQuota = full(List.of(running("over-quota", Priority.HIGH, 5, true)));
+        var own = fullMachine(List.of(runningTask("own", Priority.HIGH, 1, false)));
+        var overQuota = fullMachine(List.of(runningTask("over-quota", Priority.HIGH, 5, true)));
         assertEquals(
                 List.of("over-quota"),
                 VictimSelector.selectVictims(spec(Priority.LOW, 1), true, List.of(own, overQuota)));
     }
 
     @Test
-    void leastWorkIsLostAndNoneWithoutUse() {
-        var expensive = full(List.of(running("long", Priority.LOW, 60, true)));
+    void selectsLeastLostWorkAndNothingIfTaskFitsNowhere() {
+        var expensive = fullMachine(List.of(runningTask("long", Priority.LOW, 60, true)));
         var cheap =
-                full(
+                fullMachine(
                         List.of(
-                                running("new", Priority.LOW, 2, true),
-                                running("newer", Priority.LOW, 1, true)));
+                                runningTask("new", Priority.LOW, 2, true),
+                                runningTask("newer", Priority.LOW, 1, true)));
         assertEquals(
                 List.of("newer"),
                 VictimSelector.selectVictims(
@@ -95,22 +95,23 @@
     @Test
     void bestEffortTasksArePreemptedForWholeGangOrNotAtAll() {
         var first =
-                full(
+                fullMachine(
                         List.of(
-                                running("a", Priority.LOW, 3, true),
-                                running("home", Priority.NORMAL, 0, true)));
+                                runningTask("a", Priority.LOW, 3, true),
+                                runningTask("normal", Priority.NORMAL, 0, true)));
         var second =
-                full(
+                fullMachine(
                         List.of(
-                                running("b", Priority.LOW, 2, true),
-                                running("c", Priority.LOW, 1, true)));
-        assertEquals(List.of("c", "b"), victims(Priority.NORMAL, 2, List.of(first, second)));
-        assertEquals(3, victims(Priority.NORMAL, 3, List.of(first, second)).size());
-        assertEquals(List.of(), victims(Priority.NORMAL, 4, List.of(first, second)));
-        assertEquals(List.of(), victims(Priority.LOW, 1, List.of(first, second)));
+                                runningTask("b", Priority.LOW, 2, true),
+                                runningTask("c", Priority.LOW, 1, true)));
+        assertEquals(
+                List.of("c", "b"), bestEffortVictims(Priority.NORMAL, 2, List.of(first, second)));
+        assertEquals(3, bestEffortVictims(Priority.NORMAL, 3, List.of(first, second)).size());
+        assertEquals(List.of(), bestEffortVictims(Priority.NORMAL, 4, List.of(first, second)));
+        assertEquals(List.of(), bestEffortVictims(Priority.LOW, 1, List.of(first, second)));
     }
 
-    private static List<String> victims(
+    private static List<String> bestEffortVictims(
             Priority priority,
             int tasks,
             List<VictimSelector.PreemptionCandidate<String>> candidates) {
