--- a/src/main/java/org/meadowhollow/coordination/scheduling/ServiceLevelObjectives.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/ServiceLevelObjectives.java
@@ -10,33 +10,33 @@
 import org.meadowhollow.model.MachineTypeCatalog;
 
 /**
- * What the service-level objectives and the machine types mean for the jobs recorded so far: how
- * long a job can wait, and which machines its tasks need most of. Not thread-safe: guarded by the
+ * Derives from the service-level objectives and the machine types how long a job can wait, and of
+ * which machine types the jobs recorded so far have large tasks. Not thread-safe: guarded by the
  * leader's lock.
  */
 public final class ServiceLevelObjectives {
-    /** After this long a pending task is placed by room alone (the design's starting value). */
+    /** A task that has been pending for longer is placed without regard to the predicted risk. */
     static final Duration RISK_IGNORED_AFTER = Duration.ofSeconds(30);
 
-    /** Words of the settings: an objective on the wait of a class of jobs. */
-    private static final String WAIT_TARGET = "wait";
+    /** Kind in the settings: an objective on the waiting time of a job class. */
+    private static final String WAIT_TARGET_KIND = "wait";
 
-    /** Words of the settings: an objective on the wait of jobs within the guaranteed quota. */
-    private static final String GUARANTEE_TARGET = "guarantee";
+    /** Kind in the settings: an objective on the waiting time within the guaranteed quota. */
+    private static final String GUARANTEE_TARGET_KIND = "guarantee";
 
     private final DeploymentSettings deploymentSettings;
     private final MachineTypeCatalog machineTypeCatalog;
     private final Set<String> typesWithLargeTasks = new HashSet<>();
     private double largestImageGb;
 
-    /** Creates the objectives of a leadership that has recorded no job yet. */
+    /** Creates the objectives for a new leadership, without any recorded job. */
     public ServiceLevelObjectives(
             DeploymentSettings deploymentSettings, MachineTypeCatalog machineTypeCatalog) {
         this.deploymentSettings = deploymentSettings;
         this.machineTypeCatalog = machineTypeCatalog;
     }
 
-    /** Records the machine types that a job's tasks need most of, and the size of its image. */
+    /** Records the size of a job's image, and the machine types on which its tasks are large. */
     public void recordJob(JobSpec spec) {
         largestImageGb = Math.max(largestImageGb, spec.imageSizeGb());
         for (MachineType type : machineTypeCatalog.types()) {
@@ -55,58 +55,63 @@
         return fits(spec, type) && PlacementOrder.isLargeTask(spec, type.capacity());
     }
 
-    /** Whether a job was recorded whose tasks need most of such a machine. */
+    /** Whether a job was recorded whose tasks are large on machines of this type. */
     boolean hasLargeTasksFor(MachineType type) {
         return typesWithLargeTasks.contains(type.name());
     }
 
-    /** The size of the largest image of a recorded job, in GB; 0 if there is none. */
+    /** The size of the largest image of a recorded job, in GB; 0 without recorded jobs. */
     public double largestImageGb() {
         return largestImageGb;
     }
 
     /**
-     * How long a job can wait, in seconds, before only the place of a running task can still serve
-     * it in time; negative if a new machine is always too late.
+     * Returns how many seconds a job can wait until a new machine would be too late for its
+     * strictest objective, so that only preemption can still serve it in time; negative if a new
+     * machine is always too late. A job without an objective can wait for {@link
+     * #RISK_IGNORED_AFTER}.
      *
      * @param guaranteed whether the job is within the guaranteed quota of its team
      */
     double waitBudgetSeconds(JobSpec spec, boolean guaranteed) {
-        double strictest = Double.MAX_VALUE;
+        double strictestThreshold = Double.MAX_VALUE;
         for (DeploymentSettings.ServiceLevelTarget target :
                 deploymentSettings.serviceLevelTargets()) {
             if (appliesTo(target, spec, guaranteed)) {
-                strictest = Math.min(strictest, target.thresholdSeconds());
+                strictestThreshold = Math.min(strictestThreshold, target.thresholdSeconds());
             }
         }
-        return strictest == Double.MAX_VALUE
+        return strictestThreshold == Double.MAX_VALUE
                 ? RISK_IGNORED_AFTER.toSeconds()
-                : strictest - startupDelaySeconds(spec);
+                : strictestThreshold - startupDelaySeconds(spec);
     }
 
     private static boolean appliesTo(
             DeploymentSettings.ServiceLevelTarget target, JobSpec spec, boolean guaranteed) {
-        boolean onItsClass =
-                target.kind().equals(WAIT_TARGET) && spec.jobClass().equals(target.jobClass());
-        return onItsClass || (target.kind().equals(GUARANTEE_TARGET) && guaranteed);
+        boolean matchesClass =
+                target.kind().equals(WAIT_TARGET_KIND) && spec.jobClass().equals(target.jobClass());
+        return matchesClass || (target.kind().equals(GUARANTEE_TARGET_KIND) && guaranteed);
     }
 
     /**
-     * How long a new machine takes at best until it can run one of the job's tasks, in seconds;
-     * {@link Double#MAX_VALUE} if no machine type fits.
+     * Returns the shortest time, in seconds, that a new machine takes to boot and pull the job's
+     * image; {@link Double#MAX_VALUE} if no machine type fits.
      */
     public double startupDelaySeconds(JobSpec spec) {
-        double shortest = Double.MAX_VALUE;
+        double shortestDelay = Double.MAX_VALUE;
         for (MachineType type : machineTypeCatalog.types()) {
             if (fits(spec, type)) {
                 double pullSeconds = spec.imageSizeGb() / type.imagePullGbPerSecond();
-                shortest = Math.min(shortest, type.bootSeconds() + pullSeconds);
+                shortestDelay = Math.min(shortestDelay, type.bootSeconds() + pullSeconds);
             }
         }
-        return shortest;
+        return shortestDelay;
     }
 
-    /** Whether a job needs most of a machine and could not be started in time on a new one. */
+    /**
+     * Whether the tasks of a job are large and could not be started in time on a new machine; never
+     * for a service.
+     */
     public boolean needsSpareMachines(JobSpec spec) {
         boolean large = false;
         for (MachineType type : machineTypeCatalog.types()) {
