--- a/src/main/java/org/meadowhollow/coordination/leadership/CandidacyPolicy.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/CandidacyPolicy.java
@@ -5,41 +5,47 @@
 import java.util.Map;
 
 /**
- * Which members may stand for election, and when, once the leader record is gone. The token counter
- * says how the last leadership ended:
+ * The rules that decide which members may stand for election, and when, once the leader record is
+ * gone. The token counter tells how the last leadership ended:
  *
  * <ul>
- *   <li>It expired, or was revoked: every member may stand at once.
+ *   <li>Its lease expired or was revoked: every member may stand at once.
  *   <li>It was handed over: the preferred successor may stand at once, the others after {@link
  *       #PREFERRED_SUCCESSOR_HEAD_START}.
- *   <li>It was released because its holder was isolated from the workers: first the preferred
- *       successor, then members that workers reach, then the member that released it, and last the
- *       rest. So the lease returns to where it was if no member is reached by workers, instead of
- *       passing through all of them.
+ *   <li>The lease was released because its holder was isolated from the workers: first the
+ *       preferred successor, then members that workers reach, then the member that released it, and
+ *       last the rest. If workers reach no member, the lease thus returns to its former holder
+ *       instead of passing through all members.
  * </ul>
  *
- * <p>The delays only save failovers. Safety does not depend on them: the leader record is written
- * with a compare-and-swap by whoever stands. All functions are pure.
+ * <p>The delays only avoid unnecessary failovers. Safety does not depend on them: every candidate
+ * writes the leader record with a compare-and-swap. All functions are pure.
  */
 public final class CandidacyPolicy {
-    /** What the preferred successor needs to see the key vacant and take it, with slow replies. */
+    /**
+     * The time that the preferred successor needs to see that the leader record is gone and to
+     * write its own, with slow replies.
+     */
     static final Duration PREFERRED_SUCCESSOR_HEAD_START = Duration.ofSeconds(1);
 
     /**
-     * Within this time workers that try one controller after another have reached each controller
-     * that they can reach.
+     * The delay of the member that released the lease. Within this time, workers that try one
+     * controller after another have reached each controller that they can reach.
      */
     static final Duration REACHABLE_NODES_HEAD_START = Duration.ofSeconds(4);
 
-    /** After this the member that released the lease has probably failed as well. */
+    /**
+     * The delay of the remaining members. After this time, the member that released the lease has
+     * probably failed as well.
+     */
     static final Duration ISOLATED_LEADER_HEAD_START = Duration.ofSeconds(6);
 
     private CandidacyPolicy() {}
 
     /**
-     * The token counter as a leader leaves it that releases its lease because it is isolated.
+     * The token counter that a leader writes when it releases its lease because it is isolated.
      *
-     * @param fencingToken of its leadership
+     * @param fencingToken the fencing token of its leadership
      * @param member its name
      * @param preferredSuccessor the member that should be elected, or null if none is known
      */
@@ -55,9 +61,9 @@
     }
 
     /**
-     * The token counter as a leader leaves it whose process is about to end.
+     * The token counter that a leader writes when its process is about to end.
      *
-     * @param fencingToken of its leadership
+     * @param fencingToken the fencing token of its leadership
      * @param preferredSuccessor the member that should be elected, or null if any may be
      */
     static Map<String, Object> handoverRecord(long fencingToken, String preferredSuccessor) {
@@ -71,13 +77,14 @@
     }
 
     /**
-     * How long after the leader record disappeared a member leaves the election to others.
+     * The time for which a member leaves the election to others after the leader record
+     * disappeared.
      *
      * @param counter the token counter, or null if there is none
-     * @param member the member that asks
-     * @param workersReachMember whether several workers have reached it lately
-     * @param isolated whether it released a lease because it was isolated, and no worker has
-     *     reached it since
+     * @param member the name of the candidate
+     * @param workersReachMember whether several workers have reached the candidate recently
+     * @param isolated whether the candidate released a lease because it was isolated, and no worker
+     *     has reached it since
      * @return zero if it may stand at once
      */
     public static Duration candidacyDelay(
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeaderFailureDetection.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeaderFailureDetection.java
@@ -16,38 +16,38 @@
 /**
  * The part of {@link LeadershipStateMachine} that replaces a leader whose process has ended before
  * its lease expires. Workers that such a leader answered last turn to other controllers. The first
- * of them makes this node probe the leader; if it refuses several connections in a row, and several
- * distinct workers have left it, its lease is revoked.
+ * of them makes this node probe the leader; if the leader refuses several connections in a row, and
+ * several distinct workers have left it, its lease is revoked.
  *
- * <p>A wrong suspicion costs a failover and nothing else: whoever leads next writes the leader
- * record with a compare-and-swap and a higher fencing token, as ever. Silence and timeouts are no
- * evidence; only refused connections are.
+ * <p>A wrong suspicion costs a failover and nothing else: the next leader writes the leader record
+ * with a compare-and-swap and a higher fencing token, as in every election. Missing answers and
+ * timeouts are no evidence; only refused connections are.
  *
  * <p>Pure functions of state, event and clock.
  */
 final class LeaderFailureDetection {
     /**
-     * Distinct workers that must have left a leader before its lease is revoked. One or two lose a
-     * connection now and then, also while packet filters between the controllers refuse connections
-     * though the leader is healthy.
+     * The number of distinct workers that must have left a leader before its lease is revoked. One
+     * or two workers lose a connection now and then; that must not suffice while packet filters
+     * between the controllers refuse connections although the leader is healthy.
      */
     private static final int MIN_DEPARTED_WORKERS = 3;
 
     /**
-     * Refusals in a row. Between two of them a process that has only run out of sockets has closed
-     * some.
+     * The number of consecutive refused probes before the lease of a leader is revoked. Between two
+     * probes, a process that has only run out of sockets closes some and accepts connections again.
      */
     private static final int MIN_CONSECUTIVE_REFUSALS = 2;
 
     private static final Duration PROBE_INTERVAL = Duration.ofMillis(250);
 
     /**
-     * Probes after which the suspicion is dropped; together they last about as long as heartbeats
-     * are deferred while a leader is suspected.
+     * The number of probes after which the suspicion is dropped. Together they take about as long
+     * as heartbeats are deferred while a leader is suspected.
      */
     private static final int MAX_PROBES = 8;
 
-    /** How long a leader is not suspected again after it answered a probe. */
+    /** The time for which a leader is not suspected again after it answered a probe. */
     private static final Duration TRUST_DURATION = Duration.ofSeconds(2);
 
     private final String member;
@@ -60,9 +60,9 @@
     }
 
     /**
-     * Whether a worker that has left the leader speaks against it: this node follows another
-     * member, the worker has shown the highest token, and the leader has not answered a probe
-     * lately.
+     * Whether the departure of a worker is evidence that the leader has failed: this node follows
+     * another member, the worker has shown the highest token, and the leader has not answered a
+     * probe recently.
      *
      * @param shown the fencing token that the worker has shown
      */
@@ -82,7 +82,9 @@
         return answeredAt != null && now.elapsedSince(answeredAt).compareTo(TRUST_DURATION) < 0;
     }
 
-    /** Notes that a worker has left the leader, and probes the leader unless that is going on. */
+    /**
+     * Records that a worker has left the leader, and probes the leader unless a probe is running.
+     */
     LeadershipTransition onWorkerArrived(
             LeadershipState state, WorkerArrived event, MonotonicTime now) {
         if (!leaderMayHaveFailed(state, event.shownToken(), now)) {
@@ -146,7 +148,10 @@
                         state.epoch(), suspect, observed.lease(), suspicion.departureCount()));
     }
 
-    /** The lease could not be revoked, so its holder remains the leader. */
+    /**
+     * Makes the suspect the observed leader again after its lease could not be revoked, unless
+     * another leader is known by now.
+     */
     LeadershipTransition onRevocationFailed(LeadershipState state, RevocationFailed event) {
         ObservedLeader observed = state.observedLeader();
         if (observed.leader() != null) {
--- a/src/main/java/org/meadowhollow/coordination/leadership/Leadership.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/Leadership.java
@@ -25,58 +25,65 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This node's part in leader election: the leader is the member that holds a leased record in the
+ * Leader election on this node. The leader is the member that holds a leased record in the
  * key-value store, and its fencing token comes from a counter that is raised in the transaction
  * that writes this record.
  *
- * <p>{@link LeadershipStateMachine} decides what follows from what; this class keeps its state,
- * feeds it events and performs its effects. {@link LeadershipSafety} says what a leader may do and
- * until when, with the argument why that is safe.
+ * <p>{@link LeadershipStateMachine} computes the transitions; this class holds the state, passes
+ * events to the state machine and performs its effects. {@link LeadershipSafety} defines what a
+ * leader may do and until when, with the argument why that is safe.
  *
- * <p>Thread-safe. The state is guarded by this object's own lock, which is held only for the pure
- * step: effects, and so all I/O and all calls of the {@link Listener}, happen after it is released,
- * on the thread that brought the event. That thread may hold the lock of a caller.
+ * <p>Thread-safe. The state is guarded by this object's own lock, which is held only while a
+ * transition is computed. Effects, and so all I/O and all calls of the {@link Listener}, happen
+ * after the lock is released, on the thread that delivered the event. That thread may hold a lock
+ * of the caller.
  */
 public final class Leadership {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
     private static final Duration RENEWAL_CHECK_INTERVAL = Duration.ofMillis(500);
 
-    /** Before another attempt to read the leader record; up to half as long again by chance. */
+    /**
+     * The delay before another attempt to read the leader record. Jitter lengthens it by up to
+     * {@link #MAX_RELATIVE_JITTER} of it.
+     */
     private static final Duration RETRY_DELAY = Duration.ofMillis(400);
 
     private static final double MAX_RELATIVE_JITTER = 0.5;
 
-    /** Distinct workers that must have reached this node lately for it to count as reachable. */
+    /**
+     * The number of distinct workers that must have reached this node within {@link
+     * #REACHING_WORKERS_WINDOW} for the node to count as reachable.
+     */
     private static final int MIN_REACHING_WORKERS = 3;
 
     /**
-     * What counts as lately: workers of a leader that does not answer try all controllers in turn,
-     * one every 5 s or more.
+     * The period for which a contact of a worker counts: workers whose leader does not answer try
+     * all controllers in turn, one every 5 s or more.
      */
     private static final Duration REACHING_WORKERS_WINDOW = Duration.ofSeconds(6);
 
-    /** Is told of changes of the leadership, without any lock of {@link Leadership} held. */
+    /** Receives changes of leadership. It is called without any lock of {@link Leadership} held. */
     public interface Listener {
         /**
-         * This member leads from now on.
+         * Called when this member has been elected leader.
          *
-         * @param fencingToken of this leadership
+         * @param fencingToken the fencing token of this leadership
          * @param leaderVersion the revision of the transaction that wrote the leader record
-         * @param noticedAt when this node saw that there is no leader, or null if it never did
+         * @param noticedAt when this node first saw that there was no leader, or null if it did not
          */
         void elected(FencingToken fencingToken, Revision leaderVersion, MonotonicTime noticedAt);
 
         /**
-         * This member does not lead any more.
+         * Called when this member no longer leads.
          *
-         * @param why for the log
+         * @param why the reason, for the log
          */
         void leadershipLost(String why);
 
         /**
-         * Another member leads, as far as is known.
+         * Called when another member is believed to lead.
          *
-         * @param leader its name
+         * @param leader the name of that member
          */
         void following(String leader);
     }
@@ -95,13 +102,14 @@
     private LeadershipState state = LeadershipState.INITIAL;
 
     /**
-     * A node that does not stand for election before {@link #start()}.
+     * Creates the leader election of a node that does not stand for election before {@link
+     * #start()}.
      *
-     * @param deploymentSettings for this member's name, the cancellation bound and the duration of
-     *     worker leases
-     * @param heartbeatTracker knows which workers have reached this node lately
-     * @param random for the jitter of retries
-     * @param listener is told of changes
+     * @param deploymentSettings provides this member's name, the cancellation bound and the
+     *     duration of worker leases
+     * @param heartbeatTracker records which workers have reached this node recently
+     * @param random source of the jitter of retries
+     * @param listener receives changes of leadership
      */
     public Leadership(
             KeyValueStore store,
@@ -126,12 +134,12 @@
         this.listener = listener;
     }
 
-    /** Begins to follow the leader record, and to stand for election when it is vacant. */
+    /** Starts to follow the leader record, and to stand for election when there is none. */
     public void start() {
         handle(new LeadershipEvent.Started());
     }
 
-    // ---- what this node may do now ----
+    // ---- permissions ----
 
     /** Whether this node may make decisions, see {@link LeadershipSafety#canDecide}. */
     public synchronized boolean canDecide() {
@@ -147,26 +155,28 @@
 
     /**
      * Whether heartbeats may be answered, which renews the leases of workers, see {@link
-     * LeadershipSafety#canRenewWorkerLeases}. A leader that cannot reach the store may still do so
-     * for a while, which keeps the tasks running.
+     * LeadershipSafety#canRenewWorkerLeases}. A leader that cannot reach the store may still answer
+     * them for a limited time, which keeps the tasks running.
      */
     public synchronized boolean canRenewWorkerLeases() {
         return LeadershipSafety.canRenewWorkerLeases(workerLeaseRenewalBound, state, loop.now());
     }
 
-    // ---- what this node knows ----
+    // ---- state ----
 
-    /** The fencing token of this node's last leadership, {@link FencingToken#NONE} before it. */
+    /**
+     * The fencing token of this node's last leadership, {@link FencingToken#NONE} before the first.
+     */
     public synchronized FencingToken fencingToken() {
         return state.fencingToken();
     }
 
-    /** The highest fencing token that any node or worker has shown. */
+    /** The highest fencing token that this node has seen from any node or worker. */
     public synchronized FencingToken highestObservedToken() {
         return state.observedLeader().highestToken();
     }
 
-    /** The name of the leader last heard of, or null if none is known. */
+    /** The name of the last known leader, or null if none is known. */
     public synchronized String lastKnownLeader() {
         return state.observedLeader().leader();
     }
@@ -180,30 +190,32 @@
     }
 
     /**
-     * Whether the last release without a known successor is long enough ago for another.
+     * Whether enough time has passed since the last release without a known successor to release
+     * the lease in that way again.
      *
-     * @param pause the least time between two of them
+     * @param pause the minimum time between two such releases
      */
     public synchronized boolean canResignWithoutSuccessor(Duration pause) {
         MonotonicTime lastAt = state.resignedWithoutSuccessorAt();
         return lastAt == null || loop.now().elapsedSince(lastAt).compareTo(pause) >= 0;
     }
 
-    // ---- what other parts of the controller report ----
+    // ---- inputs from other parts of the controller ----
 
     /**
-     * The leader knows all cancellations up to a moment. Ignored if the leadership of that token is
-     * over.
+     * Records that the leader knows all cancellations up to a moment. Ignored if the leadership
+     * with that token is over.
      *
-     * @param fencingToken of the leadership for which they were read
-     * @param upTo when the request was sent whose answer showed the last of them
+     * @param fencingToken the fencing token of the leadership that read the cancellations
+     * @param upTo when the request was sent whose answer contained the last of them
      */
     public void advanceFreshness(FencingToken fencingToken, MonotonicTime upTo) {
         handle(new LeadershipEvent.FreshnessAdvanced(fencingToken, upTo));
     }
 
     /**
-     * A peer or a worker has shown a fencing token; one above this node's ends its leadership.
+     * Records a fencing token that a peer or a worker has shown. A token above the highest one
+     * known to this node ends this node's leadership.
      *
      * @param otherLeader the member that the token belongs to, or null if that is not known
      */
@@ -211,21 +223,24 @@
         handle(new LeadershipEvent.TokenObserved(other, otherLeader));
     }
 
-    /** A write has shown that the leader record is not this node's any more. */
+    /** Ends this node's leadership because a write found that the leader record has changed. */
     public void stepDown() {
         handle(new LeadershipEvent.LeaderKeyLost());
     }
 
-    /** A worker has reached this node, so it may stand for election like any other. */
+    /**
+     * Records that a worker has reached this node, which may therefore stand for election like any
+     * other.
+     */
     public void restoreWorkerContact() {
         handle(new LeadershipEvent.WorkerContactRestored());
     }
 
     /**
      * Releases the lease because hardly any worker reaches this node. The leader record is deleted
-     * with a compare-and-swap, so nothing of another leader's is released. Until the reply this
-     * node answers heartbeats but decides nothing; if the store refuses the request, it goes on
-     * leading, and the caller may try again.
+     * with a compare-and-swap, so the record of another leader is never deleted. Until the reply
+     * arrives, this node answers heartbeats but makes no decisions. If the store refuses the
+     * request, this node continues to lead, and the caller may try again.
      *
      * @param successor a member that workers reach, or null if none is known
      */
@@ -234,8 +249,8 @@
     }
 
     /**
-     * Releases the lease because this process is about to end. The other members leave the election
-     * to the successor for a moment.
+     * Releases the lease because this process is about to end. The other members let the successor
+     * stand first, see {@link CandidacyPolicy}.
      *
      * @param successor the member that should be elected, or null if any may be
      */
@@ -244,13 +259,14 @@
     }
 
     /**
-     * A worker has turned to this node, which does not lead. If the leader answered it last, its
-     * process may have ended: the leader is probed, and replaced early if it has, see {@link
+     * Records that a worker has sent a heartbeat to this node, which does not lead. If the worker's
+     * last answer came from the current leader, the process of that leader may have ended: the
+     * leader is probed, and replaced before its lease expires if it has failed, see {@link
      * LeaderFailureDetection}.
      *
      * @param shown the fencing token that the worker has shown
-     * @return whether to let the worker wait for what comes of that, rather than to redirect it to
-     *     the leader
+     * @return true if the heartbeat should be deferred until the result of the probe is known,
+     *     false if the worker should be redirected to the leader
      */
     public boolean recordWorkerArrival(MachineId worker, FencingToken shown) {
         synchronized (this) {
@@ -263,9 +279,9 @@
     }
 
     /**
-     * Sends a renewal of this node's lease if one is due. Long work calls this in between: on a
-     * slow node hundreds of heartbeats or a scheduling round can take longer than the lease lasts,
-     * while the renewal timer waits for its turn.
+     * Sends a renewal of this node's lease if one is due. Long-running work calls this repeatedly:
+     * on a slow node, hundreds of heartbeats or a scheduling round can take longer than the lease
+     * lasts, and the renewal timer does not run in the meantime.
      */
     public void renewIfDue() {
         synchronized (this) {
@@ -303,7 +319,10 @@
         }
     }
 
-    /** The jitter keeps members apart that lost the same leader at the same moment. */
+    /**
+     * Reads the leader record after a delay. Its jitter keeps members that lost the same leader at
+     * the same moment from retrying at the same moment.
+     */
     private void readLeaderKeyAfterDelay(ReadLeaderKey read) {
         double jitter = random.nextDouble() * MAX_RELATIVE_JITTER;
         Duration delay =
@@ -351,7 +370,7 @@
 
     private void publish(Notification notification) {
         if (notification instanceof NotifyElected elected) {
-            LOG.info("member elected leader member={} token={}", member, elected.fencingToken());
+            LOG.info("leader elected node={} token={}", member, elected.fencingToken());
             listener.elected(
                     elected.fencingToken(), elected.leaderKeyRevision(), elected.vacantSince());
             peerGateway.announceLeader(member, elected.fencingToken());
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipEffect.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipEffect.java
@@ -9,14 +9,14 @@
 import org.meadowhollow.storage.LeaseId;
 
 /**
- * What a transition asks for. An effect with an epoch is answered by the event of the same name
- * with the same epoch.
+ * An action that a transition requests. The outcome of an effect with an epoch returns as the
+ * corresponding {@link LeadershipEvent} with the same epoch.
  */
 sealed interface LeadershipEffect {
     /** A request to the key-value store; {@link LeadershipStoreClient} sends it. */
     sealed interface StoreRequest extends LeadershipEffect {}
 
-    /** Something that other parts of the controller are told. */
+    /** A notification to other parts of the controller. */
     sealed interface Notification extends LeadershipEffect {}
 
     // ---- requests to the key-value store ----
@@ -24,8 +24,8 @@
     /**
      * Read the leader record.
      *
-     * @param afterDelay whether to wait first, because an attempt has failed or it is not this
-     *     node's turn to stand for election
+     * @param afterDelay whether to wait first, because an attempt has failed or this node may not
+     *     stand for election yet
      */
     record ReadLeaderKey(int epoch, boolean afterDelay) implements StoreRequest {}
 
@@ -35,8 +35,8 @@
     /**
      * Read the token counter.
      *
-     * @param leaderKeyRevision of the leader record that is to be replaced, {@link Revision#ABSENT}
-     *     if there is none
+     * @param leaderKeyRevision the revision of the leader record that is to be replaced, {@link
+     *     Revision#ABSENT} if there is none
      */
     record ReadTokenCounter(int epoch, Revision leaderKeyRevision) implements StoreRequest {}
 
@@ -54,7 +54,7 @@
      *
      * @param expectedLeaderKeyRevision the revision that the leader record must have
      * @param expectedCounterRevision the revision that the token counter must have
-     * @param fencingToken of the new leadership
+     * @param fencingToken the fencing token of the new leadership
      * @param sentAt when the lease was requested
      */
     record ClaimLeaderKey(
@@ -69,15 +69,16 @@
     /**
      * Renew this node's lease.
      *
-     * @param sentAt now
+     * @param sentAt the current time
      */
     record RenewLease(int epoch, LeaseId lease, MonotonicTime sentAt) implements StoreRequest {}
 
     /**
-     * Delete the leader record, and write into the token counter who should be elected next.
+     * Delete the leader record, and write into the token counter which member should be elected
+     * next.
      *
      * @param expectedLeaderKeyRevision the revision that the leader record must have
-     * @param fencingToken of the leadership that ends
+     * @param fencingToken the fencing token of the leadership that ends
      * @param becauseIsolated as in {@link LeadershipEvent.ReleaseRequested}
      * @param preferredSuccessor as in {@link LeadershipEvent.ReleaseRequested}
      */
@@ -90,13 +91,13 @@
             String preferredSuccessor)
             implements StoreRequest {}
 
-    /** Revoke a lease of this node that has no further use. The reply does not matter. */
+    /** Revoke a lease that this node no longer uses. The reply is ignored. */
     record RevokeOwnLease(LeaseId lease) implements StoreRequest {}
 
     /**
      * Revoke the lease of a leader whose process has ended.
      *
-     * @param departureCount how many workers have left it, for the log
+     * @param departureCount how often workers have left the leader, for the log
      */
     record RevokeSuspectLease(int epoch, String suspect, LeaseId lease, int departureCount)
             implements StoreRequest {}
@@ -109,9 +110,9 @@
     /**
      * Probe a suspected leader.
      *
-     * @param probesSent how many probes went before
-     * @param consecutiveRefusals how many of the probes just before were refused
-     * @param delay after which to send it, zero for at once
+     * @param probesSent the number of probes sent before this one
+     * @param consecutiveRefusals the number of consecutive refused probes directly before this one
+     * @param delay the time to wait before the probe is sent, possibly zero
      */
     record ProbeSuspect(
             int epoch, String suspect, int probesSent, int consecutiveRefusals, Duration delay)
@@ -120,22 +121,22 @@
     // ---- notifications ----
 
     /**
-     * This node leads.
+     * This node has been elected leader.
      *
      * @param leaderKeyRevision the revision of the transaction that wrote the leader record
-     * @param vacantSince when this node saw that there is no leader, or null if it never did
+     * @param vacantSince when this node first saw that there was no leader, or null if it did not
      */
     record NotifyElected(
             FencingToken fencingToken, Revision leaderKeyRevision, MonotonicTime vacantSince)
             implements Notification {}
 
     /**
-     * This node does not lead any more.
+     * This node no longer leads.
      *
      * @param reason for the log
      */
     record NotifyLeadershipLost(FencingToken fencingToken, String reason) implements Notification {}
 
-    /** Another member leads, as far as is known. */
+    /** Another member is believed to lead. */
     record NotifyFollowing(String leader) implements Notification {}
 }
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipEvent.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipEvent.java
@@ -9,14 +9,17 @@
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.LeaseId;
 
-/** What can happen to the leadership of a node: an input of {@link LeadershipStateMachine}. */
+/**
+ * An input of {@link LeadershipStateMachine}: a reply, a timer, or a report from another part of
+ * the controller.
+ */
 sealed interface LeadershipEvent {
     /**
-     * The reply to an effect of an epoch, or its timer. It is ignored once that epoch is over, so
-     * that what a former leadership began does not act on the next.
+     * The reply to an effect of an epoch, or a timer that an effect started. It is ignored once
+     * that epoch is over, so that requests of a former leadership have no effect on the next one.
      */
     sealed interface EpochBound extends LeadershipEvent {
-        /** The epoch of the effect, see {@link LeadershipState#epoch()}. */
+        /** Returns the epoch of the effect, see {@link LeadershipState#epoch()}. */
         int epoch();
     }
 
@@ -41,8 +44,8 @@
      * The token counter was read.
      *
      * @param leaderKeyRevision the revision of the leader record for which it was read
-     * @param counter null if the read failed; empty if there is none
-     * @param workersReachNode whether several workers have reached this node lately
+     * @param counter null if the read failed; empty if there is no token counter
+     * @param workersReachNode whether several workers have reached this node recently
      */
     record TokenCounterRead(
             int epoch,
@@ -52,12 +55,12 @@
             implements EpochBound {}
 
     /**
-     * A lease was requested.
+     * The request for a lease ended.
      *
      * @param leaderKeyRevision as in {@link TokenCounterRead}
      * @param counter the token counter that was read before
      * @param lease null if the request failed
-     * @param sentAt when the request was sent, from when on the lease counts
+     * @param sentAt when the request was sent; this node counts the lease from then
      */
     record LeaseGrantCompleted(
             int epoch,
@@ -71,7 +74,8 @@
      * The transaction that writes the leader record ended.
      *
      * @param sentAt when the lease was requested
-     * @param commit null if there was no reply, so that it may have been or may yet be executed
+     * @param commit null if there was no reply, so that the transaction may have been executed or
+     *     may still be
      */
     record LeaderKeyClaimCompleted(
             int epoch,
@@ -81,14 +85,14 @@
             KeyValueStore.CommitResult commit)
             implements EpochBound {}
 
-    /** The timer that checks whether a renewal is due. */
+    /** The timer fired that checks whether a renewal is due. */
     record RenewalTimerFired(int epoch) implements EpochBound {}
 
-    /** How a renewal ended. */
+    /** The outcome of a renewal. */
     enum RenewalOutcome {
         /** The lease was extended. */
         RENEWED,
-        /** The store does not know the lease any more. */
+        /** The store no longer knows the lease. */
         LEASE_EXPIRED,
         /** No reply; the lease may or may not have been extended. */
         UNKNOWN
@@ -107,8 +111,9 @@
      *
      * @param becauseIsolated as in {@link ReleaseRequested}
      * @param preferredSuccessor as in {@link ReleaseRequested}
-     * @param commit null if there was no reply, or it was refused
-     * @param refused whether it certainly was not and will not be executed
+     * @param commit null if there was no reply or the transaction was refused
+     * @param refused whether the store refused the transaction, so that it certainly was not and
+     *     will not be executed
      */
     record ReleaseCompleted(
             int epoch,
@@ -123,12 +128,12 @@
     record RevocationFailed(int epoch, String suspect, LeaseId lease) implements EpochBound {}
 
     /**
-     * A suspected leader was probed. Not {@link EpochBound}: a probe that an earlier epoch began
-     * ends that epoch's suspicion when it returns.
+     * A suspected leader was probed. Not {@link EpochBound}: the result of a probe that was sent in
+     * an earlier epoch still clears the suspicion of that epoch.
      *
      * @param suspect the member that was probed
-     * @param probesSent how many probes went before this one
-     * @param consecutiveRefusals how many of the probes just before this one were refused
+     * @param probesSent the number of probes sent before this one
+     * @param consecutiveRefusals the number of consecutive refused probes directly before this one
      */
     record ProbeCompleted(
             int epoch,
@@ -143,14 +148,14 @@
     /** The node has started. */
     record Started() implements LeadershipEvent {}
 
-    /** Long work has reached a point at which a renewal may be sent. */
+    /** Long-running work has reached a point at which a renewal may be sent. */
     record RenewalCheckpointReached() implements LeadershipEvent {}
 
     /**
      * This node knows all changes of jobs up to a moment.
      *
-     * @param fencingToken of the leadership for which they were read
-     * @param freshAsOf when the request was sent whose answer showed the last of them
+     * @param fencingToken the fencing token of the leadership that read the changes
+     * @param freshAsOf when the request was sent whose answer contained the last of them
      */
     record FreshnessAdvanced(FencingToken fencingToken, MonotonicTime freshAsOf)
             implements LeadershipEvent {}
@@ -158,15 +163,15 @@
     /**
      * A peer or a worker has shown a fencing token.
      *
-     * @param leader the member that it belongs to, or null if that is not known
+     * @param leader the member that the token belongs to, or null if that is not known
      */
     record TokenObserved(FencingToken fencingToken, String leader) implements LeadershipEvent {}
 
-    /** A write has shown that the leader record is not this node's any more. */
+    /** A write found that the leader record is no longer this node's. */
     record LeaderKeyLost() implements LeadershipEvent {}
 
     /**
-     * This node is to release its lease.
+     * The release of this node's lease was requested.
      *
      * @param becauseIsolated true if hardly any worker reaches this node, false if its process is
      *     about to end
@@ -176,7 +181,7 @@
             implements LeadershipEvent {}
 
     /**
-     * A worker has turned to this node instead of to the leader that answered it last.
+     * A worker has sent a heartbeat to this node instead of to the leader that answered it last.
      *
      * @param shownToken the fencing token of that leader
      */
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipRecordCodec.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipRecordCodec.java
@@ -4,7 +4,7 @@
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.storage.LeaseId;
 
-/** The stored fields of the leader record and of the token counter. */
+/** Encodes and decodes the stored fields of the leader record and of the token counter. */
 final class LeadershipRecordCodec {
     /** Both records: the fencing token, as a number. */
     static final String TOKEN_FIELD = "term";
@@ -21,21 +21,22 @@
      */
     static final String ISOLATED_MEMBER_FIELD = "deaf";
 
-    /** Token counter: the member for which the last leader released its lease, or absent. */
+    /** Token counter: the preferred successor of the leader that released its lease, or absent. */
     static final String PREFERRED_SUCCESSOR_FIELD = "heir";
 
     /**
      * The leader record.
      *
      * @param member the member that leads
-     * @param fencingToken of its leadership
-     * @param lease that the record is stored under, or null if the record does not name it
+     * @param fencingToken the fencing token of its leadership
+     * @param lease the lease that the record is stored under, or null if the record does not name
+     *     it
      */
     record LeaderRecord(String member, FencingToken fencingToken, LeaseId lease) {}
 
     private LeadershipRecordCodec() {}
 
-    /** The fields of a leader record whose lease is known. */
+    /** Encodes a leader record whose lease is known. */
     static Map<String, Object> encodeLeader(LeaderRecord leader) {
         return Map.of(
                 MEMBER_FIELD,
@@ -46,7 +47,7 @@
                 leader.lease().value());
     }
 
-    /** Reads a leader record. */
+    /** Decodes a leader record. */
     static LeaderRecord decodeLeader(Map<String, Object> fields) {
         return new LeaderRecord(
                 memberOf(fields),
@@ -59,7 +60,7 @@
         return (String) leaderFields.get(MEMBER_FIELD);
     }
 
-    /** The token counter as an election leaves it. */
+    /** Encodes the token counter that is written in an election. */
     static Map<String, Object> encodeCounter(FencingToken fencingToken) {
         return Map.of(TOKEN_FIELD, fencingToken.value());
     }
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipSafety.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipSafety.java
@@ -5,11 +5,12 @@
 import org.meadowhollow.model.MonotonicTime;
 
 /**
- * What a leader may do at a given moment, and the argument why that is safe. All times are points
- * on the monotonic clock of the node that asks; clocks of different machines are never compared,
- * only durations are, and these are shortened by the largest clock drift that the protocol allows.
+ * The rules for what a leader may do at a given moment, and the argument why they are safe. All
+ * times are points on the monotonic clock of the node that asks; clocks of different machines are
+ * never compared, only durations are, and these are shortened by the largest clock drift that the
+ * protocol allows.
  *
- * <p>Three moments bound everything:
+ * <p>Two moments and a duration bound every permission:
  *
  * <ul>
  *   <li><b>L</b>, {@link HeldLeadership#leaseValidFrom()}: when the last renewal that was confirmed
@@ -38,9 +39,9 @@
  *
  * <p><b>Invariant 1: at most one node may decide.</b> The leader record is deleted by the store no
  * earlier than L + 5 s, or by its holder, which stops deciding before it asks for that; only then
- * can another node write it. A node that revokes the lease of a suspected leader breaks this bound
- * in time, not in effect: every transaction of a leader requires the revision of its own leader
- * record, so a late one of a former leader fails (fencing), and workers reject answers with a lower
+ * can another node write it. Revoking the lease of a suspected leader breaks this time bound, but
+ * does no harm: every transaction of a leader requires the revision of its own leader record, so a
+ * late transaction of a former leader fails (fencing), and workers reject answers with a lower
  * fencing token than they have seen. The token counter is raised in the transaction that writes the
  * leader record, so no two leaderships have the same token.
  *
@@ -48,44 +49,44 @@
  * cancellation that the leader does not know was confirmed to its user at C &gt; K. An answer sent
  * at t &lt; K + D renews the lease of a worker from when its heartbeat was sent, which is at t or
  * before, so that lease ends before K + D + worker lease = K + cancellation bound - 1 s &lt; C +
- * cancellation bound. The second is for a worker that notices late that its lease has expired. Time
- * that an answer spends in the network, or waits in this process, only shortens the lease. A
- * cancellation that the leader does know travels as a stop command in the same answer. Starts are
- * sent in such answers alone and so have the same bound; their own, shorter one keeps a leader that
- * alone is cut off from the store from starting tasks of jobs that were cancelled through other
- * controllers.
+ * cancellation bound. The margin of one second covers a worker that notices late that its lease has
+ * expired. Time that an answer spends in the network, or waits in this process, only shortens the
+ * lease. A cancellation that the leader does know travels as a stop command in the same answer.
+ * Starts are sent only in such answers and so have the same bound. Their own, shorter bound covers
+ * a leader that is the only controller cut off from the store: it keeps that leader from starting
+ * tasks of jobs that were cancelled through other controllers.
  *
- * <p><b>Invariant 3: a successor can tell when the tasks of an earlier leader are gone.</b> From t
- * &lt; L + D follows that no worker keeps a task under an earlier fencing token for longer than the
- * cancellation bound after the successor was elected, since its election is later than L. A chain
- * of leaders adds nothing up: each is bound by its own K and L.
+ * <p><b>Invariant 3: a successor can tell when the tasks of an earlier leader are gone.</b> It
+ * follows from t &lt; L + D that no worker keeps a task under an earlier fencing token for longer
+ * than the cancellation bound after the successor was elected, since its election is later than L.
+ * The bounds of successive leaders do not add up: each is bound by its own K and L.
  *
  * <p>The conditions are not interchangeable. A renewed lease proves that nobody else was elected,
- * not that anything was read; so K is needed beside L. A leader that cannot reach the store loses
- * the right to decide after 5 s, but keeps healthy tasks alive for D, which is much longer.
+ * not that anything was read; so K is needed in addition to L. A leader that cannot reach the store
+ * loses the right to decide after 5 s, but keeps healthy tasks alive for D, which is much longer.
  *
- * <p>{@code LeadershipModelTest} explores invariant 1, {@code CancellationFreshnessModelTest} the
- * others; both also remove each condition in turn and find that an invariant breaks.
+ * <p>{@code LeadershipModelTest} checks invariant 1, {@code CancellationFreshnessModelTest} the
+ * others. Both also remove each condition in turn and verify that an invariant breaks.
  *
- * <p>All functions are pure; the caller holds whatever lock guards the state.
+ * <p>All functions are pure; the caller holds the lock that guards the state.
  */
 final class LeadershipSafety {
     /**
-     * How long the leader record lives after a renewal. Long enough for a short stall of the store
-     * or of this process, short enough for a fast failover.
+     * The time for which the leader record lives after a renewal. Long enough for a short stall of
+     * the store or of this process, short enough for a fast failover.
      */
     static final Duration LEASE_TTL = Duration.ofSeconds(5);
 
     /**
-     * How old the leader's knowledge of cancellations may be for starts to be sent: the wait of one
-     * watch (1 s), the time of its answer, and one retry.
+     * The maximum age of the leader's knowledge of cancellations at which it still sends starts:
+     * the wait of one watch (1 s), the time of its answer, and one retry.
      */
     static final Duration MAX_STALENESS_FOR_STARTS = Duration.ofMillis(2500);
 
     /**
-     * What a worker needs to notice that its lease has expired. Answers that wait or are delayed
-     * need no margin: a worker lease counts from when the heartbeat was sent, which is before the
-     * leader received it.
+     * The time that a worker needs to notice that its lease has expired. Answers that wait or are
+     * delayed need no margin: a worker lease counts from when the heartbeat was sent, which is
+     * before the leader received it.
      */
     private static final Duration WORKER_LEASE_EXPIRY_MARGIN = Duration.ofSeconds(1);
 
@@ -95,9 +96,10 @@
     private LeadershipSafety() {}
 
     /**
-     * For how long after K and L a leader may renew worker leases: D in the argument above.
+     * The time after K and L during which a leader may renew worker leases: D in the argument
+     * above.
      *
-     * @param cancellationBound within which the tasks of a cancelled job must be gone
+     * @param cancellationBound the time within which the tasks of a cancelled job must be gone
      * @param workerLease how long a worker keeps its tasks after it sent the last heartbeat that
      *     was answered
      */
@@ -106,8 +108,8 @@
     }
 
     /**
-     * Whether this node may make decisions: its lease certainly has not expired, and it has not
-     * asked to release it, which may be executed by now.
+     * Whether this node may make decisions: its lease has certainly not expired, and it has not
+     * requested a release of the lease, which the store may have executed already.
      */
     static boolean canDecide(LeadershipState state, MonotonicTime now) {
         HeldLeadership held = state.heldLeadership();
@@ -117,8 +119,8 @@
     }
 
     /**
-     * Whether starts of tasks may be sent: this node may decide, and knows all cancellations of up
-     * to {@link #MAX_STALENESS_FOR_STARTS} ago.
+     * Whether starts of tasks may be sent: this node may decide, and knows all cancellations that
+     * are older than {@link #MAX_STALENESS_FOR_STARTS}.
      */
     static boolean canStartTasks(LeadershipState state, MonotonicTime now) {
         return canDecide(state, now)
@@ -128,11 +130,11 @@
     }
 
     /**
-     * Whether heartbeats may be answered, which renews the leases of workers. Both moments count: a
-     * renewal of the leader's lease shows that it is still the leader, not that it has read
-     * anything; and a leader that has not loaded its records yet knows of no cancellation.
+     * Whether heartbeats may be answered, which renews the leases of workers. Both K and L are
+     * checked: a renewal of the leader's lease shows that it is still the leader, not that it has
+     * read anything; and a leader that has not loaded its records yet knows of no cancellation.
      *
-     * @param renewalBound as {@link #renewalBound} gives it
+     * @param renewalBound the result of {@link #renewalBound}
      */
     static boolean canRenewWorkerLeases(
             Duration renewalBound, LeadershipState state, MonotonicTime now) {
@@ -143,7 +145,10 @@
                 && isCertainlyWithin(renewalBound, held.freshAsOf(), now);
     }
 
-    /** Whether less than a span has passed since a moment, by the clock of any machine. */
+    /**
+     * Whether less than {@code span} has passed since {@code since} on the clock of every machine,
+     * with the largest drift that is allowed.
+     */
     private static boolean isCertainlyWithin(
             Duration span, MonotonicTime since, MonotonicTime now) {
         return now.isBefore(
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipState.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipState.java
@@ -10,19 +10,21 @@
 import org.meadowhollow.storage.LeaseId;
 
 /**
- * What a node knows of who leads. Immutable; {@link LeadershipStateMachine} makes the next one of
- * it. Times are points on this node's monotonic clock.
+ * The leader election state of one node: its own leadership, if it leads, and what it knows of the
+ * current leader. Immutable; {@link LeadershipStateMachine} computes the next state. Times are
+ * points on this node's monotonic clock.
  *
  * @param epoch raised at the end of each leadership of this node; replies to requests of an earlier
  *     epoch are ignored
- * @param fencingToken of this node's last leadership, {@link FencingToken#NONE} before the first
- * @param heldLeadership null unless this node leads
- * @param observedLeader the leader last heard of
- * @param suspicion that this leader has failed
+ * @param fencingToken the fencing token of this node's last leadership, {@link FencingToken#NONE}
+ *     before the first
+ * @param heldLeadership this node's own leadership, or null if it does not lead
+ * @param observedLeader the last known leader
+ * @param suspicion the evidence that this leader has failed
  * @param isolated whether this node released its lease because it was isolated, and no worker has
  *     reached it since
- * @param resignedWithoutSuccessorAt when it last did so without knowing a member that workers
- *     reach, or null
+ * @param resignedWithoutSuccessorAt when this node last released its lease for that reason without
+ *     knowing a member that workers reach, or null
  */
 record LeadershipState(
         int epoch,
@@ -46,16 +48,16 @@
     /**
      * This node's own leadership.
      *
-     * @param lease that the leader record is stored under
+     * @param lease the lease that the leader record is stored under
      * @param leaseValidFrom when the last confirmed renewal was sent; the lease lasts for {@link
      *     LeadershipSafety#LEASE_TTL} from then at least
      * @param lastRenewalSentAt when the last renewal was sent, or null if one is due at once
      * @param renewing whether a renewal is in flight
      * @param leaderKeyRevision the revision of the transaction that wrote the leader record, on
      *     which each transaction of this leadership is conditional
-     * @param resigning whether a release is in flight; it may have been executed
-     * @param freshAsOf the moment up to which all changes of jobs are known here, or null until the
-     *     records are loaded
+     * @param resigning whether a release is in flight, which the store may have executed already
+     * @param freshAsOf the moment up to which this node knows all changes of jobs, or null until
+     *     the records are loaded
      */
     record HeldLeadership(
             LeaseId lease,
@@ -65,20 +67,23 @@
             Revision leaderKeyRevision,
             boolean resigning,
             MonotonicTime freshAsOf) {
-        /** Just elected, under a lease that was requested at a moment. */
+        /**
+         * Creates the leadership of a node that has just been elected, under a lease that was
+         * requested at {@code requestedAt}.
+         */
         static HeldLeadership begin(
                 LeaseId lease, MonotonicTime requestedAt, Revision leaderKeyRevision) {
             return new HeldLeadership(
                     lease, requestedAt, requestedAt, false, leaderKeyRevision, false, null);
         }
 
-        /** A renewal is sent now. */
+        /** Returns a copy after a renewal was sent at {@code now}. */
         HeldLeadership withRenewalSent(MonotonicTime now) {
             return new HeldLeadership(
                     lease, leaseValidFrom, now, true, leaderKeyRevision, resigning, freshAsOf);
         }
 
-        /** A renewal was confirmed; confirmations may arrive out of order. */
+        /** Returns a copy after a renewal was confirmed. Confirmations may arrive out of order. */
         HeldLeadership withRenewalConfirmed(MonotonicTime sentAt) {
             return new HeldLeadership(
                     lease,
@@ -90,13 +95,13 @@
                     freshAsOf);
         }
 
-        /** A renewal got no reply, so that the next one is due at once. */
+        /** Returns a copy after a renewal got no reply, in which the next one is due at once. */
         HeldLeadership withRenewalFailed() {
             return new HeldLeadership(
                     lease, leaseValidFrom, null, false, leaderKeyRevision, resigning, freshAsOf);
         }
 
-        /** A release is in flight, or was refused. */
+        /** Returns a copy after a release was sent, or was refused by the store. */
         HeldLeadership withResigning(boolean inFlight) {
             return new HeldLeadership(
                     lease,
@@ -108,7 +113,10 @@
                     freshAsOf);
         }
 
-        /** All changes of jobs are known up to a moment; an earlier one than before is ignored. */
+        /**
+         * Returns a copy in which all changes of jobs up to {@code upTo} are known. A moment before
+         * the present one is ignored.
+         */
         HeldLeadership withFreshness(MonotonicTime upTo) {
             return new HeldLeadership(
                     lease,
@@ -120,7 +128,9 @@
                     freshAsOf == null ? upTo : MonotonicTime.latestOf(freshAsOf, upTo));
         }
 
-        /** Whether none is in flight and the last one was sent an interval ago. */
+        /**
+         * Whether no renewal is in flight and the last one was sent at least {@code interval} ago.
+         */
         boolean isRenewalDue(MonotonicTime now, Duration interval) {
             return !renewing
                     && (lastRenewalSentAt == null
@@ -129,52 +139,54 @@
     }
 
     /**
-     * The leader last heard of.
+     * The last known leader.
      *
      * @param leader its name, or null if none is known
-     * @param highestToken the highest fencing token that any node or worker has shown
-     * @param lease that the leader record is stored under, or null if not known
-     * @param vacantSince since when there is no leader record, or null if there is one
+     * @param highestToken the highest fencing token that this node has seen from any node or worker
+     * @param lease the lease that the leader record is stored under, or null if it is not known
+     * @param vacantSince when this node first saw that there was no leader record, or null if there
+     *     is one
      */
     record ObservedLeader(
             String leader, FencingToken highestToken, LeaseId lease, MonotonicTime vacantSince) {
-        /** There is no leader record, as was seen now. */
+        /** Returns a copy after the leader record was found to be absent at {@code now}. */
         ObservedLeader vacant(MonotonicTime now) {
             return new ObservedLeader(
                     null, highestToken, null, vacantSince == null ? now : vacantSince);
         }
 
-        /** The same without a leader's name. */
+        /** Returns a copy without the leader's name. */
         ObservedLeader withoutLeader() {
             return new ObservedLeader(null, highestToken, lease, vacantSince);
         }
     }
 
     /**
-     * What speaks for it that the process of the observed leader has ended.
+     * The evidence that the process of the observed leader has ended.
      *
-     * @param departedWorkers workers that have left it, as many as are needed as evidence
-     * @param departureCount how often a worker has left it, in all
-     * @param probing whether it is being probed
-     * @param lastAnsweredAt when it last answered a probe, or null
+     * @param departedWorkers distinct workers that have left the leader, at most as many as are
+     *     needed as evidence
+     * @param departureCount how often workers have left the leader, repetitions included
+     * @param probing whether the leader is being probed
+     * @param lastAnsweredAt when the leader last answered a probe, or null
      */
     record Suspicion(
             Set<MachineId> departedWorkers,
             int departureCount,
             boolean probing,
             MonotonicTime lastAnsweredAt) {
-        /** Nothing speaks for it. */
+        /** No evidence, and no answer to a probe yet. */
         static final Suspicion NONE = cleared(null);
 
-        /** Nothing speaks for it any more. */
+        /** Returns a suspicion without evidence. */
         static Suspicion cleared(MonotonicTime lastAnsweredAt) {
             return new Suspicion(Set.of(), 0, false, lastAnsweredAt);
         }
 
         /**
-         * One more worker has left the leader.
+         * Returns a copy after a worker has left the leader.
          *
-         * @param enough how many distinct workers are remembered at most
+         * @param enough the maximum number of distinct workers that are remembered
          */
         Suspicion withDeparture(MachineId worker, int enough) {
             if (departedWorkers.size() >= enough || departedWorkers.contains(worker)) {
@@ -185,12 +197,12 @@
             return new Suspicion(workers, departureCount + 1, probing, lastAnsweredAt);
         }
 
-        /** The leader is being probed, or not any more. */
+        /** Returns a copy after a probe of the leader was started or finished. */
         Suspicion withProbing(boolean inProgress) {
             return new Suspicion(departedWorkers, departureCount, inProgress, lastAnsweredAt);
         }
 
-        /** The departures spoke against an earlier leader. */
+        /** Returns a copy without the departures, which concerned an earlier leader. */
         Suspicion withoutDepartures() {
             return new Suspicion(Set.of(), 0, probing, lastAnsweredAt);
         }
@@ -201,7 +213,7 @@
         return heldLeadership != null;
     }
 
-    /** The same with another leadership of this node. */
+    /** Returns a copy with another leadership of this node. */
     LeadershipState with(HeldLeadership held) {
         return new LeadershipState(
                 epoch,
@@ -213,7 +225,7 @@
                 resignedWithoutSuccessorAt);
     }
 
-    /** The same with another observed leader. */
+    /** Returns a copy with another observed leader. */
     LeadershipState with(ObservedLeader leader) {
         return new LeadershipState(
                 epoch,
@@ -225,7 +237,7 @@
                 resignedWithoutSuccessorAt);
     }
 
-    /** The same with another suspicion. */
+    /** Returns a copy with another suspicion. */
     LeadershipState with(Suspicion changed) {
         return new LeadershipState(
                 epoch,
@@ -237,7 +249,7 @@
                 resignedWithoutSuccessorAt);
     }
 
-    /** This node has released its lease because it was isolated. */
+    /** Returns a copy after this node released its lease because it was isolated. */
     LeadershipState withIsolation(MonotonicTime withoutSuccessorAt) {
         return new LeadershipState(
                 epoch,
@@ -249,7 +261,7 @@
                 withoutSuccessorAt);
     }
 
-    /** A worker has reached this node. */
+    /** Returns a copy after a worker has reached this node. */
     LeadershipState withoutIsolation() {
         return new LeadershipState(
                 epoch,
@@ -261,7 +273,7 @@
                 resignedWithoutSuccessorAt);
     }
 
-    /** This node's leadership is over. */
+    /** Returns a copy after this node's leadership has ended. */
     LeadershipState steppedDown(String member) {
         return new LeadershipState(
                 epoch + 1,
@@ -275,7 +287,7 @@
                 resignedWithoutSuccessorAt);
     }
 
-    /** This node has been elected. */
+    /** Returns a copy after this node was elected. */
     LeadershipState elected(String member, FencingToken token, HeldLeadership held) {
         return new LeadershipState(
                 epoch,
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipStateMachine.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipStateMachine.java
@@ -42,11 +42,11 @@
 import org.meadowhollow.storage.KeyValueStore.Entry;
 
 /**
- * Leadership as a pure function: a state, an event and the clock in; the next state and the effects
- * out. {@link Leadership} runs it in the controller, the model-checking tests run it in every order
- * of events up to a bound.
+ * Leader election on one node as a pure function from a state, an event and the clock to the next
+ * state and a list of effects. {@link Leadership} runs it in the controller; the model-checking
+ * tests run it with every order of events up to a bound.
  *
- * <p>A node follows a cycle, with one function for each event:
+ * <p>A node passes through these roles in a cycle; each event has one handler:
  *
  * <ol>
  *   <li><b>Follower.</b> Read the leader record. If another member holds it, watch it until it
@@ -63,7 +63,10 @@
  * <p>What a leader may do while it holds the record is decided by {@link LeadershipSafety}.
  */
 final class LeadershipStateMachine {
-    /** Three attempts fit into {@link LeadershipSafety#LEASE_TTL}. */
+    /**
+     * The interval between two renewals of the lease. Three attempts fit into {@link
+     * LeadershipSafety#LEASE_TTL}.
+     */
     static final Duration RENEWAL_INTERVAL = Duration.ofMillis(1500);
 
     private final String member;
@@ -77,12 +80,12 @@
         this.failureDetection = new LeaderFailureDetection(member);
     }
 
-    /** As {@link LeaderFailureDetection#leaderMayHaveFailed}. */
+    /** Delegates to {@link LeaderFailureDetection#leaderMayHaveFailed}. */
     boolean leaderMayHaveFailed(LeadershipState state, FencingToken shown, MonotonicTime now) {
         return failureDetection.leaderMayHaveFailed(state, shown, now);
     }
 
-    /** What follows from an event. */
+    /** Computes the transition for an event. */
     LeadershipTransition apply(LeadershipState state, LeadershipEvent event, MonotonicTime now) {
         if (event instanceof EpochBound reply) {
             return reply.epoch() == state.epoch()
@@ -92,7 +95,7 @@
         return applyInput(state, event, now);
     }
 
-    /** A reply or timer of the current epoch. */
+    /** Handles a reply or a timer of the current epoch. */
     private LeadershipTransition applyReply(
             LeadershipState state, EpochBound event, MonotonicTime now) {
         if (event instanceof LeaderKeyRead read) {
@@ -117,7 +120,7 @@
         throw new IllegalStateException("no transition for " + event);
     }
 
-    /** An event that counts in every epoch. */
+    /** Handles an event that is valid in every epoch. */
     private LeadershipTransition applyInput(
             LeadershipState state, LeadershipEvent event, MonotonicTime now) {
         if (event instanceof LeadershipEvent.Started) {
@@ -185,7 +188,7 @@
         FencingToken highest = state.observedLeader().highestToken();
         WatchLeaderKey watch = new WatchLeaderKey(state.epoch(), readAt);
         if (highest.isAfter(leader.fencingToken())) {
-            // A newer leader is known, and its record will be seen by the watch.
+            // A newer leader is known, and the watch will report its record.
             return LeadershipTransition.to(state, watch);
         }
         LeadershipState following =
@@ -221,7 +224,7 @@
                 state, new GrantLease(state.epoch(), event.leaderKeyRevision(), event.counter()));
     }
 
-    /** Whether the leader record has been vacant for as long as this node leaves it to others. */
+    /** Whether the leader record has been absent for at least the candidacy delay of this node. */
     private boolean mayStand(LeadershipState state, TokenCounterRead event, MonotonicTime now) {
         MonotonicTime vacantSince = state.observedLeader().vacantSince();
         Duration vacantFor = vacantSince == null ? Duration.ZERO : now.elapsedSince(vacantSince);
@@ -250,8 +253,9 @@
     }
 
     /**
-     * A token above the counter and above all that this node has been shown: workers reject a token
-     * below the highest that they have seen, and that may be one that the counter does not know.
+     * The fencing token of the next leadership. It is above the counter and above every token that
+     * this node has seen: workers reject a token below the highest that they have seen, and that
+     * one may be missing from the counter.
      */
     private static FencingToken nextToken(LeadershipState state, Optional<Entry> counter) {
         FencingToken counted =
@@ -264,8 +268,8 @@
     private LeadershipTransition onLeaderKeyClaimCompleted(
             LeadershipState state, LeaderKeyClaimCompleted event) {
         if (event.commit() == null || !event.commit().isApplied()) {
-            // Without a reply it may yet be executed. The next read then finds this member's own
-            // name, and another attempt replaces that record.
+            // Without a reply the transaction may still be executed. The next read then finds this
+            // member's own name, and another attempt replaces that record.
             return readLeaderKeyLater(state);
         }
         Revision revision = event.commit().revision();
@@ -331,8 +335,8 @@
         }
         ObservedLeader observed =
                 new ObservedLeader(event.leader(), event.fencingToken(), null, known.vacantSince());
-        // A leader that went on answering with a lower token would keep workers from its successor
-        // until their leases expire.
+        // If this node continued to answer heartbeats with its lower token, its workers would not
+        // turn to the successor until their leases expire.
         LeadershipTransition transition =
                 stepDown(state.with(observed), "higher fencing token " + event.fencingToken());
         return event.leader() == null
@@ -391,7 +395,7 @@
 
     private static String releaseReason(ReleaseCompleted event) {
         if (event.commit() == null) {
-            // It may have been executed, or may be at any later time, so this node steps down.
+            // The release may have been executed or may be executed later, so this node steps down.
             return "release not confirmed";
         }
         if (!event.commit().isApplied()) {
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipStoreClient.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipStoreClient.java
@@ -38,13 +38,13 @@
 
 /**
  * Sends the requests of {@link LeadershipStateMachine} to the key-value store and returns each
- * reply as an event. Stateless; calls no lock and blocks on nothing.
+ * reply as an event. Stateless; takes no lock and does not block.
  */
 final class LeadershipStoreClient {
-    // The logger of the whole part, so that operators find its lines under one name.
+    // The logger of Leadership, so that all log lines of leader election have the same name.
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
 
-    /** The longest wait of a watch; it returns at once when the leader record changes. */
+    /** The maximum wait of a watch, which returns at once when the leader record changes. */
     private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(20);
 
     private final KeyValueStore store;
@@ -55,8 +55,8 @@
 
     /**
      * @param member the name of this node
-     * @param workersReachNode whether several workers have reached this node lately
-     * @param replies takes the replies, on the thread that completes the request
+     * @param workersReachNode whether several workers have reached this node recently
+     * @param replies receives the replies, on the thread that completes the request
      */
     LeadershipStoreClient(
             KeyValueStore store,
@@ -71,7 +71,7 @@
         this.replies = replies;
     }
 
-    /** Sends a request at once; {@link ReadLeaderKey#afterDelay()} is the caller's concern. */
+    /** Sends a request at once. The caller handles {@link ReadLeaderKey#afterDelay()}. */
     void send(StoreRequest request) {
         if (request instanceof ReadLeaderKey read) {
             readLeaderKey(read);
@@ -195,7 +195,7 @@
 
     private void releaseLeaderKey(ReleaseLeaderKey request) {
         LOG.info(
-                "leader releases lease token={} reason={} successor={}",
+                "lease release requested token={} reason={} successor={}",
                 request.fencingToken(),
                 request.becauseIsolated() ? "isolated" : "shutdown",
                 request.preferredSuccessor() == null ? "any" : request.preferredSuccessor());
@@ -232,7 +232,8 @@
 
     private void revokeSuspectLease(RevokeSuspectLease request) {
         LOG.info(
-                "suspected leader refuses connections, lease revoked leader={} departedWorkers={}",
+                "lease revocation requested reason=\"suspected leader refuses connections\""
+                        + " node={} departures={}",
                 request.suspect(),
                 request.departureCount());
         CompletableFuture<?> unusedReply =
--- a/src/main/java/org/meadowhollow/coordination/leadership/package-info.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/package-info.java
@@ -9,10 +9,10 @@
  *
  * <p><b>Owns</b> two records of the key-value store: the leader record (written under a lease, so
  * that it disappears with its holder) and the token counter (the highest fencing token given out,
- * and after a release, who should be elected next). Nothing else is written here.
+ * and after a release, the member that should be elected next). It writes no other records.
  *
  * <p><b>May call</b> the key-value store, the event loop, the peers (probes and announcements,
- * which save time and prove nothing) and the heartbeat tracker.
+ * which shorten failovers; no safety rule relies on them) and the heartbeat tracker.
  *
  * <p><b>Structure.</b> {@link org.meadowhollow.coordination.leadership.LeadershipStateMachine} is a
  * pure function from a state, an event and the clock to the next state and a list of effects.
