--- a/src/test/java/org/meadowhollow/coordination/leadership/CancellationFreshnessModelTest.java
+++ b/src/test/java/org/meadowhollow/coordination/leadership/CancellationFreshnessModelTest.java
@@ -25,11 +25,12 @@
 import org.meadowhollow.storage.LeaseId;
 
 /**
- * Model checking of invariants 2 and 3 of {@link LeadershipSafety}: breadth-first search over all
- * that can happen, up to a bound, to a cancellation, a worker, a leader and its successor, which
- * run {@link LeadershipStateMachine}. The key-value store refuses the first leader alone, several
- * times, and is then unavailable to all and stays so; reads and renewals are executed and answered
- * at any later time, or lost; the worker sends its heartbeats to whom it likes.
+ * Model checking of invariants 2 and 3 of {@link LeadershipSafety}: breadth-first search, up to a
+ * bound, over all states of a cancellation, a worker, a leader and its successor; the latter two
+ * run {@link LeadershipStateMachine}. The key-value store refuses requests of the first leader
+ * only, up to {@link #MAX_REFUSALS} times, and may become unavailable to all nodes for good. Reads
+ * and renewals are executed and answered at any later time, or lost. The worker sends each
+ * heartbeat to either node.
  *
  * <p>Checked in every state: the task of a cancelled job is gone within the cancellation bound; and
  * within the same time after a successor's election no worker keeps a task under the former leader.
@@ -48,28 +49,33 @@
     private static final int MAX_TICKS = 8;
     private static final int MAX_REFUSALS = 1;
 
-    /** The nearest states that are explored; every violation without a safeguard is far nearer. */
+    /**
+     * The number of states that are explored, in breadth-first order. Without a safeguard, every
+     * violation is found long before this limit.
+     */
     private static final int MAX_STATES = 400_000;
 
     private static final int MIN_STATES = 100_000;
 
-    /** A safeguard that is removed to see that an invariant breaks without it. */
+    /** A safeguard that a test removes to verify that an invariant is violated without it. */
     private enum RemovedSafeguard {
         NOTHING,
-        /** A confirmed renewal counts as if everything had been read. */
+        /** A confirmed renewal advances the freshness as if all changes had been read. */
         FRESHNESS_BY_READING,
-        /** A new leader counts as fresh from its election on, before it has loaded the records. */
+        /** A new leader is fresh from its election on, before it has loaded the records. */
         NO_FRESHNESS_BEFORE_LOADING,
-        /** A reply counts from when it arrived instead of from when the request was sent. */
+        /**
+         * Freshness counts from the arrival of a reply instead of from the sending of its request.
+         */
         FRESHNESS_FROM_SENDING,
-        /** Whoever reads may answer heartbeats, whether its own lease is renewed or not. */
+        /** A node that reads may answer heartbeats even if its own lease is not renewed. */
         OWN_LEASE
     }
 
-    /** What the successor does. */
+    /** The behaviour of the successor. */
     private enum SuccessorBehaviour {
         NONE,
-        /** It is elected and does nothing more; no faults and no cancellation happen. */
+        /** It is elected and sends no messages; no faults and no cancellation happen. */
         IS_ELECTED,
         /** It is elected, reads, and answers heartbeats. */
         ANSWERS_HEARTBEATS
@@ -97,9 +103,9 @@
         assertNotNull(explore(), "after " + exploredStates + " states");
     }
 
-    // ---- the search ----
+    // ---- search ----
 
-    /** The first violation that is found, or null. */
+    /** Returns the first violation that is found, or null. */
     private String explore() {
         for (SuccessorBehaviour behaviour : SuccessorBehaviour.values()) {
             successorBehaviour = behaviour;
@@ -135,7 +141,7 @@
                     queue.poll(),
                     successor -> {
                         violation[0] = violation[0] == null ? violationIn(successor) : violation[0];
-                        // Once the task is gone nothing can be violated any more.
+                        // Once the task is gone, no invariant can be violated.
                         if (!successor.worker().taskGone() && seen.add(successor)) {
                             queue.add(successor);
                         }
@@ -144,7 +150,11 @@
         return violation[0];
     }
 
-    /** A worker lease that lasts too long is a violation at once: no further answer may arrive. */
+    /**
+     * Returns the invariant that a state violates, or null. A worker lease that ends too late is a
+     * violation at once: the worker may receive no further answer, and then keeps the task until
+     * the lease ends.
+     */
     private static String violationIn(CancellationModel state) {
         Worker worker = state.worker();
         LeaderLease lease = state.leaderLease();
@@ -189,7 +199,7 @@
         return node == FORMER_LEADER || successorBehaviour == SuccessorBehaviour.ANSWERS_HEARTBEATS;
     }
 
-    // ---- the store, the user, and the election ----
+    // ---- store, user and election ----
 
     private void failStoreOrCancel(
             CancellationModel state, Consumer<CancellationModel> successors) {
@@ -217,10 +227,13 @@
 
     // ---- leaders ----
 
-    /** A leader may read, renew its lease, and answer a heartbeat of the worker. */
+    /**
+     * Adds the states after a leader reads, renews its lease, or answers a heartbeat of the worker.
+     */
     private void actAsLeader(
             CancellationModel state, int node, Consumer<CancellationModel> successors) {
-        // The successor renews at each tick by itself; only the former leader's renewals matter.
+        // The successor renews its lease at each tick without a message; only the renewals of the
+        // former leader are modelled as messages.
         if (node == FORMER_LEADER) {
             sendUnlessInFlight(state, node, true, successors);
         }
--- a/src/test/java/org/meadowhollow/coordination/leadership/CancellationModel.java
+++ b/src/test/java/org/meadowhollow/coordination/leadership/CancellationModel.java
@@ -9,7 +9,7 @@
 /**
  * A state of {@link CancellationFreshnessModelTest}, immutable. Times are in seconds.
  *
- * @param tick how often the clock has advanced by {@link #TICK_S}
+ * @param tick the number of times that the clock has advanced by {@link #TICK_S}
  * @param nodes the former leader and its successor
  * @param cancelledAt when the cancellation was confirmed to the user, or {@link #NEVER}
  */
@@ -25,6 +25,8 @@
     private static final int TICK_S = 2;
 
     /**
+     * The former leader or its successor.
+     *
      * @param knowsCancellation whether a read has shown the cancellation to this node
      */
     record Node(LeadershipState state, boolean knowsCancellation) {
@@ -34,12 +36,12 @@
     }
 
     /**
-     * A request or reply on its way; at most one of a kind for each node.
+     * A request or reply in flight; at most one of each kind for each node.
      *
-     * @param isRenewal whether it renews the leader's lease, or else reads the changes of jobs
+     * @param isRenewal true if it renews the leader's lease, false if it reads the changes of jobs
      * @param sentAt the tick in which the request was sent
-     * @param showsCancellation null for a request; for the reply to a read, whether the store had
-     *     the cancellation when it executed the request
+     * @param showsCancellation null for a request; for the reply to a read, whether the store
+     *     contained the cancellation when it executed the request
      */
     record Message(int node, boolean isRenewal, int sentAt, Boolean showsCancellation) {}
 
@@ -66,11 +68,11 @@
     }
 
     /**
-     * The worker with the task of the job that may be cancelled.
+     * The worker that runs the task of the job that may be cancelled.
      *
-     * @param leaseEndsAt when its lease expires, at which it kills its tasks
-     * @param showsSuccessorToken whether it has seen the successor's token, and so rejects answers
-     *     of the former leader
+     * @param leaseEndsAt when its lease expires and it kills its tasks
+     * @param showsSuccessorToken whether it has seen the successor's token, and therefore rejects
+     *     answers of the former leader
      */
     record Worker(int leaseEndsAt, boolean showsSuccessorToken, boolean taskGone) {
         Worker at(int second) {
@@ -79,9 +81,11 @@
     }
 
     /**
-     * @param refusesLeader whether the store refuses requests of the former leader alone
-     * @param refusals how often that has begun
-     * @param unavailable whether it refuses everybody, from now on
+     * The faults of the key-value store.
+     *
+     * @param refusesLeader whether the store refuses requests of the former leader only
+     * @param refusals the number of times that such a refusal has begun
+     * @param unavailable whether the store refuses all requests from now on
      */
     record StoreFaults(boolean refusesLeader, int refusals, boolean unavailable) {
         StoreFaults withOutage() {
--- a/src/test/java/org/meadowhollow/coordination/leadership/LeadershipModelTest.java
+++ b/src/test/java/org/meadowhollow/coordination/leadership/LeadershipModelTest.java
@@ -25,12 +25,12 @@
 import org.meadowhollow.storage.LeaseId;
 
 /**
- * Model checking of invariant 1 of {@link LeadershipSafety}: breadth-first search over all that can
- * happen, up to a bound, to three nodes that run {@link LeadershipStateMachine} and {@link
+ * Model checking of invariant 1 of {@link LeadershipSafety}: breadth-first search, up to a bound,
+ * over all states of three nodes that run {@link LeadershipStateMachine} and {@link
  * FailoverPreconditions} against one key-value store. Requests are answered, lost or executed late,
- * replies arrive late, leases expire, a leader hands over. A decision is a transaction. A new
- * leader is announced to the first node alone, at any later time, so that the others never hear of
- * it.
+ * replies arrive late, leases expire, and a leader hands over. A decision is a transaction. The
+ * election of a new leader is announced only to the first node, at any later time; the other nodes
+ * receive no announcement.
  *
  * <p>Checked in every state: at most one node may decide; no fencing token is given out twice; no
  * decision of a former leader is committed after one of its successor; every decision is made on a
@@ -43,7 +43,7 @@
     private static final int MAX_STATES = 400_000;
     private static final long FIRST_LEASE = 1;
 
-    /** A safeguard that is removed to see that an invariant breaks without it. */
+    /** A safeguard that a test removes to verify that an invariant is violated without it. */
     enum RemovedSafeguard {
         NOTHING,
         /** Decisions are not conditional on the leader record. */
@@ -52,11 +52,11 @@
         COUNTER_REVISION_OF_CLAIMS,
         /** The replica need not cover the leader record. */
         REPLICA_COVERS_LEADER_KEY,
-        /** Whoever holds the leader record may decide, whether its lease has expired or not. */
+        /** A node that holds the leader record may decide even after its lease has expired. */
         LEASE_CHECK
     }
 
-    /** A request that its node has given up, and that the store may execute later. */
+    /** A request that its node considers failed, and that the store may still execute later. */
     private record AbandonedRequest(Object content) {}
 
     private final List<LeadershipStateMachine> stateMachines = new ArrayList<>();
@@ -85,9 +85,9 @@
         assertNotNull(explore(), "after " + exploredStates + " states");
     }
 
-    // ---- the search ----
+    // ---- search ----
 
-    /** The first violation that is found, nearest states first, or null. */
+    /** Returns the first violation in breadth-first order, or null. */
     private String explore() {
         Set<ModelCluster> seen = new HashSet<>();
         ArrayDeque<ModelCluster> queue = new ArrayDeque<>();
@@ -162,7 +162,7 @@
         return checked(state.with(state.store().withLeaseExpired(lease), state.messages()));
     }
 
-    // ---- what a leader does by itself ----
+    // ---- actions of a leader ----
 
     private void actAsLeader(ModelCluster state, int index, Consumer<ModelCluster> successors) {
         Node node = state.nodes().get(index);
@@ -170,7 +170,7 @@
         if (held == null) {
             return;
         }
-        // A standby's replica may be as old as can be; a leader catches up sooner or later.
+        // The replica of a standby may be arbitrarily old; a leader catches up at some later time.
         if (held.leaderKeyRevision().isAfter(node.replicaRevision())) {
             successors.accept(checked(state.with(index, node.caughtUpWith(state.store()))));
         }
@@ -260,7 +260,7 @@
         }
     }
 
-    /** Only for these does it matter whether they are executed though the node has no reply. */
+    /** Whether it matters that a request is executed although the node receives no reply. */
     private static boolean changesStore(Object request) {
         return request instanceof LeadershipEffect.ClaimLeaderKey
                 || request instanceof LeadershipEffect.RenewLease
@@ -278,7 +278,7 @@
         successors.accept(checked(state.with(executed.after(), messages)).withOneFaultLess());
     }
 
-    /** The node takes the request for failed, and the store executes it later or never. */
+    /** The node considers the request failed, and the store executes it later or never. */
     private void loseRequest(
             ModelCluster state,
             Object request,
@@ -344,9 +344,9 @@
                 || effect instanceof LeadershipEffect.RevokeOwnLease);
     }
 
-    // ---- the invariants ----
+    // ---- invariants ----
 
-    /** The state, marked if it violates an invariant. */
+    /** Returns the state, with a description of the violation if it violates an invariant. */
     private ModelCluster checked(ModelCluster state) {
         String violation = violationByDecisions(state.store().decisions());
         if (countDeciding(state) > 1) {
--- a/src/test/java/org/meadowhollow/coordination/leadership/ModelCluster.java
+++ b/src/test/java/org/meadowhollow/coordination/leadership/ModelCluster.java
@@ -10,13 +10,13 @@
 
 /**
  * A state of the whole cluster of {@link LeadershipModelTest}, immutable: the store, the nodes, and
- * what is on its way between them.
+ * the messages in flight between them.
  *
- * @param ticks how often the clock has advanced by {@link #TICK}
- * @param faultsLeft how many more requests or replies may be late or lost
+ * @param ticks the number of times that the clock has advanced by {@link #TICK}
+ * @param faultsLeft the number of requests or replies that may still be late or lost
  * @param mayHandOver whether a leader may still hand over
  * @param tokens the fencing tokens of all elections so far
- * @param violation the invariant that is broken, or null
+ * @param violation a description of the invariant that is violated, or null
  */
 record ModelCluster(
         ModelStore store,
@@ -33,7 +33,7 @@
      * A node with its replica of the records.
      *
      * @param replicaRevision the revision that the replica covers
-     * @param knownDecisions how many of the committed decisions the replica contains
+     * @param knownDecisions the number of committed decisions that the replica contains
      * @param hasDecided whether the leadership of this node has made its decision
      */
     record Node(
@@ -62,8 +62,8 @@
     }
 
     /**
-     * On its way: to the store if the content is an effect or a decision, to the node if it is an
-     * event.
+     * A message in flight: to the store if the content is an effect or a decision, to the node if
+     * it is an event.
      */
     record Message(int node, Object content) {}
 
--- a/src/test/java/org/meadowhollow/coordination/leadership/ModelStore.java
+++ b/src/test/java/org/meadowhollow/coordination/leadership/ModelStore.java
@@ -16,8 +16,8 @@
 /**
  * The key-value store of {@link LeadershipModelTest}, immutable.
  *
- * @param revision of the last transaction
- * @param leases when each lease expires, by its number
+ * @param revision the revision of the last transaction
+ * @param leases the expiry time of each lease by its number
  * @param nextLease the number of the lease that is granted next
  * @param decisions the committed decisions, in the order of their transactions
  */
@@ -49,21 +49,21 @@
     record TokenCounter(long fencingToken, String preferredSuccessor, long revision) {}
 
     /**
-     * A decision of a leader, which is a transaction.
+     * A decision of a leader, committed as a transaction.
      *
      * @param requiredRevision the revision that the leader record must have
-     * @param knownDecisions how many of the committed decisions the leader knew
+     * @param knownDecisions the number of committed decisions that the leader knew
      */
     record Decision(FencingToken fencingToken, Revision requiredRevision, int knownDecisions) {}
 
     /**
-     * A request that was executed.
+     * The result of executing a request.
      *
-     * @param reply null where there is none yet, or none that matters
+     * @param reply the reply, or null if there is none yet or the model ignores it
      */
     record Executed(ModelStore after, LeadershipEvent reply) {}
 
-    /** The store once the first node has been elected. */
+    /** Returns the store after the election of the first leader. */
     static ModelStore withLeader(String member, long lease, MonotonicTime leaseExpiresAt) {
         return new ModelStore(
                 1,
