--- a/src/main/java/org/meadowhollow/coordination/leadership/CandidacyPolicy.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/CandidacyPolicy.java
@@ -92,8 +92,8 @@
             String member,
             boolean workersReachMember,
             boolean isolated) {
-        Object isolatedMember = read(counter, LeadershipRecordCodec.ISOLATED_MEMBER_FIELD);
-        Object preferred = read(counter, LeadershipRecordCodec.PREFERRED_SUCCESSOR_FIELD);
+        Object isolatedMember = readField(counter, LeadershipRecordCodec.ISOLATED_MEMBER_FIELD);
+        Object preferred = readField(counter, LeadershipRecordCodec.PREFERRED_SUCCESSOR_FIELD);
         boolean releasedByIsolated = isolatedMember != null;
         boolean isPreferred = member.equals(preferred);
         if (workersReachMember) {
@@ -110,7 +110,7 @@
         return releasedByIsolated ? ISOLATED_LEADER_HEAD_START : PREFERRED_SUCCESSOR_HEAD_START;
     }
 
-    private static Object read(Map<String, Object> counter, String field) {
+    private static Object readField(Map<String, Object> counter, String field) {
         return counter == null ? null : counter.get(field);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeaderFailureDetection.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeaderFailureDetection.java
@@ -64,11 +64,11 @@
      * another member, the worker has shown the highest token, and the leader has not answered a
      * probe recently.
      *
-     * @param shown the fencing token that the worker has shown
+     * @param shownToken the fencing token that the worker has shown
      */
-    boolean leaderMayHaveFailed(LeadershipState state, FencingToken shown, MonotonicTime now) {
+    boolean leaderMayHaveFailed(LeadershipState state, FencingToken shownToken, MonotonicTime now) {
         return followsOtherMember(state)
-                && shown.equals(state.observedLeader().highestToken())
+                && shownToken.equals(state.observedLeader().highestToken())
                 && !answeredRecently(state.suspicion(), now);
     }
 
@@ -114,7 +114,7 @@
                 event.probeResult() == ProbeResult.CONNECTION_REFUSED
                         ? event.consecutiveRefusals() + 1
                         : 0;
-        if (hasCertainlyFailed(state, refusals)) {
+        if (shouldRevokeLease(state, refusals)) {
             return revokeLeaseOf(event.suspect(), state);
         }
         return LeadershipTransition.to(
@@ -133,7 +133,7 @@
                 || !event.suspect().equals(state.observedLeader().leader());
     }
 
-    private static boolean hasCertainlyFailed(LeadershipState state, int refusals) {
+    private static boolean shouldRevokeLease(LeadershipState state, int refusals) {
         return refusals >= MIN_CONSECUTIVE_REFUSALS
                 && state.suspicion().departedWorkers().size() >= MIN_DEPARTED_WORKERS
                 && state.observedLeader().lease() != null;
--- a/src/main/java/org/meadowhollow/coordination/leadership/Leadership.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/Leadership.java
@@ -68,17 +68,18 @@
          * Called when this member has been elected leader.
          *
          * @param fencingToken the fencing token of this leadership
-         * @param leaderVersion the revision of the transaction that wrote the leader record
+         * @param leaderKeyRevision the revision of the transaction that wrote the leader record
          * @param noticedAt when this node first saw that there was no leader, or null if it did not
          */
-        void elected(FencingToken fencingToken, Revision leaderVersion, MonotonicTime noticedAt);
+        void elected(
+                FencingToken fencingToken, Revision leaderKeyRevision, MonotonicTime noticedAt);
 
         /**
          * Called when this member no longer leads.
          *
-         * @param why the reason, for the log
+         * @param reason the reason, for the log
          */
-        void leadershipLost(String why);
+        void leadershipLost(String reason);
 
         /**
          * Called when another member is believed to lead.
@@ -193,11 +194,12 @@
      * Whether enough time has passed since the last release without a known successor to release
      * the lease in that way again.
      *
-     * @param pause the minimum time between two such releases
+     * @param minInterval the minimum time between two such releases
      */
-    public synchronized boolean canResignWithoutSuccessor(Duration pause) {
-        MonotonicTime lastAt = state.resignedWithoutSuccessorAt();
-        return lastAt == null || loop.now().elapsedSince(lastAt).compareTo(pause) >= 0;
+    public synchronized boolean canResignWithoutSuccessor(Duration minInterval) {
+        MonotonicTime lastResignedAt = state.resignedWithoutSuccessorAt();
+        return lastResignedAt == null
+                || loop.now().elapsedSince(lastResignedAt).compareTo(minInterval) >= 0;
     }
 
     // ---- inputs from other parts of the controller ----
@@ -217,10 +219,10 @@
      * Records a fencing token that a peer or a worker has shown. A token above the highest one
      * known to this node ends this node's leadership.
      *
-     * @param otherLeader the member that the token belongs to, or null if that is not known
+     * @param leader the member that the token belongs to, or null if that is not known
      */
-    public void observeToken(FencingToken other, String otherLeader) {
-        handle(new LeadershipEvent.TokenObserved(other, otherLeader));
+    public void observeToken(FencingToken fencingToken, String leader) {
+        handle(new LeadershipEvent.TokenObserved(fencingToken, leader));
     }
 
     /** Ends this node's leadership because a write found that the leader record has changed. */
@@ -264,17 +266,17 @@
      * leader is probed, and replaced before its lease expires if it has failed, see {@link
      * LeaderFailureDetection}.
      *
-     * @param shown the fencing token that the worker has shown
+     * @param shownToken the fencing token that the worker has shown
      * @return true if the heartbeat should be deferred until the result of the probe is known,
      *     false if the worker should be redirected to the leader
      */
-    public boolean recordWorkerArrival(MachineId worker, FencingToken shown) {
+    public boolean recordWorkerArrival(MachineId worker, FencingToken shownToken) {
         synchronized (this) {
-            if (!stateMachine.leaderMayHaveFailed(state, shown, loop.now())) {
+            if (!stateMachine.leaderMayHaveFailed(state, shownToken, loop.now())) {
                 return false;
             }
         }
-        handle(new LeadershipEvent.WorkerArrived(worker, shown));
+        handle(new LeadershipEvent.WorkerArrived(worker, shownToken));
         return true;
     }
 
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipState.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipState.java
@@ -186,10 +186,10 @@
         /**
          * Returns a copy after a worker has left the leader.
          *
-         * @param enough the maximum number of distinct workers that are remembered
+         * @param maxWorkers the maximum number of distinct workers that are remembered
          */
-        Suspicion withDeparture(MachineId worker, int enough) {
-            if (departedWorkers.size() >= enough || departedWorkers.contains(worker)) {
+        Suspicion withDeparture(MachineId worker, int maxWorkers) {
+            if (departedWorkers.size() >= maxWorkers || departedWorkers.contains(worker)) {
                 return new Suspicion(departedWorkers, departureCount + 1, probing, lastAnsweredAt);
             }
             Set<MachineId> workers = new HashSet<>(departedWorkers);
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipStateMachine.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipStateMachine.java
@@ -81,8 +81,8 @@
     }
 
     /** Delegates to {@link LeaderFailureDetection#leaderMayHaveFailed}. */
-    boolean leaderMayHaveFailed(LeadershipState state, FencingToken shown, MonotonicTime now) {
-        return failureDetection.leaderMayHaveFailed(state, shown, now);
+    boolean leaderMayHaveFailed(LeadershipState state, FencingToken shownToken, MonotonicTime now) {
+        return failureDetection.leaderMayHaveFailed(state, shownToken, now);
     }
 
     /** Computes the transition for an event. */
@@ -217,7 +217,7 @@
 
     private LeadershipTransition onTokenCounterRead(
             LeadershipState state, TokenCounterRead event, MonotonicTime now) {
-        if (event.counter() == null || !mayStand(state, event, now)) {
+        if (event.counter() == null || !mayStandForElection(state, event, now)) {
             return readLeaderKeyLater(state);
         }
         return LeadershipTransition.to(
@@ -225,7 +225,8 @@
     }
 
     /** Whether the leader record has been absent for at least the candidacy delay of this node. */
-    private boolean mayStand(LeadershipState state, TokenCounterRead event, MonotonicTime now) {
+    private boolean mayStandForElection(
+            LeadershipState state, TokenCounterRead event, MonotonicTime now) {
         MonotonicTime vacantSince = state.observedLeader().vacantSince();
         Duration vacantFor = vacantSince == null ? Duration.ZERO : now.elapsedSince(vacantSince);
         Map<String, Object> counter = event.counter().map(Entry::value).orElse(null);
@@ -258,11 +259,11 @@
      * one may be missing from the counter.
      */
     private static FencingToken nextToken(LeadershipState state, Optional<Entry> counter) {
-        FencingToken counted =
+        FencingToken storedToken =
                 counter.map(entry -> LeadershipRecordCodec.fencingTokenOf(entry.value()))
                         .orElse(FencingToken.NONE);
-        FencingToken observed = state.observedLeader().highestToken();
-        return (observed.isAfter(counted) ? observed : counted).next();
+        FencingToken observedToken = state.observedLeader().highestToken();
+        return (observedToken.isAfter(storedToken) ? observedToken : storedToken).next();
     }
 
     private LeadershipTransition onLeaderKeyClaimCompleted(
@@ -383,11 +384,12 @@
         if (event.refused()) {
             return LeadershipTransition.to(state.with(state.heldLeadership().withResigning(false)));
         }
-        LeadershipState released = event.becauseIsolated() ? isolated(state, event, now) : state;
+        LeadershipState released =
+                event.becauseIsolated() ? markIsolated(state, event, now) : state;
         return stepDown(released, releaseReason(event)).andThen(new RevokeOwnLease(event.lease()));
     }
 
-    private static LeadershipState isolated(
+    private static LeadershipState markIsolated(
             LeadershipState state, ReleaseCompleted event, MonotonicTime now) {
         return state.withIsolation(
                 event.preferredSuccessor() == null ? now : state.resignedWithoutSuccessorAt());
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipStoreClient.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipStoreClient.java
@@ -176,7 +176,7 @@
         CompletableFuture<?> unusedReply =
                 store.renewLease(request.lease())
                         .whenComplete(
-                                (nothing, failure) ->
+                                (unusedResult, failure) ->
                                         replies.accept(
                                                 new RenewalCompleted(
                                                         request.epoch(),
@@ -239,7 +239,7 @@
         CompletableFuture<?> unusedReply =
                 store.revokeLease(request.lease())
                         .whenComplete(
-                                (nothing, failure) -> {
+                                (unusedResult, failure) -> {
                                     if (failure != null) {
                                         replies.accept(
                                                 new RevocationFailed(
--- a/src/test/java/org/meadowhollow/coordination/leadership/CancellationFreshnessModelTest.java
+++ b/src/test/java/org/meadowhollow/coordination/leadership/CancellationFreshnessModelTest.java
@@ -61,22 +61,22 @@
     private enum RemovedSafeguard {
         NOTHING,
         /** A confirmed renewal advances the freshness as if all changes had been read. */
-        FRESHNESS_BY_READING,
+        FRESHNESS_ONLY_FROM_READS,
         /** A new leader is fresh from its election on, before it has loaded the records. */
         NO_FRESHNESS_BEFORE_LOADING,
         /**
          * Freshness counts from the arrival of a reply instead of from the sending of its request.
          */
-        FRESHNESS_FROM_SENDING,
+        FRESHNESS_FROM_SEND_TIME,
         /** A node that reads may answer heartbeats even if its own lease is not renewed. */
-        OWN_LEASE
+        OWN_LEASE_CHECK
     }
 
     /** The behaviour of the successor. */
     private enum SuccessorBehaviour {
         NONE,
         /** It is elected and sends no messages; no faults and no cancellation happen. */
-        IS_ELECTED,
+        ELECTED_ONLY,
         /** It is elected, reads, and answers heartbeats. */
         ANSWERS_HEARTBEATS
     }
@@ -93,12 +93,14 @@
         assertNull(explore(), "after " + exploredStates + " states");
         assertTrue(
                 cancellationsWhileRefused > 0 && exploredStates > MIN_STATES,
-                "all of " + exploredStates + " states");
+                "too few states, or no cancellation while the store refused the leader, in "
+                        + exploredStates
+                        + " states");
     }
 
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NOTHING")
-    void withoutAnySafeguardAnInvariantIsViolated(RemovedSafeguard safeguard) {
+    void removingASafeguardViolatesAnInvariant(RemovedSafeguard safeguard) {
         removed = safeguard;
         assertNotNull(explore(), "after " + exploredStates + " states");
     }
@@ -137,13 +139,14 @@
                 !queue.isEmpty() && violation[0] == null && count < MAX_STATES;
                 count++) {
             exploredStates++;
-            forEachSuccessor(
+            forEachNextState(
                     queue.poll(),
-                    successor -> {
-                        violation[0] = violation[0] == null ? violationIn(successor) : violation[0];
+                    nextState -> {
+                        violation[0] =
+                                violation[0] == null ? findViolation(nextState) : violation[0];
                         // Once the task is gone, no invariant can be violated.
-                        if (!successor.worker().taskGone() && seen.add(successor)) {
-                            queue.add(successor);
+                        if (!nextState.worker().taskGone() && seen.add(nextState)) {
+                            queue.add(nextState);
                         }
                     });
         }
@@ -155,7 +158,7 @@
      * violation at once: the worker may receive no further answer, and then keeps the task until
      * the lease ends.
      */
-    private static String violationIn(CancellationModel state) {
+    private static String findViolation(CancellationModel state) {
         Worker worker = state.worker();
         LeaderLease lease = state.leaderLease();
         if (worker.taskGone()) {
@@ -173,25 +176,25 @@
         return null;
     }
 
-    private void forEachSuccessor(CancellationModel state, Consumer<CancellationModel> successors) {
+    private void forEachNextState(CancellationModel state, Consumer<CancellationModel> nextStates) {
         if (state.tick() < MAX_TICKS) {
-            successors.accept(state.afterTick());
+            nextStates.accept(state.afterTick());
         }
         if (!state.faults().unavailable()) {
-            if (successorBehaviour != SuccessorBehaviour.IS_ELECTED) {
-                failStoreOrCancel(state, successors);
+            if (successorBehaviour != SuccessorBehaviour.ELECTED_ONLY) {
+                failStoreOrCancel(state, nextStates);
             }
-            electSuccessor(state, successors);
+            electSuccessor(state, nextStates);
         }
         for (int node : new int[] {FORMER_LEADER, SUCCESSOR}) {
             if (state.node(node).state().isLeader() && sendsMessages(node)) {
-                actAsLeader(state, node, successors);
+                actAsLeader(state, node, nextStates);
             }
         }
         for (Message message : state.messages()) {
             Set<Message> rest = new HashSet<>(state.messages());
             rest.remove(message);
-            deliver(state, message, rest, successors);
+            deliver(state, message, rest, nextStates);
         }
     }
 
@@ -202,25 +205,25 @@
     // ---- store, user and election ----
 
     private void failStoreOrCancel(
-            CancellationModel state, Consumer<CancellationModel> successors) {
+            CancellationModel state, Consumer<CancellationModel> nextStates) {
         StoreFaults faults = state.faults();
-        successors.accept(state.with(faults.withOutage()));
+        nextStates.accept(state.with(faults.withOutage()));
         if (faults.refusesLeader() || faults.refusals() < MAX_REFUSALS) {
-            successors.accept(state.with(faults.withRefusalToggled()));
+            nextStates.accept(state.with(faults.withRefusalToggled()));
         }
         if (!state.isCancelled()) {
             cancellationsWhileRefused += faults.refusesLeader() ? 1 : 0;
-            successors.accept(state.cancelledNow());
+            nextStates.accept(state.cancelledNow());
         }
     }
 
-    private void electSuccessor(CancellationModel state, Consumer<CancellationModel> successors) {
+    private void electSuccessor(CancellationModel state, Consumer<CancellationModel> nextStates) {
         LeaderLease lease = state.leaderLease();
         if (successorBehaviour != SuccessorBehaviour.NONE
                 && !lease.hasSuccessor()
                 && lease.endsAt() <= state.second()) {
             Node leader = elected(SUCCESSOR, state.node(SUCCESSOR), state.tick());
-            successors.accept(
+            nextStates.accept(
                     state.with(SUCCESSOR, leader).with(lease.withSuccessor(state.second())));
         }
     }
@@ -231,13 +234,13 @@
      * Adds the states after a leader reads, renews its lease, or answers a heartbeat of the worker.
      */
     private void actAsLeader(
-            CancellationModel state, int node, Consumer<CancellationModel> successors) {
+            CancellationModel state, int node, Consumer<CancellationModel> nextStates) {
         // The successor renews its lease at each tick without a message; only the renewals of the
         // former leader are modelled as messages.
         if (node == FORMER_LEADER) {
-            sendUnlessInFlight(state, node, true, successors);
+            sendUnlessInFlight(state, node, true, nextStates);
         }
-        sendUnlessInFlight(state, node, false, successors);
+        sendUnlessInFlight(state, node, false, nextStates);
         Node leader = state.node(node);
         LeadershipState renewed =
                 node == FORMER_LEADER ? leader.state() : renew(node, leader, state.now());
@@ -246,7 +249,7 @@
         if (LeadershipSafety.canRenewWorkerLeases(RENEWAL_BOUND, renewed, state.now())
                 && !worker.taskGone()
                 && !workerRejects) {
-            successors.accept(
+            nextStates.accept(
                     state.with(
                             new Worker(
                                     state.second() + WORKER_LEASE_S,
@@ -259,14 +262,14 @@
             CancellationModel state,
             int node,
             boolean renewal,
-            Consumer<CancellationModel> successors) {
+            Consumer<CancellationModel> nextStates) {
         boolean inFlight =
                 state.messages().stream()
                         .anyMatch(each -> each.node() == node && each.isRenewal() == renewal);
         if (!inFlight) {
             Set<Message> messages = new HashSet<>(state.messages());
             messages.add(new Message(node, renewal, state.tick(), null));
-            successors.accept(state.with(messages));
+            nextStates.accept(state.with(messages));
         }
     }
 
@@ -274,15 +277,15 @@
             CancellationModel state,
             Message message,
             Set<Message> rest,
-            Consumer<CancellationModel> successors) {
+            Consumer<CancellationModel> nextStates) {
         if (message.isRenewal()) {
-            successors.accept(state.with(rest));
-            executeRenewal(state, message, rest, successors);
+            nextStates.accept(state.with(rest));
+            executeRenewal(state, message, rest, nextStates);
         } else if (message.showsCancellation() == null) {
-            successors.accept(state.with(rest));
-            executeRead(state, message, rest, successors);
+            nextStates.accept(state.with(rest));
+            executeRead(state, message, rest, nextStates);
         } else {
-            successors.accept(receiveReadReply(state, message, rest));
+            nextStates.accept(receiveReadReply(state, message, rest));
         }
     }
 
@@ -290,7 +293,7 @@
             CancellationModel state,
             Message message,
             Set<Message> rest,
-            Consumer<CancellationModel> successors) {
+            Consumer<CancellationModel> nextStates) {
         int node = message.node();
         LeaderLease lease = state.leaderLease();
         if (!state.storeServes(node) || lease.hasSuccessor() || lease.endsAt() <= state.second()) {
@@ -300,22 +303,22 @@
         Node leader = state.node(node);
         Node renewed = leader.with(renew(node, leader, sentAt));
         Node next =
-                removed == RemovedSafeguard.FRESHNESS_BY_READING
+                removed == RemovedSafeguard.FRESHNESS_ONLY_FROM_READS
                         ? advanceFreshness(node, renewed, sentAt)
                         : renewed;
         int endsAt = (int) (state.second() + LeadershipSafety.LEASE_TTL.toSeconds());
-        successors.accept(state.with(rest).with(FORMER_LEADER, next).with(lease.withEnd(endsAt)));
+        nextStates.accept(state.with(rest).with(FORMER_LEADER, next).with(lease.withEnd(endsAt)));
     }
 
     private static void executeRead(
             CancellationModel state,
             Message message,
             Set<Message> rest,
-            Consumer<CancellationModel> successors) {
+            Consumer<CancellationModel> nextStates) {
         if (state.storeServes(message.node())) {
             Set<Message> messages = new HashSet<>(rest);
             messages.add(new Message(message.node(), false, message.sentAt(), state.isCancelled()));
-            successors.accept(state.with(messages));
+            nextStates.accept(state.with(messages));
         }
     }
 
@@ -323,7 +326,7 @@
             CancellationModel state, Message message, Set<Message> rest) {
         int node = message.node();
         MonotonicTime freshAsOf =
-                removed == RemovedSafeguard.FRESHNESS_FROM_SENDING
+                removed == RemovedSafeguard.FRESHNESS_FROM_SEND_TIME
                         ? state.now()
                         : CancellationModel.timeOf(message.sentAt());
         Node before = state.node(node);
@@ -331,7 +334,7 @@
                 new Node(before.state(), before.knowsCancellation() || message.showsCancellation());
         Node fresh = advanceFreshness(node, informed, freshAsOf);
         Node next =
-                removed == RemovedSafeguard.OWN_LEASE
+                removed == RemovedSafeguard.OWN_LEASE_CHECK
                         ? fresh.with(renew(node, fresh, state.now()))
                         : fresh;
         return state.with(rest).with(node, next);
@@ -355,7 +358,7 @@
                                                 true, new Revision(node + 1), List.of())),
                                 now));
         return removed == RemovedSafeguard.NO_FRESHNESS_BEFORE_LOADING
-                        || removed == RemovedSafeguard.FRESHNESS_BY_READING
+                        || removed == RemovedSafeguard.FRESHNESS_ONLY_FROM_READS
                 ? advanceFreshness(node, leader, now)
                 : leader;
     }
--- a/src/test/java/org/meadowhollow/coordination/leadership/LeadershipModelTest.java
+++ b/src/test/java/org/meadowhollow/coordination/leadership/LeadershipModelTest.java
@@ -80,7 +80,7 @@
 
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NOTHING")
-    void withoutAnySafeguardAnInvariantIsViolated(RemovedSafeguard safeguard) {
+    void removingASafeguardViolatesAnInvariant(RemovedSafeguard safeguard) {
         removed = safeguard;
         assertNotNull(explore(), "after " + exploredStates + " states");
     }
@@ -96,12 +96,12 @@
             ModelCluster state = queue.poll();
             exploredStates++;
             String[] violation = {null};
-            forEachSuccessor(
+            forEachNextState(
                     state,
-                    successor -> {
-                        violation[0] = violation[0] == null ? successor.violation() : violation[0];
-                        if (seen.add(successor)) {
-                            queue.add(successor);
+                    nextState -> {
+                        violation[0] = violation[0] == null ? nextState.violation() : violation[0];
+                        if (seen.add(nextState)) {
+                            queue.add(nextState);
                         }
                     });
             if (violation[0] != null) {
@@ -136,35 +136,35 @@
                         new KeyValueStore.CommitResult(true, new Revision(1), List.of())));
     }
 
-    private void forEachSuccessor(ModelCluster state, Consumer<ModelCluster> successors) {
+    private void forEachNextState(ModelCluster state, Consumer<ModelCluster> nextStates) {
         if (state.ticks() < MAX_TICKS) {
-            successors.accept(checked(state.afterTick()));
+            nextStates.accept(checkInvariants(state.afterTick()));
         }
         state.store()
                 .leases()
                 .forEach(
                         (lease, expiry) -> {
                             if (!state.now().isBefore(expiry)) {
-                                successors.accept(expireLease(state, lease));
+                                nextStates.accept(expireLease(state, lease));
                             }
                         });
         for (int node = 0; node < NODES; node++) {
-            actAsLeader(state, node, successors);
+            actAsLeader(state, node, nextStates);
         }
         for (Message message : state.messages()) {
             Set<Message> rest = new HashSet<>(state.messages());
             rest.remove(message);
-            deliver(state, message, rest, successors);
+            deliver(state, message, rest, nextStates);
         }
     }
 
     private ModelCluster expireLease(ModelCluster state, long lease) {
-        return checked(state.with(state.store().withLeaseExpired(lease), state.messages()));
+        return checkInvariants(state.with(state.store().withLeaseExpired(lease), state.messages()));
     }
 
     // ---- actions of a leader ----
 
-    private void actAsLeader(ModelCluster state, int index, Consumer<ModelCluster> successors) {
+    private void actAsLeader(ModelCluster state, int index, Consumer<ModelCluster> nextStates) {
         Node node = state.nodes().get(index);
         HeldLeadership held = node.state().heldLeadership();
         if (held == null) {
@@ -172,18 +172,18 @@
         }
         // The replica of a standby may be arbitrarily old; a leader catches up at some later time.
         if (held.leaderKeyRevision().isAfter(node.replicaRevision())) {
-            successors.accept(checked(state.with(index, node.caughtUpWith(state.store()))));
+            nextStates.accept(checkInvariants(state.with(index, node.caughtUpWith(state.store()))));
         }
         if (state.mayHandOver()) {
             String successor = nameOf((index + 1) % NODES);
-            successors.accept(
+            nextStates.accept(
                     applyEvent(
                             state.withHandoverUsed(),
                             index,
                             new LeadershipEvent.ReleaseRequested(false, successor)));
         }
         if (!node.hasDecided() && unmetPreconditions(state, node).isEmpty()) {
-            successors.accept(decide(state, index));
+            nextStates.accept(decide(state, index));
         }
     }
 
@@ -222,7 +222,7 @@
                         node.knownDecisions());
         Set<Message> messages = new HashSet<>(state.messages());
         messages.add(new Message(index, decision));
-        return checked(state.with(messages).with(index, node.decided()));
+        return checkInvariants(state.with(messages).with(index, node.decided()));
     }
 
     // ---- messages ----
@@ -231,16 +231,16 @@
             ModelCluster state,
             Message message,
             Set<Message> rest,
-            Consumer<ModelCluster> successors) {
+            Consumer<ModelCluster> nextStates) {
         int node = message.node();
         if (message.content() instanceof LeadershipEvent event) {
-            successors.accept(applyEvent(checked(state.with(rest)), node, event));
+            nextStates.accept(applyEvent(checkInvariants(state.with(rest)), node, event));
             return;
         }
         boolean abandoned = message.content() instanceof AbandonedRequest;
         Object request =
-                message.content() instanceof AbandonedRequest given
-                        ? given.content()
+                message.content() instanceof AbandonedRequest abandonedRequest
+                        ? abandonedRequest.content()
                         : message.content();
         ModelStore.Executed executed =
                 state.store().execute(request, nameOf(node), state.now(), removed);
@@ -248,20 +248,20 @@
                 && executed.reply() == null) {
             return;
         }
-        ModelCluster after = checked(state.with(executed.after(), rest));
+        ModelCluster after = checkInvariants(state.with(executed.after(), rest));
         if (abandoned || request instanceof Decision) {
-            successors.accept(after);
+            nextStates.accept(after);
             return;
         }
-        successors.accept(applyEvent(after, node, executed.reply()));
-        if (changesStore(request) && state.faultsLeft() > 0) {
-            delayReply(state, executed, node, rest, successors);
-            loseRequest(state, request, node, rest, successors);
+        nextStates.accept(applyEvent(after, node, executed.reply()));
+        if (mattersWithoutReply(request) && state.faultsLeft() > 0) {
+            delayReply(state, executed, node, rest, nextStates);
+            loseRequest(state, request, node, rest, nextStates);
         }
     }
 
     /** Whether it matters that a request is executed although the node receives no reply. */
-    private static boolean changesStore(Object request) {
+    private static boolean mattersWithoutReply(Object request) {
         return request instanceof LeadershipEffect.ClaimLeaderKey
                 || request instanceof LeadershipEffect.RenewLease
                 || request instanceof LeadershipEffect.ReleaseLeaderKey;
@@ -272,10 +272,10 @@
             ModelStore.Executed executed,
             int node,
             Set<Message> rest,
-            Consumer<ModelCluster> successors) {
+            Consumer<ModelCluster> nextStates) {
         Set<Message> messages = new HashSet<>(rest);
         messages.add(new Message(node, executed.reply()));
-        successors.accept(checked(state.with(executed.after(), messages)).withOneFaultLess());
+        nextStates.accept(checkInvariants(state.with(executed.after(), messages)).withFaultUsed());
     }
 
     /** The node considers the request failed, and the store executes it later or never. */
@@ -284,15 +284,15 @@
             Object request,
             int node,
             Set<Message> rest,
-            Consumer<ModelCluster> successors) {
+            Consumer<ModelCluster> nextStates) {
         Set<Message> messages = new HashSet<>(rest);
         messages.add(new Message(node, new AbandonedRequest(request)));
-        successors.accept(
-                applyEvent(checked(state.with(messages)), node, withoutReply(request))
-                        .withOneFaultLess());
+        nextStates.accept(
+                applyEvent(checkInvariants(state.with(messages)), node, eventWithoutReply(request))
+                        .withFaultUsed());
     }
 
-    private static LeadershipEvent withoutReply(Object request) {
+    private static LeadershipEvent eventWithoutReply(Object request) {
         if (request instanceof LeadershipEffect.ClaimLeaderKey claim) {
             return new LeadershipEvent.LeaderKeyClaimCompleted(
                     claim.epoch(), claim.fencingToken(), claim.lease(), claim.sentAt(), null);
@@ -316,7 +316,7 @@
         for (LeadershipEffect effect : transition.effects()) {
             next = perform(next, index, effect);
         }
-        return checked(next.with(index, node.with(transition.next())));
+        return checkInvariants(next.with(index, node.with(transition.next())));
     }
 
     private static ModelCluster perform(ModelCluster state, int index, LeadershipEffect effect) {
@@ -347,8 +347,8 @@
     // ---- invariants ----
 
     /** Returns the state, with a description of the violation if it violates an invariant. */
-    private ModelCluster checked(ModelCluster state) {
-        String violation = violationByDecisions(state.store().decisions());
+    private ModelCluster checkInvariants(ModelCluster state) {
+        String violation = findViolationInDecisions(state.store().decisions());
         if (countDeciding(state) > 1) {
             violation = "two nodes may decide at once";
         }
@@ -359,7 +359,7 @@
         return state.nodes().stream().filter(node -> mayDecide(node, state.now())).count();
     }
 
-    private static String violationByDecisions(List<Decision> decisions) {
+    private static String findViolationInDecisions(List<Decision> decisions) {
         String violation = null;
         for (int later = 0; later < decisions.size(); later++) {
             for (int earlier = 0; earlier < later; earlier++) {
--- a/src/test/java/org/meadowhollow/coordination/leadership/ModelCluster.java
+++ b/src/test/java/org/meadowhollow/coordination/leadership/ModelCluster.java
@@ -107,7 +107,7 @@
                 store, nodes, messages, ticks + 1, faultsLeft, mayHandOver, tokens, violation);
     }
 
-    ModelCluster withOneFaultLess() {
+    ModelCluster withFaultUsed() {
         return new ModelCluster(
                 store, nodes, messages, ticks, faultsLeft - 1, mayHandOver, tokens, violation);
     }
