--- a/src/main/java/org/meadowhollow/coordination/lifecycle/ImageCacheRecorder.java
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/ImageCacheRecorder.java
@@ -21,19 +21,22 @@
 import org.meadowhollow.storage.Transaction;
 
 /**
- * Records in the key-value store which machines have which container image cached, because no
- * heartbeat tells it and a successor that does not know pulls all images again. The records are
- * hints: one that is late or wrong costs an image pull, no more. Guarded by the leader's lock, but
- * for the flag that a write is in flight, which the store's answer clears.
+ * Records in the key-value store which machines have which container images cached. No heartbeat
+ * reports the cached images, and a successor without these records would pull all images again. The
+ * records are hints: a late or wrong one costs an image pull, no more. Guarded by the leader's
+ * lock, except for the flag that a write is in flight, which is cleared when the store responds.
  */
 public final class ImageCacheRecorder {
     /**
-     * How much of the changes a failover forgets at most; each change costs a write, and most
-     * images change all the time.
+     * Minimum time between two writes, and so the age of the changes that a failover can lose. Each
+     * change costs a write, and most images change all the time.
      */
     private static final Duration WRITE_INTERVAL = Duration.ofSeconds(10);
 
-    /** Bytes of a transaction: the protocol's 64 KiB, less room for framing. */
+    /**
+     * Maximum size of a transaction in bytes: the protocol's limit of 64 KiB, less room for
+     * framing.
+     */
     private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
     private final KeyValueStore store;
@@ -43,7 +46,7 @@
     private final Map<String, Double> imageSizesGb = new HashMap<>();
     private final Set<String> changedImages = new LinkedHashSet<>();
 
-    /** What a predecessor recorded of machines that are not registered here yet. */
+    /** Images that a predecessor recorded for machines that are not registered here yet. */
     private final Map<MachineId, Map<String, Double>> recordedByPredecessor = new HashMap<>();
 
     private MonotonicTime lastWrittenAt;
@@ -58,9 +61,12 @@
         this.maxValueBytes = deploymentSettings.maxValueBytes();
     }
 
-    /** Restores what a predecessor recorded; what is not true any more is corrected later. */
+    /**
+     * Restores the image caches that a predecessor recorded. All restored images are written again
+     * later, which corrects entries that are no longer true.
+     */
     public void restore(List<KeyValueStore.Entry> entries, MonotonicTime now) {
-        // By the first write all live machines have sent a heartbeat.
+        // The first write waits for a whole interval, in which all live machines send a heartbeat.
         lastWrittenAt = now;
         for (KeyValueStore.Entry entry : entries) {
             String image = RecordKeys.imageOfKey(entry.key());
@@ -98,8 +104,8 @@
     }
 
     /**
-     * Writes what has changed, in one transaction, unless one is in flight or the last was written
-     * within the interval. A transaction that fails is not sent again.
+     * Writes the changed records in one transaction, unless a write is in flight or the last one
+     * was made within the interval. A failed transaction is not sent again.
      */
     public void writeIfDue(Collection<Machine> machines, MonotonicTime now) {
         if (writeInFlight
@@ -109,7 +115,7 @@
             return;
         }
         Transaction transaction = collectChanges(machines);
-        // The pause begins once all is written.
+        // The interval starts only once all changes are written.
         lastWrittenAt = changedImages.isEmpty() ? now : lastWrittenAt;
         writeInFlight = true;
         var unusedCommit =
@@ -117,7 +123,7 @@
                         .whenComplete((commitResult, failure) -> writeInFlight = false);
     }
 
-    /** Takes as many changes as fit into one transaction. */
+    /** Moves as many changes as fit into one transaction. */
     private Transaction collectChanges(Collection<Machine> machines) {
         Transaction transaction =
                 new Transaction().requireRevision(RecordKeys.LEADER_KEY, leaderVersion);
--- a/src/main/java/org/meadowhollow/coordination/lifecycle/JobTracker.java
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/JobTracker.java
@@ -17,9 +17,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the live jobs of one leadership: their admission and end, their fairness metrics, the
- * attempt history in their secondary records, and what is shown of them. Owns the fairness metrics.
- * Guarded by the leader's lock.
+ * Tracks the live jobs of one leadership: their admission and end, their fairness metrics, the
+ * attempt history in their secondary records, and their status for display. Owns the fairness
+ * metrics. Guarded by the leader's lock.
  */
 public final class JobTracker {
     private static final Logger LOG = LoggerFactory.getLogger(JobTracker.class);
@@ -37,7 +37,7 @@
         this.jobs = clusterState.jobs();
     }
 
-    /** Counts a job that was admitted by a user's request or found in the records. */
+    /** Counts a job that was admitted on a user's request or restored from the records. */
     public void onJobAdmitted(Job job) {
         fairnessMetrics.onJobAdmitted(job.spec());
     }
@@ -46,7 +46,7 @@
     public void onJobEndPersisted(Job job) {
         jobs.remove(job.id());
         fairnessMetrics.onJobEnded(job.spec(), job.isCancelled(), secondsSinceAcceptance(job));
-        LOG.info("job {} is {}", job.id(), job.isCancelled() ? "cancelled" : "done");
+        LOG.info("job ended job={} outcome={}", job.id(), job.isCancelled() ? "cancelled" : "done");
     }
 
     /**
@@ -61,7 +61,10 @@
                 && secondaryRecord.recordStart(placement.attemptNumber(), loop.wallClockMillis());
     }
 
-    /** Records the end of an attempt for clients that read the job through another interface. */
+    /**
+     * Records the end of an attempt in the job's secondary record, if the job has one. Clients of
+     * an interface other than the native one read that record.
+     */
     public void recordAttemptEnd(Placement placement, String reason) {
         SecondaryRecord secondaryRecord = placement.job().secondaryRecord();
         if (secondaryRecord != null) {
@@ -93,7 +96,7 @@
         return recordDigests;
     }
 
-    /** The counts of a live job for display; empty when the job is not known here. */
+    /** The status of a live job for display; empty if this leader does not know the job. */
     public Optional<AdmissionService.JobStatus> liveJobState(JobId id) {
         return Optional.ofNullable(jobs.get(id)).map(JobTracker::statusOf);
     }
--- a/src/main/java/org/meadowhollow/coordination/lifecycle/MachineRegistry.java
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/MachineRegistry.java
@@ -18,14 +18,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The machines that one leader knows: registers those that send heartbeats or that the cloud lists,
- * and cordons those on which tasks keep failing. Owns the count of failures by machine. Guarded by
- * the leader's lock.
+ * Registry of the machines that one leader knows. Registers machines that send heartbeats or that
+ * the cloud lists, and cordons those on which tasks keep failing. Owns the failure counts by
+ * machine. Guarded by the leader's lock.
  */
 public final class MachineRegistry {
     private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
 
-    /** Failures of tasks on a machine after which it counts as faulty. */
+    /**
+     * Number of task failures on a machine after which the machine counts as faulty and is
+     * cordoned.
+     */
     private static final int FAILURES_BEFORE_CORDON = 3;
 
     private final EventLoop loop;
@@ -41,7 +44,7 @@
     /**
      * Creates a registry over the machines of {@code clusterState}.
      *
-     * @param isReturned whether a machine was returned to the cloud, and may not register again
+     * @param isReturned whether a machine was returned to the cloud, and must not register again
      */
     public MachineRegistry(
             EventLoop loop,
@@ -63,8 +66,8 @@
     }
 
     /**
-     * The machine that sent a heartbeat, registered if it is new; null if its type is not known or
-     * it was returned.
+     * Returns the machine that sent a heartbeat, and registers it if it is new. Returns null for a
+     * new machine whose type is not known, or that was returned to the cloud.
      */
     public Machine findOrRegister(Heartbeat heartbeat) {
         Machine machine = machines.get(heartbeat.machineId());
@@ -92,7 +95,7 @@
         return machine;
     }
 
-    /** Records that a list of the cloud's machines has arrived. */
+    /** Records that the cloud's list of machines has arrived. */
     public void markListed() {
         listedByCloud = true;
     }
@@ -102,7 +105,10 @@
         return listedByCloud;
     }
 
-    /** Takes in one entry of the cloud's list: a new machine, an address, or a failure. */
+    /**
+     * Applies one entry of the cloud's list: registers a new running machine, fills in a missing
+     * address, and cordons a failed machine.
+     */
     public void applyListedMachine(CloudProvider.ListedMachine listed, MonotonicTime now) {
         Machine machine = machines.get(listed.id());
         if (machine == null
@@ -133,7 +139,7 @@
         if (failuresByMachine.addTo(machine.id(), 1) + 1 >= FAILURES_BEFORE_CORDON
                 && !machine.isUnschedulable()) {
             LOG.info(
-                    "machine {} is cordoned: {} tasks failed on it",
+                    "machine cordoned machine={} failed_tasks={}",
                     machine.id(),
                     FAILURES_BEFORE_CORDON);
             machine.cordon();
@@ -141,22 +147,25 @@
     }
 
     /**
-     * Handles a machine that answered a direct request with a sequence number below one that it had
-     * shown before. The numbers only grow, so the machine was reset to an unknown incarnation: its
-     * heartbeats cannot be told from late copies of earlier ones, nor its tasks from earlier tasks.
-     * It is returned, which proves that all its tasks ended. Otherwise all its heartbeats would
-     * count as copies and the machine as silent, and a leader most of whose machines were reset
-     * would take itself for isolated.
+     * Handles a machine that responded to a direct request with a sequence number below one that it
+     * had sent before. The numbers only grow, so the machine was reset to an unknown incarnation:
+     * its heartbeats cannot be told from late copies of earlier ones, nor its tasks from earlier
+     * tasks. The machine is therefore returned to the cloud, which proves that all its tasks have
+     * ended. Otherwise all its heartbeats would be ignored as copies and the machine would count as
+     * unresponsive, and a leader most of whose machines were reset would conclude that it is
+     * isolated itself.
      */
     public void onIncarnationReset(Machine machine, MonotonicTime now) {
         if (!machine.isIncarnationReset()) {
-            LOG.info("machine {} restarted its incarnations and is to be returned", machine.id());
+            LOG.info(
+                    "machine will be returned machine={} reason=its incarnation was reset",
+                    machine.id());
             machine.markIncarnationReset();
         }
         machine.recordContact(now);
     }
 
-    /** Forgets a machine that is gone for good, and its risk table. */
+    /** Removes a machine that is gone for good, with its failure count and its risk table. */
     public void remove(MachineId id) {
         machines.remove(id);
         clusterState.riskTables().remove(id);
@@ -171,12 +180,15 @@
                         .count();
     }
 
-    /** How many machines are known, with those of which only placements are known. */
+    /** How many machines are known, including those that are known only from placements. */
     public int knownMachineCount() {
         return machines.size() + clusterState.placementsOnUnseenMachines().size();
     }
 
-    /** Up to {@code most} workers' addresses, to find out later whether they can be reached. */
+    /**
+     * Returns the addresses of up to {@code most} workers, for later probes whether workers and
+     * this node can reach each other.
+     */
     public List<String> sampleAddresses(int most) {
         return machines.values().stream()
                 .map(Machine::address)
--- a/src/main/java/org/meadowhollow/coordination/lifecycle/RuntimeListener.java
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/RuntimeListener.java
@@ -2,9 +2,9 @@
 
 import org.meadowhollow.model.JobSpec;
 
-/** Learns how long tasks ran. Called with the leader's lock held. */
+/** Receives the runtimes of completed tasks. Called with the leader's lock held. */
 @FunctionalInterface
 public interface RuntimeListener {
-    /** A task of a job with this spec was completed after running for some seconds. */
+    /** Records how long a completed task of a job with this spec was running. */
     void recordRuntime(JobSpec spec, double seconds);
 }
--- a/src/main/java/org/meadowhollow/coordination/lifecycle/TaskLifecycle.java
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/TaskLifecycle.java
@@ -18,20 +18,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries placements from their first running heartbeat to their end: exits, failures with backoff,
- * losses, and stops on request, with the rules for gangs. Marks what changes for the record writer;
- * the caller flushes. Keeps no state of its own beside the jobs' placements. Guarded by the
- * leader's lock.
+ * Manages placements from their first running heartbeat to their end: exits, failures with backoff,
+ * losses, and requested stops, with the rules for gangs. Marks changed records in the record
+ * writer; the caller flushes it. Keeps no state of its own besides the jobs' placements. Guarded by
+ * the leader's lock.
  */
 public final class TaskLifecycle implements PlacementEvents, TaskStopper {
     private static final Logger LOG = LoggerFactory.getLogger(TaskLifecycle.class);
 
-    /** Failures of a job's tasks after which it has to wait before the next start. */
+    /** Number of consecutive task failures of a job after which its next start is delayed. */
     private static final int FAILURES_BEFORE_BACKOFF = 3;
 
     private static final int MAX_BACKOFF_SECONDS = 60;
 
-    /** Bounds the shift that doubles the backoff. */
+    /** Limits the shift that doubles the backoff. */
     private static final int MAX_BACKOFF_DOUBLINGS = 10;
 
     private final EventLoop loop;
@@ -66,7 +66,7 @@
             completeTask(placement, now);
         } else if (!placement.isStopping() && !job.isCancelled()) {
             LOG.info(
-                    "task {} attempt {} on {} exited: {}",
+                    "task exited task={} attempt={} machine={} reason={}",
                     placement.taskId(),
                     placement.attemptNumber(),
                     machine.id(),
@@ -100,7 +100,7 @@
             runtimeListener.recordRuntime(job.spec(), now.secondsSince(placement.runningSince()));
         }
         if (job.spec().kind() == JobKind.GANG) {
-            // The tasks of a gang complete together, so one that is done speaks for all.
+            // The tasks of a gang complete together, so one that is done completes all of them.
             for (int other = 0; other < job.spec().taskCount(); other++) {
                 job.markTaskComplete(other);
             }
@@ -124,7 +124,7 @@
     public void markTaskLost(
             Machine machine, Placement placement, String reason, MonotonicTime now) {
         LOG.info(
-                "task {} attempt {} on {} is lost: {}",
+                "task lost task={} attempt={} machine={} reason={}",
                 placement.taskId(),
                 placement.attemptNumber(),
                 placement.machineId(),
@@ -157,9 +157,9 @@
         if (job.spec().kind() == JobKind.GANG
                 && !placement.isStopping()
                 && job.pendingTaskCount() > 0) {
-            // Its other tasks were lost before this leader learned that the gang had started, so
-            // the attempt cannot be completed; this task would keep its machine, and the gang would
-            // wait, for ever.
+            // Other tasks of the gang were lost before this leader learned that the gang had
+            // started, so the attempt cannot be completed. Without this stop the task would keep
+            // its machine, and the gang would wait forever.
             stopRestOfGang(job, new TaskId(job.id(), job.nextPendingTask(0)));
         }
     }
@@ -197,7 +197,7 @@
     private void stopRestOfGang(Job gang, TaskId lost) {
         for (Placement other : List.copyOf(gang.placements())) {
             if (!other.isStopping()) {
-                stopTask(other, 0, "its gang lost task " + lost);
+                stopTask(other, 0, "the gang is incomplete without task " + lost);
             }
         }
     }
@@ -231,7 +231,7 @@
         MonotonicTime now = loop.now();
         if (!placement.isStopping()) {
             LOG.info(
-                    "task {} attempt {} on {} is stopped: {}",
+                    "task stop requested task={} attempt={} machine={} reason={}",
                     placement.taskId(),
                     placement.attemptNumber(),
                     placement.machineId(),
@@ -240,7 +240,8 @@
         placement.requestStop(graceSeconds);
         Machine machine = machineRegistry.find(placement.machineId());
         if (!placement.isCommitted()) {
-            // Its start was never sent and cannot be: nothing to wait for.
+            // The start of an uncommitted placement was never sent and cannot be, so there is no
+            // exit to wait for.
             removePlacement(machine, placement, now, true);
             return;
         }
--- a/src/main/java/org/meadowhollow/coordination/reconciliation/DirectCommandSender.java
+++ b/src/main/java/org/meadowhollow/coordination/reconciliation/DirectCommandSender.java
@@ -11,8 +11,8 @@
 import org.meadowhollow.model.WorkerIncarnation;
 
 /**
- * Sends commands straight to workers and takes in the heartbeats with which they answer. Keeps no
- * state; answers are taken in under the leader's lock.
+ * Sends commands directly to workers, and applies the heartbeats with which they respond. Keeps no
+ * state; responses are applied under the leader's lock.
  */
 public final class DirectCommandSender implements CommandSender {
     private final HeartbeatContext context;
@@ -32,12 +32,12 @@
         this.heartbeatHandler = heartbeatHandler;
     }
 
-    /** What was known of a machine when a command was sent to it. */
+    /** The state of a machine, as the leader knew it when a command was sent. */
     private record Recipient(
             Machine machine, WorkerIncarnation incarnation, long lastSequenceNumber) {}
 
-    // A command that is lost is not repeated here: the response to the next heartbeat has what is
-    // still needed.
+    // A lost command is not resent here: the response to the next heartbeat contains the commands
+    // that are still needed.
     @SuppressWarnings("FutureReturnValueIgnored")
     @Override
     public void sendCommands(
@@ -55,8 +55,8 @@
     }
 
     /**
-     * Takes in a heartbeat that answers a direct command: as good as any for what it reports, but
-     * it renews no lease.
+     * Applies a heartbeat with which a worker responds to a direct command. Its reports count like
+     * those of any heartbeat, but it renews no lease.
      */
     private void onResponse(Heartbeat heartbeat, Recipient recipient) {
         synchronized (context.lock()) {
--- a/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatContext.java
+++ b/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatContext.java
@@ -9,8 +9,8 @@
  * The leadership on whose behalf heartbeats are answered and commands are sent.
  *
  * @param lock the leader's lock
- * @param isClosed whether the leadership has ended; asked with the lock held
- * @param fencingToken the token that workers are shown
+ * @param isClosed whether the leadership has ended; evaluated with the lock held
+ * @param fencingToken the token that is sent to workers
  */
 public record HeartbeatContext(
         Object lock,
--- a/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatHandler.java
+++ b/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatHandler.java
@@ -23,30 +23,31 @@
 import org.meadowhollow.storage.RecordWriter;
 
 /**
- * Answers workers' heartbeats, and so renews their leases: at once, or deferred when the worker has
- * room or no lease may be renewed yet. Owns the deferred heartbeats. Takes the leader's lock itself
- * where it is not said to be held; deferred responses are completed outside the lock.
+ * Responds to workers' heartbeats, which renews their leases. A response is deferred if the worker
+ * has free capacity or if no lease may be renewed yet. Owns the deferred heartbeats. Methods take
+ * the leader's lock themselves unless they are documented as called with the lock held; deferred
+ * responses are completed outside the lock.
  */
 public final class HeartbeatHandler {
     /**
-     * How long the answer to a machine with free capacity is deferred, as a share of the heartbeat
-     * interval: less than the three quarters after which the next heartbeat is sent, and well below
-     * the 4 s that a worker waits for its answer.
+     * How long the response to a machine with free capacity is deferred, as a share of the
+     * heartbeat interval. It is less than the three quarters after which the worker sends its next
+     * heartbeat, and well below the 4 s for which a worker waits for a response.
      */
     private static final double DEFERRAL_SHARE_OF_INTERVAL = 0.6;
 
     private static final Duration MAX_DEFERRAL = Duration.ofMillis(2500);
 
     /**
-     * How long a heartbeat waits while no lease may be renewed, below the 4 s that a worker waits.
-     * Redirected at once, hundreds of workers went round all nodes every second throughout an
-     * outage.
+     * How long a heartbeat waits while no lease may be renewed, below the 4 s for which a worker
+     * waits. If heartbeats were redirected immediately, hundreds of workers would try all nodes in
+     * turn every second throughout an outage.
      */
     private static final Duration MAX_FRESHNESS_WAIT = Duration.ofSeconds(3);
 
     /**
-     * Direct answers that can overtake a heartbeat in flight: one for each task that is stopped
-     * meanwhile.
+     * Maximum number of responses to direct commands that may overtake a heartbeat in flight: one
+     * for each task that is stopped meanwhile.
      */
     private static final int MAX_OVERTAKEN_HEARTBEATS = 16;
 
@@ -63,10 +64,15 @@
     private final UnreachableMachineReturnPolicy unreachableReturnPolicy;
     private final RecordWriter recordWriter;
 
-    /** Heartbeats of machines with free capacity, whose answers may still carry a start. */
+    /**
+     * Heartbeats of machines with free capacity, deferred so that the response can carry a start.
+     */
     private final DeferredHeartbeats awaitingCommands = new DeferredHeartbeats();
 
-    /** Heartbeats received while this leader did not know which jobs are cancelled. */
+    /**
+     * Heartbeats received while this leader did not know which jobs are cancelled, and so could not
+     * renew leases.
+     */
     private final DeferredHeartbeats awaitingFreshness = new DeferredHeartbeats();
 
     /** Creates the handler of one leadership's heartbeats. */
@@ -90,15 +96,15 @@
         this.recordWriter = recordWriter;
     }
 
-    /** Begins to answer deferred heartbeats when their time is over. */
+    /** Starts the periodic sweep that answers deferred heartbeats once they are due. */
     public void start() {
         loop.schedule(DEFERRAL_SWEEP_INTERVAL, this::sweepDeferred);
     }
 
     /**
-     * Answers a heartbeat: at once, or a little later if the machine has free capacity. While this
-     * leader cannot know of all cancellations nothing is answered that would renew a lease, so
-     * heartbeats wait until it does, or for as long as they can.
+     * Answers a heartbeat: immediately, or a little later if the machine has free capacity. While
+     * this leader may not know of all cancellations it must not send a response that renews a
+     * lease, so heartbeats wait until it does, or until their wait times out.
      */
     public CompletableFuture<HeartbeatResponse> handleHeartbeat(Heartbeat heartbeat) {
         synchronized (context.lock()) {
@@ -113,7 +119,8 @@
             }
             Machine machine = machineRegistry.findOrRegister(heartbeat);
             if (machine == null) {
-                // What is not known as a machine gets no commands, so its lease is not renewed.
+                // A sender that is not a known machine gets no commands, so its lease is not
+                // renewed.
                 return redirect(null);
             }
             if (!heartbeatReconciler.applyHeartbeat(machine, heartbeat, now)) {
@@ -146,10 +153,11 @@
     }
 
     /**
-     * The answer to a heartbeat that is older than what is known. One that a direct answer has
-     * overtaken renews the lease, and so counts as contact with its machine; any other is a late
-     * copy, or is of a machine that restarted its incarnations: its lease must not be renewed, for
-     * its tasks are taken for lost once the machine is silent for long enough.
+     * Returns the response to a heartbeat that is older than what is known of its machine. A
+     * heartbeat that was overtaken by a response to a direct command renews the lease, and so
+     * counts as contact with the machine. Any other is a late copy, or comes from a machine whose
+     * incarnation was reset: it must not renew a lease, because the machine's tasks are marked lost
+     * once it has been out of contact for long enough.
      */
     private HeartbeatResponse respondToStaleHeartbeat(
             Machine machine, Heartbeat heartbeat, MonotonicTime now) {
@@ -185,7 +193,7 @@
     }
 
     /**
-     * Redirects a worker whose lease may not be renewed; what it reports is taken in all the same.
+     * Redirects a worker whose lease may not be renewed, but applies what its heartbeat reports.
      */
     private void applyAndRedirect(DeferredHeartbeat waited) {
         synchronized (context.lock()) {
@@ -200,10 +208,11 @@
     }
 
     /**
-     * Takes in a heartbeat that renews no lease, unless it is older than what is known. Called with
-     * the leader's lock held.
+     * Applies a heartbeat without renewing a lease, unless it is older than what is known of its
+     * machine. Called with the leader's lock held.
      *
-     * @param machine the machine that sent it, or null if it is not known, which has no effect
+     * @param machine the machine that sent it, or null if it is not known, in which case nothing is
+     *     done
      */
     void applyWithoutLeaseRenewal(Machine machine, Heartbeat heartbeat, MonotonicTime now) {
         if (machine != null && heartbeatReconciler.applyHeartbeat(machine, heartbeat, now)) {
@@ -214,7 +223,7 @@
     }
 
     /**
-     * Leases may be renewed again: schedules the answers to the heartbeats that waited for it.
+     * Schedules the responses to the heartbeats that waited until leases may be renewed again.
      * Called with the leader's lock held.
      */
     public void onCancellationsKnown() {
@@ -223,7 +232,7 @@
         }
     }
 
-    // The chain hands each response on; nothing waits for the chain itself.
+    // The chain completes each response itself; nothing waits for the chain.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void answerThoseAwaitingFreshness() {
         List<DeferredHeartbeat> waiting;
@@ -234,7 +243,7 @@
                 each -> handleHeartbeat(each.heartbeat()).thenAccept(each.response()::complete));
     }
 
-    /** Answers a deferred heartbeat with the commands that there are by now. */
+    /** Answers a deferred heartbeat with the commands that are due by now. */
     private void answerDeferred(DeferredHeartbeat deferred) {
         HeartbeatResponse.Commands response;
         synchronized (context.lock()) {
@@ -250,7 +259,10 @@
         deferred.response().complete(response);
     }
 
-    /** Answers the deferred heartbeats of machines that persisted placements can now start on. */
+    /**
+     * Answers the deferred heartbeats of the machines on which persisted placements of the job can
+     * now start.
+     */
     public void onTasksPersisted(Job job) {
         List<DeferredHeartbeat> waiting = new ArrayList<>();
         synchronized (context.lock()) {
@@ -267,7 +279,10 @@
         waiting.forEach(this::answerDeferred);
     }
 
-    /** Takes all deferred heartbeats, to be redirected. Called with the leader's lock held. */
+    /**
+     * Removes and returns all deferred heartbeats, so that the caller can redirect them. Called
+     * with the leader's lock held.
+     */
     public List<DeferredHeartbeat> takeAll() {
         List<DeferredHeartbeat> unanswered = new ArrayList<>(awaitingCommands.takeAll());
         unanswered.addAll(awaitingFreshness.takeAll());
--- a/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatReconciler.java
+++ b/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatReconciler.java
@@ -23,13 +23,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reconciles the tasks that a worker's heartbeat lists with the recorded placements, and finds the
- * commands that bring them together. Guarded by the leader's lock.
+ * Reconciles the tasks that a worker's heartbeat lists with the recorded placements, and determines
+ * the commands that resolve the differences. Guarded by the leader's lock.
  */
 public final class HeartbeatReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReconciler.class);
 
-    /** Commands in one answer; keeps it below the protocol's 64 KiB. */
+    /**
+     * Maximum number of commands in one response, which keeps it below the protocol's limit of 64
+     * KiB.
+     */
     private static final int MAX_COMMANDS = 400;
 
     private static final double MILLIS_PER_SECOND = 1000;
@@ -44,8 +47,8 @@
     /**
      * Creates the reconciler of one leadership.
      *
-     * @param isStateRecovered whether all records of earlier leaders are loaded; before that no
-     *     task is compared with them
+     * @param isStateRecovered whether all records of earlier leaders are loaded; until then no task
+     *     is compared with them
      */
     public HeartbeatReconciler(
             PlacementEvents placementEvents,
@@ -63,9 +66,9 @@
     }
 
     /**
-     * Takes in what a heartbeat reports.
+     * Applies the reports of a heartbeat to its machine and the machine's placements.
      *
-     * @return false if the heartbeat is older than what is known, and was ignored
+     * @return false if the heartbeat is older than what is known of the machine, and was ignored
      */
     public boolean applyHeartbeat(Machine machine, Heartbeat heartbeat, MonotonicTime now) {
         if (machine.incarnation() != null
@@ -105,11 +108,15 @@
         }
         machine.preemptionDeadline(
                 now.plus(Duration.ofMillis((long) (noticeSeconds * MILLIS_PER_SECOND))));
-        LOG.info("machine {} will be preempted in {} s", machine.id(), noticeSeconds);
+        LOG.info("machine will be preempted machine={} within_s={}", machine.id(), noticeSeconds);
         machine.cordon();
     }
 
-    /** Applies what a heartbeat says of one placement. */
+    /**
+     * Applies a heartbeat to one placement.
+     *
+     * @param status the status that the heartbeat lists for the task, or null if it lists none
+     */
     private void reconcilePlacement(
             Machine machine,
             Placement placement,
@@ -117,22 +124,23 @@
             Heartbeat.TaskStatus status,
             MonotonicTime now) {
         if (heartbeat.incarnation().isAfter(placement.incarnation())) {
-            // Without our fencing token it may be a copy from before a machine restarted its
-            // incarnations; the next heartbeat will tell.
+            // A heartbeat without this leader's fencing token may be a late copy from before the
+            // machine's incarnation was reset; the next heartbeat will show whether it is.
             if (heartbeat.fencingToken().equals(fencingToken)) {
-                placementEvents.markTaskLost(machine, placement, "the worker's lease ran out", now);
+                placementEvents.markTaskLost(machine, placement, "the worker's lease expired", now);
             }
         } else if (placement.incarnation().isAfter(heartbeat.incarnation())) {
             if (heartbeat.fencingToken().equals(fencingToken)
                     && heartbeat.sequenceNumber() > placement.startSentSequenceNumber()) {
-                // It shows our fencing token, so it was sent after the recorded incarnation was
-                // seen, and incarnations only grow: the machine restarted them. Without this its
-                // task would be waited for, and its job with it, for ever.
+                // The heartbeat carries this leader's fencing token, so it was sent after the
+                // recorded incarnation was seen. Incarnations only grow, so the machine's
+                // incarnation was reset. Without this check the leader, and with it the job, would
+                // wait for the task forever.
                 placementEvents.markTaskLost(
-                        machine, placement, "its machine restarted its incarnations", now);
+                        machine, placement, "the machine's incarnation was reset", now);
             }
-            // Otherwise it is a copy from before the placement: the same attempt of a gang may
-            // have ended here then.
+            // Otherwise the heartbeat is a late copy from before the placement: a task with the
+            // same gang attempt may have ended on this machine at that time.
         } else if (status != null && status.attemptNumber().equals(placement.attemptNumber())) {
             applyTaskStatus(machine, placement, heartbeat, status, now);
         }
@@ -150,7 +158,11 @@
             return;
         }
         if (placement.reportedState() != status.state()) {
-            LOG.debug("task {} on {} is {}", status.taskId(), machine.id(), status.state());
+            LOG.debug(
+                    "task changed state task={} machine={} state={}",
+                    status.taskId(),
+                    machine.id(),
+                    status.state());
         }
         placement.reportedState(status.state(), now);
         if (status.state() == TaskState.RUNNING) {
@@ -181,7 +193,10 @@
         return null;
     }
 
-    /** The commands for the answer to a heartbeat that {@link #applyHeartbeat} has taken in. */
+    /**
+     * Returns the commands for the response to a heartbeat that was applied by {@link
+     * #applyHeartbeat}.
+     */
     public List<WorkerCommand> commandsFor(
             Machine machine, Heartbeat heartbeat, MonotonicTime now) {
         List<WorkerCommand> commands = new ArrayList<>();
@@ -191,8 +206,8 @@
             }
             addCommandsForListedTask(machine, heartbeat, status, commands);
         }
-        // All listed tasks count as listed, also those for which there is no room in the answer:
-        // a placement that seems not to be listed may be removed.
+        // Includes the listed tasks whose commands did not fit into the response: a placement that
+        // is wrongly taken for unlisted may be removed.
         Map<TaskId, Heartbeat.TaskStatus> listedTasks = statusByTask(heartbeat);
         for (Placement placement : List.copyOf(machine.placements())) {
             Heartbeat.TaskStatus status = listedTasks.get(placement.taskId());
@@ -218,21 +233,21 @@
                                 status.taskId(), status.attemptNumber(), placement.graceSeconds()));
             } else if (status.state() == TaskState.EXITED
                     && mayStart(placement, machine, heartbeat)) {
-                // It gave up waiting for its gang, whose image pulls go on; its record stands, so
-                // it may wait anew.
+                // The task timed out waiting for its gang, whose image pulls continue. Its record
+                // still stands, so the task may wait again.
                 placement.recordStartSent(heartbeat.sequenceNumber());
                 commands.add(WorkerCommand.forget(status.taskId(), status.attemptNumber()));
                 commands.add(WorkerCommand.start(status.taskId(), status.attemptNumber()));
             }
         } else if (status.state() != TaskState.EXITED) {
-            // No record names this task, so nothing else would ever stop it or count it.
+            // No record names this task, so nothing else would ever stop it or account for it.
             commands.add(WorkerCommand.stop(status.taskId(), status.attemptNumber(), 0));
         } else if (!isExitUnpersisted(machine, status)) {
             commands.add(WorkerCommand.forget(status.taskId(), status.attemptNumber()));
         }
     }
 
-    /** Whether the exit of a listed task is taken in, but not yet written. */
+    /** Whether the exit of a listed task is applied in memory but not persisted yet. */
     private static boolean isExitUnpersisted(Machine machine, Heartbeat.TaskStatus status) {
         Machine.UnpersistedExit exit = machine.unpersistedExits().get(status.taskId());
         return exit != null
@@ -257,10 +272,11 @@
     }
 
     /**
-     * Whether a placement that a heartbeat does not list can never start any more. A start is sent
-     * only in the answer to a heartbeat, and a worker has one heartbeat in flight at a time; so a
-     * later heartbeat without the task proves that no answer with its start will be obeyed, once
-     * the worker has shown our fencing token, which shuts out the answers of earlier leaders.
+     * Whether a placement that a heartbeat does not list can no longer start. A start is sent only
+     * in the response to a heartbeat, and a worker has one heartbeat in flight at a time. A later
+     * heartbeat without the task therefore proves that the worker will not obey any response that
+     * contains its start. The heartbeat must carry this leader's fencing token, because a worker
+     * that has seen the token rejects the responses of earlier leaders.
      */
     private boolean canNeverStart(Placement placement, Machine machine, Heartbeat heartbeat) {
         return heartbeat.fencingToken().equals(fencingToken)
@@ -270,9 +286,10 @@
     }
 
     /**
-     * Whether the answer to a heartbeat may start a placement. Not in another incarnation than that
-     * for which it was placed: the next heartbeat would prove that incarnation over, and the task
-     * just started would be one that no record names.
+     * Whether the response to a heartbeat may start a placement. It may not if the worker is in
+     * another incarnation than the one for which the task was placed: the next heartbeat would
+     * prove that the recorded incarnation has ended, the placement would be removed, and no record
+     * would name the task just started.
      */
     private boolean mayStart(Placement placement, Machine machine, Heartbeat heartbeat) {
         return leadership.canStartTasks()
@@ -283,12 +300,12 @@
     }
 
     /**
-     * Whether an exit that a heartbeat of the placement's incarnation lists is its end. A task that
-     * only timed out waiting for its gang is started again in the same attempt, for image pulls
-     * differ by more than that timeout, and ending the attempt would abandon the pulls of all its
-     * other tasks. Where the task is not wanted any more, its exit is proof only if no leader can
-     * have restarted it since: an old heartbeat that reached the next leader first let a cancelled
-     * gang end while it ran.
+     * Whether an exit listed by a heartbeat of the placement's incarnation is final. A task that
+     * only timed out waiting for its gang is started again in the same attempt: the durations of
+     * image pulls differ by more than that timeout, and ending the attempt would abandon the pulls
+     * of all its other tasks. If the task is being stopped or its job is cancelled, its exit is
+     * final only if no leader can have restarted it since. Otherwise an old heartbeat that reaches
+     * the next leader first would let a cancelled gang end while it still runs.
      */
     private boolean isFinalExit(Placement placement, ExitReason exitReason, Heartbeat heartbeat) {
         if (exitReason != ExitReason.ALONE) {
--- a/src/main/java/org/meadowhollow/coordination/reconciliation/RiskTableUpdater.java
+++ b/src/main/java/org/meadowhollow/coordination/reconciliation/RiskTableUpdater.java
@@ -8,8 +8,8 @@
 import org.meadowhollow.model.MonotonicTime;
 
 /**
- * Keeps the machines' risk tables up to date with their heartbeats, and passes each sample on to
- * the standbys' feed. Guarded by the leader's lock.
+ * Updates the machines' risk tables with their heartbeats, and publishes each sample to the
+ * standbys. Guarded by the leader's lock.
  */
 public final class RiskTableUpdater {
     private final ClusterState clusterState;
@@ -26,7 +26,10 @@
         this.riskTablePublisher = riskTablePublisher;
     }
 
-    /** Continues the table that this node replicated of a machine, at its first heartbeat. */
+    /**
+     * Adopts the risk table that this node replicated of a machine, at the machine's first
+     * heartbeat.
+     */
     void inheritTable(Machine machine, Heartbeat heartbeat, MonotonicTime now) {
         handoverState
                 .takeTable(heartbeat, now)
--- a/src/main/java/org/meadowhollow/coordination/recovery/JobRecordApplier.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/JobRecordApplier.java
@@ -55,15 +55,15 @@
     }
 
     /**
-     * All earlier records are in, with their tasks: a job that is new and cancelled from now on has
-     * no tasks to stop.
+     * Notes that all earlier records are loaded, with those of tasks. A new job that is already
+     * cancelled when its record arrives after this has no tasks to stop.
      */
     void onRecoveryComplete() {
         recoveryComplete = true;
     }
 
     /**
-     * Applies one record of a job; one that is older than what is known is ignored.
+     * Applies one record of a job, unless it is no newer than the known one.
      *
      * @param record the fields of the record as stored
      * @param revision the revision of the change that wrote it
@@ -92,7 +92,7 @@
         objectives.recordJob(job.spec());
         jobTracker.onJobAdmitted(job);
         LOG.info(
-                "job {}: {} of {} tasks of about {} s for team {}, class {}, due in {} s",
+                "job admitted job={} kind={} tasks={} estimated_runtime_s={} team={} class={} deadline_s={}",
                 job.id(),
                 job.spec().kind(),
                 job.spec().taskCount(),
@@ -104,8 +104,8 @@
             recordArrival(job, now);
         }
         if (job.isCancelled() && recoveryComplete) {
-            // Admitted and cancelled between two watches: there is nothing to stop, but its end is
-            // still to be written.
+            // The job was admitted and cancelled between two watches: there is no task to stop, but
+            // the job's end must still be written.
             recordWriter.markEndPending(job);
             recordWriter.flush();
         }
--- a/src/main/java/org/meadowhollow/coordination/recovery/JobWatcher.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/JobWatcher.java
@@ -11,22 +11,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Watches the job records after the recovery, so that the leader learns of new jobs and
- * cancellations, and of how fresh that knowledge is. Guarded by the leader's lock.
+ * Watches the job records after the recovery: applies new jobs and cancellations, and reports up to
+ * which time all cancellations are known. Guarded by the leader's lock.
  */
 final class JobWatcher {
     private static final Logger LOG = LoggerFactory.getLogger(JobWatcher.class);
 
     /**
-     * A watch's answer shows that all was known up to when the watch was sent. Its length is
-     * therefore how old that knowledge is at most, which is taken off the time for which workers
-     * are answered in an outage.
+     * How long the store holds a watch without changes open. The response to a watch proves that
+     * all changes up to the time when the watch was sent are known. This timeout is therefore the
+     * maximum age of that knowledge, and shortens the time for which workers are answered in an
+     * outage.
      */
     private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(1);
 
     /**
-     * How long watches may fail, while other calls may be answered, before all jobs are read
-     * instead.
+     * How long watches may fail, while other requests may be answered, before all job records are
+     * read instead.
      */
     private static final Duration MAX_WATCH_FAILURE = Duration.ofSeconds(6);
 
@@ -49,12 +50,15 @@
         this.jobRecords = jobRecords;
     }
 
-    /** Asks for what has changed by now, which is answered at once, and goes on to watch. */
+    /**
+     * Requests the changes up to now, which the store returns immediately, and then continues to
+     * watch.
+     */
     void watchFromNow(Revision after) {
         watch(after, Duration.ZERO);
     }
 
-    // The chain handles success and failure itself, and goes on to watch.
+    // The chain handles success and failure itself, and continues to watch.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void watch(Revision after, Duration timeout) {
         MonotonicTime sentAt = context.loop().now();
@@ -81,7 +85,7 @@
     private void onChanges(KeyValueStore.ChangeBatch batch, Revision after, MonotonicTime sentAt) {
         if (after.isAfter(batch.revision())) {
             LOG.info(
-                    "key-value store answers a watch with revision {} below {}: ignored",
+                    "watch response ignored revision={} watched_revision={} reason=older than the watched revision",
                     batch.revision(),
                     after);
             retryLater(after);
@@ -123,8 +127,8 @@
     }
 
     /**
-     * Whether other calls are answered, but watches have not been for long: their answer may be too
-     * large to take.
+     * Whether watches have failed for long although other requests are answered: the response to
+     * the watch may be too large to be received.
      */
     private boolean watchesKeepFailing(MonotonicTime now) {
         return !context.store().seemsUnavailable()
--- a/src/main/java/org/meadowhollow/coordination/recovery/PageReader.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/PageReader.java
@@ -15,17 +15,17 @@
         this.context = context;
     }
 
-    /** How many records were read so far. */
+    /** How many records have been read so far. */
     int recordCount() {
         return recordCount;
     }
 
     /**
-     * Reads all records under a prefix; a page that fails is asked for again until the leadership
-     * ends.
+     * Reads all records under a prefix. A request for a page that fails is repeated until the
+     * leadership ends.
      *
-     * @param onPage takes in the entries of each page, under the leader's lock
-     * @param onComplete takes the revision of the first page, from which changes must be watched
+     * @param onPage receives the entries of each page, under the leader's lock
+     * @param onComplete receives the revision of the first page, from which changes must be watched
      */
     void readAll(
             String prefix,
@@ -34,7 +34,7 @@
         new Listing(prefix, onPage, onComplete).readAfter(null, null);
     }
 
-    /** The reading of one prefix. */
+    /** One read of all records under a prefix. */
     private final class Listing {
         private final String prefix;
         private final Consumer<List<KeyValueStore.Entry>> onPage;
--- a/src/main/java/org/meadowhollow/coordination/recovery/RecordRestorer.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/RecordRestorer.java
@@ -13,8 +13,8 @@
 import org.meadowhollow.storage.TaskShardCodec;
 
 /**
- * Turns the records of each kind back into the leader's memory. Jobs come before their task shards.
- * Guarded by the leader's lock.
+ * Restores the leader's state in memory from the records of each kind. Jobs must be restored before
+ * their task shards. Guarded by the leader's lock.
  */
 public final class RecordRestorer {
     private final EventLoop loop;
@@ -59,10 +59,10 @@
     }
 
     /**
-     * Assigns the restored placements to their machines, and finishes what a predecessor began:
-     * stops tasks of cancelled jobs and ends jobs that are complete.
+     * Assigns the restored placements to their machines, and completes what a predecessor left
+     * unfinished: stops the tasks of cancelled jobs and ends jobs that are complete.
      *
-     * @return how many placements there are
+     * @return the number of restored placements
      */
     int finish() {
         int placementCount = 0;
@@ -75,8 +75,7 @@
             if (job.isCancelled()) {
                 taskStopper.stopAllTasks(job, 0, StateRecovery.CANCELLED_BY_USER);
             } else if (job.isComplete()) {
-                // The predecessor recorded the end of the last attempt but did not get to write
-                // the job's end.
+                // The predecessor recorded the end of the last attempt, but not the end of the job.
                 recordWriter.markEndPending(job);
             }
         }
--- a/src/main/java/org/meadowhollow/coordination/recovery/RecoveryContext.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/RecoveryContext.java
@@ -4,9 +4,9 @@
 import org.meadowhollow.storage.KeyValueStore;
 
 /**
- * What each part of a recovery uses.
+ * Dependencies that the classes of a recovery share.
  *
- * @param lock the leader's lock, under which answers of the store are taken in
+ * @param lock the leader's lock, under which responses of the store are applied
  */
 public record RecoveryContext(
         Object lock, RecoveryListener listener, KeyValueStore store, EventLoop loop) {}
--- a/src/main/java/org/meadowhollow/coordination/recovery/RecoveryListener.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/RecoveryListener.java
@@ -2,18 +2,24 @@
 
 import org.meadowhollow.model.MonotonicTime;
 
-/** The leadership whose state is recovered. Called with the leader's lock held. */
+/**
+ * Receives the progress of a recovery; implemented by the leadership whose state is recovered.
+ * Called with the leader's lock held.
+ */
 public interface RecoveryListener {
-    /** Whether the leadership has ended, so that nothing is to be taken in any more. */
+    /**
+     * Whether the leadership has ended, so that no further responses of the store are to be
+     * applied.
+     */
     boolean isClosed();
 
     /** Renews the leader's lease if it is due; called between long steps of the recovery. */
     void renewLeadershipIfDue();
 
     /**
-     * All cancellations up to a time are known.
+     * Reports that all cancellations up to a time are known.
      *
-     * @param upTo when the request was sent whose answer showed the last of them
+     * @param upTo when the request was sent whose response contained the last of them
      */
     void onCancellationsKnownUpTo(MonotonicTime upTo);
 }
--- a/src/main/java/org/meadowhollow/coordination/recovery/RiskTableRestorer.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/RiskTableRestorer.java
@@ -9,16 +9,20 @@
 
 /**
  * Restores the machines' risk tables from the snapshot in the key-value store, for a leader that
- * inherited none as a standby. Owns whether all tables that exist are known here. Guarded by the
- * leader's lock, which it takes itself where it is not said to be held.
+ * inherited none as a standby. Tracks whether all existing tables are known to this leader. Guarded
+ * by the leader's lock; methods take the lock themselves unless they are documented as called with
+ * it held.
  */
 public final class RiskTableRestorer {
     private static final Logger LOG = LoggerFactory.getLogger(RiskTableRestorer.class);
 
-    /** The pause after the snapshot could not be read; until it is, none is written over it. */
+    /**
+     * The delay before the snapshot is read again after a failure. It is not overwritten until it
+     * has been read.
+     */
     private static final Duration READ_RETRY_DELAY = Duration.ofSeconds(2);
 
-    /** The pause between two batches of restored tables. */
+    /** The delay between two batches of restored tables. */
     private static final Duration BATCH_INTERVAL = Duration.ofMillis(200);
 
     private final RecoveryContext context;
@@ -36,7 +40,7 @@
     }
 
     /**
-     * Begins the restoration, at the first call only. Called with the leader's lock held.
+     * Begins the restoration; later calls have no effect. Called with the leader's lock held.
      *
      * @return whether the stored snapshot must be read, with {@link #readSnapshot}
      */
@@ -50,14 +54,17 @@
     }
 
     /**
-     * Whether all tables that exist are known here: a snapshot of fewer would replace a better one.
-     * Called with the leader's lock held.
+     * Whether all existing tables are known to this leader. Until then it must not store a
+     * snapshot, which would replace one with more tables. Called with the leader's lock held.
      */
     public boolean isComplete() {
         return complete;
     }
 
-    /** Reads the stored snapshot, until that succeeds. Called without the leader's lock. */
+    /**
+     * Reads the stored snapshot, and repeats a failed read until it succeeds. Called without the
+     * leader's lock.
+     */
     // The chain handles success and failure itself; a failed read is repeated.
     @SuppressWarnings("FutureReturnValueIgnored")
     public void readSnapshot() {
@@ -92,7 +99,7 @@
             } else {
                 complete = true;
                 LOG.info(
-                        "restored {} risk tables from the key-value store",
+                        "risk tables restored from the key-value store tables={}",
                         handoverState.inheritedTableCount());
             }
         }
--- a/src/main/java/org/meadowhollow/coordination/recovery/StateRecovery.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/StateRecovery.java
@@ -14,14 +14,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Loads the records of earlier leaders into a new leader's memory, from what this node followed as
- * a standby or else page by page from the key-value store, and then watches what users change.
- * Guarded by the leader's lock.
+ * Loads the records of earlier leaders into a new leader's memory, and then watches for changes
+ * made by users. The records come from the replicas that this node kept as a standby, or else page
+ * by page from the key-value store. Guarded by the leader's lock.
  */
 public final class StateRecovery {
     private static final Logger LOG = LoggerFactory.getLogger(StateRecovery.class);
 
-    /** The pause before a request to the key-value store that failed is sent again. */
+    /** The delay before a failed request to the key-value store is repeated. */
     static final Duration RETRY_DELAY = Duration.ofMillis(500);
 
     static final String CANCELLED_BY_USER = "its user cancelled the job";
@@ -40,8 +40,8 @@
     /**
      * Creates the recovery of one leadership.
      *
-     * @param leaderKeyRevision the revision of the transaction that wrote the leader key; what was
-     *     followed here must reach to it
+     * @param leaderKeyRevision the revision of the transaction that wrote the leader key; this
+     *     node's replicas must cover it to be used
      */
     public StateRecovery(
             RecoveryContext context,
@@ -61,8 +61,9 @@
         this.failoverTimeline = failoverTimeline;
     }
 
-    /** Takes over the records that this node has followed, or else reads them page by page. */
-    // A replica that cannot be brought up to date counts as absent, for which the chain reads all.
+    /** Restores the records from this node's replicas, or else reads them page by page. */
+    // A replica that cannot be brought up to date counts as absent, and then the chain reads all
+    // records.
     @SuppressWarnings("FutureReturnValueIgnored")
     public void start() {
         if (!handoverState.isWarm()) {
@@ -79,7 +80,7 @@
                                 }
                                 if (replicas.isEmpty()) {
                                     LOG.info(
-                                            "term {} reads all records: the local replica does not reach the leader key",
+                                            "recovery reads all records token={} reason=the local replica does not cover the leader key",
                                             fencingToken);
                                     readJobs();
                                 } else {
@@ -102,16 +103,16 @@
                         .map(KeyspaceReplica::revision)
                         .min(Comparator.comparingLong(Revision::value))
                         .orElseThrow();
-        finish("the image", recordCount, reached);
+        finish("the local replica", recordCount, reached);
         jobWatcher.watchFromNow(jobs.revision());
     }
 
-    /** The revision up to which all records are in, or null before that. */
+    /** The revision up to which all records are loaded, or null until they are. */
     public Revision recoveredRevision() {
         return recoveredRevision;
     }
 
-    /** Whether all that earlier leaders wrote is known. */
+    /** Whether all records of earlier leaders are loaded. */
     public boolean isComplete() {
         return complete;
     }
@@ -132,14 +133,16 @@
                 RecordKeys.IMAGE_PREFIX,
                 restorer::restoreImageCaches,
                 unused -> {
-                    finish("pages", pageReader.recordCount(), watchFrom);
+                    finish("the key-value store", pageReader.recordCount(), watchFrom);
                     jobWatcher.watchFromNow(watchFrom);
                 });
     }
 
     /**
+     * Completes the recovery after all records have been restored.
+     *
      * @param source what the records were taken from, for the log
-     * @param reached the revision up to which all is in
+     * @param reached the revision up to which all records are loaded
      */
     private void finish(String source, int recordCount, Revision reached) {
         int placementCount = restorer.finish();
@@ -147,7 +150,7 @@
         recoveredRevision = reached;
         failoverTimeline.onRecordsLoaded(source, recordCount, context.loop().now());
         LOG.info(
-                "term {} has loaded {} jobs with {} tasks that may be running",
+                "recovery completed token={} jobs={} possibly_running_tasks={}",
                 fencingToken,
                 restorer.jobCount(),
                 placementCount);
--- a/src/main/java/org/meadowhollow/coordination/rounds/CapacityDemandSink.java
+++ b/src/main/java/org/meadowhollow/coordination/rounds/CapacityDemandSink.java
@@ -5,11 +5,13 @@
 import org.meadowhollow.coordination.fleet.Autoscaler;
 import org.meadowhollow.model.MachineId;
 
-/** Takes what a scheduling round found lacking. Called with the leader's lock held. */
+/**
+ * Receives the capacity that a scheduling round found lacking. Called with the leader's lock held.
+ */
 @FunctionalInterface
 public interface CapacityDemandSink {
     /**
-     * Replaces the demand of the round before.
+     * Replaces the demand of the previous round.
      *
      * @param retainedMachines machines that must not be returned to the cloud
      */
--- a/src/main/java/org/meadowhollow/coordination/rounds/FirstRoundGate.java
+++ b/src/main/java/org/meadowhollow/coordination/rounds/FirstRoundGate.java
@@ -9,40 +9,42 @@
 import org.meadowhollow.model.MonotonicTime;
 
 /**
- * Decides when a new leader may hold its first scheduling round, and when a round may decide from
- * heartbeats of nearly all machines. Owns both decisions, of which neither is taken back, and notes
+ * Decides when a new leader may run its first scheduling round, and when its rounds may rely on
+ * heartbeats of nearly all machines. Owns both decisions, neither of which is revoked, and records
  * them in the failover's timeline. Guarded by the leader's lock.
  */
 public final class FirstRoundGate {
     /**
-     * Heartbeats are up to a quarter of their interval late, and a worker turns to the next node a
-     * second later.
+     * The latest arrival of a heartbeat as a multiple of the heartbeat interval: heartbeats are up
+     * to a quarter of the interval late.
      */
     private static final double LATEST_HEARTBEAT_FACTOR = 1.25;
 
+    /** Seconds after which a worker turns to the next node. */
     private static final double NEXT_NODE_SECONDS = 1;
+
     private static final double NANOS_PER_SECOND = 1e9;
 
     /**
-     * The share of the known machines whose heartbeats make a full round. Among hundreds some are
-     * always hung, dead or about to be preempted, and are listed for long after; waiting for them
-     * took each failover the whole time.
+     * The share of the known machines that must have reported for a full round. Among hundreds of
+     * machines some are always hung, dead or about to be preempted, and remain listed for long
+     * after; waiting for all of them would make each failover take the longest possible time.
      */
     private static final double FULL_ROUND_SHARE = 0.9;
 
     /**
-     * The share of the last leader's recent machines whose heartbeats a warm leader's first round
-     * needs. Most of them have waited at this node for a leader; for the rest it knows the risk
-     * tables and what may run there.
+     * The share of the last leader's recent machines that must have reported for a warm leader's
+     * first round. Heartbeats of most of them have waited at this node for a leader; for the rest,
+     * the leader knows the risk tables and the tasks that may run there.
      */
     private static final double WARM_FIRST_ROUND_SHARE = 0.5;
 
     /** The leader's conditions for a round. Called with the leader's lock held. */
     public interface LeaderConditions {
-        /** What the checks before the first round are made of. */
+        /** The facts from which the preconditions of the first round are checked. */
         FailoverPreconditions.Facts facts(int machinesReported, int machinesRequired);
 
-        /** Whether those conditions hold that can fail again after the first round. */
+        /** Whether the conditions that can fail again after the first round hold. */
         boolean maySchedule();
     }
 
@@ -75,14 +77,14 @@
         this.conditions = conditions;
     }
 
-    /** Whether a round was allowed before. */
+    /** Whether the first round has been allowed. */
     public boolean isFirstRoundAllowed() {
         return firstRoundAllowed;
     }
 
     /**
-     * Whether a round may decide: for the first one all preconditions hold, for later ones those
-     * that can fail again.
+     * Whether a round may run. The first one requires all preconditions, later ones only those that
+     * can fail again.
      */
     public boolean maySchedule(MonotonicTime now) {
         if (firstRoundAllowed) {
@@ -98,8 +100,8 @@
     }
 
     /**
-     * Machines whose heartbeats the first round needs. While heartbeats of all are not gathered, a
-     * round only places tasks; it rents no machines and preempts nothing.
+     * Number of machines whose heartbeats the first round needs. Until nearly all machines have
+     * reported, a round only places tasks; it rents no machines and preempts nothing.
      */
     private int heartbeatsNeeded(MonotonicTime now) {
         if (hasGatheredFullRound(now)) {
@@ -114,9 +116,9 @@
     }
 
     /**
-     * Whether heartbeats of nearly all machines are in, so that placements, rentals and stops are
-     * not decided from the few machines that happened to report first. Machines that were listed
-     * but are silent are not waited for any longer than a heartbeat takes at most.
+     * Whether nearly all machines have reported, so that placements, rentals and stops are not
+     * decided from the few machines that happened to report first. Listed machines that send
+     * nothing are waited for only as long as a heartbeat can take.
      */
     public boolean hasGatheredFullRound(MonotonicTime now) {
         if (!fullRoundGathered) {
@@ -135,7 +137,7 @@
                 >= FULL_ROUND_SHARE * machineRegistry.knownMachineCount();
     }
 
-    /** Notes a round that placed tasks from the heartbeats so far. */
+    /** Records a round that placed tasks from the heartbeats received so far. */
     public void recordRound(int placedTasks, MonotonicTime now) {
         if (!failoverTimeline.isLogged()) {
             failoverTimeline.onFirstRound(
@@ -146,7 +148,7 @@
         }
     }
 
-    /** Notes a round that decided from heartbeats of nearly all machines. */
+    /** Records a round that used the heartbeats of nearly all machines. */
     public void recordFullRound(MonotonicTime now) {
         failoverTimeline.onFullRound(handoverState.inheritedTableCount(), now);
     }
--- a/src/main/java/org/meadowhollow/coordination/rounds/PlacementApplier.java
+++ b/src/main/java/org/meadowhollow/coordination/rounds/PlacementApplier.java
@@ -15,8 +15,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Applies what a round decided to the jobs and machines, and marks it to be written; the starts are
- * sent once it is persisted. Owns the counts of placements so far. Guarded by the leader's lock.
+ * Applies a round's placement decisions to the jobs and machines, and marks the changed records to
+ * be written; starts are sent once these are persisted. Owns the counts of placements so far.
+ * Guarded by the leader's lock.
  */
 final class PlacementApplier {
     private static final Logger LOG = LoggerFactory.getLogger(PlacementApplier.class);
@@ -37,7 +38,7 @@
         }
         if (!decisions.isEmpty()) {
             LOG.info(
-                    "placed {} tasks; so far {} by risk, {} by room alone",
+                    "round placed tasks tasks={} total_by_risk={} total_by_capacity_alone={}",
                     decisions.size(),
                     placedByRisk,
                     placedByCapacity);
@@ -71,10 +72,10 @@
             placedByCapacity++;
         }
         LOG.debug(
-                "task {} attempt {} goes to {} by {}",
+                "task placed task={} attempt={} machine={} criterion={}",
                 placement.taskId(),
                 attemptNumber,
                 machine.id(),
-                decision.byRiskTable() ? "risk" : "room");
+                decision.byRiskTable() ? "risk" : "capacity");
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/rounds/PredictedJobPlanner.java
+++ b/src/main/java/org/meadowhollow/coordination/rounds/PredictedJobPlanner.java
@@ -19,10 +19,11 @@
  */
 final class PredictedJobPlanner {
     /**
-     * What the predicted jobs take.
+     * Capacity for the predicted jobs.
      *
-     * @param machines machines that they would use, which must not be returned; may be added to
-     * @param demands what finds no capacity and is to be rented
+     * @param machines the machines that the jobs would use, which must not be returned to the
+     *     cloud; the caller may add to the set
+     * @param demands the capacity to rent for tasks that fit on no machine
      */
     record Plan(Set<MachineId> machines, List<Autoscaler.CapacityDemand> demands) {
         static Plan empty() {
@@ -36,7 +37,10 @@
         this.arrivalForecast = arrivalForecast;
     }
 
-    /** Places the predicted jobs on what a round left over, which they use up in the snapshot. */
+    /**
+     * Places the predicted jobs on the capacity that a round left over, and takes that capacity
+     * from the snapshot.
+     */
     Plan plan(SchedulingSnapshot remaining, MonotonicTime now) {
         List<PlacementRound.PendingJob> predicted = new ArrayList<>();
         for (JobSpec spec : arrivalForecast.predictedJobs(now)) {
--- a/src/main/java/org/meadowhollow/coordination/rounds/ReservationEnforcer.java
+++ b/src/main/java/org/meadowhollow/coordination/rounds/ReservationEnforcer.java
@@ -32,25 +32,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Applies the reservation calendar to a leader's scheduling rounds: which machines a round may use,
- * which tasks are warned of an eviction and stopped, and what capacity is demanded ahead. Owns who
- * was warned and which service moved a replica last. Guarded by the leader's lock; does nothing
- * while reservations are disabled.
+ * Applies the reservation calendar to a leader's scheduling rounds: determines which machines a
+ * round may use, which tasks are warned of an eviction and then stopped, and what capacity is
+ * demanded in advance. Owns the warnings given and the time of each service's last replica move.
+ * Guarded by the leader's lock; does nothing while reservations are disabled.
  */
 public final class ReservationEnforcer {
     private static final Logger LOG = LoggerFactory.getLogger(ReservationEnforcer.class);
 
     /**
-     * No task is stopped sooner than this after its warning. Mostly the warning is two minutes
-     * ahead; an outage window that begins at once, or a failover, which forgets the warnings,
-     * leaves this much.
+     * Minimum time between a task's warning and its stop. Usually the warning comes two minutes
+     * ahead; if an outage window begins at once, or after a failover, which loses the warnings,
+     * this minimum is left.
      */
     private static final Duration MIN_WARNING = Duration.ofSeconds(30);
 
-    /** The pause between stops of two replicas of a service, so that the service stays up. */
+    /**
+     * The minimum time between the stops of two replicas of a service, so that the service stays
+     * up.
+     */
     private static final Duration REPLICA_MOVE_INTERVAL = Duration.ofSeconds(20);
 
-    /** Bounds the memory of warnings and of logged notices. */
+    /** Maximum number of warnings, and of logged notices, that are kept in memory. */
     private static final int MAX_REMEMBERED = 10_000;
 
     private record WarnedAttempt(TaskId task, AttemptNumber attempt) {
@@ -74,7 +77,8 @@
     /**
      * Creates the enforcer of one leadership.
      *
-     * @param reservableCapacity the machines that can be reserved in all, computed anew for a round
+     * @param reservableCapacity supplies the total capacity that can be reserved, computed anew for
+     *     each round
      */
     public ReservationEnforcer(
             TaskStopper taskStopper,
@@ -93,7 +97,7 @@
         this.reservableCapacity = reservableCapacity;
     }
 
-    /** Begins to follow the calendar's records. */
+    /** Starts to replicate the calendar's records. */
     public void start() {
         if (reservationSettings.enabled()) {
             reservationCalendar.start();
@@ -101,21 +105,21 @@
     }
 
     /**
-     * Whether rounds may begin: not before the calendar is loaded, or they would place tasks on
-     * reserved machines.
+     * Whether rounds may begin. Before the calendar is loaded, they would place tasks on reserved
+     * machines.
      */
     public boolean isReady() {
         return !reservationSettings.enabled() || reservationCalendar.isLoaded();
     }
 
-    /** A task was completed after running for some seconds. */
+    /** Records how long a completed task was running. */
     public void recordRuntime(JobSpec spec, double seconds) {
         if (reservationSettings.enabled()) {
             runtimeEstimator.recordRuntime(spec, seconds);
         }
     }
 
-    /** Computes what the calendar means for the round that begins. */
+    /** Recomputes the reservation view of the calendar for the round that begins. */
     public void refreshView(MonotonicTime now) {
         if (!reservationSettings.enabled()) {
             return;
@@ -156,7 +160,7 @@
         return pending;
     }
 
-    /** What to rent for reservations that begin before long. */
+    /** Returns the capacity to rent for reservations that begin soon. */
     public List<Autoscaler.CapacityDemand> capacityDemand() {
         List<Autoscaler.CapacityDemand> demands = new ArrayList<>();
         for (ReservationView.CapacityShortfall shortfall :
@@ -168,21 +172,23 @@
                             shortfall.zone(),
                             0));
             logOnce(
-                    "reservation "
+                    "reservation lacks machines reservation="
                             + shortfall.reservation().name()
-                            + " has no machines yet for "
-                            + shortfall.tasks()
-                            + " of its tasks");
+                            + " tasks="
+                            + shortfall.tasks());
         }
         return demands;
     }
 
-    /** Warns tasks that would run into an outage window or a reservation, and stops those due. */
+    /**
+     * Warns tasks that would run into an outage window or a reservation, and stops those whose stop
+     * is due.
+     */
     public void enforce(MonotonicTime now) {
         ReservationView view = clusterState.reservationView();
         view.plannedEvictions().forEach(eviction -> warnOrStop(eviction, now));
         view.unusedReservations()
-                .forEach(name -> logOnce("reservation " + name + " is not used and given back"));
+                .forEach(name -> logOnce("unused reservation released reservation=" + name));
         Set<WarnedAttempt> stillPlanned = new HashSet<>();
         view.plannedEvictions()
                 .forEach(eviction -> stillPlanned.add(WarnedAttempt.of(eviction.placement())));
@@ -212,7 +218,7 @@
     private static void logWarning(ReservationView.PlannedEviction eviction) {
         Placement placement = eviction.placement();
         LOG.info(
-                "task {} attempt {} on {} will be stopped in {} s unless it is done: {}",
+                "task will be stopped unless it completes task={} attempt={} machine={} within_s={} reason={}",
                 placement.taskId(),
                 placement.attemptNumber(),
                 placement.machineId(),
@@ -220,7 +226,10 @@
                 eviction.reason());
     }
 
-    /** Whether a replica can be stopped while all others of its service run. */
+    /**
+     * Whether a task can be stopped without harm to its service: all of the service's replicas run,
+     * and none was moved recently. A task of another kind of job can always be stopped.
+     */
     private boolean mayStopReplica(Job job, MonotonicTime now) {
         MonotonicTime last = lastMoveByService.get(job.id());
         return job.spec().kind() != JobKind.SERVICE
@@ -231,7 +240,7 @@
                                 .allMatch(one -> one.runningSince() != null && !one.isStopping()));
     }
 
-    /** Logs once, and not in every round, what operators should know. */
+    /** Logs a notice for operators once, rather than in every round. */
     private void logOnce(String what) {
         if (loggedNotices.size() < MAX_REMEMBERED && loggedNotices.add(what)) {
             LOG.info("{}", what);
--- a/src/main/java/org/meadowhollow/coordination/rounds/RoundContext.java
+++ b/src/main/java/org/meadowhollow/coordination/rounds/RoundContext.java
@@ -6,7 +6,10 @@
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.storage.RecordWriter;
 
-/** What the parts of a scheduling round share: the leadership's state, settings and writer. */
+/**
+ * Dependencies that the classes of a scheduling round share: the leadership's state, settings and
+ * writer.
+ */
 public record RoundContext(
         EventLoop loop,
         DeploymentSettings deploymentSettings,
--- a/src/main/java/org/meadowhollow/coordination/rounds/RoundScheduler.java
+++ b/src/main/java/org/meadowhollow/coordination/rounds/RoundScheduler.java
@@ -16,10 +16,10 @@
 import org.meadowhollow.model.Priority;
 
 /**
- * Holds one scheduling round at a time: places what fits, keeps capacity for predicted jobs, and
- * once nearly all machines have reported also preempts, enforces reservations and demands capacity
- * from the autoscaler. When a round is held is the leader's choice. Guarded by the leader's lock;
- * does no I/O but through the record writer and the task lifecycle.
+ * Runs scheduling rounds, one at a time: places the tasks that fit, keeps capacity for predicted
+ * jobs, and once nearly all machines have reported also preempts tasks, enforces reservations and
+ * demands capacity from the autoscaler. The leader decides when a round runs. Guarded by the
+ * leader's lock; does no I/O except through the record writer and the task lifecycle.
  */
 public final class RoundScheduler {
     /** The time from one round to the next. */
@@ -50,7 +50,10 @@
         this.predictedJobPlanner = new PredictedJobPlanner(arrivalForecast);
     }
 
-    /** Holds a round; the caller has asked the gate, and flushes the record writer afterwards. */
+    /**
+     * Runs a round. The caller has checked the {@link FirstRoundGate} before, and flushes the
+     * record writer afterwards.
+     */
     public void runRound(MonotonicTime now) {
         boolean full = firstRoundGate.hasGatheredFullRound(now);
         reservationEnforcer.refreshView(now);
@@ -67,14 +70,14 @@
                 place(snapshot, byBestEffort.get(false), maxJobsPerRound(), now);
         PredictedJobPlanner.Plan predicted =
                 full ? predictedJobPlanner.plan(snapshot, now) : PredictedJobPlanner.Plan.empty();
-        // Best-effort work takes what neither other jobs nor predicted ones need: it would soon be
-        // preempted again.
+        // Best-effort jobs get only capacity that neither other jobs nor predicted ones need;
+        // elsewhere they would soon be preempted again.
         PlacementRound.Outcome bestEffort =
                 place(snapshot, byBestEffort.get(true), maxBestEffortJobsPerRound(), now);
         firstRoundGate.recordRound(regular.decisions().size() + bestEffort.decisions().size(), now);
         if (!full) {
-            // From some of the machines it cannot be known what lacks capacity: nothing is rented,
-            // stopped or abandoned for it.
+            // While only some of the machines have reported, it is not known which capacity is
+            // lacking, so nothing is rented, stopped or abandoned.
             return;
         }
         firstRoundGate.recordFullRound(now);
@@ -111,7 +114,10 @@
         capacityDemandSink.capacityDemand(demands, retained);
     }
 
-    /** Jobs to place in a round: what a round decides should be written before the next one. */
+    /**
+     * Maximum number of jobs to place in a round. What a round decides should be written before the
+     * next round.
+     */
     private int maxJobsPerRound() {
         return Math.max(0, recordWritesPerRound() - context.recordWriter().urgentDirtyShardCount());
     }
--- a/src/main/java/org/meadowhollow/coordination/rounds/UnplacedJobHandler.java
+++ b/src/main/java/org/meadowhollow/coordination/rounds/UnplacedJobHandler.java
@@ -16,16 +16,20 @@
 import org.meadowhollow.model.Priority;
 
 /**
- * Makes capacity for jobs whose tasks found none in a round: preempts best-effort and other work,
- * and gathers what is to be rented. Keeps no state between rounds. Guarded by the leader's lock.
+ * Obtains capacity for jobs with tasks that a round could not place: preempts best-effort tasks and
+ * others, and collects the capacity to rent. Keeps no state between rounds. Guarded by the leader's
+ * lock.
  */
 public final class UnplacedJobHandler {
-    /** Jobs in a round for which others are preempted: a stop must be seen to help first. */
+    /**
+     * Maximum number of jobs in a round for which others are preempted: the effect of a stop must
+     * be seen before more tasks are stopped.
+     */
     private static final int MAX_PREEMPTING_JOBS = 4;
 
     /**
-     * Jobs in a round for which best-effort work is preempted; each examines all machines, and what
-     * is preempted saves a checkpoint first.
+     * Maximum number of jobs in a round for which best-effort tasks are preempted. Each job
+     * examines all machines, and the preempted tasks save a checkpoint first.
      */
     private static final int MAX_JOBS_DISPLACING_BEST_EFFORT = 8;
 
@@ -50,7 +54,7 @@
      * Handles all jobs with unplaced tasks, in the round's order.
      *
      * @param unplacedTasks how many tasks found no capacity, by job
-     * @return what is to be rented for them, in the same order
+     * @return the capacity to rent for them, in the same order
      */
     List<Autoscaler.CapacityDemand> handle(
             SchedulingSnapshot snapshot, Map<JobId, Integer> unplacedTasks, MonotonicTime now) {
@@ -107,7 +111,7 @@
             victims.forEach(
                     victim ->
                             taskLifecycle.stopWithCheckpoint(
-                                    victim, "best-effort work is preempted for " + job.id()));
+                                    victim, "best-effort task preempted for job " + job.id()));
             job.lastPreemptionAt(now);
             bestEffortTasks -= victims.size();
             displacingJobs++;
@@ -126,7 +130,7 @@
             victims.forEach(
                     victim ->
                             taskLifecycle.stopWithCheckpoint(
-                                    victim, "its capacity is needed for " + job.id()));
+                                    victim, "capacity needed for job " + job.id()));
             if (!victims.isEmpty()) {
                 job.lastPreemptionAt(now);
                 preemptingJobs++;
@@ -134,7 +138,7 @@
         }
     }
 
-    /** Tasks of the lowest priority that may be running, and could be preempted. */
+    /** Number of tasks of the lowest priority that may be running and could be preempted. */
     private long bestEffortTaskCount() {
         return context.clusterState().jobs().values().stream()
                 .filter(job -> job.spec().priority() == Priority.LOW)
--- a/src/test/java/org/meadowhollow/coordination/lifecycle/LifecycleFixture.java
+++ b/src/test/java/org/meadowhollow/coordination/lifecycle/LifecycleFixture.java
@@ -29,8 +29,9 @@
 import org.meadowhollow.storage.RecordWriter;
 
 /**
- * The parts of a leadership that follow machines, tasks and jobs, over a clock that the test sets.
- * The record writer has no store: what is marked to be written can be seen, and is never flushed.
+ * Fixture with the classes of a leadership that manage machines, tasks and jobs, on a clock that
+ * the test advances. The record writer has no store: tests can inspect which records are marked to
+ * be written, and nothing is flushed.
  */
 public final class LifecycleFixture {
     /** The only machine type that the catalog names. */
--- a/src/test/java/org/meadowhollow/coordination/lifecycle/TaskLifecycleTest.java
+++ b/src/test/java/org/meadowhollow/coordination/lifecycle/TaskLifecycleTest.java
@@ -69,7 +69,7 @@
         fixture.place(gang, 1, second);
         lost.reportedState(TaskState.RUNNING, fixture.now());
         lifecycle.markTaskLost(first, lost, "test", fixture.now());
-        // The other start was never persisted, so there is nothing to wait for.
+        // The start of the second task was never persisted, so there is no exit to wait for.
         assertTrue(gang.placements().isEmpty());
         assertTrue(second.placements().isEmpty());
         assertEquals(List.of(), fixture.sentCommands);
