--- a/src/main/java/org/meadowhollow/coordination/lifecycle/ImageCacheRecorder.java
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/ImageCacheRecorder.java
@@ -131,15 +131,15 @@
         for (Iterator<String> images = changedImages.iterator();
                 images.hasNext() && transaction.writes().size() < maxWrites; ) {
             String image = images.next();
-            List<MachineId> having = machinesWithImage(machines, image);
+            List<MachineId> machineIds = machinesWithImage(machines, image);
             ImageLocationsCodec.EncodedImageLocations record =
-                    ImageLocationsCodec.encode(imageSizesGb.get(image), having, maxValueBytes);
+                    ImageLocationsCodec.encode(imageSizesGb.get(image), machineIds, maxValueBytes);
             bytes += record.estimatedBytes();
             if (bytes > MAX_TRANSACTION_BYTES && !transaction.writes().isEmpty()) {
                 break;
             }
             images.remove();
-            if (having.isEmpty()) {
+            if (machineIds.isEmpty()) {
                 transaction.delete(RecordKeys.image(image));
                 imageSizesGb.remove(image);
             } else {
@@ -150,12 +150,12 @@
     }
 
     private static List<MachineId> machinesWithImage(Collection<Machine> machines, String image) {
-        List<MachineId> having = new ArrayList<>();
+        List<MachineId> machineIds = new ArrayList<>();
         for (Machine machine : machines) {
             if (machine.imageCache().contains(image)) {
-                having.add(machine.id());
+                machineIds.add(machine.id());
             }
         }
-        return having;
+        return machineIds;
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/lifecycle/MachineRegistry.java
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/MachineRegistry.java
@@ -186,14 +186,14 @@
     }
 
     /**
-     * Returns the addresses of up to {@code most} workers, for later probes whether workers and
-     * this node can reach each other.
+     * Returns the addresses of up to {@code limit} workers, for later probes of whether the workers
+     * can be reached.
      */
-    public List<String> sampleAddresses(int most) {
+    public List<String> sampleAddresses(int limit) {
         return machines.values().stream()
                 .map(Machine::address)
                 .filter(Objects::nonNull)
-                .limit(most)
+                .limit(limit)
                 .toList();
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatHandler.java
+++ b/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatHandler.java
@@ -179,32 +179,32 @@
 
     private void sweepDeferred() {
         List<DeferredHeartbeat> due;
-        List<DeferredHeartbeat> withoutFreshness;
+        List<DeferredHeartbeat> timedOut;
         synchronized (context.lock()) {
             if (context.isClosed().getAsBoolean()) {
                 return;
             }
             due = awaitingCommands.takeDue(loop.now());
-            withoutFreshness = awaitingFreshness.takeDue(loop.now());
+            timedOut = awaitingFreshness.takeDue(loop.now());
         }
         loop.schedule(DEFERRAL_SWEEP_INTERVAL, this::sweepDeferred);
         due.forEach(this::answerDeferred);
-        withoutFreshness.forEach(this::applyAndRedirect);
+        timedOut.forEach(this::applyAndRedirect);
     }
 
     /**
      * Redirects a worker whose lease may not be renewed, but applies what its heartbeat reports.
      */
-    private void applyAndRedirect(DeferredHeartbeat waited) {
+    private void applyAndRedirect(DeferredHeartbeat deferred) {
         synchronized (context.lock()) {
             MonotonicTime now = loop.now();
             Machine machine =
                     context.isClosed().getAsBoolean()
                             ? null
-                            : machineRegistry.findOrRegister(waited.heartbeat());
-            applyWithoutLeaseRenewal(machine, waited.heartbeat(), now);
+                            : machineRegistry.findOrRegister(deferred.heartbeat());
+            applyWithoutLeaseRenewal(machine, deferred.heartbeat(), now);
         }
-        waited.response().complete(new HeartbeatResponse.Redirect(null));
+        deferred.response().complete(new HeartbeatResponse.Redirect(null));
     }
 
     /**
@@ -228,13 +228,13 @@
      */
     public void onCancellationsKnown() {
         if (!awaitingFreshness.isEmpty()) {
-            loop.schedule(Duration.ZERO, this::answerThoseAwaitingFreshness);
+            loop.schedule(Duration.ZERO, this::answerHeartbeatsAwaitingFreshness);
         }
     }
 
     // The chain completes each response itself; nothing waits for the chain.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private void answerThoseAwaitingFreshness() {
+    private void answerHeartbeatsAwaitingFreshness() {
         List<DeferredHeartbeat> waiting;
         synchronized (context.lock()) {
             waiting = awaitingFreshness.takeAll();
--- a/src/main/java/org/meadowhollow/coordination/recovery/PageReader.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/PageReader.java
@@ -67,12 +67,12 @@
                                                         () -> readAfter(lastKey, firstRevision));
                                         return;
                                     }
-                                    takePage(page, firstRevision);
+                                    applyPage(page, firstRevision);
                                 }
                             });
         }
 
-        private void takePage(KeyValueStore.Page page, Revision firstRevision) {
+        private void applyPage(KeyValueStore.Page page, Revision firstRevision) {
             recordCount += page.entries().size();
             onPage.accept(page.entries());
             context.listener().renewLeadershipIfDue();
--- a/src/main/java/org/meadowhollow/coordination/recovery/StateRecovery.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/StateRecovery.java
@@ -98,12 +98,12 @@
         context.listener().renewLeadershipIfDue();
         restorer.restoreImageCaches(List.copyOf(replicas.get(RecordKeys.IMAGE_PREFIX).entries()));
         int recordCount = replicas.values().stream().mapToInt(KeyspaceReplica::size).sum();
-        Revision reached =
+        Revision recoveredUpTo =
                 replicas.values().stream()
                         .map(KeyspaceReplica::revision)
                         .min(Comparator.comparingLong(Revision::value))
                         .orElseThrow();
-        finish("the local replica", recordCount, reached);
+        finish("the local replica", recordCount, recoveredUpTo);
         jobWatcher.watchFromNow(jobs.revision());
     }
 
@@ -142,12 +142,12 @@
      * Completes the recovery after all records have been restored.
      *
      * @param source what the records were taken from, for the log
-     * @param reached the revision up to which all records are loaded
+     * @param recoveredUpTo the revision up to which all records are loaded
      */
-    private void finish(String source, int recordCount, Revision reached) {
+    private void finish(String source, int recordCount, Revision recoveredUpTo) {
         int placementCount = restorer.finish();
         complete = true;
-        recoveredRevision = reached;
+        recoveredRevision = recoveredUpTo;
         failoverTimeline.onRecordsLoaded(source, recordCount, context.loop().now());
         LOG.info(
                 "recovery completed token={} jobs={} possibly_running_tasks={}",
--- a/src/main/java/org/meadowhollow/coordination/rounds/ReservationEnforcer.java
+++ b/src/main/java/org/meadowhollow/coordination/rounds/ReservationEnforcer.java
@@ -201,14 +201,14 @@
     private void warnOrStop(ReservationView.PlannedEviction eviction, MonotonicTime now) {
         Placement placement = eviction.placement();
         WarnedAttempt attempt = WarnedAttempt.of(placement);
-        MonotonicTime since = warnedAt.get(attempt);
-        if (since == null) {
+        MonotonicTime warnedSince = warnedAt.get(attempt);
+        if (warnedSince == null) {
             if (warnedAt.size() < MAX_REMEMBERED) {
                 warnedAt.put(attempt, now);
                 logWarning(eviction);
             }
         } else if (eviction.stopInSeconds() <= 0
-                && now.elapsedSince(since).compareTo(MIN_WARNING) >= 0
+                && now.elapsedSince(warnedSince).compareTo(MIN_WARNING) >= 0
                 && (eviction.latestStopInSeconds() <= 0 || mayStopReplica(placement.job(), now))) {
             taskStopper.stopWithCheckpoint(placement, eviction.reason());
             lastMoveByService.put(placement.job().id(), now);
@@ -231,19 +231,23 @@
      * and none was moved recently. A task of another kind of job can always be stopped.
      */
     private boolean mayStopReplica(Job job, MonotonicTime now) {
-        MonotonicTime last = lastMoveByService.get(job.id());
+        MonotonicTime lastMoveAt = lastMoveByService.get(job.id());
         return job.spec().kind() != JobKind.SERVICE
                 || (job.pendingTaskCount() == 0
-                        && (last == null
-                                || now.elapsedSince(last).compareTo(REPLICA_MOVE_INTERVAL) >= 0)
+                        && (lastMoveAt == null
+                                || now.elapsedSince(lastMoveAt).compareTo(REPLICA_MOVE_INTERVAL)
+                                        >= 0)
                         && job.placements().stream()
-                                .allMatch(one -> one.runningSince() != null && !one.isStopping()));
+                                .allMatch(
+                                        replica ->
+                                                replica.runningSince() != null
+                                                        && !replica.isStopping()));
     }
 
     /** Logs a notice for operators once, rather than in every round. */
-    private void logOnce(String what) {
-        if (loggedNotices.size() < MAX_REMEMBERED && loggedNotices.add(what)) {
-            LOG.info("{}", what);
+    private void logOnce(String notice) {
+        if (loggedNotices.size() < MAX_REMEMBERED && loggedNotices.add(notice)) {
+            LOG.info("{}", notice);
         }
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/rounds/UnplacedJobHandler.java
+++ b/src/main/java/org/meadowhollow/coordination/rounds/UnplacedJobHandler.java
@@ -31,7 +31,7 @@
      * Maximum number of jobs in a round for which best-effort tasks are preempted. Each job
      * examines all machines, and the preempted tasks save a checkpoint first.
      */
-    private static final int MAX_JOBS_DISPLACING_BEST_EFFORT = 8;
+    private static final int MAX_JOBS_PREEMPTING_BEST_EFFORT = 8;
 
     private final RoundContext context;
     private final PreemptionPlanner preemptionPlanner;
@@ -74,7 +74,7 @@
         private final MonotonicTime now;
         private final List<Autoscaler.CapacityDemand> demands = new ArrayList<>();
         private int preemptingJobs;
-        private int displacingJobs;
+        private int bestEffortPreemptingJobs;
         private long bestEffortTasks;
 
         Pass(SchedulingSnapshot snapshot, MonotonicTime now) {
@@ -85,7 +85,7 @@
 
         void handleJob(PlacementRound.PendingJob pendingJob, int unplaced) {
             Job job = context.clusterState().jobs().get(pendingJob.spec().id());
-            displaceBestEffort(job, pendingJob, unplaced);
+            preemptBestEffort(job, pendingJob, unplaced);
             demands.add(
                     new Autoscaler.CapacityDemand(
                             job.spec(),
@@ -97,9 +97,10 @@
             preempt(job, pendingJob);
         }
 
-        private void displaceBestEffort(
+        private void preemptBestEffort(
                 Job job, PlacementRound.PendingJob pendingJob, int unplaced) {
-            if (bestEffortTasks <= 0 || displacingJobs >= MAX_JOBS_DISPLACING_BEST_EFFORT) {
+            if (bestEffortTasks <= 0
+                    || bestEffortPreemptingJobs >= MAX_JOBS_PREEMPTING_BEST_EFFORT) {
                 return;
             }
             List<Placement> victims =
@@ -114,7 +115,7 @@
                                     victim, "best-effort task preempted for job " + job.id()));
             job.lastPreemptionAt(now);
             bestEffortTasks -= victims.size();
-            displacingJobs++;
+            bestEffortPreemptingJobs++;
         }
 
         private void preempt(Job job, PlacementRound.PendingJob pendingJob) {
--- a/src/test/java/org/meadowhollow/coordination/lifecycle/LifecycleFixture.java
+++ b/src/test/java/org/meadowhollow/coordination/lifecycle/LifecycleFixture.java
@@ -56,12 +56,12 @@
         }
 
         @Override
-        public void schedule(Duration pause, Runnable work) {}
+        public void schedule(Duration delay, Runnable task) {}
     }
 
     private final ManualClock clock = new ManualClock();
     public final ClusterState clusterState = new ClusterState(settings(), TOKEN);
-    public final Set<MachineId> returned = new HashSet<>();
+    public final Set<MachineId> returnedMachines = new HashSet<>();
     public final List<WorkerCommand> sentCommands = new ArrayList<>();
     public final List<Double> recordedRuntimes = new ArrayList<>();
     public final RecordWriter recordWriter =
@@ -72,7 +72,7 @@
                     clusterState,
                     catalog(),
                     new ImageCacheRecorder(null, Revision.ABSENT, settings()),
-                    returned::contains);
+                    returnedMachines::contains);
     public final JobTracker jobTracker = new JobTracker(clock, clusterState);
     public final TaskLifecycle taskLifecycle =
             new TaskLifecycle(
@@ -117,7 +117,7 @@
     }
 
     /** The first heartbeat of a machine, without tasks. */
-    public static Heartbeat heartbeat(String machine, String type) {
+    public static Heartbeat firstHeartbeat(String machine, String type) {
         return new Heartbeat(
                 new MachineId(machine),
                 machine + ":1",
@@ -132,8 +132,8 @@
     }
 
     /** Registers a machine that has sent its first heartbeat. */
-    public Machine machine(String name) {
-        Heartbeat heartbeat = heartbeat(name, TYPE.name());
+    public Machine registerMachine(String name) {
+        Heartbeat heartbeat = firstHeartbeat(name, TYPE.name());
         Machine machine = machineRegistry.findOrRegister(heartbeat);
         machine.recordHeartbeat(heartbeat);
         machine.recordAnsweredHeartbeat(now());
@@ -141,7 +141,7 @@
     }
 
     /** Admits a job. */
-    public Job job(String id, JobKind kind, int tasks) {
+    public Job admitJob(String id, JobKind kind, int tasks) {
         JobSpec spec =
                 new JobSpec(
                         new JobId(id),
@@ -170,7 +170,7 @@
     }
 
     /** Places a task of a job on a machine; the placement is not persisted. */
-    public Placement place(Job job, int task, Machine machine) {
+    public Placement placeTask(Job job, int task, Machine machine) {
         Placement placement =
                 job.addPlacement(
                         task,
--- a/src/test/java/org/meadowhollow/coordination/lifecycle/MachineRegistryTest.java
+++ b/src/test/java/org/meadowhollow/coordination/lifecycle/MachineRegistryTest.java
@@ -22,28 +22,28 @@
     }
 
     @Test
-    void aMachineRegistersWithItsFirstHeartbeatOnly() {
-        Machine machine = fixture.machine("vm-1");
+    void registersMachineOnFirstHeartbeatOnly() {
+        Machine machine = fixture.registerMachine("vm-1");
         assertSame(
                 machine,
                 registry.findOrRegister(
-                        LifecycleFixture.heartbeat("vm-1", LifecycleFixture.TYPE.name())));
+                        LifecycleFixture.firstHeartbeat("vm-1", LifecycleFixture.TYPE.name())));
         assertEquals(1, registry.knownMachineCount());
         assertEquals(List.of("vm-1:1"), registry.sampleAddresses(3));
     }
 
     @Test
-    void aMachineOfAnUnknownTypeOrAReturnedOneDoesNotRegister() {
-        assertNull(registry.findOrRegister(LifecycleFixture.heartbeat("vm-1", "unknown")));
-        fixture.returned.add(new MachineId("vm-2"));
+    void doesNotRegisterUnknownTypeOrReturnedMachine() {
+        assertNull(registry.findOrRegister(LifecycleFixture.firstHeartbeat("vm-1", "unknown")));
+        fixture.returnedMachines.add(new MachineId("vm-2"));
         assertNull(
                 registry.findOrRegister(
-                        LifecycleFixture.heartbeat("vm-2", LifecycleFixture.TYPE.name())));
+                        LifecycleFixture.firstHeartbeat("vm-2", LifecycleFixture.TYPE.name())));
         assertEquals(0, registry.knownMachineCount());
     }
 
     @Test
-    void onlyARunningListedMachineRegistersAndAFailedOneIsCordoned() {
+    void registersOnlyRunningListedMachineAndCordonsFailedOne() {
         registry.applyListedMachine(
                 listed("vm-1", CloudProvider.MachinePhase.FAILED), fixture.now());
         assertNull(registry.find(new MachineId("vm-1")));
@@ -59,8 +59,8 @@
     }
 
     @Test
-    void aMachineIsCordonedAfterThreeTaskFailures() {
-        Machine machine = fixture.machine("vm-1");
+    void cordonsMachineAfterThreeTaskFailures() {
+        Machine machine = fixture.registerMachine("vm-1");
         registry.recordTaskFailure(machine);
         registry.recordTaskFailure(machine);
         assertFalse(machine.isUnschedulable());
@@ -69,14 +69,14 @@
     }
 
     @Test
-    void aRemovedMachineIsForgottenWithItsFailures() {
-        Machine machine = fixture.machine("vm-1");
+    void removesMachineWithItsFailureCount() {
+        Machine machine = fixture.registerMachine("vm-1");
         registry.recordTaskFailure(machine);
         registry.recordTaskFailure(machine);
         registry.remove(machine.id());
         assertNull(registry.find(machine.id()));
-        Machine again = fixture.machine("vm-1");
-        registry.recordTaskFailure(again);
-        assertFalse(again.isUnschedulable());
+        Machine reregistered = fixture.registerMachine("vm-1");
+        registry.recordTaskFailure(reregistered);
+        assertFalse(reregistered.isUnschedulable());
     }
 }
--- a/src/test/java/org/meadowhollow/coordination/lifecycle/TaskLifecycleTest.java
+++ b/src/test/java/org/meadowhollow/coordination/lifecycle/TaskLifecycleTest.java
@@ -18,16 +18,16 @@
     private final LifecycleFixture fixture = new LifecycleFixture();
     private final TaskLifecycle lifecycle = fixture.taskLifecycle;
 
-    private void fail(Job job, Machine machine) {
-        Placement placement = fixture.place(job, 0, machine);
+    private void failFirstTask(Job job, Machine machine) {
+        Placement placement = fixture.placeTask(job, 0, machine);
         lifecycle.onTaskExited(machine, placement, ExitReason.ERROR, fixture.now());
     }
 
     @Test
-    void aCompletedTaskLeavesItsMachineAndItsRuntimeIsRecorded() {
-        Machine machine = fixture.machine("vm-1");
-        Job job = fixture.job("req-1", JobKind.ARRAY, 2);
-        Placement placement = fixture.place(job, 0, machine);
+    void removesCompletedTaskAndRecordsItsRuntime() {
+        Machine machine = fixture.registerMachine("vm-1");
+        Job job = fixture.admitJob("req-1", JobKind.ARRAY, 2);
+        Placement placement = fixture.placeTask(job, 0, machine);
         placement.reportedState(TaskState.RUNNING, fixture.now());
         fixture.advance(Duration.ofSeconds(7));
         lifecycle.onTaskExited(machine, placement, ExitReason.DONE, fixture.now());
@@ -40,33 +40,33 @@
     }
 
     @Test
-    void aJobBacksOffFromItsThirdFailureInARowAndDoublesThePause() {
-        Job job = fixture.job("req-1", JobKind.ARRAY, 1);
-        fail(job, fixture.machine("vm-1"));
-        fail(job, fixture.machine("vm-2"));
+    void doublesBackoffFromThirdConsecutiveFailure() {
+        Job job = fixture.admitJob("req-1", JobKind.ARRAY, 1);
+        failFirstTask(job, fixture.registerMachine("vm-1"));
+        failFirstTask(job, fixture.registerMachine("vm-2"));
         assertNull(job.backoffUntil());
-        fail(job, fixture.machine("vm-3"));
+        failFirstTask(job, fixture.registerMachine("vm-3"));
         assertEquals(fixture.now().plus(Duration.ofSeconds(1)), job.backoffUntil());
-        fail(job, fixture.machine("vm-4"));
+        failFirstTask(job, fixture.registerMachine("vm-4"));
         assertEquals(fixture.now().plus(Duration.ofSeconds(2)), job.backoffUntil());
     }
 
     @Test
-    void theBackoffIsOneMinuteAtMost() {
-        Job job = fixture.job("req-1", JobKind.ARRAY, 1);
+    void limitsBackoffToOneMinute() {
+        Job job = fixture.admitJob("req-1", JobKind.ARRAY, 1);
         for (int failure = 0; failure < 50; failure++) {
-            fail(job, fixture.machine("vm-" + failure));
+            failFirstTask(job, fixture.registerMachine("vm-" + failure));
         }
         assertEquals(fixture.now().plus(Duration.ofSeconds(60)), job.backoffUntil());
     }
 
     @Test
-    void theRestOfAGangIsStoppedWhenOneTaskOfARunningAttemptIsLost() {
-        Machine first = fixture.machine("vm-1");
-        Machine second = fixture.machine("vm-2");
-        Job gang = fixture.job("req-1", JobKind.GANG, 2);
-        Placement lost = fixture.place(gang, 0, first);
-        fixture.place(gang, 1, second);
+    void stopsRestOfRunningGangWhenTaskIsLost() {
+        Machine first = fixture.registerMachine("vm-1");
+        Machine second = fixture.registerMachine("vm-2");
+        Job gang = fixture.admitJob("req-1", JobKind.GANG, 2);
+        Placement lost = fixture.placeTask(gang, 0, first);
+        fixture.placeTask(gang, 1, second);
         lost.reportedState(TaskState.RUNNING, fixture.now());
         lifecycle.markTaskLost(first, lost, "test", fixture.now());
         // The start of the second task was never persisted, so there is no exit to wait for.
@@ -76,12 +76,12 @@
     }
 
     @Test
-    void aGangThatHasNotStartedKeepsItsOtherTasksWhenOneIsLost() {
-        Machine first = fixture.machine("vm-1");
-        Machine second = fixture.machine("vm-2");
-        Job gang = fixture.job("req-1", JobKind.GANG, 2);
-        Placement lost = fixture.place(gang, 0, first);
-        Placement kept = fixture.place(gang, 1, second);
+    void keepsRestOfUnstartedGangUntilTimeoutWhenTaskIsLost() {
+        Machine first = fixture.registerMachine("vm-1");
+        Machine second = fixture.registerMachine("vm-2");
+        Job gang = fixture.admitJob("req-1", JobKind.GANG, 2);
+        Placement lost = fixture.placeTask(gang, 0, first);
+        Placement kept = fixture.placeTask(gang, 1, second);
         lifecycle.markTaskLost(first, lost, "test", fixture.now());
         assertEquals(List.of(kept), List.copyOf(gang.placements()));
         lifecycle.abandonIncompleteGang(gang, Duration.ofSeconds(30), fixture.now());
--- a/src/test/java/org/meadowhollow/coordination/rounds/FirstRoundGateTest.java
+++ b/src/test/java/org/meadowhollow/coordination/rounds/FirstRoundGateTest.java
@@ -22,7 +22,7 @@
     private final LifecycleFixture fixture = new LifecycleFixture();
     private boolean leaseValid = true;
     private int machinesRequired;
-    private int factsAsked;
+    private int factsCallCount;
 
     private final FirstRoundGate gate =
             new FirstRoundGate(
@@ -36,7 +36,7 @@
     private final class Conditions implements FirstRoundGate.LeaderConditions {
         @Override
         public FailoverPreconditions.Facts facts(int reported, int required) {
-            factsAsked++;
+            factsCallCount++;
             machinesRequired = required;
             return new FailoverPreconditions.Facts(
                     leaseValid,
@@ -64,8 +64,8 @@
     }
 
     @Test
-    void aColdLeaderWaitsForAHeartbeatIntervalAndALittleMore() {
-        fixture.machine("vm-1");
+    void coldLeaderWaitsForLongestHeartbeatDelay() {
+        fixture.registerMachine("vm-1");
         fixture.advance(Duration.ofMillis(4750));
         assertFalse(gate.maySchedule(fixture.now()));
         assertEquals(Integer.MAX_VALUE, machinesRequired);
@@ -75,9 +75,9 @@
     }
 
     @Test
-    void nineOfTenListedMachinesMakeAFullRound() {
+    void fullRoundNeedsNineOfTenListedMachines() {
         for (int at = 0; at < 8; at++) {
-            fixture.machine("vm-" + at);
+            fixture.registerMachine("vm-" + at);
         }
         addSilentMachine("vm-8");
         addSilentMachine("vm-9");
@@ -88,16 +88,16 @@
     }
 
     @Test
-    void untilTheCloudHasListedItsMachinesThoseThatReportedAreNotAFullRound() {
-        fixture.machine("vm-1");
+    void fullRoundNeedsCloudMachineList() {
+        fixture.registerMachine("vm-1");
         assertFalse(gate.hasGatheredFullRound(fixture.now()));
         fixture.machineRegistry.markListed();
         assertTrue(gate.hasGatheredFullRound(fixture.now()));
     }
 
     @Test
-    void afterTheFirstRoundOnlyTheConditionsThatCanFailAgainAreChecked() {
-        fixture.machine("vm-1");
+    void checksOnlyRevocableConditionsAfterFirstRound() {
+        fixture.registerMachine("vm-1");
         fixture.machineRegistry.markListed();
         leaseValid = false;
         assertFalse(gate.maySchedule(fixture.now()));
@@ -108,6 +108,6 @@
         leaseValid = false;
         assertFalse(gate.maySchedule(fixture.now()));
         assertTrue(gate.isFirstRoundAllowed());
-        assertEquals(2, factsAsked);
+        assertEquals(2, factsCallCount);
     }
 }
