--- a/src/main/java/org/meadowhollow/coordination/rounds/UnplacedJobHandler.java
+++ b/src/main/java/org/meadowhollow/coordination/rounds/UnplacedJobHandler.java
@@ -16,18 +16,22 @@
 import org.meadowhollow.model.Priority;
 
 /**
- * Makes capacity for jobs whose tasks found none in a round: preempts best-effort and other work,
- * and gathers what is to be rented. Keeps no state between rounds. Guarded by the leader's lock.
+ * Obtains capacity for jobs with tasks that a round could not place: preempts best-effort tasks and
+ * others, and collects the capacity to rent. Keeps no state between rounds. Guarded by the leader's
+ * lock.
  */
 public final class UnplacedJobHandler {
-    /** Jobs in a round for which others are preempted: a stop must be seen to help first. */
+    /**
+     * Maximum number of jobs in a round for which others are preempted: the effect of a stop must
+     * be seen before more tasks are stopped.
+     */
     private static final int MAX_PREEMPTING_JOBS = 4;
 
     /**
-     * Jobs in a round for which best-effort work is preempted; each examines all machines, and what
-     * is preempted saves a checkpoint first.
+     * Maximum number of jobs in a round for which best-effort tasks are preempted. Each job
+     * examines all machines, and the preempted tasks save a checkpoint first.
      */
-    private static final int MAX_JOBS_DISPLACING_BEST_EFFORT = 8;
+    private static final int MAX_JOBS_PREEMPTING_BEST_EFFORT = 8;
 
     private final RoundContext context;
     private final PreemptionPlanner preemptionPlanner;
@@ -50,7 +54,7 @@
      * Handles all jobs with unplaced tasks, in the round's order.
      *
      * @param unplacedTasks how many tasks found no capacity, by job
-     * @return what is to be rented for them, in the same order
+     * @return the capacity to rent for them, in the same order
      */
     List<Autoscaler.CapacityDemand> handle(
             SchedulingSnapshot snapshot, Map<JobId, Integer> unplacedTasks, MonotonicTime now) {
@@ -70,7 +74,7 @@
         private final MonotonicTime now;
         private final List<Autoscaler.CapacityDemand> demands = new ArrayList<>();
         private int preemptingJobs;
-        private int displacingJobs;
+        private int bestEffortPreemptingJobs;
         private long bestEffortTasks;
 
         Pass(SchedulingSnapshot snapshot, MonotonicTime now) {
@@ -81,7 +85,7 @@
 
         void handleJob(PlacementRound.PendingJob pendingJob, int unplaced) {
             Job job = context.clusterState().jobs().get(pendingJob.spec().id());
-            displaceBestEffort(job, pendingJob, unplaced);
+            preemptBestEffort(job, pendingJob, unplaced);
             demands.add(
                     new Autoscaler.CapacityDemand(
                             job.spec(),
@@ -93,9 +97,10 @@
             preempt(job, pendingJob);
         }
 
-        private void displaceBestEffort(
+        private void preemptBestEffort(
                 Job job, PlacementRound.PendingJob pendingJob, int unplaced) {
-            if (bestEffortTasks <= 0 || displacingJobs >= MAX_JOBS_DISPLACING_BEST_EFFORT) {
+            if (bestEffortTasks <= 0
+                    || bestEffortPreemptingJobs >= MAX_JOBS_PREEMPTING_BEST_EFFORT) {
                 return;
             }
             List<Placement> victims =
@@ -107,10 +112,10 @@
             victims.forEach(
                     victim ->
                             taskLifecycle.stopWithCheckpoint(
-                                    victim, "best-effort work is preempted for " + job.id()));
+                                    victim, "best-effort task preempted for job " + job.id()));
             job.lastPreemptionAt(now);
             bestEffortTasks -= victims.size();
-            displacingJobs++;
+            bestEffortPreemptingJobs++;
         }
 
         private void preempt(Job job, PlacementRound.PendingJob pendingJob) {
@@ -126,7 +131,7 @@
             victims.forEach(
                     victim ->
                             taskLifecycle.stopWithCheckpoint(
-                                    victim, "its capacity is needed for " + job.id()));
+                                    victim, "capacity needed for job " + job.id()));
             if (!victims.isEmpty()) {
                 job.lastPreemptionAt(now);
                 preemptingJobs++;
@@ -134,7 +139,7 @@
         }
     }
 
-    /** Tasks of the lowest priority that may be running, and could be preempted. */
+    /** Number of tasks of the lowest priority that may be running and could be preempted. */
     private long bestEffortTaskCount() {
         return context.clusterState().jobs().values().stream()
                 .filter(job -> job.spec().priority() == Priority.LOW)
