--- a/src/main/java/org/meadowhollow/coordination/failover/ChangeFeedFollower.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/ChangeFeedFollower.java
@@ -23,28 +23,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the records under a prefix: reads them once, then asks for what has changed, at most
- * every {@link #POLL_INTERVAL} while there are changes and every {@link #WATCH_TIMEOUT} while there
- * are none.
+ * Maintains a replica of the records under a prefix: reads them all once, then watches for changes.
+ * It sends a watch at most every {@link #POLL_INTERVAL} while there are changes, and one every
+ * {@link #WATCH_TIMEOUT} while there are none.
  */
 final class ChangeFeedFollower {
     private static final Logger LOG = LoggerFactory.getLogger(ChangeFeedFollower.class);
 
     /**
-     * A leader writes thirty records a second and more; answered one by one they would take all
-     * requests there are.
+     * The pause between two watches. A leader writes thirty or more records a second; one watch for
+     * each would use up the node's request limit.
      */
     static final Duration POLL_INTERVAL = Duration.ofSeconds(2);
 
     private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(20);
     private static final Duration RETRY_DELAY = Duration.ofSeconds(3);
 
-    /** Records that do not fit are not tried again soon. */
+    /** The pause before records that exceeded the memory limit are read again. */
     private static final Duration OVERSIZE_RETRY_DELAY = Duration.ofMinutes(5);
 
     /**
-     * Changes asked for in vain before the records are read anew: their answer may be too large to
-     * come.
+     * Failed watches after which all records are read again: the answer may be too large to be
+     * received.
      */
     private static final int MAX_FAILURES = 3;
 
@@ -56,7 +56,10 @@
     private int failures;
 
     /**
-     * @param mostBytes of memory that the records may take, about; more are not followed
+     * Creates a follower that is idle until {@link #start}.
+     *
+     * @param mostBytes the estimated memory that the records may take; if they exceed it, they are
+     *     not followed
      */
     ChangeFeedFollower(KeyValueStore store, EventLoop loop, String prefix, long mostBytes) {
         this.store = store;
@@ -74,7 +77,7 @@
         replica = null;
     }
 
-    /** The revision that the image stands at, or null while there is none. */
+    /** The revision of the replica, or null while there is none. */
     synchronized Revision revision() {
         return replica == null ? null : replica.revision();
     }
@@ -86,8 +89,10 @@
     }
 
     /**
-     * Reads a page of the records, and then the next; {@code after} and {@code begun} are null for
-     * the first.
+     * Reads a page of the records and the pages after it, then begins to watch.
+     *
+     * @param after the last key of the page before, or null for the first page
+     * @param begun the replica with the pages before, or null for the first page
      */
     // The chain handles success and failure itself; a failed read is repeated.
     @SuppressWarnings("FutureReturnValueIgnored")
@@ -131,7 +136,7 @@
             return false;
         }
         LOG.info(
-                "the records under {} take more than {} bytes and are not followed",
+                "records exceed memory limit and are not followed prefix={} max_bytes={}",
                 prefix,
                 maxBytes);
         synchronized (this) {
@@ -168,10 +173,10 @@
                                     || countFailureAndCheckReload(
                                             KeyValueStoreException.outcomeOf(failure))) {
                                 LOG.info(
-                                        "the records under {} are read anew: {}",
+                                        "standby reloads records prefix={} reason={}",
                                         prefix,
                                         failure == null
-                                                ? "the state service went back to "
+                                                ? "key-value store returned an earlier revision="
                                                         + changeBatch.revision().value()
                                                 : failure.getMessage());
                                 generations.runLater(
@@ -183,8 +188,9 @@
     }
 
     /**
-     * Whether to read anew rather than to ask again; an outage in which every request is refused
-     * loses nothing.
+     * Counts a failed watch, and returns whether to read all records again instead of repeating the
+     * watch. Failures during an outage of the store are not counted: no change is lost, and the
+     * watch can continue afterwards.
      */
     private synchronized boolean countFailureAndCheckReload(Outcome outcome) {
         failures += outcome == Outcome.INDETERMINATE && !store.seemsUnavailable() ? 1 : 0;
@@ -192,9 +198,10 @@
     }
 
     /**
-     * Ends the following and hands the image over, with all changes up to a revision.
+     * Stops following, and hands over the replica with the latest changes applied.
      *
-     * @return empty if there is no image, or none as late as that
+     * @param atLeast the revision that the replica must cover
+     * @return empty if there is no replica, or if it cannot be brought up to that revision
      */
     CompletableFuture<Optional<KeyspaceReplica>> handOver(Revision atLeast) {
         KeyspaceReplica last;
@@ -208,8 +215,8 @@
         return store.watch(prefix, last.revision(), Duration.ZERO)
                 .handle(
                         (changeBatch, failure) -> {
-                            // Guards against an image that is older than the key, and against one
-                            // of a history that is not served now.
+                            // Rejects a replica older than the leader record, and one from a
+                            // history that the store does not serve now (its revision went back).
                             if (failure != null
                                     || atLeast.isAfter(changeBatch.revision())
                                     || last.revision().isAfter(changeBatch.revision())) {
@@ -220,17 +227,17 @@
                         });
     }
 
-    /** The digests of the image's parts, or none while there is no image. */
+    /** The digests of the replica's parts; none while there is no replica. */
     synchronized RecordDigests digests() {
         return replica == null ? RecordDigests.EMPTY : RecordDigests.of(replica);
     }
 
     /**
-     * Reads one part of the records again and judges the image by it. What changed in between is
-     * not judged.
+     * Reads one part of the records again, compares the replica with it, and replaces the part if
+     * they differ. Records that changed in the meantime are not compared.
      *
-     * @return the keys that were wrong in the image; empty if it was right, or nothing could be
-     *     told
+     * @return the keys whose records differed; empty if none did, or the comparison was not
+     *     possible
      */
     CompletableFuture<List<String>> verifyAndRepair(String part) {
         int mine;
@@ -239,8 +246,8 @@
             if (replica == null) {
                 return CompletableFuture.completedFuture(List.of());
             }
-            // The following rests meanwhile, so that all changes since the image's revision come by
-            // here.
+            // Pauses the watch, so that all changes since the replica's revision arrive in the
+            // request below.
             mine = generations.startNext();
             judged = replica;
         }
@@ -288,8 +295,8 @@
         for (Change change : changeBatch.changes()) {
             wrong.remove(change.key());
         }
-        // A page that was read after the changes may have later ones in it; they will come by
-        // themselves.
+        // A page that was read after the changes may contain later ones, which the next watch
+        // delivers.
         Revision seen = changeBatch.revision();
         wrong.removeIf(key -> truth.revision().isAfter(seen));
         return wrong;
--- a/src/main/java/org/meadowhollow/coordination/failover/FailoverPreconditions.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/FailoverPreconditions.java
@@ -6,14 +6,14 @@
 import org.meadowhollow.model.Revision;
 
 /**
- * What a new leader checks before its first decision: a pure function over facts that are taken in
- * the same turn as the decision, so that nothing can change in between. docs/standby.md explains
- * each check.
+ * The checks of a new leader before its first decision. They are a pure function of facts that are
+ * collected in the same turn of the event loop as the decision, so that nothing can change in
+ * between. docs/standby.md explains each check.
  */
 public final class FailoverPreconditions {
-    /** What a leader does while a check fails. */
+    /** The action of a leader while a check fails. */
     public enum FailureAction {
-        /** Decide nothing yet, and check again. */
+        /** Make no decision yet, and check again. */
         WAIT,
         /** Read all records again. */
         RELOAD,
@@ -55,26 +55,26 @@
             this.actionOnFailure = failureAction;
         }
 
-        /** What a leader does while this check fails. */
+        /** The action of a leader while this check fails. */
         public FailureAction actionOnFailure() {
             return actionOnFailure;
         }
     }
 
     /**
-     * The facts of this turn.
+     * The facts that the checks are made on, as of this turn of the event loop.
      *
      * @param leaseValid whether the lease certainly has not expired
-     * @param fencingToken of this leadership
-     * @param highestObservedToken the highest fencing token that any worker or node has shown
+     * @param fencingToken the token of this leadership
+     * @param highestObservedToken the highest fencing token that any worker or node has sent
      * @param leaderKeyRevision the revision of the transaction that wrote the leader record
      * @param recordsRevision the revision that the loaded records cover, or null until they are
      *     loaded
      * @param machineTypesKnown whether the cloud's machine types are known
      * @param reservationsLoaded whether reservations are loaded, or not in use
      * @param workersReachable whether enough workers reach this node
-     * @param machinesReported how many machines have sent a heartbeat to this node
-     * @param machinesRequired how many of them the first scheduling round needs
+     * @param machinesReported the number of machines that have sent a heartbeat to this node
+     * @param machinesRequired the number of them that the first scheduling round needs
      */
     public record Facts(
             boolean leaseValid,
--- a/src/main/java/org/meadowhollow/coordination/failover/FailoverTimeline.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/FailoverTimeline.java
@@ -25,9 +25,9 @@
     private boolean logged;
 
     /**
-     * A failover that begins.
+     * Creates the timeline of a failover whose first phase has ended with the election.
      *
-     * @param fencingToken of the new leadership
+     * @param fencingToken the token of the new leadership
      * @param vacantSince when this node saw that there is no leader, or null if it never did
      * @param leaderKeyTakenAt when the leader record was written
      */
@@ -39,62 +39,63 @@
     }
 
     /**
-     * All records are loaded.
+     * Records that all records are loaded.
      *
      * @param source what they were read from, for the log
-     * @param count how many there are
+     * @param count the number of records
      */
     public void onRecordsLoaded(String source, int count, MonotonicTime now) {
         recordsLoadedAt = now;
-        recordsSummary = count + " from " + source;
+        recordsSummary = count + " source=" + source;
     }
 
     /**
-     * A round was not begun because of these preconditions; the last of them are what the first
-     * round waited for.
+     * Records that a scheduling round was not begun because these preconditions were unmet. The
+     * last nonempty set is logged as the reason why the first round had to wait.
      */
     public void onPreconditionsUnmet(Set<FailoverPreconditions.Precondition> unmet) {
         lastUnmet = unmet.isEmpty() ? lastUnmet : unmet;
     }
 
     /**
-     * A scheduling round is over; only the first one counts.
+     * Records the end of a scheduling round; calls after the first are ignored.
      *
-     * @param reported how many machines had sent a heartbeat
-     * @param needed how many of them the round needed
-     * @param placed how many tasks it placed
+     * @param reported the number of machines that had sent a heartbeat
+     * @param needed the number of them that the round needed
+     * @param placed the number of tasks that it placed
      */
     public void onFirstRound(int reported, int needed, int placed, MonotonicTime now) {
         if (firstRoundAt == null) {
             firstRoundAt = now;
             firstRoundSummary =
-                    placed
-                            + " tasks placed with "
+                    "tasks_placed="
+                            + placed
+                            + " machines_reported="
                             + reported
-                            + " machines heard of "
+                            + " machines_needed="
                             + needed
-                            + " needed, last for "
+                            + " waited_for="
                             + lastUnmet;
         }
     }
 
-    /** Whether the line has been logged, so that nothing more is to be measured. */
+    /** Whether the line has been logged, so that no further phases need to be measured. */
     public boolean isLogged() {
         return logged;
     }
 
     /**
-     * A scheduling round is over for which nearly all machines had sent a heartbeat; the first one
-     * ends the failover and is logged.
+     * Records the end of a scheduling round before which nearly all machines had sent a heartbeat.
+     * The first such round ends the failover, whose phases are then logged.
      *
-     * @param tables how many risk tables were inherited
+     * @param tables the number of risk tables that were inherited
      */
     public void onFullRound(int tables, MonotonicTime now) {
         if (!logged) {
             logged = true;
             LOG.info(
-                    "takeover in term {}: seen {} s before the key; after it, records in {} s ({}), first round in {} s"
-                            + " ({}), full round in {} s; {} tables inherited",
+                    "failover complete token={} vacant_s={} records_loaded_s={} records={} first_round_s={}"
+                            + " {} full_round_s={} inherited_tables={}",
                     fencingToken,
                     seconds(vacantSince, leaderKeyTakenAt),
                     seconds(leaderKeyTakenAt, recordsLoadedAt),
--- a/src/main/java/org/meadowhollow/coordination/failover/HandoverState.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/HandoverState.java
@@ -17,23 +17,23 @@
 import org.meadowhollow.storage.KeyspaceReplica;
 
 /**
- * What a warm standby hands over to the leadership that begins on its node: replicas of the records
- * and of the risk tables. Guarded by the leader's lock.
+ * The state that a warm standby hands over to the leadership that begins on its node: replicas of
+ * the records and of the risk tables. Guarded by the leader's lock.
  */
 public final class HandoverState {
-    /** The state of a node that was no standby. */
+    /** The state of a node that was not a standby. */
     public static final HandoverState EMPTY = new HandoverState(Map.of(), new RiskTableReplica());
 
     /**
-     * Machines whose heartbeat the last leader received within this time before it ended will
-     * probably send one to this leader.
+     * A machine whose heartbeat the last leader received at most this long ago is expected to send
+     * one to this leader.
      */
     private static final Duration RECENT_HEARTBEAT_WINDOW =
             WarmStandby.PULL_INTERVAL.multipliedBy(3);
 
     /**
-     * Tables of a snapshot that are restored in one batch: a slow node must be able to renew its
-     * lease in between.
+     * The most tables of a snapshot that are restored in one batch: a slow node must be able to
+     * renew its lease between batches.
      */
     private static final int MAX_TABLES_PER_BATCH = 50;
 
@@ -51,7 +51,7 @@
         this.tableReplica = tableReplica;
     }
 
-    /** Whether this node was a standby, so that the leader need not load everything anew. */
+    /** Whether this node was a standby, so that the leader need not load all records again. */
     public boolean isWarm() {
         return !followers.isEmpty();
     }
@@ -60,8 +60,8 @@
      * Takes the replicas of the records.
      *
      * @param atLeast the revision that each replica must cover; it may cover a later one
-     * @return the replicas by prefix; empty if one is missing, is older than that, or has a history
-     *     other than the one that the store serves
+     * @return the replicas by prefix; empty if one is missing, is older than that revision, or has
+     *     a history other than the one that the store serves
      */
     public CompletableFuture<Optional<Map<String, KeyspaceReplica>>> takeRecords(Revision atLeast) {
         List<CompletableFuture<Optional<KeyspaceReplica>>> replicas =
@@ -86,7 +86,7 @@
     /**
      * Takes the risk table of a machine whose first heartbeat has arrived.
      *
-     * @return empty if there is none, or its machine is not the one that has this name now
+     * @return empty if there is none, or if it belongs to another machine of the same name
      */
     public Optional<RiskTable> takeTable(Heartbeat heartbeat, MonotonicTime now) {
         return countInherited(
@@ -116,15 +116,16 @@
         snapshotTakenAt = new MonotonicTime(now.nanos() - snapshot.age().toNanos());
     }
 
-    /** Whether the standby had no tables from any leader. */
+    /** Whether this node was a standby, but has received no tables from any leader. */
     public boolean hasNoTables() {
         return isWarm() && inheritedTableCount == 0 && tableReplica.size() == 0;
     }
 
     /**
-     * Hands over one batch of the snapshot's tables, to machines that have sent a heartbeat.
+     * Restores one batch of the snapshot's tables. Tables of machines that have sent no heartbeat
+     * yet are kept for {@link #takeTable}.
      *
-     * @param risks receives the tables
+     * @param risks receives the tables of the other machines
      * @return whether there are more
      */
     public boolean handOverSnapshotTables(
@@ -147,13 +148,14 @@
         return !snapshotTables.isEmpty();
     }
 
-    /** How many tables were handed over so far. */
+    /** The number of tables that were handed over so far. */
     public int inheritedTableCount() {
         return inheritedTableCount;
     }
 
     /**
-     * How many machines the last leader had a recent heartbeat of that have not sent one here yet.
+     * The number of machines that sent the last leader a recent heartbeat, but have not sent one to
+     * this leader yet.
      */
     public int countExpectedMachines(MonotonicTime now) {
         return tableReplica.countUpdatedWithin(RECENT_HEARTBEAT_WINDOW, now);
--- a/src/main/java/org/meadowhollow/coordination/failover/Membership.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/Membership.java
@@ -18,7 +18,8 @@
     private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
 
     /**
-     * Long enough for two lost requests; a standby that has been silent for longer may have failed.
+     * A status older than this is ignored, since the standby may have failed; long enough for two
+     * lost requests.
      */
     static final Duration MAX_STATUS_AGE = WarmStandby.PULL_INTERVAL.multipliedBy(5).dividedBy(2);
 
@@ -26,14 +27,14 @@
 
     private final Map<String, ReceivedStatus> statusByMember = new TreeMap<>();
 
-    /** A standby has sent a request with its status. */
+    /** Records the status that a standby sent with a request. */
     public void recordStatus(ControllerStatus status, MonotonicTime now) {
         ReceivedStatus previous =
                 statusByMember.put(status.member(), new ReceivedStatus(status, now));
         if (previous == null
                 || previous.status().processIncarnation() != status.processIncarnation()) {
             LOG.info(
-                    "{} in {} follows, program {}, records of schema {}",
+                    "standby joined node={} zone={} version={} schema={}",
                     status.member(),
                     status.zone(),
                     status.softwareVersion(),
@@ -42,9 +43,9 @@
     }
 
     /**
-     * The standby that should be elected next: of those with a recent status that read records of
-     * this schema, the one whose replica is at the latest revision, and of equal ones the first by
-     * name.
+     * Returns the standby that should be elected next: of those with a recent status that read
+     * records of this schema, the one whose replica is at the latest revision, and of equal ones
+     * the first by name.
      *
      * @param schema the version of the record schema that this leader writes
      * @return empty if no standby qualifies
--- a/src/main/java/org/meadowhollow/coordination/failover/RiskTablePublisher.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTablePublisher.java
@@ -16,19 +16,24 @@
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.WorkerIncarnation;
 
-/** A leader's latest samples, for the standbys that ask for them. Guarded by the leader's lock. */
+/**
+ * Publishes the leader's risk tables to its standbys: keeps the latest samples and answers requests
+ * with them or with full tables. Guarded by the leader's lock.
+ */
 public final class RiskTablePublisher {
     /**
-     * Samples kept: some twenty seconds of a thousand machines. Who asks later gets whole tables.
+     * The most samples kept: about twenty seconds of a thousand machines. A standby that is further
+     * behind gets full tables.
      */
     static final int MAX_SAMPLES = 8192;
 
     /**
-     * Numbers in an answer at most; each takes one to three bytes, and an answer may have 60 KiB.
+     * The most numbers in a response; each takes one to three bytes, and a response may have 60
+     * KiB.
      */
     static final int MAX_NUMBERS_PER_ANSWER = 16 * 1024;
 
-    /** What a machine's name and the rest of its part take, in such numbers. */
+    /** The size of a machine's name and the other fields of its entry, counted in numbers. */
     private static final int PART_OVERHEAD = 10;
 
     private record Sample(
@@ -40,20 +45,25 @@
 
     private final FencingToken fencingToken;
 
-    /** By number, round the end; null where there are no standbys to ask. */
+    /**
+     * A ring buffer of the latest samples, indexed by sample number modulo its length; null if no
+     * standby is configured.
+     */
     private final Sample[] sampleRing;
 
     private long nextSampleNumber;
 
     /**
-     * @param asked whether there are standbys that may ask
+     * Creates a publisher without samples.
+     *
+     * @param asked whether there are standbys that may send requests
      */
     public RiskTablePublisher(FencingToken fencingToken, boolean asked) {
         this.fencingToken = fencingToken;
         this.sampleRing = asked ? new Sample[MAX_SAMPLES] : null;
     }
 
-    /** A report has shown a machine's table something. */
+    /** Records the sample that a heartbeat added to a machine's table. */
     public void recordSample(Machine machine, int sample, MonotonicTime now) {
         if (sampleRing == null) {
             return;
@@ -67,7 +77,10 @@
                         sample);
     }
 
-    /** What a machine's name means now; a name that is used again means something else. */
+    /**
+     * A hash of the properties that tell a machine from an earlier one of the same name, since
+     * names are reused.
+     */
     static int identityHash(String type, String zone, boolean spot, String address) {
         return List.of(type, zone, spot, String.valueOf(address)).hashCode();
     }
@@ -77,7 +90,10 @@
                 machine.type().name(), machine.zone(), machine.isSpot(), machine.address());
     }
 
-    /** The answer to a standby, over the machines and tables as they are now. */
+    /**
+     * Answers the request of a standby with the samples after those it has, or with a page of full
+     * tables if it asks for these or if its samples are not known here any more.
+     */
     public RiskTableDelta answerRequest(
             RiskTableRequest asked,
             SortedMap<MachineId, Machine> machines,
@@ -93,7 +109,7 @@
                 : fullTablesPage(asked, machines, tables, now);
     }
 
-    /** All tables as they are now, for a snapshot. */
+    /** Exports the tables of all machines that have sent a heartbeat, for a snapshot. */
     public static List<RiskTableDelta.MachineEntry> exportAll(
             SortedMap<MachineId, Machine> machines,
             Map<MachineId, RiskTable> tables,
@@ -117,7 +133,8 @@
                 new long[0]);
     }
 
-    // Far below the range of int: the loop ends once the product passes MAX_NUMBERS_PER_ANSWER.
+    // The product is far below the range of int: the loop ends when it exceeds
+    // MAX_NUMBERS_PER_ANSWER.
     @SuppressWarnings("NarrowCalculation")
     private RiskTableDelta samplesSince(
             long after, SortedMap<MachineId, Machine> machines, MonotonicTime now) {
@@ -158,7 +175,7 @@
             SortedMap<MachineId, Machine> machines,
             Map<MachineId, RiskTable> tables,
             MonotonicTime now) {
-        // Another leader's pages are begun anew.
+        // Pages of another leader cannot be continued; start with the first one.
         boolean goesOn =
                 asked.isForFullTables()
                         && asked.token().equals(fencingToken)
--- a/src/main/java/org/meadowhollow/coordination/failover/RiskTableReplica.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTableReplica.java
@@ -15,14 +15,17 @@
 import org.meadowhollow.model.WorkerIncarnation;
 
 /**
- * Copies of a leader's risk tables, kept up to date by its answers. Hints: a wrong one costs a
- * worse place, no more.
+ * A replica of the leader's risk tables, kept up to date by its responses. The tables are hints: a
+ * wrong one can only cause a worse placement.
  */
 final class RiskTableReplica {
-    /** Tables kept; bounds memory, at a few kilobytes each. */
+    /** The most tables kept; bounds memory, at a few kilobytes each. */
     private static final int MAX_TABLES = 2000;
 
-    /** Older copies tell of a machine as it was; the tables themselves are rebuilt from as much. */
+    /**
+     * Copies older than this are discarded, since the machine may have changed. A table itself is
+     * rebuilt from samples of the same time span.
+     */
     static final Duration MAX_AGE = RiskTable.SAMPLE_RETENTION;
 
     private record ReplicatedTable(
@@ -32,7 +35,7 @@
             long seq,
             MonotonicTime updatedAt) {}
 
-    /** What became of an answer. */
+    /** The result of applying a response. */
     enum ApplyResult {
         UP_TO_DATE,
         MORE_AVAILABLE,
@@ -44,7 +47,7 @@
     private FencingToken fencingToken = FencingToken.NONE;
     private long appliedUpTo = -1;
 
-    /** The machine after which whole tables go on, or empty. */
+    /** The last machine of the pages of full tables received so far; empty before the first. */
     private String fullSyncCursor = "";
 
     private long fullSyncStartedAt;
@@ -54,8 +57,8 @@
     }
 
     /**
-     * Machines that the leader has heard of within a time before now, and that have not been
-     * inherited yet.
+     * Counts the machines whose table was updated within {@code span} before {@code now} and has
+     * not been taken yet.
      */
     int countUpdatedWithin(Duration span, MonotonicTime now) {
         int count = 0;
@@ -70,17 +73,17 @@
     }
 
     /**
-     * Takes an answer in.
+     * Applies a response of the leader.
      *
-     * @param highest the highest term that this node has heard of: what a leader says that it
-     *     deposed is not believed
+     * @param highest the highest fencing token that this node has observed; a response with a lower
+     *     one comes from a former leader and is dropped
      */
     ApplyResult apply(RiskTableDelta delta, FencingToken highest, MonotonicTime now) {
         if (highest.isAfter(delta.token())) {
             return ApplyResult.STALE_LEADER;
         }
-        // Samples that do not follow what is here are worth nothing; a late answer to an earlier
-        // question is one.
+        // Samples that do not continue the replica are useless, such as those in a late response to
+        // an earlier request.
         boolean follows = delta.token().equals(fencingToken) && appliedUpTo >= 0;
         if (!delta.fullTables() && (!follows || delta.lastSample() < appliedUpTo)) {
             requestFullSync();
@@ -102,7 +105,8 @@
         fencingToken = delta.token();
         fullSyncCursor =
                 unfinished ? delta.entries().get(delta.entries().size() - 1).machine().value() : "";
-        // What came between the pages is missing in the earlier ones.
+        // Samples recorded while the pages were read are missing in the earlier pages, so they are
+        // requested from the start of the first page.
         appliedUpTo = unfinished ? -1 : delta.fullTables() ? fullSyncStartedAt : delta.lastSample();
         if (delta.fullTables() && !unfinished) {
             tablesByMachine
@@ -117,7 +121,7 @@
                 : ApplyResult.UP_TO_DATE;
     }
 
-    /** Takes in tables as they were some time ago, from a snapshot. */
+    /** Applies full tables of a snapshot that was taken at {@code then}. */
     void apply(List<RiskTableDelta.MachineEntry> parts, MonotonicTime then) {
         parts.forEach(machineEntry -> applyPart(machineEntry, true, then));
     }
@@ -145,9 +149,9 @@
             return;
         }
         if (machineEntry.samples().length % RiskTableDelta.NUMBERS_PER_SAMPLE != 0) {
-            throw new IllegalArgumentException("half a sample");
+            throw new IllegalArgumentException("incomplete sample");
         }
-        // A name that is used again begins a table of its own.
+        // A reused name denotes another machine, which begins with an empty table.
         boolean same = known != null && known.identityHash() == machineEntry.machineIdentityHash();
         RiskTable table = same ? known.table() : new RiskTable();
         WorkerIncarnation workerIncarnation =
@@ -158,7 +162,7 @@
                 at += RiskTableDelta.NUMBERS_PER_SAMPLE) {
             WorkerIncarnation itsSession = new WorkerIncarnation(machineEntry.samples()[at]);
             long itsSeq = machineEntry.samples()[at + 1];
-            // Whole tables that came page by page may have some of them already.
+            // Full tables that were read page by page may contain some of these samples already.
             if (itsSession.isAfter(workerIncarnation)
                     || (itsSession.equals(workerIncarnation) && itsSeq > seq)) {
                 table.replaySample(
@@ -177,10 +181,13 @@
     }
 
     /**
-     * Hands over the table of a machine whose first report has come.
+     * Removes and returns the table of a machine whose first heartbeat has arrived.
      *
-     * @return empty if there is none, if the name meant another machine, or if it is too old to
-     *     tell anything
+     * @param incarnation the identity hash of the machine that has this name now
+     * @param workerIncarnation the worker incarnation of that heartbeat
+     * @param seq the sequence number of that heartbeat
+     * @return empty if there is none, if it belongs to another machine of the same name, if it is
+     *     newer than the heartbeat, or if it is older than {@link #MAX_AGE}
      */
     Optional<RiskTable> takeTable(
             MachineId machine,
--- a/src/main/java/org/meadowhollow/coordination/failover/RiskTableSnapshotStore.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTableSnapshotStore.java
@@ -33,34 +33,39 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The risk tables in the state service, for the case that all controllers end at once. Two sets of
- * chunks are written in turn, and the record that names the newer one is written last, so that a
- * set that is half written is never read. Guarded by the leader's lock.
+ * Stores snapshots of the risk tables in the key-value store, so that they survive the end of all
+ * controllers at once. A snapshot is split into a set of chunks. Two sets are written in turn, and
+ * the head record, which names the newer set, is written last, so that an incomplete set is never
+ * read. Guarded by the leader's lock.
  */
 public final class RiskTableSnapshotStore {
     private static final Logger LOG = LoggerFactory.getLogger(RiskTableSnapshotStore.class);
 
     /**
-     * How much a full stop forgets at most: a tenth of what a table is rebuilt from, for a few
-     * changes each time.
+     * How often a snapshot is begun. The end of all controllers loses at most the samples of this
+     * time, a tenth of those that a table is rebuilt from; a snapshot costs a few writes.
      */
     static final Duration SNAPSHOT_INTERVAL = Duration.ofSeconds(60);
 
-    /** A set that is not written by then is given up; there is more urgent work. */
+    /**
+     * A set that is not complete after this time is abandoned: the store is busy with more urgent
+     * writes.
+     */
     private static final Duration WRITE_TIMEOUT = SNAPSHOT_INTERVAL.multipliedBy(2);
 
-    /** The form of what is written; another one is not read. */
+    /** The version of the stored format; snapshots of other versions are ignored. */
     static final int FORMAT_VERSION = 1;
 
-    /** Machines in a set at most; bounds its chunks. */
+    /** The most machines in a snapshot; bounds its number of chunks. */
     private static final int MAX_MACHINES = 2000;
 
     /**
-     * Text that one transaction may hold, in bytes: the protocol's 64 KiB, less room for framing.
+     * The most bytes of chunk text in one transaction: the protocol's limit of 64 KiB, less room
+     * for framing.
      */
     private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
-    /** Bytes of a value that are not its text. */
+    /** Bytes of a value in addition to its text. */
     private static final int FRAMING_BYTES = 64;
 
     private static final int SET_COUNT = 2;
@@ -72,7 +77,7 @@
     private List<String> chunks = List.of();
     private int chunksWritten;
 
-    /** The set that was begun last, by whomever; -1 while that is not known. */
+    /** The set begun last, by this leader or an earlier one; -1 while that is not known. */
     private int currentSet = -1;
 
     private Map<String, Object> pendingHead;
@@ -80,7 +85,11 @@
     private MonotonicTime setBegunAt;
 
     /**
-     * @param valueBytes that a value may have
+     * Creates a store that writes nothing until {@link #writeNext}.
+     *
+     * @param leaderVersion the revision of the leader record, which every transaction requires
+     * @param mostWrites the most writes in one transaction
+     * @param valueBytes the largest value that the key-value store takes, in bytes
      */
     public RiskTableSnapshotStore(
             KeyValueStore store, Revision leaderVersion, int mostWrites, int valueBytes) {
@@ -91,11 +100,14 @@
     }
 
     /**
-     * Begins a set when it is time, or writes the next part of one.
+     * Begins a snapshot when one is due, or writes the next chunks of the current one. Does nothing
+     * while a request is in flight.
      *
+     * @param tables supplies the tables of a new snapshot
      * @param idle whether no other records wait to be written
+     * @param wallMillis the wall-clock time that a new snapshot is stamped with
      */
-    // The chain notes the result; after a failure the next call writes the same part again.
+    // The chain records the result; after a failure the next call writes the same chunks again.
     @SuppressWarnings("FutureReturnValueIgnored")
     public void writeNext(
             Supplier<List<RiskTableDelta.MachineEntry>> tables,
@@ -146,8 +158,11 @@
                         });
     }
 
-    /** The set that an earlier leader wrote last must stand until there is a newer one. */
-    // The chain notes the result; after a failure the next call reads again.
+    /**
+     * Reads which set an earlier leader wrote last; it must not be overwritten until a newer one is
+     * complete.
+     */
+    // The chain records the result; after a failure the next call reads again.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void findSet() {
         requestInFlight = true;
@@ -227,7 +242,7 @@
                 long seq = in.readLong();
                 int length = in.readInt();
                 if (length < 0 || length > RiskTablePublisher.MAX_NUMBERS_PER_ANSWER) {
-                    throw new IOException("a table of " + length + " numbers");
+                    throw new IOException("invalid table length: " + length);
                 }
                 int[] table = new int[length];
                 for (int number = 0; number < table.length; number++) {
@@ -241,12 +256,14 @@
         }
     }
 
-    /** Tables, and how old they are. */
+    /** The tables of a stored snapshot, and its age by the wall clock. */
     public record StoredTables(List<RiskTableDelta.MachineEntry> parts, Duration age) {}
 
     /**
-     * The newest whole set; empty if there is none, or none that can be used, which is said in a
-     * line. Fails if the state service does not answer, which says nothing of what there is.
+     * Reads the newest complete snapshot.
+     *
+     * @return empty if there is none; also if it is unusable, which is logged. Fails if the
+     *     key-value store does not answer, so that nothing is known about the snapshot
      */
     public static CompletableFuture<Optional<StoredTables>> read(
             KeyValueStore store, EventLoop loop) {
@@ -267,11 +284,10 @@
                             if (readNumber(head, "form") != FORMAT_VERSION
                                     || age.compareTo(RiskTableReplica.MAX_AGE) > 0) {
                                 return unusable(
-                                        "it has form "
+                                        "unsupported format or too old, format="
                                                 + readNumber(head, "form")
-                                                + " and is "
-                                                + age.toSeconds()
-                                                + " s old");
+                                                + " age_s="
+                                                + age.toSeconds());
                             }
                             return store.list(
                                             RecordKeys.riskTableSetPrefix(
@@ -293,17 +309,17 @@
         try {
             byte[] body = Base64.getDecoder().decode(text.toString());
             if (checksum(body) != readNumber(head, "checksum")) {
-                return unusable("its checksum is wrong");
+                return unusable("checksum mismatch");
             }
             return CompletableFuture.completedFuture(
                     Optional.of(new StoredTables(decode(body), age)));
         } catch (IOException | IllegalArgumentException broken) {
-            return unusable("it makes no sense");
+            return unusable("malformed content");
         }
     }
 
     private static CompletableFuture<Optional<StoredTables>> unusable(String why) {
-        LOG.info("the snapshot of the tables is not used: {}", why);
+        LOG.info("risk table snapshot ignored reason={}", why);
         return CompletableFuture.completedFuture(Optional.empty());
     }
 
--- a/src/main/java/org/meadowhollow/coordination/failover/StandbySettings.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/StandbySettings.java
@@ -1,10 +1,11 @@
 package org.meadowhollow.coordination.failover;
 
 /**
- * Whether nodes that do not lead keep warm what a successor needs.
+ * Settings of the warm standby.
  *
- * @param programVersion this program's version, as other nodes are told
- * @param zone that this node is in, as other nodes are told
+ * @param enabled whether nodes that do not lead replicate the state that a new leader needs
+ * @param programVersion this program's version, which is sent to other nodes
+ * @param zone the zone of this node, which is sent to other nodes
  */
 public record StandbySettings(boolean enabled, String programVersion, String zone) {
     public static final StandbySettings DISABLED = new StandbySettings(false, "", "");
--- a/src/main/java/org/meadowhollow/coordination/failover/WarmStandby.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/WarmStandby.java
@@ -20,37 +20,43 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps warm what a successor needs, on a node that does not lead: the records, from the state
- * service, and the risk tables, from the leader. All of it but the records are hints.
+ * Replicates, on a node that does not lead, the state that a new leader needs: the records from the
+ * key-value store, and the risk tables from the leader. The risk tables are only hints.
  */
 public final class WarmStandby {
     private static final Logger LOG = LoggerFactory.getLogger(WarmStandby.class);
 
     /**
-     * A node that has just started has more urgent work, and so has one that has just lost its
-     * lease.
+     * The pause before replication begins: a node that has just started, or has just lost its
+     * lease, has more urgent work.
      */
     static final Duration START_DELAY = Duration.ofSeconds(8);
 
-    /** How often a leader is asked for samples: three reports of each machine, or so. */
+    /** How often the leader is asked for new samples; about three heartbeats of each machine. */
     static final Duration PULL_INTERVAL = Duration.ofSeconds(8);
 
     /**
-     * Between two pages: a whole set of tables takes some pages, and what a leader spends on them
-     * is bounded.
+     * The pause before the next page of a response; bounds the leader's load while a standby reads
+     * all tables, which takes several pages.
      */
     private static final Duration NEXT_PAGE_DELAY = Duration.ofSeconds(1);
 
-    /** An audit costs one message and, where something seems to differ, one page of records. */
+    /**
+     * How often the replica is compared with the leader's records. A check costs one message and,
+     * if digests differ, one page of records.
+     */
     static final Duration AUDIT_INTERVAL = Duration.ofSeconds(60);
 
     /**
-     * Bytes that all records may take, about: a fifth of the heap that the smallest controllers
-     * have.
+     * Estimated bytes that all replicated records may take: a fifth of the heap of the smallest
+     * controllers.
      */
     private static final long MAX_RECORD_BYTES = 12L * 1024 * 1024;
 
-    /** Parts of the records that the leader's digests cover; it knows the versions of no others. */
+    /**
+     * The prefixes that the leader's digests cover; it does not know the revisions of other
+     * records.
+     */
     private static final List<String> AUDITED_PREFIXES =
             List.of(RecordKeys.JOB_PREFIX, RecordKeys.TASK_PREFIX);
 
@@ -65,9 +71,11 @@
     private long mismatchedRecordCount;
 
     /**
-     * @param self what this node says of itself, but for the revision
-     * @param leader the member that leads as far as is known, or null
-     * @param highest the highest term that this node has heard of
+     * Creates a standby that is idle until {@link #start}.
+     *
+     * @param self the status of this node, without the replica revision
+     * @param leader supplies the last known leader, or null
+     * @param highest supplies the highest fencing token that this node has observed
      */
     public WarmStandby(
             EventLoop loop,
@@ -89,7 +97,7 @@
         }
     }
 
-    /** Begins to follow, from nothing. */
+    /** Starts replication with empty replicas. */
     public void start() {
         int mine;
         synchronized (this) {
@@ -106,19 +114,22 @@
         generations.runLater(AUDIT_INTERVAL, mine, () -> audit(mine));
     }
 
-    /** Ends the following; what was followed goes to the leadership that begins. */
+    /** Stops pulling and auditing, and hands the replicas to the leadership that begins here. */
     public synchronized HandoverState handOver() {
         generations.startNext();
         return new HandoverState(followers, tableReplica);
     }
 
-    /** Ends the following without handing over what was followed. */
+    /** Stops replication and discards the replicated records. */
     public synchronized void close() {
         generations.startNext();
         followers.values().forEach(ChangeFeedFollower::stop);
     }
 
-    /** Records that audits found wrong in the images since this node began; none is right. */
+    /**
+     * The number of replicated records that audits found to differ from the store since this node
+     * started. Any value but 0 indicates a defect.
+     */
     public synchronized long mismatchedRecordCount() {
         return mismatchedRecordCount;
     }
@@ -127,7 +138,7 @@
         return name != null && !name.equals(ownStatus.member());
     }
 
-    /** The revision of the image that is furthest behind, or {@link Revision#ABSENT}. */
+    /** The lowest revision among the replicas, or {@link Revision#ABSENT} if one is not loaded. */
     private Revision oldestRevision() {
         Revision least = null;
         for (ChangeFeedFollower follower : followers.values()) {
@@ -179,7 +190,7 @@
                             if (failure != null) {
                                 filled.requestFullSync();
                                 LOG.info(
-                                        "what {} says of its tables cannot be read and is asked for anew: {}",
+                                        "standby requests full risk tables node={} reason={}",
                                         asked,
                                         reason(failure));
                             }
@@ -199,21 +210,21 @@
                 filled.apply(delta, highestTokenSupplier.get(), loop.now());
         if (applyResult == RiskTableReplica.ApplyResult.STALE_LEADER) {
             LOG.info(
-                    "tables of term {} came from {}, which does not lead any more: dropped",
+                    "risk tables dropped token={} node={} reason=stale leader",
                     delta.token(),
                     asked);
         } else if (applyResult == RiskTableReplica.ApplyResult.INCONSISTENT) {
             LOG.info(
-                    "tables from {} do not follow those that are here and are asked for anew",
+                    "standby requests full risk tables node={} reason=delta is inconsistent with replica",
                     asked);
         }
         return applyResult == RiskTableReplica.ApplyResult.MORE_AVAILABLE
                 || applyResult == RiskTableReplica.ApplyResult.INCONSISTENT;
     }
 
-    // ---- the audit ----
+    // ---- Audit ----
 
-    // An audit that fails tells nothing; the next one is scheduled already.
+    // A failed request is ignored: the next audit is already scheduled.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void audit(int mine) {
         generations.runLater(AUDIT_INTERVAL, mine, () -> audit(mine));
@@ -233,8 +244,9 @@
     }
 
     /**
-     * Under load some part nearly always differs by the changes of the last seconds; only reading
-     * it again tells.
+     * The first part whose digest differs from the leader's, if all audited replicas are loaded.
+     * Under load some part nearly always differs by the changes of the last seconds, so a
+     * difference proves nothing until the part has been read again.
      */
     private Optional<String> findFirstDifference(RecordDigests told) {
         RecordDigests here = new RecordDigests();
@@ -245,7 +257,7 @@
                 : Optional.empty();
     }
 
-    // The follower turns a failed read into an empty list, and the chain logs the rest.
+    // The follower maps a failed read to an empty list; the chain logs mismatches.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void verifyAndRepair(int mine, String part) {
         String prefix = part.substring(0, part.indexOf('/') + 1);
@@ -259,7 +271,7 @@
                                     mismatchedRecordCount += wrong.size();
                                 }
                                 LOG.error(
-                                        "{} records under {} were wrong here and are read again, {} since the start; the first is {}",
+                                        "replica differed from key-value store and was repaired records={} prefix={} records_since_start={} first_key={}",
                                         wrong.size(),
                                         part,
                                         mismatchedRecordCount(),
