--- a/src/main/java/org/meadowhollow/coordination/ControllerNode.java
+++ b/src/main/java/org/meadowhollow/coordination/ControllerNode.java
@@ -37,8 +37,8 @@
 import org.meadowhollow.storage.RecordKeys;
 
 /**
- * A controller node: follows the leader, and leads when elected. Its monitor guards which
- * leadership it has, and the state of its parts.
+ * A controller node: follows the leader, and leads when elected. Its monitor guards its current
+ * leadership and the state of its parts.
  */
 public final class ControllerNode implements Leadership.Listener {
     private final EventLoop loop;
@@ -50,7 +50,7 @@
     private final MachineTypeLoader machineTypeLoader;
     private final WorkerContactProbe workerContactProbe;
 
-    /** Null unless this node keeps warm what a successor needs. */
+    /** Replicates the leader's state while this node does not lead; null if that is disabled. */
     private final WarmStandby warmStandby;
 
     /** The current leadership, or null while this node does not lead. */
@@ -119,7 +119,10 @@
                 leadership::highestObservedToken);
     }
 
-    /** Begins to follow or lead, and to watch what the node depends on. */
+    /**
+     * Joins the election of a leader, starts the warm standby, loads the machine types, and begins
+     * to monitor the key-value store and the node's own load.
+     */
     public void start() {
         leadership.start();
         if (warmStandby != null) {
@@ -130,7 +133,7 @@
         userReadiness.watchLoad(loop.now());
     }
 
-    /** Whether users should be sent to this node; the load balancer's probes ask for it. */
+    /** Whether users should be sent to this node; queried by the load balancer's probes. */
     public boolean isReadyForUsers() {
         return userReadiness.isReadyForUsers();
     }
@@ -139,7 +142,7 @@
         return closed;
     }
 
-    // The chain hands each response on; nothing waits for the chain itself.
+    // The chain completes each deferred response; nothing waits for the chain itself.
     @SuppressWarnings("FutureReturnValueIgnored")
     @Override
     public void elected(
@@ -187,7 +190,8 @@
     }
 
     /**
-     * Whether this node leads and misses the heartbeats of more workers than fail by themselves.
+     * Whether this node leads and misses the heartbeats of more workers than are expected to fail
+     * independently.
      */
     public boolean isMissingHeartbeats() {
         LeaderService leader = currentLeadership();
@@ -195,8 +199,8 @@
     }
 
     /**
-     * What this node's risk tables have learned, for a standby that asks; empty if this node does
-     * not lead.
+     * The response to a standby's request for risk tables; empty if this node does not lead, has
+     * not recovered the state, or has no standbys configured.
      */
     public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest request) {
         return Optional.ofNullable(currentLeadership())
@@ -211,12 +215,12 @@
         return Optional.ofNullable(currentLeadership()).flatMap(LeaderService::recordDigests);
     }
 
-    /** How many records audits found wrong in what this node follows as a standby. */
+    /** The number of replicated records that audits of this node's standby found to be wrong. */
     public long divergentRecordCount() {
         return warmStandby == null ? 0 : warmStandby.mismatchedRecordCount();
     }
 
-    /** Hands the lease to the best standby, because this node is about to end. */
+    /** Releases the lease in favour of the preferred successor, because this node shuts down. */
     public void handOver() {
         LeaderService leader = currentLeadership();
         if (leader != null) {
@@ -229,7 +233,7 @@
         return currentLeadership() != null;
     }
 
-    /** Those of some machines from which this node received a heartbeat within a time. */
+    /** Returns those of {@code machines} that sent this node a heartbeat within a time. */
     public Set<MachineId> recentlyHeardMachines(List<MachineId> machines, Duration within) {
         return heartbeatTracker.recentAmong(machines, within, loop.now());
     }
@@ -239,8 +243,8 @@
     }
 
     /**
-     * Answers a worker's heartbeat, or redirects the worker to the leader; while none is known, the
-     * answer is deferred for a while.
+     * Answers a worker's heartbeat if this node leads, and redirects the worker to the leader
+     * otherwise. While no leader is known, the response is deferred for a short time.
      */
     public CompletableFuture<HeartbeatResponse> handleHeartbeat(Heartbeat heartbeat) {
         heartbeatTracker.recordHeartbeat(heartbeat.machineId(), loop.now());
@@ -273,17 +277,20 @@
                 leaderlessHeartbeats.takeAll(), isThisNode(leader) ? null : leader);
     }
 
-    /** Notes a leader of which a peer has told. */
+    /** Records a leader that a peer has announced. */
     public void observeLeader(FencingToken fencingToken, String member) {
         leadership.observeToken(fencingToken, member);
     }
 
-    /** The counts of a live job for display; empty if this node does not lead or know the job. */
+    /**
+     * The task counts of a live job for display; empty if this node does not lead or does not know
+     * the job.
+     */
     public Optional<AdmissionService.JobStatus> liveJobState(JobId id) {
         return Optional.ofNullable(currentLeadership()).flatMap(leader -> leader.liveJobState(id));
     }
 
-    /** Ends this node's part in the cluster; it starts nothing any more. */
+    /** Stops this node: ends its leadership, and schedules no further work. */
     public synchronized void close() {
         closed = true;
         leaderlessHeartbeats.close();
--- a/src/main/java/org/meadowhollow/coordination/ControllerServices.java
+++ b/src/main/java/org/meadowhollow/coordination/ControllerServices.java
@@ -10,7 +10,7 @@
 import org.meadowhollow.model.MachineTypeCatalog;
 import org.meadowhollow.storage.KeyValueStore;
 
-/** What a controller node works with for its whole life, and each of its leaderships as well. */
+/** The services and settings that a controller node shares with each of its leaderships. */
 record ControllerServices(
         EventLoop loop,
         KeyValueStore store,
--- a/src/main/java/org/meadowhollow/coordination/LeaderParts.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderParts.java
@@ -43,10 +43,10 @@
 import org.meadowhollow.storage.RecordWriter;
 
 /**
- * The parts of one leadership, wired: which part knows which is decided here and nowhere else.
- * Calls go one way, from the rounds and the heartbeats down to the lifecycle of tasks; what leads
- * up again goes through the narrow interfaces that {@link LeaderService} implements. All parts
- * share its monitor as their lock.
+ * Creates and connects the parts of one leadership; dependencies between parts are set up here and
+ * nowhere else. Calls go one way, from the rounds and the heartbeats down to the lifecycle of
+ * tasks; calls back up go through the narrow interfaces that {@link LeaderService} implements. All
+ * parts share its monitor as their lock.
  */
 final class LeaderParts {
     private final LeaderService leader;
@@ -80,9 +80,9 @@
     final RoundScheduler roundScheduler;
 
     /**
-     * Creates all parts, none of which does anything yet.
+     * Creates all parts without starting any of them.
      *
-     * @param leader whose monitor the parts share as their lock, and whom they call back
+     * @param leader the object whose monitor is the lock of all parts, and that they call back
      */
     LeaderParts(ControllerServices services, LeadershipTerm term, LeaderService leader) {
         this.leader = leader;
@@ -293,7 +293,7 @@
                 services.reservationSettings().machineLimits());
     }
 
-    /** What a round needs of this leader. */
+    /** The conditions of this leadership on which a scheduling round depends. */
     private final class RoundConditions implements FirstRoundGate.LeaderConditions {
         @Override
         public FailoverPreconditions.Facts facts(int machinesReported, int machinesRequired) {
--- a/src/main/java/org/meadowhollow/coordination/LeaderService.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderService.java
@@ -33,11 +33,11 @@
 import org.meadowhollow.storage.RecordWriter;
 
 /**
- * One leadership of this node: runs its timers, and passes calls on to its parts. Each leadership
- * has an object of its own, so nothing that an earlier one believed can leak into it.
+ * One leadership of this node: runs its timers, and delegates calls to its parts. Each leadership
+ * has an object of its own, so that no state of an earlier one can leak into it.
  *
- * <p>This object's monitor is the leader's lock, the only one that its parts share; what they own
- * is read and changed with it held. Requests to the cloud and to peers are sent, and deferred
+ * <p>This object's monitor is the leader's lock, the only one that its parts share; their state is
+ * read and changed with it held. Requests to the cloud and to peers are sent, and deferred
  * responses completed, outside it.
  */
 final class LeaderService implements RecordWriter.Listener, RecoveryListener, LeadershipContext {
@@ -49,10 +49,10 @@
     private final EventLoop loop;
     private final Leadership leadership;
 
-    /** Guarded by this object's monitor, as everything that changes. */
+    /** Guarded by this object's monitor, like all mutable state. */
     private boolean closed;
 
-    /** Creates a leadership that has begun; {@link #start} sets it going. */
+    /** Creates the object of a leadership that has begun, which is idle until {@link #start}. */
     LeaderService(ControllerServices services, LeadershipTerm term) {
         this.term = term;
         this.loop = services.loop();
@@ -62,7 +62,7 @@
 
     // ---- Start and end ----
 
-    /** Begins to load all live jobs, and schedules the rounds. */
+    /** Begins to load all live jobs, and schedules the first round. */
     void start() {
         parts.stateRecovery.start();
         parts.reservationEnforcer.start();
@@ -74,7 +74,7 @@
         parts.heartbeatHandler.start();
     }
 
-    /** Ends this leadership; answers of requests in flight are ignored from now on. */
+    /** Ends this leadership; responses to requests in flight are ignored from now on. */
     void close() {
         List<DeferredHeartbeats.DeferredHeartbeat> unanswered;
         synchronized (this) {
@@ -83,7 +83,7 @@
             parts.autoscaler.close();
             unanswered = parts.heartbeatHandler.takeAll();
         }
-        // The next leader may renew their leases; this one must not.
+        // Only the next leader may renew these workers' leases.
         DeferredHeartbeats.redirectAll(unanswered, null);
     }
 
@@ -123,8 +123,9 @@
     }
 
     /**
-     * Holds the first round of a warm leader as soon as it may decide; its other rounds are every
-     * second from the start.
+     * Runs the first round of a warm leader as soon as its preconditions hold, without waiting for
+     * the regular rounds, which run every second from the start. Also begins to restore the risk
+     * tables once the state is recovered.
      */
     private void checkWarmStart() {
         boolean mustReadRiskTables;
@@ -163,7 +164,7 @@
         parts.directCommandSender.sendCommands(machine, incarnation, commands);
     }
 
-    // ---- The record writer's listener ----
+    // ---- Callbacks of the record writer ----
 
     @Override
     public synchronized void onJobEndPersisted(Job job) {
@@ -196,7 +197,8 @@
         if (entry.isPresent()) {
             parts.jobRecords.apply(entry.get().key(), entry.get().value(), entry.get().revision());
         } else {
-            // Only our own unanswered transaction can have moved it to its final record.
+            // Only an own transaction without a response can have moved the job to its final
+            // record.
             parts.recordWriter.recordUnacknowledgedEnd(job);
         }
         parts.recordWriter.flush();
@@ -207,7 +209,7 @@
         leadership.stepDown();
     }
 
-    // ---- The recovery's listener ----
+    // ---- Callbacks of the recovery ----
 
     @Override
     public void renewLeadershipIfDue() {
@@ -220,7 +222,7 @@
         parts.heartbeatHandler.onCancellationsKnown();
     }
 
-    // ---- The context of the fleet's parts ----
+    // ---- Context of the fleet's parts ----
 
     @Override
     public synchronized boolean isStateRecovered() {
@@ -228,9 +230,10 @@
     }
 
     /**
-     * Whether to place, stop, rent and return: the lease certainly holds, and the workers can reach
-     * this node. To an isolated leader all pending jobs seem to lack capacity, and what it would do
-     * about it is too early or hits what is healthy.
+     * Whether this leader may place and stop tasks, and rent and return machines: the lease
+     * certainly has not expired, and the workers can reach this node. An isolated leader sees no
+     * capacity for any pending job; acting on that would be premature, or harm healthy machines and
+     * tasks.
      */
     @Override
     public synchronized boolean canActAsLeader() {
@@ -238,7 +241,10 @@
                 && parts.failureDetector.reachability() != Reachability.ISOLATED;
     }
 
-    /** Whether machines that are silent are so for their own reasons, as far as can be known. */
+    /**
+     * Whether missing heartbeats are, as far as is known, due to failures of single machines, and
+     * not to the reachability of this node.
+     */
     @Override
     public synchronized boolean isReachabilityHealthy() {
         return parts.failureDetector.reachability() == Reachability.HEALTHY;
@@ -269,7 +275,9 @@
         return parts.clusterState.reservationView().isInOutageWindow(type, zone);
     }
 
-    /** Takes in the cloud's list: machines that are new, their addresses, and failed ones. */
+    /**
+     * Applies the cloud's list: adds new machines, updates addresses, and marks failed ones gone.
+     */
     @Override
     public synchronized void applyMachineList(List<CloudProvider.ListedMachine> list) {
         parts.machineRegistry.markListed();
@@ -278,12 +286,12 @@
         for (CloudProvider.ListedMachine listed : list) {
             parts.machineRegistry.applyListedMachine(listed, now);
             if (listed.phase() == CloudProvider.MachinePhase.FAILED) {
-                markMachineGone(listed.id(), "the cloud lists its machine as failed", false);
+                markMachineGone(listed.id(), "cloud lists machine as failed", false);
             }
         }
     }
 
-    /** Takes all tasks of a machine that is certainly gone as lost. */
+    /** Marks all tasks of a machine that is certainly gone as lost. */
     @Override
     public synchronized void markMachineGone(MachineId id, String reason, boolean forget) {
         MonotonicTime now = loop.now();
@@ -319,14 +327,14 @@
         parts.taskLifecycle.stopWithCheckpoint(placement, reason);
     }
 
-    // ---- For the node: standbys, users and isolation ----
+    // ---- Queries of the node: standbys, users and isolation ----
 
-    /** What the risk tables have learned since a standby last asked; empty until the recovery. */
+    /** The response to a standby's request for risk tables; empty until the state is recovered. */
     synchronized Optional<RiskTableDelta> riskTableDelta(RiskTableRequest request) {
         return isAnswering() ? parts.standbySupport.riskTableDelta(request) : Optional.empty();
     }
 
-    /** The digests of all live jobs' records; empty until the recovery is complete. */
+    /** The digests of all live jobs' records; empty until the state is recovered. */
     synchronized Optional<RecordDigests> recordDigests() {
         return isAnswering() ? Optional.of(parts.jobTracker.recordDigests()) : Optional.empty();
     }
@@ -335,17 +343,20 @@
         return !closed && parts.stateRecovery.isComplete();
     }
 
-    /** The standby that could take over best, as far as is known. */
+    /** The standby that should be elected next; empty if none is known to qualify. */
     synchronized Optional<String> preferredSuccessor() {
         return parts.standbySupport.preferredSuccessor();
     }
 
-    /** Up to {@code most} workers' addresses, to find out later whether they reach this node. */
+    /**
+     * The addresses of up to {@code most} workers, for probes of whether this node, once isolated,
+     * is in contact with workers again.
+     */
     synchronized List<String> sampleAddresses(int most) {
         return parts.machineRegistry.sampleAddresses(most);
     }
 
-    /** The counts of a live job for display; empty when it is not known here. */
+    /** The task counts of a live job for display; empty if the job is not known here. */
     synchronized Optional<AdmissionService.JobStatus> liveJobState(JobId id) {
         return parts.stateRecovery.isComplete()
                 ? parts.jobTracker.liveJobState(id)
--- a/src/main/java/org/meadowhollow/coordination/LeaderlessHeartbeats.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderlessHeartbeats.java
@@ -10,15 +10,15 @@
 import org.meadowhollow.model.Heartbeat;
 
 /**
- * Heartbeats that wait at a node until a leader is known. Guarded by the node's lock, which it
- * takes itself; responses are completed outside it.
+ * Defers the responses to heartbeats that a node receives while no leader is known. Guarded by the
+ * node's lock, which it takes itself; responses are completed outside it.
  */
 final class LeaderlessHeartbeats {
     /**
      * How long a heartbeat waits for a leader to be known; well below the 4 s that a worker waits
-     * for an answer. Redirected at once, hundreds of workers would go round all nodes every second,
-     * each time on a new connection, while these have to elect a leader; and the new one would get
-     * most of their heartbeats late.
+     * for a response. If they were redirected at once, hundreds of workers would try all nodes
+     * every second, each time on a new connection, while the nodes have to elect a leader; and the
+     * new leader would receive most of their heartbeats late.
      */
     private static final Duration MAX_LEADER_WAIT = Duration.ofMillis(2500);
 
@@ -35,7 +35,7 @@
         this.loop = loop;
     }
 
-    /** Defers the response until a leader is known, or for as long as a heartbeat may wait. */
+    /** Defers the response until a leader is known, or at most for {@link #MAX_LEADER_WAIT}. */
     CompletableFuture<HeartbeatResponse> defer(Heartbeat heartbeat) {
         synchronized (lock) {
             if (!sweeping) {
@@ -58,14 +58,14 @@
         DeferredHeartbeats.redirectAll(due, null);
     }
 
-    /** Takes all that wait, to be answered by the caller. */
+    /** Removes and returns all deferred heartbeats, for the caller to answer. */
     List<DeferredHeartbeat> takeAll() {
         synchronized (lock) {
             return waiting.takeAll();
         }
     }
 
-    /** No sweep is scheduled any more. Called with the node's lock held. */
+    /** Stops the sweeps. Called with the node's lock held. */
     void close() {
         closed = true;
     }
--- a/src/main/java/org/meadowhollow/coordination/LeadershipTerm.java
+++ b/src/main/java/org/meadowhollow/coordination/LeadershipTerm.java
@@ -7,12 +7,13 @@
 import org.meadowhollow.model.Revision;
 
 /**
- * What sets one leadership apart from others of the same node.
+ * The context of one leadership of a node.
  *
- * @param leadership the node's lease and what it observes of other leaders
+ * @param leadership the node's lease and its knowledge of other leaders
  * @param fencingToken the token of this leadership
  * @param leaderKeyRevision the revision of the transaction that wrote the leader key
- * @param handoverState what this node followed as a standby, or {@link HandoverState#EMPTY}
+ * @param handoverState the state that this node replicated as a standby, or {@link
+ *     HandoverState#EMPTY}
  * @param noticedAt when this node noticed that there was no leader, or null
  */
 record LeadershipTerm(
--- a/src/main/java/org/meadowhollow/coordination/MachineTypeLoader.java
+++ b/src/main/java/org/meadowhollow/coordination/MachineTypeLoader.java
@@ -17,9 +17,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Fills a node's catalog of machine types once: from the record of an earlier node, so that a node
- * can start while the cloud is unavailable, or else from the cloud, whose answer it records. Has
- * one request in flight at a time and needs no lock; the catalog has its own.
+ * Loads a node's catalog of machine types once: from the record that an earlier node wrote, so that
+ * a node can start while the cloud is unavailable, or else from the cloud, whose response it
+ * records. Has one request in flight at a time and needs no lock; the catalog has its own.
  */
 final class MachineTypeLoader {
     private static final Logger LOG = LoggerFactory.getLogger(MachineTypeLoader.class);
@@ -40,7 +40,7 @@
         this.isClosed = isClosed;
     }
 
-    /** Loads the types, and tries again every second until there are any. */
+    /** Loads the types; retries every second until it succeeds. */
     // The chain handles success and failure itself; a failed read is repeated.
     @SuppressWarnings("FutureReturnValueIgnored")
     void load() {
@@ -94,7 +94,10 @@
         cloudFailureLogged = true;
     }
 
-    /** Records the types unless a node has done so; a failure leaves them for a later start. */
+    /**
+     * Records the types unless another node has done so. A failed write is not repeated; the next
+     * node that starts loads them from the cloud again.
+     */
     private void record(List<MachineType> types) {
         var unusedCommit =
                 store.commit(
--- a/src/main/java/org/meadowhollow/coordination/StandbySupport.java
+++ b/src/main/java/org/meadowhollow/coordination/StandbySupport.java
@@ -13,9 +13,9 @@
 import org.meadowhollow.storage.RecordKeys;
 
 /**
- * What a leader does for its standbys: answers their requests for risk tables, knows which of them
- * could succeed it best, and writes snapshots of the tables. Owns the standbys' last statuses and
- * the tables' feed. Guarded by the leader's lock.
+ * Supports a leader's standbys: answers their requests for risk tables, chooses the preferred
+ * successor among them, and writes snapshots of the tables. Owns the standbys' last statuses and
+ * the publisher of the tables. Guarded by the leader's lock.
  */
 final class StandbySupport {
     private final EventLoop loop;
@@ -39,12 +39,12 @@
                         settings.maxValueBytes());
     }
 
-    /** The feed to which samples of the risk tables go. */
+    /** The publisher in which new samples of the risk tables are recorded. */
     RiskTablePublisher riskTablePublisher() {
         return riskTablePublisher;
     }
 
-    /** What the tables have learned since a standby last asked; empty unless standbys are on. */
+    /** The response to a standby's request for risk tables; empty if standbys are disabled. */
     Optional<RiskTableDelta> riskTableDelta(RiskTableRequest request) {
         if (!warm) {
             return Optional.empty();
@@ -55,7 +55,7 @@
                         request, clusterState.machines(), clusterState.riskTables(), loop.now()));
     }
 
-    /** The standby that could take over best, as far as is known. */
+    /** The standby that should be elected next; empty if none is known to qualify. */
     Optional<String> preferredSuccessor() {
         return membership.preferredSuccessor(RecordKeys.SCHEMA_VERSION, loop.now());
     }
@@ -63,7 +63,7 @@
     /**
      * Writes the next part of a snapshot when it is due.
      *
-     * @param isWriterIdle whether no records of jobs wait to be written, which go first
+     * @param isWriterIdle whether no job records wait to be written; these have precedence
      */
     void writeSnapshotIfDue(boolean isWriterIdle, MonotonicTime now) {
         riskTableSnapshots.writeNext(
--- a/src/main/java/org/meadowhollow/coordination/UserReadiness.java
+++ b/src/main/java/org/meadowhollow/coordination/UserReadiness.java
@@ -13,35 +13,41 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides whether users should be sent to this node. Watches how late the node runs its timers and
- * whether the key-value store serves it and its peers. Owns what it found. Guarded by the node's
- * lock, which it takes itself.
+ * Decides whether users should be sent to this node. Monitors how late the node runs its timers,
+ * and whether the key-value store serves the node and its peers. Owns the results of these checks.
+ * Guarded by the node's lock, which it takes itself.
  */
 final class UserReadiness {
     private static final Logger LOG = LoggerFactory.getLogger(UserReadiness.class);
 
-    /** How often a node asks for the key-value store while that does not serve it. */
+    /** How often a node probes the key-value store while the store does not serve it. */
     private static final Duration OUTAGE_PROBE_INTERVAL = Duration.ofSeconds(1);
 
     /**
-     * How long another node's statement holds that the key-value store serves it; a few probes of
-     * the load balancer.
+     * How long a peer's answer that the key-value store serves it is taken as valid; a few probes
+     * of the load balancer.
      */
     private static final Duration PEER_REACHES_STORE_VALIDITY = Duration.ofSeconds(3);
 
     /** How often a node measures how late its timers run. */
     private static final Duration LOAD_CHECK_INTERVAL = Duration.ofMillis(500);
 
-    /** Later than this a node is overloaded; a pause of the garbage collector is shorter. */
+    /**
+     * A timer that runs later than this indicates overload; pauses of the garbage collector are
+     * shorter.
+     */
     private static final Duration LATE_THRESHOLD = Duration.ofMillis(300);
 
     /**
-     * Late checks in a row before a leader sends users elsewhere, about what the load balancer's
-     * probes need.
+     * Consecutive late checks before a leader sends users to other nodes; about the time that the
+     * load balancer's probes need.
      */
     private static final int LATE_CHECKS_BEFORE_SHEDDING = 3;
 
-    /** For how long it does; the load balancer lets no node back sooner than after some seconds. */
+    /**
+     * How long an overloaded leader sends users to other nodes; the load balancer readmits a node
+     * only after some seconds anyway.
+     */
     private static final Duration LOAD_SHEDDING_DURATION = Duration.ofSeconds(10);
 
     private final Object lock;
@@ -57,7 +63,7 @@
 
     /**
      * @param lock the node's lock
-     * @param isLeading whether this node leads; asked with the lock held
+     * @param isLeading whether this node leads; called with the lock held
      * @param isClosed whether the node is closed; takes the lock itself
      */
     UserReadiness(
@@ -75,8 +81,8 @@
     }
 
     /**
-     * While the key-value store does not serve this node: asks whether it does again, and whether
-     * it serves others.
+     * Probes at intervals, while the key-value store does not serve this node, whether it does so
+     * again, and asks the peers whether it serves them.
      */
     void probeStoreDuringOutage() {
         if (isClosed.getAsBoolean()) {
@@ -90,11 +96,11 @@
     }
 
     /**
-     * Measures whether this node runs its timers in time. A leader that users ask many times as
-     * often, beside the heartbeats of hundreds of workers, answered these too late: their leases
-     * expired with all their tasks.
+     * Checks at intervals whether this node runs its timers in time. Without this check, a leader
+     * under many times the usual load of user requests answers the heartbeats of hundreds of
+     * workers too late, so that their leases expire and all their tasks are lost.
      *
-     * @param lastCheckAt when this was measured last
+     * @param lastCheckAt the time of the previous check
      */
     void watchLoad(MonotonicTime lastCheckAt) {
         if (isClosed.getAsBoolean()) {
@@ -122,7 +128,7 @@
         }
         if (sheddingUntil == null || sheddingUntil.isBefore(now)) {
             LOG.info(
-                    "leader is overloaded: users are redirected to other nodes for {} s",
+                    "leader overloaded, sends users to other nodes duration_s={}",
                     LOAD_SHEDDING_DURATION.toSeconds());
         }
         sheddingUntil = now.plus(LOAD_SHEDDING_DURATION);
@@ -147,10 +153,10 @@
     }
 
     /**
-     * Whether users should be sent to this node. A node that the key-value store alone refuses
-     * sends them to its peers; in an outage for all it stays ready, for a node that leaves the load
-     * balancer is let back late. A leader that is overloaded sends them to its peers as well, for
-     * heartbeats and its lease come first.
+     * Whether users should be sent to this node. A node that the key-value store does not serve
+     * reports not ready if the store serves a peer. In an outage that affects all nodes it stays
+     * ready, because the load balancer readmits a node only after a delay. An overloaded leader
+     * reports not ready under the same condition, since heartbeats and its lease have precedence.
      */
     boolean isReadyForUsers() {
         synchronized (lock) {
--- a/src/main/java/org/meadowhollow/coordination/WorkerContactProbe.java
+++ b/src/main/java/org/meadowhollow/coordination/WorkerContactProbe.java
@@ -12,13 +12,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Finds out whether workers answer a node again that gave up its leadership because it was isolated
- * from them, since workers send no heartbeats to a node that does not lead. Keeps no state.
+ * Probes workers from a node that gave up its leadership because it was isolated from them, until
+ * one answers. The node has to ask, since workers send no heartbeats to a node that does not lead.
+ * Keeps no state.
  */
 final class WorkerContactProbe {
     private static final Logger LOG = LoggerFactory.getLogger(WorkerContactProbe.class);
 
-    /** Workers that an isolated node asks; one answer will do. */
+    /** The most workers that an isolated node probes; one answer suffices. */
     static final int MAX_WORKERS = 3;
 
     private static final Duration INTERVAL = Duration.ofSeconds(4);
@@ -39,9 +40,7 @@
         this.isClosed = isClosed;
     }
 
-    /**
-     * Asks workers at some addresses, now and at intervals, for as long as this node is isolated.
-     */
+    /** Probes the workers at these addresses, now and at intervals, while this node is isolated. */
     void probeWhileIsolated(List<String> addresses) {
         if (isClosed.getAsBoolean() || addresses.isEmpty() || !leadership.isIsolated()) {
             return;
@@ -58,7 +57,7 @@
                         .thenAccept(
                                 heartbeat -> {
                                     LOG.info(
-                                            "worker {} answers this node again",
+                                            "worker reachable again machine={}",
                                             heartbeat.machineId());
                                     leadership.restoreWorkerContact();
                                 });
--- a/src/main/java/org/meadowhollow/coordination/api/CloudProvider.java
+++ b/src/main/java/org/meadowhollow/coordination/api/CloudProvider.java
@@ -8,14 +8,14 @@
 
 /**
  * The cloud from which machines are rented. All calls return at once; a failed future means that
- * the outcome is not known, unless it says otherwise.
+ * the outcome is unknown, unless the method specifies otherwise.
  */
 public interface CloudProvider {
     /**
-     * A machine in the cloud's list, which may lag behind what was rented and returned.
+     * A machine in the cloud's list. The list may lag behind rentals and returns.
      *
-     * @param address where its worker can be reached, or null while that is not known
-     * @param ageSeconds since it was rented
+     * @param address the address of its worker, or null while that is not known
+     * @param ageSeconds the time since it was rented
      */
     record ListedMachine(
             MachineId id,
@@ -34,8 +34,8 @@
     }
 
     /**
-     * The cloud has answered that a request was not executed, because it is unavailable or limits
-     * the rate of requests.
+     * Thrown when the cloud has answered that it did not execute a request, because it is
+     * unavailable or limits the rate of requests.
      */
     final class RequestRefusedException extends RuntimeException {
         /** Creates it without a stack trace. */
@@ -44,25 +44,26 @@
         }
     }
 
-    /** The machine types that the cloud offers. */
+    /** Lists the machine types that the cloud offers. */
     CompletableFuture<List<MachineType>> listMachineTypes();
 
     /**
-     * Rents up to {@code count} machines; empty when there are none of this type and zone.
+     * Rents up to {@code count} machines.
      *
      * @param request an id that makes the request idempotent
      * @param spot whether the cloud may preempt them
+     * @return the rented machines; empty if none of this type and zone are available
      */
     CompletableFuture<Optional<List<MachineId>>> rentMachines(
             String request, String type, String zone, boolean spot, int count);
 
     /**
-     * Returns machines; once this completes, they and all on them are gone. Fails with {@link
-     * RequestRefusedException} if it certainly was not executed; after any other failure it may be
-     * executed at any later time.
+     * Returns machines to the cloud; once this completes, they and all their tasks are gone. Fails
+     * with {@link RequestRefusedException} if the request certainly was not executed; after any
+     * other failure it may still be executed at any later time.
      */
     CompletableFuture<Void> releaseMachines(List<MachineId> machines);
 
-    /** All machines that are rented. */
+    /** Lists all machines that are rented. */
     CompletableFuture<List<ListedMachine>> listMachines();
 }
--- a/src/main/java/org/meadowhollow/coordination/api/ControllerStatus.java
+++ b/src/main/java/org/meadowhollow/coordination/api/ControllerStatus.java
@@ -3,14 +3,14 @@
 import org.meadowhollow.model.Revision;
 
 /**
- * What a controller node tells its peers about itself.
+ * The status that a controller node sends to its peers.
  *
- * @param processIncarnation a random number of this process, so that a restarted one is told from
- *     itself before
+ * @param processIncarnation a random number that distinguishes this process from an earlier one of
+ *     the same node
  * @param softwareVersion the version of its program
  * @param schemaVersion the version of the records that it reads and writes
- * @param replicaRevision the revision that its replica of the records has reached, or {@link
- *     Revision#ABSENT} while it has none
+ * @param replicaRevision the revision of its replica of the records, or {@link Revision#ABSENT}
+ *     while it has none
  */
 public record ControllerStatus(
         String member,
--- a/src/main/java/org/meadowhollow/coordination/api/PeerGateway.java
+++ b/src/main/java/org/meadowhollow/coordination/api/PeerGateway.java
@@ -9,25 +9,25 @@
 import org.meadowhollow.storage.RecordDigests;
 
 /**
- * The other controllers. What they tell and are told is a hint that saves time; nothing is
- * concluded from it that must be certain. All calls return at once.
+ * The connection to the other controllers. Information exchanged with them is a hint that saves
+ * time; no decision that must be safe relies on it. All calls return at once.
  */
 public interface PeerGateway {
-    /** Tells all peers who leads, and with which token. */
+    /** Announces the leader and its fencing token to all peers. */
     void announceLeader(String leader, FencingToken fencingToken);
 
     /** Whether the key-value store serves any of the peers. */
     CompletableFuture<Boolean> anyPeerReachesStore();
 
-    /** How a peer answers a probe. */
+    /** The result of probing a peer. */
     enum ProbeResult {
-        /** It answers. */
+        /** The peer answers. */
         HEALTHY,
-        /** It answers, leads, and misses the heartbeats of many workers. */
+        /** The peer answers, leads, and misses the heartbeats of many workers. */
         ISOLATED,
-        /** It alone refuses the connection, while some other peer answers. */
+        /** Only this peer refuses the connection, while some other peer answers. */
         CONNECTION_REFUSED,
-        /** There is no answer, for whatever reason. */
+        /** The peer does not answer, for whatever reason. */
         UNRESPONSIVE
     }
 
@@ -35,32 +35,32 @@
     CompletableFuture<ProbeResult> probe(String member);
 
     /**
-     * Asks all peers from which machines they received a heartbeat within a time before their
-     * answer.
+     * Asks all peers which of {@code machines} sent them a heartbeat within a time before their
+     * response.
      */
     CompletableFuture<List<PeerReachabilityReport>> queryRecentHeartbeats(
             List<MachineId> machines, Duration within);
 
-    /** An answer could not be decoded: it is damaged, or of another version. */
+    /** Thrown when a response cannot be decoded: it is damaged, or of another version. */
     final class UnreadableResponseException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
-        /** Creates it with what is wrong with the answer. */
+        /** Creates an exception whose message says what is wrong with the response. */
         public UnreadableResponseException(String reason) {
             super(reason);
         }
     }
 
     /**
-     * What a leader's risk tables have learned; empty if there is no answer or the node does not
-     * lead. Fails with {@link UnreadableResponseException}.
+     * Requests new samples of a leader's risk tables, or full tables; empty if there is no response
+     * or the node does not lead. Fails with {@link UnreadableResponseException}.
      */
     CompletableFuture<Optional<RiskTableDelta>> fetchRiskTables(
             String leader, RiskTableRequest request);
 
     /**
-     * The digests of a leader's records; empty if there is no answer or the node does not lead.
-     * Fails with {@link UnreadableResponseException}.
+     * Requests the digests of a leader's records; empty if there is no response or the node does
+     * not lead. Fails with {@link UnreadableResponseException}.
      */
     CompletableFuture<Optional<RecordDigests>> fetchDigests(String leader);
 }
--- a/src/main/java/org/meadowhollow/coordination/api/PeerReachabilityReport.java
+++ b/src/main/java/org/meadowhollow/coordination/api/PeerReachabilityReport.java
@@ -4,12 +4,13 @@
 import org.meadowhollow.model.MachineId;
 
 /**
- * What one peer says of the machines that it was asked about. A hint: it helps to choose who should
- * lead and which machines to keep, and proves nothing of what runs on them.
+ * The report of one peer on which of the queried machines it can hear. A hint: it helps to choose
+ * who should lead and which machines to keep, and proves nothing about the tasks that run on them.
  *
- * @param answered whether it answered in time
- * @param reachesStore whether the key-value store serves it, so that it could lead
- * @param recentlyHeard those of the machines that sent it a heartbeat within the time asked for
+ * @param answered whether the peer answered in time
+ * @param reachesStore whether the key-value store serves the peer, so that it could lead
+ * @param recentlyHeard those of the queried machines that sent the peer a heartbeat within the
+ *     queried time
  */
 public record PeerReachabilityReport(
         String member, boolean answered, boolean reachesStore, Set<MachineId> recentlyHeard) {
--- a/src/main/java/org/meadowhollow/coordination/api/RiskTableDelta.java
+++ b/src/main/java/org/meadowhollow/coordination/api/RiskTableDelta.java
@@ -6,12 +6,14 @@
 import org.meadowhollow.model.WorkerIncarnation;
 
 /**
- * What a leader's risk tables have learned since a standby last asked.
+ * The changes of a leader's risk tables since the last request of a standby.
  *
  * @param token the fencing token of the leader that sent it
- * @param lastSample the number of the last sample in it, from which to go on
- * @param fullTables whether it holds whole tables, and not samples
- * @param hasMore whether to ask again at once; with whole tables, after the last machine in it
+ * @param lastSample the number of the last sample that it includes, after which the next request
+ *     continues
+ * @param fullTables whether it holds full tables instead of samples
+ * @param hasMore whether to send the next request at once; with full tables, for those after the
+ *     last machine in it
  */
 public record RiskTableDelta(
         FencingToken token,
@@ -20,17 +22,17 @@
         boolean hasMore,
         List<MachineEntry> entries) {
     /**
-     * What is new of one machine.
+     * The full table or the new samples of one machine.
      *
      * @param machineIdentityHash a hash of what the machine's name stands for: its type, zone,
      *     price model and address
-     * @param workerIncarnation the incarnation of the last heartbeat that is in it
-     * @param sequenceNumber the number of that heartbeat
-     * @param table a whole table as {@code RiskTable} exports its state; empty if there are samples
+     * @param workerIncarnation the worker incarnation of the last heartbeat that it includes
+     * @param sequenceNumber the sequence number of that heartbeat
+     * @param table a full table as {@code RiskTable} exports it; empty if there are samples
      * @param samples four numbers each, oldest first: incarnation, sequence number, age in
      *     milliseconds, sample
      */
-    // The arrays are handed on as they are; no entry is compared with another.
+    // Entries are never compared with each other, so equality of their arrays does not matter.
     @SuppressWarnings("ArrayRecordComponent")
     public record MachineEntry(
             MachineId machine,
@@ -40,6 +42,6 @@
             int[] table,
             long[] samples) {}
 
-    /** Numbers of a sample in {@link MachineEntry#samples}. */
+    /** The count of numbers per sample in {@link MachineEntry#samples}. */
     public static final int NUMBERS_PER_SAMPLE = 4;
 }
--- a/src/main/java/org/meadowhollow/coordination/api/WorkerGateway.java
+++ b/src/main/java/org/meadowhollow/coordination/api/WorkerGateway.java
@@ -8,8 +8,8 @@
 import org.meadowhollow.model.WorkerIncarnation;
 
 /**
- * Direct requests to the workers. Starts are never sent this way, for a delayed one would arrive
- * minutes late.
+ * Sends requests directly to workers. Task starts are never sent this way, because a delayed one
+ * could arrive minutes late.
  */
 public interface WorkerGateway {
     /**
--- a/src/main/java/org/meadowhollow/coordination/api/package-info.java
+++ b/src/main/java/org/meadowhollow/coordination/api/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The ports of a controller: settings, cloud, workers and peers, as interfaces that the protocol
- * layer implements, and the messages that cross them. It decides nothing and owns no state; it may
- * use {@code model} and {@code storage} only. Implementations are called also with the leader's
- * lock held, so they must not block.
+ * The ports of a controller: its settings, and the interfaces to the cloud, the workers and the
+ * peers, which the protocol layer implements, with the messages that cross them. This package makes
+ * no decisions and owns no state; it may use {@code model} and {@code storage} only.
+ * Implementations are also called with the leader's lock held, so they must not block.
  */
 package org.meadowhollow.coordination.api;
--- a/src/main/java/org/meadowhollow/coordination/package-info.java
+++ b/src/main/java/org/meadowhollow/coordination/package-info.java
@@ -1,10 +1,10 @@
 /**
- * One controller node, and one leadership on it. {@code ControllerNode} follows the leader, is
- * elected and answers while nobody leads; {@code LeaderService} wires the parts of one leadership
- * and runs its timers. The packages below decide; {@code LayersTest} checks which of them may use
- * which.
+ * The controller node and the leaderships that it holds. {@code ControllerNode} follows the leader,
+ * takes part in elections, and answers heartbeats while there is no leader; {@code LeaderService}
+ * runs the timers of one leadership, whose parts {@code LeaderParts} creates and connects. The
+ * decisions are made in the subpackages; {@code LayersTest} checks the dependencies between them.
  *
- * <p>Two locks belong here: the node's monitor guards which leadership it has and what its own
- * parts keep; the leader's monitor guards all that one leadership knows.
+ * <p>There are two locks: the node's monitor guards its current leadership and the state of its own
+ * parts; the leader's monitor guards all state of one leadership.
  */
 package org.meadowhollow.coordination;
--- a/src/test/java/org/meadowhollow/coordination/failover/RiskTableReplicationTest.java
+++ b/src/test/java/org/meadowhollow/coordination/failover/RiskTableReplicationTest.java
@@ -25,7 +25,7 @@
 import org.meadowhollow.model.Revision;
 import org.meadowhollow.model.WorkerIncarnation;
 
-/** A leader's tables and a standby's copies of them. */
+/** Tests that a standby's replica of the risk tables matches the leader's tables. */
 class RiskTableReplicationTest {
     private static final FencingToken TERM = new FencingToken(2);
     private static final MachineType TYPE =
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Every machine reports once in three seconds, and some lose tasks. */
+    /** Sends rounds of heartbeats: one of every machine each three seconds; some lose tasks. */
     private void reports(int rounds) {
         for (int round = 0; round < rounds; round++) {
             second += 3;
@@ -95,8 +95,8 @@
     }
 
     /**
-     * Asks until there is no more, while the leader goes on taking reports; how many answers that
-     * took.
+     * Sends requests until the replica is up to date, while the leader continues to receive
+     * heartbeats; returns the number of responses.
      */
     private int pull() {
         for (int answers = 1; ; answers++) {
@@ -124,7 +124,7 @@
     void copiesComeToSayTheSameThoughPagesAndSamplesOverlap() {
         machines(300);
         reports(30);
-        assertTrue(pull() > 1, "whole tables come by pages");
+        assertTrue(pull() > 1, "full tables arrive in several pages");
         for (int round = 0; round < 20; round++) {
             reports(4);
             pull();
@@ -164,7 +164,7 @@
                         higher,
                         now()));
         assertEquals(ApplyResult.STALE_LEADER, copies.apply(late, higher, now()));
-        // Even where nothing has been heard of the higher term but the tables themselves.
+        // Also if the standby knows the higher token only from the tables themselves.
         assertEquals(ApplyResult.INCONSISTENT, copies.apply(late, TERM, now()));
     }
 
@@ -210,10 +210,10 @@
         pull();
         assertTrue(
                 inherit(0, new WorkerIncarnation(2), 1).isPresent(),
-                "a later session of the same machine");
+                "a later worker incarnation of the same machine");
         assertTrue(
                 inherit(1, new WorkerIncarnation(1), 1).isEmpty(),
-                "a machine whose reports count from the start again");
+                "a machine whose sequence numbers restart");
         MachineId moved = new MachineId("vm-000002");
         assertTrue(
                 copies.takeTable(
@@ -232,10 +232,11 @@
         assertEquals(
                 tables.get(again),
                 inherit(4, new WorkerIncarnation(1), seq + 1).orElseThrow(),
-                "it began a table of its own");
+                "the new machine of this name has its own table");
         second += RiskTableReplica.MAX_AGE.toSeconds() + 1;
         assertTrue(
-                inherit(3, new WorkerIncarnation(1), seq + 1).isEmpty(), "what was true long ago");
+                inherit(3, new WorkerIncarnation(1), seq + 1).isEmpty(),
+                "a table older than MAX_AGE");
     }
 
     @Test
@@ -258,7 +259,7 @@
         second += Membership.MAX_STATUS_AGE.toSeconds() + 1;
         assertTrue(
                 members.preferredSuccessor(1, now()).isEmpty(),
-                "nothing is known of who is silent");
+                "a status older than MAX_STATUS_AGE is ignored");
         members.recordStatus(
                 new ControllerStatus("n4", 1, "a", "test", 2, new Revision(80)), now());
         members.recordStatus(new ControllerStatus("n2", 1, "a", "test", 1, new Revision(7)), now());
@@ -267,7 +268,7 @@
         assertEquals(
                 Optional.of("n1"),
                 members.preferredSuccessor(1, now()),
-                "of two equally good ones the first is meant");
+                "of equal standbys the first by name is preferred");
     }
 
     @Test
