--- a/src/main/java/org/meadowhollow/coordination/ControllerNode.java
+++ b/src/main/java/org/meadowhollow/coordination/ControllerNode.java
@@ -256,13 +256,14 @@
             return leader.handleHeartbeat(heartbeat);
         }
         leadership.observeToken(heartbeat.fencingToken(), null);
-        boolean mayBeGone =
+        boolean leaderMayBeGone =
                 leadership.recordWorkerArrival(heartbeat.machineId(), heartbeat.fencingToken());
         String lastKnownLeader = leadership.lastKnownLeader();
-        boolean known = lastKnownLeader != null && !isThisNode(lastKnownLeader) && !mayBeGone;
-        if (known || services.store().seemsUnavailable()) {
+        boolean isLeaderKnown =
+                lastKnownLeader != null && !isThisNode(lastKnownLeader) && !leaderMayBeGone;
+        if (isLeaderKnown || services.store().seemsUnavailable()) {
             return CompletableFuture.completedFuture(
-                    new HeartbeatResponse.Redirect(known ? lastKnownLeader : null));
+                    new HeartbeatResponse.Redirect(isLeaderKnown ? lastKnownLeader : null));
         }
         return leaderlessHeartbeats.defer(heartbeat);
     }
--- a/src/main/java/org/meadowhollow/coordination/LeaderService.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderService.java
@@ -349,11 +349,11 @@
     }
 
     /**
-     * The addresses of up to {@code most} workers, for probes of whether this node, once isolated,
-     * is in contact with workers again.
+     * The addresses of up to {@code maxCount} workers, for probes of whether this node, once
+     * isolated, is in contact with workers again.
      */
-    synchronized List<String> sampleAddresses(int most) {
-        return parts.machineRegistry.sampleAddresses(most);
+    synchronized List<String> sampleAddresses(int maxCount) {
+        return parts.machineRegistry.sampleAddresses(maxCount);
     }
 
     /** The task counts of a live job for display; empty if the job is not known here. */
--- a/src/main/java/org/meadowhollow/coordination/MachineTypeLoader.java
+++ b/src/main/java/org/meadowhollow/coordination/MachineTypeLoader.java
@@ -81,7 +81,7 @@
                             }
                             machineTypeCatalog.replaceAll(types);
                             LOG.info("the cloud offers {} machine types", types.size());
-                            record(types);
+                            recordTypes(types);
                         });
     }
 
@@ -98,7 +98,7 @@
      * Records the types unless another node has done so. A failed write is not repeated; the next
      * node that starts loads them from the cloud again.
      */
-    private void record(List<MachineType> types) {
+    private void recordTypes(List<MachineType> types) {
         var unusedCommit =
                 store.commit(
                         new Transaction()
--- a/src/main/java/org/meadowhollow/coordination/StandbySupport.java
+++ b/src/main/java/org/meadowhollow/coordination/StandbySupport.java
@@ -20,7 +20,7 @@
 final class StandbySupport {
     private final EventLoop loop;
     private final ClusterState clusterState;
-    private final boolean warm;
+    private final boolean standbysEnabled;
     private final Membership membership = new Membership();
     private final RiskTablePublisher riskTablePublisher;
     private final RiskTableSnapshotStore riskTableSnapshots;
@@ -29,8 +29,8 @@
         DeploymentSettings settings = services.deploymentSettings();
         this.loop = services.loop();
         this.clusterState = clusterState;
-        this.warm = term.handoverState().isWarm();
-        this.riskTablePublisher = new RiskTablePublisher(term.fencingToken(), warm);
+        this.standbysEnabled = term.handoverState().isWarm();
+        this.riskTablePublisher = new RiskTablePublisher(term.fencingToken(), standbysEnabled);
         this.riskTableSnapshots =
                 new RiskTableSnapshotStore(
                         services.store(),
@@ -46,7 +46,7 @@
 
     /** The response to a standby's request for risk tables; empty if standbys are disabled. */
     Optional<RiskTableDelta> riskTableDelta(RiskTableRequest request) {
-        if (!warm) {
+        if (!standbysEnabled) {
             return Optional.empty();
         }
         membership.recordStatus(request.requester(), loop.now());
--- a/src/main/java/org/meadowhollow/coordination/UserReadiness.java
+++ b/src/main/java/org/meadowhollow/coordination/UserReadiness.java
@@ -139,8 +139,8 @@
                 peerGateway
                         .anyPeerReachesStore()
                         .thenAccept(
-                                served -> {
-                                    if (served) {
+                                peerReachesStore -> {
+                                    if (peerReachesStore) {
                                         onPeerReachesStore();
                                     }
                                 });
--- a/src/main/java/org/meadowhollow/coordination/api/CloudProvider.java
+++ b/src/main/java/org/meadowhollow/coordination/api/CloudProvider.java
@@ -50,12 +50,12 @@
     /**
      * Rents up to {@code count} machines.
      *
-     * @param request an id that makes the request idempotent
+     * @param requestId an id that makes the request idempotent
      * @param spot whether the cloud may preempt them
      * @return the rented machines; empty if none of this type and zone are available
      */
     CompletableFuture<Optional<List<MachineId>>> rentMachines(
-            String request, String type, String zone, boolean spot, int count);
+            String requestId, String type, String zone, boolean spot, int count);
 
     /**
      * Returns machines to the cloud; once this completes, they and all their tasks are gone. Fails
--- a/src/main/java/org/meadowhollow/coordination/failover/ChangeFeedFollower.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/ChangeFeedFollower.java
@@ -53,19 +53,19 @@
     private final String prefix;
     private final long maxBytes;
     private KeyspaceReplica replica;
-    private int failures;
+    private int consecutiveFailures;
 
     /**
      * Creates a follower that is idle until {@link #start}.
      *
-     * @param mostBytes the estimated memory that the records may take; if they exceed it, they are
+     * @param maxBytes the estimated memory that the records may take; if they exceed it, they are
      *     not followed
      */
-    ChangeFeedFollower(KeyValueStore store, EventLoop loop, String prefix, long mostBytes) {
+    ChangeFeedFollower(KeyValueStore store, EventLoop loop, String prefix, long maxBytes) {
         this.store = store;
         this.generations = new GenerationCounter(loop);
         this.prefix = prefix;
-        this.maxBytes = mostBytes;
+        this.maxBytes = maxBytes;
     }
 
     void start() {
@@ -84,7 +84,7 @@
 
     private synchronized int startNewGeneration() {
         replica = null;
-        failures = 0;
+        consecutiveFailures = 0;
         return generations.startNext();
     }
 
@@ -92,47 +92,50 @@
      * Reads a page of the records and the pages after it, then begins to watch.
      *
      * @param after the last key of the page before, or null for the first page
-     * @param begun the replica with the pages before, or null for the first page
+     * @param partialReplica the replica with the pages before, or null for the first page
      */
     // The chain handles success and failure itself; a failed read is repeated.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private void readPage(int mine, String after, KeyspaceReplica begun) {
+    private void readPage(int generation, String after, KeyspaceReplica partialReplica) {
         store.list(prefix, after, RequestPriority.BACKGROUND)
                 .whenComplete(
                         (page, failure) -> {
-                            if (!generations.isCurrent(mine)) {
+                            if (!generations.isCurrent(generation)) {
                                 return;
                             }
                             if (failure != null) {
                                 generations.runLater(
-                                        RETRY_DELAY, mine, () -> readPage(mine, after, begun));
+                                        RETRY_DELAY,
+                                        generation,
+                                        () -> readPage(generation, after, partialReplica));
                                 return;
                             }
-                            KeyspaceReplica growing =
-                                    begun == null
+                            KeyspaceReplica updatedReplica =
+                                    partialReplica == null
                                             ? new KeyspaceReplica(prefix, page.revision())
-                                            : begun;
-                            growing.addPage(page.entries());
-                            if (abandonIfTooLarge(growing, mine)) {
+                                            : partialReplica;
+                            updatedReplica.addPage(page.entries());
+                            if (abandonIfTooLarge(updatedReplica, generation)) {
                                 return;
                             }
                             if (page.hasMore()) {
                                 readPage(
-                                        mine,
+                                        generation,
                                         page.entries().get(page.entries().size() - 1).key(),
-                                        growing);
+                                        updatedReplica);
                                 return;
                             }
                             synchronized (this) {
-                                replica = growing;
-                                failures = 0;
+                                replica = updatedReplica;
+                                consecutiveFailures = 0;
                             }
-                            generations.runLater(POLL_INTERVAL, mine, () -> watchChanges(mine));
+                            generations.runLater(
+                                    POLL_INTERVAL, generation, () -> watchChanges(generation));
                         });
     }
 
-    private boolean abandonIfTooLarge(KeyspaceReplica growing, int mine) {
-        if (growing.estimatedBytes() <= maxBytes) {
+    private boolean abandonIfTooLarge(KeyspaceReplica updatedReplica, int generation) {
+        if (updatedReplica.estimatedBytes() <= maxBytes) {
             return false;
         }
         LOG.info(
@@ -142,32 +145,35 @@
         synchronized (this) {
             replica = null;
         }
-        generations.runLater(OVERSIZE_RETRY_DELAY, mine, () -> readPage(mine, null, null));
+        generations.runLater(
+                OVERSIZE_RETRY_DELAY, generation, () -> readPage(generation, null, null));
         return true;
     }
 
     // The chain handles success and failure itself, and watches or reads again.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private void watchChanges(int mine) {
-        KeyspaceReplica followed;
+    private void watchChanges(int generation) {
+        KeyspaceReplica watchedReplica;
         synchronized (this) {
-            followed = replica;
+            watchedReplica = replica;
         }
-        store.watch(prefix, followed.revision(), WATCH_TIMEOUT)
+        store.watch(prefix, watchedReplica.revision(), WATCH_TIMEOUT)
                 .whenComplete(
                         (changeBatch, failure) -> {
-                            if (!generations.isCurrent(mine)) {
+                            if (!generations.isCurrent(generation)) {
                                 return;
                             }
                             if (failure == null
-                                    && !followed.revision().isAfter(changeBatch.revision())) {
+                                    && !watchedReplica.revision().isAfter(changeBatch.revision())) {
                                 synchronized (this) {
-                                    failures = 0;
-                                    followed.apply(changeBatch);
+                                    consecutiveFailures = 0;
+                                    watchedReplica.apply(changeBatch);
                                 }
-                                if (!abandonIfTooLarge(followed, mine)) {
+                                if (!abandonIfTooLarge(watchedReplica, generation)) {
                                     generations.runLater(
-                                            POLL_INTERVAL, mine, () -> watchChanges(mine));
+                                            POLL_INTERVAL,
+                                            generation,
+                                            () -> watchChanges(generation));
                                 }
                             } else if (failure == null
                                     || countFailureAndCheckReload(
@@ -182,7 +188,8 @@
                                 generations.runLater(
                                         POLL_INTERVAL, startNewGeneration(), this::start);
                             } else {
-                                generations.runLater(RETRY_DELAY, mine, () -> watchChanges(mine));
+                                generations.runLater(
+                                        RETRY_DELAY, generation, () -> watchChanges(generation));
                             }
                         });
     }
@@ -193,8 +200,9 @@
      * watch can continue afterwards.
      */
     private synchronized boolean countFailureAndCheckReload(Outcome outcome) {
-        failures += outcome == Outcome.INDETERMINATE && !store.seemsUnavailable() ? 1 : 0;
-        return outcome == Outcome.COMPACTED || failures >= MAX_FAILURES;
+        consecutiveFailures +=
+                outcome == Outcome.INDETERMINATE && !store.seemsUnavailable() ? 1 : 0;
+        return outcome == Outcome.COMPACTED || consecutiveFailures >= MAX_FAILURES;
     }
 
     /**
@@ -204,26 +212,26 @@
      * @return empty if there is no replica, or if it cannot be brought up to that revision
      */
     CompletableFuture<Optional<KeyspaceReplica>> handOver(Revision atLeast) {
-        KeyspaceReplica last;
+        KeyspaceReplica finalReplica;
         synchronized (this) {
-            last = replica;
+            finalReplica = replica;
             stop();
         }
-        if (last == null) {
+        if (finalReplica == null) {
             return CompletableFuture.completedFuture(Optional.empty());
         }
-        return store.watch(prefix, last.revision(), Duration.ZERO)
+        return store.watch(prefix, finalReplica.revision(), Duration.ZERO)
                 .handle(
                         (changeBatch, failure) -> {
                             // Rejects a replica older than the leader record, and one from a
                             // history that the store does not serve now (its revision went back).
                             if (failure != null
                                     || atLeast.isAfter(changeBatch.revision())
-                                    || last.revision().isAfter(changeBatch.revision())) {
+                                    || finalReplica.revision().isAfter(changeBatch.revision())) {
                                 return Optional.empty();
                             }
-                            last.apply(changeBatch);
-                            return Optional.of(last);
+                            finalReplica.apply(changeBatch);
+                            return Optional.of(finalReplica);
                         });
     }
 
@@ -240,65 +248,68 @@
      *     possible
      */
     CompletableFuture<List<String>> verifyAndRepair(String part) {
-        int mine;
-        KeyspaceReplica judged;
+        int generation;
+        KeyspaceReplica auditedReplica;
         synchronized (this) {
             if (replica == null) {
                 return CompletableFuture.completedFuture(List.of());
             }
             // Pauses the watch, so that all changes since the replica's revision arrive in the
             // request below.
-            mine = generations.startNext();
-            judged = replica;
+            generation = generations.startNext();
+            auditedReplica = replica;
         }
         return store.list(part, null, RequestPriority.BACKGROUND)
                 .thenCombine(
-                        store.watch(prefix, judged.revision(), Duration.ZERO),
+                        store.watch(prefix, auditedReplica.revision(), Duration.ZERO),
                         (page, changeBatch) -> {
                             synchronized (this) {
                                 boolean comparable =
-                                        generations.isCurrent(mine)
+                                        generations.isCurrent(generation)
                                                 && !page.hasMore()
-                                                && !judged.revision()
+                                                && !auditedReplica
+                                                        .revision()
                                                         .isAfter(changeBatch.revision());
-                                List<String> wrong =
+                                List<String> mismatchedKeys =
                                         comparable
-                                                ? findMismatches(judged, page, changeBatch, part)
+                                                ? findMismatches(
+                                                        auditedReplica, page, changeBatch, part)
                                                 : List.<String>of();
-                                if (!wrong.isEmpty()) {
-                                    judged.replacePrefix(part, page.entries());
+                                if (!mismatchedKeys.isEmpty()) {
+                                    auditedReplica.replacePrefix(part, page.entries());
                                 }
                                 if (comparable) {
-                                    judged.apply(changeBatch);
+                                    auditedReplica.apply(changeBatch);
                                 }
-                                return wrong;
+                                return mismatchedKeys;
                             }
                         })
                 .handle(
-                        (wrong, failure) -> {
-                            generations.runLater(POLL_INTERVAL, mine, () -> watchChanges(mine));
-                            return failure == null ? wrong : List.of();
+                        (mismatchedKeys, failure) -> {
+                            generations.runLater(
+                                    POLL_INTERVAL, generation, () -> watchChanges(generation));
+                            return failure == null ? mismatchedKeys : List.of();
                         });
     }
 
     private static List<String> findMismatches(
-            KeyspaceReplica judged, Page truth, ChangeBatch changeBatch, String part) {
-        Map<String, Entry> have = new HashMap<>();
-        judged.entries(part).forEach(entry -> have.put(entry.key(), entry));
-        List<String> wrong = new ArrayList<>();
-        for (Entry entry : truth.entries()) {
-            if (!entry.equals(have.remove(entry.key()))) {
-                wrong.add(entry.key());
+            KeyspaceReplica auditedReplica, Page storedPage, ChangeBatch changeBatch, String part) {
+        Map<String, Entry> replicaEntries = new HashMap<>();
+        auditedReplica.entries(part).forEach(entry -> replicaEntries.put(entry.key(), entry));
+        List<String> mismatchedKeys = new ArrayList<>();
+        for (Entry entry : storedPage.entries()) {
+            if (!entry.equals(replicaEntries.remove(entry.key()))) {
+                mismatchedKeys.add(entry.key());
             }
         }
-        wrong.addAll(have.keySet());
+        mismatchedKeys.addAll(replicaEntries.keySet());
         for (Change change : changeBatch.changes()) {
-            wrong.remove(change.key());
+            mismatchedKeys.remove(change.key());
         }
         // A page that was read after the changes may contain later ones, which the next watch
         // delivers.
-        Revision seen = changeBatch.revision();
-        wrong.removeIf(key -> truth.revision().isAfter(seen));
-        return wrong;
+        Revision changesRevision = changeBatch.revision();
+        mismatchedKeys.removeIf(key -> storedPage.revision().isAfter(changesRevision));
+        return mismatchedKeys;
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/failover/HandoverState.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/HandoverState.java
@@ -125,12 +125,16 @@
      * Restores one batch of the snapshot's tables. Tables of machines that have sent no heartbeat
      * yet are kept for {@link #takeTable}.
      *
-     * @param risks receives the tables of the other machines
+     * @param riskTables receives the tables of the other machines
      * @return whether there are more
      */
     public boolean handOverSnapshotTables(
-            Map<MachineId, Machine> machines, Map<MachineId, RiskTable> risks, MonotonicTime now) {
-        for (int done = 0; done < MAX_TABLES_PER_BATCH && !snapshotTables.isEmpty(); done++) {
+            Map<MachineId, Machine> machines,
+            Map<MachineId, RiskTable> riskTables,
+            MonotonicTime now) {
+        for (int restored = 0;
+                restored < MAX_TABLES_PER_BATCH && !snapshotTables.isEmpty();
+                restored++) {
             RiskTableDelta.MachineEntry machineEntry = snapshotTables.poll();
             tableReplica.apply(List.of(machineEntry), snapshotTakenAt);
             Machine machine = machines.get(machineEntry.machine());
@@ -142,7 +146,7 @@
                                         machine.incarnation(),
                                         machine.lastSequenceNumber(),
                                         now))
-                        .ifPresent(table -> risks.put(machine.id(), table));
+                        .ifPresent(table -> riskTables.put(machine.id(), table));
             }
         }
         return !snapshotTables.isEmpty();
--- a/src/main/java/org/meadowhollow/coordination/failover/RiskTablePublisher.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTablePublisher.java
@@ -31,15 +31,15 @@
      * The most numbers in a response; each takes one to three bytes, and a response may have 60
      * KiB.
      */
-    static final int MAX_NUMBERS_PER_ANSWER = 16 * 1024;
+    static final int MAX_NUMBERS_PER_RESPONSE = 16 * 1024;
 
     /** The size of a machine's name and the other fields of its entry, counted in numbers. */
-    private static final int PART_OVERHEAD = 10;
+    private static final int ENTRY_OVERHEAD_NUMBERS = 10;
 
     private record Sample(
             MachineId machine,
             WorkerIncarnation workerIncarnation,
-            long seq,
+            long sequenceNumber,
             MonotonicTime observedAt,
             int value) {}
 
@@ -56,11 +56,11 @@
     /**
      * Creates a publisher without samples.
      *
-     * @param asked whether there are standbys that may send requests
+     * @param hasStandbys whether there are standbys that may send requests
      */
-    public RiskTablePublisher(FencingToken fencingToken, boolean asked) {
+    public RiskTablePublisher(FencingToken fencingToken, boolean hasStandbys) {
         this.fencingToken = fencingToken;
-        this.sampleRing = asked ? new Sample[MAX_SAMPLES] : null;
+        this.sampleRing = hasStandbys ? new Sample[MAX_SAMPLES] : null;
     }
 
     /** Records the sample that a heartbeat added to a machine's table. */
@@ -95,18 +95,18 @@
      * tables if it asks for these or if its samples are not known here any more.
      */
     public RiskTableDelta answerRequest(
-            RiskTableRequest asked,
+            RiskTableRequest request,
             SortedMap<MachineId, Machine> machines,
             Map<MachineId, RiskTable> tables,
             MonotonicTime now) {
-        boolean known =
-                asked.token().equals(fencingToken)
-                        && !asked.isForFullTables()
-                        && asked.afterSample() < nextSampleNumber
-                        && asked.afterSample() >= nextSampleNumber - 1 - MAX_SAMPLES;
-        return known
-                ? samplesSince(asked.afterSample(), machines, now)
-                : fullTablesPage(asked, machines, tables, now);
+        boolean hasSamplesAfterRequest =
+                request.token().equals(fencingToken)
+                        && !request.isForFullTables()
+                        && request.afterSample() < nextSampleNumber
+                        && request.afterSample() >= nextSampleNumber - 1 - MAX_SAMPLES;
+        return hasSamplesAfterRequest
+                ? samplesSince(request.afterSample(), machines, now)
+                : fullTablesPage(request, machines, tables, now);
     }
 
     /** Exports the tables of all machines that have sent a heartbeat, for a snapshot. */
@@ -114,16 +114,16 @@
             SortedMap<MachineId, Machine> machines,
             Map<MachineId, RiskTable> tables,
             MonotonicTime now) {
-        List<RiskTableDelta.MachineEntry> parts = new ArrayList<>();
+        List<RiskTableDelta.MachineEntry> entries = new ArrayList<>();
         for (Machine machine : machines.values()) {
             if (machine.incarnation() != null) {
-                parts.add(buildPart(machine, tables.get(machine.id()).exportState(now)));
+                entries.add(createEntry(machine, tables.get(machine.id()).exportState(now)));
             }
         }
-        return parts;
+        return entries;
     }
 
-    private static RiskTableDelta.MachineEntry buildPart(Machine machine, int[] table) {
+    private static RiskTableDelta.MachineEntry createEntry(Machine machine, int[] table) {
         return new RiskTableDelta.MachineEntry(
                 machine.id(),
                 identityHash(machine),
@@ -134,30 +134,30 @@
     }
 
     // The product is far below the range of int: the loop ends when it exceeds
-    // MAX_NUMBERS_PER_ANSWER.
+    // MAX_NUMBERS_PER_RESPONSE.
     @SuppressWarnings("NarrowCalculation")
     private RiskTableDelta samplesSince(
-            long after, SortedMap<MachineId, Machine> machines, MonotonicTime now) {
+            long afterSample, SortedMap<MachineId, Machine> machines, MonotonicTime now) {
         Map<MachineId, LongArrayList> byMachine = new LinkedHashMap<>();
-        long upTo = after;
-        while (upTo + 1 < nextSampleNumber
-                && (upTo - after) * RiskTableDelta.NUMBERS_PER_SAMPLE
-                                + byMachine.size() * PART_OVERHEAD
-                        < MAX_NUMBERS_PER_ANSWER) {
-            Sample sample = sampleRing[(int) (++upTo % MAX_SAMPLES)];
+        long lastSample = afterSample;
+        while (lastSample + 1 < nextSampleNumber
+                && (lastSample - afterSample) * RiskTableDelta.NUMBERS_PER_SAMPLE
+                                + byMachine.size() * ENTRY_OVERHEAD_NUMBERS
+                        < MAX_NUMBERS_PER_RESPONSE) {
+            Sample sample = sampleRing[(int) (++lastSample % MAX_SAMPLES)];
             LongArrayList samples =
                     byMachine.computeIfAbsent(sample.machine(), unused -> new LongArrayList());
             samples.add(sample.workerIncarnation().value());
-            samples.add(sample.seq());
+            samples.add(sample.sequenceNumber());
             samples.add(Math.max(0, now.elapsedSince(sample.observedAt()).toMillis()));
             samples.add(sample.value());
         }
-        List<RiskTableDelta.MachineEntry> parts = new ArrayList<>();
+        List<RiskTableDelta.MachineEntry> entries = new ArrayList<>();
         byMachine.forEach(
                 (id, samples) -> {
                     Machine machine = machines.get(id);
                     if (machine != null) {
-                        parts.add(
+                        entries.add(
                                 new RiskTableDelta.MachineEntry(
                                         id,
                                         identityHash(machine),
@@ -167,35 +167,36 @@
                                         samples.toLongArray()));
                     }
                 });
-        return new RiskTableDelta(fencingToken, upTo, false, upTo + 1 < nextSampleNumber, parts);
+        return new RiskTableDelta(
+                fencingToken, lastSample, false, lastSample + 1 < nextSampleNumber, entries);
     }
 
     private RiskTableDelta fullTablesPage(
-            RiskTableRequest asked,
+            RiskTableRequest request,
             SortedMap<MachineId, Machine> machines,
             Map<MachineId, RiskTable> tables,
             MonotonicTime now) {
         // Pages of another leader cannot be continued; start with the first one.
-        boolean goesOn =
-                asked.isForFullTables()
-                        && asked.token().equals(fencingToken)
-                        && !asked.afterMachine().isEmpty();
-        SortedMap<MachineId, Machine> rest =
-                goesOn
-                        ? machines.tailMap(new MachineId(asked.afterMachine() + '\0'))
+        boolean continuesPages =
+                request.isForFullTables()
+                        && request.token().equals(fencingToken)
+                        && !request.afterMachine().isEmpty();
+        SortedMap<MachineId, Machine> remaining =
+                continuesPages
+                        ? machines.tailMap(new MachineId(request.afterMachine() + '\0'))
                         : new TreeMap<>(machines);
-        List<RiskTableDelta.MachineEntry> parts = new ArrayList<>();
-        int numbers = 0;
-        for (Machine machine : rest.values()) {
-            if (numbers > MAX_NUMBERS_PER_ANSWER / 2) {
-                return new RiskTableDelta(fencingToken, nextSampleNumber - 1, true, true, parts);
+        List<RiskTableDelta.MachineEntry> entries = new ArrayList<>();
+        int numberCount = 0;
+        for (Machine machine : remaining.values()) {
+            if (numberCount > MAX_NUMBERS_PER_RESPONSE / 2) {
+                return new RiskTableDelta(fencingToken, nextSampleNumber - 1, true, true, entries);
             }
             if (machine.incarnation() != null) {
                 int[] table = tables.get(machine.id()).exportState(now);
-                numbers += table.length + PART_OVERHEAD;
-                parts.add(buildPart(machine, table));
+                numberCount += table.length + ENTRY_OVERHEAD_NUMBERS;
+                entries.add(createEntry(machine, table));
             }
         }
-        return new RiskTableDelta(fencingToken, nextSampleNumber - 1, true, false, parts);
+        return new RiskTableDelta(fencingToken, nextSampleNumber - 1, true, false, entries);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/failover/RiskTableReplica.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTableReplica.java
@@ -32,7 +32,7 @@
             RiskTable table,
             int identityHash,
             WorkerIncarnation workerIncarnation,
-            long seq,
+            long sequenceNumber,
             MonotonicTime updatedAt) {}
 
     /** The result of applying a response. */
@@ -57,58 +57,61 @@
     }
 
     /**
-     * Counts the machines whose table was updated within {@code span} before {@code now} and has
+     * Counts the machines whose table was updated within {@code window} before {@code now} and has
      * not been taken yet.
      */
-    int countUpdatedWithin(Duration span, MonotonicTime now) {
+    int countUpdatedWithin(Duration window, MonotonicTime now) {
         int count = 0;
         for (ReplicatedTable replicatedTable : tablesByMachine.values()) {
-            count += now.elapsedSince(replicatedTable.updatedAt()).compareTo(span) <= 0 ? 1 : 0;
+            count += now.elapsedSince(replicatedTable.updatedAt()).compareTo(window) <= 0 ? 1 : 0;
         }
         return count;
     }
 
-    RiskTableRequest nextRequest(ControllerStatus from) {
-        return new RiskTableRequest(from, fencingToken, appliedUpTo, fullSyncCursor);
+    RiskTableRequest nextRequest(ControllerStatus requester) {
+        return new RiskTableRequest(requester, fencingToken, appliedUpTo, fullSyncCursor);
     }
 
     /**
      * Applies a response of the leader.
      *
-     * @param highest the highest fencing token that this node has observed; a response with a lower
-     *     one comes from a former leader and is dropped
+     * @param highestObservedToken the highest fencing token that this node has observed; a response
+     *     with a lower one comes from a former leader and is dropped
      */
-    ApplyResult apply(RiskTableDelta delta, FencingToken highest, MonotonicTime now) {
-        if (highest.isAfter(delta.token())) {
+    ApplyResult apply(RiskTableDelta delta, FencingToken highestObservedToken, MonotonicTime now) {
+        if (highestObservedToken.isAfter(delta.token())) {
             return ApplyResult.STALE_LEADER;
         }
         // Samples that do not continue the replica are useless, such as those in a late response to
         // an earlier request.
-        boolean follows = delta.token().equals(fencingToken) && appliedUpTo >= 0;
-        if (!delta.fullTables() && (!follows || delta.lastSample() < appliedUpTo)) {
+        boolean continuesReplica = delta.token().equals(fencingToken) && appliedUpTo >= 0;
+        if (!delta.fullTables() && (!continuesReplica || delta.lastSample() < appliedUpTo)) {
             requestFullSync();
             return ApplyResult.INCONSISTENT;
         }
         try {
             for (RiskTableDelta.MachineEntry machineEntry : delta.entries()) {
-                applyPart(machineEntry, delta.fullTables(), now);
+                applyEntry(machineEntry, delta.fullTables(), now);
             }
-        } catch (IllegalArgumentException broken) {
+        } catch (IllegalArgumentException invalidEntry) {
             requestFullSync();
             return ApplyResult.INCONSISTENT;
         }
-        boolean unfinished = delta.fullTables() && delta.hasMore() && !delta.entries().isEmpty();
+        boolean hasMorePages = delta.fullTables() && delta.hasMore() && !delta.entries().isEmpty();
         if (delta.fullTables()
                 && (fullSyncCursor.isEmpty() || !delta.token().equals(fencingToken))) {
             fullSyncStartedAt = delta.lastSample();
         }
         fencingToken = delta.token();
         fullSyncCursor =
-                unfinished ? delta.entries().get(delta.entries().size() - 1).machine().value() : "";
+                hasMorePages
+                        ? delta.entries().get(delta.entries().size() - 1).machine().value()
+                        : "";
         // Samples recorded while the pages were read are missing in the earlier pages, so they are
         // requested from the start of the first page.
-        appliedUpTo = unfinished ? -1 : delta.fullTables() ? fullSyncStartedAt : delta.lastSample();
-        if (delta.fullTables() && !unfinished) {
+        appliedUpTo =
+                hasMorePages ? -1 : delta.fullTables() ? fullSyncStartedAt : delta.lastSample();
+        if (delta.fullTables() && !hasMorePages) {
             tablesByMachine
                     .values()
                     .removeIf(
@@ -121,9 +124,9 @@
                 : ApplyResult.UP_TO_DATE;
     }
 
-    /** Applies full tables of a snapshot that was taken at {@code then}. */
-    void apply(List<RiskTableDelta.MachineEntry> parts, MonotonicTime then) {
-        parts.forEach(machineEntry -> applyPart(machineEntry, true, then));
+    /** Applies full tables of a snapshot that was taken at {@code takenAt}. */
+    void apply(List<RiskTableDelta.MachineEntry> entries, MonotonicTime takenAt) {
+        entries.forEach(machineEntry -> applyEntry(machineEntry, true, takenAt));
     }
 
     void requestFullSync() {
@@ -131,13 +134,13 @@
         fullSyncCursor = "";
     }
 
-    private void applyPart(
-            RiskTableDelta.MachineEntry machineEntry, boolean whole, MonotonicTime now) {
-        ReplicatedTable known = tablesByMachine.get(machineEntry.machine());
-        if (known == null && tablesByMachine.size() >= MAX_TABLES) {
+    private void applyEntry(
+            RiskTableDelta.MachineEntry machineEntry, boolean isFullTable, MonotonicTime now) {
+        ReplicatedTable existing = tablesByMachine.get(machineEntry.machine());
+        if (existing == null && tablesByMachine.size() >= MAX_TABLES) {
             return;
         }
-        if (whole) {
+        if (isFullTable) {
             tablesByMachine.put(
                     machineEntry.machine(),
                     new ReplicatedTable(
@@ -152,57 +155,65 @@
             throw new IllegalArgumentException("incomplete sample");
         }
         // A reused name denotes another machine, which begins with an empty table.
-        boolean same = known != null && known.identityHash() == machineEntry.machineIdentityHash();
-        RiskTable table = same ? known.table() : new RiskTable();
+        boolean isSameMachine =
+                existing != null && existing.identityHash() == machineEntry.machineIdentityHash();
+        RiskTable table = isSameMachine ? existing.table() : new RiskTable();
         WorkerIncarnation workerIncarnation =
-                same ? known.workerIncarnation() : new WorkerIncarnation(0);
-        long seq = same ? known.seq() : 0;
-        for (int at = 0;
-                at < machineEntry.samples().length;
-                at += RiskTableDelta.NUMBERS_PER_SAMPLE) {
-            WorkerIncarnation itsSession = new WorkerIncarnation(machineEntry.samples()[at]);
-            long itsSeq = machineEntry.samples()[at + 1];
+                isSameMachine ? existing.workerIncarnation() : new WorkerIncarnation(0);
+        long sequenceNumber = isSameMachine ? existing.sequenceNumber() : 0;
+        for (int offset = 0;
+                offset < machineEntry.samples().length;
+                offset += RiskTableDelta.NUMBERS_PER_SAMPLE) {
+            WorkerIncarnation sampleIncarnation =
+                    new WorkerIncarnation(machineEntry.samples()[offset]);
+            long sampleSequenceNumber = machineEntry.samples()[offset + 1];
             // Full tables that were read page by page may contain some of these samples already.
-            if (itsSession.isAfter(workerIncarnation)
-                    || (itsSession.equals(workerIncarnation) && itsSeq > seq)) {
+            if (sampleIncarnation.isAfter(workerIncarnation)
+                    || (sampleIncarnation.equals(workerIncarnation)
+                            && sampleSequenceNumber > sequenceNumber)) {
                 table.replaySample(
-                        (int) machineEntry.samples()[at + 3],
+                        (int) machineEntry.samples()[offset + 3],
                         new MonotonicTime(
                                 now.nanos()
-                                        - Math.max(0, machineEntry.samples()[at + 2]) * 1_000_000));
-                workerIncarnation = itsSession;
-                seq = itsSeq;
+                                        - Math.max(0, machineEntry.samples()[offset + 2])
+                                                * 1_000_000));
+                workerIncarnation = sampleIncarnation;
+                sequenceNumber = sampleSequenceNumber;
             }
         }
         tablesByMachine.put(
                 machineEntry.machine(),
                 new ReplicatedTable(
-                        table, machineEntry.machineIdentityHash(), workerIncarnation, seq, now));
+                        table,
+                        machineEntry.machineIdentityHash(),
+                        workerIncarnation,
+                        sequenceNumber,
+                        now));
     }
 
     /**
      * Removes and returns the table of a machine whose first heartbeat has arrived.
      *
-     * @param incarnation the identity hash of the machine that has this name now
+     * @param identityHash the identity hash of the machine that has this name now
      * @param workerIncarnation the worker incarnation of that heartbeat
-     * @param seq the sequence number of that heartbeat
+     * @param sequenceNumber the sequence number of that heartbeat
      * @return empty if there is none, if it belongs to another machine of the same name, if it is
      *     newer than the heartbeat, or if it is older than {@link #MAX_AGE}
      */
     Optional<RiskTable> takeTable(
             MachineId machine,
-            int incarnation,
+            int identityHash,
             WorkerIncarnation workerIncarnation,
-            long seq,
+            long sequenceNumber,
             MonotonicTime now) {
         ReplicatedTable replicatedTable = tablesByMachine.remove(machine);
-        boolean isOlder =
+        boolean precedesHeartbeat =
                 replicatedTable != null
                         && (workerIncarnation.isAfter(replicatedTable.workerIncarnation())
                                 || (workerIncarnation.equals(replicatedTable.workerIncarnation())
-                                        && seq >= replicatedTable.seq()));
-        return isOlder
-                        && replicatedTable.identityHash() == incarnation
+                                        && sequenceNumber >= replicatedTable.sequenceNumber()));
+        return precedesHeartbeat
+                        && replicatedTable.identityHash() == identityHash
                         && now.elapsedSince(replicatedTable.updatedAt()).compareTo(MAX_AGE) <= 0
                 ? Optional.of(replicatedTable.table())
                 : Optional.empty();
--- a/src/main/java/org/meadowhollow/coordination/failover/RiskTableSnapshotStore.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTableSnapshotStore.java
@@ -82,21 +82,21 @@
 
     private Map<String, Object> pendingHead;
     private boolean requestInFlight;
-    private MonotonicTime setBegunAt;
+    private MonotonicTime setStartedAt;
 
     /**
      * Creates a store that writes nothing until {@link #writeNext}.
      *
-     * @param leaderVersion the revision of the leader record, which every transaction requires
-     * @param mostWrites the most writes in one transaction
-     * @param valueBytes the largest value that the key-value store takes, in bytes
+     * @param leaderKeyRevision the revision of the leader record, which every transaction requires
+     * @param maxWrites the most writes in one transaction
+     * @param maxValueBytes the largest value that the key-value store takes, in bytes
      */
     public RiskTableSnapshotStore(
-            KeyValueStore store, Revision leaderVersion, int mostWrites, int valueBytes) {
+            KeyValueStore store, Revision leaderKeyRevision, int maxWrites, int maxValueBytes) {
         this.store = store;
-        this.leaderKeyRevision = leaderVersion;
-        this.maxWrites = mostWrites;
-        this.maxChunkBytes = Math.min(valueBytes, MAX_TRANSACTION_BYTES) - FRAMING_BYTES;
+        this.leaderKeyRevision = leaderKeyRevision;
+        this.maxWrites = maxWrites;
+        this.maxChunkBytes = Math.min(maxValueBytes, MAX_TRANSACTION_BYTES) - FRAMING_BYTES;
     }
 
     /**
@@ -104,56 +104,57 @@
      * while a request is in flight.
      *
      * @param tables supplies the tables of a new snapshot
-     * @param idle whether no other records wait to be written
-     * @param wallMillis the wall-clock time that a new snapshot is stamped with
+     * @param isWriterIdle whether no other records wait to be written
+     * @param wallClockMillis the wall-clock time that a new snapshot is stamped with
      */
     // The chain records the result; after a failure the next call writes the same chunks again.
     @SuppressWarnings("FutureReturnValueIgnored")
     public void writeNext(
             Supplier<List<RiskTableDelta.MachineEntry>> tables,
-            boolean idle,
+            boolean isWriterIdle,
             MonotonicTime now,
-            long wallMillis) {
-        if (requestInFlight || !idle) {
+            long wallClockMillis) {
+        if (requestInFlight || !isWriterIdle) {
             return;
         }
         if (currentSet < 0) {
-            findSet();
+            loadCurrentSet();
             return;
         }
-        if (pendingHead == null || now.elapsedSince(setBegunAt).compareTo(WRITE_TIMEOUT) > 0) {
-            if (setBegunAt != null
-                    && now.elapsedSince(setBegunAt).compareTo(SNAPSHOT_INTERVAL) < 0) {
+        if (pendingHead == null || now.elapsedSince(setStartedAt).compareTo(WRITE_TIMEOUT) > 0) {
+            if (setStartedAt != null
+                    && now.elapsedSince(setStartedAt).compareTo(SNAPSHOT_INTERVAL) < 0) {
                 return;
             }
-            beginSet(tables.get(), wallMillis);
-            setBegunAt = now;
+            beginSet(tables.get(), wallClockMillis);
+            setStartedAt = now;
         }
         Transaction transaction =
                 new Transaction().requireRevision(RecordKeys.LEADER_KEY, leaderKeyRevision);
         int bytes = 0;
-        int next = chunksWritten;
-        while (next < chunks.size()
+        int nextChunk = chunksWritten;
+        while (nextChunk < chunks.size()
                 && transaction.writes().size() < maxWrites - 1
-                && bytes + chunks.get(next).length() <= MAX_TRANSACTION_BYTES) {
-            bytes += chunks.get(next).length();
+                && bytes + chunks.get(nextChunk).length() <= MAX_TRANSACTION_BYTES) {
+            bytes += chunks.get(nextChunk).length();
             transaction.put(
-                    RecordKeys.riskTableChunk(currentSet, next), Map.of("text", chunks.get(next)));
-            next++;
+                    RecordKeys.riskTableChunk(currentSet, nextChunk),
+                    Map.of("text", chunks.get(nextChunk)));
+            nextChunk++;
         }
-        boolean last = next == chunks.size();
-        if (last) {
+        boolean isLastTransaction = nextChunk == chunks.size();
+        if (isLastTransaction) {
             transaction.put(RecordKeys.RISK_TABLE_HEAD_KEY, pendingHead);
         }
-        int reached = next;
+        int chunksAfterCommit = nextChunk;
         requestInFlight = true;
         store.commit(transaction, RequestPriority.BACKGROUND)
                 .whenComplete(
                         (commitResult, failure) -> {
                             requestInFlight = false;
                             if (failure == null && commitResult.isApplied()) {
-                                chunksWritten = reached;
-                                pendingHead = last ? null : pendingHead;
+                                chunksWritten = chunksAfterCommit;
+                                pendingHead = isLastTransaction ? null : pendingHead;
                             }
                         });
     }
@@ -164,22 +165,29 @@
      */
     // The chain records the result; after a failure the next call reads again.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private void findSet() {
+    private void loadCurrentSet() {
         requestInFlight = true;
         store.get(RecordKeys.RISK_TABLE_HEAD_KEY, RequestPriority.BACKGROUND)
                 .whenComplete(
-                        (found, failure) -> {
+                        (headEntry, failure) -> {
                             requestInFlight = false;
                             if (failure == null) {
                                 currentSet =
-                                        found.map(entry -> (int) readNumber(entry.value(), "set"))
+                                        headEntry
+                                                .map(
+                                                        entry ->
+                                                                (int)
+                                                                        readNumber(
+                                                                                entry.value(),
+                                                                                "set"))
                                                 .orElse(0);
                             }
                         });
     }
 
-    private void beginSet(List<RiskTableDelta.MachineEntry> parts, long wallMillis) {
-        byte[] body = encode(parts.size() > MAX_MACHINES ? parts.subList(0, MAX_MACHINES) : parts);
+    private void beginSet(List<RiskTableDelta.MachineEntry> entries, long wallClockMillis) {
+        byte[] body =
+                encode(entries.size() > MAX_MACHINES ? entries.subList(0, MAX_MACHINES) : entries);
         String text = Base64.getEncoder().encodeToString(body);
         chunks = new ArrayList<>();
         for (int at = 0; at < text.length(); at += maxChunkBytes) {
@@ -196,7 +204,7 @@
                         "chunks",
                         (long) chunks.size(),
                         "at",
-                        wallMillis,
+                        wallClockMillis,
                         "checksum",
                         checksum(body));
     }
@@ -207,12 +215,13 @@
         return sum.getValue();
     }
 
-    static byte[] encode(List<RiskTableDelta.MachineEntry> parts) {
+    static byte[] encode(List<RiskTableDelta.MachineEntry> entries) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        Deflater fast = new Deflater(Deflater.BEST_SPEED);
-        try (DataOutputStream out = new DataOutputStream(new DeflaterOutputStream(bytes, fast))) {
-            out.writeInt(parts.size());
-            for (RiskTableDelta.MachineEntry machineEntry : parts) {
+        Deflater deflater = new Deflater(Deflater.BEST_SPEED);
+        try (DataOutputStream out =
+                new DataOutputStream(new DeflaterOutputStream(bytes, deflater))) {
+            out.writeInt(entries.size());
+            for (RiskTableDelta.MachineEntry machineEntry : entries) {
                 out.writeUTF(machineEntry.machine().value());
                 out.writeInt(machineEntry.machineIdentityHash());
                 out.writeLong(machineEntry.workerIncarnation().value());
@@ -225,7 +234,7 @@
         } catch (IOException impossible) {
             throw new IllegalStateException(impossible);
         } finally {
-            fast.end();
+            deflater.end();
         }
         return bytes.toByteArray();
     }
@@ -234,25 +243,30 @@
         try (DataInputStream in =
                 new DataInputStream(new InflaterInputStream(new ByteArrayInputStream(body)))) {
             int count = Math.min(MAX_MACHINES, in.readInt());
-            List<RiskTableDelta.MachineEntry> parts = new ArrayList<>();
+            List<RiskTableDelta.MachineEntry> entries = new ArrayList<>();
             for (int at = 0; at < count; at++) {
                 MachineId machine = new MachineId(in.readUTF());
-                int incarnation = in.readInt();
+                int identityHash = in.readInt();
                 WorkerIncarnation workerIncarnation = new WorkerIncarnation(in.readLong());
-                long seq = in.readLong();
+                long sequenceNumber = in.readLong();
                 int length = in.readInt();
-                if (length < 0 || length > RiskTablePublisher.MAX_NUMBERS_PER_ANSWER) {
+                if (length < 0 || length > RiskTablePublisher.MAX_NUMBERS_PER_RESPONSE) {
                     throw new IOException("invalid table length: " + length);
                 }
                 int[] table = new int[length];
                 for (int number = 0; number < table.length; number++) {
                     table[number] = in.readInt();
                 }
-                parts.add(
+                entries.add(
                         new RiskTableDelta.MachineEntry(
-                                machine, incarnation, workerIncarnation, seq, table, new long[0]));
+                                machine,
+                                identityHash,
+                                workerIncarnation,
+                                sequenceNumber,
+                                table,
+                                new long[0]));
             }
-            return parts;
+            return entries;
         }
     }
 
@@ -269,12 +283,12 @@
             KeyValueStore store, EventLoop loop) {
         return store.get(RecordKeys.RISK_TABLE_HEAD_KEY, RequestPriority.PLACEMENT)
                 .thenCompose(
-                        found -> {
-                            if (found.isEmpty()) {
+                        headEntry -> {
+                            if (headEntry.isEmpty()) {
                                 return CompletableFuture.completedFuture(
                                         Optional.<StoredTables>empty());
                             }
-                            Map<String, Object> head = found.get().value();
+                            Map<String, Object> head = headEntry.get().value();
                             Duration age =
                                     Duration.ofMillis(
                                             Math.max(
@@ -294,11 +308,11 @@
                                                     (int) readNumber(head, "set")),
                                             null,
                                             RequestPriority.PLACEMENT)
-                                    .thenCompose(page -> read(head, page.entries(), age));
+                                    .thenCompose(page -> assembleTables(head, page.entries(), age));
                         });
     }
 
-    private static CompletableFuture<Optional<StoredTables>> read(
+    private static CompletableFuture<Optional<StoredTables>> assembleTables(
             Map<String, Object> head, List<Entry> entries, Duration age) {
         Map<String, Object> texts = new HashMap<>();
         entries.forEach(entry -> texts.put(entry.key(), entry.value().get("text")));
@@ -318,8 +332,8 @@
         }
     }
 
-    private static CompletableFuture<Optional<StoredTables>> unusable(String why) {
-        LOG.info("risk table snapshot ignored reason={}", why);
+    private static CompletableFuture<Optional<StoredTables>> unusable(String reason) {
+        LOG.info("risk table snapshot ignored reason={}", reason);
         return CompletableFuture.completedFuture(Optional.empty());
     }
 
--- a/src/main/java/org/meadowhollow/coordination/failover/WarmStandby.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/WarmStandby.java
@@ -73,23 +73,23 @@
     /**
      * Creates a standby that is idle until {@link #start}.
      *
-     * @param self the status of this node, without the replica revision
-     * @param leader supplies the last known leader, or null
-     * @param highest supplies the highest fencing token that this node has observed
+     * @param ownStatus the status of this node, without the replica revision
+     * @param leaderSupplier supplies the last known leader, or null
+     * @param highestTokenSupplier supplies the highest fencing token that this node has observed
      */
     public WarmStandby(
             EventLoop loop,
             KeyValueStore store,
             PeerGateway peerGateway,
-            ControllerStatus self,
-            Supplier<String> leader,
-            Supplier<FencingToken> highest) {
+            ControllerStatus ownStatus,
+            Supplier<String> leaderSupplier,
+            Supplier<FencingToken> highestTokenSupplier) {
         this.loop = loop;
         this.generations = new GenerationCounter(loop);
         this.peerGateway = peerGateway;
-        this.ownStatus = self;
-        this.leaderSupplier = leader;
-        this.highestTokenSupplier = highest;
+        this.ownStatus = ownStatus;
+        this.leaderSupplier = leaderSupplier;
+        this.highestTokenSupplier = highestTokenSupplier;
         for (String prefix :
                 List.of(RecordKeys.JOB_PREFIX, RecordKeys.TASK_PREFIX, RecordKeys.IMAGE_PREFIX)) {
             followers.put(
@@ -99,19 +99,19 @@
 
     /** Starts replication with empty replicas. */
     public void start() {
-        int mine;
+        int generation;
         synchronized (this) {
-            mine = generations.startNext();
+            generation = generations.startNext();
             tableReplica = new RiskTableReplica();
         }
         generations.runLater(
                 START_DELAY,
-                mine,
+                generation,
                 () -> {
                     followers.values().forEach(ChangeFeedFollower::start);
-                    pullTables(mine);
+                    pullTables(generation);
                 });
-        generations.runLater(AUDIT_INTERVAL, mine, () -> audit(mine));
+        generations.runLater(AUDIT_INTERVAL, generation, () -> audit(generation));
     }
 
     /** Stops pulling and auditing, and hands the replicas to the leadership that begins here. */
@@ -139,16 +139,16 @@
     }
 
     /** The lowest revision among the replicas, or {@link Revision#ABSENT} if one is not loaded. */
-    private Revision oldestRevision() {
-        Revision least = null;
+    private Revision lowestRevision() {
+        Revision lowest = null;
         for (ChangeFeedFollower follower : followers.values()) {
-            Revision its = follower.revision();
-            if (its == null) {
+            Revision revision = follower.revision();
+            if (revision == null) {
                 return Revision.ABSENT;
             }
-            least = least == null || least.isAfter(its) ? its : least;
+            lowest = lowest == null || lowest.isAfter(revision) ? revision : lowest;
         }
-        return least;
+        return lowest;
     }
 
     private ControllerStatus currentStatus() {
@@ -158,46 +158,46 @@
                 ownStatus.zone(),
                 ownStatus.softwareVersion(),
                 ownStatus.schemaVersion(),
-                oldestRevision());
+                lowestRevision());
     }
 
     // The chain handles success and failure itself, and schedules the next pull.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private void pullTables(int mine) {
-        String asked = leaderSupplier.get();
-        if (!isOtherMember(asked)) {
-            generations.runLater(PULL_INTERVAL, mine, () -> pullTables(mine));
+    private void pullTables(int generation) {
+        String leader = leaderSupplier.get();
+        if (!isOtherMember(leader)) {
+            generations.runLater(PULL_INTERVAL, generation, () -> pullTables(generation));
             return;
         }
-        RiskTableReplica filled;
+        RiskTableReplica replica;
         synchronized (this) {
-            filled = tableReplica;
+            replica = tableReplica;
         }
         peerGateway
-                .fetchRiskTables(asked, filled.nextRequest(currentStatus()))
+                .fetchRiskTables(leader, replica.nextRequest(currentStatus()))
                 .whenComplete(
                         (delta, failure) -> {
-                            if (!generations.isCurrent(mine)) {
+                            if (!generations.isCurrent(generation)) {
                                 return;
                             }
-                            boolean more;
+                            boolean hasMore;
                             synchronized (this) {
-                                more =
+                                hasMore =
                                         failure == null
                                                 && delta.isPresent()
-                                                && applyDelta(filled, asked, delta.get());
+                                                && applyDelta(replica, leader, delta.get());
                             }
                             if (failure != null) {
-                                filled.requestFullSync();
+                                replica.requestFullSync();
                                 LOG.info(
                                         "standby requests full risk tables node={} reason={}",
-                                        asked,
+                                        leader,
                                         reason(failure));
                             }
                             generations.runLater(
-                                    more ? NEXT_PAGE_DELAY : PULL_INTERVAL,
-                                    mine,
-                                    () -> pullTables(mine));
+                                    hasMore ? NEXT_PAGE_DELAY : PULL_INTERVAL,
+                                    generation,
+                                    () -> pullTables(generation));
                         });
     }
 
@@ -205,18 +205,18 @@
         return (failure instanceof CompletionException ? failure.getCause() : failure).getMessage();
     }
 
-    private boolean applyDelta(RiskTableReplica filled, String asked, RiskTableDelta delta) {
+    private boolean applyDelta(RiskTableReplica replica, String leader, RiskTableDelta delta) {
         RiskTableReplica.ApplyResult applyResult =
-                filled.apply(delta, highestTokenSupplier.get(), loop.now());
+                replica.apply(delta, highestTokenSupplier.get(), loop.now());
         if (applyResult == RiskTableReplica.ApplyResult.STALE_LEADER) {
             LOG.info(
                     "risk tables dropped token={} node={} reason=stale leader",
                     delta.token(),
-                    asked);
+                    leader);
         } else if (applyResult == RiskTableReplica.ApplyResult.INCONSISTENT) {
             LOG.info(
                     "standby requests full risk tables node={} reason=delta is inconsistent with replica",
-                    asked);
+                    leader);
         }
         return applyResult == RiskTableReplica.ApplyResult.MORE_AVAILABLE
                 || applyResult == RiskTableReplica.ApplyResult.INCONSISTENT;
@@ -226,19 +226,20 @@
 
     // A failed request is ignored: the next audit is already scheduled.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private void audit(int mine) {
-        generations.runLater(AUDIT_INTERVAL, mine, () -> audit(mine));
-        String asked = leaderSupplier.get();
-        if (!isOtherMember(asked)) {
+    private void audit(int generation) {
+        generations.runLater(AUDIT_INTERVAL, generation, () -> audit(generation));
+        String leader = leaderSupplier.get();
+        if (!isOtherMember(leader)) {
             return;
         }
         peerGateway
-                .fetchDigests(asked)
+                .fetchDigests(leader)
                 .whenComplete(
-                        (told, failure) -> {
-                            if (generations.isCurrent(mine) && failure == null) {
-                                told.flatMap(this::findFirstDifference)
-                                        .ifPresent(part -> verifyAndRepair(mine, part));
+                        (leaderDigests, failure) -> {
+                            if (generations.isCurrent(generation) && failure == null) {
+                                leaderDigests
+                                        .flatMap(this::findFirstDifference)
+                                        .ifPresent(part -> verifyAndRepair(generation, part));
                             }
                         });
     }
@@ -248,34 +249,34 @@
      * Under load some part nearly always differs by the changes of the last seconds, so a
      * difference proves nothing until the part has been read again.
      */
-    private Optional<String> findFirstDifference(RecordDigests told) {
-        RecordDigests here = new RecordDigests();
-        AUDITED_PREFIXES.forEach(prefix -> here.add(followers.get(prefix).digests()));
+    private Optional<String> findFirstDifference(RecordDigests leaderDigests) {
+        RecordDigests ownDigests = new RecordDigests();
+        AUDITED_PREFIXES.forEach(prefix -> ownDigests.add(followers.get(prefix).digests()));
         return AUDITED_PREFIXES.stream()
                         .allMatch(prefix -> followers.get(prefix).revision() != null)
-                ? told.differingParts(here).stream().findFirst()
+                ? leaderDigests.differingParts(ownDigests).stream().findFirst()
                 : Optional.empty();
     }
 
     // The follower maps a failed read to an empty list; the chain logs mismatches.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private void verifyAndRepair(int mine, String part) {
+    private void verifyAndRepair(int generation, String part) {
         String prefix = part.substring(0, part.indexOf('/') + 1);
         followers
                 .get(prefix)
                 .verifyAndRepair(part)
                 .thenAccept(
-                        wrong -> {
-                            if (generations.isCurrent(mine) && !wrong.isEmpty()) {
+                        mismatchedKeys -> {
+                            if (generations.isCurrent(generation) && !mismatchedKeys.isEmpty()) {
                                 synchronized (this) {
-                                    mismatchedRecordCount += wrong.size();
+                                    mismatchedRecordCount += mismatchedKeys.size();
                                 }
                                 LOG.error(
                                         "replica differed from key-value store and was repaired records={} prefix={} records_since_start={} first_key={}",
-                                        wrong.size(),
+                                        mismatchedKeys.size(),
                                         part,
                                         mismatchedRecordCount(),
-                                        wrong.get(0));
+                                        mismatchedKeys.get(0));
                             }
                         });
     }
--- a/src/test/java/org/meadowhollow/coordination/failover/FailoverPreconditionsTest.java
+++ b/src/test/java/org/meadowhollow/coordination/failover/FailoverPreconditionsTest.java
@@ -11,9 +11,9 @@
 import org.meadowhollow.model.Revision;
 
 class FailoverPreconditionsTest {
-    private static final Revision KEY = new Revision(40);
+    private static final Revision LEADER_KEY_REVISION = new Revision(40);
 
-    private static Set<Precondition> unmet(
+    private static Set<Precondition> findUnmet(
             boolean leaseValid,
             long highestToken,
             Revision recordsRevision,
@@ -26,7 +26,7 @@
                         leaseValid,
                         new FencingToken(3),
                         new FencingToken(highestToken),
-                        KEY,
+                        LEADER_KEY_REVISION,
                         recordsRevision,
                         machineTypesKnown,
                         reservationsLoaded,
@@ -37,28 +37,32 @@
 
     @Test
     void eachPreconditionIsUnmetForItsOwnReasonAlone() {
-        assertEquals(Set.of(), unmet(true, 3, KEY, true, true, true, 5));
-        assertEquals(Set.of(Precondition.LEASE_VALID), unmet(false, 3, KEY, true, true, true, 5));
+        assertEquals(Set.of(), findUnmet(true, 3, LEADER_KEY_REVISION, true, true, true, 5));
         assertEquals(
-                Set.of(Precondition.TOKEN_IS_HIGHEST), unmet(true, 4, KEY, true, true, true, 5));
+                Set.of(Precondition.LEASE_VALID),
+                findUnmet(false, 3, LEADER_KEY_REVISION, true, true, true, 5));
         assertEquals(
-                Set.of(Precondition.RECORDS_LOADED), unmet(true, 3, null, true, true, true, 5));
+                Set.of(Precondition.TOKEN_IS_HIGHEST),
+                findUnmet(true, 4, LEADER_KEY_REVISION, true, true, true, 5));
+        assertEquals(
+                Set.of(Precondition.RECORDS_LOADED), findUnmet(true, 3, null, true, true, true, 5));
         assertEquals(
                 Set.of(Precondition.RECORDS_COVER_LEADER_KEY),
-                unmet(true, 3, new Revision(39), true, true, true, 5));
+                findUnmet(true, 3, new Revision(39), true, true, true, 5));
         assertEquals(
                 Set.of(Precondition.MACHINE_TYPES_KNOWN),
-                unmet(true, 3, KEY, false, true, true, 5));
+                findUnmet(true, 3, LEADER_KEY_REVISION, false, true, true, 5));
         assertEquals(
                 Set.of(Precondition.RESERVATIONS_LOADED),
-                unmet(true, 3, KEY, true, false, true, 5));
+                findUnmet(true, 3, LEADER_KEY_REVISION, true, false, true, 5));
         assertEquals(
-                Set.of(Precondition.WORKERS_REACHABLE), unmet(true, 3, KEY, true, true, false, 5));
+                Set.of(Precondition.WORKERS_REACHABLE),
+                findUnmet(true, 3, LEADER_KEY_REVISION, true, true, false, 5));
         assertEquals(
                 Set.of(Precondition.ENOUGH_MACHINES_REPORTED),
-                unmet(true, 3, KEY, true, true, true, 4));
+                findUnmet(true, 3, LEADER_KEY_REVISION, true, true, true, 4));
         assertEquals(
                 EnumSet.complementOf(EnumSet.of(Precondition.RECORDS_COVER_LEADER_KEY)),
-                unmet(false, 4, null, false, false, false, 0));
+                findUnmet(false, 4, null, false, false, false, 0));
     }
 }
--- a/src/test/java/org/meadowhollow/coordination/failover/RiskTableReplicationTest.java
+++ b/src/test/java/org/meadowhollow/coordination/failover/RiskTableReplicationTest.java
@@ -27,7 +27,7 @@
 
 /** Tests that a standby's replica of the risk tables matches the leader's tables. */
 class RiskTableReplicationTest {
-    private static final FencingToken TERM = new FencingToken(2);
+    private static final FencingToken TOKEN = new FencingToken(2);
     private static final MachineType TYPE =
             new MachineType("large", Resources.of(32, 8, 128), 50, 1, 8, 4, 10, List.of("a"));
     private static final ControllerStatus STANDBY =
@@ -35,17 +35,17 @@
 
     private final TreeMap<MachineId, Machine> machines = new TreeMap<>();
     private final Map<MachineId, RiskTable> tables = new HashMap<>();
-    private final RiskTablePublisher feed = new RiskTablePublisher(TERM, true);
-    private final RiskTableReplica copies = new RiskTableReplica();
+    private final RiskTablePublisher publisher = new RiskTablePublisher(TOKEN, true);
+    private final RiskTableReplica replica = new RiskTableReplica();
     private final Random random = new Random(11);
     private long second;
-    private long seq;
+    private long lastSequenceNumber;
 
     private MonotonicTime now() {
         return new MonotonicTime(second * 1_000_000_000L);
     }
 
-    private void machines(int count) {
+    private void createMachines(int count) {
         for (int at = 0; at < count; at++) {
             MachineId id = new MachineId("vm-%06d".formatted(at));
             machines.put(id, new Machine(id, TYPE, "a", false));
@@ -54,15 +54,16 @@
     }
 
     /** Sends rounds of heartbeats: one of every machine each three seconds; some lose tasks. */
-    private void reports(int rounds) {
+    private void sendHeartbeats(int rounds) {
         for (int round = 0; round < rounds; round++) {
             second += 3;
             machines.values()
                     .forEach(
                             machine -> {
-                                report(machine, new WorkerIncarnation(1), ++seq);
+                                sendHeartbeat(
+                                        machine, new WorkerIncarnation(1), ++lastSequenceNumber);
                                 int lost = random.nextInt(5) == 0 ? 1 : 0;
-                                feed.recordSample(
+                                publisher.recordSample(
                                         machine,
                                         tables.get(machine.id())
                                                 .recordSample(
@@ -75,7 +76,8 @@
         }
     }
 
-    private static void report(Machine machine, WorkerIncarnation workerIncarnation, long number) {
+    private static void sendHeartbeat(
+            Machine machine, WorkerIncarnation workerIncarnation, long sequenceNumber) {
         machine.recordHeartbeat(
                 new Heartbeat(
                         machine.id(),
@@ -84,116 +86,117 @@
                         "a",
                         false,
                         workerIncarnation,
-                        number,
-                        TERM,
+                        sequenceNumber,
+                        TOKEN,
                         Double.NaN,
                         List.of()));
     }
 
-    private RiskTableDelta answer() {
-        return feed.answerRequest(copies.nextRequest(STANDBY), machines, tables, now());
+    private RiskTableDelta nextResponse() {
+        return publisher.answerRequest(replica.nextRequest(STANDBY), machines, tables, now());
     }
 
     /**
      * Sends requests until the replica is up to date, while the leader continues to receive
      * heartbeats; returns the number of responses.
      */
-    private int pull() {
-        for (int answers = 1; ; answers++) {
-            ApplyResult applyResult = copies.apply(answer(), TERM, now());
+    private int pullUntilUpToDate() {
+        for (int responses = 1; ; responses++) {
+            ApplyResult applyResult = replica.apply(nextResponse(), TOKEN, now());
             if (applyResult == ApplyResult.UP_TO_DATE) {
-                return answers;
+                return responses;
             }
             assertEquals(ApplyResult.MORE_AVAILABLE, applyResult);
-            reports(1);
+            sendHeartbeats(1);
         }
     }
 
-    private Optional<RiskTable> inherit(
-            int machine, WorkerIncarnation workerIncarnation, long number) {
+    private Optional<RiskTable> takeTable(
+            int machine, WorkerIncarnation workerIncarnation, long sequenceNumber) {
         MachineId id = new MachineId("vm-%06d".formatted(machine));
-        return copies.takeTable(
+        return replica.takeTable(
                 id,
                 RiskTablePublisher.identityHash(machines.get(id)),
                 workerIncarnation,
-                number,
+                sequenceNumber,
                 now());
     }
 
     @Test
-    void copiesComeToSayTheSameThoughPagesAndSamplesOverlap() {
-        machines(300);
-        reports(30);
-        assertTrue(pull() > 1, "full tables arrive in several pages");
+    void replicaConvergesWhilePagesAndSamplesOverlap() {
+        createMachines(300);
+        sendHeartbeats(30);
+        assertTrue(pullUntilUpToDate() > 1, "full tables arrive in several pages");
         for (int round = 0; round < 20; round++) {
-            reports(4);
-            pull();
+            sendHeartbeats(4);
+            pullUntilUpToDate();
         }
         for (int at = 0; at < 300; at++) {
             assertEquals(
                     tables.get(new MachineId("vm-%06d".formatted(at))),
-                    inherit(at, new WorkerIncarnation(1), seq + 1).orElseThrow());
+                    takeTable(at, new WorkerIncarnation(1), lastSequenceNumber + 1).orElseThrow());
         }
     }
 
     @Test
-    void whoIsTooFarBehindGetsWholeTables() {
-        machines(100);
-        reports(3);
-        pull();
-        reports(RiskTablePublisher.MAX_SAMPLES / 100 + 2);
-        assertTrue(answer().fullTables());
-        pull();
+    void standbyTooFarBehindGetsFullTables() {
+        createMachines(100);
+        sendHeartbeats(3);
+        pullUntilUpToDate();
+        sendHeartbeats(RiskTablePublisher.MAX_SAMPLES / 100 + 2);
+        assertTrue(nextResponse().fullTables());
+        pullUntilUpToDate();
         assertEquals(
                 tables.get(new MachineId("vm-000007")),
-                inherit(7, new WorkerIncarnation(1), seq + 1).orElseThrow());
+                takeTable(7, new WorkerIncarnation(1), lastSequenceNumber + 1).orElseThrow());
     }
 
     @Test
-    void whatADeposedLeaderSaysLateIsDropped() {
-        machines(3);
-        reports(3);
-        pull();
-        RiskTableDelta late = answer();
-        RiskTablePublisher next = new RiskTablePublisher(TERM.next(), true);
-        FencingToken higher = TERM.next();
+    void lateResponseOfFormerLeaderIsDropped() {
+        createMachines(3);
+        sendHeartbeats(3);
+        pullUntilUpToDate();
+        RiskTableDelta lateResponse = nextResponse();
+        RiskTablePublisher successorPublisher = new RiskTablePublisher(TOKEN.next(), true);
+        FencingToken higherToken = TOKEN.next();
         assertEquals(
                 ApplyResult.UP_TO_DATE,
-                copies.apply(
-                        next.answerRequest(copies.nextRequest(STANDBY), machines, tables, now()),
-                        higher,
+                replica.apply(
+                        successorPublisher.answerRequest(
+                                replica.nextRequest(STANDBY), machines, tables, now()),
+                        higherToken,
                         now()));
-        assertEquals(ApplyResult.STALE_LEADER, copies.apply(late, higher, now()));
+        assertEquals(ApplyResult.STALE_LEADER, replica.apply(lateResponse, higherToken, now()));
         // Also if the standby knows the higher token only from the tables themselves.
-        assertEquals(ApplyResult.INCONSISTENT, copies.apply(late, TERM, now()));
+        assertEquals(ApplyResult.INCONSISTENT, replica.apply(lateResponse, TOKEN, now()));
     }
 
     @Test
-    void damagedTablesAreAskedForAnewAsAWhole() {
-        machines(2);
-        reports(25);
-        pull();
-        reports(1);
+    void damagedTablesAreRejectedAndRequestedInFull() {
+        createMachines(2);
+        sendHeartbeats(25);
+        pullUntilUpToDate();
+        sendHeartbeats(1);
         RiskTableDelta.MachineEntry damaged =
                 new RiskTableDelta.MachineEntry(
                         new MachineId("vm-000001"),
                         1,
                         new WorkerIncarnation(1),
-                        seq,
+                        lastSequenceNumber,
                         new int[0],
-                        new long[] {1, seq, 0, -1});
+                        new long[] {1, lastSequenceNumber, 0, -1});
         assertEquals(
                 ApplyResult.INCONSISTENT,
-                copies.apply(
+                replica.apply(
                         new RiskTableDelta(
-                                TERM, answer().lastSample(), false, false, List.of(damaged)),
-                        TERM,
+                                TOKEN, nextResponse().lastSample(), false, false, List.of(damaged)),
+                        TOKEN,
                         now()));
-        assertTrue(copies.nextRequest(STANDBY).isForFullTables());
-        pull();
+        assertTrue(replica.nextRequest(STANDBY).isForFullTables());
+        pullUntilUpToDate();
         assertEquals(
                 tables.get(new MachineId("vm-000001")),
-                inherit(1, new WorkerIncarnation(1), seq + 1).orElseThrow());
+                takeTable(1, new WorkerIncarnation(1), lastSequenceNumber + 1).orElseThrow());
         int[] table = tables.get(new MachineId("vm-000000")).exportState(now());
         table[0]++;
         assertThrows(
@@ -204,55 +207,57 @@
     }
 
     @Test
-    void aTableIsOfTheMachineThatItsNameMeansNow() {
-        machines(5);
-        reports(25);
-        pull();
+    void tableIsTakenOnlyByTheMachineItBelongsTo() {
+        createMachines(5);
+        sendHeartbeats(25);
+        pullUntilUpToDate();
         assertTrue(
-                inherit(0, new WorkerIncarnation(2), 1).isPresent(),
+                takeTable(0, new WorkerIncarnation(2), 1).isPresent(),
                 "a later worker incarnation of the same machine");
         assertTrue(
-                inherit(1, new WorkerIncarnation(1), 1).isEmpty(),
+                takeTable(1, new WorkerIncarnation(1), 1).isEmpty(),
                 "a machine whose sequence numbers restart");
-        MachineId moved = new MachineId("vm-000002");
+        MachineId movedMachine = new MachineId("vm-000002");
         assertTrue(
-                copies.takeTable(
-                                moved,
+                replica.takeTable(
+                                movedMachine,
                                 RiskTablePublisher.identityHash("large", "b", false, null),
                                 new WorkerIncarnation(1),
-                                seq + 1,
+                                lastSequenceNumber + 1,
                                 now())
                         .isEmpty(),
                 "a machine of this name in another zone");
-        MachineId again = new MachineId("vm-000004");
-        machines.put(again, new Machine(again, TYPE, "b", false));
-        tables.put(again, new RiskTable());
-        reports(1);
-        pull();
+        MachineId reusedName = new MachineId("vm-000004");
+        machines.put(reusedName, new Machine(reusedName, TYPE, "b", false));
+        tables.put(reusedName, new RiskTable());
+        sendHeartbeats(1);
+        pullUntilUpToDate();
         assertEquals(
-                tables.get(again),
-                inherit(4, new WorkerIncarnation(1), seq + 1).orElseThrow(),
+                tables.get(reusedName),
+                takeTable(4, new WorkerIncarnation(1), lastSequenceNumber + 1).orElseThrow(),
                 "the new machine of this name has its own table");
         second += RiskTableReplica.MAX_AGE.toSeconds() + 1;
         assertTrue(
-                inherit(3, new WorkerIncarnation(1), seq + 1).isEmpty(),
+                takeTable(3, new WorkerIncarnation(1), lastSequenceNumber + 1).isEmpty(),
                 "a table older than MAX_AGE");
     }
 
     @Test
-    void copiesAreBounded() {
-        machines(2100);
-        reports(1);
-        for (int answers = 0;
-                answers < 20 && copies.apply(answer(), TERM, now()) == ApplyResult.MORE_AVAILABLE;
-                answers++) {
-            assertTrue(copies.size() > 0);
+    void replicaSizeIsBounded() {
+        createMachines(2100);
+        sendHeartbeats(1);
+        for (int responses = 0;
+                responses < 20
+                        && replica.apply(nextResponse(), TOKEN, now())
+                                == ApplyResult.MORE_AVAILABLE;
+                responses++) {
+            assertTrue(replica.size() > 0);
         }
-        assertEquals(2000, copies.size());
+        assertEquals(2000, replica.size());
     }
 
     @Test
-    void theHeirIsTheStandbyThatIsFurthestOfThoseHeardOfLately() {
+    void preferredSuccessorIsTheMostUpToDateRecentStandby() {
         Membership members = new Membership();
         members.recordStatus(
                 new ControllerStatus("n3", 1, "a", "test", 1, new Revision(90)), now());
@@ -272,7 +277,7 @@
     }
 
     @Test
-    void aRestoredTableGoesOnAsTheOneThatItWasMadeOf() {
+    void restoredTableStaysEqualToTheOriginal() {
         RiskTable table = new RiskTable();
         for (int at = 0; at < 150; at++) {
             table.recordSample(
