--- a/src/main/java/org/meadowhollow/coordination/LeaderService.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderService.java
@@ -41,7 +41,7 @@
  * responses completed, outside it.
  */
 final class LeaderService implements RecordWriter.Listener, RecoveryListener, LeadershipContext {
-    /** How often a warm leader checks whether it may hold its first round. */
+    /** The interval at which a warm leader checks whether it may run its first round. */
     private static final Duration WARM_CHECK_INTERVAL = Duration.ofMillis(200);
 
     private final LeaderParts parts;
--- a/src/main/java/org/meadowhollow/coordination/UserReadiness.java
+++ b/src/main/java/org/meadowhollow/coordination/UserReadiness.java
@@ -20,16 +20,16 @@
 final class UserReadiness {
     private static final Logger LOG = LoggerFactory.getLogger(UserReadiness.class);
 
-    /** How often a node probes the key-value store while the store does not serve it. */
+    /** The interval between probes of the key-value store while it does not serve this node. */
     private static final Duration OUTAGE_PROBE_INTERVAL = Duration.ofSeconds(1);
 
     /**
-     * How long a peer's answer that the key-value store serves it is taken as valid; a few probes
-     * of the load balancer.
+     * How long a peer's answer that the key-value store serves it remains valid; a few probes of
+     * the load balancer.
      */
     private static final Duration PEER_REACHES_STORE_VALIDITY = Duration.ofSeconds(3);
 
-    /** How often a node measures how late its timers run. */
+    /** The interval between measurements of how late the timers run. */
     private static final Duration LOAD_CHECK_INTERVAL = Duration.ofMillis(500);
 
     /**
--- a/src/main/java/org/meadowhollow/coordination/failover/RiskTableSnapshotStore.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTableSnapshotStore.java
@@ -42,7 +42,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(RiskTableSnapshotStore.class);
 
     /**
-     * How often a snapshot is begun. The end of all controllers loses at most the samples of this
+     * The interval between snapshots. The end of all controllers loses at most the samples of this
      * time, a tenth of those that a table is rebuilt from; a snapshot costs a few writes.
      */
     static final Duration SNAPSHOT_INTERVAL = Duration.ofSeconds(60);
--- a/src/main/java/org/meadowhollow/coordination/failover/WarmStandby.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/WarmStandby.java
@@ -32,7 +32,7 @@
      */
     static final Duration START_DELAY = Duration.ofSeconds(8);
 
-    /** How often the leader is asked for new samples; about three heartbeats of each machine. */
+    /** The interval between requests for new samples; about three heartbeats of each machine. */
     static final Duration PULL_INTERVAL = Duration.ofSeconds(8);
 
     /**
@@ -42,8 +42,8 @@
     private static final Duration NEXT_PAGE_DELAY = Duration.ofSeconds(1);
 
     /**
-     * How often the replica is compared with the leader's records. A check costs one message and,
-     * if digests differ, one page of records.
+     * The interval between comparisons of the replica with the leader's records. Each costs one
+     * message and, if digests differ, one page of records.
      */
     static final Duration AUDIT_INTERVAL = Duration.ofSeconds(60);
 
