--- a/src/main/java/org/meadowhollow/coordination/failover/ChangeFeedFollower.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/ChangeFeedFollower.java
@@ -23,28 +23,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the records under a prefix: reads them once, then asks for what has changed, at most
- * every {@link #POLL_INTERVAL} while there are changes and every {@link #WATCH_TIMEOUT} while there
- * are none.
+ * Maintains a replica of the records under a prefix: reads them all once, then watches for changes.
+ * It sends a watch at most every {@link #POLL_INTERVAL} while there are changes, and one every
+ * {@link #WATCH_TIMEOUT} while there are none.
  */
 final class ChangeFeedFollower {
     private static final Logger LOG = LoggerFactory.getLogger(ChangeFeedFollower.class);
 
     /**
-     * A leader writes thirty records a second and more; answered one by one they would take all
-     * requests there are.
+     * The pause between two watches. A leader writes thirty or more records a second; one watch for
+     * each would use up the node's request limit.
      */
     static final Duration POLL_INTERVAL = Duration.ofSeconds(2);
 
     private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(20);
     private static final Duration RETRY_DELAY = Duration.ofSeconds(3);
 
-    /** Records that do not fit are not tried again soon. */
+    /** The pause before records that exceeded the memory limit are read again. */
     private static final Duration OVERSIZE_RETRY_DELAY = Duration.ofMinutes(5);
 
     /**
-     * Changes asked for in vain before the records are read anew: their answer may be too large to
-     * come.
+     * Failed watches after which all records are read again: the answer may be too large to be
+     * received.
      */
     private static final int MAX_FAILURES = 3;
 
@@ -53,16 +53,19 @@
     private final String prefix;
     private final long maxBytes;
     private KeyspaceReplica replica;
-    private int failures;
+    private int consecutiveFailures;
 
     /**
-     * @param mostBytes of memory that the records may take, about; more are not followed
+     * Creates a follower that is idle until {@link #start}.
+     *
+     * @param maxBytes the estimated memory that the records may take; if they exceed it, they are
+     *     not followed
      */
-    ChangeFeedFollower(KeyValueStore store, EventLoop loop, String prefix, long mostBytes) {
+    ChangeFeedFollower(KeyValueStore store, EventLoop loop, String prefix, long maxBytes) {
         this.store = store;
         this.generations = new GenerationCounter(loop);
         this.prefix = prefix;
-        this.maxBytes = mostBytes;
+        this.maxBytes = maxBytes;
     }
 
     void start() {
@@ -74,224 +77,239 @@
         replica = null;
     }
 
-    /** The revision that the image stands at, or null while there is none. */
+    /** The revision of the replica, or null while there is none. */
     synchronized Revision revision() {
         return replica == null ? null : replica.revision();
     }
 
     private synchronized int startNewGeneration() {
         replica = null;
-        failures = 0;
+        consecutiveFailures = 0;
         return generations.startNext();
     }
 
     /**
-     * Reads a page of the records, and then the next; {@code after} and {@code begun} are null for
-     * the first.
+     * Reads a page of the records and the pages after it, then begins to watch.
+     *
+     * @param after the last key of the page before, or null for the first page
+     * @param partialReplica the replica with the pages before, or null for the first page
      */
     // The chain handles success and failure itself; a failed read is repeated.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private void readPage(int mine, String after, KeyspaceReplica begun) {
+    private void readPage(int generation, String after, KeyspaceReplica partialReplica) {
         store.list(prefix, after, RequestPriority.BACKGROUND)
                 .whenComplete(
                         (page, failure) -> {
-                            if (!generations.isCurrent(mine)) {
+                            if (!generations.isCurrent(generation)) {
                                 return;
                             }
                             if (failure != null) {
                                 generations.runLater(
-                                        RETRY_DELAY, mine, () -> readPage(mine, after, begun));
+                                        RETRY_DELAY,
+                                        generation,
+                                        () -> readPage(generation, after, partialReplica));
                                 return;
                             }
-                            KeyspaceReplica growing =
-                                    begun == null
+                            KeyspaceReplica updatedReplica =
+                                    partialReplica == null
                                             ? new KeyspaceReplica(prefix, page.revision())
-                                            : begun;
-                            growing.addPage(page.entries());
-                            if (abandonIfTooLarge(growing, mine)) {
+                                            : partialReplica;
+                            updatedReplica.addPage(page.entries());
+                            if (abandonIfTooLarge(updatedReplica, generation)) {
                                 return;
                             }
                             if (page.hasMore()) {
                                 readPage(
-                                        mine,
+                                        generation,
                                         page.entries().get(page.entries().size() - 1).key(),
-                                        growing);
+                                        updatedReplica);
                                 return;
                             }
                             synchronized (this) {
-                                replica = growing;
-                                failures = 0;
+                                replica = updatedReplica;
+                                consecutiveFailures = 0;
                             }
-                            generations.runLater(POLL_INTERVAL, mine, () -> watchChanges(mine));
+                            generations.runLater(
+                                    POLL_INTERVAL, generation, () -> watchChanges(generation));
                         });
     }
 
-    private boolean abandonIfTooLarge(KeyspaceReplica growing, int mine) {
-        if (growing.estimatedBytes() <= maxBytes) {
+    private boolean abandonIfTooLarge(KeyspaceReplica updatedReplica, int generation) {
+        if (updatedReplica.estimatedBytes() <= maxBytes) {
             return false;
         }
         LOG.info(
-                "the records under {} take more than {} bytes and are not followed",
+                "records exceed memory limit and are not followed prefix={} max_bytes={}",
                 prefix,
                 maxBytes);
         synchronized (this) {
             replica = null;
         }
-        generations.runLater(OVERSIZE_RETRY_DELAY, mine, () -> readPage(mine, null, null));
+        generations.runLater(
+                OVERSIZE_RETRY_DELAY, generation, () -> readPage(generation, null, null));
         return true;
     }
 
     // The chain handles success and failure itself, and watches or reads again.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private void watchChanges(int mine) {
-        KeyspaceReplica followed;
+    private void watchChanges(int generation) {
+        KeyspaceReplica watchedReplica;
         synchronized (this) {
-            followed = replica;
+            watchedReplica = replica;
         }
-        store.watch(prefix, followed.revision(), WATCH_TIMEOUT)
+        store.watch(prefix, watchedReplica.revision(), WATCH_TIMEOUT)
                 .whenComplete(
                         (changeBatch, failure) -> {
-                            if (!generations.isCurrent(mine)) {
+                            if (!generations.isCurrent(generation)) {
                                 return;
                             }
                             if (failure == null
-                                    && !followed.revision().isAfter(changeBatch.revision())) {
+                                    && !watchedReplica.revision().isAfter(changeBatch.revision())) {
                                 synchronized (this) {
-                                    failures = 0;
-                                    followed.apply(changeBatch);
+                                    consecutiveFailures = 0;
+                                    watchedReplica.apply(changeBatch);
                                 }
-                                if (!abandonIfTooLarge(followed, mine)) {
+                                if (!abandonIfTooLarge(watchedReplica, generation)) {
                                     generations.runLater(
-                                            POLL_INTERVAL, mine, () -> watchChanges(mine));
+                                            POLL_INTERVAL,
+                                            generation,
+                                            () -> watchChanges(generation));
                                 }
                             } else if (failure == null
                                     || countFailureAndCheckReload(
                                             KeyValueStoreException.outcomeOf(failure))) {
                                 LOG.info(
-                                        "the records under {} are read anew: {}",
+                                        "standby reloads records prefix={} reason={}",
                                         prefix,
                                         failure == null
-                                                ? "the state service went back to "
+                                                ? "key-value store returned an earlier revision="
                                                         + changeBatch.revision().value()
                                                 : failure.getMessage());
                                 generations.runLater(
                                         POLL_INTERVAL, startNewGeneration(), this::start);
                             } else {
-                                generations.runLater(RETRY_DELAY, mine, () -> watchChanges(mine));
+                                generations.runLater(
+                                        RETRY_DELAY, generation, () -> watchChanges(generation));
                             }
                         });
     }
 
     /**
-     * Whether to read anew rather than to ask again; an outage in which every request is refused
-     * loses nothing.
+     * Counts a failed watch, and returns whether to read all records again instead of repeating the
+     * watch. Failures during an outage of the store are not counted: no change is lost, and the
+     * watch can continue afterwards.
      */
     private synchronized boolean countFailureAndCheckReload(Outcome outcome) {
-        failures += outcome == Outcome.INDETERMINATE && !store.seemsUnavailable() ? 1 : 0;
-        return outcome == Outcome.COMPACTED || failures >= MAX_FAILURES;
+        consecutiveFailures +=
+                outcome == Outcome.INDETERMINATE && !store.seemsUnavailable() ? 1 : 0;
+        return outcome == Outcome.COMPACTED || consecutiveFailures >= MAX_FAILURES;
     }
 
     /**
-     * Ends the following and hands the image over, with all changes up to a revision.
+     * Stops following, and hands over the replica with the latest changes applied.
      *
-     * @return empty if there is no image, or none as late as that
+     * @param atLeast the revision that the replica must cover
+     * @return empty if there is no replica, or if it cannot be brought up to that revision
      */
     CompletableFuture<Optional<KeyspaceReplica>> handOver(Revision atLeast) {
-        KeyspaceReplica last;
+        KeyspaceReplica finalReplica;
         synchronized (this) {
-            last = replica;
+            finalReplica = replica;
             stop();
         }
-        if (last == null) {
+        if (finalReplica == null) {
             return CompletableFuture.completedFuture(Optional.empty());
         }
-        return store.watch(prefix, last.revision(), Duration.ZERO)
+        return store.watch(prefix, finalReplica.revision(), Duration.ZERO)
                 .handle(
                         (changeBatch, failure) -> {
-                            // Guards against an image that is older than the key, and against one
-                            // of a history that is not served now.
+                            // Rejects a replica older than the leader record, and one from a
+                            // history that the store does not serve now (its revision went back).
                             if (failure != null
                                     || atLeast.isAfter(changeBatch.revision())
-                                    || last.revision().isAfter(changeBatch.revision())) {
+                                    || finalReplica.revision().isAfter(changeBatch.revision())) {
                                 return Optional.empty();
                             }
-                            last.apply(changeBatch);
-                            return Optional.of(last);
+                            finalReplica.apply(changeBatch);
+                            return Optional.of(finalReplica);
                         });
     }
 
-    /** The digests of the image's parts, or none while there is no image. */
+    /** The digests of the replica's parts; none while there is no replica. */
     synchronized RecordDigests digests() {
         return replica == null ? RecordDigests.EMPTY : RecordDigests.of(replica);
     }
 
     /**
-     * Reads one part of the records again and judges the image by it. What changed in between is
-     * not judged.
+     * Reads one part of the records again, compares the replica with it, and replaces the part if
+     * they differ. Records that changed in the meantime are not compared.
      *
-     * @return the keys that were wrong in the image; empty if it was right, or nothing could be
-     *     told
+     * @return the keys whose records differed; empty if none did, or the comparison was not
+     *     possible
      */
     CompletableFuture<List<String>> verifyAndRepair(String part) {
-        int mine;
-        KeyspaceReplica judged;
+        int generation;
+        KeyspaceReplica auditedReplica;
         synchronized (this) {
             if (replica == null) {
                 return CompletableFuture.completedFuture(List.of());
             }
-            // The following rests meanwhile, so that all changes since the image's revision come by
-            // here.
-            mine = generations.startNext();
-            judged = replica;
+            // Pauses the watch, so that all changes since the replica's revision arrive in the
+            // request below.
+            generation = generations.startNext();
+            auditedReplica = replica;
         }
         return store.list(part, null, RequestPriority.BACKGROUND)
                 .thenCombine(
-                        store.watch(prefix, judged.revision(), Duration.ZERO),
+                        store.watch(prefix, auditedReplica.revision(), Duration.ZERO),
                         (page, changeBatch) -> {
                             synchronized (this) {
                                 boolean comparable =
-                                        generations.isCurrent(mine)
+                                        generations.isCurrent(generation)
                                                 && !page.hasMore()
-                                                && !judged.revision()
+                                                && !auditedReplica
+                                                        .revision()
                                                         .isAfter(changeBatch.revision());
-                                List<String> wrong =
+                                List<String> mismatchedKeys =
                                         comparable
-                                                ? findMismatches(judged, page, changeBatch, part)
+                                                ? findMismatches(
+                                                        auditedReplica, page, changeBatch, part)
                                                 : List.<String>of();
-                                if (!wrong.isEmpty()) {
-                                    judged.replacePrefix(part, page.entries());
+                                if (!mismatchedKeys.isEmpty()) {
+                                    auditedReplica.replacePrefix(part, page.entries());
                                 }
                                 if (comparable) {
-                                    judged.apply(changeBatch);
+                                    auditedReplica.apply(changeBatch);
                                 }
-                                return wrong;
+                                return mismatchedKeys;
                             }
                         })
                 .handle(
-                        (wrong, failure) -> {
-                            generations.runLater(POLL_INTERVAL, mine, () -> watchChanges(mine));
-                            return failure == null ? wrong : List.of();
+                        (mismatchedKeys, failure) -> {
+                            generations.runLater(
+                                    POLL_INTERVAL, generation, () -> watchChanges(generation));
+                            return failure == null ? mismatchedKeys : List.of();
                         });
     }
 
     private static List<String> findMismatches(
-            KeyspaceReplica judged, Page truth, ChangeBatch changeBatch, String part) {
-        Map<String, Entry> have = new HashMap<>();
-        judged.entries(part).forEach(entry -> have.put(entry.key(), entry));
-        List<String> wrong = new ArrayList<>();
-        for (Entry entry : truth.entries()) {
-            if (!entry.equals(have.remove(entry.key()))) {
-                wrong.add(entry.key());
+            KeyspaceReplica auditedReplica, Page storedPage, ChangeBatch changeBatch, String part) {
+        Map<String, Entry> replicaEntries = new HashMap<>();
+        auditedReplica.entries(part).forEach(entry -> replicaEntries.put(entry.key(), entry));
+        List<String> mismatchedKeys = new ArrayList<>();
+        for (Entry entry : storedPage.entries()) {
+            if (!entry.equals(replicaEntries.remove(entry.key()))) {
+                mismatchedKeys.add(entry.key());
             }
         }
-        wrong.addAll(have.keySet());
+        mismatchedKeys.addAll(replicaEntries.keySet());
         for (Change change : changeBatch.changes()) {
-            wrong.remove(change.key());
+            mismatchedKeys.remove(change.key());
         }
-        // A page that was read after the changes may have later ones in it; they will come by
-        // themselves.
-        Revision seen = changeBatch.revision();
-        wrong.removeIf(key -> truth.revision().isAfter(seen));
-        return wrong;
+        // A page that was read after the changes may contain later ones, which the next watch
+        // delivers.
+        Revision changesRevision = changeBatch.revision();
+        mismatchedKeys.removeIf(key -> storedPage.revision().isAfter(changesRevision));
+        return mismatchedKeys;
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/failover/RiskTableReplica.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTableReplica.java
@@ -15,24 +15,27 @@
 import org.meadowhollow.model.WorkerIncarnation;
 
 /**
- * Copies of a leader's risk tables, kept up to date by its answers. Hints: a wrong one costs a
- * worse place, no more.
+ * A replica of the leader's risk tables, kept up to date by its responses. The tables are hints: a
+ * wrong one can only cause a worse placement.
  */
 final class RiskTableReplica {
-    /** Tables kept; bounds memory, at a few kilobytes each. */
+    /** The most tables kept; bounds memory, at a few kilobytes each. */
     private static final int MAX_TABLES = 2000;
 
-    /** Older copies tell of a machine as it was; the tables themselves are rebuilt from as much. */
+    /**
+     * Copies older than this are discarded, since the machine may have changed. A table itself is
+     * rebuilt from samples of the same time span.
+     */
     static final Duration MAX_AGE = RiskTable.SAMPLE_RETENTION;
 
     private record ReplicatedTable(
             RiskTable table,
             int identityHash,
             WorkerIncarnation workerIncarnation,
-            long seq,
+            long sequenceNumber,
             MonotonicTime updatedAt) {}
 
-    /** What became of an answer. */
+    /** The result of applying a response. */
     enum ApplyResult {
         UP_TO_DATE,
         MORE_AVAILABLE,
@@ -44,7 +47,7 @@
     private FencingToken fencingToken = FencingToken.NONE;
     private long appliedUpTo = -1;
 
-    /** The machine after which whole tables go on, or empty. */
+    /** The last machine of the pages of full tables received so far; empty before the first. */
     private String fullSyncCursor = "";
 
     private long fullSyncStartedAt;
@@ -54,57 +57,61 @@
     }
 
     /**
-     * Machines that the leader has heard of within a time before now, and that have not been
-     * inherited yet.
+     * Counts the machines whose table was updated within {@code window} before {@code now} and has
+     * not been taken yet.
      */
-    int countUpdatedWithin(Duration span, MonotonicTime now) {
+    int countUpdatedWithin(Duration window, MonotonicTime now) {
         int count = 0;
         for (ReplicatedTable replicatedTable : tablesByMachine.values()) {
-            count += now.elapsedSince(replicatedTable.updatedAt()).compareTo(span) <= 0 ? 1 : 0;
+            count += now.elapsedSince(replicatedTable.updatedAt()).compareTo(window) <= 0 ? 1 : 0;
         }
         return count;
     }
 
-    RiskTableRequest nextRequest(ControllerStatus from) {
-        return new RiskTableRequest(from, fencingToken, appliedUpTo, fullSyncCursor);
+    RiskTableRequest nextRequest(ControllerStatus requester) {
+        return new RiskTableRequest(requester, fencingToken, appliedUpTo, fullSyncCursor);
     }
 
     /**
-     * Takes an answer in.
+     * Applies a response of the leader.
      *
-     * @param highest the highest term that this node has heard of: what a leader says that it
-     *     deposed is not believed
+     * @param highestObservedToken the highest fencing token that this node has observed; a response
+     *     with a lower one comes from a former leader and is dropped
      */
-    ApplyResult apply(RiskTableDelta delta, FencingToken highest, MonotonicTime now) {
-        if (highest.isAfter(delta.token())) {
+    ApplyResult apply(RiskTableDelta delta, FencingToken highestObservedToken, MonotonicTime now) {
+        if (highestObservedToken.isAfter(delta.token())) {
             return ApplyResult.STALE_LEADER;
         }
-        // Samples that do not follow what is here are worth nothing; a late answer to an earlier
-        // question is one.
-        boolean follows = delta.token().equals(fencingToken) && appliedUpTo >= 0;
-        if (!delta.fullTables() && (!follows || delta.lastSample() < appliedUpTo)) {
+        // Samples that do not continue the replica are useless, such as those in a late response to
+        // an earlier request.
+        boolean continuesReplica = delta.token().equals(fencingToken) && appliedUpTo >= 0;
+        if (!delta.fullTables() && (!continuesReplica || delta.lastSample() < appliedUpTo)) {
             requestFullSync();
             return ApplyResult.INCONSISTENT;
         }
         try {
             for (RiskTableDelta.MachineEntry machineEntry : delta.entries()) {
-                applyPart(machineEntry, delta.fullTables(), now);
+                applyEntry(machineEntry, delta.fullTables(), now);
             }
-        } catch (IllegalArgumentException broken) {
+        } catch (IllegalArgumentException invalidEntry) {
             requestFullSync();
             return ApplyResult.INCONSISTENT;
         }
-        boolean unfinished = delta.fullTables() && delta.hasMore() && !delta.entries().isEmpty();
+        boolean hasMorePages = delta.fullTables() && delta.hasMore() && !delta.entries().isEmpty();
         if (delta.fullTables()
                 && (fullSyncCursor.isEmpty() || !delta.token().equals(fencingToken))) {
             fullSyncStartedAt = delta.lastSample();
         }
         fencingToken = delta.token();
         fullSyncCursor =
-                unfinished ? delta.entries().get(delta.entries().size() - 1).machine().value() : "";
-        // What came between the pages is missing in the earlier ones.
-        appliedUpTo = unfinished ? -1 : delta.fullTables() ? fullSyncStartedAt : delta.lastSample();
-        if (delta.fullTables() && !unfinished) {
+                hasMorePages
+                        ? delta.entries().get(delta.entries().size() - 1).machine().value()
+                        : "";
+        // Samples recorded while the pages were read are missing in the earlier pages, so they are
+        // requested from the start of the first page.
+        appliedUpTo =
+                hasMorePages ? -1 : delta.fullTables() ? fullSyncStartedAt : delta.lastSample();
+        if (delta.fullTables() && !hasMorePages) {
             tablesByMachine
                     .values()
                     .removeIf(
@@ -117,9 +124,9 @@
                 : ApplyResult.UP_TO_DATE;
     }
 
-    /** Takes in tables as they were some time ago, from a snapshot. */
-    void apply(List<RiskTableDelta.MachineEntry> parts, MonotonicTime then) {
-        parts.forEach(machineEntry -> applyPart(machineEntry, true, then));
+    /** Applies full tables of a snapshot that was taken at {@code takenAt}. */
+    void apply(List<RiskTableDelta.MachineEntry> entries, MonotonicTime takenAt) {
+        entries.forEach(machineEntry -> applyEntry(machineEntry, true, takenAt));
     }
 
     void requestFullSync() {
@@ -127,13 +134,13 @@
         fullSyncCursor = "";
     }
 
-    private void applyPart(
-            RiskTableDelta.MachineEntry machineEntry, boolean whole, MonotonicTime now) {
-        ReplicatedTable known = tablesByMachine.get(machineEntry.machine());
-        if (known == null && tablesByMachine.size() >= MAX_TABLES) {
+    private void applyEntry(
+            RiskTableDelta.MachineEntry machineEntry, boolean isFullTable, MonotonicTime now) {
+        ReplicatedTable existing = tablesByMachine.get(machineEntry.machine());
+        if (existing == null && tablesByMachine.size() >= MAX_TABLES) {
             return;
         }
-        if (whole) {
+        if (isFullTable) {
             tablesByMachine.put(
                     machineEntry.machine(),
                     new ReplicatedTable(
@@ -145,57 +152,68 @@
             return;
         }
         if (machineEntry.samples().length % RiskTableDelta.NUMBERS_PER_SAMPLE != 0) {
-            throw new IllegalArgumentException("half a sample");
+            throw new IllegalArgumentException("incomplete sample");
         }
-        // A name that is used again begins a table of its own.
-        boolean same = known != null && known.identityHash() == machineEntry.machineIdentityHash();
-        RiskTable table = same ? known.table() : new RiskTable();
+        // A reused name denotes another machine, which begins with an empty table.
+        boolean isSameMachine =
+                existing != null && existing.identityHash() == machineEntry.machineIdentityHash();
+        RiskTable table = isSameMachine ? existing.table() : new RiskTable();
         WorkerIncarnation workerIncarnation =
-                same ? known.workerIncarnation() : new WorkerIncarnation(0);
-        long seq = same ? known.seq() : 0;
-        for (int at = 0;
-                at < machineEntry.samples().length;
-                at += RiskTableDelta.NUMBERS_PER_SAMPLE) {
-            WorkerIncarnation itsSession = new WorkerIncarnation(machineEntry.samples()[at]);
-            long itsSeq = machineEntry.samples()[at + 1];
-            // Whole tables that came page by page may have some of them already.
-            if (itsSession.isAfter(workerIncarnation)
-                    || (itsSession.equals(workerIncarnation) && itsSeq > seq)) {
+                isSameMachine ? existing.workerIncarnation() : new WorkerIncarnation(0);
+        long sequenceNumber = isSameMachine ? existing.sequenceNumber() : 0;
+        for (int offset = 0;
+                offset < machineEntry.samples().length;
+                offset += RiskTableDelta.NUMBERS_PER_SAMPLE) {
+            WorkerIncarnation sampleIncarnation =
+                    new WorkerIncarnation(machineEntry.samples()[offset]);
+            long sampleSequenceNumber = machineEntry.samples()[offset + 1];
+            // Full tables that were read page by page may contain some of these samples already.
+            if (sampleIncarnation.isAfter(workerIncarnation)
+                    || (sampleIncarnation.equals(workerIncarnation)
+                            && sampleSequenceNumber > sequenceNumber)) {
                 table.replaySample(
-                        (int) machineEntry.samples()[at + 3],
+                        (int) machineEntry.samples()[offset + 3],
                         new MonotonicTime(
                                 now.nanos()
-                                        - Math.max(0, machineEntry.samples()[at + 2]) * 1_000_000));
-                workerIncarnation = itsSession;
-                seq = itsSeq;
+                                        - Math.max(0, machineEntry.samples()[offset + 2])
+                                                * 1_000_000));
+                workerIncarnation = sampleIncarnation;
+                sequenceNumber = sampleSequenceNumber;
             }
         }
         tablesByMachine.put(
                 machineEntry.machine(),
                 new ReplicatedTable(
-                        table, machineEntry.machineIdentityHash(), workerIncarnation, seq, now));
+                        table,
+                        machineEntry.machineIdentityHash(),
+                        workerIncarnation,
+                        sequenceNumber,
+                        now));
     }
 
     /**
-     * Hands over the table of a machine whose first report has come.
+     * Removes and returns the table of a machine whose first heartbeat has arrived.
      *
-     * @return empty if there is none, if the name meant another machine, or if it is too old to
-     *     tell anything
+     * @param identityHash the identity hash of the machine that has this name now
+     * @param workerIncarnation the worker incarnation of that heartbeat
+     * @param sequenceNumber the sequence number of that heartbeat
+     * @return empty if there is none, if it belongs to another machine of the same name, if it is
+     *     newer than the heartbeat, or if it is older than {@link #MAX_AGE}
      */
     Optional<RiskTable> takeTable(
             MachineId machine,
-            int incarnation,
+            int identityHash,
             WorkerIncarnation workerIncarnation,
-            long seq,
+            long sequenceNumber,
             MonotonicTime now) {
         ReplicatedTable replicatedTable = tablesByMachine.remove(machine);
-        boolean isOlder =
+        boolean precedesHeartbeat =
                 replicatedTable != null
                         && (workerIncarnation.isAfter(replicatedTable.workerIncarnation())
                                 || (workerIncarnation.equals(replicatedTable.workerIncarnation())
-                                        && seq >= replicatedTable.seq()));
-        return isOlder
-                        && replicatedTable.identityHash() == incarnation
+                                        && sequenceNumber >= replicatedTable.sequenceNumber()));
+        return precedesHeartbeat
+                        && replicatedTable.identityHash() == identityHash
                         && now.elapsedSince(replicatedTable.updatedAt()).compareTo(MAX_AGE) <= 0
                 ? Optional.of(replicatedTable.table())
                 : Optional.empty();
--- a/src/main/java/org/meadowhollow/coordination/failover/RiskTableSnapshotStore.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTableSnapshotStore.java
@@ -33,34 +33,39 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The risk tables in the state service, for the case that all controllers end at once. Two sets of
- * chunks are written in turn, and the record that names the newer one is written last, so that a
- * set that is half written is never read. Guarded by the leader's lock.
+ * Stores snapshots of the risk tables in the key-value store, so that they survive the end of all
+ * controllers at once. A snapshot is split into a set of chunks. Two sets are written in turn, and
+ * the head record, which names the newer set, is written last, so that an incomplete set is never
+ * read. Guarded by the leader's lock.
  */
 public final class RiskTableSnapshotStore {
     private static final Logger LOG = LoggerFactory.getLogger(RiskTableSnapshotStore.class);
 
     /**
-     * How much a full stop forgets at most: a tenth of what a table is rebuilt from, for a few
-     * changes each time.
+     * The interval between snapshots. The end of all controllers loses at most the samples of this
+     * time, a tenth of those that a table is rebuilt from; a snapshot costs a few writes.
      */
     static final Duration SNAPSHOT_INTERVAL = Duration.ofSeconds(60);
 
-    /** A set that is not written by then is given up; there is more urgent work. */
+    /**
+     * A set that is not complete after this time is abandoned: the store is busy with more urgent
+     * writes.
+     */
     private static final Duration WRITE_TIMEOUT = SNAPSHOT_INTERVAL.multipliedBy(2);
 
-    /** The form of what is written; another one is not read. */
+    /** The version of the stored format; snapshots of other versions are ignored. */
     static final int FORMAT_VERSION = 1;
 
-    /** Machines in a set at most; bounds its chunks. */
+    /** The most machines in a snapshot; bounds its number of chunks. */
     private static final int MAX_MACHINES = 2000;
 
     /**
-     * Text that one transaction may hold, in bytes: the protocol's 64 KiB, less room for framing.
+     * The most bytes of chunk text in one transaction: the protocol's limit of 64 KiB, less room
+     * for framing.
      */
     private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
-    /** Bytes of a value that are not its text. */
+    /** Bytes of a value in addition to its text. */
     private static final int FRAMING_BYTES = 64;
 
     private static final int SET_COUNT = 2;
@@ -72,99 +77,117 @@
     private List<String> chunks = List.of();
     private int chunksWritten;
 
-    /** The set that was begun last, by whomever; -1 while that is not known. */
+    /** The set begun last, by this leader or an earlier one; -1 while that is not known. */
     private int currentSet = -1;
 
     private Map<String, Object> pendingHead;
     private boolean requestInFlight;
-    private MonotonicTime setBegunAt;
+    private MonotonicTime setStartedAt;
 
     /**
-     * @param valueBytes that a value may have
+     * Creates a store that writes nothing until {@link #writeNext}.
+     *
+     * @param leaderKeyRevision the revision of the leader record, which every transaction requires
+     * @param maxWrites the most writes in one transaction
+     * @param maxValueBytes the largest value that the key-value store takes, in bytes
      */
     public RiskTableSnapshotStore(
-            KeyValueStore store, Revision leaderVersion, int mostWrites, int valueBytes) {
+            KeyValueStore store, Revision leaderKeyRevision, int maxWrites, int maxValueBytes) {
         this.store = store;
-        this.leaderKeyRevision = leaderVersion;
-        this.maxWrites = mostWrites;
-        this.maxChunkBytes = Math.min(valueBytes, MAX_TRANSACTION_BYTES) - FRAMING_BYTES;
+        this.leaderKeyRevision = leaderKeyRevision;
+        this.maxWrites = maxWrites;
+        this.maxChunkBytes = Math.min(maxValueBytes, MAX_TRANSACTION_BYTES) - FRAMING_BYTES;
     }
 
     /**
-     * Begins a set when it is time, or writes the next part of one.
+     * Begins a snapshot when one is due, or writes the next chunks of the current one. Does nothing
+     * while a request is in flight.
      *
-     * @param idle whether no other records wait to be written
+     * @param tables supplies the tables of a new snapshot
+     * @param isWriterIdle whether no other records wait to be written
+     * @param wallClockMillis the wall-clock time that a new snapshot is stamped with
      */
-    // The chain notes the result; after a failure the next call writes the same part again.
+    // The chain records the result; after a failure the next call writes the same chunks again.
     @SuppressWarnings("FutureReturnValueIgnored")
     public void writeNext(
             Supplier<List<RiskTableDelta.MachineEntry>> tables,
-            boolean idle,
+            boolean isWriterIdle,
             MonotonicTime now,
-            long wallMillis) {
-        if (requestInFlight || !idle) {
+            long wallClockMillis) {
+        if (requestInFlight || !isWriterIdle) {
             return;
         }
         if (currentSet < 0) {
-            findSet();
+            loadCurrentSet();
             return;
         }
-        if (pendingHead == null || now.elapsedSince(setBegunAt).compareTo(WRITE_TIMEOUT) > 0) {
-            if (setBegunAt != null
-                    && now.elapsedSince(setBegunAt).compareTo(SNAPSHOT_INTERVAL) < 0) {
+        if (pendingHead == null || now.elapsedSince(setStartedAt).compareTo(WRITE_TIMEOUT) > 0) {
+            if (setStartedAt != null
+                    && now.elapsedSince(setStartedAt).compareTo(SNAPSHOT_INTERVAL) < 0) {
                 return;
             }
-            beginSet(tables.get(), wallMillis);
-            setBegunAt = now;
+            beginSet(tables.get(), wallClockMillis);
+            setStartedAt = now;
         }
         Transaction transaction =
                 new Transaction().requireRevision(RecordKeys.LEADER_KEY, leaderKeyRevision);
         int bytes = 0;
-        int next = chunksWritten;
-        while (next < chunks.size()
+        int nextChunk = chunksWritten;
+        while (nextChunk < chunks.size()
                 && transaction.writes().size() < maxWrites - 1
-                && bytes + chunks.get(next).length() <= MAX_TRANSACTION_BYTES) {
-            bytes += chunks.get(next).length();
+                && bytes + chunks.get(nextChunk).length() <= MAX_TRANSACTION_BYTES) {
+            bytes += chunks.get(nextChunk).length();
             transaction.put(
-                    RecordKeys.riskTableChunk(currentSet, next), Map.of("text", chunks.get(next)));
-            next++;
+                    RecordKeys.riskTableChunk(currentSet, nextChunk),
+                    Map.of("text", chunks.get(nextChunk)));
+            nextChunk++;
         }
-        boolean last = next == chunks.size();
-        if (last) {
+        boolean isLastTransaction = nextChunk == chunks.size();
+        if (isLastTransaction) {
             transaction.put(RecordKeys.RISK_TABLE_HEAD_KEY, pendingHead);
         }
-        int reached = next;
+        int chunksAfterCommit = nextChunk;
         requestInFlight = true;
         store.commit(transaction, RequestPriority.BACKGROUND)
                 .whenComplete(
                         (commitResult, failure) -> {
                             requestInFlight = false;
                             if (failure == null && commitResult.isApplied()) {
-                                chunksWritten = reached;
-                                pendingHead = last ? null : pendingHead;
+                                chunksWritten = chunksAfterCommit;
+                                pendingHead = isLastTransaction ? null : pendingHead;
                             }
                         });
     }
 
-    /** The set that an earlier leader wrote last must stand until there is a newer one. */
-    // The chain notes the result; after a failure the next call reads again.
+    /**
+     * Reads which set an earlier leader wrote last; it must not be overwritten until a newer one is
+     * complete.
+     */
+    // The chain records the result; after a failure the next call reads again.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private void findSet() {
+    private void loadCurrentSet() {
         requestInFlight = true;
         store.get(RecordKeys.RISK_TABLE_HEAD_KEY, RequestPriority.BACKGROUND)
                 .whenComplete(
-                        (found, failure) -> {
+                        (headEntry, failure) -> {
                             requestInFlight = false;
                             if (failure == null) {
                                 currentSet =
-                                        found.map(entry -> (int) readNumber(entry.value(), "set"))
+                                        headEntry
+                                                .map(
+                                                        entry ->
+                                                                (int)
+                                                                        readNumber(
+                                                                                entry.value(),
+                                                                                "set"))
                                                 .orElse(0);
                             }
                         });
     }
 
-    private void beginSet(List<RiskTableDelta.MachineEntry> parts, long wallMillis) {
-        byte[] body = encode(parts.size() > MAX_MACHINES ? parts.subList(0, MAX_MACHINES) : parts);
+    private void beginSet(List<RiskTableDelta.MachineEntry> entries, long wallClockMillis) {
+        byte[] body =
+                encode(entries.size() > MAX_MACHINES ? entries.subList(0, MAX_MACHINES) : entries);
         String text = Base64.getEncoder().encodeToString(body);
         chunks = new ArrayList<>();
         for (int at = 0; at < text.length(); at += maxChunkBytes) {
@@ -181,7 +204,7 @@
                         "chunks",
                         (long) chunks.size(),
                         "at",
-                        wallMillis,
+                        wallClockMillis,
                         "checksum",
                         checksum(body));
     }
@@ -192,12 +215,13 @@
         return sum.getValue();
     }
 
-    static byte[] encode(List<RiskTableDelta.MachineEntry> parts) {
+    static byte[] encode(List<RiskTableDelta.MachineEntry> entries) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        Deflater fast = new Deflater(Deflater.BEST_SPEED);
-        try (DataOutputStream out = new DataOutputStream(new DeflaterOutputStream(bytes, fast))) {
-            out.writeInt(parts.size());
-            for (RiskTableDelta.MachineEntry machineEntry : parts) {
+        Deflater deflater = new Deflater(Deflater.BEST_SPEED);
+        try (DataOutputStream out =
+                new DataOutputStream(new DeflaterOutputStream(bytes, deflater))) {
+            out.writeInt(entries.size());
+            for (RiskTableDelta.MachineEntry machineEntry : entries) {
                 out.writeUTF(machineEntry.machine().value());
                 out.writeInt(machineEntry.machineIdentityHash());
                 out.writeLong(machineEntry.workerIncarnation().value());
@@ -210,7 +234,7 @@
         } catch (IOException impossible) {
             throw new IllegalStateException(impossible);
         } finally {
-            fast.end();
+            deflater.end();
         }
         return bytes.toByteArray();
     }
@@ -219,45 +243,52 @@
         try (DataInputStream in =
                 new DataInputStream(new InflaterInputStream(new ByteArrayInputStream(body)))) {
             int count = Math.min(MAX_MACHINES, in.readInt());
-            List<RiskTableDelta.MachineEntry> parts = new ArrayList<>();
+            List<RiskTableDelta.MachineEntry> entries = new ArrayList<>();
             for (int at = 0; at < count; at++) {
                 MachineId machine = new MachineId(in.readUTF());
-                int incarnation = in.readInt();
+                int identityHash = in.readInt();
                 WorkerIncarnation workerIncarnation = new WorkerIncarnation(in.readLong());
-                long seq = in.readLong();
+                long sequenceNumber = in.readLong();
                 int length = in.readInt();
-                if (length < 0 || length > RiskTablePublisher.MAX_NUMBERS_PER_ANSWER) {
-                    throw new IOException("a table of " + length + " numbers");
+                if (length < 0 || length > RiskTablePublisher.MAX_NUMBERS_PER_RESPONSE) {
+                    throw new IOException("invalid table length: " + length);
                 }
                 int[] table = new int[length];
                 for (int number = 0; number < table.length; number++) {
                     table[number] = in.readInt();
                 }
-                parts.add(
+                entries.add(
                         new RiskTableDelta.MachineEntry(
-                                machine, incarnation, workerIncarnation, seq, table, new long[0]));
+                                machine,
+                                identityHash,
+                                workerIncarnation,
+                                sequenceNumber,
+                                table,
+                                new long[0]));
             }
-            return parts;
+            return entries;
         }
     }
 
-    /** Tables, and how old they are. */
+    /** The tables of a stored snapshot, and its age by the wall clock. */
     public record StoredTables(List<RiskTableDelta.MachineEntry> parts, Duration age) {}
 
     /**
-     * The newest whole set; empty if there is none, or none that can be used, which is said in a
-     * line. Fails if the state service does not answer, which says nothing of what there is.
+     * Reads the newest complete snapshot.
+     *
+     * @return empty if there is none; also if it is unusable, which is logged. Fails if the
+     *     key-value store does not answer, so that nothing is known about the snapshot
      */
     public static CompletableFuture<Optional<StoredTables>> read(
             KeyValueStore store, EventLoop loop) {
         return store.get(RecordKeys.RISK_TABLE_HEAD_KEY, RequestPriority.PLACEMENT)
                 .thenCompose(
-                        found -> {
-                            if (found.isEmpty()) {
+                        headEntry -> {
+                            if (headEntry.isEmpty()) {
                                 return CompletableFuture.completedFuture(
                                         Optional.<StoredTables>empty());
                             }
-                            Map<String, Object> head = found.get().value();
+                            Map<String, Object> head = headEntry.get().value();
                             Duration age =
                                     Duration.ofMillis(
                                             Math.max(
@@ -267,22 +298,21 @@
                             if (readNumber(head, "form") != FORMAT_VERSION
                                     || age.compareTo(RiskTableReplica.MAX_AGE) > 0) {
                                 return unusable(
-                                        "it has form "
+                                        "unsupported format or too old, format="
                                                 + readNumber(head, "form")
-                                                + " and is "
-                                                + age.toSeconds()
-                                                + " s old");
+                                                + " age_s="
+                                                + age.toSeconds());
                             }
                             return store.list(
                                             RecordKeys.riskTableSetPrefix(
                                                     (int) readNumber(head, "set")),
                                             null,
                                             RequestPriority.PLACEMENT)
-                                    .thenCompose(page -> read(head, page.entries(), age));
+                                    .thenCompose(page -> assembleTables(head, page.entries(), age));
                         });
     }
 
-    private static CompletableFuture<Optional<StoredTables>> read(
+    private static CompletableFuture<Optional<StoredTables>> assembleTables(
             Map<String, Object> head, List<Entry> entries, Duration age) {
         Map<String, Object> texts = new HashMap<>();
         entries.forEach(entry -> texts.put(entry.key(), entry.value().get("text")));
@@ -293,17 +323,17 @@
         try {
             byte[] body = Base64.getDecoder().decode(text.toString());
             if (checksum(body) != readNumber(head, "checksum")) {
-                return unusable("its checksum is wrong");
+                return unusable("checksum mismatch");
             }
             return CompletableFuture.completedFuture(
                     Optional.of(new StoredTables(decode(body), age)));
         } catch (IOException | IllegalArgumentException broken) {
-            return unusable("it makes no sense");
+            return unusable("malformed content");
         }
     }
 
-    private static CompletableFuture<Optional<StoredTables>> unusable(String why) {
-        LOG.info("the snapshot of the tables is not used: {}", why);
+    private static CompletableFuture<Optional<StoredTables>> unusable(String reason) {
+        LOG.info("risk table snapshot ignored reason={}", reason);
         return CompletableFuture.completedFuture(Optional.empty());
     }
 
--- a/src/main/java/org/meadowhollow/coordination/failover/WarmStandby.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/WarmStandby.java
@@ -20,37 +20,43 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps warm what a successor needs, on a node that does not lead: the records, from the state
- * service, and the risk tables, from the leader. All of it but the records are hints.
+ * Replicates, on a node that does not lead, the state that a new leader needs: the records from the
+ * key-value store, and the risk tables from the leader. The risk tables are only hints.
  */
 public final class WarmStandby {
     private static final Logger LOG = LoggerFactory.getLogger(WarmStandby.class);
 
     /**
-     * A node that has just started has more urgent work, and so has one that has just lost its
-     * lease.
+     * The pause before replication begins: a node that has just started, or has just lost its
+     * lease, has more urgent work.
      */
     static final Duration START_DELAY = Duration.ofSeconds(8);
 
-    /** How often a leader is asked for samples: three reports of each machine, or so. */
+    /** The interval between requests for new samples; about three heartbeats of each machine. */
     static final Duration PULL_INTERVAL = Duration.ofSeconds(8);
 
     /**
-     * Between two pages: a whole set of tables takes some pages, and what a leader spends on them
-     * is bounded.
+     * The pause before the next page of a response; bounds the leader's load while a standby reads
+     * all tables, which takes several pages.
      */
     private static final Duration NEXT_PAGE_DELAY = Duration.ofSeconds(1);
 
-    /** An audit costs one message and, where something seems to differ, one page of records. */
+    /**
+     * The interval between comparisons of the replica with the leader's records. Each costs one
+     * message and, if digests differ, one page of records.
+     */
     static final Duration AUDIT_INTERVAL = Duration.ofSeconds(60);
 
     /**
-     * Bytes that all records may take, about: a fifth of the heap that the smallest controllers
-     * have.
+     * Estimated bytes that all replicated records may take: a fifth of the heap of the smallest
+     * controllers.
      */
     private static final long MAX_RECORD_BYTES = 12L * 1024 * 1024;
 
-    /** Parts of the records that the leader's digests cover; it knows the versions of no others. */
+    /**
+     * The prefixes that the leader's digests cover; it does not know the revisions of other
+     * records.
+     */
     private static final List<String> AUDITED_PREFIXES =
             List.of(RecordKeys.JOB_PREFIX, RecordKeys.TASK_PREFIX);
 
@@ -65,23 +71,25 @@
     private long mismatchedRecordCount;
 
     /**
-     * @param self what this node says of itself, but for the revision
-     * @param leader the member that leads as far as is known, or null
-     * @param highest the highest term that this node has heard of
+     * Creates a standby that is idle until {@link #start}.
+     *
+     * @param ownStatus the status of this node, without the replica revision
+     * @param leaderSupplier supplies the last known leader, or null
+     * @param highestTokenSupplier supplies the highest fencing token that this node has observed
      */
     public WarmStandby(
             EventLoop loop,
             KeyValueStore store,
             PeerGateway peerGateway,
-            ControllerStatus self,
-            Supplier<String> leader,
-            Supplier<FencingToken> highest) {
+            ControllerStatus ownStatus,
+            Supplier<String> leaderSupplier,
+            Supplier<FencingToken> highestTokenSupplier) {
         this.loop = loop;
         this.generations = new GenerationCounter(loop);
         this.peerGateway = peerGateway;
-        this.ownStatus = self;
-        this.leaderSupplier = leader;
-        this.highestTokenSupplier = highest;
+        this.ownStatus = ownStatus;
+        this.leaderSupplier = leaderSupplier;
+        this.highestTokenSupplier = highestTokenSupplier;
         for (String prefix :
                 List.of(RecordKeys.JOB_PREFIX, RecordKeys.TASK_PREFIX, RecordKeys.IMAGE_PREFIX)) {
             followers.put(
@@ -89,36 +97,39 @@
         }
     }
 
-    /** Begins to follow, from nothing. */
+    /** Starts replication with empty replicas. */
     public void start() {
-        int mine;
+        int generation;
         synchronized (this) {
-            mine = generations.startNext();
+            generation = generations.startNext();
             tableReplica = new RiskTableReplica();
         }
         generations.runLater(
                 START_DELAY,
-                mine,
+                generation,
                 () -> {
                     followers.values().forEach(ChangeFeedFollower::start);
-                    pullTables(mine);
+                    pullTables(generation);
                 });
-        generations.runLater(AUDIT_INTERVAL, mine, () -> audit(mine));
+        generations.runLater(AUDIT_INTERVAL, generation, () -> audit(generation));
     }
 
-    /** Ends the following; what was followed goes to the leadership that begins. */
+    /** Stops pulling and auditing, and hands the replicas to the leadership that begins here. */
     public synchronized HandoverState handOver() {
         generations.startNext();
         return new HandoverState(followers, tableReplica);
     }
 
-    /** Ends the following without handing over what was followed. */
+    /** Stops replication and discards the replicated records. */
     public synchronized void close() {
         generations.startNext();
         followers.values().forEach(ChangeFeedFollower::stop);
     }
 
-    /** Records that audits found wrong in the images since this node began; none is right. */
+    /**
+     * The number of replicated records that audits found to differ from the store since this node
+     * started. Any value but 0 indicates a defect.
+     */
     public synchronized long mismatchedRecordCount() {
         return mismatchedRecordCount;
     }
@@ -127,17 +138,17 @@
         return name != null && !name.equals(ownStatus.member());
     }
 
-    /** The revision of the image that is furthest behind, or {@link Revision#ABSENT}. */
-    private Revision oldestRevision() {
-        Revision least = null;
+    /** The lowest revision among the replicas, or {@link Revision#ABSENT} if one is not loaded. */
+    private Revision lowestRevision() {
+        Revision lowest = null;
         for (ChangeFeedFollower follower : followers.values()) {
-            Revision its = follower.revision();
-            if (its == null) {
+            Revision revision = follower.revision();
+            if (revision == null) {
                 return Revision.ABSENT;
             }
-            least = least == null || least.isAfter(its) ? its : least;
+            lowest = lowest == null || lowest.isAfter(revision) ? revision : lowest;
         }
-        return least;
+        return lowest;
     }
 
     private ControllerStatus currentStatus() {
@@ -147,46 +158,46 @@
                 ownStatus.zone(),
                 ownStatus.softwareVersion(),
                 ownStatus.schemaVersion(),
-                oldestRevision());
+                lowestRevision());
     }
 
     // The chain handles success and failure itself, and schedules the next pull.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private void pullTables(int mine) {
-        String asked = leaderSupplier.get();
-        if (!isOtherMember(asked)) {
-            generations.runLater(PULL_INTERVAL, mine, () -> pullTables(mine));
+    private void pullTables(int generation) {
+        String leader = leaderSupplier.get();
+        if (!isOtherMember(leader)) {
+            generations.runLater(PULL_INTERVAL, generation, () -> pullTables(generation));
             return;
         }
-        RiskTableReplica filled;
+        RiskTableReplica replica;
         synchronized (this) {
-            filled = tableReplica;
+            replica = tableReplica;
         }
         peerGateway
-                .fetchRiskTables(asked, filled.nextRequest(currentStatus()))
+                .fetchRiskTables(leader, replica.nextRequest(currentStatus()))
                 .whenComplete(
                         (delta, failure) -> {
-                            if (!generations.isCurrent(mine)) {
+                            if (!generations.isCurrent(generation)) {
                                 return;
                             }
-                            boolean more;
+                            boolean hasMore;
                             synchronized (this) {
-                                more =
+                                hasMore =
                                         failure == null
                                                 && delta.isPresent()
-                                                && applyDelta(filled, asked, delta.get());
+                                                && applyDelta(replica, leader, delta.get());
                             }
                             if (failure != null) {
-                                filled.requestFullSync();
+                                replica.requestFullSync();
                                 LOG.info(
-                                        "what {} says of its tables cannot be read and is asked for anew: {}",
-                                        asked,
+                                        "standby requests full risk tables node={} reason={}",
+                                        leader,
                                         reason(failure));
                             }
                             generations.runLater(
-                                    more ? NEXT_PAGE_DELAY : PULL_INTERVAL,
-                                    mine,
-                                    () -> pullTables(mine));
+                                    hasMore ? NEXT_PAGE_DELAY : PULL_INTERVAL,
+                                    generation,
+                                    () -> pullTables(generation));
                         });
     }
 
@@ -194,76 +205,78 @@
         return (failure instanceof CompletionException ? failure.getCause() : failure).getMessage();
     }
 
-    private boolean applyDelta(RiskTableReplica filled, String asked, RiskTableDelta delta) {
+    private boolean applyDelta(RiskTableReplica replica, String leader, RiskTableDelta delta) {
         RiskTableReplica.ApplyResult applyResult =
-                filled.apply(delta, highestTokenSupplier.get(), loop.now());
+                replica.apply(delta, highestTokenSupplier.get(), loop.now());
         if (applyResult == RiskTableReplica.ApplyResult.STALE_LEADER) {
             LOG.info(
-                    "tables of term {} came from {}, which does not lead any more: dropped",
+                    "risk tables dropped token={} node={} reason=stale leader",
                     delta.token(),
-                    asked);
+                    leader);
         } else if (applyResult == RiskTableReplica.ApplyResult.INCONSISTENT) {
             LOG.info(
-                    "tables from {} do not follow those that are here and are asked for anew",
-                    asked);
+                    "standby requests full risk tables node={} reason=delta is inconsistent with replica",
+                    leader);
         }
         return applyResult == RiskTableReplica.ApplyResult.MORE_AVAILABLE
                 || applyResult == RiskTableReplica.ApplyResult.INCONSISTENT;
     }
 
-    // ---- the audit ----
+    // ---- Audit ----
 
-    // An audit that fails tells nothing; the next one is scheduled already.
+    // A failed request is ignored: the next audit is already scheduled.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private void audit(int mine) {
-        generations.runLater(AUDIT_INTERVAL, mine, () -> audit(mine));
-        String asked = leaderSupplier.get();
-        if (!isOtherMember(asked)) {
+    private void audit(int generation) {
+        generations.runLater(AUDIT_INTERVAL, generation, () -> audit(generation));
+        String leader = leaderSupplier.get();
+        if (!isOtherMember(leader)) {
             return;
         }
         peerGateway
-                .fetchDigests(asked)
+                .fetchDigests(leader)
                 .whenComplete(
-                        (told, failure) -> {
-                            if (generations.isCurrent(mine) && failure == null) {
-                                told.flatMap(this::findFirstDifference)
-                                        .ifPresent(part -> verifyAndRepair(mine, part));
+                        (leaderDigests, failure) -> {
+                            if (generations.isCurrent(generation) && failure == null) {
+                                leaderDigests
+                                        .flatMap(this::findFirstDifference)
+                                        .ifPresent(part -> verifyAndRepair(generation, part));
                             }
                         });
     }
 
     /**
-     * Under load some part nearly always differs by the changes of the last seconds; only reading
-     * it again tells.
+     * The first part whose digest differs from the leader's, if all audited replicas are loaded.
+     * Under load some part nearly always differs by the changes of the last seconds, so a
+     * difference proves nothing until the part has been read again.
      */
-    private Optional<String> findFirstDifference(RecordDigests told) {
-        RecordDigests here = new RecordDigests();
-        AUDITED_PREFIXES.forEach(prefix -> here.add(followers.get(prefix).digests()));
+    private Optional<String> findFirstDifference(RecordDigests leaderDigests) {
+        RecordDigests ownDigests = new RecordDigests();
+        AUDITED_PREFIXES.forEach(prefix -> ownDigests.add(followers.get(prefix).digests()));
         return AUDITED_PREFIXES.stream()
                         .allMatch(prefix -> followers.get(prefix).revision() != null)
-                ? told.differingParts(here).stream().findFirst()
+                ? leaderDigests.differingParts(ownDigests).stream().findFirst()
                 : Optional.empty();
     }
 
-    // The follower turns a failed read into an empty list, and the chain logs the rest.
+    // The follower maps a failed read to an empty list; the chain logs mismatches.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private void verifyAndRepair(int mine, String part) {
+    private void verifyAndRepair(int generation, String part) {
         String prefix = part.substring(0, part.indexOf('/') + 1);
         followers
                 .get(prefix)
                 .verifyAndRepair(part)
                 .thenAccept(
-                        wrong -> {
-                            if (generations.isCurrent(mine) && !wrong.isEmpty()) {
+                        mismatchedKeys -> {
+                            if (generations.isCurrent(generation) && !mismatchedKeys.isEmpty()) {
                                 synchronized (this) {
-                                    mismatchedRecordCount += wrong.size();
+                                    mismatchedRecordCount += mismatchedKeys.size();
                                 }
                                 LOG.error(
-                                        "{} records under {} were wrong here and are read again, {} since the start; the first is {}",
-                                        wrong.size(),
+                                        "replica differed from key-value store and was repaired records={} prefix={} records_since_start={} first_key={}",
+                                        mismatchedKeys.size(),
                                         part,
                                         mismatchedRecordCount(),
-                                        wrong.get(0));
+                                        mismatchedKeys.get(0));
                             }
                         });
     }
