--- a/src/main/java/org/meadowhollow/coordination/fleet/Autoscaler.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/Autoscaler.java
@@ -20,26 +20,27 @@
 import org.meadowhollow.model.MonotonicTime;
 
 /**
- * Scales the fleet: rents machines for the work that waits, returns those that are idle, faulty or
- * silent, and polls the cloud's machine list. Decisions are made by {@link ScaleOutPlanner}, {@link
- * ScaleInPolicy} and {@link UnreachableMachineReturnPolicy}; requests are sent by {@link
- * MachineRenter} and {@link MachineReturner}.
+ * Scales the fleet: rents machines for waiting tasks, returns idle, faulty and silent ones, and
+ * polls the cloud's machine list. {@link ScaleOutPlanner}, {@link ScaleInPolicy} and {@link
+ * UnreachableMachineReturnPolicy} make the decisions; {@link MachineRenter} and {@link
+ * MachineReturner} send the requests.
  *
- * <p>Thread-safe. One lock guards the state of this class and of its collaborators except for the
- * return policy. It may be taken while the leader's lock is held. While it is held, a round asks
- * the leader, which takes the leader's lock, so rounds and calls under the leader's lock are kept
- * on the one event loop. Requests to the cloud are sent outside it.
+ * <p>Thread-safe. One lock guards the state of this class and of its collaborators, except for the
+ * state of the return policy. The lock may be acquired while the leader's lock is held. The reverse
+ * happens as well: a round queries the leader, which acquires the leader's lock, while it holds
+ * this lock. To rule out a deadlock, rounds and calls made under the leader's lock all run on the
+ * one event loop. Requests to the cloud are sent without holding this lock.
  */
 public final class Autoscaler {
     /**
-     * Waiting tasks of one job for which no machine has room.
+     * Waiting tasks of one job that fit on no machine.
      *
      * @param requiredZone the only zone allowed, or null for any
      * @param ageSeconds how long ago the job was submitted
      */
     public record CapacityDemand(JobSpec spec, int tasks, String requiredZone, double ageSeconds) {}
 
-    /** What a round decided under the lock. */
+    /** The decisions that a round made under the lock. */
     private record RoundPlan(
             Map<CapacityPool, Integer> machinesToRent,
             List<MachineId> abandonedRentals,
@@ -104,12 +105,12 @@
                 new MachineReturner(lock, leader, cloudProvider, loop, pendingRentals);
     }
 
-    /** Starts polling the cloud's machine list, until the leadership ends. */
+    /** Starts polling the cloud's machine list; polling stops when the leadership ends. */
     public void start() {
         pollMachineList();
     }
 
-    /** Sends no more requests to rent or return from now on. */
+    /** Stops sending rental and return requests. */
     public void close() {
         synchronized (lock) {
             closed = true;
@@ -118,10 +119,10 @@
     }
 
     /**
-     * Replaces the demand that the next round scales for.
+     * Replaces the capacity demand that the next round rents machines for.
      *
      * @param demand in the order in which it is met
-     * @param retained the machines to keep although they are idle, for work that is expected
+     * @param retained idle machines to keep for work that is expected
      */
     public void updateCapacityDemand(List<CapacityDemand> demand, Set<MachineId> retained) {
         synchronized (lock) {
@@ -130,7 +131,9 @@
         }
     }
 
-    /** Whether a machine was certainly returned, so that a stale heartbeat of it means nothing. */
+    /**
+     * Whether the return of a machine is confirmed, so that any further heartbeat from it is stale.
+     */
     public boolean isReturned(MachineId id) {
         return machineReturner.isReturned(id);
     }
@@ -139,7 +142,8 @@
         if (leader.isClosed()) {
             return;
         }
-        // A list is stale anyway; polling at half its lag finds what there is to find.
+        // Lists lag by the listing delay anyway: polling more often than twice per delay finds
+        // little.
         Duration interval = deploymentSettings.cloudListingDelay().dividedBy(2);
         CompletableFuture<List<CloudProvider.ListedMachine>> unusedHandled =
                 cloudProvider
@@ -193,10 +197,13 @@
     }
 
     /**
-     * Runs one round: rents for the demand, and returns what is of no more use. Not without the
-     * lease, since the next leader may have placed tasks on a machine that looks idle to this one;
-     * nor while the leader is isolated, when all machines look useless and all waiting work seems
-     * to need new ones. The caller does not hold the leader's lock.
+     * Runs one scaling round: rents machines for the demand, and returns those that are no longer
+     * of use.
+     *
+     * <p>Does nothing without the lease, since the next leader may have placed tasks on a machine
+     * that looks idle to this one. Does nothing while the leader is isolated either: all machines
+     * then look unusable, and all waiting tasks seem to need new ones. The caller must not hold the
+     * leader's lock.
      */
     public void scaleOutAndIn() {
         List<Machine> machines = leader.snapshotMachines();
@@ -226,7 +233,7 @@
         machineReturner.returnMachines(unwanted, "idle or faulty", returned -> {});
     }
 
-    /** Empty if the leadership has ended. */
+    /** Makes the decisions of one round; empty if the leadership has ended. */
     private Optional<RoundPlan> planRound(List<Machine> machines, MonotonicTime now) {
         synchronized (lock) {
             if (closed) {
@@ -241,7 +248,8 @@
                     leader.isReachabilityHealthy()
                             ? pendingRentals.abandonedRentals(now)
                             : List.of();
-            // Until an answer arrives, it is unknown which machines the demand may count on.
+            // Until a rental request is answered, it is unknown which machines will serve the
+            // demand.
             Map<CapacityPool, Integer> machinesToRent =
                     machineRenter.hasRequestsInFlight() ? Map.of() : planScaleOut(machines, now);
             return Optional.of(new RoundPlan(machinesToRent, abandoned, retainedMachines));
--- a/src/main/java/org/meadowhollow/coordination/fleet/CapacityPool.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/CapacityPool.java
@@ -1,7 +1,7 @@
 package org.meadowhollow.coordination.fleet;
 
 /**
- * What one rental request draws from: machines of one type, in one zone, at one price.
+ * The machines that one rental request can draw from: those of one type, in one zone, at one price.
  *
  * @param type the name of the machine type
  * @param spot whether the machines are spot instances, which the cloud may preempt
--- a/src/main/java/org/meadowhollow/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/FailureDetector.java
@@ -21,45 +21,49 @@
 
 /**
  * Classifies how well heartbeats reach the leader, and asks the other controllers about machines
- * whose heartbeats are overdue. It exists because a leader whose network failed towards its workers
- * only once took hundreds of healthy machines for failed, returned them to the cloud and was
- * refused replacements.
+ * whose heartbeats are overdue. Without it, a leader that lost only its network path to the workers
+ * treated hundreds of healthy machines as failed, returned them to the cloud, and was refused
+ * replacements.
  *
  * <p>All state is guarded by the leader's lock, the monitor of the {@link LeadershipContext}.
- * Callers hold it, except for {@link #queryPeersAndMaybeResign}, which takes it for its decision
- * and does its I/O outside it.
+ * Callers hold that lock, except for callers of {@link #queryPeersAndMaybeResign}, which acquires
+ * it to decide and sends its requests without holding it.
  */
 public final class FailureDetector {
     private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
 
-    /** Heartbeats arrive up to a quarter of their interval late. */
+    /** Heartbeats may arrive up to a quarter of the heartbeat interval late. */
     private static final double HEARTBEAT_LATENESS_FACTOR = 1.25;
 
-    /** A worker that lost its connection turns to the next node a second later. */
+    /** Time after which a worker that lost its connection tries the next node. */
     private static final Duration RECONNECT_ALLOWANCE = Duration.ofSeconds(1);
 
-    /** How long a worker waits for a leader that ended without notice before it tries the next. */
+    /**
+     * Time that a worker waits for a leader that stopped without notice before it tries the next
+     * node.
+     */
     private static final Duration LEADER_LOSS_ALLOWANCE = Duration.ofSeconds(4);
 
     /**
-     * How recent a heartbeat at a peer must be. Workers whose leader does not answer try another
-     * node every 5 s or later; those sent back to the leader do not come again.
+     * Maximum age of a heartbeat at a peer for the peer to report the machine as seen. Workers
+     * whose leader does not answer try another node every 5 s or less often; workers that a peer
+     * redirects to the leader do not contact that peer again.
      */
     private static final Duration PEER_HEARTBEAT_WINDOW = Duration.ofSeconds(6);
 
     /**
-     * Resigning without a known successor is not repeated within this time; a network partition
-     * lasts about as long.
+     * Minimum time between two resignations without a known successor: about as long as a network
+     * partition lasts.
      */
     private static final Duration RESIGNATION_RETRY_INTERVAL = Duration.ofSeconds(30);
 
     /**
-     * A machine list is at times twice as stale as usual, and so may be older than the one before
-     * it.
+     * Factor on the listing delay: a machine list is sometimes twice as stale as usual, and may
+     * then be older than the list before it.
      */
     private static final int LIST_LAG_FACTOR = 2;
 
-    /** The leader, whose monitor guards this state. */
+    /** The leader, whose monitor is the leader's lock. */
     private final Object leaderLock;
 
     private final ClusterState clusterState;
@@ -70,12 +74,12 @@
     private final MonotonicTime leadershipBeganAt;
     private final PeerHeartbeatQuery peerQuery = new PeerHeartbeatQuery();
 
-    /** When the cloud's last machine list arrived, or null before the first. */
+    /** Time at which the last machine list from the cloud arrived, or null before the first. */
     private MonotonicTime lastMachineListAt;
 
     private Reachability reachability = Reachability.HEALTHY;
 
-    /** Since when the leader has been isolated, or null while it is not. */
+    /** Start of the current isolation, or null while the leader is not isolated. */
     private MonotonicTime isolatedSince;
 
     /**
@@ -101,14 +105,14 @@
         this.leadershipBeganAt = begunAt;
     }
 
-    /** The result of the last {@link #evaluate}; healthy before the first. */
+    /** Returns the result of the last {@link #evaluate}, or {@code HEALTHY} before the first. */
     public Reachability reachability() {
         return reachability;
     }
 
     /**
-     * Classifies the leader's reachability from all machines, and prepares the next query to the
-     * peers. The consequences are drawn by {@link #queryPeersAndMaybeResign}.
+     * Classifies the leader's reachability from the heartbeats of all machines, and prepares the
+     * next query to the peers. {@link #queryPeersAndMaybeResign} acts on the result.
      */
     public void evaluate(MonotonicTime now) {
         List<Machine> overdue = new ArrayList<>();
@@ -133,7 +137,10 @@
         peerQuery.prepare(overdue, machine -> silentSeconds(machine, now), now);
     }
 
-    /** Machines known only from recorded placements have had time to send a heartbeat here. */
+    /**
+     * Whether the machines known only from recorded placements have had enough time to send this
+     * leader a heartbeat.
+     */
     private boolean areUnseenMachinesOverdue(MonotonicTime now) {
         return now.elapsedSince(leadershipBeganAt)
                         .compareTo(heartbeatTimeout().plus(LEADER_LOSS_ALLOWANCE))
@@ -144,7 +151,8 @@
         Reachability current = LeaderReachability.classify(knownCount, overdueCount);
         if (current != reachability) {
             LOG.info(
-                    "leader reachability changed overdue={} known={} reachability={}",
+                    "leader reachability changed overdue_machines={} known_machines={}"
+                            + " reachability={}",
                     overdueCount,
                     knownCount,
                     current);
@@ -176,8 +184,8 @@
     }
 
     /**
-     * For how many seconds nothing at all was received from a machine. This process may itself have
-     * been paused for as long.
+     * Returns the seconds since anything was last received from a machine. This process itself may
+     * have been paused for part or all of that time.
      */
     double silentSeconds(Machine machine, MonotonicTime now) {
         MonotonicTime last =
@@ -191,11 +199,13 @@
     }
 
     /**
-     * Whether the cloud's lists have left out a machine for longer than they can be stale, although
-     * an earlier list or a heartbeat showed it; this is how a preempted machine looks. It suggests
-     * that the machine is silent for a reason of its own: its tasks still count until their end is
-     * proven. Without this check, stale heartbeats of machines long gone, the first that a new
-     * leader received, made it resign as isolated.
+     * Whether the cloud's lists have omitted a machine for longer than they can be stale, although
+     * an earlier list or a heartbeat showed it. A preempted machine is omitted in this way. Such a
+     * machine is probably silent for a reason of its own, so its silence is no sign that the leader
+     * is isolated; its tasks still count as running until their end is proven.
+     *
+     * <p>Without this check, a new leader resigned as isolated when the first heartbeats that it
+     * received were stale ones from machines that were long gone.
      */
     boolean isMissingFromMachineList(Machine machine) {
         if (lastMachineListAt == null) {
@@ -210,7 +220,7 @@
 
     /**
      * Sends the query that {@link #evaluate} prepared, and resigns the leadership if a peer
-     * receives the workers' heartbeats better. Takes the leader's lock; the caller does not hold
+     * receives the workers' heartbeats better. Acquires the leader's lock; the caller must not hold
      * it.
      */
     public void queryPeersAndMaybeResign() {
@@ -231,7 +241,9 @@
         }
     }
 
-    /** Only answers that arrived since the leader became isolated count. */
+    /**
+     * Decides whether to resign. Peer reports from before the leader became isolated are ignored.
+     */
     private ResignationDecision decideResignation() {
         if (isolatedSince == null || !peerQuery.hasReportsSince(isolatedSince)) {
             return ResignationDecision.KEEP_LEADERSHIP;
@@ -250,17 +262,17 @@
     }
 
     /**
-     * Whether no controller that could be asked received a silent machine's heartbeats either. If
-     * no peer answers at all, the leader's own evidence decides; otherwise a machine would be paid
-     * for as long as the other controllers are unreachable.
+     * Whether no peer that could be asked receives a silent machine's heartbeats either. If no peer
+     * answers at all, the result is true and the leader decides on its own evidence: otherwise the
+     * machine would be paid for until the other controllers are reachable again.
      */
     boolean isUnseenByAllPeers(Machine machine, MonotonicTime now) {
         return peerQuery.isUnseenByAllPeers(machine, now);
     }
 
     /**
-     * When a peer last confirmed heartbeats from a machine that is silent here, or null if none
-     * did.
+     * Returns the time at which a peer last confirmed heartbeats from a machine that is silent
+     * here, or null if none did.
      */
     MonotonicTime seenByPeerAt(Machine machine) {
         return peerQuery.seenByPeerAt(machine);
--- a/src/main/java/org/meadowhollow/coordination/fleet/HeartbeatTimeoutMonitor.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/HeartbeatTimeoutMonitor.java
@@ -15,10 +15,11 @@
 import org.meadowhollow.model.WorkerIncarnation;
 
 /**
- * Checks every machine once a round: probes silent ones, expires tasks whose worker lease has
- * certainly expired, drains machines with a preemption notice, and keeps track of which are idle.
- * Tasks on a silent machine count as running until then. Guarded by the leader's lock, which every
- * caller holds.
+ * Checks every machine once a round: probes silent machines, expires tasks whose worker lease has
+ * certainly expired, drains machines with a preemption notice, and keeps track of which machines
+ * are idle. Tasks on a silent machine count as running until their worker's lease has expired.
+ *
+ * <p>Guarded by the leader's lock, which every caller holds.
  */
 public final class HeartbeatTimeoutMonitor {
     /** Allows for clock drift between the worker and this node. */
@@ -28,15 +29,20 @@
     private static final Duration LEASE_MARGIN = Duration.ofMillis(500);
 
     /**
-     * Machines probed in a round. Behind a partition hundreds are silent at once, and each probe
-     * takes a socket for as long as it hangs, which users and workers need as well.
+     * Maximum number of machines probed in a round. Behind a partition, hundreds are silent at
+     * once, and each probe that hangs holds a socket, which users and workers need as well.
      */
     private static final int MAX_PROBES_PER_ROUND = 100;
 
-    /** Probes that may hang at a time: each for 3 s, before the connection is abandoned. */
+    /**
+     * Maximum number of probes that hang at the same time: each hangs for 3 s before its connection
+     * is abandoned, and a round starts every second.
+     */
     public static final int MAX_PROBES_IN_FLIGHT = 3 * MAX_PROBES_PER_ROUND;
 
-    /** The incarnation addressed on a machine that has not sent a heartbeat yet. */
+    /**
+     * Incarnation that commands are addressed to on a machine that has not sent a heartbeat yet.
+     */
     private static final WorkerIncarnation FIRST_INCARNATION = new WorkerIncarnation(1);
 
     private final LeadershipContext leader;
@@ -66,7 +72,7 @@
         this.leadershipBeganAt = begunAt;
     }
 
-    /** Checks all machines, then the placements whose machine was never seen. */
+    /** Checks all machines, then the placements on machines that were never seen. */
     public void checkAllMachines(MonotonicTime now) {
         probesThisRound = 0;
         for (Machine machine : List.copyOf(clusterState.machines().values())) {
@@ -75,7 +81,7 @@
         expireUnobservedPlacements(now);
     }
 
-    /** Drops what is kept of a machine that is gone. */
+    /** Drops the state of a machine that is gone. */
     public void forget(MachineId machine) {
         lastProbedAt.remove(machine);
     }
@@ -114,9 +120,10 @@
 
     /**
      * Marks the tasks on a machine lost once its worker's lease has certainly expired, since the
-     * worker stops them by then. Orphaned tasks are dropped also where nothing is placed: a stale
-     * heartbeat may be all that was ever received of a machine that is gone, and the tasks listed
-     * in it would otherwise be blocked until the machine is returned for its silence.
+     * worker stops them by then. Orphaned tasks are cleared even if nothing is placed on the
+     * machine: the only heartbeat ever received from a machine that is gone may be a stale one, and
+     * the tasks listed in it would otherwise stay blocked until the machine is returned for its
+     * silence.
      */
     private void expireTasksIfLeaseExpired(Machine machine, MonotonicTime now) {
         if (!hasTasks(machine) || !isLeaseCertainlyExpired(machine, now)) {
@@ -124,10 +131,7 @@
         }
         for (Placement placement : List.copyOf(machine.placements())) {
             leader.markTaskLost(
-                    machine,
-                    placement,
-                    "the machine has been silent for longer than its lease",
-                    now);
+                    machine, placement, "machine silent for longer than its worker lease", now);
         }
         machine.orphanedTasks().clear();
     }
@@ -136,7 +140,10 @@
         return !machine.placements().isEmpty() || !machine.orphanedTasks().isEmpty();
     }
 
-    /** Stops what can resume or move elsewhere on a machine with a preemption notice. */
+    /**
+     * Stops the tasks that can resume from a checkpoint or move elsewhere on a machine with a
+     * preemption notice.
+     */
     private void drainIfPreempted(Machine machine) {
         if (machine.preemptionDeadline() == null) {
             return;
@@ -153,8 +160,8 @@
     }
 
     /**
-     * Starts or ends a machine's idle time. Whether a silent machine is idle is unknown: behind a
-     * partition its tasks are only presumed lost.
+     * Starts or ends a machine's idle time. A machine whose heartbeat is overdue does not count as
+     * idle: behind a partition, its tasks are only presumed lost.
      */
     private void updateIdleSince(Machine machine, MonotonicTime now) {
         if (hasTasks(machine) || leader.isHeartbeatOverdue(machine, now)) {
@@ -165,10 +172,10 @@
     }
 
     /**
-     * Whether the worker's lease must have expired. Only a worker that has shown this leader's
-     * fencing token renews by this leader's responses alone. To any other, an earlier leader may
-     * have gone on responding, though for no longer than the cancellation bound after that leader's
-     * last lease renewal, which was before this leadership began.
+     * Whether the worker's lease has certainly expired. Only the responses of this leader renew the
+     * lease of a worker that has shown this leader's fencing token. The lease of any other worker
+     * may have been renewed by an earlier leader, but for no longer than the cancellation bound
+     * after that leader's own last lease renewal, which was before this leadership began.
      */
     private boolean isLeaseCertainlyExpired(Machine machine, MonotonicTime now) {
         boolean everContacted = machine.lastContactAt() != null;
@@ -206,10 +213,7 @@
         for (List<Placement> placements : List.copyOf(unseen.values())) {
             for (Placement placement : List.copyOf(placements)) {
                 leader.markTaskLost(
-                        null,
-                        placement,
-                        "its machine has not been seen for longer than any lease",
-                        now);
+                        null, placement, "machine not seen for longer than any worker lease", now);
             }
         }
         unseen.clear();
--- a/src/main/java/org/meadowhollow/coordination/fleet/MachineRenter.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/MachineRenter.java
@@ -16,12 +16,12 @@
 
 /**
  * Sends rental requests to the cloud and records their results. State is guarded by the lock of
- * {@link Autoscaler}; requests are sent outside it.
+ * {@link Autoscaler}; requests are sent without holding it.
  */
 final class MachineRenter {
     private static final Logger LOG = LoggerFactory.getLogger(MachineRenter.class);
 
-    /** The cloud's limit of machines in one request. */
+    /** The cloud's limit on the number of machines in one request. */
     static final int MAX_MACHINES_PER_REQUEST = 50;
 
     private final Object lock;
@@ -68,12 +68,12 @@
 
     /**
      * Requests machines from a pool, at most {@link #MAX_MACHINES_PER_REQUEST} of them. The caller
-     * does not hold the lock.
+     * must not hold the lock.
      */
     void rent(CapacityPool pool, int count) {
         String requestId;
         synchronized (lock) {
-            // Fencing token and counter together are never reused, by this node or any other.
+            // No node ever reuses a combination of fencing token and counter, so the id is unique.
             requestCounter++;
             requestId = "r-" + fencingToken + '-' + requestCounter;
             requestsInFlight++;
@@ -81,7 +81,7 @@
         MonotonicTime sentAt = loop.now();
         int requestedCount = Math.min(MAX_MACHINES_PER_REQUEST, count);
         LOG.info(
-                "machine rental requested count={} market={} type={} zone={} request={}",
+                "machine rental requested machines={} market={} type={} zone={} request={}",
                 requestedCount,
                 pool.spot() ? "spot" : "on-demand",
                 pool.type(),
@@ -131,7 +131,7 @@
     private void pause(CapacityPool pool, String reason) {
         Duration duration = backoff.recordRefusal(pool, loop.now());
         LOG.info(
-                "machine rental paused type={} zone={} durationSeconds={} reason={}",
+                "machine rental paused type={} zone={} pause_s={} reason={}",
                 pool.type(),
                 pool.zone(),
                 duration.toSeconds(),
--- a/src/main/java/org/meadowhollow/coordination/fleet/MachineReturner.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/MachineReturner.java
@@ -21,15 +21,17 @@
 
 /**
  * Returns machines to the cloud, one request at a time, and remembers which were returned. State is
- * guarded by the lock of {@link Autoscaler}; requests are sent, and the leader is called, outside
- * it.
+ * guarded by the lock of {@link Autoscaler}; requests to the cloud and calls to the leader are made
+ * without holding it.
  */
 final class MachineReturner {
     private static final Logger LOG = LoggerFactory.getLogger(MachineReturner.class);
 
     private static final int MAX_MACHINES_PER_REQUEST = 100;
 
-    /** Messages can arrive minutes late. */
+    /**
+     * Minimum time for which returned machines are remembered: messages can arrive minutes late.
+     */
     private static final Duration RETURNED_MACHINE_RETENTION = Duration.ofMinutes(30);
 
     private final Object lock;
@@ -63,7 +65,7 @@
         this.pendingRentals = pendingRentals;
     }
 
-    /** Sends no more requests from now on. */
+    /** Stops sending requests. */
     void close() {
         synchronized (lock) {
             closed = true;
@@ -71,7 +73,8 @@
     }
 
     /**
-     * Whether a machine was certainly returned, at most {@link #RETURNED_MACHINE_RETENTION} ago.
+     * Whether the return of a machine is confirmed. Returns are remembered for at least {@link
+     * #RETURNED_MACHINE_RETENTION}.
      */
     boolean isReturned(MachineId id) {
         synchronized (lock) {
@@ -80,9 +83,9 @@
     }
 
     /**
-     * Returns machines on which nothing is placed any more, or which have been silent for long.
-     * Does nothing while another request is in flight: the next round tries again. The caller does
-     * not hold the lock.
+     * Requests the return of machines that are idle, faulty or have been silent for long, at most
+     * {@link #MAX_MACHINES_PER_REQUEST} of them. Does nothing while another request is in flight:
+     * the next round tries again. The caller must not hold the lock.
      *
      * @param reason for the log
      * @param onReturned called with the number of machines once they are returned
@@ -140,14 +143,14 @@
 
     private void markGone(List<MachineId> batch) {
         for (MachineId id : batch) {
-            leader.markMachineGone(id, "its machine was returned", true);
+            leader.markMachineGone(id, "machine returned to the cloud", true);
         }
     }
 
     /**
-     * Makes machines available again whose return failed. Unless the cloud refused the request, it
-     * may still be executed later, so nothing more is placed on them and the next round tries
-     * again.
+     * Clears the releasing state of machines whose return failed. Unless the cloud refused the
+     * request, it may still be executed later, so the machines are cordoned and the next round
+     * tries again.
      */
     private static void restoreToService(List<Machine> machines, Throwable failure) {
         if (!(unwrapCompletionException(failure)
--- a/src/main/java/org/meadowhollow/coordination/fleet/PeerHeartbeatQuery.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/PeerHeartbeatQuery.java
@@ -14,22 +14,22 @@
 import org.meadowhollow.model.MonotonicTime;
 
 /**
- * Which overdue machines the other controllers are asked about, and what they answered. Sends
- * nothing itself: {@link FailureDetector} takes a prepared query, sends it outside the lock and
- * brings the answers back. At most one query is in flight. Guarded by the leader's lock, which
- * every caller holds.
+ * Tracks which overdue machines the other controllers are asked about, and what they answered.
+ * Sends nothing itself: {@link FailureDetector} takes a prepared query, sends it without holding
+ * the lock, and records the answers. At most one query is in flight. Guarded by the leader's lock,
+ * which every caller holds.
  */
 final class PeerHeartbeatQuery {
     /**
-     * Machines named in one query: a few kilobytes, and more than the degraded share at a thousand
-     * machines.
+     * Maximum number of machines in one query: a few kilobytes, and more than the overdue machines
+     * that make reachability degraded in a fleet of a thousand.
      */
     private static final int MAX_MACHINES_PER_QUERY = 300;
 
-    /** How often the peers are asked about the same machine. */
+    /** Minimum time between two queries about the same machine. */
     private static final Duration QUERY_INTERVAL = Duration.ofSeconds(3);
 
-    /** How long the answer that no peer received heartbeats from a machine remains valid. */
+    /** Time for which the answer remains valid that no peer received heartbeats from a machine. */
     private static final Duration UNSEEN_VALIDITY = QUERY_INTERVAL.multipliedBy(2);
 
     private final Map<MachineId, MonotonicTime> queriedAt = new HashMap<>();
@@ -43,14 +43,14 @@
     private int answeredQuerySize;
     private List<PeerReachabilityReport> reports = List.of();
 
-    /** When the last answers arrived, or null before the first ones. */
+    /** Time at which the last answers arrived, or null before the first ones. */
     private MonotonicTime reportsAt;
 
     /**
-     * Forgets the answers about machines that are no longer overdue, and prepares the next query.
+     * Discards the answers about machines that are no longer overdue, and prepares the next query.
      *
      * @param overdue all machines whose heartbeat is overdue
-     * @param silentSeconds how long nothing was received from a machine
+     * @param silentSeconds returns the seconds since anything was last received from a machine
      */
     void prepare(
             List<Machine> overdue, ToDoubleFunction<Machine> silentSeconds, MonotonicTime now) {
@@ -67,8 +67,8 @@
     }
 
     /**
-     * The machines silent for longest go first: those may be returned next, and the peers' answers
-     * decide about it.
+     * Selects the machines that are due for a query, those silent for longest first: they may be
+     * the next to be returned, and the answers of the peers decide about that.
      */
     private List<MachineId> selectMachines(
             List<Machine> overdue, ToDoubleFunction<Machine> silentSeconds, MonotonicTime now) {
@@ -88,7 +88,7 @@
         return lastQueryAt == null || now.elapsedSince(lastQueryAt).compareTo(QUERY_INTERVAL) >= 0;
     }
 
-    /** Takes the machines of the prepared query, to be sent; empty if there is none. */
+    /** Removes and returns the machines of the prepared query; empty if there is none. */
     List<MachineId> takePending() {
         List<MachineId> machines = pendingMachines;
         pendingMachines = List.of();
@@ -106,7 +106,7 @@
         received.forEach(report -> seen.addAll(report.recentlyHeard()));
         for (MachineId machine : queried) {
             if (!queriedAt.containsKey(machine)) {
-                // Its heartbeat arrived here in the meantime.
+                // No longer overdue: its heartbeat arrived here in the meantime.
                 continue;
             }
             if (seen.contains(machine)) {
@@ -118,17 +118,17 @@
         }
     }
 
-    /** Whether answers have arrived at a time or after it. */
+    /** Whether the last answers arrived at or after a given time. */
     boolean hasReportsSince(MonotonicTime earliest) {
         return reportsAt != null && !reportsAt.isBefore(earliest);
     }
 
-    /** The last answers, one for each peer; empty before the first ones. */
+    /** Returns the last answers, one for each peer; empty before the first ones. */
     List<PeerReachabilityReport> reports() {
         return reports;
     }
 
-    /** How many machines the last answers are about. */
+    /** Returns the number of machines that the last answers are about. */
     int answeredQuerySize() {
         return answeredQuerySize;
     }
@@ -139,7 +139,10 @@
         return unseenAt != null && now.elapsedSince(unseenAt).compareTo(UNSEEN_VALIDITY) <= 0;
     }
 
-    /** When a peer last confirmed heartbeats from an overdue machine, or null if none did. */
+    /**
+     * Returns the time at which a peer last confirmed heartbeats from an overdue machine, or null
+     * if none did.
+     */
     MonotonicTime seenByPeerAt(Machine machine) {
         return seenByPeerAt.get(machine.id());
     }
--- a/src/main/java/org/meadowhollow/coordination/fleet/PendingRentals.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/PendingRentals.java
@@ -11,45 +11,51 @@
 import org.meadowhollow.model.MonotonicTime;
 
 /**
- * Machines that are rented but have not finished booting. They may become ready late or never, so
- * one is counted on only for as long as recent boots have taken. After that, another is rented for
- * the work that waits for it, a bounded number of times, and the late one is returned once it has
- * been replaced and has taken much longer still. Guarded by the lock of {@link Autoscaler}, which
- * every caller holds.
+ * Tracks rented machines that have not finished booting. They may become ready late or never, so
+ * the demand counts on a machine only for as long as recent boots have taken. After that, a
+ * replacement is rented for the waiting tasks, a bounded number of times, and the overdue machine
+ * is returned once it has taken much longer still; if it was replaced, it is returned sooner.
+ *
+ * <p>Guarded by the lock of {@link Autoscaler}, which every caller holds.
  */
 final class PendingRentals {
-    /** By the cloud's protocol, a boot usually takes up to this many times its type's boot time. */
+    /**
+     * By the cloud's protocol, a boot usually takes up to this many times the boot time of its
+     * machine type.
+     */
     private static final double TYPICAL_BOOT_FACTOR = 1.5;
 
     /**
-     * Boot times vary, so a machine is awaited a little longer than nearly all recent ones took.
+     * Factor on the boot-time quantile: boot times vary, so a machine is awaited a little longer
+     * than nearly all recent boots took.
      */
     private static final double BOOT_QUANTILE_MARGIN = 1.25;
 
     private static final double BOOT_TIME_QUANTILE = 0.9;
 
-    /** A machine that takes this many times its type's boot time is taken never to become ready. */
+    /** A boot that takes this many times the boot time of its machine type is considered failed. */
     static final double ABANDON_BOOT_FACTOR = 4;
 
     /**
-     * A replaced machine is abandoned sooner: it is paid for in vain, and occupies capacity that
-     * another could have.
+     * {@link #ABANDON_BOOT_FACTOR} for a machine that has been replaced. It is lower, since such a
+     * machine is paid for without being needed and occupies capacity that another machine could
+     * use.
      */
     private static final double ABANDON_REPLACED_BOOT_FACTOR = 2.5;
 
-    /** Boot times remembered for a type. */
+    /** Maximum number of recent boot times kept for each machine type. */
     private static final int MAX_BOOT_SAMPLES = 32;
 
-    /** With fewer boot times than this, nothing is learned from them. */
+    /** Minimum number of boot times needed to derive a timeout from them. */
     private static final int MIN_BOOT_SAMPLES = 4;
 
     /**
-     * A machine, its replacement, and the replacement's replacement; if boots fail as often as
-     * this, renting more does not help.
+     * Maximum number of rentals for the same demand: a machine, its replacement, and the
+     * replacement's replacement. If boots fail this often, renting more does not help.
      */
     private static final int MAX_RENTAL_ATTEMPTS = 3;
 
-    /** One machine that is expected to become ready. */
+    /** A rented machine that is booting. */
     static final class Rental {
         private final MachineType type;
         private final String zone;
@@ -75,26 +81,28 @@
             return type;
         }
 
-        /** The capacity pool that it was rented from. */
+        /** Returns the capacity pool that the machine was rented from. */
         CapacityPool pool() {
             return new CapacityPool(type.name(), zone, spot);
         }
 
-        /** Seconds until it should be ready; 0 if it should be by now. */
+        /**
+         * Returns the seconds until the machine should be ready; 0 if it should be ready by now.
+         */
         double secondsUntilReady(MonotonicTime now) {
             return Math.max(0, type.bootSeconds() - now.secondsSince(requestedAt));
         }
     }
 
-    /** In the order in which they became known. */
+    /** Pending machines, in the order in which they became known. */
     private final Map<MachineId, Rental> rentals = new LinkedHashMap<>();
 
-    /** The last boot times of each machine type, in seconds, the oldest first. */
+    /** Recent boot times of each machine type in seconds, oldest first. */
     private final Map<String, ArrayDeque<Double>> bootSecondsByType = new HashMap<>();
 
     /**
-     * Records the machines that a request rented. As many overdue ones of the same type count as
-     * replaced by them.
+     * Records the machines that a request rented. Each of them replaces one overdue machine of the
+     * same type, as long as there are any.
      *
      * @param requestedAt when the request was sent
      */
@@ -149,8 +157,8 @@
     }
 
     /**
-     * The machines that waiting tasks may count on: those that are not overdue, and those that are
-     * not replaced any more.
+     * Returns the machines that waiting tasks may count on: those that are not overdue, and those
+     * that have used up the rental attempts, so that they are not replaced.
      */
     List<Rental> expectedRentals(MonotonicTime now) {
         return rentals.values().stream()
@@ -158,7 +166,9 @@
                 .toList();
     }
 
-    /** The machines that are taken never to become ready, and are to be returned. */
+    /**
+     * Returns the machines whose boot is considered failed, which are to be returned to the cloud.
+     */
     List<MachineId> abandonedRentals(MonotonicTime now) {
         List<MachineId> abandoned = new ArrayList<>();
         rentals.forEach(
@@ -179,7 +189,7 @@
         return now.secondsSince(rental.requestedAt) > bootTimeoutSeconds(rental.type);
     }
 
-    /** For how many seconds a boot of a type is awaited. */
+    /** Returns the seconds after which the boot of a machine type is overdue. */
     private double bootTimeoutSeconds(MachineType type) {
         double typicalSeconds = type.bootSeconds() * TYPICAL_BOOT_FACTOR;
         ArrayDeque<Double> samples = bootSecondsByType.get(type.name());
--- a/src/main/java/org/meadowhollow/coordination/fleet/PoolSelector.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/PoolSelector.java
@@ -16,12 +16,15 @@
     private static final List<Boolean> ON_DEMAND_ONLY = List.of(false);
     private static final List<Boolean> SPOT_THEN_ON_DEMAND = List.of(true, false);
 
-    /** Makes any difference in price count for more than a zone with fewer machines. */
+    /**
+     * Weight of the price, high enough for any difference in price to outweigh the number of
+     * machines in a zone.
+     */
     private static final double COST_WEIGHT_OVER_ZONE_SPREAD = 1000;
 
     /**
-     * A pool is expensive if a task costs more than this many times what it would cost in the
-     * cheapest pool.
+     * Ratio of the cost of a task to its cost in the cheapest pool above which a pool counts as
+     * expensive.
      */
     private static final double EXPENSIVE_COST_RATIO = 2;
 
@@ -39,8 +42,8 @@
     }
 
     /**
-     * The cheapest available pool for a task; among equals, the one in the zone with the fewest
-     * machines.
+     * Finds the cheapest available pool for a task; among pools of equal cost, the one in the zone
+     * with the fewest machines.
      *
      * @param requiredZone the only zone allowed, or null for any
      * @param tasksByZone how many of the job's tasks the plan has put into each zone
@@ -95,8 +98,9 @@
     }
 
     /**
-     * Whether a task in a pool costs so much more than in the cheapest one, available or not, that
-     * it is rented only for what would otherwise be late.
+     * Whether a task costs more than {@link #EXPENSIVE_COST_RATIO} times as much in a pool as in
+     * the cheapest one, whether or not that one is available. Machines of an expensive pool are
+     * rented only for tasks that would otherwise be late.
      */
     boolean isExpensive(JobSpec spec, CapacityPool pool) {
         double lowestCost = Double.MAX_VALUE;
@@ -110,7 +114,10 @@
         return hourlyCostPerTask(spec, type, pool.spot()) > lowestCost * EXPENSIVE_COST_RATIO;
     }
 
-    /** The hourly cost of a task on a machine that it shares with others of its job. */
+    /**
+     * Returns the hourly cost of a task on a machine filled with tasks of the same job. A task of a
+     * gang has a machine to itself.
+     */
     private static double hourlyCostPerTask(JobSpec spec, MachineType type, boolean spot) {
         int tasksPerMachine =
                 spec.kind() == JobKind.GANG
--- a/src/main/java/org/meadowhollow/coordination/fleet/RentalBackoff.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/RentalBackoff.java
@@ -10,23 +10,23 @@
  * full. Guarded by the lock of {@link Autoscaler}, which every caller holds.
  */
 final class RentalBackoff {
-    /** The first pause; each further refusal in a row doubles it. */
+    /** First pause; it doubles with each further refusal in a row. */
     private static final Duration INITIAL_BACKOFF = Duration.ofSeconds(4);
 
     private static final Duration MAX_BACKOFF = Duration.ofSeconds(30);
 
-    /** One pool's pause, and how long the next one will be. */
+    /** The current pause of a pool, and the duration of the next one. */
     private record Pause(MonotonicTime until, Duration next) {}
 
     private final Map<CapacityPool, Pause> pauses = new HashMap<>();
 
-    /** Whether nothing is to be requested from a pool yet. */
+    /** Whether no requests may be sent to a pool yet. */
     boolean isPaused(CapacityPool pool, MonotonicTime now) {
         Pause pause = pauses.get(pool);
         return pause != null && now.isBefore(pause.until());
     }
 
-    /** Records a refusal, and returns for how long the pool is paused from now. */
+    /** Records a refusal, and returns how long the pool is paused from now on. */
     Duration recordRefusal(CapacityPool pool, MonotonicTime now) {
         Pause previous = pauses.get(pool);
         Duration duration = previous == null ? INITIAL_BACKOFF : previous.next();
--- a/src/main/java/org/meadowhollow/coordination/fleet/ScaleInPolicy.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/ScaleInPolicy.java
@@ -9,18 +9,18 @@
 import org.meadowhollow.model.MonotonicTime;
 
 /**
- * Decides which machines that still respond are returned: idle, cordoned, preempted or faulty ones.
- * Silent machines are decided by {@link UnreachableMachineReturnPolicy}. Stateless.
+ * Decides which machines are returned while they still respond: idle, cordoned, preempted or faulty
+ * ones. {@link UnreachableMachineReturnPolicy} decides on silent machines. Stateless.
  */
 final class ScaleInPolicy {
     /**
-     * An idle machine is kept for at least this long, also before any job has shown how long its
-     * image takes to pull: a machine is charged for a minute in any case, and its return takes some
-     * seconds, for a round and for calls that fail.
+     * Minimum time for which an idle machine is kept, also before any job has shown how long its
+     * image takes to pull. A machine is charged for a minute in any case, and its return takes some
+     * seconds: the wait for the next round, and the retries of failed calls.
      */
     private static final double MIN_IDLE_RETENTION_SECONDS = 50;
 
-    /** A preempted machine counts as ended after this much silence past its deadline. */
+    /** Silence past the preemption deadline after which a preempted machine counts as ended. */
     private static final double PREEMPTED_SILENCE_SECONDS = 1;
 
     private final LeadershipContext leader;
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Whether a cancelled task still runs after half the cancellation bound: returning its machine
-     * then proves its end in time.
+     * Whether a task still runs when half the cancellation bound has passed since its job was
+     * cancelled. Returning the machine then proves the end of the task in time.
      */
     private boolean hasOverdueCancellation(Machine machine, MonotonicTime now) {
         Duration limit = deploymentSettings.cancellationBound().dividedBy(2);
@@ -75,9 +75,9 @@
     }
 
     /**
-     * How long an idle machine is kept: for as long as it would take to have another one ready,
-     * with its image pulled. Keeping it for no longer than it takes to replace it never costs more
-     * than twice the optimum.
+     * Returns the seconds for which an idle machine is kept: the time that it takes to have another
+     * machine ready with its image pulled. Keeping a machine for no longer than its replacement
+     * takes never costs more than twice the optimum.
      */
     private double idleRetentionSeconds(MachineType type) {
         return Math.max(
--- a/src/main/java/org/meadowhollow/coordination/fleet/ScaleOutPlanner.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/ScaleOutPlanner.java
@@ -15,9 +15,10 @@
 import org.meadowhollow.model.Resources;
 
 /**
- * Plans one round of scaling out: the machines to rent for the capacity demand that neither booting
- * machines nor each other's new ones can take. First-fit bin packing in the order of the demand.
- * One instance serves one round; callers hold the lock of {@link Autoscaler}.
+ * Plans one round of scaling out: selects the machines to rent for the capacity demand that fits
+ * neither on booting machines nor on machines planned earlier in the round. Uses first-fit bin
+ * packing in the order of the demand. One instance serves one round; callers hold the lock of
+ * {@link Autoscaler}.
  */
 final class ScaleOutPlanner {
     /** The free capacity of a machine that is booting or planned. */
@@ -33,7 +34,7 @@
         }
     }
 
-    /** How far one job's demand has been met. */
+    /** Tracks how much of the demand of one job has been met. */
     private static final class DemandProgress {
         private final Autoscaler.CapacityDemand demand;
         private final Map<String, Integer> tasksByZone = new HashMap<>();
@@ -68,7 +69,7 @@
     private final Map<CapacityPool, Integer> machinesToRent = new LinkedHashMap<>();
 
     /**
-     * Starts the plan of one round.
+     * Creates the planner of one round.
      *
      * @param machines all known machines
      * @param expectedRentals booting machines that the demand may count on, in the order in which
@@ -98,7 +99,10 @@
         }
     }
 
-    /** The number of machines to rent from each pool, in the order in which they were planned. */
+    /**
+     * Returns the number of machines to rent from each pool, in the order in which they were
+     * planned.
+     */
     Map<CapacityPool, Integer> plan(List<Autoscaler.CapacityDemand> capacityDemand) {
         for (Autoscaler.CapacityDemand demand : capacityDemand) {
             planDemand(new DemandProgress(demand));
@@ -131,7 +135,7 @@
         }
     }
 
-    /** The first bin that takes another task, or null. */
+    /** Returns the first bin with room for another task, or null. */
     private Bin findFirstFit(DemandProgress progress) {
         JobSpec spec = progress.spec();
         for (Bin bin : bins) {
@@ -145,7 +149,10 @@
         return null;
     }
 
-    /** Leaves the tasks that are not late for it to capacity that running tasks will release. */
+    /**
+     * Assigns tasks to capacity that running tasks will release, as many as can start there in
+     * time.
+     */
     private void awaitReleases(DemandProgress progress) {
         progress.mayAwaitReleases = false;
         progress.remainingTasks -=
--- a/src/main/java/org/meadowhollow/coordination/fleet/UnreachableMachineReturnPolicy.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/UnreachableMachineReturnPolicy.java
@@ -18,65 +18,74 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Selects the silent machines that are returned to the cloud. A return proves that the tasks on a
- * machine have ended, which can be worth much, but it is irreversible, so it is the last resort:
- * not while many machines are silent at once, not in a zone that is mostly silent, not for a
- * machine whose heartbeats another controller receives, and not for many machines in a short time.
+ * Selects the silent machines to return to the cloud. The return of a machine proves that its tasks
+ * have ended, which other work may be waiting for, but it is irreversible and therefore the last
+ * resort. No machine is returned while many machines are silent at once, while most of its zone is
+ * silent, or while another controller receives its heartbeats; and only a limited number is
+ * returned in a short time.
  *
- * <p>Keeping a failed machine costs little: the cloud lists it as failed within a minute, and from
- * then on it is free of charge; a preempted one is left out of the list; only one that hangs is
- * paid for. So a machine that is not returned for silence alone waits for the cloud's list, or for
- * {@link #LAST_RESORT_LEASES}.
+ * <p>Keeping a failed machine costs little: the cloud lists it as failed within a minute, and does
+ * not charge for it from then on; a preempted machine disappears from the list; only a machine that
+ * hangs is still charged for. A machine that may not be returned for its silence alone is therefore
+ * kept until the cloud's list shows its end, or until it has been silent for {@link
+ * #LAST_RESORT_LEASES}.
  *
- * <p>Not thread-safe: {@link #onHeartbeat} is called with the leader's lock held, the rest from the
- * leader's round outside it, on the same event loop.
+ * <p>Not thread-safe: {@link #onHeartbeat} is called with the leader's lock held, all other methods
+ * from the leader's round without it, on the same event loop.
  */
 public final class UnreachableMachineReturnPolicy {
     private static final Logger LOG = LoggerFactory.getLogger(UnreachableMachineReturnPolicy.class);
 
     /**
-     * A silent machine is returned after this many leases: its tasks have ended, but it may yet
-     * resume.
+     * Silence, in worker leases, after which a machine is returned. Its tasks have ended by then,
+     * but the machine may still resume.
      */
     private static final double RETURN_AFTER_LEASES = 1.5;
 
     /**
-     * A machine that blocks other work is returned after this many heartbeat intervals: two
-     * heartbeats in a row at their latest (a quarter late each), and time for a probe. Its return
-     * proves its tasks ended before its lease expires.
+     * Silence, in heartbeat intervals, after which a machine that blocks other work is returned:
+     * two heartbeats in a row at their latest (a quarter of the interval late each), and time for a
+     * probe. The return proves the end of its tasks before its lease expires.
      */
     private static final double RETURN_AFTER_HEARTBEATS = 2.7;
 
     /**
-     * Where silence has a common cause, a machine is returned after this many leases; any partition
-     * observed was over by then.
+     * Silence, in worker leases, after which a machine is returned even if many machines are silent
+     * for a common cause. All partitions observed so far were over by then.
      */
     private static final double LAST_RESORT_LEASES = 10;
 
     /**
-     * Above this share of silent machines a zone is partitioned, rather than its machines failed.
+     * Share of silent machines above which a zone is considered partitioned, rather than its
+     * machines failed.
      */
     private static final double PARTITIONED_ZONE_SHARE = 0.5;
 
-    /** In a zone with fewer machines than this, the share carries no information. */
+    /** Minimum number of machines in a zone; with fewer, the share carries no information. */
     private static final int MIN_MACHINES_IN_ZONE = 4;
 
     /**
-     * Machines that send heartbeats after they seemed failed: one is a machine that hung; more
-     * point to this node, which may itself have been paused.
+     * Number of machines considered failed whose heartbeats, arriving within one lease, suspend
+     * returns. A single one is a machine that hung; several point to a fault of this node, which
+     * may itself have been paused.
      */
     private static final int LATE_HEARTBEATS_TO_SUSPEND = 2;
 
     private final FailureDetector detector;
     private final DeploymentSettings deploymentSettings;
 
-    /** When machines were returned for silence, one entry each, within the last lease. */
+    /**
+     * Times at which machines were returned for silence within the last lease, one entry for each
+     * machine.
+     */
     private final ArrayDeque<MonotonicTime> returnedAt = new ArrayDeque<>();
 
-    /** When heartbeats arrived from machines about to be returned, within the last lease. */
+    /**
+     * Times within the last lease at which heartbeats arrived from machines about to be returned.
+     */
     private final ArrayDeque<MonotonicTime> lateHeartbeatsAt = new ArrayDeque<>();
 
-    /** Until when nothing is returned for silence alone, or null if that never was suspended. */
+    /** End of the latest suspension of returns for silence alone, or null if there was none. */
     private MonotonicTime suspendedUntil;
 
     /** Creates the policy of one leadership, with nothing returned so far. */
@@ -100,8 +109,8 @@
 
     /**
      * Suspends returns for one lease when heartbeats arrive from several machines that were about
-     * to be returned, since others may become reachable again as well. Call it before the machine's
-     * last contact is updated.
+     * to be returned, since other silent machines may become reachable again as well. Must be
+     * called before the machine's last contact is updated.
      */
     public void onHeartbeat(Machine machine, MonotonicTime now) {
         if (machine.lastContactAt() == null
@@ -118,8 +127,8 @@
     private void suspend(MonotonicTime now) {
         if (suspendedUntil == null || suspendedUntil.isBefore(now)) {
             LOG.info(
-                    "returns for silence alone suspended silenceLimitSeconds={} durationSeconds={}:"
-                            + " machines silent for longer send heartbeats again",
+                    "silent machine returns suspended silence_limit_s={} suspended_s={}"
+                            + " reason=heartbeats received from machines silent for longer",
                     urgentSilenceLimitSeconds(),
                     deploymentSettings.workerLease().toSeconds());
         }
@@ -137,7 +146,7 @@
         }
     }
 
-    /** The silent machines to return now, the longest silent first. */
+    /** Returns the silent machines to return now, the longest silent first. */
     List<MachineId> selectForReturn(List<Machine> machines, MonotonicTime now) {
         List<Machine> inService =
                 machines.stream().filter(machine -> !machine.isReleasing()).toList();
@@ -174,8 +183,8 @@
     }
 
     /**
-     * The zones where most machines are silent although the cloud still lists them, unless there is
-     * only one zone at all.
+     * Returns the zones in which most machines are silent although the cloud still lists them; none
+     * if there is only one zone.
      */
     private Set<String> partitionedZones(List<Machine> inService, MonotonicTime now) {
         Map<String, Integer> knownByZone = new HashMap<>();
@@ -201,7 +210,7 @@
         return partitioned;
     }
 
-    /** How many more machines may be returned within the current lease. */
+    /** Returns the number of machines that may still be returned within the current lease. */
     private int remainingReturns(int machinesInService, MonotonicTime now) {
         dropOlderThanLease(returnedAt, now);
         int limit =
@@ -209,7 +218,7 @@
         return Math.max(0, limit - returnedAt.size());
     }
 
-    /** Records that machines were returned, which counts against how many more may be. */
+    /** Records that machines were returned, which counts against the limit for one lease. */
     void recordReturned(int machines, MonotonicTime now) {
         for (int recorded = 0; recorded < machines; recorded++) {
             returnedAt.add(now);
@@ -221,7 +230,7 @@
         return seenAt != null && now.secondsSince(seenAt) <= urgentSilenceLimitSeconds();
     }
 
-    /** How long a machine may be silent before it is returned. */
+    /** Returns the seconds of silence after which a machine is returned. */
     private double silenceLimitSeconds(Machine machine) {
         if (machine.lastContactAt() == null) {
             // No contact since this leadership began or the cloud listed it as running: treated as
@@ -236,8 +245,8 @@
     }
 
     /**
-     * Whether a service or a gang is blocked while it is unknown whether the machine's tasks still
-     * run.
+     * Whether a service or a gang stays blocked until it is known that the machine's tasks have
+     * ended.
      */
     private static boolean blocksServiceOrGang(Machine machine) {
         return machine.placements().stream()
