--- a/src/main/java/org/meadowhollow/coordination/heartbeat/DeferredHeartbeats.java
+++ b/src/main/java/org/meadowhollow/coordination/heartbeat/DeferredHeartbeats.java
@@ -12,21 +12,26 @@
 import org.meadowhollow.model.MonotonicTime;
 
 /**
- * Heartbeats that are answered a little later. A leader defers them because starts are sent in
- * answers alone, so that a machine can start a task at once instead of with its next heartbeat;
- * another node defers them while no leader is known. Guarded by the lock of its owner.
+ * Holds heartbeats whose responses are deferred. A leader sends starts of tasks in heartbeat
+ * responses alone, so it defers responses to let a machine start a task at once instead of with its
+ * next heartbeat. Another node defers them while no leader is known. Guarded by the lock of its
+ * owner.
  */
 public final class DeferredHeartbeats {
-    /** A heartbeat, the future of its response, and when that is due. */
+    /** A heartbeat, the future of its response, and the time at which the response is due. */
     public record DeferredHeartbeat(
             Heartbeat heartbeat,
             CompletableFuture<HeartbeatResponse> response,
             MonotonicTime deadline) {}
 
-    /** In the order in which they are due, for all are deferred by the same time. */
+    /** In the order of their deadlines, since all heartbeats are deferred by the same duration. */
     private final Map<MachineId, DeferredHeartbeat> byMachine = new LinkedHashMap<>();
 
-    /** Defers the response to a heartbeat until it is taken, or else due at a time. */
+    /**
+     * Defers the response to a heartbeat until the heartbeat is taken, which {@link #takeDue} does
+     * once the deadline has passed. An earlier deferred heartbeat of the same machine is
+     * redirected.
+     */
     public CompletableFuture<HeartbeatResponse> defer(Heartbeat heartbeat, MonotonicTime until) {
         discardEarlier(heartbeat.machineId());
         DeferredHeartbeat entry =
@@ -36,8 +41,8 @@
     }
 
     /**
-     * Redirects a machine's earlier heartbeat: a worker has one in flight at a time, so it does not
-     * wait for that response any more.
+     * Answers a machine's earlier heartbeat with a redirect: a worker has one heartbeat in flight
+     * at a time, so it no longer waits for that response.
      */
     public void discardEarlier(MachineId machine) {
         DeferredHeartbeat earlier = byMachine.remove(machine);
@@ -56,7 +61,7 @@
         return byMachine.remove(machine);
     }
 
-    /** Removes and returns those that are due. */
+    /** Removes and returns the heartbeats that are due. */
     public List<DeferredHeartbeat> takeDue(MonotonicTime now) {
         List<DeferredHeartbeat> due = new ArrayList<>();
         for (Iterator<DeferredHeartbeat> all = byMachine.values().iterator(); all.hasNext(); ) {
@@ -70,13 +75,17 @@
         return due;
     }
 
-    /** Redirects workers to a member, or to their next node if it is null; renews no lease. */
+    /**
+     * Answers heartbeats with a redirect, which renews no lease.
+     *
+     * @param member the node to redirect the workers to, or null for the next node of each worker
+     */
     public static void redirectAll(List<DeferredHeartbeat> heartbeats, String member) {
         heartbeats.forEach(
                 each -> each.response().complete(new HeartbeatResponse.Redirect(member)));
     }
 
-    /** Removes and returns all. */
+    /** Removes and returns all deferred heartbeats. */
     public List<DeferredHeartbeat> takeAll() {
         List<DeferredHeartbeat> all = List.copyOf(byMachine.values());
         byMachine.clear();
--- a/src/main/java/org/meadowhollow/coordination/heartbeat/HeartbeatTracker.java
+++ b/src/main/java/org/meadowhollow/coordination/heartbeat/HeartbeatTracker.java
@@ -12,29 +12,30 @@
 import org.meadowhollow.model.MonotonicTime;
 
 /**
- * The machines whose heartbeats this node received lately, whether or not it leads. A received
- * heartbeat proves that the worker was alive and that the network path from it to this node was
- * open; a missing one proves nothing. Thread-safe: guarded by its own monitor.
+ * Tracks the machines from which this node recently received heartbeats, whether or not it leads. A
+ * received heartbeat proves that the worker was alive and that the network path from it to this
+ * node was open; a missing one proves nothing. Thread-safe: guarded by its own monitor.
  */
 public final class HeartbeatTracker {
     /**
-     * Longer than any window that is asked for: a worker whose leader does not answer tries every
-     * controller well within it.
+     * Time for which heartbeats are kept, longer than any window that callers ask for. A worker
+     * whose leader does not answer tries every controller well within this time.
      */
     private static final Duration RETENTION = Duration.ofSeconds(60);
 
     /**
-     * Machines tracked, some hundred bytes each; the one with the oldest heartbeat is evicted
-     * first.
+     * Maximum number of machines tracked, at some hundred bytes each. The machine with the oldest
+     * heartbeat is evicted first.
      */
     private static final int MAX_TRACKED_MACHINES = 20_000;
 
-    /** In ascending order of the last heartbeat. */
+    /** Time of the last heartbeat of each machine, in ascending order. */
     @GuardedBy("this")
     private final LinkedHashMap<MachineId, MonotonicTime> lastHeartbeatAt = new LinkedHashMap<>();
 
     /**
-     * Records that a heartbeat of a machine was received, and evicts what is too old or too much.
+     * Records a heartbeat of a machine, and evicts entries that are too old or exceed the maximum
+     * number.
      *
      * @param now not before the time of an earlier call
      */
@@ -69,7 +70,7 @@
     }
 
     /**
-     * Selects those of some machines that have a recent heartbeat.
+     * Selects the machines out of a collection that have a recent heartbeat.
      *
      * @param window how far back from {@code now} a heartbeat counts, at most 60 s
      */
@@ -89,7 +90,7 @@
         return now.elapsedSince(at).compareTo(window) <= 0;
     }
 
-    /** A copy of everything tracked, for tests of the bounds. */
+    /** Returns a copy of everything tracked, for tests of the bounds. */
     synchronized Map<MachineId, MonotonicTime> trackedMachines() {
         return Map.copyOf(lastHeartbeatAt);
     }
--- a/src/main/java/org/meadowhollow/coordination/heartbeat/LeaderReachability.java
+++ b/src/main/java/org/meadowhollow/coordination/heartbeat/LeaderReachability.java
@@ -7,43 +7,43 @@
 
 /**
  * Distinguishes a leader that is cut off from its workers from workers that have failed. Many
- * overdue heartbeats at once point to the leader's own network. The other controllers can confirm
- * it, because workers whose leader does not answer send their heartbeats to them. Pure functions,
- * usable from any thread.
+ * overdue heartbeats at once point to the network of the leader itself. The other controllers can
+ * confirm it, because workers whose leader does not answer send their heartbeats to them. Pure
+ * functions, usable from any thread.
  */
 public final class LeaderReachability {
     /**
-     * Share of the known machines above which overdue heartbeats are taken to have a common cause.
-     * A wave of spot preemptions or the loss of a smaller zone stays below it, and so did every
+     * Share of the known machines above which overdue heartbeats are attributed to a common cause.
+     * A wave of spot preemptions or the loss of a smaller zone stays below it, as did every
      * independent failure observed.
      */
     public static final double DEGRADED_OVERDUE_SHARE = 0.25;
 
     /**
-     * Share from which the leader itself counts as isolated; the loss of the larger of two or three
-     * zones stays below it.
+     * Share from which the leader itself counts as isolated. The loss of the larger of two zones,
+     * or of the largest of three, stays below it.
      */
     static final double ISOLATED_OVERDUE_SHARE = 0.75;
 
-    /** With fewer machines than this, the share carries no information. */
+    /** Minimum number of known machines; with fewer, the share carries no information. */
     static final int MIN_KNOWN_MACHINES = 3;
 
     /**
-     * Machines that a peer must have received heartbeats from to be a better leader: one or two
-     * lose a connection now and then.
+     * Number of machines that a peer must have received heartbeats from to be a better leader: one
+     * or two machines lose a connection now and then.
      */
     static final int MIN_MACHINES_SEEN_BY_PEER = 3;
 
     /**
-     * How long the peers have to answer before an isolated leader acts on its own evidence alone:
-     * workers turn to the next node 5 s after their leader stopped answering, and the leader
-     * detects its own isolation at about the same time.
+     * Time that the peers have to answer before an isolated leader acts on its own evidence alone.
+     * Workers try the next node 5 s after their leader stopped answering, and the leader detects
+     * its isolation at about the same time.
      */
     static final Duration PEER_ANSWER_TIMEOUT = Duration.ofSeconds(3);
 
     /** How well heartbeats reach the leader. */
     public enum Reachability {
-        /** Few heartbeats are overdue; each missing one has a cause of its own. */
+        /** Few heartbeats are overdue, each for a cause of its own. */
         HEALTHY,
         /** So many are overdue that a common cause is likely, such as a zone or a network path. */
         DEGRADED,
@@ -52,7 +52,7 @@
     }
 
     /**
-     * Whether an isolated leader resigns.
+     * The decision whether an isolated leader resigns.
      *
      * @param preferredSuccessor the member to hand the leadership to, if a better one is known
      */
@@ -89,16 +89,17 @@
 
     /**
      * Decides whether an isolated leader resigns its lease. It resigns in favour of a peer that
-     * receives the workers' heartbeats. If all peers answered and none receives any, passing the
-     * leadership around gains nothing, and it stays. If some peers cannot be reached, it resigns
-     * once without a known successor; a node that receives no heartbeats does not then acquire the
-     * lease before this one may again.
+     * receives the workers' heartbeats. If all peers answered and none receives any, a change of
+     * leader gains nothing, and it keeps the leadership. If some peers cannot be reached, it
+     * resigns once without a known successor; it may then acquire the lease again before a node
+     * that receives no heartbeats may.
      *
-     * @param isolatedFor how long it has been isolated
+     * @param isolatedFor how long the leader has been isolated
      * @param queriedMachines how many overdue machines the peers were asked about
      * @param reports one report, or its absence, for each of the other controllers; empty before
      *     the first round of answers
-     * @param mayResignWithoutSuccessor whether it has not resigned on its own evidence lately
+     * @param mayResignWithoutSuccessor whether its last resignation without a known successor is
+     *     long enough ago
      */
     public static ResignationDecision decideResignation(
             Duration isolatedFor,
@@ -117,7 +118,9 @@
                 : ResignationDecision.KEEP_LEADERSHIP;
     }
 
-    /** The eligible peer with heartbeats from the most machines; the first one among equals. */
+    /**
+     * Returns the eligible peer with heartbeats from the most machines; the first one among equals.
+     */
     private static Optional<PeerReachabilityReport> bestSuccessor(
             int queriedMachines, List<PeerReachabilityReport> reports) {
         int requiredMachines = Math.min(MIN_MACHINES_SEEN_BY_PEER, Math.max(1, queriedMachines));
