--- a/src/main/java/org/meadowhollow/coordination/fleet/MachineReturner.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/MachineReturner.java
@@ -108,7 +108,7 @@
                         .filter(machine -> batchIds.contains(machine.id()))
                         .toList();
         machines.forEach(machine -> machine.setReleasing(true));
-        LOG.info("machine return requested machines={} reason={}", batch, reason);
+        LOG.info("machine return requested machine_ids={} reason={}", batch, reason);
         CompletableFuture<Void> unusedHandled =
                 cloudProvider
                         .releaseMachines(batch)
--- a/src/test/java/org/meadowhollow/coordination/fleet/PendingRentalsTest.java
+++ b/src/test/java/org/meadowhollow/coordination/fleet/PendingRentalsTest.java
@@ -10,7 +10,7 @@
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.Resources;
 
-/** How long a machine that boots late or never is counted on, and when it is abandoned. */
+/** Tests how long a slow or failed boot is counted on, and when the machine is abandoned. */
 class PendingRentalsTest {
     private static final MachineType TYPE =
             new MachineType("small", Resources.of(8, 2, 32), 50, 1, 2, 1, 10, List.of("a"));
@@ -34,13 +34,13 @@
         assertEquals(
                 List.of(new MachineId("vm-1")),
                 pendingRentals.abandonedRentals(at(32)),
-                "it was replaced, and is long overdue");
+                "a replaced machine that is long overdue is abandoned");
         pendingRentals.forget(new MachineId("vm-1"));
         rent("vm-3", 32);
         assertEquals(
                 1,
                 pendingRentals.expectedRentals(at(60)).size(),
-                "after three attempts no more replacements are rented");
+                "after three attempts no replacement is rented");
         assertEquals(2, pendingRentals.abandonedRentals(at(73)).size());
     }
 
--- a/src/test/java/org/meadowhollow/coordination/fleet/RentalBackoffTest.java
+++ b/src/test/java/org/meadowhollow/coordination/fleet/RentalBackoffTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.meadowhollow.model.MonotonicTime;
 
-/** How long a capacity pool is paused after rental requests that were not met. */
+/** Tests how long a capacity pool is paused after rental requests that were not met in full. */
 class RentalBackoffTest {
     private static final CapacityPool POOL = new CapacityPool("small", "a", true);
     private static final CapacityPool OTHER_POOL = new CapacityPool("small", "a", false);
--- a/src/test/java/org/meadowhollow/coordination/fleet/UnreachableMachineReturnPolicyTest.java
+++ b/src/test/java/org/meadowhollow/coordination/fleet/UnreachableMachineReturnPolicyTest.java
@@ -15,13 +15,16 @@
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.Resources;
 
-/** Which silent machines are returned to the cloud. */
+/** Tests which silent machines are selected for return to the cloud. */
 class UnreachableMachineReturnPolicyTest {
     private static final MachineType TYPE =
             new MachineType("type", Resources.of(8, 2, 32), 50, 1, 2, 1, 10, List.of("a"));
     private static final MonotonicTime BEGUN = new MonotonicTime(0);
 
-    /** Of thousands of silent machines, the peers are asked about a few hundred at a time. */
+    /**
+     * Peers are asked about a few hundred machines at a time. If thousands are silent, no answer
+     * exists yet for some, and those must not be returned.
+     */
     @Test
     void keepsSilentMachineThatPeersWereNotAskedAbout() {
         DeploymentSettings deploymentSettings =
--- a/src/test/java/org/meadowhollow/coordination/heartbeat/DeferredHeartbeatsTest.java
+++ b/src/test/java/org/meadowhollow/coordination/heartbeat/DeferredHeartbeatsTest.java
@@ -16,6 +16,7 @@
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.WorkerIncarnation;
 
+/** Tests when deferred heartbeats are taken, and when they are redirected. */
 class DeferredHeartbeatsTest {
     private static final MonotonicTime START = new MonotonicTime(0);
 
--- a/src/test/java/org/meadowhollow/coordination/heartbeat/HeartbeatTrackerTest.java
+++ b/src/test/java/org/meadowhollow/coordination/heartbeat/HeartbeatTrackerTest.java
@@ -9,7 +9,7 @@
 import org.meadowhollow.model.MachineId;
 import org.meadowhollow.model.MonotonicTime;
 
-/** The bounds in number and age of the heartbeats that a node keeps. */
+/** Tests the bounds on the number and age of the heartbeats that a node keeps. */
 class HeartbeatTrackerTest {
     private final HeartbeatTracker tracker = new HeartbeatTracker();
 
--- a/src/test/java/org/meadowhollow/coordination/heartbeat/LeaderReachabilityTest.java
+++ b/src/test/java/org/meadowhollow/coordination/heartbeat/LeaderReachabilityTest.java
@@ -18,7 +18,7 @@
 import org.meadowhollow.coordination.heartbeat.LeaderReachability.ResignationDecision;
 import org.meadowhollow.model.MachineId;
 
-/** The thresholds of a leader's reachability, and when an isolated leader resigns. */
+/** Tests the thresholds of a leader's reachability, and when an isolated leader resigns. */
 class LeaderReachabilityTest {
     private static final Duration LONG_ENOUGH = Duration.ofSeconds(3);
     private static final int QUERIED_MACHINES = 10;
