--- a/src/main/java/org/meadowhollow/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/FailureDetector.java
@@ -61,7 +61,7 @@
      * Factor on the listing delay: a machine list is sometimes twice as stale as usual, and may
      * then be older than the list before it.
      */
-    private static final int LIST_LAG_FACTOR = 2;
+    private static final int MAX_LISTING_DELAY_FACTOR = 2;
 
     /** The leader, whose monitor is the leader's lock. */
     private final Object leaderLock;
@@ -86,7 +86,7 @@
      * Creates the detector of one leadership.
      *
      * @param leader the object whose monitor guards the cluster state and this detector
-     * @param begunAt when the leadership began
+     * @param leadershipBeganAt when the leadership began
      */
     public FailureDetector(
             LeadershipContext leader,
@@ -95,14 +95,14 @@
             EventLoop loop,
             PeerGateway peerGateway,
             Leadership leadership,
-            MonotonicTime begunAt) {
+            MonotonicTime leadershipBeganAt) {
         this.leaderLock = leader;
         this.clusterState = clusterState;
         this.deploymentSettings = deploymentSettings;
         this.loop = loop;
         this.peerGateway = peerGateway;
         this.leadership = leadership;
-        this.leadershipBeganAt = begunAt;
+        this.leadershipBeganAt = leadershipBeganAt;
     }
 
     /** Returns the result of the last {@link #evaluate}, or {@code HEALTHY} before the first. */
@@ -214,7 +214,7 @@
         MonotonicTime shownAt =
                 machine.lastListedAt() == null ? machine.knownSince() : machine.lastListedAt();
         Duration maxStaleness =
-                deploymentSettings.cloudListingDelay().multipliedBy(LIST_LAG_FACTOR);
+                deploymentSettings.cloudListingDelay().multipliedBy(MAX_LISTING_DELAY_FACTOR);
         return lastMachineListAt.elapsedSince(shownAt).compareTo(maxStaleness) > 0;
     }
 
--- a/src/main/java/org/meadowhollow/coordination/fleet/HeartbeatTimeoutMonitor.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/HeartbeatTimeoutMonitor.java
@@ -57,19 +57,19 @@
      * Creates the monitor of one leadership.
      *
      * @param fencingToken the token of this leadership
-     * @param begunAt when the leadership began
+     * @param leadershipBeganAt when the leadership began
      */
     public HeartbeatTimeoutMonitor(
             LeadershipContext leader,
             ClusterState clusterState,
             DeploymentSettings deploymentSettings,
             FencingToken fencingToken,
-            MonotonicTime begunAt) {
+            MonotonicTime leadershipBeganAt) {
         this.leader = leader;
         this.clusterState = clusterState;
         this.deploymentSettings = deploymentSettings;
         this.fencingToken = fencingToken;
-        this.leadershipBeganAt = begunAt;
+        this.leadershipBeganAt = leadershipBeganAt;
     }
 
     /** Checks all machines, then the placements on machines that were never seen. */
@@ -78,7 +78,7 @@
         for (Machine machine : List.copyOf(clusterState.machines().values())) {
             checkMachine(machine, now);
         }
-        expireUnobservedPlacements(now);
+        expireUnseenPlacements(now);
     }
 
     /** Drops the state of a machine that is gone. */
@@ -205,7 +205,7 @@
     }
 
     /** Expires placements on machines that neither the cloud's list nor any heartbeat has shown. */
-    private void expireUnobservedPlacements(MonotonicTime now) {
+    private void expireUnseenPlacements(MonotonicTime now) {
         Map<MachineId, List<Placement>> unseen = clusterState.placementsOnUnseenMachines();
         if (unseen.isEmpty() || !haveEarlierLeasesExpired(now)) {
             return;
--- a/src/main/java/org/meadowhollow/coordination/fleet/LeadershipContext.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/LeadershipContext.java
@@ -60,25 +60,25 @@
     /**
      * Handles a machine that is proven gone: marks all tasks on it lost.
      *
-     * @param why the reason, for the log
+     * @param reason for the log
      * @param forget whether to remove the machine itself from the registry as well
      */
-    void markMachineGone(MachineId id, String why, boolean forget);
+    void markMachineGone(MachineId id, String reason, boolean forget);
 
     /**
      * Marks a task lost that is proven to have ended without being stopped.
      *
      * @param machine the machine that the task ran on, or null if this leader never saw it
-     * @param why the reason, for the log
+     * @param reason for the log
      */
-    void markTaskLost(Machine machine, Placement placement, String why, MonotonicTime now);
+    void markTaskLost(Machine machine, Placement placement, String reason, MonotonicTime now);
 
     /**
      * Stops a task after it has saved a checkpoint.
      *
-     * @param why the reason, for the log
+     * @param reason for the log
      */
-    void stopWithCheckpoint(Placement placement, String why);
+    void stopWithCheckpoint(Placement placement, String reason);
 
     /** Sends commands directly to a worker, instead of in the response to its next heartbeat. */
     void sendCommands(
--- a/src/main/java/org/meadowhollow/coordination/fleet/MachineRenter.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/MachineRenter.java
@@ -95,24 +95,24 @@
                                 (rented, failure) -> {
                                     synchronized (lock) {
                                         requestsInFlight--;
-                                        recordAnswer(pool, requestedCount, sentAt, rented, failure);
+                                        recordResult(pool, requestedCount, sentAt, rented, failure);
                                     }
                                 });
     }
 
     @GuardedBy("lock")
-    private void recordAnswer(
+    private void recordResult(
             CapacityPool pool,
             int requestedCount,
             MonotonicTime sentAt,
             Optional<List<MachineId>> rented,
             Throwable failure) {
         if (failure != null) {
-            pause(pool, failure.getMessage());
+            pausePool(pool, failure.getMessage());
             return;
         }
         if (rented.isEmpty() || rented.get().size() < requestedCount) {
-            pause(pool, "no capacity");
+            pausePool(pool, "no capacity");
         } else {
             backoff.recordSuccess(pool);
         }
@@ -128,7 +128,7 @@
     }
 
     @GuardedBy("lock")
-    private void pause(CapacityPool pool, String reason) {
+    private void pausePool(CapacityPool pool, String reason) {
         Duration duration = backoff.recordRefusal(pool, loop.now());
         LOG.info(
                 "machine rental paused type={} zone={} pause_s={} reason={}",
--- a/src/main/java/org/meadowhollow/coordination/fleet/MachineReturner.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/MachineReturner.java
@@ -114,17 +114,17 @@
                         .releaseMachines(batch)
                         .whenComplete(
                                 (unused, failure) -> {
-                                    recordAnswer(batch, failure);
+                                    recordResult(batch, failure);
                                     if (failure == null) {
                                         onReturned.accept(batch.size());
-                                        markGone(batch);
+                                        markMachinesGone(batch);
                                     } else {
                                         restoreToService(machines, failure);
                                     }
                                 });
     }
 
-    private void recordAnswer(List<MachineId> batch, Throwable failure) {
+    private void recordResult(List<MachineId> batch, Throwable failure) {
         synchronized (lock) {
             requestInFlight = false;
             if (failure != null) {
@@ -141,7 +141,7 @@
         }
     }
 
-    private void markGone(List<MachineId> batch) {
+    private void markMachinesGone(List<MachineId> batch) {
         for (MachineId id : batch) {
             leader.markMachineGone(id, "machine returned to the cloud", true);
         }
--- a/src/main/java/org/meadowhollow/coordination/fleet/PendingRentals.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/PendingRentals.java
@@ -122,9 +122,9 @@
         for (MachineId id : ids) {
             int attempts = 1;
             if (replacedCount < overdue.size()) {
-                Rental replaced = overdue.get(replacedCount);
-                replaced.replaced = true;
-                attempts = replaced.attempts + 1;
+                Rental replacedRental = overdue.get(replacedCount);
+                replacedRental.replaced = true;
+                attempts = replacedRental.attempts + 1;
                 replacedCount++;
             }
             rentals.put(id, new Rental(type, zone, spot, requestedAt, attempts));
@@ -196,16 +196,16 @@
         if (samples == null || samples.size() < MIN_BOOT_SAMPLES) {
             return typicalSeconds;
         }
-        double slowSeconds =
+        double quantileSeconds =
                 samples.stream()
                         .sorted()
                         .skip((long) (samples.size() * BOOT_TIME_QUANTILE))
                         .findFirst()
                         .orElse(typicalSeconds);
-        double learnedSeconds =
+        double observedTimeoutSeconds =
                 Math.min(
-                        slowSeconds * BOOT_QUANTILE_MARGIN,
+                        quantileSeconds * BOOT_QUANTILE_MARGIN,
                         type.bootSeconds() * ABANDON_BOOT_FACTOR);
-        return Math.max(typicalSeconds, learnedSeconds);
+        return Math.max(typicalSeconds, observedTimeoutSeconds);
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/fleet/RentalBackoff.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/RentalBackoff.java
@@ -16,7 +16,7 @@
     private static final Duration MAX_BACKOFF = Duration.ofSeconds(30);
 
     /** The current pause of a pool, and the duration of the next one. */
-    private record Pause(MonotonicTime until, Duration next) {}
+    private record Pause(MonotonicTime until, Duration nextDuration) {}
 
     private final Map<CapacityPool, Pause> pauses = new HashMap<>();
 
@@ -29,10 +29,10 @@
     /** Records a refusal, and returns how long the pool is paused from now on. */
     Duration recordRefusal(CapacityPool pool, MonotonicTime now) {
         Pause previous = pauses.get(pool);
-        Duration duration = previous == null ? INITIAL_BACKOFF : previous.next();
+        Duration duration = previous == null ? INITIAL_BACKOFF : previous.nextDuration();
         Duration doubled = duration.multipliedBy(2);
-        Duration next = doubled.compareTo(MAX_BACKOFF) > 0 ? MAX_BACKOFF : doubled;
-        pauses.put(pool, new Pause(now.plus(duration), next));
+        Duration nextDuration = doubled.compareTo(MAX_BACKOFF) > 0 ? MAX_BACKOFF : doubled;
+        pauses.put(pool, new Pause(now.plus(duration), nextDuration));
         return duration;
     }
 
--- a/src/main/java/org/meadowhollow/coordination/fleet/UnreachableMachineReturnPolicy.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/UnreachableMachineReturnPolicy.java
@@ -28,7 +28,7 @@
  * not charge for it from then on; a preempted machine disappears from the list; only a machine that
  * hangs is still charged for. A machine that may not be returned for its silence alone is therefore
  * kept until the cloud's list shows its end, or until it has been silent for {@link
- * #LAST_RESORT_LEASES}.
+ * #COMMON_CAUSE_RETURN_AFTER_LEASES}.
  *
  * <p>Not thread-safe: {@link #onHeartbeat} is called with the leader's lock held, all other methods
  * from the leader's round without it, on the same event loop.
@@ -47,13 +47,13 @@
      * two heartbeats in a row at their latest (a quarter of the interval late each), and time for a
      * probe. The return proves the end of its tasks before its lease expires.
      */
-    private static final double RETURN_AFTER_HEARTBEATS = 2.7;
+    private static final double URGENT_RETURN_AFTER_HEARTBEATS = 2.7;
 
     /**
      * Silence, in worker leases, after which a machine is returned even if many machines are silent
      * for a common cause. All partitions observed so far were over by then.
      */
-    private static final double LAST_RESORT_LEASES = 10;
+    private static final double COMMON_CAUSE_RETURN_AFTER_LEASES = 10;
 
     /**
      * Share of silent machines above which a zone is considered partitioned, rather than its
@@ -100,7 +100,7 @@
     }
 
     private double urgentSilenceLimitSeconds() {
-        return toSeconds(deploymentSettings.heartbeatInterval()) * RETURN_AFTER_HEARTBEATS;
+        return toSeconds(deploymentSettings.heartbeatInterval()) * URGENT_RETURN_AFTER_HEARTBEATS;
     }
 
     private double ordinarySilenceLimitSeconds() {
@@ -159,12 +159,14 @@
                 detector.reachability() != LeaderReachability.Reachability.HEALTHY
                         || isSuspended(now);
         Set<String> partitionedZones = partitionedZones(inService, now);
-        double lastResortSeconds = toSeconds(deploymentSettings.workerLease()) * LAST_RESORT_LEASES;
+        double commonCauseLimitSeconds =
+                toSeconds(deploymentSettings.workerLease()) * COMMON_CAUSE_RETURN_AFTER_LEASES;
         return candidates.stream()
                 .filter(
                         machine ->
                                 (!hasCommonCause && !partitionedZones.contains(machine.zone()))
-                                        || detector.silentSeconds(machine, now) > lastResortSeconds)
+                                        || detector.silentSeconds(machine, now)
+                                                > commonCauseLimitSeconds)
                 .filter(
                         machine ->
                                 detector.isUnseenByAllPeers(machine, now)
--- a/src/main/java/org/meadowhollow/coordination/heartbeat/DeferredHeartbeats.java
+++ b/src/main/java/org/meadowhollow/coordination/heartbeat/DeferredHeartbeats.java
@@ -32,12 +32,12 @@
      * once the deadline has passed. An earlier deferred heartbeat of the same machine is
      * redirected.
      */
-    public CompletableFuture<HeartbeatResponse> defer(Heartbeat heartbeat, MonotonicTime until) {
+    public CompletableFuture<HeartbeatResponse> defer(Heartbeat heartbeat, MonotonicTime deadline) {
         discardEarlier(heartbeat.machineId());
-        DeferredHeartbeat entry =
-                new DeferredHeartbeat(heartbeat, new CompletableFuture<>(), until);
-        byMachine.put(heartbeat.machineId(), entry);
-        return entry.response();
+        DeferredHeartbeat deferred =
+                new DeferredHeartbeat(heartbeat, new CompletableFuture<>(), deadline);
+        byMachine.put(heartbeat.machineId(), deferred);
+        return deferred.response();
     }
 
     /**
@@ -64,13 +64,14 @@
     /** Removes and returns the heartbeats that are due. */
     public List<DeferredHeartbeat> takeDue(MonotonicTime now) {
         List<DeferredHeartbeat> due = new ArrayList<>();
-        for (Iterator<DeferredHeartbeat> all = byMachine.values().iterator(); all.hasNext(); ) {
-            DeferredHeartbeat next = all.next();
-            if (now.isBefore(next.deadline())) {
+        for (Iterator<DeferredHeartbeat> iterator = byMachine.values().iterator();
+                iterator.hasNext(); ) {
+            DeferredHeartbeat deferred = iterator.next();
+            if (now.isBefore(deferred.deadline())) {
                 break;
             }
-            all.remove();
-            due.add(next);
+            iterator.remove();
+            due.add(deferred);
         }
         return due;
     }
@@ -82,7 +83,7 @@
      */
     public static void redirectAll(List<DeferredHeartbeat> heartbeats, String member) {
         heartbeats.forEach(
-                each -> each.response().complete(new HeartbeatResponse.Redirect(member)));
+                deferred -> deferred.response().complete(new HeartbeatResponse.Redirect(member)));
     }
 
     /** Removes and returns all deferred heartbeats. */
--- a/src/test/java/org/meadowhollow/coordination/fleet/UnreachableMachineReturnPolicyTest.java
+++ b/src/test/java/org/meadowhollow/coordination/fleet/UnreachableMachineReturnPolicyTest.java
@@ -19,7 +19,7 @@
 class UnreachableMachineReturnPolicyTest {
     private static final MachineType TYPE =
             new MachineType("type", Resources.of(8, 2, 32), 50, 1, 2, 1, 10, List.of("a"));
-    private static final MonotonicTime BEGUN = new MonotonicTime(0);
+    private static final MonotonicTime LEADERSHIP_BEGAN_AT = new MonotonicTime(0);
 
     /**
      * Peers are asked about a few hundred machines at a time. If thousands are silent, no answer
@@ -47,13 +47,20 @@
         UnreachableMachineReturnPolicy policy =
                 new UnreachableMachineReturnPolicy(
                         new FailureDetector(
-                                null, clusterState, deploymentSettings, null, null, null, BEGUN),
+                                null,
+                                clusterState,
+                                deploymentSettings,
+                                null,
+                                null,
+                                null,
+                                LEADERSHIP_BEGAN_AT),
                         deploymentSettings);
         Machine silent = new Machine(new MachineId("vm-1"), TYPE, "a", false);
-        silent.knownSince(BEGUN);
-        silent.recordAnsweredHeartbeat(BEGUN);
+        silent.knownSince(LEADERSHIP_BEGAN_AT);
+        silent.recordAnsweredHeartbeat(LEADERSHIP_BEGAN_AT);
         assertEquals(
                 List.of(),
-                policy.selectForReturn(List.of(silent), BEGUN.plus(Duration.ofSeconds(100))));
+                policy.selectForReturn(
+                        List.of(silent), LEADERSHIP_BEGAN_AT.plus(Duration.ofSeconds(100))));
     }
 }
--- a/src/test/java/org/meadowhollow/coordination/heartbeat/DeferredHeartbeatsTest.java
+++ b/src/test/java/org/meadowhollow/coordination/heartbeat/DeferredHeartbeatsTest.java
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void aLaterHeartbeatOfAMachineRedirectsTheEarlierOne() {
+    void redirectsEarlierHeartbeatWhenMachineSendsAnother() {
         CompletableFuture<HeartbeatResponse> first =
                 deferred.defer(heartbeat("vm-1", 1), second(2));
         CompletableFuture<HeartbeatResponse> next = deferred.defer(heartbeat("vm-1", 2), second(3));
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void onlyWhatIsDueIsTaken() {
+    void takesOnlyHeartbeatsThatAreDue() {
         CompletableFuture<HeartbeatResponse> first =
                 deferred.defer(heartbeat("vm-1", 1), second(2));
         CompletableFuture<HeartbeatResponse> next = deferred.defer(heartbeat("vm-2", 1), second(3));
--- a/src/test/java/org/meadowhollow/coordination/heartbeat/LeaderReachabilityTest.java
+++ b/src/test/java/org/meadowhollow/coordination/heartbeat/LeaderReachabilityTest.java
@@ -20,7 +20,7 @@
 
 /** Tests the thresholds of a leader's reachability, and when an isolated leader resigns. */
 class LeaderReachabilityTest {
-    private static final Duration LONG_ENOUGH = Duration.ofSeconds(3);
+    private static final Duration PEER_ANSWER_TIMEOUT = Duration.ofSeconds(3);
     private static final int QUERIED_MACHINES = 10;
 
     private static PeerReachabilityReport report(String member, boolean reachesStore, int seen) {
@@ -63,25 +63,28 @@
     }
 
     @Test
-    void staysWhenAllPeersAnswerAndNoneSeesEnoughMachines() {
-        assertFalse(decide(LONG_ENOUGH, report("n1", true, 2), report("n2", true, 0)).resigns());
+    void keepsLeadershipWhenAllPeersAnswerAndNoneSeesEnoughMachines() {
+        assertFalse(
+                decide(PEER_ANSWER_TIMEOUT, report("n1", true, 2), report("n2", true, 0))
+                        .resigns());
     }
 
     @Test
     void resignsWithoutSuccessorOnlyAfterThePeersHadTimeToAnswer() {
         PeerReachabilityReport missing = PeerReachabilityReport.unanswered("n1");
-        assertFalse(decide(LONG_ENOUGH.minusMillis(1), missing).resigns());
-        ResignationDecision decision = decide(LONG_ENOUGH, missing);
+        assertFalse(decide(PEER_ANSWER_TIMEOUT.minusMillis(1), missing).resigns());
+        ResignationDecision decision = decide(PEER_ANSWER_TIMEOUT, missing);
         assertTrue(decision.resigns());
         assertEquals(Optional.empty(), decision.preferredSuccessor());
     }
 
     @Test
-    void staysBeforeTheFirstAnswersAndAfterARecentResignation() {
-        assertFalse(decide(LONG_ENOUGH).resigns());
+    void keepsLeadershipBeforeTheFirstAnswersAndAfterARecentResignation() {
+        assertFalse(decide(PEER_ANSWER_TIMEOUT).resigns());
         List<PeerReachabilityReport> missing = List.of(PeerReachabilityReport.unanswered("n1"));
         assertFalse(
-                LeaderReachability.decideResignation(LONG_ENOUGH, QUERIED_MACHINES, missing, false)
+                LeaderReachability.decideResignation(
+                                PEER_ANSWER_TIMEOUT, QUERIED_MACHINES, missing, false)
                         .resigns());
     }
 }
