--- a/src/test/java/org/meadowhollow/coordination/heartbeat/DeferredHeartbeatsTest.java
+++ b/src/test/java/org/meadowhollow/coordination/heartbeat/DeferredHeartbeatsTest.java
@@ -16,6 +16,7 @@
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.WorkerIncarnation;
 
+/** Tests when deferred heartbeats are taken, and when they are redirected. */
 class DeferredHeartbeatsTest {
     private static final MonotonicTime START = new MonotonicTime(0);
 
@@ -40,7 +41,7 @@
     }
 
     @Test
-    void aLaterHeartbeatOfAMachineRedirectsTheEarlierOne() {
+    void redirectsEarlierHeartbeatWhenMachineSendsAnother() {
         CompletableFuture<HeartbeatResponse> first =
                 deferred.defer(heartbeat("vm-1", 1), second(2));
         CompletableFuture<HeartbeatResponse> next = deferred.defer(heartbeat("vm-1", 2), second(3));
@@ -51,7 +52,7 @@
     }
 
     @Test
-    void onlyWhatIsDueIsTaken() {
+    void takesOnlyHeartbeatsThatAreDue() {
         CompletableFuture<HeartbeatResponse> first =
                 deferred.defer(heartbeat("vm-1", 1), second(2));
         CompletableFuture<HeartbeatResponse> next = deferred.defer(heartbeat("vm-2", 1), second(3));
