--- a/src/main/java/org/meadowhollow/storage/AdaptiveWriteLimit.java
+++ b/src/main/java/org/meadowhollow/storage/AdaptiveWriteLimit.java
@@ -1,13 +1,13 @@
 package org.meadowhollow.storage;
 
 /**
- * How many writes a transaction may have. The limit is halved when the store rejects a transaction,
- * because a large one finds no room in a rate limit that other clients use up with small ones, and
- * grows by one with each transaction that is applied. Confined to the thread of its {@link
- * RecordWriter}.
+ * An adaptive limit of the number of writes in a transaction: it is halved when the store rejects a
+ * transaction and grows by one with each transaction that is applied. A large transaction can be
+ * rejected again and again while other clients use up the store's rate limit with small ones.
+ * Confined to the thread of its {@link RecordWriter}.
  */
 final class AdaptiveWriteLimit {
-    /** Writes that go together however low the rate is; the end of a job takes as many. */
+    /** The lowest limit: the end of one job takes as many writes in one transaction. */
     private static final int MIN_WRITES = 4;
 
     private final int maximum;
@@ -16,7 +16,7 @@
     /**
      * Starts at the maximum.
      *
-     * @param maximum the most writes that the store takes in one transaction
+     * @param maximum the largest number of writes that the store accepts in one transaction
      */
     AdaptiveWriteLimit(int maximum) {
         this.maximum = maximum;
--- a/src/main/java/org/meadowhollow/storage/CalendarRecordCodec.java
+++ b/src/main/java/org/meadowhollow/storage/CalendarRecordCodec.java
@@ -11,17 +11,18 @@
 import org.meadowhollow.model.reservation.Reservation;
 
 /**
- * The keys and the records of the reservation calendar: reservations, maintenance windows, and the
- * key whose revision is that of the whole calendar. Keys, field names and the order of fields are
- * part of the persisted format.
+ * Encodes and decodes the records of the reservation calendar and builds their keys: reservations,
+ * maintenance windows, and the key whose revision is that of the whole calendar. Keys, field names
+ * and the order of fields are part of the persisted format.
  */
 public final class CalendarRecordCodec {
     /** Prefix of all records of the calendar. */
     public static final String CALENDAR_PREFIX = "cal/";
 
     /**
-     * Required and written by every change of the calendar, so that of two changes that were
-     * decided on the same calendar only one is applied. Its value is empty.
+     * The key whose revision is that of the whole calendar. Every change of the calendar requires
+     * this revision and writes the key, so that only one of two changes based on the same state of
+     * the calendar is applied. Its value is empty.
      */
     public static final String REVISION_KEY = CALENDAR_PREFIX + "stamp";
 
@@ -65,7 +66,8 @@
     /**
      * Encodes a reservation.
      *
-     * @param acceptanceOrder counts up with each change of the calendar
+     * @param acceptanceOrder the position in the order of acceptance, which increases with each
+     *     change of the calendar
      */
     public static Map<String, Object> encode(Reservation reservation, long acceptanceOrder) {
         Map<String, Object> fields =
@@ -87,7 +89,8 @@
     /**
      * Encodes a maintenance window.
      *
-     * @param acceptanceOrder counts up with each change of the calendar
+     * @param acceptanceOrder the position in the order of acceptance, which increases with each
+     *     change of the calendar
      */
     public static Map<String, Object> encode(MaintenanceWindow window, long acceptanceOrder) {
         Map<String, Object> fields =
--- a/src/main/java/org/meadowhollow/storage/CalendarSnapshot.java
+++ b/src/main/java/org/meadowhollow/storage/CalendarSnapshot.java
@@ -10,13 +10,13 @@
 import org.meadowhollow.model.reservation.Reservation;
 
 /**
- * The reservation calendar as it was stored at one time. Immutable.
+ * An immutable snapshot of the stored reservation calendar.
  *
- * @param reservations in the order in which they were accepted, by which earlier ones take
+ * @param reservations the reservations in the order in which they were accepted; earlier ones take
  *     precedence
  * @param windows the maintenance windows, in the order in which they were accepted
- * @param revision of {@link CalendarRecordCodec#REVISION_KEY}, which every change of the calendar
- *     requires and writes
+ * @param revision the revision of {@link CalendarRecordCodec#REVISION_KEY}, which every change of
+ *     the calendar requires and writes
  */
 public record CalendarSnapshot(
         List<CalendarEntry<Reservation>> reservations,
@@ -29,8 +29,9 @@
     /**
      * A reservation or maintenance window with its position in the calendar.
      *
-     * @param acceptanceOrder counts up with each change of the calendar
-     * @param revision of its record
+     * @param acceptanceOrder the position in the order of acceptance, which increases with each
+     *     change of the calendar
+     * @param revision the revision of the item's record
      */
     public record CalendarEntry<T>(T item, long acceptanceOrder, Revision revision) {}
 
@@ -59,12 +60,12 @@
                 item, CalendarRecordCodec.acceptanceOrderOf(entry.value()), entry.revision());
     }
 
-    /** The reservation with a name, if there is one. */
+    /** The reservation of the given name, if there is one. */
     public Optional<CalendarEntry<Reservation>> findReservation(String name) {
         return find(reservations, Reservation::name, name);
     }
 
-    /** The maintenance window with a name, if there is one. */
+    /** The maintenance window of the given name, if there is one. */
     public Optional<CalendarEntry<MaintenanceWindow>> findWindow(String name) {
         return find(windows, MaintenanceWindow::name, name);
     }
@@ -81,7 +82,7 @@
         return reservations.size() + windows.size();
     }
 
-    /** The calendar with a reservation added or replaced, as the last one accepted. */
+    /** A copy of the calendar with a reservation added or replaced, as the last one accepted. */
     public CalendarSnapshot with(Reservation reservation) {
         List<CalendarEntry<Reservation>> changed =
                 new ArrayList<>(without(reservations, Reservation::name, reservation.name()));
@@ -89,7 +90,9 @@
         return new CalendarSnapshot(changed, windows, revision);
     }
 
-    /** The calendar with a maintenance window added or replaced, as the last one accepted. */
+    /**
+     * A copy of the calendar with a maintenance window added or replaced, as the last one accepted.
+     */
     public CalendarSnapshot with(MaintenanceWindow window) {
         List<CalendarEntry<MaintenanceWindow>> changed =
                 new ArrayList<>(without(windows, MaintenanceWindow::name, window.name()));
@@ -97,7 +100,7 @@
         return new CalendarSnapshot(reservations, changed, revision);
     }
 
-    /** The calendar without the reservation of a name. */
+    /** A copy of the calendar without the reservation of the given name. */
     public CalendarSnapshot withoutReservation(String name) {
         return new CalendarSnapshot(
                 without(reservations, Reservation::name, name), windows, revision);
--- a/src/main/java/org/meadowhollow/storage/EndedJobCodec.java
+++ b/src/main/java/org/meadowhollow/storage/EndedJobCodec.java
@@ -5,9 +5,9 @@
 import org.meadowhollow.model.Job;
 
 /**
- * The record of a job's final state. It replaces the records of the live job in one transaction and
- * is kept for ever, so that a repeated submission or a late status request is answered from it.
- * Field names are part of the persisted format.
+ * Encodes and decodes the record of a job's final state. The record replaces the records of the
+ * live job in one transaction and is kept for ever, so that repeated submissions and late status
+ * requests can be answered from it. Field names are part of the persisted format.
  */
 public final class EndedJobCodec {
     private static final String CANCELLED = "cancelled";
@@ -35,7 +35,7 @@
         return RecordFields.integer(fields, TASK_COUNT);
     }
 
-    /** How many of the job's tasks had completed when it ended. */
+    /** The number of the job's tasks that had completed when it ended. */
     public static int completedTaskCountOf(Map<String, Object> fields) {
         return RecordFields.integer(fields, COMPLETED_TASK_COUNT);
     }
--- a/src/main/java/org/meadowhollow/storage/ImageLocationsCodec.java
+++ b/src/main/java/org/meadowhollow/storage/ImageLocationsCodec.java
@@ -7,33 +7,36 @@
 import org.meadowhollow.model.MachineId;
 
 /**
- * The record of which machines have a container image cached, and how large the image is. Field
- * names and the order of machines are part of the persisted format.
+ * Encodes and decodes the record of the machines that have a container image cached and of the
+ * image's size. Field names and the order of machines are part of the persisted format.
  */
 public final class ImageLocationsCodec {
     private static final String SIZE_GB = "gb";
     private static final String MACHINES = "machines";
 
-    /** Bytes around a machine's name in a list, and around the list. */
+    /**
+     * Estimated encoding overhead of a machine's name, and of each other part of the record, in
+     * bytes.
+     */
     private static final int FRAMING_BYTES = 8;
 
     private ImageLocationsCodec() {}
 
     /**
-     * An encoded record.
+     * An encoded record and its size.
      *
-     * @param estimatedBytes about how large the record is in the key-value store
+     * @param estimatedBytes the estimated size of the record in the key-value store
      */
     public record EncodedImageLocations(Map<String, Object> fields, int estimatedBytes) {}
 
     /**
-     * Encodes where an image is cached; of more machines than fit into a value the last ones are
-     * kept.
+     * Encodes the machines that have an image cached. If not all of them fit into a value, the last
+     * ones are kept.
      *
      * @param sizeGb the size of the image in gigabytes
      * @param machines in the order in which they are known to have the image; the record lists them
      *     in the opposite order
-     * @param maxValueBytes the largest value that the key-value store takes
+     * @param maxValueBytes the largest value that the key-value store accepts
      */
     public static EncodedImageLocations encode(
             double sizeGb, List<MachineId> machines, int maxValueBytes) {
--- a/src/main/java/org/meadowhollow/storage/JobRecordCodec.java
+++ b/src/main/java/org/meadowhollow/storage/JobRecordCodec.java
@@ -12,9 +12,9 @@
 import org.meadowhollow.model.SecondaryRecord;
 
 /**
- * The record of a live job: its specification, when it was admitted, how it is sharded, whether it
- * was cancelled, and the reference to its secondary record. What becomes of its tasks is in the
- * records of its shards. Field names and the order of fields are part of the persisted format.
+ * Encodes and decodes the record of a live job: its specification, admission time, shard size,
+ * cancellation flag, and the reference to its secondary record. The state of its tasks is kept in
+ * the records of its shards. Field names and the order of fields are part of the persisted format.
  */
 public final class JobRecordCodec {
     private static final String JOB_CLASS = "class";
@@ -44,8 +44,8 @@
      * Encodes a job.
      *
      * @param acceptedAtMillis when the job was admitted, in milliseconds of wall-clock time
-     * @param shardSize tasks in each of its shards
-     * @param secondaryRecord what another interface keeps beside the job, or null
+     * @param shardSize the number of tasks in each of the job's shards
+     * @param secondaryRecord the record that another API keeps for the job, or null
      */
     public static Map<String, Object> encode(
             JobSpec spec,
@@ -87,11 +87,10 @@
     }
 
     /**
-     * Decodes a job as it was when the record was written; none of its tasks is placed or complete
-     * until its shards are restored.
+     * Decodes a job. None of its tasks is placed or complete until its shards are restored.
      *
-     * @param revision of the record
-     * @param now when a cancellation in the record counts as observed
+     * @param revision the revision of the record
+     * @param now the time at which a cancellation in the record counts as observed
      */
     public static Job decode(
             JobId id, Map<String, Object> fields, Revision revision, MonotonicTime now) {
@@ -135,7 +134,7 @@
         return RecordFields.flag(fields, CANCELLED);
     }
 
-    /** A copy of the record with the cancellation noted. */
+    /** A copy of the record that marks the job as cancelled. */
     public static Map<String, Object> withCancellation(Map<String, Object> fields) {
         Map<String, Object> copy = new LinkedHashMap<>(fields);
         copy.put(CANCELLED, true);
--- a/src/main/java/org/meadowhollow/storage/KeyValueStore.java
+++ b/src/main/java/org/meadowhollow/storage/KeyValueStore.java
@@ -8,21 +8,24 @@
 import org.meadowhollow.model.Revision;
 
 /**
- * The consensus-backed key-value store in which everything that must outlive a node is kept. Values
- * are maps of field names to numbers, texts, truth values, lists and such maps; the codecs of this
- * package give them their meaning.
+ * The consensus-backed key-value store that holds all state that must outlive a node. Values are
+ * maps of field names to numbers, strings, booleans, lists and nested maps; the codecs of this
+ * package define their fields.
  *
- * <p>No call blocks. A returned future fails with a {@link KeyValueStoreException}, and is
- * completed on the event loop's thread.
+ * <p>No call blocks. A returned future is completed on the event loop's thread; if it fails, it
+ * fails with a {@link KeyValueStoreException}.
  */
 public interface KeyValueStore {
-    /** Which requests go first when the rate limit is short; in general from first to last. */
+    /**
+     * The priority of a request while the rate limit is exhausted, in general from highest to
+     * lowest.
+     */
     enum RequestPriority {
         /** Granting, renewing and revoking the leader's lease, on which leadership depends. */
         LEASE,
-        /** A user waits for the result. */
+        /** Requests on whose result a user waits. */
         USER,
-        /** What the leader needs to start and end tasks. */
+        /** Requests that the leader needs to start and end tasks. */
         PLACEMENT,
         /** Best-effort work and housekeeping. */
         BACKGROUND
@@ -31,15 +34,15 @@
     /**
      * A key and its value.
      *
-     * @param revision of the key's last change
+     * @param revision the revision of the key's last change
      */
     record Entry(String key, Map<String, Object> value, Revision revision) {}
 
     /**
-     * Some entries in the order of their keys.
+     * A page of entries in the order of their keys.
      *
-     * @param hasMore whether entries after the last one are left out
-     * @param revision of the store when the page was read
+     * @param hasMore whether there are entries after the last one of this page
+     * @param revision the revision of the store when the page was read
      */
     record Page(List<Entry> entries, boolean hasMore, Revision revision) {}
 
@@ -47,21 +50,26 @@
     record Change(String key, Map<String, Object> value, Revision revision) {}
 
     /**
-     * The changes under a watched prefix after some revision, in their order.
+     * The changes under a watched prefix after a given revision, in the order of their revisions.
      *
-     * @param revision up to which the changes are complete
+     * @param revision the revision up to which the changes are complete
      */
     record ChangeBatch(Revision revision, List<Change> changes) {}
 
     /**
-     * The result of a transaction: applied, or the keys whose revision was not the required one.
+     * The result of a transaction.
      *
-     * @param revision of the store after the transaction, and of all keys that it wrote if it was
-     *     applied
+     * @param isApplied whether all conditions held and the writes were applied
+     * @param revision the revision of the store after the transaction and, if it was applied, of
+     *     all keys that it wrote
+     * @param conflictingKeys the keys that did not have their required revision
      */
     record CommitResult(boolean isApplied, Revision revision, List<String> conflictingKeys) {}
 
-    /** The most entries to ask for in a page; the store's own limits can end a page earlier. */
+    /**
+     * The largest number of entries to request in a page; the store's own limits can make a page
+     * smaller.
+     */
     int MAX_PAGE_SIZE = 1000;
 
     /** Reads a key; the result is empty if the key does not exist. */
@@ -70,7 +78,7 @@
     /**
      * Reads a page of up to {@link #MAX_PAGE_SIZE} entries.
      *
-     * @param after the key to begin after, or null
+     * @param after the key after which the page begins, or null for the first page
      */
     default CompletableFuture<Page> list(
             String prefix, String after, RequestPriority requestPriority) {
@@ -80,23 +88,23 @@
     /**
      * Reads a page of the entries whose keys begin with a prefix.
      *
-     * @param after the key to begin after, or null
-     * @param maxEntries entries in the page at most, up to {@link #MAX_PAGE_SIZE}
+     * @param after the key after which the page begins, or null for the first page
+     * @param maxEntries the largest number of entries in the page, up to {@link #MAX_PAGE_SIZE}
      */
     CompletableFuture<Page> list(
             String prefix, String after, int maxEntries, RequestPriority requestPriority);
 
-    /** Applies a transaction if all its conditions hold, and else changes nothing. */
+    /** Applies a transaction if all its conditions hold, and changes nothing otherwise. */
     CompletableFuture<CommitResult> commit(
             Transaction transaction, RequestPriority requestPriority);
 
-    /** Grants a lease that expires when it is not renewed for so long. */
+    /** Grants a lease that expires unless it is renewed within {@code timeToLive}. */
     CompletableFuture<LeaseId> grantLease(Duration timeToLive);
 
-    /** Renews a lease; fails with {@link LeaseExpiredException} if there is none any more. */
+    /** Renews a lease; fails with {@link LeaseExpiredException} if the lease no longer exists. */
     CompletableFuture<Void> renewLease(LeaseId lease);
 
-    /** Ends a lease at once, and with it deletes the keys attached to it. */
+    /** Revokes a lease, which deletes the keys attached to it. */
     CompletableFuture<Void> revokeLease(LeaseId lease);
 
     /**
@@ -104,10 +112,10 @@
      *
      * @param after only changes after this revision are returned; fails with {@link
      *     WatchCompactedException} if the store no longer has all of them
-     * @param wait how long the store waits for the first change at most; zero returns at once
+     * @param wait the longest time that the store waits for the first change; zero returns at once
      */
     CompletableFuture<ChangeBatch> watch(String prefix, Revision after, Duration wait);
 
-    /** Whether requests failed lately because the store did not answer or was unavailable. */
+    /** Whether requests failed recently because the store did not answer or was unavailable. */
     boolean seemsUnavailable();
 }
--- a/src/main/java/org/meadowhollow/storage/KeyValueStoreException.java
+++ b/src/main/java/org/meadowhollow/storage/KeyValueStoreException.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * A request to the key-value store failed. There is a subclass for each cause that callers treat
- * differently. A transaction whose conditions do not hold is no failure: {@link
+ * Signals that a request to the key-value store failed. There is a subclass for each outcome that
+ * callers handle differently. A transaction whose conditions do not hold is not a failure: {@link
  * KeyValueStore.CommitResult} reports the conflict.
  *
  * <p>The exceptions carry no stack trace, since they are created for every request that fails while
@@ -13,31 +13,31 @@
 public class KeyValueStoreException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    /** What is known of the failed request. */
+    /** The outcome of a failed request, as far as the caller can know it. */
     public enum Outcome {
-        /** It was refused and not executed. */
+        /** The request was refused and not executed. */
         REJECTED,
-        /** No answer: it may have been executed, or may still be executed later. */
+        /**
+         * No answer arrived: the request may have been executed, or may still be executed later.
+         */
         INDETERMINATE,
         /** The lease has expired. */
         LEASE_EXPIRED,
         /** The revision that a watch starts from is compacted. */
         COMPACTED,
-        /** The request itself is wrong. */
+        /** The request itself is invalid. */
         INVALID_REQUEST
     }
 
     private final Outcome outcome;
 
-    /**
-     * Creates a failure with a given outcome; {@link #of} creates the subclass that stands for it.
-     */
+    /** Creates an exception with the given outcome; {@link #of} creates the subclass for it. */
     public KeyValueStoreException(Outcome outcome, String message) {
         super(message, null, false, false);
         this.outcome = outcome;
     }
 
-    /** A failure of the subclass that stands for an outcome. */
+    /** Creates an exception of the subclass for the given outcome. */
     public static KeyValueStoreException of(Outcome outcome, String message) {
         return switch (outcome) {
             case REJECTED -> new RequestRejectedException(message);
@@ -48,14 +48,15 @@
         };
     }
 
-    /** What is known of the failed request. */
+    /** The outcome of the failed request. */
     public Outcome outcome() {
         return outcome;
     }
 
     /**
-     * The outcome behind a failed future: that of the exception or of its cause, and {@link
-     * Outcome#INDETERMINATE} for any failure that is no exception of this type.
+     * The outcome with which a future failed. The failure may be wrapped in a {@link
+     * CompletionException}; any failure that is not an exception of this type counts as {@link
+     * Outcome#INDETERMINATE}.
      */
     public static Outcome outcomeOf(Throwable failure) {
         Throwable cause =
--- a/src/main/java/org/meadowhollow/storage/KeyspaceReplica.java
+++ b/src/main/java/org/meadowhollow/storage/KeyspaceReplica.java
@@ -10,17 +10,19 @@
 import org.meadowhollow.storage.KeyValueStore.Entry;
 
 /**
- * A copy of the records under a prefix as of a revision, decoded. It is built from pages and kept
- * up to date with changes. Not thread-safe: its owner guards it.
+ * A copy of the records under a prefix as of a revision, with decoded values. It is filled from
+ * pages and kept up to date with watched changes. Not thread-safe: the owner synchronizes access.
  */
 public final class KeyspaceReplica {
     /** Estimated memory of a number, in bytes. */
     private static final int NUMBER_BYTES = 24;
 
-    /** Estimated memory of a text without its characters, in bytes. */
+    /** Estimated memory of a string without its characters, in bytes. */
     private static final int TEXT_BYTES = 48;
 
-    /** Estimated memory of an item of a map or list without what it holds, in bytes. */
+    /**
+     * Estimated memory of a map, of a list or of an entry of a map, without its contents, in bytes.
+     */
     private static final int ITEM_BYTES = 40;
 
     private final String prefix;
@@ -31,8 +33,8 @@
     /**
      * Creates an empty replica.
      *
-     * @param revision as of the first page that is going to be added, since what changes after it
-     *     arrives as changes
+     * @param revision the revision of the first page; later changes are added with {@link
+     *     #apply(ChangeBatch)}
      */
     public KeyspaceReplica(String prefix, Revision revision) {
         this.prefix = prefix;
@@ -69,12 +71,15 @@
         return entries.subMap(keyPrefix, keyPrefix + Character.MAX_VALUE).values();
     }
 
-    /** Adds the records of a page that was read. */
+    /** Adds the records of a page. */
     public void addPage(List<Entry> page) {
         page.forEach(this::put);
     }
 
-    /** Applies changes that follow {@link #revision}; a newer record of a later page stays. */
+    /**
+     * Applies the changes that follow {@link #revision}, except to records that a page already
+     * contained in a newer revision.
+     */
     public void apply(ChangeBatch changeBatch) {
         changeBatch.changes().forEach(this::apply);
         revision = changeBatch.revision();
@@ -92,7 +97,7 @@
         }
     }
 
-    /** Replaces the records whose keys begin with {@code keyPrefix} by those read again. */
+    /** Replaces the records whose keys begin with {@code keyPrefix} by newly read ones. */
     public void replacePrefix(String keyPrefix, List<Entry> entriesRead) {
         List.copyOf(entries(keyPrefix)).forEach(this::remove);
         addPage(entriesRead);
--- a/src/main/java/org/meadowhollow/storage/LeaseExpiredException.java
+++ b/src/main/java/org/meadowhollow/storage/LeaseExpiredException.java
@@ -1,10 +1,10 @@
 package org.meadowhollow.storage;
 
-/** The lease has expired, and with it the keys attached to it. */
+/** Signals that the lease has expired; the keys attached to it are deleted. */
 public final class LeaseExpiredException extends KeyValueStoreException {
     private static final long serialVersionUID = 1;
 
-    /** Creates the failure with the reason as the store or its client gave it. */
+    /** Creates the exception with the reason given by the store or its client. */
     public LeaseExpiredException(String message) {
         super(Outcome.LEASE_EXPIRED, message);
     }
--- a/src/main/java/org/meadowhollow/storage/MachineTypesCodec.java
+++ b/src/main/java/org/meadowhollow/storage/MachineTypesCodec.java
@@ -7,8 +7,9 @@
 import org.meadowhollow.model.MachineType;
 
 /**
- * The record of the machine types that the cloud provider offers, from which a node starts that
- * cannot ask the provider. Field names are part of the persisted format.
+ * Encodes and decodes the record of the machine types that the cloud provider offers. A node that
+ * starts while the provider is unreachable takes the machine types from this record. Field names
+ * are part of the persisted format.
  */
 public final class MachineTypesCodec {
     private static final String TYPES = "types";
@@ -45,7 +46,7 @@
     }
 
     /** The machine types of a record, in its order. */
-    @SuppressWarnings("unchecked") // The codec of the store decodes maps with texts as keys.
+    @SuppressWarnings("unchecked") // The store's codec decodes maps with string keys.
     public static List<MachineType> decode(Map<String, Object> fields) {
         List<MachineType> types = new ArrayList<>();
         for (Object item : (List<?>) fields.get(TYPES)) {
--- a/src/main/java/org/meadowhollow/storage/ObsoleteRecordCleaner.java
+++ b/src/main/java/org/meadowhollow/storage/ObsoleteRecordCleaner.java
@@ -9,22 +9,29 @@
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
 
 /**
- * Deletes records that belong to no live job: behind all other requests, because deletions use up
- * the rate limit for changes that users' calls and starts wait for, and one transaction at a time,
- * beside those in flight, which it would delay while it waits for its turn. Confined to the thread
- * of its {@link RecordWriter}.
+ * Deletes records that belong to no live job.
+ *
+ * <p>Deletions have the lowest request priority, because they use up the rate limit for changes
+ * that user requests and task starts wait for. One deletion transaction is sent at a time. It does
+ * not count among the writer's transactions in flight, because it would delay them while it waits
+ * for its turn.
+ *
+ * <p>Confined to the thread of its {@link RecordWriter}.
  */
 final class ObsoleteRecordCleaner {
-    /** What a finished transaction leads to. */
+    /** Receives the results of deletion transactions. */
     interface Listener {
-        /** The next transaction can be sent. */
+        /** Called when the next transaction can be sent. */
         void onReady();
 
-        /** The leader key has another revision than this leader's. */
+        /** Called when the leader key no longer has this leader's revision. */
         void onLeadershipLost();
     }
 
-    /** Obsolete records that may wait: a few minutes of a surge of one-task jobs. */
+    /**
+     * The number of obsolete records up to which deletions wait for an idle writer: as many as a
+     * surge of one-task jobs leaves behind in a few minutes.
+     */
     private static final int MAX_WAITING_KEYS = 2000;
 
     private final KeyValueStore store;
@@ -34,7 +41,10 @@
     private final Listener listener;
     private final List<String> obsoleteKeys = new ArrayList<>();
 
-    /** Whether a transaction is in flight, or one failed a short time ago. */
+    /**
+     * Whether a deletion transaction is in flight, or one failed and the retry delay has not
+     * passed.
+     */
     private boolean isBusy;
 
     ObsoleteRecordCleaner(
@@ -59,12 +69,12 @@
     }
 
     /**
-     * Sends the next transaction if there is something to delete and the leader's own writes allow
-     * it.
+     * Sends the next deletion transaction if there are obsolete records and no other writes take
+     * precedence.
      *
-     * @param isWriterIdle whether no other transaction is in flight; others are waited for until
-     *     too much is obsolete
-     * @param maxWrites the most deletions in the transaction
+     * @param isWriterIdle whether no other transaction of the writer is in flight; if one is,
+     *     deletions wait until more than {@link #MAX_WAITING_KEYS} records are obsolete
+     * @param maxWrites the largest number of deletions in the transaction
      */
     void deleteIfDue(boolean isWriterIdle, int maxWrites) {
         if (isBusy
--- a/src/main/java/org/meadowhollow/storage/PendingRecords.java
+++ b/src/main/java/org/meadowhollow/storage/PendingRecords.java
@@ -8,8 +8,9 @@
 import org.meadowhollow.model.TaskShard;
 
 /**
- * What a leader still has to write: shards with unwritten changes and jobs that ended, both in the
- * order in which they were added. Confined to the thread of its {@link RecordWriter}.
+ * The records that a leader still has to write: those of shards with unpersisted changes and of
+ * ended jobs, each in the order in which they were added. Confined to the thread of its {@link
+ * RecordWriter}.
  */
 final class PendingRecords {
     private final Set<TaskShard> dirtyShards = new LinkedHashSet<>();
@@ -17,8 +18,8 @@
     private final Set<JobId> endsInFlight = new LinkedHashSet<>();
 
     /**
-     * Whether a job's records are written ahead of best-effort work: all but those of the lowest
-     * priority, and every cancellation.
+     * Whether a job's records are written before those of best-effort jobs: true for all jobs above
+     * the lowest priority and for every cancelled job.
      */
     static boolean isUrgent(Job job) {
         return job.spec().priority() != Priority.LOW || job.isCancelled();
@@ -28,7 +29,7 @@
         return dirtyShards;
     }
 
-    /** Jobs whose end is to be written and in no transaction yet. */
+    /** The jobs whose end is to be written and is not in a transaction yet. */
     Set<Job> endedJobs() {
         return endedJobs;
     }
@@ -46,8 +47,8 @@
     }
 
     /**
-     * Adds a job's end unless it is written or being written: a job ends once, and the transaction
-     * of a second attempt would fail every time, together with all else in it.
+     * Adds a job's end unless it is persisted or being written. A job ends only once: a transaction
+     * that writes its end again would always fail, together with all other writes in it.
      */
     void addEndedJob(Job job) {
         if (!job.isEnded() && !isEndInFlight(job)) {
@@ -59,17 +60,17 @@
         return endsInFlight.contains(job.id());
     }
 
-    /** A transaction with the job's end is being sent. */
+    /** Notes that a transaction with the job's end is being sent. */
     void markEndInFlight(Job job) {
         endsInFlight.add(job.id());
     }
 
-    /** The transaction with the job's end was applied. */
+    /** Notes that the transaction with the job's end was applied. */
     void completeEnd(Job job) {
         endsInFlight.remove(job.id());
     }
 
-    /** The transaction with the job's end was not applied, as far as is known. */
+    /** Adds a job's end again after its transaction failed or its result never arrived. */
     void retryEnd(Job job) {
         endsInFlight.remove(job.id());
         endedJobs.add(job);
--- a/src/main/java/org/meadowhollow/storage/PersistedChangePublisher.java
+++ b/src/main/java/org/meadowhollow/storage/PersistedChangePublisher.java
@@ -11,8 +11,8 @@
 import org.meadowhollow.model.TaskTracer;
 
 /**
- * Publishes what is persisted to the job event log and to the tracer, so that neither ever shows
- * what a failed transaction would have written. Confined to the thread of its {@link RecordWriter}.
+ * Publishes changes to the job event log and to the tracer once they are persisted, so that neither
+ * ever shows a change of a failed transaction. Confined to the thread of its {@link RecordWriter}.
  */
 final class PersistedChangePublisher {
     private final JobEventListeners listeners;
@@ -25,7 +25,7 @@
         return listeners.eventLog().isEnabled();
     }
 
-    /** The placements of a job as restored from its records were published by a predecessor. */
+    /** Marks the restored placements of a job as published: the previous leader published them. */
     void markRestored(Job job) {
         if (!isEventLogEnabled()) {
             return;
@@ -50,7 +50,7 @@
         return job.secondaryRecord().tracedTask(job.id(), job.spec().team());
     }
 
-    /** A shard's record is persisted. */
+    /** Publishes the changes of a shard whose record was persisted. */
     void publishShard(WriteBatch.ShardWrite shardWrite, Revision revision) {
         TaskShard shard = shardWrite.shard();
         if (shardWrite.locations() != null) {
@@ -59,7 +59,7 @@
         traceEndedAttempts(shard.job(), shardWrite.endedAttempts());
     }
 
-    /** The end of a job is persisted. */
+    /** Publishes the end of a job after it was persisted. */
     void publishJobEnd(WriteBatch.JobEndWrite jobEnd, Revision revision) {
         Job job = jobEnd.job();
         for (int at = 0; at < job.shardCount() && isEventLogEnabled(); at++) {
@@ -78,7 +78,7 @@
     }
 
     /**
-     * Traces the last attempts of a job and then the job itself, if it is traced.
+     * If a job is traced, traces its last attempts and then the job itself.
      *
      * @param endedAtMillis when the job ended, in milliseconds of wall-clock time; no end is traced
      *     if it is 0
--- a/src/main/java/org/meadowhollow/storage/RecordDigests.java
+++ b/src/main/java/org/meadowhollow/storage/RecordDigests.java
@@ -13,18 +13,18 @@
 import org.meadowhollow.model.TaskShard;
 
 /**
- * Digests of records, by which a standby compares its replica with the leader's records. Records
+ * Digests of records, with which a standby compares its replica with the leader's records. Records
  * are grouped into parts; the digest of a part is the number of its records and the sum of the
- * hashes of their keys with their revisions. A part is named by what its keys begin with, up to and
- * including their first digit, so that a part that differs can be read again by itself.
+ * hashes of their keys with their revisions. The name of a part is the prefix that its keys share,
+ * up to and including their first digit, so that a part that differs can be re-read on its own.
  *
- * <p>Not thread-safe: its owner guards it.
+ * <p>Not thread-safe: the owner synchronizes access.
  */
 public final class RecordDigests {
-    /** No records at all; not to be added to. */
+    /** The digests of no records. Shared, so nothing may be added to it. */
     public static final RecordDigests EMPTY = new RecordDigests();
 
-    /** The digest of one part; the sum of the hashes wraps around. */
+    /** The digest of one part. The sum of the hashes wraps around on overflow. */
     public record PartDigest(int recordCount, long hashSum) {
         static final PartDigest EMPTY = new PartDigest(0, 0);
     }
@@ -32,7 +32,7 @@
     private final Map<String, PartDigest> parts = new TreeMap<>();
     private final Set<String> partsBeingWritten = new HashSet<>();
 
-    /** The digests of the records of a replica. */
+    /** Computes the digests of the records of a replica. */
     public static RecordDigests of(KeyspaceReplica replica) {
         RecordDigests digests = new RecordDigests();
         for (KeyValueStore.Entry entry : replica.entries()) {
@@ -41,7 +41,7 @@
         return digests;
     }
 
-    /** The digests that another node sent. */
+    /** Creates the digests that another node sent. */
     public static RecordDigests of(Map<String, PartDigest> parts, Set<String> partsBeingWritten) {
         RecordDigests digests = new RecordDigests();
         digests.parts.putAll(parts);
@@ -52,7 +52,8 @@
     /**
      * Adds a record.
      *
-     * @param revision null while the record is being written, so that its part cannot be compared
+     * @param revision the record's revision, or null while the record is being written; its part
+     *     then cannot be compared
      */
     public void add(String key, Revision revision) {
         String part = partOf(key);
@@ -82,23 +83,26 @@
         }
     }
 
-    /** Adds the digests of parts that are not in this one yet. */
+    /** Adds the digests of parts that this object does not contain yet. */
     public void add(RecordDigests other) {
         parts.putAll(other.parts);
         partsBeingWritten.addAll(other.partsBeingWritten);
     }
 
-    /** The digests by the name of the part, in the order of the names. */
+    /** The digests by name of the part, sorted by name. */
     public Map<String, PartDigest> parts() {
         return parts;
     }
 
-    /** The parts of which a record is being written. */
+    /** The names of the parts with a record that is being written. */
     public Set<String> partsBeingWritten() {
         return partsBeingWritten;
     }
 
-    /** The names of the parts that differ, in their order; those being written are left out. */
+    /**
+     * The names of the parts that differ, sorted; parts with a record that is being written are
+     * left out.
+     */
     public List<String> differingParts(RecordDigests other) {
         Set<String> all = new HashSet<>(parts.keySet());
         all.addAll(other.parts.keySet());
--- a/src/main/java/org/meadowhollow/storage/RecordFields.java
+++ b/src/main/java/org/meadowhollow/storage/RecordFields.java
@@ -4,7 +4,10 @@
 import java.util.Map;
 import org.meadowhollow.model.Resources;
 
-/** Typed access to the fields of a stored record, and the fields that several kinds share. */
+/**
+ * Typed access to the fields of a stored record, and the encoding of fields that several kinds of
+ * records share.
+ */
 final class RecordFields {
     private static final String CPU = "cpu";
     private static final String GPU = "gpu";
@@ -12,7 +15,7 @@
 
     private RecordFields() {}
 
-    /** A text field; null if it is absent. */
+    /** A string field; null if it is absent. */
     static String text(Map<String, Object> fields, String name) {
         return (String) fields.get(name);
     }
@@ -32,19 +35,19 @@
         return number(fields, name).doubleValue();
     }
 
-    /** A numeric field, or NaN if it is absent. */
+    /** A numeric field; NaN if it is absent. */
     static double decimalOrNan(Map<String, Object> fields, String name) {
         Number value = number(fields, name);
         return value == null ? Double.NaN : value.doubleValue();
     }
 
-    /** A truth value; false if it is absent. */
+    /** A boolean field; false if it is absent. */
     static boolean flag(Map<String, Object> fields, String name) {
         return Boolean.TRUE.equals(fields.get(name));
     }
 
-    /** A list of texts; null if it is absent. */
-    @SuppressWarnings("unchecked") // The codec of the store decodes lists of texts as such.
+    /** A field with a list of strings; null if it is absent. */
+    @SuppressWarnings("unchecked") // The store's codec decodes a list of strings as List<String>.
     static List<String> texts(Map<String, Object> fields, String name) {
         return (List<String>) fields.get(name);
     }
--- a/src/main/java/org/meadowhollow/storage/RecordKeys.java
+++ b/src/main/java/org/meadowhollow/storage/RecordKeys.java
@@ -5,24 +5,29 @@
 import org.meadowhollow.model.TaskShard;
 
 /**
- * The keys under which records are kept in the key-value store, except those of the reservation
- * calendar, which {@link CalendarRecordCodec} names. Keys are part of the persisted format: a node
- * of another version must find the same records.
+ * The keys of the records in the key-value store, except those of the reservation calendar, which
+ * {@link CalendarRecordCodec} defines. Keys are part of the persisted format: nodes of different
+ * versions must find the same records.
  */
 public final class RecordKeys {
     /**
-     * The version of the persisted format that this program reads and writes; a leader only hands
-     * over to a node that has the same one.
+     * The version of the persisted format that this program reads and writes. A leader hands over
+     * only to a node with the same version.
      */
     public static final int SCHEMA_VERSION = 1;
 
-    /** The highest fencing token that was ever given out; outlives every leader. */
+    /**
+     * The key of the highest fencing token that was ever issued; its record outlives every leader.
+     */
     public static final String FENCING_TOKEN_KEY = "meta/term";
 
-    /** The current leader; attached to its lease, so that it disappears when the lease expires. */
+    /**
+     * The key of the current leader's record; attached to the leader's lease, so that it is deleted
+     * when the lease expires.
+     */
     public static final String LEADER_KEY = "meta/leader";
 
-    /** The machine types that the cloud provider offers. */
+    /** The key of the machine types that the cloud provider offers. */
     public static final String MACHINE_TYPES_KEY = "meta/types";
 
     /** Prefix of the records of live jobs. */
@@ -35,17 +40,17 @@
     public static final String IMAGE_PREFIX = "image/";
 
     /**
-     * Prefix of the snapshots of the risk tables: their chunks, and the record that says which set
-     * of chunks is the newest.
+     * Prefix of the snapshots of the risk tables: their chunks, and the record that names the
+     * newest set of chunks.
      */
     public static final String RISK_TABLE_PREFIX = "table/";
 
-    /** The record that says which set of risk-table chunks is the newest. */
+    /** The key of the record that names the newest set of risk-table chunks. */
     public static final String RISK_TABLE_HEAD_KEY = RISK_TABLE_PREFIX + "head";
 
     private static final String ENDED_JOB_PREFIX = "ended/";
 
-    /** Image names that can be part of a key as they are. */
+    /** Image names that can be part of a key unchanged. */
     private static final Pattern VALID_IMAGE_KEY = Pattern.compile("[A-Za-z0-9._:/-]{1,150}");
 
     private RecordKeys() {}
@@ -75,8 +80,8 @@
     }
 
     /**
-     * The job and the index that a task shard's key names, as {@link
-     * org.meadowhollow.model.TaskId#parse} reads them.
+     * The job and the shard index in a task shard's key, in the form that {@link
+     * org.meadowhollow.model.TaskId#parse} reads.
      */
     static String shardPathOfKey(String key) {
         return key.substring(TASK_PREFIX.length());
--- a/src/main/java/org/meadowhollow/storage/RecordWriter.java
+++ b/src/main/java/org/meadowhollow/storage/RecordWriter.java
@@ -17,37 +17,42 @@
 
 /**
  * Writes a leader's records in batched compare-and-swap transactions. Every transaction requires
- * the revision of the leader key, so that a late one of a leader that lost its leadership fails,
+ * the revision of the leader key, so that a delayed transaction of a former leader fails (fencing),
  * and the revisions of the records that it changes.
  *
- * <p>Callers mark what has changed and {@link #flush}; records that fail to be written stay pending
+ * <p>Callers mark changed records and call {@link #flush}. Records whose write fails stay pending
  * and are written again after a pause.
  *
  * <p>There is no lock: all calls and all results of the store arrive on the thread of the {@link
- * EventLoop}. The listener is called on that thread, after the writer's own state is up to date.
+ * EventLoop}. The listener is called on that thread, after the writer has updated its own state.
  */
 public final class RecordWriter {
-    /** What the leader must know of its writes. */
+    /** Receives the results of a leader's writes. */
     public interface Listener {
-        /** The job's end is persisted. */
+        /** Called when the job's end is persisted. */
         void onJobEndPersisted(Job job);
 
-        /** Changes of the job's tasks are persisted. */
+        /** Called when changes of the job's tasks are persisted. */
         void onTasksPersisted(Job job);
 
-        /** The job's record was changed by somebody else, mostly by a cancellation. */
+        /**
+         * Called when another writer has changed the job's record, in most cases to cancel the job.
+         */
         void onConcurrentJobChange(JobId job);
 
-        /** The leader key is not this leader's any more; nothing is written from now on. */
+        /** Called when the leader key no longer belongs to this leader; nothing more is written. */
         void onLeadershipLost();
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(RecordWriter.class);
 
-    /** Transactions at a time: one being answered, one on its way. */
+    /** While one transaction is being answered, the next one can be on its way. */
     private static final int MAX_TRANSACTIONS_IN_FLIGHT = 2;
 
-    /** Short enough that users do not notice, long enough for a short disturbance to pass. */
+    /**
+     * Pause before a retry: short enough that users do not notice, long enough for a brief
+     * disturbance to pass.
+     */
     private static final Duration RETRY_DELAY = Duration.ofMillis(300);
 
     private final KeyValueStore store;
@@ -63,11 +68,11 @@
     private boolean isClosed;
 
     /**
-     * Creates the writer of one leadership.
+     * Creates the writer for one term of leadership.
      *
-     * @param maxWrites the most writes that the store takes in one transaction
+     * @param maxWrites the largest number of writes that the store accepts in one transaction
      * @param leaderKeyRevision the revision of the leader key as this leader wrote it
-     * @param eventListeners where persisted changes are published
+     * @param eventListeners the event log and tracer to which persisted changes are published
      * @param listener the leader, which is called on the event loop's thread
      */
     public RecordWriter(
@@ -101,27 +106,27 @@
         }
     }
 
-    /** Notes that a shard has changes; they are written with one of the next flushes. */
+    /** Marks a shard as changed; one of the next flushes writes it. */
     public void markDirty(TaskShard shard) {
         pending.dirtyShards().add(shard);
     }
 
-    /** Notes that nothing of the job is left to do, so that its final state is to be written. */
+    /** Marks a job that has nothing left to do, so that its final state is written. */
     public void markEndPending(Job job) {
         pending.addEndedJob(job);
     }
 
-    /** Notes a record that belongs to no live job and is to be deleted. */
+    /** Adds the key of a record to delete because it belongs to no live job. */
     public void addObsoleteKey(String key) {
         cleaner.add(key);
     }
 
-    /** The number of shards that wait to be written. */
+    /** The number of shards with changes that wait to be written. */
     public int dirtyShardCount() {
         return pending.dirtyShards().size();
     }
 
-    /** The number of those that are written ahead of best-effort work. */
+    /** The number of shards that wait to be written, without those of best-effort jobs. */
     public int urgentDirtyShardCount() {
         return pending.urgentDirtyShardCount();
     }
@@ -131,14 +136,14 @@
         isClosed = true;
     }
 
-    /** Notes that a predecessor's records of the job are all restored. */
+    /** Notes that all records of the job that a previous leader wrote are restored. */
     public void markRestored(Job job) {
         publisher.markRestored(job);
     }
 
     /**
-     * Takes in that a transaction of this writer with the job's end was applied although its result
-     * never arrived.
+     * Handles a job's end that a transaction of this writer persisted although the result of the
+     * transaction never arrived.
      */
     public void recordUnacknowledgedEnd(Job job) {
         publisher.traceJobEnd(
@@ -154,7 +159,7 @@
 
     // ---- sending ----
 
-    /** Sends what is pending, as far as transactions may be in flight. */
+    /** Sends pending records, up to the limit of transactions in flight, and then obsolete keys. */
     public void flush() {
         while (canSend()
                 && transactionsInFlight < MAX_TRANSACTIONS_IN_FLIGHT
@@ -176,7 +181,7 @@
 
     private void send(WriteBatch batch, boolean isUrgent) {
         transactionsInFlight++;
-        // Best-effort work goes behind users' calls.
+        // Writes of best-effort jobs must not delay user requests.
         RequestPriority requestPriority =
                 isUrgent ? RequestPriority.PLACEMENT : RequestPriority.BACKGROUND;
         CompletableFuture<?> unused =
@@ -229,7 +234,7 @@
         if (KeyValueStoreException.outcomeOf(failure) == Outcome.REJECTED) {
             writeLimit.onRejected();
         }
-        LOG.info("a write failed and will be repeated: {}", failure.getMessage());
+        LOG.info("transaction failed and will be retried reason={}", failure.getMessage());
         pauseBeforeRetry();
     }
 
@@ -258,8 +263,8 @@
 
     /**
      * Reads the revision of a shard's record after a conflict: an earlier transaction of this
-     * writer was applied although its result never arrived, and the next one has to start from what
-     * it left.
+     * writer was applied although its result never arrived, so the next one must require the
+     * revision that it wrote.
      */
     private void refreshShardRevision(String key, TaskShard shard) {
         shard.setWriteInFlight(true);
--- a/src/main/java/org/meadowhollow/storage/TaskShardCodec.java
+++ b/src/main/java/org/meadowhollow/storage/TaskShardCodec.java
@@ -16,26 +16,29 @@
 import org.meadowhollow.model.WorkerIncarnation;
 
 /**
- * The record of a task shard: the highest attempt number given out, the completed tasks as runs of
- * adjacent ones, and the placements that may be running. Field names and the order of list items
- * are part of the persisted format.
+ * Encodes and decodes the record of a task shard: the highest attempt number issued, the completed
+ * tasks as runs of adjacent tasks, and the placements whose tasks may be running. Field names and
+ * the order of list items are part of the persisted format.
  */
 public final class TaskShardCodec {
     private static final String HIGHEST_ATTEMPT = "last";
 
-    /** A flat list: first task and length of each run. */
+    /** A flat list with the first task and the length of each run. */
     private static final String COMPLETED_RUNS = "done";
 
-    /** A list of lists, each of task, attempt number, machine and worker incarnation. */
+    /** A list of lists, each with task, attempt number, machine and worker incarnation. */
     private static final String PLACEMENTS = "placed";
 
-    /** The attempts of a job with a secondary record. */
+    /** The attempts of the job; only present if the job has a secondary record. */
     private static final String ATTEMPTS = "log";
 
-    /** Bytes that one task's entry takes in a shard's record at most. */
+    /** The largest size of one task's entry in a shard's record, in bytes. */
     private static final int MAX_TASK_ENTRY_BYTES = 64;
 
-    /** Tasks in a shard at most, so that a round's changes to a job mostly fit into one record. */
+    /**
+     * The largest number of tasks in a shard. The changes of one scheduling round to a job mostly
+     * fit into one record of this size.
+     */
     private static final int MAX_TASKS_PER_SHARD = 100;
 
     private TaskShardCodec() {}
@@ -43,7 +46,7 @@
     /**
      * The number of tasks in the shards of a new job.
      *
-     * @param maxValueBytes the largest value that the key-value store takes
+     * @param maxValueBytes the largest value that the key-value store accepts
      */
     public static int shardSizeFor(int maxValueBytes) {
         return Math.max(1, Math.min(MAX_TASKS_PER_SHARD, maxValueBytes / MAX_TASK_ENTRY_BYTES));
@@ -96,12 +99,13 @@
      *
      * @param entry an entry under {@link RecordKeys#TASK_PREFIX}
      * @param jobs the live jobs
-     * @param now when the restored placements count as placed
+     * @param now the time at which the restored placements count as placed
      * @return false if the record belongs to no live job and can be deleted
      */
     public static boolean restore(
             KeyValueStore.Entry entry, Map<JobId, Job> jobs, MonotonicTime now) {
-        // A shard's path has the same form as a task's id, with its index in the place of a task's.
+        // The path of a shard has the form of a task ID, with the shard's index instead of the
+        // task's.
         TaskId path = TaskId.parse(RecordKeys.shardPathOfKey(entry.key()));
         Job job = path == null ? null : jobs.get(path.jobId());
         if (job == null || path.index() >= job.shardCount()) {
--- a/src/main/java/org/meadowhollow/storage/Transaction.java
+++ b/src/main/java/org/meadowhollow/storage/Transaction.java
@@ -6,13 +6,14 @@
 
 /**
  * A compare-and-swap of several keys: the writes are applied together, or not at all if a key does
- * not have its required revision. Built by one thread and not changed after it is committed.
+ * not have its required revision. A transaction is built by one thread and is not changed after it
+ * is committed.
  */
 public final class Transaction {
     /**
-     * What is written under a key.
+     * A write of one key.
      *
-     * @param value null deletes the key
+     * @param value the new value, or null to delete the key
      * @param lease the lease that the key is attached to, or null
      */
     public record Write(Map<String, Object> value, LeaseId lease) {}
@@ -21,9 +22,10 @@
     private final Map<String, Write> writes = new LinkedHashMap<>();
 
     /**
-     * Requires that a key has a revision.
+     * Requires that a key has a given revision.
      *
-     * @param revision {@link Revision#ABSENT} requires that the key does not exist
+     * @param revision the required revision; {@link Revision#ABSENT} requires that the key does not
+     *     exist
      */
     public Transaction requireRevision(String key, Revision revision) {
         conditions.put(key, revision);
--- a/src/main/java/org/meadowhollow/storage/WriteBatch.java
+++ b/src/main/java/org/meadowhollow/storage/WriteBatch.java
@@ -12,23 +12,27 @@
 import org.meadowhollow.model.TaskShard;
 
 /**
- * One transaction of a {@link RecordWriter} and what is needed to handle its result. Every
- * transaction requires the revision of the leader key, so that a late one of a leader that lost its
- * leadership fails. Confined to the writer's thread.
+ * One transaction of a {@link RecordWriter} with the state needed to handle its result. Every
+ * transaction requires the revision of the leader key, so that a delayed transaction of a former
+ * leader fails (fencing). Confined to the writer's thread.
  */
 final class WriteBatch {
-    /** Bytes of a transaction: the protocol's 64 KiB less room for conditions and framing. */
+    /**
+     * Limit of the estimated size of a transaction's shards, in bytes: the protocol's 64 KiB less a
+     * reserve for conditions and framing.
+     */
     private static final int MAX_TRANSACTION_BYTES = 40 * 1024;
 
     private static final int BYTES_PER_TASK_ENTRY = 48;
 
     /**
-     * A shard as the transaction writes it.
+     * The write of a shard's record.
      *
-     * @param change the latest change that is in the record
-     * @param locations where the shard's tasks are according to the record, or null while the event
-     *     log is disabled
-     * @param endedAttempts the attempts that the record shows as ended and that are to be traced
+     * @param change the number of the latest change in the record
+     * @param locations the locations of the shard's tasks in the record, or null if the event log
+     *     is disabled
+     * @param endedAttempts the attempts that have ended according to the record and are not traced
+     *     yet
      */
     record ShardWrite(
             TaskShard shard,
@@ -37,13 +41,13 @@
             List<SecondaryRecord.EndedAttempt> endedAttempts) {}
 
     /**
-     * The end of a job as the transaction writes it.
+     * The write of a job's end.
      *
-     * @param endedAttempts the attempts that have ended and that are to be traced
+     * @param endedAttempts the attempts that have ended and are not traced yet
      * @param endedAtMillis when the job ended, in milliseconds of wall-clock time
-     * @param obsoleteKeys the job's records that this transaction does not delete. They may go only
-     *     after the end is written: without them and without the end, the next leader would run
-     *     completed tasks again.
+     * @param obsoleteKeys the keys of the job's records that this transaction does not delete. They
+     *     may be deleted only after the end is written: without them and without the end, the next
+     *     leader would run completed tasks again.
      */
     record JobEndWrite(
             Job job,
@@ -83,12 +87,12 @@
         return transaction.writes().isEmpty();
     }
 
-    /** The job whose record the transaction requires under a key, if there is one. */
+    /** The job whose record the transaction requires under the given key, if there is one. */
     Optional<Job> jobAt(String key) {
         return Optional.ofNullable(jobsByKey.get(key));
     }
 
-    /** The shard that the transaction writes under a key, if there is one. */
+    /** The shard that the transaction writes under the given key, if there is one. */
     Optional<TaskShard> shardAt(String key) {
         return Optional.ofNullable(shardsByKey.get(key));
     }
@@ -104,8 +108,8 @@
     }
 
     /**
-     * Adds a shard's record. The job's record is required as well, because a start must not be
-     * committed after its user was told of a cancellation.
+     * Adds a shard's record. The transaction also requires the revision of the job's record,
+     * because a start must not be committed after the user was told that the job is cancelled.
      */
     void addShard(ShardWrite shardWrite) {
         TaskShard shard = shardWrite.shard();
@@ -123,7 +127,9 @@
         putSecondaryRecord(job);
     }
 
-    /** Replaces a job's record by that of its end; its shards are left as they are. */
+    /**
+     * Replaces a job's record by the record of its end. The records of its shards are not changed.
+     */
     void addJobEnd(JobEndWrite jobEnd) {
         Job job = jobEnd.job();
         String jobKey = RecordKeys.job(job.id());
@@ -137,8 +143,8 @@
     }
 
     /**
-     * Goes into the same transaction, so that no reader sees a secondary record that is older than
-     * the job's own records.
+     * Writes the secondary record of a job, if it has one, in the same transaction, so that no
+     * reader sees a secondary record that is older than the job's own records.
      */
     private void putSecondaryRecord(Job job) {
         SecondaryRecord secondaryRecord = job.secondaryRecord();
--- a/src/main/java/org/meadowhollow/storage/WriteBatchBuilder.java
+++ b/src/main/java/org/meadowhollow/storage/WriteBatchBuilder.java
@@ -9,9 +9,10 @@
 import org.meadowhollow.model.TaskShard;
 
 /**
- * Decides which pending records go into the next transaction: urgent ones before best-effort work,
- * and both starts and ends of jobs while there are both. What goes into a batch is taken out of the
- * pending records and marked as in flight. Confined to the thread of its {@link RecordWriter}.
+ * Selects the pending records for the next transaction: urgent ones before those of best-effort
+ * jobs, and a mix of task starts and job ends while both are pending. Selected records are removed
+ * from the pending ones and marked as in flight. Confined to the thread of its {@link
+ * RecordWriter}.
  */
 final class WriteBatchBuilder {
     private final PendingRecords pending;
@@ -36,7 +37,8 @@
     /**
      * A batch and its urgency.
      *
-     * @param isUrgent whether it holds records of urgent jobs, and then of no others
+     * @param isUrgent whether the batch holds records of urgent jobs; a batch never mixes urgent
+     *     and other jobs
      */
     record BuiltBatch(WriteBatch batch, boolean isUrgent) {}
 
@@ -58,8 +60,9 @@
     }
 
     /**
-     * Ends take half of a transaction while starts wait: if they came first, hundreds of small jobs
-     * that end together would delay every start for a minute.
+     * The number of writes reserved for job ends: half of a transaction while ends are pending. If
+     * ends were written first, hundreds of small jobs that end together would delay every start for
+     * a minute.
      */
     private int writesReservedForEnds(boolean urgent) {
         return pending.endedJobs().stream().anyMatch(job -> PendingRecords.isUrgent(job) == urgent)
@@ -119,8 +122,8 @@
             if (PendingRecords.isUrgent(job) != urgent) {
                 continue;
             }
-            // A job's end is what its user waits for; while many ends wait, obsolete shards stay
-            // until less is to be written.
+            // Users wait for the ends of their jobs. While many ends are pending, the deletion of
+            // obsolete shards is deferred until fewer writes are pending.
             boolean manyEndsPending = pending.endedJobs().size() * 3 > writeLimit.maximum();
             int writes = (job.secondaryRecord() == null ? 2 : 3) + (manyEndsPending ? 0 : 1);
             if (batch.writeCount() + writes > writeLimit.current() && !batch.isEmpty()) {
