--- a/src/test/java/org/meadowhollow/golden/GoldenFile.java
+++ b/src/test/java/org/meadowhollow/golden/GoldenFile.java
@@ -20,15 +20,16 @@
 import org.meadowhollow.storage.KeyValueStore;
 
 /**
- * A stored record or a message between controllers exactly as an earlier version of this program
- * encoded it. Kept as a hex dump, so that a review shows what a change does: a first line with the
- * key or the path, then 16 bytes a line with their printable characters beside them. Files are
- * written by a {@code main} method and never by a test.
+ * A stored record or a message between controllers, byte for byte as an earlier version of this
+ * program encoded it. The file is a hex dump, so that a change is readable in a review: a first
+ * line with the key or the path, then lines of 16 bytes followed by their printable characters.
+ * Files are written by a {@code main} method and never by a test.
  *
- * @param name of the file, without its suffix
- * @param key under which the record is stored, or the path of the message
+ * @param name the name of the file, without its suffix
+ * @param key the key of the stored record, or the path of the message
+ * @param bytes the encoded record or message
  */
-// The bytes are read by the tests; no two files are compared as records.
+// Tests read the bytes; no two golden files are compared with equals.
 @SuppressWarnings("ArrayRecordComponent")
 public record GoldenFile(String name, String key, byte[] bytes) {
     private static final Path DIRECTORY = Path.of("src", "test", "resources", "golden");
@@ -55,13 +56,15 @@
         }
     }
 
-    /** Writes a record whose map is in a certain order, or one that was brought into it. */
+    /**
+     * Writes a record whose map has a defined order of fields, or was sorted with {@link #sorted}.
+     */
     public static void write(String name, String key, Map<String, Object> value)
             throws IOException {
         write(name, key, MessagePackCodec.encode(value));
     }
 
-    /** Writes a file of the source tree. */
+    /** Writes a file into the source tree. */
     public static void write(String name, String key, byte[] bytes) throws IOException {
         StringBuilder text = new StringBuilder(HEADER).append(key).append('\n');
         for (int at = 0; at < bytes.length; at += BYTES_A_LINE) {
@@ -78,7 +81,7 @@
         Files.writeString(file, text);
     }
 
-    /** The record that the bytes are. */
+    /** The record decoded from the bytes. */
     public Map<String, Object> value() {
         try {
             return MessagePackCodec.decode(bytes);
@@ -87,34 +90,33 @@
         }
     }
 
-    /** The record as the state service shows it. */
+    /** The record as an entry of the key-value store. */
     public KeyValueStore.Entry entry(long version) {
         return new KeyValueStore.Entry(key, value(), new Revision(version));
     }
 
-    /** Fails unless a record is encoded to the same bytes, its fields in the same order. */
+    /** Asserts that a record is encoded to the same bytes, with its fields in the same order. */
     public void assertSameBytes(Map<String, Object> record) {
         assertSameBytes(MessagePackCodec.encode(record));
     }
 
-    /** Fails unless these are the same bytes. */
+    /** Asserts that the bytes are the same. */
     public void assertSameBytes(byte[] encoded) {
         assertEquals(HexFormat.of().formatHex(bytes), HexFormat.of().formatHex(encoded), name);
     }
 
     /**
-     * Fails unless a record has the same fields with the same encoding of each, in any order: for
-     * records with a map whose order the sources leave to the process ({@code Map.of} and {@code
-     * Map.copyOf} differ from start to start). Such files hold their fields in the order of their
-     * names.
+     * Asserts that a record has the same fields with the same encoding, in any order. For records
+     * that contain a map created with {@code Map.of} or {@code Map.copyOf}, whose iteration order
+     * differs from process to process. Their golden files hold the fields sorted by name.
      */
     public void assertSameFields(Map<String, Object> record) {
         assertSameBytes(MessagePackCodec.encode(sorted(record)));
     }
 
     /**
-     * The same record with the fields of each map, also of those within, in the order of their
-     * names.
+     * A copy of the record in which the fields of each map, including nested ones, are sorted by
+     * name.
      */
     public static Map<String, Object> sorted(Map<?, ?> record) {
         Map<String, Object> sorted = new TreeMap<>();
--- a/src/test/java/org/meadowhollow/storage/GoldenFilesMain.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenFilesMain.java
@@ -31,9 +31,9 @@
 import org.meadowhollow.model.reservation.Reservation;
 
 /**
- * Writes the golden files of the stored records. To be run again only for a kind of record that is
- * new: a file that exists says what versions in use have written, and a change of it is a change of
- * the stored data.
+ * Writes the golden files of the stored records. Run it again only to add a file for a new kind of
+ * record: an existing file shows what deployed versions have written, so a change of the file means
+ * a change of the persisted format.
  */
 final class GoldenFilesMain {
     private static final MonotonicTime NOW = new MonotonicTime(0);
--- a/src/test/java/org/meadowhollow/storage/GoldenRecordsTest.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenRecordsTest.java
@@ -55,10 +55,10 @@
 import org.meadowhollow.model.reservation.Reservation;
 
 /**
- * Stored records as an earlier version wrote them: each is read, every field is what it was, and
- * what is written for it now is the same to the byte, so that the earlier version can read it in
- * turn. Keys, field names and the words of enums that are stored are thereby pinned. Nothing here
- * writes a file.
+ * Guards the persisted format against changes: decodes each kind of record as an earlier version
+ * wrote it, checks every field, and encodes it to the same bytes, so that the earlier version can
+ * read it as well. This pins keys, field names and stored names of enum constants. No test writes a
+ * file.
  */
 class GoldenRecordsTest {
     private static final MonotonicTime NOW = new MonotonicTime(0);
@@ -279,7 +279,7 @@
         assertEquals(
                 "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01",
                 job.secondaryRecord().tracedTask(job.id(), "team").traceContext());
-        // Only the twelfth attempt is the last one.
+        // The twelfth attempt is the last one allowed.
         job.secondaryRecord()
                 .recordAttemptEnd(new AttemptNumber(11), SecondaryRecord.LOST_REASON, 1);
         assertFalse(job.hasExhaustedAttempts());
@@ -354,7 +354,10 @@
         file.assertSameBytes(TaskShardCodec.encode(taskShard));
     }
 
-    /** What is stored of why an attempt ended, by attempt; the tenth has not. */
+    /**
+     * The stored reason for the end of each attempt, in the order of attempts; null for the tenth,
+     * which has not ended.
+     */
     private static final List<String> ENDS =
             Arrays.asList(
                     "PREEMPTED",
@@ -400,8 +403,8 @@
     }
 
     /**
-     * The same log as it comes about while the task runs, from the words of the program and not
-     * from the record.
+     * Builds the same attempt log step by step, with the reasons that production code uses instead
+     * of those decoded from the record.
      */
     @Test
     void theWordsInALogAreThoseThatCausesStandFor() {
@@ -437,7 +440,7 @@
         file.assertSameBytes(TaskShardCodec.encode(job.shard(0)));
     }
 
-    // ---- the list of another interface ----
+    // ---- records of another API ----
 
     @Test
     void anEntryOfAnotherInterface() {
@@ -494,7 +497,7 @@
         assertEquals(stored, accompanied().secondaryRecord().encodeAccepted());
     }
 
-    /** Words that are stored, all of them; a new one comes behind the others here. */
+    /** All stored names of enum constants. A new constant is added after the others. */
     @Test
     void wordsOfEnumsThatAreStored() {
         assertEquals(
@@ -507,7 +510,7 @@
                 List.of("DONE", "STOPPED", "PEERS", "ALONE", "ERROR", "NO_ROOM", "BUSY", "UNKNOWN");
         assertEquals(
                 exitReasons, Stream.of(ExitReason.values()).map(ExitReason::storedWord).toList());
-        // The leader takes the word of an exit from the constant's name.
+        // The leader stores the name of the constant.
         assertEquals(exitReasons, Stream.of(ExitReason.values()).map(ExitReason::name).toList());
         assertEquals(
                 List.of(
@@ -530,7 +533,7 @@
         assertEquals("LOST", SecondaryRecord.LOST_REASON);
     }
 
-    // ---- ends, images, types ----
+    // ---- ended jobs, images, machine types ----
 
     @Test
     void theEndOfAJobThatIsDone() {
@@ -565,7 +568,7 @@
         assertEquals("registry/image:1", RecordKeys.imageOfKey(file.key()));
         assertEquals(file.key(), RecordKeys.image("registry/image:1"));
         assertEquals(2.5, ImageLocationsCodec.sizeGbOf(file.value()));
-        // The latest come first in the record.
+        // The record lists the latest machine first.
         assertEquals(
                 List.of(new MachineId("vm-000002"), new MachineId("vm-000001")),
                 ImageLocationsCodec.machinesOf(file.value()));
@@ -607,7 +610,7 @@
         file.assertSameBytes(MachineTypesCodec.encode(types));
     }
 
-    // ---- who leads ----
+    // ---- leadership ----
 
     @Test
     void theTermAndTheLeader() {
@@ -662,7 +665,7 @@
         assertEquals(
                 Duration.ZERO,
                 CandidacyPolicy.candidacyDelay(file.value(), "n2", false, false),
-                "it was named");
+                "n2 is the named successor");
         assertEquals(
                 Duration.ofSeconds(1),
                 CandidacyPolicy.candidacyDelay(file.value(), "n3", true, false));
@@ -672,7 +675,7 @@
         assertEquals(
                 Duration.ofSeconds(4),
                 CandidacyPolicy.candidacyDelay(file.value(), "n1", false, false),
-                "it gave up");
+                "n1 resigned");
         file.assertSameBytes(CandidacyPolicy.resignationRecord(42, "n1", "n2"));
         Map<String, Object> nobody = new LinkedHashMap<>(file.value());
         nobody.remove("heir");
@@ -686,7 +689,7 @@
         assertEquals(
                 Duration.ZERO,
                 CandidacyPolicy.candidacyDelay(file.value(), "n2", false, false),
-                "it was named");
+                "n2 is the named successor");
         assertEquals(
                 Duration.ofSeconds(1),
                 CandidacyPolicy.candidacyDelay(file.value(), "n3", false, false));
@@ -738,8 +741,8 @@
     }
 
     /**
-     * What is compressed is compared, not how: another build of zlib may pack the same bytes into
-     * others, which are read all the same.
+     * Compares the uncompressed content: another build of zlib may compress the same content to
+     * different bytes, which can be read as well.
      */
     @Test
     void aSnapshotOfRiskTables() throws IOException {
--- a/src/test/java/org/meadowhollow/storage/GoldenStore.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenStore.java
@@ -25,17 +25,18 @@
 import org.meadowhollow.model.Revision;
 
 /**
- * A store that answers at once, with a clock that stands still, to see what production code reads
- * from golden files and what it writes. Nothing that waits for time to pass ever goes on.
+ * An in-memory store that answers at once, for tests of what production code reads from golden
+ * files and what it writes. Its {@link Still} clock stands still and runs no scheduled work, so
+ * that anything that waits for time to pass never continues.
  */
 final class GoldenStore implements KeyValueStore {
-    /** The lease that is granted first. */
+    /** The lease that every grant returns. */
     static final long LEASE = 77;
 
     private final TreeMap<String, Entry> entries = new TreeMap<>();
     private long revision;
 
-    /** What came of an election. */
+    /** Records the results of an election. */
     static final class Noted implements Leadership.Listener {
         final List<FencingToken> elected = new ArrayList<>();
         final List<String> following = new ArrayList<>();
@@ -55,7 +56,10 @@
         }
     }
 
-    /** A clock that shows the start of the steady time, and a given time of day. */
+    /**
+     * An event loop whose monotonic clock stays at 0 and whose wall clock stays at a given time.
+     * Scheduled work never runs.
+     */
     record Still(long wallClockMillis) implements EventLoop {
         @Override
         public MonotonicTime now() {
@@ -74,12 +78,12 @@
         entries.put(key, new Entry(key, value, new Revision(++revision)));
     }
 
-    /** The record under a key, or null. */
+    /** The value of a key, or null if the key does not exist. */
     Map<String, Object> get(String key) {
         return entries.containsKey(key) ? entries.get(key).value() : null;
     }
 
-    /** A controller that stands for leader, alone. */
+    /** A controller that is a candidate for leadership and reaches no other controller. */
     static Leadership candidate(String member, KeyValueStore store, Leadership.Listener listener) {
         DeploymentSettings deploymentSettings =
                 new DeploymentSettings(
@@ -112,10 +116,10 @@
     }
 
     /**
-     * A store with a snapshot of tables.
+     * A store to which a snapshot of the risk tables was written.
      *
-     * @param before the head of an earlier snapshot, if there is one
-     * @param valueBytes that a chunk may have
+     * @param before the head record of an earlier snapshot, if there is one
+     * @param valueBytes the largest size of a chunk in bytes
      */
     static GoldenStore withSnapshot(
             List<RiskTableDelta.MachineEntry> parts,
@@ -126,7 +130,7 @@
         before.ifPresent(store::put);
         RiskTableSnapshotStore snapshots =
                 new RiskTableSnapshotStore(store, Revision.ABSENT, 100, valueBytes);
-        // First it looks which set was written last, then it writes.
+        // The first call reads which set was written last, the second one writes the other set.
         for (int time = 0; time < 2; time++) {
             snapshots.writeNext(() -> parts, true, new MonotonicTime(0), wallMillis);
         }
@@ -198,7 +202,7 @@
         return false;
     }
 
-    /** Nobody else is there. */
+    /** A gateway to peers of which none ever answers. */
     private static final class NoPeers implements PeerGateway {
         @Override
         public void announceLeader(String leader, FencingToken fencingToken) {}
--- a/src/test/java/org/meadowhollow/storage/KeyValueStoreExceptionTest.java
+++ b/src/test/java/org/meadowhollow/storage/KeyValueStoreExceptionTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.meadowhollow.storage.KeyValueStoreException.Outcome;
 
-/** What callers learn from a failed request. */
+/** Tests the types of exceptions and how callers get the outcome of a failed request. */
 class KeyValueStoreExceptionTest {
     @ParameterizedTest
     @EnumSource
--- a/src/test/java/org/meadowhollow/storage/RecordWriterTest.java
+++ b/src/test/java/org/meadowhollow/storage/RecordWriterTest.java
@@ -24,8 +24,8 @@
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
 
 /**
- * The order in which a leader's records are written when there are more than the key-value store
- * accepts at once.
+ * Tests the order in which a leader's records are written when there are more than the key-value
+ * store accepts at once.
  */
 class RecordWriterTest {
     private static final int MAX_WRITES = 12;
@@ -130,7 +130,10 @@
         }
     }
 
-    /** Hundreds of small jobs that ended together used to delay every start for a minute. */
+    /**
+     * If job ends were written first, hundreds of small jobs that end together would delay every
+     * start for a minute.
+     */
     @Test
     void placementsAreNotDelayedByTheEndsOfOtherJobs() {
         for (int number = 0; number < 50; number++) {
@@ -142,8 +145,8 @@
     }
 
     /**
-     * Many best-effort jobs of one team used to go before the records of all others, and before
-     * users' submissions.
+     * Guards against the records of many best-effort jobs of one team being written before those of
+     * all other jobs and before users' submissions.
      */
     @Test
     void recordsOfTheLowestPriorityAreWrittenAfterAllOthers() {
@@ -156,7 +159,10 @@
         assertEquals(MAX_WRITES, sent.get(1).transaction().writes().size());
     }
 
-    /** A large transaction finds no room in a rate limit that others use up with small ones. */
+    /**
+     * Guards against a large transaction being rejected again and again while other clients use up
+     * the rate limit with small ones.
+     */
     @Test
     void aRejectedTransactionIsRepeatedInSmallerOnes() {
         markPlacementsDirty(0, 40, Priority.NORMAL);
@@ -171,8 +177,8 @@
     }
 
     /**
-     * In a surge of one-task jobs, deletions for the ended ones used to take a fifth of the rate
-     * limit for the changes that users waited for.
+     * Guards against deletions delaying the changes that users wait for: in a surge of one-task
+     * jobs, the deletions for ended jobs can take a fifth of the rate limit.
      */
     @Test
     void obsoleteRecordsAreDeletedAfterAllOtherWrites() {
@@ -182,7 +188,10 @@
         markPlacementsDirty(100, 3, Priority.NORMAL);
         recordWriter.flush();
         assertEquals(RequestPriority.PLACEMENT, sent.get(0).priority());
-        assertEquals(3, sent.get(0).transaction().writes().size(), "placements alone");
+        assertEquals(
+                3,
+                sent.get(0).transaction().writes().size(),
+                "the first transaction holds placements only");
         assertEquals(1, sent.size());
         sent.get(0)
                 .result()
@@ -191,12 +200,13 @@
         assertEquals(
                 12,
                 sent.get(1).transaction().writes().size(),
-                "and the deletions with the lowest priority");
+                "all deletions are in a transaction of the lowest priority");
     }
 
     /**
-     * If they were deleted before the end is persisted, the next leader would run completed tasks
-     * again; if they were forgotten with a failed transaction, they would stay for ever.
+     * Guards against two faults: if the shards were deleted before the end is persisted, the next
+     * leader would run completed tasks again; if the deletions of a failed transaction were not
+     * repeated, the shards would stay for ever.
      */
     @Test
     void shardsOfAnEndedJobAreDeletedOnceItsEndIsPersisted() {
@@ -218,7 +228,7 @@
                     .completeExceptionally(new RequestRejectedException("answered 429"));
         }
         assertEquals(3, sent.size(), "nothing is deleted while no end is persisted");
-        // From now on all transactions are applied, except for every third one.
+        // From here on, every third transaction is rejected and all others are applied.
         for (int at = 3, round = 0; round < 40; round++) {
             List.copyOf(timers).forEach(Runnable::run);
             for (; at < sent.size(); at++) {
@@ -241,7 +251,7 @@
             assertTrue(
                     lastAppliedWriteOf("task/" + name + "/0")
                             >= lastAppliedWriteOf("ended/" + name),
-                    name + " is deleted, and not before its end");
+                    name + ": the shard is deleted, and not before the end is persisted");
         }
     }
 
