--- a/src/main/java/org/meadowhollow/storage/CalendarRecordCodec.java
+++ b/src/main/java/org/meadowhollow/storage/CalendarRecordCodec.java
@@ -115,39 +115,39 @@
 
     private static RecurringSchedule decodeSchedule(Map<String, Object> fields) {
         return new RecurringSchedule(
-                LocalDateTime.parse(RecordFields.text(fields, FIRST_START)),
-                ZoneId.of(RecordFields.text(fields, TIME_ZONE)),
-                Duration.ofMillis(RecordFields.longInteger(fields, DURATION_MILLIS)),
-                RecordFields.text(fields, RECURRENCE_RULE));
+                LocalDateTime.parse(RecordFields.getString(fields, FIRST_START)),
+                ZoneId.of(RecordFields.getString(fields, TIME_ZONE)),
+                Duration.ofMillis(RecordFields.getLong(fields, DURATION_MILLIS)),
+                RecordFields.getString(fields, RECURRENCE_RULE));
     }
 
     static long acceptanceOrderOf(Map<String, Object> fields) {
-        return RecordFields.longInteger(fields, ACCEPTANCE_ORDER);
+        return RecordFields.getLong(fields, ACCEPTANCE_ORDER);
     }
 
     static Reservation decodeReservation(Map<String, Object> fields) {
         return new Reservation(
-                RecordFields.text(fields, NAME),
-                RecordFields.text(fields, TEAM),
-                Priority.fromStoredWord(RecordFields.text(fields, PRIORITY)),
-                RecordFields.integer(fields, TASK_COUNT),
-                RecordFields.resources(fields),
-                RecordFields.texts(fields, ALLOWED_MACHINE_TYPES),
-                RecordFields.text(fields, REQUIRED_ZONE),
+                RecordFields.getString(fields, NAME),
+                RecordFields.getString(fields, TEAM),
+                Priority.fromStoredWord(RecordFields.getString(fields, PRIORITY)),
+                RecordFields.getInt(fields, TASK_COUNT),
+                RecordFields.getResources(fields),
+                RecordFields.getStringList(fields, ALLOWED_MACHINE_TYPES),
+                RecordFields.getString(fields, REQUIRED_ZONE),
                 (Boolean) fields.get(ALLOWS_SPOT),
-                RecordFields.text(fields, IMAGE),
-                RecordFields.decimal(fields, IMAGE_SIZE_GB),
-                RecordFields.text(fields, JOB_CLASS),
-                RecordFields.texts(fields, ALLOWED_JOBS),
+                RecordFields.getString(fields, IMAGE),
+                RecordFields.getDouble(fields, IMAGE_SIZE_GB),
+                RecordFields.getString(fields, JOB_CLASS),
+                RecordFields.getStringList(fields, ALLOWED_JOBS),
                 decodeSchedule(fields));
     }
 
     static MaintenanceWindow decodeWindow(Map<String, Object> fields) {
         return new MaintenanceWindow(
-                RecordFields.text(fields, NAME),
-                MaintenanceWindow.Scope.fromStoredWord(RecordFields.text(fields, SCOPE)),
-                RecordFields.texts(fields, TARGETS),
+                RecordFields.getString(fields, NAME),
+                MaintenanceWindow.Scope.fromStoredWord(RecordFields.getString(fields, SCOPE)),
+                RecordFields.getStringList(fields, TARGETS),
                 decodeSchedule(fields),
-                Duration.ofMillis(RecordFields.longInteger(fields, SERVICE_EVICTION_LEAD_MILLIS)));
+                Duration.ofMillis(RecordFields.getLong(fields, SERVICE_EVICTION_LEAD_MILLIS)));
     }
 }
--- a/src/main/java/org/meadowhollow/storage/CalendarSnapshot.java
+++ b/src/main/java/org/meadowhollow/storage/CalendarSnapshot.java
@@ -45,9 +45,11 @@
                 revision = entry.revision();
             } else if (entry.key().startsWith(CalendarRecordCodec.RESERVATION_PREFIX)) {
                 reservations.add(
-                        decode(entry, CalendarRecordCodec.decodeReservation(entry.value())));
+                        toCalendarEntry(
+                                entry, CalendarRecordCodec.decodeReservation(entry.value())));
             } else if (entry.key().startsWith(CalendarRecordCodec.WINDOW_PREFIX)) {
-                windows.add(decode(entry, CalendarRecordCodec.decodeWindow(entry.value())));
+                windows.add(
+                        toCalendarEntry(entry, CalendarRecordCodec.decodeWindow(entry.value())));
             }
         }
         reservations.sort(Comparator.comparingLong(CalendarEntry::acceptanceOrder));
@@ -55,7 +57,7 @@
         return new CalendarSnapshot(List.copyOf(reservations), List.copyOf(windows), revision);
     }
 
-    private static <T> CalendarEntry<T> decode(KeyValueStore.Entry entry, T item) {
+    private static <T> CalendarEntry<T> toCalendarEntry(KeyValueStore.Entry entry, T item) {
         return new CalendarEntry<>(
                 item, CalendarRecordCodec.acceptanceOrderOf(entry.value()), entry.revision());
     }
--- a/src/main/java/org/meadowhollow/storage/EndedJobCodec.java
+++ b/src/main/java/org/meadowhollow/storage/EndedJobCodec.java
@@ -27,16 +27,16 @@
 
     /** Whether the job had been cancelled when it ended. */
     public static boolean isCancelled(Map<String, Object> fields) {
-        return RecordFields.flag(fields, CANCELLED);
+        return RecordFields.getBoolean(fields, CANCELLED);
     }
 
     /** The number of the job's tasks. */
     public static int taskCountOf(Map<String, Object> fields) {
-        return RecordFields.integer(fields, TASK_COUNT);
+        return RecordFields.getInt(fields, TASK_COUNT);
     }
 
     /** The number of the job's tasks that had completed when it ended. */
     public static int completedTaskCountOf(Map<String, Object> fields) {
-        return RecordFields.integer(fields, COMPLETED_TASK_COUNT);
+        return RecordFields.getInt(fields, COMPLETED_TASK_COUNT);
     }
 }
--- a/src/main/java/org/meadowhollow/storage/ImageLocationsCodec.java
+++ b/src/main/java/org/meadowhollow/storage/ImageLocationsCodec.java
@@ -18,7 +18,7 @@
      * Estimated encoding overhead of a machine's name, and of each other part of the record, in
      * bytes.
      */
-    private static final int FRAMING_BYTES = 8;
+    private static final int OVERHEAD_BYTES_PER_PART = 8;
 
     private ImageLocationsCodec() {}
 
@@ -41,11 +41,11 @@
     public static EncodedImageLocations encode(
             double sizeGb, List<MachineId> machines, int maxValueBytes) {
         List<Object> names = new ArrayList<>();
-        int bytes = 4 * FRAMING_BYTES;
-        for (int at = machines.size() - 1; at >= 0; at--) {
-            String name = machines.get(at).value();
-            bytes += name.length() + FRAMING_BYTES;
-            if (bytes > maxValueBytes) {
+        int estimatedBytes = 4 * OVERHEAD_BYTES_PER_PART;
+        for (int index = machines.size() - 1; index >= 0; index--) {
+            String name = machines.get(index).value();
+            estimatedBytes += name.length() + OVERHEAD_BYTES_PER_PART;
+            if (estimatedBytes > maxValueBytes) {
                 break;
             }
             names.add(name);
@@ -53,12 +53,12 @@
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put(SIZE_GB, sizeGb);
         fields.put(MACHINES, names);
-        return new EncodedImageLocations(fields, bytes);
+        return new EncodedImageLocations(fields, estimatedBytes);
     }
 
     /** The size of the image in gigabytes. */
     public static double sizeGbOf(Map<String, Object> fields) {
-        return RecordFields.decimal(fields, SIZE_GB);
+        return RecordFields.getDouble(fields, SIZE_GB);
     }
 
     /** The machines that have the image, the last encoded one first. */
--- a/src/main/java/org/meadowhollow/storage/JobRecordCodec.java
+++ b/src/main/java/org/meadowhollow/storage/JobRecordCodec.java
@@ -97,8 +97,8 @@
         Job job =
                 new Job(
                         decodeSpec(id, fields),
-                        RecordFields.longInteger(fields, ACCEPTED_AT_MILLIS),
-                        RecordFields.integer(fields, SHARD_SIZE),
+                        RecordFields.getLong(fields, ACCEPTED_AT_MILLIS),
+                        RecordFields.getInt(fields, SHARD_SIZE),
                         revision,
                         SecondaryRecord.decodeReference(fields.get(SECONDARY_RECORD)));
         if (isCancelled(fields)) {
@@ -110,28 +110,28 @@
     private static JobSpec decodeSpec(JobId id, Map<String, Object> fields) {
         return new JobSpec(
                 id,
-                RecordFields.text(fields, JOB_CLASS),
-                RecordFields.text(fields, TEAM),
-                JobKind.fromStoredWord(RecordFields.text(fields, KIND)),
-                Priority.fromStoredWord(RecordFields.text(fields, PRIORITY)),
+                RecordFields.getString(fields, JOB_CLASS),
+                RecordFields.getString(fields, TEAM),
+                JobKind.fromStoredWord(RecordFields.getString(fields, KIND)),
+                Priority.fromStoredWord(RecordFields.getString(fields, PRIORITY)),
                 taskCountOf(fields),
-                RecordFields.resources(fields),
-                RecordFields.texts(fields, ALLOWED_MACHINE_TYPES),
-                RecordFields.text(fields, REQUIRED_ZONE),
-                RecordFields.flag(fields, REQUIRES_SINGLE_ZONE),
-                RecordFields.flag(fields, SPREADS_ACROSS_ZONES),
-                RecordFields.flag(fields, ALLOWS_SPOT),
-                RecordFields.text(fields, IMAGE),
-                RecordFields.decimal(fields, IMAGE_SIZE_GB),
-                RecordFields.decimal(fields, ESTIMATED_RUNTIME_SECONDS),
-                RecordFields.decimal(fields, CHECKPOINT_INTERVAL_SECONDS),
-                RecordFields.decimal(fields, CHECKPOINT_DURATION_SECONDS),
-                RecordFields.decimalOrNan(fields, DEADLINE_SECONDS));
+                RecordFields.getResources(fields),
+                RecordFields.getStringList(fields, ALLOWED_MACHINE_TYPES),
+                RecordFields.getString(fields, REQUIRED_ZONE),
+                RecordFields.getBoolean(fields, REQUIRES_SINGLE_ZONE),
+                RecordFields.getBoolean(fields, SPREADS_ACROSS_ZONES),
+                RecordFields.getBoolean(fields, ALLOWS_SPOT),
+                RecordFields.getString(fields, IMAGE),
+                RecordFields.getDouble(fields, IMAGE_SIZE_GB),
+                RecordFields.getDouble(fields, ESTIMATED_RUNTIME_SECONDS),
+                RecordFields.getDouble(fields, CHECKPOINT_INTERVAL_SECONDS),
+                RecordFields.getDouble(fields, CHECKPOINT_DURATION_SECONDS),
+                RecordFields.getDoubleOrNan(fields, DEADLINE_SECONDS));
     }
 
     /** Whether the job was cancelled when the record was written. */
     public static boolean isCancelled(Map<String, Object> fields) {
-        return RecordFields.flag(fields, CANCELLED);
+        return RecordFields.getBoolean(fields, CANCELLED);
     }
 
     /** A copy of the record that marks the job as cancelled. */
@@ -143,12 +143,12 @@
 
     /** The team whose quota the job counts against. */
     public static String teamOf(Map<String, Object> fields) {
-        return RecordFields.text(fields, TEAM);
+        return RecordFields.getString(fields, TEAM);
     }
 
     /** The number of the job's tasks. */
     public static int taskCountOf(Map<String, Object> fields) {
-        return RecordFields.integer(fields, TASK_COUNT);
+        return RecordFields.getInt(fields, TASK_COUNT);
     }
 
     /** The key of the job's secondary record, or null if it has none. */
--- a/src/main/java/org/meadowhollow/storage/KeyValueStore.java
+++ b/src/main/java/org/meadowhollow/storage/KeyValueStore.java
@@ -112,9 +112,10 @@
      *
      * @param after only changes after this revision are returned; fails with {@link
      *     WatchCompactedException} if the store no longer has all of them
-     * @param wait the longest time that the store waits for the first change; zero returns at once
+     * @param maxWait the longest time that the store waits for the first change; zero returns at
+     *     once
      */
-    CompletableFuture<ChangeBatch> watch(String prefix, Revision after, Duration wait);
+    CompletableFuture<ChangeBatch> watch(String prefix, Revision after, Duration maxWait);
 
     /** Whether requests failed recently because the store did not answer or was unavailable. */
     boolean seemsUnavailable();
--- a/src/main/java/org/meadowhollow/storage/KeyspaceReplica.java
+++ b/src/main/java/org/meadowhollow/storage/KeyspaceReplica.java
@@ -18,12 +18,12 @@
     private static final int NUMBER_BYTES = 24;
 
     /** Estimated memory of a string without its characters, in bytes. */
-    private static final int TEXT_BYTES = 48;
+    private static final int STRING_OVERHEAD_BYTES = 48;
 
     /**
      * Estimated memory of a map, of a list or of an entry of a map, without its contents, in bytes.
      */
-    private static final int ITEM_BYTES = 40;
+    private static final int ITEM_OVERHEAD_BYTES = 40;
 
     private final String prefix;
     private final TreeMap<String, Entry> entries = new TreeMap<>();
@@ -86,14 +86,14 @@
     }
 
     private void apply(Change change) {
-        Entry known = entries.get(change.key());
-        if (known != null && known.revision().isAfter(change.revision())) {
+        Entry existing = entries.get(change.key());
+        if (existing != null && existing.revision().isAfter(change.revision())) {
             return;
         }
         if (change.value() != null) {
             put(new Entry(change.key(), change.value(), change.revision()));
-        } else if (known != null) {
-            remove(known);
+        } else if (existing != null) {
+            remove(existing);
         }
     }
 
@@ -104,8 +104,8 @@
     }
 
     private void put(Entry entry) {
-        Entry before = entries.put(entry.key(), entry);
-        estimatedBytes += estimateBytes(entry) - (before == null ? 0 : estimateBytes(before));
+        Entry previous = entries.put(entry.key(), entry);
+        estimatedBytes += estimateBytes(entry) - (previous == null ? 0 : estimateBytes(previous));
     }
 
     private void remove(Entry entry) {
@@ -114,24 +114,29 @@
     }
 
     private static long estimateBytes(Entry entry) {
-        return TEXT_BYTES + ITEM_BYTES + entry.key().length() + estimateBytes(entry.value());
+        return STRING_OVERHEAD_BYTES
+                + ITEM_OVERHEAD_BYTES
+                + entry.key().length()
+                + estimateBytes(entry.value());
     }
 
     private static long estimateBytes(Object value) {
         if (value instanceof Map<?, ?> map) {
-            long sum = ITEM_BYTES;
+            long sum = ITEM_OVERHEAD_BYTES;
             for (Object item : map.values()) {
-                sum += ITEM_BYTES + estimateBytes(item);
+                sum += ITEM_OVERHEAD_BYTES + estimateBytes(item);
             }
             return sum;
         }
         if (value instanceof List<?> list) {
-            long sum = ITEM_BYTES;
+            long sum = ITEM_OVERHEAD_BYTES;
             for (Object item : list) {
                 sum += estimateBytes(item);
             }
             return sum;
         }
-        return value instanceof String text ? TEXT_BYTES + text.length() : NUMBER_BYTES;
+        return value instanceof String string
+                ? STRING_OVERHEAD_BYTES + string.length()
+                : NUMBER_BYTES;
     }
 }
--- a/src/main/java/org/meadowhollow/storage/MachineTypesCodec.java
+++ b/src/main/java/org/meadowhollow/storage/MachineTypesCodec.java
@@ -57,13 +57,13 @@
 
     private static MachineType decodeType(Map<String, Object> fields) {
         return new MachineType(
-                RecordFields.text(fields, NAME),
-                RecordFields.resources(fields),
-                RecordFields.decimal(fields, IMAGE_CACHE_GB),
-                RecordFields.decimal(fields, IMAGE_PULL_GB_PER_SECOND),
-                RecordFields.decimal(fields, HOURLY_PRICE),
-                RecordFields.decimal(fields, HOURLY_SPOT_PRICE),
-                RecordFields.decimal(fields, BOOT_SECONDS),
-                RecordFields.texts(fields, ZONES));
+                RecordFields.getString(fields, NAME),
+                RecordFields.getResources(fields),
+                RecordFields.getDouble(fields, IMAGE_CACHE_GB),
+                RecordFields.getDouble(fields, IMAGE_PULL_GB_PER_SECOND),
+                RecordFields.getDouble(fields, HOURLY_PRICE),
+                RecordFields.getDouble(fields, HOURLY_SPOT_PRICE),
+                RecordFields.getDouble(fields, BOOT_SECONDS),
+                RecordFields.getStringList(fields, ZONES));
     }
 }
--- a/src/main/java/org/meadowhollow/storage/PendingRecords.java
+++ b/src/main/java/org/meadowhollow/storage/PendingRecords.java
@@ -66,7 +66,7 @@
     }
 
     /** Notes that the transaction with the job's end was applied. */
-    void completeEnd(Job job) {
+    void markEndPersisted(Job job) {
         endsInFlight.remove(job.id());
     }
 
--- a/src/main/java/org/meadowhollow/storage/PersistedChangePublisher.java
+++ b/src/main/java/org/meadowhollow/storage/PersistedChangePublisher.java
@@ -30,8 +30,8 @@
         if (!isEventLogEnabled()) {
             return;
         }
-        for (int at = 0; at < job.shardCount(); at++) {
-            job.shard(at).markLocationsPersisted();
+        for (int index = 0; index < job.shardCount(); index++) {
+            job.shard(index).markLocationsPersisted();
         }
     }
 
@@ -62,8 +62,8 @@
     /** Publishes the end of a job after it was persisted. */
     void publishJobEnd(WriteBatch.JobEndWrite jobEnd, Revision revision) {
         Job job = jobEnd.job();
-        for (int at = 0; at < job.shardCount() && isEventLogEnabled(); at++) {
-            job.shard(at).logLocationChanges(listeners.eventLog(), revision, Map.of());
+        for (int index = 0; index < job.shardCount() && isEventLogEnabled(); index++) {
+            job.shard(index).logLocationChanges(listeners.eventLog(), revision, Map.of());
         }
         listeners
                 .eventLog()
--- a/src/main/java/org/meadowhollow/storage/RecordDigests.java
+++ b/src/main/java/org/meadowhollow/storage/RecordDigests.java
@@ -63,8 +63,8 @@
         }
         Hasher64 hasher = Hashing.xxh3_64();
         long hash = hasher.hashStream().putString(key).putLong(revision.value()).getAsLong();
-        PartDigest before = parts.getOrDefault(part, PartDigest.EMPTY);
-        parts.put(part, new PartDigest(before.recordCount() + 1, before.hashSum() + hash));
+        PartDigest previous = parts.getOrDefault(part, PartDigest.EMPTY);
+        parts.put(part, new PartDigest(previous.recordCount() + 1, previous.hashSum() + hash));
     }
 
     /**
@@ -73,9 +73,9 @@
      */
     public void addRecordsOf(Job job) {
         add(RecordKeys.job(job.id()), job.recordRevision());
-        for (int at = 0; at < job.shardCount(); at++) {
-            if (job.hasPersistedShard(at) || job.shard(at).isWriteInFlight()) {
-                TaskShard shard = job.shard(at);
+        for (int index = 0; index < job.shardCount(); index++) {
+            if (job.hasPersistedShard(index) || job.shard(index).isWriteInFlight()) {
+                TaskShard shard = job.shard(index);
                 add(
                         RecordKeys.taskShard(shard),
                         shard.isWriteInFlight() ? null : shard.recordRevision());
@@ -104,10 +104,10 @@
      * left out.
      */
     public List<String> differingParts(RecordDigests other) {
-        Set<String> all = new HashSet<>(parts.keySet());
-        all.addAll(other.parts.keySet());
+        Set<String> allParts = new HashSet<>(parts.keySet());
+        allParts.addAll(other.parts.keySet());
         List<String> differing = new ArrayList<>();
-        for (String part : all) {
+        for (String part : allParts) {
             if (!partsBeingWritten.contains(part)
                     && !other.partsBeingWritten.contains(part)
                     && !digestOf(part).equals(other.digestOf(part))) {
@@ -123,12 +123,12 @@
     }
 
     private static String partOf(String key) {
-        int at = key.indexOf('/') + 1;
-        while (at < key.length() && !Character.isDigit(key.charAt(at))) {
-            at++;
+        int index = key.indexOf('/') + 1;
+        while (index < key.length() && !Character.isDigit(key.charAt(index))) {
+            index++;
         }
-        return at == key.length()
+        return index == key.length()
                 ? key.substring(0, key.indexOf('/') + 1)
-                : key.substring(0, at + 1);
+                : key.substring(0, index + 1);
     }
 }
--- a/src/main/java/org/meadowhollow/storage/RecordFields.java
+++ b/src/main/java/org/meadowhollow/storage/RecordFields.java
@@ -16,39 +16,39 @@
     private RecordFields() {}
 
     /** A string field; null if it is absent. */
-    static String text(Map<String, Object> fields, String name) {
+    static String getString(Map<String, Object> fields, String name) {
         return (String) fields.get(name);
     }
 
     /** A numeric field; throws {@link NullPointerException} if it is absent. */
-    static int integer(Map<String, Object> fields, String name) {
-        return number(fields, name).intValue();
+    static int getInt(Map<String, Object> fields, String name) {
+        return getNumber(fields, name).intValue();
     }
 
     /** A numeric field; throws {@link NullPointerException} if it is absent. */
-    static long longInteger(Map<String, Object> fields, String name) {
-        return number(fields, name).longValue();
+    static long getLong(Map<String, Object> fields, String name) {
+        return getNumber(fields, name).longValue();
     }
 
     /** A numeric field; throws {@link NullPointerException} if it is absent. */
-    static double decimal(Map<String, Object> fields, String name) {
-        return number(fields, name).doubleValue();
+    static double getDouble(Map<String, Object> fields, String name) {
+        return getNumber(fields, name).doubleValue();
     }
 
     /** A numeric field; NaN if it is absent. */
-    static double decimalOrNan(Map<String, Object> fields, String name) {
-        Number value = number(fields, name);
+    static double getDoubleOrNan(Map<String, Object> fields, String name) {
+        Number value = getNumber(fields, name);
         return value == null ? Double.NaN : value.doubleValue();
     }
 
     /** A boolean field; false if it is absent. */
-    static boolean flag(Map<String, Object> fields, String name) {
+    static boolean getBoolean(Map<String, Object> fields, String name) {
         return Boolean.TRUE.equals(fields.get(name));
     }
 
     /** A field with a list of strings; null if it is absent. */
     @SuppressWarnings("unchecked") // The store's codec decodes a list of strings as List<String>.
-    static List<String> texts(Map<String, Object> fields, String name) {
+    static List<String> getStringList(Map<String, Object> fields, String name) {
         return (List<String>) fields.get(name);
     }
 
@@ -60,12 +60,11 @@
     }
 
     /** The resource vector of a record. */
-    static Resources resources(Map<String, Object> fields) {
-        return new Resources(
-                longInteger(fields, CPU), longInteger(fields, GPU), longInteger(fields, MEMORY));
+    static Resources getResources(Map<String, Object> fields) {
+        return new Resources(getLong(fields, CPU), getLong(fields, GPU), getLong(fields, MEMORY));
     }
 
-    private static Number number(Map<String, Object> fields, String name) {
+    private static Number getNumber(Map<String, Object> fields, String name) {
         return (Number) fields.get(name);
     }
 }
--- a/src/main/java/org/meadowhollow/storage/RecordWriter.java
+++ b/src/main/java/org/meadowhollow/storage/RecordWriter.java
@@ -148,9 +148,9 @@
     public void recordUnacknowledgedEnd(Job job) {
         publisher.traceJobEnd(
                 job, PersistedChangePublisher.untracedEndedAttempts(job), loop.wallClockMillis());
-        for (int at = 0; at < job.shardCount(); at++) {
-            if (job.hasPersistedShard(at)) {
-                addObsoleteKey(RecordKeys.taskShard(job.shard(at)));
+        for (int index = 0; index < job.shardCount(); index++) {
+            if (job.hasPersistedShard(index)) {
+                addObsoleteKey(RecordKeys.taskShard(job.shard(index)));
             }
         }
         job.markEnded();
@@ -217,7 +217,7 @@
             }
         }
         for (WriteBatch.JobEndWrite jobEnd : batch.jobEnds()) {
-            pending.completeEnd(jobEnd.job());
+            pending.markEndPersisted(jobEnd.job());
             publisher.publishJobEnd(jobEnd, revision);
             cleaner.addAll(jobEnd.obsoleteKeys());
             jobEnd.job().markEnded();
@@ -245,8 +245,8 @@
             return;
         }
         for (String key : conflictingKeys) {
-            batch.jobAt(key).ifPresent(job -> listener.onConcurrentJobChange(job.id()));
-            batch.shardAt(key).ifPresent(shard -> refreshShardRevision(key, shard));
+            batch.jobForKey(key).ifPresent(job -> listener.onConcurrentJobChange(job.id()));
+            batch.shardForKey(key).ifPresent(shard -> refreshShardRevision(key, shard));
         }
         pauseBeforeRetry();
     }
--- a/src/main/java/org/meadowhollow/storage/TaskShardCodec.java
+++ b/src/main/java/org/meadowhollow/storage/TaskShardCodec.java
@@ -114,7 +114,7 @@
         Map<String, Object> fields = entry.value();
         TaskShard shard = job.shard(path.index());
         shard.adoptRevision(entry.revision());
-        shard.recordAttempt(RecordFields.integer(fields, HIGHEST_ATTEMPT));
+        shard.recordAttempt(RecordFields.getInt(fields, HIGHEST_ATTEMPT));
         if (job.secondaryRecord() != null) {
             job.secondaryRecord().restoreAttempts(fields.get(ATTEMPTS));
         }
@@ -124,9 +124,9 @@
     }
 
     private static void restoreCompletedRuns(Job job, List<?> runs) {
-        for (int at = 0; at < runs.size(); at += 2) {
-            int firstTask = ((Number) runs.get(at)).intValue();
-            int taskCount = ((Number) runs.get(at + 1)).intValue();
+        for (int index = 0; index < runs.size(); index += 2) {
+            int firstTask = ((Number) runs.get(index)).intValue();
+            int taskCount = ((Number) runs.get(index + 1)).intValue();
             job.restoreCompletedTasks(firstTask, taskCount);
         }
     }
--- a/src/main/java/org/meadowhollow/storage/WriteBatch.java
+++ b/src/main/java/org/meadowhollow/storage/WriteBatch.java
@@ -88,12 +88,12 @@
     }
 
     /** The job whose record the transaction requires under the given key, if there is one. */
-    Optional<Job> jobAt(String key) {
+    Optional<Job> jobForKey(String key) {
         return Optional.ofNullable(jobsByKey.get(key));
     }
 
     /** The shard that the transaction writes under the given key, if there is one. */
-    Optional<TaskShard> shardAt(String key) {
+    Optional<TaskShard> shardForKey(String key) {
         return Optional.ofNullable(shardsByKey.get(key));
     }
 
--- a/src/main/java/org/meadowhollow/storage/WriteBatchBuilder.java
+++ b/src/main/java/org/meadowhollow/storage/WriteBatchBuilder.java
@@ -140,8 +140,8 @@
     }
 
     private static boolean hasShardInFlight(Job job) {
-        for (int at = 0; at < job.shardCount(); at++) {
-            if (job.shard(at).isWriteInFlight()) {
+        for (int index = 0; index < job.shardCount(); index++) {
+            if (job.shard(index).isWriteInFlight()) {
                 return true;
             }
         }
@@ -157,9 +157,9 @@
                         loop.wallClockMillis(),
                         new ArrayList<>());
         batch.addJobEnd(jobEnd);
-        for (int at = 0; at < job.shardCount(); at++) {
-            TaskShard shard = job.shard(at);
-            if (job.hasPersistedShard(at)) {
+        for (int index = 0; index < job.shardCount(); index++) {
+            TaskShard shard = job.shard(index);
+            if (job.hasPersistedShard(index)) {
                 String key = RecordKeys.taskShard(shard);
                 if (deletesShards && batch.writeCount() < writeLimit.current()) {
                     batch.transaction().delete(key);
