--- a/src/test/java/org/meadowhollow/golden/GoldenFile.java
+++ b/src/test/java/org/meadowhollow/golden/GoldenFile.java
@@ -34,9 +34,9 @@
 public record GoldenFile(String name, String key, byte[] bytes) {
     private static final Path DIRECTORY = Path.of("src", "test", "resources", "golden");
     private static final String SUFFIX = ".hex";
-    private static final String HEADER = "# ";
-    private static final String BESIDE = "  |";
-    private static final int BYTES_A_LINE = 16;
+    private static final String HEADER_PREFIX = "# ";
+    private static final String TEXT_COLUMN_PREFIX = "  |";
+    private static final int BYTES_PER_LINE = 16;
 
     /** Reads a file from the class path. */
     public static GoldenFile read(String name) {
@@ -47,12 +47,14 @@
             for (String line : lines.subList(1, lines.size())) {
                 bytes.writeBytes(
                         HexFormat.ofDelimiter(" ")
-                                .parseHex(line.substring(0, line.indexOf(BESIDE)).strip()));
+                                .parseHex(
+                                        line.substring(0, line.indexOf(TEXT_COLUMN_PREFIX))
+                                                .strip()));
             }
             return new GoldenFile(
-                    name, lines.get(0).substring(HEADER.length()), bytes.toByteArray());
-        } catch (IOException broken) {
-            throw new UncheckedIOException(broken);
+                    name, lines.get(0).substring(HEADER_PREFIX.length()), bytes.toByteArray());
+        } catch (IOException exception) {
+            throw new UncheckedIOException(exception);
         }
     }
 
@@ -66,13 +68,13 @@
 
     /** Writes a file into the source tree. */
     public static void write(String name, String key, byte[] bytes) throws IOException {
-        StringBuilder text = new StringBuilder(HEADER).append(key).append('\n');
-        for (int at = 0; at < bytes.length; at += BYTES_A_LINE) {
-            int end = Math.min(bytes.length, at + BYTES_A_LINE);
-            text.append("%-47s".formatted(HexFormat.ofDelimiter(" ").formatHex(bytes, at, end)))
-                    .append(BESIDE);
-            for (int each = at; each < end; each++) {
-                text.append(bytes[each] > ' ' && bytes[each] <= '~' ? (char) bytes[each] : '.');
+        StringBuilder text = new StringBuilder(HEADER_PREFIX).append(key).append('\n');
+        for (int start = 0; start < bytes.length; start += BYTES_PER_LINE) {
+            int end = Math.min(bytes.length, start + BYTES_PER_LINE);
+            text.append("%-47s".formatted(HexFormat.ofDelimiter(" ").formatHex(bytes, start, end)))
+                    .append(TEXT_COLUMN_PREFIX);
+            for (int index = start; index < end; index++) {
+                text.append(bytes[index] > ' ' && bytes[index] <= '~' ? (char) bytes[index] : '.');
             }
             text.append("|\n");
         }
@@ -85,14 +87,14 @@
     public Map<String, Object> value() {
         try {
             return MessagePackCodec.decode(bytes);
-        } catch (MalformedMessageException broken) {
-            throw new AssertionError(name, broken);
+        } catch (MalformedMessageException exception) {
+            throw new AssertionError(name, exception);
         }
     }
 
     /** The record as an entry of the key-value store. */
-    public KeyValueStore.Entry entry(long version) {
-        return new KeyValueStore.Entry(key, value(), new Revision(version));
+    public KeyValueStore.Entry entry(long revision) {
+        return new KeyValueStore.Entry(key, value(), new Revision(revision));
     }
 
     /** Asserts that a record is encoded to the same bytes, with its fields in the same order. */
--- a/src/test/java/org/meadowhollow/storage/GoldenFilesMain.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenFilesMain.java
@@ -37,20 +37,20 @@
  */
 final class GoldenFilesMain {
     private static final MonotonicTime NOW = new MonotonicTime(0);
-    private static final Revision VERSION = new Revision(1);
+    private static final Revision RECORD_REVISION = new Revision(1);
 
     private GoldenFilesMain() {}
 
     public static void main(String[] unused) throws IOException {
-        jobs();
-        chunks();
-        others();
-        leadership();
-        tables();
-        calendar();
+        writeJobs();
+        writeTaskShards();
+        writeEndedJobsImagesAndTypes();
+        writeLeadershipRecords();
+        writeRiskTables();
+        writeCalendar();
     }
 
-    private static JobSpec fullArray() {
+    private static JobSpec arraySpec() {
         return new JobSpec(
                 new JobId("req-000101"),
                 "batch",
@@ -72,7 +72,7 @@
                 86_400.5);
     }
 
-    private static JobSpec gang() {
+    private static JobSpec gangSpec() {
         return new JobSpec(
                 new JobId("req-000102"),
                 "train",
@@ -94,7 +94,7 @@
                 Double.NaN);
     }
 
-    private static JobSpec service() {
+    private static JobSpec serviceSpec() {
         return new JobSpec(
                 new JobId("req-000103"),
                 "web",
@@ -116,7 +116,7 @@
                 Double.NaN);
     }
 
-    private static JobSpec cancelled() {
+    private static JobSpec cancelledSpec() {
         return new JobSpec(
                 new JobId("req-000104"),
                 "batch",
@@ -138,7 +138,7 @@
                 Double.NaN);
     }
 
-    private static JobSpec accompanied() {
+    private static JobSpec specWithSecondaryRecord() {
         return new JobSpec(
                 new JobId("tes-00112233445566778899aabbcc"),
                 "tes",
@@ -160,7 +160,7 @@
                 Double.NaN);
     }
 
-    private static SecondaryRecord companion(String trace) {
+    private static SecondaryRecord secondaryRecord(String traceContext) {
         return new SecondaryRecord(
                 "tesx/0123456789abcdef/9998299999998-tes-00112233445566778899aabbcc",
                 Map.of(
@@ -173,50 +173,52 @@
                         "created",
                         1_700_000_000_001L),
                 12,
-                trace);
+                traceContext);
     }
 
-    private static void jobs() throws IOException {
-        job(
+    private static void writeJobs() throws IOException {
+        writeJob(
                 "job-array",
-                JobRecordCodec.encode(fullArray(), 1_700_000_000_000L, 100, false, null),
+                JobRecordCodec.encode(arraySpec(), 1_700_000_000_000L, 100, false, null),
                 "req-000101");
-        job(
+        writeJob(
                 "job-gang",
-                JobRecordCodec.encode(gang(), 1_700_000_000_100L, 100, false, null),
+                JobRecordCodec.encode(gangSpec(), 1_700_000_000_100L, 100, false, null),
                 "req-000102");
-        job(
+        writeJob(
                 "job-service",
-                JobRecordCodec.encode(service(), 1_700_000_000_200L, 100, false, null),
+                JobRecordCodec.encode(serviceSpec(), 1_700_000_000_200L, 100, false, null),
                 "req-000103");
-        job(
+        writeJob(
                 "job-cancelled",
                 JobRecordCodec.withCancellation(
-                        JobRecordCodec.encode(cancelled(), 1_700_000_000_300L, 100, false, null)),
+                        JobRecordCodec.encode(
+                                cancelledSpec(), 1_700_000_000_300L, 100, false, null)),
                 "req-000104");
-        job(
+        writeJob(
                 "job-accompanied",
                 GoldenFile.sorted(
                         JobRecordCodec.encode(
-                                accompanied(),
+                                specWithSecondaryRecord(),
                                 1_700_000_000_400L,
                                 100,
                                 false,
-                                companion(
+                                secondaryRecord(
                                         "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"))),
                 "tes-00112233445566778899aabbcc");
     }
 
-    private static void job(String name, Map<String, Object> record, String id) throws IOException {
+    private static void writeJob(String name, Map<String, Object> record, String id)
+            throws IOException {
         GoldenFile.write(name, RecordKeys.job(new JobId(id)), record);
     }
 
-    private static void chunk(String name, TaskShard taskShard) throws IOException {
+    private static void writeTaskShard(String name, TaskShard taskShard) throws IOException {
         GoldenFile.write(name, RecordKeys.taskShard(taskShard), TaskShardCodec.encode(taskShard));
     }
 
-    private static void chunks() throws IOException {
-        Job array = new Job(fullArray(), 0, 100, VERSION);
+    private static void writeTaskShards() throws IOException {
+        Job array = new Job(arraySpec(), 0, 100, RECORD_REVISION);
         array.restoreCompletedTasks(0, 150);
         array.markTaskComplete(152);
         array.markTaskComplete(199);
@@ -233,9 +235,9 @@
                 new WorkerIncarnation(4_294_967_297L),
                 NOW);
         array.shard(0).recordAttempt(300);
-        chunk("chunk-done", array.shard(0));
-        chunk("chunk-mixed", array.shard(1));
-        Job gang = new Job(gang(), 0, 100, VERSION);
+        writeTaskShard("chunk-done", array.shard(0));
+        writeTaskShard("chunk-mixed", array.shard(1));
+        Job gang = new Job(gangSpec(), 0, 100, RECORD_REVISION);
         for (int task = 0; task < 4; task++) {
             gang.addPlacement(
                     task,
@@ -244,11 +246,12 @@
                     new WorkerIncarnation(1),
                     NOW);
         }
-        chunk("chunk-gang", gang.shard(0));
-        Job task = new Job(accompanied(), 0, 100, VERSION, companion(null));
-        long millis = 1_700_000_001_000L;
-        int number = 0;
-        List<String> words =
+        writeTaskShard("chunk-gang", gang.shard(0));
+        Job task =
+                new Job(specWithSecondaryRecord(), 0, 100, RECORD_REVISION, secondaryRecord(null));
+        long placedAtMillis = 1_700_000_001_000L;
+        int attempt = 0;
+        List<String> endReasons =
                 new ArrayList<>(
                         List.of(SecondaryRecord.PREEMPTED_REASON, SecondaryRecord.LOST_REASON));
         for (ExitReason exitReason :
@@ -260,16 +263,18 @@
                         ExitReason.BUSY,
                         ExitReason.UNKNOWN,
                         ExitReason.DONE)) {
-            words.add(exitReason.name());
+            endReasons.add(exitReason.name());
         }
-        for (String word : words) {
-            AttemptNumber attemptNumber = new AttemptNumber(++number);
+        for (String endReason : endReasons) {
+            AttemptNumber attemptNumber = new AttemptNumber(++attempt);
             task.secondaryRecord()
                     .recordPlacement(
-                            attemptNumber, new MachineId("vm-%06d".formatted(number)), millis);
-            task.secondaryRecord().recordStart(attemptNumber, millis + 100);
-            task.secondaryRecord().recordAttemptEnd(attemptNumber, word, millis + 200);
-            millis += 1000;
+                            attemptNumber,
+                            new MachineId("vm-%06d".formatted(attempt)),
+                            placedAtMillis);
+            task.secondaryRecord().recordStart(attemptNumber, placedAtMillis + 100);
+            task.secondaryRecord().recordAttemptEnd(attemptNumber, endReason, placedAtMillis + 200);
+            placedAtMillis += 1000;
         }
         task.addPlacement(
                 0,
@@ -278,28 +283,28 @@
                 new WorkerIncarnation(1),
                 NOW);
         task.secondaryRecord()
-                .recordPlacement(new AttemptNumber(10), new MachineId("vm-000010"), millis);
-        chunk("chunk-accompanied", task.shard(0));
+                .recordPlacement(new AttemptNumber(10), new MachineId("vm-000010"), placedAtMillis);
+        writeTaskShard("chunk-accompanied", task.shard(0));
         GoldenFile.write(
                 "entry",
                 task.secondaryRecord().key(),
                 GoldenFile.sorted(task.secondaryRecord().encode(task.phase())));
     }
 
-    private static void others() throws IOException {
-        Job done = new Job(gang(), 0, 100, VERSION);
-        done.restoreCompletedTasks(0, 4);
+    private static void writeEndedJobsImagesAndTypes() throws IOException {
+        Job completedJob = new Job(gangSpec(), 0, 100, RECORD_REVISION);
+        completedJob.restoreCompletedTasks(0, 4);
         GoldenFile.write(
                 "ended-done",
                 RecordKeys.endedJob(new JobId("req-000105")),
-                EndedJobCodec.encode(done));
-        Job stopped = new Job(service(), 0, 100, VERSION);
-        stopped.markTaskComplete(1);
-        stopped.cancel(NOW);
+                EndedJobCodec.encode(completedJob));
+        Job cancelledJob = new Job(serviceSpec(), 0, 100, RECORD_REVISION);
+        cancelledJob.markTaskComplete(1);
+        cancelledJob.cancel(NOW);
         GoldenFile.write(
                 "ended-cancelled",
                 RecordKeys.endedJob(new JobId("req-000106")),
-                EndedJobCodec.encode(stopped));
+                EndedJobCodec.encode(cancelledJob));
         GoldenFile.write(
                 "image",
                 RecordKeys.image("registry/image:1"),
@@ -333,10 +338,10 @@
                                         List.of("a")))));
     }
 
-    private static void leadership() throws IOException {
+    private static void writeLeadershipRecords() throws IOException {
         GoldenStore store = new GoldenStore();
         store.put(RecordKeys.FENCING_TOKEN_KEY, Map.of("term", 41L));
-        GoldenStore.candidate("n1", store, new GoldenStore.Noted()).start();
+        GoldenStore.createCandidate("n1", store, new GoldenStore.RecordingListener()).start();
         GoldenFile.write(
                 "term", RecordKeys.FENCING_TOKEN_KEY, store.get(RecordKeys.FENCING_TOKEN_KEY));
         GoldenFile.write(
@@ -349,17 +354,17 @@
                 CandidacyPolicy.resignationRecord(42, "n1", "n2"));
         store = new GoldenStore();
         store.put(RecordKeys.FENCING_TOKEN_KEY, Map.of("term", 41L));
-        var leaving = GoldenStore.candidate("n1", store, new GoldenStore.Noted());
-        leaving.start();
-        GoldenStore.handOver(leaving, "n2");
+        var leader = GoldenStore.createCandidate("n1", store, new GoldenStore.RecordingListener());
+        leader.start();
+        GoldenStore.handOver(leader, "n2");
         GoldenFile.write(
                 "term-handed-over",
                 RecordKeys.FENCING_TOKEN_KEY,
                 GoldenFile.sorted(store.get(RecordKeys.FENCING_TOKEN_KEY)));
     }
 
-    private static void tables() throws IOException {
-        List<RiskTableDelta.MachineEntry> parts =
+    private static void writeRiskTables() throws IOException {
+        List<RiskTableDelta.MachineEntry> machineEntries =
                 List.of(
                         new RiskTableDelta.MachineEntry(
                                 new MachineId("vm-000001"),
@@ -393,20 +398,22 @@
                                 },
                                 new long[0]));
         GoldenStore store =
-                GoldenStore.withSnapshot(parts, Optional.empty(), 1_700_000_000_000L, 160);
+                GoldenStore.withSnapshot(machineEntries, Optional.empty(), 1_700_000_000_000L, 160);
         GoldenFile.write(
                 "table-head",
                 RecordKeys.RISK_TABLE_HEAD_KEY,
                 GoldenFile.sorted(store.get(RecordKeys.RISK_TABLE_HEAD_KEY)));
-        for (int at = 0;
-                at < ((Number) store.get(RecordKeys.RISK_TABLE_HEAD_KEY).get("chunks")).intValue();
-                at++) {
-            String key = RecordKeys.riskTableChunk(1, at);
-            GoldenFile.write("table-chunk-" + at, key, store.get(key));
+        for (int index = 0;
+                index
+                        < ((Number) store.get(RecordKeys.RISK_TABLE_HEAD_KEY).get("chunks"))
+                                .intValue();
+                index++) {
+            String key = RecordKeys.riskTableChunk(1, index);
+            GoldenFile.write("table-chunk-" + index, key, store.get(key));
         }
     }
 
-    private static void calendar() throws IOException {
+    private static void writeCalendar() throws IOException {
         Reservation full =
                 new Reservation(
                         "nightly",
@@ -454,11 +461,11 @@
                 CalendarRecordCodec.reservationKey(plain.name()),
                 CalendarRecordCodec.encode(plain, 4));
         List<MaintenanceWindow.Scope> scopes = List.of(MaintenanceWindow.Scope.values());
-        for (int at = 0; at < scopes.size(); at++) {
-            MaintenanceWindow.Scope scope = scopes.get(at);
+        for (int index = 0; index < scopes.size(); index++) {
+            MaintenanceWindow.Scope scope = scopes.get(index);
             MaintenanceWindow window =
                     new MaintenanceWindow(
-                            "window-" + at,
+                            "window-" + index,
                             scope,
                             List.of("x", "y"),
                             new RecurringSchedule(
@@ -468,9 +475,9 @@
                                     scope == MaintenanceWindow.Scope.TYPE ? null : "FREQ=WEEKLY"),
                             Duration.ofSeconds(90));
             GoldenFile.write(
-                    "window-" + List.of("machine", "type", "zone").get(at),
+                    "window-" + List.of("machine", "type", "zone").get(index),
                     CalendarRecordCodec.windowKey(window.name()),
-                    CalendarRecordCodec.encode(window, 5 + at));
+                    CalendarRecordCodec.encode(window, 5 + index));
         }
         GoldenFile.write("calendar-stamp", CalendarRecordCodec.REVISION_KEY, Map.of());
     }
--- a/src/test/java/org/meadowhollow/storage/GoldenRecordsTest.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenRecordsTest.java
@@ -62,19 +62,19 @@
  */
 class GoldenRecordsTest {
     private static final MonotonicTime NOW = new MonotonicTime(0);
-    private static final Revision VERSION = new Revision(9);
-    private static final long TABLES_AT = 1_700_000_000_000L;
+    private static final Revision RECORD_REVISION = new Revision(9);
+    private static final long SNAPSHOT_AT_MILLIS = 1_700_000_000_000L;
 
-    private static Job job(GoldenFile file) {
+    private static Job decodeJob(GoldenFile file) {
         JobId id = RecordKeys.jobIdOfKey(file.key());
         assertEquals(file.key(), RecordKeys.job(id));
-        Job job = JobRecordCodec.decode(id, file.value(), VERSION, NOW);
+        Job job = JobRecordCodec.decode(id, file.value(), RECORD_REVISION, NOW);
         assertEquals(id, job.id());
-        assertEquals(VERSION, job.recordRevision());
+        assertEquals(RECORD_REVISION, job.recordRevision());
         return job;
     }
 
-    private static Map<String, Object> encoded(Job job) {
+    private static Map<String, Object> encodeJob(Job job) {
         Map<String, Object> record =
                 JobRecordCodec.encode(
                         job.spec(),
@@ -96,10 +96,10 @@
     // ---- jobs ----
 
     @Test
-    void anArrayWithEveryOptionalField() {
+    void arrayJobWithAllOptionalFieldsRoundTrips() {
         GoldenFile file = GoldenFile.read("job-array");
         assertEquals("job/req-000101", file.key());
-        Job job = job(file);
+        Job job = decodeJob(file);
         assertJob(
                 new JobSpec(
                         new JobId("req-000101"),
@@ -128,13 +128,13 @@
         assertEquals("team", JobRecordCodec.teamOf(file.value()));
         assertEquals(250, JobRecordCodec.taskCountOf(file.value()));
         assertFalse(JobRecordCodec.isCancelled(file.value()));
-        file.assertSameBytes(encoded(job));
+        file.assertSameBytes(encodeJob(job));
     }
 
     @Test
-    void aGang() {
+    void gangJobRoundTrips() {
         GoldenFile file = GoldenFile.read("job-gang");
-        Job job = job(file);
+        Job job = decodeJob(file);
         assertJob(
                 new JobSpec(
                         new JobId("req-000102"),
@@ -158,13 +158,13 @@
                 1_700_000_000_100L,
                 false,
                 job);
-        file.assertSameBytes(encoded(job));
+        file.assertSameBytes(encodeJob(job));
     }
 
     @Test
-    void aService() {
+    void serviceJobRoundTrips() {
         GoldenFile file = GoldenFile.read("job-service");
-        Job job = job(file);
+        Job job = decodeJob(file);
         assertJob(
                 new JobSpec(
                         new JobId("req-000103"),
@@ -188,13 +188,13 @@
                 1_700_000_000_200L,
                 false,
                 job);
-        file.assertSameBytes(encoded(job));
+        file.assertSameBytes(encodeJob(job));
     }
 
     @Test
-    void aCancelledJob() {
+    void cancelledJobRoundTrips() {
         GoldenFile file = GoldenFile.read("job-cancelled");
-        Job job = job(file);
+        Job job = decodeJob(file);
         assertJob(
                 new JobSpec(
                         new JobId("req-000104"),
@@ -219,18 +219,18 @@
                 true,
                 job);
         assertTrue(JobRecordCodec.isCancelled(file.value()));
-        file.assertSameBytes(encoded(job));
+        file.assertSameBytes(encodeJob(job));
     }
 
-    private static Job accompanied() {
-        return job(GoldenFile.read("job-accompanied"));
+    private static Job jobWithSecondaryRecord() {
+        return decodeJob(GoldenFile.read("job-accompanied"));
     }
 
     @Test
-    void aJobWithAnEntryOfAnotherInterface() {
+    void jobWithSecondaryRecordRoundTrips() {
         GoldenFile file = GoldenFile.read("job-accompanied");
         assertEquals("job/tes-00112233445566778899aabbcc", file.key());
-        Job job = accompanied();
+        Job job = jobWithSecondaryRecord();
         assertJob(
                 new JobSpec(
                         new JobId("tes-00112233445566778899aabbcc"),
@@ -286,12 +286,12 @@
         job.secondaryRecord()
                 .recordAttemptEnd(new AttemptNumber(12), SecondaryRecord.LOST_REASON, 1);
         assertTrue(job.hasExhaustedAttempts());
-        file.assertSameFields(encoded(job));
+        file.assertSameFields(encodeJob(job));
     }
 
     // ---- tasks ----
 
-    private static TaskShard loaded(GoldenFile file, Job job, int index) {
+    private static TaskShard restoreShard(GoldenFile file, Job job, int index) {
         assertTrue(TaskShardCodec.restore(file.entry(7), Map.of(job.id(), job), NOW));
         TaskShard taskShard = job.shard(index);
         assertEquals(new Revision(7), taskShard.recordRevision());
@@ -299,57 +299,57 @@
         return taskShard;
     }
 
-    private static void assertPlaced(
-            int attempt, String machine, long session, Placement placement) {
+    private static void assertPlacement(
+            int attempt, String machine, long incarnation, Placement placement) {
         assertEquals(new AttemptNumber(attempt), placement.attemptNumber());
         assertEquals(new MachineId(machine), placement.machineId());
-        assertEquals(new WorkerIncarnation(session), placement.incarnation());
+        assertEquals(new WorkerIncarnation(incarnation), placement.incarnation());
     }
 
     @Test
-    void tasksThatAreAllDone() {
+    void shardOfCompletedTasksRoundTrips() {
         GoldenFile file = GoldenFile.read("chunk-done");
         assertEquals("task/req-000101/0", file.key());
-        Job job = job(GoldenFile.read("job-array"));
-        TaskShard taskShard = loaded(file, job, 0);
+        Job job = decodeJob(GoldenFile.read("job-array"));
+        TaskShard taskShard = restoreShard(file, job, 0);
         assertEquals(300, taskShard.highestAttempt());
-        BitSet done = new BitSet();
-        done.set(0, 100);
-        assertEquals(done, job.completedTasks());
+        BitSet completed = new BitSet();
+        completed.set(0, 100);
+        assertEquals(completed, job.completedTasks());
         assertTrue(job.placements().isEmpty());
         file.assertSameBytes(TaskShardCodec.encode(taskShard));
     }
 
     @Test
-    void tasksSomeOfWhichAreDoneAndSomeMayRun() {
+    void shardOfCompletedAndPlacedTasksRoundTrips() {
         GoldenFile file = GoldenFile.read("chunk-mixed");
         assertEquals("task/req-000101/1", file.key());
-        Job job = job(GoldenFile.read("job-array"));
-        TaskShard taskShard = loaded(file, job, 1);
+        Job job = decodeJob(GoldenFile.read("job-array"));
+        TaskShard taskShard = restoreShard(file, job, 1);
         assertEquals(7, taskShard.highestAttempt());
-        BitSet done = new BitSet();
-        done.set(100, 150);
-        done.set(152);
-        done.set(199);
-        assertEquals(done, job.completedTasks());
+        BitSet completed = new BitSet();
+        completed.set(100, 150);
+        completed.set(152);
+        completed.set(199);
+        assertEquals(completed, job.completedTasks());
         assertEquals(2, job.placements().size());
-        assertPlaced(2, "vm-000001", 1, job.placement(160));
-        assertPlaced(7, "vm-000003", 4_294_967_297L, job.placement(161));
+        assertPlacement(2, "vm-000001", 1, job.placement(160));
+        assertPlacement(7, "vm-000003", 4_294_967_297L, job.placement(161));
         file.assertSameBytes(TaskShardCodec.encode(taskShard));
     }
 
     @Test
-    void tasksOfAGang() {
+    void shardOfGangRoundTrips() {
         GoldenFile file = GoldenFile.read("chunk-gang");
         assertEquals("task/req-000102/0", file.key());
-        Job job = job(GoldenFile.read("job-gang"));
-        TaskShard taskShard = loaded(file, job, 0);
+        Job job = decodeJob(GoldenFile.read("job-gang"));
+        TaskShard taskShard = restoreShard(file, job, 0);
         assertEquals(3, taskShard.highestAttempt());
         assertEquals(new AttemptNumber(3), job.gangAttemptNumber());
         assertTrue(job.completedTasks().isEmpty());
         assertEquals(4, job.placements().size());
         for (int task = 0; task < 4; task++) {
-            assertPlaced(3, task % 2 == 0 ? "vm-000001" : "vm-000002", 1, job.placement(task));
+            assertPlacement(3, task % 2 == 0 ? "vm-000001" : "vm-000002", 1, job.placement(task));
         }
         file.assertSameBytes(TaskShardCodec.encode(taskShard));
     }
@@ -358,7 +358,7 @@
      * The stored reason for the end of each attempt, in the order of attempts; null for the tenth,
      * which has not ended.
      */
-    private static final List<String> ENDS =
+    private static final List<String> END_REASONS =
             Arrays.asList(
                     "PREEMPTED",
                     "LOST",
@@ -371,34 +371,34 @@
                     "DONE",
                     null);
 
-    private static void assertLog(List<AttemptRecord> log) {
-        assertEquals(ENDS.size(), log.size());
-        for (int at = 0; at < ENDS.size(); at++) {
-            long placed = 1_700_000_001_000L + 1000L * at;
-            boolean over = ENDS.get(at) != null;
+    private static void assertAttempts(List<AttemptRecord> attempts) {
+        assertEquals(END_REASONS.size(), attempts.size());
+        for (int index = 0; index < END_REASONS.size(); index++) {
+            long placedAtMillis = 1_700_000_001_000L + 1000L * index;
+            boolean hasEnded = END_REASONS.get(index) != null;
             assertEquals(
                     new AttemptRecord(
-                            at + 1,
-                            "vm-%06d".formatted(at + 1),
-                            placed,
-                            over ? placed + 100 : 0,
-                            over ? placed + 200 : 0,
-                            ENDS.get(at)),
-                    log.get(at));
+                            index + 1,
+                            "vm-%06d".formatted(index + 1),
+                            placedAtMillis,
+                            hasEnded ? placedAtMillis + 100 : 0,
+                            hasEnded ? placedAtMillis + 200 : 0,
+                            END_REASONS.get(index)),
+                    attempts.get(index));
         }
     }
 
     @Test
-    void aTaskWithALogOfItsAttempts() {
+    void shardWithAttemptsRoundTrips() {
         GoldenFile file = GoldenFile.read("chunk-accompanied");
         assertEquals("task/tes-00112233445566778899aabbcc/0", file.key());
-        Job job = accompanied();
-        TaskShard taskShard = loaded(file, job, 0);
+        Job job = jobWithSecondaryRecord();
+        TaskShard taskShard = restoreShard(file, job, 0);
         assertEquals(10, taskShard.highestAttempt());
         assertTrue(job.completedTasks().isEmpty());
         assertEquals(1, job.placements().size());
-        assertPlaced(10, "vm-000010", 1, job.placement(0));
-        assertLog(SecondaryRecord.attemptsOf(Map.of("log", file.value().get("log"))));
+        assertPlacement(10, "vm-000010", 1, job.placement(0));
+        assertAttempts(SecondaryRecord.attemptsOf(Map.of("log", file.value().get("log"))));
         file.assertSameBytes(TaskShardCodec.encode(taskShard));
     }
 
@@ -407,10 +407,10 @@
      * of those decoded from the record.
      */
     @Test
-    void theWordsInALogAreThoseThatCausesStandFor() {
+    void attemptEndReasonsEncodeToStoredNames() {
         GoldenFile file = GoldenFile.read("chunk-accompanied");
-        Job job = accompanied();
-        List<String> words =
+        Job job = jobWithSecondaryRecord();
+        List<String> endReasons =
                 Stream.concat(
                                 Stream.of(
                                         SecondaryRecord.PREEMPTED_REASON,
@@ -425,14 +425,16 @@
                                                 ExitReason.DONE)
                                         .map(ExitReason::storedWord))
                         .toList();
-        for (int at = 0; at < 10; at++) {
-            AttemptNumber attemptNumber = new AttemptNumber(at + 1);
-            MachineId machine = new MachineId("vm-%06d".formatted(at + 1));
-            long placed = 1_700_000_001_000L + 1000L * at;
-            job.secondaryRecord().recordPlacement(attemptNumber, machine, placed);
-            if (at < 9) {
-                job.secondaryRecord().recordStart(attemptNumber, placed + 100);
-                job.secondaryRecord().recordAttemptEnd(attemptNumber, words.get(at), placed + 200);
+        for (int index = 0; index < 10; index++) {
+            AttemptNumber attemptNumber = new AttemptNumber(index + 1);
+            MachineId machine = new MachineId("vm-%06d".formatted(index + 1));
+            long placedAtMillis = 1_700_000_001_000L + 1000L * index;
+            job.secondaryRecord().recordPlacement(attemptNumber, machine, placedAtMillis);
+            if (index < 9) {
+                job.secondaryRecord().recordStart(attemptNumber, placedAtMillis + 100);
+                job.secondaryRecord()
+                        .recordAttemptEnd(
+                                attemptNumber, endReasons.get(index), placedAtMillis + 200);
             } else {
                 job.addPlacement(0, attemptNumber, machine, new WorkerIncarnation(1), NOW);
             }
@@ -443,9 +445,9 @@
     // ---- records of another API ----
 
     @Test
-    void anEntryOfAnotherInterface() {
+    void secondaryRecordRoundTrips() {
         GoldenFile file = GoldenFile.read("entry");
-        Job job = accompanied();
+        Job job = jobWithSecondaryRecord();
         assertEquals(file.key(), job.secondaryRecord().key());
         Map<String, Object> value = file.value();
         assertEquals(Set.of("id", "name", "tags", "created", "progress", "log"), value.keySet());
@@ -454,12 +456,12 @@
         assertEquals(Map.of("night", "1", "run", "x"), value.get("tags"));
         assertEquals(1_700_000_000_001L, value.get("created"));
         assertEquals(JobPhase.PREPARING, SecondaryRecord.phaseOf(value));
-        assertLog(SecondaryRecord.attemptsOf(value));
-        loaded(GoldenFile.read("chunk-accompanied"), job, 0);
+        assertAttempts(SecondaryRecord.attemptsOf(value));
+        restoreShard(GoldenFile.read("chunk-accompanied"), job, 0);
         file.assertSameFields(job.secondaryRecord().encode(job.phase()));
     }
 
-    static Stream<Arguments> progress() {
+    static Stream<Arguments> storedPhases() {
         return Stream.of(
                 Arguments.of("QUEUED", JobPhase.QUEUED),
                 Arguments.of("PREPARING", JobPhase.PREPARING),
@@ -473,20 +475,20 @@
     }
 
     @ParameterizedTest
-    @MethodSource("progress")
-    void anEntrySaysHowFarItsTaskIs(String word, JobPhase jobPhase) {
+    @MethodSource("storedPhases")
+    void secondaryRecordStoresJobPhase(String storedName, JobPhase jobPhase) {
         Map<String, Object> stored = new LinkedHashMap<>(GoldenFile.read("entry").value());
-        stored.put("progress", word);
+        stored.put("progress", storedName);
         assertEquals(jobPhase, SecondaryRecord.phaseOf(stored));
-        Job job = accompanied();
-        loaded(GoldenFile.read("chunk-accompanied"), job, 0);
+        Job job = jobWithSecondaryRecord();
+        restoreShard(GoldenFile.read("chunk-accompanied"), job, 0);
         assertEquals(
                 GoldenFile.sorted(stored),
                 GoldenFile.sorted(job.secondaryRecord().encode(jobPhase)));
     }
 
     @Test
-    void anEntryOfATaskThatWasAcceptedOrIsToBeCancelled() {
+    void secondaryRecordShowsAcceptanceAndCancellation() {
         Map<String, Object> stored = new HashMap<>(GoldenFile.read("entry").value());
         stored.put("progress", "CANCELING");
         assertEquals(
@@ -494,12 +496,12 @@
                 SecondaryRecord.withCancellationRequested(GoldenFile.read("entry").value()));
         stored.put("progress", "QUEUED");
         stored.put("log", List.of());
-        assertEquals(stored, accompanied().secondaryRecord().encodeAccepted());
+        assertEquals(stored, jobWithSecondaryRecord().secondaryRecord().encodeAccepted());
     }
 
     /** All stored names of enum constants. A new constant is added after the others. */
     @Test
-    void wordsOfEnumsThatAreStored() {
+    void storedNamesOfEnumConstantsAreUnchanged() {
         assertEquals(
                 List.of("ARRAY", "GANG", "SERVICE"),
                 Stream.of(JobKind.values()).map(JobKind::storedWord).toList());
@@ -536,33 +538,33 @@
     // ---- ended jobs, images, machine types ----
 
     @Test
-    void theEndOfAJobThatIsDone() {
+    void completedJobEndRoundTrips() {
         GoldenFile file = GoldenFile.read("ended-done");
         assertEquals(file.key(), RecordKeys.endedJob(new JobId("req-000105")));
         assertEquals("ended/req-000105", file.key());
         assertFalse(EndedJobCodec.isCancelled(file.value()));
         assertEquals(4, EndedJobCodec.taskCountOf(file.value()));
         assertEquals(4, EndedJobCodec.completedTaskCountOf(file.value()));
-        Job job = job(GoldenFile.read("job-gang"));
+        Job job = decodeJob(GoldenFile.read("job-gang"));
         job.restoreCompletedTasks(0, 4);
         file.assertSameBytes(EndedJobCodec.encode(job));
     }
 
     @Test
-    void theEndOfAJobThatWasCancelled() {
+    void cancelledJobEndRoundTrips() {
         GoldenFile file = GoldenFile.read("ended-cancelled");
         assertEquals(file.key(), RecordKeys.endedJob(new JobId("req-000106")));
         assertTrue(EndedJobCodec.isCancelled(file.value()));
         assertEquals(3, EndedJobCodec.taskCountOf(file.value()));
         assertEquals(1, EndedJobCodec.completedTaskCountOf(file.value()));
-        Job job = job(GoldenFile.read("job-service"));
+        Job job = decodeJob(GoldenFile.read("job-service"));
         job.markTaskComplete(1);
         job.cancel(NOW);
         file.assertSameBytes(EndedJobCodec.encode(job));
     }
 
     @Test
-    void whichMachinesHaveAnImage() {
+    void imageLocationsRoundTrip() {
         GoldenFile file = GoldenFile.read("image");
         assertEquals("image/registry/image:1", file.key());
         assertEquals("registry/image:1", RecordKeys.imageOfKey(file.key()));
@@ -581,7 +583,7 @@
     }
 
     @Test
-    void machineTypes() {
+    void machineTypesRoundTrip() {
         GoldenFile file = GoldenFile.read("types");
         assertEquals("meta/types", file.key());
         assertEquals(file.key(), RecordKeys.MACHINE_TYPES_KEY);
@@ -613,53 +615,53 @@
     // ---- leadership ----
 
     @Test
-    void theTermAndTheLeader() {
+    void electionWritesTokenAndLeaderRecords() {
         GoldenFile term = GoldenFile.read("term");
         GoldenFile leader = GoldenFile.read("leader");
         assertEquals("meta/term", term.key());
         assertEquals("meta/leader", leader.key());
         assertEquals(Map.of("term", 42L), term.value());
         assertEquals(
-                Map.of("member", "n1", "term", 42L, "lease", GoldenStore.LEASE), leader.value());
+                Map.of("member", "n1", "term", 42L, "lease", GoldenStore.LEASE_ID), leader.value());
 
-        GoldenStore before = new GoldenStore();
-        before.put("meta/term", Map.of("term", 41L));
-        GoldenStore.Noted first = new GoldenStore.Noted();
-        GoldenStore.candidate("n1", before, first).start();
-        assertEquals(List.of(new FencingToken(42)), first.elected);
-        term.assertSameBytes(before.get("meta/term"));
-        leader.assertSameFields(before.get("meta/leader"));
+        GoldenStore store = new GoldenStore();
+        store.put("meta/term", Map.of("term", 41L));
+        GoldenStore.RecordingListener listener = new GoldenStore.RecordingListener();
+        GoldenStore.createCandidate("n1", store, listener).start();
+        assertEquals(List.of(new FencingToken(42)), listener.elected);
+        term.assertSameBytes(store.get("meta/term"));
+        leader.assertSameFields(store.get("meta/leader"));
     }
 
     @Test
-    void anotherNodeFollowsTheLeaderOfTheRecord() {
+    void nodeFollowsLeaderOfStoredRecord() {
         GoldenStore store = new GoldenStore();
         store.put(GoldenFile.read("term"));
         store.put(GoldenFile.read("leader"));
-        GoldenStore.Noted noted = new GoldenStore.Noted();
-        var follower = GoldenStore.candidate("n2", store, noted);
+        GoldenStore.RecordingListener listener = new GoldenStore.RecordingListener();
+        var follower = GoldenStore.createCandidate("n2", store, listener);
         follower.start();
-        assertEquals(List.of("n1"), noted.following);
-        assertEquals(List.of(), noted.elected);
+        assertEquals(List.of("n1"), listener.following);
+        assertEquals(List.of(), listener.elected);
         assertEquals("n1", follower.lastKnownLeader());
         assertEquals(new FencingToken(42), follower.highestObservedToken());
     }
 
     @Test
-    void theNextTermIsOneMoreThanTheRecordSays() {
+    void electionIncrementsStoredToken() {
         GoldenStore store = new GoldenStore();
         store.put(GoldenFile.read("term"));
-        GoldenStore.Noted noted = new GoldenStore.Noted();
-        GoldenStore.candidate("n2", store, noted).start();
-        assertEquals(List.of(new FencingToken(43)), noted.elected);
+        GoldenStore.RecordingListener listener = new GoldenStore.RecordingListener();
+        GoldenStore.createCandidate("n2", store, listener).start();
+        assertEquals(List.of(new FencingToken(43)), listener.elected);
         assertEquals(Map.of("term", 43L), store.get(RecordKeys.FENCING_TOKEN_KEY));
         assertEquals(
-                Map.of("member", "n2", "term", 43L, "lease", GoldenStore.LEASE),
+                Map.of("member", "n2", "term", 43L, "lease", GoldenStore.LEASE_ID),
                 store.get(RecordKeys.LEADER_KEY));
     }
 
     @Test
-    void theTermOfALeaderThatResigned() {
+    void resignationRecordRoundTripsAndSetsCandidacyDelays() {
         GoldenFile file = GoldenFile.read("term-resigned");
         assertEquals(Map.of("term", 42L, "deaf", "n1", "heir", "n2"), file.value());
         assertEquals(
@@ -677,13 +679,13 @@
                 CandidacyPolicy.candidacyDelay(file.value(), "n1", false, false),
                 "n1 resigned");
         file.assertSameBytes(CandidacyPolicy.resignationRecord(42, "n1", "n2"));
-        Map<String, Object> nobody = new LinkedHashMap<>(file.value());
-        nobody.remove("heir");
-        assertEquals(nobody, CandidacyPolicy.resignationRecord(42, "n1", null));
+        Map<String, Object> withoutSuccessor = new LinkedHashMap<>(file.value());
+        withoutSuccessor.remove("heir");
+        assertEquals(withoutSuccessor, CandidacyPolicy.resignationRecord(42, "n1", null));
     }
 
     @Test
-    void theTermOfALeaderThatHandedOver() {
+    void handOverRecordRoundTripsAndSetsCandidacyDelays() {
         GoldenFile file = GoldenFile.read("term-handed-over");
         assertEquals(Map.of("term", 42L, "heir", "n2"), file.value());
         assertEquals(
@@ -695,35 +697,35 @@
                 CandidacyPolicy.candidacyDelay(file.value(), "n3", false, false));
         GoldenStore store = new GoldenStore();
         store.put("meta/term", Map.of("term", 41L));
-        var leaving = GoldenStore.candidate("n1", store, new GoldenStore.Noted());
-        leaving.start();
-        leaving.handOver("n2");
+        var leader = GoldenStore.createCandidate("n1", store, new GoldenStore.RecordingListener());
+        leader.start();
+        leader.handOver("n2");
         assertNull(store.get(RecordKeys.LEADER_KEY));
         file.assertSameFields(store.get(RecordKeys.FENCING_TOKEN_KEY));
     }
 
     // ---- risk tables ----
 
-    private static final List<String> TABLE_FILES = List.of("table-chunk-0", "table-chunk-1");
+    private static final List<String> TABLE_CHUNK_FILES = List.of("table-chunk-0", "table-chunk-1");
 
-    private static GoldenStore tables() {
+    private static GoldenStore storeWithTables() {
         GoldenStore store = new GoldenStore();
         store.put(GoldenFile.read("table-head"));
-        TABLE_FILES.forEach(name -> store.put(GoldenFile.read(name)));
+        TABLE_CHUNK_FILES.forEach(name -> store.put(GoldenFile.read(name)));
         return store;
     }
 
-    private static byte[] body(GoldenStore store, int set, int chunks) {
+    private static byte[] readBody(GoldenStore store, int set, int chunks) {
         StringBuilder text = new StringBuilder();
-        for (int at = 0; at < chunks; at++) {
-            Map<String, Object> chunk = store.get("table/" + set + "/" + at);
+        for (int index = 0; index < chunks; index++) {
+            Map<String, Object> chunk = store.get("table/" + set + "/" + index);
             assertEquals(Set.of("text"), chunk.keySet());
             text.append(chunk.get("text"));
         }
         return Base64.getDecoder().decode(text.toString());
     }
 
-    private static byte[] inflated(byte[] body) throws IOException {
+    private static byte[] inflate(byte[] body) throws IOException {
         return new InflaterInputStream(new ByteArrayInputStream(body)).readAllBytes();
     }
 
@@ -733,9 +735,11 @@
         return sum.getValue();
     }
 
-    private static List<RiskTableDelta.MachineEntry> parts(GoldenStore store) {
+    private static List<RiskTableDelta.MachineEntry> readMachineEntries(GoldenStore store) {
         Optional<RiskTableSnapshotStore.StoredTables> read =
-                RiskTableSnapshotStore.read(store, new GoldenStore.Still(TABLES_AT + 2500)).join();
+                RiskTableSnapshotStore.read(
+                                store, new GoldenStore.FrozenEventLoop(SNAPSHOT_AT_MILLIS + 2500))
+                        .join();
         assertEquals(Duration.ofMillis(2500), read.orElseThrow().age());
         return read.get().parts();
     }
@@ -745,13 +749,13 @@
      * different bytes, which can be read as well.
      */
     @Test
-    void aSnapshotOfRiskTables() throws IOException {
+    void riskTableSnapshotRoundTrips() throws IOException {
         GoldenFile head = GoldenFile.read("table-head");
         assertEquals("table/head", head.key());
         assertEquals(head.key(), RecordKeys.RISK_TABLE_HEAD_KEY);
         assertEquals("table/1/0", GoldenFile.read("table-chunk-0").key());
         assertEquals("table/1/1", GoldenFile.read("table-chunk-1").key());
-        byte[] body = body(tables(), 1, TABLE_FILES.size());
+        byte[] body = readBody(storeWithTables(), 1, TABLE_CHUNK_FILES.size());
         assertEquals(
                 Map.of(
                         "form",
@@ -759,25 +763,26 @@
                         "set",
                         1L,
                         "chunks",
-                        (long) TABLE_FILES.size(),
+                        (long) TABLE_CHUNK_FILES.size(),
                         "at",
-                        TABLES_AT,
+                        SNAPSHOT_AT_MILLIS,
                         "checksum",
                         checksum(body)),
                 head.value());
 
-        List<RiskTableDelta.MachineEntry> parts = parts(tables());
-        assertEquals(2, parts.size());
-        assertEquals(new MachineId("vm-000001"), parts.get(0).machine());
-        assertEquals(-77, parts.get(0).machineIdentityHash());
-        assertEquals(new WorkerIncarnation(1), parts.get(0).workerIncarnation());
-        assertEquals(12, parts.get(0).sequenceNumber());
-        assertArrayEquals(new int[] {1, 2, -3}, parts.get(0).table());
-        assertArrayEquals(new long[0], parts.get(0).samples());
-        assertEquals(new MachineId("vm-000002"), parts.get(1).machine());
-        assertEquals(78, parts.get(1).machineIdentityHash());
-        assertEquals(new WorkerIncarnation(4_294_967_297L), parts.get(1).workerIncarnation());
-        assertEquals(13, parts.get(1).sequenceNumber());
+        List<RiskTableDelta.MachineEntry> machineEntries = readMachineEntries(storeWithTables());
+        assertEquals(2, machineEntries.size());
+        assertEquals(new MachineId("vm-000001"), machineEntries.get(0).machine());
+        assertEquals(-77, machineEntries.get(0).machineIdentityHash());
+        assertEquals(new WorkerIncarnation(1), machineEntries.get(0).workerIncarnation());
+        assertEquals(12, machineEntries.get(0).sequenceNumber());
+        assertArrayEquals(new int[] {1, 2, -3}, machineEntries.get(0).table());
+        assertArrayEquals(new long[0], machineEntries.get(0).samples());
+        assertEquals(new MachineId("vm-000002"), machineEntries.get(1).machine());
+        assertEquals(78, machineEntries.get(1).machineIdentityHash());
+        assertEquals(
+                new WorkerIncarnation(4_294_967_297L), machineEntries.get(1).workerIncarnation());
+        assertEquals(13, machineEntries.get(1).sequenceNumber());
         assertArrayEquals(
                 new int[] {
                     1_928_374_655,
@@ -797,14 +802,15 @@
                     65_536,
                     -1_618_033_988
                 },
-                parts.get(1).table());
-        assertArrayEquals(new long[0], parts.get(1).samples());
-
-        GoldenStore again = GoldenStore.withSnapshot(parts, Optional.empty(), TABLES_AT, 160);
-        Map<String, Object> written = again.get(RecordKeys.RISK_TABLE_HEAD_KEY);
-        int chunks = ((Number) written.get("chunks")).intValue();
-        byte[] bodyAgain = body(again, 1, chunks);
-        assertArrayEquals(inflated(body), inflated(bodyAgain));
+                machineEntries.get(1).table());
+        assertArrayEquals(new long[0], machineEntries.get(1).samples());
+
+        GoldenStore rewritten =
+                GoldenStore.withSnapshot(machineEntries, Optional.empty(), SNAPSHOT_AT_MILLIS, 160);
+        Map<String, Object> rewrittenHead = rewritten.get(RecordKeys.RISK_TABLE_HEAD_KEY);
+        int chunks = ((Number) rewrittenHead.get("chunks")).intValue();
+        byte[] rewrittenBody = readBody(rewritten, 1, chunks);
+        assertArrayEquals(inflate(body), inflate(rewrittenBody));
         assertEquals(
                 Map.of(
                         "form",
@@ -814,19 +820,19 @@
                         "chunks",
                         (long) chunks,
                         "at",
-                        TABLES_AT,
+                        SNAPSHOT_AT_MILLIS,
                         "checksum",
-                        checksum(bodyAgain)),
-                written);
+                        checksum(rewrittenBody)),
+                rewrittenHead);
     }
 
     @Test
-    void theNextSnapshotGoesIntoTheOtherSet() {
+    void nextSnapshotIsWrittenToOtherSet() {
         GoldenStore next =
                 GoldenStore.withSnapshot(
-                        parts(tables()),
+                        readMachineEntries(storeWithTables()),
                         Optional.of(GoldenFile.read("table-head")),
-                        TABLES_AT,
+                        SNAPSHOT_AT_MILLIS,
                         160);
         assertEquals(0L, next.get("table/head").get("set"));
         assertNotNull(next.get("table/0/0"));
@@ -835,66 +841,69 @@
 
     // ---- the calendar ----
 
-    private static CalendarSnapshot calendar(String... files) {
+    private static CalendarSnapshot readCalendar(String... files) {
         return CalendarSnapshot.fromRecords(
                 Stream.of(files).map(name -> GoldenFile.read(name).entry(5)).toList());
     }
 
     @Test
-    void aReservationWithEveryOptionalField() {
+    void reservationWithAllOptionalFieldsRoundTrips() {
         GoldenFile file = GoldenFile.read("reservation");
         assertEquals("cal/reservation/nightly", file.key());
         CalendarSnapshot.CalendarEntry<Reservation> calendarEntry =
-                calendar("reservation").findReservation("nightly").orElseThrow();
+                readCalendar("reservation").findReservation("nightly").orElseThrow();
         assertEquals(3, calendarEntry.acceptanceOrder());
         assertEquals(new Revision(5), calendarEntry.revision());
-        Reservation is = calendarEntry.item();
-        assertEquals("nightly", is.name());
-        assertEquals("team", is.team());
-        assertEquals(Priority.HIGH, is.priority());
-        assertEquals(6, is.taskCount());
-        assertEquals(new Resources(1_000_000, 2_000_000, 3_000_000), is.resourcesPerTask());
-        assertEquals(List.of("large"), is.allowedMachineTypes());
-        assertEquals("b", is.requiredZone());
-        assertTrue(is.allowsSpot());
-        assertEquals("registry/image:1", is.image());
-        assertEquals(2.5, is.imageSizeGb());
-        assertEquals("batch", is.jobClass());
-        assertEquals(List.of("req-000101", "req-000999"), is.allowedJobs());
-        assertEquals(LocalDateTime.of(2030, 3, 31, 1, 30), is.schedule().firstStart());
-        assertEquals(ZoneId.of("Europe/Berlin"), is.schedule().timeZone());
-        assertEquals(Duration.ofMinutes(90), is.schedule().duration());
-        assertEquals("FREQ=DAILY;COUNT=10", is.schedule().recurrenceRule());
-        assertEquals(file.key(), CalendarRecordCodec.reservationKey(is.name()));
-        file.assertSameBytes(CalendarRecordCodec.encode(is, calendarEntry.acceptanceOrder()));
+        Reservation reservation = calendarEntry.item();
+        assertEquals("nightly", reservation.name());
+        assertEquals("team", reservation.team());
+        assertEquals(Priority.HIGH, reservation.priority());
+        assertEquals(6, reservation.taskCount());
+        assertEquals(
+                new Resources(1_000_000, 2_000_000, 3_000_000), reservation.resourcesPerTask());
+        assertEquals(List.of("large"), reservation.allowedMachineTypes());
+        assertEquals("b", reservation.requiredZone());
+        assertTrue(reservation.allowsSpot());
+        assertEquals("registry/image:1", reservation.image());
+        assertEquals(2.5, reservation.imageSizeGb());
+        assertEquals("batch", reservation.jobClass());
+        assertEquals(List.of("req-000101", "req-000999"), reservation.allowedJobs());
+        assertEquals(LocalDateTime.of(2030, 3, 31, 1, 30), reservation.schedule().firstStart());
+        assertEquals(ZoneId.of("Europe/Berlin"), reservation.schedule().timeZone());
+        assertEquals(Duration.ofMinutes(90), reservation.schedule().duration());
+        assertEquals("FREQ=DAILY;COUNT=10", reservation.schedule().recurrenceRule());
+        assertEquals(file.key(), CalendarRecordCodec.reservationKey(reservation.name()));
+        file.assertSameBytes(
+                CalendarRecordCodec.encode(reservation, calendarEntry.acceptanceOrder()));
     }
 
     @Test
-    void aReservationWithoutOptionalFields() {
+    void reservationWithoutOptionalFieldsRoundTrips() {
         GoldenFile file = GoldenFile.read("reservation-plain");
         CalendarSnapshot.CalendarEntry<Reservation> calendarEntry =
-                calendar("reservation-plain").findReservation("once").orElseThrow();
-        Reservation is = calendarEntry.item();
+                readCalendar("reservation-plain").findReservation("once").orElseThrow();
+        Reservation reservation = calendarEntry.item();
         assertEquals(4, calendarEntry.acceptanceOrder());
-        assertEquals("other", is.team());
-        assertEquals(Priority.PRODUCTION, is.priority());
-        assertEquals(1, is.taskCount());
-        assertEquals(new Resources(1, 0, 0), is.resourcesPerTask());
-        assertNull(is.allowedMachineTypes());
-        assertNull(is.requiredZone());
-        assertFalse(is.allowsSpot());
-        assertEquals("", is.image());
-        assertEquals(0, is.imageSizeGb());
-        assertNull(is.jobClass());
-        assertNull(is.allowedJobs());
-        assertEquals(LocalDateTime.of(2030, 1, 1, 0, 0, 1), is.schedule().firstStart());
-        assertEquals(ZoneId.of("UTC"), is.schedule().timeZone());
-        assertEquals(Duration.ofMillis(1500), is.schedule().duration());
-        assertNull(is.schedule().recurrenceRule());
-        file.assertSameBytes(CalendarRecordCodec.encode(is, calendarEntry.acceptanceOrder()));
-    }
-
-    static Stream<Arguments> windows() {
+        assertEquals("other", reservation.team());
+        assertEquals(Priority.PRODUCTION, reservation.priority());
+        assertEquals(1, reservation.taskCount());
+        assertEquals(new Resources(1, 0, 0), reservation.resourcesPerTask());
+        assertNull(reservation.allowedMachineTypes());
+        assertNull(reservation.requiredZone());
+        assertFalse(reservation.allowsSpot());
+        assertEquals("", reservation.image());
+        assertEquals(0, reservation.imageSizeGb());
+        assertNull(reservation.jobClass());
+        assertNull(reservation.allowedJobs());
+        assertEquals(LocalDateTime.of(2030, 1, 1, 0, 0, 1), reservation.schedule().firstStart());
+        assertEquals(ZoneId.of("UTC"), reservation.schedule().timeZone());
+        assertEquals(Duration.ofMillis(1500), reservation.schedule().duration());
+        assertNull(reservation.schedule().recurrenceRule());
+        file.assertSameBytes(
+                CalendarRecordCodec.encode(reservation, calendarEntry.acceptanceOrder()));
+    }
+
+    static Stream<Arguments> maintenanceWindows() {
         return Stream.of(
                 Arguments.of(
                         "window-machine",
@@ -917,35 +926,36 @@
     }
 
     @ParameterizedTest
-    @MethodSource("windows")
-    void aWindow(String name, String key, MaintenanceWindow.Scope scope, long order, String rule) {
+    @MethodSource("maintenanceWindows")
+    void maintenanceWindowRoundTrips(
+            String name, String key, MaintenanceWindow.Scope scope, long order, String rule) {
         GoldenFile file = GoldenFile.read(name);
         assertEquals(key, file.key());
-        String named = key.substring("cal/window/".length());
+        String windowName = key.substring("cal/window/".length());
         CalendarSnapshot.CalendarEntry<MaintenanceWindow> calendarEntry =
-                calendar(name).findWindow(named).orElseThrow();
-        MaintenanceWindow is = calendarEntry.item();
+                readCalendar(name).findWindow(windowName).orElseThrow();
+        MaintenanceWindow window = calendarEntry.item();
         assertEquals(order, calendarEntry.acceptanceOrder());
-        assertEquals(named, is.name());
-        assertEquals(scope, is.scope());
-        assertEquals(List.of("x", "y"), is.targets());
-        assertEquals(Duration.ofSeconds(90), is.serviceEvictionLead());
-        assertEquals(LocalDateTime.of(2031, 2, 3, 4, 5), is.schedule().firstStart());
-        assertEquals(ZoneId.of("America/New_York"), is.schedule().timeZone());
-        assertEquals(Duration.ofHours(2), is.schedule().duration());
-        assertEquals(rule, is.schedule().recurrenceRule());
-        assertEquals(key, CalendarRecordCodec.windowKey(is.name()));
-        file.assertSameBytes(CalendarRecordCodec.encode(is, order));
+        assertEquals(windowName, window.name());
+        assertEquals(scope, window.scope());
+        assertEquals(List.of("x", "y"), window.targets());
+        assertEquals(Duration.ofSeconds(90), window.serviceEvictionLead());
+        assertEquals(LocalDateTime.of(2031, 2, 3, 4, 5), window.schedule().firstStart());
+        assertEquals(ZoneId.of("America/New_York"), window.schedule().timeZone());
+        assertEquals(Duration.ofHours(2), window.schedule().duration());
+        assertEquals(rule, window.schedule().recurrenceRule());
+        assertEquals(key, CalendarRecordCodec.windowKey(window.name()));
+        file.assertSameBytes(CalendarRecordCodec.encode(window, order));
     }
 
     @Test
-    void theStampOfTheCalendarAndTheOrderOfItsEntries() {
+    void calendarKeepsRevisionAndAcceptanceOrder() {
         GoldenFile file = GoldenFile.read("calendar-stamp");
         assertEquals("cal/stamp", file.key());
         assertEquals(CalendarRecordCodec.REVISION_KEY, file.key());
         file.assertSameBytes(Map.of());
         CalendarSnapshot calendarSnapshot =
-                calendar(
+                readCalendar(
                         "reservation-plain",
                         "window-zone",
                         "calendar-stamp",
@@ -966,7 +976,7 @@
     }
 
     @Test
-    void theFormOfTheRecords() {
+    void schemaVersionAndKeyPrefixesAreUnchanged() {
         assertEquals(1, RecordKeys.SCHEMA_VERSION);
         assertEquals(100, TaskShardCodec.shardSizeFor(16 * 1024));
         assertEquals("job/", RecordKeys.JOB_PREFIX);
--- a/src/test/java/org/meadowhollow/storage/GoldenStore.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenStore.java
@@ -26,29 +26,29 @@
 
 /**
  * An in-memory store that answers at once, for tests of what production code reads from golden
- * files and what it writes. Its {@link Still} clock stands still and runs no scheduled work, so
- * that anything that waits for time to pass never continues.
+ * files and what it writes. The clock of {@link FrozenEventLoop} stands still and scheduled work
+ * never runs, so that anything that waits for time to pass never continues.
  */
 final class GoldenStore implements KeyValueStore {
     /** The lease that every grant returns. */
-    static final long LEASE = 77;
+    static final long LEASE_ID = 77;
 
     private final TreeMap<String, Entry> entries = new TreeMap<>();
     private long revision;
 
     /** Records the results of an election. */
-    static final class Noted implements Leadership.Listener {
+    static final class RecordingListener implements Leadership.Listener {
         final List<FencingToken> elected = new ArrayList<>();
         final List<String> following = new ArrayList<>();
 
         @Override
         public void elected(
-                FencingToken fencingToken, Revision leaderVersion, MonotonicTime noticedAt) {
+                FencingToken fencingToken, Revision leaderRevision, MonotonicTime observedAt) {
             elected.add(fencingToken);
         }
 
         @Override
-        public void leadershipLost(String why) {}
+        public void leadershipLost(String reason) {}
 
         @Override
         public void following(String leader) {
@@ -60,14 +60,14 @@
      * An event loop whose monotonic clock stays at 0 and whose wall clock stays at a given time.
      * Scheduled work never runs.
      */
-    record Still(long wallClockMillis) implements EventLoop {
+    record FrozenEventLoop(long wallClockMillis) implements EventLoop {
         @Override
         public MonotonicTime now() {
             return new MonotonicTime(0);
         }
 
         @Override
-        public void schedule(Duration pause, Runnable work) {}
+        public void schedule(Duration delay, Runnable task) {}
     }
 
     void put(GoldenFile file) {
@@ -84,7 +84,8 @@
     }
 
     /** A controller that is a candidate for leadership and reaches no other controller. */
-    static Leadership candidate(String member, KeyValueStore store, Leadership.Listener listener) {
+    static Leadership createCandidate(
+            String member, KeyValueStore store, Leadership.Listener listener) {
         DeploymentSettings deploymentSettings =
                 new DeploymentSettings(
                         member,
@@ -103,7 +104,7 @@
                         Duration.ofSeconds(8));
         return new Leadership(
                 store,
-                new Still(0),
+                new FrozenEventLoop(0),
                 new NoPeers(),
                 deploymentSettings,
                 new HeartbeatTracker(),
@@ -111,28 +112,28 @@
                 listener);
     }
 
-    static void handOver(Leadership leadership, String heir) {
-        leadership.handOver(heir);
+    static void handOver(Leadership leadership, String successor) {
+        leadership.handOver(successor);
     }
 
     /**
      * A store to which a snapshot of the risk tables was written.
      *
-     * @param before the head record of an earlier snapshot, if there is one
-     * @param valueBytes the largest size of a chunk in bytes
+     * @param previousHead the head record of an earlier snapshot, if there is one
+     * @param maxChunkBytes the largest size of a chunk in bytes
      */
     static GoldenStore withSnapshot(
-            List<RiskTableDelta.MachineEntry> parts,
-            Optional<GoldenFile> before,
-            long wallMillis,
-            int valueBytes) {
+            List<RiskTableDelta.MachineEntry> machineEntries,
+            Optional<GoldenFile> previousHead,
+            long wallClockMillis,
+            int maxChunkBytes) {
         GoldenStore store = new GoldenStore();
-        before.ifPresent(store::put);
+        previousHead.ifPresent(store::put);
         RiskTableSnapshotStore snapshots =
-                new RiskTableSnapshotStore(store, Revision.ABSENT, 100, valueBytes);
+                new RiskTableSnapshotStore(store, Revision.ABSENT, 100, maxChunkBytes);
         // The first call reads which set was written last, the second one writes the other set.
-        for (int time = 0; time < 2; time++) {
-            snapshots.writeNext(() -> parts, true, new MonotonicTime(0), wallMillis);
+        for (int call = 0; call < 2; call++) {
+            snapshots.writeNext(() -> machineEntries, true, new MonotonicTime(0), wallClockMillis);
         }
         return store;
     }
@@ -144,7 +145,7 @@
 
     @Override
     public CompletableFuture<Page> list(
-            String prefix, String after, int most, RequestPriority requestPriority) {
+            String prefix, String after, int maxEntries, RequestPriority requestPriority) {
         return CompletableFuture.completedFuture(
                 new Page(
                         entries.values().stream()
@@ -178,8 +179,8 @@
     }
 
     @Override
-    public CompletableFuture<LeaseId> grantLease(Duration ttl) {
-        return CompletableFuture.completedFuture(new LeaseId(LEASE));
+    public CompletableFuture<LeaseId> grantLease(Duration timeToLive) {
+        return CompletableFuture.completedFuture(new LeaseId(LEASE_ID));
     }
 
     @Override
@@ -193,7 +194,7 @@
     }
 
     @Override
-    public CompletableFuture<ChangeBatch> watch(String prefix, Revision after, Duration wait) {
+    public CompletableFuture<ChangeBatch> watch(String prefix, Revision after, Duration maxWait) {
         return new CompletableFuture<>();
     }
 
@@ -225,7 +226,7 @@
 
         @Override
         public CompletableFuture<Optional<RiskTableDelta>> fetchRiskTables(
-                String leader, RiskTableRequest question) {
+                String leader, RiskTableRequest request) {
             return new CompletableFuture<>();
         }
 
--- a/src/test/java/org/meadowhollow/storage/KeyValueStoreExceptionTest.java
+++ b/src/test/java/org/meadowhollow/storage/KeyValueStoreExceptionTest.java
@@ -12,7 +12,7 @@
 class KeyValueStoreExceptionTest {
     @ParameterizedTest
     @EnumSource
-    void everyOutcomeHasATypeOfItsOwn(Outcome outcome) {
+    void eachOutcomeHasItsOwnExceptionType(Outcome outcome) {
         KeyValueStoreException failure = KeyValueStoreException.of(outcome, "why");
         assertEquals(outcome, failure.outcome());
         assertEquals("why", failure.getMessage());
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void theOutcomeIsFoundBehindAFailedFuture() {
+    void outcomeIsTakenFromWrappedException() {
         Throwable failure = new LeaseExpiredException("expired");
         assertEquals(Outcome.LEASE_EXPIRED, KeyValueStoreException.outcomeOf(failure));
         assertEquals(
--- a/src/test/java/org/meadowhollow/storage/RecordWriterTest.java
+++ b/src/test/java/org/meadowhollow/storage/RecordWriterTest.java
@@ -30,7 +30,7 @@
 class RecordWriterTest {
     private static final int MAX_WRITES = 12;
 
-    private record Sent(
+    private record SentTransaction(
             Transaction transaction,
             RequestPriority priority,
             CompletableFuture<KeyValueStore.CommitResult> result) {
@@ -39,7 +39,7 @@
         }
     }
 
-    private final List<Sent> sent = new ArrayList<>();
+    private final List<SentTransaction> sent = new ArrayList<>();
     private final List<Runnable> timers = new ArrayList<>();
     private final KeyValueStore store =
             (KeyValueStore)
@@ -49,7 +49,7 @@
                             (proxy, method, arguments) -> {
                                 assertEquals("commit", method.getName());
                                 sent.add(
-                                        new Sent(
+                                        new SentTransaction(
                                                 (Transaction) arguments[0],
                                                 (RequestPriority) arguments[1],
                                                 new CompletableFuture<>()));
@@ -135,7 +135,7 @@
      * start for a minute.
      */
     @Test
-    void placementsAreNotDelayedByTheEndsOfOtherJobs() {
+    void placementsShareTransactionWithJobEnds() {
         for (int number = 0; number < 50; number++) {
             recordWriter.markEndPending(job(number, Priority.NORMAL));
         }
@@ -149,7 +149,7 @@
      * all other jobs and before users' submissions.
      */
     @Test
-    void recordsOfTheLowestPriorityAreWrittenAfterAllOthers() {
+    void lowestPriorityRecordsAreWrittenLast() {
         markPlacementsDirty(0, 30, Priority.LOW);
         markPlacementsDirty(100, 5, Priority.NORMAL);
         recordWriter.flush();
@@ -164,7 +164,7 @@
      * the rate limit with small ones.
      */
     @Test
-    void aRejectedTransactionIsRepeatedInSmallerOnes() {
+    void rejectedTransactionIsRetriedInSmallerBatches() {
         markPlacementsDirty(0, 40, Priority.NORMAL);
         recordWriter.flush();
         sent.get(0).result().completeExceptionally(new RequestRejectedException("answered 429"));
@@ -181,7 +181,7 @@
      * jobs, the deletions for ended jobs can take a fifth of the rate limit.
      */
     @Test
-    void obsoleteRecordsAreDeletedAfterAllOtherWrites() {
+    void obsoleteRecordsAreDeletedLast() {
         for (int number = 0; number < 12; number++) {
             recordWriter.addObsoleteKey("task/req-%06d/0".formatted(number));
         }
@@ -209,59 +209,59 @@
      * repeated, the shards would stay for ever.
      */
     @Test
-    void shardsOfAnEndedJobAreDeletedOnceItsEndIsPersisted() {
-        List<Job> ends = new ArrayList<>();
+    void shardsOfEndedJobAreDeletedAfterEndIsPersisted() {
+        List<Job> endedJobs = new ArrayList<>();
         for (int number = 0; number < 6; number++) {
             Job job = job(number, Priority.NORMAL);
-            ends.add(job);
+            endedJobs.add(job);
             recordWriter.markDirty(job.shardOfTask(0));
         }
         recordWriter.flush();
         sent.get(0)
                 .result()
                 .complete(new KeyValueStore.CommitResult(true, new Revision(5), List.of()));
-        ends.forEach(recordWriter::markEndPending);
+        endedJobs.forEach(recordWriter::markEndPending);
         recordWriter.flush();
-        for (int at = 1; at < 3; at++) {
-            sent.get(at)
+        for (int index = 1; index < 3; index++) {
+            sent.get(index)
                     .result()
                     .completeExceptionally(new RequestRejectedException("answered 429"));
         }
         assertEquals(3, sent.size(), "nothing is deleted while no end is persisted");
         // From here on, every third transaction is rejected and all others are applied.
-        for (int at = 3, round = 0; round < 40; round++) {
+        for (int index = 3, round = 0; round < 40; round++) {
             List.copyOf(timers).forEach(Runnable::run);
-            for (; at < sent.size(); at++) {
-                if (at % 3 == 0) {
-                    sent.get(at)
+            for (; index < sent.size(); index++) {
+                if (index % 3 == 0) {
+                    sent.get(index)
                             .result()
                             .completeExceptionally(new RequestRejectedException("answered 429"));
                 } else {
-                    sent.get(at)
+                    sent.get(index)
                             .result()
                             .complete(
                                     new KeyValueStore.CommitResult(
-                                            true, new Revision(6 + at), List.of()));
+                                            true, new Revision(6 + index), List.of()));
                 }
             }
         }
         for (int number = 0; number < 6; number++) {
-            String name = "req-%06d".formatted(number);
-            assertTrue(lastAppliedWriteOf("ended/" + name) >= 0, name);
+            String jobId = "req-%06d".formatted(number);
+            assertTrue(lastAppliedWriteOf("ended/" + jobId) >= 0, jobId);
             assertTrue(
-                    lastAppliedWriteOf("task/" + name + "/0")
-                            >= lastAppliedWriteOf("ended/" + name),
-                    name + ": the shard is deleted, and not before the end is persisted");
+                    lastAppliedWriteOf("task/" + jobId + "/0")
+                            >= lastAppliedWriteOf("ended/" + jobId),
+                    jobId + ": the shard is deleted, and not before the end is persisted");
         }
     }
 
     /** The index of the last transaction that was applied and wrote a key, or -1. */
     private int lastAppliedWriteOf(String key) {
-        for (int at = sent.size() - 1; at >= 0; at--) {
-            if (sent.get(at).writes(key)
-                    && sent.get(at).result().isDone()
-                    && !sent.get(at).result().isCompletedExceptionally()) {
-                return at;
+        for (int index = sent.size() - 1; index >= 0; index--) {
+            if (sent.get(index).writes(key)
+                    && sent.get(index).result().isDone()
+                    && !sent.get(index).result().isCompletedExceptionally()) {
+                return index;
             }
         }
         return -1;
