--- a/src/main/java/org/meadowhollow/storage/CalendarRecordCodec.java
+++ b/src/main/java/org/meadowhollow/storage/CalendarRecordCodec.java
@@ -11,17 +11,18 @@
 import org.meadowhollow.model.reservation.Reservation;
 
 /**
- * The keys and the records of the reservation calendar: reservations, maintenance windows, and the
- * key whose revision is that of the whole calendar. Keys, field names and the order of fields are
- * part of the persisted format.
+ * Encodes and decodes the records of the reservation calendar and builds their keys: reservations,
+ * maintenance windows, and the key whose revision is that of the whole calendar. Keys, field names
+ * and the order of fields are part of the persisted format.
  */
 public final class CalendarRecordCodec {
     /** Prefix of all records of the calendar. */
     public static final String CALENDAR_PREFIX = "cal/";
 
     /**
-     * Required and written by every change of the calendar, so that of two changes that were
-     * decided on the same calendar only one is applied. Its value is empty.
+     * The key whose revision is that of the whole calendar. Every change of the calendar requires
+     * this revision and writes the key, so that only one of two changes based on the same state of
+     * the calendar is applied. Its value is empty.
      */
     public static final String REVISION_KEY = CALENDAR_PREFIX + "stamp";
 
@@ -65,7 +66,8 @@
     /**
      * Encodes a reservation.
      *
-     * @param acceptanceOrder counts up with each change of the calendar
+     * @param acceptanceOrder the position in the order of acceptance, which increases with each
+     *     change of the calendar
      */
     public static Map<String, Object> encode(Reservation reservation, long acceptanceOrder) {
         Map<String, Object> fields =
@@ -87,7 +89,8 @@
     /**
      * Encodes a maintenance window.
      *
-     * @param acceptanceOrder counts up with each change of the calendar
+     * @param acceptanceOrder the position in the order of acceptance, which increases with each
+     *     change of the calendar
      */
     public static Map<String, Object> encode(MaintenanceWindow window, long acceptanceOrder) {
         Map<String, Object> fields =
@@ -112,39 +115,39 @@
 
     private static RecurringSchedule decodeSchedule(Map<String, Object> fields) {
         return new RecurringSchedule(
-                LocalDateTime.parse(RecordFields.text(fields, FIRST_START)),
-                ZoneId.of(RecordFields.text(fields, TIME_ZONE)),
-                Duration.ofMillis(RecordFields.longInteger(fields, DURATION_MILLIS)),
-                RecordFields.text(fields, RECURRENCE_RULE));
+                LocalDateTime.parse(RecordFields.getString(fields, FIRST_START)),
+                ZoneId.of(RecordFields.getString(fields, TIME_ZONE)),
+                Duration.ofMillis(RecordFields.getLong(fields, DURATION_MILLIS)),
+                RecordFields.getString(fields, RECURRENCE_RULE));
     }
 
     static long acceptanceOrderOf(Map<String, Object> fields) {
-        return RecordFields.longInteger(fields, ACCEPTANCE_ORDER);
+        return RecordFields.getLong(fields, ACCEPTANCE_ORDER);
     }
 
     static Reservation decodeReservation(Map<String, Object> fields) {
         return new Reservation(
-                RecordFields.text(fields, NAME),
-                RecordFields.text(fields, TEAM),
-                Priority.fromStoredWord(RecordFields.text(fields, PRIORITY)),
-                RecordFields.integer(fields, TASK_COUNT),
-                RecordFields.resources(fields),
-                RecordFields.texts(fields, ALLOWED_MACHINE_TYPES),
-                RecordFields.text(fields, REQUIRED_ZONE),
+                RecordFields.getString(fields, NAME),
+                RecordFields.getString(fields, TEAM),
+                Priority.fromStoredWord(RecordFields.getString(fields, PRIORITY)),
+                RecordFields.getInt(fields, TASK_COUNT),
+                RecordFields.getResources(fields),
+                RecordFields.getStringList(fields, ALLOWED_MACHINE_TYPES),
+                RecordFields.getString(fields, REQUIRED_ZONE),
                 (Boolean) fields.get(ALLOWS_SPOT),
-                RecordFields.text(fields, IMAGE),
-                RecordFields.decimal(fields, IMAGE_SIZE_GB),
-                RecordFields.text(fields, JOB_CLASS),
-                RecordFields.texts(fields, ALLOWED_JOBS),
+                RecordFields.getString(fields, IMAGE),
+                RecordFields.getDouble(fields, IMAGE_SIZE_GB),
+                RecordFields.getString(fields, JOB_CLASS),
+                RecordFields.getStringList(fields, ALLOWED_JOBS),
                 decodeSchedule(fields));
     }
 
     static MaintenanceWindow decodeWindow(Map<String, Object> fields) {
         return new MaintenanceWindow(
-                RecordFields.text(fields, NAME),
-                MaintenanceWindow.Scope.fromStoredWord(RecordFields.text(fields, SCOPE)),
-                RecordFields.texts(fields, TARGETS),
+                RecordFields.getString(fields, NAME),
+                MaintenanceWindow.Scope.fromStoredWord(RecordFields.getString(fields, SCOPE)),
+                RecordFields.getStringList(fields, TARGETS),
                 decodeSchedule(fields),
-                Duration.ofMillis(RecordFields.longInteger(fields, SERVICE_EVICTION_LEAD_MILLIS)));
+                Duration.ofMillis(RecordFields.getLong(fields, SERVICE_EVICTION_LEAD_MILLIS)));
     }
 }
--- a/src/main/java/org/meadowhollow/storage/JobRecordCodec.java
+++ b/src/main/java/org/meadowhollow/storage/JobRecordCodec.java
@@ -12,9 +12,9 @@
 import org.meadowhollow.model.SecondaryRecord;
 
 /**
- * The record of a live job: its specification, when it was admitted, how it is sharded, whether it
- * was cancelled, and the reference to its secondary record. What becomes of its tasks is in the
- * records of its shards. Field names and the order of fields are part of the persisted format.
+ * Encodes and decodes the record of a live job: its specification, admission time, shard size,
+ * cancellation flag, and the reference to its secondary record. The state of its tasks is kept in
+ * the records of its shards. Field names and the order of fields are part of the persisted format.
  */
 public final class JobRecordCodec {
     private static final String JOB_CLASS = "class";
@@ -44,8 +44,8 @@
      * Encodes a job.
      *
      * @param acceptedAtMillis when the job was admitted, in milliseconds of wall-clock time
-     * @param shardSize tasks in each of its shards
-     * @param secondaryRecord what another interface keeps beside the job, or null
+     * @param shardSize the number of tasks in each of the job's shards
+     * @param secondaryRecord the record that another API keeps for the job, or null
      */
     public static Map<String, Object> encode(
             JobSpec spec,
@@ -87,19 +87,18 @@
     }
 
     /**
-     * Decodes a job as it was when the record was written; none of its tasks is placed or complete
-     * until its shards are restored.
+     * Decodes a job. None of its tasks is placed or complete until its shards are restored.
      *
-     * @param revision of the record
-     * @param now when a cancellation in the record counts as observed
+     * @param revision the revision of the record
+     * @param now the time at which a cancellation in the record counts as observed
      */
     public static Job decode(
             JobId id, Map<String, Object> fields, Revision revision, MonotonicTime now) {
         Job job =
                 new Job(
                         decodeSpec(id, fields),
-                        RecordFields.longInteger(fields, ACCEPTED_AT_MILLIS),
-                        RecordFields.integer(fields, SHARD_SIZE),
+                        RecordFields.getLong(fields, ACCEPTED_AT_MILLIS),
+                        RecordFields.getInt(fields, SHARD_SIZE),
                         revision,
                         SecondaryRecord.decodeReference(fields.get(SECONDARY_RECORD)));
         if (isCancelled(fields)) {
@@ -111,31 +110,31 @@
     private static JobSpec decodeSpec(JobId id, Map<String, Object> fields) {
         return new JobSpec(
                 id,
-                RecordFields.text(fields, JOB_CLASS),
-                RecordFields.text(fields, TEAM),
-                JobKind.fromStoredWord(RecordFields.text(fields, KIND)),
-                Priority.fromStoredWord(RecordFields.text(fields, PRIORITY)),
+                RecordFields.getString(fields, JOB_CLASS),
+                RecordFields.getString(fields, TEAM),
+                JobKind.fromStoredWord(RecordFields.getString(fields, KIND)),
+                Priority.fromStoredWord(RecordFields.getString(fields, PRIORITY)),
                 taskCountOf(fields),
-                RecordFields.resources(fields),
-                RecordFields.texts(fields, ALLOWED_MACHINE_TYPES),
-                RecordFields.text(fields, REQUIRED_ZONE),
-                RecordFields.flag(fields, REQUIRES_SINGLE_ZONE),
-                RecordFields.flag(fields, SPREADS_ACROSS_ZONES),
-                RecordFields.flag(fields, ALLOWS_SPOT),
-                RecordFields.text(fields, IMAGE),
-                RecordFields.decimal(fields, IMAGE_SIZE_GB),
-                RecordFields.decimal(fields, ESTIMATED_RUNTIME_SECONDS),
-                RecordFields.decimal(fields, CHECKPOINT_INTERVAL_SECONDS),
-                RecordFields.decimal(fields, CHECKPOINT_DURATION_SECONDS),
-                RecordFields.decimalOrNan(fields, DEADLINE_SECONDS));
+                RecordFields.getResources(fields),
+                RecordFields.getStringList(fields, ALLOWED_MACHINE_TYPES),
+                RecordFields.getString(fields, REQUIRED_ZONE),
+                RecordFields.getBoolean(fields, REQUIRES_SINGLE_ZONE),
+                RecordFields.getBoolean(fields, SPREADS_ACROSS_ZONES),
+                RecordFields.getBoolean(fields, ALLOWS_SPOT),
+                RecordFields.getString(fields, IMAGE),
+                RecordFields.getDouble(fields, IMAGE_SIZE_GB),
+                RecordFields.getDouble(fields, ESTIMATED_RUNTIME_SECONDS),
+                RecordFields.getDouble(fields, CHECKPOINT_INTERVAL_SECONDS),
+                RecordFields.getDouble(fields, CHECKPOINT_DURATION_SECONDS),
+                RecordFields.getDoubleOrNan(fields, DEADLINE_SECONDS));
     }
 
     /** Whether the job was cancelled when the record was written. */
     public static boolean isCancelled(Map<String, Object> fields) {
-        return RecordFields.flag(fields, CANCELLED);
+        return RecordFields.getBoolean(fields, CANCELLED);
     }
 
-    /** A copy of the record with the cancellation noted. */
+    /** A copy of the record that marks the job as cancelled. */
     public static Map<String, Object> withCancellation(Map<String, Object> fields) {
         Map<String, Object> copy = new LinkedHashMap<>(fields);
         copy.put(CANCELLED, true);
@@ -144,12 +143,12 @@
 
     /** The team whose quota the job counts against. */
     public static String teamOf(Map<String, Object> fields) {
-        return RecordFields.text(fields, TEAM);
+        return RecordFields.getString(fields, TEAM);
     }
 
     /** The number of the job's tasks. */
     public static int taskCountOf(Map<String, Object> fields) {
-        return RecordFields.integer(fields, TASK_COUNT);
+        return RecordFields.getInt(fields, TASK_COUNT);
     }
 
     /** The key of the job's secondary record, or null if it has none. */
--- a/src/main/java/org/meadowhollow/storage/KeyspaceReplica.java
+++ b/src/main/java/org/meadowhollow/storage/KeyspaceReplica.java
@@ -10,18 +10,20 @@
 import org.meadowhollow.storage.KeyValueStore.Entry;
 
 /**
- * A copy of the records under a prefix as of a revision, decoded. It is built from pages and kept
- * up to date with changes. Not thread-safe: its owner guards it.
+ * A copy of the records under a prefix as of a revision, with decoded values. It is filled from
+ * pages and kept up to date with watched changes. Not thread-safe: the owner synchronizes access.
  */
 public final class KeyspaceReplica {
     /** Estimated memory of a number, in bytes. */
     private static final int NUMBER_BYTES = 24;
 
-    /** Estimated memory of a text without its characters, in bytes. */
-    private static final int TEXT_BYTES = 48;
+    /** Estimated memory of a string without its characters, in bytes. */
+    private static final int STRING_OVERHEAD_BYTES = 48;
 
-    /** Estimated memory of an item of a map or list without what it holds, in bytes. */
-    private static final int ITEM_BYTES = 40;
+    /**
+     * Estimated memory of a map, of a list or of an entry of a map, without its contents, in bytes.
+     */
+    private static final int ITEM_OVERHEAD_BYTES = 40;
 
     private final String prefix;
     private final TreeMap<String, Entry> entries = new TreeMap<>();
@@ -31,8 +33,8 @@
     /**
      * Creates an empty replica.
      *
-     * @param revision as of the first page that is going to be added, since what changes after it
-     *     arrives as changes
+     * @param revision the revision of the first page; later changes are added with {@link
+     *     #apply(ChangeBatch)}
      */
     public KeyspaceReplica(String prefix, Revision revision) {
         this.prefix = prefix;
@@ -69,38 +71,41 @@
         return entries.subMap(keyPrefix, keyPrefix + Character.MAX_VALUE).values();
     }
 
-    /** Adds the records of a page that was read. */
+    /** Adds the records of a page. */
     public void addPage(List<Entry> page) {
         page.forEach(this::put);
     }
 
-    /** Applies changes that follow {@link #revision}; a newer record of a later page stays. */
+    /**
+     * Applies the changes that follow {@link #revision}, except to records that a page already
+     * contained in a newer revision.
+     */
     public void apply(ChangeBatch changeBatch) {
         changeBatch.changes().forEach(this::apply);
         revision = changeBatch.revision();
     }
 
     private void apply(Change change) {
-        Entry known = entries.get(change.key());
-        if (known != null && known.revision().isAfter(change.revision())) {
+        Entry existing = entries.get(change.key());
+        if (existing != null && existing.revision().isAfter(change.revision())) {
             return;
         }
         if (change.value() != null) {
             put(new Entry(change.key(), change.value(), change.revision()));
-        } else if (known != null) {
-            remove(known);
+        } else if (existing != null) {
+            remove(existing);
         }
     }
 
-    /** Replaces the records whose keys begin with {@code keyPrefix} by those read again. */
+    /** Replaces the records whose keys begin with {@code keyPrefix} by newly read ones. */
     public void replacePrefix(String keyPrefix, List<Entry> entriesRead) {
         List.copyOf(entries(keyPrefix)).forEach(this::remove);
         addPage(entriesRead);
     }
 
     private void put(Entry entry) {
-        Entry before = entries.put(entry.key(), entry);
-        estimatedBytes += estimateBytes(entry) - (before == null ? 0 : estimateBytes(before));
+        Entry previous = entries.put(entry.key(), entry);
+        estimatedBytes += estimateBytes(entry) - (previous == null ? 0 : estimateBytes(previous));
     }
 
     private void remove(Entry entry) {
@@ -109,24 +114,29 @@
     }
 
     private static long estimateBytes(Entry entry) {
-        return TEXT_BYTES + ITEM_BYTES + entry.key().length() + estimateBytes(entry.value());
+        return STRING_OVERHEAD_BYTES
+                + ITEM_OVERHEAD_BYTES
+                + entry.key().length()
+                + estimateBytes(entry.value());
     }
 
     private static long estimateBytes(Object value) {
         if (value instanceof Map<?, ?> map) {
-            long sum = ITEM_BYTES;
+            long sum = ITEM_OVERHEAD_BYTES;
             for (Object item : map.values()) {
-                sum += ITEM_BYTES + estimateBytes(item);
+                sum += ITEM_OVERHEAD_BYTES + estimateBytes(item);
             }
             return sum;
         }
         if (value instanceof List<?> list) {
-            long sum = ITEM_BYTES;
+            long sum = ITEM_OVERHEAD_BYTES;
             for (Object item : list) {
                 sum += estimateBytes(item);
             }
             return sum;
         }
-        return value instanceof String text ? TEXT_BYTES + text.length() : NUMBER_BYTES;
+        return value instanceof String string
+                ? STRING_OVERHEAD_BYTES + string.length()
+                : NUMBER_BYTES;
     }
 }
--- a/src/test/java/org/meadowhollow/storage/GoldenStore.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenStore.java
@@ -25,29 +25,30 @@
 import org.meadowhollow.model.Revision;
 
 /**
- * A store that answers at once, with a clock that stands still, to see what production code reads
- * from golden files and what it writes. Nothing that waits for time to pass ever goes on.
+ * An in-memory store that answers at once, for tests of what production code reads from golden
+ * files and what it writes. The clock of {@link FrozenEventLoop} stands still and scheduled work
+ * never runs, so that anything that waits for time to pass never continues.
  */
 final class GoldenStore implements KeyValueStore {
-    /** The lease that is granted first. */
-    static final long LEASE = 77;
+    /** The lease that every grant returns. */
+    static final long LEASE_ID = 77;
 
     private final TreeMap<String, Entry> entries = new TreeMap<>();
     private long revision;
 
-    /** What came of an election. */
-    static final class Noted implements Leadership.Listener {
+    /** Records the results of an election. */
+    static final class RecordingListener implements Leadership.Listener {
         final List<FencingToken> elected = new ArrayList<>();
         final List<String> following = new ArrayList<>();
 
         @Override
         public void elected(
-                FencingToken fencingToken, Revision leaderVersion, MonotonicTime noticedAt) {
+                FencingToken fencingToken, Revision leaderRevision, MonotonicTime observedAt) {
             elected.add(fencingToken);
         }
 
         @Override
-        public void leadershipLost(String why) {}
+        public void leadershipLost(String reason) {}
 
         @Override
         public void following(String leader) {
@@ -55,15 +56,18 @@
         }
     }
 
-    /** A clock that shows the start of the steady time, and a given time of day. */
-    record Still(long wallClockMillis) implements EventLoop {
+    /**
+     * An event loop whose monotonic clock stays at 0 and whose wall clock stays at a given time.
+     * Scheduled work never runs.
+     */
+    record FrozenEventLoop(long wallClockMillis) implements EventLoop {
         @Override
         public MonotonicTime now() {
             return new MonotonicTime(0);
         }
 
         @Override
-        public void schedule(Duration pause, Runnable work) {}
+        public void schedule(Duration delay, Runnable task) {}
     }
 
     void put(GoldenFile file) {
@@ -74,13 +78,14 @@
         entries.put(key, new Entry(key, value, new Revision(++revision)));
     }
 
-    /** The record under a key, or null. */
+    /** The value of a key, or null if the key does not exist. */
     Map<String, Object> get(String key) {
         return entries.containsKey(key) ? entries.get(key).value() : null;
     }
 
-    /** A controller that stands for leader, alone. */
-    static Leadership candidate(String member, KeyValueStore store, Leadership.Listener listener) {
+    /** A controller that is a candidate for leadership and reaches no other controller. */
+    static Leadership createCandidate(
+            String member, KeyValueStore store, Leadership.Listener listener) {
         DeploymentSettings deploymentSettings =
                 new DeploymentSettings(
                         member,
@@ -99,7 +104,7 @@
                         Duration.ofSeconds(8));
         return new Leadership(
                 store,
-                new Still(0),
+                new FrozenEventLoop(0),
                 new NoPeers(),
                 deploymentSettings,
                 new HeartbeatTracker(),
@@ -107,28 +112,28 @@
                 listener);
     }
 
-    static void handOver(Leadership leadership, String heir) {
-        leadership.handOver(heir);
+    static void handOver(Leadership leadership, String successor) {
+        leadership.handOver(successor);
     }
 
     /**
-     * A store with a snapshot of tables.
+     * A store to which a snapshot of the risk tables was written.
      *
-     * @param before the head of an earlier snapshot, if there is one
-     * @param valueBytes that a chunk may have
+     * @param previousHead the head record of an earlier snapshot, if there is one
+     * @param maxChunkBytes the largest size of a chunk in bytes
      */
     static GoldenStore withSnapshot(
-            List<RiskTableDelta.MachineEntry> parts,
-            Optional<GoldenFile> before,
-            long wallMillis,
-            int valueBytes) {
+            List<RiskTableDelta.MachineEntry> machineEntries,
+            Optional<GoldenFile> previousHead,
+            long wallClockMillis,
+            int maxChunkBytes) {
         GoldenStore store = new GoldenStore();
-        before.ifPresent(store::put);
+        previousHead.ifPresent(store::put);
         RiskTableSnapshotStore snapshots =
-                new RiskTableSnapshotStore(store, Revision.ABSENT, 100, valueBytes);
-        // First it looks which set was written last, then it writes.
-        for (int time = 0; time < 2; time++) {
-            snapshots.writeNext(() -> parts, true, new MonotonicTime(0), wallMillis);
+                new RiskTableSnapshotStore(store, Revision.ABSENT, 100, maxChunkBytes);
+        // The first call reads which set was written last, the second one writes the other set.
+        for (int call = 0; call < 2; call++) {
+            snapshots.writeNext(() -> machineEntries, true, new MonotonicTime(0), wallClockMillis);
         }
         return store;
     }
@@ -140,7 +145,7 @@
 
     @Override
     public CompletableFuture<Page> list(
-            String prefix, String after, int most, RequestPriority requestPriority) {
+            String prefix, String after, int maxEntries, RequestPriority requestPriority) {
         return CompletableFuture.completedFuture(
                 new Page(
                         entries.values().stream()
@@ -174,8 +179,8 @@
     }
 
     @Override
-    public CompletableFuture<LeaseId> grantLease(Duration ttl) {
-        return CompletableFuture.completedFuture(new LeaseId(LEASE));
+    public CompletableFuture<LeaseId> grantLease(Duration timeToLive) {
+        return CompletableFuture.completedFuture(new LeaseId(LEASE_ID));
     }
 
     @Override
@@ -189,7 +194,7 @@
     }
 
     @Override
-    public CompletableFuture<ChangeBatch> watch(String prefix, Revision after, Duration wait) {
+    public CompletableFuture<ChangeBatch> watch(String prefix, Revision after, Duration maxWait) {
         return new CompletableFuture<>();
     }
 
@@ -198,7 +203,7 @@
         return false;
     }
 
-    /** Nobody else is there. */
+    /** A gateway to peers of which none ever answers. */
     private static final class NoPeers implements PeerGateway {
         @Override
         public void announceLeader(String leader, FencingToken fencingToken) {}
@@ -221,7 +226,7 @@
 
         @Override
         public CompletableFuture<Optional<RiskTableDelta>> fetchRiskTables(
-                String leader, RiskTableRequest question) {
+                String leader, RiskTableRequest request) {
             return new CompletableFuture<>();
         }
 
--- a/src/test/java/org/meadowhollow/storage/KeyValueStoreExceptionTest.java
+++ b/src/test/java/org/meadowhollow/storage/KeyValueStoreExceptionTest.java
@@ -8,11 +8,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.meadowhollow.storage.KeyValueStoreException.Outcome;
 
-/** What callers learn from a failed request. */
+/** Tests the types of exceptions and how callers get the outcome of a failed request. */
 class KeyValueStoreExceptionTest {
     @ParameterizedTest
     @EnumSource
-    void everyOutcomeHasATypeOfItsOwn(Outcome outcome) {
+    void eachOutcomeHasItsOwnExceptionType(Outcome outcome) {
         KeyValueStoreException failure = KeyValueStoreException.of(outcome, "why");
         assertEquals(outcome, failure.outcome());
         assertEquals("why", failure.getMessage());
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void theOutcomeIsFoundBehindAFailedFuture() {
+    void outcomeIsTakenFromWrappedException() {
         Throwable failure = new LeaseExpiredException("expired");
         assertEquals(Outcome.LEASE_EXPIRED, KeyValueStoreException.outcomeOf(failure));
         assertEquals(
--- a/src/test/java/org/meadowhollow/storage/RecordWriterTest.java
+++ b/src/test/java/org/meadowhollow/storage/RecordWriterTest.java
@@ -24,13 +24,13 @@
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
 
 /**
- * The order in which a leader's records are written when there are more than the key-value store
- * accepts at once.
+ * Tests the order in which a leader's records are written when there are more than the key-value
+ * store accepts at once.
  */
 class RecordWriterTest {
     private static final int MAX_WRITES = 12;
 
-    private record Sent(
+    private record SentTransaction(
             Transaction transaction,
             RequestPriority priority,
             CompletableFuture<KeyValueStore.CommitResult> result) {
@@ -39,7 +39,7 @@
         }
     }
 
-    private final List<Sent> sent = new ArrayList<>();
+    private final List<SentTransaction> sent = new ArrayList<>();
     private final List<Runnable> timers = new ArrayList<>();
     private final KeyValueStore store =
             (KeyValueStore)
@@ -49,7 +49,7 @@
                             (proxy, method, arguments) -> {
                                 assertEquals("commit", method.getName());
                                 sent.add(
-                                        new Sent(
+                                        new SentTransaction(
                                                 (Transaction) arguments[0],
                                                 (RequestPriority) arguments[1],
                                                 new CompletableFuture<>()));
@@ -130,9 +130,12 @@
         }
     }
 
-    /** Hundreds of small jobs that ended together used to delay every start for a minute. */
+    /**
+     * If job ends were written first, hundreds of small jobs that end together would delay every
+     * start for a minute.
+     */
     @Test
-    void placementsAreNotDelayedByTheEndsOfOtherJobs() {
+    void placementsShareTransactionWithJobEnds() {
         for (int number = 0; number < 50; number++) {
             recordWriter.markEndPending(job(number, Priority.NORMAL));
         }
@@ -142,11 +145,11 @@
     }
 
     /**
-     * Many best-effort jobs of one team used to go before the records of all others, and before
-     * users' submissions.
+     * Guards against the records of many best-effort jobs of one team being written before those of
+     * all other jobs and before users' submissions.
      */
     @Test
-    void recordsOfTheLowestPriorityAreWrittenAfterAllOthers() {
+    void lowestPriorityRecordsAreWrittenLast() {
         markPlacementsDirty(0, 30, Priority.LOW);
         markPlacementsDirty(100, 5, Priority.NORMAL);
         recordWriter.flush();
@@ -156,9 +159,12 @@
         assertEquals(MAX_WRITES, sent.get(1).transaction().writes().size());
     }
 
-    /** A large transaction finds no room in a rate limit that others use up with small ones. */
+    /**
+     * Guards against a large transaction being rejected again and again while other clients use up
+     * the rate limit with small ones.
+     */
     @Test
-    void aRejectedTransactionIsRepeatedInSmallerOnes() {
+    void rejectedTransactionIsRetriedInSmallerBatches() {
         markPlacementsDirty(0, 40, Priority.NORMAL);
         recordWriter.flush();
         sent.get(0).result().completeExceptionally(new RequestRejectedException("answered 429"));
@@ -171,18 +177,21 @@
     }
 
     /**
-     * In a surge of one-task jobs, deletions for the ended ones used to take a fifth of the rate
-     * limit for the changes that users waited for.
+     * Guards against deletions delaying the changes that users wait for: in a surge of one-task
+     * jobs, the deletions for ended jobs can take a fifth of the rate limit.
      */
     @Test
-    void obsoleteRecordsAreDeletedAfterAllOtherWrites() {
+    void obsoleteRecordsAreDeletedLast() {
         for (int number = 0; number < 12; number++) {
             recordWriter.addObsoleteKey("task/req-%06d/0".formatted(number));
         }
         markPlacementsDirty(100, 3, Priority.NORMAL);
         recordWriter.flush();
         assertEquals(RequestPriority.PLACEMENT, sent.get(0).priority());
-        assertEquals(3, sent.get(0).transaction().writes().size(), "placements alone");
+        assertEquals(
+                3,
+                sent.get(0).transaction().writes().size(),
+                "the first transaction holds placements only");
         assertEquals(1, sent.size());
         sent.get(0)
                 .result()
@@ -191,67 +200,68 @@
         assertEquals(
                 12,
                 sent.get(1).transaction().writes().size(),
-                "and the deletions with the lowest priority");
+                "all deletions are in a transaction of the lowest priority");
     }
 
     /**
-     * If they were deleted before the end is persisted, the next leader would run completed tasks
-     * again; if they were forgotten with a failed transaction, they would stay for ever.
+     * Guards against two faults: if the shards were deleted before the end is persisted, the next
+     * leader would run completed tasks again; if the deletions of a failed transaction were not
+     * repeated, the shards would stay for ever.
      */
     @Test
-    void shardsOfAnEndedJobAreDeletedOnceItsEndIsPersisted() {
-        List<Job> ends = new ArrayList<>();
+    void shardsOfEndedJobAreDeletedAfterEndIsPersisted() {
+        List<Job> endedJobs = new ArrayList<>();
         for (int number = 0; number < 6; number++) {
             Job job = job(number, Priority.NORMAL);
-            ends.add(job);
+            endedJobs.add(job);
             recordWriter.markDirty(job.shardOfTask(0));
         }
         recordWriter.flush();
         sent.get(0)
                 .result()
                 .complete(new KeyValueStore.CommitResult(true, new Revision(5), List.of()));
-        ends.forEach(recordWriter::markEndPending);
+        endedJobs.forEach(recordWriter::markEndPending);
         recordWriter.flush();
-        for (int at = 1; at < 3; at++) {
-            sent.get(at)
+        for (int index = 1; index < 3; index++) {
+            sent.get(index)
                     .result()
                     .completeExceptionally(new RequestRejectedException("answered 429"));
         }
         assertEquals(3, sent.size(), "nothing is deleted while no end is persisted");
-        // From now on all transactions are applied, except for every third one.
-        for (int at = 3, round = 0; round < 40; round++) {
+        // From here on, every third transaction is rejected and all others are applied.
+        for (int index = 3, round = 0; round < 40; round++) {
             List.copyOf(timers).forEach(Runnable::run);
-            for (; at < sent.size(); at++) {
-                if (at % 3 == 0) {
-                    sent.get(at)
+            for (; index < sent.size(); index++) {
+                if (index % 3 == 0) {
+                    sent.get(index)
                             .result()
                             .completeExceptionally(new RequestRejectedException("answered 429"));
                 } else {
-                    sent.get(at)
+                    sent.get(index)
                             .result()
                             .complete(
                                     new KeyValueStore.CommitResult(
-                                            true, new Revision(6 + at), List.of()));
+                                            true, new Revision(6 + index), List.of()));
                 }
             }
         }
         for (int number = 0; number < 6; number++) {
-            String name = "req-%06d".formatted(number);
-            assertTrue(lastAppliedWriteOf("ended/" + name) >= 0, name);
+            String jobId = "req-%06d".formatted(number);
+            assertTrue(lastAppliedWriteOf("ended/" + jobId) >= 0, jobId);
             assertTrue(
-                    lastAppliedWriteOf("task/" + name + "/0")
-                            >= lastAppliedWriteOf("ended/" + name),
-                    name + " is deleted, and not before its end");
+                    lastAppliedWriteOf("task/" + jobId + "/0")
+                            >= lastAppliedWriteOf("ended/" + jobId),
+                    jobId + ": the shard is deleted, and not before the end is persisted");
         }
     }
 
     /** The index of the last transaction that was applied and wrote a key, or -1. */
     private int lastAppliedWriteOf(String key) {
-        for (int at = sent.size() - 1; at >= 0; at--) {
-            if (sent.get(at).writes(key)
-                    && sent.get(at).result().isDone()
-                    && !sent.get(at).result().isCompletedExceptionally()) {
-                return at;
+        for (int index = sent.size() - 1; index >= 0; index--) {
+            if (sent.get(index).writes(key)
+                    && sent.get(index).result().isDone()
+                    && !sent.get(index).result().isCompletedExceptionally()) {
+                return index;
             }
         }
         return -1;
