--- a/src/main/java/org/meadowhollow/protocol/AdaptiveRateLimiter.java
+++ b/src/main/java/org/meadowhollow/protocol/AdaptiveRateLimiter.java
@@ -5,21 +5,24 @@
 import org.meadowhollow.model.MonotonicTime;
 
 /**
- * A token bucket whose rate adapts to refusals. The limit behind it is shared with other nodes that
- * this one does not see, so the rate follows it as TCP's congestion control follows a link: a
- * refusal lowers the rate by a factor, and it rises steadily while there is none, so that all nodes
- * together come to what the limit allows. Thread-safe.
+ * A token bucket whose rate adapts to refusals by the server. All nodes share the server's limit,
+ * and a node does not see the requests of the others. As in TCP congestion control, a refusal
+ * lowers the rate by a factor, and the rate rises steadily while there is none, so that the rates
+ * of all nodes together converge to the limit. Thread-safe.
  */
 public final class AdaptiveRateLimiter {
-    /** All requests in flight meet the same refusal, which counts once. */
+    /**
+     * Refusals within this time count as one: all requests in flight are refused for the same
+     * reason.
+     */
     private static final Duration REFUSAL_COALESCING_WINDOW = Duration.ofMillis(300);
 
     /** The share of the full rate that is regained per second. */
     private static final double RECOVERY_PER_SECOND = 0.1;
 
     /**
-     * The least share of the full rate, however many nodes share the limit; less than an even share
-     * for the nodes of any deployment.
+     * The lower bound of the rate, as a share of the full rate, however many nodes share the limit.
+     * It is less than an even share in any deployment.
      */
     private static final double MIN_RATE_FACTOR = 0.1;
 
@@ -42,7 +45,7 @@
 
     /**
      * @param perSecond the full rate, in tokens per second
-     * @param burst tokens that can be saved up, 1 at least
+     * @param burst the capacity of the bucket in tokens, at least 1
      */
     public AdaptiveRateLimiter(double perSecond, double burst) {
         this.perSecond = perSecond;
@@ -51,8 +54,8 @@
     }
 
     /**
-     * How long until {@code amount} tokens can be consumed; an amount above the burst waits for a
-     * full bucket.
+     * Returns the time until {@code amount} tokens can be consumed, zero if they are available. An
+     * amount above the burst waits for a full bucket.
      */
     public synchronized Duration delayUntilAvailable(int amount, MonotonicTime now) {
         refill(now);
@@ -63,9 +66,9 @@
     }
 
     /**
-     * Lowers the rate after the limit has refused what this limiter had allowed.
+     * Lowers the rate after the server refused a request that this limiter had allowed.
      *
-     * @param rateKept the share of the present rate to go on with, between 0 and 1
+     * @param rateKept the share of the current rate that remains, between 0 and 1
      */
     public synchronized void recordRefusal(double rateKept, MonotonicTime now) {
         refill(now);
@@ -77,7 +80,7 @@
         }
     }
 
-    /** Takes tokens, down to a debt if there are not enough. */
+    /** Takes tokens from the bucket; the balance becomes negative if there are not enough. */
     public synchronized void consume(int amount, MonotonicTime now) {
         refill(now);
         availableTokens -= amount;
--- a/src/main/java/org/meadowhollow/protocol/Http.java
+++ b/src/main/java/org/meadowhollow/protocol/Http.java
@@ -6,34 +6,40 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.UnaryOperator;
 
-/** What the protocols need of HTTP: the ports that the transport layer implements or calls. */
+/**
+ * The HTTP ports of the protocols: the transport layer implements {@link Client} and calls {@link
+ * RequestHandler}.
+ */
 public interface Http {
     /**
-     * A response.
+     * An HTTP response.
      *
-     * @param retryAfterSeconds for the header {@code Retry-After}, 0 for none
+     * @param retryAfterSeconds the value of the {@code Retry-After} header, 0 to omit it
      */
-    // The body is handed on as it is; no response is compared with another.
+    // The body is passed on without a copy, and responses are never compared.
     @SuppressWarnings("ArrayRecordComponent")
     record Reply(int status, byte[] body, int retryAfterSeconds, String contentType) {
         private static final String MESSAGE_PACK_CONTENT_TYPE = "application/msgpack";
 
-        /** A response with a MessagePack body. */
+        /** Creates a response with a MessagePack body. */
         public Reply(int status, byte[] body, int retryAfterSeconds) {
             this(status, body, retryAfterSeconds, MESSAGE_PACK_CONTENT_TYPE);
         }
 
-        /** A response with a body that is encoded as MessagePack. */
+        /** Returns a response with a map encoded as MessagePack. */
         public static Reply of(int status, Map<String, ?> body) {
             return new Reply(status, MessagePackCodec.encode(body), 0);
         }
 
-        /** An error that may pass: the caller is told when to retry. */
+        /**
+         * Returns the response to a request that failed temporarily and tells the client when to
+         * retry.
+         */
         public static Reply retryLater(int status, int afterSeconds, String reason) {
             return new Reply(status, encodeError(reason), afterSeconds);
         }
 
-        /** An error that a retry would meet again, or that passes at no known time. */
+        /** Returns the response to a request that would fail again, or for an unknown time. */
         public static Reply error(int status, String reason) {
             return new Reply(status, encodeError(reason), 0);
         }
@@ -43,54 +49,57 @@
         }
     }
 
-    /** The request certainly did not reach the other side. */
+    /** Thrown when a request certainly did not reach the server. */
     class RequestNotSentException extends RuntimeException {
-        /** An error without a stack trace. */
+        /** Creates an exception without a stack trace. */
         public RequestNotSentException(String message) {
             super(message, null, false, false);
         }
     }
 
     /**
-     * The other side's machine refused the connection: nothing listens there, or no more
-     * connections are accepted.
+     * Thrown when the server's machine refused the connection: no process listens on the port, or
+     * it accepts no more connections.
      */
     final class ConnectionRefusedException extends RequestNotSentException {
-        /** An error without a stack trace. */
+        /** Creates an exception without a stack trace. */
         public ConnectionRefusedException(String message) {
             super(message);
         }
     }
 
-    /** The request was sent but got no response: it may have been executed, or may be yet. */
+    /**
+     * Thrown when a request was sent but got no response: it may have been executed, or may still
+     * be executed later.
+     */
     final class NoResponseException extends RuntimeException {
-        /** An error without a stack trace. */
+        /** Creates an exception without a stack trace. */
         public NoResponseException(String message) {
             super(message, null, false, false);
         }
     }
 
-    /** Sends requests. */
+    /** Sends HTTP requests. */
     interface Client {
         /**
-         * Sends a request; fails with {@link RequestNotSentException} or {@link
+         * Sends a request. The future fails with {@link RequestNotSentException} or {@link
          * NoResponseException}.
          *
-         * @param address host and port
-         * @param path with the query
-         * @param body or null
+         * @param address the host and port of the server
+         * @param path the path and query
+         * @param body the body, or null
          */
         CompletableFuture<Reply> send(
                 String address, String method, String path, byte[] body, Duration timeout);
     }
 
     /**
-     * A request as it was received.
+     * A received HTTP request.
      *
-     * @param query the values of each parameter, decoded, in their order of arrival
-     * @param header the value of a header by its name, or null
+     * @param query the decoded values of each query parameter, in the order of the request
+     * @param header returns the value of a header by its name, or null if it is absent
      */
-    // The body is handed on as it is; no request is compared with another.
+    // The body is passed on without a copy, and requests are never compared.
     @SuppressWarnings("ArrayRecordComponent")
     record Request(
             String method,
@@ -101,16 +110,19 @@
 
     /** Handles the requests that arrive at one listening address, on the event loop's thread. */
     interface RequestHandler {
-        /** Responds to a request, whatever it is; a failed future is a defect. */
+        /**
+         * Responds to any request, with an error response if it is invalid; a failed future is a
+         * defect.
+         */
         CompletableFuture<Reply> answer(Request request);
 
-        /** The response to a body that is too large or was cut short. */
+        /** Returns the response to a body that is too large or was cut short. */
         default Reply invalidBodyReply() {
             return Reply.error(400, "the body is too large or was cut short");
         }
     }
 
-    /** A handler that needs no more than method, path and body. */
+    /** A handler that uses only the method, path and body of a request. */
     interface SimpleRequestHandler extends RequestHandler {
         /** Responds to a request; see {@link RequestHandler#answer}. */
         CompletableFuture<Reply> handle(String method, String path, byte[] body);
--- a/src/main/java/org/meadowhollow/protocol/JsonCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/JsonCodec.java
@@ -9,13 +9,13 @@
 import java.util.Map;
 
 /**
- * JSON objects from and to maps with the same kinds of values as {@link MessagePackCodec} gives.
- * Stateless.
+ * Converts JSON objects to and from maps whose values have the same types as those of {@link
+ * MessagePackCodec}. Stateless.
  */
 public final class JsonCodec {
     /**
-     * Far deeper than any message here. The library's own bound is a thousand, for which the stack
-     * of a node as it is deployed does not suffice.
+     * Far deeper than any message of the protocols. Jackson's default of 1000 overflows the stack
+     * of a deployed node.
      */
     private static final int MAX_NESTING_DEPTH = 32;
 
@@ -32,10 +32,10 @@
     private JsonCodec() {}
 
     /**
-     * Decodes an object, nested at most 32 levels deep. The library bounds the length of numbers,
-     * the caller the size.
+     * Decodes a JSON object that is nested at most 32 levels deep. Jackson limits the length of
+     * numbers; the caller must limit the size of the body.
      *
-     * @throws MalformedMessageException if the bytes are no JSON object
+     * @throws MalformedMessageException if the bytes are not a JSON object
      */
     public static Map<String, Object> decode(byte[] bytes) throws MalformedMessageException {
         try {
@@ -48,28 +48,28 @@
         } catch (IllegalArgumentException broken) {
             throw new MalformedMessageException(broken.getMessage());
         }
-        // The word null alone.
+        // Jackson returns null for the literal null.
         throw new MalformedMessageException("not a JSON object");
     }
 
-    /** Encodes a map of the kinds of values that {@link #decode} gives. */
+    /** Encodes a map whose values have the types that {@link #decode} returns. */
     public static byte[] encode(Map<String, ?> map) {
         try {
             return JACKSON.asBytes(map);
         } catch (IOException impossible) {
             throw new IllegalStateException(
-                    "maps of plain values can always be written", impossible);
+                    "encoding a map of plain values as JSON failed", impossible);
         }
     }
 
-    /** The library gives whole numbers as int or long; callers expect long. */
+    /** Converts integers to long: Jackson returns int or long, and callers expect long. */
     private static Map<String, Object> normalize(Map<String, Object> map) {
         Map<String, Object> normalized = new LinkedHashMap<>();
         map.forEach((key, value) -> normalized.put(requirePairedSurrogates(key), normalize(value)));
         return normalized;
     }
 
-    /** JSON can escape half of a surrogate pair, which UTF-8 cannot encode. */
+    /** Rejects unpaired surrogates, which JSON can escape but UTF-8 cannot encode. */
     private static String requirePairedSurrogates(String text) {
         for (int at = 0; at < text.length(); at++) {
             char unit = text.charAt(at);
--- a/src/main/java/org/meadowhollow/protocol/MalformedMessageException.java
+++ b/src/main/java/org/meadowhollow/protocol/MalformedMessageException.java
@@ -1,12 +1,12 @@
 package org.meadowhollow.protocol;
 
 /**
- * A message that is not what the protocol allows. The text goes to the sender; there is no stack
- * trace, since such messages are common and the text says it all.
+ * Thrown when a received message violates the protocol. The text is returned to the sender. There
+ * is no stack trace, since such messages are common and the text is sufficient.
  */
 public final class MalformedMessageException extends Exception {
     /**
-     * @param message in one line, naming the field
+     * @param message one line that names the invalid field
      */
     public MalformedMessageException(String message) {
         super(message, null, false, false);
--- a/src/main/java/org/meadowhollow/protocol/MessagePackCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/MessagePackCodec.java
@@ -12,13 +12,11 @@
 import org.msgpack.value.ValueType;
 
 /**
- * MessagePack bodies as maps keyed by text, lists, text, numbers (long and double), booleans and
- * null. Stateless.
+ * Converts MessagePack bodies to and from maps with string keys. The values are such maps, lists,
+ * strings, numbers (long and double), booleans and null. Stateless.
  */
 public final class MessagePackCodec {
-    /**
-     * Deeper nesting than any message of the protocol has; guards the stack against hostile bodies.
-     */
+    /** Deeper than any message of the protocols; protects the stack against malicious bodies. */
     private static final int MAX_NESTING_DEPTH = 16;
 
     private MessagePackCodec() {}
@@ -26,7 +24,7 @@
     /**
      * Encodes a map in the order of its entries.
      *
-     * @throws IllegalArgumentException for a value of another type
+     * @throws IllegalArgumentException if a value has an unsupported type
      */
     public static byte[] encode(Map<String, ?> body) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
@@ -60,7 +58,7 @@
                 pack(packer, entry.getValue());
             }
         } else {
-            throw new IllegalArgumentException("not a wire value: " + value.getClass());
+            throw new IllegalArgumentException("unsupported value type: " + value.getClass());
         }
     }
 
@@ -83,7 +81,8 @@
     private static Map<String, Object> unpackMap(MessageUnpacker unpacker, int maxLength, int depth)
             throws IOException, MalformedMessageException {
         int size = unpacker.unpackMapHeader();
-        // A header may promise far more than the body holds; each entry takes two bytes at least.
+        // A header may claim far more entries than the body holds, and would make the map allocate
+        // for them; each entry takes at least two bytes.
         if (size > maxLength / 2 || depth > MAX_NESTING_DEPTH) {
             throw new MalformedMessageException(
                     depth > MAX_NESTING_DEPTH
--- a/src/main/java/org/meadowhollow/protocol/MessageReader.java
+++ b/src/main/java/org/meadowhollow/protocol/MessageReader.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * Checked access to the fields of a decoded map. An absent field equals null. Every method fails
- * with {@link MalformedMessageException}, naming the field, if it is of another type or out of its
- * range.
+ * Reads the fields of a decoded map and checks their types. An absent field and a null value are
+ * equivalent. The accessors throw a {@link MalformedMessageException} naming the field if the value
+ * has another type or is out of range.
  */
 public record MessageReader(Map<String, Object> map) {
-    /** A map of pairs of key and value, in their order, to be encoded. */
+    /** Returns a map of alternating keys and values, in the given order, for encoding. */
     public static Map<String, Object> mapOf(Object... pairs) {
         Map<String, Object> map = new LinkedHashMap<>(pairs.length);
         for (int at = 0; at < pairs.length; at += 2) {
@@ -20,38 +20,38 @@
         return map;
     }
 
-    /** Decodes a MessagePack body that must be one map. */
+    /** Decodes a MessagePack body that must consist of one map. */
     public static MessageReader decode(byte[] body) throws MalformedMessageException {
         return new MessageReader(MessagePackCodec.decode(body));
     }
 
-    /** Whether the field is present and not null. */
+    /** Returns whether the field is present and not null. */
     public boolean has(String key) {
         return map.get(key) != null;
     }
 
-    /** A text that must be present. */
+    /** Returns a required string. */
     public String string(String key) throws MalformedMessageException {
         return requirePresent(key, stringOrNull(key));
     }
 
-    /** A text, or null if it is absent. */
+    /** Returns a string, or null if it is absent. */
     public String stringOrNull(String key) throws MalformedMessageException {
         return valueOfType(key, String.class, "text");
     }
 
-    /** A boolean that must be present. */
+    /** Returns a required boolean. */
     public boolean booleanValue(String key) throws MalformedMessageException {
         return requirePresent(key, valueOfType(key, Boolean.class, "true or false"));
     }
 
-    /** A boolean, or a default if it is absent. */
+    /** Returns a boolean, or a default if it is absent. */
     public boolean booleanOr(String key, boolean otherwise) throws MalformedMessageException {
         Boolean flag = valueOfType(key, Boolean.class, "true or false");
         return flag == null ? otherwise : flag;
     }
 
-    /** A whole number from 0 on that must be present. */
+    /** Returns a required integer of at least 0. */
     public long nonNegativeLong(String key) throws MalformedMessageException {
         Object value = requirePresent(key, map.get(key));
         if (value instanceof Long number && number >= 0) {
@@ -60,14 +60,14 @@
         throw new MalformedMessageException(key + " is not a whole number from 0 on");
     }
 
-    /** A number from 0 to below 1e12 that must be present. */
+    /** Returns a required number of at least 0 and less than 1e12. */
     public double nonNegativeDouble(String key) throws MalformedMessageException {
         double amount = nonNegativeDoubleOr(key, Double.NaN);
         requirePresent(key, Double.isNaN(amount) ? null : amount);
         return amount;
     }
 
-    /** A number from 0 to below 1e12, or a default if it is absent. */
+    /** Returns a number of at least 0 and less than 1e12, or a default if it is absent. */
     public double nonNegativeDoubleOr(String key, double otherwise)
             throws MalformedMessageException {
         Object value = map.get(key);
@@ -83,12 +83,12 @@
         throw new MalformedMessageException(key + " is not an amount from 0 on");
     }
 
-    /** A map that must be present. */
+    /** Returns a reader of a required nested map. */
     public MessageReader nested(String key) throws MalformedMessageException {
         return toReader(key, requirePresent(key, map.get(key)));
     }
 
-    /** The maps in a list; an absent list is empty. */
+    /** Returns readers of the maps in a list; an absent list is empty. */
     public List<MessageReader> nestedList(String key) throws MalformedMessageException {
         List<MessageReader> all = new ArrayList<>();
         for (Object item : rawList(key)) {
@@ -97,7 +97,7 @@
         return all;
     }
 
-    /** The texts in a list; null when the list is absent. */
+    /** Returns the strings in a list, or null if the list is absent. */
     public List<String> stringListOrNull(String key) throws MalformedMessageException {
         if (!has(key)) {
             return null;
@@ -112,7 +112,7 @@
         return all;
     }
 
-    /** A list of any values; an absent list is empty. */
+    /** Returns a list of values of any type; an absent list is empty. */
     public List<?> rawList(String key) throws MalformedMessageException {
         List<?> list = valueOfType(key, List.class, "a list");
         return list == null ? List.of() : list;
--- a/src/main/java/org/meadowhollow/protocol/PublicApiRouter.java
+++ b/src/main/java/org/meadowhollow/protocol/PublicApiRouter.java
@@ -20,7 +20,7 @@
     private final BooleanSupplier isReady;
 
     /**
-     * @param isReady whether the node can serve users
+     * @param isReady tells whether the node can serve users
      */
     public PublicApiRouter(JobApi jobApi, HeartbeatApi heartbeatApi, BooleanSupplier isReady) {
         this.jobApi = jobApi;
--- a/src/main/java/org/meadowhollow/protocol/keyvalue/KeyValueCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/keyvalue/KeyValueCodec.java
@@ -24,9 +24,10 @@
 import org.meadowhollow.storage.WatchCompactedException;
 
 /**
- * The key-value store's HTTP protocol: paths, the platform's names of fields, and what a status
- * tells of a request. Stateless. All decoding methods fail with a {@link KeyValueStoreException} of
- * the outcome {@link Outcome#INDETERMINATE} if a response is malformed.
+ * Encodes requests to the key-value store and decodes its responses: the paths, the platform's
+ * field names, and the outcome that each status code stands for. Stateless. All decoding methods
+ * throw a {@link KeyValueStoreException} with the outcome {@link Outcome#INDETERMINATE} if a
+ * response is malformed.
  */
 final class KeyValueCodec {
     static final String TRANSACTION_PATH = "/multi";
@@ -34,7 +35,7 @@
     private static final String KEYS_PATH = "/kv";
     private static final String CHANGES_PATH = "/changes";
 
-    // The platform's names of fields.
+    // The platform's field names.
     private static final String KEY = "key";
     private static final String VALUE = "v";
     private static final String SET = "set";
@@ -50,7 +51,7 @@
     private static final String LEASE = "tether";
     private static final String LEASE_TTL_MILLIS = "ttlMs";
 
-    /** What the body of a response with status 400 says if the lease does not exist. */
+    /** The text in the body of a response with status 400 if the lease does not exist. */
     private static final String LEASE_NOT_FOUND = "no such lease";
 
     private KeyValueCodec() {}
@@ -60,7 +61,7 @@
     }
 
     /**
-     * @param after the key to begin after, or null
+     * @param after the key after which the page begins, or null for the first page
      */
     static String listPath(String prefix, String after, int maxEntries) {
         return KEYS_PATH
@@ -122,9 +123,9 @@
     }
 
     /**
-     * Lets responses pass that tell something of the keys: success, not found, and conflict.
+     * Returns the response if the store has evaluated the request: success, not found, or conflict.
      *
-     * @throws KeyValueStoreException of the outcome that any other status tells
+     * @throws KeyValueStoreException with the corresponding outcome for any other status
      */
     static Http.Reply requireServed(Http.Reply reply) {
         return switch (reply.status()) {
@@ -149,7 +150,7 @@
         return new String(reply.body(), StandardCharsets.UTF_8).contains(LEASE_NOT_FOUND);
     }
 
-    /** Empty if there is no such key. */
+    /** Decodes an entry; empty if the key does not exist. */
     static Optional<Entry> decodeEntry(Http.Reply reply) {
         return reply.status() == 404
                 ? Optional.empty()
--- a/src/main/java/org/meadowhollow/protocol/keyvalue/KeyValueStoreClient.java
+++ b/src/main/java/org/meadowhollow/protocol/keyvalue/KeyValueStoreClient.java
@@ -18,9 +18,9 @@
 import org.meadowhollow.storage.Transaction;
 
 /**
- * The key-value store over HTTP. {@link RequestQueue} decides when a request is sent, {@link
- * KeyValueCodec} knows its form, and {@link StoreHealth} how long to wait for the response.
- * Thread-safe; futures complete on the thread of the HTTP client.
+ * The HTTP client of the key-value store. {@link RequestQueue} decides when a request is sent,
+ * {@link KeyValueCodec} encodes and decodes the messages, and {@link StoreHealth} sets the response
+ * timeout. Thread-safe; futures complete on the thread of the HTTP client.
  */
 public final class KeyValueStoreClient implements KeyValueStore {
     private final Http.Client http;
@@ -30,8 +30,8 @@
     private final StoreHealth health;
 
     /**
-     * @param requestLimiter the limit of requests, watches included
-     * @param writeLimiter the limit of keys written
+     * @param requestLimiter limits the requests per second, watches included
+     * @param writeLimiter limits the keys written per second
      */
     public KeyValueStoreClient(
             Http.Client http,
@@ -105,11 +105,14 @@
 
     private static void requireLeaseExists(Http.Reply reply) {
         if (reply.status() == 404) {
-            throw new LeaseExpiredException("the lease has ended");
+            throw new LeaseExpiredException("the lease has expired");
         }
     }
 
-    /** A watch waits by design, so it has a timeout of its own and takes no turn in the queue. */
+    /**
+     * Sends a watch without queueing it. A watch is a long poll, so its timeout includes the
+     * requested wait.
+     */
     @Override
     public CompletableFuture<ChangeBatch> watch(String prefix, Revision after, Duration wait) {
         String path = KeyValueCodec.changesPath(prefix, after, wait);
--- a/src/main/java/org/meadowhollow/protocol/keyvalue/RequestQueue.java
+++ b/src/main/java/org/meadowhollow/protocol/keyvalue/RequestQueue.java
@@ -18,43 +18,48 @@
 import org.meadowhollow.storage.RequestRejectedException;
 
 /**
- * Requests to the key-value store that wait for the limits of requests and writes per second, and
- * for the bound of requests in flight. Lease requests go first and background requests last; users
- * and the leader take turns by what their requests cost.
+ * Queues the requests to the key-value store and sends them within the limits of requests and
+ * writes per second and of requests in flight. Lease requests go first and background requests
+ * last; the requests of users and of the leader alternate by their cost.
  *
- * <p>Thread-safe; requests are sent and futures completed outside the lock. Whoever sends a request
- * calls {@link #requestFinished} and {@link #dispatch} once there is a response.
+ * <p>Thread-safe; requests are sent and futures completed outside the lock. The sender of a request
+ * calls {@link #requestFinished} and {@link #dispatch} when it has received the response or an
+ * error.
  */
 final class RequestQueue {
-    /** Room for bursts of users' requests; past it a caller is better told at once to retry. */
+    /**
+     * Enough for bursts of user requests. When the queue is full, a request fails at once so that
+     * its caller can retry.
+     */
     private static final int MAX_QUEUED = 256;
 
     /**
-     * Requests in flight: at some milliseconds each far more than the limits allow, and fewer than
-     * the connections that may be open to one address. A burst of users' requests waits in the
-     * queue instead of opening a connection for each, or failing for want of one, which looked like
-     * an outage of the key-value store.
+     * The maximum number of requests in flight. At a few milliseconds per request, this is far more
+     * than the rate limits allow, and it is less than the number of connections that may be open to
+     * one address. Without the bound, a burst of user requests opens a connection for each of them,
+     * or fails for lack of connections, which looks like an outage of the key-value store.
      */
     private static final int MAX_IN_FLIGHT = 12;
 
     /**
-     * A user's request that has waited for so long is not sent any more: most users have given up
-     * by then and retry, and a queue in which every request is too late serves nobody.
+     * A user request that has waited longer is rejected without being sent. Most users have given
+     * up and retried by then, and a queue that sends only such requests is of no use to anyone.
      */
     private static final Duration MAX_USER_QUEUE_TIME = Duration.ofMillis(1500);
 
-    /** How far the cost of users' requests and that of the leader's may run ahead of each other. */
-    private static final double MAX_USER_SURPLUS = 24;
-
     /**
-     * The share of its rate that a node keeps when it is refused; the leader, whose records others
-     * wait for, keeps more.
+     * The maximum difference between the costs of user requests and of leader requests; a request
+     * costs 1 plus 1 for each key that it writes.
      */
+    private static final double MAX_USER_SURPLUS = 24;
+
+    /** The share of its rate that a node other than the leader keeps after a refusal. */
     private static final double RATE_KEPT_ON_REFUSAL = 0.7;
 
+    /** The leader keeps a larger share, because other nodes wait for its records. */
     private static final double LEADER_RATE_KEPT_ON_REFUSAL = 0.9;
 
-    /** A node that wrote a leader's records within this time counts as the leader. */
+    /** A node that has written leader records within this time counts as the leader. */
     private static final Duration LEADER_WRITE_WINDOW = Duration.ofSeconds(5);
 
     private static final List<RequestPriority> USERS_FIRST =
@@ -87,10 +92,10 @@
     }
 
     /**
-     * What may be sent now.
+     * The next request to send, or the time to wait for it.
      *
-     * @param request null if none may
-     * @param pause until one may, zero if none waits for a limit
+     * @param request null if no request may be sent now
+     * @param pause the time until a request may be sent, zero if none waits for a rate limit
      */
     private record Selection(QueuedRequest request, Duration pause) {}
 
@@ -112,16 +117,16 @@
     @GuardedBy("this")
     private boolean wakeUpScheduled;
 
-    /** What users' requests cost beyond the leader's, while both were waiting. */
+    /** The cost of user requests less that of leader requests, summed while both kinds wait. */
     @GuardedBy("this")
     private double userSurplus;
 
-    /** Null until this node writes a leader's records. */
+    /** Null until this node writes leader records. */
     @GuardedBy("this")
     private MonotonicTime lastLeaderWriteAt;
 
     /**
-     * @param sender called outside the lock with each request whose turn has come
+     * @param sender called outside the lock with each request that is to be sent
      */
     RequestQueue(
             EventLoop loop,
@@ -137,7 +142,10 @@
         }
     }
 
-    /** Sends a request as soon as its turn has come; fails at once if the queue is full. */
+    /**
+     * Queues a request and sends it as soon as the limits and its priority allow. Fails at once if
+     * the queue is full, except for lease requests.
+     */
     CompletableFuture<Http.Reply> enqueue(StoreRequest request) {
         QueuedRequest queuedRequest =
                 new QueuedRequest(request, loop.now(), new CompletableFuture<>());
@@ -153,17 +161,20 @@
         return queuedRequest.reply();
     }
 
-    /** Counts a request that is sent without a turn in the queue. */
+    /** Counts a request that is sent without being queued against the request limit. */
     void chargeRequest() {
         requestLimiter.consume(1, loop.now());
     }
 
-    /** Makes room for another request in flight; {@link #dispatch} sends it. */
+    /** Records that a request is no longer in flight; {@link #dispatch} then sends the next one. */
     synchronized void requestFinished() {
         inFlight--;
     }
 
-    /** Sends what the limits allow, in the order of priority, and sets a timer for the rest. */
+    /**
+     * Sends the requests that the limits allow, in the order of priority, rejects expired user
+     * requests, and schedules a timer for the rest.
+     */
     void dispatch() {
         while (true) {
             List<QueuedRequest> expired = new ArrayList<>();
@@ -199,8 +210,8 @@
                 return new Selection(null, requestDelay);
             }
             if (first.writeCount() > 0) {
-                // Once a request waits for the limit of writes no later one may use that limit, or
-                // a large transaction would wait forever.
+                // Once a request waits for the write limit, no request after it may use that limit;
+                // otherwise a large transaction would wait forever.
                 Duration writeDelay =
                         writesWait
                                 ? pause
@@ -253,9 +264,10 @@
     }
 
     /**
-     * The order of priorities. Users and the leader take turns by what their requests cost: with
-     * users always first, a leader that many of them asked at once neither loaded nor wrote its
-     * records, and cancelled tasks ran on past their limit.
+     * Returns the priorities in the order in which they are served. The requests of users and of
+     * the leader alternate by their cost: if users always went first, a leader that receives many
+     * requests at once could neither load nor write its records, and cancelled tasks would run past
+     * the cancellation bound.
      */
     @GuardedBy("this")
     private List<RequestPriority> dispatchOrder() {
@@ -284,9 +296,10 @@
     }
 
     /**
-     * Lowers a rate after the key-value store has refused a request as one too many. Which of its
-     * two limits it was is not said; a request with writes is mostly refused for these, of which
-     * fewer are allowed. All nodes share the limits, and each alone would keep to them.
+     * Lowers a rate after the key-value store refused a request because of its rate limits. The
+     * response does not say which of the two limits was exceeded; for a request with writes it is
+     * most likely the write limit, which is the lower one. Refusals occur although each node stays
+     * within the limits, because all nodes share them.
      */
     synchronized void recordRefusal(StoreRequest request) {
         MonotonicTime now = loop.now();
--- a/src/main/java/org/meadowhollow/protocol/keyvalue/StoreHealth.java
+++ b/src/main/java/org/meadowhollow/protocol/keyvalue/StoreHealth.java
@@ -9,29 +9,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Whether the key-value store answers this node, and how long to wait for its responses.
+ * Tracks whether the key-value store responds to this node, and sets the response timeout.
  * Thread-safe.
  */
 final class StoreHealth {
     private static final Logger LOG = LoggerFactory.getLogger(StoreHealth.class);
 
     /**
-     * Most responses take a few milliseconds and a few take some hundred; past this the connection
-     * is mostly dead.
+     * Most responses take a few milliseconds, and some take a few hundred; after this time the
+     * connection is most likely dead.
      */
     private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(1500);
 
     /**
-     * The timeout once some requests in a row have timed out: less than a leader's lease, and than
-     * users wait. A key-value store that took 1.5 s for each request was as good as out for all,
-     * for as long as it was slow.
+     * The timeout while the store is slow. It is shorter than a leader's lease, and shorter than
+     * users wait. With the normal timeout alone, a store that takes 1.5 s for each request would be
+     * unavailable to every node for as long as it is slow.
      */
     private static final Duration SLOW_RESPONSE_TIMEOUT = Duration.ofMillis(3200);
 
-    /** Timeouts in a row after which the store counts as slow. */
+    /** The number of consecutive timeouts after which the store counts as slow. */
     private static final int TIMEOUTS_UNTIL_SLOW = 3;
 
-    /** How long after a failure, with no success since, the store counts as unavailable. */
+    /** How long the store counts as unavailable after a failure, unless a request succeeds. */
     private static final Duration UNAVAILABLE_WINDOW = Duration.ofSeconds(3);
 
     private final String address;
@@ -41,7 +41,7 @@
     @GuardedBy("this")
     private MonotonicTime lastFailureAt;
 
-    /** Timeouts since the last response. */
+    /** The number of timeouts since the last response. */
     @GuardedBy("this")
     private int consecutiveTimeouts;
 
@@ -63,8 +63,8 @@
     }
 
     /**
-     * Notes how long a request took. The store is slow once several requests in a row have timed
-     * out, until a response comes within half of the normal timeout.
+     * Records how long a request took. The store counts as slow after several consecutive timeouts,
+     * until a response arrives within half of the normal timeout.
      *
      * @param failure null if there was a response
      */
@@ -81,7 +81,7 @@
     synchronized void recordFailure(String reason) {
         if (lastFailureAt == null) {
             LOG.info(
-                    "key-value store unavailable address={} reason={}; requests go on being sent",
+                    "key-value store unavailable, requests are still sent address={} reason={}",
                     address,
                     reason);
         }
--- a/src/main/java/org/meadowhollow/protocol/keyvalue/StoreRequest.java
+++ b/src/main/java/org/meadowhollow/protocol/keyvalue/StoreRequest.java
@@ -5,15 +5,15 @@
 /**
  * One HTTP request to the key-value store.
  *
- * @param path with the query
- * @param body or null
- * @param writeCount keys that the request writes, which count against the limit of writes
+ * @param path the path and query
+ * @param body the body, or null
+ * @param writeCount the number of keys that the request writes, which count against the write limit
  */
-// The body is handed on as it is; no request is compared with another.
+// The body is passed on without a copy, and requests are never compared.
 @SuppressWarnings("ArrayRecordComponent")
 record StoreRequest(
         String method, String path, byte[] body, int writeCount, RequestPriority priority) {
-    /** A read: no body, and no key that is written. */
+    /** Returns a read request, which has no body and writes no keys. */
     static StoreRequest get(String path, RequestPriority priority) {
         return new StoreRequest("GET", path, null, 0, priority);
     }
--- a/src/main/java/org/meadowhollow/protocol/package-info.java
+++ b/src/main/java/org/meadowhollow/protocol/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What the protocols share: the ports to HTTP, MessagePack and JSON bodies with checked access to
- * their fields, rate limits, and the routes of the public address. Each protocol has a package
- * below this one, in which a codec alone knows the fields of its messages.
+ * The code that the protocols share: the HTTP ports, the MessagePack and JSON codecs with
+ * type-checked access to fields, the rate limiter, and the routes of the public address. Each
+ * protocol has a subpackage, in which only the codec knows the fields of the messages.
  *
  * <p>The only state is that of the rate limiters, each guarded by its own lock. May call {@code
  * coordination}, {@code storage} and {@code model}; {@code transport} implements the ports.
