--- a/src/main/java/org/meadowhollow/protocol/cloud/CloudClient.java
+++ b/src/main/java/org/meadowhollow/protocol/cloud/CloudClient.java
@@ -13,11 +13,11 @@
 import org.meadowhollow.protocol.Http;
 
 /**
- * The cloud over HTTP, within a limit of requests per second; requests above it are sent later, in
- * the order of their calls. Thread-safe: its only state is that of the limiter.
+ * The HTTP client of the cloud, with a limit of requests per second. Requests above the limit are
+ * delayed and sent in the order of the calls. Thread-safe: its only state is that of the limiter.
  */
 public final class CloudClient implements CloudProvider {
-    /** The cloud's control plane is slow; past this no response will come. */
+    /** The cloud's control plane is slow; after this time no response is expected. */
     private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(5);
 
     private static final int PAGE_SIZE = 500;
@@ -30,8 +30,8 @@
     /**
      * Creates a client of the cloud at an address.
      *
-     * @param loop the event loop that sends the requests above the limit later
-     * @param requestLimiter the limit that all requests of this client count against
+     * @param loop the event loop that sends the delayed requests
+     * @param requestLimiter the rate limit for all requests of this client
      */
     public CloudClient(
             Http.Client http, String address, EventLoop loop, AdaptiveRateLimiter requestLimiter) {
@@ -68,7 +68,7 @@
     }
 
     /**
-     * @param after the id of the last machine fetched, or empty
+     * @param after the id of the last machine fetched, or empty for the first page
      * @param fetched collects the machines of all pages
      */
     private CompletableFuture<List<ListedMachine>> fetchRemainingPages(
--- a/src/main/java/org/meadowhollow/protocol/cloud/CloudCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/cloud/CloudCodec.java
@@ -17,10 +17,9 @@
 import org.meadowhollow.protocol.MessageReader;
 
 /**
- * Requests to the cloud and its responses, between bytes and the domain types. The cloud's words
- * for fields and states stand here and nowhere else. Stateless. The decoding methods fail with a
- * {@link CompletionException} of a {@link MalformedMessageException} if the status or the body is
- * not what the protocol allows.
+ * Encodes requests to the cloud and decodes its responses. The cloud's names for fields and states
+ * are confined to this class. Stateless. The decoding methods throw a {@link CompletionException}
+ * caused by a {@link MalformedMessageException} if the status or the body violates the protocol.
  */
 final class CloudCodec {
     static final String MACHINE_TYPES_PATH = "/machine_types";
@@ -62,7 +61,7 @@
     private CloudCodec() {}
 
     /**
-     * @param after the id of the last machine of the page before, or empty
+     * @param after the id of the last machine of the previous page, or empty for the first page
      */
     static String machinesPath(String after, int pageSize) {
         return MACHINES_PATH + "?after=" + after + "&most=" + pageSize;
@@ -118,7 +117,7 @@
                 zones == null ? List.of() : zones);
     }
 
-    /** The machines rented; empty if there are none of this kind at present. */
+    /** Decodes the rented machines; empty if the cloud has no capacity of this kind at present. */
     static Optional<List<MachineId>> decodeRentedMachines(Http.Reply reply) {
         if (reply.status() == 503 && saysNoCapacity(reply)) {
             return Optional.empty();
@@ -143,7 +142,7 @@
     }
 
     /**
-     * @throws RequestRefusedException if the request certainly was not executed
+     * @throws RequestRefusedException if the request was certainly not executed
      */
     static void requireReleased(Http.Reply reply) {
         if (reply.status() == 429 || reply.status() == 503) {
--- a/src/main/java/org/meadowhollow/protocol/peers/PeerClient.java
+++ b/src/main/java/org/meadowhollow/protocol/peers/PeerClient.java
@@ -19,9 +19,8 @@
 import org.meadowhollow.storage.RecordDigests;
 
 /**
- * Sends requests to the other controllers. Their answers save time and prove nothing: decisions
- * rest on the key-value store. It keeps no state; futures complete on the thread of the HTTP
- * client.
+ * The HTTP client of the other controllers. Their responses are hints that save time; decisions
+ * rest on the key-value store. Stateless; futures complete on the thread of the HTTP client.
  */
 public final class PeerClient implements PeerGateway {
     private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(2);
@@ -34,7 +33,7 @@
     private final PeerMessageCodec codec;
 
     /**
-     * @param addresses of the other controllers, by member
+     * @param addresses the addresses of the other controllers by member name
      */
     public PeerClient(Http.Client http, Map<String, String> addresses, PeerMessageCodec codec) {
         this.http = http;
@@ -75,8 +74,8 @@
     }
 
     /**
-     * Empty without a successful response: there was none, the node does not lead, or its version
-     * does not know the request.
+     * Decodes a successful response. Empty if the request failed, the node does not lead, or its
+     * version does not support the request.
      */
     private static <T> Optional<T> decode(
             Http.Reply reply, Throwable failure, Function<byte[], T> decoder) {
@@ -110,7 +109,10 @@
                 .thenApply(unused -> reports.stream().map(CompletableFuture::join).toList());
     }
 
-    /** A response of another version tells nothing, like none. */
+    /**
+     * Decodes a response. One that cannot be decoded, such as that of another version, counts as
+     * missing.
+     */
     private PeerReachabilityReport decodeReachability(
             String member, List<MachineId> machines, Http.Reply reply) {
         if (reply.status() != 200) {
@@ -147,8 +149,9 @@
     }
 
     /**
-     * A packet filter between the controllers refuses connections to all of them; a refusal counts
-     * only while another controller answers.
+     * Confirms that a refused connection concerns one controller alone: it counts only while
+     * another controller responds, since a packet filter between the controllers refuses
+     * connections to all of them.
      */
     private CompletableFuture<ProbeResult> checkRefusal(String member) {
         List<CompletableFuture<Boolean>> othersAnswer =
@@ -195,7 +198,7 @@
                 .handle((reply, failure) -> failure == null ? classify(reply) : classify(failure));
     }
 
-    /** Any answer, of whatever version and status, shows that the process runs. */
+    /** Classifies a response; one of any version and status shows that the process is running. */
     private ProbeResult classify(Http.Reply reply) {
         return statusMatches(reply, StatusMessage::deaf)
                 ? ProbeResult.ISOLATED
--- a/src/main/java/org/meadowhollow/protocol/peers/PeerMessageCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/peers/PeerMessageCodec.java
@@ -36,19 +36,20 @@
 import org.meadowhollow.storage.RecordDigests;
 
 /**
- * Turns what controllers tell each other into Kryo messages and back. A node's {@link PeerClient}
- * and {@link PeerServer} share one codec. Thread-safe: Kryo itself is not, so that its lock is held
- * while a message is encoded or decoded.
+ * Encodes and decodes the Kryo messages between controllers. A node's {@link PeerClient} and {@link
+ * PeerServer} share one codec. Thread-safe: Kryo itself is not, so the codec's lock is held while a
+ * message is encoded or decoded.
  */
 public final class PeerMessageCodec {
     /**
-     * The format version of what standbys are sent; a message of another version is not decoded.
+     * The format version of the messages between a leader and its standbys; messages of another
+     * version are rejected.
      */
     static final int FORMAT_VERSION = 1;
 
     /**
-     * Bytes; most messages are a name and a number, and a request about machines names some
-     * hundred.
+     * Enough for most messages, which hold a name and a number; the buffer grows for requests that
+     * name hundreds of machines.
      */
     private static final int INITIAL_BUFFER_BYTES = 512;
 
@@ -57,18 +58,21 @@
     /** Machines that one request may name. */
     private static final int MAX_MACHINES_PER_REQUEST = 1000;
 
-    // The texts of errors go to the other node as the first version had them.
+    // Error texts that are sent to the other node; part of the protocol, so they must not change.
     private static final String NOT_AN_ANNOUNCEMENT = "not a hint";
     private static final String NOT_A_QUESTION = "not a question";
 
     /**
-     * Created for the first message: it loads many classes, and a node accepts requests of users
-     * before it needs any.
+     * Created with the first message, since Kryo loads many classes, and a starting node accepts
+     * user requests before it exchanges messages with other controllers.
      */
     @GuardedBy("this")
     private Kryo kryo;
 
-    /** The numbers of classes on the wire follow from this order, so new ones go to the end. */
+    /**
+     * Returns the Kryo instance. The numbers of classes on the wire follow from the order of
+     * registration, so new classes are registered last.
+     */
     @GuardedBy("this")
     private Kryo kryo() {
         if (kryo == null) {
@@ -105,8 +109,8 @@
     /**
      * Decodes the body of a request.
      *
-     * @param otherwise the text of the error
-     * @throws MalformedMessageException if it is no message of this type
+     * @param otherwise the error text if the body is malformed
+     * @throws MalformedMessageException if the body is not a message of this type
      */
     private <T> T decodeRequest(byte[] body, Class<T> type, String otherwise)
             throws MalformedMessageException {
@@ -117,7 +121,7 @@
         }
     }
 
-    /** Decodes the body of a response; empty if another version sent it, or it is damaged. */
+    /** Decodes the body of a response; empty if it is damaged or from another version. */
     private <T> Optional<T> decodeResponse(byte[] body, Class<T> type) {
         try {
             Object message = read(body);
@@ -147,10 +151,20 @@
 
     // ---- recent heartbeats ----
 
-    /** Which machines a controller is asked about, and the time before its answer that counts. */
+    /**
+     * A decoded {@link RecentHeartbeatsRequest}.
+     *
+     * @param machines the machines that the controller is asked about
+     * @param within heartbeats count if they arrived within this time before the response
+     */
     record RecentHeartbeatsQuery(List<MachineId> machines, Duration within) {}
 
-    /** Whether the key-value store answers a controller, and which machines it has heard of. */
+    /**
+     * A decoded {@link RecentHeartbeatsMessage}.
+     *
+     * @param storeReachable whether the key-value store answers the controller
+     * @param machines the requested machines whose heartbeats the controller received recently
+     */
     record RecentHeartbeats(boolean storeReachable, Set<MachineId> machines) {}
 
     byte[] encodeRecentHeartbeatsRequest(List<MachineId> machines, Duration within) {
@@ -161,7 +175,8 @@
     }
 
     /**
-     * @throws MalformedMessageException if it is no such request, or names too many machines
+     * @throws MalformedMessageException if the body is not such a request, or names too many
+     *     machines
      */
     RecentHeartbeatsQuery decodeRecentHeartbeatsRequest(byte[] body)
             throws MalformedMessageException {
@@ -177,7 +192,7 @@
 
     /**
      * @param asked the machines of the request, in its order
-     * @param recent those of them that have sent a heartbeat in time
+     * @param recent the machines among them that have sent a heartbeat recently
      */
     byte[] encodeRecentHeartbeats(
             boolean storeReachable, List<MachineId> asked, Set<MachineId> recent) {
@@ -229,7 +244,8 @@
     }
 
     /**
-     * @throws MalformedMessageException if it is no such request, or one of another format version
+     * @throws MalformedMessageException if the body is not such a request, or has another format
+     *     version
      */
     RiskTableRequest decodeRiskTableRequest(byte[] body) throws MalformedMessageException {
         RiskTablesRequest message = decodeRequest(body, RiskTablesRequest.class, NOT_A_QUESTION);
@@ -352,14 +368,14 @@
             ChecksummedMessage envelope = (ChecksummedMessage) read(bytes);
             if (envelope.form() != FORMAT_VERSION) {
                 throw new UnreadableResponseException(
-                        "its form " + envelope.form() + " is not known");
+                        "its format version " + envelope.form() + " is unknown");
             }
             if (envelope.checksum() != checksum(envelope.body())) {
                 throw new UnreadableResponseException("it is damaged");
             }
             return type.cast(read(envelope.body()));
         } catch (KryoException | IllegalArgumentException | ClassCastException broken) {
-            throw new UnreadableResponseException("it makes no sense");
+            throw new UnreadableResponseException("it cannot be decoded");
         }
     }
 
--- a/src/main/java/org/meadowhollow/protocol/peers/PeerMessages.java
+++ b/src/main/java/org/meadowhollow/protocol/peers/PeerMessages.java
@@ -3,9 +3,9 @@
 /**
  * The messages between controllers as Kryo writes them. Kryo writes no names, but it orders the
  * components of a record by their names: renaming a component, or changing its type, changes the
- * bytes that nodes of other versions read. The names therefore stay as the first version had them.
+ * bytes that nodes of other versions read. The names must therefore not change.
  */
-// Kryo writes the arrays as they are, and no message is compared with another: wire format.
+// Wire format: Kryo writes the arrays directly, and messages are never compared.
 @SuppressWarnings("ArrayRecordComponent")
 final class PeerMessages {
     private PeerMessages() {}
@@ -27,9 +27,10 @@
     record StatusMessage(boolean served, boolean deaf) {}
 
     /**
-     * Asks which of some machines have sent a heartbeat to a controller lately.
+     * Asks a controller which of the given machines have recently sent it a heartbeat.
      *
-     * @param withinMillis the time before the answer that counts, in milliseconds
+     * @param withinMillis heartbeats count if they arrived within this time before the answer, in
+     *     milliseconds
      */
     record RecentHeartbeatsRequest(String[] machines, long withinMillis) {}
 
@@ -37,22 +38,22 @@
      * The answer to a {@link RecentHeartbeatsRequest}.
      *
      * @param served whether the key-value store answers this controller
-     * @param heard a bit for each machine of the request, in the request's order, in words of 64
-     *     bits, the lowest first
+     * @param heard one bit for each machine, in the order of the request, in 64-bit words with the
+     *     lowest bit first
      */
     record RecentHeartbeatsMessage(boolean served, long[] heard) {}
 
     /**
-     * Asks a leader for what its risk tables have learned, and says what the asking node is.
+     * Asks a leader for what its risk tables have learned, and describes the requesting node.
      *
      * @param form the format version of the request
-     * @param incarnation of the asking process
-     * @param program the software version of the asking process
-     * @param schema the version of the stored data that the asking process can read
-     * @param revision up to which the asking node's replica has followed the store
-     * @param term the fencing token of the leader from whom the asking node has its tables
-     * @param after the last sample that the asking node has
-     * @param afterMachine where the previous part of a divided answer ended, or empty
+     * @param incarnation the incarnation of the requesting process
+     * @param program the software version of the requesting process
+     * @param schema the version of the stored data that the requesting process can read
+     * @param revision the store revision up to which the requesting node's replica is current
+     * @param term the fencing token of the leader from which the requesting node has its tables
+     * @param after the number of the last sample that the requesting node has
+     * @param afterMachine the last machine of the previous page of a paged answer, or empty
      */
     record RiskTablesRequest(
             int form,
@@ -81,7 +82,7 @@
      *
      * @param term the leader's fencing token
      * @param upTo the number of the last sample
-     * @param whole whether tables are sent in full
+     * @param whole whether whole tables are sent instead of samples
      * @param more whether further machines follow in another answer
      */
     record RiskTablesMessage(
--- a/src/main/java/org/meadowhollow/protocol/peers/PeerServer.java
+++ b/src/main/java/org/meadowhollow/protocol/peers/PeerServer.java
@@ -17,9 +17,9 @@
 import org.meadowhollow.storage.RecordDigests;
 
 /**
- * Answers the other controllers from what this node knows; it keeps no state of its own. The
- * sources are set once, before the server listens, and are called on the thread that reads the
- * request. Until they are set a node says that nothing is known.
+ * Responds to the requests of other controllers with the data of its sources; it has no other
+ * state. The sources are set once, before the server listens, and are called on the thread that
+ * reads the request. Until then, the responses say that nothing is known.
  */
 public final class PeerServer implements Http.SimpleRequestHandler {
     private static final HandoverSource NOT_LEADING =
@@ -42,32 +42,36 @@
     private volatile RecentHeartbeatSource heartbeatSource = (machines, within) -> Set.of();
     private volatile BiConsumer<FencingToken, String> leaderListener = (fencingToken, member) -> {};
 
-    /** Creates a server that knows nothing until its sources are set. */
+    /** Creates a server without sources. */
     public PeerServer(PeerMessageCodec codec) {
         this.codec = codec;
     }
 
-    /** Sets what says whether the key-value store answers this node. */
+    /** Sets the supplier that tells whether the key-value store answers this node. */
     public void setStoreReachable(BooleanSupplier source) {
         storeReachable = source;
     }
 
     /**
-     * Sets what knows of the workers' heartbeats.
+     * Sets the sources for the heartbeats of workers.
      *
-     * @param isolatedSource whether this node leads and misses the heartbeats of many workers
+     * @param isolatedSource tells whether this node leads and misses the heartbeats of many workers
+     * @param recent tells which machines have sent a heartbeat recently
      */
     public void setHeartbeatSources(BooleanSupplier isolatedSource, RecentHeartbeatSource recent) {
         isolated = isolatedSource;
         heartbeatSource = recent;
     }
 
-    /** Sets what answers standbys while this node leads. */
+    /** Sets the source of the responses to standbys while this node leads. */
     public void setHandoverSource(HandoverSource source) {
         handoverSource = source;
     }
 
-    /** Sets what is called with the leader's fencing token and name at each announcement. */
+    /**
+     * Sets the listener that is called with the leader's fencing token and name at each
+     * announcement.
+     */
     public void setLeaderListener(BiConsumer<FencingToken, String> listener) {
         leaderListener = listener;
     }
--- a/src/main/java/org/meadowhollow/protocol/peers/RecentHeartbeatSource.java
+++ b/src/main/java/org/meadowhollow/protocol/peers/RecentHeartbeatSource.java
@@ -5,9 +5,9 @@
 import java.util.Set;
 import org.meadowhollow.model.MachineId;
 
-/** Knows which machines have sent a heartbeat to this node lately. */
+/** Tells which machines have recently sent a heartbeat to this node. */
 @FunctionalInterface
 public interface RecentHeartbeatSource {
-    /** Those of the machines whose last heartbeat came within a time before now. */
+    /** Returns the given machines whose last heartbeat arrived within the given time before now. */
     Set<MachineId> recentlyHeard(List<MachineId> machines, Duration within);
 }
--- a/src/main/java/org/meadowhollow/protocol/training/PlatformStub.java
+++ b/src/main/java/org/meadowhollow/protocol/training/PlatformStub.java
@@ -9,10 +9,10 @@
 import org.meadowhollow.protocol.MessageReader;
 
 /**
- * A stub of the key-value store and the cloud for the training run of class data sharing: just
- * enough for one controller to lead and to run one job. It stores nothing but a revision counter,
- * guarded by its own lock. It stands for the other side of the protocols and therefore speaks their
- * words as they are on the wire.
+ * A stub of the key-value store and the cloud for the training run of class data sharing, with just
+ * enough behavior for one controller to lead and to run one job. Of the stored data it keeps only
+ * the revision counter. Its state is guarded by its own lock. It is the server side of the
+ * protocols and therefore uses their field names as they are on the wire.
  */
 public final class PlatformStub implements Http.SimpleRequestHandler {
     private static final String JOB = "req-1";
@@ -102,7 +102,10 @@
                 60.0);
     }
 
-    /** Applies every transaction, and shows the watching leader the job that one of them adds. */
+    /**
+     * Accepts every transaction, and sends the first job that one of them adds to the leader's
+     * watch.
+     */
     private Http.Reply commitReply(byte[] body) {
         revision++;
         try {
@@ -131,7 +134,7 @@
         return Http.Reply.of(200, MessageReader.mapOf("ledgerRev", revision));
     }
 
-    /** The body with which a user submits the job. */
+    /** Returns the body with which a user submits the job. */
     public static byte[] submissionBody() {
         return MessagePackCodec.encode(
                 MessageReader.mapOf(
@@ -168,9 +171,10 @@
     }
 
     /**
-     * The body of a heartbeat of the machine.
+     * Returns the body of a heartbeat of the machine.
      *
-     * @param phase of the job's task there, as the wire has it; null while it is not there
+     * @param phase the phase of the job's task as it is on the wire; null while the machine has no
+     *     task
      */
     public static byte[] heartbeatBody(long sequenceNumber, long fencingToken, String phase) {
         return MessagePackCodec.encode(
--- a/src/main/java/org/meadowhollow/protocol/workers/WorkerClient.java
+++ b/src/main/java/org/meadowhollow/protocol/workers/WorkerClient.java
@@ -38,7 +38,8 @@
     }
 
     /**
-     * A worker sends its state whether it has executed the commands (200) or refused them (409).
+     * Decodes the state of the worker, which it returns whether it has executed the commands (200)
+     * or refused them (409).
      */
     private static Heartbeat decodeResponse(Http.Reply reply) {
         try {
--- a/src/main/java/org/meadowhollow/protocol/workers/WorkerCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/workers/WorkerCodec.java
@@ -17,8 +17,8 @@
 import org.meadowhollow.protocol.MessageReader;
 
 /**
- * Heartbeats of workers and commands to them, between bytes and the domain types. The platform's
- * words for fields and states stand here and nowhere else. Stateless.
+ * Decodes heartbeats of workers and encodes commands to them. The platform's names for fields and
+ * states are confined to this class. Stateless.
  */
 final class WorkerCodec {
     private static final String MACHINE_ID = "stall";
@@ -95,7 +95,7 @@
                         : null);
     }
 
-    /** The body of a request that sends commands to a worker. */
+    /** Encodes the body of a request that sends commands to a worker. */
     static byte[] encodeCommandRequest(
             FencingToken token, WorkerIncarnation incarnation, List<WorkerCommand> commands) {
         return MessagePackCodec.encode(
@@ -108,7 +108,7 @@
                         encodeCommands(commands)));
     }
 
-    /** The body of the response to a heartbeat that the leader has handled. */
+    /** Encodes the body of the leader's response to a heartbeat. */
     static byte[] encodeHeartbeatResponse(FencingToken token, List<WorkerCommand> commands) {
         return MessagePackCodec.encode(
                 MessageReader.mapOf(
@@ -116,7 +116,7 @@
     }
 
     /**
-     * The body of the response of a node that does not lead.
+     * Encodes the body of the response to a heartbeat by a node that does not lead.
      *
      * @param leader the leader's name, or null if it is not known
      */
@@ -172,7 +172,7 @@
             case REASON_NO_ROOM -> ExitReason.NO_ROOM;
             case REASON_BUSY -> ExitReason.BUSY;
             case REASON_UNKNOWN -> ExitReason.UNKNOWN;
-            // A reason that this version does not know is some failure.
+            // A reason that this version does not know counts as a failure.
             default -> ExitReason.ERROR;
         };
     }
--- a/src/test/java/org/meadowhollow/protocol/peers/PeerClientTest.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/PeerClientTest.java
@@ -135,7 +135,7 @@
                 assertThrows(CompletionException.class, () -> fetchRiskTables(addingTo(-1, 2)))
                         .getCause()
                         .getMessage();
-        assertEquals("its form 2 is not known", form);
+        assertEquals("its format version 2 is unknown", form);
     }
 
     @Test
