--- a/src/main/java/org/meadowhollow/protocol/AdaptiveRateLimiter.java
+++ b/src/main/java/org/meadowhollow/protocol/AdaptiveRateLimiter.java
@@ -12,8 +12,7 @@
  */
 public final class AdaptiveRateLimiter {
     /**
-     * Refusals within this time count as one: all requests in flight are refused for the same
-     * reason.
+     * Refusals within this time count as one, since all requests in flight are refused together.
      */
     private static final Duration REFUSAL_COALESCING_WINDOW = Duration.ofMillis(300);
 
--- a/src/main/java/org/meadowhollow/protocol/keyvalue/RequestQueue.java
+++ b/src/main/java/org/meadowhollow/protocol/keyvalue/RequestQueue.java
@@ -43,7 +43,8 @@
 
     /**
      * A user request that has waited longer is rejected without being sent. Most users have given
-     * up and retried by then, and a queue that sends only such requests is of no use to anyone.
+     * up and retried by then, and a queue in which every request has waited too long does no useful
+     * work.
      */
     private static final Duration MAX_USER_QUEUE_TIME = Duration.ofMillis(1500);
 
@@ -161,7 +162,7 @@
         return queuedRequest.reply();
     }
 
-    /** Counts a request that is sent without being queued against the request limit. */
+    /** Charges a request that bypasses the queue to the request limit. */
     void chargeRequest() {
         requestLimiter.consume(1, loop.now());
     }
--- a/src/test/java/org/meadowhollow/protocol/keyvalue/KeyValueStoreClientTest.java
+++ b/src/test/java/org/meadowhollow/protocol/keyvalue/KeyValueStoreClientTest.java
@@ -42,7 +42,7 @@
     }
 
     @Test
-    // The requests that are sent are checked, not their results.
+    // The test checks the sent requests, not their results.
     @SuppressWarnings("FutureReturnValueIgnored")
     void requestsKeepToTheLimitInTheOrderOfPriority() {
         for (int at = 0; at < 4; at++) {
@@ -60,7 +60,7 @@
     }
 
     @Test
-    // The requests that are sent are checked, not their results.
+    // The test checks the sent requests, not their results.
     @SuppressWarnings("FutureReturnValueIgnored")
     void aBurstIsQueuedInsteadOfOpeningAConnectionForEachRequest() {
         List<CompletableFuture<Http.Reply>> inFlight = new ArrayList<>();
@@ -80,7 +80,7 @@
             queueing.get("user/" + at, RequestPriority.USER);
         }
         int maxInFlight = inFlight.size();
-        assertTrue(maxInFlight < 24, "fewer than may be open to one address");
+        assertTrue(maxInFlight < 24, "fewer than the connections that may be open to one address");
         queueing.renewLease(new LeaseId(1));
         assertEquals(
                 maxInFlight + 1, inFlight.size(), "the leader's lease does not wait for users");
@@ -105,10 +105,11 @@
     }
 
     /**
-     * With users always first, a leader that many users asked neither loaded nor wrote its records.
+     * If user requests always went first, a leader that receives many of them could neither load
+     * nor write its records.
      */
     @Test
-    // The requests that are sent are checked, not their results.
+    // The test checks the sent requests, not their results.
     @SuppressWarnings("FutureReturnValueIgnored")
     void usersAndTheLeaderTakeTurns() {
         for (int at = 0; at < 40; at++) {
@@ -123,7 +124,7 @@
                 "sent: " + sent);
     }
 
-    /** A queue in which every request is too late serves nobody. */
+    /** A queue in which every request has waited too long does no useful work. */
     @Test
     void aUserRequestThatHasWaitedTooLongIsRejectedAndNotSent() {
         List<CompletableFuture<?>> calls = new ArrayList<>();
@@ -134,12 +135,12 @@
         assertTrue(sent.size() < 25, "sent: " + sent.size());
         assertEquals(Outcome.REJECTED, outcomeOf(calls.get(39)));
         CompletableFuture<?> unused = client.get("late", RequestPriority.USER);
-        assertEquals("/kv/late", sent.get(sent.size() - 1), "the next one goes at once");
+        assertEquals("/kv/late", sent.get(sent.size() - 1), "the next request is sent at once");
     }
 
-    /** All nodes share the limits, and each alone would keep to them. */
+    /** All nodes share the limits, so a node can be refused although it stays within them. */
     @Test
-    // The requests that are sent are checked, not their results.
+    // The test checks the sent requests, not their results.
     @SuppressWarnings("FutureReturnValueIgnored")
     void aRefusalForTooManyRequestsLowersTheRateAndTimeWithoutOneRaisesIt() {
         KeyValueStoreClient fast =
@@ -172,8 +173,8 @@
     }
 
     /**
-     * A key-value store that took somewhat longer than the timeout was as good as out, for as long
-     * as it was slow.
+     * With a fixed timeout, a key-value store that takes somewhat longer than the timeout would be
+     * unavailable for as long as it is slow.
      */
     @Test
     void theTimeoutIsLongerWhileTheStoreIsSlow() {
@@ -211,12 +212,14 @@
         assertFalse(slowClient.seemsUnavailable());
         assertTrue(
                 timeouts.get(4).compareTo(Duration.ofMillis(3500)) < 0,
-                "sooner than users give up, and than a lease ends");
+                "shorter than users wait, and than a lease lasts");
         takes[0] = Duration.ofMillis(5);
         calls.add(slowClient.get("key/5", RequestPriority.USER));
         loop.run(Duration.ofMillis(10));
         calls.add(slowClient.get("key/6", RequestPriority.USER));
         assertEquals(
-                timeouts.get(0), timeouts.get(6), "a dead connection is noticed as soon as before");
+                timeouts.get(0),
+                timeouts.get(6),
+                "after a fast response the normal timeout applies again");
     }
 }
--- a/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerFilesMain.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerFilesMain.java
@@ -7,8 +7,8 @@
 import org.meadowhollow.model.FencingToken;
 
 /**
- * Writes the golden files of the messages between controllers. To be run again only for a message
- * that is new: a file that exists says what versions in use send.
+ * Writes the golden files of the messages between controllers. It is run only to add the file of a
+ * new message: an existing file holds what deployed versions send, and must not be written again.
  */
 final class GoldenPeerFilesMain {
     private GoldenPeerFilesMain() {}
--- a/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerMessagesTest.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerMessagesTest.java
@@ -31,11 +31,12 @@
 import org.meadowhollow.storage.RecordDigests;
 
 /**
- * Messages between controllers as an earlier version sent them: each is taken in, every field is
- * what it was, and the same message sent now is the same to the byte, so that nodes of both
- * versions understand each other. Kryo writes no names, but it orders the fields of a record by
- * them, and numbers the classes in the order of their registration: a field that is renamed, or a
- * class that is registered elsewhere, changes bytes here. Nothing here writes a file.
+ * Guards against changes of the bytes of messages between controllers, which nodes of another
+ * version could not read. The golden files hold messages as an earlier version sent them: each must
+ * decode to the same fields, and the same message must be encoded to the same bytes. Kryo writes no
+ * names, but it orders the fields of a record by name and numbers the classes in the order of
+ * registration, so renaming a field or registering a class elsewhere changes the bytes. The test
+ * writes no file.
  */
 class GoldenPeerMessagesTest {
     private final GoldenPeers peer = new GoldenPeers();
@@ -235,7 +236,7 @@
         file.assertSameBytes(peer.handle("GET", "/digests", null));
     }
 
-    /** What is sent now of what the files hold. */
+    /** Returns the body that the current code sends for the message of a golden file. */
     private byte[] sentNow(String name) {
         peer.setStatus(true, name.equals("peer-deaf"));
         peer.client.announceLeader("n1", new FencingToken(42));
@@ -270,13 +271,13 @@
     }
 
     /**
-     * The number of a message's class, which follows from the order of registration: Kryo's own are
-     * 0 to 8, and two is added on the wire. Missing here are the arrays (13, 14, 17 to 20), which
-     * no message names, as the fields that hold them have no other type; they only move what is
-     * registered behind them.
+     * Checks the class number of each message, which follows from the order of registration: Kryo's
+     * own classes are 0 to 8, and two is added on the wire. The numbers of the arrays (13, 14, 17
+     * to 20) occur in no message, since a field of an array type holds no other type; the arrays
+     * only shift the numbers of the classes that are registered after them.
      *
-     * @param at the place of the number in the message; the second one is inside the checksummed
-     *     body, behind its length
+     * @param at the offset of the number in the message; at offset 2 it is inside the checksummed
+     *     body, after the body's length
      */
     @ParameterizedTest
     @MethodSource("classes")
@@ -286,8 +287,8 @@
     }
 
     /**
-     * A checksummed response ends with its format version, a request for risk tables has it behind
-     * the two fields that come before.
+     * A checksummed response ends with its format version; a request for risk tables has it after
+     * the two fields whose names sort before it.
      */
     @Test
     void formatVersion() {
@@ -297,7 +298,7 @@
             assertEquals(
                     2,
                     bytes[bytes.length - 1],
-                    "a form of 1, as Kryo writes a number that may be below 0");
+                    "format version 1, which Kryo writes as 2, since it encodes a signed number");
             peer.sent.clear();
         }
         assertEquals(2, sentNow("peer-tables-question")[1 + 2 + "vm-000002".length()]);
--- a/src/test/java/org/meadowhollow/protocol/peers/GoldenPeers.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/GoldenPeers.java
@@ -20,8 +20,8 @@
 import org.meadowhollow.storage.RecordDigests;
 
 /**
- * The content of the golden messages between controllers, and a controller whose requests are
- * recorded and whose responses are given.
+ * The content of the golden messages between controllers, and a controller whose sent requests are
+ * recorded and get a preset response.
  */
 final class GoldenPeers {
     static final List<MachineId> MACHINES =
@@ -37,12 +37,12 @@
                     99,
                     "vm-000002");
 
-    /** A request as it went out. */
-    // The array is never modified, and requests are compared by their parts, never as a whole.
+    /** A sent request. */
+    // The array is never modified, and requests are compared by component, never as a whole.
     @SuppressWarnings("ArrayRecordComponent")
     record Sent(String method, String path, byte[] body) {}
 
-    /** The requests sent, in their order. */
+    /** The sent requests, in order. */
     final List<Sent> sent = new ArrayList<>();
 
     /** The response of the other controller to every request. */
@@ -88,7 +88,7 @@
         return RecordDigests.of(new HashMap<>(parts), Set.of("job/req-1"));
     }
 
-    /** Sets what the controller answers about itself; the rest of its answers is fixed. */
+    /** Sets the status that the controller reports; its other responses are fixed. */
     void setStatus(boolean storeReachable, boolean isolated) {
         server.setStoreReachable(() -> storeReachable);
         server.setHeartbeatSources(
@@ -110,7 +110,7 @@
     byte[] handle(String method, String path, byte[] body) {
         Http.Reply reply = server.handle(method, path, body).join();
         if (reply.status() != 200) {
-            throw new AssertionError("answered " + reply.status());
+            throw new AssertionError("unexpected status " + reply.status());
         }
         return reply.body();
     }
--- a/src/test/java/org/meadowhollow/protocol/peers/PeerClientTest.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/PeerClientTest.java
@@ -49,12 +49,14 @@
         assertEquals(ProbeResult.CONNECTION_REFUSED, client.probe("n1").join());
         refusing.add("a:2");
         assertEquals(
-                ProbeResult.CONNECTION_REFUSED, client.probe("n1").join(), "the third one answers");
+                ProbeResult.CONNECTION_REFUSED,
+                client.probe("n1").join(),
+                "the third controller responds");
         refusing.add("a:3");
         assertEquals(
                 ProbeResult.UNRESPONSIVE,
                 client.probe("n1").join(),
-                "all refuse, so the line is at fault");
+                "all controllers refuse, so the network is at fault");
     }
 
     /** Fetches the risk tables of a leader; the response is changed in transit. */
@@ -130,7 +132,7 @@
                         .getCause()
                         .getMessage();
         assertEquals("it is damaged", damaged);
-        // Fields go by their names: the form comes last, behind the checksum.
+        // Kryo orders fields by name, so the format version comes last, after the checksum.
         String form =
                 assertThrows(CompletionException.class, () -> fetchRiskTables(addingTo(-1, 2)))
                         .getCause()
