--- a/src/main/java/org/meadowhollow/protocol/JsonCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/JsonCodec.java
@@ -43,10 +43,10 @@
             if (map != null) {
                 return normalize(map);
             }
-        } catch (IOException | ClassCastException broken) {
+        } catch (IOException | ClassCastException malformed) {
             throw new MalformedMessageException("not a JSON object");
-        } catch (IllegalArgumentException broken) {
-            throw new MalformedMessageException(broken.getMessage());
+        } catch (IllegalArgumentException malformed) {
+            throw new MalformedMessageException(malformed.getMessage());
         }
         // Jackson returns null for the literal null.
         throw new MalformedMessageException("not a JSON object");
--- a/src/main/java/org/meadowhollow/protocol/MessagePackCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/MessagePackCodec.java
@@ -73,7 +73,7 @@
                 throw new MalformedMessageException("the body goes on after its map");
             }
             return map;
-        } catch (IOException | MessagePackException broken) {
+        } catch (IOException | MessagePackException malformed) {
             throw new MalformedMessageException("the body is not MessagePack");
         }
     }
--- a/src/main/java/org/meadowhollow/protocol/MessageReader.java
+++ b/src/main/java/org/meadowhollow/protocol/MessageReader.java
@@ -46,9 +46,9 @@
     }
 
     /** Returns a boolean, or a default if it is absent. */
-    public boolean booleanOr(String key, boolean otherwise) throws MalformedMessageException {
+    public boolean booleanOr(String key, boolean defaultValue) throws MalformedMessageException {
         Boolean flag = valueOfType(key, Boolean.class, "true or false");
-        return flag == null ? otherwise : flag;
+        return flag == null ? defaultValue : flag;
     }
 
     /** Returns a required integer of at least 0. */
@@ -68,11 +68,11 @@
     }
 
     /** Returns a number of at least 0 and less than 1e12, or a default if it is absent. */
-    public double nonNegativeDoubleOr(String key, double otherwise)
+    public double nonNegativeDoubleOr(String key, double defaultValue)
             throws MalformedMessageException {
         Object value = map.get(key);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
         if (value instanceof Number number) {
             double amount = number.doubleValue();
@@ -127,13 +127,13 @@
         throw new MalformedMessageException(key + " is not a map");
     }
 
-    private <T> T valueOfType(String key, Class<T> type, String what)
+    private <T> T valueOfType(String key, Class<T> type, String expectedType)
             throws MalformedMessageException {
         Object value = map.get(key);
         if (value == null || type.isInstance(value)) {
             return type.cast(value);
         }
-        throw new MalformedMessageException(key + " is not " + what);
+        throw new MalformedMessageException(key + " is not " + expectedType);
     }
 
     private static <T> T requirePresent(String key, T value) throws MalformedMessageException {
--- a/src/main/java/org/meadowhollow/protocol/cloud/CloudClient.java
+++ b/src/main/java/org/meadowhollow/protocol/cloud/CloudClient.java
@@ -93,11 +93,11 @@
             return http.send(address, method, path, body, RESPONSE_TIMEOUT);
         }
         CompletableFuture<Http.Reply> response = new CompletableFuture<>();
-        loop.schedule(delay, () -> sendInto(response, method, path, body));
+        loop.schedule(delay, () -> sendAndComplete(response, method, path, body));
         return response;
     }
 
-    private void sendInto(
+    private void sendAndComplete(
             CompletableFuture<Http.Reply> response, String method, String path, byte[] body) {
         CompletableFuture<Http.Reply> unusedReply =
                 http.send(address, method, path, body, RESPONSE_TIMEOUT)
--- a/src/main/java/org/meadowhollow/protocol/cloud/CloudCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/cloud/CloudCodec.java
@@ -94,13 +94,14 @@
                 body -> {
                     List<MachineType> types = new ArrayList<>();
                     for (MessageReader item : body.nestedList(MACHINE_TYPES)) {
-                        types.add(machineType(item));
+                        types.add(readMachineType(item));
                     }
                     return types;
                 });
     }
 
-    private static MachineType machineType(MessageReader item) throws MalformedMessageException {
+    private static MachineType readMachineType(MessageReader item)
+            throws MalformedMessageException {
         List<String> zones = item.stringListOrNull(ZONES);
         return new MachineType(
                 item.string(TYPE_NAME),
@@ -119,7 +120,7 @@
 
     /** Decodes the rented machines; empty if the cloud has no capacity of this kind at present. */
     static Optional<List<MachineId>> decodeRentedMachines(Http.Reply reply) {
-        if (reply.status() == 503 && saysNoCapacity(reply)) {
+        if (reply.status() == 503 && isNoCapacityError(reply)) {
             return Optional.empty();
         }
         return decode(
@@ -133,10 +134,10 @@
                 });
     }
 
-    private static boolean saysNoCapacity(Http.Reply reply) {
+    private static boolean isNoCapacityError(Http.Reply reply) {
         try {
             return ERROR_NO_CAPACITY.equals(MessageReader.decode(reply.body()).stringOrNull(ERROR));
-        } catch (MalformedMessageException broken) {
+        } catch (MalformedMessageException malformed) {
             return false;
         }
     }
@@ -157,13 +158,13 @@
                 body -> {
                     List<ListedMachine> machines = new ArrayList<>();
                     for (MessageReader item : body.nestedList(MACHINES)) {
-                        machines.add(listedMachine(item));
+                        machines.add(readListedMachine(item));
                     }
                     return new MachinePage(machines, body.booleanOr(HAS_MORE, false));
                 });
     }
 
-    private static ListedMachine listedMachine(MessageReader item)
+    private static ListedMachine readListedMachine(MessageReader item)
             throws MalformedMessageException {
         return new ListedMachine(
                 new MachineId(item.string(MACHINE_ID)),
@@ -171,11 +172,11 @@
                 item.string(MACHINE_TYPE),
                 item.string(ZONE),
                 item.booleanOr(IS_SPOT, false),
-                machinePhase(item.string(PHASE)),
+                decodePhase(item.string(PHASE)),
                 item.nonNegativeDoubleOr(AGE_SECONDS, 0));
     }
 
-    private static MachinePhase machinePhase(String word) throws MalformedMessageException {
+    private static MachinePhase decodePhase(String word) throws MalformedMessageException {
         return switch (word) {
             case PHASE_BOOTING -> MachinePhase.BOOTING;
             case PHASE_RUNNING -> MachinePhase.RUNNING;
@@ -194,8 +195,8 @@
                 throw new MalformedMessageException("the cloud answered " + reply.status());
             }
             return decoder.decode(MessageReader.decode(reply.body()));
-        } catch (MalformedMessageException broken) {
-            throw new CompletionException(broken);
+        } catch (MalformedMessageException malformed) {
+            throw new CompletionException(malformed);
         }
     }
 }
--- a/src/main/java/org/meadowhollow/protocol/keyvalue/KeyValueCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/keyvalue/KeyValueCodec.java
@@ -130,23 +130,23 @@
     static Http.Reply requireServed(Http.Reply reply) {
         return switch (reply.status()) {
             case 200, 404, 409 -> reply;
-            case 429, 503 -> throw answered(Outcome.REJECTED, reply);
+            case 429, 503 -> throw statusException(Outcome.REJECTED, reply);
             case 410 -> throw new WatchCompactedException("the watch began too long ago");
             case 400 ->
-                    throw answered(
-                            saysLeaseNotFound(reply)
+                    throw statusException(
+                            isLeaseNotFound(reply)
                                     ? Outcome.LEASE_EXPIRED
                                     : Outcome.INVALID_REQUEST,
                             reply);
-            default -> throw answered(Outcome.INDETERMINATE, reply);
+            default -> throw statusException(Outcome.INDETERMINATE, reply);
         };
     }
 
-    private static KeyValueStoreException answered(Outcome outcome, Http.Reply reply) {
+    private static KeyValueStoreException statusException(Outcome outcome, Http.Reply reply) {
         return KeyValueStoreException.of(outcome, "answered " + reply.status());
     }
 
-    private static boolean saysLeaseNotFound(Http.Reply reply) {
+    private static boolean isLeaseNotFound(Http.Reply reply) {
         return new String(reply.body(), StandardCharsets.UTF_8).contains(LEASE_NOT_FOUND);
     }
 
@@ -154,7 +154,7 @@
     static Optional<Entry> decodeEntry(Http.Reply reply) {
         return reply.status() == 404
                 ? Optional.empty()
-                : Optional.of(decode(reply, KeyValueCodec::entry));
+                : Optional.of(decode(reply, KeyValueCodec::readEntry));
     }
 
     static Page decodePage(Http.Reply reply) {
@@ -163,9 +163,10 @@
                 body -> {
                     List<Entry> entries = new ArrayList<>();
                     for (MessageReader item : body.nestedList(ENTRIES)) {
-                        entries.add(entry(item));
+                        entries.add(readEntry(item));
                     }
-                    return new Page(entries, body.booleanOr(HAS_MORE, false), revision(body));
+                    return new Page(
+                            entries, body.booleanOr(HAS_MORE, false), readStoreRevision(body));
                 });
     }
 
@@ -176,7 +177,7 @@
                 body ->
                         new CommitResult(
                                 applied,
-                                revision(body),
+                                readStoreRevision(body),
                                 applied ? List.of() : body.stringListOrNull(CONFLICTING_KEYS)));
     }
 
@@ -190,27 +191,27 @@
                 body -> {
                     List<Change> changes = new ArrayList<>();
                     for (MessageReader item : body.nestedList(CHANGES)) {
-                        changes.add(change(item));
+                        changes.add(readChange(item));
                     }
-                    return new ChangeBatch(revision(body), changes);
+                    return new ChangeBatch(readStoreRevision(body), changes);
                 });
     }
 
-    private static Entry entry(MessageReader item) throws MalformedMessageException {
+    private static Entry readEntry(MessageReader item) throws MalformedMessageException {
         return new Entry(
                 item.string(KEY),
                 item.nested(VALUE).map(),
                 new Revision(item.nonNegativeLong(ENTRY_REVISION)));
     }
 
-    private static Change change(MessageReader item) throws MalformedMessageException {
+    private static Change readChange(MessageReader item) throws MalformedMessageException {
         Revision revision = new Revision(item.nonNegativeLong(ENTRY_REVISION));
         return item.has(REMOVE)
                 ? new Change(item.string(REMOVE), null, revision)
                 : new Change(item.string(SET), item.nested(VALUE).map(), revision);
     }
 
-    private static Revision revision(MessageReader body) throws MalformedMessageException {
+    private static Revision readStoreRevision(MessageReader body) throws MalformedMessageException {
         return new Revision(body.nonNegativeLong(STORE_REVISION));
     }
 
@@ -221,9 +222,9 @@
     private static <T> T decode(Http.Reply reply, BodyDecoder<T> decoder) {
         try {
             return decoder.decode(MessageReader.decode(reply.body()));
-        } catch (MalformedMessageException broken) {
+        } catch (MalformedMessageException malformed) {
             throw new IndeterminateOutcomeException(
-                    "the answer makes no sense: " + broken.getMessage());
+                    "the answer makes no sense: " + malformed.getMessage());
         }
     }
 }
--- a/src/main/java/org/meadowhollow/protocol/keyvalue/RequestQueue.java
+++ b/src/main/java/org/meadowhollow/protocol/keyvalue/RequestQueue.java
@@ -200,7 +200,7 @@
     @GuardedBy("this")
     private Selection selectNext(MonotonicTime now) {
         Duration pause = Duration.ZERO;
-        boolean writesWait = false;
+        boolean writeLimitReached = false;
         for (RequestPriority priority : dispatchOrder()) {
             QueuedRequest first = queues.get(priority).peek();
             if (first == null || (inFlight >= MAX_IN_FLIGHT && priority != RequestPriority.LEASE)) {
@@ -214,12 +214,12 @@
                 // Once a request waits for the write limit, no request after it may use that limit;
                 // otherwise a large transaction would wait forever.
                 Duration writeDelay =
-                        writesWait
+                        writeLimitReached
                                 ? pause
                                 : writeLimiter.delayUntilAvailable(first.writeCount(), now);
                 if (!writeDelay.isZero()) {
                     pause = writeDelay;
-                    writesWait = true;
+                    writeLimitReached = true;
                     continue;
                 }
             }
@@ -281,13 +281,13 @@
         inFlight++;
         requestLimiter.consume(1, now);
         writeLimiter.consume(queuedRequest.writeCount(), now);
-        boolean byLeader = queuedRequest.priority() == RequestPriority.PLACEMENT;
-        if (byLeader && queuedRequest.writeCount() > 0) {
+        boolean isLeaderRequest = queuedRequest.priority() == RequestPriority.PLACEMENT;
+        if (isLeaderRequest && queuedRequest.writeCount() > 0) {
             lastLeaderWriteAt = now;
         }
-        if (byLeader || queuedRequest.priority() == RequestPriority.USER) {
+        if (isLeaderRequest || queuedRequest.priority() == RequestPriority.USER) {
             double cost = 1 + queuedRequest.writeCount();
-            double surplus = userSurplus + (byLeader ? -cost : cost);
+            double surplus = userSurplus + (isLeaderRequest ? -cost : cost);
             userSurplus = Math.max(-MAX_USER_SURPLUS, Math.min(MAX_USER_SURPLUS, surplus));
         }
         if (queues.get(RequestPriority.USER).isEmpty()
@@ -304,10 +304,10 @@
      */
     synchronized void recordRefusal(StoreRequest request) {
         MonotonicTime now = loop.now();
-        boolean leads =
+        boolean isLeader =
                 lastLeaderWriteAt != null
                         && now.elapsedSince(lastLeaderWriteAt).compareTo(LEADER_WRITE_WINDOW) < 0;
         AdaptiveRateLimiter limiter = request.writeCount() > 0 ? writeLimiter : requestLimiter;
-        limiter.recordRefusal(leads ? LEADER_RATE_KEPT_ON_REFUSAL : RATE_KEPT_ON_REFUSAL, now);
+        limiter.recordRefusal(isLeader ? LEADER_RATE_KEPT_ON_REFUSAL : RATE_KEPT_ON_REFUSAL, now);
     }
 }
--- a/src/main/java/org/meadowhollow/protocol/peers/PeerClient.java
+++ b/src/main/java/org/meadowhollow/protocol/peers/PeerClient.java
@@ -128,10 +128,10 @@
 
     @Override
     public CompletableFuture<Boolean> anyPeerReachesStore() {
-        return anyTrue(addresses.values().stream().map(this::reachesStore).toList());
+        return anyTrue(addresses.values().stream().map(this::peerReachesStore).toList());
     }
 
-    private CompletableFuture<Boolean> reachesStore(String address) {
+    private CompletableFuture<Boolean> peerReachesStore(String address) {
         return http.send(address, "GET", PeerPaths.STATUS, null, RESPONSE_TIMEOUT)
                 .handle(
                         (reply, failure) ->
@@ -144,7 +144,7 @@
                 .thenCompose(
                         result ->
                                 result == ProbeResult.CONNECTION_REFUSED
-                                        ? checkRefusal(member)
+                                        ? confirmRefusal(member)
                                         : CompletableFuture.completedFuture(result));
     }
 
@@ -153,21 +153,21 @@
      * another controller responds, since a packet filter between the controllers refuses
      * connections to all of them.
      */
-    private CompletableFuture<ProbeResult> checkRefusal(String member) {
-        List<CompletableFuture<Boolean>> othersAnswer =
+    private CompletableFuture<ProbeResult> confirmRefusal(String member) {
+        List<CompletableFuture<Boolean>> othersRespond =
                 addresses.keySet().stream()
                         .filter(other -> !other.equals(member))
-                        .map(other -> probeDirectly(other).thenApply(PeerClient::isAnswer))
+                        .map(other -> probeDirectly(other).thenApply(PeerClient::hasResponded))
                         .toList();
-        return anyTrue(othersAnswer)
+        return anyTrue(othersRespond)
                 .thenApply(
-                        anyAnswers ->
-                                anyAnswers
+                        anyResponds ->
+                                anyResponds
                                         ? ProbeResult.CONNECTION_REFUSED
                                         : ProbeResult.UNRESPONSIVE);
     }
 
-    private static boolean isAnswer(ProbeResult result) {
+    private static boolean hasResponded(ProbeResult result) {
         return result == ProbeResult.HEALTHY || result == ProbeResult.ISOLATED;
     }
 
@@ -177,8 +177,8 @@
         for (CompletableFuture<Boolean> answer : answers) {
             CompletableFuture<Void> unusedCompletion =
                     answer.thenAccept(
-                            yes -> {
-                                if (yes) {
+                            isTrue -> {
+                                if (isTrue) {
                                     any.complete(true);
                                 }
                             });
--- a/src/main/java/org/meadowhollow/protocol/peers/PeerMessageCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/peers/PeerMessageCodec.java
@@ -109,15 +109,15 @@
     /**
      * Decodes the body of a request.
      *
-     * @param otherwise the error text if the body is malformed
+     * @param errorText the error text if the body is malformed
      * @throws MalformedMessageException if the body is not a message of this type
      */
-    private <T> T decodeRequest(byte[] body, Class<T> type, String otherwise)
+    private <T> T decodeRequest(byte[] body, Class<T> type, String errorText)
             throws MalformedMessageException {
         try {
             return type.cast(read(body));
-        } catch (KryoException | IllegalArgumentException | ClassCastException broken) {
-            throw new MalformedMessageException(otherwise);
+        } catch (KryoException | IllegalArgumentException | ClassCastException malformed) {
+            throw new MalformedMessageException(errorText);
         }
     }
 
@@ -126,7 +126,7 @@
         try {
             Object message = read(body);
             return type.isInstance(message) ? Optional.of(type.cast(message)) : Optional.empty();
-        } catch (KryoException | IllegalArgumentException broken) {
+        } catch (KryoException | IllegalArgumentException malformed) {
             return Optional.empty();
         }
     }
@@ -211,10 +211,11 @@
                 .map(
                         message ->
                                 new RecentHeartbeats(
-                                        message.served(), selected(asked, message.heard())));
+                                        message.served(),
+                                        machinesOfSetBits(asked, message.heard())));
     }
 
-    private static Set<MachineId> selected(List<MachineId> asked, long[] words) {
+    private static Set<MachineId> machinesOfSetBits(List<MachineId> asked, long[] words) {
         BitSet bits = BitSet.valueOf(words);
         Set<MachineId> recent = new HashSet<>();
         for (int at = bits.nextSetBit(0);
@@ -374,7 +375,7 @@
                 throw new UnreadableResponseException("it is damaged");
             }
             return type.cast(read(envelope.body()));
-        } catch (KryoException | IllegalArgumentException | ClassCastException broken) {
+        } catch (KryoException | IllegalArgumentException | ClassCastException malformed) {
             throw new UnreadableResponseException("it cannot be decoded");
         }
     }
--- a/src/main/java/org/meadowhollow/protocol/peers/PeerServer.java
+++ b/src/main/java/org/meadowhollow/protocol/peers/PeerServer.java
@@ -78,17 +78,17 @@
 
     @Override
     public CompletableFuture<Http.Reply> handle(String method, String path, byte[] body) {
-        return CompletableFuture.completedFuture(reply(method, path, body));
+        return CompletableFuture.completedFuture(route(method, path, body));
     }
 
-    private Http.Reply reply(String method, String path, byte[] body) {
+    private Http.Reply route(String method, String path, byte[] body) {
         try {
             return switch (method + ' ' + path) {
-                case "GET " + PeerPaths.STATUS -> status();
-                case "POST " + PeerPaths.RECENT_HEARTBEATS -> recentHeartbeats(body);
-                case "POST " + PeerPaths.RISK_TABLES -> riskTables(body);
-                case "GET " + PeerPaths.DIGESTS -> digests();
-                case "POST " + PeerPaths.LEADER -> observeLeader(body);
+                case "GET " + PeerPaths.STATUS -> statusReply();
+                case "POST " + PeerPaths.RECENT_HEARTBEATS -> recentHeartbeatsReply(body);
+                case "POST " + PeerPaths.RISK_TABLES -> riskTablesReply(body);
+                case "GET " + PeerPaths.DIGESTS -> digestsReply();
+                case "POST " + PeerPaths.LEADER -> receiveLeaderAnnouncement(body);
                 default -> Http.Reply.error(404, "no such path");
             };
         } catch (MalformedMessageException malformed) {
@@ -96,43 +96,44 @@
         }
     }
 
-    private Http.Reply status() {
-        return ok(codec.encodeStatus(storeReachable.getAsBoolean(), isolated.getAsBoolean()));
+    private Http.Reply statusReply() {
+        return okReply(codec.encodeStatus(storeReachable.getAsBoolean(), isolated.getAsBoolean()));
     }
 
-    private Http.Reply recentHeartbeats(byte[] body) throws MalformedMessageException {
+    private Http.Reply recentHeartbeatsReply(byte[] body) throws MalformedMessageException {
         PeerMessageCodec.RecentHeartbeatsQuery query = codec.decodeRecentHeartbeatsRequest(body);
         List<MachineId> machines = query.machines();
         Set<MachineId> recent = heartbeatSource.recentlyHeard(machines, query.within());
-        return ok(codec.encodeRecentHeartbeats(storeReachable.getAsBoolean(), machines, recent));
+        return okReply(
+                codec.encodeRecentHeartbeats(storeReachable.getAsBoolean(), machines, recent));
     }
 
-    private Http.Reply riskTables(byte[] body) throws MalformedMessageException {
+    private Http.Reply riskTablesReply(byte[] body) throws MalformedMessageException {
         RiskTableRequest request = codec.decodeRiskTableRequest(body);
         return handoverSource
                 .riskTableDelta(request)
-                .map(delta -> ok(codec.encodeRiskTables(delta)))
-                .orElseGet(PeerServer::notLeading);
+                .map(delta -> okReply(codec.encodeRiskTables(delta)))
+                .orElseGet(PeerServer::notLeadingReply);
     }
 
-    private Http.Reply digests() {
+    private Http.Reply digestsReply() {
         return handoverSource
                 .recordDigests()
-                .map(digests -> ok(codec.encodeDigests(digests)))
-                .orElseGet(PeerServer::notLeading);
+                .map(digests -> okReply(codec.encodeDigests(digests)))
+                .orElseGet(PeerServer::notLeadingReply);
     }
 
-    private Http.Reply observeLeader(byte[] body) throws MalformedMessageException {
+    private Http.Reply receiveLeaderAnnouncement(byte[] body) throws MalformedMessageException {
         LeaderMessage announcement = codec.decodeLeader(body);
         leaderListener.accept(new FencingToken(announcement.term()), announcement.member());
         return Http.Reply.of(200, MessageReader.mapOf());
     }
 
-    private static Http.Reply ok(byte[] body) {
+    private static Http.Reply okReply(byte[] body) {
         return new Http.Reply(200, body, 0);
     }
 
-    private static Http.Reply notLeading() {
+    private static Http.Reply notLeadingReply() {
         return Http.Reply.error(404, "this node does not lead");
     }
 }
--- a/src/main/java/org/meadowhollow/protocol/workers/HeartbeatApi.java
+++ b/src/main/java/org/meadowhollow/protocol/workers/HeartbeatApi.java
@@ -27,8 +27,8 @@
         Heartbeat heartbeat;
         try {
             heartbeat = WorkerCodec.decodeHeartbeat(body);
-        } catch (MalformedMessageException broken) {
-            return CompletableFuture.completedFuture(Http.Reply.error(400, broken.getMessage()));
+        } catch (MalformedMessageException malformed) {
+            return CompletableFuture.completedFuture(Http.Reply.error(400, malformed.getMessage()));
         }
         return heartbeatHandler.apply(heartbeat).thenApply(HeartbeatApi::toReply);
     }
--- a/src/main/java/org/meadowhollow/protocol/workers/WorkerClient.java
+++ b/src/main/java/org/meadowhollow/protocol/workers/WorkerClient.java
@@ -47,8 +47,8 @@
                 throw new MalformedMessageException("the worker answered " + reply.status());
             }
             return WorkerCodec.decodeHeartbeat(reply.body());
-        } catch (MalformedMessageException broken) {
-            throw new CompletionException(broken);
+        } catch (MalformedMessageException malformed) {
+            throw new CompletionException(malformed);
         }
     }
 }
--- a/src/test/java/org/meadowhollow/protocol/JsonCodecTest.java
+++ b/src/test/java/org/meadowhollow/protocol/JsonCodecTest.java
@@ -17,8 +17,8 @@
     }
 
     @Test
-    void bodiesThatAreNoObjectAreRejectedQuickly() {
-        for (String wrong :
+    void bodiesThatAreNotAnObjectAreRejectedQuickly() {
+        for (String invalidBody :
                 List.of(
                         "",
                         "[]",
@@ -36,8 +36,8 @@
                     () ->
                             assertThrows(
                                     MalformedMessageException.class,
-                                    () -> JsonCodec.decode(bytes(wrong)),
-                                    wrong.substring(0, Math.min(20, wrong.length()))));
+                                    () -> JsonCodec.decode(bytes(invalidBody)),
+                                    invalidBody.substring(0, Math.min(20, invalidBody.length()))));
         }
     }
 
@@ -46,7 +46,7 @@
         for (int depth : new int[] {40, 200, 900, 1100, 30_000}) {
             Throwable[] thrown = {null};
             // Smaller than the stack of a deployed node, which is half a megabyte.
-            Thread small =
+            Thread smallStackThread =
                     new Thread(
                             null,
                             () -> {
@@ -63,14 +63,14 @@
                             },
                             "small",
                             192 * 1024);
-            small.start();
-            small.join();
+            smallStackThread.start();
+            smallStackThread.join();
             assertInstanceOf(MalformedMessageException.class, thrown[0], () -> "at depth " + depth);
         }
     }
 
     @Test
-    void decodedValuesHaveTheKindsOfMessagePackValues() throws MalformedMessageException {
+    void decodedValuesHaveMessagePackTypes() throws MalformedMessageException {
         Map<String, Object> map =
                 JsonCodec.decode(
                         bytes("{\"a\":1,\"b\":[1.5,true,null,\"\\ud83d\\ude91\"],\"c\":{}}"));
--- a/src/test/java/org/meadowhollow/protocol/keyvalue/KeyValueStoreClientTest.java
+++ b/src/test/java/org/meadowhollow/protocol/keyvalue/KeyValueStoreClientTest.java
@@ -44,7 +44,7 @@
     @Test
     // The test checks the sent requests, not their results.
     @SuppressWarnings("FutureReturnValueIgnored")
-    void requestsKeepToTheLimitInTheOrderOfPriority() {
+    void requestsAreSentWithinTheLimitInOrderOfPriority() {
         for (int at = 0; at < 4; at++) {
             client.get("background/" + at, RequestPriority.BACKGROUND);
         }
@@ -111,7 +111,7 @@
     @Test
     // The test checks the sent requests, not their results.
     @SuppressWarnings("FutureReturnValueIgnored")
-    void usersAndTheLeaderTakeTurns() {
+    void userAndLeaderRequestsAlternate() {
         for (int at = 0; at < 40; at++) {
             client.get("user/" + at, RequestPriority.USER);
         }
@@ -142,7 +142,7 @@
     @Test
     // The test checks the sent requests, not their results.
     @SuppressWarnings("FutureReturnValueIgnored")
-    void aRefusalForTooManyRequestsLowersTheRateAndTimeWithoutOneRaisesIt() {
+    void refusalsLowerTheRateUntilItRecovers() {
         KeyValueStoreClient fast =
                 new KeyValueStoreClient(
                         http,
@@ -179,12 +179,13 @@
     @Test
     void theTimeoutIsLongerWhileTheStoreIsSlow() {
         List<Duration> timeouts = new ArrayList<>();
-        Duration[] takes = {Duration.ofSeconds(2)};
+        Duration[] latency = {Duration.ofSeconds(2)};
         Http.Client slow =
                 (address, method, path, body, timeout) -> {
                     timeouts.add(timeout);
                     CompletableFuture<Http.Reply> response = new CompletableFuture<>();
-                    loop.schedule(takes[0], () -> response.complete(Http.Reply.of(404, Map.of())));
+                    loop.schedule(
+                            latency[0], () -> response.complete(Http.Reply.of(404, Map.of())));
                     loop.schedule(
                             timeout,
                             () ->
@@ -213,7 +214,7 @@
         assertTrue(
                 timeouts.get(4).compareTo(Duration.ofMillis(3500)) < 0,
                 "shorter than users wait, and than a lease lasts");
-        takes[0] = Duration.ofMillis(5);
+        latency[0] = Duration.ofMillis(5);
         calls.add(slowClient.get("key/5", RequestPriority.USER));
         loop.run(Duration.ofMillis(10));
         calls.add(slowClient.get("key/6", RequestPriority.USER));
--- a/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerMessagesTest.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerMessagesTest.java
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void leaderAnnouncement() {
+    void leaderAnnouncementIsUnchanged() {
         GoldenFile file = GoldenFile.read("peer-leader");
         assertEquals("POST /leader", file.key());
         List<String> announcements = new ArrayList<>();
@@ -62,10 +62,10 @@
     }
 
     @Test
-    void statusOfANodeThatReachesTheStore() {
+    void statusOfANodeThatReachesTheStoreIsUnchanged() {
         GoldenFile file = GoldenFile.read("peer-served");
         assertEquals("GET /served", file.key());
-        peer.answer = file.bytes();
+        peer.presetResponse = file.bytes();
         assertTrue(peer.client.anyPeerReachesStore().join());
         assertEquals(ProbeResult.HEALTHY, peer.client.probe("n1").join());
         assertEquals("GET /served", peer.sent.get(0).method() + ' ' + peer.sent.get(0).path());
@@ -74,9 +74,9 @@
     }
 
     @Test
-    void statusOfAnIsolatedLeaderThatDoesNotReachTheStore() {
+    void statusOfAnIsolatedLeaderWithoutTheStoreIsUnchanged() {
         GoldenFile file = GoldenFile.read("peer-deaf");
-        peer.answer = file.bytes();
+        peer.presetResponse = file.bytes();
         assertFalse(peer.client.anyPeerReachesStore().join());
         assertEquals(ProbeResult.ISOLATED, peer.client.probe("n1").join());
         peer.setStatus(false, true);
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void recentHeartbeatsRequest() {
+    void recentHeartbeatsRequestIsUnchanged() {
         GoldenFile file = GoldenFile.read("peer-hearing-question");
         assertEquals("POST /hearing", file.key());
         List<MachineId> asked = new ArrayList<>();
@@ -109,9 +109,9 @@
     }
 
     @Test
-    void recentHeartbeatsResponse() {
+    void recentHeartbeatsResponseIsUnchanged() {
         GoldenFile file = GoldenFile.read("peer-hearing");
-        peer.answer = file.bytes();
+        peer.presetResponse = file.bytes();
         assertEquals(
                 List.of(
                         new PeerReachabilityReport(
@@ -128,15 +128,15 @@
     }
 
     @Test
-    void riskTablesRequest() {
+    void riskTablesRequestIsUnchanged() {
         GoldenFile file = GoldenFile.read("peer-tables-question");
         assertEquals("POST /tables", file.key());
         List<RiskTableRequest> asked = new ArrayList<>();
         peer.server.setHandoverSource(
                 new HandoverSource() {
                     @Override
-                    public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest question) {
-                        asked.add(question);
+                    public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest request) {
+                        asked.add(request);
                         return Optional.of(GoldenPeers.delta());
                     }
 
@@ -160,7 +160,7 @@
                                 99,
                                 "vm-000002")),
                 asked);
-        peer.answer = GoldenFile.read("peer-tables").bytes();
+        peer.presetResponse = GoldenFile.read("peer-tables").bytes();
         peer.client.fetchRiskTables("n1", asked.get(0)).join();
         assertSent(file);
     }
@@ -182,9 +182,9 @@
     }
 
     @Test
-    void riskTablesResponse() {
+    void riskTablesResponseIsUnchanged() {
         GoldenFile file = GoldenFile.read("peer-tables");
-        peer.answer = file.bytes();
+        peer.presetResponse = file.bytes();
         RiskTableDelta delta =
                 peer.client
                         .fetchRiskTables("n1", GoldenPeers.RISK_TABLE_REQUEST)
@@ -217,10 +217,10 @@
     }
 
     @Test
-    void digestsResponse() {
+    void digestsResponseIsUnchanged() {
         GoldenFile file = GoldenFile.read("peer-digests");
         assertEquals("GET /digests", file.key());
-        peer.answer = file.bytes();
+        peer.presetResponse = file.bytes();
         RecordDigests recordDigests = peer.client.fetchDigests("n1").join().orElseThrow();
         assertEquals("GET /digests", peer.sent.get(0).method() + ' ' + peer.sent.get(0).path());
         assertEquals(
@@ -237,12 +237,12 @@
     }
 
     /** Returns the body that the current code sends for the message of a golden file. */
-    private byte[] sentNow(String name) {
+    private byte[] encodeNow(String name) {
         peer.setStatus(true, name.equals("peer-deaf"));
         peer.client.announceLeader("n1", new FencingToken(42));
         CompletableFuture<?> unusedHeartbeats =
                 peer.client.queryRecentHeartbeats(GoldenPeers.MACHINES, Duration.ofMillis(6500));
-        peer.answer = GoldenFile.read("peer-tables").bytes();
+        peer.presetResponse = GoldenFile.read("peer-tables").bytes();
         CompletableFuture<?> unusedTables =
                 peer.client.fetchRiskTables("n1", GoldenPeers.RISK_TABLE_REQUEST);
         return switch (name) {
@@ -256,7 +256,7 @@
         };
     }
 
-    static Stream<Arguments> classes() {
+    static Stream<Arguments> classNumbers() {
         return Stream.of(
                 Arguments.of("peer-leader", 0, 11),
                 Arguments.of("peer-served", 0, 12),
@@ -280,10 +280,10 @@
      *     body, after the body's length
      */
     @ParameterizedTest
-    @MethodSource("classes")
+    @MethodSource("classNumbers")
     void classNumbersFollowTheOrderOfRegistration(String name, int at, int number) {
         assertEquals(number, GoldenFile.read(name).bytes()[at]);
-        assertEquals(number, sentNow(name)[at]);
+        assertEquals(number, encodeNow(name)[at]);
     }
 
     /**
@@ -291,16 +291,16 @@
      * the two fields whose names sort before it.
      */
     @Test
-    void formatVersion() {
+    void formatVersionAndItsPositionAreUnchanged() {
         assertEquals(1, PeerMessageCodec.FORMAT_VERSION);
         for (String name : List.of("peer-tables", "peer-digests")) {
-            byte[] bytes = sentNow(name);
+            byte[] bytes = encodeNow(name);
             assertEquals(
                     2,
                     bytes[bytes.length - 1],
                     "format version 1, which Kryo writes as 2, since it encodes a signed number");
             peer.sent.clear();
         }
-        assertEquals(2, sentNow("peer-tables-question")[1 + 2 + "vm-000002".length()]);
+        assertEquals(2, encodeNow("peer-tables-question")[1 + 2 + "vm-000002".length()]);
     }
 }
--- a/src/test/java/org/meadowhollow/protocol/peers/GoldenPeers.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/GoldenPeers.java
@@ -46,7 +46,7 @@
     final List<Sent> sent = new ArrayList<>();
 
     /** The response of the other controller to every request. */
-    byte[] answer = new byte[0];
+    byte[] presetResponse = new byte[0];
 
     private final PeerMessageCodec codec = new PeerMessageCodec();
     final PeerClient client = new PeerClient(this::send, Map.of("n1", "a:1"), codec);
@@ -55,7 +55,7 @@
     private CompletableFuture<Http.Reply> send(
             String address, String method, String path, byte[] body, Duration timeout) {
         sent.add(new Sent(method, path, body));
-        return CompletableFuture.completedFuture(new Http.Reply(200, answer, 0));
+        return CompletableFuture.completedFuture(new Http.Reply(200, presetResponse, 0));
     }
 
     static RiskTableDelta delta() {
@@ -96,7 +96,7 @@
         server.setHandoverSource(
                 new HandoverSource() {
                     @Override
-                    public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest question) {
+                    public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest request) {
                         return Optional.of(delta());
                     }
 
--- a/src/test/java/org/meadowhollow/protocol/peers/PeerClientTest.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/PeerClientTest.java
@@ -79,7 +79,7 @@
         leader.setHandoverSource(
                 new HandoverSource() {
                     @Override
-                    public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest question) {
+                    public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest request) {
                         return Optional.of(delta);
                     }
 
@@ -117,9 +117,9 @@
         return fetched;
     }
 
-    private static UnaryOperator<byte[]> addingTo(int at, int more) {
+    private static UnaryOperator<byte[]> addToByte(int at, int increment) {
         return body -> {
-            body[at < 0 ? body.length + at : at] += (byte) more;
+            body[at < 0 ? body.length + at : at] += (byte) increment;
             return body;
         };
     }
@@ -128,16 +128,16 @@
     void riskTablesArriveIntactOrNotAtAll() {
         assertTrue(fetchRiskTables(body -> body).isPresent());
         String damaged =
-                assertThrows(CompletionException.class, () -> fetchRiskTables(addingTo(-2, 1)))
+                assertThrows(CompletionException.class, () -> fetchRiskTables(addToByte(-2, 1)))
                         .getCause()
                         .getMessage();
         assertEquals("it is damaged", damaged);
         // Kryo orders fields by name, so the format version comes last, after the checksum.
-        String form =
-                assertThrows(CompletionException.class, () -> fetchRiskTables(addingTo(-1, 2)))
+        String unknownVersion =
+                assertThrows(CompletionException.class, () -> fetchRiskTables(addToByte(-1, 2)))
                         .getCause()
                         .getMessage();
-        assertEquals("its format version 2 is unknown", form);
+        assertEquals("its format version 2 is unknown", unknownVersion);
     }
 
     @Test
