--- a/src/main/java/org/meadowhollow/protocol/cloud/CloudCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/cloud/CloudCodec.java
@@ -17,10 +17,9 @@
 import org.meadowhollow.protocol.MessageReader;
 
 /**
- * Requests to the cloud and its responses, between bytes and the domain types. The cloud's words
- * for fields and states stand here and nowhere else. Stateless. The decoding methods fail with a
- * {@link CompletionException} of a {@link MalformedMessageException} if the status or the body is
- * not what the protocol allows.
+ * Encodes requests to the cloud and decodes its responses. The cloud's names for fields and states
+ * are confined to this class. Stateless. The decoding methods throw a {@link CompletionException}
+ * caused by a {@link MalformedMessageException} if the status or the body violates the protocol.
  */
 final class CloudCodec {
     static final String MACHINE_TYPES_PATH = "/machine_types";
@@ -62,7 +61,7 @@
     private CloudCodec() {}
 
     /**
-     * @param after the id of the last machine of the page before, or empty
+     * @param after the id of the last machine of the previous page, or empty for the first page
      */
     static String machinesPath(String after, int pageSize) {
         return MACHINES_PATH + "?after=" + after + "&most=" + pageSize;
@@ -95,13 +94,14 @@
                 body -> {
                     List<MachineType> types = new ArrayList<>();
                     for (MessageReader item : body.nestedList(MACHINE_TYPES)) {
-                        types.add(machineType(item));
+                        types.add(readMachineType(item));
                     }
                     return types;
                 });
     }
 
-    private static MachineType machineType(MessageReader item) throws MalformedMessageException {
+    private static MachineType readMachineType(MessageReader item)
+            throws MalformedMessageException {
         List<String> zones = item.stringListOrNull(ZONES);
         return new MachineType(
                 item.string(TYPE_NAME),
@@ -118,9 +118,9 @@
                 zones == null ? List.of() : zones);
     }
 
-    /** The machines rented; empty if there are none of this kind at present. */
+    /** Decodes the rented machines; empty if the cloud has no capacity of this kind at present. */
     static Optional<List<MachineId>> decodeRentedMachines(Http.Reply reply) {
-        if (reply.status() == 503 && saysNoCapacity(reply)) {
+        if (reply.status() == 503 && isNoCapacityError(reply)) {
             return Optional.empty();
         }
         return decode(
@@ -134,16 +134,16 @@
                 });
     }
 
-    private static boolean saysNoCapacity(Http.Reply reply) {
+    private static boolean isNoCapacityError(Http.Reply reply) {
         try {
             return ERROR_NO_CAPACITY.equals(MessageReader.decode(reply.body()).stringOrNull(ERROR));
-        } catch (MalformedMessageException broken) {
+        } catch (MalformedMessageException malformed) {
             return false;
         }
     }
 
     /**
-     * @throws RequestRefusedException if the request certainly was not executed
+     * @throws RequestRefusedException if the request was certainly not executed
      */
     static void requireReleased(Http.Reply reply) {
         if (reply.status() == 429 || reply.status() == 503) {
@@ -158,13 +158,13 @@
                 body -> {
                     List<ListedMachine> machines = new ArrayList<>();
                     for (MessageReader item : body.nestedList(MACHINES)) {
-                        machines.add(listedMachine(item));
+                        machines.add(readListedMachine(item));
                     }
                     return new MachinePage(machines, body.booleanOr(HAS_MORE, false));
                 });
     }
 
-    private static ListedMachine listedMachine(MessageReader item)
+    private static ListedMachine readListedMachine(MessageReader item)
             throws MalformedMessageException {
         return new ListedMachine(
                 new MachineId(item.string(MACHINE_ID)),
@@ -172,11 +172,11 @@
                 item.string(MACHINE_TYPE),
                 item.string(ZONE),
                 item.booleanOr(IS_SPOT, false),
-                machinePhase(item.string(PHASE)),
+                decodePhase(item.string(PHASE)),
                 item.nonNegativeDoubleOr(AGE_SECONDS, 0));
     }
 
-    private static MachinePhase machinePhase(String word) throws MalformedMessageException {
+    private static MachinePhase decodePhase(String word) throws MalformedMessageException {
         return switch (word) {
             case PHASE_BOOTING -> MachinePhase.BOOTING;
             case PHASE_RUNNING -> MachinePhase.RUNNING;
@@ -195,8 +195,8 @@
                 throw new MalformedMessageException("the cloud answered " + reply.status());
             }
             return decoder.decode(MessageReader.decode(reply.body()));
-        } catch (MalformedMessageException broken) {
-            throw new CompletionException(broken);
+        } catch (MalformedMessageException malformed) {
+            throw new CompletionException(malformed);
         }
     }
 }
--- a/src/main/java/org/meadowhollow/protocol/keyvalue/KeyValueCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/keyvalue/KeyValueCodec.java
@@ -24,9 +24,10 @@
 import org.meadowhollow.storage.WatchCompactedException;
 
 /**
- * The key-value store's HTTP protocol: paths, the platform's names of fields, and what a status
- * tells of a request. Stateless. All decoding methods fail with a {@link KeyValueStoreException} of
- * the outcome {@link Outcome#INDETERMINATE} if a response is malformed.
+ * Encodes requests to the key-value store and decodes its responses: the paths, the platform's
+ * field names, and the outcome that each status code stands for. Stateless. All decoding methods
+ * throw a {@link KeyValueStoreException} with the outcome {@link Outcome#INDETERMINATE} if a
+ * response is malformed.
  */
 final class KeyValueCodec {
     static final String TRANSACTION_PATH = "/multi";
@@ -34,7 +35,7 @@
     private static final String KEYS_PATH = "/kv";
     private static final String CHANGES_PATH = "/changes";
 
-    // The platform's names of fields.
+    // The platform's field names.
     private static final String KEY = "key";
     private static final String VALUE = "v";
     private static final String SET = "set";
@@ -50,7 +51,7 @@
     private static final String LEASE = "tether";
     private static final String LEASE_TTL_MILLIS = "ttlMs";
 
-    /** What the body of a response with status 400 says if the lease does not exist. */
+    /** The text in the body of a response with status 400 if the lease does not exist. */
     private static final String LEASE_NOT_FOUND = "no such lease";
 
     private KeyValueCodec() {}
@@ -60,7 +61,7 @@
     }
 
     /**
-     * @param after the key to begin after, or null
+     * @param after the key after which the page begins, or null for the first page
      */
     static String listPath(String prefix, String after, int maxEntries) {
         return KEYS_PATH
@@ -122,38 +123,38 @@
     }
 
     /**
-     * Lets responses pass that tell something of the keys: success, not found, and conflict.
+     * Returns the response if the store has evaluated the request: success, not found, or conflict.
      *
-     * @throws KeyValueStoreException of the outcome that any other status tells
+     * @throws KeyValueStoreException with the corresponding outcome for any other status
      */
     static Http.Reply requireServed(Http.Reply reply) {
         return switch (reply.status()) {
             case 200, 404, 409 -> reply;
-            case 429, 503 -> throw answered(Outcome.REJECTED, reply);
+            case 429, 503 -> throw statusException(Outcome.REJECTED, reply);
             case 410 -> throw new WatchCompactedException("the watch began too long ago");
             case 400 ->
-                    throw answered(
-                            saysLeaseNotFound(reply)
+                    throw statusException(
+                            isLeaseNotFound(reply)
                                     ? Outcome.LEASE_EXPIRED
                                     : Outcome.INVALID_REQUEST,
                             reply);
-            default -> throw answered(Outcome.INDETERMINATE, reply);
+            default -> throw statusException(Outcome.INDETERMINATE, reply);
         };
     }
 
-    private static KeyValueStoreException answered(Outcome outcome, Http.Reply reply) {
+    private static KeyValueStoreException statusException(Outcome outcome, Http.Reply reply) {
         return KeyValueStoreException.of(outcome, "answered " + reply.status());
     }
 
-    private static boolean saysLeaseNotFound(Http.Reply reply) {
+    private static boolean isLeaseNotFound(Http.Reply reply) {
         return new String(reply.body(), StandardCharsets.UTF_8).contains(LEASE_NOT_FOUND);
     }
 
-    /** Empty if there is no such key. */
+    /** Decodes an entry; empty if the key does not exist. */
     static Optional<Entry> decodeEntry(Http.Reply reply) {
         return reply.status() == 404
                 ? Optional.empty()
-                : Optional.of(decode(reply, KeyValueCodec::entry));
+                : Optional.of(decode(reply, KeyValueCodec::readEntry));
     }
 
     static Page decodePage(Http.Reply reply) {
@@ -162,9 +163,10 @@
                 body -> {
                     List<Entry> entries = new ArrayList<>();
                     for (MessageReader item : body.nestedList(ENTRIES)) {
-                        entries.add(entry(item));
+                        entries.add(readEntry(item));
                     }
-                    return new Page(entries, body.booleanOr(HAS_MORE, false), revision(body));
+                    return new Page(
+                            entries, body.booleanOr(HAS_MORE, false), readStoreRevision(body));
                 });
     }
 
@@ -175,7 +177,7 @@
                 body ->
                         new CommitResult(
                                 applied,
-                                revision(body),
+                                readStoreRevision(body),
                                 applied ? List.of() : body.stringListOrNull(CONFLICTING_KEYS)));
     }
 
@@ -189,27 +191,27 @@
                 body -> {
                     List<Change> changes = new ArrayList<>();
                     for (MessageReader item : body.nestedList(CHANGES)) {
-                        changes.add(change(item));
+                        changes.add(readChange(item));
                     }
-                    return new ChangeBatch(revision(body), changes);
+                    return new ChangeBatch(readStoreRevision(body), changes);
                 });
     }
 
-    private static Entry entry(MessageReader item) throws MalformedMessageException {
+    private static Entry readEntry(MessageReader item) throws MalformedMessageException {
         return new Entry(
                 item.string(KEY),
                 item.nested(VALUE).map(),
                 new Revision(item.nonNegativeLong(ENTRY_REVISION)));
     }
 
-    private static Change change(MessageReader item) throws MalformedMessageException {
+    private static Change readChange(MessageReader item) throws MalformedMessageException {
         Revision revision = new Revision(item.nonNegativeLong(ENTRY_REVISION));
         return item.has(REMOVE)
                 ? new Change(item.string(REMOVE), null, revision)
                 : new Change(item.string(SET), item.nested(VALUE).map(), revision);
     }
 
-    private static Revision revision(MessageReader body) throws MalformedMessageException {
+    private static Revision readStoreRevision(MessageReader body) throws MalformedMessageException {
         return new Revision(body.nonNegativeLong(STORE_REVISION));
     }
 
@@ -220,9 +222,9 @@
     private static <T> T decode(Http.Reply reply, BodyDecoder<T> decoder) {
         try {
             return decoder.decode(MessageReader.decode(reply.body()));
-        } catch (MalformedMessageException broken) {
+        } catch (MalformedMessageException malformed) {
             throw new IndeterminateOutcomeException(
-                    "the answer makes no sense: " + broken.getMessage());
+                    "the answer makes no sense: " + malformed.getMessage());
         }
     }
 }
--- a/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerMessagesTest.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/GoldenPeerMessagesTest.java
@@ -31,11 +31,12 @@
 import org.meadowhollow.storage.RecordDigests;
 
 /**
- * Messages between controllers as an earlier version sent them: each is taken in, every field is
- * what it was, and the same message sent now is the same to the byte, so that nodes of both
- * versions understand each other. Kryo writes no names, but it orders the fields of a record by
- * them, and numbers the classes in the order of their registration: a field that is renamed, or a
- * class that is registered elsewhere, changes bytes here. Nothing here writes a file.
+ * Guards against changes of the bytes of messages between controllers, which nodes of another
+ * version could not read. The golden files hold messages as an earlier version sent them: each must
+ * decode to the same fields, and the same message must be encoded to the same bytes. Kryo writes no
+ * names, but it orders the fields of a record by name and numbers the classes in the order of
+ * registration, so renaming a field or registering a class elsewhere changes the bytes. The test
+ * writes no file.
  */
 class GoldenPeerMessagesTest {
     private final GoldenPeers peer = new GoldenPeers();
@@ -47,7 +48,7 @@
     }
 
     @Test
-    void leaderAnnouncement() {
+    void leaderAnnouncementIsUnchanged() {
         GoldenFile file = GoldenFile.read("peer-leader");
         assertEquals("POST /leader", file.key());
         List<String> announcements = new ArrayList<>();
@@ -61,10 +62,10 @@
     }
 
     @Test
-    void statusOfANodeThatReachesTheStore() {
+    void statusOfANodeThatReachesTheStoreIsUnchanged() {
         GoldenFile file = GoldenFile.read("peer-served");
         assertEquals("GET /served", file.key());
-        peer.answer = file.bytes();
+        peer.presetResponse = file.bytes();
         assertTrue(peer.client.anyPeerReachesStore().join());
         assertEquals(ProbeResult.HEALTHY, peer.client.probe("n1").join());
         assertEquals("GET /served", peer.sent.get(0).method() + ' ' + peer.sent.get(0).path());
@@ -73,9 +74,9 @@
     }
 
     @Test
-    void statusOfAnIsolatedLeaderThatDoesNotReachTheStore() {
+    void statusOfAnIsolatedLeaderWithoutTheStoreIsUnchanged() {
         GoldenFile file = GoldenFile.read("peer-deaf");
-        peer.answer = file.bytes();
+        peer.presetResponse = file.bytes();
         assertFalse(peer.client.anyPeerReachesStore().join());
         assertEquals(ProbeResult.ISOLATED, peer.client.probe("n1").join());
         peer.setStatus(false, true);
@@ -83,7 +84,7 @@
     }
 
     @Test
-    void recentHeartbeatsRequest() {
+    void recentHeartbeatsRequestIsUnchanged() {
         GoldenFile file = GoldenFile.read("peer-hearing-question");
         assertEquals("POST /hearing", file.key());
         List<MachineId> asked = new ArrayList<>();
@@ -108,9 +109,9 @@
     }
 
     @Test
-    void recentHeartbeatsResponse() {
+    void recentHeartbeatsResponseIsUnchanged() {
         GoldenFile file = GoldenFile.read("peer-hearing");
-        peer.answer = file.bytes();
+        peer.presetResponse = file.bytes();
         assertEquals(
                 List.of(
                         new PeerReachabilityReport(
@@ -127,15 +128,15 @@
     }
 
     @Test
-    void riskTablesRequest() {
+    void riskTablesRequestIsUnchanged() {
         GoldenFile file = GoldenFile.read("peer-tables-question");
         assertEquals("POST /tables", file.key());
         List<RiskTableRequest> asked = new ArrayList<>();
         peer.server.setHandoverSource(
                 new HandoverSource() {
                     @Override
-                    public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest question) {
-                        asked.add(question);
+                    public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest request) {
+                        asked.add(request);
                         return Optional.of(GoldenPeers.delta());
                     }
 
@@ -159,7 +160,7 @@
                                 99,
                                 "vm-000002")),
                 asked);
-        peer.answer = GoldenFile.read("peer-tables").bytes();
+        peer.presetResponse = GoldenFile.read("peer-tables").bytes();
         peer.client.fetchRiskTables("n1", asked.get(0)).join();
         assertSent(file);
     }
@@ -181,9 +182,9 @@
     }
 
     @Test
-    void riskTablesResponse() {
+    void riskTablesResponseIsUnchanged() {
         GoldenFile file = GoldenFile.read("peer-tables");
-        peer.answer = file.bytes();
+        peer.presetResponse = file.bytes();
         RiskTableDelta delta =
                 peer.client
                         .fetchRiskTables("n1", GoldenPeers.RISK_TABLE_REQUEST)
@@ -216,10 +217,10 @@
     }
 
     @Test
-    void digestsResponse() {
+    void digestsResponseIsUnchanged() {
         GoldenFile file = GoldenFile.read("peer-digests");
         assertEquals("GET /digests", file.key());
-        peer.answer = file.bytes();
+        peer.presetResponse = file.bytes();
         RecordDigests recordDigests = peer.client.fetchDigests("n1").join().orElseThrow();
         assertEquals("GET /digests", peer.sent.get(0).method() + ' ' + peer.sent.get(0).path());
         assertEquals(
@@ -235,13 +236,13 @@
         file.assertSameBytes(peer.handle("GET", "/digests", null));
     }
 
-    /** What is sent now of what the files hold. */
-    private byte[] sentNow(String name) {
+    /** Returns the body that the current code sends for the message of a golden file. */
+    private byte[] encodeNow(String name) {
         peer.setStatus(true, name.equals("peer-deaf"));
         peer.client.announceLeader("n1", new FencingToken(42));
         CompletableFuture<?> unusedHeartbeats =
                 peer.client.queryRecentHeartbeats(GoldenPeers.MACHINES, Duration.ofMillis(6500));
-        peer.answer = GoldenFile.read("peer-tables").bytes();
+        peer.presetResponse = GoldenFile.read("peer-tables").bytes();
         CompletableFuture<?> unusedTables =
                 peer.client.fetchRiskTables("n1", GoldenPeers.RISK_TABLE_REQUEST);
         return switch (name) {
@@ -255,7 +256,7 @@
         };
     }
 
-    static Stream<Arguments> classes() {
+    static Stream<Arguments> classNumbers() {
         return Stream.of(
                 Arguments.of("peer-leader", 0, 11),
                 Arguments.of("peer-served", 0, 12),
@@ -270,36 +271,36 @@
     }
 
     /**
-     * The number of a message's class, which follows from the order of registration: Kryo's own are
-     * 0 to 8, and two is added on the wire. Missing here are the arrays (13, 14, 17 to 20), which
-     * no message names, as the fields that hold them have no other type; they only move what is
-     * registered behind them.
+     * Checks the class number of each message, which follows from the order of registration: Kryo's
+     * own classes are 0 to 8, and two is added on the wire. The numbers of the arrays (13, 14, 17
+     * to 20) occur in no message, since a field of an array type holds no other type; the arrays
+     * only shift the numbers of the classes that are registered after them.
      *
-     * @param at the place of the number in the message; the second one is inside the checksummed
-     *     body, behind its length
+     * @param at the offset of the number in the message; at offset 2 it is inside the checksummed
+     *     body, after the body's length
      */
     @ParameterizedTest
-    @MethodSource("classes")
+    @MethodSource("classNumbers")
     void classNumbersFollowTheOrderOfRegistration(String name, int at, int number) {
         assertEquals(number, GoldenFile.read(name).bytes()[at]);
-        assertEquals(number, sentNow(name)[at]);
+        assertEquals(number, encodeNow(name)[at]);
     }
 
     /**
-     * A checksummed response ends with its format version, a request for risk tables has it behind
-     * the two fields that come before.
+     * A checksummed response ends with its format version; a request for risk tables has it after
+     * the two fields whose names sort before it.
      */
     @Test
-    void formatVersion() {
+    void formatVersionAndItsPositionAreUnchanged() {
         assertEquals(1, PeerMessageCodec.FORMAT_VERSION);
         for (String name : List.of("peer-tables", "peer-digests")) {
-            byte[] bytes = sentNow(name);
+            byte[] bytes = encodeNow(name);
             assertEquals(
                     2,
                     bytes[bytes.length - 1],
-                    "a form of 1, as Kryo writes a number that may be below 0");
+                    "format version 1, which Kryo writes as 2, since it encodes a signed number");
             peer.sent.clear();
         }
-        assertEquals(2, sentNow("peer-tables-question")[1 + 2 + "vm-000002".length()]);
+        assertEquals(2, encodeNow("peer-tables-question")[1 + 2 + "vm-000002".length()]);
     }
 }
--- a/src/test/java/org/meadowhollow/protocol/peers/GoldenPeers.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/GoldenPeers.java
@@ -20,8 +20,8 @@
 import org.meadowhollow.storage.RecordDigests;
 
 /**
- * The content of the golden messages between controllers, and a controller whose requests are
- * recorded and whose responses are given.
+ * The content of the golden messages between controllers, and a controller whose sent requests are
+ * recorded and get a preset response.
  */
 final class GoldenPeers {
     static final List<MachineId> MACHINES =
@@ -37,16 +37,16 @@
                     99,
                     "vm-000002");
 
-    /** A request as it went out. */
-    // The array is never modified, and requests are compared by their parts, never as a whole.
+    /** A sent request. */
+    // The array is never modified, and requests are compared by component, never as a whole.
     @SuppressWarnings("ArrayRecordComponent")
     record Sent(String method, String path, byte[] body) {}
 
-    /** The requests sent, in their order. */
+    /** The sent requests, in order. */
     final List<Sent> sent = new ArrayList<>();
 
     /** The response of the other controller to every request. */
-    byte[] answer = new byte[0];
+    byte[] presetResponse = new byte[0];
 
     private final PeerMessageCodec codec = new PeerMessageCodec();
     final PeerClient client = new PeerClient(this::send, Map.of("n1", "a:1"), codec);
@@ -55,7 +55,7 @@
     private CompletableFuture<Http.Reply> send(
             String address, String method, String path, byte[] body, Duration timeout) {
         sent.add(new Sent(method, path, body));
-        return CompletableFuture.completedFuture(new Http.Reply(200, answer, 0));
+        return CompletableFuture.completedFuture(new Http.Reply(200, presetResponse, 0));
     }
 
     static RiskTableDelta delta() {
@@ -88,7 +88,7 @@
         return RecordDigests.of(new HashMap<>(parts), Set.of("job/req-1"));
     }
 
-    /** Sets what the controller answers about itself; the rest of its answers is fixed. */
+    /** Sets the status that the controller reports; its other responses are fixed. */
     void setStatus(boolean storeReachable, boolean isolated) {
         server.setStoreReachable(() -> storeReachable);
         server.setHeartbeatSources(
@@ -96,7 +96,7 @@
         server.setHandoverSource(
                 new HandoverSource() {
                     @Override
-                    public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest question) {
+                    public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest request) {
                         return Optional.of(delta());
                     }
 
@@ -110,7 +110,7 @@
     byte[] handle(String method, String path, byte[] body) {
         Http.Reply reply = server.handle(method, path, body).join();
         if (reply.status() != 200) {
-            throw new AssertionError("answered " + reply.status());
+            throw new AssertionError("unexpected status " + reply.status());
         }
         return reply.body();
     }
--- a/src/test/java/org/meadowhollow/protocol/peers/PeerClientTest.java
+++ b/src/test/java/org/meadowhollow/protocol/peers/PeerClientTest.java
@@ -49,12 +49,14 @@
         assertEquals(ProbeResult.CONNECTION_REFUSED, client.probe("n1").join());
         refusing.add("a:2");
         assertEquals(
-                ProbeResult.CONNECTION_REFUSED, client.probe("n1").join(), "the third one answers");
+                ProbeResult.CONNECTION_REFUSED,
+                client.probe("n1").join(),
+                "the third controller responds");
         refusing.add("a:3");
         assertEquals(
                 ProbeResult.UNRESPONSIVE,
                 client.probe("n1").join(),
-                "all refuse, so the line is at fault");
+                "all controllers refuse, so the network is at fault");
     }
 
     /** Fetches the risk tables of a leader; the response is changed in transit. */
@@ -77,7 +79,7 @@
         leader.setHandoverSource(
                 new HandoverSource() {
                     @Override
-                    public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest question) {
+                    public Optional<RiskTableDelta> riskTableDelta(RiskTableRequest request) {
                         return Optional.of(delta);
                     }
 
@@ -115,9 +117,9 @@
         return fetched;
     }
 
-    private static UnaryOperator<byte[]> addingTo(int at, int more) {
+    private static UnaryOperator<byte[]> addToByte(int at, int increment) {
         return body -> {
-            body[at < 0 ? body.length + at : at] += (byte) more;
+            body[at < 0 ? body.length + at : at] += (byte) increment;
             return body;
         };
     }
@@ -126,16 +128,16 @@
     void riskTablesArriveIntactOrNotAtAll() {
         assertTrue(fetchRiskTables(body -> body).isPresent());
         String damaged =
-                assertThrows(CompletionException.class, () -> fetchRiskTables(addingTo(-2, 1)))
+                assertThrows(CompletionException.class, () -> fetchRiskTables(addToByte(-2, 1)))
                         .getCause()
                         .getMessage();
         assertEquals("it is damaged", damaged);
-        // Fields go by their names: the form comes last, behind the checksum.
-        String form =
-                assertThrows(CompletionException.class, () -> fetchRiskTables(addingTo(-1, 2)))
+        // Kryo orders fields by name, so the format version comes last, after the checksum.
+        String unknownVersion =
+                assertThrows(CompletionException.class, () -> fetchRiskTables(addToByte(-1, 2)))
                         .getCause()
                         .getMessage();
-        assertEquals("its form 2 is not known", form);
+        assertEquals("its format version 2 is unknown", unknownVersion);
     }
 
     @Test
