--- a/src/main/java/org/meadowhollow/transport/AdaptiveTimeout.java
+++ b/src/main/java/org/meadowhollow/transport/AdaptiveTimeout.java
@@ -1,14 +1,15 @@
 package org.meadowhollow.transport;
 
 /**
- * A timeout that allows for the lateness of this process itself. When the event loop is behind with
- * its work, the timer runs before a response is read that arrived long ago; failing the request
- * then cost the connection, and a leader its lease. Used on the loop's thread only.
+ * Request timeout that compensates for delays of the event loop. When the loop is behind with its
+ * work, the timer may run before a response is read that has already arrived. Failing the request
+ * then would close a working connection and could cost a leader its lease. Used on the event loop's
+ * thread only.
  */
 final class AdaptiveTimeout {
     /**
-     * A timer that is later than this shows that the loop is behind; timers are a few milliseconds
-     * late in any case.
+     * The lateness of a timer above which the loop counts as delayed. Timers are always a few
+     * milliseconds late.
      */
     private static final long TIMER_LATENESS_TOLERANCE_NANOS = 50_000_000;
 
@@ -20,8 +21,8 @@
     }
 
     /**
-     * How much longer to wait when the timer runs: once, for as long as it was late; 0 when the
-     * request has timed out.
+     * Returns how much longer to wait when the timer runs. The first time, this is the lateness of
+     * the timer if it exceeds the tolerance; otherwise it is 0: the request has timed out.
      */
     long extensionNanos(long nowNanos) {
         long lateness = nowNanos - deadlineNanos;
--- a/src/main/java/org/meadowhollow/transport/AttemptCapturingIoThread.java
+++ b/src/main/java/org/meadowhollow/transport/AttemptCapturingIoThread.java
@@ -9,11 +9,11 @@
 import org.xnio.XnioIoThread;
 
 /**
- * A proxy of the event loop's thread that captures the attempt when Undertow's client opens a
- * connection, because that client does not return it. An attempt that has timed out must be
- * cancelled: behind a network partition it keeps its socket for two minutes, and a leader that
- * probed hundreds of unresponsive machines ran out of sockets for its users and healthy workers. It
- * is never started as a thread and delegates everything to the real one.
+ * Proxy of the event loop's thread that captures the connection attempts of Undertow's client,
+ * which does not return them. An attempt that has timed out must be cancelled: behind a network
+ * partition it keeps its socket for two minutes, and a leader that probes hundreds of unresponsive
+ * machines would run out of sockets for its users and healthy workers. The proxy is never started
+ * as a thread and delegates all work to the real one.
  */
 final class AttemptCapturingIoThread extends XnioIoThread {
     private final XnioIoThread delegate;
@@ -25,8 +25,8 @@
     }
 
     /**
-     * Returns the latest attempt and forgets it; to be called right after it began, on the loop's
-     * thread.
+     * Returns the latest connection attempt and clears it. Call it on the event loop's thread,
+     * right after the attempt was started.
      */
     IoFuture<StreamConnection> takeLatestAttempt() {
         IoFuture<StreamConnection> taken = latestAttempt;
--- a/src/main/java/org/meadowhollow/transport/ConnectionLimiter.java
+++ b/src/main/java/org/meadowhollow/transport/ConnectionLimiter.java
@@ -6,30 +6,33 @@
 import java.util.function.Consumer;
 
 /**
- * Bounds the connections that others have opened to a server. Behind a network partition the far
- * ends of hundreds may be gone without a sign, while the same callers return on new connections; so
- * above the bound the idle connection whose last request is the longest ago is closed. Not
- * thread-safe: used on the event loop's thread only.
+ * Limits the connections that clients have open to a server. After a network partition, hundreds of
+ * connections may be dead without having been closed, while the same clients reconnect; so above
+ * the limit the idle connection that was used least recently is closed. Not thread-safe: used on
+ * the event loop's thread only.
  */
 final class ConnectionLimiter<C> {
     private final int limit;
     private final Consumer<C> closer;
 
     /**
-     * The number of requests in progress on each connection, in the order of the last request's
-     * arrival.
+     * The number of requests in progress on each connection, ordered by the arrival of the
+     * connection's last request.
      */
     private final Map<C, Integer> activeRequests = new LinkedHashMap<>();
 
     /**
-     * @param limit of open connections, 0 for no bound
+     * Creates a limiter without connections.
+     *
+     * @param limit the largest number of open connections, 0 for no limit
+     * @param closer closes a connection
      */
     ConnectionLimiter(int limit, Consumer<C> closer) {
         this.limit = limit;
         this.closer = closer;
     }
 
-    /** Counts a request that has arrived; true if it is the connection's first. */
+    /** Records the arrival of a request; returns whether it is the connection's first. */
     boolean requestStarted(C connection) {
         Integer before = activeRequests.remove(connection);
         activeRequests.put(connection, before == null ? 1 : before + 1);
@@ -39,7 +42,7 @@
         return before == null;
     }
 
-    /** Counts a request whose response has been sent. */
+    /** Records that the response to a request has been sent. */
     void requestFinished(C connection) {
         activeRequests.computeIfPresent(connection, (same, requests) -> requests - 1);
     }
@@ -53,8 +56,8 @@
     }
 
     /**
-     * Spares connections with a request in progress: their callers are more likely there than that
-     * of any idle one.
+     * Closes the idle connection that was used least recently. Connections with a request in
+     * progress stay open, because their clients are more likely to be alive.
      */
     private void closeLeastRecentlyUsed() {
         Iterator<Map.Entry<C, Integer>> all = activeRequests.entrySet().iterator();
--- a/src/main/java/org/meadowhollow/transport/ConnectionPool.java
+++ b/src/main/java/org/meadowhollow/transport/ConnectionPool.java
@@ -4,15 +4,15 @@
 import java.util.ArrayDeque;
 import org.xnio.IoUtils;
 
-/** The connections to one address. Not thread-safe: used on the event loop's thread only. */
+/** Connections to one address. Not thread-safe: used on the event loop's thread only. */
 final class ConnectionPool {
-    /** The most recently used one first. */
+    /** The idle connections, the most recently used one first. */
     final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
 
-    /** Idle, used and opening connections. */
+    /** The number of idle, busy and opening connections. */
     int openCount;
 
-    /** Takes the idle connection that was used last and is still open; null if there is none. */
+    /** Removes and returns the most recently used idle connection that is open, or null. */
     ClientConnection takeOpenIdle() {
         ClientConnection kept = idle.poll();
         while (kept != null && !kept.isOpen()) {
--- a/src/main/java/org/meadowhollow/transport/HttpClient.java
+++ b/src/main/java/org/meadowhollow/transport/HttpClient.java
@@ -30,21 +30,26 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Sends HTTP requests: one at a time on a connection; idle connections are kept for the next
- * request. {@link #send} may be called on any thread; all other work is done on the event loop's
- * thread, to which connections and pools belong.
+ * HTTP client with a pool of connections for each address. A connection carries one request at a
+ * time and returns to the pool afterwards. {@link #send} may be called on any thread; all other
+ * work is done on the event loop's thread, which owns the connections and pools.
  */
 public final class HttpClient implements Http.Client {
-    /** Idle connections kept for an address: as many as a busy caller has requests in flight. */
+    /**
+     * The limit of idle connections to an address: as many as a busy caller has requests in flight.
+     */
     private static final int MAX_IDLE_PER_ADDRESS = 12;
 
     /**
-     * Open and opening connections for an address; an unresponsive one must not use up the
-     * process's sockets.
+     * The limit of open and opening connections to an address, so that an unresponsive address
+     * cannot use up the process's sockets.
      */
     public static final int MAX_OPEN_PER_ADDRESS = 24;
 
-    /** A page of the key-value store holds 512 KiB; a watch may return all that has changed. */
+    /**
+     * The limit of a response's body. A page of the key-value store holds 512 KiB; the response to
+     * a watch may hold every changed record.
+     */
     private static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
 
     private final XnioEventLoop loop;
@@ -53,7 +58,10 @@
     private final Map<String, ConnectionPool> poolsByAddress = new HashMap<>();
 
     /**
-     * @param buffers for the bodies of responses
+     * Creates a client without connections.
+     *
+     * @param loop runs all requests
+     * @param buffers the pool of buffers for the connections and the bodies of responses
      */
     public HttpClient(XnioEventLoop loop, ByteBufferPool buffers) {
         this.loop = loop;
@@ -80,7 +88,7 @@
         return pendingRequest.reply;
     }
 
-    /** One request in flight; every method runs on the loop's thread. */
+    /** One request in flight. Every method runs on the event loop's thread. */
     private final class PendingRequest {
         private final String address;
         private final String method;
@@ -96,7 +104,7 @@
 
         private IoFuture<StreamConnection> connectAttempt;
 
-        /** Whether the request may have reached the other side. */
+        /** Whether the request may have reached the server. */
         private boolean sent;
 
         private boolean refused;
@@ -156,7 +164,7 @@
                                 @Override
                                 public void completed(ClientConnection opened) {
                                     if (connectingPool == null) {
-                                        // The request has failed and released its slot.
+                                        // The request has already failed and released its slot.
                                         IoUtils.safeClose(opened);
                                         return;
                                     }
@@ -213,7 +221,7 @@
             }
         }
 
-        /** Goes on with an exchange, or fails the request if the connection is lost. */
+        /** Runs the next step of an exchange; fails the request if the connection is lost. */
         private final class ExchangeCallback implements ClientCallback<ClientExchange> {
             private final Consumer<ClientExchange> next;
 
@@ -259,7 +267,7 @@
             }
         }
 
-        /** Writes what the channel takes now; true if that was all. */
+        /** Writes until the channel accepts no more; returns whether everything was written. */
         private static boolean writeAvailable(StreamSinkChannel channel, ByteBuffer remaining)
                 throws IOException {
             while (remaining.hasRemaining()) {
@@ -345,8 +353,8 @@
         }
 
         /**
-         * A failure of one connection is most likely one of the idle connections as well; the next
-         * request opens a new one.
+         * Closes the idle connections to the address, because a fault of one connection most likely
+         * affects them as well; the next request opens a new one.
          */
         private void closeIdleConnections() {
             ConnectionPool pool = poolsByAddress.get(address);
@@ -361,16 +369,14 @@
 
         private void fail(String reason) {
             if (completed) {
-                // Closing the connection below leads here again, with a reason that would hide the
-                // first one.
+                // Closing the connection below calls this method again; the first reason is kept.
                 return;
             }
             completed = true;
             timeoutTimer.remove();
             if (connectingPool != null) {
-                // A failed attempt counts no more: behind a network partition, hanging attempts
-                // would
-                // use up all slots.
+                // The slot is released at once: behind a network partition, connection attempts
+                // that hang would otherwise use up all slots.
                 releaseSlot(connectingPool);
                 connectingPool = null;
                 if (connectAttempt != null) {
--- a/src/main/java/org/meadowhollow/transport/HttpServer.java
+++ b/src/main/java/org/meadowhollow/transport/HttpServer.java
@@ -24,32 +24,32 @@
 import org.xnio.IoUtils;
 
 /**
- * Listens on one address and passes whole requests to a handler, on the event loop's thread. A
- * failed handler gets its caller a status 503 and is logged.
+ * Listens on one address and passes complete requests to a handler on the event loop's thread. If
+ * the handler fails, the client receives status 503 and the failure is logged.
  */
 public final class HttpServer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
-    /** The protocol's limit of a request's body, in bytes. */
+    /** The protocol's limit of a request body, in bytes. */
     private static final int MAX_BODY_BYTES = 64 * 1024;
 
     private final Undertow server;
     private final ConnectionLimiter<ServerConnection> connectionLimiter;
 
     /**
-     * Where a server listens, and what connections it takes.
+     * The address of a server and the limits of its connections.
      *
-     * @param port 0 for one that the system chooses
-     * @param maxConnections open at a time, 0 for no bound; beyond it the one whose last request is
-     *     the longest ago is closed
-     * @param idleTimeout after which a connection without a request is closed; longer than callers
-     *     pause between requests
-     * @param tls secures the connections; null for plain ones
+     * @param port the port to listen on, 0 for one that the system chooses
+     * @param maxConnections the limit of open connections, 0 for none; above it, the idle
+     *     connection that was used least recently is closed
+     * @param idleTimeout how long a connection without a request stays open; must be longer than
+     *     clients pause between requests
+     * @param tls the TLS context, or null for plain HTTP
      */
     public record Options(
             String host, int port, int maxConnections, Duration idleTimeout, SSLContext tls) {}
 
-    /** Opens a server with plain connections; see {@link Options} for the bounds. */
+    /** Opens a server without TLS; see {@link Options} for the limits of its connections. */
     public HttpServer(
             XnioEventLoop loop,
             ByteBufferPool buffers,
@@ -66,10 +66,10 @@
     }
 
     /**
-     * Opens a server; it accepts requests at once.
+     * Opens a server, which accepts requests at once.
      *
-     * @param requestHandler called on the loop's thread
-     * @throws RuntimeException if the address cannot be listened on
+     * @param requestHandler called on the event loop's thread
+     * @throws RuntimeException if the server cannot listen on the address
      */
     public HttpServer(
             XnioEventLoop loop,
@@ -96,7 +96,7 @@
         server.start();
     }
 
-    /** The port listened on. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return ((InetSocketAddress) server.getListenerInfo().get(0).getAddress()).getPort();
     }
--- a/src/main/java/org/meadowhollow/transport/XnioEventLoop.java
+++ b/src/main/java/org/meadowhollow/transport/XnioEventLoop.java
@@ -18,8 +18,8 @@
 import org.xnio.XnioWorker;
 
 /**
- * One XNIO thread for all connections and timers. With a fraction of a core, more threads would
- * only add context switches. Thread-safe.
+ * Event loop that runs all connections and timers on one XNIO thread. A node has a fraction of a
+ * core, on which more threads would only add context switches. Thread-safe.
  */
 public final class XnioEventLoop implements EventLoop, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(XnioEventLoop.class);
@@ -30,7 +30,7 @@
     /**
      * Starts the thread, which keeps the process alive until {@link #close}.
      *
-     * @throws IOException if there can be no worker
+     * @throws IOException if the XNIO worker cannot be created
      */
     public XnioEventLoop() throws IOException {
         worker =
@@ -55,9 +55,10 @@
     }
 
     /**
-     * Runs work on the loop's thread and blocks until it is done; not to be called on that thread.
+     * Runs work on the loop's thread and blocks until it is done. Must not be called on that
+     * thread, where it would deadlock.
      *
-     * @throws RuntimeException as the work threw it
+     * @throws RuntimeException the exception that the work threw
      */
     public <T> T callAndWait(Supplier<T> work) {
         CompletableFuture<T> result = new CompletableFuture<>();
@@ -89,7 +90,7 @@
     @Override
     public void schedule(Duration delay, Runnable work) {
         if (closed) {
-            // Work that runs while the loop is being closed may still set timers; none will run.
+            // Work that still runs while the loop is being closed may schedule timers.
             return;
         }
         ioThread.executeAfter(
@@ -99,7 +100,7 @@
                     } catch (RejectedExecutionException closing) {
                         LOG.debug("timer ran while the event loop was being closed", closing);
                     } catch (RuntimeException defect) {
-                        // One defect must not end the loop that everything else runs on.
+                        // A defect in one timer must not stop the loop.
                         LOG.error("timer failed", defect);
                     }
                 },
--- a/src/main/java/org/meadowhollow/transport/tracing/OtlpTaskTracer.java
+++ b/src/main/java/org/meadowhollow/transport/tracing/OtlpTaskTracer.java
@@ -34,40 +34,41 @@
 import org.meadowhollow.model.TaskTracer;
 
 /**
- * Exports spans by OTLP over HTTP with the OpenTelemetry SDK. A span's id is a hash of its content,
- * so that a span that is exported again after a failover has the same id, and a child can name a
- * parent that another node will export.
+ * Exports spans by OTLP over HTTP with the OpenTelemetry SDK. A span's id is a hash of the task's
+ * trace context, its job and the span's name, so that a span that is exported again after a
+ * failover has the same id, and a child can refer to a parent that another node will export.
  *
- * <p>What cannot be sent in time is dropped: a collector that hangs costs a bounded queue and one
- * thread. Thread-safe: the tracer's lock guards the SDK's provider and the generator of ids.
+ * <p>Spans that cannot be sent in time are dropped: a collector that hangs costs a bounded queue
+ * and one thread. Thread-safe: the tracer's lock guards the SDK's provider and the id generator.
  */
 public final class OtlpTaskTracer implements TaskTracer {
     private static final String TRACES_PATH = "/v1/traces";
 
-    /** The span of a task from its admission to its end, the parent of all others. */
+    /** The span of a task from its admission to its end: the parent of its other spans. */
     private static final String TASK_SPAN_NAME = "task";
 
     /**
-     * Spans waiting for export, about a kilobyte each; a small node has some megabytes to spare.
+     * The limit of spans that wait for export. At about a kilobyte each they take one megabyte,
+     * which a small node can spare.
      */
     private static final int MAX_QUEUED_SPANS = 1024;
 
     private static final int MAX_SPANS_PER_EXPORT = 256;
 
-    /** How long spans are batched: an export every few seconds is no burden on a small node. */
+    /** The time between two exports: an export every few seconds is no burden on a small node. */
     private static final Duration EXPORT_INTERVAL = Duration.ofSeconds(5);
 
     private static final Duration EXPORT_TIMEOUT = Duration.ofSeconds(5);
 
-    /** How long a process that ends waits at most for a collector that may be gone as well. */
+    /** The limit of the wait for the last export at shutdown: the collector may be down. */
     private static final Duration CLOSE_TIMEOUT = Duration.ofSeconds(2);
 
     private static final int MAX_ATTRIBUTES = 16;
 
-    /** The header of W3C's trace context. */
+    /** The header that carries the W3C trace context. */
     private static final String TRACEPARENT_HEADER = "traceparent";
 
-    /** The length of a header of the first version. */
+    /** The length of a {@code traceparent} header of version 00. */
     private static final int TRACEPARENT_LENGTH = 55;
 
     private static final AttributeKey<String> TASK_ATTRIBUTE =
@@ -83,7 +84,7 @@
     private static final AttributeKey<Long> ATTEMPT_ATTRIBUTE =
             AttributeKey.longKey("meadowhollow.attempt");
 
-    // The deprecated method "keys" is overridden since its default lists no headers.
+    // The deprecated method "keys" is overridden because its default lists no headers.
     @SuppressWarnings("deprecation")
     private static final TextMapGetter<Map<String, String>> MAP_GETTER =
             new TextMapGetter<>() {
@@ -102,11 +103,11 @@
     private final String member;
     private final PresetSpanIdGenerator spanIds = new PresetSpanIdGenerator();
 
-    /** Created for the first span: it takes longer than all the rest of a start. */
+    /** Created for the first span, because creating it takes longer than the rest of a start. */
     @GuardedBy("this")
     private SdkTracerProvider tracerProvider;
 
-    /** Gives the next span the id that was set for it. Guarded by the tracer's lock. */
+    /** Returns the id that was set for the next span. Guarded by the tracer's lock. */
     private static final class PresetSpanIdGenerator implements IdGenerator {
         private String nextSpanId;
 
@@ -117,7 +118,8 @@
 
         @Override
         public String generateTraceId() {
-            throw new IllegalStateException("every span belongs to a client's trace");
+            throw new IllegalStateException(
+                    "a span has no parent: every span must belong to a client's trace");
         }
     }
 
@@ -163,11 +165,11 @@
     }
 
     /**
-     * A tracer that exports to a collector; no connection is made before the first span.
+     * Creates a tracer that exports to a collector. It makes no connection before the first span.
      *
-     * @param collector where a collector accepts OTLP over HTTP; {@code /v1/traces} is added if it
-     *     names no path
-     * @param member the node's name, an attribute of every span
+     * @param collector the collector's URL for OTLP over HTTP; {@code /v1/traces} is appended if it
+     *     has no path
+     * @param member the node's name, exported as an attribute of the resource of every span
      */
     public static OtlpTaskTracer exportingTo(URI collector, String member) {
         boolean hasPath = collector.getPath() != null && collector.getPath().length() > 1;
@@ -185,7 +187,8 @@
         if (traceparent == null || traceparent.length() < TRACEPARENT_LENGTH) {
             return null;
         }
-        // A later version may append to the header; the part of the first version is kept.
+        // Later versions of the header may be longer; only the part that version 00 defines is
+        // kept.
         String firstVersion = traceparent.substring(0, TRACEPARENT_LENGTH);
         SpanContext context = parseContext(firstVersion);
         return context.isValid() && context.isSampled() ? firstVersion : null;
@@ -279,7 +282,7 @@
                 succeeded ? null : how.name());
     }
 
-    /** The context of the span of the whole task, whichever node exports it. */
+    /** Returns the context of the task's span, which is the same on every node. */
     private static SpanContext taskSpanContext(TracedTask task) {
         SpanContext client = parseContext(task.traceContext());
         return SpanContext.createFromRemoteParent(
@@ -298,14 +301,19 @@
                                             .getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(hash, 0, Long.BYTES);
         } catch (NoSuchAlgorithmException impossible) {
-            throw new IllegalStateException("every Java has SHA-256", impossible);
+            throw new IllegalStateException(
+                    "this Java runtime does not support SHA-256", impossible);
         }
     }
 
     /**
+     * Records one span under its preset id and ends it.
+     *
+     * @param name the name that the id is derived from; the span is exported without the number of
+     *     the attempt
      * @param failure why the operation of the span failed, or null
      */
-    // No name of a span begins with a space and a digit, so there always is a first part.
+    // No span name starts with a space and a digit, so that the split always has a first part.
     @SuppressWarnings("StringSplitter")
     private synchronized void recordSpan(
             TracedTask task,
@@ -329,7 +337,7 @@
         if (failure != null) {
             span.setStatus(StatusCode.ERROR, failure);
         }
-        // Two nodes' clocks may differ by more than the operation took.
+        // The times may come from two nodes whose clocks differ by more than the operation took.
         span.end(Math.max(fromMillis, untilMillis), TimeUnit.MILLISECONDS);
     }
 
