--- a/src/main/java/org/meadowhollow/cli/ClassArchiveTraining.java
+++ b/src/main/java/org/meadowhollow/cli/ClassArchiveTraining.java
@@ -15,15 +15,16 @@
 import org.meadowhollow.transport.XnioEventLoop;
 
 /**
- * The training run of class data sharing: the build runs it once to load the classes that a
- * controller needs, so that the JVM can archive them. Starting from that archive takes a fraction
- * of a cold start, which matters after a crash.
+ * Training run for class data sharing. The build runs it once to load the classes that a controller
+ * needs, so that the JVM can archive them. A start from the archive takes a fraction of the time of
+ * a cold start, which shortens the recovery from a crash.
  */
 final class ClassArchiveTraining {
     private static final String OWN_CLASS_PATH_PREFIX = "org/meadowhollow/";
 
     /**
-     * Loaded with tracing and by operators' commands only, and not by a controller without them.
+     * Packages that are used only by tracing and by the operators' commands, so that a controller
+     * without tracing never loads them.
      */
     private static final List<String> EXCLUDED_PATH_PREFIXES =
             List.of(
@@ -35,8 +36,8 @@
     private ClassArchiveTraining() {}
 
     /**
-     * Lets a controller become leader and run one job against stubs of the platform, then loads the
-     * rest of its own classes by name.
+     * Runs a controller against stubs of the platform until it has become leader and run one job,
+     * then loads the remaining classes of this project by name.
      */
     static void run()
             throws IOException, Settings.InvalidSettingsException, ClassNotFoundException {
@@ -75,11 +76,12 @@
 
     private static void exerciseController(int port) throws IOException {
         sendRequest(port, "GET", "/ready", new byte[0]);
-        // The response waits until the controller leads.
+        // The controller responds once it is the leader.
         sendRequest(port, "POST", "/hello", PlatformStub.heartbeatBody(1, 0, null));
         sendRequest(port, "POST", "/submissions", PlatformStub.submissionBody());
         sendRequest(port, "GET", "/submissions/req-1", new byte[0]);
-        // The responses to these two are delayed until the task can start, or for a bounded time.
+        // The responses to the next two requests are delayed until the task can start, or for a
+        // bounded time.
         sendRequest(port, "POST", "/hello", PlatformStub.heartbeatBody(2, 1, null));
         sendRequest(port, "POST", "/hello", PlatformStub.heartbeatBody(3, 1, null));
         sendRequest(port, "POST", "/hello", PlatformStub.heartbeatBody(4, 1, "running"));
@@ -88,7 +90,7 @@
         sendRequest(port, "POST", "/submissions", new byte[0]);
     }
 
-    // A literal address of the local host: no name is resolved, and there is no other to select.
+    // The address is a literal: no name is resolved, so there is no choice between addresses.
     @SuppressWarnings("AddressSelection")
     private static void sendRequest(int port, String method, String path, byte[] body)
             throws IOException {
--- a/src/main/java/org/meadowhollow/cli/Controller.java
+++ b/src/main/java/org/meadowhollow/cli/Controller.java
@@ -37,17 +37,17 @@
 import org.meadowhollow.transport.XnioEventLoop;
 
 /**
- * One running controller: wires the coordination of a node to its clients and HTTP servers. It is
- * built on the thread of its event loop, on which all of its work is done; its public methods may
+ * A running controller: connects the coordination of a node to its clients and HTTP servers. It is
+ * created on the thread of its event loop, which also does all of its work; its public methods may
  * be called on any other thread.
  */
 public final class Controller implements AutoCloseable {
-    /** Bytes of a network buffer; nearly every message fits into one. */
+    /** The size of a network buffer; nearly every message fits into one. */
     private static final int BUFFER_BYTES = 8 * 1024;
 
     private static final int MAX_POOLED_BUFFERS = 64;
 
-    /** How often a handover is checked for its completion. */
+    /** The interval between two checks whether a handover is complete. */
     private static final Duration HANDOVER_POLL_INTERVAL = Duration.ofMillis(20);
 
     private final XnioEventLoop loop;
@@ -178,12 +178,12 @@
         return new DefaultByteBufferPool(false, BUFFER_BYTES, MAX_POOLED_BUFFERS, 0);
     }
 
-    /** Begins to collect what a controller with these settings needs. */
+    /** Returns a builder of a controller with these settings. */
     public static Builder builder(Settings settings) {
         return new Builder(settings);
     }
 
-    /** Collects what a controller needs before it starts. Not thread-safe. */
+    /** Collects the options of a controller and starts it. Not thread-safe. */
     public static final class Builder {
         private final Settings settings;
         private RandomGenerator random = RandomGenerator.getDefault();
@@ -196,21 +196,21 @@
             this.settings = settings;
         }
 
-        /** Sets the source of random numbers; by default one that is seeded by the JDK. */
+        /** Sets the source of random numbers; by default the JDK's generator, seeded by the JDK. */
         public Builder random(RandomGenerator source) {
             random = source;
             return this;
         }
 
-        /** Serves the task execution API as well; null, as by default, does not. */
+        /** Serves the task execution API; with null, the default, it is not served. */
         public Builder tes(TesOptions options) {
             tes = options;
             return this;
         }
 
         /**
-         * Accepts reservations and maintenance windows and schedules around them; null, as by
-         * default, does neither.
+         * Accepts reservations and maintenance windows and schedules around them; with null, the
+         * default, it does neither.
          */
         public Builder calendar(ReservationOptions options) {
             reservations = options;
@@ -218,9 +218,9 @@
         }
 
         /**
-         * Keeps the state warm that is needed to take over while another node leads.
+         * Keeps the state that a takeover needs loaded while another node leads.
          *
-         * @param softwareVersion the version that other nodes are told
+         * @param softwareVersion the version to report to other nodes
          */
         public Builder standby(String softwareVersion) {
             standby = new StandbySettings(true, softwareVersion, settings.zone());
@@ -228,8 +228,8 @@
         }
 
         /**
-         * Sets the listeners for the events of jobs; by default there are none. The tracer is
-         * closed with the controller.
+         * Sets the listeners for job events; by default there are none. The tracer is closed with
+         * the controller.
          */
         public Builder eventListeners(JobEventListeners listeners) {
             jobEventListeners = listeners;
@@ -239,9 +239,9 @@
         /**
          * Starts the controller.
          *
-         * @throws IOException if a certificate or its key cannot be used, or there can be no event
-         *     loop
-         * @throws RuntimeException if an address cannot be listened on
+         * @throws IOException if a certificate or its key cannot be used, or the event loop cannot
+         *     be created
+         * @throws RuntimeException if a server cannot listen on its address
          */
         public Controller start() throws IOException {
             Optional<SSLContext> tesTls =
@@ -256,8 +256,8 @@
                                     reservations.privateKeyFile());
             XnioEventLoop loop = new XnioEventLoop();
             try {
-                // Built on the loop's thread, so that one thread alone loads classes and reads
-                // files while the controller starts.
+                // Created on the loop's thread, so that a single thread loads classes and reads
+                // files during the start.
                 return loop.callAndWait(() -> new Controller(loop, this, tesTls, reservationTls));
             } catch (RuntimeException failure) {
                 loop.close();
@@ -265,7 +265,7 @@
             }
         }
 
-        /** Empty without a certificate: connections are then plain. */
+        /** Loads the TLS context of a server; empty, for plain HTTP, if there is no certificate. */
         private static Optional<SSLContext> loadTls(Path chain, Path key) throws IOException {
             return chain == null
                     ? Optional.empty()
@@ -273,26 +273,26 @@
         }
     }
 
-    /** The port for users and workers. */
+    /** Returns the port for users and workers. */
     public int port() {
         return publicServer.port();
     }
 
-    /** The port of the task execution API, or -1 if it is not served. */
+    /** Returns the port of the task execution API, or -1 if it is not served. */
     public int tesPort() {
         return tesServer.map(HttpServer::port).orElse(-1);
     }
 
-    /** The port for reservations and maintenance windows, or -1 if none are accepted. */
+    /** Returns the port for reservations and maintenance windows, or -1 if they are not served. */
     public int calendarPort() {
         return reservationServer.map(HttpServer::port).orElse(-1);
     }
 
     /**
-     * Hands the leadership over to the standby that is best prepared, if this node leads. Blocks
-     * until it no longer leads; to be called before {@link #close}, not on the loop's thread.
+     * Hands the leadership over to the best prepared standby, if this node leads. Blocks until this
+     * node no longer leads. Call it before {@link #close}, and not on the event loop's thread.
      *
-     * @param timeout how long to wait at most
+     * @param timeout the limit of the wait
      */
     public void handOver(Duration timeout) {
         CompletableFuture<Void> completion = new CompletableFuture<>();
@@ -307,7 +307,8 @@
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException late) {
-            // The next leader finds the lease revoked, or waits until it expires.
+            // Nothing is left to do: the next leader finds the lease revoked or waits until it
+            // expires.
         }
     }
 
--- a/src/main/java/org/meadowhollow/cli/ExternalClients.java
+++ b/src/main/java/org/meadowhollow/cli/ExternalClients.java
@@ -10,12 +10,13 @@
 import org.meadowhollow.protocol.peers.PeerMessageCodec;
 import org.meadowhollow.protocol.workers.WorkerClient;
 
-/** The clients of everything that a controller calls. They share one HTTP client. */
+/** The clients of the services that a controller calls. They share one HTTP client. */
 record ExternalClients(
         KeyValueStoreClient store, CloudClient cloud, WorkerClient workers, PeerClient peers) {
     /**
-     * The limits of the key-value store and the cloud hold for all nodes together. The leader does
-     * most of the work and may use most of them; the rest is left to what the others do for users.
+     * The share of the request rate limits of the key-value store and the cloud that one node may
+     * use. The limits hold for all nodes together. The leader does most of the work and may use
+     * most of them; the rest is left to the other nodes, which serve users.
      */
     private static final double RATE_SHARE_PER_NODE = 0.7;
 
--- a/src/main/java/org/meadowhollow/cli/Listeners.java
+++ b/src/main/java/org/meadowhollow/cli/Listeners.java
@@ -11,36 +11,42 @@
 import org.meadowhollow.transport.XnioEventLoop;
 
 /**
- * Opens the HTTP servers of a controller, with the connections that each may take. Every server
- * accepts requests as soon as it is opened; all of them run on the loop's thread.
+ * Opens the HTTP servers of a controller, each with a limit of its connections. Every server
+ * accepts requests as soon as it is opened; all of them run on the event loop's thread.
  */
 final class Listeners {
-    /** Longer than the pause between two requests of a peer while it has anything to send. */
+    /**
+     * How long an idle connection of a peer stays open: longer than the pause between two requests
+     * of a peer that has anything to send.
+     */
     private static final Duration PEER_IDLE_TIMEOUT = Duration.ofMinutes(2);
 
     /**
-     * Workers send heartbeats and users poll every few seconds, so that a caller that sends nothing
-     * for this many heartbeat intervals is gone or cut off; but a connection is kept for {@link
-     * #MIN_IDLE_TIMEOUT} in any case, since a slow caller loses a request on a connection that is
-     * closed.
+     * How long an idle connection of a user or worker stays open, in heartbeat intervals. Workers
+     * send heartbeats and users poll every few seconds, so a caller that sends nothing for this
+     * long has stopped or is disconnected.
      */
     private static final int IDLE_HEARTBEATS = 6;
 
+    /**
+     * The least time that an idle connection of a user or worker stays open. A request that a slow
+     * caller sends on a closed connection is lost.
+     */
     private static final Duration MIN_IDLE_TIMEOUT = Duration.ofSeconds(20);
 
-    /** Sockets and files that the process itself needs beside its connections. */
+    /** File descriptors that the process needs for other purposes than connections. */
     private static final int RESERVED_FILE_DESCRIPTORS = 64;
 
-    /** The least share of its file descriptors that a process leaves to its callers. */
+    /** The least share of the process's file descriptors that is available to callers. */
     private static final double MIN_CALLER_SHARE = 0.5;
 
     /**
-     * The share of callers' connections that clients of the task execution API may take beside
-     * them.
+     * The limit of connections for callers, divided by this, is the additional limit for clients of
+     * the task execution API.
      */
     private static final int TES_CONNECTIONS_DIVISOR = 8;
 
-    /** Connections of operators, by hand or by a script. */
+    /** The limit of connections for operators, who work by hand or with scripts. */
     private static final int MAX_OPERATOR_CONNECTIONS = 16;
 
     private final XnioEventLoop loop;
@@ -55,7 +61,7 @@
         this.callerIdleTimeout = callerIdleTimeout(settings.deployment().heartbeatInterval());
     }
 
-    /** For users and workers. */
+    /** Opens the server for users and workers. */
     HttpServer openPublic(Http.RequestHandler handler) {
         return open(
                 settings.publicEndpoint(),
@@ -65,7 +71,7 @@
                 handler);
     }
 
-    /** For clients of the task execution API. */
+    /** Opens the server for clients of the task execution API. */
     HttpServer openTes(
             Settings.Endpoint endpoint, Optional<SSLContext> tls, Http.RequestHandler handler) {
         return open(
@@ -76,14 +82,14 @@
                 handler);
     }
 
-    /** For operators who make reservations and maintenance windows. */
+    /** Opens the server for operators, who manage reservations and maintenance windows. */
     HttpServer openReservations(
             Settings.Endpoint endpoint, Optional<SSLContext> tls, Http.RequestHandler handler) {
         return open(
                 endpoint, MAX_OPERATOR_CONNECTIONS, callerIdleTimeout, tls.orElse(null), handler);
     }
 
-    /** For the other controllers; without a bound on their connections. */
+    /** Opens the server for the other controllers, without a limit of their connections. */
     HttpServer openPeers(Http.RequestHandler handler) {
         return open(settings.peerEndpoint(), 0, PEER_IDLE_TIMEOUT, null, handler);
     }
@@ -103,11 +109,11 @@
     }
 
     /**
-     * Connections for users and workers: what the process may have, less a reserve for those it
-     * opens itself, so that it can always reach the key-value store, the cloud, its peers and some
-     * unresponsive workers.
+     * Returns the limit of connections for users and workers: the file descriptor limit of the
+     * process less a reserve for the connections that it opens itself, so that it can always reach
+     * the key-value store, the cloud, its peers and some unresponsive workers.
      *
-     * @return 0 for no bound
+     * @return 0 for no limit
      */
     static int maxCallerConnections(Settings settings) {
         int reserve =
--- a/src/main/java/org/meadowhollow/cli/Main.java
+++ b/src/main/java/org/meadowhollow/cli/Main.java
@@ -24,8 +24,8 @@
 import picocli.CommandLine.Model.OptionSpec;
 
 /**
- * The command. Its options are described in code and not by annotations, whose inspection takes
- * longer than all the rest of the command, at every start.
+ * The command that runs a controller. Its options are declared in code because the inspection of
+ * annotations would take longer than the rest of the command at every start.
  */
 public final class Main implements Callable<Integer> {
     private static final Set<String> LOG_LEVELS = Set.of("error", "info", "debug");
@@ -45,7 +45,7 @@
     private static final String TRACE_OTLP = "--trace-otlp";
     private static final String STANDBY = "--standby";
 
-    /** A handover takes one transaction of the key-value store. */
+    /** The limit of the wait for a handover, which takes one transaction of the key-value store. */
     private static final Duration HANDOVER_TIMEOUT = Duration.ofSeconds(2);
 
     private static final String TRAIN_CLASS_ARCHIVE = "--train-class-archive";
@@ -69,7 +69,7 @@
                                     .paramLabel("HOST:PORT")
                                     .type(String.class)
                                     .description(
-                                            "serve the GA4GH task execution API there (default: not at all)")
+                                            "serve the GA4GH task execution API on this address (default: not served)")
                                     .build())
                     .addOption(
                             OptionSpec.builder(TES_TOKEN)
@@ -84,25 +84,26 @@
                             OptionSpec.builder(TES_CERT)
                                     .paramLabel("FILE")
                                     .type(Path.class)
-                                    .description("certificate for that API, in PEM")
+                                    .description("certificate for --tes-listen, in PEM")
                                     .build())
                     .addOption(
                             OptionSpec.builder(TES_KEY)
                                     .paramLabel("FILE")
                                     .type(Path.class)
-                                    .description("key of that certificate, in PEM")
+                                    .description("the private key of that certificate, in PEM")
                                     .build())
                     .addOption(
                             OptionSpec.builder(ORDER_LOG)
                                     .description(
-                                            "log what happens to jobs and tasks, numbered in one order for all nodes")
+                                            "log the events of jobs and tasks, numbered in one order across all nodes")
                                     .build())
                     .addOption(
                             OptionSpec.builder(CALENDAR_LISTEN)
                                     .paramLabel("HOST:PORT")
                                     .type(String.class)
                                     .description(
-                                            "take reservations and maintenance windows there (default: not at all)")
+                                            "serve the API for reservations and maintenance windows on this address"
+                                                    + " (default: not served)")
                                     .build())
                     .addOption(
                             OptionSpec.builder(CALENDAR_TOKEN)
@@ -117,13 +118,13 @@
                             OptionSpec.builder(CALENDAR_CERT)
                                     .paramLabel("FILE")
                                     .type(Path.class)
-                                    .description("certificate for that, in PEM")
+                                    .description("certificate for --calendar-listen, in PEM")
                                     .build())
                     .addOption(
                             OptionSpec.builder(CALENDAR_KEY)
                                     .paramLabel("FILE")
                                     .type(Path.class)
-                                    .description("key of that certificate, in PEM")
+                                    .description("the private key of that certificate, in PEM")
                                     .build())
                     .addOption(
                             OptionSpec.builder(CALENDAR_MOST)
@@ -132,21 +133,22 @@
                                     .auxiliaryTypes(String.class)
                                     .arity("1")
                                     .description(
-                                            "machines of a type to reserve from (default: no bound); may be repeated")
+                                            "the most machines of a type that reservations may use (default: no limit);"
+                                                    + " may be repeated")
                                     .build())
                     .addOption(
                             OptionSpec.builder(TRACE_OTLP)
                                     .paramLabel("URL")
                                     .type(String.class)
                                     .description(
-                                            "send spans of tasks whose clients trace them there, by OTLP over HTTP"
-                                                    + " (default: nowhere)")
+                                            "send spans to this collector by OTLP over HTTP, for tasks whose clients trace"
+                                                    + " them (default: not sent)")
                                     .build())
                     .addOption(
                             OptionSpec.builder(STANDBY)
                                     .description(
-                                            "keep warm what is needed to take over while another node leads, and hand the lead"
-                                                    + " over when told to end")
+                                            "keep the state that a takeover needs loaded while another node leads, and hand"
+                                                    + " over the leadership on shutdown")
                                     .build())
                     .addOption(OptionSpec.builder(TRAIN_CLASS_ARCHIVE).hidden(true).build())
                     .addOption(
@@ -166,15 +168,16 @@
                         "Runs one controller of the meadowhollow cluster scheduler until it is killed.")
                 .footer(
                         "",
-                        "meadowhollow reserve, window and plan work with the calendar of a running node; see their --help.",
-                        "The variable LOG_LEVEL (error, info or debug) sets how much goes to standard error.",
+                        "meadowhollow reserve, window and plan manage the reservations and maintenance windows of a"
+                                + " running cluster; see their --help.",
+                        "The variable LOG_LEVEL (error, info or debug) sets the level of the log on standard error.",
                         TesOptions.TOKENS_VARIABLE
                                 + " holds tokens as "
                                 + TES_TOKEN
                                 + " takes them, separated by blanks.");
     }
 
-    /** The version that the build wrote into the manifest. */
+    /** Reads the version that the build wrote into the manifest. */
     static final class ManifestVersionProvider implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -184,8 +187,8 @@
     }
 
     /**
-     * Invalid flags get one line. A class of its own, since the class archive takes no lambda of
-     * this kind.
+     * Reports invalid flags in one line. It is a named class because the class archive cannot hold
+     * the lambda expression in its place.
      */
     static final class OneLineErrorHandler implements CommandLine.IParameterExceptionHandler {
         @Override
@@ -204,9 +207,9 @@
         }
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level);
         System.setProperty("org.jboss.logging.provider", "slf4j");
-        // XNIO and its thread pool would set up the JVM's management, a quarter of the processor
-        // time
-        // of a start, for beans that nobody reads; without a server for them they do without.
+        // XNIO and its thread pool would start the JVM's management to register MBeans that nobody
+        // reads, which takes a quarter of the processor time of a start. Without an MBean server
+        // they skip the registration.
         System.setProperty("javax.management.builder.initial", "none");
         System.setProperty("jboss.threads.eqe.register-mbean", "false");
         if (ReservationCommand.handles(args)) {
@@ -225,15 +228,15 @@
         }
     }
 
-    /** Not an exit code: the controller's own threads keep the process going. */
+    /** Not an exit code: the process runs on, kept alive by the controller's threads. */
     private static final int KEEP_RUNNING = -1;
 
     /**
-     * What the settings file, the flags and the environment say, checked.
+     * The validated values of the settings file, the flags and the environment.
      *
-     * @param tes null if the task execution API is not served
-     * @param reservations null if no reservations are accepted
-     * @param traceCollector null if nothing is traced
+     * @param tes the task execution API, or null if it is not served
+     * @param reservations the reservation API, or null if it is not served
+     * @param traceCollector the URL of the trace collector, or null if tracing is disabled
      */
     private record Options(
             Settings settings,
@@ -241,7 +244,7 @@
             ReservationOptions reservations,
             URI traceCollector) {}
 
-    /** Runs the command; returns the exit code, or that the process is to go on. */
+    /** Runs the command; returns its exit code, or {@link #KEEP_RUNNING} if a controller runs. */
     @Override
     public Integer call() throws Exception {
         CommandLine.ParseResult flags = spec.commandLine().getParseResult();
@@ -316,9 +319,10 @@
                     .addShutdownHook(
                             new Thread(() -> controller.handOver(HANDOVER_TIMEOUT), "hand-over"));
         }
-        // Log lines count milliseconds from the start, since formatting the time of day made every
-        // start a fifth longer. This line says what the count was at which time.
-        LoggerFactory.getLogger(Main.class).info("{} runs, at {}", member, Instant.now());
+        // Log lines show milliseconds since the start, because formatting the time of day made
+        // every start a fifth longer. This line ties that count to the time of day.
+        LoggerFactory.getLogger(Main.class)
+                .info("controller started node={} time={}", member, Instant.now());
     }
 
     private static JobEventListeners newEventListeners(
@@ -338,8 +342,8 @@
     }
 
     /**
-     * Only a process that traces loads the classes that this names, and redirects their library's
-     * log to its own.
+     * Creates the tracer and redirects the log of its library to SLF4J. Only a process with tracing
+     * enabled loads the classes that this method uses.
      */
     private static TaskTracer createTracer(URI collector, String member) {
         SLF4JBridgeHandler.removeHandlersForRootLogger();
@@ -348,9 +352,9 @@
     }
 
     /**
-     * The address of a collector of traces; null if none is given.
+     * Parses the URL of the trace collector; null if none is given.
      *
-     * @throws Settings.InvalidSettingsException in one line, which names the flag
+     * @throws Settings.InvalidSettingsException with a one-line message that names the flag
      */
     static URI parseCollectorUrl(String url) throws Settings.InvalidSettingsException {
         if (url == null) {
@@ -364,7 +368,7 @@
                 return uri;
             }
         } catch (URISyntaxException notAnAddress) {
-            // One message for every wrong address.
+            // Reported below, with the same message as every other invalid URL.
         }
         throw new Settings.InvalidSettingsException(
                 TRACE_OTLP + " is not of the form http://HOST:PORT or https://HOST:PORT");
--- a/src/main/java/org/meadowhollow/cli/ReservationOptions.java
+++ b/src/main/java/org/meadowhollow/cli/ReservationOptions.java
@@ -11,12 +11,15 @@
 import org.meadowhollow.protocol.tes.BearerTokens;
 
 /**
- * Where a controller serves the operators' interface to reservations and maintenance windows, and
- * the limits of the reservable capacity, as its flags say.
+ * The options of the operators' API for reservations and maintenance windows, from the flags and
+ * environment variables of a controller.
  *
+ * @param listenEndpoint the address that the API is served on
+ * @param tokens the operators' bearer tokens
  * @param certificateChainFile the certificate's file, or null for connections without TLS
  * @param privateKeyFile the file of the certificate's key; null if there is no certificate
- * @param maxMachines machines that the operators will have at a time, by {@code type/zone} or type
+ * @param maxMachines the number of machines that reservations may count on at a time, by {@code
+ *     type/zone} or type
  */
 public record ReservationOptions(
         Settings.Endpoint listenEndpoint,
@@ -24,20 +27,23 @@
         Path certificateChainFile,
         Path privateKeyFile,
         Map<String, Integer> maxMachines) {
-    /** Tokens as in the flag, separated by blanks: others could read a command line. */
+    /**
+     * The environment variable with tokens in the form of the flag, separated by blanks. On shared
+     * hosts, other users can read the command line.
+     */
     static final String TOKENS_VARIABLE = "MEADOWHOLLOW_CALENDAR_TOKENS";
 
     /**
-     * Checks the values of the flags.
+     * Parses and validates the values of the flags.
      *
-     * @param listen of {@code --calendar-listen}, or null
-     * @param tokenFlags of {@code --calendar-token}
-     * @param certificateChain of {@code --calendar-cert}, or null
-     * @param privateKey of {@code --calendar-key}, or null
-     * @param maxMachineFlags of {@code --calendar-most}
+     * @param listen the value of {@code --calendar-listen}, or null
+     * @param tokenFlags the values of {@code --calendar-token}
+     * @param certificateChain the value of {@code --calendar-cert}, or null
+     * @param privateKey the value of {@code --calendar-key}, or null
+     * @param maxMachineFlags the values of {@code --calendar-most}
      * @param environment the environment variables
-     * @return null if the interface is not served
-     * @throws Settings.InvalidSettingsException in one line, which names the flag
+     * @return the options, or null if the API is not served
+     * @throws Settings.InvalidSettingsException with a one-line message that names the flag
      */
     static ReservationOptions fromFlags(
             String listen,
@@ -53,14 +59,14 @@
                     || privateKey != null
                     || !maxMachineFlags.isEmpty()) {
                 throw new Settings.InvalidSettingsException(
-                        "--calendar-token, --calendar-cert, --calendar-key and --calendar-most go"
-                                + " with --calendar-listen");
+                        "--calendar-token, --calendar-cert, --calendar-key and --calendar-most need"
+                                + " --calendar-listen");
             }
             return null;
         }
         if ((certificateChain == null) != (privateKey == null)) {
             throw new Settings.InvalidSettingsException(
-                    "--calendar-cert and --calendar-key go together");
+                    "--calendar-cert and --calendar-key must be given together");
         }
         try {
             BearerTokens tokens = parseTokens(tokenFlags, environment);
@@ -112,7 +118,7 @@
                     continue;
                 }
             } catch (NumberFormatException notANumber) {
-                // The same message as for a negative number.
+                // Reported below, with the same message as a negative number.
             }
             throw new Settings.InvalidSettingsException(
                     "--calendar-most is not of the form TYPE=N or TYPE/ZONE=N");
--- a/src/main/java/org/meadowhollow/cli/Settings.java
+++ b/src/main/java/org/meadowhollow/cli/Settings.java
@@ -16,13 +16,13 @@
 import org.meadowhollow.protocol.MessageReader;
 
 /**
- * The platform's settings file, checked.
+ * The validated content of the platform's settings file.
  *
- * @param clockSkewBound the most that the time of day may be off on either side, zero if the file
- *     does not say
- * @param zone that this node is in, empty if the file does not say
- * @param fileDescriptorLimit how many sockets and files the process may have open, 0 if the file
- *     does not say
+ * @param zone the zone of this node, empty if the file does not set it
+ * @param fileDescriptorLimit the number of sockets and files that the process may have open, 0 if
+ *     the file does not set it
+ * @param clockSkewBound the largest error of the wall clock in either direction, zero if the file
+ *     does not set it
  */
 public record Settings(
         Endpoint publicEndpoint,
@@ -35,10 +35,10 @@
         DeploymentSettings deployment,
         Duration clockSkewBound) {
 
-    /** An address of this machine. */
+    /** An address that this node listens on. */
     public record Endpoint(String host, int port) {}
 
-    /** The settings cannot be used; the text says why. */
+    /** Thrown if settings or flags are invalid; the message is one line for the operator. */
     public static final class InvalidSettingsException extends Exception {
         InvalidSettingsException(String reason) {
             super(reason);
@@ -48,7 +48,8 @@
     /**
      * Reads and checks a settings file.
      *
-     * @throws InvalidSettingsException in one line, if it cannot be read or used
+     * @throws InvalidSettingsException with a one-line message, if the file is unreadable or
+     *     invalid
      */
     public static Settings read(Path file) throws InvalidSettingsException {
         byte[] bytes;
@@ -183,7 +184,7 @@
                 return new Endpoint(text.substring(0, colon), port);
             }
         } catch (NumberFormatException notANumber) {
-            // Falls through to the one message for every wrong address.
+            // Reported below, with the same message as every other invalid address.
         }
         throw new MalformedMessageException(key + " is not an address of the form host:port");
     }
--- a/src/main/java/org/meadowhollow/cli/TesOptions.java
+++ b/src/main/java/org/meadowhollow/cli/TesOptions.java
@@ -9,26 +9,33 @@
 import org.meadowhollow.protocol.tes.BearerTokens;
 
 /**
- * Where and how a controller serves the task execution API, from the operator's flags and
- * environment variables.
+ * The options of the GA4GH task execution API, from the flags and environment variables of a
+ * controller.
  *
- * @param certificateFile the certificate's file, or null for plain connections
- * @param privateKeyFile the file of the certificate's key, or null with it
+ * @param listen the address that the API is served on
+ * @param tokens the teams' bearer tokens
+ * @param certificateFile the certificate's file, or null for connections without TLS
+ * @param privateKeyFile the file of the certificate's key; null if there is no certificate
  */
 public record TesOptions(
         Settings.Endpoint listen, BearerTokens tokens, Path certificateFile, Path privateKeyFile) {
     /**
-     * Holds tokens as the flag takes them, separated by blanks, for hosts on which others can read
-     * a command line.
+     * The environment variable with tokens in the form of the flag, separated by blanks, for hosts
+     * on which other users can read the command line.
      */
     static final String TOKENS_VARIABLE = "MEADOWHOLLOW_TES_TOKENS";
 
     /**
-     * Checks the flags and variables.
+     * Parses and validates the flags and environment variables.
      *
-     * @param variables the environment
-     * @return null if the API is not to be served
-     * @throws Settings.InvalidSettingsException in one line, which names the flag
+     * @param listen the value of {@code --tes-listen}, or null
+     * @param tokens the values of {@code --tes-token}
+     * @param chain the value of {@code --tes-cert}, or null
+     * @param key the value of {@code --tes-key}, or null
+     * @param variables the environment variables
+     * @param settings the settings file, whose teams may have tokens
+     * @return the options, or null if the API is not served
+     * @throws Settings.InvalidSettingsException with a one-line message that names the flag
      */
     static TesOptions parse(
             String listen,
@@ -45,12 +52,13 @@
         if (listen == null) {
             if (!tokens.isEmpty() || chain != null || key != null) {
                 throw new Settings.InvalidSettingsException(
-                        "--tes-token, --tes-cert and --tes-key go with --tes-listen");
+                        "--tes-token, --tes-cert and --tes-key need --tes-listen");
             }
             return null;
         }
         if ((chain == null) != (key == null)) {
-            throw new Settings.InvalidSettingsException("--tes-cert and --tes-key go together");
+            throw new Settings.InvalidSettingsException(
+                    "--tes-cert and --tes-key must be given together");
         }
         try {
             BearerTokens known = BearerTokens.parse(all);
--- a/src/main/java/org/meadowhollow/cli/reservation/EntryCommand.java
+++ b/src/main/java/org/meadowhollow/cli/reservation/EntryCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** A command on one kind of entry of the calendar: reservations or maintenance windows. */
+/** A command that manages one kind of calendar entry: reservations or maintenance windows. */
 abstract class EntryCommand implements Callable<Integer> {
     @CommandLine.ParentCommand private ReservationCommand parent;
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -26,23 +26,24 @@
     @Option(
             names = "--version",
             paramLabel = "N",
-            description = "the version that is meant, to change one")
+            description = "the version that a change expects")
     private Long version;
 
-    /** The path of all entries of the kind. */
+    /** Returns the path of the collection of entries, below the path of the API. */
     abstract String collectionPath();
 
-    /** Adds the fields of the flags that were given, except those of the schedule. */
+    /** Adds a field for each flag that was given, except those of the schedule. */
     abstract void addFields(Map<String, Object> body) throws CommandFailedException;
 
-    // The answer is UTF-8 and read in the platform's charset: a known defect, on the roadmap.
+    // Known defect: the answer is UTF-8 but is decoded in the platform's charset.
     @SuppressWarnings("DefaultCharset")
     @Override
     public Integer call() throws Exception {
         if ((name == null) != action.equals("list")
                 || !List.of("put", "show", "list", "withdraw").contains(action)) {
             throw new CommandLine.ParameterException(
-                    spec.commandLine(), "put, show or withdraw a NAME, or list");
+                    spec.commandLine(),
+                    "expected put, show or withdraw with a NAME, or list without one");
         }
         String path = name == null ? collectionPath() : collectionPath() + '/' + name;
         Map<String, Object> body = null;
--- a/src/main/java/org/meadowhollow/cli/reservation/NodeClient.java
+++ b/src/main/java/org/meadowhollow/cli/reservation/NodeClient.java
@@ -10,7 +10,7 @@
 import org.meadowhollow.protocol.JsonCodec;
 import org.meadowhollow.protocol.MalformedMessageException;
 
-/** Sends requests to a node and repeats those that it cannot serve at the moment. */
+/** Sends requests to a node and retries those that it cannot serve at the moment. */
 final class NodeClient {
     private static final String PATH_PREFIX = "/calendar/v1/";
     private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(10);
@@ -21,9 +21,11 @@
     private NodeClient() {}
 
     /**
-     * A request without a method.
+     * Returns a request that still needs a method.
      *
      * @param base the node's address, with or without a scheme
+     * @param path the path below that of the API
+     * @param token the operator's bearer token
      */
     static HttpRequest.Builder newRequest(String base, String path, String token)
             throws CommandFailedException {
@@ -37,7 +39,10 @@
         }
     }
 
-    /** Sends a request; all are idempotent, so one that fails or is put off is repeated. */
+    /**
+     * Sends a request and returns the fields of the answer. Every request is idempotent, so one
+     * that gets no answer or status 503 is sent again.
+     */
     static Map<String, Object> sendWithRetries(HttpRequest request) throws CommandFailedException {
         String failure = "no answer";
         for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
--- a/src/main/java/org/meadowhollow/cli/reservation/NodeOptions.java
+++ b/src/main/java/org/meadowhollow/cli/reservation/NodeOptions.java
@@ -5,7 +5,7 @@
 import org.meadowhollow.protocol.JsonCodec;
 import picocli.CommandLine.Option;
 
-/** The flags that all commands share, and the requests to the node that they name. */
+/** The flags that all commands share; sends requests to the node that they name. */
 final class NodeOptions {
     static final String NODE_URL_VARIABLE = "MEADOWHOLLOW_CALENDAR_URL";
     static final String TOKEN_VARIABLE = "MEADOWHOLLOW_CALENDAR_TOKEN";
@@ -21,7 +21,7 @@
                             + TOKEN_VARIABLE)
     private String node;
 
-    // Only picocli uses the field, by reflection, to know whether help was asked for.
+    // Read only by picocli, through reflection, to detect a request for help.
     @SuppressWarnings("UnusedVariable")
     @Option(
             names = {"-h", "--help"},
@@ -32,7 +32,7 @@
     /**
      * Sends a request to the node.
      *
-     * @param path below the path of the interface
+     * @param path the path below that of the API
      * @param version the revision that a change expects, or null
      * @param body the fields to send as JSON, or null for none
      * @return the fields of the answer
--- a/src/main/java/org/meadowhollow/cli/reservation/PlanCommand.java
+++ b/src/main/java/org/meadowhollow/cli/reservation/PlanCommand.java
@@ -7,23 +7,26 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** The command {@code plan}. */
-@Command(name = "plan", description = "Prints who has what when, as text or as a page.")
+/** The command {@code plan}, which prints the reservations and maintenance windows ahead. */
+@Command(
+        name = "plan",
+        description =
+                "Prints the reservations and maintenance windows of the hours ahead, as text or HTML.")
 final class PlanCommand implements Callable<Integer> {
     @CommandLine.ParentCommand private ReservationCommand parent;
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
     @Mixin private NodeOptions nodeOptions;
 
-    @Option(names = "--hours", paramLabel = "N", description = "how far ahead (default: 48)")
+    @Option(names = "--hours", paramLabel = "N", description = "how many hours ahead (default: 48)")
     private int hours = 48;
 
-    @Option(names = "--html", description = "a page instead of text")
+    @Option(names = "--html", description = "print an HTML page instead of text")
     private boolean html;
 
     @Option(
             names = "--time-zone",
             paramLabel = "ZONE",
-            description = "whose clocks times are told by (default: UTC)")
+            description = "time zone in which times are shown (default: UTC)")
     private String zone = "UTC";
 
     @Override
--- a/src/main/java/org/meadowhollow/cli/reservation/PlanRenderer.java
+++ b/src/main/java/org/meadowhollow/cli/reservation/PlanRenderer.java
@@ -16,13 +16,13 @@
 import org.meadowhollow.protocol.MalformedMessageException;
 import org.meadowhollow.protocol.MessageReader;
 
-/** Renders a plan that a node returned, from templates: as a table in plain text or as a page. */
+/** Renders a plan that a node returned, from templates: as a plain-text table or an HTML page. */
 final class PlanRenderer {
     private static final String TEMPLATE_FOLDER = "org/meadowhollow/cli/reservation";
     private static final DateTimeFormatter TIME_FORMAT =
             DateTimeFormatter.ofPattern("EEE d MMM HH:mm", Locale.ENGLISH);
 
-    /** What a line says of its entry; {@code problem} is empty if there is none. */
+    /** The texts of a line of the plan; {@code problem} is empty if there is none. */
     private record Description(String what, String detail, String problem, boolean bad) {}
 
     private final ZoneId zone;
@@ -36,6 +36,7 @@
      *
      * @param plan the body of a node's answer
      * @param zoneId the time zone in which times are shown
+     * @param html whether to render an HTML page instead of text
      * @throws MalformedMessageException if the answer or the time zone is invalid
      */
     static String render(Map<String, Object> plan, String zoneId, boolean html)
@@ -61,7 +62,7 @@
         }
     }
 
-    /** A line for each slot and outage, in the order of their starts. */
+    /** Returns a line for each slot and outage, in the order of their starts. */
     private List<Map<String, Object>> lines(Map<String, Object> plan)
             throws MalformedMessageException {
         MessageReader reader = new MessageReader(plan);
@@ -109,7 +110,7 @@
         return new Description("window " + outage.string("window"), detail, "", false);
     }
 
-    /** The fields of a line; their names are those in the templates. */
+    /** Returns the fields of a line, under the names that the templates use. */
     private Map<String, Object> line(MessageReader entry, Description description)
             throws MalformedMessageException {
         String from = formatTime(entry.string("from"));
--- a/src/main/java/org/meadowhollow/cli/reservation/ReservationCommand.java
+++ b/src/main/java/org/meadowhollow/cli/reservation/ReservationCommand.java
@@ -7,8 +7,8 @@
 import picocli.CommandLine.Command;
 
 /**
- * The operators' commands {@code reserve}, {@code window} and {@code plan}, which are sent to any
- * node. A process that runs a controller never loads them.
+ * The operators' commands {@code reserve}, {@code window} and {@code plan}, which send requests to
+ * any node. A process that runs a controller never loads them.
  */
 @Command(
         name = "meadowhollow",
@@ -20,12 +20,12 @@
         this.environment = environment;
     }
 
-    /** The environment variables of the process. */
+    /** Returns the environment variables of the process. */
     Map<String, String> environment() {
         return environment;
     }
 
-    /** Whether a command line is for these commands. */
+    /** Returns whether the arguments start with one of these commands. */
     public static boolean handles(String[] args) {
         return args.length > 0 && List.of("reserve", "window", "plan").contains(args[0]);
     }
@@ -34,7 +34,7 @@
      * Runs one command.
      *
      * @param environment the environment variables
-     * @return the exit code: 0 if done, 1 if refused or not answered, 2 for wrong flags
+     * @return the exit code: 0 for success, 1 if refused or not answered, 2 for invalid flags
      */
     public static int run(
             String[] args, Map<String, String> environment, PrintWriter out, PrintWriter err) {
--- a/src/main/java/org/meadowhollow/cli/reservation/ReserveCommand.java
+++ b/src/main/java/org/meadowhollow/cli/reservation/ReserveCommand.java
@@ -6,41 +6,42 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The command {@code reserve}. */
-@Command(name = "reserve", description = "Reserves room for some jobs of a team.")
+/** The command {@code reserve}, which manages reservations. */
+@Command(name = "reserve", description = "Manages reservations of capacity for jobs of a team.")
 final class ReserveCommand extends EntryCommand {
     @Option(names = "--team", paramLabel = "TEAM")
     private String team;
 
-    @Option(names = "--tasks", paramLabel = "N", description = "tasks that it has room for")
+    @Option(names = "--tasks", paramLabel = "N", description = "number of tasks to reserve for")
     private Long tasks;
 
-    @Option(names = "--cpus", paramLabel = "N", description = "of each task")
+    @Option(names = "--cpus", paramLabel = "N", description = "CPUs of each task")
     private Double cpus;
 
-    @Option(names = "--gpus", paramLabel = "N", description = "of each task")
+    @Option(names = "--gpus", paramLabel = "N", description = "GPUs of each task")
     private Double gpus;
 
-    @Option(names = "--ram-gb", paramLabel = "N", description = "of each task")
+    @Option(names = "--ram-gb", paramLabel = "N", description = "memory of each task, in GB")
     private Double ramGb;
 
     @Option(
             names = "--priority",
             paramLabel = "P",
             description =
-                    "work below it may be stopped: critical, urgent," + " normal (default) or idle")
+                    "tasks of a lower priority may be preempted: critical, urgent,"
+                            + " normal (default) or idle")
     private String priority;
 
     @Option(
             names = "--class",
             paramLabel = "CLASS",
-            description = "of the jobs that may use it (default: any)")
+            description = "class of the jobs that may use the reservation (default: any)")
     private String jobClass;
 
     @Option(
             names = "--job",
             paramLabel = "ID",
-            description = "that may use it (default: any); may be repeated")
+            description = "job that may use the reservation (default: any); may be repeated")
     private List<String> jobs;
 
     @Option(
@@ -55,16 +56,16 @@
             description = "the only allowed zone (default: any)")
     private String zone;
 
-    @Option(names = "--spot", description = "spot machines will do")
+    @Option(names = "--spot", description = "allow spot machines")
     private Boolean spot;
 
     @Option(
             names = "--image",
             paramLabel = "IMAGE",
-            description = "that the tasks are likely to need")
+            description = "container image that the tasks are likely to need")
     private String image;
 
-    @Option(names = "--image-gb", paramLabel = "N", description = "its size")
+    @Option(names = "--image-gb", paramLabel = "N", description = "size of the image, in GB")
     private Double imageGb;
 
     @Override
--- a/src/main/java/org/meadowhollow/cli/reservation/ScheduleOptions.java
+++ b/src/main/java/org/meadowhollow/cli/reservation/ScheduleOptions.java
@@ -5,32 +5,35 @@
 import java.util.Map;
 import picocli.CommandLine.Option;
 
-/** The flags of a schedule, which reservations and maintenance windows share. */
+/** The flags of a schedule, for both reservations and maintenance windows. */
 final class ScheduleOptions {
     private static final double MILLIS_PER_SECOND = 1000.0;
 
     @Option(
             names = "--start",
             paramLabel = "TIME",
-            description = "first start on the clocks of the time zone," + " like 2026-12-31T02:00")
+            description = "first start in local time of the time zone," + " like 2026-12-31T02:00")
     private String start;
 
     @Option(
             names = "--time-zone",
             paramLabel = "ZONE",
-            description = "like Asia/Amman (default: UTC)")
+            description = "time zone of the schedule, like Asia/Amman (default: UTC)")
     private String zone;
 
-    @Option(names = "--length", paramLabel = "DURATION", description = "like PT2H30M")
+    @Option(
+            names = "--length",
+            paramLabel = "DURATION",
+            description = "length of each occurrence, like PT2H30M")
     private String length;
 
     @Option(
             names = "--rule",
             paramLabel = "RRULE",
-            description = "how it repeats, by RFC 5545, like FREQ=DAILY" + " (default: once)")
+            description = "recurrence rule of RFC 5545, like FREQ=DAILY" + " (default: once)")
     private String rule;
 
-    /** Adds the fields of the flags that were given. */
+    /** Adds a field for each flag that was given. */
     void addFields(Map<String, Object> body) throws CommandFailedException {
         putIfGiven(body, "start", start);
         putIfGiven(body, "time_zone", zone);
@@ -47,9 +50,9 @@
     }
 
     /**
-     * Parses an ISO 8601 duration to seconds.
+     * Converts an ISO 8601 duration to seconds.
      *
-     * @throws CommandFailedException naming the flag, if it is none
+     * @throws CommandFailedException with the name of the flag, if the duration is invalid
      */
     static double parseSeconds(String duration, String flag) throws CommandFailedException {
         try {
--- a/src/main/java/org/meadowhollow/cli/reservation/WindowCommand.java
+++ b/src/main/java/org/meadowhollow/cli/reservation/WindowCommand.java
@@ -5,28 +5,33 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The command {@code window}. */
-@Command(name = "window", description = "Declares when machines are out.")
+/** The command {@code window}, which manages maintenance windows. */
+@Command(
+        name = "window",
+        description = "Manages maintenance windows, in which machines are out of service.")
 final class WindowCommand extends EntryCommand {
-    @Option(names = "--machine", paramLabel = "NAME", description = "that is out; may be repeated")
+    @Option(
+            names = "--machine",
+            paramLabel = "NAME",
+            description = "machine that is out of service; may be repeated")
     private List<String> machines;
 
     @Option(
             names = "--type",
             paramLabel = "TYPE",
-            description = "whose machines are out; may be repeated")
+            description = "machine type that is out of service; may be repeated")
     private List<String> types;
 
     @Option(
             names = "--zone",
             paramLabel = "ZONE",
-            description = "whose machines are out; may be repeated")
+            description = "zone that is out of service; may be repeated")
     private List<String> zones;
 
     @Option(
             names = "--notice",
             paramLabel = "DURATION",
-            description = "how long before it services begin to move")
+            description = "time before the window at which services begin to move")
     private String notice;
 
     @Override
