--- a/src/test/java/org/meadowhollow/LayersTest.java
+++ b/src/test/java/org/meadowhollow/LayersTest.java
@@ -21,21 +21,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The direction of dependencies between packages. The package names stand here once: a package that
- * is renamed or added is changed in {@link #LAYERS} or {@link #COORDINATION_PACKAGES} and nowhere
- * else.
+ * Checks the direction of dependencies between packages. The package names are listed only here: if
+ * a package is renamed or added, update {@link #LAYERS} or {@link #COORDINATION_PACKAGES}.
  */
 class LayersTest {
     private static final String ROOT = "org.meadowhollow";
     private static final String COORDINATION = "coordination";
 
-    /** From the top to the bottom; a layer may use itself and those after it. */
+    /** The layers from top to bottom. A layer may use itself and those after it. */
     private static final List<String> LAYERS =
             List.of("cli", "transport", "protocol", COORDINATION, "storage", "model");
 
     /**
-     * The packages inside coordination; each may use itself and those before it. The classes of
-     * coordination itself may use all of them and are used by none of them.
+     * The packages inside coordination. Each may use itself and those before it. Classes directly
+     * in coordination may use all of these packages and are used by none of them.
      */
     private static final List<String> COORDINATION_PACKAGES =
             List.of(
@@ -63,7 +62,7 @@
                     .withImportOption(new ImportOption.DoNotIncludeTests())
                     .importPackages(ROOT);
 
-    /** The pattern of a package inside the root and all packages in it. */
+    /** Returns the pattern of a package below the root and of all its subpackages. */
     private static String tree(String name) {
         return ROOT + "." + name + "..";
     }
@@ -81,8 +80,8 @@
     }
 
     /**
-     * How many dependencies between classes lead from the first packages to the second: that a rule
-     * had any to judge.
+     * Counts the dependencies of classes in the first packages on classes in the second, to show
+     * that a rule had any to check.
      */
     private static long dependencies(String from, String to) {
         return CLASSES.that(resideInAPackage(from)).stream()
@@ -120,7 +119,7 @@
                     .onlyDependOnClassesThat(
                             not(resideInAPackage(ROOT + ".."))
                                     .or(resideInAnyPackage(trees(layersFrom(layer), ""))))
-                    .because("calls go downwards: " + LAYERS)
+                    .because("a layer depends only on itself and the layers below: " + LAYERS)
                     .check(CLASSES);
         }
         long judged =
@@ -173,8 +172,8 @@
     }
 
     /**
-     * Compiled classes do not show an import that only a constant or a comment uses; the sources
-     * do.
+     * Checks the imports in the sources, because compiled classes do not show an import that only a
+     * constant or a comment uses.
      */
     @Test
     void importsThatLeaveNoTraceInCompiledClassesKeepTheOrderOfLayersToo() throws IOException {
@@ -194,7 +193,7 @@
         assertTrue(seen[0] > 100);
     }
 
-    /** As above, inside coordination. */
+    /** Checks the imports in the sources of the packages inside coordination. */
     @Test
     void importsThatLeaveNoTraceInCompiledClassesKeepTheOrderInsideCoordinationToo()
             throws IOException {
--- a/src/test/java/org/meadowhollow/cli/ControllerTest.java
+++ b/src/test/java/org/meadowhollow/cli/ControllerTest.java
@@ -19,7 +19,7 @@
 import org.meadowhollow.protocol.MessagePackCodec;
 import org.meadowhollow.protocol.MessageReader;
 
-/** A real controller on loopback whose key-value store and cloud cannot be reached. */
+/** Tests a real controller on loopback whose key-value store and cloud are unreachable. */
 class ControllerTest {
     private static final String SETTINGS =
             """
@@ -56,7 +56,7 @@
             try {
                 socket.getOutputStream().write(body);
             } catch (IOException refusedEarly) {
-                // The response may come before the whole of a body that is too large.
+                // The server may respond before it has read a body that is too large.
             }
             InputStream response = socket.getInputStream();
             return new String(response.readAllBytes(), StandardCharsets.ISO_8859_1);
@@ -87,7 +87,10 @@
                                     MessagePackCodec.encode(MessageReader.mapOf("stall", "m")))));
             assertEquals("400", status(exchange(port, "POST", "/submissions", new byte[70_000])));
             String later = exchange(port, "GET", "/submissions/req-1", none);
-            assertEquals("503", status(later), "nothing confirms that there is no such job");
+            assertEquals(
+                    "503",
+                    status(later),
+                    "without the store, nothing shows that the job does not exist");
             assertTrue(later.contains("Retry-After: 1"));
         }
     }
@@ -215,14 +218,14 @@
         assertEquals(
                 0,
                 Listeners.maxCallerConnections(settings(SETTINGS)),
-                "the file does not say how many there are");
+                "the settings file sets no file descriptor limit");
         String more =
                 SETTINGS.replace(
                         "\"state\":{\"rps\"", "\"quota\":{\"fd_limit\":2000},\"state\":{\"rps\"");
         int most = Listeners.maxCallerConnections(settings(more));
-        assertTrue(most >= 1500 && most <= 1700, "a few hundred are kept back: " + most);
+        assertTrue(most >= 1500 && most <= 1700, "a few hundred are reserved: " + most);
         int few = Listeners.maxCallerConnections(settings(more.replace("2000", "300")));
-        assertEquals(150, few, "callers get half in any case");
+        assertEquals(150, few, "callers get at least half");
     }
 
     @Test
--- a/src/test/java/org/meadowhollow/cli/reservation/ReservationCommandTest.java
+++ b/src/test/java/org/meadowhollow/cli/reservation/ReservationCommandTest.java
@@ -23,7 +23,7 @@
 import org.meadowhollow.transport.HttpServer;
 import org.meadowhollow.transport.XnioEventLoop;
 
-/** The commands against a node that records requests and returns prepared answers. */
+/** Tests the commands against a stub of a node that records requests and returns set answers. */
 class ReservationCommandTest {
     private final List<String> requests = new ArrayList<>();
     private final List<Http.Reply> answers = new ArrayList<>();
@@ -164,7 +164,7 @@
             assertEquals(2, run(wrong), String.join(" ", wrong));
         }
         assertEquals(1, run("window", "put", "w", "--length", "two hours"));
-        assertEquals(1, requests.size(), "nothing of it is sent");
+        assertEquals(1, requests.size(), "an invalid command sends no request");
     }
 
     @Test
--- a/src/test/java/org/meadowhollow/transport/AdaptiveTimeoutTest.java
+++ b/src/test/java/org/meadowhollow/transport/AdaptiveTimeoutTest.java
@@ -16,7 +16,9 @@
     void aLateTimerExtendsTheTimeoutOnce() {
         AdaptiveTimeout adaptiveTimeout = new AdaptiveTimeout(0, SECOND);
         assertEquals(
-                2 * SECOND, adaptiveTimeout.extensionNanos(3 * SECOND), "as long as it was late");
-        assertEquals(0, adaptiveTimeout.extensionNanos(9 * SECOND), "and no longer");
+                2 * SECOND,
+                adaptiveTimeout.extensionNanos(3 * SECOND),
+                "extended by the lateness of the timer");
+        assertEquals(0, adaptiveTimeout.extensionNanos(9 * SECOND), "not extended twice");
     }
 }
--- a/src/test/java/org/meadowhollow/transport/ConnectionLimiterTest.java
+++ b/src/test/java/org/meadowhollow/transport/ConnectionLimiterTest.java
@@ -39,7 +39,7 @@
         connectionLimiter.requestStarted("newcomer");
         assertEquals(List.of("idle"), closed);
         connectionLimiter.requestStarted("one more");
-        assertEquals(List.of("idle"), closed, "all of them wait");
+        assertEquals(List.of("idle"), closed, "a request is in progress on every connection");
         connectionLimiter.requestFinished("deferred heartbeat");
         assertFalse(connectionLimiter.requestStarted("slow"));
         connectionLimiter.requestStarted("yet another");
--- a/src/test/java/org/meadowhollow/transport/HttpClientTest.java
+++ b/src/test/java/org/meadowhollow/transport/HttpClientTest.java
@@ -26,13 +26,10 @@
 class HttpClientTest {
     private static final int REQUESTS = 20;
 
-    /**
-     * The state, in the system's table of connections, of one whose first packet is not
-     * acknowledged.
-     */
+    /** The state of a connection whose SYN packet is not acknowledged, in /proc/net/tcp. */
     private static final String SYN_SENT = "02";
 
-    /** Connections to a port whose first packet was sent and not acknowledged. */
+    /** Counts the connections to a port whose SYN packet is not acknowledged. */
     private static long unansweredAttempts(int port) throws IOException {
         String remote = ":%04X".formatted(port);
         long count = 0;
@@ -53,8 +50,8 @@
         List<Socket> filling = new ArrayList<>();
         try (ServerSocket full = new ServerSocket(0, 1, here);
                 XnioEventLoop loop = new XnioEventLoop()) {
-            // Nothing accepts, and once the backlog is full the system does not acknowledge further
-            // attempts.
+            // Nothing accepts connections: once the backlog is full, the system acknowledges no
+            // further attempts.
             assertThrows(
                     SocketTimeoutException.class,
                     () -> {
@@ -80,7 +77,7 @@
                         assertThrows(CompletionException.class, request::join);
                 assertTrue(failure.getCause() instanceof Http.RequestNotSentException);
             }
-            // Sockets are closed on the loop's thread, before this runs there.
+            // Waits until the loop's thread has closed the sockets.
             loop.callAndWait(() -> true);
             assertEquals(0, unansweredAttempts(full.getLocalPort()));
         } finally {
--- a/src/test/java/org/meadowhollow/transport/PemKeyManagerTest.java
+++ b/src/test/java/org/meadowhollow/transport/PemKeyManagerTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.meadowhollow.protocol.Http;
 
-/** A listener with a certificate that is replaced while it serves. */
+/** Tests a TLS server whose certificate files are replaced while it runs. */
 class PemKeyManagerTest {
     private static final String PASSWORD = "password";
 
@@ -57,9 +57,7 @@
         return folder.resolve("key.pem");
     }
 
-    /**
-     * Makes a key and a certificate for it with the JDK's own tool, and returns the certificate.
-     */
+    /** Creates a key and a certificate with the JDK's keytool and returns the certificate. */
     private X509Certificate make(String algorithm) throws Exception {
         Path store = folder.resolve("store" + ++made);
         Process tool =
@@ -107,7 +105,7 @@
                         + "-----\n");
     }
 
-    /** Replaces a file at a time of its own, however coarse the file system's clock is. */
+    /** Replaces a file and gives it a new modification time, however coarse the clock is. */
     private void replace(Path file, String content) throws IOException {
         Files.writeString(file, content);
         Files.setLastModifiedTime(file, FileTime.fromMillis(1_000_000L * ++made));
@@ -194,7 +192,7 @@
             try (SSLSocket socket = connect(server.port(), good)) {
                 assertTrue(
                         ask(socket, "/x").startsWith("HTTP/1.1 200"),
-                        "between the two steps of a replacement");
+                        "while the chain file is missing during a replacement");
             }
             replace(chain(), whole);
             try (SSLSocket socket = connect(server.port(), good)) {
@@ -217,7 +215,8 @@
                     assertThrows(
                             IOException.class, () -> PemKeyManager.sslContext(chain(), key()), key);
             assertEquals(1, unusable.getMessage().lines().count());
-            assertFalse(unusable.getMessage().contains("AAAA"), "a key is never told");
+            assertFalse(
+                    unusable.getMessage().contains("AAAA"), "the message must not contain the key");
         }
     }
 
--- a/src/test/java/org/meadowhollow/transport/tracing/OtlpTaskTracerTest.java
+++ b/src/test/java/org/meadowhollow/transport/tracing/OtlpTaskTracerTest.java
@@ -33,9 +33,7 @@
 import org.meadowhollow.transport.HttpServer;
 import org.meadowhollow.transport.XnioEventLoop;
 
-/**
- * Spans on their way to a collector that stands in for a real one, read by the published protocol.
- */
+/** Tests the spans that a stub of a collector receives, decoded with the published protocol. */
 class OtlpTaskTracerTest {
     private static final String TRACE = "0af7651916cd43dd8448eb211c80319c";
     private static final String CLIENT = "b7ad6b7169203331";
@@ -73,7 +71,8 @@
                 }
             }
         } catch (InvalidProtocolBufferException broken) {
-            return CompletableFuture.completedFuture(Http.Reply.error(400, "not a request"));
+            return CompletableFuture.completedFuture(
+                    Http.Reply.error(400, "not an export request"));
         }
         return CompletableFuture.completedFuture(
                 new Http.Reply(200, new byte[0], 0, "application/x-protobuf"));
@@ -110,7 +109,7 @@
             second.onAttemptEnded(task, 4000, new AttemptRecord(2, "m2", 5000, 0, 6000, "LOST"));
             second.onAttemptEnded(task, 6000, new AttemptRecord(3, "m3", 7000, 7500, 7400, "DONE"));
             second.onTaskEnded(task, JobPhase.DONE, 1005, 9000);
-            // What a new leader exports again is the same span.
+            // A new leader exports the span again, with the same id.
             first.onTaskEnded(task, JobPhase.DONE, 1005, 9000);
         }
         Map<String, Span> byId =
@@ -152,7 +151,7 @@
         assertEquals(
                 2,
                 got.stream().map(ResourceSpans::getResource).distinct().count(),
-                "each node names itself");
+                "each node exports its own name");
     }
 
     @Test
@@ -162,7 +161,7 @@
             assertEquals(
                     CONTEXT.replaceFirst("00", "cc"),
                     traces.traceContextOf(CONTEXT.replaceFirst("00", "cc") + "-more"),
-                    "a later version may add to it");
+                    "a later version of the header may be longer");
             for (String none :
                     new String[] {
                         null,
@@ -192,7 +191,7 @@
             }
             assertTrue(
                     System.nanoTime() - begun < Duration.ofSeconds(5).toNanos(),
-                    "what does not fit is dropped");
+                    "spans that do not fit into the queue are dropped");
         }
     }
 }
