--- a/src/main/java/org/meadowhollow/cli/Listeners.java
+++ b/src/main/java/org/meadowhollow/cli/Listeners.java
@@ -120,10 +120,10 @@
                 RESERVED_FILE_DESCRIPTORS
                         + HttpClient.MAX_OPEN_PER_ADDRESS * (2 + settings.peerAddresses().size())
                         + HeartbeatTimeoutMonitor.MAX_PROBES_IN_FLIGHT;
-        int least = (int) (settings.fileDescriptorLimit() * MIN_CALLER_SHARE);
+        int minimum = (int) (settings.fileDescriptorLimit() * MIN_CALLER_SHARE);
         return settings.fileDescriptorLimit() == 0
                 ? 0
-                : Math.max(least, settings.fileDescriptorLimit() - reserve);
+                : Math.max(minimum, settings.fileDescriptorLimit() - reserve);
     }
 
     private static Duration callerIdleTimeout(Duration heartbeatInterval) {
--- a/src/main/java/org/meadowhollow/cli/Settings.java
+++ b/src/main/java/org/meadowhollow/cli/Settings.java
@@ -59,13 +59,13 @@
             throw new InvalidSettingsException("cannot read the settings file " + file);
         }
         try {
-            return of(new MessageReader(JsonCodec.decode(bytes)));
+            return parse(new MessageReader(JsonCodec.decode(bytes)));
         } catch (MalformedMessageException wrong) {
             throw new InvalidSettingsException(file + ": " + wrong.getMessage());
         }
     }
 
-    private static Settings of(MessageReader file) throws MalformedMessageException {
+    private static Settings parse(MessageReader file) throws MalformedMessageException {
         Map<String, String> peers = new LinkedHashMap<>();
         for (MessageReader peer : file.nestedList("known")) {
             peers.put(peer.string("member"), requireAddress(peer.string("addr"), "known"));
--- a/src/main/java/org/meadowhollow/cli/TesOptions.java
+++ b/src/main/java/org/meadowhollow/cli/TesOptions.java
@@ -45,10 +45,10 @@
             Map<String, String> variables,
             Settings settings)
             throws Settings.InvalidSettingsException {
-        List<String> all = new ArrayList<>(tokens);
+        List<String> entries = new ArrayList<>(tokens);
         Arrays.stream(variables.getOrDefault(TOKENS_VARIABLE, "").split("\\s+"))
-                .filter(each -> !each.isEmpty())
-                .forEach(all::add);
+                .filter(entry -> !entry.isEmpty())
+                .forEach(entries::add);
         if (listen == null) {
             if (!tokens.isEmpty() || chain != null || key != null) {
                 throw new Settings.InvalidSettingsException(
@@ -61,12 +61,12 @@
                     "--tes-cert and --tes-key must be given together");
         }
         try {
-            BearerTokens known = BearerTokens.parse(all);
-            if (known.isEmpty()) {
+            BearerTokens parsedTokens = BearerTokens.parse(entries);
+            if (parsedTokens.isEmpty()) {
                 throw new Settings.InvalidSettingsException(
                         "--tes-listen needs a --tes-token or " + TOKENS_VARIABLE);
             }
-            for (String team : known.teams()) {
+            for (String team : parsedTokens.teams()) {
                 if (!team.equals(BearerTokens.READ_ONLY_TEAM)
                         && !settings.deployment().teamQuotas().containsKey(team)) {
                     throw new Settings.InvalidSettingsException(
@@ -74,7 +74,7 @@
                 }
             }
             return new TesOptions(
-                    Settings.parseEndpoint(listen, "--tes-listen"), known, chain, key);
+                    Settings.parseEndpoint(listen, "--tes-listen"), parsedTokens, chain, key);
         } catch (MalformedMessageException wrong) {
             throw new Settings.InvalidSettingsException(wrong.getMessage());
         }
--- a/src/main/java/org/meadowhollow/cli/reservation/PlanRenderer.java
+++ b/src/main/java/org/meadowhollow/cli/reservation/PlanRenderer.java
@@ -23,7 +23,7 @@
             DateTimeFormatter.ofPattern("EEE d MMM HH:mm", Locale.ENGLISH);
 
     /** The texts of a line of the plan; {@code problem} is empty if there is none. */
-    private record Description(String what, String detail, String problem, boolean bad) {}
+    private record Description(String title, String detail, String problem, boolean bad) {}
 
     private final ZoneId zone;
 
@@ -41,7 +41,7 @@
      */
     static String render(Map<String, Object> plan, String zoneId, boolean html)
             throws MalformedMessageException {
-        List<Map<String, Object>> lines = new PlanRenderer(parseZone(zoneId)).lines(plan);
+        List<Map<String, Object>> lines = new PlanRenderer(parseZone(zoneId)).buildLines(plan);
         Mustache template =
                 new DefaultMustacheFactory(TEMPLATE_FOLDER)
                         .compile(html ? "plan.html" : "plan.txt");
@@ -63,15 +63,15 @@
     }
 
     /** Returns a line for each slot and outage, in the order of their starts. */
-    private List<Map<String, Object>> lines(Map<String, Object> plan)
+    private List<Map<String, Object>> buildLines(Map<String, Object> plan)
             throws MalformedMessageException {
         MessageReader reader = new MessageReader(plan);
         List<Map<String, Object>> lines = new ArrayList<>();
         for (MessageReader slot : reader.nestedList("slots")) {
-            lines.add(line(slot, describeSlot(slot)));
+            lines.add(buildLine(slot, describeSlot(slot)));
         }
         for (MessageReader outage : reader.nestedList("outages")) {
-            lines.add(line(outage, describeOutage(outage)));
+            lines.add(buildLine(outage, describeOutage(outage)));
         }
         lines.sort(
                 Comparator.comparing((Map<String, Object> line) -> (String) line.get("order"))
@@ -111,7 +111,7 @@
     }
 
     /** Returns the fields of a line, under the names that the templates use. */
-    private Map<String, Object> line(MessageReader entry, Description description)
+    private Map<String, Object> buildLine(MessageReader entry, Description description)
             throws MalformedMessageException {
         String from = formatTime(entry.string("from"));
         String until = formatTime(entry.string("until"));
@@ -120,7 +120,7 @@
         line.put("from", from);
         line.put("until", until);
         line.put("order", entry.string("from"));
-        line.put("what", description.what());
+        line.put("what", description.title());
         line.put("detail", description.detail());
         line.put("note", problem);
         line.put("bad", description.bad());
@@ -130,7 +130,7 @@
                         .formatted(
                                 from,
                                 until,
-                                description.what(),
+                                description.title(),
                                 description.detail(),
                                 problem.isEmpty() ? "" : "  ! " + problem));
         return line;
--- a/src/main/java/org/meadowhollow/transport/ConnectionLimiter.java
+++ b/src/main/java/org/meadowhollow/transport/ConnectionLimiter.java
@@ -34,12 +34,12 @@
 
     /** Records the arrival of a request; returns whether it is the connection's first. */
     boolean requestStarted(C connection) {
-        Integer before = activeRequests.remove(connection);
-        activeRequests.put(connection, before == null ? 1 : before + 1);
-        if (before == null && limit > 0 && activeRequests.size() > limit) {
+        Integer activeBefore = activeRequests.remove(connection);
+        activeRequests.put(connection, activeBefore == null ? 1 : activeBefore + 1);
+        if (activeBefore == null && limit > 0 && activeRequests.size() > limit) {
             closeLeastRecentlyUsed();
         }
-        return before == null;
+        return activeBefore == null;
     }
 
     /** Records that the response to a request has been sent. */
@@ -60,12 +60,12 @@
      * progress stay open, because their clients are more likely to be alive.
      */
     private void closeLeastRecentlyUsed() {
-        Iterator<Map.Entry<C, Integer>> all = activeRequests.entrySet().iterator();
-        while (all.hasNext()) {
-            Map.Entry<C, Integer> next = all.next();
-            if (next.getValue() == 0) {
-                all.remove();
-                closer.accept(next.getKey());
+        Iterator<Map.Entry<C, Integer>> entries = activeRequests.entrySet().iterator();
+        while (entries.hasNext()) {
+            Map.Entry<C, Integer> entry = entries.next();
+            if (entry.getValue() == 0) {
+                entries.remove();
+                closer.accept(entry.getKey());
                 return;
             }
         }
--- a/src/main/java/org/meadowhollow/transport/ConnectionPool.java
+++ b/src/main/java/org/meadowhollow/transport/ConnectionPool.java
@@ -14,17 +14,17 @@
 
     /** Removes and returns the most recently used idle connection that is open, or null. */
     ClientConnection takeOpenIdle() {
-        ClientConnection kept = idle.poll();
-        while (kept != null && !kept.isOpen()) {
-            kept = idle.poll();
+        ClientConnection idleConnection = idle.poll();
+        while (idleConnection != null && !idleConnection.isOpen()) {
+            idleConnection = idle.poll();
         }
-        return kept;
+        return idleConnection;
     }
 
     void closeIdle() {
-        ClientConnection kept;
-        while ((kept = idle.poll()) != null) {
-            IoUtils.safeClose(kept);
+        ClientConnection idleConnection;
+        while ((idleConnection = idle.poll()) != null) {
+            IoUtils.safeClose(idleConnection);
         }
     }
 }
--- a/src/main/java/org/meadowhollow/transport/HttpClient.java
+++ b/src/main/java/org/meadowhollow/transport/HttpClient.java
@@ -143,9 +143,9 @@
         void start() {
             ConnectionPool pool =
                     poolsByAddress.computeIfAbsent(address, unused -> new ConnectionPool());
-            ClientConnection kept = pool.takeOpenIdle();
-            if (kept != null) {
-                sendOn(kept);
+            ClientConnection idleConnection = pool.takeOpenIdle();
+            if (idleConnection != null) {
+                sendOn(idleConnection);
                 return;
             }
             if (pool.openCount >= MAX_OPEN_PER_ADDRESS) {
@@ -193,13 +193,13 @@
             }
         }
 
-        private void sendOn(ClientConnection idleConnection) {
-            connection = idleConnection;
+        private void sendOn(ClientConnection openConnection) {
+            connection = openConnection;
             sent = true;
-            connection.sendRequest(request(), new ExchangeCallback(this::exchangeStarted));
+            connection.sendRequest(newRequest(), new ExchangeCallback(this::exchangeStarted));
         }
 
-        private ClientRequest request() {
+        private ClientRequest newRequest() {
             ClientRequest request =
                     new ClientRequest().setMethod(new HttpString(method)).setPath(path);
             request.getRequestHeaders().put(Headers.HOST, address);
@@ -339,12 +339,12 @@
             completed = true;
             timeoutTimer.remove();
             ConnectionPool pool = poolsByAddress.get(address);
-            String keepAlive =
+            String connectionHeader =
                     exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION);
             if (pool != null
                     && pool.idle.size() < MAX_IDLE_PER_ADDRESS
                     && connection.isOpen()
-                    && !"close".equalsIgnoreCase(keepAlive)) {
+                    && !"close".equalsIgnoreCase(connectionHeader)) {
                 pool.idle.push(connection);
             } else {
                 IoUtils.safeClose(connection);
--- a/src/main/java/org/meadowhollow/transport/PemKeyManager.java
+++ b/src/main/java/org/meadowhollow/transport/PemKeyManager.java
@@ -91,8 +91,8 @@
     private KeyMaterial load() throws IOException {
         // The modification times are read first, so that a file that is replaced during the load
         // counts as modified at the next check.
-        FileTime chainAt = Files.getLastModifiedTime(chainFile);
-        FileTime keyAt = Files.getLastModifiedTime(keyFile);
+        FileTime chainModifiedAt = Files.getLastModifiedTime(chainFile);
+        FileTime keyModifiedAt = Files.getLastModifiedTime(keyFile);
         try (InputStream in = Files.newInputStream(chainFile)) {
             X509Certificate[] chain =
                     CertificateFactory.getInstance("X.509").generateCertificates(in).stream()
@@ -106,7 +106,7 @@
                 throw new IOException(
                         keyFile + " holds a key of another algorithm than " + chainFile);
             }
-            return new KeyMaterial(chain, key, chainAt, keyAt);
+            return new KeyMaterial(chain, key, chainModifiedAt, keyModifiedAt);
         } catch (GeneralSecurityException broken) {
             throw new IOException(
                     chainFile + " or " + keyFile + " cannot be read: " + broken.getMessage(),
@@ -139,11 +139,12 @@
      */
     private synchronized KeyMaterial reloadIfModified() {
         try {
-            FileTime chainAt = Files.getLastModifiedTime(chainFile);
-            FileTime keyAt = Files.getLastModifiedTime(keyFile);
-            FileTime latest = chainAt.compareTo(keyAt) > 0 ? chainAt : keyAt;
-            if (!chainAt.equals(keyMaterial.chainModifiedAt())
-                    || !keyAt.equals(keyMaterial.keyModifiedAt())) {
+            FileTime chainModifiedAt = Files.getLastModifiedTime(chainFile);
+            FileTime keyModifiedAt = Files.getLastModifiedTime(keyFile);
+            FileTime latest =
+                    chainModifiedAt.compareTo(keyModifiedAt) > 0 ? chainModifiedAt : keyModifiedAt;
+            if (!chainModifiedAt.equals(keyMaterial.chainModifiedAt())
+                    || !keyModifiedAt.equals(keyMaterial.keyModifiedAt())) {
                 if (latest.equals(rejectedModificationAt)) {
                     return keyMaterial;
                 }
--- a/src/main/java/org/meadowhollow/transport/tracing/OtlpTaskTracer.java
+++ b/src/main/java/org/meadowhollow/transport/tracing/OtlpTaskTracer.java
@@ -269,8 +269,9 @@
     }
 
     @Override
-    public void onTaskEnded(TracedTask task, JobPhase how, long fromMillis, long untilMillis) {
-        boolean succeeded = how == JobPhase.DONE || how == JobPhase.CANCELLED;
+    public void onTaskEnded(
+            TracedTask task, JobPhase finalPhase, long fromMillis, long untilMillis) {
+        boolean succeeded = finalPhase == JobPhase.DONE || finalPhase == JobPhase.CANCELLED;
         recordSpan(
                 task,
                 parseContext(task.traceContext()),
@@ -278,15 +279,15 @@
                 SpanKind.INTERNAL,
                 fromMillis,
                 untilMillis,
-                Attributes.of(STATE_ATTRIBUTE, how.name()),
-                succeeded ? null : how.name());
+                Attributes.of(STATE_ATTRIBUTE, finalPhase.name()),
+                succeeded ? null : finalPhase.name());
     }
 
     /** Returns the context of the task's span, which is the same on every node. */
     private static SpanContext taskSpanContext(TracedTask task) {
-        SpanContext client = parseContext(task.traceContext());
+        SpanContext clientContext = parseContext(task.traceContext());
         return SpanContext.createFromRemoteParent(
-                client.getTraceId(),
+                clientContext.getTraceId(),
                 spanId(task, TASK_SPAN_NAME),
                 TraceFlags.getSampled(),
                 TraceState.getDefault());
@@ -343,12 +344,12 @@
 
     @Override
     public void close() {
-        SdkTracerProvider last;
+        SdkTracerProvider provider;
         synchronized (this) {
-            last = tracerProvider;
+            provider = tracerProvider;
         }
-        if (last != null) {
-            last.shutdown().join(CLOSE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
+        if (provider != null) {
+            provider.shutdown().join(CLOSE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/src/test/java/org/meadowhollow/LayersTest.java
+++ b/src/test/java/org/meadowhollow/LayersTest.java
@@ -63,12 +63,12 @@
                     .importPackages(ROOT);
 
     /** Returns the pattern of a package below the root and of all its subpackages. */
-    private static String tree(String name) {
+    private static String packagePattern(String name) {
         return ROOT + "." + name + "..";
     }
 
-    private static String[] trees(List<String> names, String prefix) {
-        return names.stream().map(name -> tree(prefix + name)).toArray(String[]::new);
+    private static String[] packagePatterns(List<String> names, String prefix) {
+        return names.stream().map(name -> packagePattern(prefix + name)).toArray(String[]::new);
     }
 
     private static List<String> layersFrom(String layer) {
@@ -83,18 +83,18 @@
      * Counts the dependencies of classes in the first packages on classes in the second, to show
      * that a rule had any to check.
      */
-    private static long dependencies(String from, String to) {
+    private static long countDependencies(String from, String to) {
         return CLASSES.that(resideInAPackage(from)).stream()
                 .flatMap(origin -> origin.getDirectDependenciesFromSelf().stream())
                 .filter(dependency -> resideInAPackage(to).test(dependency.getTargetClass()))
                 .count();
     }
 
-    private interface ImportCheck {
-        void line(Path file, String imported);
+    private interface ImportCallback {
+        void onImport(Path file, String imported);
     }
 
-    private static void imports(Path from, ImportCheck check) throws IOException {
+    private static void forEachImport(Path from, ImportCallback callback) throws IOException {
         try (Stream<Path> files = Files.walk(from)) {
             for (Path file :
                     (Iterable<Path>)
@@ -102,7 +102,7 @@
                 for (String line : Files.readAllLines(file)) {
                     Matcher found = IMPORT.matcher(line);
                     if (found.matches()) {
-                        check.line(file, found.group(1));
+                        callback.onImport(file, found.group(1));
                     }
                 }
             }
@@ -114,17 +114,19 @@
         for (String layer : LAYERS) {
             classes()
                     .that()
-                    .resideInAPackage(tree(layer))
+                    .resideInAPackage(packagePattern(layer))
                     .should()
                     .onlyDependOnClassesThat(
                             not(resideInAPackage(ROOT + ".."))
-                                    .or(resideInAnyPackage(trees(layersFrom(layer), ""))))
+                                    .or(resideInAnyPackage(packagePatterns(layersFrom(layer), ""))))
                     .because("a layer depends only on itself and the layers below: " + LAYERS)
                     .check(CLASSES);
         }
-        long judged =
-                LAYERS.stream().mapToLong(layer -> dependencies(tree(layer), ROOT + "..")).sum();
-        assertTrue(judged > 100, () -> "only " + judged + " dependencies were judged");
+        long checked =
+                LAYERS.stream()
+                        .mapToLong(layer -> countDependencies(packagePattern(layer), ROOT + ".."))
+                        .sum();
+        assertTrue(checked > 100, () -> "only " + checked + " dependencies were checked");
     }
 
     @Test
@@ -132,13 +134,13 @@
         for (String name : COORDINATION_PACKAGES) {
             classes()
                     .that()
-                    .resideInAPackage(tree(COORDINATION + "." + name))
+                    .resideInAPackage(packagePattern(COORDINATION + "." + name))
                     .should()
                     .onlyDependOnClassesThat(
-                            not(resideInAPackage(tree(COORDINATION)))
+                            not(resideInAPackage(packagePattern(COORDINATION)))
                                     .or(
                                             resideInAnyPackage(
-                                                    trees(
+                                                    packagePatterns(
                                                             coordinationPackagesUpTo(name),
                                                             COORDINATION + "."))))
                     .because(
@@ -146,24 +148,24 @@
                                     + COORDINATION_PACKAGES)
                     .check(CLASSES);
         }
-        long judged =
+        long checked =
                 COORDINATION_PACKAGES.stream()
                         .mapToLong(
                                 name ->
-                                        dependencies(
-                                                tree(COORDINATION + "." + name),
-                                                tree(COORDINATION)))
+                                        countDependencies(
+                                                packagePattern(COORDINATION + "." + name),
+                                                packagePattern(COORDINATION)))
                         .sum();
-        assertTrue(judged > 20, () -> "only " + judged + " dependencies were judged");
+        assertTrue(checked > 20, () -> "only " + checked + " dependencies were checked");
     }
 
     @Test
-    void everyClassIsInOneOfTheLayersAndPackagesThatAreChecked() {
-        classes().should().resideInAnyPackage(trees(LAYERS, "")).check(CLASSES);
-        String[] ofCoordination = trees(COORDINATION_PACKAGES, COORDINATION + ".");
+    void everyClassIsInACheckedPackage() {
+        classes().should().resideInAnyPackage(packagePatterns(LAYERS, "")).check(CLASSES);
+        String[] ofCoordination = packagePatterns(COORDINATION_PACKAGES, COORDINATION + ".");
         classes()
                 .that()
-                .resideInAPackage(tree(COORDINATION))
+                .resideInAPackage(packagePattern(COORDINATION))
                 .and()
                 .resideOutsideOfPackage(ROOT + "." + COORDINATION)
                 .should()
@@ -176,43 +178,42 @@
      * constant or a comment uses.
      */
     @Test
-    void importsThatLeaveNoTraceInCompiledClassesKeepTheOrderOfLayersToo() throws IOException {
-        List<String> wrong = new ArrayList<>();
-        int[] seen = {0};
+    void importsInSourcesFollowTheOrderOfLayers() throws IOException {
+        List<String> violations = new ArrayList<>();
+        int[] importCount = {0};
         for (String layer : LAYERS) {
-            imports(
+            forEachImport(
                     SOURCES.resolve(layer),
                     (file, imported) -> {
-                        seen[0]++;
+                        importCount[0]++;
                         if (!layersFrom(layer).contains(imported.split("\\.", -1)[0])) {
-                            wrong.add(file + ": " + imported);
+                            violations.add(file + ": " + imported);
                         }
                     });
         }
-        assertEquals(List.of(), wrong);
-        assertTrue(seen[0] > 100);
+        assertEquals(List.of(), violations);
+        assertTrue(importCount[0] > 100);
     }
 
     /** Checks the imports in the sources of the packages inside coordination. */
     @Test
-    void importsThatLeaveNoTraceInCompiledClassesKeepTheOrderInsideCoordinationToo()
-            throws IOException {
-        List<String> wrong = new ArrayList<>();
-        int[] seen = {0};
+    void importsInSourcesFollowTheOrderInsideCoordination() throws IOException {
+        List<String> violations = new ArrayList<>();
+        int[] importCount = {0};
         for (String name : COORDINATION_PACKAGES) {
-            imports(
+            forEachImport(
                     SOURCES.resolve(COORDINATION).resolve(name),
                     (file, imported) -> {
                         String[] path = imported.split("\\.", -1);
                         if (path[0].equals(COORDINATION)) {
-                            seen[0]++;
+                            importCount[0]++;
                             if (!coordinationPackagesUpTo(name).contains(path[1])) {
-                                wrong.add(file + ": " + imported);
+                                violations.add(file + ": " + imported);
                             }
                         }
                     });
         }
-        assertEquals(List.of(), wrong);
-        assertTrue(seen[0] > 20);
+        assertEquals(List.of(), violations);
+        assertTrue(importCount[0] > 20);
     }
 }
--- a/src/test/java/org/meadowhollow/cli/ControllerTest.java
+++ b/src/test/java/org/meadowhollow/cli/ControllerTest.java
@@ -33,13 +33,14 @@
 
     @TempDir private Path folder;
 
-    private Settings settings(String text) throws IOException, Settings.InvalidSettingsException {
+    private Settings readSettings(String text)
+            throws IOException, Settings.InvalidSettingsException {
         Path file = folder.resolve("settings.json");
         Files.writeString(file, text);
         return Settings.read(file);
     }
 
-    private static String exchange(int port, String method, String path, byte[] body)
+    private static String sendRequest(int port, String method, String path, byte[] body)
             throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(10_000);
@@ -69,24 +70,26 @@
 
     @Test
     void malformedAndUnanswerableRequestsGetAnErrorStatus() throws Exception {
-        try (Controller controller = Controller.builder(settings(SETTINGS)).start()) {
+        try (Controller controller = Controller.builder(readSettings(SETTINGS)).start()) {
             int port = controller.port();
-            byte[] none = new byte[0];
-            assertEquals("503", status(exchange(port, "GET", "/ready", none)));
-            assertEquals("404", status(exchange(port, "GET", "/elsewhere", none)));
-            assertEquals("404", status(exchange(port, "GET", "/submissions/nonsense", none)));
-            assertEquals("405", status(exchange(port, "PUT", "/submissions", none)));
-            assertEquals("400", status(exchange(port, "POST", "/submissions", none)));
+            byte[] emptyBody = new byte[0];
+            assertEquals("503", status(sendRequest(port, "GET", "/ready", emptyBody)));
+            assertEquals("404", status(sendRequest(port, "GET", "/elsewhere", emptyBody)));
+            assertEquals(
+                    "404", status(sendRequest(port, "GET", "/submissions/nonsense", emptyBody)));
+            assertEquals("405", status(sendRequest(port, "PUT", "/submissions", emptyBody)));
+            assertEquals("400", status(sendRequest(port, "POST", "/submissions", emptyBody)));
             assertEquals(
                     "400",
                     status(
-                            exchange(
+                            sendRequest(
                                     port,
                                     "POST",
                                     "/hello",
                                     MessagePackCodec.encode(MessageReader.mapOf("stall", "m")))));
-            assertEquals("400", status(exchange(port, "POST", "/submissions", new byte[70_000])));
-            String later = exchange(port, "GET", "/submissions/req-1", none);
+            assertEquals(
+                    "400", status(sendRequest(port, "POST", "/submissions", new byte[70_000])));
+            String later = sendRequest(port, "GET", "/submissions/req-1", emptyBody);
             assertEquals(
                     "503",
                     status(later),
@@ -95,10 +98,10 @@
         }
     }
 
-    private static final String HASH =
+    private static final String TOKEN_HASH =
             "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b";
 
-    private TesOptions tes(String listen, String token, Map<String, String> variables)
+    private TesOptions parseTesOptions(String listen, String token, Map<String, String> variables)
             throws Exception {
         return TesOptions.parse(
                 listen,
@@ -106,57 +109,68 @@
                 null,
                 null,
                 variables,
-                settings(SETTINGS));
+                readSettings(SETTINGS));
     }
 
     @Test
     void theTaskExecutionApiHasItsOwnPort() throws Exception {
         TesOptions options =
-                tes("127.0.0.1:0", null, Map.of(TesOptions.TOKENS_VARIABLE, "t=" + HASH));
-        try (Controller controller = Controller.builder(settings(SETTINGS)).tes(options).start()) {
+                parseTesOptions(
+                        "127.0.0.1:0", null, Map.of(TesOptions.TOKENS_VARIABLE, "t=" + TOKEN_HASH));
+        try (Controller controller =
+                Controller.builder(readSettings(SETTINGS)).tes(options).start()) {
             int port = controller.tesPort();
-            byte[] none = new byte[0];
+            byte[] emptyBody = new byte[0];
             assertEquals(
                     "404",
-                    status(exchange(controller.port(), "GET", "/ga4gh/tes/v1/service-info", none)));
-            String info = exchange(port, "GET", "/ga4gh/tes/v1/service-info", none);
+                    status(
+                            sendRequest(
+                                    controller.port(),
+                                    "GET",
+                                    "/ga4gh/tes/v1/service-info",
+                                    emptyBody)));
+            String info = sendRequest(port, "GET", "/ga4gh/tes/v1/service-info", emptyBody);
             assertEquals("200", status(info));
             assertTrue(
                     info.contains("Content-Type: application/json") && info.contains("\"1.1.0\""),
                     info);
-            String unknown = exchange(port, "GET", "/ga4gh/tes/v1/tasks", none);
+            String unknown = sendRequest(port, "GET", "/ga4gh/tes/v1/tasks", emptyBody);
             assertEquals("401", status(unknown));
             assertTrue(unknown.contains("WWW-Authenticate: Bearer"), unknown);
-            assertEquals("404", status(exchange(port, "GET", "/submissions/req-1", none)));
+            assertEquals("404", status(sendRequest(port, "GET", "/submissions/req-1", emptyBody)));
             assertEquals(
-                    "405", status(exchange(port, "DELETE", "/ga4gh/tes/v1/service-info", none)));
+                    "405",
+                    status(sendRequest(port, "DELETE", "/ga4gh/tes/v1/service-info", emptyBody)));
             assertEquals(
-                    "413", status(exchange(port, "POST", "/ga4gh/tes/v1/tasks", new byte[70_000])));
+                    "413",
+                    status(sendRequest(port, "POST", "/ga4gh/tes/v1/tasks", new byte[70_000])));
         }
-        try (Controller controller = Controller.builder(settings(SETTINGS)).start()) {
+        try (Controller controller = Controller.builder(readSettings(SETTINGS)).start()) {
             assertEquals(-1, controller.tesPort(), "off by default");
         }
     }
 
     @Test
     void errorsNameTheInvalidFlagOfTheTaskExecutionApi() throws Exception {
-        assertNull(tes(null, null, Map.of()));
-        assertEquals(List.of("t"), tes("127.0.0.1:0", "t=" + HASH, Map.of()).tokens().teams());
+        assertNull(parseTesOptions(null, null, Map.of()));
+        assertEquals(
+                List.of("t"),
+                parseTesOptions("127.0.0.1:0", "t=" + TOKEN_HASH, Map.of()).tokens().teams());
         for (String[] wrong :
                 new String[][] {
-                    {null, "t=" + HASH, "--tes-listen"},
-                    {"nowhere", "t=" + HASH, "--tes-listen"},
+                    {null, "t=" + TOKEN_HASH, "--tes-listen"},
+                    {"nowhere", "t=" + TOKEN_HASH, "--tes-listen"},
                     {"127.0.0.1:0", null, "--tes-token"},
                     {"127.0.0.1:0", "t=12", "TEAM=SHA256"},
-                    {"127.0.0.1:0", "nobody=" + HASH, "nobody"}
+                    {"127.0.0.1:0", "nobody=" + TOKEN_HASH, "nobody"}
                 }) {
             Settings.InvalidSettingsException invalidSettingsException =
                     assertThrows(
                             Settings.InvalidSettingsException.class,
-                            () -> tes(wrong[0], wrong[1], Map.of()));
+                            () -> parseTesOptions(wrong[0], wrong[1], Map.of()));
             assertTrue(
                     invalidSettingsException.getMessage().contains(wrong[2])
-                            && !invalidSettingsException.getMessage().contains(HASH),
+                            && !invalidSettingsException.getMessage().contains(TOKEN_HASH),
                     invalidSettingsException.getMessage());
         }
     }
@@ -166,23 +180,29 @@
         ReservationOptions options =
                 ReservationOptions.fromFlags(
                         "127.0.0.1:0",
-                        List.of("operator=" + HASH),
+                        List.of("operator=" + TOKEN_HASH),
                         null,
                         null,
                         List.of("t=4", "t/z=2"),
                         Map.of());
         try (Controller controller =
-                Controller.builder(settings(SETTINGS)).calendar(options).start()) {
-            byte[] none = new byte[0];
+                Controller.builder(readSettings(SETTINGS)).calendar(options).start()) {
+            byte[] emptyBody = new byte[0];
             assertEquals(
                     "401",
-                    status(exchange(controller.calendarPort(), "GET", "/calendar/v1/plan", none)));
+                    status(
+                            sendRequest(
+                                    controller.calendarPort(),
+                                    "GET",
+                                    "/calendar/v1/plan",
+                                    emptyBody)));
             assertEquals(
-                    "404", status(exchange(controller.port(), "GET", "/calendar/v1/plan", none)));
+                    "404",
+                    status(sendRequest(controller.port(), "GET", "/calendar/v1/plan", emptyBody)));
             assertEquals(
                     "413",
                     status(
-                            exchange(
+                            sendRequest(
                                     controller.calendarPort(),
                                     "PUT",
                                     "/calendar/v1/windows/w",
@@ -191,10 +211,10 @@
         assertNull(ReservationOptions.fromFlags(null, List.of(), null, null, List.of(), Map.of()));
         for (String[] wrong :
                 new String[][] {
-                    {null, "operator=" + HASH, "t=4", "--calendar-listen"},
-                    {"127.0.0.1:0", "t=" + HASH, "t=4", "--calendar-token"},
+                    {null, "operator=" + TOKEN_HASH, "t=4", "--calendar-listen"},
+                    {"127.0.0.1:0", "t=" + TOKEN_HASH, "t=4", "--calendar-token"},
                     {"127.0.0.1:0", "operator=12", "t=4", "SHA256"},
-                    {"127.0.0.1:0", "operator=" + HASH, "t=many", "--calendar-most"}
+                    {"127.0.0.1:0", "operator=" + TOKEN_HASH, "t=many", "--calendar-most"}
                 }) {
             Settings.InvalidSettingsException invalidSettingsException =
                     assertThrows(
@@ -217,15 +237,17 @@
     void fileDescriptorsAreReservedForOutboundConnections() throws Exception {
         assertEquals(
                 0,
-                Listeners.maxCallerConnections(settings(SETTINGS)),
+                Listeners.maxCallerConnections(readSettings(SETTINGS)),
                 "the settings file sets no file descriptor limit");
-        String more =
+        String settingsWithLimit =
                 SETTINGS.replace(
                         "\"state\":{\"rps\"", "\"quota\":{\"fd_limit\":2000},\"state\":{\"rps\"");
-        int most = Listeners.maxCallerConnections(settings(more));
-        assertTrue(most >= 1500 && most <= 1700, "a few hundred are reserved: " + most);
-        int few = Listeners.maxCallerConnections(settings(more.replace("2000", "300")));
-        assertEquals(150, few, "callers get at least half");
+        int limit = Listeners.maxCallerConnections(readSettings(settingsWithLimit));
+        assertTrue(limit >= 1500 && limit <= 1700, "a few hundred are reserved: " + limit);
+        int lowLimit =
+                Listeners.maxCallerConnections(
+                        readSettings(settingsWithLimit.replace("2000", "300")));
+        assertEquals(150, lowLimit, "callers get at least half");
     }
 
     @Test
@@ -243,7 +265,7 @@
             Settings.InvalidSettingsException invalidSettingsException =
                     assertThrows(
                             Settings.InvalidSettingsException.class,
-                            () -> settings(text),
+                            () -> readSettings(text),
                             wrong[1]);
             assertEquals(1, invalidSettingsException.getMessage().lines().count());
         }
--- a/src/test/java/org/meadowhollow/cli/reservation/ReservationCommandTest.java
+++ b/src/test/java/org/meadowhollow/cli/reservation/ReservationCommandTest.java
@@ -69,7 +69,7 @@
         loop.close();
     }
 
-    private void answer(int status, Object... fields) {
+    private void enqueueAnswer(int status, Object... fields) {
         answers.add(
                 new Http.Reply(
                         status,
@@ -92,8 +92,8 @@
 
     @Test
     void putIsSentWithAllFieldsAndRepeatedAfterRetryAfter() throws MalformedMessageException {
-        answer(503, "error", "the state service is out");
-        answer(201, "version", 7L, "notes", List.of());
+        enqueueAnswer(503, "error", "the state service is out");
+        enqueueAnswer(201, "version", 7L, "notes", List.of());
         assertEquals(
                 0,
                 run(
@@ -141,7 +141,7 @@
 
     @Test
     void refusalsAndInvalidFlagsAreOneLineAndAnExitCode() {
-        answer(
+        enqueueAnswer(
                 409,
                 "error",
                 "the limit of team t, with first; the nearest start that could be met is 2026-12-31T04:00");
@@ -170,7 +170,7 @@
     @Test
     void planIsPrintedInOrderOfTimeWithConflicts() {
         for (int at = 0; at < 2; at++) {
-            answer(
+            enqueueAnswer(
                     200,
                     "slots",
                     List.of(
@@ -220,7 +220,7 @@
         assertEquals(0, run("plan", "--html"));
         String page = out.toString().substring(out.toString().indexOf("<!DOCTYPE"));
         assertTrue(page.contains("team &lt;t&gt;") && page.contains("class=\"bad\""), page);
-        answer(200, "slots", List.of(), "outages", List.of());
+        enqueueAnswer(200, "slots", List.of(), "outages", List.of());
         assertEquals(0, run("plan"));
         assertTrue(out.toString().endsWith("Nothing is reserved or declared.\n"));
     }
--- a/src/test/java/org/meadowhollow/transport/HttpClientTest.java
+++ b/src/test/java/org/meadowhollow/transport/HttpClientTest.java
@@ -45,28 +45,30 @@
 
     @Test
     @EnabledOnOs(OS.LINUX)
-    void aConnectionAttemptThatTimesOutLeavesNoSocketBehind() throws Exception {
-        InetAddress here = InetAddress.getLoopbackAddress();
-        List<Socket> filling = new ArrayList<>();
-        try (ServerSocket full = new ServerSocket(0, 1, here);
+    void aConnectionAttemptThatTimesOutClosesItsSocket() throws Exception {
+        InetAddress loopback = InetAddress.getLoopbackAddress();
+        List<Socket> backlogSockets = new ArrayList<>();
+        try (ServerSocket fullServer = new ServerSocket(0, 1, loopback);
                 XnioEventLoop loop = new XnioEventLoop()) {
             // Nothing accepts connections: once the backlog is full, the system acknowledges no
             // further attempts.
             assertThrows(
                     SocketTimeoutException.class,
                     () -> {
-                        while (filling.size() < 100) {
+                        while (backlogSockets.size() < 100) {
                             Socket next = new Socket();
-                            filling.add(next);
-                            next.connect(new InetSocketAddress(here, full.getLocalPort()), 100);
+                            backlogSockets.add(next);
+                            next.connect(
+                                    new InetSocketAddress(loopback, fullServer.getLocalPort()),
+                                    100);
                         }
                     });
             HttpClient client = new HttpClient(loop, new DefaultByteBufferPool(false, 8192, 4, 0));
             List<CompletableFuture<Http.Reply>> requests = new ArrayList<>();
-            for (int at = 0; at < REQUESTS; at++) {
+            for (int count = 0; count < REQUESTS; count++) {
                 requests.add(
                         client.send(
-                                "127.0.0.1:" + full.getLocalPort(),
+                                "127.0.0.1:" + fullServer.getLocalPort(),
                                 "GET",
                                 "/",
                                 null,
@@ -79,9 +81,9 @@
             }
             // Waits until the loop's thread has closed the sockets.
             loop.callAndWait(() -> true);
-            assertEquals(0, unansweredAttempts(full.getLocalPort()));
+            assertEquals(0, unansweredAttempts(fullServer.getLocalPort()));
         } finally {
-            for (Socket socket : filling) {
+            for (Socket socket : backlogSockets) {
                 socket.close();
             }
         }
@@ -89,8 +91,8 @@
 
     @Test
     void aRequestThatTimesOutFailsWithNoResponse() throws Exception {
-        InetAddress here = InetAddress.getLoopbackAddress();
-        try (ServerSocket unresponsive = new ServerSocket(0, 5, here);
+        InetAddress loopback = InetAddress.getLoopbackAddress();
+        try (ServerSocket unresponsive = new ServerSocket(0, 5, loopback);
                 XnioEventLoop loop = new XnioEventLoop()) {
             HttpClient client = new HttpClient(loop, new DefaultByteBufferPool(false, 8192, 4, 0));
             CompletableFuture<Http.Reply> request =
--- a/src/test/java/org/meadowhollow/transport/tracing/OtlpTaskTracerTest.java
+++ b/src/test/java/org/meadowhollow/transport/tracing/OtlpTaskTracerTest.java
@@ -35,11 +35,11 @@
 
 /** Tests the spans that a stub of a collector receives, decoded with the published protocol. */
 class OtlpTaskTracerTest {
-    private static final String TRACE = "0af7651916cd43dd8448eb211c80319c";
-    private static final String CLIENT = "b7ad6b7169203331";
-    private static final String CONTEXT = "00-" + TRACE + '-' + CLIENT + "-01";
+    private static final String TRACE_ID = "0af7651916cd43dd8448eb211c80319c";
+    private static final String CLIENT_SPAN_ID = "b7ad6b7169203331";
+    private static final String TRACEPARENT = "00-" + TRACE_ID + '-' + CLIENT_SPAN_ID + "-01";
 
-    private final List<ResourceSpans> got = new ArrayList<>();
+    private final List<ResourceSpans> receivedSpans = new ArrayList<>();
     private XnioEventLoop loop;
     private HttpServer collector;
 
@@ -54,7 +54,7 @@
                         0,
                         0,
                         Duration.ofMinutes(1),
-                        (Http.SimpleRequestHandler) this::take);
+                        (Http.SimpleRequestHandler) this::receiveExport);
     }
 
     @AfterEach
@@ -63,11 +63,12 @@
         loop.close();
     }
 
-    private CompletableFuture<Http.Reply> take(String method, String path, byte[] body) {
+    private CompletableFuture<Http.Reply> receiveExport(String method, String path, byte[] body) {
         try {
             if (path.equals("/v1/traces")) {
-                synchronized (got) {
-                    got.addAll(ExportTraceServiceRequest.parseFrom(body).getResourceSpansList());
+                synchronized (receivedSpans) {
+                    receivedSpans.addAll(
+                            ExportTraceServiceRequest.parseFrom(body).getResourceSpansList());
                 }
             }
         } catch (InvalidProtocolBufferException broken) {
@@ -78,14 +79,14 @@
                 new Http.Reply(200, new byte[0], 0, "application/x-protobuf"));
     }
 
-    private OtlpTaskTracer traces(String member) {
+    private OtlpTaskTracer newTracer(String member) {
         return OtlpTaskTracer.exportingTo(
                 URI.create("http://127.0.0.1:" + collector.port()), member);
     }
 
     private List<Span> spans() {
-        synchronized (got) {
-            return got.stream()
+        synchronized (receivedSpans) {
+            return receivedSpans.stream()
                     .map(ResourceSpans::getScopeSpansList)
                     .flatMap(List::stream)
                     .map(ScopeSpans::getSpansList)
@@ -99,10 +100,10 @@
     }
 
     @Test
-    void spansOfATaskFormOneTreeThoughTwoNodesExportThem() {
-        TracedTask task = new TracedTask(CONTEXT, new JobId("tes-1"), "team");
-        try (OtlpTaskTracer first = traces("n0");
-                OtlpTaskTracer second = traces("n1")) {
+    void spansOfATaskExportedByTwoNodesFormOneTree() {
+        TracedTask task = new TracedTask(TRACEPARENT, new JobId("tes-1"), "team");
+        try (OtlpTaskTracer first = newTracer("n0");
+                OtlpTaskTracer second = newTracer("n1")) {
             first.onTaskAccepted(task, 1000, 1010);
             second.onAttemptEnded(
                     task, 1005, new AttemptRecord(1, "m1", 2000, 3000, 4000, "ERROR"));
@@ -121,17 +122,17 @@
                                         (one, same) -> same));
         assertEquals(11, spans().size());
         assertEquals(10, byId.size());
-        Span whole =
+        Span taskSpan =
                 byId.values().stream()
                         .filter(span -> span.getName().equals("task"))
                         .findFirst()
                         .orElseThrow();
-        assertEquals(CLIENT, hex(whole.getParentSpanId()));
-        assertEquals(9000 * 1_000_000L, whole.getEndTimeUnixNano());
+        assertEquals(CLIENT_SPAN_ID, hex(taskSpan.getParentSpanId()));
+        assertEquals(9000 * 1_000_000L, taskSpan.getEndTimeUnixNano());
         for (Span span : byId.values()) {
-            assertEquals(TRACE, hex(span.getTraceId()));
+            assertEquals(TRACE_ID, hex(span.getTraceId()));
             assertTrue(
-                    span.equals(whole) || span.getParentSpanId().equals(whole.getSpanId()),
+                    span.equals(taskSpan) || span.getParentSpanId().equals(taskSpan.getSpanId()),
                     span.getName());
             assertTrue(span.getStartTimeUnixNano() <= span.getEndTimeUnixNano(), span.getName());
         }
@@ -150,47 +151,51 @@
                         .toList());
         assertEquals(
                 2,
-                got.stream().map(ResourceSpans::getResource).distinct().count(),
+                receivedSpans.stream().map(ResourceSpans::getResource).distinct().count(),
                 "each node exports its own name");
     }
 
     @Test
     void onlyAValidSampledContextIsKept() {
-        try (OtlpTaskTracer traces = traces("n0")) {
-            assertEquals(CONTEXT, traces.traceContextOf(CONTEXT));
+        try (OtlpTaskTracer tracer = newTracer("n0")) {
+            assertEquals(TRACEPARENT, tracer.traceContextOf(TRACEPARENT));
             assertEquals(
-                    CONTEXT.replaceFirst("00", "cc"),
-                    traces.traceContextOf(CONTEXT.replaceFirst("00", "cc") + "-more"),
+                    TRACEPARENT.replaceFirst("00", "cc"),
+                    tracer.traceContextOf(TRACEPARENT.replaceFirst("00", "cc") + "-more"),
                     "a later version of the header may be longer");
-            for (String none :
+            for (String invalid :
                     new String[] {
                         null,
                         "",
-                        "00-" + TRACE + '-' + CLIENT + "-00",
-                        CONTEXT.replace(TRACE, "0".repeat(32)),
-                        CONTEXT.replace('-', '_'),
-                        "ff" + CONTEXT.substring(2),
+                        "00-" + TRACE_ID + '-' + CLIENT_SPAN_ID + "-00",
+                        TRACEPARENT.replace(TRACE_ID, "0".repeat(32)),
+                        TRACEPARENT.replace('-', '_'),
+                        "ff" + TRACEPARENT.substring(2),
                         "\u0000".repeat(55),
-                        "00-" + TRACE.toUpperCase(java.util.Locale.ROOT) + '-' + CLIENT + "-01"
+                        "00-"
+                                + TRACE_ID.toUpperCase(java.util.Locale.ROOT)
+                                + '-'
+                                + CLIENT_SPAN_ID
+                                + "-01"
                     }) {
-                assertNull(traces.traceContextOf(none), none);
+                assertNull(tracer.traceContextOf(invalid), invalid);
             }
         }
     }
 
     @Test
-    void anUnavailableCollectorBlocksNothing() {
-        TracedTask task = new TracedTask(CONTEXT, new JobId("tes-1"), "team");
+    void recordingDoesNotBlockWhenTheCollectorIsUnavailable() {
+        TracedTask task = new TracedTask(TRACEPARENT, new JobId("tes-1"), "team");
         int port = collector.port();
         collector.close();
-        long begun = System.nanoTime();
-        try (OtlpTaskTracer traces =
+        long startNanos = System.nanoTime();
+        try (OtlpTaskTracer tracer =
                 OtlpTaskTracer.exportingTo(URI.create("http://127.0.0.1:" + port), "n0")) {
-            for (int at = 0; at < 5000; at++) {
-                traces.onTaskEnded(task, JobPhase.DONE, 1, 2);
+            for (int count = 0; count < 5000; count++) {
+                tracer.onTaskEnded(task, JobPhase.DONE, 1, 2);
             }
             assertTrue(
-                    System.nanoTime() - begun < Duration.ofSeconds(5).toNanos(),
+                    System.nanoTime() - startNanos < Duration.ofSeconds(5).toNanos(),
                     "spans that do not fit into the queue are dropped");
         }
     }
