--- a/src/main/java/org/meadowhollow/cli/reservation/PlanRenderer.java
+++ b/src/main/java/org/meadowhollow/cli/reservation/PlanRenderer.java
@@ -16,14 +16,14 @@
 import org.meadowhollow.protocol.MalformedMessageException;
 import org.meadowhollow.protocol.MessageReader;
 
-/** Renders a plan that a node returned, from templates: as a table in plain text or as a page. */
+/** Renders a plan that a node returned, from templates: as a plain-text table or an HTML page. */
 final class PlanRenderer {
     private static final String TEMPLATE_FOLDER = "org/meadowhollow/cli/reservation";
     private static final DateTimeFormatter TIME_FORMAT =
             DateTimeFormatter.ofPattern("EEE d MMM HH:mm", Locale.ENGLISH);
 
-    /** What a line says of its entry; {@code problem} is empty if there is none. */
-    private record Description(String what, String detail, String problem, boolean bad) {}
+    /** The texts of a line of the plan; {@code problem} is empty if there is none. */
+    private record Description(String title, String detail, String problem, boolean bad) {}
 
     private final ZoneId zone;
 
@@ -36,11 +36,12 @@
      *
      * @param plan the body of a node's answer
      * @param zoneId the time zone in which times are shown
+     * @param html whether to render an HTML page instead of text
      * @throws MalformedMessageException if the answer or the time zone is invalid
      */
     static String render(Map<String, Object> plan, String zoneId, boolean html)
             throws MalformedMessageException {
-        List<Map<String, Object>> lines = new PlanRenderer(parseZone(zoneId)).lines(plan);
+        List<Map<String, Object>> lines = new PlanRenderer(parseZone(zoneId)).buildLines(plan);
         Mustache template =
                 new DefaultMustacheFactory(TEMPLATE_FOLDER)
                         .compile(html ? "plan.html" : "plan.txt");
@@ -61,16 +62,16 @@
         }
     }
 
-    /** A line for each slot and outage, in the order of their starts. */
-    private List<Map<String, Object>> lines(Map<String, Object> plan)
+    /** Returns a line for each slot and outage, in the order of their starts. */
+    private List<Map<String, Object>> buildLines(Map<String, Object> plan)
             throws MalformedMessageException {
         MessageReader reader = new MessageReader(plan);
         List<Map<String, Object>> lines = new ArrayList<>();
         for (MessageReader slot : reader.nestedList("slots")) {
-            lines.add(line(slot, describeSlot(slot)));
+            lines.add(buildLine(slot, describeSlot(slot)));
         }
         for (MessageReader outage : reader.nestedList("outages")) {
-            lines.add(line(outage, describeOutage(outage)));
+            lines.add(buildLine(outage, describeOutage(outage)));
         }
         lines.sort(
                 Comparator.comparing((Map<String, Object> line) -> (String) line.get("order"))
@@ -109,8 +110,8 @@
         return new Description("window " + outage.string("window"), detail, "", false);
     }
 
-    /** The fields of a line; their names are those in the templates. */
-    private Map<String, Object> line(MessageReader entry, Description description)
+    /** Returns the fields of a line, under the names that the templates use. */
+    private Map<String, Object> buildLine(MessageReader entry, Description description)
             throws MalformedMessageException {
         String from = formatTime(entry.string("from"));
         String until = formatTime(entry.string("until"));
@@ -119,7 +120,7 @@
         line.put("from", from);
         line.put("until", until);
         line.put("order", entry.string("from"));
-        line.put("what", description.what());
+        line.put("what", description.title());
         line.put("detail", description.detail());
         line.put("note", problem);
         line.put("bad", description.bad());
@@ -129,7 +130,7 @@
                         .formatted(
                                 from,
                                 until,
-                                description.what(),
+                                description.title(),
                                 description.detail(),
                                 problem.isEmpty() ? "" : "  ! " + problem));
         return line;
