--- a/src/main/java/org/meadowhollow/model/AttemptRecord.java
+++ b/src/main/java/org/meadowhollow/model/AttemptRecord.java
@@ -4,12 +4,13 @@
 import java.util.Map;
 
 /**
- * One attempt of a task as shown to users. Times are milliseconds of the leader's wall-clock time,
- * which is right within the bound that the settings give; 0 means that it has not happened. Field
- * names are part of the persisted format.
+ * An attempt of a task, as shown to users. Times are milliseconds of the leader's wall-clock time,
+ * which is accurate to within the bound given in the settings; 0 means that the event has not
+ * happened. Field names are part of the persisted format.
  *
  * @param machineName the name of the machine that the task was placed on
- * @param endReason the stored word of why the attempt ended, or null while it has not
+ * @param endReason the stored word for the reason of the attempt's end, or null while it has not
+ *     ended
  */
 public record AttemptRecord(
         int attemptNumber,
@@ -46,7 +47,7 @@
         return fields;
     }
 
-    @SuppressWarnings("unchecked") // The codec of the store decodes maps with texts as keys.
+    @SuppressWarnings("unchecked") // The store's codec decodes maps with string keys.
     static AttemptRecord decode(Object encoded) {
         Map<String, Object> fields = (Map<String, Object>) encoded;
         return new AttemptRecord(
--- a/src/main/java/org/meadowhollow/model/EventLoop.java
+++ b/src/main/java/org/meadowhollow/model/EventLoop.java
@@ -2,12 +2,12 @@
 
 import java.time.Duration;
 
-/** The clocks and timers that the program runs on; tests provide one with virtual time. */
+/** Provides the clocks and timers of a process; tests use an implementation with virtual time. */
 public interface EventLoop {
     /** The current time of the monotonic clock. */
     MonotonicTime now();
 
-    /** Wall-clock time in milliseconds, right within the bound that the settings give. */
+    /** The wall-clock time in milliseconds, accurate to within the bound given in the settings. */
     long wallClockMillis();
 
     /** Runs a task once after a delay, on the loop's thread. */
--- a/src/main/java/org/meadowhollow/model/ExitReason.java
+++ b/src/main/java/org/meadowhollow/model/ExitReason.java
@@ -1,6 +1,6 @@
 package org.meadowhollow.model;
 
-/** Why a task exited, as its worker reported it. */
+/** The reason for a task's exit, as its worker reported it. */
 public enum ExitReason implements StoredWord {
     /** The task completed. */
     DONE("DONE"),
@@ -12,9 +12,9 @@
     ALONE("ALONE"),
     /** The task failed by itself. */
     ERROR("ERROR"),
-    /** The machine had not enough free resources to start the task. */
+    /** The machine did not have enough free resources to start the task. */
     NO_ROOM("NO_ROOM"),
-    /** The worker reported that what the task needs was still in use. */
+    /** The worker reported that something the task needs was still in use. */
     BUSY("BUSY"),
     /** The worker does not know the task. */
     UNKNOWN("UNKNOWN");
--- a/src/main/java/org/meadowhollow/model/FailureHistory.java
+++ b/src/main/java/org/meadowhollow/model/FailureHistory.java
@@ -5,13 +5,14 @@
 import java.util.Set;
 
 /**
- * Failures of a job's own tasks since one last completed, and the machines on which they happened.
- * Guarded like its job; lost at a failover.
+ * Counts the failures that a job's tasks caused themselves since a task last completed, and keeps
+ * the machines on which they happened. Not thread-safe: guarded like its job. The history is lost
+ * at a failover.
  */
 final class FailureHistory {
     /**
-     * Failures of different tasks, or of one repeatedly, after which the job is suspected to be at
-     * fault.
+     * The number of failures, of different tasks or of one task repeatedly, after which the job is
+     * suspected to be at fault.
      */
     private static final int FAILURES_BEFORE_SUSPECTED = 3;
 
@@ -20,7 +21,7 @@
     private int consecutiveFailures;
     private final Set<MachineId> machines = new LinkedHashSet<>();
 
-    /** Counts a failure and returns how many there were since a task last completed. */
+    /** Records a failure and returns the number of failures since a task last completed. */
     int record(MachineId machine) {
         machines.add(machine);
         if (machines.size() > MAX_MACHINES) {
@@ -29,12 +30,12 @@
         return ++consecutiveFailures;
     }
 
-    /** Starts counting again; the machines are kept. */
+    /** Resets the number of failures to zero; the machines are kept. */
     void resetCount() {
         consecutiveFailures = 0;
     }
 
-    /** Whether there were enough failures on several machines to suspect the job itself. */
+    /** Whether there were enough failures, on several machines, to suspect the job itself. */
     boolean suggestsFaultyJob() {
         return consecutiveFailures >= FAILURES_BEFORE_SUSPECTED && machines.size() > 1;
     }
--- a/src/main/java/org/meadowhollow/model/FencingToken.java
+++ b/src/main/java/org/meadowhollow/model/FencingToken.java
@@ -1,8 +1,8 @@
 package org.meadowhollow.model;
 
 /**
- * The number of a leadership. Workers compare it, so that commands of an earlier leader have no
- * effect.
+ * The number of a leadership. Workers compare fencing tokens, so that commands of an earlier leader
+ * have no effect.
  */
 public record FencingToken(long value) implements Comparable<FencingToken> {
     /** Lower than the token of every leadership. */
--- a/src/main/java/org/meadowhollow/model/Heartbeat.java
+++ b/src/main/java/org/meadowhollow/model/Heartbeat.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * A heartbeat: a worker's periodic status message.
+ * A worker's periodic status message.
  *
  * @param address the network address of the worker
- * @param sequenceNumber counts up with each heartbeat of an incarnation
+ * @param sequenceNumber a number that increases with each heartbeat of an incarnation
  * @param fencingToken the highest fencing token that the worker has accepted
- * @param preemptionNoticeSeconds seconds until the cloud provider takes the machine away, or NaN if
- *     it gave no notice
- * @param tasks all tasks that are on the machine, running or exited
+ * @param preemptionNoticeSeconds the seconds until the cloud provider reclaims the machine, or NaN
+ *     if it gave no notice
+ * @param tasks the status of every task on the machine, running or exited
  */
 public record Heartbeat(
         MachineId machineId,
@@ -27,12 +27,12 @@
     /**
      * The status of a task on the machine.
      *
-     * @param exitReason null while the task has not exited
+     * @param exitReason the reason for the exit, or null while the task has not exited
      */
     public record TaskStatus(
             TaskId taskId, AttemptNumber attemptNumber, TaskState state, ExitReason exitReason) {}
 
-    /** Whether the worker sent this heartbeat after the one with these numbers. */
+    /** Whether the worker sent this heartbeat after the one with the given numbers. */
     public boolean isNewerThan(WorkerIncarnation otherIncarnation, long otherSequenceNumber) {
         return incarnation.isAfter(otherIncarnation)
                 || (incarnation.equals(otherIncarnation) && sequenceNumber > otherSequenceNumber);
--- a/src/main/java/org/meadowhollow/model/ImageCache.java
+++ b/src/main/java/org/meadowhollow/model/ImageCache.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * The container images that a machine probably has cached: those most recently used on it, as far
- * as they fit. Not thread-safe: guarded like its machine.
+ * The container images that a machine probably has cached: the most recently used ones that fit
+ * into its cache. Not thread-safe: guarded like its machine.
  */
 public final class ImageCache {
     private static final int INITIAL_CAPACITY = 8;
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Notes that a task with this image is on the machine; the least recently used images are
-     * evicted for it.
+     * Records that a task with this image is on the machine, and evicts the least recently used
+     * images until all fit or only this one is left.
      *
      * @param sizeGb the size of the image in gigabytes
      */
--- a/src/main/java/org/meadowhollow/model/Job.java
+++ b/src/main/java/org/meadowhollow/model/Job.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 
 /**
- * A live job as the leader keeps it: the specification, which tasks are completed, and which may be
- * running where. Changes of tasks are counted in the job's {@link TaskShard shards} until they are
- * persisted. Not thread-safe: its leader guards it.
+ * The leader's state of a live job: its specification, its completed tasks, and the placements of
+ * tasks that may be running. Changes of tasks are numbered in the job's {@link TaskShard shards},
+ * which track what is persisted. Not thread-safe: guarded by the leader's lock.
  */
 public final class Job {
     private final JobSpec spec;
@@ -33,12 +33,12 @@
     }
 
     /**
-     * Creates a job none of whose tasks is placed or completed.
+     * Creates a job without placed or completed tasks.
      *
-     * @param acceptedAtMillis when the job was admitted, in milliseconds of wall-clock time
-     * @param shardSize tasks in each shard; the last shard can have fewer
-     * @param recordRevision of the job's own record
-     * @param secondaryRecord what another interface keeps beside the job, or null
+     * @param acceptedAtMillis the wall-clock time at which the job was admitted, in milliseconds
+     * @param shardSize the number of tasks in each shard; the last shard can have fewer
+     * @param recordRevision the revision of the job's own record
+     * @param secondaryRecord the record that a secondary interface keeps for the job, or null
      */
     public Job(
             JobSpec spec,
@@ -56,7 +56,7 @@
 
     // ---- the job and its record ----
 
-    /** What the user asked for. */
+    /** The job's specification, as its user submitted it. */
     public JobSpec spec() {
         return spec;
     }
@@ -66,7 +66,7 @@
         return spec.id();
     }
 
-    /** When the job was admitted, in milliseconds of wall-clock time. */
+    /** The wall-clock time at which the job was admitted, in milliseconds. */
     public long acceptedAtMillis() {
         return acceptedAtMillis;
     }
@@ -81,14 +81,14 @@
         recordRevision = current;
     }
 
-    /** What another interface keeps beside the job, or null. */
+    /** The record that a secondary interface keeps for the job, or null. */
     public SecondaryRecord secondaryRecord() {
         return secondaryRecord;
     }
 
     // ---- life cycle ----
 
-    /** The phase that interfaces with a secondary record show. */
+    /** The phase that interfaces with a secondary record show to their users. */
     public JobPhase phase() {
         if (isComplete()) {
             return JobPhase.DONE;
@@ -104,7 +104,7 @@
                 : JobPhase.PREPARING;
     }
 
-    /** Whether all tasks are completed; never so for a service. */
+    /** Whether all tasks are completed; always false for a service. */
     public boolean isComplete() {
         return spec.kind() != JobKind.SERVICE && completedTasks.cardinality() == spec.taskCount();
     }
@@ -119,13 +119,19 @@
         return isCancelled;
     }
 
-    /** Notes that the user cancelled the job and that this leader learned of it now. */
+    /**
+     * Marks the job as cancelled by its user, and {@code now} as the time at which this leader
+     * learned of it.
+     */
     public void cancel(MonotonicTime now) {
         isCancelled = true;
         cancelObservedAt = now;
     }
 
-    /** When this leader learned of the cancellation, or null while the job is not cancelled. */
+    /**
+     * The time at which this leader learned of the cancellation, or null if the job is not
+     * cancelled.
+     */
     public MonotonicTime cancelObservedAt() {
         return cancelObservedAt;
     }
@@ -135,7 +141,7 @@
         return isEnded;
     }
 
-    /** Notes that the job's end is persisted. */
+    /** Records that the job's end is persisted. */
     public void markEnded() {
         isEnded = true;
     }
@@ -152,7 +158,9 @@
         return shards.length;
     }
 
-    /** The shard with an index from 0 to {@link #shardCount} - 1; created when first used. */
+    /**
+     * The shard with an index from 0 to {@link #shardCount} - 1, which is created when first used.
+     */
     public TaskShard shard(int index) {
         if (shards[index] == null) {
             shards[index] = new TaskShard(this, index);
@@ -182,24 +190,24 @@
         return completedTasks.cardinality();
     }
 
-    /** The completed tasks; not to be changed by callers. */
+    /** The indices of the completed tasks; callers must not modify the set. */
     public BitSet completedTasks() {
         return completedTasks;
     }
 
-    /** Notes that a task is completed; the caller counts the change in the task's shard. */
+    /** Records that a task is completed; the caller records the change in the task's shard. */
     public void markTaskComplete(int task) {
         completedTasks.set(task);
     }
 
-    /** Restores a run of completed tasks from a record. */
+    /** Restores a range of consecutive completed tasks from a record. */
     public void restoreCompletedTasks(int firstTask, int count) {
         completedTasks.set(firstTask, firstTask + count);
     }
 
     // ---- placements ----
 
-    /** All placements, in no particular order; not to be changed by callers. */
+    /** All placements, in no particular order; callers must not modify them. */
     public Collection<Placement> placements() {
         return placements.values();
     }
@@ -209,7 +217,10 @@
         return placements.get(task);
     }
 
-    /** Whether an attempt of a gang has run or is being stopped and so cannot be completed. */
+    /**
+     * Whether a task of a gang's current attempt has started to run or is being stopped, so that no
+     * further task may join the attempt.
+     */
     public boolean hasAttemptStarted() {
         for (Placement placement : placements.values()) {
             if (placement.runningSince() != null || placement.isStopping()) {
@@ -219,7 +230,7 @@
         return false;
     }
 
-    /** The number of tasks that wait to be placed. */
+    /** The number of tasks that are waiting to be placed. */
     public int pendingTaskCount() {
         return isCancelled || isEnded || hasExhaustedAttempts()
                 ? 0
@@ -241,14 +252,14 @@
         return -1;
     }
 
-    /** The number for the next attempt of a task that is in no gang. */
+    /** The number of the next attempt of a task that does not belong to a gang. */
     public AttemptNumber nextAttemptNumber(int task) {
         return new AttemptNumber(shardOfTask(task).highestAttempt() + 1);
     }
 
     /**
-     * The number for the tasks of a gang: that of the attempt which they complete, or else the next
-     * one.
+     * The attempt number for the unplaced tasks of a gang: that of the current attempt if some of
+     * its tasks are placed, otherwise the next unused one.
      */
     public AttemptNumber gangAttemptNumber() {
         if (!placements.isEmpty()) {
@@ -273,7 +284,7 @@
         return putPlacement(task, attemptNumber, machineId, incarnation, shard.recordChange(), now);
     }
 
-    /** Restores a placement that a predecessor committed. */
+    /** Restores a placement that an earlier leader committed. */
     public Placement restorePlacement(
             int task,
             AttemptNumber attemptNumber,
@@ -305,10 +316,10 @@
     }
 
     /**
-     * Removes a placement that is proven not to be running any more.
+     * Removes a placement whose attempt is proven not to be running any more.
      *
-     * @return the change of the task's shard, which must be persisted before the worker may forget
-     *     the exit
+     * @return the number of the change in the task's shard, which must be persisted before the
+     *     worker may forget the exit
      */
     public long removePlacement(Placement placement) {
         placements.remove(placement.taskId().index(), placement);
@@ -317,44 +328,55 @@
 
     // ---- scheduling ----
 
-    /** Since when the job waits for a placement, or null. */
+    /**
+     * The time since which the job has been waiting for a placement, or null if it is not waiting.
+     */
     public MonotonicTime pendingSince() {
         return pendingSince;
     }
 
-    /** Sets since when the job waits for a placement; null if it does not. */
+    /**
+     * Sets the time since which the job has been waiting for a placement; null if it is not
+     * waiting.
+     */
     public void pendingSince(MonotonicTime since) {
         pendingSince = since;
     }
 
-    /** Until when no new attempt is made after failures, or null. */
+    /** The time until which no new attempt is made after failures, or null. */
     public MonotonicTime backoffUntil() {
         return backoffUntil;
     }
 
-    /** Sets until when no new attempt is made after failures. */
+    /** Sets the time until which no new attempt is made after failures. */
     public void backoffUntil(MonotonicTime until) {
         backoffUntil = until;
     }
 
-    /** When tasks were last preempted for this job, or null. */
+    /** The time at which tasks were last preempted for this job, or null. */
     public MonotonicTime lastPreemptionAt() {
         return lastPreemptionAt;
     }
 
-    /** Notes that tasks were preempted for this job. */
+    /** Records that tasks were preempted for this job at {@code now}. */
     public void lastPreemptionAt(MonotonicTime now) {
         lastPreemptionAt = now;
     }
 
     // ---- failures ----
 
-    /** Counts a task's own failure and returns how many there were since a task last completed. */
+    /**
+     * Records a failure that a task caused itself, and returns the number of such failures since a
+     * task last completed.
+     */
     public int recordTaskFailure(MachineId machineId) {
         return failures.record(machineId);
     }
 
-    /** A task completed, so earlier failures were not the job's fault. */
+    /**
+     * Resets the number of failures and the backoff because a task completed, which shows that
+     * earlier failures were not the job's fault.
+     */
     public void resetFailures() {
         failures.resetCount();
         backoffUntil = null;
@@ -362,8 +384,8 @@
 
     /**
      * Whether the job itself seems to be at fault: its tasks failed on several machines, and none
-     * was ever completed. Then a single task is tried at a time, for all would fail alike, and each
-     * would take resources and an image pull from other jobs.
+     * was ever completed. Only one task of such a job is tried at a time, because all of them would
+     * fail in the same way and each would take resources and an image pull from other jobs.
      */
     public boolean isSuspectedFaulty() {
         return failures.suggestsFaultyJob() && completedTasks.isEmpty();
--- a/src/main/java/org/meadowhollow/model/JobEventListeners.java
+++ b/src/main/java/org/meadowhollow/model/JobEventListeners.java
@@ -1,8 +1,8 @@
 package org.meadowhollow.model;
 
-/** Where what happens to jobs is published; the listeners do not influence the scheduler. */
+/** The listeners to which job events are published; they do not influence the scheduler. */
 public record JobEventListeners(JobEventLog eventLog, TaskTracer tracer) {
-    /** Publishes nothing. */
+    /** Listeners that discard all events. */
     public static final JobEventListeners NONE =
             new JobEventListeners(JobEventLog.NONE, TaskTracer.NONE);
 }
--- a/src/main/java/org/meadowhollow/model/JobEventLog.java
+++ b/src/main/java/org/meadowhollow/model/JobEventLog.java
@@ -4,23 +4,23 @@
 import java.util.function.Consumer;
 
 /**
- * What happened to jobs, native ones and those of other interfaces alike, in one sequence: the
- * revisions of the key-value store order the events across nodes and leaders, and events of one
- * revision happened together. Each node logs what it wrote itself, so that the logs of all nodes
- * make up the sequence. An event whose transaction got no response is left out; what its record
- * says then shows in a later event.
+ * An ordered log of job events, for native jobs and those of other interfaces alike. The revisions
+ * of the key-value store order the events across nodes and leaders; events of the same revision
+ * happened together. Each node logs the events that it wrote itself, so that the logs of all nodes
+ * together make up the sequence. An event whose transaction got no response is omitted; the state
+ * in its record then shows in a later event.
  */
 public final class JobEventLog {
-    /** Logs nothing, at no cost. */
+    /** A disabled log, which costs nothing. */
     public static final JobEventLog NONE = new JobEventLog(null);
 
-    /** What happened. */
+    /** The type of an event. */
     public enum EventType {
         /** The user got the response that the job is admitted. */
         ACCEPTED,
         /** The user got the response that no more tasks of the job start. */
         CANCELLED,
-        /** From now on the task may be running on the machine. */
+        /** The task is placed on the machine and may be running on it from now on. */
         PLACED,
         /** The task is proven not to run on the machine any more: done, stopped or lost. */
         GONE,
@@ -31,10 +31,11 @@
     /**
      * An event of a job or of one of its tasks.
      *
-     * @param revision of the transaction that persisted the event
+     * @param revision the revision of the transaction that persisted the event
      * @param taskIndex the task's index, or -1 for an event of the whole job
-     * @param machineName the machine that the task is placed on, or null for the whole job
-     * @param attemptNumber the number of the attempt, or 0 for the whole job
+     * @param machineName the name of the machine that the task is placed on, or null for an event
+     *     of the whole job
+     * @param attemptNumber the number of the attempt, or 0 for an event of the whole job
      */
     public record Event(
             Revision revision,
@@ -44,7 +45,7 @@
             int taskIndex,
             String machineName,
             int attemptNumber) {
-        /** The line that is logged; its form is documented for users of the log. */
+        /** The log line of the event; its format is documented for users of the log. */
         @Override
         public String toString() {
             String subject = jobId.value();
@@ -70,13 +71,13 @@
     /**
      * Creates a log.
      *
-     * @param sink takes each event, without blocking or failing; null logs nothing
+     * @param sink receives each event and must neither block nor fail; null disables the log
      */
     public JobEventLog(Consumer<Event> sink) {
         this.sink = sink;
     }
 
-    /** Whether events are logged; if not, callers need not prepare them. */
+    /** Whether events are logged; if not, callers need not create them. */
     public boolean isEnabled() {
         return sink != null;
     }
@@ -106,6 +107,6 @@
                         location.attemptNumber().value()));
     }
 
-    /** Where a task may be running according to a record. */
+    /** The machine and attempt with which a task may be running, according to a record. */
     public record TaskLocation(MachineId machineId, AttemptNumber attemptNumber) {}
 }
--- a/src/main/java/org/meadowhollow/model/JobId.java
+++ b/src/main/java/org/meadowhollow/model/JobId.java
@@ -2,11 +2,14 @@
 
 import java.util.regex.Pattern;
 
-/** The identifier of a job; native ones are chosen by the user. */
+/** The identifier of a job; the identifiers of native jobs are chosen by the user. */
 public record JobId(String value) implements Comparable<JobId> {
     private static final Pattern VALID_FORM = Pattern.compile("req-[0-9]{1,19}");
 
-    /** Whether a text has the form of all native identifiers; no other can have been admitted. */
+    /**
+     * Whether a text has the form of a native job's identifier; a native job with any other
+     * identifier cannot have been admitted.
+     */
     public static boolean isWellFormed(String text) {
         return VALID_FORM.matcher(text).matches();
     }
--- a/src/main/java/org/meadowhollow/model/JobKind.java
+++ b/src/main/java/org/meadowhollow/model/JobKind.java
@@ -1,6 +1,6 @@
 package org.meadowhollow.model;
 
-/** How the tasks of a job depend on each other at run time. */
+/** The way in which the tasks of a job depend on each other at run time. */
 public enum JobKind implements StoredWord {
     /** A job array: independent tasks, each of which runs to completion. */
     ARRAY("ARRAY"),
--- a/src/main/java/org/meadowhollow/model/JobPhase.java
+++ b/src/main/java/org/meadowhollow/model/JobPhase.java
@@ -1,15 +1,15 @@
 package org.meadowhollow.model;
 
 /**
- * The life-cycle phase of a job that was submitted through a secondary interface; each of those
- * interfaces maps it to words of its own.
+ * The life-cycle phase of a job that was submitted through a secondary interface; each of these
+ * interfaces maps the phase to terms of its own.
  */
 public enum JobPhase implements StoredWord {
-    /** Admitted, and placed on no machine. */
+    /** Admitted, but not placed on a machine. */
     QUEUED("QUEUED"),
-    /** Its placement is decided; the container image may still be pulled. */
+    /** Placed on a machine, which may still be pulling the container image. */
     PREPARING("PREPARING"),
-    /** Reported as running. */
+    /** Reported as running by the worker. */
     RUNNING("RUNNING"),
     /** Cancelled by its user while an attempt may still be running. */
     CANCELING("CANCELING"),
--- a/src/main/java/org/meadowhollow/model/JobSpec.java
+++ b/src/main/java/org/meadowhollow/model/JobSpec.java
@@ -7,7 +7,7 @@
  *
  * @param jobClass the class of similar jobs that the job belongs to
  * @param team the team whose quota the job counts against
- * @param resourcesPerTask what each task takes
+ * @param resourcesPerTask the resources that each task takes
  * @param allowedMachineTypes the names of the allowed machine types, or null for any
  * @param requiredZone the only allowed zone, or null for any
  * @param requiresSingleZone whether all tasks must run in the same zone
@@ -17,8 +17,8 @@
  * @param imageSizeGb the size of the image in gigabytes
  * @param estimatedRuntimeSeconds the user's estimate of a task's run time
  * @param checkpointIntervalSeconds the time between two checkpoints, or 0 for none
- * @param checkpointDurationSeconds how long saving a checkpoint takes
- * @param deadlineSeconds seconds from submission, or NaN for none
+ * @param checkpointDurationSeconds the time that it takes to save a checkpoint
+ * @param deadlineSeconds the deadline in seconds from submission, or NaN for none
  */
 public record JobSpec(
         JobId id,
@@ -50,12 +50,12 @@
         return requiredZone == null || requiredZone.equals(zone);
     }
 
-    /** Whether tasks save checkpoints, from which a later attempt goes on. */
+    /** Whether tasks save checkpoints, from which a later attempt resumes. */
     public boolean usesCheckpoints() {
         return checkpointIntervalSeconds > 0;
     }
 
-    /** How many tasks may be in one zone at a time. */
+    /** The maximum number of tasks that may be in one zone at a time. */
     public int maxTasksPerZone() {
         return spreadsAcrossZones ? (taskCount + 1) / 2 : taskCount;
     }
--- a/src/main/java/org/meadowhollow/model/Machine.java
+++ b/src/main/java/org/meadowhollow/model/Machine.java
@@ -8,14 +8,15 @@
 import java.util.Set;
 
 /**
- * A rented machine as the leader knows it: what the cloud provider and the worker's heartbeats said
- * of it, and what is placed on it. Not thread-safe: its leader guards it.
+ * The leader's state of a rented machine: what the cloud provider and the worker's heartbeats have
+ * reported, and the placements on the machine. Not thread-safe: guarded by the leader's lock.
  */
 public final class Machine {
     /**
-     * An exit that is not persisted yet; only when it is may the worker forget the attempt.
+     * An attempt's exit that is not persisted yet. The worker may forget the attempt only after its
+     * exit is persisted.
      *
-     * @param shardChange the change of the shard that holds the exit
+     * @param shardChange the number of the change in the shard that records the exit
      */
     public record UnpersistedExit(AttemptNumber attemptNumber, TaskShard shard, long shardChange) {
         /** Whether the exit, or the end of the whole job, is persisted by now. */
@@ -27,14 +28,14 @@
     /** Lower than every sequence number that a worker sends. */
     private static final long NO_SEQUENCE_NUMBER = -1;
 
-    // What the machine is.
+    // Identity.
     private final MachineId id;
     private final MachineType type;
     private final String zone;
     private final boolean isSpot;
     private String address;
 
-    // What is known of its worker.
+    // Heartbeats and contact with the worker.
     private WorkerIncarnation incarnation;
     private long lastSequenceNumber = NO_SEQUENCE_NUMBER;
     private FencingToken highestFencingToken = FencingToken.NONE;
@@ -43,7 +44,7 @@
     private MonotonicTime lastContactAt;
     private MonotonicTime lastAnsweredHeartbeatAt;
 
-    // Whether it takes tasks.
+    // Schedulability.
     private MonotonicTime preemptionDeadline;
     private boolean isCordoned;
     private boolean isIncarnationReset;
@@ -52,7 +53,7 @@
     private JobId heldForGang;
     private MonotonicTime holdExpiresAt;
 
-    // What is on it.
+    // Tasks and container images.
     private final List<Placement> placements = new ArrayList<>();
     private final Map<TaskId, UnpersistedExit> unpersistedExits = new Object2ObjectOpenHashMap<>();
     private final Set<TaskId> orphanedTasks = new HashSet<>();
@@ -70,32 +71,32 @@
 
     // ---- identity ----
 
-    /** The name that the cloud provider gave it. */
+    /** The machine's identifier: the name that the cloud provider gave it. */
     public MachineId id() {
         return id;
     }
 
-    /** Its type, which says what resources it has. */
+    /** The machine's type, which defines its resources. */
     public MachineType type() {
         return type;
     }
 
-    /** The zone that it is in. */
+    /** The zone that the machine is in. */
     public String zone() {
         return zone;
     }
 
-    /** Whether it is a spot instance, which the cloud provider can preempt. */
+    /** Whether the machine is a spot instance, which the cloud provider can preempt. */
     public boolean isSpot() {
         return isSpot;
     }
 
-    /** The network address of its worker, or null while it is unknown. */
+    /** The network address of the machine's worker, or null while it is unknown. */
     public String address() {
         return address;
     }
 
-    /** Sets the network address of its worker. */
+    /** Sets the network address of the machine's worker. */
     public void address(String current) {
         address = current;
     }
@@ -112,7 +113,7 @@
         return lastSequenceNumber;
     }
 
-    /** Takes in what a heartbeat says of the worker itself. */
+    /** Records the incarnation, sequence number and fencing token of a heartbeat. */
     public void recordHeartbeat(Heartbeat heartbeat) {
         incarnation = heartbeat.incarnation();
         lastSequenceNumber = heartbeat.sequenceNumber();
@@ -126,78 +127,85 @@
         return highestFencingToken;
     }
 
-    /** When this leader first knew of the machine, from the provider's list or a heartbeat. */
+    /**
+     * The time at which this leader first learned of the machine, from the provider's list or a
+     * heartbeat.
+     */
     public MonotonicTime knownSince() {
         return knownSince;
     }
 
-    /** Sets when this leader first knew of the machine. */
+    /** Sets the time at which this leader first learned of the machine. */
     public void knownSince(MonotonicTime since) {
         knownSince = since;
     }
 
-    /** When the cloud provider's list last named the machine, or null. */
+    /** The time at which the cloud provider's list last contained the machine, or null. */
     public MonotonicTime lastListedAt() {
         return lastListedAt;
     }
 
-    /** Notes that the cloud provider's list names the machine. */
+    /** Records that the cloud provider's list contains the machine. */
     public void recordListing(MonotonicTime now) {
         lastListedAt = now;
     }
 
     /**
-     * When the worker last proved to be alive, by a heartbeat or by the response to a direct
-     * command, or null.
+     * The time at which the worker last proved to be alive, by a heartbeat or by the response to a
+     * direct command, or null.
      */
     public MonotonicTime lastContactAt() {
         return lastContactAt;
     }
 
-    /** Notes that the worker proved to be alive other than by an answered heartbeat. */
+    /** Records that the worker proved to be alive by something other than an answered heartbeat. */
     public void recordContact(MonotonicTime now) {
         lastContactAt = now;
     }
 
     /**
-     * When the last heartbeat arrived that this leader answered, or null; only the answer renews
-     * the worker's lease.
+     * The arrival time of the last heartbeat that this leader answered, or null. Only the answer
+     * renews the worker's lease.
      */
     public MonotonicTime lastAnsweredHeartbeatAt() {
         return lastAnsweredHeartbeatAt;
     }
 
-    /** Notes that a heartbeat arrived and is answered. */
+    /** Records the arrival of a heartbeat that is answered. */
     public void recordAnsweredHeartbeat(MonotonicTime now) {
         lastAnsweredHeartbeatAt = now;
         lastContactAt = now;
     }
 
-    // ---- whether it takes tasks ----
+    // ---- schedulability ----
 
-    /** When the cloud provider is going to take the machine away, or null if it did not say so. */
+    /**
+     * The time at which the cloud provider will reclaim the machine, or null without such a notice.
+     */
     public MonotonicTime preemptionDeadline() {
         return preemptionDeadline;
     }
 
-    /** Sets when the cloud provider is going to take the machine away. */
+    /** Sets the time at which the cloud provider will reclaim the machine. */
     public void preemptionDeadline(MonotonicTime deadline) {
         preemptionDeadline = deadline;
     }
 
-    /** Whether nothing more is placed here, because it is cordoned or being returned. */
+    /**
+     * Whether no more tasks may be placed on the machine, because it is cordoned or being returned.
+     */
     public boolean isUnschedulable() {
         return isCordoned || isReleasing;
     }
 
-    /** Has nothing more placed here from now on. */
+    /** Excludes the machine from further placements. */
     public void cordon() {
         isCordoned = true;
     }
 
     /**
-     * Notes that the worker's incarnations began again, so that it is another life of the machine
-     * than the one whose numbers are known; it is cordoned.
+     * Records that the worker's incarnation numbers started again from the beginning, so that the
+     * worker is not in the incarnation whose numbers are known. The machine is cordoned.
      */
     public void markIncarnationReset() {
         isIncarnationReset = true;
@@ -205,8 +213,9 @@
     }
 
     /**
-     * Whether the machine is to be returned with all that may be on it, since its heartbeats cannot
-     * be told from late duplicates.
+     * Whether the worker's incarnation numbers started again. Its heartbeats then cannot be
+     * distinguished from late duplicates of earlier ones, so the machine is returned with all tasks
+     * that may be on it.
      */
     public boolean isIncarnationReset() {
         return isIncarnationReset;
@@ -217,35 +226,41 @@
         return isReleasing;
     }
 
-    /** Notes that the machine is being returned to the cloud provider, or that this failed. */
+    /**
+     * Sets whether the machine is being returned to the cloud provider; false after the return
+     * failed.
+     */
     public void setReleasing(boolean isReleasingNow) {
         isReleasing = isReleasingNow;
     }
 
-    /** Since when the machine is idle, or null while it is not. */
+    /** The time since which the machine has been idle, or null if it is not idle. */
     public MonotonicTime idleSince() {
         return idleSince;
     }
 
-    /** Sets since when the machine is idle; null if it is not. */
+    /** Sets the time since which the machine has been idle; null if it is not idle. */
     public void idleSince(MonotonicTime since) {
         idleSince = since;
     }
 
-    /** Holds what is free here for a gang for which other tasks were preempted. */
+    /**
+     * Holds the free capacity of the machine, until a deadline, for a gang for which other tasks
+     * were preempted.
+     */
     public void holdForGang(JobId jobId, MonotonicTime until) {
         heldForGang = jobId;
         holdExpiresAt = until;
     }
 
-    /** The gang that what is free here is held for, or null. */
+    /** The gang for which the machine's free capacity is held, or null. */
     public JobId heldForGang(MonotonicTime now) {
         return heldForGang != null && now.isBefore(holdExpiresAt) ? heldForGang : null;
     }
 
-    // ---- what is on it ----
+    // ---- tasks and container images ----
 
-    /** The placements on the machine; changed by the leader only. */
+    /** The placements on the machine; modified only by the leader. */
     public List<Placement> placements() {
         return placements;
     }
@@ -256,8 +271,8 @@
     }
 
     /**
-     * Tasks that the worker reports and that no record places here. They are being stopped, and
-     * block their start elsewhere until they have exited.
+     * The tasks that the worker reports although no record places them on this machine. They are
+     * being stopped, and cannot be started elsewhere until they have exited.
      */
     public Set<TaskId> orphanedTasks() {
         return orphanedTasks;
@@ -268,12 +283,12 @@
         return imageCache;
     }
 
-    /** Counts tasks that were lost on the machine. */
+    /** Adds to the number of tasks that were lost on the machine. */
     public void recordLostTasks(int tasks) {
         lostTasksSinceHeartbeat += tasks;
     }
 
-    /** Returns the number of tasks lost since the last call, and starts counting again. */
+    /** Returns the number of tasks lost since the last call, and resets it to zero. */
     public int takeLostTaskCount() {
         int lost = lostTasksSinceHeartbeat;
         lostTasksSinceHeartbeat = 0;
@@ -282,7 +297,7 @@
 
     // ---- resources ----
 
-    /** The resources that the placements take. */
+    /** The resources allocated to the placements on the machine. */
     public Resources allocated() {
         Resources sum = Resources.NONE;
         for (Placement placement : placements) {
@@ -291,12 +306,12 @@
         return sum;
     }
 
-    /** The resources that no placement takes. */
+    /** The resources that are not allocated to placements. */
     public Resources freeCapacity() {
         return type.capacity().minus(allocated());
     }
 
-    /** Whether some of every resource that the machine has is free. */
+    /** Whether the machine has a free amount of each resource that its type provides. */
     public boolean hasFreeCapacity() {
         Resources free = freeCapacity();
         Resources capacity = type.capacity();
--- a/src/main/java/org/meadowhollow/model/MachineType.java
+++ b/src/main/java/org/meadowhollow/model/MachineType.java
@@ -5,12 +5,13 @@
 /**
  * A machine type that the cloud provider offers.
  *
- * @param capacity the resources that tasks can take
- * @param imageCacheGb how much the cache of container images holds, in gigabytes
- * @param imagePullGbPerSecond how fast container images are pulled, in gigabytes per second
+ * @param capacity the resources that are available to tasks
+ * @param imageCacheGb the capacity of the container image cache, in gigabytes
+ * @param imagePullGbPerSecond the rate at which container images are pulled, in gigabytes per
+ *     second
  * @param hourlyPrice the price per hour on demand
  * @param hourlySpotPrice the price per hour as a spot instance
- * @param bootSeconds how long a machine takes to boot, as the provider gives it
+ * @param bootSeconds the time that a machine takes to boot, as stated by the provider
  * @param zones the zones in which the type is offered
  */
 public record MachineType(
--- a/src/main/java/org/meadowhollow/model/MachineTypeCatalog.java
+++ b/src/main/java/org/meadowhollow/model/MachineTypeCatalog.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * The machine types that the cloud provider offers, as far as they are known. Thread-safe: readers
- * see the last list as a whole.
+ * The machine types that the cloud provider offers, as last listed. Thread-safe: a new list
+ * replaces the previous one as a whole.
  */
 public final class MachineTypeCatalog {
     private volatile Map<String, MachineType> types = Map.of();
@@ -16,7 +16,7 @@
         return types.isEmpty();
     }
 
-    /** The type with a name, or null if it is not known. */
+    /** The machine type with the given name, or null if it is not known. */
     public MachineType typeNamed(String name) {
         return types.get(name);
     }
@@ -26,7 +26,7 @@
         return types.values();
     }
 
-    /** Replaces all known types by those that were listed. */
+    /** Replaces all known types with the listed ones. */
     public void replaceAll(List<MachineType> listed) {
         Map<String, MachineType> byName = new LinkedHashMap<>();
         for (MachineType type : listed) {
--- a/src/main/java/org/meadowhollow/model/MonotonicTime.java
+++ b/src/main/java/org/meadowhollow/model/MonotonicTime.java
@@ -10,7 +10,7 @@
 public record MonotonicTime(long nanos) implements Comparable<MonotonicTime> {
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** The time that is later by a duration. */
+    /** Returns this time plus a duration. */
     public MonotonicTime plus(Duration span) {
         return new MonotonicTime(nanos + span.toNanos());
     }
--- a/src/main/java/org/meadowhollow/model/Placement.java
+++ b/src/main/java/org/meadowhollow/model/Placement.java
@@ -1,11 +1,11 @@
 package org.meadowhollow.model;
 
 /**
- * An attempt of a task on a machine. It may be running from the commit of its shard's record until
- * it is proven that it is not. Not thread-safe: guarded like its job.
+ * An attempt of a task on a machine. The attempt may be running from the commit of its shard's
+ * record until it is proven not to be running any more. Not thread-safe: guarded like its job.
  */
 public final class Placement {
-    /** The sequence number while this leader has sent no start. */
+    /** The sequence number of the start command while this leader has sent none. */
     private static final long NO_START_SENT = -1;
 
     private final Job job;
@@ -24,8 +24,8 @@
     /**
      * Creates a placement.
      *
-     * @param shardChange the change of the task's shard that holds the placement
-     * @param placedAt when it was decided, or restored from a record
+     * @param shardChange the number of the change in the task's shard that records the placement
+     * @param placedAt the time at which the placement was decided, or restored from a record
      */
     Placement(
             Job job,
@@ -64,17 +64,20 @@
         return machineId;
     }
 
-    /** The worker's incarnation that the task was placed on; a later one cannot run it. */
+    /**
+     * The incarnation of the worker on which the task was placed; a later incarnation cannot run
+     * the attempt.
+     */
     public WorkerIncarnation incarnation() {
         return incarnation;
     }
 
-    /** When the placement was decided, or restored from a predecessor's record. */
+    /** The time at which the placement was decided, or restored from an earlier leader's record. */
     public MonotonicTime placedAt() {
         return placedAt;
     }
 
-    /** Whether the placement is persisted; only then may the worker be told of it. */
+    /** Whether the placement is persisted; only then may it be sent to the worker. */
     public boolean isCommitted() {
         return job.shardOfTask(taskId.index()).isPersisted(shardChange);
     }
@@ -84,7 +87,7 @@
         return reportedState;
     }
 
-    /** Notes the state that the worker reported. */
+    /** Records the state that the worker reported. */
     public void reportedState(TaskState reported, MonotonicTime now) {
         if (reported == TaskState.RUNNING && runningSince == null) {
             runningSince = now;
@@ -92,13 +95,13 @@
         reportedState = reported;
     }
 
-    /** When the task was first reported as running, or null. */
+    /** The time at which the task was first reported as running, or null. */
     public MonotonicTime runningSince() {
         return runningSince;
     }
 
     /**
-     * Notes that the response to the heartbeat with this sequence number commands the worker to
+     * Records that the response to the heartbeat with this sequence number commands the worker to
      * start the task.
      */
     public void recordStartSent(long sequenceNumber) {
@@ -118,7 +121,7 @@
         return isStopping;
     }
 
-    /** How long the task may take to save a checkpoint while it is being stopped, in seconds. */
+    /** The time that the task has to save a checkpoint while it is being stopped, in seconds. */
     public double graceSeconds() {
         return graceSeconds;
     }
--- a/src/main/java/org/meadowhollow/model/Priority.java
+++ b/src/main/java/org/meadowhollow/model/Priority.java
@@ -8,7 +8,7 @@
     HIGH("HIGH"),
     /** The priority of ordinary work. */
     NORMAL("NORMAL"),
-    /** Best-effort work, which also has its records written last. */
+    /** Best-effort work, whose records are also written last. */
     LOW("LOW");
 
     private final String storedWord;
--- a/src/main/java/org/meadowhollow/model/Resources.java
+++ b/src/main/java/org/meadowhollow/model/Resources.java
@@ -1,20 +1,22 @@
 package org.meadowhollow.model;
 
 /**
- * A resource vector: what a task takes or a machine has. Amounts are integers, so that sums and
- * differences are exact in any order.
+ * A resource vector: the amounts that a task takes or a machine has. Amounts are integers, so that
+ * sums and differences are exact, whatever the order of operations.
  *
  * @param cpu cores, in millionths
  * @param gpu GPUs, in millionths
  * @param memory gigabytes, in millionths
  */
 public record Resources(long cpu, long gpu, long memory) {
-    /** Nothing of any resource. */
+    /** The zero vector. */
     public static final Resources NONE = new Resources(0, 0, 0);
 
     private static final double MILLIONTHS_PER_UNIT = 1e6;
 
-    /** The vector of so many cores, GPUs and gigabytes, rounded to millionths. */
+    /**
+     * Creates a vector from numbers of cores, GPUs and gigabytes of memory, rounded to millionths.
+     */
     public static Resources of(double cpus, double gpus, double memoryGb) {
         return new Resources(
                 Math.round(cpus * MILLIONTHS_PER_UNIT),
@@ -32,24 +34,27 @@
         return new Resources(cpu - other.cpu, gpu - other.gpu, memory - other.memory);
     }
 
-    /** The vector of so many equal tasks. */
+    /** This vector multiplied by a number of tasks. */
     public Resources times(int count) {
         return new Resources(cpu * count, gpu * count, memory * count);
     }
 
-    /** Whether no amount is larger than that of the capacity. */
+    /** Whether each amount is at most that of the capacity. */
     public boolean fitsIn(Resources capacity) {
         return cpu <= capacity.cpu && gpu <= capacity.gpu && memory <= capacity.memory;
     }
 
-    /** The dominant share: the largest share of {@code whole} that any amount of this one takes. */
+    /**
+     * The dominant share: the largest share of {@code whole} that this vector takes of any
+     * resource.
+     */
     public double dominantShareOf(Resources whole) {
         return Math.max(
                 share(cpu, whole.cpu),
                 Math.max(share(gpu, whole.gpu), share(memory, whole.memory)));
     }
 
-    /** How often this vector fits into a capacity, at most {@code maxCopies} times. */
+    /** The number of copies of this vector that fit into a capacity, at most {@code maxCopies}. */
     public int maxCopiesIn(Resources capacity, int maxCopies) {
         long count = maxCopies;
         if (cpu > 0) {
--- a/src/main/java/org/meadowhollow/model/Revision.java
+++ b/src/main/java/org/meadowhollow/model/Revision.java
@@ -1,6 +1,6 @@
 package org.meadowhollow.model;
 
-/** A revision of the key-value store; that of a record is the one of its last change. */
+/** A revision of the key-value store; a record's revision is the one at which it last changed. */
 public record Revision(long value) {
     /** The revision of a key that does not exist. */
     public static final Revision ABSENT = new Revision(0);
--- a/src/main/java/org/meadowhollow/model/SecondaryRecord.java
+++ b/src/main/java/org/meadowhollow/model/SecondaryRecord.java
@@ -6,15 +6,18 @@
 import java.util.Map;
 
 /**
- * What another interface than the native one keeps beside a job of one task: an entry under a key
- * of its own with the job's phase and attempts. It is written in the same transactions as the job's
- * records, so that no reader sees one of them older than the other. Not thread-safe: guarded like
- * its job.
+ * The record that an interface other than the native one keeps for a job of one task: an entry with
+ * the job's phase and attempts, stored under a key of its own. The entry is written in the same
+ * transactions as the job's records, so that no reader sees one of them older than the other. Not
+ * thread-safe: guarded like its job.
  *
- * <p>Field names and words here are part of the persisted format.
+ * <p>Field names and stored words in this class are part of the persisted format.
  */
 public final class SecondaryRecord {
-    /** Attempts that an entry keeps; older ones are dropped, because an entry must stay small. */
+    /**
+     * The number of attempts that an entry keeps; older ones are dropped, because an entry must
+     * stay small.
+     */
     static final int MAX_RETAINED_ATTEMPTS = 10;
 
     /** The stored reason of an attempt that was preempted or ended with its preempted machine. */
@@ -46,9 +49,9 @@
     /**
      * Creates the secondary record of a job without attempts.
      *
-     * @param key of the entry in the key-value store
+     * @param key the key of the entry in the key-value store
      * @param constantFields the fields of the entry that never change
-     * @param maxAttempts after which the job fails, or 0 for any number
+     * @param maxAttempts the number of attempts after which the job fails, or 0 for no limit
      * @param traceContext the context in which the job is traced, or null
      */
     public SecondaryRecord(
@@ -66,7 +69,10 @@
 
     // ---- the reference in the job's record ----
 
-    /** Encodes what a leader needs to write the entry again, to be kept in the job's record. */
+    /**
+     * Encodes the reference, which is kept in the job's record and has all that a leader needs to
+     * rewrite the entry.
+     */
     public Map<String, Object> encodeReference() {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put(KEY_FIELD, key);
@@ -79,7 +85,7 @@
     }
 
     /**
-     * The key in a reference.
+     * Extracts the key of the entry from a reference.
      *
      * @param reference the reference in a job's record, or null if there is none
      * @return null if there is no reference
@@ -89,12 +95,12 @@
     }
 
     /**
-     * Decodes a reference.
+     * Restores a secondary record, without its attempts, from a reference.
      *
      * @param reference the reference in a job's record, or null if there is none
      * @return null if there is no reference
      */
-    @SuppressWarnings("unchecked") // The codec of the store decodes maps with texts as keys.
+    @SuppressWarnings("unchecked") // The store's codec decodes maps with string keys.
     public static SecondaryRecord decodeReference(Object reference) {
         if (!(reference instanceof Map<?, ?> fields)) {
             return null;
@@ -109,9 +115,9 @@
     // ---- attempts ----
 
     /**
-     * Notes that the task is placed, which is a new attempt.
+     * Records that the task is placed, which begins a new attempt.
      *
-     * @param nowMillis wall-clock time in milliseconds, here and below
+     * @param nowMillis the wall-clock time in milliseconds, also in the methods below
      */
     public void recordPlacement(AttemptNumber attemptNumber, MachineId machineId, long nowMillis) {
         attempts.add(
@@ -121,7 +127,10 @@
         }
     }
 
-    /** Notes that the task is running; returns false if that was known. */
+    /**
+     * Records that an attempt is running; returns false if that was recorded before or the attempt
+     * is no longer kept.
+     */
     public boolean recordStart(AttemptNumber attemptNumber, long nowMillis) {
         int at = indexOfAttempt(attemptNumber);
         if (at < 0 || attempts.get(at).startedAtMillis() > 0) {
@@ -132,8 +141,8 @@
     }
 
     /**
-     * Notes that an attempt has ended. If it was the last one allowed and did not complete the job,
-     * the job has failed.
+     * Records that an attempt has ended. If it was the last attempt allowed and did not complete
+     * the job, the job has failed.
      *
      * @param reason the stored word of an exit reason, or one of the reasons of this class
      */
@@ -142,8 +151,8 @@
         if (at >= 0 && attempts.get(at).endReason() == null) {
             AttemptRecord attempt = attempts.get(at);
             if (attempt.startedAtMillis() == 0 && isCompletion(reason)) {
-                // It was shorter than the interval between two heartbeats: all that is known is
-                // that it ran after it was placed.
+                // The attempt ran and ended between two heartbeats, so its start was not
+                // reported: all that is known is that it ran after it was placed.
                 attempt = attempt.withStart(attempt.placedAtMillis());
             }
             attempts.set(at, attempt.withEnd(nowMillis, reason));
@@ -182,14 +191,14 @@
         return terminalFailure;
     }
 
-    /** Encodes the attempts, to be kept in the record of the task's shard and in the entry. */
+    /** Encodes the attempts for the record of the task's shard and for the entry. */
     public List<Object> encodeAttempts() {
         return new ArrayList<>(attempts.stream().map(AttemptRecord::encode).toList());
     }
 
     /**
-     * Restores the attempts that a predecessor persisted. None of them is the last one allowed: an
-     * attempt that ends the job is persisted together with the job's end, never before it.
+     * Restores the attempts that an earlier leader persisted. None of them is the last one allowed:
+     * an attempt that ends the job is persisted together with the job's end, never before it.
      *
      * @param encoded the encoded attempts, or null if there are none
      */
@@ -197,7 +206,7 @@
         attempts.clear();
         if (encoded instanceof List<?> items) {
             items.forEach(item -> attempts.add(AttemptRecord.decode(item)));
-            // The predecessor traced those that its records show as ended.
+            // The earlier leader traced the attempts that its records show as ended.
             untracedEndedAttempts(0)
                     .forEach(ended -> lastTracedAttempt = ended.attempt().attemptNumber());
         }
@@ -208,12 +217,12 @@
     /**
      * An attempt that has ended.
      *
-     * @param pendingSinceMillis since when the job had waited for the attempt, in milliseconds of
-     *     wall-clock time
+     * @param pendingSinceMillis the wall-clock time since which the job had waited for the attempt,
+     *     in milliseconds
      */
     public record EndedAttempt(long pendingSinceMillis, AttemptRecord attempt) {}
 
-    /** The task as it is traced, or null if it is not. */
+    /** The task with its trace context, or null if the task is not traced. */
     public TaskTracer.TracedTask tracedTask(JobId jobId, String team) {
         return traceContext == null ? null : new TaskTracer.TracedTask(traceContext, jobId, team);
     }
@@ -230,7 +239,10 @@
         return ended;
     }
 
-    /** Since when the job waited for an attempt, as far as the attempts that are kept tell. */
+    /**
+     * The time since which the job waited for an attempt: the end of the previous attempt, the
+     * job's admission, or the attempt's placement if earlier attempts are no longer kept.
+     */
     private long pendingSinceMillis(int at, long acceptedAtMillis) {
         if (at > 0) {
             return attempts.get(at - 1).endedAtMillis();
@@ -267,19 +279,19 @@
         return entry;
     }
 
-    /** A copy of an entry with the cancellation noted. */
+    /** Copies an entry and sets its phase to {@link JobPhase#CANCELING}. */
     public static Map<String, Object> withCancellationRequested(Map<String, Object> entry) {
         Map<String, Object> copy = new LinkedHashMap<>(entry);
         copy.put(PHASE_FIELD, JobPhase.CANCELING.storedWord());
         return copy;
     }
 
-    /** The phase in an entry. */
+    /** Decodes the phase in an entry. */
     public static JobPhase phaseOf(Map<String, Object> entry) {
         return JobPhase.fromStoredWord((String) entry.get(PHASE_FIELD));
     }
 
-    /** The attempts in an entry, the oldest one first. */
+    /** Decodes the attempts in an entry, the oldest one first. */
     public static List<AttemptRecord> attemptsOf(Map<String, Object> entry) {
         return ((List<?>) entry.get(ATTEMPTS_FIELD)).stream().map(AttemptRecord::decode).toList();
     }
--- a/src/main/java/org/meadowhollow/model/StoredWord.java
+++ b/src/main/java/org/meadowhollow/model/StoredWord.java
@@ -12,7 +12,7 @@
      * The constant that a stored word stands for.
      *
      * @param constants all constants of the enum
-     * @throws IllegalArgumentException if no constant has this word, {@code null} included
+     * @throws IllegalArgumentException if no constant has this word, or if it is {@code null}
      */
     static <E extends StoredWord> E find(E[] constants, String storedWord) {
         for (E constant : constants) {
--- a/src/main/java/org/meadowhollow/model/TaskId.java
+++ b/src/main/java/org/meadowhollow/model/TaskId.java
@@ -6,7 +6,7 @@
  * @param index the task's position in its job, from 0
  */
 public record TaskId(JobId jobId, int index) {
-    /** Digits of an index at most, so that it cannot overflow. */
+    /** The maximum number of digits in an index, so that parsing cannot overflow. */
     private static final int MAX_INDEX_DIGITS = 7;
 
     /** Parses the form {@code req-000412/3}; returns null for a text that is not of that form. */
--- a/src/main/java/org/meadowhollow/model/TaskShard.java
+++ b/src/main/java/org/meadowhollow/model/TaskShard.java
@@ -6,12 +6,14 @@
 import org.meadowhollow.model.JobEventLog.TaskLocation;
 
 /**
- * Adjacent tasks of a job whose state is one record in the key-value store. Changes of the tasks
- * are numbered, so that it is known which of them are persisted. Not thread-safe: guarded like its
- * job.
+ * A range of consecutive tasks of a job, whose state is stored as one record in the key-value
+ * store. Changes of the tasks are numbered in order to track which of them are persisted. Not
+ * thread-safe: guarded like its job.
  */
 public final class TaskShard {
-    /** The number of a change that was persisted before this leader loaded the shard. */
+    /**
+     * The change number that stands for everything persisted before this leader loaded the shard.
+     */
     static final long PERSISTED_CHANGE = 0;
 
     private final Job job;
@@ -33,17 +35,17 @@
         return job;
     }
 
-    /** The position among the job's shards, from 0. */
+    /** The shard's index among the job's shards, from 0. */
     public int index() {
         return index;
     }
 
-    /** The first task of the shard. */
+    /** The index of the shard's first task. */
     public int firstTask() {
         return index * job.shardSize();
     }
 
-    /** The task after the last one of the shard. */
+    /** The index after that of the shard's last task. */
     public int endTaskExclusive() {
         return Math.min(job.spec().taskCount(), firstTask() + job.shardSize());
     }
@@ -51,15 +53,15 @@
     // ---- changes ----
 
     /**
-     * Counts a change that is not in the record yet.
+     * Assigns the next number to a change that is not in the record yet.
      *
-     * @return the number of the change, for {@link #isPersisted}
+     * @return the number of the change, to be passed to {@link #isPersisted}
      */
     public long recordChange() {
         return ++latestChange;
     }
 
-    /** Whether a change is in the record. */
+    /** Whether the change with this number is in the record. */
     public boolean isPersisted(long change) {
         return latestPersistedChange >= change;
     }
@@ -75,10 +77,10 @@
     }
 
     /**
-     * Notes that the record was written.
+     * Records that the record was written.
      *
-     * @param change the last change that is in the record
-     * @param revision of the record
+     * @param change the number of the last change that is in the record
+     * @param revision the revision of the record
      */
     public void markPersisted(long change, Revision revision) {
         latestPersistedChange = Math.max(latestPersistedChange, change);
@@ -92,17 +94,17 @@
         return recordRevision;
     }
 
-    /** Sets the revision of the record as it was read. */
+    /** Sets the revision of the record to the one that was read. */
     public void adoptRevision(Revision current) {
         recordRevision = current;
     }
 
-    /** Whether the record is being written or read; it is written by one request at a time. */
+    /** Whether a write or read of the record is in flight; only one request at a time writes it. */
     public boolean isWriteInFlight() {
         return isWriteInFlight;
     }
 
-    /** Notes that the record is being written or read, or not any more. */
+    /** Sets whether a write or read of the record is in flight. */
     public void setWriteInFlight(boolean inFlight) {
         isWriteInFlight = inFlight;
     }
@@ -114,14 +116,14 @@
         return highestAttempt;
     }
 
-    /** Notes that a task of the shard was given an attempt number. */
+    /** Records that a task of the shard was given an attempt number. */
     public void recordAttempt(int attempt) {
         highestAttempt = Math.max(highestAttempt, attempt);
     }
 
     // ---- locations, for the event log ----
 
-    /** Where the tasks are placed now, by task. */
+    /** The current locations of the placed tasks, by task index. */
     public Map<Integer, TaskLocation> currentLocations() {
         Map<Integer, TaskLocation> locations = new HashMap<>();
         for (int task = firstTask(); task < endTaskExclusive(); task++) {
@@ -134,16 +136,19 @@
         return locations;
     }
 
-    /** Notes that all placements were restored from the record. */
+    /**
+     * Marks the current locations as persisted, after all placements were restored from the record.
+     */
     public void markLocationsPersisted() {
         persistedLocations = currentLocations();
     }
 
     /**
-     * Logs how a record that was written differs from the one before it.
+     * Logs the differences between the locations in a record that was written and those in the one
+     * before it.
      *
-     * @param revision of the record
-     * @param locations where the tasks are according to the record, by task
+     * @param revision the revision of the record
+     * @param locations the locations of the placed tasks according to the record, by task index
      */
     public void logLocationChanges(
             JobEventLog eventLog, Revision revision, Map<Integer, TaskLocation> locations) {
--- a/src/main/java/org/meadowhollow/model/TaskTracer.java
+++ b/src/main/java/org/meadowhollow/model/TaskTracer.java
@@ -1,12 +1,13 @@
 package org.meadowhollow.model;
 
 /**
- * Takes the spans of tasks whose clients sent a trace context. Each span is published after what it
- * shows is persisted; one whose node fails at that moment is lost, and no two nodes publish
- * different ones. Calls do not block and do not fail. Times are milliseconds of wall-clock time.
+ * Publishes the spans of tasks whose clients sent a trace context. Each span is published after the
+ * state that it shows is persisted; if the node fails at that moment, the span is lost. No two
+ * nodes publish different versions of a span. Calls neither block nor fail. Times are milliseconds
+ * of wall-clock time.
  */
 public interface TaskTracer extends AutoCloseable {
-    /** Traces nothing: it accepts no trace context. */
+    /** A disabled tracer, which accepts no trace context. */
     TaskTracer NONE =
             new TaskTracer() {
                 @Override
@@ -36,25 +37,25 @@
      * Parses a trace context.
      *
      * @param traceparent the header as the client sent it, or null
-     * @return what is to be kept with the task, at most 55 characters; null if the task is not to
-     *     be traced
+     * @return the trace context to be stored with the task, at most 55 characters; null if the task
+     *     is not to be traced
      */
     String traceContextOf(String traceparent);
 
-    /** The request that submitted the task was answered. */
+    /** Called when the request that submitted the task has been answered. */
     void onTaskAccepted(TracedTask task, long fromMillis, long untilMillis);
 
     /**
-     * An attempt has ended.
+     * Called when an attempt has ended.
      *
-     * @param waitedFromMillis since when the task had waited for the attempt
+     * @param waitedFromMillis the time since which the task had waited for the attempt
      */
     void onAttemptEnded(TracedTask task, long waitedFromMillis, AttemptRecord attempt);
 
-    /** The task has ended in a phase. */
+    /** Called when the task has ended in the given phase. */
     void onTaskEnded(TracedTask task, JobPhase how, long fromMillis, long untilMillis);
 
-    /** Sends the spans that are left, within a few seconds. */
+    /** Sends the remaining spans, within a few seconds. */
     @Override
     void close();
 }
--- a/src/main/java/org/meadowhollow/model/WorkerIncarnation.java
+++ b/src/main/java/org/meadowhollow/model/WorkerIncarnation.java
@@ -1,7 +1,8 @@
 package org.meadowhollow.model;
 
 /**
- * The number of a worker's life between two expiries of its lease; a later life has a higher one.
+ * The number of a worker's incarnation: a period between two expiries of its lease. A later
+ * incarnation has a higher number.
  */
 public record WorkerIncarnation(long value) {
     /** Whether this incarnation is strictly later than the other one. */
--- a/src/main/java/org/meadowhollow/model/reservation/MaintenanceWindow.java
+++ b/src/main/java/org/meadowhollow/model/reservation/MaintenanceWindow.java
@@ -6,11 +6,11 @@
 import org.meadowhollow.model.StoredWord;
 
 /**
- * Machines that are taken out of service for a time, once or repeatedly.
+ * A maintenance window, single or recurring, during which machines are taken out of service.
  *
- * @param targets names of machines, machine types or zones, as the scope says
- * @param serviceEvictionLead how long before the start the replicas of services begin to be
- *     evicted, one after the other
+ * @param targets the names of machines, machine types or zones, depending on the scope
+ * @param serviceEvictionLead the time before the start at which the eviction of service replicas
+ *     begins, one replica after the other
  */
 public record MaintenanceWindow(
         String name,
@@ -18,7 +18,7 @@
         List<String> targets,
         RecurringSchedule schedule,
         Duration serviceEvictionLead) {
-    /** What the targets name. */
+    /** The kind of object that the targets name. */
     public enum Scope implements StoredWord {
         /** Single machines. */
         MACHINE("MACHINE"),
--- a/src/main/java/org/meadowhollow/model/reservation/RecurringSchedule.java
+++ b/src/main/java/org/meadowhollow/model/reservation/RecurringSchedule.java
@@ -8,9 +8,9 @@
  * A schedule in the local time of a time zone, for one occurrence or recurring ones.
  *
  * @param firstStart the local time at which the first occurrence starts
- * @param duration of each occurrence in elapsed time: two hours are two hours also while clocks
- *     change
- * @param recurrenceRule how it recurs, as an RRULE of RFC 5545 in local time, or null for a single
+ * @param duration the duration of each occurrence in elapsed time, which a change of the local
+ *     clock to or from daylight saving time does not affect
+ * @param recurrenceRule the recurrence as an RRULE of RFC 5545 in local time, or null for a single
  *     occurrence
  */
 public record RecurringSchedule(
--- a/src/main/java/org/meadowhollow/model/reservation/Reservation.java
+++ b/src/main/java/org/meadowhollow/model/reservation/Reservation.java
@@ -8,19 +8,21 @@
 import org.meadowhollow.model.Resources;
 
 /**
- * Capacity that is reserved for some jobs of a team.
+ * A reservation of capacity for jobs of a team.
  *
- * @param priority tasks of a lower priority may be preempted for the reservation
- * @param taskCount how many tasks of the size have capacity reserved
- * @param resourcesPerTask the largest task that may use the reservation
+ * @param priority the priority of the reservation; tasks of a lower priority may be preempted for
+ *     it
+ * @param taskCount the number of tasks for which capacity is reserved
+ * @param resourcesPerTask the reserved capacity per task; larger tasks may not use the reservation
  * @param allowedMachineTypes the names of the allowed machine types, or null for any
  * @param requiredZone the only allowed zone, or null for any
  * @param allowsSpot whether spot instances may be used
- * @param image the container image that the tasks are likely to need; with its size it decides how
- *     early machines are rented
+ * @param image the container image that the tasks are likely to need; the image and its size
+ *     determine how early machines are rented
  * @param imageSizeGb the size of the image in gigabytes
- * @param jobClass the class of the jobs that may use it, or null for any class
- * @param allowedJobs the jobs that may use it, or null for any of the team and class
+ * @param jobClass the class of the jobs that may use the reservation, or null for any class
+ * @param allowedJobs the identifiers of the jobs that may use the reservation, or null for any job
+ *     of the team and class
  */
 public record Reservation(
         String name,
@@ -61,7 +63,10 @@
                 && (requiredZone == null || requiredZone.equals(zone));
     }
 
-    /** A job that would need the reserved capacity, for code that finds capacity for jobs. */
+    /**
+     * Creates the specification of a job that needs the reserved capacity, for code that finds
+     * capacity for jobs.
+     */
     public JobSpec toPlaceholderJobSpec() {
         return new JobSpec(
                 new JobId("reserved/" + name),
--- a/src/test/java/org/meadowhollow/model/ImageCacheTest.java
+++ b/src/test/java/org/meadowhollow/model/ImageCacheTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which container images a machine probably has cached. */
+/** Tests which images {@link ImageCache} evicts when the cache is full. */
 class ImageCacheTest {
     @Test
     void theLeastRecentlyUsedImageIsEvicted() {
--- a/src/test/java/org/meadowhollow/model/StoredWordTest.java
+++ b/src/test/java/org/meadowhollow/model/StoredWordTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import org.meadowhollow.model.reservation.MaintenanceWindow;
 
-/** Every stored word stands for the constant that it came from. */
+/** Tests that each stored word is decoded to the constant that it encodes. */
 class StoredWordTest {
     @Test
     void everyConstantIsFoundByItsStoredWord() {
