--- a/src/main/java/org/meadowhollow/coordination/admission/AdmissionService.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/AdmissionService.java
@@ -26,12 +26,12 @@
 
 /**
  * Accepts jobs, shows their states and cancels them. Any node answers directly from the key-value
- * store, so that users are served while the leadership changes, and no answer is older than another
- * node's. Submitting and cancelling are idempotent.
+ * store, so that users are served while the leadership changes, and no answer shows an older state
+ * than another node has already shown. Submitting and cancelling are idempotent.
  *
  * <p>The returned futures fail with {@link TemporarilyUnavailableException} when the outcome is not
- * known in time, and with the store's exceptions when a read fails. Thread-safe; the state is in
- * caches with locks of their own.
+ * known in time, and with the store's exceptions when a read fails. Thread-safe; all state is in
+ * caches, each with a lock of its own.
  */
 public final class AdmissionService {
     private static final Logger LOG = LoggerFactory.getLogger(AdmissionService.class);
@@ -39,8 +39,8 @@
     /**
      * A job's state as users see it.
      *
-     * @param done how many tasks have completed
-     * @param running how many tasks are running
+     * @param done the number of tasks that have completed
+     * @param running the number of tasks that are running
      */
     public record JobStatus(JobId id, Phase phase, int done, int running) {}
 
@@ -52,13 +52,13 @@
         CANCELLED
     }
 
-    /** Knows how many tasks of live jobs are running and done, as the leader does. */
+    /** Provides the numbers of running and completed tasks of live jobs, as known to the leader. */
     public interface LiveStatusSource {
         /** The state of a live job; empty if this source does not know the job. */
         Optional<JobStatus> statusOf(JobId id);
     }
 
-    /** The request cannot be decided now; it may be repeated. */
+    /** Thrown when a request cannot be decided now; it may be repeated. */
     public static final class TemporarilyUnavailableException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
@@ -72,7 +72,7 @@
         }
     }
 
-    /** The job can never run. */
+    /** Thrown when a submitted job can never run. */
     public static final class UnschedulableJobException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
@@ -129,20 +129,21 @@
     }
 
     /**
-     * Accepts a job, or returns the state of the job of this id that was accepted before.
+     * Accepts a job, or returns the state of the job with the same id that was accepted before.
      *
-     * @return fails with {@link UnschedulableJobException} if the job is new and can never run
+     * @return a future that fails with {@link UnschedulableJobException} if the job is new and can
+     *     never run
      */
     public CompletableFuture<SubmissionResult> submit(JobSpec spec) {
         return submit(spec, null, Map.of());
     }
 
     /**
-     * Accepts a job together with what another interface keeps of it, atomically.
+     * Accepts a job and writes the records that a secondary interface keeps for it, atomically.
      *
-     * @param secondaryRecord kept beside the job for as long as it lives, or null
-     * @param records further records to write in the same transaction, by keys that belong to this
-     *     job alone
+     * @param secondaryRecord the record that is kept for as long as the job lives, or null
+     * @param records further records to write in the same transaction, by key; the keys must belong
+     *     to this job alone
      * @return as for {@link #submit(JobSpec)}
      */
     public CompletableFuture<SubmissionResult> submit(
@@ -171,7 +172,10 @@
         return writeNewJob(spec, secondaryRecord, records);
     }
 
-    /** The job may have been accepted before, when the feasibility check passed. */
+    /**
+     * Rejects a job that fails the feasibility check, unless it was accepted before, when the check
+     * passed.
+     */
     private CompletableFuture<SubmissionResult> rejectUnlessAccepted(JobId id, String reason) {
         return jobRecordReader
                 .read(id)
@@ -181,14 +185,14 @@
                                 return SubmissionResult.existing(
                                         statusResolver.toStatus(id, found.get()));
                             }
-                            LOG.info("job rejected id={} reason={}", id, reason);
+                            LOG.info("job rejected job={} reason={}", id, reason);
                             throw new UnschedulableJobException(reason);
                         });
     }
 
     /**
-     * Answers a submission that seems repeated by a read: a transaction that must fail would
-     * consume the key-value store's budget for writes.
+     * Reads the job to answer a submission that seems to be repeated: a transaction that is bound
+     * to fail would consume the key-value store's budget for writes.
      */
     private CompletableFuture<SubmissionResult> submitRepeatedly(JobSpec spec) {
         return getStatus(spec.id())
@@ -222,7 +226,10 @@
                         });
     }
 
-    /** Applies only if there is no job of this id, live or finished. */
+    /**
+     * Builds the transaction that accepts a job; it applies only if no job has this id, live or
+     * finished.
+     */
     private Transaction acceptance(
             JobSpec spec, SecondaryRecord secondaryRecord, long acceptedAtMillis) {
         Map<String, Object> record =
@@ -346,7 +353,7 @@
                             if (!result.isApplied()) {
                                 return retryCancel(id, requestBeganAt);
                             }
-                            LOG.info("job cancelled id={} requestedBy=user", id);
+                            LOG.info("job cancelled job={} requested_by=user", id);
                             jobEventListeners
                                     .eventLog()
                                     .logJobEvent(
@@ -359,7 +366,10 @@
                         });
     }
 
-    /** After a conflict: the leader has changed the job's record since it was read. */
+    /**
+     * Retries a cancellation after a conflict: the leader has changed the job's record since it was
+     * read.
+     */
     private CompletableFuture<Optional<JobStatus>> retryCancel(
             JobId id, MonotonicTime requestBeganAt) {
         if (transactionRetrier.isPastDeadline(requestBeganAt)) {
@@ -370,8 +380,8 @@
     }
 
     /**
-     * Adds the cancellation to the job's secondary record as well, so that the interface that keeps
-     * it shows nobody an older state afterwards.
+     * Adds the cancellation of the job's secondary record to the transaction, so that the interface
+     * that keeps the record shows no older state afterwards.
      */
     private CompletableFuture<Transaction> withSecondaryRecord(
             Transaction cancel, Map<String, Object> jobRecord) {
--- a/src/main/java/org/meadowhollow/coordination/admission/FeasibilityCheck.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/FeasibilityCheck.java
@@ -11,8 +11,8 @@
 import org.meadowhollow.model.Resources;
 
 /**
- * Decides whether a job could ever be scheduled, from the quotas, the machine types and the zones,
- * whatever the load. The reasons are shown to users. Stateless.
+ * Decides whether a job could ever be scheduled, given the quotas, the machine types and the zones,
+ * regardless of the load. The reasons are shown to users. Stateless.
  */
 final class FeasibilityCheck {
     private final MachineTypeCatalog machineTypeCatalog;
@@ -23,7 +23,7 @@
         this.deploymentSettings = deploymentSettings;
     }
 
-    /** Why a job can never run; empty if it can. */
+    /** The reason why a job can never run; empty if it can run. */
     Optional<String> infeasibleReason(JobSpec spec) {
         DeploymentSettings.TeamQuota quota = deploymentSettings.teamQuotas().get(spec.team());
         if (quota == null) {
@@ -45,14 +45,17 @@
                 : Optional.empty();
     }
 
-    /** The least that runs at once; the tasks of an array need not run together. */
+    /**
+     * The minimum resources that a job needs at one time; the tasks of an array need not run
+     * together.
+     */
     private static Resources concurrentDemand(JobSpec spec) {
         return spec.kind() == JobKind.ARRAY
                 ? spec.resourcesPerTask()
                 : spec.resourcesPerTask().times(spec.taskCount());
     }
 
-    /** A limit of zero is no limit. */
+    /** Whether a demand exceeds a limit, of which a value of zero means no limit. */
     private static boolean exceeds(Resources demand, Resources limit) {
         return (limit.cpu() > 0 && demand.cpu() > limit.cpu())
                 || (limit.gpu() > 0 && demand.gpu() > limit.gpu());
@@ -74,8 +77,9 @@
     }
 
     /**
-     * All tasks of a gang run at the same time, and each zone takes only a share of them; the tasks
-     * of an array or a service may run one share after the other.
+     * Whether a gang is restricted to one zone that may not have all of its tasks. All tasks of a
+     * gang run at the same time, and each zone takes only a share of them; the tasks of an array or
+     * a service may run one share after the other.
      */
     private static boolean isGangTooLargeForOneZone(JobSpec spec, Set<String> zones) {
         boolean inOneZone = spec.requiresSingleZone() || zones.size() == 1;
--- a/src/main/java/org/meadowhollow/coordination/admission/FinalStatusCache.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/FinalStatusCache.java
@@ -7,11 +7,11 @@
 import org.meadowhollow.model.JobId;
 
 /**
- * The states of finished jobs. They never change, so they are answered without a read. Thread-safe:
- * guarded by its own monitor.
+ * Caches the states of finished jobs, which never change and are therefore returned without a read.
+ * Thread-safe: guarded by its own monitor.
  */
 final class FinalStatusCache {
-    /** The job that was cached first is evicted first. */
+    /** The maximum number of cached jobs; the job that was cached first is evicted first. */
     private static final int MAX_CACHED_JOBS = 4000;
 
     @GuardedBy("this")
--- a/src/main/java/org/meadowhollow/coordination/admission/JobRecordReader.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/JobRecordReader.java
@@ -11,14 +11,15 @@
 import org.meadowhollow.storage.RecordKeys;
 
 /**
- * Reads jobs' records from the key-value store, and offers the live ones to the {@link
- * JobStatusCache}. Has no state of its own.
+ * Reads the records of jobs from the key-value store, and passes the live ones to the {@link
+ * JobStatusCache}. Stateless.
  */
 final class JobRecordReader {
     /**
      * A job's record as read.
      *
-     * @param record the encoded record, which {@link RecordKeys} takes apart
+     * @param record the encoded record, which {@link JobRecordCodec} decodes, or {@code
+     *     EndedJobCodec} if the job has finished
      * @param finished whether it is the record of a finished job, not of a live one
      */
     record StoredJob(Map<String, Object> record, Revision revision, boolean finished) {
--- a/src/main/java/org/meadowhollow/coordination/admission/JobStatusCache.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/JobStatusCache.java
@@ -18,47 +18,51 @@
 import org.meadowhollow.storage.RecordKeys;
 
 /**
- * The states of live jobs as this node last saw them, for users who poll. A cached state may be
- * stale, so it is answered only behind a read barrier: a sync with the store's change feed that
- * began after the request arrived. No other node can then have answered anything newer before. One
- * sync serves all readers that wait for it, so polling more often costs the key-value store no more
- * requests.
+ * Caches the states of live jobs as this node last saw them, for users who poll. A cached state may
+ * be stale, so it is returned only after a read barrier: a sync with the store's change feed that
+ * began after the request arrived. No node can then have returned a newer state before the request.
+ * One sync serves all readers that wait for it, so polling more often costs the key-value store no
+ * more requests.
  *
- * <p>Without this cache each poll took a read or two, which once consumed the whole request budget
- * of the key-value store, so that the leader neither learned of cancellations nor got its own
- * records written.
+ * <p>Without this cache, each poll takes one or two reads. Polling can then consume the whole
+ * request budget of the key-value store, so that the leader neither learns of cancellations nor
+ * gets its own records written.
  *
  * <p>Thread-safe: guarded by its own monitor. Requests are sent and readers completed outside it.
  */
 final class JobStatusCache {
     /**
-     * Between the starts of two syncs of a node: unnoticeable to a user, and a few requests a
-     * second of the key-value store's budget.
+     * The minimum time between the starts of two syncs of a node: too short for a user to notice,
+     * and long enough that syncs take only a few requests per second of the key-value store's
+     * budget.
      */
     private static final Duration MIN_SYNC_INTERVAL = Duration.ofMillis(200);
 
-    /** One sync that hangs must not delay those who ask later. */
+    /** More than one, so that a sync that hangs does not delay later readers. */
     private static final int MAX_SYNCS_IN_FLIGHT = 4;
 
-    /** Users wait 2 s for an answer; one that arrives later is of no use, and they ask again. */
+    /**
+     * Users wait 2 s for an answer; a later answer is of no use, because they repeat the request.
+     */
     private static final Duration READ_BARRIER_TIMEOUT = Duration.ofMillis(1850);
 
     /**
-     * After so long without a request, the changes since the last sync may be many; it is cheaper
-     * to start with an empty cache.
+     * The time since the last sync after which the cache is cleared: the changes since then may be
+     * many, and starting with an empty cache is cheaper. Also the time for which the cache is
+     * bypassed after repeated failures.
      */
     private static final Duration IDLE_RESET_INTERVAL = Duration.ofSeconds(20);
 
     /**
-     * Readers that wait for a sync; each occupies a connection, of which a process has about as
-     * many.
+     * The maximum number of readers that wait for a sync. Each occupies a connection, and a process
+     * has about as many connections.
      */
     private static final int MAX_PENDING_READERS = 2000;
 
-    /** Syncs in a row without a response after which requests are served by reads. */
+    /** The number of consecutive syncs without a response after which the cache is bypassed. */
     private static final int MAX_CONSECUTIVE_FAILURES = 2;
 
-    /** What is known of a job that was live when it was first seen. */
+    /** The last known state of a job that was live when this node first saw it. */
     enum CachedStatus {
         LIVE,
         CANCELLED,
@@ -66,18 +70,18 @@
     }
 
     /**
-     * The state of the cache when a read was sent, so that its result is not cached if anything was
-     * dropped from the cache meanwhile.
+     * Identifies the contents of the cache when a read was sent. The result of the read is not
+     * cached if anything was dropped from the cache in the meantime.
      */
     record CacheVersion(int generation, long evictions) {}
 
     /**
      * One request to the change feed.
      *
-     * @param from the revision after which changes are asked for, or null to find out the current
-     *     one
-     * @param generation of the cache when the request was sent
-     * @param readers those that its result completes
+     * @param from the revision after which changes are requested, or null to request the current
+     *     revision
+     * @param generation the generation of the cache when the request was sent
+     * @param readers the readers that the result completes
      */
     private record Sync(Revision from, int generation, List<CompletableFuture<Void>> readers) {}
 
@@ -90,11 +94,11 @@
     @GuardedBy("this")
     private List<CompletableFuture<Void>> pendingReaders = new ArrayList<>();
 
-    /** All changes up to this revision are applied; null while changes are not followed. */
+    /** The revision up to which all changes are applied; null while changes are not followed. */
     @GuardedBy("this")
     private Revision syncedRevision;
 
-    /** Null before the first sync. */
+    /** The time at which the last sync was sent; null before the first one. */
     @GuardedBy("this")
     private MonotonicTime lastSyncStartedAt;
 
@@ -104,11 +108,11 @@
     @GuardedBy("this")
     private boolean syncScheduled;
 
-    /** Syncs without a response since the last one that had one. */
+    /** The number of syncs without a response since the last successful one. */
     @GuardedBy("this")
     private int consecutiveFailures;
 
-    /** Until when jobs are read instead of followed, or null. */
+    /** The time until which the cache is bypassed and jobs are read from the store, or null. */
     @GuardedBy("this")
     private MonotonicTime bypassUntil;
 
@@ -118,17 +122,17 @@
     }
 
     /**
-     * The last known state of a job; empty if it is not cached. Not to be answered to anybody
-     * before a {@link #readBarrier}.
+     * The last known state of a job; empty if it is not cached. Must not be shown to users before a
+     * {@link #readBarrier} has completed.
      */
     synchronized Optional<CachedStatus> cachedStatus(JobId id) {
         return entries.find(id);
     }
 
     /**
-     * Completes once all changes up to now are applied; fails with {@link
+     * Returns a future that completes once all changes up to now are applied, and fails with {@link
      * AdmissionService.TemporarilyUnavailableException} if that takes longer than {@link
-     * #READ_BARRIER_TIMEOUT} or too many readers wait.
+     * #READ_BARRIER_TIMEOUT} or too many readers are waiting.
      */
     CompletableFuture<Void> readBarrier() {
         CompletableFuture<Void> reader = new CompletableFuture<>();
@@ -151,8 +155,9 @@
     }
 
     /**
-     * Call this before a read of a job's record is sent, and pass the result to {@link
-     * #recordRead}.
+     * Returns the current version of the cache. Must be called before a read of a job's record is
+     * sent; the result is passed to {@link #recordRead}. Starts following changes if necessary, and
+     * clears the cache first if it has been idle for too long.
      */
     CacheVersion beginRead() {
         boolean startsFollowing;
@@ -178,7 +183,7 @@
     }
 
     /**
-     * Caches the state of a live job that a read found. Not if anything was dropped from the cache
+     * Caches the state of a live job that a read found, unless anything was dropped from the cache
      * since the read was sent: that may have been a later state of the same job.
      */
     synchronized void recordRead(
@@ -222,7 +227,7 @@
         syncedRevision = null;
     }
 
-    /** Starts a sync now, or as soon as the interval allows, unless enough are under way. */
+    /** Starts a sync now, or as soon as the interval allows, unless enough syncs are in flight. */
     private void scheduleSync() {
         Duration delay;
         synchronized (this) {
@@ -272,7 +277,10 @@
                                 (changes, failure) -> onSyncCompleted(sync, changes, failure));
     }
 
-    /** Without a revision to follow from, asks for the current one; the batch is empty then. */
+    /**
+     * Requests the changes after a revision; if that is null, only the current revision, with an
+     * empty batch.
+     */
     private CompletableFuture<KeyValueStore.ChangeBatch> requestChanges(Revision from) {
         if (from != null) {
             return store.watch(RecordKeys.JOB_PREFIX, from, Duration.ZERO);
@@ -318,7 +326,8 @@
 
     /**
      * Applies the changes of a sync, unless a sync that was sent later has been applied already:
-     * what these changes show may have been evicted since, and would come back stale.
+     * newer states of the same jobs may have been evicted since, and these changes would restore
+     * stale ones.
      */
     @GuardedBy("this")
     private void applyChanges(KeyValueStore.ChangeBatch changes) {
--- a/src/main/java/org/meadowhollow/coordination/admission/JobStatusEntries.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/JobStatusEntries.java
@@ -9,12 +9,12 @@
 
 /**
  * The bounded table of job states in a {@link JobStatusCache}, which guards it by its monitor. The
- * job that was added first is evicted first. What is cached of a job is only replaced by a later
- * revision; since an eviction forgets that revision, {@link #version} tells whether any has
- * happened.
+ * job that was added first is evicted first. A cached state is only replaced by that of a later
+ * revision; since the revision is lost when an entry is evicted, {@link #version} shows whether
+ * that has happened.
  */
 final class JobStatusEntries {
-    /** A few times as many as are live at once in the largest deployments known. */
+    /** A few times the number of jobs that are live at once in the largest known deployments. */
     private static final int MAX_CACHED_JOBS = 8000;
 
     private record CacheEntry(JobStatusCache.CachedStatus status, Revision revision) {}
@@ -49,12 +49,12 @@
         generation++;
     }
 
-    /** How many times the table was cleared. */
+    /** The number of times that the table was cleared. */
     int generation() {
         return generation;
     }
 
-    /** Changes whenever anything that was cached is dropped. */
+    /** The version of the table, which changes whenever an entry is dropped. */
     JobStatusCache.CacheVersion version() {
         return new JobStatusCache.CacheVersion(generation, evictions);
     }
--- a/src/main/java/org/meadowhollow/coordination/admission/JobStatusResolver.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/JobStatusResolver.java
@@ -8,8 +8,8 @@
 import org.meadowhollow.storage.EndedJobCodec;
 
 /**
- * Derives the state that users see from a job's record, with the counts of a live job from whoever
- * knows them, and caches final states. Thread-safe as its cache and its source are.
+ * Derives the state that users see from a job's record, with the task counts of a live job from a
+ * {@link LiveStatusSource}, and caches final states. Thread-safe if the source is.
  */
 final class JobStatusResolver {
     private final LiveStatusSource liveStatusSource;
@@ -24,7 +24,7 @@
         return finalStatusCache.find(id);
     }
 
-    /** The state that a record shows, which is cached if it is final. */
+    /** Returns the state that a record shows, and caches it if it is final. */
     JobStatus toStatus(JobId id, JobRecordReader.StoredJob job) {
         if (!job.finished()) {
             return liveStatus(id, job.isCancelled());
@@ -37,8 +37,9 @@
     }
 
     /**
-     * The state of a job that has a live record. Only the record says whether the job has finished;
-     * the counts beside it are for display, so a source that is ahead of the record is not used.
+     * The state of a job that has a live record. Only the record decides whether the job has
+     * finished; the counts of the source are for display, so a source that already shows the job's
+     * end is ignored.
      */
     JobStatus liveStatus(JobId id, boolean cancelled) {
         if (cancelled) {
--- a/src/main/java/org/meadowhollow/coordination/admission/TransactionRetrier.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/TransactionRetrier.java
@@ -13,11 +13,14 @@
 
 /**
  * Commits a user's transaction and sends it again after failures, until the user's request times
- * out. Only for transactions with conditions: one that was applied without its response arriving
- * then has no effect when it is sent again. Stateless, and usable from any thread.
+ * out. Only for transactions with conditions: one that was applied although its response did not
+ * arrive then has no effect when it is sent again. Stateless, and usable from any thread.
  */
 final class TransactionRetrier {
-    /** Users wait 5 s for an answer; the last retry must have ended by then. */
+    /**
+     * The time after which nothing is retried: users wait 5 s for an answer, and the last retry
+     * must have ended by then.
+     */
     private static final Duration RETRY_DEADLINE = Duration.ofMillis(3500);
 
     private static final Duration RETRY_DELAY = Duration.ofMillis(200);
@@ -30,7 +33,7 @@
         this.loop = loop;
     }
 
-    /** Whether a user's request has been going on for too long to try anything more for it. */
+    /** Whether a user's request has been in progress for too long for another attempt. */
     boolean isPastDeadline(MonotonicTime requestBeganAt) {
         return loop.now().elapsedSince(requestBeganAt).compareTo(RETRY_DEADLINE) > 0;
     }
--- a/src/main/java/org/meadowhollow/coordination/metrics/FairnessMetrics.java
+++ b/src/main/java/org/meadowhollow/coordination/metrics/FairnessMetrics.java
@@ -16,10 +16,11 @@
 import org.meadowhollow.model.MonotonicTime;
 
 /**
- * Counts what became of the jobs of each group, that is class and team, in one leadership, for the
- * log. A leadership starts with the jobs that are unfinished then, so the counts of a day are those
- * of all its leaders together, less what a leader that ended had not logged yet. Not thread-safe:
- * guarded by the leader's lock.
+ * Counts the outcomes of jobs in each group, that is for each class and team, during one
+ * leadership, and formats the counts for the log. A leadership starts with the jobs that are
+ * unfinished at its start, so the counts of a day are those of all its leaders together, without
+ * those that a leader had not logged yet when its leadership ended. Not thread-safe: guarded by the
+ * leader's lock.
  */
 public final class FairnessMetrics {
     private static final Duration REPORT_INTERVAL = Duration.ofMinutes(1);
@@ -27,16 +28,24 @@
     /** A job that has waited for this long without a running task counts as starving. */
     private static final Duration STARVATION_THRESHOLD = Duration.ofMinutes(2);
 
-    /** A job with this share of the most tasks that a job of its group had is a large one. */
+    /**
+     * A job is large if it has at least this share of the largest number of tasks of a job in its
+     * group.
+     */
     private static final double LARGE_JOB_SHARE = 0.75;
 
-    /** Log lines about large jobs that are starving, the oldest first. */
+    /**
+     * The maximum number of lines in a report about large jobs that are starving, the oldest first.
+     */
     private static final int MAX_LARGE_JOB_LINES = 8;
 
-    /** Bounds memory: the settings name the teams, but users choose the classes. */
+    /**
+     * The maximum number of groups, which bounds memory: the settings name the teams, but users
+     * choose the classes.
+     */
     private static final int MAX_GROUPS = 256;
 
-    /** The class that stands for all others once there are too many groups. */
+    /** Replaces the class of jobs whose group would exceed {@link #MAX_GROUPS}. */
     private static final String OTHER_CLASSES = "others";
 
     private static final long MILLIS_PER_SECOND = 1000;
@@ -47,15 +56,15 @@
             new TreeMap<>(Comparator.comparing(JobGroup::jobClass).thenComparing(JobGroup::team));
     private final Set<JobId> startedJobs = new HashSet<>();
 
-    /** Null until the first call of {@link #reportIfDue}. */
+    /** The time of the last report; null until the first call of {@link #reportIfDue}. */
     private MonotonicTime lastReportAt;
 
-    /** A job was admitted. */
+    /** Counts a job that was admitted. */
     public void onJobAdmitted(JobSpec spec) {
         countsFor(spec).onAdmitted(spec.taskCount());
     }
 
-    /** A task of the job runs. */
+    /** Counts a job as started, once, when one of its tasks runs. */
     public void onTaskRunning(JobSpec spec) {
         if (startedJobs.add(spec.id())) {
             countsFor(spec).onStarted();
@@ -63,27 +72,27 @@
     }
 
     /**
-     * The job has ended.
+     * Counts a job that has ended.
      *
-     * @param elapsedSeconds how long ago it was admitted
+     * @param elapsedSeconds the time since the job was admitted
      */
     public void onJobEnded(JobSpec spec, boolean cancelled, double elapsedSeconds) {
         startedJobs.remove(spec.id());
         if (cancelled) {
             countsFor(spec).onCancelled();
         } else {
-            // Never later than a deadline that is NaN, so a job without one is in time.
+            // No time is greater than NaN, so a job without a deadline is never late.
             countsFor(spec).onCompleted(elapsedSeconds > spec.deadlineSeconds());
         }
     }
 
     /**
-     * The lines to log now: none, or once a minute a line for each group, and one for each of the
-     * large jobs that are starving, up to eight.
+     * Returns the lines to log now: once a minute, a line for each group and one for each large job
+     * that is starving, up to eight; otherwise none.
      *
      * @param jobs all unfinished jobs
      * @param wallMillis the wall clock in milliseconds since the epoch
-     * @param pendingReason says why a job has pending tasks
+     * @param pendingReason returns the reason why a job has pending tasks
      */
     public List<String> reportIfDue(
             Collection<Job> jobs,
@@ -108,7 +117,7 @@
         return lines;
     }
 
-    /** Counts pending tasks and starving jobs anew; returns the large jobs among the latter. */
+    /** Recounts pending tasks and starving jobs, and returns the large jobs that are starving. */
     private List<Job> countPendingJobs(Collection<Job> jobs, long wallMillis) {
         countsByGroup.values().forEach(GroupCounts::resetPending);
         List<Job> starvingLargeJobs = new ArrayList<>();
--- a/src/main/java/org/meadowhollow/coordination/metrics/GroupCounts.java
+++ b/src/main/java/org/meadowhollow/coordination/metrics/GroupCounts.java
@@ -3,14 +3,17 @@
 import java.time.Duration;
 
 /**
- * Counts of the jobs of one class and team: totals of a leadership, and what was pending when it
- * was last counted. Guarded by the leader's lock, as its {@link FairnessMetrics}.
+ * Counts of the jobs of one class and team: totals of a leadership, and the pending tasks and jobs
+ * when they were last counted. Not thread-safe: guarded by the leader's lock, like its {@link
+ * FairnessMetrics}.
  */
 final class GroupCounts {
-    /** Below this share of started jobs, of started and starving ones, a group is starving. */
+    /**
+     * A group is starving if less than this share of its started and starving jobs have started.
+     */
     private static final double MIN_STARTED_SHARE = 0.7;
 
-    /** Fewer started and starving jobs than this say nothing about their group. */
+    /** The minimum number of started and starving jobs; fewer say nothing about their group. */
     private static final int MIN_JOBS_FOR_STARVATION = 4;
 
     private int largestTaskCount;
@@ -52,7 +55,7 @@
     /**
      * Adds a job with pending tasks.
      *
-     * @param ageSeconds how long ago it was admitted
+     * @param ageSeconds the time since the job was admitted
      */
     void onPending(int tasks, double ageSeconds, boolean starving, boolean large) {
         pendingTasks += tasks;
@@ -71,9 +74,9 @@
     }
 
     /**
-     * The counts for a log line, with a leading space.
+     * Formats the counts for a log line, with a leading space.
      *
-     * @param starvationThreshold how long a starving job has waited at least
+     * @param starvationThreshold the minimum time that a starving job has waited
      */
     String format(Duration starvationThreshold) {
         StringBuilder line = new StringBuilder();
--- a/src/test/java/org/meadowhollow/coordination/admission/JobStatusCacheTest.java
+++ b/src/test/java/org/meadowhollow/coordination/admission/JobStatusCacheTest.java
@@ -17,14 +17,17 @@
 import org.meadowhollow.storage.KeyValueStore;
 import org.meadowhollow.storage.RecordKeys;
 
-/** What the cache keeps when syncs are answered out of order. */
+/** Tests that the cache restores no stale state when syncs are answered out of order. */
 class JobStatusCacheTest {
     private static final JobId JOB = new JobId("req-1");
 
     private final VirtualEventLoop loop = new VirtualEventLoop();
     private final List<CompletableFuture<KeyValueStore.ChangeBatch>> watches = new ArrayList<>();
 
-    /** Watch requests are answered when the test says so, the first page is answered at once. */
+    /**
+     * Answers list requests at once with an empty page; the test completes the watch requests
+     * itself.
+     */
     private final KeyValueStore store =
             (KeyValueStore)
                     Proxy.newProxyInstance(
@@ -58,7 +61,10 @@
         return new KeyValueStore.ChangeBatch(new Revision(revision), List.of(changes));
     }
 
-    /** The sync sent first is answered last, after what the second one showed has been evicted. */
+    /**
+     * The sync sent first is answered last, after the state that the second one returned has been
+     * evicted.
+     */
     @Test
     void lateAnswerOfAnEarlierSyncRestoresNoStaleStatus() {
         cache.beginRead();
@@ -74,6 +80,7 @@
         }
         assertTrue(cache.cachedStatus(new JobId("req-2")).isPresent());
         watches.get(0).complete(upTo(17, change(false, 15)));
-        assertEquals(Optional.empty(), cache.cachedStatus(JOB), "it was cancelled since");
+        assertEquals(
+                Optional.empty(), cache.cachedStatus(JOB), "the job was cancelled in the meantime");
     }
 }
