--- a/src/main/java/org/meadowhollow/coordination/admission/AdmissionService.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/AdmissionService.java
@@ -65,10 +65,10 @@
         /**
          * Creates the exception, without a stack trace.
          *
-         * @param why shown to the user
+         * @param reason the reason, which is shown to the user
          */
-        public TemporarilyUnavailableException(String why) {
-            super(why, null, false, false);
+        public TemporarilyUnavailableException(String reason) {
+            super(reason, null, false, false);
         }
     }
 
@@ -79,10 +79,10 @@
         /**
          * Creates the exception, without a stack trace.
          *
-         * @param why shown to the user
+         * @param reason the reason, which is shown to the user
          */
-        public UnschedulableJobException(String why) {
-            super(why, null, false, false);
+        public UnschedulableJobException(String reason) {
+            super(reason, null, false, false);
         }
     }
 
@@ -167,7 +167,7 @@
                     new TemporarilyUnavailableException("the state service is out"));
         }
         if (secondaryRecord == null && statusCache.cachedStatus(spec.id()).isPresent()) {
-            return submitRepeatedly(spec);
+            return answerRepeatedSubmission(spec);
         }
         return writeNewJob(spec, secondaryRecord, records);
     }
@@ -194,7 +194,7 @@
      * Reads the job to answer a submission that seems to be repeated: a transaction that is bound
      * to fail would consume the key-value store's budget for writes.
      */
-    private CompletableFuture<SubmissionResult> submitRepeatedly(JobSpec spec) {
+    private CompletableFuture<SubmissionResult> answerRepeatedSubmission(JobSpec spec) {
         return getStatus(spec.id())
                 .thenCompose(
                         found ->
@@ -209,7 +209,7 @@
             SecondaryRecord secondaryRecord,
             Map<String, Map<String, Object>> records) {
         long acceptedAtMillis = loop.wallClockMillis();
-        Transaction accept = acceptance(spec, secondaryRecord, acceptedAtMillis);
+        Transaction accept = buildAcceptTransaction(spec, secondaryRecord, acceptedAtMillis);
         records.forEach(accept::put);
         return transactionRetrier
                 .commit(accept, loop.now())
@@ -230,7 +230,7 @@
      * Builds the transaction that accepts a job; it applies only if no job has this id, live or
      * finished.
      */
-    private Transaction acceptance(
+    private Transaction buildAcceptTransaction(
             JobSpec spec, SecondaryRecord secondaryRecord, long acceptedAtMillis) {
         Map<String, Object> record =
                 JobRecordCodec.encode(
@@ -288,7 +288,7 @@
         if (statusCache.cachedStatus(id).isEmpty()) {
             return readStatus(id);
         }
-        return statusCache.readBarrier().thenCompose(synced -> statusBehindBarrier(id));
+        return statusCache.readBarrier().thenCompose(unused -> statusAfterBarrier(id));
     }
 
     private CompletableFuture<Optional<JobStatus>> readStatus(JobId id) {
@@ -297,7 +297,7 @@
                 .thenApply(found -> found.map(job -> statusResolver.toStatus(id, job)));
     }
 
-    private CompletableFuture<Optional<JobStatus>> statusBehindBarrier(JobId id) {
+    private CompletableFuture<Optional<JobStatus>> statusAfterBarrier(JobId id) {
         Optional<JobStatusCache.CachedStatus> cached = statusCache.cachedStatus(id);
         if (cached.isEmpty()) {
             return readStatus(id);
@@ -347,7 +347,7 @@
                         .requireRevision(RecordKeys.job(id), job.revision())
                         .put(RecordKeys.job(id), JobRecordCodec.withCancellation(job.record()));
         return withSecondaryRecord(cancel, job.record())
-                .thenCompose(whole -> transactionRetrier.commit(whole, requestBeganAt))
+                .thenCompose(transaction -> transactionRetrier.commit(transaction, requestBeganAt))
                 .thenCompose(
                         result -> {
                             if (!result.isApplied()) {
--- a/src/main/java/org/meadowhollow/coordination/admission/JobStatusCache.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/JobStatusCache.java
@@ -160,16 +160,16 @@
      * clears the cache first if it has been idle for too long.
      */
     CacheVersion beginRead() {
-        boolean startsFollowing;
+        boolean shouldStartFollowing;
         CacheVersion version;
         synchronized (this) {
             if (isIdleTooLong()) {
                 reset();
             }
-            startsFollowing = syncedRevision == null && isFollowingChanges();
+            shouldStartFollowing = syncedRevision == null && isFollowingChanges();
             version = entries.version();
         }
-        if (startsFollowing) {
+        if (shouldStartFollowing) {
             scheduleSync();
         }
         return version;
--- a/src/main/java/org/meadowhollow/coordination/admission/TransactionRetrier.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/TransactionRetrier.java
@@ -48,7 +48,7 @@
         return store.commit(transaction, RequestPriority.USER)
                 .exceptionallyCompose(
                         failure ->
-                                isFinal(failure) || isPastDeadline(requestBeganAt)
+                                isPermanentFailure(failure) || isPastDeadline(requestBeganAt)
                                         ? CompletableFuture.failedFuture(
                                                 new AdmissionService
                                                         .TemporarilyUnavailableException(
@@ -57,7 +57,7 @@
     }
 
     /** Whether a retry would fail in the same way. */
-    private boolean isFinal(Throwable failure) {
+    private boolean isPermanentFailure(Throwable failure) {
         Outcome outcome = KeyValueStoreException.outcomeOf(failure);
         return outcome == Outcome.INVALID_REQUEST
                 || (store.seemsUnavailable() && outcome == Outcome.REJECTED);
--- a/src/main/java/org/meadowhollow/coordination/metrics/FairnessMetrics.java
+++ b/src/main/java/org/meadowhollow/coordination/metrics/FairnessMetrics.java
@@ -126,11 +126,12 @@
                 continue;
             }
             GroupCounts counts = countsFor(job.spec());
-            double age = (wallMillis - job.acceptedAtMillis()) / (double) MILLIS_PER_SECOND;
+            double ageSeconds = (wallMillis - job.acceptedAtMillis()) / (double) MILLIS_PER_SECOND;
             boolean starving =
-                    age > STARVATION_THRESHOLD.toSeconds() && !startedJobs.contains(job.id());
+                    ageSeconds > STARVATION_THRESHOLD.toSeconds()
+                            && !startedJobs.contains(job.id());
             boolean large = isLargeJob(job.spec(), counts);
-            counts.onPending(job.pendingTaskCount(), age, starving, large);
+            counts.onPending(job.pendingTaskCount(), ageSeconds, starving, large);
             if (starving && large) {
                 starvingLargeJobs.add(job);
             }
@@ -166,9 +167,9 @@
 
     private GroupCounts countsFor(JobSpec spec) {
         JobGroup group = new JobGroup(spec.jobClass(), spec.team());
-        boolean known = countsByGroup.size() < MAX_GROUPS || countsByGroup.containsKey(group);
+        boolean hasOwnGroup = countsByGroup.size() < MAX_GROUPS || countsByGroup.containsKey(group);
         return countsByGroup.computeIfAbsent(
-                known ? group : new JobGroup(OTHER_CLASSES, spec.team()),
+                hasOwnGroup ? group : new JobGroup(OTHER_CLASSES, spec.team()),
                 unused -> new GroupCounts());
     }
 }
--- a/src/main/java/org/meadowhollow/model/Machine.java
+++ b/src/main/java/org/meadowhollow/model/Machine.java
@@ -230,8 +230,8 @@
      * Sets whether the machine is being returned to the cloud provider; false after the return
      * failed.
      */
-    public void setReleasing(boolean isReleasingNow) {
-        isReleasing = isReleasingNow;
+    public void setReleasing(boolean releasing) {
+        isReleasing = releasing;
     }
 
     /** The time since which the machine has been idle, or null if it is not idle. */
--- a/src/main/java/org/meadowhollow/model/SecondaryRecord.java
+++ b/src/main/java/org/meadowhollow/model/SecondaryRecord.java
@@ -132,11 +132,11 @@
      * is no longer kept.
      */
     public boolean recordStart(AttemptNumber attemptNumber, long nowMillis) {
-        int at = indexOfAttempt(attemptNumber);
-        if (at < 0 || attempts.get(at).startedAtMillis() > 0) {
+        int index = indexOfAttempt(attemptNumber);
+        if (index < 0 || attempts.get(index).startedAtMillis() > 0) {
             return false;
         }
-        attempts.set(at, attempts.get(at).withStart(nowMillis));
+        attempts.set(index, attempts.get(index).withStart(nowMillis));
         return true;
     }
 
@@ -147,15 +147,15 @@
      * @param reason the stored word of an exit reason, or one of the reasons of this class
      */
     public void recordAttemptEnd(AttemptNumber attemptNumber, String reason, long nowMillis) {
-        int at = indexOfAttempt(attemptNumber);
-        if (at >= 0 && attempts.get(at).endReason() == null) {
-            AttemptRecord attempt = attempts.get(at);
+        int index = indexOfAttempt(attemptNumber);
+        if (index >= 0 && attempts.get(index).endReason() == null) {
+            AttemptRecord attempt = attempts.get(index);
             if (attempt.startedAtMillis() == 0 && isCompletion(reason)) {
                 // The attempt ran and ended between two heartbeats, so its start was not
                 // reported: all that is known is that it ran after it was placed.
                 attempt = attempt.withStart(attempt.placedAtMillis());
             }
-            attempts.set(at, attempt.withEnd(nowMillis, reason));
+            attempts.set(index, attempt.withEnd(nowMillis, reason));
         }
         if (maxAttempts > 0 && attemptNumber.value() >= maxAttempts) {
             terminalFailure = failurePhaseOf(reason);
@@ -163,9 +163,9 @@
     }
 
     private int indexOfAttempt(AttemptNumber attemptNumber) {
-        for (int at = attempts.size() - 1; at >= 0; at--) {
-            if (attempts.get(at).attemptNumber() == attemptNumber.value()) {
-                return at;
+        for (int index = attempts.size() - 1; index >= 0; index--) {
+            if (attempts.get(index).attemptNumber() == attemptNumber.value()) {
+                return index;
             }
         }
         return -1;
@@ -230,10 +230,10 @@
     /** The attempts that have ended and are not traced yet. */
     public List<EndedAttempt> untracedEndedAttempts(long acceptedAtMillis) {
         List<EndedAttempt> ended = new ArrayList<>();
-        for (int at = 0; at < attempts.size(); at++) {
-            AttemptRecord attempt = attempts.get(at);
+        for (int index = 0; index < attempts.size(); index++) {
+            AttemptRecord attempt = attempts.get(index);
             if (attempt.endReason() != null && attempt.attemptNumber() > lastTracedAttempt) {
-                ended.add(new EndedAttempt(pendingSinceMillis(at, acceptedAtMillis), attempt));
+                ended.add(new EndedAttempt(pendingSinceMillis(index, acceptedAtMillis), attempt));
             }
         }
         return ended;
@@ -243,11 +243,11 @@
      * The time since which the job waited for an attempt: the end of the previous attempt, the
      * job's admission, or the attempt's placement if earlier attempts are no longer kept.
      */
-    private long pendingSinceMillis(int at, long acceptedAtMillis) {
-        if (at > 0) {
-            return attempts.get(at - 1).endedAtMillis();
+    private long pendingSinceMillis(int index, long acceptedAtMillis) {
+        if (index > 0) {
+            return attempts.get(index - 1).endedAtMillis();
         }
-        AttemptRecord attempt = attempts.get(at);
+        AttemptRecord attempt = attempts.get(index);
         return attempt.attemptNumber() == 1 ? acceptedAtMillis : attempt.placedAtMillis();
     }
 
--- a/src/main/java/org/meadowhollow/model/TaskId.java
+++ b/src/main/java/org/meadowhollow/model/TaskId.java
@@ -17,8 +17,8 @@
             return null;
         }
         int index = 0;
-        for (int at = slash + 1; at < text.length(); at++) {
-            char digit = text.charAt(at);
+        for (int position = slash + 1; position < text.length(); position++) {
+            char digit = text.charAt(position);
             if (digit < '0' || digit > '9') {
                 return null;
             }
--- a/src/main/java/org/meadowhollow/model/TaskTracer.java
+++ b/src/main/java/org/meadowhollow/model/TaskTracer.java
@@ -24,7 +24,7 @@
 
                 @Override
                 public void onTaskEnded(
-                        TracedTask task, JobPhase how, long fromMillis, long untilMillis) {}
+                        TracedTask task, JobPhase finalPhase, long fromMillis, long untilMillis) {}
 
                 @Override
                 public void close() {}
@@ -53,7 +53,7 @@
     void onAttemptEnded(TracedTask task, long waitedFromMillis, AttemptRecord attempt);
 
     /** Called when the task has ended in the given phase. */
-    void onTaskEnded(TracedTask task, JobPhase how, long fromMillis, long untilMillis);
+    void onTaskEnded(TracedTask task, JobPhase finalPhase, long fromMillis, long untilMillis);
 
     /** Sends the remaining spans, within a few seconds. */
     @Override
--- a/src/test/java/org/meadowhollow/coordination/admission/JobStatusCacheTest.java
+++ b/src/test/java/org/meadowhollow/coordination/admission/JobStatusCacheTest.java
@@ -22,7 +22,8 @@
     private static final JobId JOB = new JobId("req-1");
 
     private final VirtualEventLoop loop = new VirtualEventLoop();
-    private final List<CompletableFuture<KeyValueStore.ChangeBatch>> watches = new ArrayList<>();
+    private final List<CompletableFuture<KeyValueStore.ChangeBatch>> watchRequests =
+            new ArrayList<>();
 
     /**
      * Answers list requests at once with an empty page; the test completes the watch requests
@@ -42,8 +43,8 @@
                                                                 false,
                                                                 new Revision(10)));
                                         case "watch" -> {
-                                            watches.add(new CompletableFuture<>());
-                                            yield watches.get(watches.size() - 1);
+                                            watchRequests.add(new CompletableFuture<>());
+                                            yield watchRequests.get(watchRequests.size() - 1);
                                         }
                                         default ->
                                                 throw new UnsupportedOperationException(
@@ -57,7 +58,8 @@
                 RecordKeys.job(JOB), Map.of("cancelled", cancelled), new Revision(revision));
     }
 
-    private static KeyValueStore.ChangeBatch upTo(long revision, KeyValueStore.Change... changes) {
+    private static KeyValueStore.ChangeBatch changesUpTo(
+            long revision, KeyValueStore.Change... changes) {
         return new KeyValueStore.ChangeBatch(new Revision(revision), List.of(changes));
     }
 
@@ -66,20 +68,20 @@
      * evicted.
      */
     @Test
-    void lateAnswerOfAnEarlierSyncRestoresNoStaleStatus() {
+    void lateAnswerOfEarlierSyncRestoresNoStaleStatus() {
         cache.beginRead();
         CompletableFuture<Void> unusedFirst = cache.readBarrier();
         loop.run(Duration.ofMillis(250));
         CompletableFuture<Void> unusedSecond = cache.readBarrier();
         loop.run(Duration.ofMillis(250));
-        assertEquals(2, watches.size());
-        watches.get(1).complete(upTo(30, change(false, 15), change(true, 20)));
+        assertEquals(2, watchRequests.size());
+        watchRequests.get(1).complete(changesUpTo(30, change(false, 15), change(true, 20)));
         assertEquals(Optional.of(JobStatusCache.CachedStatus.CANCELLED), cache.cachedStatus(JOB));
         for (int other = 2; cache.cachedStatus(JOB).isPresent(); other++) {
             cache.recordRead(new JobId("req-" + other), new Revision(25), false, cache.beginRead());
         }
         assertTrue(cache.cachedStatus(new JobId("req-2")).isPresent());
-        watches.get(0).complete(upTo(17, change(false, 15)));
+        watchRequests.get(0).complete(changesUpTo(17, change(false, 15)));
         assertEquals(
                 Optional.empty(), cache.cachedStatus(JOB), "the job was cancelled in the meantime");
     }
--- a/src/test/java/org/meadowhollow/coordination/metrics/FairnessMetricsTest.java
+++ b/src/test/java/org/meadowhollow/coordination/metrics/FairnessMetricsTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void teamsAreCountedSeparatelyAndStarvingOneIsMarked() {
+    void teamsAreCountedSeparatelyAndStarvingTeamIsMarked() {
         FairnessMetrics fairnessMetrics = new FairnessMetrics();
         List<Job> waiting = new ArrayList<>();
         for (int number = 0; number < 5; number++) {
@@ -73,7 +73,7 @@
         List<Job> jobs = new ArrayList<>();
         for (int number = 0; number < 8; number++) {
             JobSpec spec = spec(number, "home");
-            JobSpec sized =
+            JobSpec resizedSpec =
                     new JobSpec(
                             spec.id(),
                             spec.jobClass(),
@@ -93,11 +93,11 @@
                             0,
                             0,
                             30);
-            fairnessMetrics.onJobAdmitted(sized);
+            fairnessMetrics.onJobAdmitted(resizedSpec);
             if (number == 0 || number > 2) {
-                fairnessMetrics.onTaskRunning(sized);
+                fairnessMetrics.onTaskRunning(resizedSpec);
             }
-            jobs.add(new Job(sized, 0, 100, new Revision(1)));
+            jobs.add(new Job(resizedSpec, 0, 100, new Revision(1)));
         }
         fairnessMetrics.reportIfDue(jobs, new MonotonicTime(0), 0, job -> "room");
         List<String> lines =
--- a/src/test/java/org/meadowhollow/model/ImageCacheTest.java
+++ b/src/test/java/org/meadowhollow/model/ImageCacheTest.java
@@ -8,7 +8,7 @@
 /** Tests which images {@link ImageCache} evicts when the cache is full. */
 class ImageCacheTest {
     @Test
-    void theLeastRecentlyUsedImageIsEvicted() {
+    void leastRecentlyUsedImageIsEvicted() {
         ImageCache cache = new ImageCache(10);
         cache.recordUse("one", 4);
         cache.recordUse("two", 4);
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void anImageLargerThanTheCacheIsKeptWhileItIsTheLatest() {
+    void imageLargerThanCacheIsKeptWhileMostRecent() {
         ImageCache cache = new ImageCache(10);
         cache.recordUse("small", 4);
         cache.recordUse("huge", 12);
--- a/src/test/java/org/meadowhollow/model/StoredWordTest.java
+++ b/src/test/java/org/meadowhollow/model/StoredWordTest.java
@@ -9,7 +9,7 @@
 /** Tests that each stored word is decoded to the constant that it encodes. */
 class StoredWordTest {
     @Test
-    void everyConstantIsFoundByItsStoredWord() {
+    void constantsAreFoundByStoredWord() {
         for (JobKind kind : JobKind.values()) {
             assertEquals(kind, JobKind.fromStoredWord(kind.storedWord()));
         }
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void anUnknownWordIsRefused() {
+    void unknownStoredWordIsRejected() {
         assertThrows(IllegalArgumentException.class, () -> JobKind.fromStoredWord("array"));
         assertThrows(IllegalArgumentException.class, () -> Priority.fromStoredWord(null));
     }
