--- a/src/main/java/org/meadowhollow/model/TaskId.java
+++ b/src/main/java/org/meadowhollow/model/TaskId.java
@@ -6,7 +6,7 @@
  * @param index the task's position in its job, from 0
  */
 public record TaskId(JobId jobId, int index) {
-    /** Digits of an index at most, so that it cannot overflow. */
+    /** The maximum number of digits in an index, so that parsing cannot overflow. */
     private static final int MAX_INDEX_DIGITS = 7;
 
     /** Parses the form {@code req-000412/3}; returns null for a text that is not of that form. */
@@ -17,8 +17,8 @@
             return null;
         }
         int index = 0;
-        for (int at = slash + 1; at < text.length(); at++) {
-            char digit = text.charAt(at);
+        for (int position = slash + 1; position < text.length(); position++) {
+            char digit = text.charAt(position);
             if (digit < '0' || digit > '9') {
                 return null;
             }
--- a/src/test/java/org/meadowhollow/model/StoredWordTest.java
+++ b/src/test/java/org/meadowhollow/model/StoredWordTest.java
@@ -6,10 +6,10 @@
 import org.junit.jupiter.api.Test;
 import org.meadowhollow.model.reservation.MaintenanceWindow;
 
-/** Every stored word stands for the constant that it came from. */
+/** Tests that each stored word is decoded to the constant that it encodes. */
 class StoredWordTest {
     @Test
-    void everyConstantIsFoundByItsStoredWord() {
+    void constantsAreFoundByStoredWord() {
         for (JobKind kind : JobKind.values()) {
             assertEquals(kind, JobKind.fromStoredWord(kind.storedWord()));
         }
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void anUnknownWordIsRefused() {
+    void unknownStoredWordIsRejected() {
         assertThrows(IllegalArgumentException.class, () -> JobKind.fromStoredWord("array"));
         assertThrows(IllegalArgumentException.class, () -> Priority.fromStoredWord(null));
     }
