--- a/src/main/java/org/meadowhollow/protocol/jobs/JobApi.java
+++ b/src/main/java/org/meadowhollow/protocol/jobs/JobApi.java
@@ -12,11 +12,12 @@
 import org.meadowhollow.storage.KeyValueStoreException;
 
 /**
- * What users call: submit, poll and cancel. Stateless; {@link AdmissionService} decides. A repeated
- * submission of a job is idempotent and gets status 200 instead of 201.
+ * The users' HTTP interface to jobs: submit, poll and cancel. Stateless; all decisions are made by
+ * {@link AdmissionService}. Submission is idempotent: a repeated submission of a job gets status
+ * 200 instead of 201.
  */
 public final class JobApi {
-    /** The protocol's shortest pause before a retry, in seconds. */
+    /** The value of the Retry-After header, in seconds; the protocol allows no shorter pause. */
     private static final int RETRY_AFTER_SECONDS = 1;
 
     private final AdmissionService admissionService;
@@ -26,7 +27,10 @@
         this.admissionService = admissionService;
     }
 
-    /** Submits the job that a body describes; 400 if it is malformed, 422 if it can never run. */
+    /**
+     * Submits the job in the request body; replies 400 if the body is malformed, 422 if the job can
+     * never run.
+     */
     public CompletableFuture<Http.Reply> submit(byte[] body) {
         JobSpec spec;
         try {
@@ -42,14 +46,14 @@
                                         statusReply(result.isNew() ? 201 : 200, result.status())));
     }
 
-    /** The status of a job; 404 if there is none of this id. */
+    /** Replies with the status of a job; 404 if no job has this id. */
     public CompletableFuture<Http.Reply> poll(String id) {
         return JobId.isWellFormed(id)
                 ? replyWithStatus(admissionService.getStatus(new JobId(id)))
                 : jobNotFound();
     }
 
-    /** Cancels a job; 404 if there is none of this id. */
+    /** Cancels a job and replies with its status; 404 if no job has this id. */
     public CompletableFuture<Http.Reply> cancel(String id) {
         return JobId.isWellFormed(id)
                 ? replyWithStatus(admissionService.cancel(new JobId(id)))
--- a/src/main/java/org/meadowhollow/protocol/jobs/JobStatusCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/jobs/JobStatusCodec.java
@@ -4,7 +4,7 @@
 import org.meadowhollow.protocol.MessagePackCodec;
 import org.meadowhollow.protocol.MessageReader;
 
-/** The status of a job as users see it, in the platform's words. Stateless. */
+/** Encodes the status of a job with the field names and values of the user API. Stateless. */
 final class JobStatusCodec {
     private static final String JOB_ID = "ref";
     private static final String PHASE = "phase";
--- a/src/main/java/org/meadowhollow/protocol/jobs/SubmissionCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/jobs/SubmissionCodec.java
@@ -11,8 +11,8 @@
 import org.meadowhollow.protocol.MessageReader;
 
 /**
- * A submission between its fields on the wire and a {@link JobSpec}. The platform's words stand
- * here and nowhere else. Stateless.
+ * Converts submissions between their fields on the wire and {@link JobSpec}. No other class knows
+ * the field names and values of a submission. Stateless.
  */
 public final class SubmissionCodec {
     private static final String JOB_ID = "ref";
@@ -51,10 +51,11 @@
     private SubmissionCodec() {}
 
     /**
-     * Decodes a submission. Only the machine types, the zone and the deadline may be null, and so
-     * may be left out.
+     * Decodes a submission. Only the machine types, the zone and the deadline may be null or
+     * absent.
      *
-     * @throws MalformedMessageException if a field is missing, of another type or out of its range
+     * @throws MalformedMessageException if a field is missing, has the wrong type or is out of
+     *     range
      */
     public static JobSpec decode(MessageReader body) throws MalformedMessageException {
         String ref = body.string(JOB_ID);
@@ -92,7 +93,7 @@
                 body.nonNegativeDoubleOr(DEADLINE_SECONDS, Double.NaN));
     }
 
-    /** The fields of a submission, as a client sends them. */
+    /** Encodes a job as the fields of a submission, as a client sends them. */
     public static Map<String, Object> encode(JobSpec spec) {
         Map<String, Object> fields =
                 MessageReader.mapOf(
--- a/src/main/java/org/meadowhollow/protocol/reservation/ReservationApi.java
+++ b/src/main/java/org/meadowhollow/protocol/reservation/ReservationApi.java
@@ -22,11 +22,14 @@
 import org.meadowhollow.storage.KeyValueStoreException;
 
 /**
- * The operators' HTTP interface: put, show, list and withdraw reservations and maintenance windows,
- * and show the plan; at every node. Stateless; may be called on any thread.
+ * The operators' HTTP interface to reservations and maintenance windows, on every node: create,
+ * change, show, list and withdraw entries, and show the plan. Stateless; may be called on any
+ * thread.
  */
 public final class ReservationApi implements Http.RequestHandler {
-    /** The name that tokens of those who may change the calendar have, in place of a team's. */
+    /**
+     * The name that takes the place of a team's name in the tokens that may change the calendar.
+     */
     public static final String OPERATOR = "operator";
 
     private static final String PATH_PREFIX = "/calendar/v1/";
@@ -43,7 +46,8 @@
     /**
      * Creates the interface.
      *
-     * @param tokens those of {@link #OPERATOR} may change the calendar, all others may read it
+     * @param tokens the accepted tokens: those of {@link #OPERATOR} may change the calendar, all
+     *     others may only read it
      */
     public ReservationApi(ReservationService reservationService, BearerTokens tokens) {
         this.reservationService = reservationService;
@@ -226,8 +230,8 @@
     }
 
     /**
-     * The revision that a change is meant for, from the If-Match header, with quotes or without;
-     * null if there is no such header.
+     * Returns the revision that the request expects, from the If-Match header with or without
+     * quotes; null if the header is absent.
      */
     private static Revision parseExpectedRevision(Http.Request request)
             throws MalformedMessageException {
@@ -253,7 +257,7 @@
                 return hours;
             }
         } catch (NumberFormatException notANumber) {
-            // The same message as for a number out of range.
+            // Rejected below with the same message as a number out of range.
         }
         throw new MalformedMessageException(
                 "hours is not from 1 to " + ReservationAdmission.ADMISSION_HORIZON.toHours());
--- a/src/main/java/org/meadowhollow/protocol/reservation/ReservationCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/reservation/ReservationCodec.java
@@ -20,9 +20,9 @@
 import org.meadowhollow.storage.CalendarSnapshot;
 
 /**
- * The JSON in which operators write and read reservations, maintenance windows and plans; {@code
- * docs/reservations.md} describes the fields. Every field that is both written and read stands here
- * once, as a constant.
+ * Decodes and encodes the JSON of reservations and maintenance windows, and encodes plans; {@code
+ * docs/reservations.md} describes the fields. Every field that is both read and written is a
+ * constant.
  */
 final class ReservationCodec {
     private static final Pattern NAME_PATTERN = Pattern.compile("[a-z0-9][a-z0-9-]{0,39}");
@@ -32,7 +32,10 @@
     private static final double MAX_DURATION_SECONDS = Duration.ofDays(31).toSeconds();
     private static final double MILLIS_PER_SECOND = 1000.0;
 
-    /** Resources count whole millionths; the fields have cores, devices and GB. */
+    /**
+     * Resources are stored in whole millionths of a unit; the JSON fields are in cores, devices and
+     * GB.
+     */
     private static final double MILLIONTHS_PER_UNIT = 1e6;
 
     private static final String TEAM = "team";
@@ -56,7 +59,7 @@
     private static final String DURATION_SECONDS = "length_s";
     private static final String RULE = "rule";
 
-    /** The priority of a reservation that names none. */
+    /** The priority of a reservation whose request has no priority field. */
     private static final String DEFAULT_PRIORITY = "normal";
 
     private static final Map<String, MaintenanceWindow.Scope> SCOPE_BY_FIELD =
@@ -82,9 +85,9 @@
     private ReservationCodec() {}
 
     /**
-     * Checks the name of an entry.
+     * Checks the name of an entry and returns it.
      *
-     * @throws MalformedMessageException if it is not valid
+     * @throws MalformedMessageException if the name is not valid
      */
     static String requireValidName(String text) throws MalformedMessageException {
         if (!NAME_PATTERN.matcher(text).matches()) {
@@ -94,7 +97,7 @@
         return text;
     }
 
-    /** Decodes a reservation; its name comes from the path. */
+    /** Decodes a reservation; the name comes from the path of the request. */
     static Reservation reservation(String name, MessageReader body)
             throws MalformedMessageException {
         long tasks = body.nonNegativeLong(TASKS);
@@ -125,7 +128,7 @@
                 decodeSchedule(body));
     }
 
-    /** Decodes a maintenance window; its name comes from the path. */
+    /** Decodes a maintenance window; the name comes from the path of the request. */
     static MaintenanceWindow window(String name, MessageReader body)
             throws MalformedMessageException {
         MaintenanceWindow.Scope scope = null;
@@ -205,7 +208,7 @@
         return names == null ? null : List.copyOf(names);
     }
 
-    /** An entry with its revision, which a later change names in If-Match. */
+    /** Encodes an entry with its revision, which a later change must send in If-Match. */
     static Map<String, Object> encode(CalendarSnapshot.CalendarEntry<?> entry) {
         Map<String, Object> map =
                 entry.item() instanceof MaintenanceWindow window
@@ -284,7 +287,10 @@
         return map;
     }
 
-    /** A plan; {@code met} counts tasks with room, {@code against} says why others have none. */
+    /**
+     * Encodes a plan. {@code met} is the number of tasks that have capacity; {@code against} gives
+     * the reasons why the others do not.
+     */
     static Map<String, Object> encode(ReservationPlan plan) {
         return MessageReader.mapOf(
                 "slots",
--- a/src/main/java/org/meadowhollow/protocol/tes/BearerTokens.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/BearerTokens.java
@@ -10,30 +10,32 @@
 import org.meadowhollow.protocol.MalformedMessageException;
 
 /**
- * Which team a bearer token belongs to. Tokens are known by their SHA-256 only, and compared in
- * constant time.
+ * Maps bearer tokens to the teams they belong to. Only the SHA-256 hashes of tokens are kept, and
+ * they are compared in constant time.
  */
 public final class BearerTokens {
     /**
-     * A token of this team may read the tasks of all teams and do nothing else; workers have one.
+     * The team of read-only tokens, which may read the tasks of all teams and do nothing else.
+     * Workers have such a token.
      */
     public static final String READ_ONLY_TEAM = "*";
 
     private static final String BEARER_PREFIX = "Bearer ";
     private static final int HASH_BYTES = 32;
 
-    // Compared by MessageDigest.isEqual alone.
+    // The warning is about equals of arrays; hashes are compared with MessageDigest.isEqual only.
     @SuppressWarnings("ArrayRecordComponent")
     private record HashedToken(String team, byte[] hash) {}
 
     private final List<HashedToken> hashedTokens = new ArrayList<>();
 
     /**
-     * Parses the tokens that an operator gives.
+     * Parses the tokens that an operator configures.
      *
      * @param entries each a team's name, {@code =}, and the SHA-256 of a token of that team as 64
      *     hex digits
-     * @throws MalformedMessageException naming the entry that is not of this form, without its hash
+     * @throws MalformedMessageException if an entry is not of this form; the message names its team
+     *     but not its hash
      */
     public static BearerTokens parse(List<String> entries) throws MalformedMessageException {
         BearerTokens tokens = new BearerTokens();
@@ -56,19 +58,20 @@
         return tokens;
     }
 
-    /** Whether there are no tokens, so that nobody is authorised. */
+    /** Whether there are no tokens, so that no request is authorised. */
     public boolean isEmpty() {
         return hashedTokens.isEmpty();
     }
 
-    /** The teams that have a token. */
+    /** Returns the teams that have a token. */
     public List<String> teams() {
         return hashedTokens.stream().map(HashedToken::team).distinct().toList();
     }
 
     /**
-     * The team of an {@code Authorization} header, which may be null. All known tokens are
-     * compared, whichever fits, so that the time it takes tells nothing.
+     * Returns the team of the token in an {@code Authorization} header, which may be null. All
+     * known tokens are compared even after a match, so that the response time reveals nothing about
+     * them.
      */
     public Optional<String> teamOf(String authorization) {
         if (authorization == null
--- a/src/main/java/org/meadowhollow/protocol/tes/HttpStatusException.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/HttpStatusException.java
@@ -1,8 +1,8 @@
 package org.meadowhollow.protocol.tes;
 
 /**
- * A request gets a status other than 200; the text says why. Without a stack trace, since it is an
- * answer and not a defect.
+ * Thrown to answer a request with a status other than 200; the message is the reason in the
+ * response body. Has no stack trace, since it is not a defect.
  */
 final class HttpStatusException extends RuntimeException {
     private static final long serialVersionUID = 1;
--- a/src/main/java/org/meadowhollow/protocol/tes/StoredTask.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/StoredTask.java
@@ -4,12 +4,15 @@
 import org.meadowhollow.protocol.MessageReader;
 
 /**
- * The record of a task that the key-value store keeps for ever; it never changes once accepted.
+ * The record of a task in the key-value store. It never changes once the task is accepted, and it
+ * is never deleted.
  *
- * @param createdMillis the time of its creation, in milliseconds since 1970
- * @param entryKey the key of its entry in the list of tasks, which holds its state
- * @param digest the SHA-256 of the document in hex, which tells a repeated request from another
- * @param document the task as its client sent it
+ * @param createdMillis the creation time of the task in milliseconds since the epoch
+ * @param entryKey the key of the task's entry in the list of tasks, which holds the state of the
+ *     task
+ * @param digest the SHA-256 of the document in hex, which distinguishes a repeated request from a
+ *     different one with the same idempotency key
+ * @param document the task that the client sent, reduced to the fields that the API names
  */
 record StoredTask(
         String team,
@@ -24,7 +27,7 @@
     private static final String DIGEST = "digest";
     private static final String DOCUMENT = "document";
 
-    /** The key of the record of a task. */
+    /** Returns the key of the record of a task. */
     static String recordKey(String id) {
         return KEY_PREFIX + id;
     }
--- a/src/main/java/org/meadowhollow/protocol/tes/TesApi.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesApi.java
@@ -22,9 +22,9 @@
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
 
 /**
- * The GA4GH task execution API, version 1.1, on the same admission as native jobs. Any node
- * responds, from the key-value store alone, so that no response is staler than another node's.
- * {@code docs/tes.md} has the alternatives that were considered. Thread-safe.
+ * The GA4GH task execution API, version 1.1, which uses the same admission as native jobs. Every
+ * node serves it and answers from the key-value store alone, so no response is staler than another
+ * node's. {@code docs/tes.md} describes the alternatives that were considered. Thread-safe.
  */
 public final class TesApi implements Http.RequestHandler {
     private static final String ROOT = "/ga4gh/tes/v1";
@@ -32,13 +32,14 @@
     private static final String CANCEL_SUFFIX = ":cancel";
 
     /**
-     * Hex digits of an id after its prefix: 104 bits, which nobody guesses and no two tasks share.
+     * The number of hex digits of an id after its prefix. Their 104 bits make ids unguessable and
+     * collisions practically impossible.
      */
     private static final int ID_DIGITS = 26;
 
     private static final int MAX_IDEMPOTENCY_KEY_LENGTH = 200;
 
-    /** Bytes around the fields of a record. */
+    /** The size of a record, in bytes, beyond the document or list entry that it holds. */
     private static final int RECORD_OVERHEAD_BYTES = 512;
 
     private final AdmissionService admissionService;
@@ -52,9 +53,11 @@
     private final TesTaskListing listing;
 
     /**
-     * @param store read for every answer, so that it is no older than any other node's
-     * @param tracer which decides whether a client's trace is continued
-     * @param random the source of ids
+     * Creates the API.
+     *
+     * @param store read for every response, so that it is no staler than another node's
+     * @param tracer decides whether a client's trace is continued
+     * @param random the source of random task ids
      */
     public TesApi(
             AdmissionService admissionService,
@@ -181,7 +184,7 @@
         return submit(spec, storedTask, listEntry);
     }
 
-    /** A random id, or the id that belongs to the request's idempotency key. */
+    /** Returns a random id, or the id that is derived from the request's idempotency key. */
     private JobId newTaskId(Http.Request request, String team) throws MalformedMessageException {
         String idempotencyKey = request.header().apply("Idempotency-Key");
         if (idempotencyKey == null) {
@@ -194,7 +197,11 @@
         return idForIdempotencyKey(team, idempotencyKey);
     }
 
-    /** The job's own record holds the list entry as well, with what it takes to place the task. */
+    /**
+     * Checks that the records of a task fit into values of the key-value store. The list entry may
+     * take only half of a value, because the job's own record also holds it, along with the fields
+     * needed to place the task.
+     */
     private void requireFits(int documentBytes, int listEntryBytes) {
         int maxBytes = deploymentSettings.maxValueBytes() - RECORD_OVERHEAD_BYTES;
         if (documentBytes > maxBytes || 2 * listEntryBytes > maxBytes) {
@@ -244,7 +251,9 @@
         return new JobId(TesTaskListing.ID_PREFIX + HexFormat.of().formatHex(bytes));
     }
 
-    /** The same key of the same team always gives the same id. */
+    /**
+     * Derives an id from a team and its idempotency key; the same pair always gives the same id.
+     */
     private static JobId idForIdempotencyKey(String team, String idempotencyKey) {
         String hash = HexFormat.of().formatHex(BearerTokens.sha256(team + '\n' + idempotencyKey));
         return new JobId(TesTaskListing.ID_PREFIX + hash.substring(0, ID_DIGITS));
@@ -292,7 +301,7 @@
 
     private CompletableFuture<Http.Reply> cancel(String id, String team) {
         requireWriteAccess(team);
-        // A task that has ended stays as it is, and the request has nothing left to do.
+        // Cancelling a task that has ended changes nothing and succeeds.
         return loadReadableTask(id, team)
                 .thenCompose(storedTask -> admissionService.cancel(new JobId(id)))
                 .thenApply(state -> TesReplies.ok(Map.of()));
--- a/src/main/java/org/meadowhollow/protocol/tes/TesCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesCodec.java
@@ -14,11 +14,11 @@
 import org.meadowhollow.protocol.MessageReader;
 
 /**
- * Validates a task of the GA4GH task execution API (TES 1.1) and turns it into a job. The document
- * that is stored holds the fields that the API names and nothing else. Stateless.
+ * Validates a task of the GA4GH task execution API (TES 1.1) and converts it into a job. The stored
+ * document holds only the fields that the API defines. Stateless.
  */
 final class TesCodec {
-    /** The supported backend parameters; {@code docs/tes.md} says what each means. */
+    /** The supported backend parameters; {@code docs/tes.md} describes them. */
     static final List<String> SUPPORTED_PARAMETERS =
             List.of(
                     "class",
@@ -33,15 +33,18 @@
                     "max_attempts");
 
     /**
-     * The class of jobs that a task belongs to unless it says so: objectives for the class may name
-     * it.
+     * The job class of a task that does not specify one. Service level objectives can be set for
+     * this class by its name.
      */
     private static final String DEFAULT_JOB_CLASS = "tes";
 
     private static final int MAX_ITEMS = 1000;
     private static final int MAX_NAME_LENGTH = 200;
 
-    /** The size of an image if the client gives none, in GB; affects placement and nothing else. */
+    /**
+     * The assumed size in GB of an image whose size the client does not give; affects placement
+     * only.
+     */
     private static final double DEFAULT_IMAGE_GB = 2;
 
     private static final double DEFAULT_CPUS = 1;
@@ -58,7 +61,7 @@
                     "idle",
                     Priority.LOW);
 
-    /** A valid task: the document that is stored, and its backend parameters. */
+    /** A validated task: the document to store, and its backend parameters. */
     record TaskRequest(Map<String, Object> document, Map<String, Object> parameters) {
         String name() {
             return (String) document.get("name");
@@ -72,7 +75,7 @@
 
     private TesCodec() {}
 
-    /** Checks a task to be created; fields that the API does not name are left out. */
+    /** Validates a task to be created; fields that the API does not define are dropped. */
     static TaskRequest decode(MessageReader body) throws MalformedMessageException {
         Map<String, Object> document = new LinkedHashMap<>();
         copyStrings(body, document, "name", "description");
@@ -257,9 +260,9 @@
     // ---- the job of a task ----
 
     /**
-     * The job that runs a task: an array of one.
+     * Converts a task into the job that runs it: an array job with one task.
      *
-     * @param zones of the deployment
+     * @param zones the zones of the deployment
      */
     static JobSpec toJobSpec(JobId id, String team, TaskRequest taskRequest, List<String> zones)
             throws MalformedMessageException {
@@ -301,7 +304,7 @@
                 numberParameter(parameters, "deadline_s", Double.NaN));
     }
 
-    /** How often a task may be tried, 0 for as often as it takes. */
+    /** Returns the largest number of attempts of a task; 0 means that there is no limit. */
     static int maxAttempts(TaskRequest taskRequest) throws MalformedMessageException {
         double most =
                 numberParameter(new MessageReader(taskRequest.parameters()), "max_attempts", 0);
@@ -312,8 +315,8 @@
     }
 
     /**
-     * A machine fetches images one by one; the first executor's decides where the task starts
-     * soonest.
+     * Returns the image of the first executor. A machine pulls images one by one, so this image
+     * determines on which machine the task starts soonest.
      */
     @SuppressWarnings("unchecked")
     private static String firstExecutorImage(TaskRequest taskRequest) {
@@ -332,7 +335,10 @@
         return jobClass;
     }
 
-    /** A job is bound to one zone or to none, so a choice of some zones cannot be kept. */
+    /**
+     * Returns the requested zone, or null if any zone is allowed. A job is bound to one zone or to
+     * none, so a request for some of the zones is rejected.
+     */
     private static String singleZoneOrNull(List<String> asked, List<String> all)
             throws MalformedMessageException {
         if (asked == null || asked.isEmpty() || asked.containsAll(all)) {
@@ -363,7 +369,7 @@
                 return value;
             }
         } catch (NumberFormatException notANumber) {
-            // One message for every wrong number.
+            // Rejected below with the same message as a number out of range.
         }
         throw new MalformedMessageException(
                 "backend parameter " + key + " is not a number from 0 on");
--- a/src/main/java/org/meadowhollow/protocol/tes/TesReplies.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesReplies.java
@@ -9,7 +9,7 @@
 import org.meadowhollow.protocol.MessageReader;
 import org.meadowhollow.storage.KeyValueStoreException;
 
-/** The responses of the task execution API, in JSON. Stateless. */
+/** Creates the responses of the task execution API, in JSON. Stateless. */
 final class TesReplies {
     private static final String JSON_TYPE = "application/json";
     private static final int RETRY_AFTER_SECONDS = 1;
@@ -17,9 +17,9 @@
     private TesReplies() {}
 
     /**
-     * The response to a request that failed.
+     * Returns the response to a request that failed.
      *
-     * @throws CompletionException of the failure if it is a defect
+     * @throws CompletionException with the failure as its cause if the failure is a defect
      */
     static Http.Reply failure(Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
@@ -37,7 +37,9 @@
         throw new CompletionException(cause);
     }
 
-    /** The node cannot answer at present. */
+    /**
+     * Returns status 503 for a request that cannot be answered at present and should be retried.
+     */
     static Http.Reply retryLater(String reason) {
         return new Http.Reply(
                 503,
@@ -46,7 +48,7 @@
                 JSON_TYPE);
     }
 
-    /** The request was rejected. */
+    /** Returns the response to a request that was rejected. */
     static Http.Reply error(int status, String reason) {
         return new Http.Reply(
                 status,
@@ -55,7 +57,7 @@
                 JSON_TYPE);
     }
 
-    /** Success, with a JSON body. */
+    /** Returns status 200 with a JSON body. */
     static Http.Reply ok(Map<String, Object> body) {
         return new Http.Reply(200, JsonCodec.encode(body), 0, JSON_TYPE);
     }
--- a/src/main/java/org/meadowhollow/protocol/tes/TesTaskListing.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesTaskListing.java
@@ -20,21 +20,25 @@
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
 
 /**
- * Lists a team's tasks, the newest first, from one entry per task whose key never changes. A page
- * ends at a key, so the next one continues from there at any node, and no task that exists all the
- * while is missed or listed twice. Thread-safe: the lock guards the count of listings in progress.
+ * Lists a team's tasks, newest first. Each task has one list entry whose key never changes. A page
+ * token encodes the last key of a page, so any node can serve the next page, and a task that exists
+ * throughout is neither missed nor listed twice. Thread-safe: the lock guards the count of listings
+ * in progress.
  */
 final class TesTaskListing {
     static final String ID_PREFIX = "tes-";
     private static final Pattern ID_PATTERN = Pattern.compile("tes-[0-9a-f]{26}");
     private static final String ENTRY_KEY_PREFIX = "tesx/";
 
-    /** Hex digits of a team's hash in a key; names may hold what keys may not. */
+    /**
+     * The number of hex digits of a team's hash in a key. The name itself is not used, because it
+     * may contain characters that keys may not.
+     */
     private static final int TEAM_HASH_DIGITS = 16;
 
     /**
-     * Later times come first: keys count down from the largest time of this many digits, far in the
-     * future.
+     * Keys hold this value less the creation time, so that newer tasks sort first. It is the
+     * largest time of 13 digits, in the year 2286.
      */
     private static final long MAX_CREATED_MILLIS = 9_999_999_999_999L;
 
@@ -44,21 +48,27 @@
     private static final int MAX_PAGE_SIZE = 2048;
 
     /**
-     * Reads of the key-value store for one request, each of up to 1,000 entries; a page may be
-     * shorter for it.
+     * The most reads of the key-value store for one request, each of up to 1,000 entries. A page
+     * may be shorter than requested because of this limit.
      */
     private static final int MAX_READS_PER_REQUEST = 4;
 
-    /** Tasks on a page of a detailed view, each of which takes a read of its own. */
+    /**
+     * The most tasks on a page of a detailed view, each of which takes a separate read of the
+     * store.
+     */
     private static final int MAX_DETAILED_TASKS = 32;
 
     /**
-     * Listings in progress at a time; others are told to retry, for the key-value store serves
-     * native users as well.
+     * The most listings in progress at a time. Further ones are told to retry, because the
+     * key-value store also serves native users.
      */
     private static final int MAX_CONCURRENT_LISTINGS = 4;
 
-    /** The part of a task's list entry that never changes; its state and attempts are beside it. */
+    /**
+     * The part of a task's list entry that never changes; the entry also holds the state and the
+     * attempts.
+     */
     record ListedTask(String id, String name, Map<String, Object> tags, long createdMillis) {
         Map<String, Object> encode() {
             return MessageReader.mapOf(
@@ -85,8 +95,8 @@
             TesTaskView view,
             int limit) {
         /**
-         * Without a filter every entry matches, so that no more need be read than fit onto the
-         * page.
+         * Returns the number of entries to read next. Without a filter every entry matches, so no
+         * more are read than fit on the page.
          */
         int nextReadSize(int found) {
             boolean all = namePrefix == null && state == null && tags.isEmpty();
@@ -172,7 +182,7 @@
                 return size;
             }
         } catch (NumberFormatException notANumber) {
-            // One message for every wrong size.
+            // Rejected below with the same message as a size out of range.
         }
         throw new MalformedMessageException("page_size is not from 1 to " + MAX_PAGE_SIZE);
     }
@@ -186,7 +196,7 @@
         return state;
     }
 
-    /** A key without a value, or with an empty one, asks for any value. */
+    /** Parses the tag filter. A key with no value or an empty value matches any value. */
     private static Map<String, String> parseTagFilter(Map<String, List<String>> parameters)
             throws MalformedMessageException {
         List<String> keys = parameters.getOrDefault("tag_key", List.of());
@@ -202,8 +212,8 @@
     }
 
     /**
-     * A token is the end of the last page's key without the team, so it leads into no other team's
-     * tasks.
+     * Parses a page token into the key after which the page begins. A token holds the last key
+     * without the team's prefix, so it cannot give access to another team's tasks.
      */
     private static String parsePageToken(String team, String token)
             throws MalformedMessageException {
@@ -217,7 +227,7 @@
                 return teamKeyPrefix(team) + rest;
             }
         } catch (IllegalArgumentException notOurs) {
-            // One message for every wrong token.
+            // Rejected below with the same message as any other invalid token.
         }
         throw new MalformedMessageException("page_token is not one that a list gave");
     }
@@ -268,7 +278,7 @@
                                                         .equals(tags.get(asked.getKey()))));
     }
 
-    /** Detailed views take a read of the task's record each. */
+    /** Renders one task of a page. A detailed view reads the task's record. */
     private CompletableFuture<Map<String, Object>> renderTask(
             Map<String, Object> entry, TesTaskView view) {
         if (view == TesTaskView.MINIMAL) {
@@ -280,7 +290,9 @@
                 .thenApply(storedTask -> view.render(id, storedTask, entry));
     }
 
-    /** The token of the page that begins after a key; {@link #parsePageToken} reads it. */
+    /**
+     * Returns the token of the page that begins after a key; {@link #parsePageToken} decodes it.
+     */
     private static String pageToken(String team, String last) {
         String rest = last.substring(teamKeyPrefix(team).length());
         return Base64.getUrlEncoder()
@@ -289,7 +301,9 @@
     }
 
     /**
-     * @param last the key that the next page begins after, or null if there is none
+     * Builds the response with one page of tasks.
+     *
+     * @param last the key after which the next page begins, or null if this is the last page
      */
     private CompletableFuture<Http.Reply> buildPage(
             Query query, List<Map<String, Object>> found, String last) {
--- a/src/main/java/org/meadowhollow/protocol/tes/TesTaskStore.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesTaskStore.java
@@ -10,11 +10,14 @@
 import org.meadowhollow.storage.KeyValueStore.RequestPriority;
 
 /**
- * Reads the records of tasks, with a cache: records never change once accepted. Thread-safe; the
- * cache's lock is not held during a read of the key-value store.
+ * Reads the records of tasks from the key-value store and caches them; a record never changes once
+ * its task is accepted. Thread-safe; the lock of the cache is not held while the store is read.
  */
 final class TesTaskStore {
-    /** Records kept in memory, the most recently used ones: some kilobytes each. */
+    /**
+     * The most records in the cache, which evicts the least recently used one. A record takes a few
+     * kilobytes.
+     */
     private static final int MAX_CACHED_TASKS = 256;
 
     private final KeyValueStore store;
@@ -33,9 +36,9 @@
     }
 
     /**
-     * The record of a task; the future fails with status 404 if there is none.
+     * Loads the record of a task; the future fails with status 404 if there is none.
      *
-     * @throws HttpStatusException 404 if the text is not the id of any task
+     * @throws HttpStatusException with status 404 if the text is not a valid task id
      */
     CompletableFuture<StoredTask> load(String id, RequestPriority requestPriority) {
         if (!TesTaskListing.isId(id)) {
--- a/src/main/java/org/meadowhollow/protocol/tes/TesTaskView.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesTaskView.java
@@ -11,19 +11,22 @@
 import org.meadowhollow.protocol.MalformedMessageException;
 import org.meadowhollow.protocol.MessageReader;
 
-/** How much of a task a response shows: the API's views. The constants are the API's words. */
+/**
+ * The views of the task execution API, which determine how much of a task a response contains. The
+ * constants have the names that the API defines.
+ */
 enum TesTaskView {
     /** The id and the state. */
     MINIMAL,
-    /** All but the contents of inputs and the system logs. */
+    /** All fields except the contents of inputs and the system logs. */
     BASIC,
-    /** Everything. */
+    /** All fields. */
     FULL;
 
-    /** The stored word for the end of an attempt that completed its task. */
+    /** The stored end reason of an attempt that completed its task. */
     private static final String COMPLETED = "DONE";
 
-    /** The states that the API names; the first and PAUSED never occur here. */
+    /** The task states that the API defines. UNKNOWN and PAUSED are never used here. */
     static final List<String> STATES =
             List.of(
                     "UNKNOWN",
@@ -49,15 +52,15 @@
     }
 
     /**
-     * A task in this view.
+     * Renders a task in this view.
      *
-     * @param entry its entry in the list of tasks, which holds its state and attempts
+     * @param entry the task's entry in the list of tasks, which holds its state and attempts
      */
     Map<String, Object> render(String id, StoredTask storedTask, Map<String, Object> entry) {
         return this == MINIMAL ? minimal(entry) : detailed(id, storedTask, entry);
     }
 
-    /** The API's word for a phase. */
+    /** Returns the API's name for the state of a task in a phase. */
     static String stateName(JobPhase jobPhase) {
         return switch (jobPhase) {
             case QUEUED -> "QUEUED";
@@ -72,7 +75,7 @@
         };
     }
 
-    /** The view that takes nothing but a task's list entry. */
+    /** Renders the minimal view, which needs only the task's list entry. */
     static Map<String, Object> minimal(Map<String, Object> entry) {
         return MessageReader.mapOf(
                 "id", entry.get("id"), "state", stateName(SecondaryRecord.phaseOf(entry)));
--- a/src/test/java/org/meadowhollow/protocol/jobs/SubmissionCodecTest.java
+++ b/src/test/java/org/meadowhollow/protocol/jobs/SubmissionCodecTest.java
@@ -91,7 +91,8 @@
     }
 
     /**
-     * The protocol names three fields that may be null; a job that lacks any other one is rejected.
+     * Only three fields of a submission may be null or absent; a submission that lacks any other
+     * field is rejected.
      */
     @ParameterizedTest
     @ValueSource(
