--- a/src/main/java/org/meadowhollow/coordination/reservation/MachineReservationLimit.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/MachineReservationLimit.java
@@ -8,12 +8,15 @@
 import org.meadowhollow.model.reservation.Reservation;
 
 /**
- * What reservations and maintenance windows leave of one machine in one round: until when it can be
- * used, and the room that is held on it. Changes with the round's decisions; guarded by the
- * leader's lock.
+ * The restrictions that reservations and maintenance windows put on one machine in one round: the
+ * time until which it can be used, and the capacity that is held on it. Changes with the round's
+ * decisions; guarded by the leader's lock.
  */
 public final class MachineReservationLimit {
-    /** Room held for a reservation from some seconds on; negative once its slot has begun. */
+    /**
+     * Capacity held for a reservation from the start of its slot on; {@code startsInSeconds} is
+     * negative once the slot has begun.
+     */
     private static final class ResourceHold {
         private final Reservation reservation;
         private final double startsInSeconds;
@@ -33,7 +36,7 @@
     private final RuntimeEstimator runtimeEstimator;
     private final List<ResourceHold> holds = new ArrayList<>();
 
-    /** Room that running tasks release before the hold that was added last begins. */
+    /** Capacity that running tasks release before the most recently added hold begins. */
     private Resources releasedBeforeHold = Resources.NONE;
 
     private double secondsUntilOutage = Double.POSITIVE_INFINITY;
@@ -43,7 +46,10 @@
         this.runtimeEstimator = runtimeEstimator;
     }
 
-    /** A window takes the machine after some seconds; the earliest one counts. */
+    /**
+     * Records that a window makes the machine unavailable after some seconds; the earliest window
+     * counts.
+     */
     void limitByOutage(double startsInSeconds, double evictionLeadSeconds) {
         if (startsInSeconds < secondsUntilOutage) {
             secondsUntilOutage = startsInSeconds;
@@ -56,9 +62,9 @@
     }
 
     /**
-     * Holds room for tasks of a reservation.
+     * Holds capacity for tasks of a reservation.
      *
-     * @param releasedByStart room that running tasks will have released when the slot begins
+     * @param releasedByStart capacity that running tasks will have released when the slot begins
      */
     void addHold(
             Reservation reservation, double startsInSeconds, int tasks, Resources releasedByStart) {
@@ -66,7 +72,7 @@
         releasedBeforeHold = releasedByStart;
     }
 
-    /** All room that is held. */
+    /** Returns all capacity that is held. */
     Resources heldResources() {
         Resources sum = Resources.NONE;
         for (ResourceHold hold : holds) {
@@ -80,11 +86,12 @@
     }
 
     /**
-     * Whether a task may start here: it ends before a window takes the machine, and leaves the room
-     * that is held for others unless it ends before that is needed. A service replica never ends;
-     * it may start until the eviction lead of the window begins.
+     * Whether a task may start on this machine: it must end before a window makes the machine
+     * unavailable, and must leave the capacity that is held for others unless it ends before that
+     * capacity is needed. A service replica never ends by itself; it may start until the eviction
+     * lead of the window begins.
      *
-     * @param pullSeconds until its image has been pulled
+     * @param pullSeconds the time in seconds until the task's image has been pulled
      * @param free the machine's free capacity
      */
     public boolean allows(JobSpec spec, double pullSeconds, Resources free) {
@@ -110,7 +117,10 @@
         return spec.resourcesPerTask().fitsIn(free.minus(heldOfFree));
     }
 
-    /** When a task ends at the latest, with a larger margin if it may not be preempted. */
+    /**
+     * Returns the upper bound of the seconds until a task ends, with a larger margin if the task
+     * may not be preempted.
+     */
     private double endsInSeconds(JobSpec spec, double pullSeconds, Reservation reservation) {
         if (spec.kind() == JobKind.SERVICE) {
             return Double.POSITIVE_INFINITY;
@@ -128,12 +138,15 @@
                 Math.max(0, from.memory() - amount.memory()));
     }
 
-    /** A task is assigned to the machine; if a reservation admits it, less room is held. */
+    /**
+     * Records the assignment of a task to the machine; if a reservation admits the task, less
+     * capacity is held.
+     */
     public void onTaskAssigned(JobSpec spec) {
         adjustHeldTasks(spec, -1);
     }
 
-    /** The assignment of a task is taken back. */
+    /** Reverts {@link #onTaskAssigned}. */
     public void onTaskUnassigned(JobSpec spec) {
         adjustHeldTasks(spec, 1);
     }
--- a/src/main/java/org/meadowhollow/coordination/reservation/OutagePlanner.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/OutagePlanner.java
@@ -6,9 +6,15 @@
 import org.meadowhollow.model.MachineType;
 import org.meadowhollow.model.Placement;
 
-/** Enters into a view what maintenance windows mean for the machines and for the tasks on them. */
+/**
+ * Adds the effects of maintenance windows on machines, and on the tasks that run on them, to a
+ * view.
+ */
 final class OutagePlanner {
-    /** No machine is rented in a type and zone that a window takes within this time. */
+    /**
+     * No machine of a type is rented in a zone if a window makes all such machines unavailable
+     * within this time.
+     */
     private static final double SCALE_OUT_STOP_SECONDS = 900;
 
     private static final double MILLIS_PER_SECOND = 1000.0;
@@ -61,9 +67,9 @@
     }
 
     /**
-     * Plans the eviction of a machine's tasks: of services when their eviction lead begins, of all
-     * others so that they can still save a checkpoint. Most of those will have ended by then, but
-     * one that has not, against all estimates, must have been warned in time as well.
+     * Plans the eviction of a machine's tasks: services are evicted when their eviction lead
+     * begins, all other tasks early enough to save a checkpoint. Most of the other tasks will have
+     * ended by then, but a task that exceeds its estimate must be warned in time as well.
      */
     private void planEvictions(
             Machine machine, ReservationPlan.Outage outage, double startsIn, double evictionLead) {
--- a/src/main/java/org/meadowhollow/coordination/reservation/Recurrence.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/Recurrence.java
@@ -16,24 +16,28 @@
 import org.meadowhollow.model.reservation.RecurringSchedule;
 
 /**
- * The occurrences of a recurring schedule. The recurrence rule is expanded in the local time of the
- * schedule's time zone; the local times are then converted to instants. A local time that does not
- * exist, because clocks are set forward, is later by as much as they are; of one that exists twice
- * the first counts. The duration is elapsed time and does not change with the clocks.
+ * Computes the occurrences of a recurring schedule. The recurrence rule is expanded in the local
+ * time of the schedule's time zone; the local times are then converted to instants. A local time
+ * that does not exist because clocks are set forward is shifted later by the length of the gap; of
+ * a local time that exists twice, the first is used. The duration is elapsed time, so clock changes
+ * do not affect it.
  */
 public final class Recurrence {
-    /** Bounds one expansion of a rule that matches hardly any day. */
+    /** Bounds the expansion of a rule that matches very few days. */
     private static final int MAX_RULE_STEPS = 5000;
 
     private static final Set<Freq> SUPPORTED_FREQUENCIES =
             Set.of(Freq.DAILY, Freq.WEEKLY, Freq.MONTHLY, Freq.YEARLY);
 
-    /** Rules are expanded from this much earlier: local times differ by less than a day. */
+    /**
+     * A rule is expanded from this long before the span to this long after it, because differences
+     * between local times are less than a day.
+     */
     private static final Duration CLOCK_DIFFERENCE_MARGIN = Duration.ofDays(1);
 
     private Recurrence() {}
 
-    /** The schedule is not valid; the message says why. */
+    /** Thrown when a schedule is not valid; the message gives the reason. */
     public static final class InvalidScheduleException extends Exception {
         InvalidScheduleException(String message) {
             super(message);
@@ -43,8 +47,8 @@
     /**
      * Checks the recurrence rule of a schedule.
      *
-     * @throws InvalidScheduleException if it is not of RFC 5545, repeats more often than daily, or
-     *     does not go with the first start
+     * @throws InvalidScheduleException if the rule does not conform to RFC 5545, repeats more often
+     *     than daily, or is not compatible with the first start
      */
     public static void validate(RecurringSchedule schedule) throws InvalidScheduleException {
         if (schedule.recurrenceRule() == null) {
@@ -92,12 +96,12 @@
     }
 
     /**
-     * The occurrences that overlap a span of time, in their order.
+     * Returns the occurrences that overlap a time span, in chronological order.
      *
-     * @param schedule one that {@link #validate} accepted
+     * @param schedule a schedule that {@link #validate} accepted
      * @param fromMillis the start of the span in milliseconds since the epoch
-     * @param untilMillis its end, exclusive
-     * @param maxOccurrences the most that are returned
+     * @param untilMillis the end of the span, exclusive
+     * @param maxOccurrences the largest number of occurrences to return
      */
     public static List<Occurrence> occurrencesBetween(
             RecurringSchedule schedule, long fromMillis, long untilMillis, int maxOccurrences) {
@@ -119,13 +123,16 @@
                 addIfOverlapping(found, schedule, start, fromMillis, untilMillis);
             }
         } catch (InvalidScheduleException | IllegalArgumentException | ArithmeticException spent) {
-            // An accepted rule that has no more days, or none that the library finds.
+            // A valid rule can fail here if it has no further dates, or if the library finds none.
             return found;
         }
         return found;
     }
 
-    /** The starts of a schedule, from the first whose occurrence could overlap a span. */
+    /**
+     * Returns the starts of a schedule, beginning with the first whose occurrence could overlap a
+     * span that starts at {@code fromMillis}.
+     */
     private static RecurrenceRuleIterator startsFrom(RecurringSchedule schedule, long fromMillis)
             throws InvalidScheduleException {
         RecurrenceRuleIterator starts =
--- a/src/main/java/org/meadowhollow/coordination/reservation/ReservationAdmission.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservationAdmission.java
@@ -17,28 +17,35 @@
 import org.meadowhollow.storage.CalendarSnapshot;
 
 /**
- * Decides whether a reservation can be admitted, and which admitted ones a maintenance window
- * affects: pure functions.
+ * Decides whether a reservation can be admitted, and finds the admitted reservations that a
+ * maintenance window affects. All functions are pure.
  */
 public final class ReservationAdmission {
-    /** How far ahead occurrences are admitted; later ones are planned as time passes. */
+    /**
+     * How far ahead the occurrences of a reservation are checked at admission; later ones are
+     * planned as time passes.
+     */
     public static final Duration ADMISSION_HORIZON = Duration.ofDays(35);
 
-    /** As many entries as one page of the key-value store can list, with the revision key. */
+    /**
+     * The most entries in the calendar. Together with the revision key they fit in one page of a
+     * listing of the key-value store.
+     */
     public static final int MAX_ENTRIES = 999;
 
-    /** Bounds the search for another start. */
+    /** Bounds the search for a later start. */
     private static final int MAX_STARTS_TRIED = 50;
 
     private ReservationAdmission() {}
 
     /**
-     * The answer to a request.
+     * The result of evaluating a request for a reservation.
      *
-     * @param infeasibleReason why it can never be met, or null
-     * @param conflicts why it cannot be met now; empty if it can
-     * @param nearestStart a later start of its first occurrence at which all could be met, by the
-     *     clocks of its time zone; null if none was found or none is needed
+     * @param infeasibleReason why the reservation can never be met, or null
+     * @param conflicts why the reservation cannot be met now; empty if it can
+     * @param nearestStart a later start of the first occurrence at which all occurrences could be
+     *     met, in the local time of the reservation's time zone; null if none was found or none is
+     *     needed
      */
     public record AdmissionResult(
             String infeasibleReason, List<String> conflicts, LocalDateTime nearestStart) {
@@ -49,7 +56,7 @@
     }
 
     /**
-     * Evaluates a request for a reservation.
+     * Checks whether a requested reservation can be admitted.
      *
      * @param zones the zones that exist
      * @param now the wall clock in milliseconds since the epoch
@@ -100,8 +107,8 @@
     }
 
     /**
-     * Why the reservation cannot be met now. It is planned last, so nothing changes for those
-     * admitted before.
+     * Returns the reasons why the reservation cannot be met now. The reservation is planned last,
+     * so reservations that were admitted before keep their machines.
      */
     private static List<String> findConflicts(
             CalendarSnapshot calendar,
@@ -125,7 +132,8 @@
     }
 
     /**
-     * Whatever conflicts ends when another entry's occurrence does, so only those ends are tried.
+     * Finds the nearest later start at which all occurrences can be met, or null. A conflict ends
+     * only when an occurrence of another entry ends, so only the ends of occurrences are tried.
      */
     private static LocalDateTime findNearestStart(
             CalendarSnapshot calendar,
@@ -181,9 +189,9 @@
     }
 
     /**
-     * What a new or changed window does to admitted reservations: which occurrences that had all
-     * their machines are short with it, and which move to other machines. A window is never refused
-     * for it.
+     * Describes the effects of a new or changed window on admitted reservations: the occurrences
+     * that had all their machines and lack some with the window, and the occurrences that move to
+     * other machines. These effects are no reason to reject a window.
      *
      * @param now the wall clock in milliseconds since the epoch
      */
--- a/src/main/java/org/meadowhollow/coordination/reservation/ReservationCalendarReplica.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservationCalendarReplica.java
@@ -18,18 +18,22 @@
 import org.meadowhollow.storage.KeyValueStoreException.Outcome;
 
 /**
- * A leader's replica of the calendar: read once, then kept up to date by a watch; and the plan made
- * from it, which is made anew only when the calendar has changed or much of its span is past. Its
- * state is guarded by its own lock; store requests are made outside of it.
+ * The leader's replica of the calendar, and the plan that is computed from it. The calendar is read
+ * once and then kept up to date by a watch. The plan is recomputed only when the calendar has
+ * changed or much of the span of the plan is past. The state is guarded by this object's lock;
+ * store requests are made without the lock.
  */
 public final class ReservationCalendarReplica {
     private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
     private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(20);
 
-    /** The plan reaches back to what another clock may not take for past. */
+    /**
+     * How far the plan reaches back: occurrences that are past by one clock may not be past yet by
+     * another.
+     */
     private static final Duration PLAN_LOOKBACK = Duration.ofMinutes(10);
 
-    /** Well beyond the time for which room is held. */
+    /** How far the plan reaches ahead: well beyond the time for which capacity is held. */
     private static final Duration PLAN_LOOKAHEAD = Duration.ofHours(6);
 
     private static final Duration REPLAN_INTERVAL = Duration.ofHours(1);
@@ -44,7 +48,7 @@
     @GuardedBy("this")
     private boolean loaded;
 
-    /** Null if it has to be made anew. */
+    /** Null if the plan has to be computed again. */
     @GuardedBy("this")
     private ReservationPlan plan;
 
@@ -52,9 +56,10 @@
     private long plannedAtWallMillis;
 
     /**
-     * Creates a replica that is not loaded.
+     * Creates a replica that has not been loaded.
      *
-     * @param leadershipEnded whether the replica is not needed any more, so that it stops reading
+     * @param leadershipEnded returns true when the replica is no longer needed; it then stops
+     *     reading
      */
     public ReservationCalendarReplica(
             KeyValueStore store, EventLoop loop, BooleanSupplier leadershipEnded) {
@@ -63,17 +68,20 @@
         this.leadershipEnded = leadershipEnded;
     }
 
-    /** Starts to read the calendar, then to watch it; again if changes were compacted. */
+    /**
+     * Starts to read the calendar and then to watch it. If the changes to watch have been
+     * compacted, the calendar is read again.
+     */
     public void start() {
         loadPage(null, null, new ArrayList<>());
     }
 
     /**
-     * Reads one page.
+     * Reads one page of the calendar.
      *
      * @param after the last key read, or null for the first page
      * @param firstRevision the revision of the first page, or null for the first page
-     * @param read the entries of the pages before
+     * @param read the entries of the previous pages
      */
     private void loadPage(String after, Revision firstRevision, List<KeyValueStore.Entry> read) {
         if (leadershipEnded.getAsBoolean()) {
@@ -140,7 +148,7 @@
     private synchronized void applyChanges(KeyValueStore.ChangeBatch changes) {
         for (KeyValueStore.Change change : changes.changes()) {
             KeyValueStore.Entry known = entries.get(change.key());
-            // Pages that were read after the first one may contain later changes already.
+            // Pages read after the first one may already contain this change or a later one.
             if (known != null && !change.revision().isAfter(known.revision())) {
                 continue;
             }
@@ -155,13 +163,13 @@
         }
     }
 
-    /** Whether the calendar has been read; nothing may be placed before. */
+    /** Whether the calendar has been read; no task may be placed before that. */
     public synchronized boolean isLoaded() {
         return loaded;
     }
 
     /**
-     * The plan around a wall-clock time; null while the calendar is empty.
+     * Returns the plan for the time around a wall-clock time; null while the calendar is empty.
      *
      * @param wallMillis milliseconds since the epoch
      */
@@ -169,7 +177,7 @@
         if (entries.isEmpty()) {
             return null;
         }
-        // The wall clock may also go back, by up to its bound at a failover.
+        // The wall clock may also go back, at a failover by up to the bound on its skew.
         boolean outdated = Math.abs(wallMillis - plannedAtWallMillis) > REPLAN_INTERVAL.toMillis();
         if (plan == null || outdated) {
             plan =
--- a/src/main/java/org/meadowhollow/coordination/reservation/ReservationPlan.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservationPlan.java
@@ -10,13 +10,16 @@
 import org.meadowhollow.storage.CalendarSnapshot;
 
 /**
- * Which reservation has which machines when: a pure function of the calendar, of the capacity and
- * of a span of time, so that every node computes the same. Reservations are served in the order of
- * their acceptance, each from the cheapest machines that it allows and that no window takes; one
- * that a later window takes its machines from thus moves to others, or is short. Immutable.
+ * The assignment of machines to the occurrences of reservations. It is a pure function of the
+ * calendar, the capacity and a time span, so every node computes the same plan. Reservations are
+ * planned in the order of their acceptance, each on the cheapest machines that it allows and that
+ * no window makes unavailable. A reservation that loses its machines to a later window therefore
+ * moves to other machines, or is short of machines. Immutable.
  */
 public final class ReservationPlan {
-    /** Occurrences of one entry within a plan; bounds the work for a frequent rule. */
+    /**
+     * The most occurrences of one entry in a plan; bounds the work for a rule that repeats often.
+     */
     static final int MAX_OCCURRENCES_PER_ENTRY = 64;
 
     /** An occurrence of a maintenance window. */
@@ -25,9 +28,9 @@
     /**
      * An occurrence of a reservation.
      *
-     * @param machinesByTypeZone how many machines of each {@code type/zone} it has
-     * @param fulfilledTasks the tasks that these have room for
-     * @param conflicts why the others have none; empty if all have room
+     * @param machinesByTypeZone the number of machines of each {@code type/zone} that are assigned
+     * @param fulfilledTasks the number of tasks that fit on these machines
+     * @param conflicts why the other tasks do not fit; empty if all tasks fit
      */
     public record Slot(
             Reservation reservation,
@@ -35,12 +38,12 @@
             Map<String, Integer> machinesByTypeZone,
             int fulfilledTasks,
             List<String> conflicts) {
-        /** Whether there is room for all tasks. */
+        /** Whether the assigned machines have capacity for all tasks. */
         public boolean isFulfilled() {
             return fulfilledTasks >= reservation.taskCount();
         }
 
-        /** Whether the slot has machines of a type in a zone. */
+        /** Whether machines of a type in a zone are assigned to the slot. */
         public boolean includes(String type, String zone) {
             return machinesByTypeZone.containsKey(type + '/' + zone);
         }
@@ -54,21 +57,21 @@
         this.slots = List.copyOf(slots);
     }
 
-    /** The occurrences of windows, in the order of their starts. */
+    /** Returns the occurrences of windows, in the order of their starts. */
     public List<Outage> outages() {
         return outages;
     }
 
-    /** The occurrences of reservations, in the order of their starts. */
+    /** Returns the occurrences of reservations, in the order of their starts. */
     public List<Slot> slots() {
         return slots;
     }
 
     /**
-     * Plans all occurrences that overlap a span of time.
+     * Plans all occurrences that overlap a time span.
      *
-     * @param fromMillis its start in milliseconds since the epoch
-     * @param untilMillis its end, exclusive
+     * @param fromMillis the start of the span in milliseconds since the epoch
+     * @param untilMillis the end of the span, exclusive
      */
     public static ReservationPlan of(
             CalendarSnapshot calendar,
--- a/src/main/java/org/meadowhollow/coordination/reservation/ReservationPlanner.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservationPlanner.java
@@ -12,8 +12,8 @@
 import org.meadowhollow.model.reservation.Reservation;
 
 /**
- * Assigns machines to the slots of a plan, each from what the slots planned before it leave. Used
- * while one {@link ReservationPlan} is made; not thread-safe.
+ * Assigns machines to the slots of a plan. Each slot gets machines that the slots planned before it
+ * leave free. Used while one {@link ReservationPlan} is computed; not thread-safe.
  */
 final class ReservationPlanner {
     private final ReservableCapacity capacity;
@@ -22,7 +22,7 @@
     private final Map<String, UsageTimeline> cpuUsageByTeam = new HashMap<>();
     private final Map<String, UsageTimeline> gpuUsageByTeam = new HashMap<>();
 
-    /** The slot being planned: machines and conflicts so far. */
+    /** The slot being planned, with the machines and conflicts found so far. */
     private static final class SlotDraft {
         private final Reservation reservation;
         private final Occurrence occurrence;
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Plans one occurrence of a reservation: the cheapest machines first, as far as the team's
-     * limit allows.
+     * Plans one occurrence of a reservation: assigns the cheapest machines first, up to the team's
+     * limit.
      */
     ReservationPlan.Slot planSlot(Reservation reservation, Occurrence occurrence) {
         SlotDraft draft = new SlotDraft(reservation, occurrence);
@@ -83,7 +83,10 @@
                 .add(draft.occurrence, reservation.name(), usage.gpu());
     }
 
-    /** The machine types that the reservation allows, by the price of a task, then by name. */
+    /**
+     * Returns the machine types that the reservation allows, ordered by the price per task, then by
+     * name.
+     */
     private List<MachineType> eligibleTypesByPrice(Reservation reservation) {
         return capacity.machineTypes().stream()
                 .filter(type -> isEligible(type, reservation))
@@ -109,7 +112,9 @@
         return type.hourlyPrice() / tasksPerMachine;
     }
 
-    /** How many tasks the team's limit leaves room for; adds a conflict if not for all. */
+    /**
+     * Returns the number of tasks that fit within the team's limit; adds a conflict if not all do.
+     */
     private int countTasksWithinTeamLimit(SlotDraft draft) {
         Reservation reservation = draft.reservation;
         String team = reservation.team();
@@ -129,7 +134,7 @@
         return Math.min(reservation.taskCount(), tasks);
     }
 
-    /** What is left of a limit, of which 0 means none. */
+    /** Returns the unused part of a team's limit; a limit of 0 means that there is no limit. */
     private static long remaining(long limit, UsageTimeline usage, SlotDraft draft) {
         return limit == 0 ? Long.MAX_VALUE : limit - usage.peakDuring(draft.occurrence);
     }
@@ -140,9 +145,9 @@
     }
 
     /**
-     * Takes machines of a type in a zone; adds a conflict if that is not enough.
+     * Allocates machines of a type in a zone; adds a conflict if there are not enough.
      *
-     * @return for how many tasks they have room
+     * @return the number of tasks that fit on the allocated machines
      */
     private int allocate(SlotDraft draft, MachineType type, String zone, int tasks) {
         for (ReservationPlan.Outage outage : outages) {
--- a/src/main/java/org/meadowhollow/coordination/reservation/ReservationService.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservationService.java
@@ -29,17 +29,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Answers the operators' requests about reservations and maintenance windows, at any node, straight
- * from the key-value store. Every change requires and writes one revision key, a compare-and-swap,
- * so that of two changes that were decided from the same calendar one is decided again. Holds no
- * state of its own and may be called on any thread.
+ * Serves operators' requests for reservations and maintenance windows. Runs on every node and reads
+ * and writes the key-value store directly. Every change requires that the calendar's revision key
+ * is unchanged and rewrites it (compare-and-swap), so of two concurrent changes that were decided
+ * from the same calendar, one fails and is decided again. Stateless; may be called on any thread.
  */
 public final class ReservationService {
     private static final Logger LOG = LoggerFactory.getLogger(ReservationService.class);
     private static final int MAX_ATTEMPTS = 5;
     private static final Duration RETRY_DELAY = Duration.ofMillis(200);
 
-    /** What a request has done to its entry. */
+    /** The effect of a request on its entry. */
     public enum ChangeResult {
         CREATED,
         CHANGED,
@@ -47,26 +47,26 @@
     }
 
     /**
-     * The answer to a request that was carried out.
+     * The result of a request that was accepted.
      *
-     * @param revision of the entry as it is now
-     * @param notes what it does to other entries, for the operator to read
+     * @param revision the current revision of the entry
+     * @param notes the effects of the change on other entries, as text for the operator
      */
     public record ChangeOutcome(ChangeResult result, Revision revision, List<String> notes) {}
 
-    /** The request is not carried out; the message says why. */
+    /** Thrown when a request is rejected; the message gives the details. */
     public static final class RejectedException extends RuntimeException {
-        /** The kinds of reasons. */
+        /** The reasons for which requests are rejected. */
         public enum Reason {
-            /** It can never be met. */
+            /** The request can never be met, even if the calendar were empty. */
             INFEASIBLE,
-            /** Other entries leave too little. */
+            /** Other entries leave too little capacity. */
             INSUFFICIENT_CAPACITY,
-            /** The entry has another revision than the request expects. */
+            /** The entry's revision differs from the one that the request expects. */
             REVISION_MISMATCH,
-            /** There is no entry to change. */
+            /** The request changes an entry that does not exist. */
             NOT_FOUND,
-            /** There are too many entries. */
+            /** The calendar has no space for another entry. */
             CALENDAR_FULL
         }
 
@@ -77,13 +77,13 @@
             this.reason = reason;
         }
 
-        /** The kind of the reason. */
+        /** Returns the reason for the rejection. */
         public Reason reason() {
             return reason;
         }
     }
 
-    /** What a request comes to, given the calendar. */
+    /** The decision on a request, based on one snapshot of the calendar. */
     private sealed interface Decision permits NothingToChange, EntryChange {}
 
     private record NothingToChange(Revision revision) implements Decision {}
@@ -91,7 +91,7 @@
     /**
      * A change of one entry.
      *
-     * @param value the new record, or null to delete it
+     * @param value the new record, or null to delete the entry
      * @param expectedRevision the revision that the entry must still have
      */
     private record EntryChange(
@@ -111,8 +111,8 @@
     /**
      * Creates a service.
      *
-     * @param maxMachines machines that the operators will have at a time, as in {@link
-     *     ReservableCapacity}
+     * @param maxMachines the largest number of machines that the operators allow at a time, as in
+     *     {@link ReservableCapacity}
      */
     public ReservationService(
             KeyValueStore store,
@@ -127,7 +127,9 @@
         this.maxMachines = Map.copyOf(maxMachines);
     }
 
-    /** The capacity that the machine types, the settings and the operators' limits allow. */
+    /**
+     * Returns the capacity that the machine types, the settings and the operators' limits allow.
+     */
     public static ReservableCapacity reservableCapacity(
             MachineTypeCatalog machineTypeCatalog,
             DeploymentSettings deploymentSettings,
@@ -142,7 +144,7 @@
     }
 
     /**
-     * The capacity now.
+     * Returns the capacity that is known now.
      *
      * @throws AdmissionService.TemporarilyUnavailableException while no machine type is known
      */
@@ -154,10 +156,10 @@
         return reservableCapacity(machineTypeCatalog, deploymentSettings, maxMachines);
     }
 
-    /** Reads the calendar; its revision is no newer than anything else in it. */
+    /** Reads the calendar. The revision of the snapshot is no newer than any entry in it. */
     public CompletableFuture<CalendarSnapshot> readCalendar() {
-        // The revision first: read after an entry it could be newer than that entry, and a change
-        // that was decided from the old entry would be applied.
+        // The revision is read first. If it were read after an entry, it could be newer than
+        // that entry, and a change that was decided from the outdated entry would be applied.
         return store.get(CalendarRecordCodec.REVISION_KEY, RequestPriority.USER)
                 .thenCompose(
                         revisionEntry ->
@@ -191,7 +193,7 @@
                         });
     }
 
-    /** The plan from now on for some time. */
+    /** Returns the plan from now to the end of a time span. */
     public CompletableFuture<ReservationPlan> planAhead(Duration span) {
         return readCalendar()
                 .thenApply(
@@ -204,10 +206,11 @@
     }
 
     /**
-     * Creates or changes a reservation; fails with {@link RejectedException} if it cannot be
-     * admitted. Repeating a request changes nothing.
+     * Creates or changes a reservation; the future fails with {@link RejectedException} if the
+     * reservation cannot be admitted. Idempotent: a repeated request changes nothing.
      *
-     * @param expected the revision that is to be changed, or null for a new reservation
+     * @param expected the current revision of the reservation to change, or null for a new
+     *     reservation
      */
     public CompletableFuture<ChangeOutcome> reserve(Reservation requested, Revision expected) {
         return attemptChange(calendar -> decideReserve(calendar, requested, expected), 1);
@@ -254,10 +257,10 @@
     }
 
     /**
-     * Creates or changes a maintenance window, whatever reservations it affects; the notes name
-     * them. Repeating a request changes nothing.
+     * Creates or changes a maintenance window, regardless of the reservations that it affects; the
+     * notes of the outcome name these. Idempotent: a repeated request changes nothing.
      *
-     * @param expected the revision that is to be changed, or null for a new window
+     * @param expected the current revision of the window to change, or null for a new window
      */
     public CompletableFuture<ChangeOutcome> declareWindow(
             MaintenanceWindow requested, Revision expected) {
@@ -289,10 +292,10 @@
     }
 
     /**
-     * Deletes an entry; does nothing if there is none.
+     * Deletes an entry; does nothing if the entry does not exist.
      *
-     * @param window whether it is a maintenance window; otherwise a reservation
-     * @param expected the revision that is to be deleted, or null for any
+     * @param window true to delete a maintenance window, false to delete a reservation
+     * @param expected the current revision of the entry, or null to delete any revision
      */
     public CompletableFuture<ChangeOutcome> withdraw(
             String name, boolean window, Revision expected) {
@@ -350,7 +353,10 @@
         return existing.isPresent() ? ChangeResult.CHANGED : ChangeResult.CREATED;
     }
 
-    /** One more than the last: an entry accepted later is served later. */
+    /**
+     * Returns one more than the largest acceptance order, so that an entry that is accepted later
+     * is planned later.
+     */
     private static long nextAcceptanceOrder(CalendarSnapshot calendar) {
         long last = 0;
         for (CalendarSnapshot.CalendarEntry<?> entry : calendar.reservations()) {
@@ -363,9 +369,9 @@
     }
 
     /**
-     * Reads the calendar, decides and commits.
+     * Reads the calendar, decides on the request and commits the change, if any.
      *
-     * @param attempt counts from 1 to {@link #MAX_ATTEMPTS}
+     * @param attempt the number of this attempt, from 1 to {@link #MAX_ATTEMPTS}
      */
     private CompletableFuture<ChangeOutcome> attemptChange(
             Function<CalendarSnapshot, Decision> decide, int attempt) {
@@ -382,7 +388,7 @@
                         });
     }
 
-    // No future is ignored: thenCompose unwraps the one that the handler returns.
+    // thenCompose unwraps the future that the handler returns, so none is ignored.
     @SuppressWarnings("FutureReturnValueIgnored")
     private CompletableFuture<ChangeOutcome> commit(
             EntryChange change,
@@ -396,8 +402,9 @@
                                 return CompletableFuture.completedFuture(
                                         onApplied(change, commitResult.revision()));
                             }
-                            // Not applied, or unknown: what is in the store by now decides, and
-                            // the conditions keep a late commit out.
+                            // Not applied, or the outcome is unknown: decide again from what the
+                            // store holds now. If the transaction is executed later, its
+                            // revision conditions make it fail.
                             return retry(decide, attempt, failure);
                         })
                 .thenCompose(outcome -> outcome);
--- a/src/main/java/org/meadowhollow/coordination/reservation/ReservationSettings.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservationSettings.java
@@ -4,15 +4,16 @@
 import java.util.Map;
 
 /**
- * Whether and how a node enforces reservations and maintenance windows, as its flags say.
+ * Settings of a node, from its command-line flags, for the enforcement of reservations and
+ * maintenance windows.
  *
- * @param machineLimits machines that the operators will have at a time, by {@code type/zone} or by
- *     type; others have no bound
- * @param maxClockSkew how far the wall clock may be off, on either side
+ * @param machineLimits the largest number of machines that the operators allow at a time, by {@code
+ *     type/zone} or by type; types that are not listed have no limit
+ * @param maxClockSkew the largest error of the wall clock, in either direction
  */
 public record ReservationSettings(
         boolean enabled, Map<String, Integer> machineLimits, Duration maxClockSkew) {
-    /** The calendar is not read, and nothing is planned. */
+    /** Settings with which the calendar is not read and nothing is planned. */
     public static final ReservationSettings OFF =
             new ReservationSettings(false, Map.of(), Duration.ZERO);
 }
--- a/src/main/java/org/meadowhollow/coordination/reservation/ReservationView.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservationView.java
@@ -19,42 +19,44 @@
 import org.meadowhollow.model.reservation.Reservation;
 
 /**
- * What the plan means for one round: the room held on machines, the machines that windows take and
- * when, the tasks to evict, and the capacity that is short. Computed from the plan, the machines
- * and two clocks; the limits of the machines then change with the round's decisions. Guarded by the
- * leader's lock.
+ * The effects of the reservation plan on one scheduling round: the capacity held on machines, the
+ * machines that maintenance windows make unavailable and when, the tasks to evict, and the capacity
+ * that is missing. Computed from the plan, the machines and two clocks; the limits of the machines
+ * then change with the round's decisions. Guarded by the leader's lock.
  */
 public final class ReservationView {
-    /** How long before its start room is held for a reservation: longer than most tasks run. */
+    /**
+     * How long before the start of a reservation its capacity is held: longer than most tasks run.
+     */
     static final double HOLD_LEAD_SECONDS = 1800;
 
-    /** A slot that nobody has used for this long after its start is released. */
+    /** A slot that no task has used for this long after its start is released. */
     static final double UNUSED_RELEASE_SECONDS = 600;
 
-    /** How long before it is stopped the owner of a task is warned. */
+    /** How long before a planned stop the owner of the task is warned. */
     public static final double STOP_WARNING_SECONDS = 120;
 
     /**
-     * Time for a stop to reach its worker and for the room to be seen as free: heartbeats, a round
-     * and a write.
+     * Time for a stop to reach the worker and for the leader to see the capacity as free:
+     * heartbeats, a round and a write to the store.
      */
     private static final double STOP_MARGIN_SECONDS = 15;
 
     private static final double MILLIS_PER_SECOND = 1000.0;
 
     /**
-     * A task that uses room which a window or a reservation needs.
+     * The planned eviction of a task whose capacity a window or a reservation needs.
      *
-     * @param stopInSeconds when it should be stopped; negative if that time is past
-     * @param latestStopInSeconds when it must be stopped at the latest; later than the former for a
-     *     service, whose replicas move one after the other
-     * @param reason for the log and its owner
+     * @param stopInSeconds seconds until the task should be stopped; negative if that time is past
+     * @param latestStopInSeconds seconds until the task must be stopped at the latest; later than
+     *     {@code stopInSeconds} for a service, whose replicas move one after the other
+     * @param reason for the log and for the owner of the task
      */
     public record PlannedEviction(
             Placement placement, double stopInSeconds, double latestStopInSeconds, String reason) {}
 
     /**
-     * Room that no machine has yet.
+     * Capacity that a reservation lacks, for which machines are to be rented.
      *
      * @param zone the only allowed zone, or null
      */
@@ -64,21 +66,21 @@
      * The clocks of a round.
      *
      * @param wallMillis the wall clock in milliseconds since the epoch
-     * @param skewMillis how far the wall clock may be off, on either side
+     * @param skewMillis the largest error of the wall clock, in either direction
      */
     public record RoundClocks(MonotonicTime now, long wallMillis, long skewMillis) {
-        /** Seconds until a wall-clock time, at the earliest that the skew allows. */
+        /** Returns the smallest number of seconds until a wall-clock time that the skew allows. */
         double secondsUntil(long millis) {
             return (millis - wallMillis - skewMillis) / MILLIS_PER_SECOND;
         }
 
-        /** Whether a wall-clock time has passed, whatever the skew is. */
+        /** Whether a wall-clock time has passed, even if the clock is fast by the largest skew. */
         boolean isCertainlyPast(long millis) {
             return wallMillis - skewMillis >= millis;
         }
     }
 
-    /** The view without reservations and windows. */
+    /** A view without reservations and windows. */
     public static final ReservationView EMPTY = new ReservationView(new RuntimeEstimator());
 
     private final RuntimeEstimator runtimeEstimator;
@@ -96,10 +98,11 @@
     /**
      * Computes the view of a round.
      *
-     * @param machines all that have been in contact
+     * @param machines the machines that have been in contact
      * @param schedulable whether a machine can take tasks now
      * @param pendingTasks how many tasks of each job are pending
-     * @param startupDelaySeconds how long a new machine takes until it can run one of a job's tasks
+     * @param startupDelaySeconds the time that a new machine takes until it can run a task of the
+     *     job
      */
     public static ReservationView of(
             ReservationPlan plan,
@@ -125,37 +128,40 @@
         return view;
     }
 
-    /** The limit of a machine, or null if there is none. */
+    /** Returns the limit of a machine, or null if there is none. */
     public MachineReservationLimit limitFor(MachineId machine) {
         return limitsByMachine.get(machine);
     }
 
-    /** The tasks to evict for windows and slots, the most urgent first. */
+    /** Returns the tasks to evict for windows and slots, the most urgent first. */
     public List<PlannedEviction> plannedEvictions() {
         return plannedEvictions;
     }
 
-    /** The room that machines are to be rented for. */
+    /** Returns the missing capacity for which machines are to be rented. */
     public List<CapacityShortfall> shortfalls() {
         return shortfalls;
     }
 
-    /** Names of reservations whose slot is released because nobody used it. */
+    /** Returns the names of the reservations whose slot is released because no task used it. */
     public Set<String> unusedReservations() {
         return unusedReservations;
     }
 
-    /** Whether a job may use a slot that has begun and has room left. */
+    /** Whether a job may use a slot that has begun and has unused capacity. */
     public boolean hasActiveReservation(JobSpec spec) {
         return activeReservations.stream().anyMatch(reservation -> reservation.admits(spec));
     }
 
-    /** Whether a window takes the machines of a type in a zone now or soon, so none is rented. */
+    /**
+     * Whether a window makes all machines of a type in a zone unavailable now or soon, so that none
+     * should be rented.
+     */
     public boolean isInOutageWindow(String type, String zone) {
         return outageTypeZones.contains(type + '/' + zone);
     }
 
-    /** Machines on which room is held for reservations. */
+    /** Returns the machines on which capacity is held for reservations. */
     public Set<MachineId> reservedMachines() {
         Set<MachineId> reserved = new HashSet<>();
         limitsByMachine.forEach(
@@ -167,20 +173,23 @@
         return reserved;
     }
 
-    // ---- for the planners, while the view is computed ----
+    // ---- used by OutagePlanner and SlotPlanner while the view is computed ----
 
-    /** When a task must be stopped at the latest so that its room is free at a time. */
+    /**
+     * Returns the seconds until a task must be stopped at the latest so that its capacity is free
+     * when it is needed.
+     */
     static double latestStopInSeconds(JobSpec spec, double roomNeededInSeconds) {
         return roomNeededInSeconds - spec.checkpointDurationSeconds() - STOP_MARGIN_SECONDS;
     }
 
-    /** The limit of a machine, which is created without any effect if there is none. */
+    /** Returns the limit of a machine; creates one that restricts nothing if there is none. */
     MachineReservationLimit limitForUpdate(Machine machine) {
         return limitsByMachine.computeIfAbsent(
                 machine.id(), unused -> new MachineReservationLimit(runtimeEstimator));
     }
 
-    /** All room that is held on a machine so far. */
+    /** Returns all capacity that is held on a machine so far. */
     Resources heldResources(Machine machine) {
         MachineReservationLimit limit = limitsByMachine.get(machine.id());
         return limit == null ? Resources.NONE : limit.heldResources();
--- a/src/main/java/org/meadowhollow/coordination/reservation/RoundInputs.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/RoundInputs.java
@@ -8,12 +8,12 @@
 import org.meadowhollow.model.Machine;
 
 /**
- * What a {@link ReservationView} is computed from besides the plan.
+ * The inputs of a {@link ReservationView} besides the plan.
  *
- * @param machines all that have been in contact
+ * @param machines the machines that have been in contact
  * @param schedulable whether a machine can take tasks now
  * @param pendingTasks how many tasks of each job are pending
- * @param startupDelaySeconds how long a new machine takes until it can run one of a job's tasks
+ * @param startupDelaySeconds the time that a new machine takes until it can run a task of the job
  */
 record RoundInputs(
         Collection<Machine> machines,
--- a/src/main/java/org/meadowhollow/coordination/reservation/RuntimeEstimator.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/RuntimeEstimator.java
@@ -8,28 +8,31 @@
 import org.meadowhollow.model.JobSpec;
 
 /**
- * Estimates how long tasks run at most: their owner's estimate times a margin, which is learned for
- * each class of jobs as the ratio of actual to estimated runtime that nine of ten recent tasks stay
- * below. A class with too few samples has a margin that covers an estimate which is wrong by half.
- * Not thread-safe: guarded by the leader's lock.
+ * Estimates upper bounds of task runtimes: the owner's estimate times a margin. The margin is
+ * learned for each job class as the 90th percentile of the ratio of actual to estimated runtime of
+ * recent tasks. A class with too few samples has a default margin, which covers runtimes that
+ * exceed the estimate by half. Not thread-safe: guarded by the leader's lock.
  */
 public final class RuntimeEstimator {
     private static final int MIN_SAMPLES = 10;
     private static final int MAX_SAMPLES_PER_CLASS = 50;
 
-    /** Bounds memory; the class that was seen first is dropped. */
+    /** Bounds memory; the class that was seen first is evicted. */
     private static final int MAX_CLASSES = 100;
 
     private static final double QUANTILE = 0.9;
     private static final double DEFAULT_MARGIN = 1.5;
 
-    /** Tasks that end earlier than estimated are not counted on. */
+    /**
+     * The bound is never below the owner's estimate, even if tasks of the class usually end
+     * earlier.
+     */
     private static final double MIN_MARGIN = 1;
 
     /** Outliers of one class must not keep machines empty for hours. */
     private static final double MAX_MARGIN = 4;
 
-    /** The estimate for a task whose owner gives none. */
+    /** The estimated runtime of a task whose owner gives none. */
     private static final double DEFAULT_ESTIMATE_SECONDS = 900;
 
     private final Map<String, ArrayDeque<Double>> runtimeRatiosByClass =
@@ -40,13 +43,13 @@
                 }
             };
 
-    /** Margins computed since the last sample of their class. */
+    /** Cached margins; the entry of a class is removed when a sample of the class is added. */
     private final Map<String, Double> marginByClass = new HashMap<>();
 
     /**
      * Records the runtime of a completed task.
      *
-     * @param runtimeSeconds without the pull of its image
+     * @param runtimeSeconds the runtime without the image pull
      */
     public void recordRuntime(JobSpec spec, double runtimeSeconds) {
         if (spec.estimatedRuntimeSeconds() <= 0) {
@@ -61,7 +64,7 @@
         marginByClass.remove(spec.jobClass());
     }
 
-    /** The factor by which estimates of a class are multiplied. */
+    /** Returns the factor by which the estimates of a class are multiplied. */
     public double marginFor(String jobClass) {
         ArrayDeque<Double> ratios = runtimeRatiosByClass.get(jobClass);
         if (ratios == null || ratios.size() < MIN_SAMPLES) {
@@ -78,14 +81,17 @@
     }
 
     /**
-     * The upper bound in seconds for a task that may not be preempted: one in ten that takes longer
-     * would be one too many, so its margin is never below the default.
+     * Returns the upper bound of the runtime in seconds for a task that may not be preempted. Such
+     * a task delays a reservation if it exceeds its bound, as one in ten does with a learned
+     * margin, so its margin is never below the default.
      */
     double conservativeUpperBoundSeconds(JobSpec spec) {
         return estimateSeconds(spec) * Math.max(DEFAULT_MARGIN, marginFor(spec.jobClass()));
     }
 
-    /** How long a task of a job that ends by itself is expected to run at most, in seconds. */
+    /**
+     * Returns the upper bound of the runtime in seconds for a task of a job that ends by itself.
+     */
     public double upperBoundSeconds(JobSpec spec) {
         return estimateSeconds(spec) * marginFor(spec.jobClass());
     }
--- a/src/main/java/org/meadowhollow/coordination/reservation/SlotPlanner.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/SlotPlanner.java
@@ -14,25 +14,30 @@
 import org.meadowhollow.model.reservation.Reservation;
 
 /**
- * Enters into a view what the slots of reservations mean: the room to hold on machines, the tasks
- * to preempt for it, and the capacity that is short. The slots are planned in the order of the
- * plan.
+ * Adds the effects of the slots of reservations to a view: the capacity to hold on machines, the
+ * tasks to preempt for it, and the capacity that is missing. The slots are processed in the order
+ * of the plan.
  */
 final class SlotPlanner {
-    /** A boot can take half as long again as usual. */
+    /** A boot may take 1.5 times as long as usual; machines are rented early enough for that. */
     private static final double BOOT_TIME_FACTOR = 1.5;
 
-    /** For the round and the call of the cloud provider that come before the boot. */
+    /** Time before the boot: the scheduling round and the call to the cloud provider. */
     private static final double SCALE_OUT_MARGIN_SECONDS = 60;
 
-    /** The least share of its estimate that a task is expected to need, however long it has run. */
+    /**
+     * The smallest expected remaining runtime of a task as a share of its estimate, however long
+     * the task has run.
+     */
     private static final double MIN_REMAINING_SHARE = 0.1;
 
     private final ReservationView view;
     private final RoundInputs inputs;
     private final ReservationPlan plan;
 
-    /** Running tasks that use a slot; a task that two slots admit counts in the first one only. */
+    /**
+     * Running tasks that use a slot. A task that two slots admit is counted for the first one only.
+     */
     private final Set<Placement> countedPlacements = new HashSet<>();
 
     SlotPlanner(ReservationView view, RoundInputs inputs, ReservationPlan plan) {
@@ -65,7 +70,8 @@
             view.addActiveReservation(reservation);
         }
         left -= holdRoom(slot, startsIn, left);
-        // For what is pending for the slot already, machines are rented as for any pending job.
+        // Machines for tasks that are already pending are rented as for any pending job, so these
+        // tasks are not part of the shortfall.
         for (Map.Entry<JobSpec, Integer> pending : inputs.pendingTasks().entrySet()) {
             left -= reservation.admits(pending.getKey()) ? pending.getValue() : 0;
         }
@@ -97,10 +103,11 @@
     }
 
     /**
-     * Holds room on the machines that the slot may use: room that is free or will be by its start,
-     * and shortly before also room that can be preempted.
+     * Holds capacity on the machines that the slot may use: capacity that is free or will be free
+     * by the start of the slot, and shortly before the start also capacity of tasks that can be
+     * preempted.
      *
-     * @return for how many tasks room is held
+     * @return the number of tasks for which capacity is held
      */
     private int holdRoom(ReservationPlan.Slot slot, double startsIn, int maxTasks) {
         List<Machine> machines = usableMachines(slot);
@@ -117,9 +124,10 @@
     }
 
     /**
-     * The machines that the slot may use, best first: with the image cached, of a type and zone
-     * that the plan chose, with the fewest tasks, and by id. Any other type and zone that the
-     * reservation allows will do where the plan's choice is not available.
+     * Returns the machines that the slot may use, ordered by preference: machines that have the
+     * image cached, then machines of a type and zone that the plan chose, then those with the
+     * fewest tasks, then by id. Other types and zones that the reservation allows are included for
+     * when the plan's choice is not available.
      */
     private List<Machine> usableMachines(ReservationPlan.Slot slot) {
         Reservation reservation = slot.reservation();
@@ -153,7 +161,10 @@
         return false;
     }
 
-    /** Holds room that is free or will be by the start; returns for how many tasks. */
+    /**
+     * Holds capacity that is free or will be free by the start of the slot; returns the number of
+     * tasks for which it is held.
+     */
     private int holdFreeRoom(
             Machine machine, Reservation reservation, double startsIn, int maxTasks) {
         Resources releasedByStart = Resources.NONE;
@@ -174,7 +185,7 @@
         Resources heldThen = held.plus(reservation.resourcesPerTask().times(tasks));
         boolean countsOnReleases = !heldThen.fitsIn(machine.freeCapacity());
         if (startsIn < ReservationView.STOP_WARNING_SECONDS && countsOnReleases) {
-            // They are expected to end in time; one that does not, against all estimates, is
+            // These tasks are expected to end in time; one that exceeds its estimate is
             // preempted.
             ending.stream()
                     .filter(placement -> mayPreempt(placement, reservation))
@@ -183,7 +194,10 @@
         return tasks;
     }
 
-    /** Holds room that tasks of lower priority use, which are warned and stopped in time. */
+    /**
+     * Holds capacity that tasks of lower priority use; these tasks are warned and stopped in time.
+     * Returns the number of tasks for which capacity is held.
+     */
     private int holdByPreemption(
             Machine machine, Reservation reservation, double startsIn, int maxTasks) {
         Resources room = machine.freeCapacity().minus(view.heldResources(machine));
@@ -209,7 +223,10 @@
         return tasks;
     }
 
-    /** How much longer a task runs at most, with a larger margin if it may not be preempted. */
+    /**
+     * Returns the upper bound of a task's remaining runtime in seconds, with a larger margin if the
+     * task may not be preempted.
+     */
     private double remainingSeconds(Placement placement, Reservation reservation) {
         JobSpec spec = placement.job().spec();
         if (spec.kind() == JobKind.SERVICE) {
--- a/src/main/java/org/meadowhollow/coordination/reservation/UsageTimeline.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/UsageTimeline.java
@@ -6,8 +6,8 @@
 import org.meadowhollow.model.reservation.Occurrence;
 
 /**
- * Amounts of one resource that reservations use over time, indexed by day, so that usage on other
- * days costs nothing. Belongs to one {@link ReservationPlanner}; not thread-safe.
+ * The amounts of one resource that reservations use over time. Indexed by day, so that a query does
+ * not visit usage on other days. Belongs to one {@link ReservationPlanner}; not thread-safe.
  */
 final class UsageTimeline {
     private static final long DAY_MILLIS = 86_400_000;
@@ -23,12 +23,13 @@
         }
     }
 
-    /** The largest total at any moment of a span. */
+    /** Returns the largest total amount in use at any moment of a span. */
     long peakDuring(Occurrence span) {
         List<Usage> usages = usagesDuring(span);
         long peak = 0;
         for (Usage candidate : usages) {
-            // The total is largest where one of the usages starts, or the span does.
+            // The total rises only where a usage starts, so its maximum is at the start of a
+            // usage or of the span.
             long moment = Math.max(candidate.occurrence().startMillis(), span.startMillis());
             peak = Math.max(peak, totalAt(moment, usages));
         }
@@ -46,7 +47,9 @@
         return total;
     }
 
-    /** The reservations that use any during a span, each once, by name. */
+    /**
+     * Returns the distinct names of the reservations that use the resource during a span, sorted.
+     */
     List<String> reservationNamesDuring(Occurrence span) {
         return usagesDuring(span).stream().map(Usage::reservationName).distinct().sorted().toList();
     }
--- a/src/test/java/org/meadowhollow/coordination/reservation/RecurrenceTest.java
+++ b/src/test/java/org/meadowhollow/coordination/reservation/RecurrenceTest.java
@@ -33,7 +33,7 @@
 
     @Test
     void dailyRuleKeepsLocalTimeAcrossClockChange() {
-        // New York's clocks go forward on 8 March 2026 at 2 and back on 1 November at 2.
+        // In New York, clocks go forward on 8 March 2026 at 02:00 and back on 1 November at 02:00.
         assertEquals(
                 List.of("2026-03-07T06:00:00Z", "2026-03-08T06:00:00Z", "2026-03-09T05:00:00Z"),
                 starts(
@@ -54,7 +54,7 @@
                         "FREQ=DAILY;COUNT=3",
                         "2026-03-01T00:00:00Z",
                         "2026-03-20T00:00:00Z"),
-                "half past two is half past three on the eighth");
+                "02:30 does not exist on 8 March and becomes 03:30");
         assertEquals(
                 List.of("2026-10-31T05:30:00Z", "2026-11-01T05:30:00Z", "2026-11-02T06:30:00Z"),
                 starts(
--- a/src/test/java/org/meadowhollow/coordination/reservation/ReservationPlanTest.java
+++ b/src/test/java/org/meadowhollow/coordination/reservation/ReservationPlanTest.java
@@ -139,7 +139,7 @@
                                     : 0;
                 }
             }
-            assertTrue(gpus <= 10, "over the limit of the team");
+            assertTrue(gpus <= 10, "the GPUs exceed the team's limit");
             for (String typeZone : machines.keySet()) {
                 assertTrue(
                         machines.get(typeZone) <= (typeZone.startsWith("small") ? 3 : 1), typeZone);
@@ -204,7 +204,7 @@
                 ReservationPlan.of(calendar, CAPACITY, 0, SPAN_MILLIS).slots();
         List<ReservationPlan.Slot> with =
                 ReservationPlan.of(calendar.with(requested), CAPACITY, 0, SPAN_MILLIS).slots();
-        assertTrue(with.containsAll(before), "earlier reservations keep their machines");
+        assertTrue(with.containsAll(before), "reservations admitted before keep their machines");
         assertEquals(
                 before,
                 ReservationPlan.of(
@@ -314,6 +314,6 @@
         assertTrue(
                 ReservationPlan.of(both, CAPACITY, 0, SPAN_MILLIS).slots().stream()
                         .noneMatch(ReservationPlan.Slot::isFulfilled),
-                "two windows take all machines");
+                "two windows make all machines unavailable");
     }
 }
