--- a/src/main/java/org/meadowhollow/protocol/jobs/JobApi.java
+++ b/src/main/java/org/meadowhollow/protocol/jobs/JobApi.java
@@ -35,8 +35,8 @@
         JobSpec spec;
         try {
             spec = SubmissionCodec.decode(MessageReader.decode(body));
-        } catch (MalformedMessageException broken) {
-            return CompletableFuture.completedFuture(Http.Reply.error(400, broken.getMessage()));
+        } catch (MalformedMessageException malformed) {
+            return CompletableFuture.completedFuture(Http.Reply.error(400, malformed.getMessage()));
         }
         return mapFailuresToReplies(
                 admissionService
@@ -73,7 +73,7 @@
         return mapFailuresToReplies(
                 status.thenApply(
                         job ->
-                                job.map(known -> statusReply(200, known))
+                                job.map(found -> statusReply(200, found))
                                         .orElseGet(() -> Http.Reply.error(404, "no such job"))));
     }
 
--- a/src/main/java/org/meadowhollow/protocol/jobs/SubmissionCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/jobs/SubmissionCodec.java
@@ -58,8 +58,8 @@
      *     range
      */
     public static JobSpec decode(MessageReader body) throws MalformedMessageException {
-        String ref = body.string(JOB_ID);
-        if (!JobId.isWellFormed(ref)) {
+        String id = body.string(JOB_ID);
+        if (!JobId.isWellFormed(id)) {
             throw new MalformedMessageException(JOB_ID + " is not a job id");
         }
         long tasks = body.nonNegativeLong(TASK_COUNT);
@@ -73,7 +73,7 @@
                         body.nonNegativeDouble(MEMORY_GB));
         List<String> types = body.stringListOrNull(MACHINE_TYPES);
         return new JobSpec(
-                new JobId(ref),
+                new JobId(id),
                 requireValidName(body, JOB_CLASS),
                 requireValidName(body, TEAM),
                 decodeKind(body.string(KIND)),
@@ -154,8 +154,8 @@
         return name;
     }
 
-    private static JobKind decodeKind(String word) throws MalformedMessageException {
-        return switch (word) {
+    private static JobKind decodeKind(String value) throws MalformedMessageException {
+        return switch (value) {
             case KIND_ARRAY -> JobKind.ARRAY;
             case KIND_GANG -> JobKind.GANG;
             case KIND_SERVICE -> JobKind.SERVICE;
@@ -173,8 +173,8 @@
         };
     }
 
-    private static Priority decodePriority(String word) throws MalformedMessageException {
-        return switch (word) {
+    private static Priority decodePriority(String value) throws MalformedMessageException {
+        return switch (value) {
             case PRIORITY_PRODUCTION -> Priority.PRODUCTION;
             case PRIORITY_HIGH -> Priority.HIGH;
             case PRIORITY_NORMAL -> Priority.NORMAL;
--- a/src/main/java/org/meadowhollow/protocol/reservation/ReservationApi.java
+++ b/src/main/java/org/meadowhollow/protocol/reservation/ReservationApi.java
@@ -123,10 +123,10 @@
         if (!request.path().startsWith(PATH_PREFIX)) {
             throw new HttpStatusException(404, "no such path");
         }
-        boolean reads = request.method().equals("GET");
-        authorize(request, reads);
+        boolean isRead = request.method().equals("GET");
+        authorize(request, isRead);
         String[] parts = request.path().substring(PATH_PREFIX.length()).split("/", -1);
-        if (parts.length == 1 && parts[0].equals(PLAN_PATH) && reads) {
+        if (parts.length == 1 && parts[0].equals(PLAN_PATH) && isRead) {
             return showPlan(request);
         }
         boolean windows = parts[0].equals(WINDOWS_PATH);
@@ -134,7 +134,7 @@
             throw new HttpStatusException(404, "no such path");
         }
         if (parts.length == 1) {
-            if (!reads) {
+            if (!isRead) {
                 throw new HttpStatusException(405, "wrong method");
             }
             return listEntries(windows);
@@ -151,14 +151,14 @@
         };
     }
 
-    private void authorize(Http.Request request, boolean reads) {
+    private void authorize(Http.Request request, boolean isRead) {
         String holder =
                 tokens.teamOf(request.header().apply("Authorization"))
                         .orElseThrow(
                                 () ->
                                         new HttpStatusException(
                                                 401, "no token, or one that is not known"));
-        if (!reads && !holder.equals(OPERATOR)) {
+        if (!isRead && !holder.equals(OPERATOR)) {
             throw new HttpStatusException(403, "this token may only read");
         }
     }
@@ -216,9 +216,9 @@
         Revision expected = parseExpectedRevision(request);
         return (windows
                         ? reservationService.declareWindow(
-                                ReservationCodec.window(name, body), expected)
+                                ReservationCodec.decodeWindow(name, body), expected)
                         : reservationService.reserve(
-                                ReservationCodec.reservation(name, body), expected))
+                                ReservationCodec.decodeReservation(name, body), expected))
                 .thenApply(ReservationApi::changeReply);
     }
 
--- a/src/main/java/org/meadowhollow/protocol/reservation/ReservationCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/reservation/ReservationCodec.java
@@ -71,7 +71,7 @@
                     ZONES,
                     MaintenanceWindow.Scope.ZONE);
 
-    private static final Map<String, Priority> PRIORITY_BY_WORD =
+    private static final Map<String, Priority> PRIORITY_BY_NAME =
             Map.of(
                     "critical",
                     Priority.PRODUCTION,
@@ -98,21 +98,21 @@
     }
 
     /** Decodes a reservation; the name comes from the path of the request. */
-    static Reservation reservation(String name, MessageReader body)
+    static Reservation decodeReservation(String name, MessageReader body)
             throws MalformedMessageException {
         long tasks = body.nonNegativeLong(TASKS);
         if (tasks < 1 || tasks > MAX_TASKS) {
             throw new MalformedMessageException("tasks is not from 1 to " + MAX_TASKS);
         }
         String priority = body.has(PRIORITY) ? body.string(PRIORITY) : DEFAULT_PRIORITY;
-        if (!PRIORITY_BY_WORD.containsKey(priority)) {
+        if (!PRIORITY_BY_NAME.containsKey(priority)) {
             throw new MalformedMessageException(
                     "priority is none of critical, urgent, normal, idle");
         }
         return new Reservation(
                 requireValidName(name),
                 readBoundedText(body, TEAM),
-                PRIORITY_BY_WORD.get(priority),
+                PRIORITY_BY_NAME.get(priority),
                 (int) tasks,
                 Resources.of(
                         body.nonNegativeDouble(CPUS),
@@ -129,7 +129,7 @@
     }
 
     /** Decodes a maintenance window; the name comes from the path of the request. */
-    static MaintenanceWindow window(String name, MessageReader body)
+    static MaintenanceWindow decodeWindow(String name, MessageReader body)
             throws MalformedMessageException {
         MaintenanceWindow.Scope scope = null;
         List<String> targets = null;
@@ -226,7 +226,7 @@
                         TEAM,
                         reservation.team(),
                         PRIORITY,
-                        wordOf(reservation.priority()),
+                        priorityName(reservation.priority()),
                         TASKS,
                         reservation.taskCount(),
                         CPUS,
@@ -252,9 +252,9 @@
         return withSchedule(map, reservation.schedule());
     }
 
-    private static String wordOf(Priority priority) {
-        return PRIORITY_BY_WORD.entrySet().stream()
-                .filter(word -> word.getValue() == priority)
+    private static String priorityName(Priority priority) {
+        return PRIORITY_BY_NAME.entrySet().stream()
+                .filter(entry -> entry.getValue() == priority)
                 .findFirst()
                 .orElseThrow()
                 .getKey();
--- a/src/main/java/org/meadowhollow/protocol/tes/BearerTokens.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/BearerTokens.java
@@ -40,11 +40,11 @@
     public static BearerTokens parse(List<String> entries) throws MalformedMessageException {
         BearerTokens tokens = new BearerTokens();
         for (String entry : entries) {
-            int equals = entry.lastIndexOf('=');
-            String team = equals < 1 ? "" : entry.substring(0, equals);
+            int separator = entry.lastIndexOf('=');
+            String team = separator < 1 ? "" : entry.substring(0, separator);
             byte[] hash;
             try {
-                hash = HexFormat.of().parseHex(entry.substring(equals + 1));
+                hash = HexFormat.of().parseHex(entry.substring(separator + 1));
             } catch (IllegalArgumentException notHex) {
                 hash = new byte[0];
             }
@@ -81,9 +81,9 @@
         }
         byte[] hash = sha256(authorization.substring(BEARER_PREFIX.length()).trim());
         String team = null;
-        for (HashedToken each : hashedTokens) {
-            if (MessageDigest.isEqual(each.hash(), hash)) {
-                team = each.team();
+        for (HashedToken token : hashedTokens) {
+            if (MessageDigest.isEqual(token.hash(), hash)) {
+                team = token.team();
             }
         }
         return Optional.ofNullable(team);
--- a/src/main/java/org/meadowhollow/protocol/tes/TesApi.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesApi.java
@@ -49,7 +49,7 @@
     private final BearerTokens tokens;
     private final RandomGenerator random;
     private final TaskTracer tracer;
-    private final TesTaskStore tasks;
+    private final TesTaskStore taskStore;
     private final TesTaskListing listing;
 
     /**
@@ -74,8 +74,8 @@
         this.deploymentSettings = deploymentSettings;
         this.tokens = tokens;
         this.random = random;
-        this.tasks = new TesTaskStore(store);
-        this.listing = new TesTaskListing(tasks, store);
+        this.taskStore = new TesTaskStore(store);
+        this.listing = new TesTaskListing(taskStore, store);
     }
 
     @Override
@@ -228,7 +228,7 @@
                         result ->
                                 result.isNew()
                                         ? CompletableFuture.completedFuture(storedTask)
-                                        : tasks.load(id, RequestPriority.USER))
+                                        : taskStore.load(id, RequestPriority.USER))
                 .thenApply(
                         accepted -> {
                             if (!accepted.digest().equals(storedTask.digest())) {
@@ -265,7 +265,8 @@
     }
 
     private CompletableFuture<StoredTask> loadReadableTask(String id, String team) {
-        return tasks.load(id, RequestPriority.USER)
+        return taskStore
+                .load(id, RequestPriority.USER)
                 .thenApply(
                         storedTask -> {
                             if (!storedTask.team().equals(team)
--- a/src/main/java/org/meadowhollow/protocol/tes/TesCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesCodec.java
@@ -50,7 +50,7 @@
     private static final double DEFAULT_CPUS = 1;
     private static final double DEFAULT_MEMORY_GB = 2;
     private static final Set<String> FILE_TYPES = Set.of("FILE", "DIRECTORY");
-    private static final Map<String, Priority> PRIORITY_BY_WORD =
+    private static final Map<String, Priority> PRIORITY_BY_NAME =
             Map.of(
                     "critical",
                     Priority.PRODUCTION,
@@ -112,11 +112,11 @@
 
     private static List<MessageReader> boundedList(MessageReader body, String key)
             throws MalformedMessageException {
-        List<MessageReader> all = body.nestedList(key);
-        if (all.size() > MAX_ITEMS) {
+        List<MessageReader> items = body.nestedList(key);
+        if (items.size() > MAX_ITEMS) {
             throw new MalformedMessageException(key + " holds more than " + MAX_ITEMS);
         }
-        return all;
+        return items;
     }
 
     private static void putUnlessEmpty(
@@ -245,14 +245,14 @@
         return path;
     }
 
-    private static Map<String, Object> requireStringMap(MessageReader from, String what)
+    private static Map<String, Object> requireStringMap(MessageReader from, String fieldName)
             throws MalformedMessageException {
         Map<String, Object> map = new LinkedHashMap<>();
-        for (Map.Entry<String, Object> each : from.map().entrySet()) {
-            if (!(each.getValue() instanceof String)) {
-                throw new MalformedMessageException(what + " holds something other than text");
+        for (Map.Entry<String, Object> entry : from.map().entrySet()) {
+            if (!(entry.getValue() instanceof String)) {
+                throw new MalformedMessageException(fieldName + " holds something other than text");
             }
-            map.put(each.getKey(), each.getValue());
+            map.put(entry.getKey(), entry.getValue());
         }
         return map;
     }
@@ -272,7 +272,7 @@
                         : new MessageReader(Map.of());
         MessageReader parameters = new MessageReader(taskRequest.parameters());
         String priority = stringParameter(parameters, "priority", "normal");
-        if (!PRIORITY_BY_WORD.containsKey(priority)) {
+        if (!PRIORITY_BY_NAME.containsKey(priority)) {
             throw new MalformedMessageException(
                     "priority is none of critical, urgent, normal, idle");
         }
@@ -285,7 +285,7 @@
                 jobClass,
                 team,
                 JobKind.ARRAY,
-                PRIORITY_BY_WORD.get(priority),
+                PRIORITY_BY_NAME.get(priority),
                 1,
                 Resources.of(
                         cpus,
@@ -306,12 +306,12 @@
 
     /** Returns the largest number of attempts of a task; 0 means that there is no limit. */
     static int maxAttempts(TaskRequest taskRequest) throws MalformedMessageException {
-        double most =
+        double attempts =
                 numberParameter(new MessageReader(taskRequest.parameters()), "max_attempts", 0);
-        if (most != Math.rint(most) || most > Integer.MAX_VALUE) {
+        if (attempts != Math.rint(attempts) || attempts > Integer.MAX_VALUE) {
             throw new MalformedMessageException("max_attempts is not a whole number");
         }
-        return (int) most;
+        return (int) attempts;
     }
 
     /**
@@ -339,29 +339,31 @@
      * Returns the requested zone, or null if any zone is allowed. A job is bound to one zone or to
      * none, so a request for some of the zones is rejected.
      */
-    private static String singleZoneOrNull(List<String> asked, List<String> all)
+    private static String singleZoneOrNull(List<String> requestedZones, List<String> allZones)
             throws MalformedMessageException {
-        if (asked == null || asked.isEmpty() || asked.containsAll(all)) {
+        if (requestedZones == null
+                || requestedZones.isEmpty()
+                || requestedZones.containsAll(allZones)) {
             return null;
         }
-        if (asked.size() > 1) {
+        if (requestedZones.size() > 1) {
             throw new MalformedMessageException(
-                    "zones names several but not all of " + all + "; name one or none");
+                    "zones names several but not all of " + allZones + "; name one or none");
         }
-        return asked.get(0);
+        return requestedZones.get(0);
     }
 
-    private static String stringParameter(MessageReader parameters, String key, String otherwise)
+    private static String stringParameter(MessageReader parameters, String key, String defaultValue)
             throws MalformedMessageException {
         String text = parameters.stringOrNull(key);
-        return text == null ? otherwise : text;
+        return text == null ? defaultValue : text;
     }
 
-    private static double numberParameter(MessageReader parameters, String key, double otherwise)
+    private static double numberParameter(MessageReader parameters, String key, double defaultValue)
             throws MalformedMessageException {
         String text = parameters.stringOrNull(key);
         if (text == null) {
-            return otherwise;
+            return defaultValue;
         }
         try {
             double value = Double.parseDouble(text);
--- a/src/main/java/org/meadowhollow/protocol/tes/TesTaskListing.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesTaskListing.java
@@ -99,8 +99,8 @@
          * more are read than fit on the page.
          */
         int nextReadSize(int found) {
-            boolean all = namePrefix == null && state == null && tags.isEmpty();
-            return all
+            boolean unfiltered = namePrefix == null && state == null && tags.isEmpty();
+            return unfiltered
                     ? Math.min(KeyValueStore.MAX_PAGE_SIZE, limit - found)
                     : KeyValueStore.MAX_PAGE_SIZE;
         }
@@ -205,8 +205,8 @@
             throw new MalformedMessageException("tag_value comes without its tag_key");
         }
         Map<String, String> tags = new HashMap<>();
-        for (int at = 0; at < keys.size(); at++) {
-            tags.put(keys.get(at), at < values.size() ? values.get(at) : "");
+        for (int index = 0; index < keys.size(); index++) {
+            tags.put(keys.get(index), index < values.size() ? values.get(index) : "");
         }
         return tags;
     }
@@ -221,19 +221,19 @@
             return null;
         }
         try {
-            String rest =
+            String keySuffix =
                     new String(Base64.getUrlDecoder().decode(token), StandardCharsets.US_ASCII);
-            if (KEY_SUFFIX_PATTERN.matcher(rest).matches()) {
-                return teamKeyPrefix(team) + rest;
+            if (KEY_SUFFIX_PATTERN.matcher(keySuffix).matches()) {
+                return teamKeyPrefix(team) + keySuffix;
             }
-        } catch (IllegalArgumentException notOurs) {
+        } catch (IllegalArgumentException invalidEncoding) {
             // Rejected below with the same message as any other invalid token.
         }
         throw new MalformedMessageException("page_token is not one that a list gave");
     }
 
     private CompletableFuture<Http.Reply> collectMatches(
-            Query query, String after, List<Map<String, Object>> found, int reads) {
+            Query query, String after, List<Map<String, Object>> found, int remainingReads) {
         String prefix = teamKeyPrefix(query.team());
         return store.list(
                         prefix, after, query.nextReadSize(found.size()), RequestPriority.BACKGROUND)
@@ -252,9 +252,9 @@
                             if (!page.hasMore()) {
                                 return buildPage(query, found, null);
                             }
-                            return found.size() == query.limit() || reads == 1
+                            return found.size() == query.limit() || remainingReads == 1
                                     ? buildPage(query, found, last)
-                                    : collectMatches(query, last, found, reads - 1);
+                                    : collectMatches(query, last, found, remainingReads - 1);
                         });
     }
 
@@ -271,11 +271,10 @@
         Map<String, Object> tags = (Map<String, Object>) entry.get("tags");
         return query.tags().entrySet().stream()
                 .allMatch(
-                        asked ->
-                                tags.containsKey(asked.getKey())
-                                        && (asked.getValue().isEmpty()
-                                                || asked.getValue()
-                                                        .equals(tags.get(asked.getKey()))));
+                        tag ->
+                                tags.containsKey(tag.getKey())
+                                        && (tag.getValue().isEmpty()
+                                                || tag.getValue().equals(tags.get(tag.getKey()))));
     }
 
     /** Renders one task of a page. A detailed view reads the task's record. */
@@ -294,10 +293,10 @@
      * Returns the token of the page that begins after a key; {@link #parsePageToken} decodes it.
      */
     private static String pageToken(String team, String last) {
-        String rest = last.substring(teamKeyPrefix(team).length());
+        String keySuffix = last.substring(teamKeyPrefix(team).length());
         return Base64.getUrlEncoder()
                 .withoutPadding()
-                .encodeToString(rest.getBytes(StandardCharsets.US_ASCII));
+                .encodeToString(keySuffix.getBytes(StandardCharsets.US_ASCII));
     }
 
     /**
--- a/src/main/java/org/meadowhollow/protocol/tes/TesTaskView.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesTaskView.java
@@ -24,7 +24,7 @@
     FULL;
 
     /** The stored end reason of an attempt that completed its task. */
-    private static final String COMPLETED = "DONE";
+    private static final String COMPLETED_END_REASON = "DONE";
 
     /** The task states that the API defines. UNKNOWN and PAUSED are never used here. */
     static final List<String> STATES =
@@ -156,7 +156,7 @@
     }
 
     private static boolean isCompleted(AttemptRecord attempt) {
-        return COMPLETED.equals(attempt.endReason());
+        return COMPLETED_END_REASON.equals(attempt.endReason());
     }
 
     private static String formatTime(long millis) {
--- a/src/test/java/org/meadowhollow/protocol/jobs/SubmissionCodecTest.java
+++ b/src/test/java/org/meadowhollow/protocol/jobs/SubmissionCodecTest.java
@@ -19,7 +19,7 @@
 import org.meadowhollow.protocol.MessageReader;
 
 class SubmissionCodecTest {
-    private static Map<String, Object> body() {
+    private static Map<String, Object> validSubmission() {
         return MessageReader.mapOf(
                 "ref",
                 "req-000412",
@@ -70,8 +70,8 @@
     }
 
     @Test
-    void aSubmissionIsDecodedAsTheProtocolSays() throws MalformedMessageException {
-        JobSpec spec = decode(body());
+    void decodesSubmissionIntoJobSpec() throws MalformedMessageException {
+        JobSpec spec = decode(validSubmission());
         assertEquals(JobKind.GANG, spec.kind());
         assertEquals(Priority.HIGH, spec.priority());
         assertEquals(16, spec.taskCount());
@@ -80,13 +80,13 @@
     }
 
     @Test
-    void anAbsentFieldEqualsNull() throws MalformedMessageException {
-        Map<String, Object> body = new HashMap<>(body());
+    void absentNullableFieldEqualsNull() throws MalformedMessageException {
+        Map<String, Object> body = new HashMap<>(validSubmission());
         body.put("breeds", null);
         Map<String, Object> shorter = new HashMap<>(body);
-        for (String mayBeNull : List.of("field", "dueS", "breeds")) {
-            shorter.remove(mayBeNull);
-            assertEquals(decode(body), decode(shorter), mayBeNull);
+        for (String nullableField : List.of("field", "dueS", "breeds")) {
+            shorter.remove(nullableField);
+            assertEquals(decode(body), decode(shorter), nullableField);
         }
     }
 
@@ -115,19 +115,19 @@
                 "bookmarkS",
                 "stashS"
             })
-    void everyOtherFieldMustBePresentAndOfItsType(String field) {
-        Map<String, Object> without = new HashMap<>(body());
+    void requiredFieldMustBePresentAndOfItsType(String field) {
+        Map<String, Object> without = new HashMap<>(validSubmission());
         without.remove(field);
         assertThrows(MalformedMessageException.class, () -> decode(without), "missing");
-        Object good = body().get(field);
+        Object valid = validSubmission().get(field);
         List<Object> wrong = new ArrayList<>(Arrays.asList(null, List.of(), Map.of("a", 1L)));
-        wrong.add(good instanceof Boolean ? (Object) 1L : true);
-        wrong.add(good instanceof String ? (Object) 7L : "7");
-        if (good instanceof Number) {
+        wrong.add(valid instanceof Boolean ? (Object) 1L : true);
+        wrong.add(valid instanceof String ? (Object) 7L : "7");
+        if (valid instanceof Number) {
             wrong.addAll(List.of(-1.0, -1L, Double.NaN, Double.POSITIVE_INFINITY));
         }
         for (Object value : wrong) {
-            Map<String, Object> body = body();
+            Map<String, Object> body = validSubmission();
             body.put(field, value);
             assertThrows(
                     MalformedMessageException.class, () -> decode(body), field + " as " + value);
@@ -166,7 +166,7 @@
                     {"chores", Long.MAX_VALUE},
                     {"cores", 1e13}
                 }) {
-            Map<String, Object> body = body();
+            Map<String, Object> body = validSubmission();
             body.put((String) wrong[0], wrong[1]);
             assertThrows(
                     MalformedMessageException.class, () -> decode(body), Arrays.toString(wrong));
@@ -175,7 +175,7 @@
 
     @Test
     void brokenBodiesAreMalformed() {
-        byte[] good = MessagePackCodec.encode(body());
+        byte[] valid = MessagePackCodec.encode(validSubmission());
         byte[] deep = new byte[5000];
         Arrays.fill(deep, (byte) 0x91);
         byte[] oversizedHeader = {(byte) 0xdf, 0x7f, (byte) 0xff, (byte) 0xff, (byte) 0xff};
@@ -188,8 +188,8 @@
                 new byte[][] {
                     {},
                     {(byte) 0xc1},
-                    Arrays.copyOf(good, good.length - 3),
-                    Arrays.copyOf(good, good.length + 1),
+                    Arrays.copyOf(valid, valid.length - 3),
+                    Arrays.copyOf(valid, valid.length + 1),
                     deep,
                     nested,
                     oversizedHeader
