--- a/src/main/java/org/meadowhollow/coordination/reservation/MachineReservationLimit.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/MachineReservationLimit.java
@@ -95,7 +95,7 @@
      * @param free the machine's free capacity
      */
     public boolean allows(JobSpec spec, double pullSeconds, Resources free) {
-        return endsBeforeOutage(spec, pullSeconds) && leavesHeldRoom(spec, pullSeconds, free);
+        return endsBeforeOutage(spec, pullSeconds) && leavesHeldCapacity(spec, pullSeconds, free);
     }
 
     private boolean endsBeforeOutage(JobSpec spec, double pullSeconds) {
@@ -104,7 +104,7 @@
                 : pullSeconds + runtimeEstimator.upperBoundSeconds(spec) <= secondsUntilOutage;
     }
 
-    private boolean leavesHeldRoom(JobSpec spec, double pullSeconds, Resources free) {
+    private boolean leavesHeldCapacity(JobSpec spec, double pullSeconds, Resources free) {
         Resources held = Resources.NONE;
         for (ResourceHold hold : holds) {
             boolean needed =
--- a/src/main/java/org/meadowhollow/coordination/reservation/Recurrence.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/Recurrence.java
@@ -122,7 +122,9 @@
                 }
                 addIfOverlapping(found, schedule, start, fromMillis, untilMillis);
             }
-        } catch (InvalidScheduleException | IllegalArgumentException | ArithmeticException spent) {
+        } catch (InvalidScheduleException
+                | IllegalArgumentException
+                | ArithmeticException noMoreDates) {
             // A valid rule can fail here if it has no further dates, or if the library finds none.
             return found;
         }
--- a/src/main/java/org/meadowhollow/coordination/reservation/ReservationAdmission.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservationAdmission.java
@@ -140,9 +140,9 @@
             Reservation requested,
             ReservableCapacity capacity,
             long now) {
-        List<Occurrence> first =
+        List<Occurrence> firstOccurrence =
                 Recurrence.occurrencesBetween(requested.schedule(), now, horizon(now), 1);
-        if (first.isEmpty()) {
+        if (firstOccurrence.isEmpty()) {
             return null;
         }
         ReservationPlan others =
@@ -151,7 +151,7 @@
         others.outages().forEach(outage -> ends.add(outage.occurrence().endMillis()));
         others.slots().forEach(slot -> ends.add(slot.occurrence().endMillis()));
         int tried = 0;
-        for (long end : ends.tailSet(first.get(0).startMillis(), false)) {
+        for (long end : ends.tailSet(firstOccurrence.get(0).startMillis(), false)) {
             if (tried++ == MAX_STARTS_TRIED) {
                 return null;
             }
--- a/src/main/java/org/meadowhollow/coordination/reservation/ReservationPlanner.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservationPlanner.java
@@ -119,12 +119,12 @@
         Reservation reservation = draft.reservation;
         String team = reservation.team();
         Resources limit = capacity.teamLimits().getOrDefault(team, Resources.NONE);
-        Resources left =
+        Resources headroom =
                 new Resources(
                         remaining(limit.cpu(), timelineFor(cpuUsageByTeam, team), draft),
                         remaining(limit.gpu(), timelineFor(gpuUsageByTeam, team), draft),
                         Long.MAX_VALUE);
-        int tasks = reservation.resourcesPerTask().maxCopiesIn(left, reservation.taskCount());
+        int tasks = reservation.resourcesPerTask().maxCopiesIn(headroom, reservation.taskCount());
         if (tasks < reservation.taskCount()) {
             draft.conflicts.add(
                     "the limit of team "
@@ -165,21 +165,21 @@
         }
         int tasksPerMachine =
                 draft.reservation.resourcesPerTask().maxCopiesIn(type.capacity(), tasks);
-        int wanted = (tasks + tasksPerMachine - 1) / tasksPerMachine;
-        int machines = allocateMachines(draft, type, zone, wanted);
+        int requested = (tasks + tasksPerMachine - 1) / tasksPerMachine;
+        int machines = allocateMachines(draft, type, zone, requested);
         return Math.min(tasks, machines * tasksPerMachine);
     }
 
-    private int allocateMachines(SlotDraft draft, MachineType type, String zone, int wanted) {
+    private int allocateMachines(SlotDraft draft, MachineType type, String zone, int requested) {
         String typeZone = type.name() + '/' + zone;
         UsageTimeline usage = timelineFor(machineUsageByTypeZone, typeZone);
         int maxMachines = capacity.maxMachinesOf(type.name(), zone);
         long available =
                 maxMachines == Integer.MAX_VALUE
-                        ? wanted
+                        ? requested
                         : Math.max(0, maxMachines - usage.peakDuring(draft.occurrence));
-        int allocated = (int) Math.min(wanted, available);
-        if (allocated < wanted) {
+        int allocated = (int) Math.min(requested, available);
+        if (allocated < requested) {
             draft.conflicts.add(
                     "there are "
                             + maxMachines
--- a/src/main/java/org/meadowhollow/coordination/reservation/ReservationView.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservationView.java
@@ -179,8 +179,8 @@
      * Returns the seconds until a task must be stopped at the latest so that its capacity is free
      * when it is needed.
      */
-    static double latestStopInSeconds(JobSpec spec, double roomNeededInSeconds) {
-        return roomNeededInSeconds - spec.checkpointDurationSeconds() - STOP_MARGIN_SECONDS;
+    static double latestStopInSeconds(JobSpec spec, double capacityNeededInSeconds) {
+        return capacityNeededInSeconds - spec.checkpointDurationSeconds() - STOP_MARGIN_SECONDS;
     }
 
     /** Returns the limit of a machine; creates one that restricts nothing if there is none. */
--- a/src/main/java/org/meadowhollow/coordination/reservation/SlotPlanner.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/SlotPlanner.java
@@ -58,27 +58,27 @@
 
     private void addSlot(ReservationPlan.Slot slot, double startsIn) {
         Reservation reservation = slot.reservation();
-        int left = slot.fulfilledTasks() - countUsedTasks(slot);
-        boolean wanted =
-                left < slot.fulfilledTasks()
+        int remaining = slot.fulfilledTasks() - countUsedTasks(slot);
+        boolean hasDemand =
+                remaining < slot.fulfilledTasks()
                         || inputs.pendingTasks().keySet().stream().anyMatch(reservation::admits);
-        if (startsIn < -ReservationView.UNUSED_RELEASE_SECONDS && !wanted) {
+        if (startsIn < -ReservationView.UNUSED_RELEASE_SECONDS && !hasDemand) {
             view.addUnusedReservation(reservation);
             return;
         }
-        if (startsIn <= 0 && left > 0) {
+        if (startsIn <= 0 && remaining > 0) {
             view.addActiveReservation(reservation);
         }
-        left -= holdRoom(slot, startsIn, left);
+        remaining -= holdCapacity(slot, startsIn, remaining);
         // Machines for tasks that are already pending are rented as for any pending job, so these
         // tasks are not part of the shortfall.
         for (Map.Entry<JobSpec, Integer> pending : inputs.pendingTasks().entrySet()) {
-            left -= reservation.admits(pending.getKey()) ? pending.getValue() : 0;
+            remaining -= reservation.admits(pending.getKey()) ? pending.getValue() : 0;
         }
-        if (left > 0 && startsIn < scaleOutLeadSeconds(reservation)) {
+        if (remaining > 0 && startsIn < scaleOutLeadSeconds(reservation)) {
             view.addShortfall(
                     new ReservationView.CapacityShortfall(
-                            reservation, left, reservation.requiredZone()));
+                            reservation, remaining, reservation.requiredZone()));
         }
     }
 
@@ -109,18 +109,18 @@
      *
      * @return the number of tasks for which capacity is held
      */
-    private int holdRoom(ReservationPlan.Slot slot, double startsIn, int maxTasks) {
+    private int holdCapacity(ReservationPlan.Slot slot, double startsIn, int maxTasks) {
         List<Machine> machines = usableMachines(slot);
-        int left = maxTasks;
+        int remaining = maxTasks;
         for (Machine machine : machines) {
-            left -= holdFreeRoom(machine, slot.reservation(), startsIn, left);
+            remaining -= holdFreeCapacity(machine, slot.reservation(), startsIn, remaining);
         }
-        if (left > 0 && startsIn < ReservationView.STOP_WARNING_SECONDS) {
+        if (remaining > 0 && startsIn < ReservationView.STOP_WARNING_SECONDS) {
             for (Machine machine : machines) {
-                left -= holdByPreemption(machine, slot.reservation(), startsIn, left);
+                remaining -= holdByPreemption(machine, slot.reservation(), startsIn, remaining);
             }
         }
-        return maxTasks - left;
+        return maxTasks - remaining;
     }
 
     /**
@@ -165,7 +165,7 @@
      * Holds capacity that is free or will be free by the start of the slot; returns the number of
      * tasks for which it is held.
      */
-    private int holdFreeRoom(
+    private int holdFreeCapacity(
             Machine machine, Reservation reservation, double startsIn, int maxTasks) {
         Resources releasedByStart = Resources.NONE;
         List<Placement> ending = new ArrayList<>();
@@ -176,15 +176,15 @@
             }
         }
         Resources held = view.heldResources(machine);
-        Resources room = machine.freeCapacity().plus(releasedByStart).minus(held);
-        int tasks = reservation.resourcesPerTask().maxCopiesIn(room, maxTasks);
+        Resources available = machine.freeCapacity().plus(releasedByStart).minus(held);
+        int tasks = reservation.resourcesPerTask().maxCopiesIn(available, maxTasks);
         if (tasks == 0) {
             return 0;
         }
         view.limitForUpdate(machine).addHold(reservation, startsIn, tasks, releasedByStart);
-        Resources heldThen = held.plus(reservation.resourcesPerTask().times(tasks));
-        boolean countsOnReleases = !heldThen.fitsIn(machine.freeCapacity());
-        if (startsIn < ReservationView.STOP_WARNING_SECONDS && countsOnReleases) {
+        Resources heldWithSlot = held.plus(reservation.resourcesPerTask().times(tasks));
+        boolean dependsOnReleases = !heldWithSlot.fitsIn(machine.freeCapacity());
+        if (startsIn < ReservationView.STOP_WARNING_SECONDS && dependsOnReleases) {
             // These tasks are expected to end in time; one that exceeds its estimate is
             // preempted.
             ending.stream()
@@ -200,7 +200,7 @@
      */
     private int holdByPreemption(
             Machine machine, Reservation reservation, double startsIn, int maxTasks) {
-        Resources room = machine.freeCapacity().minus(view.heldResources(machine));
+        Resources available = machine.freeCapacity().minus(view.heldResources(machine));
         List<Placement> victims = new ArrayList<>();
         Resources released = Resources.NONE;
         int tasks = 0;
@@ -210,10 +210,10 @@
             }
             if (mayPreempt(placement, reservation)) {
                 Resources allocated = placement.job().spec().resourcesPerTask();
-                room = room.plus(allocated);
+                available = available.plus(allocated);
                 released = released.plus(allocated);
                 victims.add(placement);
-                tasks = reservation.resourcesPerTask().maxCopiesIn(room, maxTasks);
+                tasks = reservation.resourcesPerTask().maxCopiesIn(available, maxTasks);
             }
         }
         if (tasks > 0) {
--- a/src/test/java/org/meadowhollow/coordination/reservation/RecurrenceTest.java
+++ b/src/test/java/org/meadowhollow/coordination/reservation/RecurrenceTest.java
@@ -14,7 +14,7 @@
 import org.meadowhollow.model.reservation.RecurringSchedule;
 
 class RecurrenceTest {
-    private static List<String> starts(
+    private static List<String> occurrenceStarts(
             String start, String zone, String rule, String from, String until) {
         RecurringSchedule schedule =
                 new RecurringSchedule(
@@ -36,7 +36,7 @@
         // In New York, clocks go forward on 8 March 2026 at 02:00 and back on 1 November at 02:00.
         assertEquals(
                 List.of("2026-03-07T06:00:00Z", "2026-03-08T06:00:00Z", "2026-03-09T05:00:00Z"),
-                starts(
+                occurrenceStarts(
                         "2025-01-01T01:00",
                         "America/New_York",
                         "FREQ=DAILY",
@@ -45,10 +45,10 @@
     }
 
     @Test
-    void skippedLocalTimeIsLaterAndRepeatedOneIsTheFirst() {
+    void skippedLocalTimeIsShiftedLaterAndRepeatedOneUsesFirstInstant() {
         assertEquals(
                 List.of("2026-03-07T07:30:00Z", "2026-03-08T07:30:00Z", "2026-03-09T06:30:00Z"),
-                starts(
+                occurrenceStarts(
                         "2026-03-07T02:30",
                         "America/New_York",
                         "FREQ=DAILY;COUNT=3",
@@ -57,7 +57,7 @@
                 "02:30 does not exist on 8 March and becomes 03:30");
         assertEquals(
                 List.of("2026-10-31T05:30:00Z", "2026-11-01T05:30:00Z", "2026-11-02T06:30:00Z"),
-                starts(
+                occurrenceStarts(
                         "2026-10-31T01:30",
                         "America/New_York",
                         "FREQ=DAILY;COUNT=3",
@@ -69,7 +69,7 @@
     void begunOccurrenceOverlapsSpanAndEndedOneDoesNot() {
         assertEquals(
                 List.of("2026-05-01T00:00:00Z"),
-                starts(
+                occurrenceStarts(
                         "2026-05-01T00:00",
                         "UTC",
                         null,
@@ -77,7 +77,7 @@
                         "2026-05-03T00:00:00Z"));
         assertEquals(
                 List.of(),
-                starts(
+                occurrenceStarts(
                         "2026-05-01T00:00",
                         "UTC",
                         null,
@@ -85,7 +85,7 @@
                         "2026-05-03T00:00:00Z"));
         assertEquals(
                 List.of("2026-05-01T23:00:00Z", "2026-05-02T23:00:00Z"),
-                starts(
+                occurrenceStarts(
                         "2020-01-01T23:00",
                         "UTC",
                         "FREQ=DAILY",
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void invalidRulesAreRejectedAndRulesWithoutDaysEnd() {
+    void invalidRulesAreRejectedAndRuleWithoutDatesHasNoOccurrences() {
         for (String invalidRule :
                 List.of(
                         "FREQ=HOURLY",
@@ -103,7 +103,7 @@
                         "FREQ=DAILY;BYDAY=XX",
                         "FREQ=DAILY;COUNT=-1",
                         "FREQ=DAILY;UNTIL=20260101T000000Z")) {
-            Recurrence.InvalidScheduleException invalidScheduleException =
+            Recurrence.InvalidScheduleException exception =
                     assertThrows(
                             Recurrence.InvalidScheduleException.class,
                             () ->
@@ -114,13 +114,11 @@
                                                     Duration.ofHours(1),
                                                     invalidRule)),
                             invalidRule);
-            assertTrue(
-                    invalidScheduleException.getMessage().startsWith("rule"),
-                    invalidScheduleException.getMessage());
+            assertTrue(exception.getMessage().startsWith("rule"), exception.getMessage());
         }
         assertEquals(
                 List.of(),
-                starts(
+                occurrenceStarts(
                         "2026-01-01T00:00",
                         "UTC",
                         "FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=30",
--- a/src/test/java/org/meadowhollow/coordination/reservation/ReservationPlanTest.java
+++ b/src/test/java/org/meadowhollow/coordination/reservation/ReservationPlanTest.java
@@ -46,7 +46,7 @@
     private static final long HOUR_MILLIS = 3_600_000;
     private static final long SPAN_MILLIS = 24 * HOUR_MILLIS;
 
-    private static RecurringSchedule at(int minute, int length) {
+    private static RecurringSchedule oneTimeSchedule(int minute, int length) {
         return new RecurringSchedule(
                 LocalDateTime.of(1970, 1, 1, 0, 0).plusMinutes(minute),
                 ZoneOffset.UTC,
@@ -69,16 +69,16 @@
                 0,
                 null,
                 null,
-                at(minute, length));
+                oneTimeSchedule(minute, length));
     }
 
     private static MaintenanceWindow window(
             String name, MaintenanceWindow.Scope scope, String target, int minute, int length) {
         return new MaintenanceWindow(
-                name, scope, List.of(target), at(minute, length), Duration.ZERO);
+                name, scope, List.of(target), oneTimeSchedule(minute, length), Duration.ZERO);
     }
 
-    private static CalendarSnapshot random(Random random) {
+    private static CalendarSnapshot randomCalendar(Random random) {
         CalendarSnapshot calendar = CalendarSnapshot.EMPTY;
         for (int number = random.nextInt(12); number > 0; number--) {
             calendar =
@@ -120,7 +120,7 @@
             shrinking = ShrinkingMode.OFF)
     void planNeverExceedsCapacity(@ForAll long seed) {
         ReservationPlan plan =
-                ReservationPlan.of(random(new Random(seed)), CAPACITY, 0, SPAN_MILLIS);
+                ReservationPlan.of(randomCalendar(new Random(seed)), CAPACITY, 0, SPAN_MILLIS);
         for (long minute = 0; minute < 15 * 60; minute += 7) {
             long now = minute * 60_000;
             Map<String, Integer> machines = new HashMap<>();
@@ -165,7 +165,7 @@
             edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
     void planDoesNotDependOnReadOrder(@ForAll long seed) {
-        CalendarSnapshot calendar = random(new Random(seed));
+        CalendarSnapshot calendar = randomCalendar(new Random(seed));
         List<KeyValueStore.Entry> entries = new ArrayList<>();
         long order = 0;
         for (CalendarSnapshot.CalendarEntry<Reservation> entry : calendar.reservations()) {
@@ -197,8 +197,8 @@
             generation = GenerationMode.RANDOMIZED,
             edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
-    void admittedReservationTakesNothingFromOthersAndLeavesNothingWhenWithdrawn(@ForAll long seed) {
-        CalendarSnapshot calendar = random(new Random(seed));
+    void admissionAndWithdrawalLeaveOtherSlotsUnchanged(@ForAll long seed) {
+        CalendarSnapshot calendar = randomCalendar(new Random(seed));
         Reservation requested = reservation("requested", "u", 2, 1, null, 100, 200);
         List<ReservationPlan.Slot> before =
                 ReservationPlan.of(calendar, CAPACITY, 0, SPAN_MILLIS).slots();
@@ -285,7 +285,7 @@
     }
 
     @Example
-    void laterWindowMovesReservationsOrReportsThemShort() {
+    void affectedReservationsMoveOrAreReportedShort() {
         CalendarSnapshot calendar =
                 CalendarSnapshot.EMPTY
                         .with(reservation("moves", "u", 2, 1, null, 60, 60))
