--- a/src/main/java/org/meadowhollow/coordination/reservation/ReservationPlanner.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservationPlanner.java
@@ -12,8 +12,8 @@
 import org.meadowhollow.model.reservation.Reservation;
 
 /**
- * Assigns machines to the slots of a plan, each from what the slots planned before it leave. Used
- * while one {@link ReservationPlan} is made; not thread-safe.
+ * Assigns machines to the slots of a plan. Each slot gets machines that the slots planned before it
+ * leave free. Used while one {@link ReservationPlan} is computed; not thread-safe.
  */
 final class ReservationPlanner {
     private final ReservableCapacity capacity;
@@ -22,7 +22,7 @@
     private final Map<String, UsageTimeline> cpuUsageByTeam = new HashMap<>();
     private final Map<String, UsageTimeline> gpuUsageByTeam = new HashMap<>();
 
-    /** The slot being planned: machines and conflicts so far. */
+    /** The slot being planned, with the machines and conflicts found so far. */
     private static final class SlotDraft {
         private final Reservation reservation;
         private final Occurrence occurrence;
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Plans one occurrence of a reservation: the cheapest machines first, as far as the team's
-     * limit allows.
+     * Plans one occurrence of a reservation: assigns the cheapest machines first, up to the team's
+     * limit.
      */
     ReservationPlan.Slot planSlot(Reservation reservation, Occurrence occurrence) {
         SlotDraft draft = new SlotDraft(reservation, occurrence);
@@ -83,7 +83,10 @@
                 .add(draft.occurrence, reservation.name(), usage.gpu());
     }
 
-    /** The machine types that the reservation allows, by the price of a task, then by name. */
+    /**
+     * Returns the machine types that the reservation allows, ordered by the price per task, then by
+     * name.
+     */
     private List<MachineType> eligibleTypesByPrice(Reservation reservation) {
         return capacity.machineTypes().stream()
                 .filter(type -> isEligible(type, reservation))
@@ -109,17 +112,19 @@
         return type.hourlyPrice() / tasksPerMachine;
     }
 
-    /** How many tasks the team's limit leaves room for; adds a conflict if not for all. */
+    /**
+     * Returns the number of tasks that fit within the team's limit; adds a conflict if not all do.
+     */
     private int countTasksWithinTeamLimit(SlotDraft draft) {
         Reservation reservation = draft.reservation;
         String team = reservation.team();
         Resources limit = capacity.teamLimits().getOrDefault(team, Resources.NONE);
-        Resources left =
+        Resources headroom =
                 new Resources(
                         remaining(limit.cpu(), timelineFor(cpuUsageByTeam, team), draft),
                         remaining(limit.gpu(), timelineFor(gpuUsageByTeam, team), draft),
                         Long.MAX_VALUE);
-        int tasks = reservation.resourcesPerTask().maxCopiesIn(left, reservation.taskCount());
+        int tasks = reservation.resourcesPerTask().maxCopiesIn(headroom, reservation.taskCount());
         if (tasks < reservation.taskCount()) {
             draft.conflicts.add(
                     "the limit of team "
@@ -129,7 +134,7 @@
         return Math.min(reservation.taskCount(), tasks);
     }
 
-    /** What is left of a limit, of which 0 means none. */
+    /** Returns the unused part of a team's limit; a limit of 0 means that there is no limit. */
     private static long remaining(long limit, UsageTimeline usage, SlotDraft draft) {
         return limit == 0 ? Long.MAX_VALUE : limit - usage.peakDuring(draft.occurrence);
     }
@@ -140,9 +145,9 @@
     }
 
     /**
-     * Takes machines of a type in a zone; adds a conflict if that is not enough.
+     * Allocates machines of a type in a zone; adds a conflict if there are not enough.
      *
-     * @return for how many tasks they have room
+     * @return the number of tasks that fit on the allocated machines
      */
     private int allocate(SlotDraft draft, MachineType type, String zone, int tasks) {
         for (ReservationPlan.Outage outage : outages) {
@@ -160,21 +165,21 @@
         }
         int tasksPerMachine =
                 draft.reservation.resourcesPerTask().maxCopiesIn(type.capacity(), tasks);
-        int wanted = (tasks + tasksPerMachine - 1) / tasksPerMachine;
-        int machines = allocateMachines(draft, type, zone, wanted);
+        int requested = (tasks + tasksPerMachine - 1) / tasksPerMachine;
+        int machines = allocateMachines(draft, type, zone, requested);
         return Math.min(tasks, machines * tasksPerMachine);
     }
 
-    private int allocateMachines(SlotDraft draft, MachineType type, String zone, int wanted) {
+    private int allocateMachines(SlotDraft draft, MachineType type, String zone, int requested) {
         String typeZone = type.name() + '/' + zone;
         UsageTimeline usage = timelineFor(machineUsageByTypeZone, typeZone);
         int maxMachines = capacity.maxMachinesOf(type.name(), zone);
         long available =
                 maxMachines == Integer.MAX_VALUE
-                        ? wanted
+                        ? requested
                         : Math.max(0, maxMachines - usage.peakDuring(draft.occurrence));
-        int allocated = (int) Math.min(wanted, available);
-        if (allocated < wanted) {
+        int allocated = (int) Math.min(requested, available);
+        if (allocated < requested) {
             draft.conflicts.add(
                     "there are "
                             + maxMachines
--- a/src/main/java/org/meadowhollow/protocol/reservation/ReservationCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/reservation/ReservationCodec.java
@@ -20,9 +20,9 @@
 import org.meadowhollow.storage.CalendarSnapshot;
 
 /**
- * The JSON in which operators write and read reservations, maintenance windows and plans; {@code
- * docs/reservations.md} describes the fields. Every field that is both written and read stands here
- * once, as a constant.
+ * Decodes and encodes the JSON of reservations and maintenance windows, and encodes plans; {@code
+ * docs/reservations.md} describes the fields. Every field that is both read and written is a
+ * constant.
  */
 final class ReservationCodec {
     private static final Pattern NAME_PATTERN = Pattern.compile("[a-z0-9][a-z0-9-]{0,39}");
@@ -32,7 +32,10 @@
     private static final double MAX_DURATION_SECONDS = Duration.ofDays(31).toSeconds();
     private static final double MILLIS_PER_SECOND = 1000.0;
 
-    /** Resources count whole millionths; the fields have cores, devices and GB. */
+    /**
+     * Resources are stored in whole millionths of a unit; the JSON fields are in cores, devices and
+     * GB.
+     */
     private static final double MILLIONTHS_PER_UNIT = 1e6;
 
     private static final String TEAM = "team";
@@ -56,7 +59,7 @@
     private static final String DURATION_SECONDS = "length_s";
     private static final String RULE = "rule";
 
-    /** The priority of a reservation that names none. */
+    /** The priority of a reservation whose request has no priority field. */
     private static final String DEFAULT_PRIORITY = "normal";
 
     private static final Map<String, MaintenanceWindow.Scope> SCOPE_BY_FIELD =
@@ -68,7 +71,7 @@
                     ZONES,
                     MaintenanceWindow.Scope.ZONE);
 
-    private static final Map<String, Priority> PRIORITY_BY_WORD =
+    private static final Map<String, Priority> PRIORITY_BY_NAME =
             Map.of(
                     "critical",
                     Priority.PRODUCTION,
@@ -82,9 +85,9 @@
     private ReservationCodec() {}
 
     /**
-     * Checks the name of an entry.
+     * Checks the name of an entry and returns it.
      *
-     * @throws MalformedMessageException if it is not valid
+     * @throws MalformedMessageException if the name is not valid
      */
     static String requireValidName(String text) throws MalformedMessageException {
         if (!NAME_PATTERN.matcher(text).matches()) {
@@ -94,22 +97,22 @@
         return text;
     }
 
-    /** Decodes a reservation; its name comes from the path. */
-    static Reservation reservation(String name, MessageReader body)
+    /** Decodes a reservation; the name comes from the path of the request. */
+    static Reservation decodeReservation(String name, MessageReader body)
             throws MalformedMessageException {
         long tasks = body.nonNegativeLong(TASKS);
         if (tasks < 1 || tasks > MAX_TASKS) {
             throw new MalformedMessageException("tasks is not from 1 to " + MAX_TASKS);
         }
         String priority = body.has(PRIORITY) ? body.string(PRIORITY) : DEFAULT_PRIORITY;
-        if (!PRIORITY_BY_WORD.containsKey(priority)) {
+        if (!PRIORITY_BY_NAME.containsKey(priority)) {
             throw new MalformedMessageException(
                     "priority is none of critical, urgent, normal, idle");
         }
         return new Reservation(
                 requireValidName(name),
                 readBoundedText(body, TEAM),
-                PRIORITY_BY_WORD.get(priority),
+                PRIORITY_BY_NAME.get(priority),
                 (int) tasks,
                 Resources.of(
                         body.nonNegativeDouble(CPUS),
@@ -125,8 +128,8 @@
                 decodeSchedule(body));
     }
 
-    /** Decodes a maintenance window; its name comes from the path. */
-    static MaintenanceWindow window(String name, MessageReader body)
+    /** Decodes a maintenance window; the name comes from the path of the request. */
+    static MaintenanceWindow decodeWindow(String name, MessageReader body)
             throws MalformedMessageException {
         MaintenanceWindow.Scope scope = null;
         List<String> targets = null;
@@ -205,7 +208,7 @@
         return names == null ? null : List.copyOf(names);
     }
 
-    /** An entry with its revision, which a later change names in If-Match. */
+    /** Encodes an entry with its revision, which a later change must send in If-Match. */
     static Map<String, Object> encode(CalendarSnapshot.CalendarEntry<?> entry) {
         Map<String, Object> map =
                 entry.item() instanceof MaintenanceWindow window
@@ -223,7 +226,7 @@
                         TEAM,
                         reservation.team(),
                         PRIORITY,
-                        wordOf(reservation.priority()),
+                        priorityName(reservation.priority()),
                         TASKS,
                         reservation.taskCount(),
                         CPUS,
@@ -249,9 +252,9 @@
         return withSchedule(map, reservation.schedule());
     }
 
-    private static String wordOf(Priority priority) {
-        return PRIORITY_BY_WORD.entrySet().stream()
-                .filter(word -> word.getValue() == priority)
+    private static String priorityName(Priority priority) {
+        return PRIORITY_BY_NAME.entrySet().stream()
+                .filter(entry -> entry.getValue() == priority)
                 .findFirst()
                 .orElseThrow()
                 .getKey();
@@ -284,7 +287,10 @@
         return map;
     }
 
-    /** A plan; {@code met} counts tasks with room, {@code against} says why others have none. */
+    /**
+     * Encodes a plan. {@code met} is the number of tasks that have capacity; {@code against} gives
+     * the reasons why the others do not.
+     */
     static Map<String, Object> encode(ReservationPlan plan) {
         return MessageReader.mapOf(
                 "slots",
--- a/src/main/java/org/meadowhollow/protocol/tes/TesCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesCodec.java
@@ -14,11 +14,11 @@
 import org.meadowhollow.protocol.MessageReader;
 
 /**
- * Validates a task of the GA4GH task execution API (TES 1.1) and turns it into a job. The document
- * that is stored holds the fields that the API names and nothing else. Stateless.
+ * Validates a task of the GA4GH task execution API (TES 1.1) and converts it into a job. The stored
+ * document holds only the fields that the API defines. Stateless.
  */
 final class TesCodec {
-    /** The supported backend parameters; {@code docs/tes.md} says what each means. */
+    /** The supported backend parameters; {@code docs/tes.md} describes them. */
     static final List<String> SUPPORTED_PARAMETERS =
             List.of(
                     "class",
@@ -33,21 +33,24 @@
                     "max_attempts");
 
     /**
-     * The class of jobs that a task belongs to unless it says so: objectives for the class may name
-     * it.
+     * The job class of a task that does not specify one. Service level objectives can be set for
+     * this class by its name.
      */
     private static final String DEFAULT_JOB_CLASS = "tes";
 
     private static final int MAX_ITEMS = 1000;
     private static final int MAX_NAME_LENGTH = 200;
 
-    /** The size of an image if the client gives none, in GB; affects placement and nothing else. */
+    /**
+     * The assumed size in GB of an image whose size the client does not give; affects placement
+     * only.
+     */
     private static final double DEFAULT_IMAGE_GB = 2;
 
     private static final double DEFAULT_CPUS = 1;
     private static final double DEFAULT_MEMORY_GB = 2;
     private static final Set<String> FILE_TYPES = Set.of("FILE", "DIRECTORY");
-    private static final Map<String, Priority> PRIORITY_BY_WORD =
+    private static final Map<String, Priority> PRIORITY_BY_NAME =
             Map.of(
                     "critical",
                     Priority.PRODUCTION,
@@ -58,7 +61,7 @@
                     "idle",
                     Priority.LOW);
 
-    /** A valid task: the document that is stored, and its backend parameters. */
+    /** A validated task: the document to store, and its backend parameters. */
     record TaskRequest(Map<String, Object> document, Map<String, Object> parameters) {
         String name() {
             return (String) document.get("name");
@@ -72,7 +75,7 @@
 
     private TesCodec() {}
 
-    /** Checks a task to be created; fields that the API does not name are left out. */
+    /** Validates a task to be created; fields that the API does not define are dropped. */
     static TaskRequest decode(MessageReader body) throws MalformedMessageException {
         Map<String, Object> document = new LinkedHashMap<>();
         copyStrings(body, document, "name", "description");
@@ -109,11 +112,11 @@
 
     private static List<MessageReader> boundedList(MessageReader body, String key)
             throws MalformedMessageException {
-        List<MessageReader> all = body.nestedList(key);
-        if (all.size() > MAX_ITEMS) {
+        List<MessageReader> items = body.nestedList(key);
+        if (items.size() > MAX_ITEMS) {
             throw new MalformedMessageException(key + " holds more than " + MAX_ITEMS);
         }
-        return all;
+        return items;
     }
 
     private static void putUnlessEmpty(
@@ -242,14 +245,14 @@
         return path;
     }
 
-    private static Map<String, Object> requireStringMap(MessageReader from, String what)
+    private static Map<String, Object> requireStringMap(MessageReader from, String fieldName)
             throws MalformedMessageException {
         Map<String, Object> map = new LinkedHashMap<>();
-        for (Map.Entry<String, Object> each : from.map().entrySet()) {
-            if (!(each.getValue() instanceof String)) {
-                throw new MalformedMessageException(what + " holds something other than text");
+        for (Map.Entry<String, Object> entry : from.map().entrySet()) {
+            if (!(entry.getValue() instanceof String)) {
+                throw new MalformedMessageException(fieldName + " holds something other than text");
             }
-            map.put(each.getKey(), each.getValue());
+            map.put(entry.getKey(), entry.getValue());
         }
         return map;
     }
@@ -257,9 +260,9 @@
     // ---- the job of a task ----
 
     /**
-     * The job that runs a task: an array of one.
+     * Converts a task into the job that runs it: an array job with one task.
      *
-     * @param zones of the deployment
+     * @param zones the zones of the deployment
      */
     static JobSpec toJobSpec(JobId id, String team, TaskRequest taskRequest, List<String> zones)
             throws MalformedMessageException {
@@ -269,7 +272,7 @@
                         : new MessageReader(Map.of());
         MessageReader parameters = new MessageReader(taskRequest.parameters());
         String priority = stringParameter(parameters, "priority", "normal");
-        if (!PRIORITY_BY_WORD.containsKey(priority)) {
+        if (!PRIORITY_BY_NAME.containsKey(priority)) {
             throw new MalformedMessageException(
                     "priority is none of critical, urgent, normal, idle");
         }
@@ -282,7 +285,7 @@
                 jobClass,
                 team,
                 JobKind.ARRAY,
-                PRIORITY_BY_WORD.get(priority),
+                PRIORITY_BY_NAME.get(priority),
                 1,
                 Resources.of(
                         cpus,
@@ -301,19 +304,19 @@
                 numberParameter(parameters, "deadline_s", Double.NaN));
     }
 
-    /** How often a task may be tried, 0 for as often as it takes. */
+    /** Returns the largest number of attempts of a task; 0 means that there is no limit. */
     static int maxAttempts(TaskRequest taskRequest) throws MalformedMessageException {
-        double most =
+        double attempts =
                 numberParameter(new MessageReader(taskRequest.parameters()), "max_attempts", 0);
-        if (most != Math.rint(most) || most > Integer.MAX_VALUE) {
+        if (attempts != Math.rint(attempts) || attempts > Integer.MAX_VALUE) {
             throw new MalformedMessageException("max_attempts is not a whole number");
         }
-        return (int) most;
+        return (int) attempts;
     }
 
     /**
-     * A machine fetches images one by one; the first executor's decides where the task starts
-     * soonest.
+     * Returns the image of the first executor. A machine pulls images one by one, so this image
+     * determines on which machine the task starts soonest.
      */
     @SuppressWarnings("unchecked")
     private static String firstExecutorImage(TaskRequest taskRequest) {
@@ -332,30 +335,35 @@
         return jobClass;
     }
 
-    /** A job is bound to one zone or to none, so a choice of some zones cannot be kept. */
-    private static String singleZoneOrNull(List<String> asked, List<String> all)
+    /**
+     * Returns the requested zone, or null if any zone is allowed. A job is bound to one zone or to
+     * none, so a request for some of the zones is rejected.
+     */
+    private static String singleZoneOrNull(List<String> requestedZones, List<String> allZones)
             throws MalformedMessageException {
-        if (asked == null || asked.isEmpty() || asked.containsAll(all)) {
+        if (requestedZones == null
+                || requestedZones.isEmpty()
+                || requestedZones.containsAll(allZones)) {
             return null;
         }
-        if (asked.size() > 1) {
+        if (requestedZones.size() > 1) {
             throw new MalformedMessageException(
-                    "zones names several but not all of " + all + "; name one or none");
+                    "zones names several but not all of " + allZones + "; name one or none");
         }
-        return asked.get(0);
+        return requestedZones.get(0);
     }
 
-    private static String stringParameter(MessageReader parameters, String key, String otherwise)
+    private static String stringParameter(MessageReader parameters, String key, String defaultValue)
             throws MalformedMessageException {
         String text = parameters.stringOrNull(key);
-        return text == null ? otherwise : text;
+        return text == null ? defaultValue : text;
     }
 
-    private static double numberParameter(MessageReader parameters, String key, double otherwise)
+    private static double numberParameter(MessageReader parameters, String key, double defaultValue)
             throws MalformedMessageException {
         String text = parameters.stringOrNull(key);
         if (text == null) {
-            return otherwise;
+            return defaultValue;
         }
         try {
             double value = Double.parseDouble(text);
@@ -363,7 +371,7 @@
                 return value;
             }
         } catch (NumberFormatException notANumber) {
-            // One message for every wrong number.
+            // Rejected below with the same message as a number out of range.
         }
         throw new MalformedMessageException(
                 "backend parameter " + key + " is not a number from 0 on");
