--- a/src/test/java/org/meadowhollow/simulation/FailoverTimingScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/FailoverTimingScenarioTest.java
@@ -11,7 +11,10 @@
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.model.TaskId;
 
-/** How soon another controller takes over, and what must not cause a failover. */
+/**
+ * The time until another controller takes over from a failed leader, and events that must not cause
+ * a failover.
+ */
 class FailoverTimingScenarioTest {
     private static final int MACHINES = 8;
     private SimulatedCluster cluster;
@@ -33,7 +36,7 @@
         cluster.runSeconds(3.5);
         assertTrue(
                 cluster.leader() >= 0 && cluster.leader() != dead,
-                "its lease of 5 s has not run out yet");
+                "its lease of 5 s has not expired yet");
     }
 
     @Test
@@ -94,7 +97,9 @@
         cluster.workers().forEach(worker -> worker.connectTo((first + 1) % 3));
         cluster.runSeconds(4);
         assertNotEquals(
-                first, cluster.leader(), "several workers left it, and it refused connections");
+                first,
+                cluster.leader(),
+                "several workers left it, and it refused peer connections");
         cluster.refusePeerConnections(first, false);
         cluster.runSeconds(60);
         assertEquals(40, cluster.users().poll(first, job.id()).orElseThrow().done());
@@ -106,7 +111,7 @@
         cluster.losePower(dead);
         cluster.workers().forEach(worker -> worker.connectTo((dead + 1) % 3));
         cluster.runSeconds(3);
-        assertEquals(dead, cluster.leader(), "silence proves nothing");
+        assertEquals(dead, cluster.leader(), "silence does not prove a crash");
         cluster.runSeconds(4);
         assertTrue(cluster.leader() >= 0 && cluster.leader() != dead);
     }
@@ -118,7 +123,7 @@
         cluster.runSeconds(5);
         assertTrue(
                 cluster.network().takeHeartbeatCount() <= 3 * MACHINES,
-                "each worker is answered when there is news, or late");
+                "each heartbeat is answered once there is news, or late");
     }
 
     @Test
@@ -141,6 +146,6 @@
         assertTrue(
                 cluster.workers().stream()
                         .anyMatch(worker -> worker.hasTask(new TaskId(job.id(), 0))),
-                "heartbeats arrive every 3 s, and a silent machine was waited for until 4.75 s");
+                "heartbeats arrive every 3 s; the leader must not wait 4.75 s for a silent machine");
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/GangSchedulingScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/GangSchedulingScenarioTest.java
@@ -14,7 +14,10 @@
 
 /** Gang scheduling, and replicas that spread across zones. */
 class GangSchedulingScenarioTest extends ClusterTestBase {
-    /** Starts a gang of large tasks, which are on their machines and pull their images. */
+    /**
+     * Submits a gang of large tasks, and runs until they are on their machines and pull their
+     * images.
+     */
     private JobSpec gangPullingImages(int tasks, Duration fetch) {
         cluster.setImagePullTime(fetch);
         JobSpec gang = SimulatedCluster.spec(1, JobKind.GANG, tasks, 8);
@@ -29,7 +32,7 @@
             assertEquals(
                     1,
                     machineHolding(each).attemptOf(each).value(),
-                    "the fetches of the others went on");
+                    "the image pulls of the other tasks continue");
         }
     }
 
@@ -149,8 +152,8 @@
 
     /**
      * A machine of a gang fails, and the next leader learns that before it learns that the gang has
-     * started. The remaining tasks cannot complete the attempt any more. Regression test: without
-     * the guard they kept their machines, and the gang waited for ever.
+     * started. The remaining tasks cannot complete the attempt any more. Regression test: they kept
+     * their machines, and the gang waited for ever.
      */
     @Test
     void taskLostBeforeNewLeaderLearnsThatGangStarted() {
@@ -178,9 +181,9 @@
         cluster.runSeconds(6);
         cluster.addMachine(SimulatedCluster.LARGE, "a");
         cluster.beginFaultFreePhase();
-        // The history checker fails the test if a job waits beside free capacity.
+        // The history checker fails the test if a job waits while there is free capacity.
         cluster.runSeconds(60);
-        assertTrue(allTasksRunning(gang), "whole, in a new attempt");
+        assertTrue(allTasksRunning(gang), "completely, in a new attempt");
         assertEquals(2, machineRunning(gang, 0).attemptOf(new TaskId(gang.id(), 0)).value());
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/JobLifecycleScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/JobLifecycleScenarioTest.java
@@ -15,7 +15,7 @@
 import org.meadowhollow.model.TaskId;
 import org.meadowhollow.protocol.jobs.SubmissionCodec;
 
-/** The life cycle of jobs, and what their users are told. */
+/** The life cycle of jobs, and the status that is reported to users. */
 class JobLifecycleScenarioTest extends ClusterTestBase {
     @Test
     void acceptedJobRunsAndEveryControllerReportsItDone() {
@@ -90,8 +90,7 @@
         cluster.runSeconds(10);
         FakeWorker hung = machineRunning(job, 0);
         hung.setHung(true);
-        // Direct commands and heartbeats fail from here on; the limit is 48 s, of which half
-        // passes.
+        // Direct commands and heartbeats fail from here on; the limit is 48 s, of which 32 s pass.
         assertTrue(cluster.users().cancel(1, job.id()));
         cluster.runSeconds(2);
         for (int node = 0; node < 3; node++) {
@@ -100,7 +99,8 @@
         }
         cluster.runSeconds(30);
         assertFalse(
-                cluster.workers().contains(hung), "its lease may last for 48 s after the takeover");
+                cluster.workers().contains(hung),
+                "returned, as its lease may last for 48 s after the takeover");
     }
 
     @Test
@@ -172,7 +172,7 @@
         assertFalse(
                 cluster.users()
                         .submit(0, SimulatedCluster.spec(1, JobKind.ARRAY, 1, 9), SHORT_RUNTIME),
-                "no machine has nine");
+                "no machine has nine GPUs");
         assertFalse(cluster.users().submit(0, withTeam(array(2, 1), "nobody"), SHORT_RUNTIME));
         cluster.withTeam("small", 0, 3);
         assertFalse(
@@ -183,24 +183,26 @@
                                 SHORT_RUNTIME));
         assertTrue(
                 cluster.users().submit(0, withTeam(array(4, 4), "small"), SHORT_RUNTIME),
-                "an array runs a task at a time");
+                "an array can run one task at a time");
     }
 
     /**
-     * All tasks of a gang run at once, so a gang that must be in one zone and may not be there can
-     * never run.
+     * All tasks of a gang run at once, so a gang that must stay in one zone and also spread across
+     * zones can never run.
      */
     @Test
     void gangWithUnsatisfiableZonesIsRejectedAndSatisfiableOneIsAccepted() {
         JobSpec gang = SimulatedCluster.spec(1, JobKind.GANG, 3, 1);
         assertFalse(
                 cluster.users().submit(0, withZonePolicy(gang, true, true), SHORT_RUNTIME),
-                "together and spread");
+                "in a single zone and spread");
         assertFalse(
                 cluster.users()
                         .submit(0, inZone(withZonePolicy(gang, false, true), "a"), SHORT_RUNTIME),
-                "in one zone and spread");
-        assertFalse(cluster.users().submit(0, inZone(gang, "c"), SHORT_RUNTIME), "nowhere");
+                "in zone a and spread");
+        assertFalse(
+                cluster.users().submit(0, inZone(gang, "c"), SHORT_RUNTIME),
+                "in a zone that does not exist");
         assertTrue(
                 cluster.users()
                         .submit(
@@ -208,14 +210,14 @@
                                 withZonePolicy(
                                         SimulatedCluster.spec(2, JobKind.GANG, 1, 1), true, true),
                                 SHORT_RUNTIME),
-                "one task is whole");
+                "a single task satisfies both rules");
         assertTrue(
                 cluster.users()
                         .submit(
                                 0,
                                 inZone(withZonePolicy(array(3, 4), false, true), "b"),
                                 SHORT_RUNTIME),
-                "an array runs half by half");
+                "the tasks of an array need not run at once");
         assertTrue(
                 cluster.users()
                         .submit(
@@ -253,7 +255,7 @@
                 422, cluster.users().postSubmission(node, SubmissionCodec.encode(withoutTypes)));
     }
 
-    /** An accepted job stays accepted, even if it would be rejected today. */
+    /** An accepted job stays accepted, even if it would be rejected under the current quota. */
     @Test
     void repeatedSubmissionIsAcceptedAfterQuotaChange() {
         cluster.withTeam("small", 0, 3);
--- a/src/test/java/org/meadowhollow/simulation/LeaderFailureScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/LeaderFailureScenarioTest.java
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Regression test: an overloaded leader answered workers too late, while users sent it as many
-     * requests as any other controller.
+     * Regression test: an overloaded leader stayed ready, so that it received as many user requests
+     * as any other controller, and answered workers too late.
      */
     @Test
     void overloadedLeaderReportsNotReady() {
@@ -43,7 +43,7 @@
         cluster.network().cutPeers(true);
         cluster.delayTimers(leader, Duration.ofMillis(700));
         cluster.runSeconds(8);
-        assertTrue(cluster.isReady(leader), "nobody else is known to serve");
+        assertTrue(cluster.isReady(leader), "no other controller is known to serve users");
     }
 
     @Test
@@ -58,7 +58,7 @@
     @Test
     void newLeaderSchedulesAfterFullRoundOfHeartbeats() {
         int leader = cluster.leader();
-        assertEquals(0, leader, "a new machine's worker turns to the first node");
+        assertEquals(0, leader, "a new machine's worker connects to the first node");
         cluster.workers().forEach(worker -> worker.setHung(true));
         cluster.crash(leader);
         cluster.restart(leader);
@@ -68,14 +68,15 @@
         assertTrue(cluster.users().submit(leader, job, LONG_RUNTIME));
         TaskId task = new TaskId(job.id(), 0);
         cluster.runSeconds(3);
-        assertFalse(first.hasTask(task), "the other machines may yet report");
+        assertFalse(first.hasTask(task), "the other machines have not reported yet");
         cluster.runSeconds(4);
         assertTrue(first.hasTask(task));
     }
 
     @Test
     void newLeaderKnowsImageCacheLocations() {
-        // Among equal machines the first would be chosen, which is in the other zone.
+        // Without the image cache, the first of the equal machines would be chosen, which is in the
+        // other zone.
         JobSpec first = inZone(array(1, 1), "b");
         assertTrue(cluster.users().submit(0, first, SHORT_RUNTIME));
         cluster.runSeconds(6);
@@ -133,7 +134,7 @@
         cluster.runSeconds(10);
         cluster.store().setOutage(true);
         assertFalse(
-                cluster.users().submit(1, array(2, 1), SHORT_RUNTIME), "nothing can be accepted");
+                cluster.users().submit(1, array(2, 1), SHORT_RUNTIME), "no job can be accepted");
         cluster.runSeconds(19);
         cluster.store().setOutage(false);
         cluster.runSeconds(20);
@@ -202,7 +203,10 @@
         assertTrue(cluster.leader() != old);
         cluster.storeConnection(old).holdRequests(false);
         cluster.runSeconds(1);
-        assertEquals(0, cluster.store().recordCount("task/"), "its successor would not know of it");
+        assertEquals(
+                0,
+                cluster.store().recordCount("task/"),
+                "its successor would not know of the placement");
     }
 
     @Test
@@ -215,7 +219,9 @@
         cluster.workers().forEach(worker -> worker.loseIncoming(false));
         cluster.runSeconds(7);
         assertEquals(
-                0, cluster.startCount(), "committed, but not sent while the lease may be over");
+                0,
+                cluster.startCount(),
+                "committed, but not sent while the lease may have expired");
         cluster.store().setOutage(false);
         cluster.runSeconds(15);
         assertEquals(2, cluster.startCount());
--- a/src/test/java/org/meadowhollow/simulation/LeaderReachabilityScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/LeaderReachabilityScenarioTest.java
@@ -15,7 +15,8 @@
 import org.meadowhollow.model.TaskId;
 
 /**
- * A leader that receives few heartbeats or none: who leads then, and what happens to the machines.
+ * A leader that receives few heartbeats or none: a controller that receives more takes over, and
+ * healthy machines are not returned.
  */
 class LeaderReachabilityScenarioTest {
     private static final int MACHINES = 16;
@@ -45,13 +46,13 @@
     }
 
     private void assertNothingLost() {
-        assertEquals(startsBefore, cluster.startCount(), "every replica ran on where it was");
+        assertEquals(startsBefore, cluster.startCount(), "every replica runs on where it was");
         assertEquals(List.of(), cluster.cloud().returnedMachines());
     }
 
     /**
-     * None of the first machines was returned; those that were rented meanwhile are returned once
-     * they are idle.
+     * Asserts that none of the initial machines was returned. Machines that were rented since may
+     * be returned once they are idle.
      */
     private void assertKept() {
         cluster.cloud()
@@ -71,7 +72,8 @@
     void isolatedLeaderHandsOverToReachableControllerBeforeAnyLeaseExpires() {
         cluster.cutFromWorkers(first, true);
         cluster.runSeconds(11);
-        assertNotEquals(first, cluster.leader(), "well before the lease of a worker is over");
+        assertNotEquals(
+                first, cluster.leader(), "the handover precedes the expiry of any worker's lease");
         cluster.runSeconds(22);
         assertNothingLost();
         cluster.cutFromWorkers(first, false);
@@ -98,7 +100,7 @@
         cluster.network().cutPeers(true);
         cluster.loseHeartbeats(first, true);
         cluster.runSeconds(15);
-        assertNotEquals(first, cluster.leader(), "what they answer directly renews no lease");
+        assertNotEquals(first, cluster.leader(), "responses to direct commands renew no lease");
         cluster.runSeconds(20);
         assertNothingLost();
     }
@@ -113,7 +115,7 @@
         assertEquals(
                 4,
                 cluster.cloud().returnedMachines().size(),
-                "six of sixteen in one lease are too many for chance");
+                "six of sixteen in one lease are unlikely to fail independently");
         cluster.runSeconds(20);
         assertEquals(6, cluster.cloud().returnedMachines().size());
     }
@@ -154,7 +156,7 @@
             }
         }
         cluster.runSeconds(5.75);
-        assertEquals(first, cluster.leader(), "before any worker has come to it");
+        assertEquals(first, cluster.leader(), "before any worker has connected to it");
     }
 
     @Test
@@ -201,7 +203,7 @@
         assertEquals(
                 List.of(),
                 cluster.cloud().returnedMachinesOf("b"),
-                "nor those that booted there since and could not be reached");
+                "nor unreachable machines that booted in that zone since");
         cluster.cutFromZone(first, "b", false);
         cluster.runSeconds(20);
         assertKept();
@@ -232,7 +234,8 @@
         cluster.runSeconds(6);
         slow.forEach(worker -> worker.blockPathTo(first, false));
         cluster.runSeconds(20);
-        assertEquals(first, cluster.leader(), "an outage gives every lease its full time again");
+        assertEquals(
+                first, cluster.leader(), "after an outage every lease has its full duration again");
         assertKept();
     }
 
@@ -269,7 +272,8 @@
         List<FakeWorker> third = cluster.workers().subList(0, 5);
         third.forEach(worker -> worker.blockPathTo(first, true));
         cluster.runSeconds(60);
-        assertEquals(List.of(), cluster.cloud().returnedMachines(), "they come to the other nodes");
+        assertEquals(
+                List.of(), cluster.cloud().returnedMachines(), "they connect to the other nodes");
     }
 
     @Test
@@ -295,7 +299,7 @@
         assertEquals(
                 List.of(),
                 cluster.cloud().returnedMachines(),
-                "its lease has expired, and it has received no heartbeat for 30 s");
+                "a leader whose lease has expired must not act on 30 s without heartbeats");
     }
 
     @Test
@@ -355,7 +359,7 @@
         cluster.runSeconds(5);
         assertFalse(
                 cluster.cloud().returnedMachines().contains(silentMachines.get(2).id()),
-                "two that seemed dead were not");
+                "two machines that seemed dead were alive");
         cluster.runSeconds(25);
         List<MachineId> dead = List.of(silentMachines.get(2).id(), silentMachines.get(3).id());
         assertTrue(
@@ -378,8 +382,8 @@
         assertEquals(
                 List.of(),
                 cluster.cloud().returnedMachines(),
-                "idle for 50 s and more, for all that the first knows");
+                "idle for 50 s and more, as far as the first leader knows");
         cluster.runSeconds(60);
-        assertEquals(4, cluster.cloud().returnedMachines().size(), "whoever leads returns them");
+        assertEquals(4, cluster.cloud().returnedMachines().size(), "the new leader returns them");
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/MachineFailureScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/MachineFailureScenarioTest.java
@@ -44,7 +44,7 @@
         cluster.cloud().setOutage(true);
         hung.setHung(true);
         cluster.runSeconds(12);
-        assertEquals(1, cluster.startCount(), "its lease may still hold");
+        assertEquals(1, cluster.startCount(), "its lease may still be valid");
         cluster.runSeconds(20);
         assertEquals(2, cluster.startCount());
         hung.setHung(false);
@@ -96,7 +96,7 @@
             machineRunning(job, task).setHung(true);
         }
         cluster.runSeconds(16);
-        assertEquals(before, cluster.workers().size(), "the fault may be on this side");
+        assertEquals(before, cluster.workers().size(), "the fault may be on the controller's side");
     }
 
     @Test
@@ -145,12 +145,14 @@
         assertTrue(cluster.workers().size() > before);
         cluster.runSeconds(200);
         assertEquals(Phase.DONE, phaseOf(job));
-        assertTrue(cluster.workers().size() <= 1, cluster.workers().size() + " are left idle");
+        assertTrue(
+                cluster.workers().size() <= 1,
+                cluster.workers().size() + " machines are left idle");
     }
 
     /**
-     * Regression test: a return that the cloud certainly did not execute must not close the
-     * machine, whose capacity was lost for as long as a replica ran there.
+     * Regression test: a return that the cloud certainly did not execute left the machine closed to
+     * new tasks, and its free capacity was lost for as long as a replica ran there.
      */
     @Test
     void machineWhoseReturnWasRefusedRunsTasksAgain() {
@@ -166,6 +168,6 @@
         JobSpec more = array(2, 47);
         assertTrue(cluster.users().submit(0, more, LONG_RUNTIME));
         cluster.runSeconds(10);
-        assertTrue(allTasksRunning(job) && allTasksRunning(more), "all room there is");
+        assertTrue(allTasksRunning(job) && allTasksRunning(more), "they fill the whole capacity");
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/NightlyReservationsScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/NightlyReservationsScenarioTest.java
@@ -23,8 +23,8 @@
 import org.meadowhollow.protocol.JsonCodec;
 
 /**
- * A month of nights on a fleet that other work could fill, with a reserved run at two each night;
- * the clocks skip the time between. The month has the night on which daylight saving time ends.
+ * A month of nights on a fleet that other work could fill, with a run at two o'clock each night;
+ * the clocks skip the time between nights. Daylight saving time ends within the month.
  */
 class NightlyReservationsScenarioTest {
     private static final ZoneId ZONE = ZoneId.of("America/New_York");
@@ -32,10 +32,15 @@
     private static final int NIGHTS = 30;
     private static final int TASKS = 8;
 
-    /** Scheduling rounds are 1 s apart, heartbeats 3 s, and an image pull takes 2 s. */
+    /**
+     * Longest delay of a start that counts as on time: scheduling rounds are 1 s apart, heartbeats
+     * 3 s, and an image pull takes 2 s.
+     */
     private static final double ON_TIME_S = 15;
 
     /**
+     * The results of one month.
+     *
      * @param onTime nights on which all of the run ran within {@link #ON_TIME_S}
      * @param others tasks of other work that completed
      */
@@ -45,7 +50,7 @@
         return new MonthSimulation(seed, faults).run(reserved);
     }
 
-    /** One month on a fleet of its own. */
+    /** Simulates one month on a cluster of its own. */
     private static final class MonthSimulation {
         private final Random random;
         private final boolean faults;
@@ -161,7 +166,7 @@
                             .build();
             int node = 0;
             while (!cluster.users().submit(node % 3, run, Duration.ofSeconds(60))) {
-                assertTrue(node < 10, "nobody takes it");
+                assertTrue(node < 10, "no controller accepts the run");
                 node++;
             }
             return run;
--- a/src/test/java/org/meadowhollow/simulation/OverlappingFaultsScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/OverlappingFaultsScenarioTest.java
@@ -17,11 +17,13 @@
 import org.meadowhollow.storage.RecordKeys;
 
 /**
- * Cancellations that the leader does not know of: the store refuses the leader alone, another
- * controller confirms them, and then the store is out for all. docs/overlapping-faults.md says what
- * each party believes at each step.
+ * Faults that overlap. In several tests the store refuses requests of the leader alone, so that the
+ * leader misses cancellations that another controller confirms, and then the store fails for all
+ * controllers. Cancelled tasks must stop in time nevertheless. {@code docs/overlapping-faults.md}
+ * says what each component knows at each step.
  */
 class OverlappingFaultsScenarioTest extends ClusterTestBase {
+    /** Submits an array, a gang and a service, and runs until all their tasks run. */
     private List<JobSpec> longJobs() {
         List<JobSpec> jobs =
                 List.of(
@@ -38,6 +40,7 @@
         return jobs;
     }
 
+    /** Cancels jobs through a controller, and asserts that their tasks still run at that moment. */
     private void cancelAll(int node, List<JobSpec> jobs) {
         jobs.forEach(job -> assertTrue(cluster.users().cancel(node, job.id())));
         jobs.forEach(
@@ -48,8 +51,8 @@
     }
 
     /**
-     * What the history checker of {@link SimulatedCluster} checks at each step, and that there was
-     * something to check.
+     * Asserts that no task of these jobs runs. The history checker of {@link SimulatedCluster}
+     * checks at each step that cancelled tasks stop within the bound.
      */
     private void assertStoppedWithinBound(List<JobSpec> jobs) {
         for (JobSpec job : jobs) {
@@ -66,8 +69,8 @@
     }
 
     /**
-     * The store refuses the leader, no other controller can inform it, and another one confirms the
-     * cancellations.
+     * Makes the store refuse the leader alone, cuts the connections between controllers so that
+     * none can inform the leader, and cancels the jobs through another controller.
      */
     private void cancelWhileLeaderIsRefusedAlone(int leader, List<JobSpec> jobs) {
         cluster.network().cutPeers(true);
@@ -75,6 +78,10 @@
         cancelAll(nodeAfter(leader, 1), jobs);
     }
 
+    /**
+     * Fails the store for all controllers, ends the refusal of one of them, and asserts that the
+     * tasks stop.
+     */
     private void failStoreForAllAfter(int refused, List<JobSpec> jobs) {
         cluster.store().setOutage(true);
         cluster.storeConnection(refused).refuseRequests(false);
@@ -104,7 +111,7 @@
             cluster.runSeconds(0.75);
             cluster.storeConnection(leader).refuseRequests(true);
         }
-        assertEquals(leader, cluster.leader(), "its renewals were answered");
+        assertEquals(leader, cluster.leader(), "its lease renewals succeeded");
         failStoreForAllAfter(leader, jobs);
     }
 
@@ -119,7 +126,7 @@
         cluster.runSeconds(40);
         assertStoppedWithinBound(jobs);
         assertEquals(leader, cluster.leader());
-        assertTrue(allTasksRunning(another), "what was submitted meanwhile begins");
+        assertTrue(allTasksRunning(another), "a job that was submitted meanwhile starts");
     }
 
     @Test
@@ -129,7 +136,7 @@
         hideTaskRecords();
         cancelWhileLeaderIsRefusedAlone(leader, jobs);
         cluster.runSeconds(10);
-        assertFalse(leader == cluster.leader(), "another node leads, and is loading");
+        assertFalse(leader == cluster.leader(), "another node leads, and loads its records");
         failStoreForAllAfter(leader, jobs);
     }
 
@@ -154,8 +161,8 @@
     void plainStoreOutageReleasesNoTaskTooEarly() {
         List<JobSpec> jobs = longJobs();
         cluster.store().setOutage(true);
-        // The cancellation bound less the age of a read and a second: tasks that were not
-        // cancelled run on for so long, and through an outage shorter than it.
+        // The cancellation bound, less the age of a read and 1 s. Tasks that were not cancelled run
+        // on for this long without the store, and so survive any shorter outage.
         cluster.runSeconds(24);
         cluster.store().setOutage(false);
         cluster.runSeconds(20);
@@ -191,9 +198,12 @@
         JobSpec job = array(1, 2);
         assertTrue(cluster.users().submit(nodeAfter(leader, 1), job, HOURS_RUNTIME));
         assertTrue(cluster.users().cancel(nodeAfter(leader, 1), job.id()));
-        // All jobs are read instead, which shows at once that the job is cancelled.
+        // Without watches the leader lists all jobs, and finds that the job is already cancelled.
         cluster.runSeconds(20);
-        assertEquals(0, cluster.store().recordCount(RecordKeys.JOB_PREFIX), "its end is written");
+        assertEquals(
+                0,
+                cluster.store().recordCount(RecordKeys.JOB_PREFIX),
+                "its live record is deleted when it ends");
     }
 
     @Test
@@ -206,7 +216,7 @@
                 cluster.cloud()
                         .returnedMachines()
                         .containsAll(back.stream().map(FakeWorker::id).toList()),
-                "their heartbeats cannot be distinguished from late duplicates");
+                "heartbeats after a reboot cannot be distinguished from late duplicates");
         cluster.runSeconds(10);
         jobs.forEach(job -> assertTrue(allTasksRunning(job)));
     }
@@ -224,7 +234,7 @@
         }
         assertTrue(cluster.users().submit(0, job, HOURS_RUNTIME));
         cluster.runSeconds(8);
-        assertEquals(worker, machineRunning(job, 0), "in its second session");
+        assertEquals(worker, machineRunning(job, 0), "in its second incarnation");
         cluster.workers().forEach(other -> other.setHung(false));
         int leader = cluster.leader();
         worker.reboot();
@@ -234,12 +244,12 @@
         assertEquals(
                 0,
                 cluster.store().recordCount(RecordKeys.TASK_PREFIX),
-                "what it left is cleared away");
+                "its task record is deleted");
     }
 
     /**
-     * Two tasks that end some ten seconds apart, and between them, at any moment around the first,
-     * the leader crashes.
+     * Two tasks end about ten seconds apart, and the leader crashes up to three seconds after the
+     * first one ended.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4, 6, 9, 12})
@@ -276,8 +286,8 @@
     }
 
     /**
-     * A partitioned zone continues inside with a controller that leads, and jobs are cancelled
-     * through the new leader outside.
+     * A zone is partitioned together with the leader, which still renews the leases of the machines
+     * there while jobs are cancelled through a controller outside.
      */
     @ParameterizedTest
     @ValueSource(ints = {20, 35, 60})
@@ -302,7 +312,7 @@
                         .anyMatch(
                                 worker ->
                                         jobs.stream().anyMatch(job -> worker.runsTaskOf(job.id()))),
-                "the cut zone goes on inside");
+                "tasks in the partitioned zone run on");
         cluster.runSeconds(cutS);
         cluster.partition(leader, false);
         for (int node = 0; node < 3; node++) {
@@ -310,8 +320,8 @@
         }
         cluster.runSeconds(40);
         assertStoppedWithinBound(jobs);
-        // What was not cancelled counts as running in the partitioned zone for as long as its
-        // leader may have continued to answer heartbeats.
+        // Tasks that were not cancelled count as running in the partitioned zone for as long as its
+        // leader may have answered heartbeats.
         cluster.runSeconds(30);
         assertTrue(allTasksRunning(stays));
         assertEquals(
@@ -321,8 +331,8 @@
     }
 
     /**
-     * Each of a leader's writes is applied late for some seconds, after the newer ones by which it
-     * continued.
+     * For some seconds each write of the leader is delayed, and applied after newer writes of the
+     * same leader.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 2, 5, 8, 11})
@@ -343,7 +353,8 @@
                                 nodeAfter(leader, 1), fromS % 2 == 0 ? first.id() : second.id());
         cluster.runSeconds(40);
         assertTrue(
-                cluster.storeConnection(leader).lateCommitCount() > 0, "executed after newer ones");
+                cluster.storeConnection(leader).lateCommitCount() > 0,
+                "no delayed write was executed");
         assertEquals(fromS % 2 == 0 ? Phase.CANCELLED : Phase.DONE, phaseOf(first));
         assertEquals(fromS % 2 == 0 ? Phase.DONE : Phase.CANCELLED, phaseOf(second));
         assertEquals(
@@ -353,7 +364,8 @@
     }
 
     /**
-     * A placement is written again over the record of the task's end, and then the leader crashes.
+     * A delayed write of a placement arrives after the record of the task's end, and then the
+     * leader crashes.
      */
     @Test
     void delayedPlacementAfterTaskEndIsRejected() {
@@ -378,14 +390,14 @@
             cluster.run(Duration.ofMillis(250));
         }
         assertTrue(cluster.storeConnection(leader).lateCommitCount() > 0);
-        assertEquals(null, machineRunning(job, 0), "its task had ended");
+        assertEquals(null, machineRunning(job, 0), "its first task has ended");
         assertEquals(leader, cluster.leader());
         Map<String, Object> record =
                 cluster.store().valueOf(RecordKeys.TASK_PREFIX + job.id() + "/0");
         assertEquals(
                 1,
                 ((List<?>) record.get("placed")).size(),
-                "the record of its start does not come back");
+                "the delayed placement does not restore the start record");
         cluster.crash(leader);
         second.setHung(false);
         cluster.runSeconds(40);
@@ -393,7 +405,10 @@
         assertEquals(Phase.DONE, phaseOf(job));
     }
 
-    /** A job's completion is under way when another controller confirms its cancellation. */
+    /**
+     * The write of a job's completion is delayed when another controller confirms the job's
+     * cancellation.
+     */
     @Test
     void delayedCompletionAfterCancellationIsRejected() {
         JobSpec job = array(1, 1);
@@ -425,8 +440,8 @@
     }
 
     /**
-     * Placements are committed and their starts not sent yet when the store refuses the leader
-     * alone and the job is cancelled.
+     * Placements are committed, but their start commands are not sent yet, when the store refuses
+     * the leader alone and the job is cancelled through another controller.
      */
     @Test
     void leaderRefusedByStoreSendsNoStartsOfJobsCancelledElsewhere() {
@@ -436,26 +451,28 @@
         assertTrue(cluster.users().submit(nodeAfter(leader, 1), job, HOURS_RUNTIME));
         cluster.runSeconds(1.5);
         assertEquals(
-                1, cluster.store().recordCount(RecordKeys.TASK_PREFIX), "its places are committed");
+                1,
+                cluster.store().recordCount(RecordKeys.TASK_PREFIX),
+                "its placements are committed");
         cluster.network().cutPeers(true);
         cluster.storeConnection(leader).refuseRequests(true);
         assertTrue(cluster.users().cancel(nodeAfter(leader, 1), job.id()));
         cluster.runSeconds(2.5);
-        assertEquals(leader, cluster.leader(), "its lease holds");
+        assertEquals(leader, cluster.leader(), "its lease is valid");
         cluster.workers().forEach(worker -> worker.setHung(false));
         cluster.runSeconds(1.5);
         assertEquals(
                 0,
                 cluster.startCommandCount(),
-                "nobody informed it, and it knows that its state may be stale");
+                "not informed of the cancellation, it knows that its state may be stale");
         cluster.runSeconds(60);
         assertEquals(0, cluster.historyChecker().startsAfterCancellation());
         assertEquals(0, cluster.startCount());
     }
 
     /**
-     * Each response of the store takes 1.6 s, for longer than {@code cancel_s}, while users cancel,
-     * poll and submit.
+     * Each response of the store takes 1.6 s, over a period longer than {@code cancel_s}, while
+     * users submit, poll and cancel jobs.
      */
     @Test
     void slowStoreStillServesReadsCancellationsAndTasks() {
@@ -466,7 +483,7 @@
         JobSpec more = array(4, 3);
         assertTrue(
                 cluster.users().submit(nodeAfter(leader, 1), more, HOURS_RUNTIME),
-                "taken within five seconds");
+                "accepted within five seconds");
         assertTrue(cluster.users().cancel(nodeAfter(leader, 2), jobs.get(0).id()));
         for (int time = 0; time < 12; time++) {
             assertEquals(
--- a/src/test/java/org/meadowhollow/simulation/OverloadScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/OverloadScenarioTest.java
@@ -18,14 +18,14 @@
 import org.meadowhollow.model.TaskId;
 
 /**
- * Many polls, best-effort work that fills everything, faulty jobs, and machines that never boot.
+ * Many polls, best-effort work that fills all machines, faulty jobs, and machines that never boot.
  */
 class OverloadScenarioTest extends ClusterTestBase {
     private static JobSpec withPriority(JobSpec spec, Priority priority, Resources each) {
         return JobSpecBuilder.from(spec).priority(priority).resourcesPerTask(each).build();
     }
 
-    /** With a deadline, which ranks it before work of the same priority that has none. */
+    /** Adds a deadline, which ranks the job before jobs of the same priority that have none. */
     private static JobSpec withDeadline(JobSpec spec) {
         return JobSpecBuilder.from(spec).deadlineSeconds(60).build();
     }
@@ -50,7 +50,7 @@
                 "read " + (cluster.storeConnection(1).readCount() - reads) + " times");
         assertTrue(
                 cluster.storeConnection(1).watchCount() - watches < 30,
-                "looked " + (cluster.storeConnection(1).watchCount() - watches) + " times");
+                "watched " + (cluster.storeConnection(1).watchCount() - watches) + " times");
     }
 
     /**
@@ -85,7 +85,7 @@
         assertTrue(cluster.users().submit(0, bestEffort, Duration.ofMinutes(20)));
         cluster.cloud().limitMachines(6);
         cluster.runSeconds(10);
-        assertEquals(48, cluster.startCount(), "all machines are full of it");
+        assertEquals(48, cluster.startCount(), "it fills all machines");
         JobSpec gang =
                 withPriority(
                         SimulatedCluster.spec(2, JobKind.GANG, 3, 8),
@@ -104,7 +104,7 @@
                     "task " + task + " of the gang");
         }
         for (int number = 3; number < 9; number++) {
-            assertTrue(machineRunning(array(number, 3), 2) != null, "the small ones run as well");
+            assertTrue(machineRunning(array(number, 3), 2) != null, "the small jobs run as well");
         }
     }
 
@@ -113,7 +113,10 @@
         JobSpec broken = array(1, 30);
         assertTrue(cluster.users().submit(0, broken, LONG_RUNTIME));
         failAllTasksFor(40);
-        assertEquals(List.of(), cluster.cloud().returnedMachines(), "no machine is blamed");
+        assertEquals(
+                List.of(),
+                cluster.cloud().returnedMachines(),
+                "no machine is returned for the failures of a job");
         failAllTasksFor(90);
         assertTrue(cluster.startCount() < 30 + 12, "started " + cluster.startCount() + " times");
         JobSpec sound = array(2, 40);
@@ -139,15 +142,15 @@
         JobSpec job = array(1, 48 + 16);
         assertTrue(cluster.users().submit(0, job, LONG_RUNTIME));
         cluster.runSeconds(45);
-        assertEquals(48 + 16, cluster.startCount(), "nobody waits for four boot times");
+        assertEquals(48 + 16, cluster.startCount(), "no task waits for four boot times");
         assertTrue(
                 cluster.cloud().rentedMachineCount() <= 16,
                 "rented " + cluster.cloud().rentedMachineCount());
     }
 
     /**
-     * Four single-task jobs a second for two minutes, a quarter of them cancelled, at 30 writes a
-     * second for all controllers together, with failovers.
+     * Four single-task jobs a second for two minutes, a quarter of them cancelled, with failovers,
+     * while the store accepts 30 writes a second of all controllers together.
      */
     @Test
     void fourSingleTaskJobsPerSecondAreAcceptedInTimeAcrossFailovers() {
@@ -186,15 +189,19 @@
         assertTrue(soon >= 0.9 * jobs.size(), soon + " of " + jobs.size() + " within a second");
         for (JobSpec job : jobs) {
             assertTrue(
-                    cluster.historyChecker().isReportedEnded(job.id()), job.id() + " is not over");
+                    cluster.historyChecker().isReportedEnded(job.id()),
+                    job.id() + " has not ended");
         }
         cluster.historyChecker().checkFairness();
         double each = (cluster.store().writeCount() - before) / (double) jobs.size();
-        assertTrue(each < 5.5, each + " changes a job");
+        assertTrue(each < 5.5, each + " writes per job");
         assertEquals(0, cluster.store().recordCount("job/") + cluster.store().recordCount("task/"));
     }
 
-    /** Submits as users do: again after a second, until there is an answer. */
+    /**
+     * Submits a job as users do: again after a second, at the next controller, until there is an
+     * answer.
+     */
     private void submitUntilAccepted(
             int node, JobSpec job, MonotonicTime since, List<Boolean> inTime) {
         CompletableFuture<?> unused =
--- a/src/test/java/org/meadowhollow/simulation/QuotaScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/QuotaScenarioTest.java
@@ -25,7 +25,7 @@
  * checks limits, zones and the time that a cancellation may take.
  */
 class QuotaScenarioTest extends ClusterTestBase {
-    /** Why a machine cannot be reached. */
+    /** A fault that makes a machine unreachable. */
     enum OutOfReach {
         HUNG(FakeWorker::setHung),
         CUT(
@@ -37,7 +37,7 @@
         CANNOT_CONNECT(FakeWorker::blockOutgoingConnections),
         LOSES_INCOMING(FakeWorker::loseIncoming);
 
-        // Each is a function without state of its own.
+        // Each of these functions is stateless.
         @SuppressWarnings("ImmutableEnumChecker")
         private final BiConsumer<FakeWorker, Boolean> fault;
 
@@ -52,7 +52,7 @@
         return job;
     }
 
-    /** Both teams use all that they may; more jobs of each wait. */
+    /** Submits jobs that use up the limits of both teams, and runs until all their tasks run. */
     private List<JobSpec> submitJobsUpToBothTeamLimits() {
         cluster.withTeam("team", 0, 12).withTeam("other", 0, 8);
         List<JobSpec> running =
@@ -109,18 +109,17 @@
             assertNotEquals(leader, cluster.leader());
             cluster.restart(leader);
         }
-        // Direct commands reach a machine that cannot connect, so there its tasks stop at once.
+        // Direct commands reach a machine that cannot connect, so its tasks stop at once.
         assertEquals(
                 how != OutOfReach.CANNOT_CONNECT,
                 still,
-                "a cancelled task was there while the next leader led");
+                "a cancelled task ran while the next leader led");
         cluster.runSeconds(60);
         lost.forEach(worker -> how.fault.accept(worker, false));
         cluster.cloud().setOutage(false);
         cluster.beginFaultFreePhase();
         cluster.runSeconds(60);
-        next.forEach(
-                job -> assertTrue(allTasksRunning(job), job.id() + " waits for nobody for ever"));
+        next.forEach(job -> assertTrue(allTasksRunning(job), job.id() + " must not wait for ever"));
     }
 
     /**
@@ -135,7 +134,7 @@
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 8, 1);
         assertTrue(cluster.users().submit(0, job, HOURS_RUNTIME));
         cluster.runSeconds(3);
-        assertEquals(1, cluster.store().recordCount("task/"), "its places are committed");
+        assertEquals(1, cluster.store().recordCount("task/"), "its placements are committed");
         int leader = cluster.leader();
         cluster.crash(leader);
         assertTrue(cluster.users().cancel(nodeAfter(leader, 1), job.id()));
@@ -148,7 +147,7 @@
         assertEquals(0, cluster.historyChecker().startsAfterCancellation());
     }
 
-    /** How the leader changes. */
+    /** The way in which the leader changes. */
     enum Handing {
         RESIGNED,
         ENDED,
@@ -195,7 +194,7 @@
             if (at == 4) {
                 changeLeader(how, leader);
             }
-            // Through a controller that believes that another one leads.
+            // Through a controller that is not the leader, as far as it knows.
             CompletableFuture<?> unused =
                     cluster.users().cancelAsync(nodeAfter(leader, 1 + at % 2), jobs.get(at).id());
             cluster.run(Duration.ofMillis(250));
@@ -204,7 +203,8 @@
                             ? 1
                             : 0;
         }
-        assertTrue(how != Handing.ENDED || during > 0, "called off while nobody led");
+        assertTrue(
+                how != Handing.ENDED || during > 0, "some jobs are cancelled while nobody leads");
         assertTrue(cluster.fencingToken() > fencingToken);
         cluster.runSeconds(15);
         for (JobSpec job : jobs) {
@@ -216,7 +216,8 @@
     }
 
     /**
-     * Ten leaders in two minutes, also during an outage, in which none of them can read anything.
+     * The leader changes at least ten times in two minutes, in one case during a store outage as
+     * well, in which no leader can read anything.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -249,7 +250,7 @@
         }
         assertTrue(
                 cluster.fencingToken() - fencingToken >= 10,
-                "led " + (cluster.fencingToken() - fencingToken) + " times");
+                "the leader changed " + (cluster.fencingToken() - fencingToken) + " times");
         cluster.beginFaultFreePhase();
         cluster.runSeconds(60);
         assertTrue(allTasksRunning(stays) && allTasksRunning(array(3, 6)));
@@ -270,8 +271,8 @@
         assertTrue(allTasksRunning(job));
         String zone = machineRunning(job, 0).zone();
         cluster.cloud().limitMachines(cluster.workers().size() + 1);
-        // One hangs and resumes when its task is given up, one is reclaimed, and the leader
-        // crashes.
+        // One machine hangs and resumes after its task was given up, one is reclaimed, and the
+        // leader crashes.
         FakeWorker hung = machineRunning(job, 0);
         hung.setHung(true);
         cluster.cloud().reclaim(machineRunning(job, 1));
@@ -282,7 +283,7 @@
         cluster.beginFaultFreePhase();
         cluster.runSeconds(90);
         assertTrue(together || zone.equals("a"));
-        assertTrue(allTasksRunning(job), "it runs again, where its tasks may be");
+        assertTrue(allTasksRunning(job), "it runs again, in the zone that it may use");
     }
 
     /**
@@ -307,10 +308,10 @@
         hung.setHung(true);
         cluster.crash(cluster.leader());
         cluster.runSeconds(14);
-        assertEquals(hung, machineRunning(job, 0), "it may go on at any time");
+        assertEquals(hung, machineRunning(job, 0), "the hung machine may resume at any time");
         hung.setHung(false);
         cluster.runSeconds(6);
-        assertEquals(3, cluster.startCount(), "the other zone has room, and is not for it");
+        assertEquals(3, cluster.startCount(), "the job may not use the capacity of the other zone");
         cluster.addMachine(SimulatedCluster.LARGE, hung.zone());
         cluster.beginFaultFreePhase();
         cluster.runSeconds(40);
@@ -340,7 +341,8 @@
             cluster.run(Duration.ofMillis(250));
         }
         assertTrue(cluster.workers().size() > before, "machines were rented");
-        // Their first attempts are under way to the store, or there and not answered.
+        // The writes of their first attempts are on the way to the store, or applied and not
+        // answered yet.
         cluster.run(Duration.ofMillis(1250));
         cluster.crash(leader);
         cluster.runSeconds(20);
--- a/src/test/java/org/meadowhollow/simulation/RandomFaultsTest.java
+++ b/src/test/java/org/meadowhollow/simulation/RandomFaultsTest.java
@@ -18,8 +18,8 @@
 import org.meadowhollow.model.Priority;
 
 /**
- * Faults of all kinds at random times, from fixed seeds; {@link SimulatedCluster} checks the
- * protocol's rules at every step.
+ * Injects faults of all kinds at random times, from fixed seeds; {@link SimulatedCluster} checks
+ * the protocol's rules at every step.
  */
 class RandomFaultsTest {
     private static final int STEPS = 150;
@@ -59,16 +59,16 @@
     }
 
     /**
-     * Ends all faults; every accepted job then terminates.
+     * Ends all faults, and asserts that every accepted job then terminates.
      *
-     * @param settleSeconds until no submission can arrive any more
-     * @param runSeconds that jobs that still waited for their team's quota may take then
+     * @param settleSeconds time after which no submission can arrive any more
+     * @param runSeconds further time, in which jobs that waited for their team's quota must end
      */
     private static void assertAllJobsTerminate(
             SimulatedCluster cluster, List<JobSpec> jobs, double settleSeconds, double runSeconds) {
         endAllFaults(cluster);
         cluster.runSeconds(settleSeconds);
-        // Replicas would use the team's limit for ever.
+        // Services never end, and would use up the team's limit for ever.
         for (JobSpec job : jobs) {
             if (job.kind() == JobKind.SERVICE) {
                 assertTrue(cluster.users().cancel(0, job.id()));
@@ -84,13 +84,13 @@
     }
 
     private static LongStream quickRestartSeeds() {
-        // A system property lets thousands of seeds run once.
+        // The system property allows single runs with thousands of seeds.
         return LongStream.rangeClosed(1, Long.getLong("quick.seeds", 30));
     }
 
     /**
-     * Processes and machines that restart within a fraction of a second, paused processes, and late
-     * duplicates.
+     * Processes and machines restart within a fraction of a second, processes are paused, and
+     * duplicates of messages arrive late.
      */
     @ParameterizedTest
     @MethodSource("quickRestartSeeds")
@@ -150,8 +150,7 @@
     }
 
     /**
-     * Two faults that overlap, most of them at the leader, with long tasks and cancellations in
-     * between.
+     * Two faults overlap, most of them at the leader, with long tasks and cancellations in between.
      */
     @ParameterizedTest
     @MethodSource("overlappingFaultSeeds")
@@ -194,7 +193,7 @@
         assertAllJobsTerminate(cluster, jobs, 60, 1000);
     }
 
-    /** Users poll some jobs, and cancel some. */
+    /** Polls some jobs, and cancels some. */
     private static void pollOrCancelJobs(
             SimulatedCluster cluster, Random random, List<JobSpec> jobs, int most) {
         for (int step = random.nextInt(most); step >= 0; step--) {
@@ -208,7 +207,7 @@
         }
     }
 
-    /** After a time the faults end, one after the other in random order. */
+    /** Ends the faults after a random time, one after the other in random order. */
     private static void endFaultsInRandomOrder(
             SimulatedCluster cluster, Random random, List<Runnable> ends) {
         cluster.runSeconds(random.nextInt(90));
@@ -225,9 +224,9 @@
     }
 
     /**
-     * One of the additional faults with any other, two teams at their limits on every second day.
-     * After the faults, the guarantees for fault-free operation are checked against what workers
-     * and users observed.
+     * One of the additional faults overlaps any other fault; with even seeds, both teams have quota
+     * limits. After the faults, the guarantees for fault-free operation are checked against what
+     * workers and users observed.
      */
     @ParameterizedTest
     @MethodSource("additionalFaultSeeds")
@@ -321,7 +320,7 @@
         JobKind kind = JOB_KINDS.get(random.nextInt(3));
         JobSpec job =
                 SimulatedCluster.spec(number, kind, 1 + random.nextInt(4), 1 + random.nextInt(2));
-        // Without an answer it may have been accepted all the same.
+        // A submission without an answer may have been accepted nevertheless.
         jobs.add(job);
         Duration runtime =
                 kind == JobKind.SERVICE ? null : Duration.ofSeconds(5 + random.nextInt(40));
--- a/src/test/java/org/meadowhollow/simulation/ReadYourWritesScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/ReadYourWritesScenarioTest.java
@@ -23,7 +23,9 @@
  * SimulatedCluster} checks each answer against what was answered before its request was sent.
  */
 class ReadYourWritesScenarioTest extends ClusterTestBase {
-    /** Answers of all controllers after the critical moment. */
+    /**
+     * Asserts that every controller reports a phase of a job, and accepts its repeated submission.
+     */
     private void assertEveryControllerReports(Phase phase, JobSpec job) {
         for (int node = 0; node < 3; node++) {
             assertEquals(
@@ -32,7 +34,7 @@
                     "node " + node);
             assertTrue(
                     cluster.users().submit(node, job, HOURS_RUNTIME),
-                    "a repeat is known at node " + node);
+                    "a repeated submission is accepted by node " + node);
         }
     }
 
@@ -75,8 +77,8 @@
     }
 
     /**
-     * A submission, a cancellation and an end are each committed, and their sender gets no
-     * response.
+     * A submission, a cancellation or a completion is committed, and the controller that wrote it
+     * gets no response.
      */
     @ParameterizedTest
     @CsvSource({
@@ -111,16 +113,18 @@
         }
         assertTrue(
                 cluster.storeConnection(node).lostCommitCount() > before,
-                "it is committed, and nobody was told");
-        // Another controller reads it, and a user is told there.
+                "the write is committed, and its response is lost");
+        // Another controller reads the write, and reports it to a user.
         Phase then = cluster.users().poll(nodeAfter(node, 1), job.id()).orElseThrow().phase();
         if (by == 1 && !what.equals("ended")) {
             assertTrue(
-                    cluster.users().cancel(nodeAfter(node, 2), job.id()), "and calls it off there");
+                    cluster.users().cancel(nodeAfter(node, 2), job.id()),
+                    "the user cancels it at a third controller");
             then = Phase.CANCELLED;
         }
         if (!what.equals("ended")) {
-            // Sent again, it fails on its own effect, and the answer follows the record.
+            // The retry fails its precondition, since the first try was applied, and the answer
+            // follows from the record.
             cluster.storeConnection(node).loseCommitResponses(0, 0);
             cluster.runSeconds(3);
             assertEquals(then, answer.join().orElseThrow().phase());
@@ -134,7 +138,7 @@
         assertEquals(
                 0,
                 cluster.store().recordCount("job/") + cluster.store().recordCount("task/"),
-                "nothing is left of it");
+                "no live record is left");
     }
 
     /**
@@ -186,8 +190,8 @@
     }
 
     /**
-     * A job moves from its live record to its final one between the two reads of a poll, at
-     * whatever moment that is sent.
+     * A job moves from its live record to its final one between the two reads of a poll, whenever
+     * the poll is sent.
      */
     @Test
     void readDuringMoveToFinalRecordIsAnswered() {
@@ -214,7 +218,7 @@
         assertEquals(Phase.DONE, phaseOf(job));
         assertTrue(
                 cluster.users().asyncAnswerCount() - before > 500,
-                "asked each millisecond until it was done");
+                "polled each millisecond until it was done");
     }
 
     /** A cancellation has read the live record, and its write arrives after the job's end. */
@@ -236,6 +240,6 @@
         cluster.runSeconds(5);
         assertTrue(answer.isDone());
         assertEveryControllerReports(Phase.DONE, job);
-        assertEquals(0, cluster.store().recordCount("job/"), "its live record is not there again");
+        assertEquals(0, cluster.store().recordCount("job/"), "its live record is not restored");
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/ReservationScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/ReservationScenarioTest.java
@@ -38,7 +38,7 @@
         cluster.runSeconds(20);
     }
 
-    /** The time of day some seconds from now, in the API's format. */
+    /** The date and time some seconds from now, in the API's format. */
     private String timeAfterSeconds(long seconds) {
         return LocalDateTime.ofEpochSecond(
                         cluster.loop().wallClockMillis() / 1000 + seconds, 0, ZoneOffset.UTC)
@@ -133,7 +133,10 @@
                 .build();
     }
 
-    /** Fills the whole fleet for a quarter of an hour, as its estimate says, and would again. */
+    /**
+     * Submits work that could fill the whole fleet three times over, each task a quarter of an hour
+     * long, as its estimate says.
+     */
     private void submitLongWork() {
         assertTrue(
                 cluster.users()
@@ -165,9 +168,9 @@
     }
 
     /**
-     * Fills free capacity with long work, then submits the reserved run at its time.
+     * Fills the free capacity with long work, then submits the run at the time of its reservation.
      *
-     * @return how many of its tasks run soon
+     * @return how many tasks of the run have started 10 s later
      */
     private int runReservedJobAmongLongWork(boolean reserved) {
         if (reserved) {
@@ -253,7 +256,7 @@
             cluster.storeConnection(node).hidePrefix("/");
         }
         cluster.runSeconds(20);
-        assertEquals(0, runningTaskCount(work), "all is reserved");
+        assertEquals(0, runningTaskCount(work), "all capacity is reserved");
         assertEquals(Phase.QUEUED, phaseOf(work));
     }
 
@@ -282,7 +285,10 @@
         JobSpec wrong = job(1, "other", Priority.LOW, totalGpuCount(), 1, 100, 0);
         assertTrue(cluster.users().submit(0, wrong, HOUR));
         cluster.runSeconds(15);
-        assertEquals(totalGpuCount(), runningTaskCount(wrong), "it should be done long before");
+        assertEquals(
+                totalGpuCount(),
+                runningTaskCount(wrong),
+                "its estimate ends before the slot begins");
         cluster.runSeconds(188);
         JobSpec run = reservedRun(2, totalGpuCount());
         cluster.runSeconds(12);
@@ -365,7 +371,7 @@
                 cluster.workers().stream()
                         .filter(worker -> worker.zone().equals("a"))
                         .allMatch(worker -> worker.runningTasks().isEmpty()),
-                "all is gone when it begins");
+                "no task is left in the zone when the window begins");
         assertTrue(cluster.loop().wallClockMillis() - began < 260_000);
     }
 
@@ -377,7 +383,10 @@
         assertEquals(totalGpuCount(), runningTaskCount(work));
         body(window("now", "zones", "a", 0, 600, 0), 201);
         cluster.runSeconds(25);
-        assertEquals(totalGpuCount(), runningTaskCount(work), "half a minute");
+        assertEquals(
+                totalGpuCount(),
+                runningTaskCount(work),
+                "a warning precedes the stop by half a minute");
         cluster.runSeconds(20);
         assertTrue(runningTaskCount(work) < totalGpuCount());
     }
@@ -406,9 +415,9 @@
         int tasks = totalGpuCount() + 8;
         body(reserve("calendars", "team", tasks, 1, 600, 600), 201);
         cluster.runSeconds(400);
-        assertTrue(cluster.workers().size() <= before, "not long before");
+        assertTrue(cluster.workers().size() <= before, "nothing is rented long before the slot");
         cluster.runSeconds(190);
-        assertTrue(totalGpuCount() >= tasks, "of " + totalGpuCount());
+        assertTrue(totalGpuCount() >= tasks, "GPUs in the fleet: " + totalGpuCount());
         JobSpec run = reservedRun(2, tasks);
         cluster.runSeconds(20);
         assertEquals(tasks, runningTaskCount(run));
@@ -462,7 +471,7 @@
         String zone = machineRunning(gang, 0).zone();
         body(window("patches", "zones", zone, 150, 600, 0), 201);
         cluster.runSeconds(120);
-        assertEquals(4, runningTaskCount(gang), "not before it has to");
+        assertEquals(4, runningTaskCount(gang), "the gang is not stopped early");
         cluster.runSeconds(45);
         assertTrue(
                 cluster.workers().stream()
@@ -503,7 +512,7 @@
         assertEquals(
                 412,
                 put(2, "reservations/first", null, first).status(),
-                "it is another one by now");
+                "it differs from the accepted reservation");
         assertEquals(412, put(2, "reservations/first", "1", first).status());
         long changed =
                 body(put(2, "reservations/first", "\"" + version + "\"", first), 200)
@@ -538,7 +547,10 @@
         };
     }
 
-    /** Requests two that fit alone and not together from two controllers at the same moment. */
+    /**
+     * Requests two reservations, which fit alone but not together, from two controllers at the same
+     * moment.
+     */
     private List<CompletableFuture<Http.Reply>> concurrentThreeGpuReservations(String start) {
         Object[] fields = sixGpuReservation(start);
         fields[3] = 3;
@@ -635,6 +647,6 @@
         }
         assertEquals(422, reserve("r", "nobody", 1, 1, 60, 60).status());
         assertEquals(422, window("w", "zones", "moon", 60, 60, 0).status());
-        assertFalse(cluster.store().recordCount("cal/") > 0, "nothing of it is kept");
+        assertFalse(cluster.store().recordCount("cal/") > 0, "no rejected request is stored");
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/StaleHeartbeatScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/StaleHeartbeatScenarioTest.java
@@ -18,13 +18,13 @@
 import org.meadowhollow.model.WorkerIncarnation;
 
 /**
- * What a new leader may conclude from the first heartbeat of a machine, which may be stale or of
- * another incarnation.
+ * The first heartbeat of a machine that reaches a new leader may be stale or of another
+ * incarnation. It must not make the leader conclude that a task has ended or never started.
  */
 class StaleHeartbeatScenarioTest extends ClusterTestBase {
     /**
      * Regression test: without a check of the incarnation each task was started by the first
-     * response, and stopped as an unknown task by the next.
+     * heartbeat response, and stopped as an unknown task by the next.
      */
     @Test
     void noTaskStartsInAnotherIncarnationAfterOutageLongerThanLease() {
@@ -40,7 +40,7 @@
         assertTrue(
                 cluster.workers().stream()
                         .allMatch(worker -> worker.incarnation().equals(new WorkerIncarnation(2))),
-                "all leases have run out");
+                "all leases have expired");
         cluster.restartAll();
         cluster.runSeconds(20);
         assertEquals(
@@ -50,9 +50,10 @@
     }
 
     /**
-     * A gang's task that timed out waiting is started again in the same attempt. Regression test:
-     * taken for an exit, the stale heartbeat let the cancelled job end and its team's quota be used
-     * again while the task was on its machine.
+     * A gang's task that timed out waiting for its gang is started again in the same attempt, and a
+     * stale heartbeat with its timeout reaches the next leader. Regression test: the leader took
+     * the timeout for the task's exit, ended the cancelled job and used its team's quota again
+     * while the task was still on its machine.
      */
     @Test
     void retractedExitIsNoProofForNextLeader() {
@@ -73,7 +74,7 @@
                                 0,
                                 withTeam(SimulatedCluster.spec(3, JobKind.SERVICE, 3, 4), "other"),
                                 null),
-                "keeps the other machines");
+                "fills the other machines");
         worker.exitForGangTimeout(first);
         cluster.network().keepHeartbeatForNextLeader(worker);
         cluster.runSeconds(60);
@@ -91,17 +92,17 @@
                 cluster.network().deliveredToNextLeaderCount() > 0
                         && cluster.leader() != leader
                         && cluster.leader() >= 0);
-        assertEquals(worker, machineRunning(gang, 0), "it may go on at any time");
+        assertEquals(worker, machineRunning(gang, 0), "the hung machine may resume at any time");
         // The quota check of the history checker covers what follows.
         cluster.runSeconds(10);
         cluster.cloud().setOutage(false);
         cluster.runSeconds(60);
-        assertTrue(allTasksRunning(next), "nobody waits for it for ever");
+        assertTrue(allTasksRunning(next), "the next job must not wait for the lost task for ever");
     }
 
     /**
-     * A gang's task is replaced on its machine in the same attempt, and an exit from the
-     * incarnation before arrives late.
+     * A gang's task is started again on its machine in the same attempt, and its exit in the
+     * previous incarnation is reported late.
      */
     @Test
     void exitInEarlierIncarnationDoesNotEndSameAttemptInNext() {
@@ -136,14 +137,14 @@
         worker.setHung(false);
         cluster.runSeconds(30);
         assertTrue(allTasksRunning(gang));
-        // Its peers missed it, so there is a new attempt; the history checker verifies that none
-        // of its tasks ran beside the former one.
+        // The other tasks of the gang lost their peer, so there is a new attempt; the history
+        // checker verifies that none of its tasks ran beside one of the former attempt.
         assertEquals(12, cluster.startCount());
     }
 
     /**
-     * A heartbeat from before the start, without the task, reaches the next leader first, while the
-     * machine cannot be reached.
+     * A heartbeat from before the task's start, which does not list the task, reaches the next
+     * leader first, while the machine cannot be reached.
      */
     @Test
     void staleHeartbeatWithoutTaskIsNoProofThatItNeverStarts() {
@@ -163,7 +164,7 @@
         assertTrue(cluster.network().deliveredToNextLeaderCount() > 0);
         assertTrue(
                 silentMachines.stream().anyMatch(worker -> !worker.runningTasks().isEmpty()),
-                "they may go on at any time");
+                "the hung machines may resume at any time");
         cluster.runSeconds(4);
         silentMachines.forEach(worker -> worker.setHung(false));
         cluster.beginFaultFreePhase();
@@ -172,8 +173,8 @@
     }
 
     /**
-     * The machine has rebooted with incarnation 1, and a heartbeat of a higher incarnation of its
-     * earlier generation arrives late.
+     * The machine has rebooted and counts its incarnations from 1 again, and a heartbeat of a
+     * higher incarnation from before the reboot arrives late.
      */
     @Test
     void higherIncarnationOfEarlierGenerationDoesNotEndCurrentIncarnation() {
@@ -199,14 +200,14 @@
         JobSpec job = withTypes(SimulatedCluster.spec(1, JobKind.SERVICE, 1, 1), List.of("small"));
         assertTrue(cluster.users().submit(cluster.leader(), job, null));
         cluster.runSeconds(8);
-        assertEquals(worker, machineRunning(job, 0), "in the first session of its new life");
+        assertEquals(worker, machineRunning(job, 0), "in the first incarnation after its reboot");
         // From now on the first machine has capacity, and would be chosen first.
         assertTrue(cluster.users().cancel(cluster.leader(), fills.id()));
         cluster.runSeconds(3);
         worker.setHung(true);
         CompletableFuture<?> unused = cluster.network().deliverHeartbeat(cluster.leader(), former);
         cluster.runSeconds(8);
-        assertEquals(worker, machineRunning(job, 0), "it may go on at any time");
+        assertEquals(worker, machineRunning(job, 0), "the hung machine may resume at any time");
         worker.setHung(false);
         cluster.beginFaultFreePhase();
         cluster.runSeconds(60);
@@ -214,8 +215,8 @@
     }
 
     /**
-     * A stale heartbeat with a start, an end of an earlier attempt, or nothing at all reaches every
-     * controller as a leader begins.
+     * A stale heartbeat from before the start of a task, from its run or from an earlier
+     * incarnation reaches every controller as a new leader takes over.
      */
     @ParameterizedTest
     @ValueSource(strings = {"before the start", "while it ran", "of an earlier incarnation"})
@@ -241,18 +242,18 @@
         cluster.runSeconds(25);
         assertTrue(cluster.network().deliveredToNextLeaderCount() > 0);
         assertFalse(cluster.leader() == leader);
-        assertEquals(starts, cluster.startCount(), "what runs goes on where it is");
+        assertEquals(starts, cluster.startCount(), "running tasks are not restarted");
         assertTrue(cluster.users().cancel(cluster.leader(), job.id()));
         cluster.runSeconds(8);
         assertTrue(
                 cluster.workers().stream().allMatch(worker -> worker.runningTasks().isEmpty()),
-                "newer reports were heeded");
+                "newer heartbeats replace the stale ones");
         assertEquals(Phase.CANCELLED, phaseOf(job));
     }
 
     /**
-     * A stale heartbeat of machines that no longer exist names tasks whose exit nobody ever
-     * reports, and the cloud returns nothing.
+     * Stale heartbeats of machines that no longer exist list tasks whose exit will never be
+     * reported, and the cloud is out, so that no machine can be returned.
      */
     @Test
     void staleHeartbeatsOfReturnedMachinesDelayNothing() {
@@ -273,14 +274,14 @@
         cluster.addMachine(SimulatedCluster.LARGE, "a");
         cluster.addMachine(SimulatedCluster.LARGE, "b");
         cluster.beginFaultFreePhase();
-        // The history checker fails the test if a job waits beside free capacity.
+        // The history checker fails the test if a job waits while there is free capacity.
         cluster.runSeconds(95);
         assertTrue(allTasksRunning(job));
     }
 
     /**
-     * The cloud reclaims machines, their tasks are proven lost, and the next leader learns of them
-     * by stale heartbeats first.
+     * Makes the cloud reclaim machines, waits until their tasks are known to be lost, and crashes
+     * the leader. The next leader first learns of the tasks from stale heartbeats.
      */
     private void removeMachinesAndReplayHeartbeats(List<FakeWorker> machines) {
         cluster.cloud().setOutage(true);
@@ -307,7 +308,7 @@
         int leader = cluster.leader();
         long fencingToken = cluster.fencingToken();
         cluster.runSeconds(60);
-        assertEquals(leader, cluster.leader(), "it hears all that are there");
+        assertEquals(leader, cluster.leader(), "it receives heartbeats of all existing machines");
         assertEquals(fencingToken, cluster.fencingToken());
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/UnidirectionalPartitionScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/UnidirectionalPartitionScenarioTest.java
@@ -15,8 +15,8 @@
 
 /**
  * Machines that cannot open a connection to any controller, while direct commands reach them, and
- * machines whose responses are lost or delayed. Their heartbeats are missing though they live, and
- * a direct response renews no lease.
+ * machines whose responses are lost or delayed. Such machines are alive although their heartbeats
+ * are missing, and a response to a direct command renews no lease.
  */
 class UnidirectionalPartitionScenarioTest extends ClusterTestBase {
     private List<FakeWorker> blockOutgoingConnectionsOfZone(String zone) {
@@ -27,7 +27,7 @@
     }
 
     /**
-     * Regression test: tasks placed there waited for as long as the machine could not connect,
+     * Regression test: tasks placed on such a machine waited for as long as it could not connect,
      * since starts are sent in heartbeat responses alone.
      */
     @Test
@@ -38,17 +38,18 @@
         cluster.runSeconds(8);
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 12, 2);
         assertTrue(cluster.users().submit(0, job, HOURS_RUNTIME));
-        // Before the lease of those that cannot connect expires, which would prove that nothing
-        // was started there.
+        // Too short for the leases of the machines that cannot connect to expire, which would prove
+        // that nothing was started there.
         cluster.runSeconds(7);
-        assertTrue(allTasksRunning(job), "there is room for all on the others");
+        assertTrue(allTasksRunning(job), "the other machines have capacity for all tasks");
         unconnected.forEach(worker -> worker.blockOutgoingConnections(false));
         cluster.runSeconds(40);
         assertEquals(12, cluster.startCount());
     }
 
     /**
-     * It lives, as its direct responses show; its tasks end with its lease, and then run elsewhere.
+     * Its responses to direct commands show that the machine is alive. Its tasks stop when its
+     * lease expires, and then run elsewhere.
      */
     @Test
     void machineThatCannotOpenConnectionsIsNotReturned() {
@@ -68,8 +69,8 @@
     }
 
     /**
-     * All machines of a zone cannot connect, tasks there are cancelled, and the leader crashes
-     * before or after it knows.
+     * No machine of a zone can open connections, tasks there are cancelled, and the leader crashes
+     * before or after it learns of the cancellation.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 4, 6})
@@ -89,7 +90,7 @@
         assertTrue(
                 leaderEndsAfterS > 0
                         || unconnected.stream().anyMatch(worker -> worker.runsTaskOf(goes.id())),
-                "it is there when its cancellation is confirmed");
+                "it still runs there when its cancellation is confirmed");
         if (leaderEndsAfterS > 0) {
             cluster.runSeconds(leaderEndsAfterS);
             cluster.crash(leader);
@@ -99,7 +100,7 @@
             assertEquals(
                     null,
                     machineRunning(goes, task),
-                    "a direct command reaches it well within the time there is");
+                    "a direct command reaches it well within the cancellation bound");
         }
         int next = cluster.leader();
         long fencingToken = cluster.fencingToken();
@@ -120,8 +121,8 @@
     }
 
     /**
-     * A direct command is delayed, and executed when another one leads or the next attempt has
-     * begun.
+     * Direct stop commands are delayed, and executed when another controller leads or the next
+     * attempt has begun.
      */
     @ParameterizedTest
     @CsvSource({"6, true", "14, true", "25, true", "6, false", "14, false"})
@@ -139,13 +140,13 @@
         }
         cluster.network().holdCommands(true);
         // A task of the gang ends, and the others are told to stop, directly and in their next
-        // responses.
+        // heartbeat responses.
         FakeWorker first = places.get(0);
         places.get(1).setHung(true);
         places.get(2).setHung(true);
         first.exitForMissingPeer(new TaskId(job.id(), 0));
         cluster.runSeconds(4);
-        assertTrue(cluster.network().heldCommandCount() > 0, "stops are on their way");
+        assertTrue(cluster.network().heldCommandCount() > 0, "stop commands are on their way");
         int leader = cluster.leader();
         if (leaderEnds) {
             cluster.crash(leader);
@@ -165,14 +166,13 @@
         cluster.restart(leader);
         cluster.beginFaultFreePhase();
         cluster.runSeconds(85);
-        assertTrue(
-                allTasksRunning(job), "none of it was stopped by a command for the former attempt");
+        assertTrue(allTasksRunning(job), "a command for the former attempt stopped no task");
         assertEquals(leaderEnds ? cluster.startCount() : starts, cluster.startCount());
     }
 
     /**
-     * A machine loses everything incoming for longer than its lease while leaders change; its tasks
-     * count until the lease has surely expired.
+     * Machines lose all incoming messages for longer than their leases while leaders change; their
+     * tasks count as running until the leases have certainly expired.
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3})
