--- a/src/test/java/org/meadowhollow/simulation/GangSchedulingScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/GangSchedulingScenarioTest.java
@@ -18,8 +18,8 @@
      * Submits a gang of large tasks, and runs until they are on their machines and pull their
      * images.
      */
-    private JobSpec gangPullingImages(int tasks, Duration fetch) {
-        cluster.setImagePullTime(fetch);
+    private JobSpec startGangPullingImages(int tasks, Duration pullTime) {
+        cluster.setImagePullTime(pullTime);
         JobSpec gang = SimulatedCluster.spec(1, JobKind.GANG, tasks, 8);
         assertTrue(cluster.users().submit(0, gang, LONG_RUNTIME));
         cluster.runSeconds(10);
@@ -28,10 +28,10 @@
 
     private void assertFirstAttempt(JobSpec gang) {
         for (int task = 0; task < gang.taskCount(); task++) {
-            TaskId each = new TaskId(gang.id(), task);
+            TaskId taskId = new TaskId(gang.id(), task);
             assertEquals(
                     1,
-                    machineHolding(each).attemptOf(each).value(),
+                    machineHolding(taskId).attemptOf(taskId).value(),
                     "the image pulls of the other tasks continue");
         }
     }
@@ -68,7 +68,7 @@
 
     @Test
     void taskThatTimedOutWaitingForGangWaitsAgainInSameAttempt() {
-        JobSpec gang = gangPullingImages(3, Duration.ofSeconds(40));
+        JobSpec gang = startGangPullingImages(3, Duration.ofSeconds(40));
         TaskId first = new TaskId(gang.id(), 0);
         FakeWorker worker = machineHolding(first);
         worker.exitForGangTimeout(first);
@@ -80,7 +80,7 @@
 
     @Test
     void unstartedGangGetsReplacementTaskInSameAttempt() {
-        JobSpec gang = gangPullingImages(3, Duration.ofSeconds(40));
+        JobSpec gang = startGangPullingImages(3, Duration.ofSeconds(40));
         TaskId lost = new TaskId(gang.id(), 1);
         FakeWorker worker = machineHolding(lost);
         worker.setHung(true);
@@ -92,7 +92,7 @@
 
     @Test
     void gangWithoutReplacementReleasesItsMachines() {
-        JobSpec gang = gangPullingImages(6, Duration.ofMinutes(5));
+        JobSpec gang = startGangPullingImages(6, Duration.ofMinutes(5));
         cluster.cloud().setOutage(true);
         machineHolding(new TaskId(gang.id(), 1)).setHung(true);
         cluster.runSeconds(70);
@@ -107,14 +107,14 @@
     @Test
     void simultaneousTaskCompletionsCompleteGangOnce() {
         JobSpec gang = SimulatedCluster.spec(1, JobKind.GANG, 3, 8);
-        JobSpec after = array(2, 2);
+        JobSpec next = array(2, 2);
         assertTrue(cluster.users().submit(0, gang, SHORT_RUNTIME));
         cluster.runSeconds(25);
         assertEquals(Phase.DONE, phaseOf(gang));
-        assertTrue(cluster.users().submit(0, after, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(0, next, SHORT_RUNTIME));
         cluster.runSeconds(25);
         assertEquals(
-                Phase.DONE, phaseOf(after), "a write that fails for ever would block all others");
+                Phase.DONE, phaseOf(next), "a write that fails for ever would block all others");
     }
 
     @Test
@@ -156,7 +156,7 @@
      * their machines, and the gang waited for ever.
      */
     @Test
-    void taskLostBeforeNewLeaderLearnsThatGangStarted() {
+    void gangRestartsIfTaskIsLostBeforeNewLeaderLearnsItStarted() {
         JobSpec gang = SimulatedCluster.spec(1, JobKind.GANG, 3, 8);
         assertTrue(cluster.users().submit(0, gang, Duration.ofHours(2)));
         cluster.runSeconds(10);
@@ -170,14 +170,14 @@
         cluster.runSeconds(10);
         assertEquals(6, cluster.startCount());
         cluster.cloud().limitMachines(0);
-        List<FakeWorker> rest = List.of(machineRunning(gang, 0), machineRunning(gang, 2));
+        List<FakeWorker> remaining = List.of(machineRunning(gang, 0), machineRunning(gang, 2));
         cluster.cloud().fail(machineRunning(gang, 1));
-        rest.forEach(worker -> worker.setHung(true));
+        remaining.forEach(worker -> worker.setHung(true));
         int leader = cluster.leader();
         cluster.crash(leader);
         cluster.runSeconds(12);
         assertTrue(cluster.leader() >= 0 && cluster.leader() != leader);
-        rest.forEach(worker -> worker.setHung(false));
+        remaining.forEach(worker -> worker.setHung(false));
         cluster.runSeconds(6);
         cluster.addMachine(SimulatedCluster.LARGE, "a");
         cluster.beginFaultFreePhase();
--- a/src/test/java/org/meadowhollow/simulation/JobLifecycleScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/JobLifecycleScenarioTest.java
@@ -156,9 +156,9 @@
         JobSpec job = array(1, 1);
         assertTrue(cluster.users().submit(0, job, LONG_RUNTIME));
         for (int second = 0; second < 120; second++) {
-            FakeWorker place = machineRunning(job, 0);
-            if (place != null) {
-                place.failTask(new TaskId(job.id(), 0));
+            FakeWorker worker = machineRunning(job, 0);
+            if (worker != null) {
+                worker.failTask(new TaskId(job.id(), 0));
             }
             cluster.runSeconds(1);
         }
--- a/src/test/java/org/meadowhollow/simulation/LeaderFailureScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/LeaderFailureScenarioTest.java
@@ -84,10 +84,10 @@
         cluster.runSeconds(25);
         cluster.crash(cluster.leader());
         cluster.runSeconds(15);
-        JobSpec again = array(3, 1);
-        assertTrue(cluster.users().submit(cluster.leader(), again, LONG_RUNTIME));
+        JobSpec next = array(3, 1);
+        assertTrue(cluster.users().submit(cluster.leader(), next, LONG_RUNTIME));
         cluster.runSeconds(8);
-        assertEquals(cached, machineRunning(again, 0));
+        assertEquals(cached, machineRunning(next, 0));
     }
 
     @Test
--- a/src/test/java/org/meadowhollow/simulation/LeaderReachabilityScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/LeaderReachabilityScenarioTest.java
@@ -24,9 +24,9 @@
 
     private SimulatedCluster cluster;
     private JobSpec service;
-    private int first;
-    private int startsBefore;
-    private MachineId lastOfFirst;
+    private int initialLeader;
+    private int initialStartCount;
+    private MachineId lastInitialMachine;
 
     @BeforeEach
     void startServiceOnMachinesOfTwoZones() {
@@ -36,17 +36,17 @@
             cluster.addMachine(SimulatedCluster.LARGE, "b");
         }
         cluster.runSeconds(12);
-        lastOfFirst = cluster.workers().get(MACHINES - 1).id();
+        lastInitialMachine = cluster.workers().get(MACHINES - 1).id();
         service = SimulatedCluster.spec(1, JobKind.SERVICE, REPLICAS, 4);
         assertTrue(cluster.users().submit(0, service, Duration.ofHours(1)));
         cluster.runSeconds(10);
-        first = cluster.leader();
-        startsBefore = cluster.startCount();
-        assertEquals(REPLICAS, startsBefore, "two on each machine");
+        initialLeader = cluster.leader();
+        initialStartCount = cluster.startCount();
+        assertEquals(REPLICAS, initialStartCount, "two on each machine");
     }
 
-    private void assertNothingLost() {
-        assertEquals(startsBefore, cluster.startCount(), "every replica runs on where it was");
+    private void assertNoRestartOrReturn() {
+        assertEquals(initialStartCount, cluster.startCount(), "every replica runs on where it was");
         assertEquals(List.of(), cluster.cloud().returnedMachines());
     }
 
@@ -54,36 +54,39 @@
      * Asserts that none of the initial machines was returned. Machines that were rented since may
      * be returned once they are idle.
      */
-    private void assertKept() {
+    private void assertInitialMachinesKept() {
         cluster.cloud()
                 .returnedMachines()
-                .forEach(id -> assertTrue(id.compareTo(lastOfFirst) > 0, id + " is healthy"));
+                .forEach(
+                        id -> assertTrue(id.compareTo(lastInitialMachine) > 0, id + " is healthy"));
     }
 
     private int runningReplicaCount() {
-        int on = 0;
+        int count = 0;
         for (int task = 0; task < REPLICAS; task++) {
-            on += cluster.machinesRunning(new TaskId(service.id(), task)).size();
+            count += cluster.machinesRunning(new TaskId(service.id(), task)).size();
         }
-        return on;
+        return count;
     }
 
     @Test
     void isolatedLeaderHandsOverToReachableControllerBeforeAnyLeaseExpires() {
-        cluster.cutFromWorkers(first, true);
+        cluster.cutFromWorkers(initialLeader, true);
         cluster.runSeconds(11);
         assertNotEquals(
-                first, cluster.leader(), "the handover precedes the expiry of any worker's lease");
+                initialLeader,
+                cluster.leader(),
+                "the handover precedes the expiry of any worker's lease");
         cluster.runSeconds(22);
-        assertNothingLost();
-        cluster.cutFromWorkers(first, false);
+        assertNoRestartOrReturn();
+        cluster.cutFromWorkers(initialLeader, false);
         cluster.runSeconds(20);
-        assertNothingLost();
+        assertNoRestartOrReturn();
     }
 
     @Test
     void workersLeavingIsolatedLeaderWaitForItsSuccessor() {
-        cluster.cutFromWorkers(first, true);
+        cluster.cutFromWorkers(initialLeader, true);
         cluster.runSeconds(9.5);
         long fencingToken = cluster.fencingToken();
         cluster.workers()
@@ -98,11 +101,12 @@
     @Test
     void leaderThatReceivesNoHeartbeatsHandsOverThoughItReachesWorkers() {
         cluster.network().cutPeers(true);
-        cluster.loseHeartbeats(first, true);
+        cluster.loseHeartbeats(initialLeader, true);
         cluster.runSeconds(15);
-        assertNotEquals(first, cluster.leader(), "responses to direct commands renew no lease");
+        assertNotEquals(
+                initialLeader, cluster.leader(), "responses to direct commands renew no lease");
         cluster.runSeconds(20);
-        assertNothingLost();
+        assertNoRestartOrReturn();
     }
 
     @Test
@@ -123,40 +127,40 @@
     @Test
     void isolatedLeaderWithoutPeersStepsDownOnOwnEvidence() {
         cluster.network().cutPeers(true);
-        cluster.cutFromWorkers(first, true);
+        cluster.cutFromWorkers(initialLeader, true);
         cluster.runSeconds(15);
-        assertNotEquals(first, cluster.leader());
+        assertNotEquals(initialLeader, cluster.leader());
         assertTrue(cluster.leader() >= 0);
         cluster.runSeconds(22);
-        assertNothingLost();
+        assertNoRestartOrReturn();
     }
 
     @Test
     void isolatedControllerIsNoCandidateUntilItReceivesHeartbeats() {
-        cluster.cutFromWorkers(first, true);
+        cluster.cutFromWorkers(initialLeader, true);
         cluster.runSeconds(12);
         int second = cluster.leader();
-        assertNotEquals(first, second);
-        int third = 3 - first - second;
+        assertNotEquals(initialLeader, second);
+        int third = 3 - initialLeader - second;
         cluster.losePower(second);
         cluster.runSeconds(9);
         assertEquals(third, cluster.leader(), "the isolated node left the free lease to the third");
     }
 
     @Test
-    void recoveredControllerIsCandidateLikeAnyOther() {
-        cluster.cutFromWorkers(first, true);
+    void recoveredControllerIsCandidateAgain() {
+        cluster.cutFromWorkers(initialLeader, true);
         cluster.runSeconds(12);
-        cluster.cutFromWorkers(first, false);
+        cluster.cutFromWorkers(initialLeader, false);
         cluster.runSeconds(6);
         // No worker connects to a node that does not lead, so it has probed some workers itself.
         for (int node = 0; node < 3; node++) {
-            if (node != first) {
+            if (node != initialLeader) {
                 cluster.losePower(node);
             }
         }
         cluster.runSeconds(5.75);
-        assertEquals(first, cluster.leader(), "before any worker has connected to it");
+        assertEquals(initialLeader, cluster.leader(), "before any worker has connected to it");
     }
 
     @Test
@@ -183,7 +187,7 @@
             cluster.cutFromWorkers(node, true);
         }
         cluster.runSeconds(20);
-        assertEquals(first, cluster.leader());
+        assertEquals(initialLeader, cluster.leader());
         long fencingToken = cluster.fencingToken();
         cluster.runSeconds(10);
         assertEquals(fencingToken, cluster.fencingToken(), "one handover is enough");
@@ -193,50 +197,52 @@
     @Test
     void leaderIsolatedFromOneZoneStaysAndKeepsItsMachines() {
         long fencingToken = cluster.fencingToken();
-        cluster.cutFromZone(first, "b", true);
+        cluster.cutFromZone(initialLeader, "b", true);
         cluster.runSeconds(100);
         assertEquals(
                 fencingToken,
                 cluster.fencingToken(),
                 "the other nodes may receive fewer heartbeats of zone a");
-        assertKept();
+        assertInitialMachinesKept();
         assertEquals(
                 List.of(),
                 cluster.cloud().returnedMachinesOf("b"),
                 "nor unreachable machines that booted in that zone since");
-        cluster.cutFromZone(first, "b", false);
+        cluster.cutFromZone(initialLeader, "b", false);
         cluster.runSeconds(20);
-        assertKept();
+        assertInitialMachinesKept();
         assertEquals(REPLICAS, runningReplicaCount());
     }
 
     @Test
     void manyMachinesSilentAtOnceAreKept() {
         cluster.network().cutPeers(true);
-        List<FakeWorker> many = List.copyOf(cluster.workers().subList(3, 10));
-        many.forEach(worker -> worker.setHung(true));
+        List<FakeWorker> silentMachines = List.copyOf(cluster.workers().subList(3, 10));
+        silentMachines.forEach(worker -> worker.setHung(true));
         cluster.runSeconds(60);
-        many.forEach(worker -> worker.setHung(false));
+        silentMachines.forEach(worker -> worker.setHung(false));
         cluster.runSeconds(10);
-        assertKept();
+        assertInitialMachinesKept();
     }
 
     @Test
     void leaderPausedDuringStoreOutageDoesNotCountPauseAsSilence() {
         cluster.store().setOutage(true);
         cluster.network().cutPeers(true);
-        cluster.pause(first);
-        List<FakeWorker> slow = cluster.workers().subList(0, 3);
-        slow.forEach(worker -> worker.blockPathTo(first, true));
+        cluster.pause(initialLeader);
+        List<FakeWorker> unreachable = cluster.workers().subList(0, 3);
+        unreachable.forEach(worker -> worker.blockPathTo(initialLeader, true));
         cluster.runSeconds(24);
         cluster.store().setOutage(false);
-        cluster.resume(first);
+        cluster.resume(initialLeader);
         cluster.runSeconds(6);
-        slow.forEach(worker -> worker.blockPathTo(first, false));
+        unreachable.forEach(worker -> worker.blockPathTo(initialLeader, false));
         cluster.runSeconds(20);
         assertEquals(
-                first, cluster.leader(), "after an outage every lease has its full duration again");
-        assertKept();
+                initialLeader,
+                cluster.leader(),
+                "after an outage every lease has its full duration again");
+        assertInitialMachinesKept();
     }
 
     @Test
@@ -246,17 +252,17 @@
         }
         cluster.runSeconds(6);
         cluster.network().cutPeers(true);
-        cluster.cutFromZone(first, "b", true);
+        cluster.cutFromZone(initialLeader, "b", true);
         cluster.runSeconds(60);
-        assertKept();
+        assertInitialMachinesKept();
     }
 
     @Test
-    void machineIsReturnedOnceAllItsListenersMissedItLongEnough() {
+    void machineIsReturnedOnceSilentToAllControllers() {
         FakeWorker lost = cluster.workers().get(2);
-        lost.blockPathTo(first, true);
+        lost.blockPathTo(initialLeader, true);
         cluster.runSeconds(5);
-        lost.connectTo((first + 1) % 3);
+        lost.connectTo((initialLeader + 1) % 3);
         cluster.runSeconds(1);
         lost.setHung(true);
         cluster.runSeconds(8);
@@ -269,8 +275,8 @@
 
     @Test
     void thirdOfMachinesReachableFromPeersIsKept() {
-        List<FakeWorker> third = cluster.workers().subList(0, 5);
-        third.forEach(worker -> worker.blockPathTo(first, true));
+        List<FakeWorker> unreachable = cluster.workers().subList(0, 5);
+        unreachable.forEach(worker -> worker.blockPathTo(initialLeader, true));
         cluster.runSeconds(60);
         assertEquals(
                 List.of(), cluster.cloud().returnedMachines(), "they connect to the other nodes");
@@ -278,23 +284,23 @@
 
     @Test
     void machineReachableFromAnotherControllerIsNotReturned() {
-        FakeWorker alone = cluster.workers().get(3);
-        alone.blockPathTo(first, true);
+        FakeWorker unreachable = cluster.workers().get(3);
+        unreachable.blockPathTo(initialLeader, true);
         cluster.runSeconds(60);
-        assertFalse(cluster.cloud().returnedMachines().contains(alone.id()));
+        assertFalse(cluster.cloud().returnedMachines().contains(unreachable.id()));
     }
 
     @Test
     void pausedLeaderDoesNotCountPauseAsSilence() {
-        cluster.pause(first);
+        cluster.pause(initialLeader);
         cluster.runSeconds(4);
-        cluster.resume(first);
+        cluster.resume(initialLeader);
         cluster.runSeconds(30);
-        assertNothingLost();
-        cluster.pause(first);
+        assertNoRestartOrReturn();
+        cluster.pause(initialLeader);
         cluster.runSeconds(30);
-        assertNotEquals(first, cluster.leader());
-        cluster.resume(first);
+        assertNotEquals(initialLeader, cluster.leader());
+        cluster.resume(initialLeader);
         cluster.runSeconds(30);
         assertEquals(
                 List.of(),
@@ -304,13 +310,13 @@
 
     @Test
     void leaderIsolatedAfterPauseReturnsNoMachines() {
-        cluster.pause(first);
-        cluster.cutFromWorkers(first, true);
+        cluster.pause(initialLeader);
+        cluster.cutFromWorkers(initialLeader, true);
         cluster.network().cutPeers(true);
         cluster.runSeconds(4);
-        cluster.resume(first);
+        cluster.resume(initialLeader);
         cluster.runSeconds(30);
-        assertNotEquals(first, cluster.leader());
+        assertNotEquals(initialLeader, cluster.leader());
         assertEquals(List.of(), cluster.cloud().returnedMachines());
     }
 
@@ -328,13 +334,13 @@
 
     @Test
     void machinesReclaimedByCloudDoNotCountAsIsolation() {
-        List<FakeWorker> wave = cluster.workers().subList(0, 7);
-        wave.forEach(cluster.cloud()::reclaim);
+        List<FakeWorker> reclaimed = cluster.workers().subList(0, 7);
+        reclaimed.forEach(cluster.cloud()::reclaim);
         cluster.runSeconds(60);
         assertTrue(
                 cluster.cloud()
                         .returnedMachines()
-                        .containsAll(wave.stream().map(FakeWorker::id).toList()),
+                        .containsAll(reclaimed.stream().map(FakeWorker::id).toList()),
                 "seven of sixteen are silent, but they no longer exist");
         assertEquals(REPLICAS, runningReplicaCount());
     }
@@ -375,10 +381,10 @@
         cluster.runSeconds(46);
         // Another controller leads in 5 s, and may place anything on the machines that the first
         // still considers idle.
-        cluster.storeConnection(first).refuseRequests(true);
+        cluster.storeConnection(initialLeader).refuseRequests(true);
         cluster.network().cutPeers(true);
         cluster.runSeconds(11);
-        assertNotEquals(first, cluster.leader());
+        assertNotEquals(initialLeader, cluster.leader());
         assertEquals(
                 List.of(),
                 cluster.cloud().returnedMachines(),
--- a/src/test/java/org/meadowhollow/simulation/MachineFailureScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/MachineFailureScenarioTest.java
@@ -18,7 +18,7 @@
 /** Machines that hang, fall silent, are preempted, rented and returned. */
 class MachineFailureScenarioTest extends ClusterTestBase {
     /** Submits a service of one replica, and waits until it runs. */
-    private JobSpec runningReplica() {
+    private JobSpec startReplica() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 1, 1);
         assertTrue(cluster.users().submit(0, job, null));
         cluster.runSeconds(10);
@@ -39,7 +39,7 @@
 
     @Test
     void tasksOfHungMachineRunElsewhereAndMachineMayResume() {
-        JobSpec job = runningReplica();
+        JobSpec job = startReplica();
         FakeWorker hung = machineRunning(job, 0);
         cluster.cloud().setOutage(true);
         hung.setHung(true);
@@ -54,7 +54,7 @@
 
     @Test
     void machineWithoutNewFencingTokenKeepsTasksForFullTimeout() {
-        JobSpec job = runningReplica();
+        JobSpec job = startReplica();
         FakeWorker hung = machineRunning(job, 0);
         cluster.cloud().setOutage(true);
         hung.setHung(true);
@@ -80,7 +80,7 @@
 
     @Test
     void replicaIsMovedFromSilentMachineBeforeLeaseExpires() {
-        JobSpec job = runningReplica();
+        JobSpec job = startReplica();
         machineRunning(job, 0).setHung(true);
         cluster.runSeconds(16);
         assertEquals(2, cluster.startCount());
@@ -101,9 +101,9 @@
 
     @Test
     void outOfOrderHeartbeatIsDropped() {
-        JobSpec job = runningReplica();
-        FakeWorker place = machineRunning(job, 0);
-        Heartbeat now = place.snapshot();
+        JobSpec job = startReplica();
+        FakeWorker worker = machineRunning(job, 0);
+        Heartbeat now = worker.snapshot();
         Heartbeat late =
                 new Heartbeat(
                         now.machineId(),
@@ -118,7 +118,7 @@
                         List.of(
                                 new Heartbeat.TaskStatus(
                                         new TaskId(job.id(), 0),
-                                        place.attemptOf(new TaskId(job.id(), 0)),
+                                        worker.attemptOf(new TaskId(job.id(), 0)),
                                         TaskState.EXITED,
                                         ExitReason.ERROR)));
         CompletableFuture<?> unused = cluster.network().deliverHeartbeat(cluster.leader(), late);
@@ -128,7 +128,7 @@
 
     @Test
     void replicaLeavesPreemptedMachine() {
-        JobSpec job = runningReplica();
+        JobSpec job = startReplica();
         FakeWorker first = machineRunning(job, 0);
         first.announcePreemption(25);
         cluster.runSeconds(15);
@@ -156,15 +156,15 @@
      */
     @Test
     void machineWhoseReturnWasRefusedRunsTasksAgain() {
-        JobSpec job = runningReplica();
-        FakeWorker place = machineRunning(job, 0);
+        JobSpec job = startReplica();
+        FakeWorker worker = machineRunning(job, 0);
         cluster.cloud().limitMachines(0);
         cluster.cloud().setOutage(true);
-        place.setHung(true);
+        worker.setHung(true);
         cluster.runSeconds(12);
-        place.setHung(false);
+        worker.setHung(false);
         cluster.runSeconds(20);
-        assertEquals(place, machineRunning(job, 0));
+        assertEquals(worker, machineRunning(job, 0));
         JobSpec more = array(2, 47);
         assertTrue(cluster.users().submit(0, more, LONG_RUNTIME));
         cluster.runSeconds(10);
--- a/src/test/java/org/meadowhollow/simulation/NightlyReservationsScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/NightlyReservationsScenarioTest.java
@@ -28,7 +28,7 @@
  */
 class NightlyReservationsScenarioTest {
     private static final ZoneId ZONE = ZoneId.of("America/New_York");
-    private static final LocalDate FIRST = LocalDate.of(2026, 10, 20);
+    private static final LocalDate FIRST_NIGHT = LocalDate.of(2026, 10, 20);
     private static final int NIGHTS = 30;
     private static final int TASKS = 8;
 
@@ -36,17 +36,17 @@
      * Longest delay of a start that counts as on time: scheduling rounds are 1 s apart, heartbeats
      * 3 s, and an image pull takes 2 s.
      */
-    private static final double ON_TIME_S = 15;
+    private static final double MAX_START_DELAY_S = 15;
 
     /**
      * The results of one month.
      *
-     * @param onTime nights on which all of the run ran within {@link #ON_TIME_S}
-     * @param others tasks of other work that completed
+     * @param onTimeNights nights on which all of the run ran within {@link #MAX_START_DELAY_S}
+     * @param otherTasksDone tasks of other work that completed
      */
-    private record Month(int onTime, int others) {}
+    private record MonthResult(int onTimeNights, int otherTasksDone) {}
 
-    private static Month simulateMonth(long seed, boolean reserved, boolean faults) {
+    private static MonthResult simulateMonth(long seed, boolean reserved, boolean faults) {
         return new MonthSimulation(seed, faults).run(reserved);
     }
 
@@ -56,23 +56,23 @@
         private final boolean faults;
         private final SimulatedCluster cluster = new SimulatedCluster();
         private int jobNumber;
-        private int onTime;
-        private int others;
+        private int onTimeNights;
+        private int otherTasksDone;
 
         MonthSimulation(long seed, boolean faults) {
             this.random = new Random(seed);
             this.faults = faults;
         }
 
-        Month run(boolean reserved) {
+        MonthResult run(boolean reserved) {
             startFleet();
             if (reserved) {
                 reserveNightlyRun();
             }
             for (int night = 0; night < NIGHTS; night++) {
-                simulateNight(FIRST.plusDays(night));
+                simulateNight(FIRST_NIGHT.plusDays(night));
             }
-            return new Month(onTime, others);
+            return new MonthResult(onTimeNights, otherTasksDone);
         }
 
         private void startFleet() {
@@ -83,7 +83,7 @@
             cluster.addMachine(SimulatedCluster.LARGE, "b");
             cluster.cloud().limitMachines(6);
             cluster.enableReservations(Map.of());
-            skipTo(FIRST.atStartOfDay(ZONE).toInstant());
+            skipTo(FIRST_NIGHT.atStartOfDay(ZONE).toInstant());
             cluster.runSeconds(15);
         }
 
@@ -101,7 +101,7 @@
             reservation.put("gpus", 1.0);
             reservation.put("ram_gb", 4.0);
             reservation.put("class", "nightly");
-            reservation.put("start", FIRST.atTime(2, 0).toString());
+            reservation.put("start", FIRST_NIGHT.atTime(2, 0).toString());
             reservation.put("time_zone", ZONE.getId());
             reservation.put("rule", "FREQ=DAILY");
             reservation.put("length_s", 900.0);
@@ -114,20 +114,20 @@
         }
 
         private void simulateNight(LocalDate night) {
-            Instant two = night.atTime(LocalTime.of(2, 0)).atZone(ZONE).toInstant();
-            skipTo(two.minusSeconds(600));
-            List<JobSpec> background = submitBackground();
+            Instant runTime = night.atTime(LocalTime.of(2, 0)).atZone(ZONE).toInstant();
+            skipTo(runTime.minusSeconds(600));
+            List<JobSpec> backgroundJobs = submitBackgroundJobs();
             injectFault(cluster, faults ? random.nextInt(5) : -1);
-            double leftS = (two.toEpochMilli() - cluster.loop().wallClockMillis()) / 1000.0;
+            double leftS = (runTime.toEpochMilli() - cluster.loop().wallClockMillis()) / 1000.0;
             cluster.runSeconds(Math.max(0, leftS));
             JobSpec run = submitNightlyRun();
-            cluster.runSeconds(ON_TIME_S);
-            onTime += runningTaskCount(run) == TASKS ? 1 : 0;
+            cluster.runSeconds(MAX_START_DELAY_S);
+            onTimeNights += runningTaskCount(run) == TASKS ? 1 : 0;
             cluster.runSeconds(200);
             cluster.restartAll();
             cluster.runSeconds(5);
-            for (JobSpec each : background) {
-                others += cluster.users().poll(0, each.id()).orElseThrow().done();
+            for (JobSpec each : backgroundJobs) {
+                otherTasksDone += cluster.users().poll(0, each.id()).orElseThrow().done();
                 cluster.users().cancel(1, each.id());
             }
             cluster.users().cancel(1, run.id());
@@ -135,8 +135,8 @@
         }
 
         /** Submits other work that fills the fleet, over the minutes before the run. */
-        private List<JobSpec> submitBackground() {
-            List<JobSpec> background = new ArrayList<>();
+        private List<JobSpec> submitBackgroundJobs() {
+            List<JobSpec> backgroundJobs = new ArrayList<>();
             for (int at = 0; at < 6; at++) {
                 double estimate = 100 + random.nextInt(800);
                 JobSpec spec = SimulatedCluster.spec(++jobNumber, JobKind.ARRAY, 8, 1);
@@ -147,13 +147,13 @@
                                 .estimatedRuntimeSeconds(estimate)
                                 .checkpoints(20, 4)
                                 .build();
-                background.add(other);
+                backgroundJobs.add(other);
                 // The estimate is wrong by up to half, in either direction.
                 long runtimeMillis = (long) (estimate * (500 + random.nextInt(1000)));
                 assertTrue(cluster.users().submit(at % 3, other, Duration.ofMillis(runtimeMillis)));
                 cluster.runSeconds(random.nextInt(60));
             }
-            return background;
+            return backgroundJobs;
         }
 
         private JobSpec submitNightlyRun() {
@@ -205,15 +205,15 @@
 
     @Test
     void reservedRunsStartOnTimeAndUnreservedRunsDoNot() {
-        Month with = simulateMonth(1, true, false);
-        Month without = simulateMonth(1, false, false);
-        assertEquals(NIGHTS, with.onTime());
-        assertTrue(without.onTime() < NIGHTS / 2, () -> "" + without);
+        MonthResult reserved = simulateMonth(1, true, false);
+        MonthResult unreserved = simulateMonth(1, false, false);
+        assertEquals(NIGHTS, reserved.onTimeNights());
+        assertTrue(unreserved.onTimeNights() < NIGHTS / 2, () -> "" + unreserved);
     }
 
     @Test
     void reservedRunsStartOnTimeDespiteFaults() {
-        Month with = simulateMonth(8, true, true);
-        assertEquals(NIGHTS, with.onTime());
+        MonthResult reserved = simulateMonth(8, true, true);
+        assertEquals(NIGHTS, reserved.onTimeNights());
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/OverlappingFaultsScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/OverlappingFaultsScenarioTest.java
@@ -24,7 +24,7 @@
  */
 class OverlappingFaultsScenarioTest extends ClusterTestBase {
     /** Submits an array, a gang and a service, and runs until all their tasks run. */
-    private List<JobSpec> longJobs() {
+    private List<JobSpec> startLongJobs() {
         List<JobSpec> jobs =
                 List.of(
                         array(1, 12),
@@ -54,7 +54,7 @@
      * Asserts that no task of these jobs runs. The history checker of {@link SimulatedCluster}
      * checks at each step that cancelled tasks stop within the bound.
      */
-    private void assertStoppedWithinBound(List<JobSpec> jobs) {
+    private void assertNoTaskRuns(List<JobSpec> jobs) {
         for (JobSpec job : jobs) {
             for (int task = 0; task < job.taskCount(); task++) {
                 assertEquals(null, machineRunning(job, task), "task " + task + " of " + job.id());
@@ -72,7 +72,7 @@
      * Makes the store refuse the leader alone, cuts the connections between controllers so that
      * none can inform the leader, and cancels the jobs through another controller.
      */
-    private void cancelWhileLeaderIsRefusedAlone(int leader, List<JobSpec> jobs) {
+    private void cancelWhileStoreRefusesLeader(int leader, List<JobSpec> jobs) {
         cluster.network().cutPeers(true);
         cluster.storeConnection(leader).refuseRequests(true);
         cancelAll(nodeAfter(leader, 1), jobs);
@@ -82,29 +82,29 @@
      * Fails the store for all controllers, ends the refusal of one of them, and asserts that the
      * tasks stop.
      */
-    private void failStoreForAllAfter(int refused, List<JobSpec> jobs) {
+    private void failStoreForAll(int refusedNode, List<JobSpec> jobs) {
         cluster.store().setOutage(true);
-        cluster.storeConnection(refused).refuseRequests(false);
+        cluster.storeConnection(refusedNode).refuseRequests(false);
         cluster.runSeconds(90);
-        assertStoppedWithinBound(jobs);
+        assertNoTaskRuns(jobs);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 6, 12, 30})
-    void storeRefusesLeaderAloneThenFailsForAll(int refusedS) {
-        List<JobSpec> jobs = longJobs();
+    void cancelledTasksStopIfStoreRefusesLeaderThenFailsForAll(int refusedS) {
+        List<JobSpec> jobs = startLongJobs();
         int leader = cluster.leader();
-        cancelWhileLeaderIsRefusedAlone(leader, jobs);
+        cancelWhileStoreRefusesLeader(leader, jobs);
         cluster.runSeconds(refusedS);
-        failStoreForAllAfter(leader, jobs);
+        failStoreForAll(leader, jobs);
     }
 
     @Test
-    void leaderServedBrieflyRenewsLeaseButLearnsNothingNew() {
-        List<JobSpec> jobs = longJobs();
+    void cancelledTasksStopIfLeaderRenewsLeaseButMissesChanges() {
+        List<JobSpec> jobs = startLongJobs();
         int leader = cluster.leader();
         cluster.storeConnection(leader).failWatches(true);
-        cancelWhileLeaderIsRefusedAlone(leader, jobs);
+        cancelWhileStoreRefusesLeader(leader, jobs);
         for (int instant = 0; instant < 4; instant++) {
             cluster.runSeconds(2);
             cluster.storeConnection(leader).refuseRequests(false);
@@ -112,40 +112,40 @@
             cluster.storeConnection(leader).refuseRequests(true);
         }
         assertEquals(leader, cluster.leader(), "its lease renewals succeeded");
-        failStoreForAllAfter(leader, jobs);
+        failStoreForAll(leader, jobs);
     }
 
     @Test
     void leaderWithFailingWatchesReadsMissedChanges() {
-        List<JobSpec> jobs = longJobs();
+        List<JobSpec> jobs = startLongJobs();
         int leader = cluster.leader();
         cluster.storeConnection(leader).failWatches(true);
         cancelAll(nodeAfter(leader, 1), jobs);
-        JobSpec another = array(4, 6);
-        cluster.users().submit(nodeAfter(leader, 2), another, HOURS_RUNTIME);
+        JobSpec newJob = array(4, 6);
+        cluster.users().submit(nodeAfter(leader, 2), newJob, HOURS_RUNTIME);
         cluster.runSeconds(40);
-        assertStoppedWithinBound(jobs);
+        assertNoTaskRuns(jobs);
         assertEquals(leader, cluster.leader());
-        assertTrue(allTasksRunning(another), "a job that was submitted meanwhile starts");
+        assertTrue(allTasksRunning(newJob), "a job that was submitted meanwhile starts");
     }
 
     @Test
     void newLeaderRenewsNoTaskLeasesBeforeRecovery() {
-        List<JobSpec> jobs = longJobs();
+        List<JobSpec> jobs = startLongJobs();
         int leader = cluster.leader();
         hideTaskRecords();
-        cancelWhileLeaderIsRefusedAlone(leader, jobs);
+        cancelWhileStoreRefusesLeader(leader, jobs);
         cluster.runSeconds(10);
         assertFalse(leader == cluster.leader(), "another node leads, and loads its records");
-        failStoreForAllAfter(leader, jobs);
+        failStoreForAll(leader, jobs);
     }
 
     @Test
-    void consecutiveLeadersWithoutRecordsKeepTasks() {
-        List<JobSpec> jobs = longJobs();
+    void cancelledTasksStopAcrossLeadersThatCannotLoadRecords() {
+        List<JobSpec> jobs = startLongJobs();
         hideTaskRecords();
         int leader = cluster.leader();
-        cancelWhileLeaderIsRefusedAlone(leader, jobs);
+        cancelWhileStoreRefusesLeader(leader, jobs);
         for (int takeover = 0; takeover < 2; takeover++) {
             cluster.runSeconds(9);
             int next = cluster.leader();
@@ -154,12 +154,12 @@
             cluster.storeConnection(leader).refuseRequests(false);
             leader = next;
         }
-        failStoreForAllAfter(leader, jobs);
+        failStoreForAll(leader, jobs);
     }
 
     @Test
-    void plainStoreOutageReleasesNoTaskTooEarly() {
-        List<JobSpec> jobs = longJobs();
+    void storeOutageShorterThanCancellationBoundStopsNoTask() {
+        List<JobSpec> jobs = startLongJobs();
         cluster.store().setOutage(true);
         // The cancellation bound, less the age of a read and 1 s. Tasks that were not cancelled run
         // on for this long without the store, and so survive any shorter outage.
@@ -171,11 +171,11 @@
     }
 
     @Test
-    void longStoreOutageExpiresAllLeasesAndTasksRunAgainAfterwards() {
-        List<JobSpec> jobs = longJobs();
+    void tasksRestartAfterStoreOutageThatExpiresAllLeases() {
+        List<JobSpec> jobs = startLongJobs();
         cluster.store().setOutage(true);
         cluster.runSeconds(80);
-        assertStoppedWithinBound(jobs);
+        assertNoTaskRuns(jobs);
         cluster.store().setOutage(false);
         cluster.runSeconds(90);
         jobs.forEach(job -> assertTrue(allTasksRunning(job)));
@@ -183,12 +183,12 @@
 
     @Test
     void watchResponseWithOlderRevisionIsIgnored() {
-        List<JobSpec> jobs = longJobs();
+        List<JobSpec> jobs = startLongJobs();
         int leader = cluster.leader();
         cluster.storeConnection(leader).returnOlderRevisions(true);
         cancelAll(nodeAfter(leader, 1), jobs);
         cluster.runSeconds(70);
-        assertStoppedWithinBound(jobs);
+        assertNoTaskRuns(jobs);
     }
 
     @Test
@@ -208,14 +208,14 @@
 
     @Test
     void machinesRebootedAtOnceAreReturnedWithoutDelay() {
-        List<JobSpec> jobs = longJobs();
-        List<FakeWorker> back = cluster.workers().subList(0, 2);
-        back.forEach(FakeWorker::reboot);
+        List<JobSpec> jobs = startLongJobs();
+        List<FakeWorker> rebooted = cluster.workers().subList(0, 2);
+        rebooted.forEach(FakeWorker::reboot);
         cluster.runSeconds(20);
         assertTrue(
                 cluster.cloud()
                         .returnedMachines()
-                        .containsAll(back.stream().map(FakeWorker::id).toList()),
+                        .containsAll(rebooted.stream().map(FakeWorker::id).toList()),
                 "heartbeats after a reboot cannot be distinguished from late duplicates");
         cluster.runSeconds(10);
         jobs.forEach(job -> assertTrue(allTasksRunning(job)));
@@ -291,12 +291,12 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {20, 35, 60})
-    void zoneWithItsLeaderIsPartitionedLongerThanLease(int cutS) {
-        List<JobSpec> jobs = longJobs();
-        JobSpec stays = SimulatedCluster.spec(4, JobKind.SERVICE, 6, 2);
-        assertTrue(cluster.users().submit(0, stays, null));
+    void cancelledTasksStopAfterZoneIsPartitionedWithItsLeader(int partitionS) {
+        List<JobSpec> jobs = startLongJobs();
+        JobSpec uncancelled = SimulatedCluster.spec(4, JobKind.SERVICE, 6, 2);
+        assertTrue(cluster.users().submit(0, uncancelled, null));
         cluster.runSeconds(8);
-        assertTrue(allTasksRunning(stays));
+        assertTrue(allTasksRunning(uncancelled));
         int leader = cluster.leader();
         cluster.partition(leader, true);
         cluster.cutFromZone(leader, "b", true);
@@ -313,17 +313,17 @@
                                 worker ->
                                         jobs.stream().anyMatch(job -> worker.runsTaskOf(job.id()))),
                 "tasks in the partitioned zone run on");
-        cluster.runSeconds(cutS);
+        cluster.runSeconds(partitionS);
         cluster.partition(leader, false);
         for (int node = 0; node < 3; node++) {
             cluster.cutFromWorkers(node, false);
         }
         cluster.runSeconds(40);
-        assertStoppedWithinBound(jobs);
+        assertNoTaskRuns(jobs);
         // Tasks that were not cancelled count as running in the partitioned zone for as long as its
         // leader may have answered heartbeats.
         cluster.runSeconds(30);
-        assertTrue(allTasksRunning(stays));
+        assertTrue(allTasksRunning(uncancelled));
         assertEquals(
                 2,
                 cluster.store().recordCount(RecordKeys.JOB_PREFIX)
@@ -476,7 +476,7 @@
      */
     @Test
     void slowStoreStillServesReadsCancellationsAndTasks() {
-        List<JobSpec> jobs = longJobs();
+        List<JobSpec> jobs = startLongJobs();
         cluster.store().setLatency(Duration.ofMillis(800));
         cluster.runSeconds(10);
         int leader = cluster.leader();
@@ -485,7 +485,7 @@
                 cluster.users().submit(nodeAfter(leader, 1), more, HOURS_RUNTIME),
                 "accepted within five seconds");
         assertTrue(cluster.users().cancel(nodeAfter(leader, 2), jobs.get(0).id()));
-        for (int time = 0; time < 12; time++) {
+        for (int round = 0; round < 12; round++) {
             assertEquals(
                     Phase.CANCELLED,
                     cluster.users()
--- a/src/test/java/org/meadowhollow/simulation/OverloadScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/OverloadScenarioTest.java
@@ -21,8 +21,12 @@
  * Many polls, best-effort work that fills all machines, faulty jobs, and machines that never boot.
  */
 class OverloadScenarioTest extends ClusterTestBase {
-    private static JobSpec withPriority(JobSpec spec, Priority priority, Resources each) {
-        return JobSpecBuilder.from(spec).priority(priority).resourcesPerTask(each).build();
+    private static JobSpec withPriority(
+            JobSpec spec, Priority priority, Resources resourcesPerTask) {
+        return JobSpecBuilder.from(spec)
+                .priority(priority)
+                .resourcesPerTask(resourcesPerTask)
+                .build();
     }
 
     /** Adds a deadline, which ranks the job before jobs of the same priority that have none. */
@@ -110,8 +114,8 @@
 
     @Test
     void faultyJobIsProbedWithOneTaskAndNoMachineIsCordoned() {
-        JobSpec broken = array(1, 30);
-        assertTrue(cluster.users().submit(0, broken, LONG_RUNTIME));
+        JobSpec faulty = array(1, 30);
+        assertTrue(cluster.users().submit(0, faulty, LONG_RUNTIME));
         failAllTasksFor(40);
         assertEquals(
                 List.of(),
@@ -119,13 +123,13 @@
                 "no machine is returned for the failures of a job");
         failAllTasksFor(90);
         assertTrue(cluster.startCount() < 30 + 12, "started " + cluster.startCount() + " times");
-        JobSpec sound = array(2, 40);
-        assertTrue(cluster.users().submit(1, sound, SHORT_RUNTIME));
+        JobSpec healthy = array(2, 40);
+        assertTrue(cluster.users().submit(1, healthy, SHORT_RUNTIME));
         cluster.runSeconds(40);
-        assertEquals(Phase.DONE, phaseOf(sound));
-        assertTrue(cluster.users().cancel(2, broken.id()));
+        assertEquals(Phase.DONE, phaseOf(healthy));
+        assertTrue(cluster.users().cancel(2, faulty.id()));
         cluster.runSeconds(10);
-        assertEquals(Phase.CANCELLED, phaseOf(broken));
+        assertEquals(Phase.CANCELLED, phaseOf(faulty));
     }
 
     /** Fails every task as soon as it runs. */
@@ -158,14 +162,14 @@
         cluster.setImagePullTime(Duration.ofMillis(500));
         Random random = new Random(5);
         List<JobSpec> jobs = new ArrayList<>();
-        List<Boolean> inTime = new ArrayList<>();
+        List<Boolean> acceptedInTime = new ArrayList<>();
         int before = cluster.store().writeCount();
         for (int second = 0; second < 120; second++) {
             for (int each = 0; each < 4; each++) {
                 JobSpec job = array(jobs.size(), 1);
                 jobs.add(job);
                 int node = jobs.size() % 3;
-                submitUntilAccepted(node, job, cluster.loop().now(), inTime);
+                submitUntilAccepted(node, job, cluster.loop().now(), acceptedInTime);
                 if (random.nextInt(4) == 0) {
                     cluster.loop()
                             .schedule(
@@ -184,17 +188,19 @@
         }
         cluster.beginFaultFreePhase();
         cluster.runSeconds(60);
-        assertEquals(jobs.size(), inTime.size(), "all were accepted");
-        long soon = inTime.stream().filter(each -> each).count();
-        assertTrue(soon >= 0.9 * jobs.size(), soon + " of " + jobs.size() + " within a second");
+        assertEquals(jobs.size(), acceptedInTime.size(), "all were accepted");
+        long inTimeCount = acceptedInTime.stream().filter(each -> each).count();
+        assertTrue(
+                inTimeCount >= 0.9 * jobs.size(),
+                inTimeCount + " of " + jobs.size() + " within a second");
         for (JobSpec job : jobs) {
             assertTrue(
                     cluster.historyChecker().isReportedEnded(job.id()),
                     job.id() + " has not ended");
         }
         cluster.historyChecker().checkFairness();
-        double each = (cluster.store().writeCount() - before) / (double) jobs.size();
-        assertTrue(each < 5.5, each + " writes per job");
+        double writesPerJob = (cluster.store().writeCount() - before) / (double) jobs.size();
+        assertTrue(writesPerJob < 5.5, writesPerJob + " writes per job");
         assertEquals(0, cluster.store().recordCount("job/") + cluster.store().recordCount("task/"));
     }
 
@@ -203,14 +209,14 @@
      * answer.
      */
     private void submitUntilAccepted(
-            int node, JobSpec job, MonotonicTime since, List<Boolean> inTime) {
+            int node, JobSpec job, MonotonicTime since, List<Boolean> acceptedInTime) {
         CompletableFuture<?> unused =
                 cluster.users()
                         .submitAsync(node, job, SHORT_RUNTIME)
                         .whenComplete(
                                 (state, failure) -> {
                                     if (failure == null) {
-                                        inTime.add(
+                                        acceptedInTime.add(
                                                 cluster.loop()
                                                                 .now()
                                                                 .elapsedSince(since)
@@ -225,7 +231,7 @@
                                                                         nodeAfter(node, 1),
                                                                         job,
                                                                         since,
-                                                                        inTime));
+                                                                        acceptedInTime));
                                     }
                                 });
     }
--- a/src/test/java/org/meadowhollow/simulation/QuotaScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/QuotaScenarioTest.java
@@ -26,12 +26,12 @@
  */
 class QuotaScenarioTest extends ClusterTestBase {
     /** A fault that makes a machine unreachable. */
-    enum OutOfReach {
+    enum ReachabilityFault {
         HUNG(FakeWorker::setHung),
         CUT(
-                (worker, now) -> {
+                (worker, active) -> {
                     for (int node = 0; node < 3; node++) {
-                        worker.blockPathTo(node, now);
+                        worker.blockPathTo(node, active);
                     }
                 }),
         CANNOT_CONNECT(FakeWorker::blockOutgoingConnections),
@@ -41,12 +41,12 @@
         @SuppressWarnings("ImmutableEnumChecker")
         private final BiConsumer<FakeWorker, Boolean> fault;
 
-        OutOfReach(BiConsumer<FakeWorker, Boolean> fault) {
+        ReachabilityFault(BiConsumer<FakeWorker, Boolean> fault) {
             this.fault = fault;
         }
     }
 
-    private JobSpec quotaFillingArray(int number, String team, int tasks) {
+    private JobSpec submitService(int number, String team, int tasks) {
         JobSpec job = withTeam(SimulatedCluster.spec(number, JobKind.SERVICE, tasks, 1), team);
         assertTrue(cluster.users().submit(0, job, null));
         return job;
@@ -55,8 +55,7 @@
     /** Submits jobs that use up the limits of both teams, and runs until all their tasks run. */
     private List<JobSpec> submitJobsUpToBothTeamLimits() {
         cluster.withTeam("team", 0, 12).withTeam("other", 0, 8);
-        List<JobSpec> running =
-                List.of(quotaFillingArray(1, "team", 12), quotaFillingArray(2, "other", 8));
+        List<JobSpec> running = List.of(submitService(1, "team", 12), submitService(2, "other", 8));
         cluster.runSeconds(10);
         running.forEach(job -> assertTrue(allTasksRunning(job)));
         return running;
@@ -76,11 +75,11 @@
         "LOSES_INCOMING, 3"
     })
     void cancelledUnreachableTasksCountAgainstQuotaUntilGoneAcrossFailovers(
-            OutOfReach how, int leaders) {
+            ReachabilityFault unreachableBy, int failovers) {
         List<JobSpec> running = submitJobsUpToBothTeamLimits();
         cluster.cloud().setOutage(true);
         List<FakeWorker> lost = cluster.workers().subList(0, 2);
-        lost.forEach(worker -> how.fault.accept(worker, true));
+        lost.forEach(worker -> unreachableBy.fault.accept(worker, true));
         running.forEach(
                 job ->
                         assertTrue(
@@ -95,13 +94,13 @@
                                                 nodeAfter(cluster.leader(), 1),
                                                 job,
                                                 HOURS_RUNTIME)));
-        boolean still = false;
-        for (int failover = 0; failover < leaders; failover++) {
+        boolean ranUnderNextLeader = false;
+        for (int failover = 0; failover < failovers; failover++) {
             int leader = cluster.leader();
             cluster.crash(leader);
             for (int second = 0; second < 8; second++) {
                 cluster.runSeconds(1);
-                still |=
+                ranUnderNextLeader |=
                         cluster.leader() != leader
                                 && lost.stream()
                                         .anyMatch(worker -> !worker.runningTasks().isEmpty());
@@ -111,11 +110,11 @@
         }
         // Direct commands reach a machine that cannot connect, so its tasks stop at once.
         assertEquals(
-                how != OutOfReach.CANNOT_CONNECT,
-                still,
+                unreachableBy != ReachabilityFault.CANNOT_CONNECT,
+                ranUnderNextLeader,
                 "a cancelled task ran while the next leader led");
         cluster.runSeconds(60);
-        lost.forEach(worker -> how.fault.accept(worker, false));
+        lost.forEach(worker -> unreachableBy.fault.accept(worker, false));
         cluster.cloud().setOutage(false);
         cluster.beginFaultFreePhase();
         cluster.runSeconds(60);
@@ -148,17 +147,17 @@
     }
 
     /** The way in which the leader changes. */
-    enum Handing {
+    enum LeaderChange {
         RESIGNED,
-        ENDED,
+        CRASHED,
         DEPOSED,
-        ENDED_AND_BACK
+        RESTARTED
     }
 
-    private void changeLeader(Handing how, int leader) {
-        switch (how) {
+    private void changeLeader(LeaderChange change, int leader) {
+        switch (change) {
             case RESIGNED -> cluster.node(leader).handOver();
-            case ENDED -> cluster.crash(leader);
+            case CRASHED -> cluster.crash(leader);
             case DEPOSED ->
                     cluster.node(leader)
                             .observeLeader(
@@ -173,8 +172,8 @@
      * next one has recovered.
      */
     @ParameterizedTest
-    @EnumSource(Handing.class)
-    void jobsCancelledDuringHandoverStopWithinBound(Handing how) {
+    @EnumSource(LeaderChange.class)
+    void jobsCancelledDuringHandoverStopWithinBound(LeaderChange change) {
         List<JobSpec> jobs = new ArrayList<>();
         for (int number = 1; number <= 24; number++) {
             JobSpec job =
@@ -189,22 +188,23 @@
         jobs.forEach(job -> assertTrue(allTasksRunning(job)));
         int leader = cluster.leader();
         long fencingToken = cluster.fencingToken();
-        int during = 0;
+        int cancelledWithoutLeader = 0;
         for (int at = 0; at < jobs.size(); at++) {
             if (at == 4) {
-                changeLeader(how, leader);
+                changeLeader(change, leader);
             }
             // Through a controller that is not the leader, as far as it knows.
             CompletableFuture<?> unused =
                     cluster.users().cancelAsync(nodeAfter(leader, 1 + at % 2), jobs.get(at).id());
             cluster.run(Duration.ofMillis(250));
-            during +=
+            cancelledWithoutLeader +=
                     at >= 4 && (cluster.leader() < 0 || cluster.fencingToken() == fencingToken)
                             ? 1
                             : 0;
         }
         assertTrue(
-                how != Handing.ENDED || during > 0, "some jobs are cancelled while nobody leads");
+                change != LeaderChange.CRASHED || cancelledWithoutLeader > 0,
+                "some jobs are cancelled while nobody leads");
         assertTrue(cluster.fencingToken() > fencingToken);
         cluster.runSeconds(15);
         for (JobSpec job : jobs) {
@@ -221,25 +221,26 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void tasksSurviveTenFailoversInTwoMinutes(boolean inAnOutage) {
+    void tasksSurviveTenFailoversInTwoMinutes(boolean duringOutage) {
         cluster.withTeam("team", 0, 12);
-        JobSpec stays = quotaFillingArray(1, "team", 6);
-        JobSpec goes = quotaFillingArray(2, "team", 6);
+        JobSpec uncancelled = submitService(1, "team", 6);
+        JobSpec cancelled = submitService(2, "team", 6);
         cluster.runSeconds(10);
         long fencingToken = cluster.fencingToken();
-        for (int change = 0; change < 13; change++) {
+        for (int failover = 0; failover < 13; failover++) {
             cluster.restartAfter(
-                    Math.max(0, cluster.leader()), Duration.ofMillis(change % 2 == 0 ? 200 : 3000));
-            if (inAnOutage && change == 4) {
+                    Math.max(0, cluster.leader()),
+                    Duration.ofMillis(failover % 2 == 0 ? 200 : 3000));
+            if (duringOutage && failover == 4) {
                 cluster.store().setOutage(true);
             }
             cluster.runSeconds(5);
-            if (inAnOutage && change == 6) {
+            if (duringOutage && failover == 6) {
                 cluster.store().setOutage(false);
             }
             cluster.runSeconds(4);
-            if (change == 2) {
-                assertTrue(cluster.users().cancel(nodeAfter(cluster.leader(), 1), goes.id()));
+            if (failover == 2) {
+                assertTrue(cluster.users().cancel(nodeAfter(cluster.leader(), 1), cancelled.id()));
                 assertTrue(
                         cluster.users()
                                 .submit(
@@ -253,8 +254,8 @@
                 "the leader changed " + (cluster.fencingToken() - fencingToken) + " times");
         cluster.beginFaultFreePhase();
         cluster.runSeconds(60);
-        assertTrue(allTasksRunning(stays) && allTasksRunning(array(3, 6)));
-        assertEquals(Phase.CANCELLED, phaseOf(goes));
+        assertTrue(allTasksRunning(uncancelled) && allTasksRunning(array(3, 6)));
+        assertEquals(Phase.CANCELLED, phaseOf(cancelled));
     }
 
     /**
@@ -296,13 +297,13 @@
         assertTrue(cluster.users().submit(0, job, HOURS_RUNTIME));
         cluster.runSeconds(10);
         FakeWorker hung = machineRunning(job, 0);
-        JobSpec fills =
+        JobSpec fillingJob =
                 inZone(
                         withTeam(SimulatedCluster.spec(2, JobKind.SERVICE, 1, 8), "other"),
                         hung.zone());
-        assertTrue(cluster.users().submit(0, fills, null));
+        assertTrue(cluster.users().submit(0, fillingJob, null));
         cluster.runSeconds(5);
-        assertTrue(allTasksRunning(fills));
+        assertTrue(allTasksRunning(fillingJob));
         cluster.cloud().limitMachines(0);
         cluster.cloud().fail(machineRunning(job, 1));
         hung.setHung(true);
@@ -346,12 +347,12 @@
         cluster.run(Duration.ofMillis(1250));
         cluster.crash(leader);
         cluster.runSeconds(20);
-        int late = 0;
+        int lateCommits = 0;
         for (int node = 0; node < 3; node++) {
-            late += cluster.storeConnection(node).lateCommitCount();
+            lateCommits += cluster.storeConnection(node).lateCommitCount();
             cluster.storeConnection(node).delayCommits(0, 0);
         }
-        assertTrue(late > 0, "a transaction was executed late");
+        assertTrue(lateCommits > 0, "a transaction was executed late");
         cluster.restart(leader);
         cluster.cloud().setBootTimes(Duration.ofSeconds(10), Duration.ZERO);
         cluster.beginFaultFreePhase();
--- a/src/test/java/org/meadowhollow/simulation/RandomFaultsTest.java
+++ b/src/test/java/org/meadowhollow/simulation/RandomFaultsTest.java
@@ -195,8 +195,8 @@
 
     /** Polls some jobs, and cancels some. */
     private static void pollOrCancelJobs(
-            SimulatedCluster cluster, Random random, List<JobSpec> jobs, int most) {
-        for (int step = random.nextInt(most); step >= 0; step--) {
+            SimulatedCluster cluster, Random random, List<JobSpec> jobs, int maxRequests) {
+        for (int step = random.nextInt(maxRequests); step >= 0; step--) {
             JobSpec job = jobs.get(random.nextInt(jobs.size()));
             if (random.nextInt(3) == 0) {
                 cluster.users().poll(random.nextInt(3), job.id());
--- a/src/test/java/org/meadowhollow/simulation/ReadYourWritesScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/ReadYourWritesScenarioTest.java
@@ -40,7 +40,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
-    void everyControllerReadsItsPeersWritesAfterAcceptCancelAndCompletion(int latecomer) {
+    void everyControllerReadsItsPeersWritesAfterAcceptCancelAndCompletion(int nodeWithoutWatches) {
         cluster.users().pollAllAfterAnswers(true);
         List<JobSpec> jobs = new ArrayList<>();
         for (int number = 0; number < 9; number++) {
@@ -55,7 +55,7 @@
             // its cache.
             assertTrue(cluster.users().submit(number % 3, job, SHORT_RUNTIME));
             cluster.users().poll((number + 1) % 3, job.id());
-            cluster.storeConnection(latecomer).failWatches(number % 2 == 0);
+            cluster.storeConnection(nodeWithoutWatches).failWatches(number % 2 == 0);
             if (number % 3 == 1) {
                 CompletableFuture<?> unused =
                         cluster.users().cancelAsync((number + 2) % 3, job.id());
@@ -63,7 +63,7 @@
             cluster.run(Duration.ofMillis(250L * (number % 4)));
         }
         cluster.runSeconds(30);
-        cluster.storeConnection(latecomer).failWatches(false);
+        cluster.storeConnection(nodeWithoutWatches).failWatches(false);
         assertTrue(
                 cluster.users().asyncAnswerCount() > 100,
                 "answered " + cluster.users().asyncAnswerCount());
@@ -89,21 +89,21 @@
         "ended, 0",
         "ended, 1"
     })
-    void committedWritesWithLostResponsesAreReadByOtherControllers(String what, int by) {
+    void committedWritesWithLostResponsesAreReadByOtherControllers(String write, int nodeOffset) {
         int leader = cluster.leader();
-        int node = what.equals("ended") ? leader : nodeAfter(leader, by);
+        int node = write.equals("ended") ? leader : nodeAfter(leader, nodeOffset);
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 2, 1);
-        if (!what.equals("accepted")) {
+        if (!write.equals("accepted")) {
             assertTrue(cluster.users().submit(nodeAfter(node, 1), job, SHORT_RUNTIME));
-            cluster.runSeconds(what.equals("ended") ? 8 : 4);
+            cluster.runSeconds(write.equals("ended") ? 8 : 4);
         }
         cluster.storeConnection(node).loseCommitResponses(1, 7);
         int before = cluster.storeConnection(node).lostCommitCount();
         cluster.users().pollAllAfterAnswers(true);
         CompletableFuture<Optional<JobStatus>> answer =
-                what.equals("accepted")
+                write.equals("accepted")
                         ? cluster.users().submitAsync(node, job, SHORT_RUNTIME)
-                        : what.equals("cancelled")
+                        : write.equals("cancelled")
                                 ? cluster.users().cancelAsync(node, job.id())
                                 : null;
         for (int step = 0;
@@ -115,25 +115,28 @@
                 cluster.storeConnection(node).lostCommitCount() > before,
                 "the write is committed, and its response is lost");
         // Another controller reads the write, and reports it to a user.
-        Phase then = cluster.users().poll(nodeAfter(node, 1), job.id()).orElseThrow().phase();
-        if (by == 1 && !what.equals("ended")) {
+        Phase reportedPhase =
+                cluster.users().poll(nodeAfter(node, 1), job.id()).orElseThrow().phase();
+        if (nodeOffset == 1 && !write.equals("ended")) {
             assertTrue(
                     cluster.users().cancel(nodeAfter(node, 2), job.id()),
                     "the user cancels it at a third controller");
-            then = Phase.CANCELLED;
+            reportedPhase = Phase.CANCELLED;
         }
-        if (!what.equals("ended")) {
+        if (!write.equals("ended")) {
             // The retry fails its precondition, since the first try was applied, and the answer
             // follows from the record.
             cluster.storeConnection(node).loseCommitResponses(0, 0);
             cluster.runSeconds(3);
-            assertEquals(then, answer.join().orElseThrow().phase());
+            assertEquals(reportedPhase, answer.join().orElseThrow().phase());
         }
         cluster.runSeconds(3);
         cluster.storeConnection(node).loseCommitResponses(0, 0);
         cluster.runSeconds(40);
         assertEveryControllerReports(
-                then == Phase.CANCELLED || what.equals("cancelled") ? Phase.CANCELLED : Phase.DONE,
+                reportedPhase == Phase.CANCELLED || write.equals("cancelled")
+                        ? Phase.CANCELLED
+                        : Phase.DONE,
                 job);
         assertEquals(
                 0,
--- a/src/test/java/org/meadowhollow/simulation/ReservationScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/ReservationScenarioTest.java
@@ -58,7 +58,7 @@
                                 StandardCharsets.UTF_8));
     }
 
-    private Http.Reply reserve(
+    private Http.Reply putReservation(
             String name, String team, int tasks, double gpus, long inS, long lengthS) {
         return put(
                 0,
@@ -84,7 +84,7 @@
                 (double) lengthS);
     }
 
-    private Http.Reply window(
+    private Http.Reply putWindow(
             String name, String key, String target, long inS, long lengthS, long noticeS) {
         return put(
                 1,
@@ -100,23 +100,23 @@
                 (double) noticeS);
     }
 
-    private static MessageReader body(Http.Reply reply, int status) {
+    private static MessageReader bodyWithStatus(Http.Reply reply, int status) {
         assertNotNull(reply);
         try {
             assertEquals(status, reply.status(), new String(reply.body(), StandardCharsets.UTF_8));
             return new MessageReader(JsonCodec.decode(reply.body()));
-        } catch (MalformedMessageException wrong) {
-            throw new AssertionError(wrong);
+        } catch (MalformedMessageException malformed) {
+            throw new AssertionError(malformed);
         }
     }
 
-    private MessageReader plan(int node) {
-        return body(
+    private MessageReader getPlan(int node) {
+        return bodyWithStatus(
                 cluster.clients().sendReservationRequest(node, "reader", "GET", "plan", null, ""),
                 200);
     }
 
-    private static JobSpec job(
+    private static JobSpec arrayJob(
             int number,
             String jobClass,
             Priority priority,
@@ -142,13 +142,13 @@
                 cluster.users()
                         .submit(
                                 0,
-                                job(1, "long", Priority.HIGH, 3 * totalGpuCount(), 1, 900, 0),
+                                arrayJob(1, "long", Priority.HIGH, 3 * totalGpuCount(), 1, 900, 0),
                                 Duration.ofMinutes(15)));
     }
 
     /** Submits the job that uses a reservation, at its start or later. */
-    private JobSpec reservedRun(int number, int tasks) {
-        JobSpec run = job(number, "night", Priority.HIGH, tasks, 1, 60, 0);
+    private JobSpec submitReservedRun(int number, int tasks) {
+        JobSpec run = arrayJob(number, "night", Priority.HIGH, tasks, 1, 60, 0);
         assertTrue(cluster.users().submit(1, run, Duration.ofSeconds(60)));
         return run;
     }
@@ -174,11 +174,11 @@
      */
     private int runReservedJobAmongLongWork(boolean reserved) {
         if (reserved) {
-            body(reserve("calendars", "team", 6, 1, 300, 600), 201);
+            bodyWithStatus(putReservation("calendars", "team", 6, 1, 300, 600), 201);
         }
         submitLongWork();
         cluster.runSeconds(305);
-        JobSpec run = reservedRun(2, 6);
+        JobSpec run = submitReservedRun(2, 6);
         cluster.runSeconds(10);
         return runningTaskCount(run);
     }
@@ -189,15 +189,15 @@
     }
 
     @Test
-    void sameRunWithoutReservationWaits() {
+    void unreservedRunWaitsBehindLongWork() {
         assertEquals(0, runReservedJobAmongLongWork(false));
     }
 
     @Test
     void shortWorkUsesReservedCapacityUntilSlotBegins() {
-        body(reserve("calendars", "team", totalGpuCount(), 1, 300, 600), 201);
-        JobSpec brief = job(1, "brief", Priority.HIGH, 8, 1, 20, 0);
-        JobSpec endless = job(2, "long", Priority.HIGH, 4, 1, 2000, 0);
+        bodyWithStatus(putReservation("calendars", "team", totalGpuCount(), 1, 300, 600), 201);
+        JobSpec brief = arrayJob(1, "brief", Priority.HIGH, 8, 1, 20, 0);
+        JobSpec endless = arrayJob(2, "long", Priority.HIGH, 4, 1, 2000, 0);
         assertTrue(cluster.users().submit(0, brief, Duration.ofSeconds(20)));
         assertTrue(cluster.users().submit(0, endless, HOUR));
         cluster.runSeconds(15);
@@ -212,8 +212,8 @@
 
     @Test
     void unusedSlotIsReleasedBeforeItsEnd() {
-        body(reserve("calendars", "team", totalGpuCount(), 1, 60, 7200), 201);
-        JobSpec endless = job(2, "long", Priority.HIGH, 4, 1, 2000, 0);
+        bodyWithStatus(putReservation("calendars", "team", totalGpuCount(), 1, 60, 7200), 201);
+        JobSpec endless = arrayJob(2, "long", Priority.HIGH, 4, 1, 2000, 0);
         assertTrue(cluster.users().submit(0, endless, HOUR));
         cluster.runSeconds(500);
         assertEquals(0, runningTaskCount(endless));
@@ -223,7 +223,7 @@
 
     @Test
     void reservationSurvivesLossOfLeaderAndOfAllControllersAtItsStart() {
-        body(reserve("calendars", "team", 6, 1, 300, 600), 201);
+        bodyWithStatus(putReservation("calendars", "team", 6, 1, 300, 600), 201);
         submitLongWork();
         cluster.runSeconds(290);
         cluster.crash(cluster.leader());
@@ -232,15 +232,15 @@
         cluster.runSeconds(4);
         cluster.restartAll();
         cluster.runSeconds(8);
-        JobSpec run = reservedRun(2, 6);
+        JobSpec run = submitReservedRun(2, 6);
         cluster.runSeconds(12);
         assertEquals(6, runningTaskCount(run));
-        assertEquals(1, plan(2).map().get("slots") instanceof List<?> slots ? slots.size() : 0);
+        assertEquals(1, getPlan(2).map().get("slots") instanceof List<?> slots ? slots.size() : 0);
     }
 
     @Test
     void newLeaderPlacesNothingBeforeReservationsAreLoaded() {
-        body(reserve("calendars", "team", totalGpuCount(), 1, 60, 7200), 201);
+        bodyWithStatus(putReservation("calendars", "team", totalGpuCount(), 1, 60, 7200), 201);
         cluster.crashAll();
         cluster.runSeconds(8);
         cluster.restartAll();
@@ -248,7 +248,7 @@
             cluster.storeConnection(node).hidePrefix("cal/");
         }
         cluster.runSeconds(3);
-        JobSpec work = job(1, "long", Priority.HIGH, 4, 1, 900, 0);
+        JobSpec work = arrayJob(1, "long", Priority.HIGH, 4, 1, 900, 0);
         assertTrue(cluster.users().submit(0, work, HOUR));
         cluster.runSeconds(20);
         assertEquals(0, runningTaskCount(work));
@@ -265,15 +265,15 @@
         cluster.withTeam("team", 0, 4);
         cluster.enableReservations(Map.of());
         cluster.runSeconds(15);
-        body(reserve("calendars", "team", 4, 1, 60, 600), 201);
+        bodyWithStatus(putReservation("calendars", "team", 4, 1, 60, 600), 201);
         assertTrue(
                 cluster.users()
                         .submit(
                                 0,
-                                job(1, "other", Priority.HIGH, 200, 1, 10, 0),
+                                arrayJob(1, "other", Priority.HIGH, 200, 1, 10, 0),
                                 Duration.ofSeconds(10)));
         cluster.runSeconds(62);
-        JobSpec run = job(2, "night", Priority.HIGH, 4, 1, 300, 0);
+        JobSpec run = arrayJob(2, "night", Priority.HIGH, 4, 1, 300, 0);
         assertTrue(cluster.users().submit(1, run, Duration.ofMinutes(5)));
         cluster.runSeconds(35);
         assertEquals(4, runningTaskCount(run));
@@ -281,30 +281,30 @@
 
     @Test
     void taskOverrunningItsEstimateIsWarnedAndStoppedInTime() {
-        body(reserve("calendars", "team", totalGpuCount(), 1, 200, 600), 201);
-        JobSpec wrong = job(1, "other", Priority.LOW, totalGpuCount(), 1, 100, 0);
-        assertTrue(cluster.users().submit(0, wrong, HOUR));
+        bodyWithStatus(putReservation("calendars", "team", totalGpuCount(), 1, 200, 600), 201);
+        JobSpec overrunning = arrayJob(1, "other", Priority.LOW, totalGpuCount(), 1, 100, 0);
+        assertTrue(cluster.users().submit(0, overrunning, HOUR));
         cluster.runSeconds(15);
         assertEquals(
                 totalGpuCount(),
-                runningTaskCount(wrong),
+                runningTaskCount(overrunning),
                 "its estimate ends before the slot begins");
         cluster.runSeconds(188);
-        JobSpec run = reservedRun(2, totalGpuCount());
+        JobSpec run = submitReservedRun(2, totalGpuCount());
         cluster.runSeconds(12);
         assertEquals(totalGpuCount(), runningTaskCount(run));
     }
 
     @Test
     void noMachineIsRentedDuringMaintenanceWindow() {
-        body(window("patches", "zones", "a", 30, 600, 0), 201);
+        bodyWithStatus(putWindow("patches", "zones", "a", 30, 600, 0), 201);
         cluster.cloud().limitMachines(40);
         List<FakeWorker> before = cluster.workers();
         assertTrue(
                 cluster.users()
                         .submit(
                                 0,
-                                job(1, "other", Priority.HIGH, 200, 1, 300, 0),
+                                arrayJob(1, "other", Priority.HIGH, 200, 1, 300, 0),
                                 Duration.ofMinutes(5)));
         cluster.runSeconds(60);
         List<FakeWorker> rented =
@@ -315,13 +315,13 @@
 
     @Test
     void leaderKeepsReservationsDuringStoreOutage() {
-        body(reserve("calendars", "team", 6, 1, 300, 600), 201);
+        bodyWithStatus(putReservation("calendars", "team", 6, 1, 300, 600), 201);
         submitLongWork();
         cluster.runSeconds(280);
-        JobSpec run = reservedRun(2, 6);
+        JobSpec run = submitReservedRun(2, 6);
         cluster.runSeconds(5);
         cluster.store().setOutage(true);
-        assertEquals(503, reserve("another", "team", 1, 1, 500, 60).status());
+        assertEquals(503, putReservation("another", "team", 1, 1, 500, 60).status());
         cluster.runSeconds(10);
         cluster.store().setOutage(false);
         cluster.runSeconds(25);
@@ -330,9 +330,9 @@
 
     @Test
     void noTaskStartsThatWouldOverlapMaintenanceWindow() {
-        body(window("patches", "zones", "a", 120, 300, 0), 201);
-        JobSpec long1 = job(1, "long", Priority.HIGH, totalGpuCount(), 1, 200, 0);
-        assertTrue(cluster.users().submit(0, long1, Duration.ofSeconds(200)));
+        bodyWithStatus(putWindow("patches", "zones", "a", 120, 300, 0), 201);
+        JobSpec longJob = arrayJob(1, "long", Priority.HIGH, totalGpuCount(), 1, 200, 0);
+        assertTrue(cluster.users().submit(0, longJob, Duration.ofSeconds(200)));
         for (int second = 0; second < 420; second += 10) {
             cluster.runSeconds(10);
             assertTrue(
@@ -346,25 +346,25 @@
                 cluster.workers().stream()
                                 .filter(worker -> worker.zone().equals("a"))
                                 .anyMatch(worker -> !worker.runningTasks().isEmpty())
-                        || runningTaskCount(long1) == 0);
+                        || runningTaskCount(longJob) == 0);
     }
 
     @Test
     void tasksOverlappingWindowAreWarnedAndStoppedAndServicesMoveOneByOne() {
-        JobSpec work = job(1, "long", Priority.HIGH, totalGpuCount() / 2, 1, 1000, 5);
+        JobSpec work = arrayJob(1, "long", Priority.HIGH, totalGpuCount() / 2, 1, 1000, 5);
         assertTrue(cluster.users().submit(0, work, HOUR));
         JobSpec service = SimulatedCluster.spec(2, JobKind.SERVICE, 4, 0);
         assertTrue(cluster.users().submit(0, service, HOUR));
         cluster.runSeconds(20);
         assertEquals(4, runningTaskCount(service));
-        long began = cluster.loop().wallClockMillis();
-        body(window("patches", "zones", "a", 240, 600, 180), 201);
-        int least = 4;
+        long startMillis = cluster.loop().wallClockMillis();
+        bodyWithStatus(putWindow("patches", "zones", "a", 240, 600, 180), 201);
+        int fewestReplicas = 4;
         for (int second = 0; second < 235; second++) {
             cluster.runSeconds(1);
-            least = Math.min(least, runningTaskCount(service));
+            fewestReplicas = Math.min(fewestReplicas, runningTaskCount(service));
         }
-        assertTrue(least >= 3, "replicas left: " + least);
+        assertTrue(fewestReplicas >= 3, "replicas left: " + fewestReplicas);
         assertEquals(4, runningTaskCount(service));
         cluster.runSeconds(5);
         assertTrue(
@@ -372,16 +372,16 @@
                         .filter(worker -> worker.zone().equals("a"))
                         .allMatch(worker -> worker.runningTasks().isEmpty()),
                 "no task is left in the zone when the window begins");
-        assertTrue(cluster.loop().wallClockMillis() - began < 260_000);
+        assertTrue(cluster.loop().wallClockMillis() - startMillis < 260_000);
     }
 
     @Test
     void immediateWindowStillWarnsFirst() {
-        JobSpec work = job(1, "long", Priority.HIGH, totalGpuCount(), 1, 1000, 5);
+        JobSpec work = arrayJob(1, "long", Priority.HIGH, totalGpuCount(), 1, 1000, 5);
         assertTrue(cluster.users().submit(0, work, HOUR));
         cluster.runSeconds(10);
         assertEquals(totalGpuCount(), runningTaskCount(work));
-        body(window("now", "zones", "a", 0, 600, 0), 201);
+        bodyWithStatus(putWindow("now", "zones", "a", 0, 600, 0), 201);
         cluster.runSeconds(25);
         assertEquals(
                 totalGpuCount(),
@@ -393,16 +393,16 @@
 
     @Test
     void lowerPriorityWorkIsWarnedAndPreemptedAndEqualPriorityWorkIsNot() {
-        JobSpec low = job(1, "long", Priority.LOW, totalGpuCount() / 2, 1, 5000, 5);
-        JobSpec equal = job(2, "other", Priority.HIGH, totalGpuCount() / 2, 1, 5000, 5);
+        JobSpec low = arrayJob(1, "long", Priority.LOW, totalGpuCount() / 2, 1, 5000, 5);
+        JobSpec equal = arrayJob(2, "other", Priority.HIGH, totalGpuCount() / 2, 1, 5000, 5);
         assertTrue(cluster.users().submit(0, low, HOUR));
         assertTrue(cluster.users().submit(0, equal, HOUR));
         cluster.runSeconds(15);
         int before = runningTaskCount(equal);
         assertEquals(totalGpuCount(), runningTaskCount(low) + before);
-        body(reserve("calendars", "team", 4, 1, 200, 600), 201);
+        bodyWithStatus(putReservation("calendars", "team", 4, 1, 200, 600), 201);
         cluster.runSeconds(202);
-        JobSpec run = reservedRun(3, 4);
+        JobSpec run = submitReservedRun(3, 4);
         cluster.runSeconds(12);
         assertEquals(4, runningTaskCount(run));
         assertEquals(before, runningTaskCount(equal));
@@ -413,12 +413,12 @@
         cluster.cloud().limitMachines(40);
         int before = cluster.workers().size();
         int tasks = totalGpuCount() + 8;
-        body(reserve("calendars", "team", tasks, 1, 600, 600), 201);
+        bodyWithStatus(putReservation("calendars", "team", tasks, 1, 600, 600), 201);
         cluster.runSeconds(400);
         assertTrue(cluster.workers().size() <= before, "nothing is rented long before the slot");
         cluster.runSeconds(190);
         assertTrue(totalGpuCount() >= tasks, "GPUs in the fleet: " + totalGpuCount());
-        JobSpec run = reservedRun(2, tasks);
+        JobSpec run = submitReservedRun(2, tasks);
         cluster.runSeconds(20);
         assertEquals(tasks, runningTaskCount(run));
     }
@@ -426,7 +426,7 @@
     @Test
     void machinesLostBeforeSlotAreReplaced() {
         cluster.cloud().limitMachines(40);
-        body(reserve("calendars", "team", 6, 1, 300, 600), 201);
+        bodyWithStatus(putReservation("calendars", "team", 6, 1, 300, 600), 201);
         submitLongWork();
         cluster.runSeconds(180);
         cluster.workers().stream()
@@ -434,24 +434,24 @@
                 .forEach(cluster.cloud()::reclaim);
         cluster.cloud().limitMachines(80);
         cluster.runSeconds(125);
-        JobSpec run = reservedRun(2, 6);
+        JobSpec run = submitReservedRun(2, 6);
         cluster.runSeconds(12);
         assertEquals(6, runningTaskCount(run));
     }
 
     @Test
     void capacityOfJobCancelledInItsSlotIsReused() {
-        body(reserve("calendars", "team", 6, 1, 300, 600), 201);
+        bodyWithStatus(putReservation("calendars", "team", 6, 1, 300, 600), 201);
         submitLongWork();
         cluster.runSeconds(305);
-        JobSpec wrong = job(2, "night", Priority.HIGH, 6, 1, 60, 0);
-        assertTrue(cluster.users().submit(1, wrong, HOUR));
+        JobSpec cancelled = arrayJob(2, "night", Priority.HIGH, 6, 1, 60, 0);
+        assertTrue(cluster.users().submit(1, cancelled, HOUR));
         cluster.runSeconds(15);
-        assertTrue(cluster.users().cancel(2, wrong.id()));
+        assertTrue(cluster.users().cancel(2, cancelled.id()));
         cluster.runSeconds(8);
-        JobSpec right = reservedRun(3, 6);
+        JobSpec replacement = submitReservedRun(3, 6);
         cluster.runSeconds(12);
-        assertEquals(6, runningTaskCount(right));
+        assertEquals(6, runningTaskCount(replacement));
     }
 
     @Test
@@ -469,7 +469,7 @@
         cluster.runSeconds(15);
         assertEquals(4, runningTaskCount(gang));
         String zone = machineRunning(gang, 0).zone();
-        body(window("patches", "zones", zone, 150, 600, 0), 201);
+        bodyWithStatus(putWindow("patches", "zones", zone, 150, 600, 0), 201);
         cluster.runSeconds(120);
         assertEquals(4, runningTaskCount(gang), "the gang is not stopped early");
         cluster.runSeconds(45);
@@ -482,9 +482,9 @@
 
     @Test
     void windowsCoveringAllZonesStopEverythingUntilTheyEnd() {
-        body(window("one", "zones", "a", 60, 300, 0), 201);
-        body(window("two", "zones", "b", 120, 120, 0), 201);
-        JobSpec work = job(1, "long", Priority.HIGH, 4, 1, 100, 0);
+        bodyWithStatus(putWindow("one", "zones", "a", 60, 300, 0), 201);
+        bodyWithStatus(putWindow("two", "zones", "b", 120, 120, 0), 201);
+        JobSpec work = arrayJob(1, "long", Priority.HIGH, 4, 1, 100, 0);
         assertTrue(cluster.users().submit(0, work, Duration.ofSeconds(100)));
         cluster.runSeconds(130);
         assertEquals(0, runningTaskCount(work));
@@ -503,10 +503,12 @@
 
         Object[] first = sixGpuReservation(start);
         long version =
-                body(put(0, "reservations/first", null, first), 201).nonNegativeLong("version");
+                bodyWithStatus(put(0, "reservations/first", null, first), 201)
+                        .nonNegativeLong("version");
         assertEquals(
                 version,
-                body(put(1, "reservations/first", null, first), 200).nonNegativeLong("version"),
+                bodyWithStatus(put(1, "reservations/first", null, first), 200)
+                        .nonNegativeLong("version"),
                 "repeated");
         first[3] = 7;
         assertEquals(
@@ -515,7 +517,7 @@
                 "it differs from the accepted reservation");
         assertEquals(412, put(2, "reservations/first", "1", first).status());
         long changed =
-                body(put(2, "reservations/first", "\"" + version + "\"", first), 200)
+                bodyWithStatus(put(2, "reservations/first", "\"" + version + "\"", first), 200)
                         .nonNegativeLong("version");
         assertTrue(changed > version);
 
@@ -524,7 +526,8 @@
         assertEquals(200, delete(0, "reservations/first", String.valueOf(changed)).status());
         assertEquals(200, delete(1, "reservations/first", null).status(), "repeated");
         assertEquals(404, get(1, "reservations/first").status());
-        assertEquals(1, body(get(1, "reservations"), 200).nestedList("reservations").size());
+        assertEquals(
+                1, bodyWithStatus(get(1, "reservations"), 200).nestedList("reservations").size());
     }
 
     /** The fields of a reservation of six tasks; their number is at index 3. */
@@ -614,7 +617,7 @@
                 cluster.clients()
                         .sendReservationRequest(0, "secret", "GET", "elsewhere", null, "")
                         .status());
-        for (String[] wrong :
+        for (String[] invalidRequest :
                 new String[][] {
                     {"windows/w", "{}", "machines"},
                     {"windows/W", "{}", "name"},
@@ -640,13 +643,18 @@
                 }) {
             Http.Reply reply =
                     cluster.clients()
-                            .sendReservationRequest(0, "secret", "PUT", wrong[0], null, wrong[1]);
+                            .sendReservationRequest(
+                                    0, "secret", "PUT", invalidRequest[0], null, invalidRequest[1]);
             assertTrue(
-                    body(reply, 400).map().get("error").toString().contains(wrong[2]),
+                    bodyWithStatus(reply, 400)
+                            .map()
+                            .get("error")
+                            .toString()
+                            .contains(invalidRequest[2]),
                     new String(reply.body(), StandardCharsets.UTF_8));
         }
-        assertEquals(422, reserve("r", "nobody", 1, 1, 60, 60).status());
-        assertEquals(422, window("w", "zones", "moon", 60, 60, 0).status());
+        assertEquals(422, putReservation("r", "nobody", 1, 1, 60, 60).status());
+        assertEquals(422, putWindow("w", "zones", "moon", 60, 60, 0).status());
         assertFalse(cluster.store().recordCount("cal/") > 0, "no rejected request is stored");
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/StaleHeartbeatScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/StaleHeartbeatScenarioTest.java
@@ -56,7 +56,7 @@
      * while the task was still on its machine.
      */
     @Test
-    void retractedExitIsNoProofForNextLeader() {
+    void nextLeaderIgnoresStaleExitOfTaskStartedAgainInSameAttempt() {
         cluster.withTeam("team", 0, 24);
         cluster.setImagePullTime(Duration.ofSeconds(30));
         JobSpec gang = SimulatedCluster.spec(1, JobKind.GANG, 3, 8);
@@ -147,7 +147,7 @@
      * leader first, while the machine cannot be reached.
      */
     @Test
-    void staleHeartbeatWithoutTaskIsNoProofThatItNeverStarts() {
+    void staleHeartbeatWithoutTaskDoesNotProveTaskNeverStarted() {
         cluster.withTeam("team", 0, 12);
         cluster.workers().forEach(cluster.network()::keepHeartbeatForNextLeader);
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 12, 1);
@@ -177,22 +177,22 @@
      * higher incarnation from before the reboot arrives late.
      */
     @Test
-    void higherIncarnationOfEarlierGenerationDoesNotEndCurrentIncarnation() {
+    void higherIncarnationFromBeforeRebootDoesNotEndCurrentOne() {
         FakeWorker first = cluster.addMachine(SimulatedCluster.SMALL, "a");
-        JobSpec fills =
+        JobSpec fillingJob =
                 withTypes(
                         withTeam(SimulatedCluster.spec(2, JobKind.SERVICE, 1, 2), "other"),
                         List.of("small"));
-        assertTrue(cluster.users().submit(0, fills, null));
+        assertTrue(cluster.users().submit(0, fillingJob, null));
         cluster.runSeconds(10);
-        assertEquals(first, machineRunning(fills, 0));
+        assertEquals(first, machineRunning(fillingJob, 0));
         FakeWorker worker = cluster.addMachine(SimulatedCluster.SMALL, "a");
         worker.setHung(true);
         cluster.runSeconds(25);
         worker.setHung(false);
         cluster.runSeconds(8);
         assertEquals(new WorkerIncarnation(2), worker.incarnation());
-        Heartbeat former = worker.snapshot();
+        Heartbeat staleHeartbeat = worker.snapshot();
         int leader = cluster.leader();
         worker.reboot();
         cluster.crash(leader);
@@ -202,10 +202,11 @@
         cluster.runSeconds(8);
         assertEquals(worker, machineRunning(job, 0), "in the first incarnation after its reboot");
         // From now on the first machine has capacity, and would be chosen first.
-        assertTrue(cluster.users().cancel(cluster.leader(), fills.id()));
+        assertTrue(cluster.users().cancel(cluster.leader(), fillingJob.id()));
         cluster.runSeconds(3);
         worker.setHung(true);
-        CompletableFuture<?> unused = cluster.network().deliverHeartbeat(cluster.leader(), former);
+        CompletableFuture<?> unused =
+                cluster.network().deliverHeartbeat(cluster.leader(), staleHeartbeat);
         cluster.runSeconds(8);
         assertEquals(worker, machineRunning(job, 0), "the hung machine may resume at any time");
         worker.setHung(false);
@@ -220,7 +221,7 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"before the start", "while it ran", "of an earlier incarnation"})
-    void staleHeartbeatReachesEveryControllerAsLeadershipBegins(String when) {
+    void tasksRunOnAfterStaleHeartbeatsReachNewLeader(String when) {
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 6, 1);
         if (when.equals("before the start")) {
             cluster.workers().forEach(cluster.network()::keepHeartbeatForNextLeader);
@@ -256,7 +257,7 @@
      * reported, and the cloud is out, so that no machine can be returned.
      */
     @Test
-    void staleHeartbeatsOfReturnedMachinesDelayNothing() {
+    void staleHeartbeatsOfReturnedMachinesDoNotDelayRestartOfTasks() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 2, 8);
         assertTrue(cluster.users().submit(0, job, LONG_RUNTIME));
         cluster.runSeconds(10);
--- a/src/test/java/org/meadowhollow/simulation/UnidirectionalPartitionScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/UnidirectionalPartitionScenarioTest.java
@@ -74,32 +74,33 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 4, 6})
-    void zoneThatCannotOpenConnectionsKeepsMachinesAndStopsCancelledTasks(int leaderEndsAfterS) {
-        JobSpec goes = SimulatedCluster.spec(1, JobKind.SERVICE, 12, 1);
-        JobSpec stays = SimulatedCluster.spec(2, JobKind.SERVICE, 12, 1);
-        assertTrue(cluster.users().submit(0, goes, null));
-        assertTrue(cluster.users().submit(0, stays, null));
+    void zoneThatCannotOpenConnectionsKeepsMachinesAndStopsCancelledTasks(int crashAfterS) {
+        JobSpec cancelled = SimulatedCluster.spec(1, JobKind.SERVICE, 12, 1);
+        JobSpec uncancelled = SimulatedCluster.spec(2, JobKind.SERVICE, 12, 1);
+        assertTrue(cluster.users().submit(0, cancelled, null));
+        assertTrue(cluster.users().submit(0, uncancelled, null));
         cluster.runSeconds(10);
         List<FakeWorker> unconnected = blockOutgoingConnectionsOfZone("b");
         cluster.runSeconds(2);
         int leader = cluster.leader();
-        if (leaderEndsAfterS == 0) {
+        if (crashAfterS == 0) {
             cluster.crash(leader);
         }
-        assertTrue(cluster.users().cancel(nodeAfter(leader, 1), goes.id()));
+        assertTrue(cluster.users().cancel(nodeAfter(leader, 1), cancelled.id()));
         assertTrue(
-                leaderEndsAfterS > 0
-                        || unconnected.stream().anyMatch(worker -> worker.runsTaskOf(goes.id())),
+                crashAfterS > 0
+                        || unconnected.stream()
+                                .anyMatch(worker -> worker.runsTaskOf(cancelled.id())),
                 "it still runs there when its cancellation is confirmed");
-        if (leaderEndsAfterS > 0) {
-            cluster.runSeconds(leaderEndsAfterS);
+        if (crashAfterS > 0) {
+            cluster.runSeconds(crashAfterS);
             cluster.crash(leader);
         }
         cluster.runSeconds(12);
         for (int task = 0; task < 12; task++) {
             assertEquals(
                     null,
-                    machineRunning(goes, task),
+                    machineRunning(cancelled, task),
                     "a direct command reaches it well within the cancellation bound");
         }
         int next = cluster.leader();
@@ -117,7 +118,7 @@
         cluster.restart(leader);
         cluster.beginFaultFreePhase();
         cluster.runSeconds(60);
-        assertTrue(allTasksRunning(stays));
+        assertTrue(allTasksRunning(uncancelled));
     }
 
     /**
@@ -126,7 +127,7 @@
      */
     @ParameterizedTest
     @CsvSource({"6, true", "14, true", "25, true", "6, false", "14, false"})
-    void delayedCommandIsExecutedDuringNewAttempt(int heldS, boolean leaderEnds) {
+    void delayedStopCommandDoesNotStopNewAttempt(int heldS, boolean leaderCrashes) {
         JobSpec job = SimulatedCluster.spec(1, JobKind.GANG, 3, 8);
         assertTrue(cluster.users().submit(0, job, HOURS_RUNTIME));
         cluster.runSeconds(10);
@@ -134,27 +135,27 @@
         assertTrue(cluster.users().submit(0, filling, null), "fills the other machines");
         cluster.cloud().limitMachines(0);
         cluster.runSeconds(10);
-        List<FakeWorker> places = new ArrayList<>();
+        List<FakeWorker> machines = new ArrayList<>();
         for (int task = 0; task < 3; task++) {
-            places.add(machineRunning(job, task));
+            machines.add(machineRunning(job, task));
         }
         cluster.network().holdCommands(true);
         // A task of the gang ends, and the others are told to stop, directly and in their next
         // heartbeat responses.
-        FakeWorker first = places.get(0);
-        places.get(1).setHung(true);
-        places.get(2).setHung(true);
+        FakeWorker first = machines.get(0);
+        machines.get(1).setHung(true);
+        machines.get(2).setHung(true);
         first.exitForMissingPeer(new TaskId(job.id(), 0));
         cluster.runSeconds(4);
         assertTrue(cluster.network().heldCommandCount() > 0, "stop commands are on their way");
         int leader = cluster.leader();
-        if (leaderEnds) {
+        if (leaderCrashes) {
             cluster.crash(leader);
             cluster.runSeconds(heldS);
         }
-        places.get(1).setHung(false);
-        places.get(2).setHung(false);
-        if (!leaderEnds) {
+        machines.get(1).setHung(false);
+        machines.get(2).setHung(false);
+        if (!leaderCrashes) {
             runUntilAllTasksRun(job, 160);
             assertTrue(allTasksRunning(job), "in a new attempt");
             cluster.runSeconds(heldS);
@@ -162,12 +163,12 @@
         int starts = cluster.startCount();
         cluster.network().holdCommands(false);
         cluster.runSeconds(10);
-        assertEquals(leaderEnds, leader != cluster.leader());
+        assertEquals(leaderCrashes, leader != cluster.leader());
         cluster.restart(leader);
         cluster.beginFaultFreePhase();
         cluster.runSeconds(85);
         assertTrue(allTasksRunning(job), "a command for the former attempt stopped no task");
-        assertEquals(leaderEnds ? cluster.startCount() : starts, cluster.startCount());
+        assertEquals(leaderCrashes ? cluster.startCount() : starts, cluster.startCount());
     }
 
     /**
@@ -176,27 +177,27 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3})
-    void machinesIsolatedAcrossFailoversKeepTasksForFullTimeout(int leaders) {
+    void machinesIsolatedAcrossFailoversKeepTasksForFullTimeout(int failovers) {
         cluster.withTeam("team", 0, 6);
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 6, 1);
         assertTrue(cluster.users().submit(0, job, null));
         cluster.runSeconds(10);
         List<FakeWorker> isolated = cluster.workers().subList(0, 3);
         isolated.forEach(worker -> worker.loseIncoming(true));
-        boolean still = false;
-        for (int takeover = 0; takeover < leaders; takeover++) {
+        boolean ranUnderNextLeader = false;
+        for (int takeover = 0; takeover < failovers; takeover++) {
             int leader = cluster.leader();
             cluster.crash(leader);
             for (int second = 0; second < 9; second++) {
                 cluster.runSeconds(1);
-                still |=
+                ranUnderNextLeader |=
                         cluster.leader() != leader
                                 && isolated.stream()
                                         .anyMatch(worker -> !worker.runningTasks().isEmpty());
             }
             cluster.restart(leader);
         }
-        assertTrue(still, "an isolated machine had tasks while the next leader led");
+        assertTrue(ranUnderNextLeader, "an isolated machine had tasks while the next leader led");
         cluster.runSeconds(70);
         isolated.forEach(worker -> worker.loseIncoming(false));
         cluster.beginFaultFreePhase();
