--- a/src/test/java/org/meadowhollow/simulation/GangSchedulingScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/GangSchedulingScenarioTest.java
@@ -14,9 +14,12 @@
 
 /** Gang scheduling, and replicas that spread across zones. */
 class GangSchedulingScenarioTest extends ClusterTestBase {
-    /** Starts a gang of large tasks, which are on their machines and pull their images. */
-    private JobSpec gangPullingImages(int tasks, Duration fetch) {
-        cluster.setImagePullTime(fetch);
+    /**
+     * Submits a gang of large tasks, and runs until they are on their machines and pull their
+     * images.
+     */
+    private JobSpec startGangPullingImages(int tasks, Duration pullTime) {
+        cluster.setImagePullTime(pullTime);
         JobSpec gang = SimulatedCluster.spec(1, JobKind.GANG, tasks, 8);
         assertTrue(cluster.users().submit(0, gang, LONG_RUNTIME));
         cluster.runSeconds(10);
@@ -25,11 +28,11 @@
 
     private void assertFirstAttempt(JobSpec gang) {
         for (int task = 0; task < gang.taskCount(); task++) {
-            TaskId each = new TaskId(gang.id(), task);
+            TaskId taskId = new TaskId(gang.id(), task);
             assertEquals(
                     1,
-                    machineHolding(each).attemptOf(each).value(),
-                    "the fetches of the others went on");
+                    machineHolding(taskId).attemptOf(taskId).value(),
+                    "the image pulls of the other tasks continue");
         }
     }
 
@@ -65,7 +68,7 @@
 
     @Test
     void taskThatTimedOutWaitingForGangWaitsAgainInSameAttempt() {
-        JobSpec gang = gangPullingImages(3, Duration.ofSeconds(40));
+        JobSpec gang = startGangPullingImages(3, Duration.ofSeconds(40));
         TaskId first = new TaskId(gang.id(), 0);
         FakeWorker worker = machineHolding(first);
         worker.exitForGangTimeout(first);
@@ -77,7 +80,7 @@
 
     @Test
     void unstartedGangGetsReplacementTaskInSameAttempt() {
-        JobSpec gang = gangPullingImages(3, Duration.ofSeconds(40));
+        JobSpec gang = startGangPullingImages(3, Duration.ofSeconds(40));
         TaskId lost = new TaskId(gang.id(), 1);
         FakeWorker worker = machineHolding(lost);
         worker.setHung(true);
@@ -89,7 +92,7 @@
 
     @Test
     void gangWithoutReplacementReleasesItsMachines() {
-        JobSpec gang = gangPullingImages(6, Duration.ofMinutes(5));
+        JobSpec gang = startGangPullingImages(6, Duration.ofMinutes(5));
         cluster.cloud().setOutage(true);
         machineHolding(new TaskId(gang.id(), 1)).setHung(true);
         cluster.runSeconds(70);
@@ -104,14 +107,14 @@
     @Test
     void simultaneousTaskCompletionsCompleteGangOnce() {
         JobSpec gang = SimulatedCluster.spec(1, JobKind.GANG, 3, 8);
-        JobSpec after = array(2, 2);
+        JobSpec next = array(2, 2);
         assertTrue(cluster.users().submit(0, gang, SHORT_RUNTIME));
         cluster.runSeconds(25);
         assertEquals(Phase.DONE, phaseOf(gang));
-        assertTrue(cluster.users().submit(0, after, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(0, next, SHORT_RUNTIME));
         cluster.runSeconds(25);
         assertEquals(
-                Phase.DONE, phaseOf(after), "a write that fails for ever would block all others");
+                Phase.DONE, phaseOf(next), "a write that fails for ever would block all others");
     }
 
     @Test
@@ -149,11 +152,11 @@
 
     /**
      * A machine of a gang fails, and the next leader learns that before it learns that the gang has
-     * started. The remaining tasks cannot complete the attempt any more. Regression test: without
-     * the guard they kept their machines, and the gang waited for ever.
+     * started. The remaining tasks cannot complete the attempt any more. Regression test: they kept
+     * their machines, and the gang waited for ever.
      */
     @Test
-    void taskLostBeforeNewLeaderLearnsThatGangStarted() {
+    void gangRestartsIfTaskIsLostBeforeNewLeaderLearnsItStarted() {
         JobSpec gang = SimulatedCluster.spec(1, JobKind.GANG, 3, 8);
         assertTrue(cluster.users().submit(0, gang, Duration.ofHours(2)));
         cluster.runSeconds(10);
@@ -167,20 +170,20 @@
         cluster.runSeconds(10);
         assertEquals(6, cluster.startCount());
         cluster.cloud().limitMachines(0);
-        List<FakeWorker> rest = List.of(machineRunning(gang, 0), machineRunning(gang, 2));
+        List<FakeWorker> remaining = List.of(machineRunning(gang, 0), machineRunning(gang, 2));
         cluster.cloud().fail(machineRunning(gang, 1));
-        rest.forEach(worker -> worker.setHung(true));
+        remaining.forEach(worker -> worker.setHung(true));
         int leader = cluster.leader();
         cluster.crash(leader);
         cluster.runSeconds(12);
         assertTrue(cluster.leader() >= 0 && cluster.leader() != leader);
-        rest.forEach(worker -> worker.setHung(false));
+        remaining.forEach(worker -> worker.setHung(false));
         cluster.runSeconds(6);
         cluster.addMachine(SimulatedCluster.LARGE, "a");
         cluster.beginFaultFreePhase();
-        // The history checker fails the test if a job waits beside free capacity.
+        // The history checker fails the test if a job waits while there is free capacity.
         cluster.runSeconds(60);
-        assertTrue(allTasksRunning(gang), "whole, in a new attempt");
+        assertTrue(allTasksRunning(gang), "completely, in a new attempt");
         assertEquals(2, machineRunning(gang, 0).attemptOf(new TaskId(gang.id(), 0)).value());
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/MachineFailureScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/MachineFailureScenarioTest.java
@@ -18,7 +18,7 @@
 /** Machines that hang, fall silent, are preempted, rented and returned. */
 class MachineFailureScenarioTest extends ClusterTestBase {
     /** Submits a service of one replica, and waits until it runs. */
-    private JobSpec runningReplica() {
+    private JobSpec startReplica() {
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 1, 1);
         assertTrue(cluster.users().submit(0, job, null));
         cluster.runSeconds(10);
@@ -39,12 +39,12 @@
 
     @Test
     void tasksOfHungMachineRunElsewhereAndMachineMayResume() {
-        JobSpec job = runningReplica();
+        JobSpec job = startReplica();
         FakeWorker hung = machineRunning(job, 0);
         cluster.cloud().setOutage(true);
         hung.setHung(true);
         cluster.runSeconds(12);
-        assertEquals(1, cluster.startCount(), "its lease may still hold");
+        assertEquals(1, cluster.startCount(), "its lease may still be valid");
         cluster.runSeconds(20);
         assertEquals(2, cluster.startCount());
         hung.setHung(false);
@@ -54,7 +54,7 @@
 
     @Test
     void machineWithoutNewFencingTokenKeepsTasksForFullTimeout() {
-        JobSpec job = runningReplica();
+        JobSpec job = startReplica();
         FakeWorker hung = machineRunning(job, 0);
         cluster.cloud().setOutage(true);
         hung.setHung(true);
@@ -80,7 +80,7 @@
 
     @Test
     void replicaIsMovedFromSilentMachineBeforeLeaseExpires() {
-        JobSpec job = runningReplica();
+        JobSpec job = startReplica();
         machineRunning(job, 0).setHung(true);
         cluster.runSeconds(16);
         assertEquals(2, cluster.startCount());
@@ -96,14 +96,14 @@
             machineRunning(job, task).setHung(true);
         }
         cluster.runSeconds(16);
-        assertEquals(before, cluster.workers().size(), "the fault may be on this side");
+        assertEquals(before, cluster.workers().size(), "the fault may be on the controller's side");
     }
 
     @Test
     void outOfOrderHeartbeatIsDropped() {
-        JobSpec job = runningReplica();
-        FakeWorker place = machineRunning(job, 0);
-        Heartbeat now = place.snapshot();
+        JobSpec job = startReplica();
+        FakeWorker worker = machineRunning(job, 0);
+        Heartbeat now = worker.snapshot();
         Heartbeat late =
                 new Heartbeat(
                         now.machineId(),
@@ -118,7 +118,7 @@
                         List.of(
                                 new Heartbeat.TaskStatus(
                                         new TaskId(job.id(), 0),
-                                        place.attemptOf(new TaskId(job.id(), 0)),
+                                        worker.attemptOf(new TaskId(job.id(), 0)),
                                         TaskState.EXITED,
                                         ExitReason.ERROR)));
         CompletableFuture<?> unused = cluster.network().deliverHeartbeat(cluster.leader(), late);
@@ -128,7 +128,7 @@
 
     @Test
     void replicaLeavesPreemptedMachine() {
-        JobSpec job = runningReplica();
+        JobSpec job = startReplica();
         FakeWorker first = machineRunning(job, 0);
         first.announcePreemption(25);
         cluster.runSeconds(15);
@@ -145,27 +145,29 @@
         assertTrue(cluster.workers().size() > before);
         cluster.runSeconds(200);
         assertEquals(Phase.DONE, phaseOf(job));
-        assertTrue(cluster.workers().size() <= 1, cluster.workers().size() + " are left idle");
+        assertTrue(
+                cluster.workers().size() <= 1,
+                cluster.workers().size() + " machines are left idle");
     }
 
     /**
-     * Regression test: a return that the cloud certainly did not execute must not close the
-     * machine, whose capacity was lost for as long as a replica ran there.
+     * Regression test: a return that the cloud certainly did not execute left the machine closed to
+     * new tasks, and its free capacity was lost for as long as a replica ran there.
      */
     @Test
     void machineWhoseReturnWasRefusedRunsTasksAgain() {
-        JobSpec job = runningReplica();
-        FakeWorker place = machineRunning(job, 0);
+        JobSpec job = startReplica();
+        FakeWorker worker = machineRunning(job, 0);
         cluster.cloud().limitMachines(0);
         cluster.cloud().setOutage(true);
-        place.setHung(true);
+        worker.setHung(true);
         cluster.runSeconds(12);
-        place.setHung(false);
+        worker.setHung(false);
         cluster.runSeconds(20);
-        assertEquals(place, machineRunning(job, 0));
+        assertEquals(worker, machineRunning(job, 0));
         JobSpec more = array(2, 47);
         assertTrue(cluster.users().submit(0, more, LONG_RUNTIME));
         cluster.runSeconds(10);
-        assertTrue(allTasksRunning(job) && allTasksRunning(more), "all room there is");
+        assertTrue(allTasksRunning(job) && allTasksRunning(more), "they fill the whole capacity");
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/ReadYourWritesScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/ReadYourWritesScenarioTest.java
@@ -23,7 +23,9 @@
  * SimulatedCluster} checks each answer against what was answered before its request was sent.
  */
 class ReadYourWritesScenarioTest extends ClusterTestBase {
-    /** Answers of all controllers after the critical moment. */
+    /**
+     * Asserts that every controller reports a phase of a job, and accepts its repeated submission.
+     */
     private void assertEveryControllerReports(Phase phase, JobSpec job) {
         for (int node = 0; node < 3; node++) {
             assertEquals(
@@ -32,13 +34,13 @@
                     "node " + node);
             assertTrue(
                     cluster.users().submit(node, job, HOURS_RUNTIME),
-                    "a repeat is known at node " + node);
+                    "a repeated submission is accepted by node " + node);
         }
     }
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
-    void everyControllerReadsItsPeersWritesAfterAcceptCancelAndCompletion(int latecomer) {
+    void everyControllerReadsItsPeersWritesAfterAcceptCancelAndCompletion(int nodeWithoutWatches) {
         cluster.users().pollAllAfterAnswers(true);
         List<JobSpec> jobs = new ArrayList<>();
         for (int number = 0; number < 9; number++) {
@@ -53,7 +55,7 @@
             // its cache.
             assertTrue(cluster.users().submit(number % 3, job, SHORT_RUNTIME));
             cluster.users().poll((number + 1) % 3, job.id());
-            cluster.storeConnection(latecomer).failWatches(number % 2 == 0);
+            cluster.storeConnection(nodeWithoutWatches).failWatches(number % 2 == 0);
             if (number % 3 == 1) {
                 CompletableFuture<?> unused =
                         cluster.users().cancelAsync((number + 2) % 3, job.id());
@@ -61,7 +63,7 @@
             cluster.run(Duration.ofMillis(250L * (number % 4)));
         }
         cluster.runSeconds(30);
-        cluster.storeConnection(latecomer).failWatches(false);
+        cluster.storeConnection(nodeWithoutWatches).failWatches(false);
         assertTrue(
                 cluster.users().asyncAnswerCount() > 100,
                 "answered " + cluster.users().asyncAnswerCount());
@@ -75,8 +77,8 @@
     }
 
     /**
-     * A submission, a cancellation and an end are each committed, and their sender gets no
-     * response.
+     * A submission, a cancellation or a completion is committed, and the controller that wrote it
+     * gets no response.
      */
     @ParameterizedTest
     @CsvSource({
@@ -87,21 +89,21 @@
         "ended, 0",
         "ended, 1"
     })
-    void committedWritesWithLostResponsesAreReadByOtherControllers(String what, int by) {
+    void committedWritesWithLostResponsesAreReadByOtherControllers(String write, int nodeOffset) {
         int leader = cluster.leader();
-        int node = what.equals("ended") ? leader : nodeAfter(leader, by);
+        int node = write.equals("ended") ? leader : nodeAfter(leader, nodeOffset);
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 2, 1);
-        if (!what.equals("accepted")) {
+        if (!write.equals("accepted")) {
             assertTrue(cluster.users().submit(nodeAfter(node, 1), job, SHORT_RUNTIME));
-            cluster.runSeconds(what.equals("ended") ? 8 : 4);
+            cluster.runSeconds(write.equals("ended") ? 8 : 4);
         }
         cluster.storeConnection(node).loseCommitResponses(1, 7);
         int before = cluster.storeConnection(node).lostCommitCount();
         cluster.users().pollAllAfterAnswers(true);
         CompletableFuture<Optional<JobStatus>> answer =
-                what.equals("accepted")
+                write.equals("accepted")
                         ? cluster.users().submitAsync(node, job, SHORT_RUNTIME)
-                        : what.equals("cancelled")
+                        : write.equals("cancelled")
                                 ? cluster.users().cancelAsync(node, job.id())
                                 : null;
         for (int step = 0;
@@ -111,30 +113,35 @@
         }
         assertTrue(
                 cluster.storeConnection(node).lostCommitCount() > before,
-                "it is committed, and nobody was told");
-        // Another controller reads it, and a user is told there.
-        Phase then = cluster.users().poll(nodeAfter(node, 1), job.id()).orElseThrow().phase();
-        if (by == 1 && !what.equals("ended")) {
+                "the write is committed, and its response is lost");
+        // Another controller reads the write, and reports it to a user.
+        Phase reportedPhase =
+                cluster.users().poll(nodeAfter(node, 1), job.id()).orElseThrow().phase();
+        if (nodeOffset == 1 && !write.equals("ended")) {
             assertTrue(
-                    cluster.users().cancel(nodeAfter(node, 2), job.id()), "and calls it off there");
-            then = Phase.CANCELLED;
+                    cluster.users().cancel(nodeAfter(node, 2), job.id()),
+                    "the user cancels it at a third controller");
+            reportedPhase = Phase.CANCELLED;
         }
-        if (!what.equals("ended")) {
-            // Sent again, it fails on its own effect, and the answer follows the record.
+        if (!write.equals("ended")) {
+            // The retry fails its precondition, since the first try was applied, and the answer
+            // follows from the record.
             cluster.storeConnection(node).loseCommitResponses(0, 0);
             cluster.runSeconds(3);
-            assertEquals(then, answer.join().orElseThrow().phase());
+            assertEquals(reportedPhase, answer.join().orElseThrow().phase());
         }
         cluster.runSeconds(3);
         cluster.storeConnection(node).loseCommitResponses(0, 0);
         cluster.runSeconds(40);
         assertEveryControllerReports(
-                then == Phase.CANCELLED || what.equals("cancelled") ? Phase.CANCELLED : Phase.DONE,
+                reportedPhase == Phase.CANCELLED || write.equals("cancelled")
+                        ? Phase.CANCELLED
+                        : Phase.DONE,
                 job);
         assertEquals(
                 0,
                 cluster.store().recordCount("job/") + cluster.store().recordCount("task/"),
-                "nothing is left of it");
+                "no live record is left");
     }
 
     /**
@@ -186,8 +193,8 @@
     }
 
     /**
-     * A job moves from its live record to its final one between the two reads of a poll, at
-     * whatever moment that is sent.
+     * A job moves from its live record to its final one between the two reads of a poll, whenever
+     * the poll is sent.
      */
     @Test
     void readDuringMoveToFinalRecordIsAnswered() {
@@ -214,7 +221,7 @@
         assertEquals(Phase.DONE, phaseOf(job));
         assertTrue(
                 cluster.users().asyncAnswerCount() - before > 500,
-                "asked each millisecond until it was done");
+                "polled each millisecond until it was done");
     }
 
     /** A cancellation has read the live record, and its write arrives after the job's end. */
@@ -236,6 +243,6 @@
         cluster.runSeconds(5);
         assertTrue(answer.isDone());
         assertEveryControllerReports(Phase.DONE, job);
-        assertEquals(0, cluster.store().recordCount("job/"), "its live record is not there again");
+        assertEquals(0, cluster.store().recordCount("job/"), "its live record is not restored");
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/UnidirectionalPartitionScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/UnidirectionalPartitionScenarioTest.java
@@ -15,8 +15,8 @@
 
 /**
  * Machines that cannot open a connection to any controller, while direct commands reach them, and
- * machines whose responses are lost or delayed. Their heartbeats are missing though they live, and
- * a direct response renews no lease.
+ * machines whose responses are lost or delayed. Such machines are alive although their heartbeats
+ * are missing, and a response to a direct command renews no lease.
  */
 class UnidirectionalPartitionScenarioTest extends ClusterTestBase {
     private List<FakeWorker> blockOutgoingConnectionsOfZone(String zone) {
@@ -27,7 +27,7 @@
     }
 
     /**
-     * Regression test: tasks placed there waited for as long as the machine could not connect,
+     * Regression test: tasks placed on such a machine waited for as long as it could not connect,
      * since starts are sent in heartbeat responses alone.
      */
     @Test
@@ -38,17 +38,18 @@
         cluster.runSeconds(8);
         JobSpec job = SimulatedCluster.spec(1, JobKind.ARRAY, 12, 2);
         assertTrue(cluster.users().submit(0, job, HOURS_RUNTIME));
-        // Before the lease of those that cannot connect expires, which would prove that nothing
-        // was started there.
+        // Too short for the leases of the machines that cannot connect to expire, which would prove
+        // that nothing was started there.
         cluster.runSeconds(7);
-        assertTrue(allTasksRunning(job), "there is room for all on the others");
+        assertTrue(allTasksRunning(job), "the other machines have capacity for all tasks");
         unconnected.forEach(worker -> worker.blockOutgoingConnections(false));
         cluster.runSeconds(40);
         assertEquals(12, cluster.startCount());
     }
 
     /**
-     * It lives, as its direct responses show; its tasks end with its lease, and then run elsewhere.
+     * Its responses to direct commands show that the machine is alive. Its tasks stop when its
+     * lease expires, and then run elsewhere.
      */
     @Test
     void machineThatCannotOpenConnectionsIsNotReturned() {
@@ -68,38 +69,39 @@
     }
 
     /**
-     * All machines of a zone cannot connect, tasks there are cancelled, and the leader crashes
-     * before or after it knows.
+     * No machine of a zone can open connections, tasks there are cancelled, and the leader crashes
+     * before or after it learns of the cancellation.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 4, 6})
-    void zoneThatCannotOpenConnectionsKeepsMachinesAndStopsCancelledTasks(int leaderEndsAfterS) {
-        JobSpec goes = SimulatedCluster.spec(1, JobKind.SERVICE, 12, 1);
-        JobSpec stays = SimulatedCluster.spec(2, JobKind.SERVICE, 12, 1);
-        assertTrue(cluster.users().submit(0, goes, null));
-        assertTrue(cluster.users().submit(0, stays, null));
+    void zoneThatCannotOpenConnectionsKeepsMachinesAndStopsCancelledTasks(int crashAfterS) {
+        JobSpec cancelled = SimulatedCluster.spec(1, JobKind.SERVICE, 12, 1);
+        JobSpec uncancelled = SimulatedCluster.spec(2, JobKind.SERVICE, 12, 1);
+        assertTrue(cluster.users().submit(0, cancelled, null));
+        assertTrue(cluster.users().submit(0, uncancelled, null));
         cluster.runSeconds(10);
         List<FakeWorker> unconnected = blockOutgoingConnectionsOfZone("b");
         cluster.runSeconds(2);
         int leader = cluster.leader();
-        if (leaderEndsAfterS == 0) {
+        if (crashAfterS == 0) {
             cluster.crash(leader);
         }
-        assertTrue(cluster.users().cancel(nodeAfter(leader, 1), goes.id()));
+        assertTrue(cluster.users().cancel(nodeAfter(leader, 1), cancelled.id()));
         assertTrue(
-                leaderEndsAfterS > 0
-                        || unconnected.stream().anyMatch(worker -> worker.runsTaskOf(goes.id())),
-                "it is there when its cancellation is confirmed");
-        if (leaderEndsAfterS > 0) {
-            cluster.runSeconds(leaderEndsAfterS);
+                crashAfterS > 0
+                        || unconnected.stream()
+                                .anyMatch(worker -> worker.runsTaskOf(cancelled.id())),
+                "it still runs there when its cancellation is confirmed");
+        if (crashAfterS > 0) {
+            cluster.runSeconds(crashAfterS);
             cluster.crash(leader);
         }
         cluster.runSeconds(12);
         for (int task = 0; task < 12; task++) {
             assertEquals(
                     null,
-                    machineRunning(goes, task),
-                    "a direct command reaches it well within the time there is");
+                    machineRunning(cancelled, task),
+                    "a direct command reaches it well within the cancellation bound");
         }
         int next = cluster.leader();
         long fencingToken = cluster.fencingToken();
@@ -116,16 +118,16 @@
         cluster.restart(leader);
         cluster.beginFaultFreePhase();
         cluster.runSeconds(60);
-        assertTrue(allTasksRunning(stays));
+        assertTrue(allTasksRunning(uncancelled));
     }
 
     /**
-     * A direct command is delayed, and executed when another one leads or the next attempt has
-     * begun.
+     * Direct stop commands are delayed, and executed when another controller leads or the next
+     * attempt has begun.
      */
     @ParameterizedTest
     @CsvSource({"6, true", "14, true", "25, true", "6, false", "14, false"})
-    void delayedCommandIsExecutedDuringNewAttempt(int heldS, boolean leaderEnds) {
+    void delayedStopCommandDoesNotStopNewAttempt(int heldS, boolean leaderCrashes) {
         JobSpec job = SimulatedCluster.spec(1, JobKind.GANG, 3, 8);
         assertTrue(cluster.users().submit(0, job, HOURS_RUNTIME));
         cluster.runSeconds(10);
@@ -133,27 +135,27 @@
         assertTrue(cluster.users().submit(0, filling, null), "fills the other machines");
         cluster.cloud().limitMachines(0);
         cluster.runSeconds(10);
-        List<FakeWorker> places = new ArrayList<>();
+        List<FakeWorker> machines = new ArrayList<>();
         for (int task = 0; task < 3; task++) {
-            places.add(machineRunning(job, task));
+            machines.add(machineRunning(job, task));
         }
         cluster.network().holdCommands(true);
         // A task of the gang ends, and the others are told to stop, directly and in their next
-        // responses.
-        FakeWorker first = places.get(0);
-        places.get(1).setHung(true);
-        places.get(2).setHung(true);
+        // heartbeat responses.
+        FakeWorker first = machines.get(0);
+        machines.get(1).setHung(true);
+        machines.get(2).setHung(true);
         first.exitForMissingPeer(new TaskId(job.id(), 0));
         cluster.runSeconds(4);
-        assertTrue(cluster.network().heldCommandCount() > 0, "stops are on their way");
+        assertTrue(cluster.network().heldCommandCount() > 0, "stop commands are on their way");
         int leader = cluster.leader();
-        if (leaderEnds) {
+        if (leaderCrashes) {
             cluster.crash(leader);
             cluster.runSeconds(heldS);
         }
-        places.get(1).setHung(false);
-        places.get(2).setHung(false);
-        if (!leaderEnds) {
+        machines.get(1).setHung(false);
+        machines.get(2).setHung(false);
+        if (!leaderCrashes) {
             runUntilAllTasksRun(job, 160);
             assertTrue(allTasksRunning(job), "in a new attempt");
             cluster.runSeconds(heldS);
@@ -161,42 +163,41 @@
         int starts = cluster.startCount();
         cluster.network().holdCommands(false);
         cluster.runSeconds(10);
-        assertEquals(leaderEnds, leader != cluster.leader());
+        assertEquals(leaderCrashes, leader != cluster.leader());
         cluster.restart(leader);
         cluster.beginFaultFreePhase();
         cluster.runSeconds(85);
-        assertTrue(
-                allTasksRunning(job), "none of it was stopped by a command for the former attempt");
-        assertEquals(leaderEnds ? cluster.startCount() : starts, cluster.startCount());
+        assertTrue(allTasksRunning(job), "a command for the former attempt stopped no task");
+        assertEquals(leaderCrashes ? cluster.startCount() : starts, cluster.startCount());
     }
 
     /**
-     * A machine loses everything incoming for longer than its lease while leaders change; its tasks
-     * count until the lease has surely expired.
+     * Machines lose all incoming messages for longer than their leases while leaders change; their
+     * tasks count as running until the leases have certainly expired.
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3})
-    void machinesIsolatedAcrossFailoversKeepTasksForFullTimeout(int leaders) {
+    void machinesIsolatedAcrossFailoversKeepTasksForFullTimeout(int failovers) {
         cluster.withTeam("team", 0, 6);
         JobSpec job = SimulatedCluster.spec(1, JobKind.SERVICE, 6, 1);
         assertTrue(cluster.users().submit(0, job, null));
         cluster.runSeconds(10);
         List<FakeWorker> isolated = cluster.workers().subList(0, 3);
         isolated.forEach(worker -> worker.loseIncoming(true));
-        boolean still = false;
-        for (int takeover = 0; takeover < leaders; takeover++) {
+        boolean ranUnderNextLeader = false;
+        for (int takeover = 0; takeover < failovers; takeover++) {
             int leader = cluster.leader();
             cluster.crash(leader);
             for (int second = 0; second < 9; second++) {
                 cluster.runSeconds(1);
-                still |=
+                ranUnderNextLeader |=
                         cluster.leader() != leader
                                 && isolated.stream()
                                         .anyMatch(worker -> !worker.runningTasks().isEmpty());
             }
             cluster.restart(leader);
         }
-        assertTrue(still, "an isolated machine had tasks while the next leader led");
+        assertTrue(ranUnderNextLeader, "an isolated machine had tasks while the next leader led");
         cluster.runSeconds(70);
         isolated.forEach(worker -> worker.loseIncoming(false));
         cluster.beginFaultFreePhase();
