--- a/src/test/java/org/meadowhollow/simulation/ClusterTestBase.java
+++ b/src/test/java/org/meadowhollow/simulation/ClusterTestBase.java
@@ -10,8 +10,8 @@
 import org.meadowhollow.model.TaskId;
 
 /**
- * A small deployment for scenario tests, in which faults happen; {@link SimulatedCluster} checks
- * the protocol's rules.
+ * Base class of scenario tests that inject faults into a small deployment; {@link SimulatedCluster}
+ * checks the protocol's rules.
  */
 abstract class ClusterTestBase {
     static final Duration SHORT_RUNTIME = Duration.ofSeconds(10);
@@ -79,14 +79,14 @@
         return true;
     }
 
-    /** Lets time pass in steps of a quarter of a second until all tasks of a job run. */
+    /** Advances virtual time in steps of a quarter of a second until all tasks of a job run. */
     void runUntilAllTasksRun(JobSpec job, int maxSteps) {
         for (int step = 0; step < maxSteps && !allTasksRunning(job); step++) {
             cluster.run(Duration.ofMillis(250));
         }
     }
 
-    /** The node so many places after another one. */
+    /** Returns the index of the node that follows another one by an offset, wrapping around. */
     static int nodeAfter(int than, int by) {
         return (than + by) % 3;
     }
--- a/src/test/java/org/meadowhollow/simulation/FakeKeyValueStore.java
+++ b/src/test/java/org/meadowhollow/simulation/FakeKeyValueStore.java
@@ -20,21 +20,21 @@
 import org.meadowhollow.storage.Transaction;
 
 /**
- * The consensus-backed key-value store in memory: keys with revisions, leases, compare-and-swap
- * transactions and a change log. It holds the state and the faults that affect every client; each
- * client reaches it through a {@link FakeStoreConnection} of its own, which adds latency and the
+ * An in-memory stand-in for the consensus-backed key-value store: keys with revisions, leases,
+ * compare-and-swap transactions and a change log. It holds the state and the faults that affect
+ * every client; each client has its own {@link FakeStoreConnection}, which adds latency and the
  * faults of that client alone. Not thread-safe: everything runs on the event loop.
  */
 final class FakeKeyValueStore {
     private static final Duration DEFAULT_LATENCY = Duration.ofMillis(3);
 
-    /** Changes that a watch can reach back, as the protocol bounds it. */
+    /** Number of past changes that a watch can start from; the protocol sets this bound. */
     private static final int MAX_LOG_ENTRIES = 10_000;
 
     private static final Duration TIMEOUT = Duration.ofMillis(1500);
     private static final Duration SLOW_TIMEOUT = Duration.ofMillis(3200);
 
-    // The value is handed on as it is; no two stored values are compared as records.
+    // The array is passed on without a copy, and stored values are never compared as records.
     @SuppressWarnings("ArrayRecordComponent")
     private record StoredValue(byte[] value, long revision, long lease) {}
 
@@ -52,7 +52,7 @@
     private String observedKey;
     private Runnable putObserver;
 
-    /** Writes a second that are accepted; 0 if there is no limit. */
+    /** Accepted writes per second; 0 if there is no limit. */
     private int writesPerSecond;
 
     private double writeBudget;
@@ -65,7 +65,7 @@
     }
 
     /**
-     * @param latency of a message in one direction
+     * @param latency the latency of a message in one direction
      */
     FakeKeyValueStore(EventLoop loop, Duration latency) {
         this.loop = loop;
@@ -80,7 +80,7 @@
 
     // ---- faults that affect every client ----
 
-    /** Begins or ends an outage; in both cases all leases have their full time to live again. */
+    /** Begins or ends an outage; in both cases every lease gets its full time to live again. */
     void setOutage(boolean out) {
         isOut = out;
         leases.replaceAll((id, lease) -> new Lease(loop.now().plus(lease.ttl()), lease.ttl()));
@@ -90,7 +90,7 @@
         return isOut;
     }
 
-    /** Limits the writes a second, with bursts of a second's worth; 0 ends the limit. */
+    /** Limits the writes per second, with bursts of one second's worth; 0 ends the limit. */
     void limitWriteRate(int maxWritesPerSecond) {
         writesPerSecond = maxWritesPerSecond;
         writeBudget = maxWritesPerSecond;
@@ -98,8 +98,8 @@
     }
 
     /**
-     * Sets the latency in one direction; clients wait longer for responses as well, as the real
-     * client does.
+     * Sets the latency in one direction; like the real client, clients then wait longer for
+     * responses too.
      *
      * @param oneWay null for the normal latency
      */
@@ -111,36 +111,36 @@
         return latency;
     }
 
-    /** How long a client waits for a response at the current latency. */
+    /** Returns the time that a client waits for a response at the current latency. */
     Duration requestTimeout() {
         return latency.equals(normalLatency) ? TIMEOUT : SLOW_TIMEOUT;
     }
 
-    // ---- what tests observe and prepare ----
+    // ---- state and counters for tests ----
 
-    /** Writes that were applied. */
+    /** Returns the number of writes that were applied. */
     int writeCount() {
         return writeCount;
     }
 
-    /** Transactions that were rejected by the rate limit. */
+    /** Returns the number of transactions that the rate limit rejected. */
     int rejectedCount() {
         return rejectedCount;
     }
 
-    /** Runs an action after each put of a key, once its writer has the response. */
+    /** Runs an action after each put of a key, when its writer has received the response. */
     void onPut(String key, Runnable action) {
         observedKey = key;
         putObserver = action;
     }
 
-    /** The decoded value of a key, or null if it does not exist. */
+    /** Returns the decoded value of a key, or null if it does not exist. */
     Map<String, Object> valueOf(String key) {
         StoredValue stored = values.get(key);
         return stored == null ? null : decode(stored.value());
     }
 
-    /** Writes a record as an earlier controller would have left it. */
+    /** Writes a record as an earlier controller would have written it. */
     void put(String key, Map<String, Object> value) {
         commit(new Transaction().put(key, value));
     }
@@ -164,10 +164,10 @@
     }
 
     /**
-     * Reads one page of a prefix.
+     * Reads one page of the keys with a prefix.
      *
      * @param after the last key of the page before; null for the first page
-     * @param limit entries of a page
+     * @param limit the maximum number of entries in the page
      */
     KeyValueStore.Page list(String prefix, String after, int limit) {
         List<KeyValueStore.Entry> entries = new ArrayList<>();
@@ -187,7 +187,8 @@
     /**
      * Applies a transaction if its conditions hold.
      *
-     * @throws KeyValueStoreException if the rate limit rejects it or a lease does not exist
+     * @throws KeyValueStoreException if the rate limit rejects the transaction or a lease does not
+     *     exist
      */
     KeyValueStore.CommitResult commit(Transaction transaction) {
         expireLeases();
@@ -217,7 +218,7 @@
     void renewLease(LeaseId id) {
         Lease lease = leases.get(id.value());
         if (lease == null) {
-            throw new LeaseExpiredException("the lease has expired");
+            throw new LeaseExpiredException("lease expired");
         }
         leases.put(id.value(), new Lease(loop.now().plus(lease.ttl()), lease.ttl()));
     }
@@ -239,7 +240,7 @@
         }
     }
 
-    /** Whether the log no longer holds all changes after a revision. */
+    /** Returns whether the log no longer holds all changes after a revision. */
     boolean isCompacted(Revision after) {
         return log.size() > MAX_LOG_ENTRIES
                 && log.get(log.size() - MAX_LOG_ENTRIES)
@@ -247,9 +248,9 @@
                         .isAfter(new Revision(after.value() + 1));
     }
 
-    /** The changes of all keys after a revision, oldest first. */
+    /** Returns the changes of all keys after a revision, oldest first. */
     List<KeyValueStore.Change> changesAfter(Revision after) {
-        // The log is ordered by revision, and a watcher is mostly near its end.
+        // The log is ordered by revision, and most watchers are near its end.
         int from = log.size();
         while (from > 0 && log.get(from - 1).revision().isAfter(after)) {
             from--;
@@ -266,7 +267,7 @@
             writeBudgetAt = loop.now();
             if (writeBudget < writes) {
                 rejectedCount++;
-                throw new RequestRejectedException("too many changes");
+                throw new RequestRejectedException("write rate limit exceeded");
             }
             writeBudget -= writes;
         }
--- a/src/test/java/org/meadowhollow/simulation/FakeStoreConnection.java
+++ b/src/test/java/org/meadowhollow/simulation/FakeStoreConnection.java
@@ -21,12 +21,12 @@
 import org.meadowhollow.storage.Transaction;
 
 /**
- * One client's connection to the {@link FakeKeyValueStore}: it adds latency and timeouts, and can
+ * One client's connection to the {@link FakeKeyValueStore}. It adds latency and timeouts, and can
  * refuse, hold, delay or lose requests and responses of this client alone. Not thread-safe:
  * everything runs on the event loop.
  */
 final class FakeStoreConnection implements KeyValueStore {
-    /** How often an open watch polls the change log. */
+    /** Interval at which an open watch polls the change log. */
     private static final Duration WATCH_POLL_INTERVAL = Duration.ofMillis(50);
 
     private static final int MIN_COMMIT_DELAY_MILLIS = 2000;
@@ -38,7 +38,7 @@
     /** Delivers responses to the client's process, which may be paused. */
     private Executor responseExecutor = Runnable::run;
 
-    /** Gets each request once more, as the network may duplicate it. */
+    /** Receives each request a second time, as the network may duplicate it. */
     private Consumer<Runnable> requestDuplicator = duplicate -> {};
 
     private boolean isClosed;
@@ -46,7 +46,7 @@
     private boolean losesResponses;
     private String hiddenPrefix = "/";
 
-    /** Null if no changes are hidden. */
+    /** The prefix whose watches deliver no changes; null if no changes are hidden. */
     private String hiddenChangesPrefix;
 
     private String skippedKey;
@@ -58,7 +58,7 @@
     private Random delayRandom;
     private double delayedShare;
 
-    /** Null unless every commit is delayed. */
+    /** The delay of every commit; null unless all commits are delayed. */
     private Duration delayOfAllCommits;
 
     private Random lossRandom;
@@ -76,13 +76,16 @@
         this.loop = loop;
     }
 
-    /** Lets a process that may be paused take the responses. */
+    /** Sets the executor that delivers responses to the client's process, which may be paused. */
     FakeStoreConnection deliverResponsesOn(Executor process) {
         responseExecutor = process;
         return this;
     }
 
-    /** Hands each request to a duplicator; duplicates are executed without a response. */
+    /**
+     * Sets the consumer that receives a duplicate of each request; duplicates are executed without
+     * a response.
+     */
     FakeStoreConnection duplicateRequestsTo(Consumer<Runnable> duplicator) {
         requestDuplicator = duplicator;
         return this;
@@ -90,52 +93,57 @@
 
     // ---- faults ----
 
-    /** Refuses every request, as a node that alone gets status 503 experiences it. */
+    /** Refuses every request, as the store does when it answers a single node with status 503. */
     void refuseRequests(boolean refuse) {
         refusesRequests = refuse;
     }
 
-    /** Refuses to list the keys under a prefix, in place of the prefix that was hidden before. */
+    /**
+     * Refuses to list the keys under a prefix, and no longer under the prefix that was hidden
+     * before.
+     */
     void hidePrefix(String prefix) {
         hiddenPrefix = prefix;
     }
 
-    /** Watches deliver no changes at all. */
+    /** Makes all watches deliver no changes. */
     void hideAllChanges(boolean hide) {
         hiddenChangesPrefix = hide ? "" : null;
     }
 
-    /** Watches of a prefix deliver no changes; null ends it. */
+    /** Makes the watches of a prefix deliver no changes; null ends the fault. */
     void hideChanges(String prefix) {
         hiddenChangesPrefix = prefix;
     }
 
-    /** Watches fail, except those of the leader key. */
+    /** Makes watches fail, except those of the leader key. */
     void failWatches(boolean fail) {
         failsWatches = fail;
     }
 
     /**
-     * Watches answer with a revision below the requested one and without changes, which no correct
-     * store does.
+     * Makes watches answer with a revision below the requested one and without changes, which no
+     * correct store does.
      */
     void returnOlderRevisions(boolean older) {
         returnsOlderRevisions = older;
     }
 
-    /** Watches omit the changes of a key, which no correct store does; null ends it. */
+    /**
+     * Makes watches omit the changes of a key, which no correct store does; null ends the fault.
+     */
     void skipChangesOf(String key) {
         skippedKey = key;
     }
 
-    /** Executes requests and loses the responses. */
+    /** Executes requests, but loses their responses. */
     void loseResponses(boolean lose) {
         losesResponses = lose;
     }
 
     /**
-     * Holds requests back, and executes them when this ends, long after the caller's timeout. The
-     * end also ends {@link #holdCommits}.
+     * Holds requests back. When the fault ends, long after the callers' timeouts, they are
+     * executed. The end also ends {@link #holdCommits}.
      */
     void holdRequests(boolean hold) {
         holdsRequests = hold;
@@ -146,71 +154,82 @@
         }
     }
 
-    /** Holds back transactions alone, until the held requests are released. */
+    /** Holds back only transactions, until the held requests are released. */
     void holdCommits() {
         holdsCommits = true;
     }
 
-    /** A share of the transactions gets no response and is executed 2 to 12 s later. */
+    /**
+     * Delays a share of the transactions: they get no response and are executed 2 to 12 s later.
+     */
     void delayCommits(double share, long seed) {
         delayRandom = new Random(seed);
         delayedShare = share;
     }
 
-    /** No transaction gets a response, and each is executed after a delay; null ends it. */
+    /**
+     * Delays all transactions: they get no response and are executed after the delay; null ends the
+     * fault.
+     */
     void delayAllCommits(Duration delay) {
         delayOfAllCommits = delay;
     }
 
-    /** A share of the transactions is executed at once, and only its response is lost. */
+    /** Loses the responses of a share of the transactions, which are executed at once. */
     void loseCommitResponses(double share, long seed) {
         lossRandom = new Random(seed);
         lostResponseShare = share;
     }
 
-    /** The client's process has ended: no response is delivered any more. */
+    /** Closes the connection when the client's process ends: no response is delivered any more. */
     void close() {
         isClosed = true;
     }
 
     // ---- counters ----
 
-    /** Transactions that wait for their delayed execution. */
+    /** Returns the number of transactions that wait for their delayed execution. */
     int delayedCommitCount() {
         return delayedCommitCount;
     }
 
-    /** Transactions that were executed late, whether or not their conditions held. */
+    /**
+     * Returns the number of transactions that were executed late and not rejected, whether or not
+     * their conditions held.
+     */
     int lateCommitCount() {
         return lateCommitCount;
     }
 
-    /** Transactions that were applied and whose responses {@link #loseCommitResponses} lost. */
+    /**
+     * Returns the number of transactions that were applied and whose responses {@link
+     * #loseCommitResponses} lost.
+     */
     int lostCommitCount() {
         return lostCommitCount;
     }
 
-    /** Pages of records that were read, except those of the leader key. */
+    /** Returns the number of pages of records that were read, except those of the leader key. */
     int pageReadCount() {
         return pageReadCount;
     }
 
-    /** Watches that were opened. */
+    /** Returns the number of watches that were opened. */
     int watchCount() {
         return watchCount;
     }
 
-    /** Reads of single keys. */
+    /** Returns the number of reads of single keys. */
     int readCount() {
         return readCount;
     }
 
-    /** Writes of the largest transaction. */
+    /** Returns the number of writes in the largest transaction. */
     int largestCommitWrites() {
         return largestCommitWrites;
     }
 
-    // ---- the store's interface ----
+    // ---- KeyValueStore ----
 
     @Override
     public CompletableFuture<Optional<Entry>> get(String key, RequestPriority requestPriority) {
@@ -225,7 +244,7 @@
         return call(
                 () -> {
                     if (prefix.startsWith(hiddenPrefix)) {
-                        throw new RequestRejectedException("hidden");
+                        throw new RequestRejectedException("listing of a hidden prefix");
                     }
                     return store.list(prefix, after, limit);
                 });
@@ -269,7 +288,7 @@
                         store.commit(transaction);
                         lateCommitCount++;
                     } catch (KeyValueStoreException refused) {
-                        // The caller gave up long ago.
+                        // The caller's request has timed out long before.
                     }
                 });
         return answer;
@@ -380,7 +399,7 @@
                     if (!isClosed) {
                         answer.completeExceptionally(
                                 KeyValueStoreException.of(
-                                        outcome, "the fake store says " + outcome));
+                                        outcome, "fake store outcome " + outcome));
                     }
                 });
     }
@@ -410,7 +429,7 @@
         }
         List<Change> found = seesNothing ? List.of() : visibleChanges(prefix, after);
         if (!found.isEmpty() || until.isBefore(loop.now())) {
-            // A client that sees nothing does not learn the store's revision either.
+            // A client whose changes are hidden does not learn the store's revision either.
             ChangeBatch batch = new ChangeBatch(seesNothing ? after : store.revision(), found);
             loop.schedule(store.latency(), () -> complete(answer, batch));
         } else if (!isClosed) {
--- a/src/test/java/org/meadowhollow/simulation/FakeTask.java
+++ b/src/test/java/org/meadowhollow/simulation/FakeTask.java
@@ -15,13 +15,17 @@
     private final MonotonicTime imagePulledAt;
     private TaskState state = TaskState.PULLING_IMAGE;
 
-    /** Null until it has exited. */
+    /** Null until the task has exited. */
     private ExitReason exitReason;
 
-    /** Null until it runs; a gang's task waits for the others first. */
+    /**
+     * The time since which the task runs; null before. A gang's task waits for the others first.
+     */
     private MonotonicTime runningSince;
 
-    /** Since when a running gang's task has missed another one; null if it misses none. */
+    /**
+     * The time since which a running task misses another task of its gang; null if it misses none.
+     */
     private MonotonicTime missingPeerSince;
 
     FakeTask(AttemptNumber attempt, MonotonicTime imagePulledAt) {
@@ -45,12 +49,15 @@
         return state == TaskState.EXITED;
     }
 
-    /** Whether it is on the machine in the protocol's sense: with its image, and not exited. */
+    /**
+     * Returns whether the task is on the machine in the protocol's sense: its image is pulled, and
+     * it has not exited.
+     */
     boolean isPresent() {
         return !hasExited() && state != TaskState.PULLING_IMAGE;
     }
 
-    /** Whether it can take part in its gang's attempt, or has completed in it. */
+    /** Returns whether the task can take part in its gang's attempt, or has completed in it. */
     boolean participatesIn(AttemptNumber gangAttempt) {
         return attempt.equals(gangAttempt)
                 && (state == TaskState.WAITING_FOR_GANG
@@ -63,18 +70,21 @@
         exitReason = reason;
     }
 
-    /** Whether its image arrives now. */
+    /** Returns whether the image pull has just finished. */
     boolean isImagePulled(MonotonicTime now) {
         return state == TaskState.PULLING_IMAGE && imagePulledAt.isBefore(now);
     }
 
-    /** Starts it with its image; a gang's task waits for the others. */
+    /** Starts the task once its image is pulled; a gang's task then waits for the others. */
     void start(boolean inGang, MonotonicTime now) {
         state = inGang ? TaskState.WAITING_FOR_GANG : TaskState.RUNNING;
         runningSince = inGang ? null : now;
     }
 
-    /** Whether it has run for longer than its runtime; null runs until it is stopped. */
+    /**
+     * Returns whether the task has run for longer than its runtime; with a null runtime it runs
+     * until it is stopped.
+     */
     boolean hasFinished(Duration runtime, MonotonicTime now) {
         return state == TaskState.RUNNING
                 && runtime != null
@@ -82,8 +92,8 @@
     }
 
     /**
-     * A gang's tasks start together, time out waiting for one another, and exit when one of them
-     * has gone.
+     * Advances a gang's task: it starts when the gang is complete, times out waiting for the
+     * others, and exits when another task has been gone for too long.
      */
     void advanceInGang(boolean gangIsComplete, MonotonicTime now) {
         if (state == TaskState.WAITING_FOR_GANG && gangIsComplete) {
--- a/src/test/java/org/meadowhollow/simulation/FakeWorker.java
+++ b/src/test/java/org/meadowhollow/simulation/FakeWorker.java
@@ -23,16 +23,16 @@
 import org.meadowhollow.model.WorkerIncarnation;
 
 /**
- * A machine's worker as the protocol describes it: it sends heartbeats to one node at a time,
- * executes commands, and lets its tasks go when its lease expires. Faults let it hang, lose what
- * arrives, or block its outgoing connections. Not thread-safe: everything runs on the virtual event
+ * The worker of a machine, as the protocol describes it: it sends heartbeats to one node at a time,
+ * executes commands, and drops its tasks when its lease expires. Faults make it hang, lose incoming
+ * messages or block its outgoing connections. Not thread-safe: everything runs on the virtual event
  * loop.
  */
 final class FakeWorker implements HistoryChecker.Machine {
     private static final Duration HEARTBEAT_INTERVAL = Duration.ofSeconds(3);
     private static final Duration LEASE = Duration.ofSeconds(18);
 
-    /** How long it takes until the next node is tried. */
+    /** Delay before a worker tries the next node. */
     private static final Duration NEXT_NODE_DELAY = Duration.ofSeconds(1);
 
     private static final Duration CHANGED_HEARTBEAT_DELAY = Duration.ofMillis(500);
@@ -48,12 +48,15 @@
     private long heartbeatNumber;
     private FencingToken fencingToken = FencingToken.NONE;
 
-    /** When the last heartbeat was sent that got commands; the lease counts from then. */
+    /**
+     * The time at which the last heartbeat that was answered with commands was sent; the lease
+     * counts from then.
+     */
     private MonotonicTime leaseFrom;
 
     private int node;
 
-    /** Null unless a heartbeat waits for its response. */
+    /** The pending response to the last heartbeat; null if none is pending. */
     private CompletableFuture<HeartbeatResponse> pendingResponse;
 
     private boolean isHung;
@@ -125,7 +128,7 @@
 
     // ---- faults ----
 
-    /** Loses its connection and turns to another node. */
+    /** Drops the connection to the current node and connects to another one. */
     void connectTo(int other) {
         node = other;
         pendingResponse = null;
@@ -136,12 +139,12 @@
         isHung = hung;
     }
 
-    /** Heartbeats still go out, but all responses and direct commands are lost. */
+    /** Loses all responses and direct commands, while heartbeats are still sent. */
     void loseIncoming(boolean lose) {
         losesIncoming = lose;
     }
 
-    /** No connection to any node can be opened, while direct commands arrive and are answered. */
+    /** Blocks connections to all nodes, while direct commands arrive and are answered. */
     void blockOutgoingConnections(boolean block) {
         blocksOutgoing = block;
         if (block) {
@@ -149,7 +152,10 @@
         }
     }
 
-    /** Cuts the path between this machine alone and a node, in both directions. */
+    /**
+     * Cuts the path between this machine and one node in both directions; other paths are
+     * unaffected.
+     */
     void blockPathTo(int other, boolean block) {
         if (block) {
             unreachableNodes.add(other);
@@ -163,18 +169,22 @@
         return !unreachableNodes.contains(other);
     }
 
-    /** The cloud announces that it preempts the machine. */
+    /**
+     * Announces that the cloud preempts the machine.
+     *
+     * @param seconds time until the preemption
+     */
     void announcePreemption(double seconds) {
         preemptionNoticeSeconds = seconds;
     }
 
-    /** The machine is returned to the cloud. */
+    /** Removes the machine, which was returned to the cloud. */
     void remove() {
         isRemoved = true;
         tasks.clear();
     }
 
-    /** The machine reboots at once, under its name and address, and knows nothing any more. */
+    /** Reboots the machine at once: it keeps its name and address and loses all other state. */
     void reboot() {
         tasks.clear();
         incarnation = FIRST_INCARNATION;
@@ -191,7 +201,7 @@
         tasks.get(task).exit(ExitReason.ERROR);
     }
 
-    /** Makes a task exit because it found another one of its gang gone. */
+    /** Makes a task exit because another task of its gang is gone. */
     void exitForMissingPeer(TaskId task) {
         tasks.get(task).exit(ExitReason.PEERS);
     }
@@ -217,8 +227,8 @@
     @Override
     public List<TaskId> runningTasks() {
         if (isLeaseExpired()) {
-            // A hung machine runs nothing; when it resumes, its worker first kills what outlived
-            // the lease.
+            // A hung machine runs nothing; when it resumes, its worker first kills the tasks that
+            // outlived the lease.
             return List.of();
         }
         return tasks.entrySet().stream()
@@ -227,7 +237,7 @@
                 .toList();
     }
 
-    /** Whether any task of a job runs here. */
+    /** Returns whether any task of a job runs on this machine. */
     boolean runsTaskOf(JobId job) {
         return runningTasks().stream().anyMatch(task -> task.jobId().equals(job));
     }
@@ -243,7 +253,10 @@
                 .toList();
     }
 
-    /** Whether a gang's task is here in an attempt and can take part in it, or has completed. */
+    /**
+     * Returns whether a gang's task is on this machine in an attempt, and can take part in it or
+     * has completed.
+     */
     boolean participatesIn(TaskId id, AttemptNumber attempt) {
         FakeTask task = tasks.get(id);
         return !isHung
@@ -253,7 +266,7 @@
                 && task.participatesIn(attempt);
     }
 
-    /** Applies what time has brought: lease expiry, image pulls and completed tasks. */
+    /** Applies what is due by now: lease expiry, finished image pulls and completed tasks. */
     void advance() {
         MonotonicTime now = cluster.loop().now();
         if (isLeaseExpired()) {
@@ -293,7 +306,7 @@
         }
     }
 
-    /** A heartbeat with the current state; each has a number of its own. */
+    /** Returns a heartbeat with the current state; each has a number of its own. */
     Heartbeat snapshot() {
         List<Heartbeat.TaskStatus> statuses = new ArrayList<>();
         tasks.forEach(
@@ -387,7 +400,8 @@
             return;
         }
         if (commands.token().isAfter(fencingToken)) {
-            // A higher token is a change, which is reported at once, but not within half a second.
+            // A higher token is a change of state: it is reported early, but no sooner than in half
+            // a second.
             sendHeartbeatAfter(CHANGED_HEARTBEAT_DELAY);
         }
         fencingToken = commands.token();
@@ -398,10 +412,10 @@
     // ---- commands ----
 
     /**
-     * Executes direct commands, unless they come from a former leader or were meant for another
+     * Executes direct commands, unless they come from a former leader or are meant for another
      * incarnation.
      *
-     * @return the state afterwards; null when there is no response
+     * @return the state afterwards; null if there is no response
      */
     Heartbeat handleDirectCommands(
             FencingToken token, WorkerIncarnation expected, List<WorkerCommand> commands) {
@@ -444,7 +458,8 @@
 
     private void start(WorkerCommand command, FakeTask present) {
         if (present != null && !present.hasExited()) {
-            throw new AssertionError("started " + command + " beside another attempt");
+            throw new AssertionError(
+                    "started " + command + " while another attempt is on the machine");
         }
         cluster.onStartCommand(command.taskId());
         MonotonicTime imagePulledAt = cluster.loop().now().plus(cluster.imagePullTime());
--- a/src/test/java/org/meadowhollow/simulation/Fault.java
+++ b/src/test/java/org/meadowhollow/simulation/Fault.java
@@ -5,10 +5,9 @@
 import java.util.Random;
 
 /**
- * A fault that begins, and ends when it is told to, for tests in which faults overlap. What each
- * one does stands in {@link NodeFaults}, {@link StoreFaults}, {@link MachineFaults} and {@link
- * UserFaults}. Random seeds choose among the constants by their position: the order must not
- * change.
+ * A fault that lasts until a test ends it, for tests in which faults overlap. Each is implemented
+ * in {@link NodeFaults}, {@link StoreFaults}, {@link MachineFaults} or {@link UserFaults}. Random
+ * seeds choose among the constants by their position: the order must not change.
  */
 enum Fault {
     STORE_REFUSES_NODE(StoreFaults::refuseNode),
@@ -57,12 +56,12 @@
     /** Begins a fault. */
     private interface Injection {
         /**
-         * @return what ends the fault
+         * @return an action that ends the fault
          */
         Runnable begin(FaultTarget target);
     }
 
-    // Each is a static method, without state of its own.
+    // Each injection is a reference to a static method, which has no state.
     @SuppressWarnings("ImmutableEnumChecker")
     private final Injection injection;
 
@@ -71,18 +70,18 @@
     }
 
     /**
-     * Begins one of the basic faults, mostly at the leader.
+     * Begins a random basic fault, in most cases at the leader.
      *
-     * @return what ends the fault
+     * @return an action that ends the fault
      */
     static Runnable injectBasic(SimulatedCluster cluster, Random random) {
         return injectOneOf(BASIC, cluster, random);
     }
 
     /**
-     * Begins one of the additional faults, mostly at the leader.
+     * Begins a random additional fault, in most cases at the leader.
      *
-     * @return what ends the fault
+     * @return an action that ends the fault
      */
     static Runnable injectAdditional(SimulatedCluster cluster, Random random) {
         return injectOneOf(ADDITIONAL, cluster, random);
--- a/src/test/java/org/meadowhollow/simulation/FaultTarget.java
+++ b/src/test/java/org/meadowhollow/simulation/FaultTarget.java
@@ -6,17 +6,21 @@
 import java.util.function.ObjIntConsumer;
 
 /**
- * Where a fault is injected.
+ * The target of a fault.
  *
  * @param random draws the details of the fault
- * @param node that the fault affects, if it affects a single one
- * @param connection of that node to the store as the fault began; a restarted node has another one
+ * @param node the node that the fault affects, if it affects a single one
+ * @param connection the connection of that node to the store when the fault began; a restarted node
+ *     has another one
  */
 record FaultTarget(
         SimulatedCluster cluster, Random random, int node, FakeStoreConnection connection) {
     private static final int MAX_MACHINES = 3;
 
-    /** Chooses the leader in at least two of three cases, and any node otherwise. */
+    /**
+     * Chooses the leader in two of three cases, if there is one, and a random node otherwise, which
+     * may be the leader too.
+     */
     static FaultTarget choose(SimulatedCluster cluster, Random random) {
         int leader = cluster.leader();
         boolean atLeader = leader >= 0 && random.nextInt(3) > 0;
@@ -24,7 +28,7 @@
         return new FaultTarget(cluster, random, node, cluster.storeConnection(node));
     }
 
-    /** What ends a fault that is over as soon as it was injected. */
+    /** Returns an end action that does nothing, for a fault that is over once it was injected. */
     static Runnable nothingToEnd() {
         return () -> {};
     }
@@ -40,12 +44,14 @@
         return random.nextBoolean() ? "a" : "b";
     }
 
-    /** A share from 0.2 to 0.8 of the messages or requests that a fault affects. */
+    /**
+     * Returns a random share, from 0.2 to 0.8, of the messages or requests that a fault affects.
+     */
     double randomShare() {
         return 0.2 + 0.6 * random.nextDouble();
     }
 
-    /** Up to three different workers. */
+    /** Chooses up to three different workers. */
     List<FakeWorker> randomWorkers() {
         List<FakeWorker> all = new ArrayList<>(cluster.workers());
         List<FakeWorker> chosen = new ArrayList<>();
--- a/src/test/java/org/meadowhollow/simulation/FreeCapacity.java
+++ b/src/test/java/org/meadowhollow/simulation/FreeCapacity.java
@@ -11,21 +11,21 @@
 import org.meadowhollow.model.TaskId;
 
 /**
- * The capacity that is free on the machines as they are, whatever any controller believes: says
+ * The capacity that is free on the machines as they are, whatever any controller believes. It shows
  * whether a job waits although it could run.
  *
- * @param machines that exist
- * @param specs of the jobs whose tasks are on them
+ * @param machines the machines that exist
+ * @param specs returns the specification of a job whose tasks are on the machines
  */
 record FreeCapacity(
         Collection<? extends HistoryChecker.Machine> machines, Function<JobId, JobSpec> specs) {
     /**
-     * Whether a task of a job, or all of a gang's, waits although machines that fit have free
-     * capacity and the team's quota allows it.
+     * Returns whether a task of a job, or all tasks of a gang, wait although machines that fit have
+     * free capacity and the team's quota allows it.
      *
-     * @param completedTasks of the job
+     * @param completedTasks number of completed tasks of the job
      * @param usedByTeam resources that the team uses
-     * @param limit of the team
+     * @param limit maximum resources of the team
      */
     boolean couldRunMore(JobSpec spec, int completedTasks, Resources usedByTeam, Resources limit) {
         Map<String, Integer> heldPerZone = heldTasksPerZone(spec.id());
@@ -46,7 +46,10 @@
         return fitting >= needed;
     }
 
-    /** How many tasks of a job take capacity, by zone; zones without any are missing. */
+    /**
+     * Returns the number of tasks of a job that take capacity, by zone; zones without any are
+     * absent.
+     */
     private Map<String, Integer> heldTasksPerZone(JobId job) {
         Map<String, Integer> held = new HashMap<>();
         for (HistoryChecker.Machine machine : machines) {
@@ -59,7 +62,7 @@
         return held;
     }
 
-    /** How many more tasks of a job could be placed, by zone. */
+    /** Returns the number of additional tasks of a job that could be placed, by zone. */
     private Map<String, Integer> freeTasksPerZone(JobSpec spec, Map<String, Integer> heldPerZone) {
         Map<String, Integer> free = new HashMap<>();
         for (HistoryChecker.Machine machine : machines) {
--- a/src/test/java/org/meadowhollow/simulation/JobSpecBuilder.java
+++ b/src/test/java/org/meadowhollow/simulation/JobSpecBuilder.java
@@ -5,7 +5,7 @@
 import org.meadowhollow.model.Priority;
 import org.meadowhollow.model.Resources;
 
-/** Derives a job specification from another one; what is not set stays as it was there. */
+/** Derives a job specification from another one; values that are not set are copied from it. */
 final class JobSpecBuilder {
     private final JobSpec base;
     private String jobClass;
@@ -61,19 +61,19 @@
         return this;
     }
 
-    /** Restricts the machine types; null allows all. */
+    /** Restricts the job to some machine types; null allows all. */
     JobSpecBuilder machineTypes(List<String> names) {
         machineTypes = names;
         return this;
     }
 
-    /** Binds the job to a zone; null allows all. */
+    /** Restricts the job to a zone; null allows all. */
     JobSpecBuilder zone(String name) {
         zone = name;
         return this;
     }
 
-    /** Whether all tasks have to run in one zone, whichever it is. */
+    /** Sets whether all tasks have to run in one zone, whichever it is. */
     JobSpecBuilder singleZone(boolean required) {
         singleZone = required;
         return this;
@@ -89,14 +89,14 @@
         return this;
     }
 
-    /** Sets how often checkpoints are taken and how long one takes, in seconds; 0 for none. */
+    /** Sets the interval and the duration of checkpoints in seconds; 0 for none. */
     JobSpecBuilder checkpoints(double intervalSeconds, double durationSeconds) {
         checkpointIntervalSeconds = intervalSeconds;
         checkpointDurationSeconds = durationSeconds;
         return this;
     }
 
-    /** Sets the deadline in seconds from the submission; NaN for none. */
+    /** Sets the deadline in seconds after the submission; NaN for none. */
     JobSpecBuilder deadlineSeconds(double seconds) {
         deadlineSeconds = seconds;
         return this;
--- a/src/test/java/org/meadowhollow/simulation/MachineFaults.java
+++ b/src/test/java/org/meadowhollow/simulation/MachineFaults.java
@@ -48,7 +48,7 @@
         return onWorkers(workers, FakeWorker::blockOutgoingConnections);
     }
 
-    /** Rented machines boot sooner than the cloud lists them. */
+    /** Makes rented machines boot sooner than the cloud lists them. */
     static Runnable bootQuickly(FaultTarget target) {
         SimulatedCloud cloud = target.cluster().cloud();
         cloud.setBootTimes(
--- a/src/test/java/org/meadowhollow/simulation/NodeFaults.java
+++ b/src/test/java/org/meadowhollow/simulation/NodeFaults.java
@@ -91,7 +91,7 @@
         return FaultTarget.nothingToEnd();
     }
 
-    /** The leader is told of a leader with a higher fencing token, who does not exist. */
+    /** Announces a leader that does not exist, with a higher fencing token, to the leader. */
     static Runnable announceFalseLeader(FaultTarget target) {
         SimulatedCluster cluster = target.cluster();
         int leader = cluster.leader();
@@ -103,7 +103,10 @@
         return FaultTarget.nothingToEnd();
     }
 
-    /** A node and the workers of a zone see one another, and nothing besides. */
+    /**
+     * Partitions a node together with the workers of one zone: they reach one another, and nothing
+     * else.
+     */
     static Runnable partitionWithZone(FaultTarget target) {
         String zone = target.randomZone();
         String otherZone = zone.equals("a") ? "b" : "a";
--- a/src/test/java/org/meadowhollow/simulation/RecordingTaskTracer.java
+++ b/src/test/java/org/meadowhollow/simulation/RecordingTaskTracer.java
@@ -6,7 +6,7 @@
 import org.meadowhollow.model.JobPhase;
 import org.meadowhollow.model.TaskTracer;
 
-/** Records what tracers are told of traced tasks; accepts any trace context. */
+/** Records the calls for traced tasks as notes; accepts any trace context. */
 final class RecordingTaskTracer implements TaskTracer {
     private final List<String> notes = new ArrayList<>();
 
@@ -45,7 +45,7 @@
     private void note(TracedTask task, String what, long... times) {
         for (int at = 1; at < times.length; at++) {
             if (times[at] < times[at - 1]) {
-                throw new AssertionError(what + " goes back in time");
+                throw new AssertionError(what + " has decreasing times");
             }
         }
         notes.add(task.traceContext() + ' ' + what);
--- a/src/test/java/org/meadowhollow/simulation/SimulatedApiClients.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedApiClients.java
@@ -9,7 +9,7 @@
 
 /**
  * The clients of the HTTP APIs for task execution and for reservations. The methods that wait for
- * an answer let virtual time pass.
+ * an answer advance virtual time.
  */
 final class SimulatedApiClients {
     private static final String TES_PATH = "/ga4gh/tes/v1";
@@ -23,10 +23,10 @@
     }
 
     /**
-     * Sends a request of the task execution API, and waits five seconds for the answer; null if
-     * none comes.
+     * Sends a request of the task execution API, and waits five seconds for the answer.
      *
-     * @param token null if the headers hold the authorization, if any
+     * @param token the bearer token; null if any authorization is in the headers
+     * @return the answer, or null if none comes
      */
     Http.Reply sendTesRequest(
             int node,
@@ -41,10 +41,10 @@
     }
 
     /**
-     * Sends a request of the task execution API, and waits five seconds for the answer; null if
-     * none comes.
+     * Sends a request of the task execution API, and waits five seconds for the answer.
      *
-     * @param token null if the headers hold the authorization, if any
+     * @param token the bearer token; null if any authorization is in the headers
+     * @return the answer, or null if none comes
      */
     Http.Reply sendTesRequest(
             int node,
@@ -80,10 +80,10 @@
     }
 
     /**
-     * Sends a request of the reservation API, and waits five seconds for the answer; null if none
-     * comes.
+     * Sends a request of the reservation API, and waits five seconds for the answer.
      *
-     * @param version that the request is conditional on; null if it is not
+     * @param version the version on which the request is conditional; null if it is unconditional
+     * @return the answer, or null if none comes
      */
     Http.Reply sendReservationRequest(
             int node, String token, String method, String path, String version, String body) {
--- a/src/test/java/org/meadowhollow/simulation/SimulatedCloud.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedCloud.java
@@ -17,9 +17,9 @@
 import org.meadowhollow.model.MonotonicTime;
 
 /**
- * The cloud provider: it rents, releases and lists machines, and can be out, boot machines late or
- * never, reclaim them or report them as failed. Not thread-safe: everything runs on the virtual
- * event loop.
+ * The cloud provider: it rents, releases and lists machines. It can have an outage, boot machines
+ * late or never, reclaim them or report them as failed. Not thread-safe: everything runs on the
+ * virtual event loop.
  */
 final class SimulatedCloud implements CloudProvider {
     private static final Duration LATENCY = Duration.ofMillis(200);
@@ -49,49 +49,47 @@
         isOut = out;
     }
 
-    /** The next machines that are rented never boot. */
+    /** Makes the next machines that are rented never boot. */
     void failNextBoots(int machines) {
         bootFailuresLeft = machines;
     }
 
-    /** At most so many machines exist at a time; further rentals are refused. */
+    /** Limits the number of machines that exist at a time; further rentals are refused. */
     void limitMachines(int max) {
         maxMachines = max;
     }
 
-    /**
-     * Sets how long rented machines take to boot, and how long after their rental they are listed.
-     */
+    /** Sets the time from the rental of a machine until it has booted, and until it is listed. */
     void setBootTimes(Duration untilBooted, Duration untilListed) {
         bootTime = untilBooted;
         listingDelay = untilListed;
     }
 
-    /** Takes a machine away without notice, and lists it no more. */
+    /** Reclaims a machine without notice, and no longer lists it. */
     void reclaim(FakeWorker worker) {
         worker.setHung(true);
         reclaimed.add(worker.id());
     }
 
-    /** A machine stops by itself with all that runs on it, and is listed as failed. */
+    /** Makes a machine fail: it stops with all its tasks, and is listed as failed. */
     void fail(FakeWorker worker) {
         worker.setHung(true);
         failed.add(worker.id());
     }
 
-    // ---- what happened ----
+    // ---- counters ----
 
-    /** Rentals that were requested. */
+    /** Returns the number of rentals that were requested. */
     int rentalCount() {
         return rentals.size();
     }
 
-    /** Machines that were rented. */
+    /** Returns the number of machines that were rented. */
     int rentedMachineCount() {
         return rentals.values().stream().mapToInt(List::size).sum();
     }
 
-    /** The machines that were returned, in the order of their return. */
+    /** Returns the machines that were returned, in the order of their return. */
     List<MachineId> returnedMachines() {
         return returned.stream().map(FakeWorker::id).toList();
     }
@@ -103,7 +101,7 @@
                 .toList();
     }
 
-    // ---- the provider's interface ----
+    // ---- CloudProvider ----
 
     private <T> CompletableFuture<T> afterLatency(CompletableFuture<T> answer, Runnable work) {
         cluster.loop()
@@ -112,7 +110,7 @@
                         () -> {
                             if (isOut) {
                                 answer.completeExceptionally(
-                                        new CloudProvider.RequestRefusedException("trouble"));
+                                        new CloudProvider.RequestRefusedException("cloud outage"));
                             } else {
                                 work.run();
                             }
@@ -136,7 +134,8 @@
                 answer,
                 () -> {
                     List<MachineId> ids = rent(request, type, zone, count);
-                    // A machine that boots at once may send heartbeats before this response.
+                    // A machine that boots at once may send heartbeats before this response
+                    // arrives.
                     cluster.loop()
                             .schedule(
                                     RENTAL_RESPONSE_DELAY,
@@ -149,7 +148,7 @@
     }
 
     private List<MachineId> rent(String request, String type, String zone, int count) {
-        assertTrue(!rentals.containsKey(request), "a rental's name was used twice: " + request);
+        assertTrue(!rentals.containsKey(request), "rental request sent twice: " + request);
         List<MachineId> ids = new ArrayList<>();
         while (ids.size() < count && cluster.workers().size() + ids.size() < maxMachines) {
             MachineId id = cluster.nextMachineId();
--- a/src/test/java/org/meadowhollow/simulation/SimulatedCluster.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedCluster.java
@@ -30,7 +30,7 @@
 /**
  * A deployment in memory and in virtual time: three controllers, the key-value store, a cloud,
  * workers and users. The {@link HistoryChecker} checks the protocol's rules whenever a task starts
- * and after every step of {@link #run}. The parts have one job each: {@link #users} and {@link
+ * and after every step of {@link #run}. Each component has one job: {@link #users} and {@link
  * #clients} send requests, {@link #cloud} rents machines, and {@link #network} delivers messages.
  * Not thread-safe: everything runs on the virtual event loop.
  */
@@ -43,13 +43,13 @@
     private static final int NODE_COUNT = 3;
     private static final Duration CANCEL_TIMEOUT = Duration.ofSeconds(48);
 
-    /** Longer than a leadership's lease. */
+    /** Timer delay of an overloaded node; longer than the lease of a leader. */
     private static final Duration OVERLOAD_DELAY = Duration.ofSeconds(6);
 
-    /** Workers advance and the rules are checked at this interval. */
+    /** Interval at which workers advance and the rules are checked. */
     private static final Duration STEP = Duration.ofMillis(250);
 
-    /** How many steps a user waits for an answer: five seconds. */
+    /** Steps for which a user waits for an answer: five seconds. */
     private static final int STEPS_UNTIL_TIMEOUT = 20;
 
     private static final int FIRST_SEED = 7;
@@ -73,7 +73,10 @@
     private final JobEventListeners jobEventListeners =
             new JobEventListeners(new JobEventLog(events::add), traces);
 
-    /** The first violation found inside a callback, where nobody would see what is thrown. */
+    /**
+     * The first violation found inside a callback, where a thrown exception would go unnoticed;
+     * null if there is none.
+     */
     private AssertionError violation;
 
     private Duration imagePullTime = Duration.ofSeconds(2);
@@ -93,7 +96,7 @@
         }
     }
 
-    // ---- parts ----
+    // ---- components ----
 
     VirtualEventLoop loop() {
         return loop;
@@ -111,17 +114,17 @@
         return cloud;
     }
 
-    /** The users of the native job API. */
+    /** Returns the simulated users of the native job API. */
     SimulatedUsers users() {
         return users;
     }
 
-    /** The clients of the HTTP APIs for task execution and reservations. */
+    /** Returns the clients of the HTTP APIs for task execution and reservations. */
     SimulatedApiClients clients() {
         return clients;
     }
 
-    /** Checks what users and workers observe against the protocol's rules. */
+    /** Returns the checker of the protocol's rules, which sees what users and workers observe. */
     HistoryChecker historyChecker() {
         return historyChecker;
     }
@@ -131,8 +134,8 @@
     /**
      * Sets a team's quota.
      *
-     * @param guaranteedGpus that it gets before other teams exceed theirs
-     * @param maxGpus that it may use; 0 if unlimited
+     * @param guaranteedGpus GPUs that the team gets before other teams exceed their guarantees
+     * @param maxGpus GPUs that the team may use; 0 if unlimited
      */
     SimulatedCluster withTeam(String name, double guaranteedGpus, double maxGpus) {
         teams.put(
@@ -142,7 +145,7 @@
         return this;
     }
 
-    /** Starts duplicating messages, see {@link SimulatedNetwork#duplicateMessages}. */
+    /** Starts to duplicate messages, see {@link SimulatedNetwork#duplicateMessages}. */
     SimulatedCluster duplicateMessages(long seed) {
         network.duplicateMessages(seed);
         return this;
@@ -151,7 +154,7 @@
     /**
      * Restarts all nodes with reservations and maintenance windows.
      *
-     * @param machineLimits machines that may be reserved, by type or type and zone
+     * @param machineLimits the number of machines that may be reserved, by type or type and zone
      */
     void enableReservations(Map<String, Integer> machineLimits) {
         reservationSettings = new ReservationSettings(true, machineLimits, Duration.ofMillis(100));
@@ -201,7 +204,7 @@
         return traces;
     }
 
-    /** A seed for the next random source; each has one of its own. */
+    /** Returns the seed of the next random source; no two sources have the same one. */
     int nextSeed() {
         return nextSeed++;
     }
@@ -233,7 +236,7 @@
         return nodes.get(indexOf(name));
     }
 
-    /** The running controller of a node; null if there is none. */
+    /** Returns the running controller of a node, or null if none runs. */
     ControllerNode node(int node) {
         return nodes.get(node).controller();
     }
@@ -246,13 +249,13 @@
         return node(node).isReadyForUsers();
     }
 
-    /** The node that the leader record names; -1 if there is no such record. */
+    /** Returns the node that the leader record names, or -1 if there is no such record. */
     int leader() {
         Map<String, Object> record = store.valueOf("meta/leader");
         return record == null ? -1 : indexOf((String) record.get("member"));
     }
 
-    /** The highest fencing token that was given out. */
+    /** Returns the highest fencing token issued so far. */
     long fencingToken() {
         return ((Number) store.valueOf("meta/term").get("term")).longValue();
     }
@@ -281,7 +284,7 @@
         }
     }
 
-    /** Crashes a node's process and starts it again after a pause. */
+    /** Crashes a node's process and starts it again after a delay. */
     void restartAfter(int node, Duration pause) {
         if (nodes.get(node).isResponsive()) {
             crash(node);
@@ -289,12 +292,15 @@
         }
     }
 
-    /** Cuts the power of a node's machine: the process ends, and no connection is refused. */
+    /**
+     * Cuts the power of a node's machine: the process ends, and connections to it time out instead
+     * of being refused.
+     */
     void losePower(int node) {
         nodes.get(node).losePower();
     }
 
-    /** Stops a node's process from executing anything, while its clock goes on. */
+    /** Pauses a node's process: it executes nothing, while its clock goes on. */
     void pause(int node) {
         nodes.get(node).pause();
     }
@@ -303,7 +309,7 @@
         nodes.get(node).resume();
     }
 
-    /** Overloads a node, so that its timers are late by more than its lease. */
+    /** Overloads a node: its timers are late by more than its lease. */
     void overload(int node, boolean overloaded) {
         delayTimers(node, overloaded ? OVERLOAD_DELAY : Duration.ZERO);
     }
@@ -319,14 +325,14 @@
     }
 
     /**
-     * Neither heartbeats nor direct commands pass between a node and the workers of a zone, and no
+     * Cuts a node from the workers of a zone: neither heartbeats nor direct commands pass, and no
      * connection is refused.
      */
     void cutFromZone(int node, String zone, boolean cut) {
         nodes.get(node).cutFromZone(zone, cut);
     }
 
-    /** Heartbeats to a node get lost, while its direct commands are answered. */
+    /** Loses the heartbeats sent to a node, while its direct commands are answered. */
     void loseHeartbeats(int node, boolean lose) {
         nodes.get(node).loseHeartbeats(lose);
     }
@@ -336,12 +342,12 @@
         nodes.get(node).partition(partitioned);
     }
 
-    /** A node refuses connections from the others. */
+    /** Makes a node refuse connections from the other nodes. */
     void refusePeerConnections(int node, boolean refuse) {
         nodes.get(node).refusePeers(refuse);
     }
 
-    /** A packet filter refuses all connections between the nodes. */
+    /** Refuses all connections between the nodes, as a packet filter does. */
     void refuseAllPeerConnections(boolean refuse) {
         nodes.forEach(node -> node.refusePeers(refuse));
     }
@@ -367,7 +373,7 @@
         return List.copyOf(workers.values());
     }
 
-    /** The worker of a machine; null if there is none. */
+    /** Returns the worker of a machine, or null if there is none. */
     FakeWorker worker(MachineId id) {
         return workers.get(id);
     }
@@ -376,7 +382,7 @@
         return workers.remove(id);
     }
 
-    /** The machines on which a task runs. */
+    /** Returns the machines on which a task runs. */
     List<FakeWorker> machinesRunning(TaskId task) {
         return workers.values().stream()
                 .filter(worker -> worker.runningTasks().contains(task))
@@ -389,7 +395,7 @@
 
     // ---- jobs ----
 
-    /** A job with usual values, of class "class" and team "team". */
+    /** Returns a job with default values, of class "class" and team "team". */
     static JobSpec spec(int number, JobKind kind, int tasks, double gpus) {
         return new JobSpec(
                 new JobId("req-%06d".formatted(number)),
@@ -417,12 +423,15 @@
         runtimes.put(spec.id(), runtime);
     }
 
-    /** The jobs that were submitted or started, by id. */
+    /** Returns the jobs that were submitted or started, ordered by id. */
     List<JobSpec> knownJobs() {
         return specs.values().stream().sorted(Comparator.comparing(JobSpec::id)).toList();
     }
 
-    /** What a job's user asked for, as submitted here or as its live record has it. */
+    /**
+     * Returns a job's specification as it was submitted here, or else as the live record of the job
+     * has it.
+     */
     JobSpec spec(JobId id) {
         return specs.computeIfAbsent(
                 id,
@@ -437,53 +446,56 @@
                 });
     }
 
-    /** Sets how long the tasks of a job run that was not submitted through {@link #users}. */
+    /** Sets the runtime of the tasks of a job that was not submitted through {@link #users}. */
     void setRuntime(JobId id, Duration runtime) {
         runtimes.put(id, runtime);
     }
 
-    /** How long the tasks of a job run; null if until they are stopped. */
+    /** Returns the runtime of the tasks of a job, or null if they run until they are stopped. */
     Duration runtimeOf(JobId id) {
         return runtimes.get(id);
     }
 
-    /** The events that all nodes logged, in the store's order. */
+    /** Returns the events that all nodes logged, ordered by the store's revisions. */
     List<JobEventLog.Event> events() {
         return events.stream()
                 .sorted(Comparator.comparingLong(event -> event.revision().value()))
                 .toList();
     }
 
-    /** What the tracers were told, in that order. */
+    /** Returns the notes of the recording tracer, in the order of the calls. */
     List<String> traceNotes() {
         return traces.notes();
     }
 
-    // ---- what workers do ----
+    // ---- events from workers ----
 
-    /** Tasks that started. */
+    /** Returns the number of tasks that started. */
     int startCount() {
         return startCount;
     }
 
-    /** Start commands that workers executed. */
+    /** Returns the number of start commands that workers executed. */
     int startCommandCount() {
         return startCommandCount;
     }
 
-    /** A worker has executed a command to start a task. */
+    /** Called when a worker has executed a command to start a task. */
     void onStartCommand(TaskId task) {
         startCommandCount++;
         historyChecker.recordStartCommand(task);
     }
 
-    /** A task has its image and is on its machine. */
+    /** Called when a task starts on its machine with its image pulled. */
     void onTaskStarted(FakeWorker worker, TaskId task) {
         startCount++;
         historyChecker.checkStart(worker, task, loop.now());
     }
 
-    /** Whether a task's job may complete: a gang only while each of its tasks is on a machine. */
+    /**
+     * Returns whether a job may complete: a gang may only while each of its tasks runs on a machine
+     * or has completed.
+     */
     boolean mayComplete(JobId id) {
         JobSpec spec = spec(id);
         for (int task = 0; spec.kind() == JobKind.GANG && task < spec.taskCount(); task++) {
@@ -495,7 +507,7 @@
         return true;
     }
 
-    /** Whether all tasks of a gang's attempt are there. */
+    /** Returns whether all tasks of a gang take part in an attempt. */
     boolean isGangComplete(JobId id, AttemptNumber attempt) {
         for (int task = 0; task < spec(id).taskCount(); task++) {
             TaskId each = new TaskId(id, task);
@@ -507,7 +519,7 @@
         return true;
     }
 
-    /** A task has completed; the tasks of a gang complete together. */
+    /** Called when a task has completed; the tasks of a gang complete together. */
     void onTaskCompleted(TaskId task) {
         historyChecker.recordCompletion(task);
         JobSpec spec = spec(task.jobId());
@@ -525,7 +537,7 @@
 
     // ---- time and rules ----
 
-    /** Lets virtual time pass, and checks the rules after each quarter of a second. */
+    /** Advances virtual time, and checks the rules after each quarter of a second. */
     void run(Duration span) {
         long steps = span.toNanos() / STEP.toNanos();
         for (long step = 0; step < steps; step++) {
@@ -543,7 +555,7 @@
         run(Duration.ofMillis((long) (seconds * 1000)));
     }
 
-    /** Lets time pass until an answer comes, for five seconds at most. */
+    /** Advances virtual time until an answer comes, by five seconds at most. */
     void runUntilAnswered(CompletableFuture<?> answer) {
         for (int step = 0; step < STEPS_UNTIL_TIMEOUT && !answer.isDone(); step++) {
             run(STEP);
@@ -551,8 +563,8 @@
     }
 
     /**
-     * All faults have ended: users poll each job every few seconds, and what is promised for such a
-     * time is checked from now on.
+     * Declares that all faults have ended: from now on users poll each job every few seconds, and
+     * the guarantees for times without faults are checked.
      */
     void beginFaultFreePhase() {
         historyChecker.beginFaultFreePhase(loop.now());
@@ -560,8 +572,8 @@
     }
 
     /**
-     * Runs a check inside a callback. A violation fails the test at its next step; thrown there,
-     * nobody would see it.
+     * Runs a check inside a callback, where a thrown exception would go unnoticed. The first
+     * violation is kept and fails the test at its next step.
      */
     void recordViolations(Runnable check) {
         try {
--- a/src/test/java/org/meadowhollow/simulation/SimulatedNetwork.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedNetwork.java
@@ -12,16 +12,16 @@
 import org.meadowhollow.model.Heartbeat;
 
 /**
- * Delivers heartbeats, and keeps the faults of messages between nodes and workers: duplicates,
- * delays, and heartbeats and commands that are held back. Each fault draws from a random source of
- * its own. Not thread-safe: everything runs on the virtual event loop.
+ * Delivers heartbeats, and holds the faults of messages between nodes and workers: duplicates,
+ * delays, and heartbeats and commands that are held back. Each fault draws from its own random
+ * source. Not thread-safe: everything runs on the virtual event loop.
  */
 final class SimulatedNetwork {
-    /** How much later a duplicate arrives. */
+    /** Delays after which a duplicate arrives. */
     private static final List<Duration> DUPLICATE_DELAYS =
             List.of(Duration.ofMillis(100), Duration.ofSeconds(20), Duration.ofMinutes(4));
 
-    /** One message in so many is duplicated. */
+    /** One in this many messages is duplicated, on average. */
     private static final int MESSAGES_PER_DUPLICATE = 4;
 
     private static final int MIN_LATE_HEARTBEAT_MILLIS = 2000;
@@ -30,22 +30,22 @@
 
     private final SimulatedCluster cluster;
 
-    /** Null unless messages are duplicated. */
+    /** Chooses the messages that are duplicated; null if none are. */
     private Random duplicateRandom;
 
-    /** Null unless late copies of heartbeats arrive. */
+    /** Chooses the heartbeats of which a late copy arrives; null if none do. */
     private Random lateRandom;
 
     private double lateShare;
 
-    /** Null unless heartbeats are kept for the next leader. */
+    /** Chooses the heartbeats that are kept for the next leader; null if none are. */
     private Random keepRandom;
 
     private double keptShare;
     private final List<Heartbeat> keptHeartbeats = new ArrayList<>();
     private int deliveredToNextLeaderCount;
 
-    /** Null unless direct commands are held back. */
+    /** Direct commands that are held back; null if they are delivered normally. */
     private List<Runnable> heldCommands;
 
     private boolean arePeersCut;
@@ -61,19 +61,20 @@
     // ---- duplicates ----
 
     /**
-     * From now on any message may arrive once more: a moment, twenty seconds or four minutes later,
-     * out of order, at whoever has its receiver's name by then; nobody waits for the answer.
+     * Duplicates a share of all messages from now on. A duplicate arrives 100 ms, twenty seconds or
+     * four minutes later, out of order, at the process that then has its receiver's name, and
+     * nobody waits for its answer.
      */
     void duplicateMessages(long seed) {
         duplicateRandom = new Random(seed);
     }
 
-    /** Ends the duplication; duplicates that are under way still arrive. */
+    /** Ends the duplication; duplicates that are on their way still arrive. */
     void stopDuplicatingMessages() {
         duplicateRandom = null;
     }
 
-    /** Schedules a second delivery of a message, if messages are duplicated and this one is. */
+    /** Schedules a second delivery of a message, if this message is chosen for duplication. */
     void maybeDuplicate(Runnable delivery) {
         if (duplicateRandom != null && duplicateRandom.nextInt(MESSAGES_PER_DUPLICATE) == 0) {
             Duration delay = DUPLICATE_DELAYS.get(duplicateRandom.nextInt(DUPLICATE_DELAYS.size()));
@@ -83,7 +84,11 @@
 
     // ---- heartbeats ----
 
-    /** Delivers a heartbeat to a node; null if its connection is refused. */
+    /**
+     * Delivers a heartbeat to a node.
+     *
+     * @return the answer, which may never come; null if the connection is refused
+     */
     CompletableFuture<HeartbeatResponse> deliverHeartbeat(int index, Heartbeat heartbeat) {
         SimulatedNode node = cluster.nodes().get(index);
         if (!node.isRunning() && !node.isPoweredOff()) {
@@ -140,8 +145,8 @@
     }
 
     /**
-     * A copy of a share of the heartbeats arrives again, from 2 s to well over a lease later; share
-     * 0 ends it.
+     * Delivers copies of a share of the heartbeats again, from 2 s to much more than a worker's
+     * lease later; share 0 ends it.
      */
     void duplicateHeartbeatsLate(double share, long seed) {
         lateRandom = share == 0 ? null : new Random(seed);
@@ -149,8 +154,8 @@
     }
 
     /**
-     * A copy of a share of the heartbeats is kept until the next leader begins, and reaches every
-     * node then; share 0 ends it.
+     * Keeps copies of a share of the heartbeats until the next leader begins, when they reach every
+     * node; share 0 ends it.
      */
     void keepHeartbeatsForNextLeader(double share, long seed) {
         keepRandom = share == 0 ? null : new Random(seed);
@@ -162,7 +167,7 @@
         keptHeartbeats.add(worker.snapshot());
     }
 
-    /** Delivers the kept heartbeats to every node, as a leader begins. */
+    /** Delivers the kept heartbeats to every node; called when a leader begins. */
     void deliverKeptHeartbeats() {
         List<Heartbeat> due = List.copyOf(keptHeartbeats);
         keptHeartbeats.clear();
@@ -175,12 +180,12 @@
         }
     }
 
-    /** Kept heartbeats that reached nodes as a leader began. */
+    /** Returns the number of deliveries of kept heartbeats to nodes when a leader began. */
     int deliveredToNextLeaderCount() {
         return deliveredToNextLeaderCount;
     }
 
-    /** Heartbeats that reached a node since the last call. */
+    /** Returns the number of heartbeats that reached a node since the last call. */
     int takeHeartbeatCount() {
         int taken = heartbeatCount;
         heartbeatCount = 0;
@@ -190,7 +195,8 @@
     // ---- direct commands ----
 
     /**
-     * Direct commands are held back on their way, and executed when this ends, whoever sent them.
+     * Holds back direct commands. When the fault ends, they are delivered to the workers, even if
+     * their senders have ended.
      */
     void holdCommands(boolean hold) {
         List<Runnable> due = heldCommands;
@@ -216,7 +222,7 @@
         directMessageCount++;
     }
 
-    /** Messages that nodes sent directly to workers since the last call. */
+    /** Returns the number of messages that nodes sent directly to workers since the last call. */
     int takeDirectMessageCount() {
         int taken = directMessageCount;
         directMessageCount = 0;
@@ -225,7 +231,7 @@
 
     // ---- messages between nodes ----
 
-    /** All messages between the nodes are lost. */
+    /** Loses all messages between the nodes. */
     void cutPeers(boolean cut) {
         arePeersCut = cut;
     }
@@ -234,7 +240,7 @@
         return arePeersCut;
     }
 
-    /** Alters and delays what a leader tells the others of its risk tables. */
+    /** Alters and delays the risk tables that a leader sends to the other nodes. */
     void interceptRiskTables(UnaryOperator<RiskTableDelta> alteration, Duration delay) {
         riskTableAlteration = alteration;
         riskTableDelay = delay;
--- a/src/test/java/org/meadowhollow/simulation/SimulatedNode.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedNode.java
@@ -19,9 +19,9 @@
 import org.meadowhollow.protocol.tes.TesApi;
 
 /**
- * One controller process with its connections, and the faults that affect it alone. A process that
- * crashed and was started again has a new {@link ControllerNode}; the faults of its machine and its
- * network stay. Not thread-safe: everything runs on the virtual event loop.
+ * One controller process with its connections, and the faults that affect this node alone. A
+ * restarted process has a new {@link ControllerNode}; the faults of its machine and its network
+ * stay. Not thread-safe: everything runs on the virtual event loop.
  */
 final class SimulatedNode {
     private final SimulatedCluster cluster;
@@ -36,10 +36,10 @@
     private TesApi tesApi;
     private ReservationApi reservationApi;
 
-    /** The zones to and from whose workers nothing passes. */
+    /** The zones whose workers can neither reach this node nor be reached by it. */
     private final Set<String> cutZones = new HashSet<>();
 
-    /** The work that fell due since the process was paused; null while it runs. */
+    /** Work that became due while the process was paused; null if it is not paused. */
     private List<Runnable> deferredWork;
 
     private Duration timerDelay = Duration.ZERO;
@@ -55,7 +55,7 @@
         start();
     }
 
-    /** Starts a process that knows nothing of the ones before. */
+    /** Starts a process, which has no state of earlier ones. */
     void start() {
         isPoweredOff = false;
         storeConnection =
@@ -116,7 +116,7 @@
     }
 
     private static BearerTokens tesTokens() {
-        // The SHA-256 of "secret", "other secret" and "reader".
+        // The hashes are the SHA-256 of "secret", "other secret" and "reader".
         return tokens(
                 "team=2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b",
                 "other=bd4106123e659e259c401119d0c7ef0a221df306a5a414b6fb6a579499962d26",
@@ -124,7 +124,7 @@
     }
 
     private static BearerTokens reservationTokens() {
-        // The SHA-256 of "secret" and "reader".
+        // The hashes are the SHA-256 of "secret" and "reader".
         return tokens(
                 "operator=2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b",
                 "*=3d0941964aa3ebdcb00ccef58b1bb399f9f898465e9886d5aec7f31090a0fb30");
@@ -138,14 +138,17 @@
         }
     }
 
-    /** Ends the process without any farewell. */
+    /** Ends the process without an orderly shutdown. */
     void crash() {
         storeConnection.close();
         controller.close();
         controller = null;
     }
 
-    /** Cuts the power of the machine: the process ends, and no connection is refused. */
+    /**
+     * Cuts the power of the machine: the process ends, and connections to it time out instead of
+     * being refused.
+     */
     void losePower() {
         isPoweredOff = true;
         if (isRunning()) {
@@ -153,7 +156,7 @@
         }
     }
 
-    /** Stops the process from executing anything, while its clock goes on. */
+    /** Pauses the process: it executes nothing, while its clock goes on. */
     void pause() {
         deferredWork = new ArrayList<>();
     }
@@ -166,7 +169,7 @@
         }
     }
 
-    /** Runs work now, or once the process is resumed. */
+    /** Runs work now or, if the process is paused, once it is resumed. */
     void runWhenResumed(Runnable work) {
         if (deferredWork == null) {
             work.run();
@@ -193,7 +196,7 @@
         return deferredWork != null;
     }
 
-    /** Whether a process runs and executes what reaches it. */
+    /** Returns whether a process runs and is not paused. */
     boolean isResponsive() {
         return isRunning() && !isPaused();
     }
@@ -202,7 +205,7 @@
         return isPoweredOff;
     }
 
-    /** The running process; null if there is none. */
+    /** Returns the running controller, or null if there is none. */
     ControllerNode controller() {
         return controller;
     }
@@ -233,12 +236,12 @@
         }
     }
 
-    /** Whether messages pass between this node and the workers of a zone. */
+    /** Returns whether messages pass between this node and the workers of a zone. */
     boolean reachesZone(String zone) {
         return !cutZones.contains(zone);
     }
 
-    /** Heartbeats to this node get lost, while its direct commands are answered. */
+    /** Loses the heartbeats sent to this node, while its direct commands are answered. */
     void loseHeartbeats(boolean lose) {
         losesHeartbeats = lose;
     }
@@ -247,12 +250,12 @@
         return losesHeartbeats;
     }
 
-    /** Delays each timer of the process, while heartbeats are handled in time. */
+    /** Delays each timer of the process, while heartbeats are handled without delay. */
     void delayTimers(Duration delay) {
         timerDelay = delay;
     }
 
-    /** Connections from the other nodes are refused. */
+    /** Refuses connections from the other nodes. */
     void refusePeers(boolean refuse) {
         refusesPeers = refuse;
     }
@@ -261,7 +264,7 @@
         return refusesPeers;
     }
 
-    /** Nothing passes between this node and the store or the other nodes. */
+    /** Cuts this node from the store and the other nodes. */
     void partition(boolean partitioned) {
         isPartitioned = partitioned;
         storeConnection.refuseRequests(partitioned);
@@ -271,7 +274,10 @@
         return isPartitioned;
     }
 
-    /** The node's own timers: late on an overloaded node, and not executed on a paused one. */
+    /**
+     * The node's event loop: its timers are late on an overloaded node, and wait for the resumption
+     * of a paused one.
+     */
     private final class NodeEventLoop implements EventLoop {
         @Override
         public MonotonicTime now() {
--- a/src/test/java/org/meadowhollow/simulation/SimulatedPeerGateway.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedPeerGateway.java
@@ -14,7 +14,7 @@
 import org.meadowhollow.model.MachineId;
 import org.meadowhollow.storage.RecordDigests;
 
-/** The messages that one simulated node sends to the others. */
+/** Delivers the messages that one simulated node sends to the others. */
 final class SimulatedPeerGateway implements PeerGateway {
     private static final Duration ROUND_TRIP = Duration.ofMillis(5);
 
@@ -32,7 +32,7 @@
                 && !other.isPartitioned();
     }
 
-    /** Whether a connection to a node is accepted, be its process paused or not. */
+    /** Returns whether a connection to a node is accepted, whether or not its process is paused. */
     private boolean connectsTo(SimulatedNode other) {
         return hasPathTo(other) && !other.refusesPeers() && other.isRunning();
     }
@@ -129,7 +129,10 @@
         return query(leader, ROUND_TRIP, ControllerNode::recordDigests);
     }
 
-    /** Asks another node now, and delivers its answer after a delay; empty without an answer. */
+    /**
+     * Sends a query to another node at once, and delivers its answer after a delay; empty without
+     * an answer.
+     */
     private <T> CompletableFuture<Optional<T>> query(
             String name, Duration delay, Function<ControllerNode, Optional<T>> question) {
         CompletableFuture<Optional<T>> answer = new CompletableFuture<>();
--- a/src/test/java/org/meadowhollow/simulation/SimulatedUsers.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedUsers.java
@@ -26,9 +26,9 @@
 import org.meadowhollow.protocol.jobs.SubmissionCodec;
 
 /**
- * The users of the native job API: they submit, poll and cancel jobs at any node, and have every
- * answer checked by the {@link HistoryChecker}. Not thread-safe: everything runs on the virtual
- * event loop; the methods that wait for an answer let virtual time pass.
+ * The users of the native job API: they submit, poll and cancel jobs at any node, and the {@link
+ * HistoryChecker} checks every answer. Not thread-safe: everything runs on the virtual event loop;
+ * the methods that wait for an answer advance virtual time.
  */
 final class SimulatedUsers {
     private static final int MAX_HUNG_MACHINES = 8;
@@ -44,12 +44,12 @@
     private final SimulatedCluster cluster;
     private final HistoryChecker historyChecker;
 
-    /** The phase in which each job was last polled at all nodes. */
+    /** The phase of each job when it was last polled at all nodes. */
     private final Map<JobId, Phase> polledPhases = new HashMap<>();
 
     private boolean pollsAllAfterAnswers;
 
-    /** Null unless jobs are cancelled at their completion. */
+    /** Chooses the jobs that are cancelled at their completion; null if none are. */
     private Random cancelRandom;
 
     private double cancelledShare;
@@ -66,8 +66,8 @@
     /**
      * Submits a job and waits five seconds for the answer.
      *
-     * @param runtime of its tasks; null if they run until they are cancelled
-     * @return whether it was accepted
+     * @param runtime the runtime of its tasks; null if they run until they are cancelled
+     * @return whether the job was accepted
      */
     boolean submit(int node, JobSpec spec, Duration runtime) {
         recordSubmission(spec, runtime);
@@ -86,7 +86,7 @@
         return resubmitAsync(node, spec);
     }
 
-    /** Submits a job once more, without waiting for the answer. */
+    /** Repeats the submission of a job, without waiting for the answer. */
     CompletableFuture<Optional<JobStatus>> resubmitAsync(int node, JobSpec spec) {
         return send(node, admissionService -> submit(admissionService, spec));
     }
@@ -103,7 +103,11 @@
                 admissionService.submit(spec).thenApply(result -> Optional.of(result.status())));
     }
 
-    /** Posts a body as a user does; the HTTP status, or 0 without an answer. */
+    /**
+     * Posts a submission as a user does.
+     *
+     * @return the HTTP status, or 0 without an answer
+     */
     int postSubmission(int node, Map<String, Object> body) {
         return await(node, admissionService -> post(admissionService, body))
                 .map(Http.Reply::status)
@@ -133,7 +137,7 @@
                                         .thenAccept(status -> asyncAnswerCount++));
     }
 
-    /** Answers to {@link #pollAsync}. */
+    /** Returns the number of answers to {@link #pollAsync}. */
     int asyncAnswerCount() {
         return asyncAnswerCount;
     }
@@ -157,8 +161,8 @@
     }
 
     /**
-     * Users cancel jobs within a fifth of a second, each at the next node, while up to eight
-     * machines that run them hang for a time.
+     * Cancels jobs within a fifth of a second, each at the next node, while up to eight machines
+     * that run their tasks hang for a time.
      */
     void cancelDuringHang(List<JobSpec> jobs, Duration hang) {
         Set<FakeWorker> running = new HashSet<>();
@@ -185,13 +189,15 @@
                         });
     }
 
-    /** A share of the jobs is cancelled at the moment of its completion; share 0 ends it. */
+    /** Cancels a share of the jobs at the moment of their completion; share 0 ends it. */
     void cancelAtCompletion(double share, long seed) {
         cancelRandom = share == 0 ? null : new Random(seed);
         cancelledShare = share;
     }
 
-    /** A task has completed on its machine; its job may be cancelled at the same moment. */
+    /**
+     * Called when a task has completed on its machine; its job may be cancelled at the same moment.
+     */
     void onTaskCompleted(JobSpec spec) {
         boolean ends =
                 spec.kind() == JobKind.GANG
@@ -211,7 +217,7 @@
         }
     }
 
-    /** Jobs of which tasks run, and that no user was told to have ended. */
+    /** Returns the jobs with running tasks that were not reported to any user as ended. */
     List<JobSpec> runningJobs() {
         return cluster.knownJobs().stream()
                 .filter(
@@ -225,8 +231,8 @@
     // ---- polls at all nodes ----
 
     /**
-     * Whenever users are told a job's phase, they poll it at all nodes within milliseconds, and
-     * repeat its submission.
+     * Makes users, whenever an answer reports a phase of a job, poll the job at all nodes within
+     * milliseconds and repeat its submission.
      */
     void pollAllAfterAnswers(boolean poll) {
         pollsAllAfterAnswers = poll;
@@ -252,7 +258,7 @@
         }
     }
 
-    /** Polls every unfinished job at alternating nodes from now on. */
+    /** Polls every unfinished job from now on, at the nodes in turn. */
     void pollUnfinishedJobs() {
         historyChecker.unfinished().forEach(id -> pollAsync(pollCount++ % cluster.nodeCount(), id));
         cluster.loop().schedule(POLL_INTERVAL, this::pollUnfinishedJobs);
@@ -261,8 +267,8 @@
     // ---- unusual requests ----
 
     /**
-     * A user repeats a submission, cancels a job that has ended, or submits one that cannot run or
-     * lacks a field.
+     * Sends a random unusual request: a repeated submission, the cancellation of a job that has
+     * ended, or a submission that cannot run or lacks a field.
      */
     void sendUnusualRequest(Random random) {
         int node = random.nextInt(cluster.nodeCount());
@@ -316,12 +322,12 @@
                 () ->
                         assertTrue(
                                 reply.status() == status || reply.status() == 503,
-                                "wrongly answered " + reply.status()));
+                                "unexpected status " + reply.status()));
     }
 
     // ---- sending ----
 
-    /** Checks an answer against what was answered before its request was sent. */
+    /** Checks an answer, when it comes, against the answers given before its request was sent. */
     private CompletableFuture<Optional<JobStatus>> checked(
             JobId id, CompletableFuture<Optional<JobStatus>> answer) {
         MonotonicTime sentAt = cluster.loop().now();
@@ -344,7 +350,7 @@
         }
     }
 
-    /** Sends a request without waiting; it fails where no process answers. */
+    /** Sends a request without waiting; it fails if no process answers. */
     private <T> CompletableFuture<T> send(int index, AdmissionRequest<T> request) {
         SimulatedNode node = cluster.nodes().get(index);
         return node.isResponsive()
@@ -352,7 +358,7 @@
                 : CompletableFuture.failedFuture(new IllegalStateException("down"));
     }
 
-    /** Waits five seconds for an answer; empty if none or an error comes. */
+    /** Sends a request and waits five seconds for the answer; empty if none or an error comes. */
     private <T> Optional<T> await(int index, AdmissionRequest<T> request) {
         SimulatedNode node = cluster.nodes().get(index);
         if (!node.isResponsive()) {
--- a/src/test/java/org/meadowhollow/simulation/SimulatedWorkerGateway.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedWorkerGateway.java
@@ -13,7 +13,7 @@
 import org.meadowhollow.model.WorkerCommand;
 import org.meadowhollow.model.WorkerIncarnation;
 
-/** The direct commands that one simulated node sends to workers. */
+/** Delivers the direct commands that one simulated node sends to workers. */
 final class SimulatedWorkerGateway implements WorkerGateway {
     private static final Duration ROUND_TRIP = Duration.ofMillis(5);
 
@@ -34,7 +34,7 @@
         for (WorkerCommand command : commands) {
             assertTrue(
                     command.action() != WorkerCommand.Action.START,
-                    "a start went out directly: " + command);
+                    "start command sent outside a heartbeat response: " + command);
         }
         MachineId machine = new MachineId(address.substring(0, address.indexOf(':')));
         Runnable blindDelivery =
@@ -64,7 +64,10 @@
         return answer;
     }
 
-    /** Delivers commands to a reachable worker; null without an answer. */
+    /**
+     * Delivers commands to a worker, and returns its answer; null if it is unreachable or gives
+     * none.
+     */
     private Heartbeat deliver(
             MachineId machine,
             FencingToken token,
@@ -82,7 +85,10 @@
                 && worker.reaches(sender.index());
     }
 
-    /** Delivers an answer, unless the process that asked has ended since. */
+    /**
+     * Delivers the worker's answer; the call fails if there is none or the process that sent the
+     * commands has ended.
+     */
     private void complete(
             CompletableFuture<Heartbeat> answer, Heartbeat heartbeat, ControllerNode process) {
         if (heartbeat != null && sender.controller() == process) {
--- a/src/test/java/org/meadowhollow/simulation/StoreFaults.java
+++ b/src/test/java/org/meadowhollow/simulation/StoreFaults.java
@@ -9,7 +9,7 @@
 
     private StoreFaults() {}
 
-    /** A fault of a share of the requests of one connection; share 0 ends it. */
+    /** A fault that affects a share of the requests of one connection; share 0 ends it. */
     private interface ConnectionFault {
         void apply(FakeStoreConnection connection, double share, long seed);
     }
@@ -66,7 +66,10 @@
         return () -> target.cluster().store().setLatency(null);
     }
 
-    /** The store refuses a node, but serves it for an instant several times; its watches fail. */
+    /**
+     * Makes the store refuse a node, except for several moments in which it serves the node; the
+     * watches of the node fail throughout.
+     */
     static Runnable serveBriefly(FaultTarget target) {
         FakeStoreConnection connection = target.connection();
         SimulatedCluster cluster = target.cluster();
--- a/src/test/java/org/meadowhollow/simulation/UserFaults.java
+++ b/src/test/java/org/meadowhollow/simulation/UserFaults.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.meadowhollow.model.JobSpec;
 
-/** What users do at an awkward moment, or in an unusual way. */
+/** Requests that users send at an unfavourable moment, and unusual requests. */
 final class UserFaults {
     private static final int MAX_CANCELLED_JOBS = 4;
     private static final int UNUSUAL_REQUESTS = 8;
--- a/src/test/java/org/meadowhollow/simulation/VirtualEventLoop.java
+++ b/src/test/java/org/meadowhollow/simulation/VirtualEventLoop.java
@@ -5,7 +5,10 @@
 import org.meadowhollow.model.EventLoop;
 import org.meadowhollow.model.MonotonicTime;
 
-/** An event loop with virtual time, which moves only when a test says so. Not thread-safe. */
+/**
+ * An event loop with virtual time, which advances only when a test calls {@link #run}. Not
+ * thread-safe.
+ */
 public final class VirtualEventLoop implements EventLoop {
     private record Due(long at, long order, Runnable work) implements Comparable<Due> {
         @Override
@@ -29,7 +32,7 @@
         return nanos / 1_000_000 + wallAheadMillis;
     }
 
-    /** Moves the time of day on, and nothing else: timers are unaffected. */
+    /** Advances the wall clock alone; monotonic time and timers are unaffected. */
     public void skip(Duration span) {
         wallAheadMillis += span.toMillis();
     }
@@ -39,7 +42,7 @@
         due.add(new Due(nanos + Math.max(0, pause.toNanos()), order++, work));
     }
 
-    /** Runs all work that falls due within the span. */
+    /** Advances time by a span, and runs all work that becomes due within it. */
     public void run(Duration span) {
         long end = nanos + span.toNanos();
         while (!due.isEmpty() && due.peek().at() <= end) {
