--- a/src/test/java/org/meadowhollow/simulation/ClusterTestBase.java
+++ b/src/test/java/org/meadowhollow/simulation/ClusterTestBase.java
@@ -23,7 +23,7 @@
     @BeforeEach
     void startClusterWithSixMachines() {
         cluster = new SimulatedCluster();
-        for (int at = 0; at < 3; at++) {
+        for (int index = 0; index < 3; index++) {
             cluster.addMachine(SimulatedCluster.LARGE, "a");
             cluster.addMachine(SimulatedCluster.LARGE, "b");
         }
@@ -36,25 +36,25 @@
 
     Phase phaseOf(JobSpec spec) {
         for (int node = 0; node < 3; node++) {
-            var state = cluster.users().poll(node, spec.id());
-            if (state.isPresent()) {
-                return state.get().phase();
+            var status = cluster.users().poll(node, spec.id());
+            if (status.isPresent()) {
+                return status.get().phase();
             }
         }
         return null;
     }
 
     FakeWorker machineRunning(JobSpec spec, int task) {
-        List<FakeWorker> places = cluster.machinesRunning(new TaskId(spec.id(), task));
-        return places.isEmpty() ? null : places.get(0);
+        List<FakeWorker> machines = cluster.machinesRunning(new TaskId(spec.id(), task));
+        return machines.isEmpty() ? null : machines.get(0);
     }
 
-    static JobSpec withZonePolicy(JobSpec spec, boolean oneZone, boolean spread) {
+    static JobSpec withZonePolicy(JobSpec spec, boolean singleZone, boolean spreadAcrossZones) {
         return JobSpecBuilder.from(spec)
                 .priority(Priority.HIGH)
                 .machineTypes(List.of("large"))
-                .singleZone(oneZone)
-                .spreadAcrossZones(spread)
+                .singleZone(singleZone)
+                .spreadAcrossZones(spreadAcrossZones)
                 .build();
     }
 
@@ -87,7 +87,7 @@
     }
 
     /** Returns the index of the node that follows another one by an offset, wrapping around. */
-    static int nodeAfter(int than, int by) {
-        return (than + by) % 3;
+    static int nodeAfter(int node, int offset) {
+        return (node + offset) % 3;
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/FakeKeyValueStore.java
+++ b/src/test/java/org/meadowhollow/simulation/FakeKeyValueStore.java
@@ -45,10 +45,10 @@
     private Duration latency;
     private final TreeMap<String, StoredValue> values = new TreeMap<>();
     private final Map<Long, Lease> leases = new HashMap<>();
-    private final List<KeyValueStore.Change> log = new ArrayList<>();
+    private final List<KeyValueStore.Change> changeLog = new ArrayList<>();
     private long revision;
-    private long lastLease;
-    private boolean isOut;
+    private long lastLeaseId;
+    private boolean hasOutage;
     private String observedKey;
     private Runnable putObserver;
 
@@ -56,7 +56,7 @@
     private int writesPerSecond;
 
     private double writeBudget;
-    private MonotonicTime writeBudgetAt;
+    private MonotonicTime writeBudgetUpdatedAt;
     private int writeCount;
     private int rejectedCount;
 
@@ -81,20 +81,20 @@
     // ---- faults that affect every client ----
 
     /** Begins or ends an outage; in both cases every lease gets its full time to live again. */
-    void setOutage(boolean out) {
-        isOut = out;
+    void setOutage(boolean outage) {
+        hasOutage = outage;
         leases.replaceAll((id, lease) -> new Lease(loop.now().plus(lease.ttl()), lease.ttl()));
     }
 
-    boolean isOut() {
-        return isOut;
+    boolean hasOutage() {
+        return hasOutage;
     }
 
     /** Limits the writes per second, with bursts of one second's worth; 0 ends the limit. */
     void limitWriteRate(int maxWritesPerSecond) {
         writesPerSecond = maxWritesPerSecond;
         writeBudget = maxWritesPerSecond;
-        writeBudgetAt = loop.now();
+        writeBudgetUpdatedAt = loop.now();
     }
 
     /**
@@ -171,12 +171,12 @@
      */
     KeyValueStore.Page list(String prefix, String after, int limit) {
         List<KeyValueStore.Entry> entries = new ArrayList<>();
-        for (Map.Entry<String, StoredValue> each :
+        for (Map.Entry<String, StoredValue> mapEntry :
                 values.tailMap(after == null ? prefix : after, after == null).entrySet()) {
-            if (!each.getKey().startsWith(prefix) || entries.size() > limit) {
+            if (!mapEntry.getKey().startsWith(prefix) || entries.size() > limit) {
                 break;
             }
-            entries.add(entry(each.getKey(), each.getValue()));
+            entries.add(entry(mapEntry.getKey(), mapEntry.getValue()));
         }
         return new KeyValueStore.Page(
                 List.copyOf(entries.subList(0, Math.min(limit, entries.size()))),
@@ -193,14 +193,14 @@
     KeyValueStore.CommitResult commit(Transaction transaction) {
         expireLeases();
         consumeWriteBudget(transaction.writes().size());
-        List<String> failed = failedConditions(transaction);
+        List<String> failedKeys = failedConditions(transaction);
         for (Transaction.Write write : transaction.writes().values()) {
             if (write.lease() != null && !leases.containsKey(write.lease().value())) {
                 throw new LeaseExpiredException("no such lease");
             }
         }
-        if (!failed.isEmpty()) {
-            return new KeyValueStore.CommitResult(false, revision(), failed);
+        if (!failedKeys.isEmpty()) {
+            return new KeyValueStore.CommitResult(false, revision(), failedKeys);
         }
         revision++;
         transaction.writes().forEach(this::apply);
@@ -208,8 +208,8 @@
     }
 
     LeaseId grantLease(Duration ttl) {
-        leases.put(++lastLease, new Lease(loop.now().plus(ttl), ttl));
-        return new LeaseId(lastLease);
+        leases.put(++lastLeaseId, new Lease(loop.now().plus(ttl), ttl));
+        return new LeaseId(lastLeaseId);
     }
 
     /**
@@ -230,7 +230,7 @@
 
     /** Removes the keys of leases that have expired; during an outage no lease expires. */
     void expireLeases() {
-        if (isOut) {
+        if (hasOutage) {
             return;
         }
         for (Map.Entry<Long, Lease> lease : Map.copyOf(leases).entrySet()) {
@@ -242,8 +242,9 @@
 
     /** Returns whether the log no longer holds all changes after a revision. */
     boolean isCompacted(Revision after) {
-        return log.size() > MAX_LOG_ENTRIES
-                && log.get(log.size() - MAX_LOG_ENTRIES)
+        return changeLog.size() > MAX_LOG_ENTRIES
+                && changeLog
+                        .get(changeLog.size() - MAX_LOG_ENTRIES)
                         .revision()
                         .isAfter(new Revision(after.value() + 1));
     }
@@ -251,11 +252,11 @@
     /** Returns the changes of all keys after a revision, oldest first. */
     List<KeyValueStore.Change> changesAfter(Revision after) {
         // The log is ordered by revision, and most watchers are near its end.
-        int from = log.size();
-        while (from > 0 && log.get(from - 1).revision().isAfter(after)) {
-            from--;
+        int start = changeLog.size();
+        while (start > 0 && changeLog.get(start - 1).revision().isAfter(after)) {
+            start--;
         }
-        return log.subList(from, log.size());
+        return changeLog.subList(start, changeLog.size());
     }
 
     private void consumeWriteBudget(int writes) {
@@ -263,8 +264,10 @@
             writeBudget =
                     Math.min(
                             writesPerSecond,
-                            writeBudget + loop.now().secondsSince(writeBudgetAt) * writesPerSecond);
-            writeBudgetAt = loop.now();
+                            writeBudget
+                                    + loop.now().secondsSince(writeBudgetUpdatedAt)
+                                            * writesPerSecond);
+            writeBudgetUpdatedAt = loop.now();
             if (writeBudget < writes) {
                 rejectedCount++;
                 throw new RequestRejectedException("write rate limit exceeded");
@@ -275,17 +278,17 @@
     }
 
     private List<String> failedConditions(Transaction transaction) {
-        List<String> failed = new ArrayList<>();
+        List<String> failedKeys = new ArrayList<>();
         transaction
                 .conditions()
                 .forEach(
                         (key, expected) -> {
                             StoredValue stored = values.get(key);
                             if ((stored == null ? 0 : stored.revision()) != expected.value()) {
-                                failed.add(key);
+                                failedKeys.add(key);
                             }
                         });
-        return failed;
+        return failedKeys;
     }
 
     private void apply(String key, Transaction.Write write) {
@@ -299,7 +302,7 @@
         byte[] encoded = MessagePackCodec.encode(write.value());
         long lease = write.lease() == null ? 0 : write.lease().value();
         values.put(key, new StoredValue(encoded, revision, lease));
-        log.add(new KeyValueStore.Change(key, decode(encoded), revision()));
+        changeLog.add(new KeyValueStore.Change(key, decode(encoded), revision()));
     }
 
     private void expireLease(long lease) {
@@ -314,7 +317,7 @@
 
     private void remove(String key) {
         if (values.remove(key) != null) {
-            log.add(new KeyValueStore.Change(key, null, revision()));
+            changeLog.add(new KeyValueStore.Change(key, null, revision()));
         }
     }
 
--- a/src/test/java/org/meadowhollow/simulation/FakeStoreConnection.java
+++ b/src/test/java/org/meadowhollow/simulation/FakeStoreConnection.java
@@ -77,8 +77,8 @@
     }
 
     /** Sets the executor that delivers responses to the client's process, which may be paused. */
-    FakeStoreConnection deliverResponsesOn(Executor process) {
-        responseExecutor = process;
+    FakeStoreConnection deliverResponsesOn(Executor executor) {
+        responseExecutor = executor;
         return this;
     }
 
@@ -261,12 +261,12 @@
         if (lostResponseShare > 0 && lossRandom.nextDouble() < lostResponseShare) {
             return commitWithoutResponse(transaction);
         }
-        boolean heldBefore = holdsRequests;
+        boolean previouslyHeld = holdsRequests;
         holdsRequests |= holdsCommits;
         try {
             return call(() -> store.commit(transaction));
         } finally {
-            holdsRequests = heldBefore;
+            holdsRequests = previouslyHeld;
         }
     }
 
@@ -287,7 +287,7 @@
                     try {
                         store.commit(transaction);
                         lateCommitCount++;
-                    } catch (KeyValueStoreException refused) {
+                    } catch (KeyValueStoreException failure) {
                         // The caller's request has timed out long before.
                     }
                 });
@@ -340,7 +340,7 @@
 
     @Override
     public boolean seemsUnavailable() {
-        return store.isOut() || refusesRequests;
+        return store.hasOutage() || refusesRequests;
     }
 
     private <T> CompletableFuture<T> call(Supplier<T> operation) {
@@ -367,8 +367,8 @@
             if (!losesResponses) {
                 loop.schedule(store.latency(), () -> complete(answer, result));
             }
-        } catch (KeyValueStoreException refused) {
-            fail(answer, refused.outcome());
+        } catch (KeyValueStoreException failure) {
+            fail(answer, failure.outcome());
         }
     }
 
@@ -379,7 +379,7 @@
         }
         try {
             T unused = operation.get();
-        } catch (KeyValueStoreException refused) {
+        } catch (KeyValueStoreException failure) {
             // A duplicate has no caller.
         }
     }
@@ -408,32 +408,32 @@
             CompletableFuture<ChangeBatch> answer,
             String prefix,
             Revision after,
-            MonotonicTime until) {
+            MonotonicTime deadline) {
         store.expireLeases();
-        boolean ofLeader = prefix.equals(RecordKeys.LEADER_KEY);
-        if (failsWatches && !ofLeader) {
+        boolean isLeaderWatch = prefix.equals(RecordKeys.LEADER_KEY);
+        if (failsWatches && !isLeaderWatch) {
             loop.schedule(store.latency(), () -> fail(answer, Outcome.INDETERMINATE));
             return;
         }
-        if (returnsOlderRevisions && !ofLeader) {
+        if (returnsOlderRevisions && !isLeaderWatch) {
             ChangeBatch older = new ChangeBatch(new Revision(after.value() - 1), List.of());
             loop.schedule(store.latency(), () -> complete(answer, older));
             return;
         }
-        boolean seesNothing =
+        boolean hidesChanges =
                 seemsUnavailable()
                         || (hiddenChangesPrefix != null && prefix.startsWith(hiddenChangesPrefix));
-        if (!seesNothing && store.isCompacted(after)) {
+        if (!hidesChanges && store.isCompacted(after)) {
             loop.schedule(store.latency(), () -> fail(answer, Outcome.COMPACTED));
             return;
         }
-        List<Change> found = seesNothing ? List.of() : visibleChanges(prefix, after);
-        if (!found.isEmpty() || until.isBefore(loop.now())) {
+        List<Change> changes = hidesChanges ? List.of() : visibleChanges(prefix, after);
+        if (!changes.isEmpty() || deadline.isBefore(loop.now())) {
             // A client whose changes are hidden does not learn the store's revision either.
-            ChangeBatch batch = new ChangeBatch(seesNothing ? after : store.revision(), found);
+            ChangeBatch batch = new ChangeBatch(hidesChanges ? after : store.revision(), changes);
             loop.schedule(store.latency(), () -> complete(answer, batch));
         } else if (!isClosed) {
-            loop.schedule(WATCH_POLL_INTERVAL, () -> pollChanges(answer, prefix, after, until));
+            loop.schedule(WATCH_POLL_INTERVAL, () -> pollChanges(answer, prefix, after, deadline));
         }
     }
 
--- a/src/test/java/org/meadowhollow/simulation/FakeWorker.java
+++ b/src/test/java/org/meadowhollow/simulation/FakeWorker.java
@@ -52,9 +52,9 @@
      * The time at which the last heartbeat that was answered with commands was sent; the lease
      * counts from then.
      */
-    private MonotonicTime leaseFrom;
+    private MonotonicTime leaseStartedAt;
 
-    private int node;
+    private int connectedNode;
 
     /** The pending response to the last heartbeat; null if none is pending. */
     private CompletableFuture<HeartbeatResponse> pendingResponse;
@@ -73,8 +73,8 @@
         this.id = new MachineId(id);
         this.type = type;
         this.zone = zone;
-        this.leaseFrom = cluster.loop().now();
-        tick();
+        this.leaseStartedAt = cluster.loop().now();
+        onHeartbeatTimer();
     }
 
     // ---- state ----
@@ -123,14 +123,14 @@
     }
 
     private boolean isLeaseExpired() {
-        return cluster.loop().now().elapsedSince(leaseFrom).compareTo(LEASE) > 0;
+        return cluster.loop().now().elapsedSince(leaseStartedAt).compareTo(LEASE) > 0;
     }
 
     // ---- faults ----
 
     /** Drops the connection to the current node and connects to another one. */
-    void connectTo(int other) {
-        node = other;
+    void connectTo(int targetNode) {
+        connectedNode = targetNode;
         pendingResponse = null;
         sendHeartbeatAfter(CHANGED_HEARTBEAT_DELAY);
     }
@@ -156,17 +156,17 @@
      * Cuts the path between this machine and one node in both directions; other paths are
      * unaffected.
      */
-    void blockPathTo(int other, boolean block) {
+    void blockPathTo(int targetNode, boolean block) {
         if (block) {
-            unreachableNodes.add(other);
-            pendingResponse = node == other ? null : pendingResponse;
+            unreachableNodes.add(targetNode);
+            pendingResponse = connectedNode == targetNode ? null : pendingResponse;
         } else {
-            unreachableNodes.remove(other);
+            unreachableNodes.remove(targetNode);
         }
     }
 
-    boolean reaches(int other) {
-        return !unreachableNodes.contains(other);
+    boolean reaches(int targetNode) {
+        return !unreachableNodes.contains(targetNode);
     }
 
     /**
@@ -191,7 +191,7 @@
         heartbeatNumber = 0;
         fencingToken = FencingToken.NONE;
         pendingResponse = null;
-        leaseFrom = cluster.loop().now();
+        leaseStartedAt = cluster.loop().now();
     }
 
     // ---- tasks ----
@@ -232,7 +232,7 @@
             return List.of();
         }
         return tasks.entrySet().stream()
-                .filter(each -> each.getValue().isPresent())
+                .filter(entry -> entry.getValue().isPresent())
                 .map(Map.Entry::getKey)
                 .toList();
     }
@@ -248,7 +248,7 @@
             return List.of();
         }
         return tasks.entrySet().stream()
-                .filter(each -> !each.getValue().hasExited())
+                .filter(entry -> !entry.getValue().hasExited())
                 .map(Map.Entry::getKey)
                 .toList();
     }
@@ -257,8 +257,8 @@
      * Returns whether a gang's task is on this machine in an attempt, and can take part in it or
      * has completed.
      */
-    boolean participatesIn(TaskId id, AttemptNumber attempt) {
-        FakeTask task = tasks.get(id);
+    boolean participatesIn(TaskId taskId, AttemptNumber attempt) {
+        FakeTask task = tasks.get(taskId);
         return !isHung
                 && !isRemoved
                 && !isLeaseExpired()
@@ -272,34 +272,34 @@
         if (isLeaseExpired()) {
             tasks.clear();
             incarnation = new WorkerIncarnation(incarnation.value() + 1);
-            leaseFrom = now;
+            leaseStartedAt = now;
         }
         tasks.forEach((task, state) -> advance(task, state, now));
     }
 
-    private void advance(TaskId id, FakeTask task, MonotonicTime now) {
-        boolean inGang = cluster.spec(id.jobId()).kind() == JobKind.GANG;
+    private void advance(TaskId taskId, FakeTask task, MonotonicTime now) {
+        boolean inGang = cluster.spec(taskId.jobId()).kind() == JobKind.GANG;
         if (task.isImagePulled(now)) {
             task.start(inGang, now);
-            cluster.onTaskStarted(this, id);
+            cluster.onTaskStarted(this, taskId);
         }
         if (inGang) {
-            task.advanceInGang(cluster.isGangComplete(id.jobId(), task.attempt()), now);
+            task.advanceInGang(cluster.isGangComplete(taskId.jobId(), task.attempt()), now);
         }
-        Duration runtime = cluster.runtimeOf(id.jobId());
-        if (task.hasFinished(runtime, now) && cluster.mayComplete(id.jobId())) {
+        Duration runtime = cluster.runtimeOf(taskId.jobId());
+        if (task.hasFinished(runtime, now) && cluster.mayComplete(taskId.jobId())) {
             task.exit(ExitReason.DONE);
-            cluster.onTaskCompleted(id);
+            cluster.onTaskCompleted(taskId);
         }
     }
 
     // ---- heartbeats ----
 
-    private void tick() {
+    private void onHeartbeatTimer() {
         if (isRemoved) {
             return;
         }
-        cluster.loop().schedule(HEARTBEAT_INTERVAL, this::tick);
+        cluster.loop().schedule(HEARTBEAT_INTERVAL, this::onHeartbeatTimer);
         if (!isHung) {
             advance();
             sendHeartbeat();
@@ -333,10 +333,10 @@
         }
         Heartbeat heartbeat = snapshot();
         MonotonicTime sentAt = cluster.loop().now();
-        WorkerIncarnation sender = incarnation;
+        WorkerIncarnation sendingIncarnation = incarnation;
         CompletableFuture<HeartbeatResponse> response =
-                reaches(node) && !blocksOutgoing
-                        ? cluster.network().deliverHeartbeat(node, heartbeat)
+                reaches(connectedNode) && !blocksOutgoing
+                        ? cluster.network().deliverHeartbeat(connectedNode, heartbeat)
                         : new CompletableFuture<>();
         if (response == null) {
             connectToNextNode();
@@ -346,10 +346,10 @@
         cluster.loop().schedule(RESPONSE_TIMEOUT, () -> onTimeout(response));
         CompletableFuture<Void> unused =
                 response.thenAccept(
-                        given -> {
+                        received -> {
                             if (pendingResponse == response) {
                                 pendingResponse = null;
-                                handleResponse(given, sender, sentAt);
+                                handleResponse(received, sendingIncarnation, sentAt);
                             }
                         });
     }
@@ -362,14 +362,14 @@
     }
 
     private void connectToNextNode() {
-        node = (node + 1) % cluster.nodeCount();
+        connectedNode = (connectedNode + 1) % cluster.nodeCount();
         sendHeartbeatAfter(NEXT_NODE_DELAY);
     }
 
-    private void sendHeartbeatAfter(Duration pause) {
+    private void sendHeartbeatAfter(Duration delay) {
         cluster.loop()
                 .schedule(
-                        pause,
+                        delay,
                         () -> {
                             if (!isHung && !isRemoved) {
                                 advance();
@@ -379,8 +379,10 @@
     }
 
     private void handleResponse(
-            HeartbeatResponse response, WorkerIncarnation sender, MonotonicTime sentAt) {
-        if (!isHung && !isRemoved && incarnation.equals(sender)) {
+            HeartbeatResponse response,
+            WorkerIncarnation sendingIncarnation,
+            MonotonicTime sentAt) {
+        if (!isHung && !isRemoved && incarnation.equals(sendingIncarnation)) {
             cluster.recordViolations(() -> handleResponse(response, sentAt));
         }
     }
@@ -390,7 +392,7 @@
             if (redirect.member() == null) {
                 connectToNextNode();
             } else {
-                node = cluster.indexOf(redirect.member());
+                connectedNode = cluster.indexOf(redirect.member());
                 sendHeartbeatAfter(CHANGED_HEARTBEAT_DELAY);
             }
             return;
@@ -405,7 +407,7 @@
             sendHeartbeatAfter(CHANGED_HEARTBEAT_DELAY);
         }
         fencingToken = commands.token();
-        leaseFrom = sentAt;
+        leaseStartedAt = sentAt;
         execute(commands.commands());
     }
 
@@ -456,8 +458,8 @@
         }
     }
 
-    private void start(WorkerCommand command, FakeTask present) {
-        if (present != null && !present.hasExited()) {
+    private void start(WorkerCommand command, FakeTask existingTask) {
+        if (existingTask != null && !existingTask.hasExited()) {
             throw new AssertionError(
                     "started " + command + " while another attempt is on the machine");
         }
--- a/src/test/java/org/meadowhollow/simulation/FaultTarget.java
+++ b/src/test/java/org/meadowhollow/simulation/FaultTarget.java
@@ -29,14 +29,14 @@
     }
 
     /** Returns an end action that does nothing, for a fault that is over once it was injected. */
-    static Runnable nothingToEnd() {
+    static Runnable noEndAction() {
         return () -> {};
     }
 
     /** Applies an action to each node's index. */
     void forEachNode(ObjIntConsumer<SimulatedCluster> action) {
-        for (int each = 0; each < cluster.nodeCount(); each++) {
-            action.accept(cluster, each);
+        for (int index = 0; index < cluster.nodeCount(); index++) {
+            action.accept(cluster, index);
         }
     }
 
@@ -55,7 +55,7 @@
     List<FakeWorker> randomWorkers() {
         List<FakeWorker> all = new ArrayList<>(cluster.workers());
         List<FakeWorker> chosen = new ArrayList<>();
-        for (int at = 0; at < MAX_MACHINES && !all.isEmpty(); at++) {
+        for (int index = 0; index < MAX_MACHINES && !all.isEmpty(); index++) {
             chosen.add(all.remove(random.nextInt(all.size())));
         }
         return chosen;
--- a/src/test/java/org/meadowhollow/simulation/FreeCapacity.java
+++ b/src/test/java/org/meadowhollow/simulation/FreeCapacity.java
@@ -53,10 +53,10 @@
     private Map<String, Integer> heldTasksPerZone(JobId job) {
         Map<String, Integer> held = new HashMap<>();
         for (HistoryChecker.Machine machine : machines) {
-            long here =
+            long heldOnMachine =
                     machine.heldTasks().stream().filter(task -> task.jobId().equals(job)).count();
-            if (here > 0) {
-                held.merge(machine.zone(), (int) here, Integer::sum);
+            if (heldOnMachine > 0) {
+                held.merge(machine.zone(), (int) heldOnMachine, Integer::sum);
             }
         }
         return held;
@@ -68,11 +68,11 @@
         for (HistoryChecker.Machine machine : machines) {
             String zone = machine.zone();
             if (accepts(machine, spec, heldPerZone)) {
-                int max = spec.maxTasksPerZone() - heldPerZone.getOrDefault(zone, 0);
-                int here =
+                int maxMoreTasks = spec.maxTasksPerZone() - heldPerZone.getOrDefault(zone, 0);
+                int fittingTasks =
                         spec.resourcesPerTask()
                                 .maxCopiesIn(freeResources(machine), spec.taskCount());
-                free.put(zone, Math.min(max, free.getOrDefault(zone, 0) + here));
+                free.put(zone, Math.min(maxMoreTasks, free.getOrDefault(zone, 0) + fittingTasks));
             }
         }
         return free;
@@ -80,14 +80,14 @@
 
     private static boolean accepts(
             HistoryChecker.Machine machine, JobSpec spec, Map<String, Integer> heldPerZone) {
-        boolean boundElsewhere =
+        boolean isBoundToOtherZone =
                 spec.requiresSingleZone()
                         && heldPerZone.keySet().stream()
                                 .anyMatch(zone -> !zone.equals(machine.zone()));
         return machine.isReachable()
                 && spec.allowsMachineType(machine.machineType().name())
                 && spec.allowsZone(machine.zone())
-                && !boundElsewhere;
+                && !isBoundToOtherZone;
     }
 
     private Resources freeResources(HistoryChecker.Machine machine) {
--- a/src/test/java/org/meadowhollow/simulation/MachineFaults.java
+++ b/src/test/java/org/meadowhollow/simulation/MachineFaults.java
@@ -6,7 +6,7 @@
 
 /** Faults of machines, of their connections and of the cloud. */
 final class MachineFaults {
-    private static final Duration NORMAL_BOOT = Duration.ofSeconds(10);
+    private static final Duration NORMAL_BOOT_TIME = Duration.ofSeconds(10);
 
     private MachineFaults() {}
 
@@ -23,20 +23,20 @@
     }
 
     static Runnable loseIncoming(FaultTarget target) {
-        return onWorkers(target.randomWorkers(), FakeWorker::loseIncoming);
+        return injectIntoWorkers(target.randomWorkers(), FakeWorker::loseIncoming);
     }
 
     static Runnable hang(FaultTarget target) {
-        return onWorkers(target.randomWorkers(), FakeWorker::setHung);
+        return injectIntoWorkers(target.randomWorkers(), FakeWorker::setHung);
     }
 
     static Runnable reboot(FaultTarget target) {
         target.randomWorkers().forEach(FakeWorker::reboot);
-        return FaultTarget.nothingToEnd();
+        return FaultTarget.noEndAction();
     }
 
     static Runnable blockOutgoingConnections(FaultTarget target) {
-        return onWorkers(target.randomWorkers(), FakeWorker::blockOutgoingConnections);
+        return injectIntoWorkers(target.randomWorkers(), FakeWorker::blockOutgoingConnections);
     }
 
     static Runnable blockOutgoingConnectionsOfZone(FaultTarget target) {
@@ -45,7 +45,7 @@
                 target.cluster().workers().stream()
                         .filter(worker -> worker.zone().equals(zone))
                         .toList();
-        return onWorkers(workers, FakeWorker::blockOutgoingConnections);
+        return injectIntoWorkers(workers, FakeWorker::blockOutgoingConnections);
     }
 
     /** Makes rented machines boot sooner than the cloud lists them. */
@@ -53,7 +53,7 @@
         SimulatedCloud cloud = target.cluster().cloud();
         cloud.setBootTimes(
                 Duration.ofMillis(50 + target.random().nextInt(1900)), Duration.ofSeconds(10));
-        return () -> cloud.setBootTimes(NORMAL_BOOT, Duration.ZERO);
+        return () -> cloud.setBootTimes(NORMAL_BOOT_TIME, Duration.ZERO);
     }
 
     static Runnable failCloud(FaultTarget target) {
@@ -61,7 +61,7 @@
         return () -> target.cluster().cloud().setOutage(false);
     }
 
-    private static Runnable onWorkers(
+    private static Runnable injectIntoWorkers(
             List<FakeWorker> workers, BiConsumer<FakeWorker, Boolean> fault) {
         workers.forEach(worker -> fault.accept(worker, true));
         return () -> workers.forEach(worker -> fault.accept(worker, false));
--- a/src/test/java/org/meadowhollow/simulation/NodeFaults.java
+++ b/src/test/java/org/meadowhollow/simulation/NodeFaults.java
@@ -6,8 +6,8 @@
 
 /** Faults of controller nodes, and of the network between them and to the workers. */
 final class NodeFaults {
-    private static final int QUICK_RESTARTS = 3;
-    private static final int LEADER_RESTARTS = 5;
+    private static final int QUICK_RESTART_COUNT = 3;
+    private static final int LEADER_RESTART_COUNT = 5;
 
     private NodeFaults() {}
 
@@ -33,7 +33,7 @@
         crashAll(target);
         target.cluster().runSeconds(19 + target.random().nextInt(20));
         target.cluster().restartAll();
-        return FaultTarget.nothingToEnd();
+        return FaultTarget.noEndAction();
     }
 
     private static void crashAll(FaultTarget target) {
@@ -42,25 +42,25 @@
     }
 
     static Runnable restartQuickly(FaultTarget target) {
-        for (int time = 0; time < QUICK_RESTARTS; time++) {
-            Duration pause = Duration.ofMillis(100 + target.random().nextInt(900));
-            target.cluster().restartAfter(target.node(), pause);
+        for (int restart = 0; restart < QUICK_RESTART_COUNT; restart++) {
+            Duration delay = Duration.ofMillis(100 + target.random().nextInt(900));
+            target.cluster().restartAfter(target.node(), delay);
             target.cluster().run(Duration.ofMillis(500));
         }
-        return FaultTarget.nothingToEnd();
+        return FaultTarget.noEndAction();
     }
 
     static Runnable restartConsecutiveLeaders(FaultTarget target) {
         SimulatedCluster cluster = target.cluster();
         Random random = target.random();
-        for (int time = 0; time < LEADER_RESTARTS; time++) {
+        for (int restart = 0; restart < LEADER_RESTART_COUNT; restart++) {
             int leader = cluster.leader();
             if (leader >= 0) {
                 cluster.restartAfter(leader, Duration.ofMillis(100 + random.nextInt(6000)));
             }
             cluster.runSeconds(3 + random.nextInt(9));
         }
-        return FaultTarget.nothingToEnd();
+        return FaultTarget.noEndAction();
     }
 
     static Runnable pause(FaultTarget target) {
@@ -88,7 +88,7 @@
         if (target.cluster().node(target.node()) != null) {
             target.cluster().node(target.node()).handOver();
         }
-        return FaultTarget.nothingToEnd();
+        return FaultTarget.noEndAction();
     }
 
     /** Announces a leader that does not exist, with a higher fencing token, to the leader. */
@@ -100,7 +100,7 @@
             String name = "n" + target.random().nextInt(cluster.nodeCount());
             cluster.node(leader).observeLeader(higher, name);
         }
-        return FaultTarget.nothingToEnd();
+        return FaultTarget.noEndAction();
     }
 
     /**
--- a/src/test/java/org/meadowhollow/simulation/RecordingTaskTracer.java
+++ b/src/test/java/org/meadowhollow/simulation/RecordingTaskTracer.java
@@ -21,12 +21,12 @@
 
     @Override
     public void onTaskAccepted(TracedTask task, long fromMillis, long untilMillis) {
-        note(task, "accepted", fromMillis, untilMillis);
+        addNote(task, "accepted", fromMillis, untilMillis);
     }
 
     @Override
     public void onAttemptEnded(TracedTask task, long waitedFromMillis, AttemptRecord attempt) {
-        note(
+        addNote(
                 task,
                 "attempt " + attempt.attemptNumber() + ' ' + attempt.endReason(),
                 waitedFromMillis,
@@ -38,17 +38,18 @@
     }
 
     @Override
-    public void onTaskEnded(TracedTask task, JobPhase how, long fromMillis, long untilMillis) {
-        note(task, "ended " + how, fromMillis, untilMillis);
+    public void onTaskEnded(
+            TracedTask task, JobPhase finalPhase, long fromMillis, long untilMillis) {
+        addNote(task, "ended " + finalPhase, fromMillis, untilMillis);
     }
 
-    private void note(TracedTask task, String what, long... times) {
-        for (int at = 1; at < times.length; at++) {
-            if (times[at] < times[at - 1]) {
-                throw new AssertionError(what + " has decreasing times");
+    private void addNote(TracedTask task, String event, long... times) {
+        for (int index = 1; index < times.length; index++) {
+            if (times[index] < times[index - 1]) {
+                throw new AssertionError(event + " has decreasing times");
             }
         }
-        notes.add(task.traceContext() + ' ' + what);
+        notes.add(task.traceContext() + ' ' + event);
     }
 
     @Override
--- a/src/test/java/org/meadowhollow/simulation/SimulatedApiClients.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedApiClients.java
@@ -69,14 +69,14 @@
             Map<String, List<String>> query,
             Map<String, String> headers,
             byte[] body) {
-        Map<String, String> all = new HashMap<>(headers);
+        Map<String, String> allHeaders = new HashMap<>(headers);
         if (token != null) {
-            all.put(AUTHORIZATION, bearer(token));
+            allHeaders.put(AUTHORIZATION, bearer(token));
         }
         return cluster.nodes()
                 .get(node)
                 .tesApi()
-                .answer(new Http.Request(method, TES_PATH + path, query, all::get, body));
+                .answer(new Http.Request(method, TES_PATH + path, query, allHeaders::get, body));
     }
 
     /**
--- a/src/test/java/org/meadowhollow/simulation/SimulatedCloud.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedCloud.java
@@ -29,14 +29,14 @@
     private final SimulatedCluster cluster;
     private final Map<String, List<MachineId>> rentals = new HashMap<>();
     private final Map<MachineId, MonotonicTime> rentedAt = new HashMap<>();
-    private final List<FakeWorker> returned = new ArrayList<>();
+    private final List<FakeWorker> returnedWorkers = new ArrayList<>();
     private final Set<MachineId> reclaimed = new HashSet<>();
     private final Set<MachineId> failed = new HashSet<>();
     private Duration bootTime = Duration.ofSeconds(10);
     private Duration listingDelay = Duration.ZERO;
     private int maxMachines = 40;
-    private int bootFailuresLeft;
-    private boolean isOut;
+    private int remainingBootFailures;
+    private boolean hasOutage;
 
     SimulatedCloud(SimulatedCluster cluster) {
         this.cluster = cluster;
@@ -45,13 +45,13 @@
     // ---- faults ----
 
     /** Begins or ends an outage, in which every request is refused. */
-    void setOutage(boolean out) {
-        isOut = out;
+    void setOutage(boolean outage) {
+        hasOutage = outage;
     }
 
     /** Makes the next machines that are rented never boot. */
     void failNextBoots(int machines) {
-        bootFailuresLeft = machines;
+        remainingBootFailures = machines;
     }
 
     /** Limits the number of machines that exist at a time; further rentals are refused. */
@@ -91,11 +91,11 @@
 
     /** Returns the machines that were returned, in the order of their return. */
     List<MachineId> returnedMachines() {
-        return returned.stream().map(FakeWorker::id).toList();
+        return returnedWorkers.stream().map(FakeWorker::id).toList();
     }
 
     List<MachineId> returnedMachinesOf(String zone) {
-        return returned.stream()
+        return returnedWorkers.stream()
                 .filter(worker -> worker.zone().equals(zone))
                 .map(FakeWorker::id)
                 .toList();
@@ -108,7 +108,7 @@
                 .schedule(
                         LATENCY,
                         () -> {
-                            if (isOut) {
+                            if (hasOutage) {
                                 answer.completeExceptionally(
                                         new CloudProvider.RequestRefusedException("cloud outage"));
                             } else {
@@ -154,8 +154,8 @@
             MachineId id = cluster.nextMachineId();
             ids.add(id);
             rentedAt.put(id, cluster.loop().now());
-            if (bootFailuresLeft > 0) {
-                bootFailuresLeft--;
+            if (remainingBootFailures > 0) {
+                remainingBootFailures--;
             } else {
                 cluster.loop().schedule(bootTime, () -> cluster.boot(id, type, zone));
             }
@@ -180,7 +180,7 @@
         for (MachineId id : machines) {
             FakeWorker worker = cluster.removeWorker(id);
             if (worker != null) {
-                returned.add(worker);
+                returnedWorkers.add(worker);
                 worker.remove();
             }
         }
@@ -195,18 +195,19 @@
                         answer.complete(
                                 cluster.workers().stream()
                                         .filter(this::isListed)
-                                        .map(this::listing)
+                                        .map(this::toListedMachine)
                                         .toList()));
     }
 
     private boolean isListed(FakeWorker worker) {
-        MonotonicTime since = rentedAt.get(worker.id());
+        MonotonicTime rentalTime = rentedAt.get(worker.id());
         return !reclaimed.contains(worker.id())
-                && (since == null
-                        || cluster.loop().now().elapsedSince(since).compareTo(listingDelay) > 0);
+                && (rentalTime == null
+                        || cluster.loop().now().elapsedSince(rentalTime).compareTo(listingDelay)
+                                > 0);
     }
 
-    private ListedMachine listing(FakeWorker worker) {
+    private ListedMachine toListedMachine(FakeWorker worker) {
         return new ListedMachine(
                 worker.id(),
                 worker.id().value() + ":9000",
--- a/src/test/java/org/meadowhollow/simulation/SimulatedCluster.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedCluster.java
@@ -82,7 +82,7 @@
     private Duration imagePullTime = Duration.ofSeconds(2);
     private ReservationSettings reservationSettings = ReservationSettings.OFF;
     private StandbySettings standbySettings = StandbySettings.DISABLED;
-    private int nextMachine;
+    private int lastMachineNumber;
     private int nextSeed = FIRST_SEED;
     private int startCount;
     private int startCommandCount;
@@ -285,10 +285,10 @@
     }
 
     /** Crashes a node's process and starts it again after a delay. */
-    void restartAfter(int node, Duration pause) {
+    void restartAfter(int node, Duration delay) {
         if (nodes.get(node).isResponsive()) {
             crash(node);
-            loop.schedule(pause, () -> restart(node));
+            loop.schedule(delay, () -> restart(node));
         }
     }
 
@@ -360,7 +360,7 @@
     }
 
     MachineId nextMachineId() {
-        return new MachineId("vm-%06d".formatted(++nextMachine));
+        return new MachineId("vm-%06d".formatted(++lastMachineNumber));
     }
 
     FakeWorker boot(MachineId id, String type, String zone) {
@@ -499,8 +499,8 @@
     boolean mayComplete(JobId id) {
         JobSpec spec = spec(id);
         for (int task = 0; spec.kind() == JobKind.GANG && task < spec.taskCount(); task++) {
-            TaskId each = new TaskId(id, task);
-            if (!historyChecker.isCompleted(each) && machinesRunning(each).isEmpty()) {
+            TaskId taskId = new TaskId(id, task);
+            if (!historyChecker.isCompleted(taskId) && machinesRunning(taskId).isEmpty()) {
                 return false;
             }
         }
@@ -510,9 +510,9 @@
     /** Returns whether all tasks of a gang take part in an attempt. */
     boolean isGangComplete(JobId id, AttemptNumber attempt) {
         for (int task = 0; task < spec(id).taskCount(); task++) {
-            TaskId each = new TaskId(id, task);
+            TaskId taskId = new TaskId(id, task);
             if (workers.values().stream()
-                    .noneMatch(worker -> worker.participatesIn(each, attempt))) {
+                    .noneMatch(worker -> worker.participatesIn(taskId, attempt))) {
                 return false;
             }
         }
@@ -528,9 +528,9 @@
             return;
         }
         for (int other = 0; other < spec.taskCount(); other++) {
-            TaskId each = new TaskId(task.jobId(), other);
-            if (historyChecker.recordCompletion(each)) {
-                machinesRunning(each).forEach(worker -> worker.completeTask(each));
+            TaskId taskId = new TaskId(task.jobId(), other);
+            if (historyChecker.recordCompletion(taskId)) {
+                machinesRunning(taskId).forEach(worker -> worker.completeTask(taskId));
             }
         }
     }
@@ -538,8 +538,8 @@
     // ---- time and rules ----
 
     /** Advances virtual time, and checks the rules after each quarter of a second. */
-    void run(Duration span) {
-        long steps = span.toNanos() / STEP.toNanos();
+    void run(Duration duration) {
+        long steps = duration.toNanos() / STEP.toNanos();
         for (long step = 0; step < steps; step++) {
             loop.run(STEP);
             for (FakeWorker worker : workers()) {
@@ -578,8 +578,8 @@
     void recordViolations(Runnable check) {
         try {
             check.run();
-        } catch (AssertionError found) {
-            violation = violation == null ? found : violation;
+        } catch (AssertionError error) {
+            violation = violation == null ? error : violation;
         }
     }
 
--- a/src/test/java/org/meadowhollow/simulation/SimulatedNetwork.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedNetwork.java
@@ -34,9 +34,9 @@
     private Random duplicateRandom;
 
     /** Chooses the heartbeats of which a late copy arrives; null if none do. */
-    private Random lateRandom;
+    private Random lateDuplicateRandom;
 
-    private double lateShare;
+    private double lateDuplicateShare;
 
     /** Chooses the heartbeats that are kept for the next leader; null if none are. */
     private Random keepRandom;
@@ -135,11 +135,11 @@
     }
 
     private void duplicateLate(SimulatedNode node, Heartbeat heartbeat) {
-        if (lateRandom != null && lateRandom.nextDouble() < lateShare) {
+        if (lateDuplicateRandom != null && lateDuplicateRandom.nextDouble() < lateDuplicateShare) {
             Duration delay =
                     Duration.ofMillis(
                             MIN_LATE_HEARTBEAT_MILLIS
-                                    + lateRandom.nextInt(LATE_HEARTBEAT_RANGE_MILLIS));
+                                    + lateDuplicateRandom.nextInt(LATE_HEARTBEAT_RANGE_MILLIS));
             cluster.loop().schedule(delay, () -> deliverWithoutAnswer(node, heartbeat));
         }
     }
@@ -149,8 +149,8 @@
      * lease later; share 0 ends it.
      */
     void duplicateHeartbeatsLate(double share, long seed) {
-        lateRandom = share == 0 ? null : new Random(seed);
-        lateShare = share;
+        lateDuplicateRandom = share == 0 ? null : new Random(seed);
+        lateDuplicateShare = share;
     }
 
     /**
@@ -169,9 +169,9 @@
 
     /** Delivers the kept heartbeats to every node; called when a leader begins. */
     void deliverKeptHeartbeats() {
-        List<Heartbeat> due = List.copyOf(keptHeartbeats);
+        List<Heartbeat> heartbeats = List.copyOf(keptHeartbeats);
         keptHeartbeats.clear();
-        for (Heartbeat heartbeat : due) {
+        for (Heartbeat heartbeat : heartbeats) {
             for (SimulatedNode node : cluster.nodes()) {
                 if (deliverWithoutAnswer(node, heartbeat)) {
                     deliveredToNextLeaderCount++;
@@ -187,9 +187,9 @@
 
     /** Returns the number of heartbeats that reached a node since the last call. */
     int takeHeartbeatCount() {
-        int taken = heartbeatCount;
+        int count = heartbeatCount;
         heartbeatCount = 0;
-        return taken;
+        return count;
     }
 
     // ---- direct commands ----
@@ -199,10 +199,10 @@
      * their senders have ended.
      */
     void holdCommands(boolean hold) {
-        List<Runnable> due = heldCommands;
+        List<Runnable> commands = heldCommands;
         heldCommands = hold ? new ArrayList<>() : null;
-        if (due != null) {
-            due.forEach(Runnable::run);
+        if (commands != null) {
+            commands.forEach(Runnable::run);
         }
     }
 
@@ -210,7 +210,7 @@
         return heldCommands != null;
     }
 
-    void hold(Runnable delivery) {
+    void holdCommand(Runnable delivery) {
         heldCommands.add(delivery);
     }
 
@@ -224,9 +224,9 @@
 
     /** Returns the number of messages that nodes sent directly to workers since the last call. */
     int takeDirectMessageCount() {
-        int taken = directMessageCount;
+        int count = directMessageCount;
         directMessageCount = 0;
-        return taken;
+        return count;
     }
 
     // ---- messages between nodes ----
--- a/src/test/java/org/meadowhollow/simulation/SimulatedNode.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedNode.java
@@ -162,10 +162,10 @@
     }
 
     void resume() {
-        List<Runnable> due = deferredWork;
+        List<Runnable> work = deferredWork;
         deferredWork = null;
-        if (due != null) {
-            due.forEach(Runnable::run);
+        if (work != null) {
+            work.forEach(Runnable::run);
         }
     }
 
@@ -290,8 +290,8 @@
         }
 
         @Override
-        public void schedule(Duration pause, Runnable work) {
-            cluster.loop().schedule(pause.plus(timerDelay), () -> runWhenResumed(work));
+        public void schedule(Duration delay, Runnable task) {
+            cluster.loop().schedule(delay.plus(timerDelay), () -> runWhenResumed(task));
         }
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/SimulatedPeerGateway.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedPeerGateway.java
@@ -49,11 +49,12 @@
                         ROUND_TRIP,
                         () ->
                                 answer.complete(
-                                        cluster.nodes().stream().anyMatch(this::seesStoreThrough)));
+                                        cluster.nodes().stream()
+                                                .anyMatch(this::reachesStoreThrough)));
         return answer;
     }
 
-    private boolean seesStoreThrough(SimulatedNode other) {
+    private boolean reachesStoreThrough(SimulatedNode other) {
         return other != sender && connectsTo(other) && !other.storeConnection().seemsUnavailable();
     }
 
@@ -66,14 +67,14 @@
     }
 
     private ProbeResult probe(SimulatedNode target) {
-        boolean refuses =
+        boolean isRefused =
                 hasPathTo(target)
                         && (target.refusesPeers()
                                 || (!target.isRunning() && !target.isPoweredOff()));
-        if (refuses && connectsToAnyBesides(target)) {
+        if (isRefused && connectsToAnyExcept(target)) {
             return ProbeResult.CONNECTION_REFUSED;
         }
-        if (refuses || !hasPathTo(target) || !target.isResponsive()) {
+        if (isRefused || !hasPathTo(target) || !target.isResponsive()) {
             return ProbeResult.UNRESPONSIVE;
         }
         return target.controller().isMissingHeartbeats()
@@ -81,7 +82,7 @@
                 : ProbeResult.HEALTHY;
     }
 
-    private boolean connectsToAnyBesides(SimulatedNode target) {
+    private boolean connectsToAnyExcept(SimulatedNode target) {
         return cluster.nodes().stream()
                 .anyMatch(other -> other != sender && other != target && connectsTo(other));
     }
@@ -89,17 +90,17 @@
     @Override
     public CompletableFuture<List<PeerReachabilityReport>> queryRecentHeartbeats(
             List<MachineId> machines, Duration within) {
-        CompletableFuture<List<PeerReachabilityReport>> answers = new CompletableFuture<>();
+        CompletableFuture<List<PeerReachabilityReport>> reports = new CompletableFuture<>();
         cluster.loop()
                 .schedule(
                         ROUND_TRIP,
                         () ->
-                                answers.complete(
+                                reports.complete(
                                         cluster.nodes().stream()
                                                 .filter(other -> other != sender)
                                                 .map(other -> report(other, machines, within))
                                                 .toList()));
-        return answers;
+        return reports;
     }
 
     private PeerReachabilityReport report(
@@ -134,20 +135,21 @@
      * an answer.
      */
     private <T> CompletableFuture<Optional<T>> query(
-            String name, Duration delay, Function<ControllerNode, Optional<T>> question) {
+            String name, Duration delay, Function<ControllerNode, Optional<T>> responder) {
         CompletableFuture<Optional<T>> answer = new CompletableFuture<>();
         SimulatedNode target = cluster.nodeNamed(name);
-        Optional<T> given;
+        Optional<T> response;
         try {
-            given =
+            response =
                     getsAnswersFrom(target)
-                            ? question.apply(target.controller())
+                            ? responder.apply(target.controller())
                             : Optional.empty();
         } catch (PeerGateway.UnreadableResponseException unreadable) {
             cluster.loop().schedule(delay, () -> answer.completeExceptionally(unreadable));
             return answer;
         }
-        cluster.loop().schedule(delay, () -> sender.runWhenResumed(() -> answer.complete(given)));
+        cluster.loop()
+                .schedule(delay, () -> sender.runWhenResumed(() -> answer.complete(response)));
         return answer;
     }
 
--- a/src/test/java/org/meadowhollow/simulation/SimulatedUsers.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedUsers.java
@@ -98,7 +98,7 @@
 
     private CompletableFuture<Optional<JobStatus>> submit(
             AdmissionService admissionService, JobSpec spec) {
-        return checked(
+        return checkWhenAnswered(
                 spec.id(),
                 admissionService.submit(spec).thenApply(result -> Optional.of(result.status())));
     }
@@ -123,7 +123,9 @@
 
     /** Polls a job and waits five seconds for the answer; empty if none comes. */
     Optional<JobStatus> poll(int node, JobId id) {
-        return await(node, admissionService -> checked(id, admissionService.getStatus(id)))
+        return await(
+                        node,
+                        admissionService -> checkWhenAnswered(id, admissionService.getStatus(id)))
                 .flatMap(status -> status);
     }
 
@@ -133,7 +135,7 @@
                 send(
                         node,
                         admissionService ->
-                                checked(id, admissionService.getStatus(id))
+                                checkWhenAnswered(id, admissionService.getStatus(id))
                                         .thenAccept(status -> asyncAnswerCount++));
     }
 
@@ -150,42 +152,43 @@
                         () -> {
                             CompletableFuture<Optional<JobStatus>> unused = cancelAsync(node, id);
                         });
-        return await(node, admissionService -> checked(id, admissionService.cancel(id)))
+        return await(node, admissionService -> checkWhenAnswered(id, admissionService.cancel(id)))
                 .isPresent();
     }
 
     /** Cancels a job without waiting for the answer. */
     CompletableFuture<Optional<JobStatus>> cancelAsync(int node, JobId id) {
         historyChecker.recordCancelRequest(id);
-        return send(node, admissionService -> checked(id, admissionService.cancel(id)));
+        return send(node, admissionService -> checkWhenAnswered(id, admissionService.cancel(id)));
     }
 
     /**
      * Cancels jobs within a fifth of a second, each at the next node, while up to eight machines
      * that run their tasks hang for a time.
      */
-    void cancelDuringHang(List<JobSpec> jobs, Duration hang) {
-        Set<FakeWorker> running = new HashSet<>();
-        for (int at = 0; at < jobs.size(); at++) {
-            JobSpec job = jobs.get(at);
-            int node = at % cluster.nodeCount();
+    void cancelDuringHang(List<JobSpec> jobs, Duration hangTime) {
+        Set<FakeWorker> runningWorkers = new HashSet<>();
+        for (int index = 0; index < jobs.size(); index++) {
+            JobSpec job = jobs.get(index);
+            int node = index % cluster.nodeCount();
             cluster.loop()
                     .schedule(
-                            Duration.ofMillis((long) CANCELLATION_SPREAD_MILLIS * at / jobs.size()),
+                            Duration.ofMillis(
+                                    (long) CANCELLATION_SPREAD_MILLIS * index / jobs.size()),
                             () -> {
                                 CompletableFuture<Optional<JobStatus>> unused =
                                         cancelAsync(node, job.id());
                             });
             cluster.workers().stream()
                     .filter(worker -> worker.runsTaskOf(job.id()))
-                    .forEach(running::add);
+                    .forEach(runningWorkers::add);
         }
-        running.stream()
-                .limit(hang.isZero() ? 0 : MAX_HUNG_MACHINES)
+        runningWorkers.stream()
+                .limit(hangTime.isZero() ? 0 : MAX_HUNG_MACHINES)
                 .forEach(
                         worker -> {
                             worker.setHung(true);
-                            cluster.loop().schedule(hang, () -> worker.setHung(false));
+                            cluster.loop().schedule(hangTime, () -> worker.setHung(false));
                         });
     }
 
@@ -199,13 +202,13 @@
      * Called when a task has completed on its machine; its job may be cancelled at the same moment.
      */
     void onTaskCompleted(JobSpec spec) {
-        boolean ends =
+        boolean jobEnds =
                 spec.kind() == JobKind.GANG
                         || (!historyChecker.isReportedEnded(spec.id())
                                 && IntStream.range(0, spec.taskCount())
                                         .mapToObj(task -> new TaskId(spec.id(), task))
                                         .allMatch(historyChecker::isCompleted));
-        if (ends && cancelRandom != null && cancelRandom.nextDouble() < cancelledShare) {
+        if (jobEnds && cancelRandom != null && cancelRandom.nextDouble() < cancelledShare) {
             int node = cancelRandom.nextInt(cluster.nodeCount());
             cluster.loop()
                     .schedule(
@@ -244,9 +247,11 @@
         }
         for (int node = 0; node < cluster.nodeCount(); node++) {
             int target = node;
-            for (int time = 1; time <= POLLS_PER_NODE; time++) {
+            for (int repetition = 1; repetition <= POLLS_PER_NODE; repetition++) {
                 cluster.loop()
-                        .schedule(Duration.ofMillis(2L * time + node), () -> pollAsync(target, id));
+                        .schedule(
+                                Duration.ofMillis(2L * repetition + node),
+                                () -> pollAsync(target, id));
             }
             cluster.loop()
                     .schedule(
@@ -272,11 +277,11 @@
      */
     void sendUnusualRequest(Random random) {
         int node = random.nextInt(cluster.nodeCount());
-        List<JobSpec> known = cluster.knownJobs();
-        if (known.isEmpty()) {
+        List<JobSpec> knownJobs = cluster.knownJobs();
+        if (knownJobs.isEmpty()) {
             return;
         }
-        JobSpec job = known.get(random.nextInt(known.size()));
+        JobSpec job = knownJobs.get(random.nextInt(knownJobs.size()));
         switch (random.nextInt(5)) {
             case 0, 1 -> {
                 CompletableFuture<Optional<JobStatus>> unused = resubmitAsync(node, job);
@@ -302,9 +307,9 @@
                 new HashMap<>(
                         SubmissionCodec.encode(
                                 SimulatedCluster.spec(910_000, JobKind.ARRAY, 1, 1)));
-        List<String> needed =
+        List<String> fieldNames =
                 body.keySet().stream().filter(key -> body.get(key) != null).sorted().toList();
-        body.remove(needed.get(random.nextInt(needed.size())));
+        body.remove(fieldNames.get(random.nextInt(fieldNames.size())));
         expectRejection(node, 400, body);
     }
 
@@ -328,7 +333,7 @@
     // ---- sending ----
 
     /** Checks an answer, when it comes, against the answers given before its request was sent. */
-    private CompletableFuture<Optional<JobStatus>> checked(
+    private CompletableFuture<Optional<JobStatus>> checkWhenAnswered(
             JobId id, CompletableFuture<Optional<JobStatus>> answer) {
         MonotonicTime sentAt = cluster.loop().now();
         CompletableFuture<Void> unused =
@@ -336,14 +341,14 @@
                         status ->
                                 cluster.recordViolations(
                                         () ->
-                                                check(
+                                                checkAnswer(
                                                         id,
                                                         status.map(JobStatus::phase).orElse(null),
                                                         sentAt)));
         return answer;
     }
 
-    private void check(JobId id, Phase phase, MonotonicTime sentAt) {
+    private void checkAnswer(JobId id, Phase phase, MonotonicTime sentAt) {
         historyChecker.checkAnswer(id, phase, sentAt, cluster.loop().now());
         if (pollsAllAfterAnswers && phase != null) {
             pollAtAllNodes(id, phase);
--- a/src/test/java/org/meadowhollow/simulation/SimulatedWorkerGateway.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedWorkerGateway.java
@@ -37,7 +37,7 @@
                     "start command sent outside a heartbeat response: " + command);
         }
         MachineId machine = new MachineId(address.substring(0, address.indexOf(':')));
-        Runnable blindDelivery =
+        Runnable deliveryWithoutResponse =
                 () -> {
                     FakeWorker worker = cluster.worker(machine);
                     if (worker != null) {
@@ -46,11 +46,11 @@
                 };
         SimulatedNetwork network = cluster.network();
         network.countDirectMessage();
-        network.maybeDuplicate(blindDelivery);
+        network.maybeDuplicate(deliveryWithoutResponse);
         CompletableFuture<Heartbeat> answer = new CompletableFuture<>();
         ControllerNode sendingProcess = sender.controller();
         if (network.holdsCommands() && !commands.isEmpty()) {
-            network.hold(blindDelivery);
+            network.holdCommand(deliveryWithoutResponse);
             return answer;
         }
         cluster.loop()
--- a/src/test/java/org/meadowhollow/simulation/StoreFaults.java
+++ b/src/test/java/org/meadowhollow/simulation/StoreFaults.java
@@ -5,7 +5,7 @@
 
 /** Faults of the key-value store and of the nodes' connections to it. */
 final class StoreFaults {
-    private static final int BRIEF_SERVICES = 4;
+    private static final int BRIEF_SERVICE_COUNT = 4;
 
     private StoreFaults() {}
 
@@ -25,11 +25,11 @@
     }
 
     static Runnable delayCommits(FaultTarget target) {
-        return onAllConnections(target, FakeStoreConnection::delayCommits);
+        return injectIntoAllConnections(target, FakeStoreConnection::delayCommits);
     }
 
     static Runnable loseCommitResponses(FaultTarget target) {
-        return onAllConnections(target, FakeStoreConnection::loseCommitResponses);
+        return injectIntoAllConnections(target, FakeStoreConnection::loseCommitResponses);
     }
 
     static Runnable loseResponses(FaultTarget target) {
@@ -48,11 +48,11 @@
     }
 
     static Runnable hideTaskRecords(FaultTarget target) {
-        hide(target, RecordKeys.TASK_PREFIX);
-        return () -> hide(target, "/");
+        hideOnAllConnections(target, RecordKeys.TASK_PREFIX);
+        return () -> hideOnAllConnections(target, "/");
     }
 
-    private static void hide(FaultTarget target, String prefix) {
+    private static void hideOnAllConnections(FaultTarget target, String prefix) {
         target.forEachNode((cluster, node) -> cluster.storeConnection(node).hidePrefix(prefix));
     }
 
@@ -74,7 +74,7 @@
         FakeStoreConnection connection = target.connection();
         SimulatedCluster cluster = target.cluster();
         connection.failWatches(true);
-        for (int time = 0; time < BRIEF_SERVICES; time++) {
+        for (int repetition = 0; repetition < BRIEF_SERVICE_COUNT; repetition++) {
             connection.refuseRequests(true);
             cluster.runSeconds(1 + target.random().nextInt(3));
             connection.refuseRequests(false);
@@ -87,7 +87,7 @@
         };
     }
 
-    private static Runnable onAllConnections(FaultTarget target, ConnectionFault fault) {
+    private static Runnable injectIntoAllConnections(FaultTarget target, ConnectionFault fault) {
         double share = target.randomShare();
         target.forEachNode(
                 (cluster, node) ->
--- a/src/test/java/org/meadowhollow/simulation/UserFaults.java
+++ b/src/test/java/org/meadowhollow/simulation/UserFaults.java
@@ -9,7 +9,7 @@
 /** Requests that users send at an unfavourable moment, and unusual requests. */
 final class UserFaults {
     private static final int MAX_CANCELLED_JOBS = 4;
-    private static final int UNUSUAL_REQUESTS = 8;
+    private static final int UNUSUAL_REQUEST_COUNT = 8;
 
     private UserFaults() {}
 
@@ -21,7 +21,7 @@
                 running.subList(0, Math.min(MAX_CANCELLED_JOBS, running.size())),
                 Duration.ofSeconds(
                         target.random().nextBoolean() ? 0 : 5 + target.random().nextInt(40)));
-        return FaultTarget.nothingToEnd();
+        return FaultTarget.noEndAction();
     }
 
     static Runnable cancelAtCompletion(FaultTarget target) {
@@ -32,11 +32,11 @@
     }
 
     static Runnable sendUnusualRequests(FaultTarget target) {
-        for (int request = 0; request < UNUSUAL_REQUESTS; request++) {
+        for (int request = 0; request < UNUSUAL_REQUEST_COUNT; request++) {
             target.cluster().users().sendUnusualRequest(target.random());
             target.cluster().run(Duration.ofMillis(250L * target.random().nextInt(4)));
         }
-        return FaultTarget.nothingToEnd();
+        return FaultTarget.noEndAction();
     }
 
     static Runnable pollAllAfterAnswers(FaultTarget target) {
--- a/src/test/java/org/meadowhollow/simulation/VirtualEventLoop.java
+++ b/src/test/java/org/meadowhollow/simulation/VirtualEventLoop.java
@@ -10,46 +10,51 @@
  * thread-safe.
  */
 public final class VirtualEventLoop implements EventLoop {
-    private record Due(long at, long order, Runnable work) implements Comparable<Due> {
+    private record ScheduledTask(long dueNanos, long sequenceNumber, Runnable task)
+            implements Comparable<ScheduledTask> {
         @Override
-        public int compareTo(Due other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+        public int compareTo(ScheduledTask other) {
+            return dueNanos != other.dueNanos
+                    ? Long.compare(dueNanos, other.dueNanos)
+                    : Long.compare(sequenceNumber, other.sequenceNumber);
         }
     }
 
-    private final PriorityQueue<Due> due = new PriorityQueue<>();
-    private long nanos;
-    private long wallAheadMillis;
-    private long order;
+    private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>();
+    private long nowNanos;
+    private long wallClockOffsetMillis;
+    private long nextSequenceNumber;
 
     @Override
     public MonotonicTime now() {
-        return new MonotonicTime(nanos);
+        return new MonotonicTime(nowNanos);
     }
 
     @Override
     public long wallClockMillis() {
-        return nanos / 1_000_000 + wallAheadMillis;
+        return nowNanos / 1_000_000 + wallClockOffsetMillis;
     }
 
     /** Advances the wall clock alone; monotonic time and timers are unaffected. */
-    public void skip(Duration span) {
-        wallAheadMillis += span.toMillis();
+    public void skip(Duration duration) {
+        wallClockOffsetMillis += duration.toMillis();
     }
 
     @Override
-    public void schedule(Duration pause, Runnable work) {
-        due.add(new Due(nanos + Math.max(0, pause.toNanos()), order++, work));
+    public void schedule(Duration delay, Runnable task) {
+        queue.add(
+                new ScheduledTask(
+                        nowNanos + Math.max(0, delay.toNanos()), nextSequenceNumber++, task));
     }
 
     /** Advances time by a span, and runs all work that becomes due within it. */
-    public void run(Duration span) {
-        long end = nanos + span.toNanos();
-        while (!due.isEmpty() && due.peek().at() <= end) {
-            Due next = due.poll();
-            nanos = Math.max(nanos, next.at());
-            next.work().run();
+    public void run(Duration duration) {
+        long endNanos = nowNanos + duration.toNanos();
+        while (!queue.isEmpty() && queue.peek().dueNanos() <= endNanos) {
+            ScheduledTask next = queue.poll();
+            nowNanos = Math.max(nowNanos, next.dueNanos());
+            next.task().run();
         }
-        nanos = end;
+        nowNanos = endNanos;
     }
 }
