--- a/src/test/java/org/meadowhollow/simulation/ClusterTestBase.java
+++ b/src/test/java/org/meadowhollow/simulation/ClusterTestBase.java
@@ -10,8 +10,8 @@
 import org.meadowhollow.model.TaskId;
 
 /**
- * A small deployment for scenario tests, in which faults happen; {@link SimulatedCluster} checks
- * the protocol's rules.
+ * Base class of scenario tests that inject faults into a small deployment; {@link SimulatedCluster}
+ * checks the protocol's rules.
  */
 abstract class ClusterTestBase {
     static final Duration SHORT_RUNTIME = Duration.ofSeconds(10);
@@ -23,7 +23,7 @@
     @BeforeEach
     void startClusterWithSixMachines() {
         cluster = new SimulatedCluster();
-        for (int at = 0; at < 3; at++) {
+        for (int index = 0; index < 3; index++) {
             cluster.addMachine(SimulatedCluster.LARGE, "a");
             cluster.addMachine(SimulatedCluster.LARGE, "b");
         }
@@ -36,25 +36,25 @@
 
     Phase phaseOf(JobSpec spec) {
         for (int node = 0; node < 3; node++) {
-            var state = cluster.users().poll(node, spec.id());
-            if (state.isPresent()) {
-                return state.get().phase();
+            var status = cluster.users().poll(node, spec.id());
+            if (status.isPresent()) {
+                return status.get().phase();
             }
         }
         return null;
     }
 
     FakeWorker machineRunning(JobSpec spec, int task) {
-        List<FakeWorker> places = cluster.machinesRunning(new TaskId(spec.id(), task));
-        return places.isEmpty() ? null : places.get(0);
+        List<FakeWorker> machines = cluster.machinesRunning(new TaskId(spec.id(), task));
+        return machines.isEmpty() ? null : machines.get(0);
     }
 
-    static JobSpec withZonePolicy(JobSpec spec, boolean oneZone, boolean spread) {
+    static JobSpec withZonePolicy(JobSpec spec, boolean singleZone, boolean spreadAcrossZones) {
         return JobSpecBuilder.from(spec)
                 .priority(Priority.HIGH)
                 .machineTypes(List.of("large"))
-                .singleZone(oneZone)
-                .spreadAcrossZones(spread)
+                .singleZone(singleZone)
+                .spreadAcrossZones(spreadAcrossZones)
                 .build();
     }
 
@@ -79,15 +79,15 @@
         return true;
     }
 
-    /** Lets time pass in steps of a quarter of a second until all tasks of a job run. */
+    /** Advances virtual time in steps of a quarter of a second until all tasks of a job run. */
     void runUntilAllTasksRun(JobSpec job, int maxSteps) {
         for (int step = 0; step < maxSteps && !allTasksRunning(job); step++) {
             cluster.run(Duration.ofMillis(250));
         }
     }
 
-    /** The node so many places after another one. */
-    static int nodeAfter(int than, int by) {
-        return (than + by) % 3;
+    /** Returns the index of the node that follows another one by an offset, wrapping around. */
+    static int nodeAfter(int node, int offset) {
+        return (node + offset) % 3;
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/FakeKeyValueStore.java
+++ b/src/test/java/org/meadowhollow/simulation/FakeKeyValueStore.java
@@ -20,21 +20,21 @@
 import org.meadowhollow.storage.Transaction;
 
 /**
- * The consensus-backed key-value store in memory: keys with revisions, leases, compare-and-swap
- * transactions and a change log. It holds the state and the faults that affect every client; each
- * client reaches it through a {@link FakeStoreConnection} of its own, which adds latency and the
+ * An in-memory stand-in for the consensus-backed key-value store: keys with revisions, leases,
+ * compare-and-swap transactions and a change log. It holds the state and the faults that affect
+ * every client; each client has its own {@link FakeStoreConnection}, which adds latency and the
  * faults of that client alone. Not thread-safe: everything runs on the event loop.
  */
 final class FakeKeyValueStore {
     private static final Duration DEFAULT_LATENCY = Duration.ofMillis(3);
 
-    /** Changes that a watch can reach back, as the protocol bounds it. */
+    /** Number of past changes that a watch can start from; the protocol sets this bound. */
     private static final int MAX_LOG_ENTRIES = 10_000;
 
     private static final Duration TIMEOUT = Duration.ofMillis(1500);
     private static final Duration SLOW_TIMEOUT = Duration.ofMillis(3200);
 
-    // The value is handed on as it is; no two stored values are compared as records.
+    // The array is passed on without a copy, and stored values are never compared as records.
     @SuppressWarnings("ArrayRecordComponent")
     private record StoredValue(byte[] value, long revision, long lease) {}
 
@@ -45,18 +45,18 @@
     private Duration latency;
     private final TreeMap<String, StoredValue> values = new TreeMap<>();
     private final Map<Long, Lease> leases = new HashMap<>();
-    private final List<KeyValueStore.Change> log = new ArrayList<>();
+    private final List<KeyValueStore.Change> changeLog = new ArrayList<>();
     private long revision;
-    private long lastLease;
-    private boolean isOut;
+    private long lastLeaseId;
+    private boolean hasOutage;
     private String observedKey;
     private Runnable putObserver;
 
-    /** Writes a second that are accepted; 0 if there is no limit. */
+    /** Accepted writes per second; 0 if there is no limit. */
     private int writesPerSecond;
 
     private double writeBudget;
-    private MonotonicTime writeBudgetAt;
+    private MonotonicTime writeBudgetUpdatedAt;
     private int writeCount;
     private int rejectedCount;
 
@@ -65,7 +65,7 @@
     }
 
     /**
-     * @param latency of a message in one direction
+     * @param latency the latency of a message in one direction
      */
     FakeKeyValueStore(EventLoop loop, Duration latency) {
         this.loop = loop;
@@ -80,26 +80,26 @@
 
     // ---- faults that affect every client ----
 
-    /** Begins or ends an outage; in both cases all leases have their full time to live again. */
-    void setOutage(boolean out) {
-        isOut = out;
+    /** Begins or ends an outage; in both cases every lease gets its full time to live again. */
+    void setOutage(boolean outage) {
+        hasOutage = outage;
         leases.replaceAll((id, lease) -> new Lease(loop.now().plus(lease.ttl()), lease.ttl()));
     }
 
-    boolean isOut() {
-        return isOut;
+    boolean hasOutage() {
+        return hasOutage;
     }
 
-    /** Limits the writes a second, with bursts of a second's worth; 0 ends the limit. */
+    /** Limits the writes per second, with bursts of one second's worth; 0 ends the limit. */
     void limitWriteRate(int maxWritesPerSecond) {
         writesPerSecond = maxWritesPerSecond;
         writeBudget = maxWritesPerSecond;
-        writeBudgetAt = loop.now();
+        writeBudgetUpdatedAt = loop.now();
     }
 
     /**
-     * Sets the latency in one direction; clients wait longer for responses as well, as the real
-     * client does.
+     * Sets the latency in one direction; like the real client, clients then wait longer for
+     * responses too.
      *
      * @param oneWay null for the normal latency
      */
@@ -111,36 +111,36 @@
         return latency;
     }
 
-    /** How long a client waits for a response at the current latency. */
+    /** Returns the time that a client waits for a response at the current latency. */
     Duration requestTimeout() {
         return latency.equals(normalLatency) ? TIMEOUT : SLOW_TIMEOUT;
     }
 
-    // ---- what tests observe and prepare ----
+    // ---- state and counters for tests ----
 
-    /** Writes that were applied. */
+    /** Returns the number of writes that were applied. */
     int writeCount() {
         return writeCount;
     }
 
-    /** Transactions that were rejected by the rate limit. */
+    /** Returns the number of transactions that the rate limit rejected. */
     int rejectedCount() {
         return rejectedCount;
     }
 
-    /** Runs an action after each put of a key, once its writer has the response. */
+    /** Runs an action after each put of a key, when its writer has received the response. */
     void onPut(String key, Runnable action) {
         observedKey = key;
         putObserver = action;
     }
 
-    /** The decoded value of a key, or null if it does not exist. */
+    /** Returns the decoded value of a key, or null if it does not exist. */
     Map<String, Object> valueOf(String key) {
         StoredValue stored = values.get(key);
         return stored == null ? null : decode(stored.value());
     }
 
-    /** Writes a record as an earlier controller would have left it. */
+    /** Writes a record as an earlier controller would have written it. */
     void put(String key, Map<String, Object> value) {
         commit(new Transaction().put(key, value));
     }
@@ -164,19 +164,19 @@
     }
 
     /**
-     * Reads one page of a prefix.
+     * Reads one page of the keys with a prefix.
      *
      * @param after the last key of the page before; null for the first page
-     * @param limit entries of a page
+     * @param limit the maximum number of entries in the page
      */
     KeyValueStore.Page list(String prefix, String after, int limit) {
         List<KeyValueStore.Entry> entries = new ArrayList<>();
-        for (Map.Entry<String, StoredValue> each :
+        for (Map.Entry<String, StoredValue> mapEntry :
                 values.tailMap(after == null ? prefix : after, after == null).entrySet()) {
-            if (!each.getKey().startsWith(prefix) || entries.size() > limit) {
+            if (!mapEntry.getKey().startsWith(prefix) || entries.size() > limit) {
                 break;
             }
-            entries.add(entry(each.getKey(), each.getValue()));
+            entries.add(entry(mapEntry.getKey(), mapEntry.getValue()));
         }
         return new KeyValueStore.Page(
                 List.copyOf(entries.subList(0, Math.min(limit, entries.size()))),
@@ -187,19 +187,20 @@
     /**
      * Applies a transaction if its conditions hold.
      *
-     * @throws KeyValueStoreException if the rate limit rejects it or a lease does not exist
+     * @throws KeyValueStoreException if the rate limit rejects the transaction or a lease does not
+     *     exist
      */
     KeyValueStore.CommitResult commit(Transaction transaction) {
         expireLeases();
         consumeWriteBudget(transaction.writes().size());
-        List<String> failed = failedConditions(transaction);
+        List<String> failedKeys = failedConditions(transaction);
         for (Transaction.Write write : transaction.writes().values()) {
             if (write.lease() != null && !leases.containsKey(write.lease().value())) {
                 throw new LeaseExpiredException("no such lease");
             }
         }
-        if (!failed.isEmpty()) {
-            return new KeyValueStore.CommitResult(false, revision(), failed);
+        if (!failedKeys.isEmpty()) {
+            return new KeyValueStore.CommitResult(false, revision(), failedKeys);
         }
         revision++;
         transaction.writes().forEach(this::apply);
@@ -207,8 +208,8 @@
     }
 
     LeaseId grantLease(Duration ttl) {
-        leases.put(++lastLease, new Lease(loop.now().plus(ttl), ttl));
-        return new LeaseId(lastLease);
+        leases.put(++lastLeaseId, new Lease(loop.now().plus(ttl), ttl));
+        return new LeaseId(lastLeaseId);
     }
 
     /**
@@ -217,7 +218,7 @@
     void renewLease(LeaseId id) {
         Lease lease = leases.get(id.value());
         if (lease == null) {
-            throw new LeaseExpiredException("the lease has expired");
+            throw new LeaseExpiredException("lease expired");
         }
         leases.put(id.value(), new Lease(loop.now().plus(lease.ttl()), lease.ttl()));
     }
@@ -229,7 +230,7 @@
 
     /** Removes the keys of leases that have expired; during an outage no lease expires. */
     void expireLeases() {
-        if (isOut) {
+        if (hasOutage) {
             return;
         }
         for (Map.Entry<Long, Lease> lease : Map.copyOf(leases).entrySet()) {
@@ -239,22 +240,23 @@
         }
     }
 
-    /** Whether the log no longer holds all changes after a revision. */
+    /** Returns whether the log no longer holds all changes after a revision. */
     boolean isCompacted(Revision after) {
-        return log.size() > MAX_LOG_ENTRIES
-                && log.get(log.size() - MAX_LOG_ENTRIES)
+        return changeLog.size() > MAX_LOG_ENTRIES
+                && changeLog
+                        .get(changeLog.size() - MAX_LOG_ENTRIES)
                         .revision()
                         .isAfter(new Revision(after.value() + 1));
     }
 
-    /** The changes of all keys after a revision, oldest first. */
+    /** Returns the changes of all keys after a revision, oldest first. */
     List<KeyValueStore.Change> changesAfter(Revision after) {
-        // The log is ordered by revision, and a watcher is mostly near its end.
-        int from = log.size();
-        while (from > 0 && log.get(from - 1).revision().isAfter(after)) {
-            from--;
+        // The log is ordered by revision, and most watchers are near its end.
+        int start = changeLog.size();
+        while (start > 0 && changeLog.get(start - 1).revision().isAfter(after)) {
+            start--;
         }
-        return log.subList(from, log.size());
+        return changeLog.subList(start, changeLog.size());
     }
 
     private void consumeWriteBudget(int writes) {
@@ -262,11 +264,13 @@
             writeBudget =
                     Math.min(
                             writesPerSecond,
-                            writeBudget + loop.now().secondsSince(writeBudgetAt) * writesPerSecond);
-            writeBudgetAt = loop.now();
+                            writeBudget
+                                    + loop.now().secondsSince(writeBudgetUpdatedAt)
+                                            * writesPerSecond);
+            writeBudgetUpdatedAt = loop.now();
             if (writeBudget < writes) {
                 rejectedCount++;
-                throw new RequestRejectedException("too many changes");
+                throw new RequestRejectedException("write rate limit exceeded");
             }
             writeBudget -= writes;
         }
@@ -274,17 +278,17 @@
     }
 
     private List<String> failedConditions(Transaction transaction) {
-        List<String> failed = new ArrayList<>();
+        List<String> failedKeys = new ArrayList<>();
         transaction
                 .conditions()
                 .forEach(
                         (key, expected) -> {
                             StoredValue stored = values.get(key);
                             if ((stored == null ? 0 : stored.revision()) != expected.value()) {
-                                failed.add(key);
+                                failedKeys.add(key);
                             }
                         });
-        return failed;
+        return failedKeys;
     }
 
     private void apply(String key, Transaction.Write write) {
@@ -298,7 +302,7 @@
         byte[] encoded = MessagePackCodec.encode(write.value());
         long lease = write.lease() == null ? 0 : write.lease().value();
         values.put(key, new StoredValue(encoded, revision, lease));
-        log.add(new KeyValueStore.Change(key, decode(encoded), revision()));
+        changeLog.add(new KeyValueStore.Change(key, decode(encoded), revision()));
     }
 
     private void expireLease(long lease) {
@@ -313,7 +317,7 @@
 
     private void remove(String key) {
         if (values.remove(key) != null) {
-            log.add(new KeyValueStore.Change(key, null, revision()));
+            changeLog.add(new KeyValueStore.Change(key, null, revision()));
         }
     }
 
--- a/src/test/java/org/meadowhollow/simulation/FakeWorker.java
+++ b/src/test/java/org/meadowhollow/simulation/FakeWorker.java
@@ -23,16 +23,16 @@
 import org.meadowhollow.model.WorkerIncarnation;
 
 /**
- * A machine's worker as the protocol describes it: it sends heartbeats to one node at a time,
- * executes commands, and lets its tasks go when its lease expires. Faults let it hang, lose what
- * arrives, or block its outgoing connections. Not thread-safe: everything runs on the virtual event
+ * The worker of a machine, as the protocol describes it: it sends heartbeats to one node at a time,
+ * executes commands, and drops its tasks when its lease expires. Faults make it hang, lose incoming
+ * messages or block its outgoing connections. Not thread-safe: everything runs on the virtual event
  * loop.
  */
 final class FakeWorker implements HistoryChecker.Machine {
     private static final Duration HEARTBEAT_INTERVAL = Duration.ofSeconds(3);
     private static final Duration LEASE = Duration.ofSeconds(18);
 
-    /** How long it takes until the next node is tried. */
+    /** Delay before a worker tries the next node. */
     private static final Duration NEXT_NODE_DELAY = Duration.ofSeconds(1);
 
     private static final Duration CHANGED_HEARTBEAT_DELAY = Duration.ofMillis(500);
@@ -48,12 +48,15 @@
     private long heartbeatNumber;
     private FencingToken fencingToken = FencingToken.NONE;
 
-    /** When the last heartbeat was sent that got commands; the lease counts from then. */
-    private MonotonicTime leaseFrom;
+    /**
+     * The time at which the last heartbeat that was answered with commands was sent; the lease
+     * counts from then.
+     */
+    private MonotonicTime leaseStartedAt;
 
-    private int node;
+    private int connectedNode;
 
-    /** Null unless a heartbeat waits for its response. */
+    /** The pending response to the last heartbeat; null if none is pending. */
     private CompletableFuture<HeartbeatResponse> pendingResponse;
 
     private boolean isHung;
@@ -70,8 +73,8 @@
         this.id = new MachineId(id);
         this.type = type;
         this.zone = zone;
-        this.leaseFrom = cluster.loop().now();
-        tick();
+        this.leaseStartedAt = cluster.loop().now();
+        onHeartbeatTimer();
     }
 
     // ---- state ----
@@ -120,14 +123,14 @@
     }
 
     private boolean isLeaseExpired() {
-        return cluster.loop().now().elapsedSince(leaseFrom).compareTo(LEASE) > 0;
+        return cluster.loop().now().elapsedSince(leaseStartedAt).compareTo(LEASE) > 0;
     }
 
     // ---- faults ----
 
-    /** Loses its connection and turns to another node. */
-    void connectTo(int other) {
-        node = other;
+    /** Drops the connection to the current node and connects to another one. */
+    void connectTo(int targetNode) {
+        connectedNode = targetNode;
         pendingResponse = null;
         sendHeartbeatAfter(CHANGED_HEARTBEAT_DELAY);
     }
@@ -136,12 +139,12 @@
         isHung = hung;
     }
 
-    /** Heartbeats still go out, but all responses and direct commands are lost. */
+    /** Loses all responses and direct commands, while heartbeats are still sent. */
     void loseIncoming(boolean lose) {
         losesIncoming = lose;
     }
 
-    /** No connection to any node can be opened, while direct commands arrive and are answered. */
+    /** Blocks connections to all nodes, while direct commands arrive and are answered. */
     void blockOutgoingConnections(boolean block) {
         blocksOutgoing = block;
         if (block) {
@@ -149,39 +152,46 @@
         }
     }
 
-    /** Cuts the path between this machine alone and a node, in both directions. */
-    void blockPathTo(int other, boolean block) {
+    /**
+     * Cuts the path between this machine and one node in both directions; other paths are
+     * unaffected.
+     */
+    void blockPathTo(int targetNode, boolean block) {
         if (block) {
-            unreachableNodes.add(other);
-            pendingResponse = node == other ? null : pendingResponse;
+            unreachableNodes.add(targetNode);
+            pendingResponse = connectedNode == targetNode ? null : pendingResponse;
         } else {
-            unreachableNodes.remove(other);
+            unreachableNodes.remove(targetNode);
         }
     }
 
-    boolean reaches(int other) {
-        return !unreachableNodes.contains(other);
+    boolean reaches(int targetNode) {
+        return !unreachableNodes.contains(targetNode);
     }
 
-    /** The cloud announces that it preempts the machine. */
+    /**
+     * Announces that the cloud preempts the machine.
+     *
+     * @param seconds time until the preemption
+     */
     void announcePreemption(double seconds) {
         preemptionNoticeSeconds = seconds;
     }
 
-    /** The machine is returned to the cloud. */
+    /** Removes the machine, which was returned to the cloud. */
     void remove() {
         isRemoved = true;
         tasks.clear();
     }
 
-    /** The machine reboots at once, under its name and address, and knows nothing any more. */
+    /** Reboots the machine at once: it keeps its name and address and loses all other state. */
     void reboot() {
         tasks.clear();
         incarnation = FIRST_INCARNATION;
         heartbeatNumber = 0;
         fencingToken = FencingToken.NONE;
         pendingResponse = null;
-        leaseFrom = cluster.loop().now();
+        leaseStartedAt = cluster.loop().now();
     }
 
     // ---- tasks ----
@@ -191,7 +201,7 @@
         tasks.get(task).exit(ExitReason.ERROR);
     }
 
-    /** Makes a task exit because it found another one of its gang gone. */
+    /** Makes a task exit because another task of its gang is gone. */
     void exitForMissingPeer(TaskId task) {
         tasks.get(task).exit(ExitReason.PEERS);
     }
@@ -217,17 +227,17 @@
     @Override
     public List<TaskId> runningTasks() {
         if (isLeaseExpired()) {
-            // A hung machine runs nothing; when it resumes, its worker first kills what outlived
-            // the lease.
+            // A hung machine runs nothing; when it resumes, its worker first kills the tasks that
+            // outlived the lease.
             return List.of();
         }
         return tasks.entrySet().stream()
-                .filter(each -> each.getValue().isPresent())
+                .filter(entry -> entry.getValue().isPresent())
                 .map(Map.Entry::getKey)
                 .toList();
     }
 
-    /** Whether any task of a job runs here. */
+    /** Returns whether any task of a job runs on this machine. */
     boolean runsTaskOf(JobId job) {
         return runningTasks().stream().anyMatch(task -> task.jobId().equals(job));
     }
@@ -238,14 +248,17 @@
             return List.of();
         }
         return tasks.entrySet().stream()
-                .filter(each -> !each.getValue().hasExited())
+                .filter(entry -> !entry.getValue().hasExited())
                 .map(Map.Entry::getKey)
                 .toList();
     }
 
-    /** Whether a gang's task is here in an attempt and can take part in it, or has completed. */
-    boolean participatesIn(TaskId id, AttemptNumber attempt) {
-        FakeTask task = tasks.get(id);
+    /**
+     * Returns whether a gang's task is on this machine in an attempt, and can take part in it or
+     * has completed.
+     */
+    boolean participatesIn(TaskId taskId, AttemptNumber attempt) {
+        FakeTask task = tasks.get(taskId);
         return !isHung
                 && !isRemoved
                 && !isLeaseExpired()
@@ -253,47 +266,47 @@
                 && task.participatesIn(attempt);
     }
 
-    /** Applies what time has brought: lease expiry, image pulls and completed tasks. */
+    /** Applies what is due by now: lease expiry, finished image pulls and completed tasks. */
     void advance() {
         MonotonicTime now = cluster.loop().now();
         if (isLeaseExpired()) {
             tasks.clear();
             incarnation = new WorkerIncarnation(incarnation.value() + 1);
-            leaseFrom = now;
+            leaseStartedAt = now;
         }
         tasks.forEach((task, state) -> advance(task, state, now));
     }
 
-    private void advance(TaskId id, FakeTask task, MonotonicTime now) {
-        boolean inGang = cluster.spec(id.jobId()).kind() == JobKind.GANG;
+    private void advance(TaskId taskId, FakeTask task, MonotonicTime now) {
+        boolean inGang = cluster.spec(taskId.jobId()).kind() == JobKind.GANG;
         if (task.isImagePulled(now)) {
             task.start(inGang, now);
-            cluster.onTaskStarted(this, id);
+            cluster.onTaskStarted(this, taskId);
         }
         if (inGang) {
-            task.advanceInGang(cluster.isGangComplete(id.jobId(), task.attempt()), now);
+            task.advanceInGang(cluster.isGangComplete(taskId.jobId(), task.attempt()), now);
         }
-        Duration runtime = cluster.runtimeOf(id.jobId());
-        if (task.hasFinished(runtime, now) && cluster.mayComplete(id.jobId())) {
+        Duration runtime = cluster.runtimeOf(taskId.jobId());
+        if (task.hasFinished(runtime, now) && cluster.mayComplete(taskId.jobId())) {
             task.exit(ExitReason.DONE);
-            cluster.onTaskCompleted(id);
+            cluster.onTaskCompleted(taskId);
         }
     }
 
     // ---- heartbeats ----
 
-    private void tick() {
+    private void onHeartbeatTimer() {
         if (isRemoved) {
             return;
         }
-        cluster.loop().schedule(HEARTBEAT_INTERVAL, this::tick);
+        cluster.loop().schedule(HEARTBEAT_INTERVAL, this::onHeartbeatTimer);
         if (!isHung) {
             advance();
             sendHeartbeat();
         }
     }
 
-    /** A heartbeat with the current state; each has a number of its own. */
+    /** Returns a heartbeat with the current state; each has a number of its own. */
     Heartbeat snapshot() {
         List<Heartbeat.TaskStatus> statuses = new ArrayList<>();
         tasks.forEach(
@@ -320,10 +333,10 @@
         }
         Heartbeat heartbeat = snapshot();
         MonotonicTime sentAt = cluster.loop().now();
-        WorkerIncarnation sender = incarnation;
+        WorkerIncarnation sendingIncarnation = incarnation;
         CompletableFuture<HeartbeatResponse> response =
-                reaches(node) && !blocksOutgoing
-                        ? cluster.network().deliverHeartbeat(node, heartbeat)
+                reaches(connectedNode) && !blocksOutgoing
+                        ? cluster.network().deliverHeartbeat(connectedNode, heartbeat)
                         : new CompletableFuture<>();
         if (response == null) {
             connectToNextNode();
@@ -333,10 +346,10 @@
         cluster.loop().schedule(RESPONSE_TIMEOUT, () -> onTimeout(response));
         CompletableFuture<Void> unused =
                 response.thenAccept(
-                        given -> {
+                        received -> {
                             if (pendingResponse == response) {
                                 pendingResponse = null;
-                                handleResponse(given, sender, sentAt);
+                                handleResponse(received, sendingIncarnation, sentAt);
                             }
                         });
     }
@@ -349,14 +362,14 @@
     }
 
     private void connectToNextNode() {
-        node = (node + 1) % cluster.nodeCount();
+        connectedNode = (connectedNode + 1) % cluster.nodeCount();
         sendHeartbeatAfter(NEXT_NODE_DELAY);
     }
 
-    private void sendHeartbeatAfter(Duration pause) {
+    private void sendHeartbeatAfter(Duration delay) {
         cluster.loop()
                 .schedule(
-                        pause,
+                        delay,
                         () -> {
                             if (!isHung && !isRemoved) {
                                 advance();
@@ -366,8 +379,10 @@
     }
 
     private void handleResponse(
-            HeartbeatResponse response, WorkerIncarnation sender, MonotonicTime sentAt) {
-        if (!isHung && !isRemoved && incarnation.equals(sender)) {
+            HeartbeatResponse response,
+            WorkerIncarnation sendingIncarnation,
+            MonotonicTime sentAt) {
+        if (!isHung && !isRemoved && incarnation.equals(sendingIncarnation)) {
             cluster.recordViolations(() -> handleResponse(response, sentAt));
         }
     }
@@ -377,7 +392,7 @@
             if (redirect.member() == null) {
                 connectToNextNode();
             } else {
-                node = cluster.indexOf(redirect.member());
+                connectedNode = cluster.indexOf(redirect.member());
                 sendHeartbeatAfter(CHANGED_HEARTBEAT_DELAY);
             }
             return;
@@ -387,21 +402,22 @@
             return;
         }
         if (commands.token().isAfter(fencingToken)) {
-            // A higher token is a change, which is reported at once, but not within half a second.
+            // A higher token is a change of state: it is reported early, but no sooner than in half
+            // a second.
             sendHeartbeatAfter(CHANGED_HEARTBEAT_DELAY);
         }
         fencingToken = commands.token();
-        leaseFrom = sentAt;
+        leaseStartedAt = sentAt;
         execute(commands.commands());
     }
 
     // ---- commands ----
 
     /**
-     * Executes direct commands, unless they come from a former leader or were meant for another
+     * Executes direct commands, unless they come from a former leader or are meant for another
      * incarnation.
      *
-     * @return the state afterwards; null when there is no response
+     * @return the state afterwards; null if there is no response
      */
     Heartbeat handleDirectCommands(
             FencingToken token, WorkerIncarnation expected, List<WorkerCommand> commands) {
@@ -442,9 +458,10 @@
         }
     }
 
-    private void start(WorkerCommand command, FakeTask present) {
-        if (present != null && !present.hasExited()) {
-            throw new AssertionError("started " + command + " beside another attempt");
+    private void start(WorkerCommand command, FakeTask existingTask) {
+        if (existingTask != null && !existingTask.hasExited()) {
+            throw new AssertionError(
+                    "started " + command + " while another attempt is on the machine");
         }
         cluster.onStartCommand(command.taskId());
         MonotonicTime imagePulledAt = cluster.loop().now().plus(cluster.imagePullTime());
--- a/src/test/java/org/meadowhollow/simulation/FreeCapacity.java
+++ b/src/test/java/org/meadowhollow/simulation/FreeCapacity.java
@@ -11,21 +11,21 @@
 import org.meadowhollow.model.TaskId;
 
 /**
- * The capacity that is free on the machines as they are, whatever any controller believes: says
+ * The capacity that is free on the machines as they are, whatever any controller believes. It shows
  * whether a job waits although it could run.
  *
- * @param machines that exist
- * @param specs of the jobs whose tasks are on them
+ * @param machines the machines that exist
+ * @param specs returns the specification of a job whose tasks are on the machines
  */
 record FreeCapacity(
         Collection<? extends HistoryChecker.Machine> machines, Function<JobId, JobSpec> specs) {
     /**
-     * Whether a task of a job, or all of a gang's, waits although machines that fit have free
-     * capacity and the team's quota allows it.
+     * Returns whether a task of a job, or all tasks of a gang, wait although machines that fit have
+     * free capacity and the team's quota allows it.
      *
-     * @param completedTasks of the job
+     * @param completedTasks number of completed tasks of the job
      * @param usedByTeam resources that the team uses
-     * @param limit of the team
+     * @param limit maximum resources of the team
      */
     boolean couldRunMore(JobSpec spec, int completedTasks, Resources usedByTeam, Resources limit) {
         Map<String, Integer> heldPerZone = heldTasksPerZone(spec.id());
@@ -46,30 +46,33 @@
         return fitting >= needed;
     }
 
-    /** How many tasks of a job take capacity, by zone; zones without any are missing. */
+    /**
+     * Returns the number of tasks of a job that take capacity, by zone; zones without any are
+     * absent.
+     */
     private Map<String, Integer> heldTasksPerZone(JobId job) {
         Map<String, Integer> held = new HashMap<>();
         for (HistoryChecker.Machine machine : machines) {
-            long here =
+            long heldOnMachine =
                     machine.heldTasks().stream().filter(task -> task.jobId().equals(job)).count();
-            if (here > 0) {
-                held.merge(machine.zone(), (int) here, Integer::sum);
+            if (heldOnMachine > 0) {
+                held.merge(machine.zone(), (int) heldOnMachine, Integer::sum);
             }
         }
         return held;
     }
 
-    /** How many more tasks of a job could be placed, by zone. */
+    /** Returns the number of additional tasks of a job that could be placed, by zone. */
     private Map<String, Integer> freeTasksPerZone(JobSpec spec, Map<String, Integer> heldPerZone) {
         Map<String, Integer> free = new HashMap<>();
         for (HistoryChecker.Machine machine : machines) {
             String zone = machine.zone();
             if (accepts(machine, spec, heldPerZone)) {
-                int max = spec.maxTasksPerZone() - heldPerZone.getOrDefault(zone, 0);
-                int here =
+                int maxMoreTasks = spec.maxTasksPerZone() - heldPerZone.getOrDefault(zone, 0);
+                int fittingTasks =
                         spec.resourcesPerTask()
                                 .maxCopiesIn(freeResources(machine), spec.taskCount());
-                free.put(zone, Math.min(max, free.getOrDefault(zone, 0) + here));
+                free.put(zone, Math.min(maxMoreTasks, free.getOrDefault(zone, 0) + fittingTasks));
             }
         }
         return free;
@@ -77,14 +80,14 @@
 
     private static boolean accepts(
             HistoryChecker.Machine machine, JobSpec spec, Map<String, Integer> heldPerZone) {
-        boolean boundElsewhere =
+        boolean isBoundToOtherZone =
                 spec.requiresSingleZone()
                         && heldPerZone.keySet().stream()
                                 .anyMatch(zone -> !zone.equals(machine.zone()));
         return machine.isReachable()
                 && spec.allowsMachineType(machine.machineType().name())
                 && spec.allowsZone(machine.zone())
-                && !boundElsewhere;
+                && !isBoundToOtherZone;
     }
 
     private Resources freeResources(HistoryChecker.Machine machine) {
--- a/src/test/java/org/meadowhollow/simulation/NodeFaults.java
+++ b/src/test/java/org/meadowhollow/simulation/NodeFaults.java
@@ -6,8 +6,8 @@
 
 /** Faults of controller nodes, and of the network between them and to the workers. */
 final class NodeFaults {
-    private static final int QUICK_RESTARTS = 3;
-    private static final int LEADER_RESTARTS = 5;
+    private static final int QUICK_RESTART_COUNT = 3;
+    private static final int LEADER_RESTART_COUNT = 5;
 
     private NodeFaults() {}
 
@@ -33,7 +33,7 @@
         crashAll(target);
         target.cluster().runSeconds(19 + target.random().nextInt(20));
         target.cluster().restartAll();
-        return FaultTarget.nothingToEnd();
+        return FaultTarget.noEndAction();
     }
 
     private static void crashAll(FaultTarget target) {
@@ -42,25 +42,25 @@
     }
 
     static Runnable restartQuickly(FaultTarget target) {
-        for (int time = 0; time < QUICK_RESTARTS; time++) {
-            Duration pause = Duration.ofMillis(100 + target.random().nextInt(900));
-            target.cluster().restartAfter(target.node(), pause);
+        for (int restart = 0; restart < QUICK_RESTART_COUNT; restart++) {
+            Duration delay = Duration.ofMillis(100 + target.random().nextInt(900));
+            target.cluster().restartAfter(target.node(), delay);
             target.cluster().run(Duration.ofMillis(500));
         }
-        return FaultTarget.nothingToEnd();
+        return FaultTarget.noEndAction();
     }
 
     static Runnable restartConsecutiveLeaders(FaultTarget target) {
         SimulatedCluster cluster = target.cluster();
         Random random = target.random();
-        for (int time = 0; time < LEADER_RESTARTS; time++) {
+        for (int restart = 0; restart < LEADER_RESTART_COUNT; restart++) {
             int leader = cluster.leader();
             if (leader >= 0) {
                 cluster.restartAfter(leader, Duration.ofMillis(100 + random.nextInt(6000)));
             }
             cluster.runSeconds(3 + random.nextInt(9));
         }
-        return FaultTarget.nothingToEnd();
+        return FaultTarget.noEndAction();
     }
 
     static Runnable pause(FaultTarget target) {
@@ -88,10 +88,10 @@
         if (target.cluster().node(target.node()) != null) {
             target.cluster().node(target.node()).handOver();
         }
-        return FaultTarget.nothingToEnd();
+        return FaultTarget.noEndAction();
     }
 
-    /** The leader is told of a leader with a higher fencing token, who does not exist. */
+    /** Announces a leader that does not exist, with a higher fencing token, to the leader. */
     static Runnable announceFalseLeader(FaultTarget target) {
         SimulatedCluster cluster = target.cluster();
         int leader = cluster.leader();
@@ -100,10 +100,13 @@
             String name = "n" + target.random().nextInt(cluster.nodeCount());
             cluster.node(leader).observeLeader(higher, name);
         }
-        return FaultTarget.nothingToEnd();
+        return FaultTarget.noEndAction();
     }
 
-    /** A node and the workers of a zone see one another, and nothing besides. */
+    /**
+     * Partitions a node together with the workers of one zone: they reach one another, and nothing
+     * else.
+     */
     static Runnable partitionWithZone(FaultTarget target) {
         String zone = target.randomZone();
         String otherZone = zone.equals("a") ? "b" : "a";
--- a/src/test/java/org/meadowhollow/simulation/SimulatedApiClients.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedApiClients.java
@@ -9,7 +9,7 @@
 
 /**
  * The clients of the HTTP APIs for task execution and for reservations. The methods that wait for
- * an answer let virtual time pass.
+ * an answer advance virtual time.
  */
 final class SimulatedApiClients {
     private static final String TES_PATH = "/ga4gh/tes/v1";
@@ -23,10 +23,10 @@
     }
 
     /**
-     * Sends a request of the task execution API, and waits five seconds for the answer; null if
-     * none comes.
+     * Sends a request of the task execution API, and waits five seconds for the answer.
      *
-     * @param token null if the headers hold the authorization, if any
+     * @param token the bearer token; null if any authorization is in the headers
+     * @return the answer, or null if none comes
      */
     Http.Reply sendTesRequest(
             int node,
@@ -41,10 +41,10 @@
     }
 
     /**
-     * Sends a request of the task execution API, and waits five seconds for the answer; null if
-     * none comes.
+     * Sends a request of the task execution API, and waits five seconds for the answer.
      *
-     * @param token null if the headers hold the authorization, if any
+     * @param token the bearer token; null if any authorization is in the headers
+     * @return the answer, or null if none comes
      */
     Http.Reply sendTesRequest(
             int node,
@@ -69,21 +69,21 @@
             Map<String, List<String>> query,
             Map<String, String> headers,
             byte[] body) {
-        Map<String, String> all = new HashMap<>(headers);
+        Map<String, String> allHeaders = new HashMap<>(headers);
         if (token != null) {
-            all.put(AUTHORIZATION, bearer(token));
+            allHeaders.put(AUTHORIZATION, bearer(token));
         }
         return cluster.nodes()
                 .get(node)
                 .tesApi()
-                .answer(new Http.Request(method, TES_PATH + path, query, all::get, body));
+                .answer(new Http.Request(method, TES_PATH + path, query, allHeaders::get, body));
     }
 
     /**
-     * Sends a request of the reservation API, and waits five seconds for the answer; null if none
-     * comes.
+     * Sends a request of the reservation API, and waits five seconds for the answer.
      *
-     * @param version that the request is conditional on; null if it is not
+     * @param version the version on which the request is conditional; null if it is unconditional
+     * @return the answer, or null if none comes
      */
     Http.Reply sendReservationRequest(
             int node, String token, String method, String path, String version, String body) {
--- a/src/test/java/org/meadowhollow/simulation/SimulatedCloud.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedCloud.java
@@ -17,9 +17,9 @@
 import org.meadowhollow.model.MonotonicTime;
 
 /**
- * The cloud provider: it rents, releases and lists machines, and can be out, boot machines late or
- * never, reclaim them or report them as failed. Not thread-safe: everything runs on the virtual
- * event loop.
+ * The cloud provider: it rents, releases and lists machines. It can have an outage, boot machines
+ * late or never, reclaim them or report them as failed. Not thread-safe: everything runs on the
+ * virtual event loop.
  */
 final class SimulatedCloud implements CloudProvider {
     private static final Duration LATENCY = Duration.ofMillis(200);
@@ -29,14 +29,14 @@
     private final SimulatedCluster cluster;
     private final Map<String, List<MachineId>> rentals = new HashMap<>();
     private final Map<MachineId, MonotonicTime> rentedAt = new HashMap<>();
-    private final List<FakeWorker> returned = new ArrayList<>();
+    private final List<FakeWorker> returnedWorkers = new ArrayList<>();
     private final Set<MachineId> reclaimed = new HashSet<>();
     private final Set<MachineId> failed = new HashSet<>();
     private Duration bootTime = Duration.ofSeconds(10);
     private Duration listingDelay = Duration.ZERO;
     private int maxMachines = 40;
-    private int bootFailuresLeft;
-    private boolean isOut;
+    private int remainingBootFailures;
+    private boolean hasOutage;
 
     SimulatedCloud(SimulatedCluster cluster) {
         this.cluster = cluster;
@@ -45,74 +45,72 @@
     // ---- faults ----
 
     /** Begins or ends an outage, in which every request is refused. */
-    void setOutage(boolean out) {
-        isOut = out;
+    void setOutage(boolean outage) {
+        hasOutage = outage;
     }
 
-    /** The next machines that are rented never boot. */
+    /** Makes the next machines that are rented never boot. */
     void failNextBoots(int machines) {
-        bootFailuresLeft = machines;
+        remainingBootFailures = machines;
     }
 
-    /** At most so many machines exist at a time; further rentals are refused. */
+    /** Limits the number of machines that exist at a time; further rentals are refused. */
     void limitMachines(int max) {
         maxMachines = max;
     }
 
-    /**
-     * Sets how long rented machines take to boot, and how long after their rental they are listed.
-     */
+    /** Sets the time from the rental of a machine until it has booted, and until it is listed. */
     void setBootTimes(Duration untilBooted, Duration untilListed) {
         bootTime = untilBooted;
         listingDelay = untilListed;
     }
 
-    /** Takes a machine away without notice, and lists it no more. */
+    /** Reclaims a machine without notice, and no longer lists it. */
     void reclaim(FakeWorker worker) {
         worker.setHung(true);
         reclaimed.add(worker.id());
     }
 
-    /** A machine stops by itself with all that runs on it, and is listed as failed. */
+    /** Makes a machine fail: it stops with all its tasks, and is listed as failed. */
     void fail(FakeWorker worker) {
         worker.setHung(true);
         failed.add(worker.id());
     }
 
-    // ---- what happened ----
+    // ---- counters ----
 
-    /** Rentals that were requested. */
+    /** Returns the number of rentals that were requested. */
     int rentalCount() {
         return rentals.size();
     }
 
-    /** Machines that were rented. */
+    /** Returns the number of machines that were rented. */
     int rentedMachineCount() {
         return rentals.values().stream().mapToInt(List::size).sum();
     }
 
-    /** The machines that were returned, in the order of their return. */
+    /** Returns the machines that were returned, in the order of their return. */
     List<MachineId> returnedMachines() {
-        return returned.stream().map(FakeWorker::id).toList();
+        return returnedWorkers.stream().map(FakeWorker::id).toList();
     }
 
     List<MachineId> returnedMachinesOf(String zone) {
-        return returned.stream()
+        return returnedWorkers.stream()
                 .filter(worker -> worker.zone().equals(zone))
                 .map(FakeWorker::id)
                 .toList();
     }
 
-    // ---- the provider's interface ----
+    // ---- CloudProvider ----
 
     private <T> CompletableFuture<T> afterLatency(CompletableFuture<T> answer, Runnable work) {
         cluster.loop()
                 .schedule(
                         LATENCY,
                         () -> {
-                            if (isOut) {
+                            if (hasOutage) {
                                 answer.completeExceptionally(
-                                        new CloudProvider.RequestRefusedException("trouble"));
+                                        new CloudProvider.RequestRefusedException("cloud outage"));
                             } else {
                                 work.run();
                             }
@@ -136,7 +134,8 @@
                 answer,
                 () -> {
                     List<MachineId> ids = rent(request, type, zone, count);
-                    // A machine that boots at once may send heartbeats before this response.
+                    // A machine that boots at once may send heartbeats before this response
+                    // arrives.
                     cluster.loop()
                             .schedule(
                                     RENTAL_RESPONSE_DELAY,
@@ -149,14 +148,14 @@
     }
 
     private List<MachineId> rent(String request, String type, String zone, int count) {
-        assertTrue(!rentals.containsKey(request), "a rental's name was used twice: " + request);
+        assertTrue(!rentals.containsKey(request), "rental request sent twice: " + request);
         List<MachineId> ids = new ArrayList<>();
         while (ids.size() < count && cluster.workers().size() + ids.size() < maxMachines) {
             MachineId id = cluster.nextMachineId();
             ids.add(id);
             rentedAt.put(id, cluster.loop().now());
-            if (bootFailuresLeft > 0) {
-                bootFailuresLeft--;
+            if (remainingBootFailures > 0) {
+                remainingBootFailures--;
             } else {
                 cluster.loop().schedule(bootTime, () -> cluster.boot(id, type, zone));
             }
@@ -181,7 +180,7 @@
         for (MachineId id : machines) {
             FakeWorker worker = cluster.removeWorker(id);
             if (worker != null) {
-                returned.add(worker);
+                returnedWorkers.add(worker);
                 worker.remove();
             }
         }
@@ -196,18 +195,19 @@
                         answer.complete(
                                 cluster.workers().stream()
                                         .filter(this::isListed)
-                                        .map(this::listing)
+                                        .map(this::toListedMachine)
                                         .toList()));
     }
 
     private boolean isListed(FakeWorker worker) {
-        MonotonicTime since = rentedAt.get(worker.id());
+        MonotonicTime rentalTime = rentedAt.get(worker.id());
         return !reclaimed.contains(worker.id())
-                && (since == null
-                        || cluster.loop().now().elapsedSince(since).compareTo(listingDelay) > 0);
+                && (rentalTime == null
+                        || cluster.loop().now().elapsedSince(rentalTime).compareTo(listingDelay)
+                                > 0);
     }
 
-    private ListedMachine listing(FakeWorker worker) {
+    private ListedMachine toListedMachine(FakeWorker worker) {
         return new ListedMachine(
                 worker.id(),
                 worker.id().value() + ":9000",
--- a/src/test/java/org/meadowhollow/simulation/StoreFaults.java
+++ b/src/test/java/org/meadowhollow/simulation/StoreFaults.java
@@ -5,11 +5,11 @@
 
 /** Faults of the key-value store and of the nodes' connections to it. */
 final class StoreFaults {
-    private static final int BRIEF_SERVICES = 4;
+    private static final int BRIEF_SERVICE_COUNT = 4;
 
     private StoreFaults() {}
 
-    /** A fault of a share of the requests of one connection; share 0 ends it. */
+    /** A fault that affects a share of the requests of one connection; share 0 ends it. */
     private interface ConnectionFault {
         void apply(FakeStoreConnection connection, double share, long seed);
     }
@@ -25,11 +25,11 @@
     }
 
     static Runnable delayCommits(FaultTarget target) {
-        return onAllConnections(target, FakeStoreConnection::delayCommits);
+        return injectIntoAllConnections(target, FakeStoreConnection::delayCommits);
     }
 
     static Runnable loseCommitResponses(FaultTarget target) {
-        return onAllConnections(target, FakeStoreConnection::loseCommitResponses);
+        return injectIntoAllConnections(target, FakeStoreConnection::loseCommitResponses);
     }
 
     static Runnable loseResponses(FaultTarget target) {
@@ -48,11 +48,11 @@
     }
 
     static Runnable hideTaskRecords(FaultTarget target) {
-        hide(target, RecordKeys.TASK_PREFIX);
-        return () -> hide(target, "/");
+        hideOnAllConnections(target, RecordKeys.TASK_PREFIX);
+        return () -> hideOnAllConnections(target, "/");
     }
 
-    private static void hide(FaultTarget target, String prefix) {
+    private static void hideOnAllConnections(FaultTarget target, String prefix) {
         target.forEachNode((cluster, node) -> cluster.storeConnection(node).hidePrefix(prefix));
     }
 
@@ -66,12 +66,15 @@
         return () -> target.cluster().store().setLatency(null);
     }
 
-    /** The store refuses a node, but serves it for an instant several times; its watches fail. */
+    /**
+     * Makes the store refuse a node, except for several moments in which it serves the node; the
+     * watches of the node fail throughout.
+     */
     static Runnable serveBriefly(FaultTarget target) {
         FakeStoreConnection connection = target.connection();
         SimulatedCluster cluster = target.cluster();
         connection.failWatches(true);
-        for (int time = 0; time < BRIEF_SERVICES; time++) {
+        for (int repetition = 0; repetition < BRIEF_SERVICE_COUNT; repetition++) {
             connection.refuseRequests(true);
             cluster.runSeconds(1 + target.random().nextInt(3));
             connection.refuseRequests(false);
@@ -84,7 +87,7 @@
         };
     }
 
-    private static Runnable onAllConnections(FaultTarget target, ConnectionFault fault) {
+    private static Runnable injectIntoAllConnections(FaultTarget target, ConnectionFault fault) {
         double share = target.randomShare();
         target.forEachNode(
                 (cluster, node) ->
