--- a/src/test/java/org/meadowhollow/simulation/CloudWireReplies.java
+++ b/src/test/java/org/meadowhollow/simulation/CloudWireReplies.java
@@ -5,7 +5,7 @@
 import org.meadowhollow.protocol.Http;
 import org.meadowhollow.protocol.MessageReader;
 
-/** What a stand-in for the cloud provider answers over HTTP, in the wire's field names. */
+/** HTTP replies of a stand-in for the cloud provider, with the field names of the wire. */
 final class CloudWireReplies {
     private CloudWireReplies() {}
 
--- a/src/test/java/org/meadowhollow/simulation/GoldenStoreTest.java
+++ b/src/test/java/org/meadowhollow/simulation/GoldenStoreTest.java
@@ -26,11 +26,11 @@
 import org.meadowhollow.protocol.MalformedMessageException;
 
 /**
- * A key-value store as an earlier version left it, filled from the golden files: a leader of this
- * version recovers from it, continues what runs, and completes every job. This proves that records
- * of the earlier version are readable. That the earlier version can read what is written now is not
- * run here, for there is no earlier version to run; the argument for it is that {@code
- * GoldenRecordsTest} encodes each kind of record to the same bytes as the earlier version did.
+ * Starts a cluster on a key-value store as an earlier version left it, filled from the golden
+ * files. A leader of this version loads the records, continues the running tasks and completes
+ * every job, so this version can read the records of the earlier one. The opposite direction is not
+ * run here, because no earlier version is available; {@code GoldenRecordsTest} covers it by
+ * encoding each kind of record to the same bytes as the earlier version did.
  */
 class GoldenStoreTest {
     private static final Duration SHORT = Duration.ofSeconds(10);
@@ -73,8 +73,8 @@
     private final SimulatedCluster cluster = new SimulatedCluster();
 
     /**
-     * Fills the store, and has the first two machines run what its records say; the third one has
-     * rebooted.
+     * Fills the store from the golden files. The first two machines run the tasks that the records
+     * place on them; the third machine has rebooted and runs none.
      */
     private void fill(String... whoLeads) {
         cluster.loop().skip(Duration.ofMillis(GoldenTesTask.BEGIN_MILLIS));
@@ -94,7 +94,7 @@
         for (int at = 0; at < 6; at++) {
             cluster.addMachine(SimulatedCluster.LARGE, at < 3 ? "a" : "b");
         }
-        // No more machines can be rented: a rented one could take the name of the tenth, which is
+        // Prevents rentals, because a rented machine could get the name of the tenth one, which is
         // gone.
         cluster.cloud().limitMachines(6);
         started(0, ARRAY, 160, 2);
@@ -143,10 +143,12 @@
         fill("term", "leader");
         cluster.runSeconds(3);
         assertEquals(
-                1, cluster.leader(), "the node of the record is back before its lease is over");
+                1,
+                cluster.leader(),
+                "the node named in the record is back before its lease expires");
         assertEquals(43, cluster.fencingToken());
         cluster.runSeconds(5);
-        // What ran continues: the same attempts, on the same machines.
+        // Running tasks continue with the same attempts on the same machines.
         for (int task = 0; task < 4; task++) {
             assertEquals(1, cluster.machinesRunning(new TaskId(GANG, task)).size());
             assertEquals(
@@ -176,7 +178,7 @@
         assertUnchangedRecords();
     }
 
-    /** The tenth attempt was lost with its machine, and the next one had the next number. */
+    /** Asserts that attempt 10 was lost with its machine, and that attempt 11 completed. */
     private void assertTesEntryShowsLostAndDoneAttempts() {
         Map<String, Object> entry = cluster.store().valueOf(GoldenFile.read("entry").key());
         assertEquals("DONE", entry.get("progress"));
@@ -187,7 +189,7 @@
         assertEquals(11L, ((Map<?, ?>) log.get(log.size() - 1)).get("attempt"));
     }
 
-    /** Records that nobody had to change are unchanged. */
+    /** Asserts that the records which no controller has to change still have the same bytes. */
     private void assertUnchangedRecords() {
         for (String name :
                 List.of(
@@ -261,7 +263,7 @@
         }
     }
 
-    // ---- a task of the task execution API ----
+    // ---- task of the task execution API ----
 
     private static Map<String, Object> body(Http.Reply reply) throws MalformedMessageException {
         assertEquals(200, reply.status(), new String(reply.body(), StandardCharsets.UTF_8));
--- a/src/test/java/org/meadowhollow/simulation/GoldenTesFilesMain.java
+++ b/src/test/java/org/meadowhollow/simulation/GoldenTesFilesMain.java
@@ -5,8 +5,8 @@
 import org.meadowhollow.golden.GoldenFile;
 
 /**
- * Writes the golden files of a task of the task execution API. Not to be run again: see the other
- * generators.
+ * Writes the golden files of a task of the task execution API. Do not run it again: the existing
+ * files are what versions in use have written (see {@code GoldenFilesMain}).
  */
 final class GoldenTesFilesMain {
     private GoldenTesFilesMain() {}
--- a/src/test/java/org/meadowhollow/simulation/GoldenTesTask.java
+++ b/src/test/java/org/meadowhollow/simulation/GoldenTesTask.java
@@ -7,10 +7,11 @@
 import java.util.Map;
 import org.meadowhollow.protocol.Http;
 
-/** The task of the task execution API that the golden files hold, sent at a fixed time of day. */
+/** The task of the task execution API in the golden files, created at a fixed wall-clock time. */
 final class GoldenTesTask {
     /**
-     * The time of day at which a simulation with golden files begins, in milliseconds of the epoch.
+     * The wall-clock time at which a simulation with golden files begins, in milliseconds since the
+     * epoch.
      */
     static final long BEGIN_MILLIS = 1_700_000_060_000L;
 
@@ -36,7 +37,8 @@
     private GoldenTesTask() {}
 
     /**
-     * A deployment that accepts the task before it has any machine: only the acceptance is written.
+     * Returns a cluster that accepted the task before it had any machine, so that the store holds
+     * only the acceptance.
      */
     static SimulatedCluster accepted() {
         SimulatedCluster cluster = new SimulatedCluster();
--- a/src/test/java/org/meadowhollow/simulation/HistoryChecker.java
+++ b/src/test/java/org/meadowhollow/simulation/HistoryChecker.java
@@ -24,17 +24,20 @@
 import org.meadowhollow.model.TaskId;
 
 /**
- * Checks what workers and users observe against the protocol's rules, and against what is
- * guaranteed once all faults have ended. It knows nothing of records, nor of what any controller
- * believes. Not thread-safe: everything runs on the virtual event loop.
+ * Checks what workers and users observe against the protocol's rules, and against the guarantees
+ * that hold once all faults have ended. It reads neither records nor the state of any controller.
+ * Not thread-safe: everything runs on the virtual event loop.
  */
 final class HistoryChecker {
-    /** After all faults, a job whose polls get no answer for so long counts as forgotten. */
+    /**
+     * Once all faults have ended, a job counts as forgotten if polls of it get no answer for longer
+     * than this.
+     */
     private static final Duration MAX_UNANSWERED = Duration.ofSeconds(75);
 
     /**
-     * After all faults, no job waits for so long while a machine that fits has free capacity and
-     * its team is under its limit.
+     * Once all faults have ended, no job waits longer than this while suitable machines have free
+     * capacity and its team is under its limit.
      */
     private static final Duration MAX_NEGLECTED = Duration.ofSeconds(90);
 
@@ -43,19 +46,19 @@
 
     private static final double MIN_SERVED_SHARE = 0.5;
 
-    /** A machine as it is, whatever any controller believes. */
+    /** The actual state of a machine, which a controller's view of it may differ from. */
     interface Machine {
         String zone();
 
         MachineType machineType();
 
-        /** Whether it runs, and messages pass in both directions. */
+        /** Whether the machine runs and messages pass in both directions. */
         boolean isReachable();
 
-        /** The tasks that take capacity on it: all but those that have exited. */
+        /** The tasks that use capacity of the machine: all except those that have exited. */
         List<TaskId> heldTasks();
 
-        /** The tasks that are on it in the protocol's sense: with image, and not exited. */
+        /** The running tasks as the protocol defines them: image pulled and not exited. */
         List<TaskId> runningTasks();
     }
 
@@ -82,10 +85,10 @@
 
     /**
      * @param cancelTimeout after which no task of a cancelled job may run
-     * @param teams with their quotas; may change later
-     * @param types of the machines that can be rented
-     * @param specs the job specification of an id
-     * @param machines that exist now
+     * @param teams quotas by team; may change later
+     * @param types machine types that can be rented
+     * @param specs returns the job specification of an id
+     * @param machines returns the machines that exist now
      */
     HistoryChecker(
             Duration cancelTimeout,
@@ -100,7 +103,7 @@
         this.machines = machines;
     }
 
-    // ---- what users do and observe ----
+    // ---- requests and answers of users ----
 
     void recordSubmission(JobId id) {
         submitted.add(id);
@@ -111,8 +114,8 @@
     }
 
     /**
-     * Whether a job can ever run by the protocol's definition: its team, types, limit, and what a
-     * gang's own fields exclude.
+     * Whether a job can ever run by the protocol's definition: its team exists and has a sufficient
+     * limit, a machine type fits, and the zone policies of a gang do not contradict each other.
      */
     boolean canRun(JobSpec spec) {
         DeploymentSettings.TeamQuota quota = teams.get(spec.team());
@@ -139,7 +142,7 @@
         return !zones.isEmpty() && !contradictoryGang;
     }
 
-    /** Whether resources are within a limit, of which 0 stands for no limit. */
+    /** Whether resources are within a limit; a limit of 0 means unlimited. */
     static boolean fitsLimit(Resources used, Resources limit) {
         return (limit.cpu() == 0 || used.cpu() <= limit.cpu())
                 && (limit.gpu() == 0 || used.gpu() <= limit.gpu());
@@ -149,8 +152,8 @@
      * Checks an answer that a user has received.
      *
      * @param phase null if there is no such job
-     * @param sentAt when the request was sent: what was answered only after that may be newer than
-     *     the answer
+     * @param sentAt when the request was sent; an answer that was received after this time may be
+     *     newer than this one
      */
     void checkAnswer(JobId id, Phase phase, MonotonicTime sentAt, MonotonicTime now) {
         answeredAt.put(id, now);
@@ -183,7 +186,7 @@
         }
         assertTrue(
                 phase != Phase.CANCELLED || cancelRequested.contains(id),
-                "went_back: " + id + " cancelled by nobody");
+                "went_back: " + id + " was cancelled without a request");
     }
 
     private void checkAllCompleted(JobId id) {
@@ -194,12 +197,12 @@
         }
     }
 
-    /** Whether a user was told that a job has ended. */
+    /** Whether a job's end was reported to a user. */
     boolean isReportedEnded(JobId id) {
         return ends.containsKey(id);
     }
 
-    // ---- what workers do ----
+    // ---- starts and completions on workers ----
 
     boolean isCompleted(TaskId task) {
         return completed.contains(task);
@@ -214,26 +217,26 @@
         return completed.add(task);
     }
 
-    /** Whether a user was told that a job is cancelled. */
+    /** Whether a job's cancellation was reported to a user. */
     boolean isCancelled(JobId id) {
         ReportedPhase end = ends.get(id);
         return end != null && end.phase() == Phase.CANCELLED;
     }
 
-    /** A worker has executed a command to start a task. */
+    /** Records that a worker has executed a command to start a task. */
     void recordStartCommand(TaskId task) {
         startsAfterCancellation += isCancelled(task.jobId()) ? 1 : 0;
     }
 
     /**
-     * Start commands that workers executed after the job's cancellation was confirmed; each had
-     * been under way by then.
+     * Returns the number of start commands that workers executed after the job's cancellation was
+     * confirmed; each command was already in flight at that time.
      */
     int startsAfterCancellation() {
         return startsAfterCancellation;
     }
 
-    /** Checks that a task may run where it has started, with its image. */
+    /** Checks that a task, whose image is pulled, may run on the machine where it has started. */
     void checkStart(Machine machine, TaskId task, MonotonicTime now) {
         JobSpec spec = specs.apply(task.jobId());
         startedAt.putIfAbsent(task.jobId(), now);
@@ -258,7 +261,7 @@
                 "wrong_place: too many in a zone: " + task);
     }
 
-    // ---- at each step ----
+    // ---- checks after each step ----
 
     /** Checks quotas and cancellations, and progress once all faults have ended. */
     void checkStep(MonotonicTime now) {
@@ -286,14 +289,14 @@
                 "ran_cancelled: " + task);
     }
 
-    // ---- once all faults have ended ----
+    // ---- checks once all faults have ended ----
 
-    /** All faults have ended: progress is checked from now on. */
+    /** Records that all faults have ended: progress is checked from now on. */
     void beginFaultFreePhase(MonotonicTime now) {
         faultFreeSince = now;
     }
 
-    /** The jobs that were accepted and that no user was told to have ended. */
+    /** Returns the accepted jobs whose end was not reported to any user. */
     List<JobId> unfinished() {
         return acceptedAt.keySet().stream().filter(id -> !isReportedEnded(id)).toList();
     }
@@ -311,7 +314,7 @@
         MonotonicTime neglected = neglectedSince.computeIfAbsent(id, unused -> now);
         assertTrue(
                 now.elapsedSince(neglected).compareTo(MAX_NEGLECTED) <= 0,
-                "neglected: " + id + " waits beside room for it");
+                "neglected: " + id + " waits while machines have capacity for it");
     }
 
     private boolean couldRunMore(JobSpec spec, Map<String, Resources> used) {
@@ -328,8 +331,9 @@
     }
 
     /**
-     * Checks at the end that enough of the accepted jobs that nobody cancelled were served: of each
-     * class, of each team and of the largest jobs of each class, which also started in time.
+     * Checks at the end that enough of the accepted jobs without a cancel request were served in
+     * each class, in each team and among the largest jobs of each class. The largest jobs must also
+     * have started in time.
      */
     void checkFairness() {
         Map<String, List<JobId>> groups = new LinkedHashMap<>();
@@ -374,7 +378,7 @@
         assertTrue(
                 startedAt.containsKey(id)
                         && startedAt.get(id).isBefore(from.plus(MAX_LARGEST_START)),
-                "the largest have to begin in time: " + id);
+                "largest job not started in time: " + id);
     }
 
     private boolean isServed(JobId id) {
--- a/src/test/java/org/meadowhollow/simulation/HistoryCheckerTest.java
+++ b/src/test/java/org/meadowhollow/simulation/HistoryCheckerTest.java
@@ -23,7 +23,8 @@
 import org.meadowhollow.model.TaskId;
 
 /**
- * Each check of {@link HistoryChecker} detects a planted violation, and accepts correct behaviour.
+ * Tests that each check of {@link HistoryChecker} detects a violation and accepts correct
+ * behaviour.
  */
 class HistoryCheckerTest {
     private static final JobId UNKNOWN = new JobId("req-99");
@@ -89,11 +90,11 @@
         JobSpec job = accepted(1, JobKind.ARRAY, 2);
         assertDoesNotThrow(
                 () -> historyChecker.checkAnswer(job.id(), null, at(0.5), at(2)),
-                "polled before anybody had an answer");
+                "the poll was sent before the acceptance was answered");
         assertDetects(
                 "forgotten", () -> historyChecker.checkAnswer(job.id(), null, at(1.5), at(2)));
         assertDetects(
-                "went_back: " + job.id() + " cancelled by nobody",
+                "went_back: " + job.id() + " was cancelled without a request",
                 () -> historyChecker.checkAnswer(job.id(), Phase.CANCELLED, at(2), at(3)));
         assertDetects(
                 "not_done", () -> historyChecker.checkAnswer(job.id(), Phase.DONE, at(2), at(3)));
@@ -101,7 +102,7 @@
         historyChecker.checkAnswer(job.id(), Phase.CANCELLED, at(3), at(4));
         assertDoesNotThrow(
                 () -> historyChecker.checkAnswer(job.id(), Phase.RUNNING, at(3.5), at(5)),
-                "asked before it was confirmed");
+                "the poll was sent before the cancellation was confirmed");
         assertDetects(
                 "went_back",
                 () -> historyChecker.checkAnswer(job.id(), Phase.RUNNING, at(4.1), at(5)));
@@ -196,7 +197,7 @@
         historyChecker.checkAnswer(job.id(), Phase.QUEUED, at(189), at(190));
         historyChecker.checkAnswer(full.id(), Phase.QUEUED, at(189), at(190));
         assertDoesNotThrow(
-                () -> historyChecker.checkStep(at(195)), "its team has no more than four");
+                () -> historyChecker.checkStep(at(195)), "the team's limit is four GPUs");
     }
 
     @Test
@@ -220,12 +221,14 @@
         historyChecker.checkAnswer(jobs.get(2).id(), Phase.DONE, at(310), at(311));
         historyChecker.checkFairness();
         JobSpec large = accepted(5, JobKind.ARRAY, 2);
-        assertDetects("the largest have to begin in time", historyChecker::checkFairness);
+        assertDetects("largest job not started in time", historyChecker::checkFairness);
         historyChecker.checkStart(place, task(large, 0), at(241.5));
-        assertDetects("the largest have to begin in time", historyChecker::checkFairness);
+        assertDetects("largest job not started in time", historyChecker::checkFairness);
     }
 
-    /** Thrown inside a callback, a violation would be lost in the future that carries it. */
+    /**
+     * A violation that is thrown inside a callback would be lost in the future of that callback.
+     */
     @Test
     void violationFoundInCallbackFailsNextStep() {
         SimulatedCluster cluster = new SimulatedCluster();
--- a/src/test/java/org/meadowhollow/simulation/JobEventLogChecker.java
+++ b/src/test/java/org/meadowhollow/simulation/JobEventLogChecker.java
@@ -13,15 +13,15 @@
 import org.meadowhollow.model.TaskId;
 
 /**
- * Checks an event log against the protocol's rules: no task placed twice at a time, nothing before
- * its job's acceptance or after its end, and the limit on placed tasks.
+ * Checks an event log against the protocol's rules: no task is placed twice at the same time,
+ * before its job's acceptance or after its job's end, and the limit on placed tasks holds.
  */
 final class JobEventLogChecker {
     private JobEventLogChecker() {}
 
     /**
-     * @param events in the store's order
-     * @param most tasks that may be placed at a time
+     * @param events the events, ordered by their revision in the store
+     * @param most the number of tasks that may be placed at the same time
      */
     static void check(List<JobEventLog.Event> events, int most) {
         Set<JobId> accepted = new HashSet<>();
@@ -41,22 +41,20 @@
                             accepted.contains(event.jobId()) && !closed.contains(event.jobId()),
                             () -> "" + event);
                     assertEquals(
-                            null,
-                            placed.put(task, event.machineName()),
-                            "twice at a time: " + event);
+                            null, placed.put(task, event.machineName()), "placed twice: " + event);
                     assertTrue(placed.size() <= most, "over the limit: " + event);
                 }
                 case GONE ->
                         assertEquals(
                                 event.machineName(),
                                 placed.remove(task),
-                                "gone from elsewhere: " + event);
+                                "gone from another machine: " + event);
                 case ENDED -> {
                     closed.add(event.jobId());
                     assertTrue(
                             placed.keySet().stream()
                                     .noneMatch(left -> left.jobId().equals(event.jobId())),
-                            () -> "ended too soon: " + event);
+                            () -> "ended while tasks are placed: " + event);
                 }
             }
         }
--- a/src/test/java/org/meadowhollow/simulation/KeyValueStoreHttpServer.java
+++ b/src/test/java/org/meadowhollow/simulation/KeyValueStoreHttpServer.java
@@ -16,13 +16,13 @@
 import org.meadowhollow.storage.LeaseId;
 import org.meadowhollow.storage.Transaction;
 
-/** The key-value store's HTTP interface as the protocol defines it, in front of the fake store. */
+/** Serves the fake key-value store over the HTTP interface that the protocol defines. */
 final class KeyValueStoreHttpServer implements Http.RequestHandler {
     private static final String KEY_PATH = "/kv/";
     private static final String LEASE_PATH = "/grants/";
     private static final String RENEW_SUFFIX = "/renew";
 
-    /** The wire's names of a revision of the store and of a lease. */
+    /** The wire's field names of a revision of the store and of a lease. */
     private static final String REVISION = "ledgerRev";
 
     private static final String LEASE = "tether";
@@ -31,7 +31,7 @@
     private final Runnable changed;
 
     /**
-     * @param changed is told after each request that may have changed something
+     * @param changed called after each commit, and after each renewal or revocation of a lease
      */
     KeyValueStoreHttpServer(KeyValueStore store, Runnable changed) {
         this.store = store;
--- a/src/test/java/org/meadowhollow/simulation/LoadTestMain.java
+++ b/src/test/java/org/meadowhollow/simulation/LoadTestMain.java
@@ -33,9 +33,10 @@
 import org.meadowhollow.transport.XnioEventLoop;
 
 /**
- * Measures one controller, a process bound to one core, beside stand-ins in this process: requests
- * a second of both APIs, the store requests that lists cause, and the memory that hostile requests
- * leave behind. Run by hand: {@code docs/measurements.md} says how.
+ * Measures one controller process that is bound to one core; this process holds stand-ins for the
+ * store and the cloud. It prints the requests per second of both APIs, the store requests that
+ * lists cause, and the memory in use after hostile requests. Run by hand as described in {@code
+ * docs/measurements.md}.
  */
 final class LoadTestMain {
     private static final int AT_ONCE = 16;
@@ -162,7 +163,7 @@
             Thread.onSpinWait();
         }
         System.out.println("at rest: " + memory());
-        // Once without counting, to warm up the compiler; both kinds in turn.
+        // Measures both APIs twice: the first round only warms up the JIT compiler.
         for (int round = 0; round < 2; round++) {
             int from = round * 3 * REQUESTS;
             load(
@@ -281,7 +282,7 @@
                 .build();
     }
 
-    /** Sends requests, some at once, and prints the results; prints nothing without a name. */
+    /** Sends requests, several at a time, and prints the results unless the name is empty. */
     private void load(String what, int count, IntFunction<HttpRequest> request) throws Exception {
         AtomicInteger next = new AtomicInteger();
         Map<Integer, Integer> answers = new ConcurrentHashMap<>();
--- a/src/test/java/org/meadowhollow/simulation/LoopbackIntegrationTest.java
+++ b/src/test/java/org/meadowhollow/simulation/LoopbackIntegrationTest.java
@@ -53,9 +53,9 @@
 import org.meadowhollow.transport.tracing.OtlpTaskTracer;
 
 /**
- * Three real controllers, stand-ins for all that is around them, and a client of each API, over
- * real connections on ephemeral ports. Every wait is bounded, and ends by what the stand-ins
- * observe.
+ * Runs three real controllers, stand-ins for the store, the cloud, the workers and the trace
+ * collector, and a client of each API over real connections on ephemeral ports. Every wait has a
+ * timeout, and ends as soon as the stand-ins observe the expected state.
  */
 class LoopbackIntegrationTest {
     private static final Duration PATIENCE = Duration.ofSeconds(40);
@@ -239,21 +239,21 @@
     }
 
     /**
-     * Evaluates a condition again whenever the store or the event log has news, or a lease was
-     * renewed.
+     * Waits until a condition holds. It is evaluated again after each change of the store or the
+     * event log, and after each lease renewal.
      */
     private void awaitTrue(String what, Callable<Boolean> there) throws Exception {
         long until = System.nanoTime() + PATIENCE.toNanos();
         while (!there.call()) {
             long left = (until - System.nanoTime()) / 1_000_000;
-            assertTrue(left > 0, () -> "never seen: " + what + "; " + events());
+            assertTrue(left > 0, () -> "timed out while waiting for: " + what + "; " + events());
             synchronized (signal) {
                 signal.wait(left);
             }
         }
     }
 
-    // ---- the two clients ----
+    // ---- clients of both APIs ----
 
     private HttpResponse<byte[]> send(HttpRequest.Builder request) throws Exception {
         return http.send(
@@ -356,8 +356,13 @@
         }
         List<TaskId> first =
                 admitted.subList(0, LIMIT).stream().map(job -> new TaskId(job, 0)).toList();
-        awaitTrue("as many as the team may have", () -> running().size() == LIMIT);
-        assertEquals(new HashSet<>(first), running(), "first come, first placed, by either way");
+        awaitTrue(
+                "as many running tasks as the team's limit allows",
+                () -> running().size() == LIMIT);
+        assertEquals(
+                new HashSet<>(first),
+                running(),
+                "jobs of both APIs are placed in the order of their submission");
         awaitTrue(
                 "reported by every node",
                 () ->
@@ -369,21 +374,25 @@
         String leader = leader();
         nodes.remove(leader).close();
         awaitTrue("another leader", () -> leader() != null && !leader().equals(leader));
-        assertEquals(LIMIT, eventCount(JobEventLog.EventType.PLACED), "nothing is placed again");
+        assertEquals(
+                LIMIT,
+                eventCount(JobEventLog.EventType.PLACED),
+                "no task is placed again after the failover");
         loop.callAndWait(
                 () -> {
                     workers.forEach(LoopbackWorker::completeAll);
                     return null;
                 });
         awaitTrue(
-                "the end of all", () -> eventCount(JobEventLog.EventType.ENDED) == admitted.size());
+                "the end of all jobs",
+                () -> eventCount(JobEventLog.EventType.ENDED) == admitted.size());
         for (int node = 0; node < 2; node++) {
             for (int at = 0; at < 4; at++) {
                 assertEquals(at < 3 ? "COMPLETE" : "CANCELED", tesState(node, tasks.get(at)));
                 assertEquals("done", jobPhase(node, admitted.get(2 * at)));
             }
         }
-        assertEquals("404", jobPhase(0, new JobId(tasks.get(0))), "a task is no native job");
+        assertEquals("404", jobPhase(0, new JobId(tasks.get(0))), "a TES task is not a native job");
         MessageReader list =
                 new MessageReader(
                         JsonCodec.decode(
--- a/src/test/java/org/meadowhollow/simulation/LoopbackWorker.java
+++ b/src/test/java/org/meadowhollow/simulation/LoopbackWorker.java
@@ -17,8 +17,8 @@
 import org.meadowhollow.transport.XnioEventLoop;
 
 /**
- * A machine's worker over HTTP, with the field names of the wire. Everything happens on the thread
- * of one event loop.
+ * The worker of one machine, which speaks the wire protocol over HTTP. Everything runs on the
+ * thread of one event loop.
  */
 final class LoopbackWorker implements AutoCloseable {
     private static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(500);
@@ -38,7 +38,7 @@
     private static final String TASK = "chore";
     private static final String ATTEMPT = "try";
 
-    /** A task on the machine, in the wire's words. */
+    /** A task on the machine; its state and exit reason are the wire's words. */
     private static final class Task {
         private final long attempt;
         private String state = RUNNING;
@@ -66,7 +66,7 @@
     private boolean closed;
 
     /**
-     * @param nodes the addresses of the controllers by name
+     * @param nodes addresses of the controllers by name
      */
     LoopbackWorker(String name, XnioEventLoop loop, Map<String, String> nodes) {
         this.name = name;
@@ -86,7 +86,7 @@
         tick();
     }
 
-    /** The machine as the cloud lists it, in the wire's field names. */
+    /** Returns the machine as the cloud lists it, with the field names of the wire. */
     Map<String, Object> listed() {
         return MessageReader.mapOf(
                 "ref",
@@ -105,7 +105,9 @@
                 60.0);
     }
 
-    /** From now on all tasks complete as soon as they run; until then they run on. */
+    /**
+     * Completes all tasks, and from now on each new task too; before this call, no task completes.
+     */
     void completeAll() {
         completesAll = true;
         sendHeartbeat();
@@ -237,7 +239,8 @@
                 case "run" -> {
                     if (!same) {
                         if (task != null && !task.state.equals(EXITED)) {
-                            throw new AssertionError("started beside another attempt: " + id);
+                            throw new AssertionError(
+                                    "started while another attempt is on the machine: " + id);
                         }
                         tasks.put(id, new Task(command.nonNegativeLong(ATTEMPT)));
                         changed = true;
--- a/src/test/java/org/meadowhollow/simulation/ScaleTest.java
+++ b/src/test/java/org/meadowhollow/simulation/ScaleTest.java
@@ -13,7 +13,10 @@
 import org.meadowhollow.model.JobSpec;
 import org.meadowhollow.storage.RecordKeys;
 
-/** What a large deployment must bear; it counts messages and records, not wall-clock seconds. */
+/**
+ * Tests a deployment of 900 machines with a backlog of 1000 tasks. The assertions count messages
+ * and records instead of measuring wall-clock time.
+ */
 class ScaleTest {
     private static final int MACHINES = 900;
     private static final int JOBS = 40;
@@ -52,7 +55,7 @@
         assertEquals(
                 0,
                 cluster.network().takeDirectMessageCount(),
-                "every worker found the new leader by itself");
+                "every worker finds the new leader by itself, so no machine is probed");
         assertEquals(JOBS * TASKS, cluster.startCount());
         for (JobSpec job : jobs) {
             assertEquals(
@@ -103,7 +106,7 @@
         assertEquals(
                 pages[next],
                 cluster.storeConnection(next).pageReadCount(),
-                "it has all records in hand");
+                "the replica holds all records, so no page is read");
     }
 
     @Test
@@ -118,7 +121,7 @@
             most = Math.max(most, asked);
             all += asked;
         }
-        assertTrue(most <= 100, most + " machines were asked in a round");
-        assertTrue(all >= MACHINES / 2, "all are asked in the end: " + all);
+        assertTrue(most <= 100, most + " machines were probed in one second");
+        assertTrue(all >= MACHINES / 2, "all silent machines are probed in the end: " + all);
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/TesFuzzTest.java
+++ b/src/test/java/org/meadowhollow/simulation/TesFuzzTest.java
@@ -33,15 +33,16 @@
 import org.meadowhollow.transport.tracing.OtlpTaskTracer;
 
 /**
- * Malformed and unusual requests from a library's random source with fixed seeds: each gets an
- * answer that is no server error, and what is accepted is returned as it was sent. Generators have
- * a fixed depth; recursive ones took the library longer to set up than the whole of this run.
+ * Sends malformed and unusual requests that jqwik generates from fixed seeds. Each request gets an
+ * answer that is not a server error, and an accepted task is returned as it was sent. Generators
+ * have a fixed depth, because jqwik takes longer to set up recursive ones than this whole test
+ * runs.
  */
 class TesFuzzTest {
-    /** Status codes that a working service may answer to anything. */
+    /** Status codes that a working service may answer to any request: no server errors. */
     private static final Set<Integer> FINE = Set.of(200, 400, 401, 403, 404, 405, 413);
 
-    /** A task with a slot for each of its values, and what each slot holds in a valid one. */
+    /** The JSON of a task with a placeholder for each of its values. */
     private static final String SHAPE =
             """
             {"name": %s, "description": %s, "executors": [{"image": %s, "command": %s, "env": %s, "ignore_error": %s,
@@ -50,6 +51,7 @@
              "backend_parameters": {"gpus": %s, "max_attempts": %s, "deadline_s": %s, "machine_types": %s},
              "backend_parameters_strict": %s}, "nobody": %s}""";
 
+    /** The value of each placeholder in a valid task. */
     private static final List<String> GOOD =
             List.of(
                     "\"n\"",
@@ -102,7 +104,7 @@
     private static String quoted(String text) {
         StringBuilder json = new StringBuilder("\"");
         for (int at = 0; at < text.length(); at++) {
-            // Halves of surrogate pairs are escaped by their numbers, for they cannot be encoded
+            // Escapes every character by its code, because unpaired surrogates cannot be encoded
             // otherwise.
             json.append("\\u%04x".formatted((int) text.charAt(at)));
         }
@@ -214,7 +216,7 @@
         assertTrue(
                 FINE.contains(reply.status()),
                 () -> reply.status() + " " + new String(reply.body(), StandardCharsets.UTF_8));
-        // If all bodies were rejected, or all accepted, only half would be tested.
+        // Checks that both outcomes are tested: enough bodies are accepted, and enough rejected.
         Statistics.collect(reply.status());
         Statistics.coverage(
                 seen -> {
@@ -339,7 +341,7 @@
         Http.Reply reply =
                 cluster.clients()
                         .sendTesRequest(0, null, "GET", "/tasks", Map.of(), headers, new byte[0]);
-        assertEquals(401, reply.status(), "nobody guesses a token");
+        assertEquals(401, reply.status(), "a generated token is never valid");
         try {
             assertTrue(
                     BearerTokens.parse(List.of(one + '=' + other))
@@ -348,7 +350,7 @@
         } catch (MalformedMessageException refused) {
             assertTrue(
                     !refused.getMessage().contains(other) || other.length() < 4,
-                    "a token is never told");
+                    "the error message does not reveal the token");
         }
         String context = CONTEXTS.traceContextOf(one);
         assertTrue(context == null || context.length() == 55);
--- a/src/test/java/org/meadowhollow/simulation/TesScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/TesScenarioTest.java
@@ -32,7 +32,7 @@
 import org.meadowhollow.protocol.MessageReader;
 import org.meadowhollow.storage.RecordKeys;
 
-/** Tasks of the task execution API, beside native jobs, while faults happen. */
+/** Tests tasks of the task execution API, together with native jobs, while faults happen. */
 class TesScenarioTest extends ClusterTestBase {
     private static final String TASK =
             """
@@ -83,7 +83,10 @@
         return new TaskId(new JobId(id), 0);
     }
 
-    /** Whether the task is on some machine, with its image or without. */
+    /**
+     * Whether a machine that does not hang runs the task, or holds it while its image is pulled.
+     * The latter counts only with image pulls of more than 30 s.
+     */
     private boolean isOnAnyMachine(String id) {
         return cluster.workers().stream()
                 .anyMatch(
@@ -141,7 +144,7 @@
 
     @Test
     void cancelledTaskNeverRunsAfterwards() {
-        // Nothing has capacity: cancelled while it waits.
+        // No machine has capacity, and the task is cancelled while it is queued.
         cluster.workers().forEach(worker -> worker.setHung(true));
         cluster.cloud().setOutage(true);
         cluster.runSeconds(10);
@@ -152,7 +155,7 @@
         assertEquals("CANCELED", state(0, waiting));
         cluster.workers().forEach(worker -> worker.setHung(false));
         cluster.runSeconds(10);
-        // Its start is committed, but every response that holds it is lost.
+        // The start is committed, but every response that carries the start command is lost.
         cluster.workers().forEach(worker -> worker.loseIncoming(true));
         String unsent = createTask(LONG_RUNTIME);
         cluster.runSeconds(2);
@@ -162,7 +165,7 @@
         cluster.runSeconds(20);
         assertEquals("CANCELED", state(0, unsent));
         assertEquals(0, cluster.startCount());
-        // Its image is being pulled.
+        // The task is cancelled while its image is pulled.
         cluster.setImagePullTime(Duration.ofSeconds(40));
         String fetching = createTask(LONG_RUNTIME);
         cluster.runSeconds(6);
@@ -194,8 +197,8 @@
     void reportedCancellationIsNeverRetracted() {
         String id = createTask(LONG_RUNTIME);
         cluster.runSeconds(6);
-        // The leader cannot see the cancellation by itself for a while, and has changes of its own
-        // to write.
+        // The leader's watches do not deliver the cancellation for a while, and the leader has
+        // changes of its own to write.
         cluster.storeConnection(cluster.leader()).hideAllChanges(true);
         body(ask((cluster.leader() + 1) % 3, "POST", "/tasks/" + id + ":cancel", Map.of()));
         cluster.workers()
@@ -218,7 +221,8 @@
         cluster.cloud().setOutage(true);
         cluster.runSeconds(10);
         String id = createTask(LONG_RUNTIME);
-        // It reads the entry before the task has a placement, and writes after.
+        // The other controller reads the task's entry before the task is placed, and its write is
+        // committed only afterwards.
         int other = (cluster.leader() + 1) % 3;
         cluster.storeConnection(other).holdCommits();
         cluster.loop()
@@ -263,7 +267,7 @@
         assertEquals(
                 0,
                 cluster.store().recordCount(RecordKeys.JOB_PREFIX),
-                "no record of a job that is over comes back");
+                "no record of an ended job is written again");
         assertEquals(2, cluster.startCount());
     }
 
@@ -281,7 +285,7 @@
         for (String id : ids) {
             assertEquals("COMPLETE", state(1, id));
             body(ask(2, "POST", "/tasks/" + id + ":cancel", Map.of()));
-            assertEquals("COMPLETE", state(0, id), "a cancellation comes too late");
+            assertEquals("COMPLETE", state(0, id), "a cancellation after the end has no effect");
         }
         assertEquals(20, cluster.startCount());
     }
@@ -298,7 +302,8 @@
         assertEquals(id, body(create(2, body, "night-1")).get("id"));
         assertEquals(400, create(2, TASK.formatted("another", "1", ""), "night-1").status());
         cluster.runSeconds(30);
-        assertEquals(id, body(create(0, body, "night-1")).get("id"), "also when it is over");
+        assertEquals(
+                id, body(create(0, body, "night-1")).get("id"), "also after the task has ended");
         assertEquals(1, cluster.startCount());
     }
 
@@ -359,11 +364,13 @@
         assertEquals(
                 404, ask(0, "GET", "/tasks/tes-00000000000000000000000000", Map.of()).status());
         assertEquals(
-                404, ask(0, "GET", "/tasks/req-1", Map.of()).status(), "a native job is no task");
-        assertFalse(JobId.isWellFormed(id), "and a task no native job");
+                404,
+                ask(0, "GET", "/tasks/req-1", Map.of()).status(),
+                "a native job is not a TES task");
+        assertFalse(JobId.isWellFormed(id), "a TES task is not a native job");
     }
 
-    /** The status of the first node's answer to the holder of a token. */
+    /** Returns the status with which the first node answers a request that carries a token. */
     private int statusFor(String token, String method, String path) {
         return cluster.clients()
                 .sendTesRequest(0, token, method, path, Map.of(), Map.of(), "")
@@ -441,7 +448,7 @@
         cluster.storeConnection(1).holdRequests(true);
         String body = TASK.formatted("late", "1", "");
         Http.Reply reply = create(1, body, "night-2");
-        assertTrue(reply == null || reply.status() == 503, "nobody knows whether it will be");
+        assertTrue(reply == null || reply.status() == 503, "the outcome of the create is unknown");
         cluster.storeConnection(1).holdRequests(false);
         cluster.runSeconds(3);
         String id = (String) body(create(2, body, "night-2")).get("id");
@@ -513,7 +520,7 @@
                         .filter(CompletableFuture::isDone)
                         .map(reply -> reply.join().status())
                         .toList(),
-                "four at a time, the others at once");
+                "four lists run at a time, and the others are rejected immediately");
         cluster.runSeconds(1);
         assertTrue(lists.stream().limit(4).allMatch(reply -> reply.join().status() == 200));
         for (int at = 0; at < 40; at++) {
@@ -521,7 +528,8 @@
         }
         MessageReader whole =
                 new MessageReader(body(ask(1, "GET", "/tasks", Map.of("view", List.of("BASIC")))));
-        assertEquals(32, whole.nestedList("tasks").size(), "each takes a read of its own");
+        assertEquals(
+                32, whole.nestedList("tasks").size(), "each BASIC entry takes a read of its own");
         assertTrue(whole.has("next_page_token"));
         storeEndedTasks(5000);
         MessageReader none =
@@ -530,7 +538,7 @@
         assertEquals(0, none.nestedList("tasks").size());
         assertTrue(
                 none.has("next_page_token"),
-                "a filter that fits nothing reads no further than so far");
+                "a filter without matches reads a bounded number of records");
     }
 
     /** Stores list entries of ended tasks of the first team. */
@@ -578,9 +586,9 @@
                     return cluster.storeConnection(other).readCount() - before[0];
                 };
         assertEquals(2, cost.applyAsInt(ids.get(0)));
-        assertEquals(1, cost.applyAsInt(ids.get(0)), "a task that was read once is known");
+        assertEquals(1, cost.applyAsInt(ids.get(0)), "a task that was read once is cached");
         ids.forEach(id -> state(other, id));
-        assertEquals(2, cost.applyAsInt(ids.get(0)), "but not for ever");
+        assertEquals(2, cost.applyAsInt(ids.get(0)), "later reads have evicted the first task");
     }
 
     @Test
@@ -655,7 +663,7 @@
                         .map(JobEventLog.Event::jobId)
                         .distinct()
                         .toList(),
-                "first come, first placed, by either way");
+                "jobs of both APIs are placed in the order of their submission");
         JobEventLogChecker.check(events, 4);
         assertEquals(
                 came.size() + 1,
@@ -713,8 +721,8 @@
                 step++) {
             cluster.runSeconds(0.25);
         }
-        // The task is done and no heartbeat has said so yet: the response to the job's end is
-        // lost.
+        // The task has completed, but no heartbeat has reported it yet. The response to the commit
+        // of the job's end is lost.
         int leader = cluster.leader();
         cluster.storeConnection(leader).loseResponses(true);
         cluster.runSeconds(3.5);
@@ -765,8 +773,8 @@
 
     @Test
     void taskCancelledDuringItsPlacementRoundNeverRuns() {
-        // Placed and cancelled between two responses of the store, whichever of the two arrives
-        // first.
+        // The task is placed and cancelled between two responses of the store; the delay varies so
+        // that either of the two can arrive first.
         for (int at = 0; at < 12; at++) {
             String id = createTask(LONG_RUNTIME);
             cluster.run(Duration.ofMillis(250L * (at % 6)));
@@ -775,7 +783,7 @@
             cluster.runSeconds(12);
             assertEquals("CANCELED", state(at % 3, id));
             assertFalse(isOnAnyMachine(id));
-            assertEquals(before, cluster.startCount(), "none starts after the answer");
+            assertEquals(before, cluster.startCount(), "no task starts after its cancellation");
         }
         JobEventLogChecker.check(cluster.events(), 100);
     }
@@ -792,7 +800,7 @@
                                     LONG_RUNTIME));
         }
         cluster.cloud().setOutage(true);
-        // All machines that were rented are up, and full.
+        // All rented machines have booted and are full.
         cluster.runSeconds(20);
         long before =
                 cluster.workers().stream().mapToLong(worker -> worker.runningTasks().size()).sum();
@@ -824,7 +832,7 @@
         assertEquals(
                 "RUNNING",
                 body(reply).get("state"),
-                "others make room, as for a native job of that team");
+                "tasks of another team are preempted, as for a native job of that team");
     }
 
     @Test
--- a/src/test/java/org/meadowhollow/simulation/WarmStandbyScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/WarmStandbyScenarioTest.java
@@ -24,10 +24,14 @@
 import org.meadowhollow.model.Revision;
 import org.meadowhollow.storage.RecordKeys;
 
-/** What a warm standby replicates, what it takes over, and what must not mislead it. */
+/**
+ * Tests the replica of a warm standby: a successor takes over with its records and risk tables, and
+ * neither a stale or incomplete replica nor damaged tables lead to wrong decisions.
+ */
 class WarmStandbyScenarioTest extends ClusterTestBase {
     /**
-     * Samples that a risk table needs before it is used, at a heartbeat every 3 s, and some more.
+     * Time in which a risk table collects the samples that it needs before it is used, at one
+     * heartbeat every 3 s, with a margin.
      */
     private static final double LEARNT_S = 80;
 
@@ -38,7 +42,7 @@
     void startWarmStandbys() {
         cluster.enableStandbys();
         cluster.runSeconds(5);
-        // Keeps the machines, with capacity on each for more.
+        // Keeps all machines rented, with free capacity on each.
         assertTrue(
                 cluster.users()
                         .submit(
@@ -61,7 +65,7 @@
         return (besides + 1) % 3;
     }
 
-    /** Observations in the risk tables of a node. */
+    /** Number of risk tables of a node that have enough samples to be used. */
     private long learnedObservationCount(int node) {
         RiskTableRequest whole =
                 new RiskTableRequest(
@@ -105,7 +109,7 @@
         assertEquals(
                 6,
                 learnedObservationCount(next),
-                "all machines have reported, and none is new to it");
+                "all machines have reported, and their risk tables are known");
     }
 
     @Test
@@ -123,7 +127,10 @@
         cluster.crash(dead);
         secondsUntilAnotherLeads(dead);
         cluster.runSeconds(25);
-        assertEquals(Phase.DONE, phaseOf(lately), "no page of tasks could be read");
+        assertEquals(
+                Phase.DONE,
+                phaseOf(lately),
+                "task records come from the replica: the store refuses to list them");
         assertEquals(20, cluster.startCount());
     }
 
@@ -179,8 +186,8 @@
     }
 
     /**
-     * Some machines hang during a failover, and a job waits that fits on all six, with one task
-     * each.
+     * Fails over while some machines hang and a job waits that needs all six machines, one per
+     * task.
      */
     private List<FakeWorker> failOverWithout(int machines) {
         int dead = cluster.leader();
@@ -214,12 +221,12 @@
         for (int step = 0; step < 14 && cluster.startCount() == 6; step++) {
             cluster.runSeconds(0.25);
         }
-        assertEquals(10, cluster.startCount(), "where machines have reported");
+        assertEquals(10, cluster.startCount(), "tasks start only on machines that have reported");
         cluster.runSeconds(1);
         assertEquals(
                 rentals,
                 cluster.cloud().rentalCount(),
-                "the others may have room, as is seen when they report");
+                "no rental while machines that may have capacity have not reported");
         late.forEach(worker -> worker.setHung(false));
         cluster.runSeconds(8);
         assertEquals(12, cluster.startCount());
@@ -236,7 +243,7 @@
         cluster.store().put(RecordKeys.FENCING_TOKEN_KEY, Map.of("term", 1L));
         cluster.restartAll();
         cluster.runSeconds(6);
-        assertTrue(cluster.fencingToken() > 51, "answers of a lower one would be dropped");
+        assertTrue(cluster.fencingToken() > 51, "workers drop responses with a lower token");
     }
 
     @Test
@@ -257,7 +264,7 @@
         assertEquals(
                 11,
                 cluster.startCount(),
-                "from the old view they would have been stopped as nobody's");
+                "a decision from the stale replica would have stopped them as tasks of no job");
     }
 
     @Test
@@ -318,7 +325,7 @@
         cluster.runSeconds(0.6);
         int next = cluster.leader();
         assertNotEquals(ending, next);
-        assertTrue(next >= 0, "two are equally good, and one of them was named");
+        assertTrue(next >= 0, "the leader names one of two equally suitable standbys");
         cluster.crash(ending);
         long fencingToken = cluster.fencingToken();
         cluster.runSeconds(5);
@@ -336,7 +343,7 @@
         cluster.crash(ending);
         cluster.runSeconds(2.5);
         assertEquals(
-                3 - ending - named, cluster.leader(), "long before a lease would have run out");
+                3 - ending - named, cluster.leader(), "long before the lease would have expired");
     }
 
     @Test
@@ -355,7 +362,7 @@
         cluster.crash(first);
         int after = secondsUntilAnotherLeads(first);
         cluster.runSeconds(4);
-        assertEquals(6, learnedObservationCount(after), "whole tables came instead");
+        assertEquals(6, learnedObservationCount(after), "full tables are requested instead");
         cluster.restart(first);
         cluster.network()
                 .interceptRiskTables(
@@ -410,7 +417,7 @@
         assertEquals(
                 0,
                 learnedObservationCount(cluster.leader()),
-                "another chunk is there than the head says");
+                "the chunk does not match the head record");
         cluster.crashAll();
         cluster.store().put(RecordKeys.riskTableChunk(set, 0), newest);
         Map<String, Object> unknown = new HashMap<>(head);
@@ -418,7 +425,7 @@
         cluster.store().put(RecordKeys.RISK_TABLE_HEAD_KEY, unknown);
         cluster.restartAll();
         cluster.runSeconds(20);
-        assertEquals(0, learnedObservationCount(cluster.leader()), "a form that is not known");
+        assertEquals(0, learnedObservationCount(cluster.leader()), "the form is unknown");
         assertFalse(cluster.leader() < 0);
     }
 
