--- a/src/test/java/org/meadowhollow/simulation/GoldenStoreTest.java
+++ b/src/test/java/org/meadowhollow/simulation/GoldenStoreTest.java
@@ -33,8 +33,8 @@
  * encoding each kind of record to the same bytes as the earlier version did.
  */
 class GoldenStoreTest {
-    private static final Duration SHORT = Duration.ofSeconds(10);
-    private static final List<String> FILES =
+    private static final Duration SHORT_RUNTIME = Duration.ofSeconds(10);
+    private static final List<String> GOLDEN_FILES =
             List.of(
                     "job-array",
                     "job-gang",
@@ -68,7 +68,7 @@
     private static final JobId CANCELLED = new JobId("req-000104");
     private static final JobId ACCOMPANIED = new JobId("tes-00112233445566778899aabbcc");
     private static final JobId TES = new JobId(GoldenTesTask.ID);
-    private static final String RESERVED = "2030-";
+    private static final String RESERVED_YEAR_PREFIX = "2030-";
 
     private final SimulatedCluster cluster = new SimulatedCluster();
 
@@ -76,14 +76,14 @@
      * Fills the store from the golden files. The first two machines run the tasks that the records
      * place on them; the third machine has rebooted and runs none.
      */
-    private void fill(String... whoLeads) {
-        cluster.loop().skip(Duration.ofMillis(GoldenTesTask.BEGIN_MILLIS));
+    private void fillFromGoldenFiles(String... leadershipFiles) {
+        cluster.loop().skip(Duration.ofMillis(GoldenTesTask.START_EPOCH_MILLIS));
         cluster.crashAll();
-        FILES.forEach(this::put);
-        List.of(whoLeads).forEach(this::put);
+        GOLDEN_FILES.forEach(this::putGoldenRecord);
+        List.of(leadershipFiles).forEach(this::putGoldenRecord);
         for (JobId job : List.of(ARRAY, GANG, SERVICE, CANCELLED, ACCOMPANIED, TES)) {
             cluster.spec(job);
-            cluster.setRuntime(job, job.equals(SERVICE) ? Duration.ofHours(2) : SHORT);
+            cluster.setRuntime(job, job.equals(SERVICE) ? Duration.ofHours(2) : SHORT_RUNTIME);
         }
         cluster.historyChecker().recordCancelRequest(CANCELLED);
         for (int task = 0; task < 150; task++) {
@@ -91,26 +91,26 @@
         }
         cluster.historyChecker().recordCompletion(new TaskId(ARRAY, 152));
         cluster.historyChecker().recordCompletion(new TaskId(ARRAY, 199));
-        for (int at = 0; at < 6; at++) {
-            cluster.addMachine(SimulatedCluster.LARGE, at < 3 ? "a" : "b");
+        for (int i = 0; i < 6; i++) {
+            cluster.addMachine(SimulatedCluster.LARGE, i < 3 ? "a" : "b");
         }
         // Prevents rentals, because a rented machine could get the name of the tenth one, which is
         // gone.
         cluster.cloud().limitMachines(6);
-        started(0, ARRAY, 160, 2);
+        deliverStart(0, ARRAY, 160, 2);
         for (int task = 0; task < 4; task++) {
-            started(task % 2, GANG, task, 3);
+            deliverStart(task % 2, GANG, task, 3);
         }
         cluster.enableReservations(Map.of("large", 30));
         cluster.enableStandbys();
     }
 
-    private void put(String name) {
+    private void putGoldenRecord(String name) {
         GoldenFile file = GoldenFile.read(name);
         cluster.store().put(file.key(), file.value());
     }
 
-    private void started(int machine, JobId job, int task, int attempt) {
+    private void deliverStart(int machine, JobId job, int task, int attempt) {
         cluster.workers()
                 .get(machine)
                 .handleDirectCommands(
@@ -121,7 +121,7 @@
                                         new TaskId(job, task), new AttemptNumber(attempt))));
     }
 
-    private void assertEnds(JobId id, Phase phase, int done) {
+    private void assertEnded(JobId id, Phase phase, int done) {
         var state = cluster.users().poll(1, id).orElseThrow();
         assertEquals(phase, state.phase(), id.value());
         assertEquals(done, state.done(), id.value());
@@ -140,7 +140,7 @@
 
     @Test
     void leaderLoadsGoldenRecordsAndCompletesTheirJobs() throws MalformedMessageException {
-        fill("term", "leader");
+        fillFromGoldenFiles("term", "leader");
         cluster.runSeconds(3);
         assertEquals(
                 1,
@@ -158,11 +158,11 @@
         assertEquals(
                 new AttemptNumber(2), cluster.workers().get(0).attemptOf(new TaskId(ARRAY, 160)));
         cluster.runSeconds(240);
-        assertEnds(ARRAY, Phase.DONE, 250);
-        assertEnds(GANG, Phase.DONE, 4);
-        assertEnds(CANCELLED, Phase.CANCELLED, 0);
-        assertEnds(ACCOMPANIED, Phase.DONE, 1);
-        assertEnds(TES, Phase.DONE, 1);
+        assertEnded(ARRAY, Phase.DONE, 250);
+        assertEnded(GANG, Phase.DONE, 4);
+        assertEnded(CANCELLED, Phase.CANCELLED, 0);
+        assertEnded(ACCOMPANIED, Phase.DONE, 1);
+        assertEnded(TES, Phase.DONE, 1);
         assertEquals(
                 Phase.RUNNING,
                 cluster.users().poll(cluster.leader(), SERVICE).orElseThrow().phase());
@@ -171,7 +171,7 @@
         }
         assertTrue(cluster.users().cancel(2, SERVICE));
         cluster.runSeconds(30);
-        assertEnds(SERVICE, Phase.CANCELLED, 0);
+        assertEnded(SERVICE, Phase.CANCELLED, 0);
 
         assertTesEntryShowsLostAndDoneAttempts();
         assertTesTask("COMPLETE");
@@ -210,7 +210,7 @@
 
     @Test
     void preferredSuccessorFromGoldenRecordLeadsNext() {
-        fill("term-handed-over");
+        fillFromGoldenFiles("term-handed-over");
         cluster.runSeconds(3);
         assertEquals(2, cluster.leader());
         assertEquals(43, cluster.fencingToken());
@@ -219,7 +219,7 @@
 
     @Test
     void endedGoldenJobsAreReportedAndNotRunAgain() {
-        fill("term", "leader");
+        fillFromGoldenFiles("term", "leader");
         JobSpec done = SimulatedCluster.spec(105, JobKind.GANG, 4, 1);
         JobSpec cancelled = SimulatedCluster.spec(106, JobKind.SERVICE, 3, 1);
         for (int task = 0; task < 4; task++) {
@@ -227,8 +227,8 @@
         }
         cluster.historyChecker().recordCancelRequest(cancelled.id());
         cluster.runSeconds(8);
-        assertTrue(cluster.users().submit(0, done, SHORT));
-        assertTrue(cluster.users().submit(2, cancelled, SHORT));
+        assertTrue(cluster.users().submit(0, done, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(2, cancelled, SHORT_RUNTIME));
         cluster.runSeconds(30);
         assertEquals(Phase.DONE, cluster.users().poll(1, done.id()).orElseThrow().phase());
         assertEquals(4, cluster.users().poll(1, done.id()).orElseThrow().done());
@@ -241,7 +241,7 @@
 
     @Test
     void reservationCalendarShowsGoldenRecords() throws MalformedMessageException {
-        fill("term", "leader");
+        fillFromGoldenFiles("term", "leader");
         cluster.runSeconds(8);
         String text =
                 new String(
@@ -258,21 +258,21 @@
                         "req-000999",
                         "Europe/Berlin",
                         "FREQ=DAILY;COUNT=10",
-                        RESERVED)) {
+                        RESERVED_YEAR_PREFIX)) {
             assertTrue(text.contains(part), part + " is not in " + text);
         }
     }
 
     // ---- task of the task execution API ----
 
-    private static Map<String, Object> body(Http.Reply reply) throws MalformedMessageException {
+    private static Map<String, Object> okBody(Http.Reply reply) throws MalformedMessageException {
         assertEquals(200, reply.status(), new String(reply.body(), StandardCharsets.UTF_8));
         return JsonCodec.decode(reply.body());
     }
 
     private void assertTesTask(String state) throws MalformedMessageException {
         Map<String, Object> task =
-                body(
+                okBody(
                         cluster.clients()
                                 .sendTesRequest(
                                         0,
@@ -285,11 +285,11 @@
         assertEquals(state, task.get("state"));
         assertEquals(GoldenTesTask.ID, task.get("id"));
         assertEquals("2023-11-14T22:14:32Z", task.get("creation_time"));
-        Map<String, Object> asked =
+        Map<String, Object> requested =
                 JsonCodec.decode(GoldenTesTask.BODY.getBytes(StandardCharsets.UTF_8));
-        asked.forEach((key, value) -> assertEquals(value, task.get(key), key));
-        Map<String, Object> listed =
-                body(
+        requested.forEach((key, value) -> assertEquals(value, task.get(key), key));
+        Map<String, Object> listPage =
+                okBody(
                         cluster.clients()
                                 .sendTesRequest(
                                         2,
@@ -310,13 +310,13 @@
                                         Map.of(),
                                         ""));
         assertTrue(
-                ((List<?>) listed.get("tasks"))
+                ((List<?>) listPage.get("tasks"))
                         .contains(Map.of("id", GoldenTesTask.ID, "state", state)));
     }
 
     @Test
     void tesTaskIsStoredAsGoldenRecord() {
-        FakeKeyValueStore store = GoldenTesTask.accepted().store();
+        FakeKeyValueStore store = GoldenTesTask.clusterWithAcceptedTask().store();
         GoldenFile task = GoldenFile.read("tes-task");
         assertEquals("tes/" + GoldenTesTask.ID, task.key());
         task.assertSameBytes(store.valueOf(task.key()));
@@ -344,7 +344,7 @@
         assertEquals(
                 JsonCodec.decode(GoldenTesTask.BODY.getBytes(StandardCharsets.UTF_8)),
                 task.get("document"));
-        Map<String, Object> kept =
+        Map<String, Object> entryFields =
                 Map.of(
                         "id",
                         GoldenTesTask.ID,
@@ -369,14 +369,14 @@
                         "log",
                         List.of()),
                 GoldenFile.read("tes-entry").value());
-        assertJobRecordMatches(Map.of("key", entryKey, "entry", kept, "most", 3L));
+        assertJobRecordMatches(Map.of("key", entryKey, "entry", entryFields, "most", 3L));
     }
 
     private static void assertJobRecordMatches(Map<String, Object> secondaryRecord) {
         Map<String, Object> job = GoldenFile.read("tes-job").value();
         assertEquals(secondaryRecord, job.get("companion"));
-        Map<String, Object> rest = new HashMap<>(job);
-        rest.remove("companion");
+        Map<String, Object> otherFields = new HashMap<>(job);
+        otherFields.remove("companion");
         assertEquals(
                 Map.ofEntries(
                         entry("class", "night"),
@@ -401,12 +401,12 @@
                         entry("accepted", 1_700_000_072_000L),
                         entry("chunk", 100L),
                         entry("cancelled", false)),
-                rest);
+                otherFields);
     }
 
     @Test
     void tesTaskIsReportedFromGoldenRecord() throws MalformedMessageException {
-        fill("term", "leader");
+        fillFromGoldenFiles("term", "leader");
         assertTesTask("QUEUED");
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/GoldenTesFilesMain.java
+++ b/src/test/java/org/meadowhollow/simulation/GoldenTesFilesMain.java
@@ -12,7 +12,7 @@
     private GoldenTesFilesMain() {}
 
     public static void main(String[] unused) throws IOException {
-        FakeKeyValueStore store = GoldenTesTask.accepted().store();
+        FakeKeyValueStore store = GoldenTesTask.clusterWithAcceptedTask().store();
         Map<String, Object> task = store.valueOf("tes/" + GoldenTesTask.ID);
         GoldenFile.write("tes-task", "tes/" + GoldenTesTask.ID, task);
         GoldenFile.write(
--- a/src/test/java/org/meadowhollow/simulation/GoldenTesTask.java
+++ b/src/test/java/org/meadowhollow/simulation/GoldenTesTask.java
@@ -13,9 +13,9 @@
      * The wall-clock time at which a simulation with golden files begins, in milliseconds since the
      * epoch.
      */
-    static final long BEGIN_MILLIS = 1_700_000_060_000L;
+    static final long START_EPOCH_MILLIS = 1_700_000_060_000L;
 
-    static final String KEY = "golden";
+    static final String IDEMPOTENCY_KEY = "golden";
     static final String ID = "tes-b274ac907e9023b618e480ff70";
     static final String BODY =
             """
@@ -40,9 +40,9 @@
      * Returns a cluster that accepted the task before it had any machine, so that the store holds
      * only the acceptance.
      */
-    static SimulatedCluster accepted() {
+    static SimulatedCluster clusterWithAcceptedTask() {
         SimulatedCluster cluster = new SimulatedCluster();
-        cluster.loop().skip(Duration.ofMillis(BEGIN_MILLIS));
+        cluster.loop().skip(Duration.ofMillis(START_EPOCH_MILLIS));
         cluster.cloud().setBootTimes(Duration.ofHours(1), Duration.ZERO);
         cluster.runSeconds(12);
         Http.Reply reply =
@@ -53,7 +53,7 @@
                                 "POST",
                                 "/tasks",
                                 Map.of(),
-                                Map.of("Idempotency-Key", KEY),
+                                Map.of("Idempotency-Key", IDEMPOTENCY_KEY),
                                 BODY);
         assertEquals(200, reply.status(), new String(reply.body(), StandardCharsets.UTF_8));
         return cluster;
--- a/src/test/java/org/meadowhollow/simulation/HistoryChecker.java
+++ b/src/test/java/org/meadowhollow/simulation/HistoryChecker.java
@@ -33,16 +33,16 @@
      * Once all faults have ended, a job counts as forgotten if polls of it get no answer for longer
      * than this.
      */
-    private static final Duration MAX_UNANSWERED = Duration.ofSeconds(75);
+    private static final Duration MAX_UNANSWERED_TIME = Duration.ofSeconds(75);
 
     /**
      * Once all faults have ended, no job waits longer than this while suitable machines have free
      * capacity and its team is under its limit.
      */
-    private static final Duration MAX_NEGLECTED = Duration.ofSeconds(90);
+    private static final Duration MAX_NEGLECTED_TIME = Duration.ofSeconds(90);
 
     /** The largest jobs of a class start within this time, counted from the end of all faults. */
-    private static final Duration MAX_LARGEST_START = Duration.ofMinutes(4);
+    private static final Duration MAX_START_DELAY_OF_LARGEST = Duration.ofMinutes(4);
 
     private static final double MIN_SERVED_SHARE = 0.5;
 
@@ -119,11 +119,11 @@
      */
     boolean canRun(JobSpec spec) {
         DeploymentSettings.TeamQuota quota = teams.get(spec.team());
-        Resources atOnce =
+        Resources concurrentResources =
                 spec.kind() == JobKind.ARRAY
                         ? spec.resourcesPerTask()
                         : spec.resourcesPerTask().times(spec.taskCount());
-        if (quota == null || !fitsLimit(atOnce, quota.limit())) {
+        if (quota == null || !fitsLimit(concurrentResources, quota.limit())) {
             return false;
         }
         Set<String> zones = new HashSet<>();
@@ -157,9 +157,10 @@
      */
     void checkAnswer(JobId id, Phase phase, MonotonicTime sentAt, MonotonicTime now) {
         answeredAt.put(id, now);
-        MonotonicTime since = acceptedAt.get(id);
+        MonotonicTime firstAccepted = acceptedAt.get(id);
         if (phase == null) {
-            assertTrue(since == null || !since.isBefore(sentAt), "forgotten: " + id);
+            assertTrue(
+                    firstAccepted == null || !firstAccepted.isBefore(sentAt), "forgotten: " + id);
             return;
         }
         assertTrue(submitted.contains(id), "invented: " + id);
@@ -168,7 +169,7 @@
         if (phase == Phase.DONE) {
             checkAllCompleted(id);
         }
-        if (since == null) {
+        if (firstAccepted == null) {
             assertTrue(canRun(specs.apply(id)), "wrongly accepted: " + specs.apply(id));
             acceptedAt.put(id, now);
         }
@@ -302,18 +303,18 @@
     }
 
     private void checkProgress(JobId id, Map<String, Resources> used, MonotonicTime now) {
-        MonotonicTime answered = answeredAt.getOrDefault(id, faultFreeSince);
-        MonotonicTime since = MonotonicTime.latestOf(answered, faultFreeSince);
+        MonotonicTime lastAnswer = answeredAt.getOrDefault(id, faultFreeSince);
+        MonotonicTime waitingFrom = MonotonicTime.latestOf(lastAnswer, faultFreeSince);
         assertTrue(
-                now.elapsedSince(since).compareTo(MAX_UNANSWERED) <= 0,
+                now.elapsedSince(waitingFrom).compareTo(MAX_UNANSWERED_TIME) <= 0,
                 "forgotten: no answer about " + id);
         if (!couldRunMore(specs.apply(id), used)) {
             neglectedSince.remove(id);
             return;
         }
-        MonotonicTime neglected = neglectedSince.computeIfAbsent(id, unused -> now);
+        MonotonicTime neglectedFrom = neglectedSince.computeIfAbsent(id, unused -> now);
         assertTrue(
-                now.elapsedSince(neglected).compareTo(MAX_NEGLECTED) <= 0,
+                now.elapsedSince(neglectedFrom).compareTo(MAX_NEGLECTED_TIME) <= 0,
                 "neglected: " + id + " waits while machines have capacity for it");
     }
 
@@ -337,10 +338,10 @@
      */
     void checkFairness() {
         Map<String, List<JobId>> groups = new LinkedHashMap<>();
-        List<JobId> wanted =
+        List<JobId> notCancelled =
                 acceptedAt.keySet().stream().filter(id -> !cancelRequested.contains(id)).toList();
-        Map<String, Integer> largest = largestTaskCounts(wanted);
-        for (JobId id : wanted) {
+        Map<String, Integer> largest = largestTaskCounts(notCancelled);
+        for (JobId id : notCancelled) {
             JobSpec spec = specs.apply(id);
             addToGroup(groups, "class " + spec.jobClass(), id);
             addToGroup(groups, "team " + spec.team(), id);
@@ -377,7 +378,7 @@
                         : MonotonicTime.latestOf(faultFreeSince, acceptedAt.get(id));
         assertTrue(
                 startedAt.containsKey(id)
-                        && startedAt.get(id).isBefore(from.plus(MAX_LARGEST_START)),
+                        && startedAt.get(id).isBefore(from.plus(MAX_START_DELAY_OF_LARGEST)),
                 "largest job not started in time: " + id);
     }
 
--- a/src/test/java/org/meadowhollow/simulation/HistoryCheckerTest.java
+++ b/src/test/java/org/meadowhollow/simulation/HistoryCheckerTest.java
@@ -27,9 +27,9 @@
  * behaviour.
  */
 class HistoryCheckerTest {
-    private static final JobId UNKNOWN = new JobId("req-99");
+    private static final JobId UNKNOWN_JOB = new JobId("req-99");
 
-    private record Stand(
+    private record TestMachine(
             String zone, MachineType machineType, List<TaskId> heldTasks, List<TaskId> runningTasks)
             implements HistoryChecker.Machine {
         @Override
@@ -40,20 +40,20 @@
 
     private final Map<JobId, JobSpec> specs = new HashMap<>();
     private final Map<String, DeploymentSettings.TeamQuota> teams = new HashMap<>();
-    private final List<Stand> places = new ArrayList<>();
+    private final List<TestMachine> machines = new ArrayList<>();
     private final HistoryChecker historyChecker =
             new HistoryChecker(
                     Duration.ofSeconds(48),
                     teams,
                     List.of(SimulatedCluster.SMALL, SimulatedCluster.LARGE),
                     specs::get,
-                    () -> places);
+                    () -> machines);
 
     private static MonotonicTime at(double seconds) {
         return new MonotonicTime((long) (seconds * 1e9));
     }
 
-    private JobSpec job(JobSpec spec) {
+    private JobSpec submittedJob(JobSpec spec) {
         teams.putIfAbsent(
                 "team",
                 new DeploymentSettings.TeamQuota("team", Resources.NONE, Resources.of(0, 4, 0)));
@@ -62,32 +62,34 @@
         return spec;
     }
 
-    private JobSpec accepted(int number, JobKind kind, int tasks) {
-        JobSpec spec = job(SimulatedCluster.spec(number, kind, tasks, 1));
+    private JobSpec acceptedJob(int number, JobKind kind, int tasks) {
+        JobSpec spec = submittedJob(SimulatedCluster.spec(number, kind, tasks, 1));
         historyChecker.checkAnswer(spec.id(), Phase.QUEUED, at(0), at(1));
         return spec;
     }
 
-    private Stand addMachine(String zone, TaskId... running) {
-        Stand stand = new Stand(zone, SimulatedCluster.LARGE, List.of(running), List.of(running));
-        places.add(stand);
-        return stand;
+    private TestMachine addMachine(String zone, TaskId... running) {
+        TestMachine machine =
+                new TestMachine(zone, SimulatedCluster.LARGE, List.of(running), List.of(running));
+        machines.add(machine);
+        return machine;
     }
 
     private static TaskId task(JobSpec job, int index) {
         return new TaskId(job.id(), index);
     }
 
-    private static void assertDetects(String fault, Executable check) {
-        AssertionError found = assertThrows(AssertionError.class, check, fault);
-        assertTrue(found.getMessage().startsWith(fault), found.getMessage());
+    private static void assertDetects(String messagePrefix, Executable check) {
+        AssertionError error = assertThrows(AssertionError.class, check, messagePrefix);
+        assertTrue(error.getMessage().startsWith(messagePrefix), error.getMessage());
     }
 
     @Test
     void detectsInconsistentAnswersToUsers() {
         assertDetects(
-                "invented", () -> historyChecker.checkAnswer(UNKNOWN, Phase.QUEUED, at(0), at(1)));
-        JobSpec job = accepted(1, JobKind.ARRAY, 2);
+                "invented",
+                () -> historyChecker.checkAnswer(UNKNOWN_JOB, Phase.QUEUED, at(0), at(1)));
+        JobSpec job = acceptedJob(1, JobKind.ARRAY, 2);
         assertDoesNotThrow(
                 () -> historyChecker.checkAnswer(job.id(), null, at(0.5), at(2)),
                 "the poll was sent before the acceptance was answered");
@@ -115,7 +117,7 @@
 
     @Test
     void detectsAcceptedJobThatCannotRun() {
-        for (JobSpec wrong :
+        for (JobSpec infeasibleJob :
                 List.of(
                         SimulatedCluster.spec(1, JobKind.ARRAY, 1, 9),
                         ClusterTestBase.withTeam(
@@ -124,52 +126,58 @@
                         ClusterTestBase.inZone(SimulatedCluster.spec(4, JobKind.ARRAY, 1, 1), "c"),
                         ClusterTestBase.withZonePolicy(
                                 SimulatedCluster.spec(5, JobKind.GANG, 2, 1), true, true))) {
-            job(wrong);
+            submittedJob(infeasibleJob);
             assertDetects(
                     "wrongly accepted",
-                    () -> historyChecker.checkAnswer(wrong.id(), Phase.QUEUED, at(0), at(1)));
+                    () ->
+                            historyChecker.checkAnswer(
+                                    infeasibleJob.id(), Phase.QUEUED, at(0), at(1)));
         }
-        accepted(6, JobKind.ARRAY, 50);
+        acceptedJob(6, JobKind.ARRAY, 50);
     }
 
     @Test
     void detectsTaskStartedOnWrongMachine() {
-        JobSpec array = accepted(1, JobKind.ARRAY, 4);
-        Stand first = addMachine("a", task(array, 0));
-        Stand second = addMachine("b");
+        JobSpec array = acceptedJob(1, JobKind.ARRAY, 4);
+        TestMachine first = addMachine("a", task(array, 0));
+        TestMachine second = addMachine("b");
         assertDetects("ran_twice", () -> historyChecker.checkStart(second, task(array, 0), at(2)));
         historyChecker.checkStart(second, task(array, 1), at(2));
-        JobSpec bound =
-                job(ClusterTestBase.inZone(SimulatedCluster.spec(2, JobKind.ARRAY, 1, 1), "a"));
+        JobSpec zoneBoundJob =
+                submittedJob(
+                        ClusterTestBase.inZone(SimulatedCluster.spec(2, JobKind.ARRAY, 1, 1), "a"));
         assertDetects(
-                "wrong_place", () -> historyChecker.checkStart(second, task(bound, 0), at(2)));
-        JobSpec together =
-                job(
+                "wrong_place",
+                () -> historyChecker.checkStart(second, task(zoneBoundJob, 0), at(2)));
+        JobSpec singleZoneJob =
+                submittedJob(
                         ClusterTestBase.withZonePolicy(
                                 SimulatedCluster.spec(3, JobKind.ARRAY, 2, 1), true, false));
-        places.clear();
-        addMachine("a", task(together, 0));
+        machines.clear();
+        addMachine("a", task(singleZoneJob, 0));
         assertDetects(
-                "wrong_place", () -> historyChecker.checkStart(second, task(together, 1), at(2)));
-        JobSpec spread =
-                job(
+                "wrong_place",
+                () -> historyChecker.checkStart(second, task(singleZoneJob, 1), at(2)));
+        JobSpec spreadJob =
+                submittedJob(
                         ClusterTestBase.withZonePolicy(
                                 SimulatedCluster.spec(4, JobKind.ARRAY, 3, 1), false, true));
-        places.clear();
-        Stand third = addMachine("a", task(spread, 0), task(spread, 1), task(spread, 2));
+        machines.clear();
+        TestMachine third =
+                addMachine("a", task(spreadJob, 0), task(spreadJob, 1), task(spreadJob, 2));
         assertDetects(
-                "wrong_place", () -> historyChecker.checkStart(third, task(spread, 2), at(2)));
+                "wrong_place", () -> historyChecker.checkStart(third, task(spreadJob, 2), at(2)));
         assertEquals("a", first.zone());
     }
 
     @Test
     void detectsQuotaAndCancellationViolations() {
-        JobSpec job = accepted(1, JobKind.ARRAY, 5);
+        JobSpec job = acceptedJob(1, JobKind.ARRAY, 5);
         addMachine("a", task(job, 0), task(job, 1), task(job, 2), task(job, 3));
         historyChecker.checkStep(at(2));
         addMachine("b", task(job, 4));
         assertDetects("quota", () -> historyChecker.checkStep(at(3)));
-        places.clear();
+        machines.clear();
         addMachine("a", task(job, 0));
         historyChecker.recordCancelRequest(job.id());
         historyChecker.checkAnswer(job.id(), Phase.CANCELLED, at(3), at(4));
@@ -181,7 +189,7 @@
 
     @Test
     void detectsUnansweredAndNeglectedJobsAfterFaults() {
-        JobSpec job = accepted(1, JobKind.ARRAY, 2);
+        JobSpec job = acceptedJob(1, JobKind.ARRAY, 2);
         addMachine("a");
         historyChecker.beginFaultFreePhase(at(10));
         historyChecker.checkStep(at(10));
@@ -190,12 +198,12 @@
         historyChecker.checkStep(at(100));
         historyChecker.checkAnswer(job.id(), Phase.QUEUED, at(99), at(100));
         assertDetects("neglected", () -> historyChecker.checkStep(at(100.1)));
-        places.clear();
+        machines.clear();
         addMachine("a", task(job, 0), task(job, 1));
         assertDoesNotThrow(() -> historyChecker.checkStep(at(100.2)), "all its tasks are placed");
-        JobSpec full = accepted(2, JobKind.GANG, 3);
+        JobSpec gangJob = acceptedJob(2, JobKind.GANG, 3);
         historyChecker.checkAnswer(job.id(), Phase.QUEUED, at(189), at(190));
-        historyChecker.checkAnswer(full.id(), Phase.QUEUED, at(189), at(190));
+        historyChecker.checkAnswer(gangJob.id(), Phase.QUEUED, at(189), at(190));
         assertDoesNotThrow(
                 () -> historyChecker.checkStep(at(195)), "the team's limit is four GPUs");
     }
@@ -205,24 +213,24 @@
         historyChecker.beginFaultFreePhase(at(0));
         List<JobSpec> jobs = new ArrayList<>();
         for (int number = 0; number < 5; number++) {
-            jobs.add(accepted(number, JobKind.ARRAY, number < 4 ? 1 : 2));
+            jobs.add(acceptedJob(number, JobKind.ARRAY, number < 4 ? 1 : 2));
         }
-        Stand place = addMachine("a");
+        TestMachine machine = addMachine("a");
         for (int number = 3; number < 5; number++) {
             for (int task = 0; task < jobs.get(number).taskCount(); task++) {
-                historyChecker.checkStart(place, task(jobs.get(number), task), at(200));
+                historyChecker.checkStart(machine, task(jobs.get(number), task), at(200));
                 historyChecker.recordCompletion(task(jobs.get(number), task));
             }
             historyChecker.checkAnswer(jobs.get(number).id(), Phase.DONE, at(210), at(211));
         }
         assertDetects("class class: 2 served of 5", historyChecker::checkFairness);
-        historyChecker.checkStart(place, task(jobs.get(2), 0), at(300));
+        historyChecker.checkStart(machine, task(jobs.get(2), 0), at(300));
         historyChecker.recordCompletion(task(jobs.get(2), 0));
         historyChecker.checkAnswer(jobs.get(2).id(), Phase.DONE, at(310), at(311));
         historyChecker.checkFairness();
-        JobSpec large = accepted(5, JobKind.ARRAY, 2);
+        JobSpec large = acceptedJob(5, JobKind.ARRAY, 2);
         assertDetects("largest job not started in time", historyChecker::checkFairness);
-        historyChecker.checkStart(place, task(large, 0), at(241.5));
+        historyChecker.checkStart(machine, task(large, 0), at(241.5));
         assertDetects("largest job not started in time", historyChecker::checkFairness);
     }
 
--- a/src/test/java/org/meadowhollow/simulation/JobEventLogChecker.java
+++ b/src/test/java/org/meadowhollow/simulation/JobEventLogChecker.java
@@ -21,9 +21,9 @@
 
     /**
      * @param events the events, ordered by their revision in the store
-     * @param most the number of tasks that may be placed at the same time
+     * @param maxPlaced the largest number of tasks that may be placed at the same time
      */
-    static void check(List<JobEventLog.Event> events, int most) {
+    static void check(List<JobEventLog.Event> events, int maxPlaced) {
         Set<JobId> accepted = new HashSet<>();
         Set<JobId> closed = new HashSet<>();
         Map<TaskId, String> placed = new HashMap<>();
@@ -42,7 +42,7 @@
                             () -> "" + event);
                     assertEquals(
                             null, placed.put(task, event.machineName()), "placed twice: " + event);
-                    assertTrue(placed.size() <= most, "over the limit: " + event);
+                    assertTrue(placed.size() <= maxPlaced, "over the limit: " + event);
                 }
                 case GONE ->
                         assertEquals(
@@ -53,7 +53,8 @@
                     closed.add(event.jobId());
                     assertTrue(
                             placed.keySet().stream()
-                                    .noneMatch(left -> left.jobId().equals(event.jobId())),
+                                    .noneMatch(
+                                            placedTask -> placedTask.jobId().equals(event.jobId())),
                             () -> "ended while tasks are placed: " + event);
                 }
             }
--- a/src/test/java/org/meadowhollow/simulation/KeyValueStoreHttpServer.java
+++ b/src/test/java/org/meadowhollow/simulation/KeyValueStoreHttpServer.java
@@ -28,32 +28,32 @@
     private static final String LEASE = "tether";
 
     private final KeyValueStore store;
-    private final Runnable changed;
+    private final Runnable onChange;
 
     /**
-     * @param changed called after each commit, and after each renewal or revocation of a lease
+     * @param onChange called after each commit, and after each renewal or revocation of a lease
      */
-    KeyValueStoreHttpServer(KeyValueStore store, Runnable changed) {
+    KeyValueStoreHttpServer(KeyValueStore store, Runnable onChange) {
         this.store = store;
-        this.changed = changed;
+        this.onChange = onChange;
     }
 
     @Override
     public CompletableFuture<Http.Reply> answer(Http.Request request) {
         try {
             return route(request)
-                    .handle((reply, failure) -> failure == null ? reply : refusal(failure));
-        } catch (MalformedMessageException | NumberFormatException broken) {
+                    .handle((reply, failure) -> failure == null ? reply : errorReply(failure));
+        } catch (MalformedMessageException | NumberFormatException malformed) {
             return CompletableFuture.completedFuture(
-                    Http.Reply.error(400, "outside the protocol: " + broken));
+                    Http.Reply.error(400, "outside the protocol: " + malformed));
         }
     }
 
-    private static Http.Reply refusal(Throwable failure) {
+    private static Http.Reply errorReply(Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
         Outcome outcome =
-                cause instanceof KeyValueStoreException refused
-                        ? refused.outcome()
+                cause instanceof KeyValueStoreException storeFailure
+                        ? storeFailure.outcome()
                         : Outcome.INDETERMINATE;
         return switch (outcome) {
             case LEASE_EXPIRED -> Http.Reply.error(400, "no such lease");
@@ -96,14 +96,14 @@
                 .handle(
                         (done, failure) ->
                                 Http.Reply.of(failure == null ? 200 : 404, MessageReader.mapOf()))
-                .whenComplete((reply, none) -> changed.run());
+                .whenComplete((reply, none) -> onChange.run());
     }
 
     private CompletableFuture<Http.Reply> list(Http.Request request) {
         return store.list(
-                        one(request, "prefix"),
-                        one(request, "after"),
-                        Integer.parseInt(one(request, "most")),
+                        queryParameter(request, "prefix"),
+                        queryParameter(request, "after"),
+                        Integer.parseInt(queryParameter(request, "most")),
                         RequestPriority.USER)
                 .thenApply(KeyValueStoreHttpServer::page);
     }
@@ -122,9 +122,9 @@
 
     private CompletableFuture<Http.Reply> watch(Http.Request request) {
         return store.watch(
-                        one(request, "prefix"),
-                        new Revision(Long.parseLong(one(request, "after"))),
-                        Duration.ofMillis(Long.parseLong(one(request, "blockMs"))))
+                        queryParameter(request, "prefix"),
+                        new Revision(Long.parseLong(queryParameter(request, "after"))),
+                        Duration.ofMillis(Long.parseLong(queryParameter(request, "blockMs"))))
                 .thenApply(KeyValueStoreHttpServer::changes);
     }
 
@@ -134,7 +134,7 @@
         return store.commit(transaction, RequestPriority.USER)
                 .thenApply(
                         result -> {
-                            changed.run();
+                            onChange.run();
                             return Http.Reply.of(
                                     result.isApplied() ? 200 : 409,
                                     MessageReader.mapOf(
@@ -152,7 +152,7 @@
                 .thenApply(lease -> Http.Reply.of(200, MessageReader.mapOf(LEASE, lease.value())));
     }
 
-    private static String one(Http.Request request, String parameter) {
+    private static String queryParameter(Http.Request request, String parameter) {
         List<String> values = request.query().get(parameter);
         return values == null ? null : values.get(0);
     }
--- a/src/test/java/org/meadowhollow/simulation/LoadTestMain.java
+++ b/src/test/java/org/meadowhollow/simulation/LoadTestMain.java
@@ -39,23 +39,23 @@
  * docs/measurements.md}.
  */
 final class LoadTestMain {
-    private static final int AT_ONCE = 16;
-    private static final int REQUESTS = 2000;
-    private static final int TASKS = 10_000;
-    private static final String HASH =
+    private static final int CONCURRENT_REQUESTS = 16;
+    private static final int REQUEST_COUNT = 2000;
+    private static final int TASK_COUNT = 10_000;
+    private static final String TOKEN_HASH =
             "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b";
-    private static final String TASK =
+    private static final String TASK_TEMPLATE =
             """
             {"name": "night", "executors": [{"image": "i", "command": ["true"]}], "tags": {"n": "%d"}}""";
 
     private final HttpClient http =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private final AtomicInteger stateRequests = new AtomicInteger();
-    private final AtomicLong stateBytes = new AtomicLong();
-    private final Queue<String> ids = new ConcurrentLinkedQueue<>();
-    private int front;
-    private int tes;
-    private Process node;
+    private final AtomicInteger storeRequests = new AtomicInteger();
+    private final AtomicLong storeBytes = new AtomicLong();
+    private final Queue<String> createdTaskIds = new ConcurrentLinkedQueue<>();
+    private int apiPort;
+    private int tesPort;
+    private Process controller;
 
     private LoadTestMain() {}
 
@@ -78,23 +78,24 @@
     private void run(String[] command) throws Exception {
         XnioEventLoop loop = new XnioEventLoop();
         FakeKeyValueStore store = new FakeKeyValueStore(loop, Duration.ZERO);
-        Http.RequestHandler state =
+        Http.RequestHandler storeHandler =
                 loop.callAndWait(() -> new KeyValueStoreHttpServer(store.connect(), () -> {}));
-        int statePort =
-                serve(
+        int storePort =
+                startServer(
                         loop,
                         request -> {
-                            stateRequests.incrementAndGet();
-                            return state.answer(request)
+                            storeRequests.incrementAndGet();
+                            return storeHandler
+                                    .answer(request)
                                     .thenApply(
                                             reply -> {
-                                                stateBytes.addAndGet(reply.body().length);
+                                                storeBytes.addAndGet(reply.body().length);
                                                 return reply;
                                             });
                         });
-        int cloud = serve(loop, (Http.SimpleRequestHandler) LoadTestMain::answerAsCloud);
-        front = freePort();
-        tes = freePort();
+        int cloudPort = startServer(loop, (Http.SimpleRequestHandler) LoadTestMain::answerAsCloud);
+        apiPort = freePort();
+        tesPort = freePort();
         Path settings = Files.createTempFile("load", ".json");
         Files.writeString(
                 settings,
@@ -106,30 +107,30 @@
                   "workers":{"report_s":3.0,"lease_s":18.0,"gang_wait_s":30.0,"gang_peer_s":6.0,"cancel_s":48.0},
                   "state":{"rps":100000.0,"write_rps":100000.0,"value_kb":16.0,"txn_ops":12},
                   "cloud":{"rps":20.0,"list_lag_s":10.0}}}"""
-                        .formatted(front, cloud, statePort));
-        String[] all = Arrays.copyOf(command, command.length + 6);
+                        .formatted(apiPort, cloudPort, storePort));
+        String[] arguments = Arrays.copyOf(command, command.length + 6);
         System.arraycopy(
                 new String[] {
                     "--tes-listen",
-                    "127.0.0.1:" + tes,
+                    "127.0.0.1:" + tesPort,
                     "--tes-token",
-                    "team=" + HASH,
+                    "team=" + TOKEN_HASH,
                     "--config",
                     settings.toString()
                 },
                 0,
-                all,
+                arguments,
                 command.length,
                 6);
-        node =
-                new ProcessBuilder(all)
+        controller =
+                new ProcessBuilder(arguments)
                         .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                         .redirectError(ProcessBuilder.Redirect.DISCARD)
                         .start();
         try {
             measure();
         } finally {
-            node.destroy();
+            controller.destroy();
             Files.delete(settings);
         }
     }
@@ -145,7 +146,7 @@
                         : CloudWireReplies.machines(List.of()));
     }
 
-    private static int serve(XnioEventLoop loop, Http.RequestHandler requestHandler) {
+    private static int startServer(XnioEventLoop loop, Http.RequestHandler requestHandler) {
         return new HttpServer(
                         loop,
                         new DefaultByteBufferPool(false, 8192),
@@ -158,67 +159,89 @@
     }
 
     private void measure() throws Exception {
-        long until = System.nanoTime() + Duration.ofSeconds(30).toNanos();
-        while (System.nanoTime() < until && !ready()) {
+        long deadline = System.nanoTime() + Duration.ofSeconds(30).toNanos();
+        while (System.nanoTime() < deadline && !isReady()) {
             Thread.onSpinWait();
         }
-        System.out.println("at rest: " + memory());
+        System.out.println("at rest: " + memoryStatus());
         // Measures both APIs twice: the first round only warms up the JIT compiler.
         for (int round = 0; round < 2; round++) {
-            int from = round * 3 * REQUESTS;
-            load(
+            int from = round * 3 * REQUEST_COUNT;
+            measureRequests(
                     "native submit",
-                    REQUESTS,
-                    at ->
-                            plain(
+                    REQUEST_COUNT,
+                    i ->
+                            nativeRequest(
                                     "POST",
                                     "/submissions",
                                     MessagePackCodec.encode(
                                             SubmissionCodec.encode(
                                                     SimulatedCluster.spec(
-                                                            from + at + 1, JobKind.ARRAY, 1, 1)))));
-            load(
+                                                            from + i + 1, JobKind.ARRAY, 1, 1)))));
+            measureRequests(
                     "native poll",
-                    REQUESTS,
-                    at -> plain("GET", "/submissions/req-%06d".formatted(from + at + 1), null));
-            load(
+                    REQUEST_COUNT,
+                    i ->
+                            nativeRequest(
+                                    "GET", "/submissions/req-%06d".formatted(from + i + 1), null));
+            measureRequests(
                     "native cancel",
-                    REQUESTS,
-                    at ->
-                            plain(
+                    REQUEST_COUNT,
+                    i ->
+                            nativeRequest(
                                     "POST",
-                                    "/submissions/req-%06d/cancel".formatted(from + at + 1),
+                                    "/submissions/req-%06d/cancel".formatted(from + i + 1),
                                     new byte[0]));
-            load("TES create", REQUESTS, at -> api("POST", "/tasks", TASK.formatted(at)));
-            String[] made = ids.toArray(String[]::new);
-            load("TES get", REQUESTS, at -> api("GET", "/tasks/" + made[at], null));
-            load(
+            measureRequests(
+                    "TES create",
+                    REQUEST_COUNT,
+                    i -> tesRequest("POST", "/tasks", TASK_TEMPLATE.formatted(i)));
+            String[] taskIds = createdTaskIds.toArray(String[]::new);
+            measureRequests(
+                    "TES get", REQUEST_COUNT, i -> tesRequest("GET", "/tasks/" + taskIds[i], null));
+            measureRequests(
                     "TES get FULL",
-                    REQUESTS,
-                    at -> api("GET", "/tasks/" + made[at] + "?view=FULL", null));
-            load("TES list of 20", REQUESTS / 4, at -> api("GET", "/tasks?page_size=20", null));
-            load("TES cancel", REQUESTS, at -> api("POST", "/tasks/" + made[at] + ":cancel", ""));
-            ids.clear();
+                    REQUEST_COUNT,
+                    i -> tesRequest("GET", "/tasks/" + taskIds[i] + "?view=FULL", null));
+            measureRequests(
+                    "TES list of 20",
+                    REQUEST_COUNT / 4,
+                    i -> tesRequest("GET", "/tasks?page_size=20", null));
+            measureRequests(
+                    "TES cancel",
+                    REQUEST_COUNT,
+                    i -> tesRequest("POST", "/tasks/" + taskIds[i] + ":cancel", ""));
+            createdTaskIds.clear();
         }
-        System.out.println("after both kinds: " + memory());
-        while (ids.size() < TASKS - 2 * REQUESTS) {
-            load("", REQUESTS, at -> api("POST", "/tasks", TASK.formatted(at)));
+        System.out.println("after both kinds: " + memoryStatus());
+        while (createdTaskIds.size() < TASK_COUNT - 2 * REQUEST_COUNT) {
+            measureRequests(
+                    "",
+                    REQUEST_COUNT,
+                    i -> tesRequest("POST", "/tasks", TASK_TEMPLATE.formatted(i)));
         }
-        lists("MINIMAL", "page_size=2048");
-        lists("MINIMAL of one state", "page_size=2048&state=COMPLETE");
-        lists("BASIC", "page_size=2048&view=BASIC");
-        System.out.println("after lists: " + memory());
+        measureList("MINIMAL", "page_size=2048");
+        measureList("MINIMAL of one state", "page_size=2048&state=COMPLETE");
+        measureList("BASIC", "page_size=2048&view=BASIC");
+        System.out.println("after lists: " + memoryStatus());
         String deep = "{\"executors\": " + "[".repeat(60_000);
         String wide = "{\"tags\": {" + "\"a\":1,".repeat(8_000) + "\"b\":1}}";
-        load("deep nesting, 60 KB", REQUESTS, at -> api("POST", "/tasks", deep));
-        load("wide object, 56 KB", REQUESTS, at -> api("POST", "/tasks", wide));
-        load("too large", REQUESTS / 4, at -> api("POST", "/tasks", "x".repeat(70_000)));
-        System.out.println("after hostile requests: " + memory());
+        measureRequests(
+                "deep nesting, 60 KB", REQUEST_COUNT, i -> tesRequest("POST", "/tasks", deep));
+        measureRequests(
+                "wide object, 56 KB", REQUEST_COUNT, i -> tesRequest("POST", "/tasks", wide));
+        measureRequests(
+                "too large",
+                REQUEST_COUNT / 4,
+                i -> tesRequest("POST", "/tasks", "x".repeat(70_000)));
+        System.out.println("after hostile requests: " + memoryStatus());
     }
 
-    private boolean ready() {
+    private boolean isReady() {
         try {
-            return http.send(plain("GET", "/ready", null), HttpResponse.BodyHandlers.discarding())
+            return http.send(
+                                    nativeRequest("GET", "/ready", null),
+                                    HttpResponse.BodyHandlers.discarding())
                             .statusCode()
                     == 200;
         } catch (IOException | InterruptedException notYet) {
@@ -226,17 +249,17 @@
         }
     }
 
-    private void lists(String what, String query) throws Exception {
+    private void measureList(String name, String query) throws Exception {
         int requests = 0;
-        int told = 0;
-        int before = stateRequests.get();
-        long bytes = stateBytes.get();
-        double cpu = cpuS();
+        int taskCount = 0;
+        int storeRequestsBefore = storeRequests.get();
+        long bytesBefore = storeBytes.get();
+        double cpuBefore = cpuSeconds();
         String token = null;
         do {
             HttpResponse<byte[]> reply =
                     http.send(
-                            api(
+                            tesRequest(
                                     "GET",
                                     "/tasks?"
                                             + query
@@ -244,22 +267,22 @@
                                     null),
                             HttpResponse.BodyHandlers.ofByteArray());
             MessageReader page = new MessageReader(JsonCodec.decode(reply.body()));
-            told += page.nestedList("tasks").size();
+            taskCount += page.nestedList("tasks").size();
             token = page.stringOrNull("next_page_token");
             requests++;
         } while (token != null);
         System.out.printf(
                 "list of %s: %d told in %d requests, %d state requests, %d KB from it, %.2f s of processor%n",
-                what,
-                told,
+                name,
+                taskCount,
                 requests,
-                stateRequests.get() - before,
-                (stateBytes.get() - bytes) / 1024,
-                cpuS() - cpu);
+                storeRequests.get() - storeRequestsBefore,
+                (storeBytes.get() - bytesBefore) / 1024,
+                cpuSeconds() - cpuBefore);
     }
 
-    private HttpRequest plain(String method, String path, byte[] body) {
-        return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + front + path))
+    private HttpRequest nativeRequest(String method, String path, byte[] body) {
+        return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + apiPort + path))
                 .timeout(Duration.ofSeconds(20))
                 .method(
                         method,
@@ -269,9 +292,9 @@
                 .build();
     }
 
-    private HttpRequest api(String method, String path, String body) {
+    private HttpRequest tesRequest(String method, String path, String body) {
         return HttpRequest.newBuilder(
-                        URI.create("http://127.0.0.1:" + tes + "/ga4gh/tes/v1" + path))
+                        URI.create("http://127.0.0.1:" + tesPort + "/ga4gh/tes/v1" + path))
                 .timeout(Duration.ofSeconds(20))
                 .header("Authorization", "Bearer secret")
                 .method(
@@ -283,73 +306,74 @@
     }
 
     /** Sends requests, several at a time, and prints the results unless the name is empty. */
-    private void load(String what, int count, IntFunction<HttpRequest> request) throws Exception {
+    private void measureRequests(String name, int count, IntFunction<HttpRequest> request)
+            throws Exception {
         AtomicInteger next = new AtomicInteger();
-        Map<Integer, Integer> answers = new ConcurrentHashMap<>();
-        CountDownLatch left = new CountDownLatch(count);
-        double cpu = cpuS();
-        int before = stateRequests.get();
-        long begun = System.nanoTime();
-        for (int at = 0; at < AT_ONCE; at++) {
-            one(next, count, request, left, answers);
+        Map<Integer, Integer> countsByStatus = new ConcurrentHashMap<>();
+        CountDownLatch remaining = new CountDownLatch(count);
+        double cpuBefore = cpuSeconds();
+        int storeRequestsBefore = storeRequests.get();
+        long startNanos = System.nanoTime();
+        for (int i = 0; i < CONCURRENT_REQUESTS; i++) {
+            sendNext(next, count, request, remaining, countsByStatus);
         }
-        left.await();
-        double seconds = (System.nanoTime() - begun) / 1e9;
-        if (!what.isEmpty()) {
+        remaining.await();
+        double seconds = (System.nanoTime() - startNanos) / 1e9;
+        if (!name.isEmpty()) {
             System.out.printf(
                     "%-20s %7.0f a second, %.3f ms of processor each, %.2f state requests each, answers %s%n",
-                    what,
+                    name,
                     count / seconds,
-                    (cpuS() - cpu) * 1000 / count,
-                    (stateRequests.get() - before) / (double) count,
-                    answers);
+                    (cpuSeconds() - cpuBefore) * 1000 / count,
+                    (storeRequests.get() - storeRequestsBefore) / (double) count,
+                    countsByStatus);
         }
     }
 
-    private void one(
+    private void sendNext(
             AtomicInteger next,
             int count,
             IntFunction<HttpRequest> request,
-            CountDownLatch left,
-            Map<Integer, Integer> answers) {
-        int at = next.getAndIncrement();
-        if (at >= count) {
+            CountDownLatch remaining,
+            Map<Integer, Integer> countsByStatus) {
+        int i = next.getAndIncrement();
+        if (i >= count) {
             return;
         }
-        HttpRequest sent = request.apply(at);
+        HttpRequest sent = request.apply(i);
         CompletableFuture<HttpResponse<String>> unused =
                 http.sendAsync(sent, HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8))
                         .whenComplete(
                                 (reply, failure) -> {
                                     int status = failure != null ? 0 : reply.statusCode();
-                                    answers.merge(status, 1, Integer::sum);
+                                    countsByStatus.merge(status, 1, Integer::sum);
                                     if (status == 200
                                             && sent.method().equals("POST")
                                             && reply.body().startsWith("{\"id\":\"")) {
-                                        ids.add(
+                                        createdTaskIds.add(
                                                 reply.body()
                                                         .substring(7, reply.body().length() - 2));
                                     }
-                                    left.countDown();
-                                    one(next, count, request, left, answers);
+                                    remaining.countDown();
+                                    sendNext(next, count, request, remaining, countsByStatus);
                                 });
     }
 
-    private double cpuS() throws IOException {
+    private double cpuSeconds() throws IOException {
         String[] stat =
-                Files.readString(Path.of("/proc/" + node.pid() + "/stat"))
+                Files.readString(Path.of("/proc/" + controller.pid() + "/stat"))
                         .replaceAll(".*\\) ", "")
                         .split(" ", -1);
         return (Long.parseLong(stat[11]) + Long.parseLong(stat[12])) / 100.0;
     }
 
-    private String memory() throws IOException {
-        StringBuilder told = new StringBuilder();
-        for (String line : Files.readAllLines(Path.of("/proc/" + node.pid() + "/status"))) {
+    private String memoryStatus() throws IOException {
+        StringBuilder status = new StringBuilder();
+        for (String line : Files.readAllLines(Path.of("/proc/" + controller.pid() + "/status"))) {
             if (line.startsWith("VmRSS") || line.startsWith("Threads")) {
-                told.append(line.replaceAll("\\s+", " ")).append("; ");
+                status.append(line.replaceAll("\\s+", " ")).append("; ");
             }
         }
-        return told.toString();
+        return status.toString();
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/LoopbackIntegrationTest.java
+++ b/src/test/java/org/meadowhollow/simulation/LoopbackIntegrationTest.java
@@ -58,22 +58,22 @@
  * timeout, and ends as soon as the stand-ins observe the expected state.
  */
 class LoopbackIntegrationTest {
-    private static final Duration PATIENCE = Duration.ofSeconds(40);
-    private static final int LIMIT = 4;
-    private static final String TRACE = "0af7651916cd43dd8448eb211c80319c";
-    private static final String HASH =
+    private static final Duration WAIT_TIMEOUT = Duration.ofSeconds(40);
+    private static final int TEAM_GPU_LIMIT = 4;
+    private static final String TRACE_ID = "0af7651916cd43dd8448eb211c80319c";
+    private static final String TOKEN_HASH =
             "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b";
-    private static final String TASK =
+    private static final String TASK_TEMPLATE =
             """
             {"name": "night", "executors": [{"image": "i", "command": ["true"]}], "tags": {"n": "%d"},
              "resources": {"cpu_cores": 1, "ram_gb": 1, "backend_parameters": {"gpus": "1"}}}""";
 
     @TempDir private Path folder;
-    private final Object signal = new Object();
+    private final Object changeSignal = new Object();
     private final List<JobEventLog.Event> events = new ArrayList<>();
     private final List<Span> spans = new ArrayList<>();
-    private final Map<String, Controller> nodes = new LinkedHashMap<>();
-    private final Map<String, String> fronts = new LinkedHashMap<>();
+    private final Map<String, Controller> controllers = new LinkedHashMap<>();
+    private final Map<String, String> apiAddresses = new LinkedHashMap<>();
     private final List<LoopbackWorker> workers = new ArrayList<>();
     private final List<HttpServer> servers = new ArrayList<>();
     private final HttpClient http = HttpClient.newHttpClient();
@@ -81,32 +81,32 @@
     private FakeKeyValueStore store;
 
     @BeforeEach
-    void start() throws Exception {
+    void startControllers() throws Exception {
         loop = new XnioEventLoop();
         store = new FakeKeyValueStore(loop);
-        int state =
+        int storePort =
                 startServer(
                         loop.callAndWait(
                                 () ->
                                         new KeyValueStoreHttpServer(
                                                 store.connect(), this::signalChange)));
-        int cloud = startServer((Http.SimpleRequestHandler) this::cloud);
-        int collector = startServer((Http.SimpleRequestHandler) this::receiveSpans);
-        Map<String, String> backs = new LinkedHashMap<>();
+        int cloudPort = startServer((Http.SimpleRequestHandler) this::answerAsCloud);
+        int collectorPort = startServer((Http.SimpleRequestHandler) this::receiveSpans);
+        Map<String, String> peerAddresses = new LinkedHashMap<>();
         for (String name : List.of("n0", "n1", "n2")) {
-            fronts.put(name, "127.0.0.1:" + freePort());
-            backs.put(name, "127.0.0.1:" + freePort());
+            apiAddresses.put(name, "127.0.0.1:" + freePort());
+            peerAddresses.put(name, "127.0.0.1:" + freePort());
         }
-        for (int at = 0; at < 3; at++) {
-            String name = "m" + at;
-            workers.add(loop.callAndWait(() -> new LoopbackWorker(name, loop, fronts)));
+        for (int index = 0; index < 3; index++) {
+            String name = "m" + index;
+            workers.add(loop.callAndWait(() -> new LoopbackWorker(name, loop, apiAddresses)));
         }
-        for (String name : fronts.keySet()) {
-            List<Object> known = new ArrayList<>();
-            backs.forEach(
+        for (String name : apiAddresses.keySet()) {
+            List<Object> peers = new ArrayList<>();
+            peerAddresses.forEach(
                     (other, address) -> {
                         if (!other.equals(name)) {
-                            known.add(
+                            peers.add(
                                     MessageReader.mapOf(
                                             "member", other, "area", "z", "addr", address));
                         }
@@ -124,30 +124,30 @@
                       "cloud":{"rps":20.0,"list_lag_s":1.0}}}"""
                             .formatted(
                                     name,
-                                    fronts.get(name),
-                                    backs.get(name),
+                                    apiAddresses.get(name),
+                                    peerAddresses.get(name),
                                     new String(
                                                     JsonCodec.encode(
-                                                            MessageReader.mapOf("l", known)),
+                                                            MessageReader.mapOf("l", peers)),
                                                     StandardCharsets.UTF_8)
                                             .replaceAll("^\\{\"l\":|\\}$", ""),
-                                    cloud,
-                                    state,
-                                    LIMIT));
-            nodes.put(
+                                    cloudPort,
+                                    storePort,
+                                    TEAM_GPU_LIMIT));
+            controllers.put(
                     name,
                     Controller.builder(Settings.read(file))
                             .tes(
                                     new TesOptions(
                                             new Settings.Endpoint("127.0.0.1", 0),
-                                            BearerTokens.parse(List.of("team=" + HASH)),
+                                            BearerTokens.parse(List.of("team=" + TOKEN_HASH)),
                                             null,
                                             null))
                             .eventListeners(
                                     new JobEventListeners(
                                             new JobEventLog(this::recordEvent),
                                             OtlpTaskTracer.exportingTo(
-                                                    URI.create("http://127.0.0.1:" + collector),
+                                                    URI.create("http://127.0.0.1:" + collectorPort),
                                                     name)))
                             .start());
         }
@@ -173,8 +173,8 @@
     }
 
     @AfterEach
-    void stop() {
-        nodes.values().forEach(Controller::close);
+    void stopControllers() {
+        controllers.values().forEach(Controller::close);
         loop.callAndWait(
                 () -> {
                     workers.forEach(LoopbackWorker::close);
@@ -184,7 +184,7 @@
         loop.close();
     }
 
-    private CompletableFuture<Http.Reply> cloud(String method, String path, byte[] body) {
+    private CompletableFuture<Http.Reply> answerAsCloud(String method, String path, byte[] body) {
         return CompletableFuture.completedFuture(
                 switch (path) {
                     case "/machine_types" -> CloudWireReplies.machineTypes();
@@ -192,7 +192,9 @@
                             method.equals("POST")
                                     ? CloudWireReplies.noCapacity()
                                     : CloudWireReplies.machines(
-                                            workers.stream().map(LoopbackWorker::listed).toList());
+                                            workers.stream()
+                                                    .map(LoopbackWorker::cloudListing)
+                                                    .toList());
                     default -> Http.Reply.of(200, MessageReader.mapOf());
                 });
     }
@@ -210,7 +212,7 @@
                                                                 spans.addAll(
                                                                         scope.getSpansList())));
             }
-        } catch (InvalidProtocolBufferException broken) {
+        } catch (InvalidProtocolBufferException malformed) {
             return CompletableFuture.completedFuture(Http.Reply.error(400, "not a request"));
         }
         return CompletableFuture.completedFuture(
@@ -218,20 +220,20 @@
     }
 
     private void recordEvent(JobEventLog.Event event) {
-        synchronized (signal) {
+        synchronized (changeSignal) {
             events.add(event);
-            signal.notifyAll();
+            changeSignal.notifyAll();
         }
     }
 
     private void signalChange() {
-        synchronized (signal) {
-            signal.notifyAll();
+        synchronized (changeSignal) {
+            changeSignal.notifyAll();
         }
     }
 
     private List<JobEventLog.Event> events() {
-        synchronized (signal) {
+        synchronized (changeSignal) {
             return events.stream()
                     .sorted(Comparator.comparingLong(event -> event.revision().value()))
                     .toList();
@@ -242,13 +244,15 @@
      * Waits until a condition holds. It is evaluated again after each change of the store or the
      * event log, and after each lease renewal.
      */
-    private void awaitTrue(String what, Callable<Boolean> there) throws Exception {
-        long until = System.nanoTime() + PATIENCE.toNanos();
-        while (!there.call()) {
-            long left = (until - System.nanoTime()) / 1_000_000;
-            assertTrue(left > 0, () -> "timed out while waiting for: " + what + "; " + events());
-            synchronized (signal) {
-                signal.wait(left);
+    private void awaitTrue(String description, Callable<Boolean> condition) throws Exception {
+        long deadline = System.nanoTime() + WAIT_TIMEOUT.toNanos();
+        while (!condition.call()) {
+            long remainingMillis = (deadline - System.nanoTime()) / 1_000_000;
+            assertTrue(
+                    remainingMillis > 0,
+                    () -> "timed out while waiting for: " + description + "; " + events());
+            synchronized (changeSignal) {
+                changeSignal.wait(remainingMillis);
             }
         }
     }
@@ -261,33 +265,34 @@
                 HttpResponse.BodyHandlers.ofByteArray());
     }
 
-    private String controllerUrl(int at) {
-        List<String> all = List.copyOf(nodes.keySet());
-        return all.get(at % all.size());
+    private String controllerName(int index) {
+        List<String> all = List.copyOf(controllers.keySet());
+        return all.get(index % all.size());
     }
 
-    private HttpResponse<byte[]> tes(int node, String method, String path, String body)
+    private HttpResponse<byte[]> sendTes(int node, String method, String path, String body)
             throws Exception {
         return send(
                 HttpRequest.newBuilder(
                                 URI.create(
                                         "http://127.0.0.1:"
-                                                + nodes.get(controllerUrl(node)).tesPort()
+                                                + controllers.get(controllerName(node)).tesPort()
                                                 + "/ga4gh/tes/v1"
                                                 + path))
                         .header("Authorization", "Bearer secret")
-                        .header("traceparent", "00-" + TRACE + "-b7ad6b7169203331-01")
+                        .header("traceparent", "00-" + TRACE_ID + "-b7ad6b7169203331-01")
                         .method(method, HttpRequest.BodyPublishers.ofString(body)));
     }
 
     private String createTesTask(int node, int number) throws Exception {
-        HttpResponse<byte[]> reply = tes(node, "POST", "/tasks", TASK.formatted(number));
+        HttpResponse<byte[]> reply =
+                sendTes(node, "POST", "/tasks", TASK_TEMPLATE.formatted(number));
         assertEquals(200, reply.statusCode(), new String(reply.body(), StandardCharsets.UTF_8));
         return new MessageReader(JsonCodec.decode(reply.body())).string("id");
     }
 
     private String tesState(int node, String id) throws Exception {
-        HttpResponse<byte[]> reply = tes(node, "GET", "/tasks/" + id, "");
+        HttpResponse<byte[]> reply = sendTes(node, "GET", "/tasks/" + id, "");
         return reply.statusCode() == 200
                 ? new MessageReader(JsonCodec.decode(reply.body())).string("state")
                 : String.valueOf(reply.statusCode());
@@ -297,7 +302,8 @@
             throws Exception {
         return send(
                 HttpRequest.newBuilder(
-                                URI.create("http://" + fronts.get(controllerUrl(node)) + path))
+                                URI.create(
+                                        "http://" + apiAddresses.get(controllerName(node)) + path))
                         .method(method, HttpRequest.BodyPublishers.ofByteArray(body)));
     }
 
@@ -321,11 +327,11 @@
                 : String.valueOf(reply.statusCode());
     }
 
-    private Set<TaskId> running() {
+    private Set<TaskId> runningTasks() {
         return loop.callAndWait(
                 () -> {
                     Set<TaskId> all = new HashSet<>();
-                    workers.forEach(worker -> all.addAll(worker.running()));
+                    workers.forEach(worker -> all.addAll(worker.runningTasks()));
                     return all;
                 });
     }
@@ -342,26 +348,28 @@
     @Test
     void nativeAndTesJobsShareQuotaAndOrderingAcrossFailover() throws Exception {
         for (int node = 0; node < 3; node++) {
-            int at = node;
+            int index = node;
             awaitTrue(
                     "ready",
-                    () -> sendNative(at, "GET", "/ready", new byte[0]).statusCode() == 200);
+                    () -> sendNative(index, "GET", "/ready", new byte[0]).statusCode() == 200);
         }
         List<JobId> admitted = new ArrayList<>();
         List<String> tasks = new ArrayList<>();
-        for (int at = 0; at < 4; at++) {
-            admitted.add(submit(at, at + 1));
-            tasks.add(createTesTask(at + 1, at));
-            admitted.add(new JobId(tasks.get(at)));
+        for (int index = 0; index < 4; index++) {
+            admitted.add(submit(index, index + 1));
+            tasks.add(createTesTask(index + 1, index));
+            admitted.add(new JobId(tasks.get(index)));
         }
-        List<TaskId> first =
-                admitted.subList(0, LIMIT).stream().map(job -> new TaskId(job, 0)).toList();
+        List<TaskId> firstTasks =
+                admitted.subList(0, TEAM_GPU_LIMIT).stream()
+                        .map(job -> new TaskId(job, 0))
+                        .toList();
         awaitTrue(
                 "as many running tasks as the team's limit allows",
-                () -> running().size() == LIMIT);
+                () -> runningTasks().size() == TEAM_GPU_LIMIT);
         assertEquals(
-                new HashSet<>(first),
-                running(),
+                new HashSet<>(firstTasks),
+                runningTasks(),
                 "jobs of both APIs are placed in the order of their submission");
         awaitTrue(
                 "reported by every node",
@@ -369,13 +377,14 @@
                         tesState(0, tasks.get(0)).equals("RUNNING")
                                 && tesState(1, tasks.get(1)).equals("RUNNING")
                                 && tesState(2, tasks.get(2)).equals("QUEUED"));
-        assertEquals(200, tes(2, "POST", "/tasks/" + tasks.get(3) + ":cancel", "").statusCode());
+        assertEquals(
+                200, sendTes(2, "POST", "/tasks/" + tasks.get(3) + ":cancel", "").statusCode());
         awaitTrue("cancelled", () -> tesState(0, tasks.get(3)).equals("CANCELED"));
         String leader = leader();
-        nodes.remove(leader).close();
+        controllers.remove(leader).close();
         awaitTrue("another leader", () -> leader() != null && !leader().equals(leader));
         assertEquals(
-                LIMIT,
+                TEAM_GPU_LIMIT,
                 eventCount(JobEventLog.EventType.PLACED),
                 "no task is placed again after the failover");
         loop.callAndWait(
@@ -387,53 +396,55 @@
                 "the end of all jobs",
                 () -> eventCount(JobEventLog.EventType.ENDED) == admitted.size());
         for (int node = 0; node < 2; node++) {
-            for (int at = 0; at < 4; at++) {
-                assertEquals(at < 3 ? "COMPLETE" : "CANCELED", tesState(node, tasks.get(at)));
-                assertEquals("done", jobPhase(node, admitted.get(2 * at)));
+            for (int index = 0; index < 4; index++) {
+                assertEquals(index < 3 ? "COMPLETE" : "CANCELED", tesState(node, tasks.get(index)));
+                assertEquals("done", jobPhase(node, admitted.get(2 * index)));
             }
         }
         assertEquals("404", jobPhase(0, new JobId(tasks.get(0))), "a TES task is not a native job");
-        MessageReader list =
+        MessageReader completeTasks =
                 new MessageReader(
                         JsonCodec.decode(
-                                tes(0, "GET", "/tasks?state=COMPLETE&view=BASIC", "").body()));
-        assertEquals(3, list.nestedList("tasks").size());
+                                sendTes(0, "GET", "/tasks?state=COMPLETE&view=BASIC", "").body()));
+        assertEquals(3, completeTasks.nestedList("tasks").size());
         assertEquals(
                 401,
                 send(HttpRequest.newBuilder(
                                         URI.create(
                                                 "http://127.0.0.1:"
-                                                        + nodes.get(controllerUrl(0)).tesPort()
+                                                        + controllers
+                                                                .get(controllerName(0))
+                                                                .tesPort()
                                                         + "/ga4gh/tes/v1/tasks"))
                                 .GET())
                         .statusCode());
-        JobEventLogChecker.check(events(), LIMIT);
+        JobEventLogChecker.check(events(), TEAM_GPU_LIMIT);
         List<JobId> placed =
                 events().stream()
                         .filter(event -> event.type() == JobEventLog.EventType.PLACED)
                         .map(JobEventLog.Event::jobId)
                         .toList();
-        List<JobId> wanted = new ArrayList<>(admitted);
-        wanted.remove(new JobId(tasks.get(3)));
-        assertEquals(wanted, placed);
-        checkSpans(tasks);
+        List<JobId> expectedOrder = new ArrayList<>(admitted);
+        expectedOrder.remove(new JobId(tasks.get(3)));
+        assertEquals(expectedOrder, placed);
+        assertSpans(tasks);
     }
 
-    private void checkSpans(List<String> tasks) {
-        nodes.values().forEach(Controller::close);
-        nodes.clear();
+    private void assertSpans(List<String> tasks) {
+        controllers.values().forEach(Controller::close);
+        controllers.clear();
         synchronized (spans) {
             assertTrue(
                     spans.stream()
                             .allMatch(
                                     span ->
-                                            TRACE.equals(
+                                            TRACE_ID.equals(
                                                     java.util.HexFormat.of()
                                                             .formatHex(
                                                                     span.getTraceId()
                                                                             .toByteArray()))));
-            for (int at = 0; at < 4; at++) {
-                String id = tasks.get(at);
+            for (int index = 0; index < 4; index++) {
+                String id = tasks.get(index);
                 List<String> names =
                         spans.stream()
                                 .filter(
@@ -449,7 +460,7 @@
                                 .sorted()
                                 .toList();
                 assertEquals(
-                        at < 3
+                        index < 3
                                 ? List.of("create task", "prepare", "run", "task", "wait")
                                 : List.of("create task", "task"),
                         names);
--- a/src/test/java/org/meadowhollow/simulation/LoopbackWorker.java
+++ b/src/test/java/org/meadowhollow/simulation/LoopbackWorker.java
@@ -54,25 +54,25 @@
     private final String name;
     private final XnioEventLoop loop;
     private final HttpClient http;
-    private final Map<String, String> nodes;
+    private final Map<String, String> controllers;
     private final HttpServer server;
     private final Map<String, Task> tasks = new LinkedHashMap<>();
-    private String node;
+    private String currentController;
     private long incarnation = 1;
     private long heartbeatNumber;
     private long fencingToken;
     private long renewedAt = System.nanoTime();
-    private boolean completesAll;
+    private boolean completesTasks;
     private boolean closed;
 
     /**
-     * @param nodes addresses of the controllers by name
+     * @param controllers addresses of the controllers by name
      */
-    LoopbackWorker(String name, XnioEventLoop loop, Map<String, String> nodes) {
+    LoopbackWorker(String name, XnioEventLoop loop, Map<String, String> controllers) {
         this.name = name;
         this.loop = loop;
-        this.nodes = nodes;
-        this.node = nodes.keySet().iterator().next();
+        this.controllers = controllers;
+        this.currentController = controllers.keySet().iterator().next();
         this.http = new HttpClient(loop, new DefaultByteBufferPool(false, 8192));
         this.server =
                 new HttpServer(
@@ -83,11 +83,11 @@
                         0,
                         Duration.ofMinutes(1),
                         (Http.SimpleRequestHandler) this::handleDirectCommands);
-        tick();
+        sendHeartbeatsPeriodically();
     }
 
     /** Returns the machine as the cloud lists it, with the field names of the wire. */
-    Map<String, Object> listed() {
+    Map<String, Object> cloudListing() {
         return MessageReader.mapOf(
                 "ref",
                 name,
@@ -109,11 +109,11 @@
      * Completes all tasks, and from now on each new task too; before this call, no task completes.
      */
     void completeAll() {
-        completesAll = true;
+        completesTasks = true;
         sendHeartbeat();
     }
 
-    List<TaskId> running() {
+    List<TaskId> runningTasks() {
         List<TaskId> all = new ArrayList<>();
         tasks.forEach(
                 (id, task) -> {
@@ -124,9 +124,9 @@
         return all;
     }
 
-    private void tick() {
+    private void sendHeartbeatsPeriodically() {
         if (!closed) {
-            loop.schedule(HEARTBEAT_INTERVAL, this::tick);
+            loop.schedule(HEARTBEAT_INTERVAL, this::sendHeartbeatsPeriodically);
             sendHeartbeat();
         }
     }
@@ -137,16 +137,21 @@
             incarnation++;
             renewedAt = System.nanoTime();
         }
-        if (completesAll) {
+        if (completesTasks) {
             tasks.values().forEach(task -> exit(task, "done"));
         }
         long sentAt = System.nanoTime();
-        long sender = incarnation;
+        long senderIncarnation = incarnation;
         CompletableFuture<?> unused =
-                http.send(nodes.get(node), "POST", "/hello", snapshot(), RESPONSE_TIMEOUT)
+                http.send(
+                                controllers.get(currentController),
+                                "POST",
+                                "/hello",
+                                snapshot(),
+                                RESPONSE_TIMEOUT)
                         .whenComplete(
                                 (reply, failure) -> {
-                                    if (closed || sender != incarnation) {
+                                    if (closed || senderIncarnation != incarnation) {
                                         return;
                                     }
                                     try {
@@ -163,15 +168,18 @@
                                             renewedAt = sentAt;
                                             execute(answer);
                                         }
-                                    } catch (MalformedMessageException broken) {
-                                        throw new AssertionError(broken);
+                                    } catch (MalformedMessageException malformed) {
+                                        throw new AssertionError(malformed);
                                     }
                                 });
     }
 
     private void connectToNext(String leader) {
-        List<String> all = List.copyOf(nodes.keySet());
-        node = leader != null ? leader : all.get((all.indexOf(node) + 1) % all.size());
+        List<String> all = List.copyOf(controllers.keySet());
+        currentController =
+                leader != null
+                        ? leader
+                        : all.get((all.indexOf(currentController) + 1) % all.size());
         loop.schedule(CHANGED_HEARTBEAT_DELAY, this::sendHeartbeat);
     }
 
@@ -223,8 +231,8 @@
             }
             return CompletableFuture.completedFuture(
                     new Http.Reply(accepted ? 200 : 409, snapshot(), 0));
-        } catch (MalformedMessageException broken) {
-            return CompletableFuture.completedFuture(Http.Reply.error(400, broken.getMessage()));
+        } catch (MalformedMessageException malformed) {
+            return CompletableFuture.completedFuture(Http.Reply.error(400, malformed.getMessage()));
         }
     }
 
@@ -234,10 +242,10 @@
         for (MessageReader command : message.nestedList("orders")) {
             String id = command.string(TASK);
             Task task = tasks.get(id);
-            boolean same = task != null && task.attempt == command.nonNegativeLong(ATTEMPT);
+            boolean sameAttempt = task != null && task.attempt == command.nonNegativeLong(ATTEMPT);
             switch (command.string("verb")) {
                 case "run" -> {
-                    if (!same) {
+                    if (!sameAttempt) {
                         if (task != null && !task.state.equals(EXITED)) {
                             throw new AssertionError(
                                     "started while another attempt is on the machine: " + id);
@@ -247,13 +255,13 @@
                     }
                 }
                 case "halt" -> {
-                    if (same) {
+                    if (sameAttempt) {
                         exit(task, "stopped");
                         changed = true;
                     }
                 }
                 case "reap" -> {
-                    if (same && task.state.equals(EXITED)) {
+                    if (sameAttempt && task.state.equals(EXITED)) {
                         tasks.remove(id);
                     }
                 }
--- a/src/test/java/org/meadowhollow/simulation/ScaleTest.java
+++ b/src/test/java/org/meadowhollow/simulation/ScaleTest.java
@@ -18,9 +18,9 @@
  * and records instead of measuring wall-clock time.
  */
 class ScaleTest {
-    private static final int MACHINES = 900;
-    private static final int JOBS = 40;
-    private static final int TASKS = 25;
+    private static final int MACHINE_COUNT = 900;
+    private static final int JOB_COUNT = 40;
+    private static final int TASKS_PER_JOB = 25;
 
     private SimulatedCluster cluster;
     private final List<JobSpec> jobs = new ArrayList<>();
@@ -28,13 +28,13 @@
     @BeforeEach
     void startNineHundredMachinesWithThousandTasks() {
         cluster = new SimulatedCluster();
-        for (int at = 0; at < MACHINES; at++) {
-            cluster.addMachine(SimulatedCluster.SMALL, at % 2 == 0 ? "a" : "b");
+        for (int i = 0; i < MACHINE_COUNT; i++) {
+            cluster.addMachine(SimulatedCluster.SMALL, i % 2 == 0 ? "a" : "b");
         }
         cluster.runSeconds(12);
         cluster.cloud().setOutage(true);
-        for (int number = 0; number < JOBS; number++) {
-            JobSpec job = SimulatedCluster.spec(number, JobKind.ARRAY, TASKS, 1);
+        for (int number = 0; number < JOB_COUNT; number++) {
+            JobSpec job = SimulatedCluster.spec(number, JobKind.ARRAY, TASKS_PER_JOB, 1);
             jobs.add(job);
             assertTrue(cluster.users().submit(number % 3, job, Duration.ofSeconds(60)));
         }
@@ -42,9 +42,9 @@
     }
 
     @Test
-    void backlogStartsWithinFewRoundsAndOneRecordHoldsOneJob() {
-        assertEquals(JOBS * TASKS, cluster.startCount());
-        assertEquals(JOBS, cluster.store().recordCount("task/"));
+    void backlogStartsWithinFewRoundsWithOneRecordPerJob() {
+        assertEquals(JOB_COUNT * TASKS_PER_JOB, cluster.startCount());
+        assertEquals(JOB_COUNT, cluster.store().recordCount("task/"));
     }
 
     @Test
@@ -56,7 +56,7 @@
                 0,
                 cluster.network().takeDirectMessageCount(),
                 "every worker finds the new leader by itself, so no machine is probed");
-        assertEquals(JOBS * TASKS, cluster.startCount());
+        assertEquals(JOB_COUNT * TASKS_PER_JOB, cluster.startCount());
         for (JobSpec job : jobs) {
             assertEquals(
                     Phase.DONE,
@@ -68,32 +68,33 @@
     void warmStandbyPlacesWithinOneSecondWithoutReadingRecords() {
         cluster.enableStandbys();
         cluster.runSeconds(60);
-        int dead = cluster.leader();
-        int[] pages = new int[3];
+        int failedLeader = cluster.leader();
+        int[] pageReads = new int[3];
         int[] watches = new int[3];
         for (int node = 0; node < 3; node++) {
-            pages[node] = cluster.storeConnection(node).pageReadCount();
+            pageReads[node] = cluster.storeConnection(node).pageReadCount();
             watches[node] = cluster.storeConnection(node).watchCount();
         }
         for (int second = 0; second < 20; second++) {
             assertTrue(
                     cluster.users()
                             .submit(
-                                    dead,
-                                    SimulatedCluster.spec(JOBS + 1 + second, JobKind.ARRAY, 2, 1),
+                                    failedLeader,
+                                    SimulatedCluster.spec(
+                                            JOB_COUNT + 1 + second, JobKind.ARRAY, 2, 1),
                                     Duration.ofSeconds(3)));
             cluster.runSeconds(0.75);
         }
-        int follower = (dead + 1) % 3;
-        int asked = cluster.storeConnection(follower).watchCount() - watches[follower];
+        int follower = (failedLeader + 1) % 3;
+        int newWatches = cluster.storeConnection(follower).watchCount() - watches[follower];
         assertTrue(
-                asked <= 3 * 11,
-                asked + " watches of three prefixes in 20 s, at most one each in 2 s");
-        JobSpec waiting = SimulatedCluster.spec(JOBS, JobKind.ARRAY, 1, 1);
-        cluster.crash(dead);
-        assertTrue(cluster.users().submit(follower, waiting, Duration.ofSeconds(20)));
+                newWatches <= 3 * 11,
+                newWatches + " watches of three prefixes in 20 s, at most one each in 2 s");
+        JobSpec waitingJob = SimulatedCluster.spec(JOB_COUNT, JobKind.ARRAY, 1, 1);
+        cluster.crash(failedLeader);
+        assertTrue(cluster.users().submit(follower, waitingJob, Duration.ofSeconds(20)));
         for (int step = 0;
-                step < 40 && (cluster.leader() < 0 || cluster.leader() == dead);
+                step < 40 && (cluster.leader() < 0 || cluster.leader() == failedLeader);
                 step++) {
             cluster.runSeconds(0.25);
         }
@@ -101,27 +102,31 @@
         cluster.runSeconds(1);
         assertEquals(
                 1,
-                cluster.store().recordCount(RecordKeys.TASK_PREFIX + waiting.id().value()),
+                cluster.store().recordCount(RecordKeys.TASK_PREFIX + waitingJob.id().value()),
                 "placed within a second or so");
         assertEquals(
-                pages[next],
+                pageReads[next],
                 cluster.storeConnection(next).pageReadCount(),
                 "the replica holds all records, so no page is read");
     }
 
     @Test
     void silentMachinesAreProbedInSmallBatches() {
-        cluster.workers().stream().limit(MACHINES / 2).forEach(worker -> worker.setHung(true));
+        cluster.workers().stream().limit(MACHINE_COUNT / 2).forEach(worker -> worker.setHung(true));
         cluster.network().takeDirectMessageCount();
-        int most = 0;
-        int all = 0;
+        int maxProbesPerSecond = 0;
+        int totalProbes = 0;
         for (int second = 0; second < 15; second++) {
             cluster.runSeconds(1);
-            int asked = cluster.network().takeDirectMessageCount();
-            most = Math.max(most, asked);
-            all += asked;
+            int probes = cluster.network().takeDirectMessageCount();
+            maxProbesPerSecond = Math.max(maxProbesPerSecond, probes);
+            totalProbes += probes;
         }
-        assertTrue(most <= 100, most + " machines were probed in one second");
-        assertTrue(all >= MACHINES / 2, "all silent machines are probed in the end: " + all);
+        assertTrue(
+                maxProbesPerSecond <= 100,
+                maxProbesPerSecond + " machines were probed in one second");
+        assertTrue(
+                totalProbes >= MACHINE_COUNT / 2,
+                "all silent machines are probed in the end: " + totalProbes);
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/TesFuzzTest.java
+++ b/src/test/java/org/meadowhollow/simulation/TesFuzzTest.java
@@ -40,10 +40,11 @@
  */
 class TesFuzzTest {
     /** Status codes that a working service may answer to any request: no server errors. */
-    private static final Set<Integer> FINE = Set.of(200, 400, 401, 403, 404, 405, 413);
+    private static final Set<Integer> EXPECTED_STATUS_CODES =
+            Set.of(200, 400, 401, 403, 404, 405, 413);
 
     /** The JSON of a task with a placeholder for each of its values. */
-    private static final String SHAPE =
+    private static final String TASK_TEMPLATE =
             """
             {"name": %s, "description": %s, "executors": [{"image": %s, "command": %s, "env": %s, "ignore_error": %s,
              "workdir": %s}], "inputs": [{"path": %s, "content": %s, "type": %s}], "outputs": %s, "volumes": %s,
@@ -52,7 +53,7 @@
              "backend_parameters_strict": %s}, "nobody": %s}""";
 
     /** The value of each placeholder in a valid task. */
-    private static final List<String> GOOD =
+    private static final List<String> VALID_VALUES =
             List.of(
                     "\"n\"",
                     "\"d\"",
@@ -101,17 +102,17 @@
                         "x".repeat(300)));
     }
 
-    private static String quoted(String text) {
+    private static String escapedJsonString(String text) {
         StringBuilder json = new StringBuilder("\"");
-        for (int at = 0; at < text.length(); at++) {
+        for (int index = 0; index < text.length(); index++) {
             // Escapes every character by its code, because unpaired surrogates cannot be encoded
             // otherwise.
-            json.append("\\u%04x".formatted((int) text.charAt(at)));
+            json.append("\\u%04x".formatted((int) text.charAt(index)));
         }
         return json.append('"').toString();
     }
 
-    private static Arbitrary<String> literal() {
+    private static Arbitrary<String> jsonValue() {
         Arbitrary<String> nested =
                 Arbitraries.of(1, 10, 500, 900, 1100, 20_000)
                         .flatMap(
@@ -125,7 +126,7 @@
                                                                                         : "1" + "}")
                                                                                 .repeat(depth)));
         return Arbitraries.oneOf(
-                text().map(TesFuzzTest::quoted),
+                text().map(TesFuzzTest::escapedJsonString),
                 nested,
                 Arbitraries.of(
                         "null",
@@ -164,46 +165,49 @@
     @Example
     void templateIsValidTask() throws MalformedMessageException {
         Http.Reply reply =
-                ask(
+                sendRequest(
                         "POST",
                         "/tasks",
                         Map.of(),
-                        SHAPE.formatted(GOOD.toArray()).getBytes(StandardCharsets.UTF_8));
+                        TASK_TEMPLATE
+                                .formatted(VALID_VALUES.toArray())
+                                .getBytes(StandardCharsets.UTF_8));
         assertEquals(200, reply.status(), new String(reply.body(), StandardCharsets.UTF_8));
     }
 
     @Provide
     Arbitrary<String> bodies() {
-        Arbitrary<String> changed =
+        Arbitrary<String> modified =
                 Combinators.combine(
                                 Arbitraries.integers()
-                                        .between(0, GOOD.size() - 1)
+                                        .between(0, VALID_VALUES.size() - 1)
                                         .set()
                                         .ofMaxSize(3),
-                                literal().list().ofSize(3))
+                                jsonValue().list().ofSize(3))
                         .as(
-                                (slots, literals) -> {
-                                    List<String> values = new ArrayList<>(GOOD);
+                                (placeholders, replacements) -> {
+                                    List<String> values = new ArrayList<>(VALID_VALUES);
                                     int next = 0;
-                                    for (int slot : slots) {
-                                        values.set(slot, literals.get(next++));
+                                    for (int placeholder : placeholders) {
+                                        values.set(placeholder, replacements.get(next++));
                                     }
-                                    return SHAPE.formatted(values.toArray());
+                                    return TASK_TEMPLATE.formatted(values.toArray());
                                 });
-        Arbitrary<String> torn =
-                Combinators.combine(changed, Arbitraries.integers().between(0, 900), text())
+        Arbitrary<String> corrupted =
+                Combinators.combine(modified, Arbitraries.integers().between(0, 900), text())
                         .as(
-                                (body, at, junk) ->
-                                        body.substring(0, Math.min(at, body.length()))
+                                (body, index, junk) ->
+                                        body.substring(0, Math.min(index, body.length()))
                                                 + junk
-                                                + body.substring(Math.min(body.length(), at + 1)));
-        Arbitrary<String> cut =
-                Combinators.combine(changed, Arbitraries.integers().between(0, 900))
-                        .as((body, at) -> body.substring(0, Math.min(at, body.length())));
-        return Arbitraries.oneOf(changed, torn, cut, literal(), text());
+                                                + body.substring(
+                                                        Math.min(body.length(), index + 1)));
+        Arbitrary<String> truncated =
+                Combinators.combine(modified, Arbitraries.integers().between(0, 900))
+                        .as((body, index) -> body.substring(0, Math.min(index, body.length())));
+        return Arbitraries.oneOf(modified, corrupted, truncated, jsonValue(), text());
     }
 
-    private Http.Reply ask(
+    private Http.Reply sendRequest(
             String method, String path, Map<String, List<String>> query, byte[] body) {
         Http.Reply reply =
                 cluster.clients().sendTesRequest(0, "secret", method, path, query, Map.of(), body);
@@ -212,16 +216,16 @@
     }
 
     private void checkCreate(byte[] body) throws MalformedMessageException {
-        Http.Reply reply = ask("POST", "/tasks", Map.of(), body);
+        Http.Reply reply = sendRequest("POST", "/tasks", Map.of(), body);
         assertTrue(
-                FINE.contains(reply.status()),
+                EXPECTED_STATUS_CODES.contains(reply.status()),
                 () -> reply.status() + " " + new String(reply.body(), StandardCharsets.UTF_8));
         // Checks that both outcomes are tested: enough bodies are accepted, and enough rejected.
         Statistics.collect(reply.status());
         Statistics.coverage(
-                seen -> {
-                    seen.check(200).percentage(share -> share > 5);
-                    seen.check(400).percentage(share -> share > 30);
+                coverage -> {
+                    coverage.check(200).percentage(share -> share > 5);
+                    coverage.check(400).percentage(share -> share > 30);
                 });
         MessageReader answer = new MessageReader(JsonCodec.decode(reply.body()));
         if (reply.status() != 200) {
@@ -231,13 +235,19 @@
         String id = answer.string("id");
         Map<String, Object> returned =
                 JsonCodec.decode(
-                        ask("GET", "/tasks/" + id, Map.of("view", List.of("FULL")), new byte[0])
+                        sendRequest(
+                                        "GET",
+                                        "/tasks/" + id,
+                                        Map.of("view", List.of("FULL")),
+                                        new byte[0])
                                 .body());
         Map<String, Object> sent = JsonCodec.decode(body);
         for (String key : List.of("name", "description", "volumes", "tags")) {
             assertEquals(sent.get(key), returned.get(key), key);
         }
-        assertEquals(200, ask("POST", "/tasks/" + id + ":cancel", Map.of(), new byte[0]).status());
+        assertEquals(
+                200,
+                sendRequest("POST", "/tasks/" + id + ":cancel", Map.of(), new byte[0]).status());
         cluster.run(java.time.Duration.ofSeconds(1));
         assertEquals(new JobId(id).value(), returned.get("id"));
     }
@@ -258,10 +268,11 @@
             generation = GenerationMode.RANDOMIZED,
             edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
-    void createAnswersBytesThatAreNotText(@ForAll @IntRange(max = 700) int at, @ForAll byte junk)
+    void createAnswersBytesThatAreNotText(@ForAll @IntRange(max = 700) int index, @ForAll byte junk)
             throws MalformedMessageException {
-        byte[] bytes = SHAPE.formatted(GOOD.toArray()).getBytes(StandardCharsets.UTF_8);
-        bytes[at % bytes.length] = junk;
+        byte[] bytes =
+                TASK_TEMPLATE.formatted(VALID_VALUES.toArray()).getBytes(StandardCharsets.UTF_8);
+        bytes[index % bytes.length] = junk;
         checkCreate(bytes);
     }
 
@@ -307,7 +318,7 @@
             shrinking = ShrinkingMode.OFF)
     void listsAnswerAnyQuery(@ForAll("queries") Map<String, List<String>> query)
             throws MalformedMessageException {
-        Http.Reply reply = ask("GET", "/tasks", query, new byte[0]);
+        Http.Reply reply = sendRequest("GET", "/tasks", query, new byte[0]);
         assertTrue(
                 Set.of(200, 400).contains(reply.status()),
                 () -> reply.status() + " " + new String(reply.body(), StandardCharsets.UTF_8));
@@ -332,31 +343,33 @@
             edgeCases = EdgeCasesMode.NONE,
             shrinking = ShrinkingMode.OFF)
     void pathsTokensAndTraceContextsAreParsedOrRejected(
-            @ForAll("texts") String one, @ForAll("texts") String other) {
-        for (String method : List.of("GET", "POST", "DELETE", one)) {
+            @ForAll("texts") String firstText, @ForAll("texts") String secondText) {
+        for (String method : List.of("GET", "POST", "DELETE", firstText)) {
             assertTrue(
-                    FINE.contains(ask(method, "/tasks/" + other, Map.of(), new byte[0]).status()));
+                    EXPECTED_STATUS_CODES.contains(
+                            sendRequest(method, "/tasks/" + secondText, Map.of(), new byte[0])
+                                    .status()));
         }
-        Map<String, String> headers = new HashMap<>(Map.of("Authorization", one));
+        Map<String, String> headers = new HashMap<>(Map.of("Authorization", firstText));
         Http.Reply reply =
                 cluster.clients()
                         .sendTesRequest(0, null, "GET", "/tasks", Map.of(), headers, new byte[0]);
         assertEquals(401, reply.status(), "a generated token is never valid");
         try {
             assertTrue(
-                    BearerTokens.parse(List.of(one + '=' + other))
-                            .teamOf("Bearer " + other)
+                    BearerTokens.parse(List.of(firstText + '=' + secondText))
+                            .teamOf("Bearer " + secondText)
                             .isEmpty());
         } catch (MalformedMessageException refused) {
             assertTrue(
-                    !refused.getMessage().contains(other) || other.length() < 4,
+                    !refused.getMessage().contains(secondText) || secondText.length() < 4,
                     "the error message does not reveal the token");
         }
-        String context = CONTEXTS.traceContextOf(one);
+        String context = TRACER.traceContextOf(firstText);
         assertTrue(context == null || context.length() == 55);
     }
 
-    private static final OtlpTaskTracer CONTEXTS =
+    private static final OtlpTaskTracer TRACER =
             OtlpTaskTracer.exportingTo(URI.create("http://127.0.0.1:9"), "n0");
 
     @Property(
@@ -367,14 +380,15 @@
             shrinking = ShrinkingMode.OFF)
     void repeatedCreateReturnsSameTaskForAnyIdempotencyKey(@ForAll("texts") String key)
             throws MalformedMessageException {
-        byte[] body = SHAPE.formatted(GOOD.toArray()).getBytes(StandardCharsets.UTF_8);
+        byte[] body =
+                TASK_TEMPLATE.formatted(VALID_VALUES.toArray()).getBytes(StandardCharsets.UTF_8);
         Http.Reply[] replies = new Http.Reply[2];
         Arrays.setAll(
                 replies,
-                at ->
+                index ->
                         cluster.clients()
                                 .sendTesRequest(
-                                        at,
+                                        index,
                                         "secret",
                                         "POST",
                                         "/tasks",
@@ -389,7 +403,9 @@
                     new String(replies[1].body(), StandardCharsets.UTF_8));
             String id = new MessageReader(JsonCodec.decode(replies[0].body())).string("id");
             assertEquals(
-                    200, ask("POST", "/tasks/" + id + ":cancel", Map.of(), new byte[0]).status());
+                    200,
+                    sendRequest("POST", "/tasks/" + id + ":cancel", Map.of(), new byte[0])
+                            .status());
         }
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/TesScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/TesScenarioTest.java
@@ -34,13 +34,13 @@
 
 /** Tests tasks of the task execution API, together with native jobs, while faults happen. */
 class TesScenarioTest extends ClusterTestBase {
-    private static final String TASK =
+    private static final String TASK_TEMPLATE =
             """
             {"name": "%s", "executors": [{"image": "image", "command": ["true"]}], "tags": {"night": "%s"},
              "inputs": [{"content": "abc", "path": "/in"}],
              "resources": {"cpu_cores": 1, "ram_gb": 4, "backend_parameters": {"gpus": "1" %s}}}""";
 
-    private Http.Reply create(int node, String body, String key) {
+    private Http.Reply sendCreate(int node, String body, String key) {
         return cluster.clients()
                 .sendTesRequest(
                         node,
@@ -52,34 +52,38 @@
                         body);
     }
 
-    private Http.Reply ask(int node, String method, String path, Map<String, List<String>> query) {
+    private Http.Reply sendRequest(
+            int node, String method, String path, Map<String, List<String>> query) {
         return cluster.clients().sendTesRequest(node, "secret", method, path, query, Map.of(), "");
     }
 
-    private static Map<String, Object> body(Http.Reply reply) {
+    private static Map<String, Object> okBody(Http.Reply reply) {
         try {
             assertEquals(200, reply.status(), new String(reply.body(), StandardCharsets.UTF_8));
             return JsonCodec.decode(reply.body());
-        } catch (MalformedMessageException wrong) {
-            throw new AssertionError(wrong);
+        } catch (MalformedMessageException malformed) {
+            throw new AssertionError(malformed);
         }
     }
 
-    private String createTask(String name, String tag, String parameters, Duration runs) {
-        String id = (String) body(create(0, TASK.formatted(name, tag, parameters), null)).get("id");
-        cluster.setRuntime(new JobId(id), runs);
+    private String createTask(String name, String tag, String parameters, Duration runtime) {
+        String id =
+                (String)
+                        okBody(sendCreate(0, TASK_TEMPLATE.formatted(name, tag, parameters), null))
+                                .get("id");
+        cluster.setRuntime(new JobId(id), runtime);
         return id;
     }
 
-    private String createTask(Duration runs) {
-        return createTask("task", "1", "", runs);
+    private String createTask(Duration runtime) {
+        return createTask("task", "1", "", runtime);
     }
 
-    private String state(int node, String id) {
-        return (String) body(ask(node, "GET", "/tasks/" + id, Map.of())).get("state");
+    private String stateOf(int node, String id) {
+        return (String) okBody(sendRequest(node, "GET", "/tasks/" + id, Map.of())).get("state");
     }
 
-    private TaskId task(String id) {
+    private TaskId taskId(String id) {
         return new TaskId(new JobId(id), 0);
     }
 
@@ -92,21 +96,23 @@
                 .anyMatch(
                         worker ->
                                 !worker.isHung()
-                                        && worker.hasTask(task(id))
-                                        && (worker.runningTasks().contains(task(id))
+                                        && worker.hasTask(taskId(id))
+                                        && (worker.runningTasks().contains(taskId(id))
                                                 || cluster.imagePullTime().toSeconds() > 30));
     }
 
     @Test
-    void taskRunsAndEveryControllerReportsTheSame() throws MalformedMessageException {
+    void everyControllerReportsSameTaskProgress() throws MalformedMessageException {
         String id = createTask(SHORT_RUNTIME);
-        assertEquals("QUEUED", state(1, id));
+        assertEquals("QUEUED", stateOf(1, id));
         cluster.runSeconds(6);
-        assertEquals("RUNNING", state(2, id));
+        assertEquals("RUNNING", stateOf(2, id));
         cluster.runSeconds(20);
         for (int node = 0; node < 3; node++) {
             Map<String, Object> full =
-                    body(ask(node, "GET", "/tasks/" + id, Map.of("view", List.of("FULL"))));
+                    okBody(
+                            sendRequest(
+                                    node, "GET", "/tasks/" + id, Map.of("view", List.of("FULL"))));
             assertEquals("COMPLETE", full.get("state"));
             MessageReader reported = new MessageReader(full);
             assertEquals("abc", reported.nestedList("inputs").get(0).string("content"));
@@ -116,7 +122,7 @@
             assertTrue(reported.string("creation_time").compareTo(log.string("start_time")) < 0);
         }
         Map<String, Object> basic =
-                body(ask(1, "GET", "/tasks/" + id, Map.of("view", List.of("BASIC"))));
+                okBody(sendRequest(1, "GET", "/tasks/" + id, Map.of("view", List.of("BASIC"))));
         assertFalse(new MessageReader(basic).nestedList("inputs").get(0).has("content"));
     }
 
@@ -126,7 +132,12 @@
         cluster.runSeconds(12);
         MessageReader reported =
                 new MessageReader(
-                        body(ask(1, "GET", "/tasks/" + id, Map.of("view", List.of("BASIC")))));
+                        okBody(
+                                sendRequest(
+                                        1,
+                                        "GET",
+                                        "/tasks/" + id,
+                                        Map.of("view", List.of("BASIC")))));
         assertEquals("COMPLETE", reported.string("state"));
         MessageReader log = reported.nestedList("logs").get(0);
         assertTrue(log.string("start_time").compareTo(log.string("end_time")) < 0);
@@ -137,9 +148,9 @@
         cluster.setImagePullTime(Duration.ofSeconds(20));
         String id = createTask(SHORT_RUNTIME);
         cluster.runSeconds(8);
-        assertEquals("INITIALIZING", state(1, id));
+        assertEquals("INITIALIZING", stateOf(1, id));
         cluster.runSeconds(20);
-        assertEquals("RUNNING", state(1, id));
+        assertEquals("RUNNING", stateOf(1, id));
     }
 
     @Test
@@ -148,31 +159,31 @@
         cluster.workers().forEach(worker -> worker.setHung(true));
         cluster.cloud().setOutage(true);
         cluster.runSeconds(10);
-        String waiting = createTask(LONG_RUNTIME);
-        body(ask(1, "POST", "/tasks/" + waiting + ":cancel", Map.of()));
-        assertTrue(Set.of("CANCELING", "CANCELED").contains(state(2, waiting)));
+        String queuedId = createTask(LONG_RUNTIME);
+        okBody(sendRequest(1, "POST", "/tasks/" + queuedId + ":cancel", Map.of()));
+        assertTrue(Set.of("CANCELING", "CANCELED").contains(stateOf(2, queuedId)));
         cluster.runSeconds(2);
-        assertEquals("CANCELED", state(0, waiting));
+        assertEquals("CANCELED", stateOf(0, queuedId));
         cluster.workers().forEach(worker -> worker.setHung(false));
         cluster.runSeconds(10);
         // The start is committed, but every response that carries the start command is lost.
         cluster.workers().forEach(worker -> worker.loseIncoming(true));
-        String unsent = createTask(LONG_RUNTIME);
+        String undeliveredId = createTask(LONG_RUNTIME);
         cluster.runSeconds(2);
-        body(ask(1, "POST", "/tasks/" + unsent + ":cancel", Map.of()));
-        assertTrue(Set.of("CANCELING", "CANCELED").contains(state(2, unsent)));
+        okBody(sendRequest(1, "POST", "/tasks/" + undeliveredId + ":cancel", Map.of()));
+        assertTrue(Set.of("CANCELING", "CANCELED").contains(stateOf(2, undeliveredId)));
         cluster.workers().forEach(worker -> worker.loseIncoming(false));
         cluster.runSeconds(20);
-        assertEquals("CANCELED", state(0, unsent));
+        assertEquals("CANCELED", stateOf(0, undeliveredId));
         assertEquals(0, cluster.startCount());
         // The task is cancelled while its image is pulled.
         cluster.setImagePullTime(Duration.ofSeconds(40));
-        String fetching = createTask(LONG_RUNTIME);
+        String pullingId = createTask(LONG_RUNTIME);
         cluster.runSeconds(6);
-        assertEquals("INITIALIZING", state(0, fetching));
-        body(ask(1, "POST", "/tasks/" + fetching + ":cancel", Map.of()));
+        assertEquals("INITIALIZING", stateOf(0, pullingId));
+        okBody(sendRequest(1, "POST", "/tasks/" + pullingId + ":cancel", Map.of()));
         cluster.runSeconds(10);
-        assertEquals("CANCELED", state(2, fetching));
+        assertEquals("CANCELED", stateOf(2, pullingId));
         cluster.runSeconds(50);
         assertEquals(0, cluster.startCount());
     }
@@ -181,15 +192,15 @@
     void taskCancelledDuringFailoverStopsAndIsReportedCancelled() {
         String id = createTask(LONG_RUNTIME);
         cluster.runSeconds(6);
-        assertEquals("RUNNING", state(0, id));
+        assertEquals("RUNNING", stateOf(0, id));
         int leader = cluster.leader();
         cluster.crash(leader);
         int other = (leader + 1) % 3;
-        body(ask(other, "POST", "/tasks/" + id + ":cancel", Map.of()));
-        assertEquals("CANCELING", state((leader + 2) % 3, id));
+        okBody(sendRequest(other, "POST", "/tasks/" + id + ":cancel", Map.of()));
+        assertEquals("CANCELING", stateOf((leader + 2) % 3, id));
         cluster.runSeconds(30);
         assertFalse(isOnAnyMachine(id));
-        assertEquals("CANCELED", state(other, id));
+        assertEquals("CANCELED", stateOf(other, id));
         assertEquals(1, cluster.startCount());
     }
 
@@ -200,19 +211,21 @@
         // The leader's watches do not deliver the cancellation for a while, and the leader has
         // changes of its own to write.
         cluster.storeConnection(cluster.leader()).hideAllChanges(true);
-        body(ask((cluster.leader() + 1) % 3, "POST", "/tasks/" + id + ":cancel", Map.of()));
+        okBody(
+                sendRequest(
+                        (cluster.leader() + 1) % 3, "POST", "/tasks/" + id + ":cancel", Map.of()));
         cluster.workers()
                 .forEach(
                         worker -> {
-                            if (worker.hasTask(task(id))) {
-                                worker.failTask(task(id));
+                            if (worker.hasTask(taskId(id))) {
+                                worker.failTask(taskId(id));
                             }
                         });
         for (int second = 0; second < 20; second++) {
-            assertTrue(Set.of("CANCELING", "CANCELED").contains(state(second % 3, id)));
+            assertTrue(Set.of("CANCELING", "CANCELED").contains(stateOf(second % 3, id)));
             cluster.runSeconds(1);
         }
-        assertEquals("CANCELED", state(0, id));
+        assertEquals("CANCELED", stateOf(0, id));
     }
 
     @Test
@@ -229,15 +242,15 @@
                 .schedule(
                         Duration.ofSeconds(1),
                         () -> cluster.workers().forEach(worker -> worker.setHung(false)));
-        Http.Reply unanswered = ask(other, "POST", "/tasks/" + id + ":cancel", Map.of());
+        Http.Reply unanswered = sendRequest(other, "POST", "/tasks/" + id + ":cancel", Map.of());
         assertTrue(unanswered == null || unanswered.status() == 503);
         cluster.runSeconds(10);
-        assertEquals("RUNNING", state(cluster.leader(), id));
+        assertEquals("RUNNING", stateOf(cluster.leader(), id));
         cluster.storeConnection(other).holdRequests(false);
         for (int second = 0; second < 10; second++) {
             Map<String, Object> full =
-                    body(
-                            ask(
+                    okBody(
+                            sendRequest(
                                     cluster.leader(),
                                     "GET",
                                     "/tasks/" + id,
@@ -256,11 +269,11 @@
         int other = (cluster.leader() + 1) % 3;
         cluster.storeConnection(other).holdCommits();
         assertFalse(cluster.users().cancel(other, job.id()));
-        ask(other, "POST", "/tasks/" + id + ":cancel", Map.of());
+        sendRequest(other, "POST", "/tasks/" + id + ":cancel", Map.of());
         cluster.runSeconds(20);
         cluster.storeConnection(other).holdRequests(false);
         cluster.runSeconds(10);
-        assertEquals("COMPLETE", state(0, id));
+        assertEquals("COMPLETE", stateOf(0, id));
         assertEquals(
                 AdmissionService.Phase.DONE,
                 cluster.users().poll(0, job.id()).orElseThrow().phase());
@@ -274,7 +287,7 @@
     @Test
     void endedTasksAreReportedAfterRestartOfAllControllers() {
         List<String> ids = new ArrayList<>();
-        for (int at = 0; at < 20; at++) {
+        for (int i = 0; i < 20; i++) {
             ids.add(createTask(Duration.ofSeconds(2)));
         }
         cluster.runSeconds(30);
@@ -283,53 +296,59 @@
         cluster.restartAll();
         cluster.runSeconds(8);
         for (String id : ids) {
-            assertEquals("COMPLETE", state(1, id));
-            body(ask(2, "POST", "/tasks/" + id + ":cancel", Map.of()));
-            assertEquals("COMPLETE", state(0, id), "a cancellation after the end has no effect");
+            assertEquals("COMPLETE", stateOf(1, id));
+            okBody(sendRequest(2, "POST", "/tasks/" + id + ":cancel", Map.of()));
+            assertEquals("COMPLETE", stateOf(0, id), "a cancellation after the end has no effect");
         }
         assertEquals(20, cluster.startCount());
     }
 
     @Test
     void repeatedCreateMakesOneTask() {
-        String body = TASK.formatted("once", "1", "");
+        String body = TASK_TEMPLATE.formatted("once", "1", "");
         cluster.storeConnection(0).loseResponses(true);
-        Http.Reply lost = create(0, body, "night-1");
+        Http.Reply lost = sendCreate(0, body, "night-1");
         assertTrue(lost == null || lost.status() == 503);
         cluster.storeConnection(0).loseResponses(false);
-        String id = (String) body(create(1, body, "night-1")).get("id");
+        String id = (String) okBody(sendCreate(1, body, "night-1")).get("id");
         cluster.setRuntime(new JobId(id), SHORT_RUNTIME);
-        assertEquals(id, body(create(2, body, "night-1")).get("id"));
-        assertEquals(400, create(2, TASK.formatted("another", "1", ""), "night-1").status());
+        assertEquals(id, okBody(sendCreate(2, body, "night-1")).get("id"));
+        assertEquals(
+                400,
+                sendCreate(2, TASK_TEMPLATE.formatted("another", "1", ""), "night-1").status());
         cluster.runSeconds(30);
         assertEquals(
-                id, body(create(0, body, "night-1")).get("id"), "also after the task has ended");
+                id,
+                okBody(sendCreate(0, body, "night-1")).get("id"),
+                "also after the task has ended");
         assertEquals(1, cluster.startCount());
     }
 
     @Test
     void attemptsEndAtClientLimitAndOtherwiseContinue() throws MalformedMessageException {
-        String bounded = createTask("bounded", "1", ", \"max_attempts\": \"2\"", LONG_RUNTIME);
-        String free = createTask("free", "1", "", LONG_RUNTIME);
+        String limitedId = createTask("bounded", "1", ", \"max_attempts\": \"2\"", LONG_RUNTIME);
+        String unlimitedId = createTask("free", "1", "", LONG_RUNTIME);
         for (int second = 0; second < 60; second++) {
             cluster.workers()
                     .forEach(
                             worker -> {
-                                for (String id : List.of(bounded, free)) {
-                                    if (worker.runningTasks().contains(task(id))) {
-                                        worker.failTask(task(id));
+                                for (String id : List.of(limitedId, unlimitedId)) {
+                                    if (worker.runningTasks().contains(taskId(id))) {
+                                        worker.failTask(taskId(id));
                                     }
                                 }
                             });
             cluster.runSeconds(1);
         }
-        assertEquals("EXECUTOR_ERROR", state(1, bounded));
+        assertEquals("EXECUTOR_ERROR", stateOf(1, limitedId));
         Map<String, Object> full =
-                body(ask(2, "GET", "/tasks/" + bounded, Map.of("view", List.of("FULL"))));
+                okBody(
+                        sendRequest(
+                                2, "GET", "/tasks/" + limitedId, Map.of("view", List.of("FULL"))));
         List<MessageReader> logs = new MessageReader(full).nestedList("logs");
         assertEquals(2, logs.size());
         assertEquals("ERROR", logs.get(1).nested("metadata").string("cause"));
-        assertNotEquals("EXECUTOR_ERROR", state(1, free));
+        assertNotEquals("EXECUTOR_ERROR", stateOf(1, unlimitedId));
     }
 
     @Test
@@ -337,14 +356,14 @@
         String id = createTask("bounded", "1", ", \"max_attempts\": \"2\"", LONG_RUNTIME);
         cluster.runSeconds(6);
         for (int attempt = 1; attempt <= 2; attempt++) {
-            cluster.machinesRunning(task(id)).forEach(worker -> worker.failTask(task(id)));
+            cluster.machinesRunning(taskId(id)).forEach(worker -> worker.failTask(taskId(id)));
             cluster.runSeconds(4);
             cluster.crash(cluster.leader());
             cluster.runSeconds(2);
             cluster.restartAll();
             cluster.runSeconds(12);
         }
-        assertEquals("EXECUTOR_ERROR", state(0, id));
+        assertEquals("EXECUTOR_ERROR", stateOf(0, id));
         assertEquals(2, cluster.startCount());
     }
 
@@ -357,15 +376,16 @@
         assertEquals(403, statusFor("other secret", "POST", path + ":cancel"));
         assertEquals(200, statusFor("reader", "GET", path));
         assertEquals(403, statusFor("reader", "POST", path + ":cancel"));
-        Http.Reply others =
+        Http.Reply otherTeamReply =
                 cluster.clients()
                         .sendTesRequest(1, "other secret", "GET", "/tasks", Map.of(), Map.of(), "");
-        assertEquals(List.of(), body(others).get("tasks"));
+        assertEquals(List.of(), okBody(otherTeamReply).get("tasks"));
         assertEquals(
-                404, ask(0, "GET", "/tasks/tes-00000000000000000000000000", Map.of()).status());
+                404,
+                sendRequest(0, "GET", "/tasks/tes-00000000000000000000000000", Map.of()).status());
         assertEquals(
                 404,
-                ask(0, "GET", "/tasks/req-1", Map.of()).status(),
+                sendRequest(0, "GET", "/tasks/req-1", Map.of()).status(),
                 "a native job is not a TES task");
         assertFalse(JobId.isWellFormed(id), "a TES task is not a native job");
     }
@@ -380,8 +400,8 @@
     @Test
     void paginationIsCompleteAndFreeOfDuplicatesUnderConcurrentChanges()
             throws MalformedMessageException {
-        Set<String> there = createTwelveTaggedTasks();
-        List<String> reported = new ArrayList<>();
+        Set<String> expectedIds = createTwelveTaggedTasks();
+        List<String> listedIds = new ArrayList<>();
         String token = null;
         int node = 0;
         do {
@@ -389,9 +409,10 @@
                     token == null
                             ? Map.of("page_size", List.of("5"))
                             : Map.of("page_size", List.of("5"), "page_token", List.of(token));
-            MessageReader page = new MessageReader(body(ask(node, "GET", "/tasks", query)));
+            MessageReader page =
+                    new MessageReader(okBody(sendRequest(node, "GET", "/tasks", query)));
             for (MessageReader task : page.nestedList("tasks")) {
-                reported.add(task.string("id"));
+                listedIds.add(task.string("id"));
             }
             token = page.stringOrNull("next_page_token");
             // The next page is requested from another controller, after a failover, and other
@@ -403,9 +424,9 @@
             cluster.runSeconds(6);
             node = (node + 1) % 3;
         } while (token != null);
-        assertEquals(reported.size(), new HashSet<>(reported).size());
-        assertEquals(there, new HashSet<>(reported));
-        Map<String, List<String>> tagged =
+        assertEquals(listedIds.size(), new HashSet<>(listedIds).size());
+        assertEquals(expectedIds, new HashSet<>(listedIds));
+        Map<String, List<String>> tagFilter =
                 Map.of(
                         "tag_key",
                         List.of("night"),
@@ -415,100 +436,117 @@
                         List.of("a"),
                         "view",
                         List.of("BASIC"));
-        assertEquals(6, listedTaskCount(tagged));
+        assertEquals(6, listedTaskCount(tagFilter));
         assertTrue(listedTaskCount(Map.of("state", List.of("COMPLETE"))) >= 4);
     }
 
     private Set<String> createTwelveTaggedTasks() {
         Set<String> ids = new HashSet<>();
-        for (int at = 0; at < 12; at++) {
-            Duration runtime = Duration.ofSeconds(at % 3 == 0 ? 2 : 200);
-            ids.add(createTask("a" + at, String.valueOf(at % 2), "", runtime));
+        for (int i = 0; i < 12; i++) {
+            Duration runtime = Duration.ofSeconds(i % 3 == 0 ? 2 : 200);
+            ids.add(createTask("a" + i, String.valueOf(i % 2), "", runtime));
         }
         return ids;
     }
 
     private int listedTaskCount(Map<String, List<String>> query) throws MalformedMessageException {
-        return new MessageReader(body(ask(0, "GET", "/tasks", query))).nestedList("tasks").size();
+        return new MessageReader(okBody(sendRequest(0, "GET", "/tasks", query)))
+                .nestedList("tasks")
+                .size();
     }
 
     @Test
-    void undecidableRequestIsAnsweredImmediately() {
+    void requestWithoutReachableStoreIsRejectedImmediately() {
         cluster.storeConnection(1).refuseRequests(true);
         cluster.runSeconds(5);
-        Http.Reply refused = create(1, TASK.formatted("task", "1", ""), null);
+        Http.Reply refused = sendCreate(1, TASK_TEMPLATE.formatted("task", "1", ""), null);
         assertEquals(503, refused.status());
         assertEquals(1, refused.retryAfterSeconds());
         cluster.store().setOutage(true);
-        assertEquals(503, create(0, TASK.formatted("task", "1", ""), null).status());
+        assertEquals(503, sendCreate(0, TASK_TEMPLATE.formatted("task", "1", ""), null).status());
     }
 
     @Test
     void delayedCreateOnSlowStoreIsFoundByIdempotencyKey() {
         cluster.storeConnection(1).holdRequests(true);
-        String body = TASK.formatted("late", "1", "");
-        Http.Reply reply = create(1, body, "night-2");
+        String body = TASK_TEMPLATE.formatted("late", "1", "");
+        Http.Reply reply = sendCreate(1, body, "night-2");
         assertTrue(reply == null || reply.status() == 503, "the outcome of the create is unknown");
         cluster.storeConnection(1).holdRequests(false);
         cluster.runSeconds(3);
-        String id = (String) body(create(2, body, "night-2")).get("id");
+        String id = (String) okBody(sendCreate(2, body, "night-2")).get("id");
         cluster.setRuntime(new JobId(id), SHORT_RUNTIME);
         cluster.runSeconds(25);
-        assertEquals("COMPLETE", state(0, id));
+        assertEquals("COMPLETE", stateOf(0, id));
         assertEquals(1, cluster.startCount());
         assertEquals(1, cluster.store().recordCount("tesx/"));
     }
 
     @Test
-    void unschedulableOrInvalidTaskIsRejectedByField() {
-        for (String[] wrong :
+    void rejectionOfUnschedulableOrInvalidTaskNamesField() {
+        for (String[] invalidCase :
                 new String[][] {
                     {"{\"executors\": []}", "executors"},
                     {"[]", "JSON"},
                     {"{\"executors\": [{\"image\": \"i\", \"command\": []}]}", "command"},
-                    {TASK.formatted("t", "1", ", \"priority\": \"high\""), "priority"},
-                    {TASK.formatted("t", "1", ", \"max_attempts\": \"2.5\""), "max_attempts"},
-                    {TASK.formatted("t", "1", "").replace("\"1\" }", "\"9\"}"), "machine type"},
-                    {TASK.formatted("t", "1", ", \"machine_types\": \"huge\""), "machine type"},
+                    {TASK_TEMPLATE.formatted("t", "1", ", \"priority\": \"high\""), "priority"},
+                    {
+                        TASK_TEMPLATE.formatted("t", "1", ", \"max_attempts\": \"2.5\""),
+                        "max_attempts"
+                    },
+                    {
+                        TASK_TEMPLATE.formatted("t", "1", "").replace("\"1\" }", "\"9\"}"),
+                        "machine type"
+                    },
                     {
-                        TASK.formatted("t", "1", "")
+                        TASK_TEMPLATE.formatted("t", "1", ", \"machine_types\": \"huge\""),
+                        "machine type"
+                    },
+                    {
+                        TASK_TEMPLATE
+                                .formatted("t", "1", "")
                                 .replace("\"cpu_cores\"", "\"zones\": [\"z\"], \"cpu_cores\""),
                         "zone"
                     },
                     {
-                        TASK.formatted("t", "1", ", \"x\": \"1\"")
+                        TASK_TEMPLATE
+                                .formatted("t", "1", ", \"x\": \"1\"")
                                 .replace("}}}", "}, \"backend_parameters_strict\": true}}"),
                         "backend parameter x"
                     }
                 }) {
-            Http.Reply reply = create(0, wrong[0], null);
-            String said = new String(reply.body(), StandardCharsets.UTF_8);
-            assertEquals(400, reply.status(), said);
-            assertTrue(said.contains(wrong[1]), said);
+            Http.Reply reply = sendCreate(0, invalidCase[0], null);
+            String message = new String(reply.body(), StandardCharsets.UTF_8);
+            assertEquals(400, reply.status(), message);
+            assertTrue(message.contains(invalidCase[1]), message);
         }
         for (String number : List.of("-1", "NaN", "1e400", "0x", "")) {
-            String said =
+            String message =
                     new String(
-                            create(
+                            sendCreate(
                                             0,
-                                            TASK.formatted(
+                                            TASK_TEMPLATE.formatted(
                                                     "t",
                                                     "1",
                                                     ", \"deadline_s\": \"" + number + '"'),
                                             null)
                                     .body(),
                             StandardCharsets.UTF_8);
-            assertTrue(said.contains("deadline_s"), said);
+            assertTrue(message.contains("deadline_s"), message);
         }
-        assertEquals(413, create(0, TASK.formatted("x".repeat(20_000), "1", ""), null).status());
-        assertEquals(400, create(0, TASK.formatted("t", "1", ""), "").status());
-        assertEquals(400, create(0, TASK.formatted("t", "1", ""), "k".repeat(201)).status());
+        assertEquals(
+                413,
+                sendCreate(0, TASK_TEMPLATE.formatted("x".repeat(20_000), "1", ""), null).status());
+        assertEquals(400, sendCreate(0, TASK_TEMPLATE.formatted("t", "1", ""), "").status());
+        assertEquals(
+                400,
+                sendCreate(0, TASK_TEMPLATE.formatted("t", "1", ""), "k".repeat(201)).status());
     }
 
     @Test
     void listsReadBoundedNumberOfRecords() throws Exception {
         List<CompletableFuture<Http.Reply>> lists = new ArrayList<>();
-        for (int at = 0; at < 6; at++) {
+        for (int i = 0; i < 6; i++) {
             lists.add(
                     cluster.clients()
                             .sendTesRequestAsync(
@@ -523,21 +561,26 @@
                 "four lists run at a time, and the others are rejected immediately");
         cluster.runSeconds(1);
         assertTrue(lists.stream().limit(4).allMatch(reply -> reply.join().status() == 200));
-        for (int at = 0; at < 40; at++) {
+        for (int i = 0; i < 40; i++) {
             createTask("t", "1", "", LONG_RUNTIME);
         }
-        MessageReader whole =
-                new MessageReader(body(ask(1, "GET", "/tasks", Map.of("view", List.of("BASIC")))));
+        MessageReader firstPage =
+                new MessageReader(
+                        okBody(sendRequest(1, "GET", "/tasks", Map.of("view", List.of("BASIC")))));
         assertEquals(
-                32, whole.nestedList("tasks").size(), "each BASIC entry takes a read of its own");
-        assertTrue(whole.has("next_page_token"));
+                32,
+                firstPage.nestedList("tasks").size(),
+                "each BASIC entry takes a read of its own");
+        assertTrue(firstPage.has("next_page_token"));
         storeEndedTasks(5000);
-        MessageReader none =
+        MessageReader unmatchedPage =
                 new MessageReader(
-                        body(ask(2, "GET", "/tasks", Map.of("name_prefix", List.of("t")))));
-        assertEquals(0, none.nestedList("tasks").size());
+                        okBody(
+                                sendRequest(
+                                        2, "GET", "/tasks", Map.of("name_prefix", List.of("t")))));
+        assertEquals(0, unmatchedPage.nestedList("tasks").size());
         assertTrue(
-                none.has("next_page_token"),
+                unmatchedPage.has("next_page_token"),
                 "a filter without matches reads a bounded number of records");
     }
 
@@ -549,11 +592,11 @@
                                 MessageDigest.getInstance("SHA-256")
                                         .digest("team".getBytes(StandardCharsets.UTF_8)))
                         .substring(0, 16);
-        for (int at = 0; at < count; at++) {
-            String id = "tes-%026x".formatted(at);
+        for (int i = 0; i < count; i++) {
+            String id = "tes-%026x".formatted(i);
             cluster.store()
                     .put(
-                            "tesx/" + team + "/%013d-".formatted(at) + id,
+                            "tesx/" + team + "/%013d-".formatted(i) + id,
                             MessageReader.mapOf(
                                     "id",
                                     id,
@@ -573,46 +616,52 @@
     @Test
     void cachedTaskCountIsBounded() {
         List<String> ids = new ArrayList<>();
-        for (int at = 0; at < 300; at++) {
+        for (int i = 0; i < 300; i++) {
             ids.add(createTask("t", "1", "", LONG_RUNTIME));
         }
         cluster.runSeconds(20);
         int other = (cluster.leader() + 1) % 3;
-        int[] before = {0};
-        ToIntFunction<String> cost =
+        int[] readsBefore = {0};
+        ToIntFunction<String> storeReads =
                 id -> {
-                    before[0] = cluster.storeConnection(other).readCount();
-                    state(other, id);
-                    return cluster.storeConnection(other).readCount() - before[0];
+                    readsBefore[0] = cluster.storeConnection(other).readCount();
+                    stateOf(other, id);
+                    return cluster.storeConnection(other).readCount() - readsBefore[0];
                 };
-        assertEquals(2, cost.applyAsInt(ids.get(0)));
-        assertEquals(1, cost.applyAsInt(ids.get(0)), "a task that was read once is cached");
-        ids.forEach(id -> state(other, id));
-        assertEquals(2, cost.applyAsInt(ids.get(0)), "later reads have evicted the first task");
+        assertEquals(2, storeReads.applyAsInt(ids.get(0)));
+        assertEquals(1, storeReads.applyAsInt(ids.get(0)), "a task that was read once is cached");
+        ids.forEach(id -> stateOf(other, id));
+        assertEquals(
+                2, storeReads.applyAsInt(ids.get(0)), "later reads have evicted the first task");
     }
 
     @Test
     void repeatedlyFailingTaskKeepsItsLastAttempts() throws MalformedMessageException {
         String id = createTask(Duration.ofHours(1));
         for (int failures = 0; failures < 14; ) {
-            List<FakeWorker> on =
+            List<FakeWorker> machines =
                     cluster.workers().stream()
-                            .filter(worker -> worker.runningTasks().contains(task(id)))
+                            .filter(worker -> worker.runningTasks().contains(taskId(id)))
                             .toList();
-            on.forEach(worker -> worker.failTask(task(id)));
-            failures += on.size();
+            machines.forEach(worker -> worker.failTask(taskId(id)));
+            failures += machines.size();
             cluster.runSeconds(4);
         }
-        MessageReader told =
+        MessageReader fullTask =
                 new MessageReader(
-                        body(ask(1, "GET", "/tasks/" + id, Map.of("view", List.of("FULL")))));
-        assertTrue(told.nestedList("logs").size() == 10, () -> "" + told);
-        assertEquals("14", told.nestedList("logs").get(9).nested("metadata").string("attempt"));
+                        okBody(
+                                sendRequest(
+                                        1,
+                                        "GET",
+                                        "/tasks/" + id,
+                                        Map.of("view", List.of("FULL")))));
+        assertTrue(fullTask.nestedList("logs").size() == 10, () -> "" + fullTask);
+        assertEquals("14", fullTask.nestedList("logs").get(9).nested("metadata").string("attempt"));
     }
 
     @Test
     void unknownPageTokenIsRejected() {
-        for (String forged :
+        for (String forgedCursor :
                 List.of(
                         "",
                         "x",
@@ -621,27 +670,28 @@
                         "9999999999999-tes-0",
                         "0".repeat(13) + "-tes-" + "0".repeat(26) + "&prefix=job/")) {
             String token =
-                    Base64.getUrlEncoder().encodeToString(forged.getBytes(StandardCharsets.UTF_8))
-                            + (forged.isEmpty() ? "AA" : "");
+                    Base64.getUrlEncoder()
+                                    .encodeToString(forgedCursor.getBytes(StandardCharsets.UTF_8))
+                            + (forgedCursor.isEmpty() ? "AA" : "");
             assertEquals(
                     400,
-                    ask(0, "GET", "/tasks", Map.of("page_token", List.of(token))).status(),
-                    forged);
+                    sendRequest(0, "GET", "/tasks", Map.of("page_token", List.of(token))).status(),
+                    forgedCursor);
         }
     }
 
     @Test
     void nativeAndTesJobsOfTeamShareQuotaInSubmissionOrder() {
         cluster.withTeam("team", 0, 4);
-        List<JobId> came = new ArrayList<>();
-        for (int at = 1; at <= 6; at++) {
-            JobSpec job = SimulatedCluster.spec(at, JobKind.ARRAY, 2, 1);
-            assertTrue(cluster.users().submit(at % 3, job, SHORT_RUNTIME));
-            came.add(job.id());
-            came.add(new JobId(createTask(SHORT_RUNTIME)));
+        List<JobId> submittedInOrder = new ArrayList<>();
+        for (int i = 1; i <= 6; i++) {
+            JobSpec job = SimulatedCluster.spec(i, JobKind.ARRAY, 2, 1);
+            assertTrue(cluster.users().submit(i % 3, job, SHORT_RUNTIME));
+            submittedInOrder.add(job.id());
+            submittedInOrder.add(new JobId(createTask(SHORT_RUNTIME)));
         }
         JobId cancelled = new JobId(createTask(SHORT_RUNTIME));
-        body(ask(1, "POST", "/tasks/" + cancelled + ":cancel", Map.of()));
+        okBody(sendRequest(1, "POST", "/tasks/" + cancelled + ":cancel", Map.of()));
         cluster.runSeconds(20);
         cluster.crash(cluster.leader());
         cluster.runSeconds(8);
@@ -650,14 +700,14 @@
         assertEquals(18, cluster.startCount());
         List<JobEventLog.Event> events = cluster.events();
         assertEquals(
-                came,
+                submittedInOrder,
                 events.stream()
                         .filter(event -> event.type() == JobEventLog.EventType.ACCEPTED)
                         .map(JobEventLog.Event::jobId)
                         .filter(job -> !job.equals(cancelled))
                         .toList());
         assertEquals(
-                came,
+                submittedInOrder,
                 events.stream()
                         .filter(event -> event.type() == JobEventLog.EventType.PLACED)
                         .map(JobEventLog.Event::jobId)
@@ -666,26 +716,28 @@
                 "jobs of both APIs are placed in the order of their submission");
         JobEventLogChecker.check(events, 4);
         assertEquals(
-                came.size() + 1,
+                submittedInOrder.size() + 1,
                 events.stream()
                         .filter(event -> event.type() == JobEventLog.EventType.ENDED)
                         .count());
     }
 
-    private String createTracedTask(String parameters, Duration runs) {
+    private String createTracedTask(String parameters, Duration runtime) {
         String id =
                 (String)
-                        body(cluster.clients()
-                                        .sendTesRequest(
-                                                0,
-                                                "secret",
-                                                "POST",
-                                                "/tasks",
-                                                Map.of(),
-                                                Map.of("traceparent", "ctx"),
-                                                TASK.formatted("traced", "1", parameters)))
+                        okBody(
+                                        cluster.clients()
+                                                .sendTesRequest(
+                                                        0,
+                                                        "secret",
+                                                        "POST",
+                                                        "/tasks",
+                                                        Map.of(),
+                                                        Map.of("traceparent", "ctx"),
+                                                        TASK_TEMPLATE.formatted(
+                                                                "traced", "1", parameters)))
                                 .get("id");
-        cluster.setRuntime(new JobId(id), runs);
+        cluster.setRuntime(new JobId(id), runtime);
         return id;
     }
 
@@ -694,12 +746,12 @@
         String id = createTracedTask(", \"max_attempts\": \"9\"", Duration.ofSeconds(20));
         createTask(SHORT_RUNTIME);
         cluster.runSeconds(6);
-        cluster.machinesRunning(task(id)).forEach(worker -> worker.failTask(task(id)));
+        cluster.machinesRunning(taskId(id)).forEach(worker -> worker.failTask(taskId(id)));
         cluster.runSeconds(8);
-        assertEquals("RUNNING", state(0, id));
+        assertEquals("RUNNING", stateOf(0, id));
         cluster.crash(cluster.leader());
         cluster.runSeconds(40);
-        assertEquals("COMPLETE", state((cluster.leader() + 1) % 3, id));
+        assertEquals("COMPLETE", stateOf((cluster.leader() + 1) % 3, id));
         assertEquals(
                 List.of(
                         "ctx accepted",
@@ -713,11 +765,11 @@
     void tracedTaskIsReportedWhenItsFinalCommitTimesOut() {
         String id = createTracedTask("", Duration.ofSeconds(8));
         cluster.runSeconds(6);
-        assertEquals("RUNNING", state(0, id));
+        assertEquals("RUNNING", stateOf(0, id));
         for (int step = 0;
                 step < 80
                         && cluster.workers().stream()
-                                .anyMatch(worker -> worker.runningTasks().contains(task(id)));
+                                .anyMatch(worker -> worker.runningTasks().contains(taskId(id)));
                 step++) {
             cluster.runSeconds(0.25);
         }
@@ -730,7 +782,7 @@
         assertEquals(List.of("ctx accepted"), cluster.traceNotes());
         cluster.runSeconds(10);
         assertEquals(leader, cluster.leader());
-        assertEquals("COMPLETE", state(0, id));
+        assertEquals("COMPLETE", stateOf(0, id));
         assertEquals(
                 List.of("ctx accepted", "ctx attempt 1 DONE", "ctx ended DONE"),
                 cluster.traceNotes());
@@ -739,11 +791,11 @@
     @Test
     void thousandEndedTasksAreAllListed() {
         List<String> ids = new ArrayList<>();
-        for (int at = 0; at < 1000; at++) {
-            ids.add(createTask("t" + at, "1", "", LONG_RUNTIME));
-            if (at % 50 == 49) {
-                for (String id : ids.subList(at - 49, at + 1)) {
-                    body(ask(at % 3, "POST", "/tasks/" + id + ":cancel", Map.of()));
+        for (int i = 0; i < 1000; i++) {
+            ids.add(createTask("t" + i, "1", "", LONG_RUNTIME));
+            if (i % 50 == 49) {
+                for (String id : ids.subList(i - 49, i + 1)) {
+                    okBody(sendRequest(i % 3, "POST", "/tasks/" + id + ":cancel", Map.of()));
                 }
             }
         }
@@ -752,76 +804,81 @@
         cluster.runSeconds(8);
         cluster.restartAll();
         cluster.runSeconds(8);
-        for (int at = 0; at < ids.size(); at++) {
-            assertEquals("CANCELED", state(at % 3, ids.get(at)));
+        for (int i = 0; i < ids.size(); i++) {
+            assertEquals("CANCELED", stateOf(i % 3, ids.get(i)));
         }
-        Set<String> listed = new HashSet<>();
+        Set<String> listedIds = new HashSet<>();
         String token = null;
         do {
             Map<String, List<String>> query =
                     token == null
                             ? Map.of("page_size", List.of("300"))
                             : Map.of("page_size", List.of("300"), "page_token", List.of(token));
-            Map<String, Object> page = body(ask(listed.size() % 3, "GET", "/tasks", query));
+            Map<String, Object> page =
+                    okBody(sendRequest(listedIds.size() % 3, "GET", "/tasks", query));
             for (Object task : (List<?>) page.get("tasks")) {
-                assertTrue(listed.add((String) ((Map<?, ?>) task).get("id")));
+                assertTrue(listedIds.add((String) ((Map<?, ?>) task).get("id")));
             }
             token = (String) page.get("next_page_token");
         } while (token != null);
-        assertEquals(new HashSet<>(ids), listed);
+        assertEquals(new HashSet<>(ids), listedIds);
     }
 
     @Test
     void taskCancelledDuringItsPlacementRoundNeverRuns() {
         // The task is placed and cancelled between two responses of the store; the delay varies so
         // that either of the two can arrive first.
-        for (int at = 0; at < 12; at++) {
+        for (int i = 0; i < 12; i++) {
             String id = createTask(LONG_RUNTIME);
-            cluster.run(Duration.ofMillis(250L * (at % 6)));
-            body(ask(at % 3, "POST", "/tasks/" + id + ":cancel", Map.of()));
-            int before = cluster.startCount();
+            cluster.run(Duration.ofMillis(250L * (i % 6)));
+            okBody(sendRequest(i % 3, "POST", "/tasks/" + id + ":cancel", Map.of()));
+            int startsBefore = cluster.startCount();
             cluster.runSeconds(12);
-            assertEquals("CANCELED", state(at % 3, id));
+            assertEquals("CANCELED", stateOf(i % 3, id));
             assertFalse(isOnAnyMachine(id));
-            assertEquals(before, cluster.startCount(), "no task starts after its cancellation");
+            assertEquals(
+                    startsBefore, cluster.startCount(), "no task starts after its cancellation");
         }
         JobEventLogChecker.check(cluster.events(), 100);
     }
 
     @Test
-    void taskOfTeamBelowItsGuaranteeGoesFirst() {
+    void taskOfTeamBelowGuaranteePreemptsOtherTeams() {
         cluster.withTeam("other", 2, 0);
-        for (int at = 1; at <= 40; at++) {
+        for (int i = 1; i <= 40; i++) {
             assertTrue(
                     cluster.users()
                             .submit(
                                     0,
-                                    SimulatedCluster.spec(at, JobKind.ARRAY, 2, 1),
+                                    SimulatedCluster.spec(i, JobKind.ARRAY, 2, 1),
                                     LONG_RUNTIME));
         }
         cluster.cloud().setOutage(true);
         // All rented machines have booted and are full.
         cluster.runSeconds(20);
-        long before =
+        long runningBefore =
                 cluster.workers().stream().mapToLong(worker -> worker.runningTasks().size()).sum();
         String id =
                 (String)
-                        body(cluster.clients()
-                                        .sendTesRequest(
-                                                0,
-                                                "other secret",
-                                                "POST",
-                                                "/tasks",
-                                                Map.of(),
-                                                Map.of(),
-                                                TASK.formatted(
-                                                        "first", "1", ", \"save_s\": \"1\"")))
+                        okBody(
+                                        cluster.clients()
+                                                .sendTesRequest(
+                                                        0,
+                                                        "other secret",
+                                                        "POST",
+                                                        "/tasks",
+                                                        Map.of(),
+                                                        Map.of(),
+                                                        TASK_TEMPLATE.formatted(
+                                                                "first",
+                                                                "1",
+                                                                ", \"save_s\": \"1\"")))
                                 .get("id");
         cluster.setRuntime(new JobId(id), LONG_RUNTIME);
         cluster.runSeconds(40);
         assertTrue(
-                before > 0
-                        && before
+                runningBefore > 0
+                        && runningBefore
                                 == cluster.workers().stream()
                                         .mapToLong(worker -> worker.runningTasks().size())
                                         .sum());
@@ -831,18 +888,18 @@
                                 1, "other secret", "GET", "/tasks/" + id, Map.of(), Map.of(), "");
         assertEquals(
                 "RUNNING",
-                body(reply).get("state"),
+                okBody(reply).get("state"),
                 "tasks of another team are preempted, as for a native job of that team");
     }
 
     @Test
     void concurrentListsAreCompleteUnderConcurrentChanges() {
-        Set<String> there = new HashSet<>();
-        for (int at = 0; at < 10; at++) {
-            there.add(createTask("a" + at, "1", "", LONG_RUNTIME));
+        Set<String> expectedIds = new HashSet<>();
+        for (int i = 0; i < 10; i++) {
+            expectedIds.add(createTask("a" + i, "1", "", LONG_RUNTIME));
         }
         String[] tokens = {"", ""};
-        List<Set<String>> reported = List.of(new HashSet<>(), new HashSet<>());
+        List<Set<String>> listedIds = List.of(new HashSet<>(), new HashSet<>());
         for (int step = 0; tokens[0] != null || tokens[1] != null; step++) {
             int client = step % 2;
             if (tokens[client] == null) {
@@ -853,16 +910,18 @@
             if (!tokens[client].isEmpty()) {
                 query.put("page_token", List.of(tokens[client]));
             }
-            Map<String, Object> page = body(ask(step % 3, "GET", "/tasks", query));
+            Map<String, Object> page = okBody(sendRequest(step % 3, "GET", "/tasks", query));
             for (Object task : (List<?>) page.get("tasks")) {
                 assertTrue(
-                        reported.get(client).add((String) ((Map<?, ?>) task).get("id")),
+                        listedIds.get(client).add((String) ((Map<?, ?>) task).get("id")),
                         "reported twice");
             }
             tokens[client] = (String) page.get("next_page_token");
-            String passing = createTask("passing", "2", "", SHORT_RUNTIME);
-            body(ask(0, "POST", "/tasks/" + passing + ":cancel", Map.of()));
+            String shortLivedId = createTask("passing", "2", "", SHORT_RUNTIME);
+            okBody(sendRequest(0, "POST", "/tasks/" + shortLivedId + ":cancel", Map.of()));
         }
-        assertTrue(reported.get(0).containsAll(there) && reported.get(1).containsAll(there));
+        assertTrue(
+                listedIds.get(0).containsAll(expectedIds)
+                        && listedIds.get(1).containsAll(expectedIds));
     }
 }
--- a/src/test/java/org/meadowhollow/simulation/WarmStandbyScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/WarmStandbyScenarioTest.java
@@ -33,10 +33,10 @@
      * Time in which a risk table collects the samples that it needs before it is used, at one
      * heartbeat every 3 s, with a margin.
      */
-    private static final double LEARNT_S = 80;
+    private static final double RISK_TABLE_LEARNING_S = 80;
 
-    private static final int LEAST_SAMPLES = 20;
-    private int wrongExpected;
+    private static final int MIN_SAMPLES = 20;
+    private int expectedDivergentRecords;
 
     @BeforeEach
     void startWarmStandbys() {
@@ -54,20 +54,21 @@
 
     @AfterEach
     void assertNoDivergentRecords() {
-        long wrong = 0;
+        long divergentRecords = 0;
         for (int node = 0; node < 3; node++) {
-            wrong += cluster.node(node) == null ? 0 : cluster.node(node).divergentRecordCount();
+            divergentRecords +=
+                    cluster.node(node) == null ? 0 : cluster.node(node).divergentRecordCount();
         }
-        assertEquals(wrongExpected, wrong);
+        assertEquals(expectedDivergentRecords, divergentRecords);
     }
 
-    private int other(int besides) {
-        return (besides + 1) % 3;
+    private int nodeOtherThan(int node) {
+        return (node + 1) % 3;
     }
 
     /** Number of risk tables of a node that have enough samples to be used. */
-    private long learnedObservationCount(int node) {
-        RiskTableRequest whole =
+    private long usableRiskTableCount(int node) {
+        RiskTableRequest fullRequest =
                 new RiskTableRequest(
                         new ControllerStatus("test", 1, "a", "", 0, Revision.ABSENT),
                         FencingToken.NONE,
@@ -75,21 +76,21 @@
                         "");
         return cluster
                 .node(node)
-                .riskTableDelta(whole)
+                .riskTableDelta(fullRequest)
                 .map(RiskTableDelta::entries)
                 .orElse(List.of())
                 .stream()
-                .filter(machineEntry -> machineEntry.table()[0] >= LEAST_SAMPLES)
+                .filter(machineEntry -> machineEntry.table()[0] >= MIN_SAMPLES)
                 .count();
     }
 
-    private int secondsUntilAnotherLeads(int than) {
+    private int awaitLeaderOtherThan(int formerLeader) {
         for (int step = 0;
-                step < 60 && (cluster.leader() < 0 || cluster.leader() == than);
+                step < 60 && (cluster.leader() < 0 || cluster.leader() == formerLeader);
                 step++) {
             cluster.runSeconds(0.25);
         }
-        assertNotEquals(than, cluster.leader());
+        assertNotEquals(formerLeader, cluster.leader());
         return cluster.leader();
     }
 
@@ -100,71 +101,71 @@
 
     @Test
     void learnedRiskTablesSurviveLeaderFailure() {
-        cluster.runSeconds(LEARNT_S);
-        int dead = cluster.leader();
-        assertEquals(6, learnedObservationCount(dead));
-        cluster.crash(dead);
-        int next = secondsUntilAnotherLeads(dead);
+        cluster.runSeconds(RISK_TABLE_LEARNING_S);
+        int failedLeader = cluster.leader();
+        assertEquals(6, usableRiskTableCount(failedLeader));
+        cluster.crash(failedLeader);
+        int next = awaitLeaderOtherThan(failedLeader);
         cluster.runSeconds(4);
         assertEquals(
                 6,
-                learnedObservationCount(next),
+                usableRiskTableCount(next),
                 "all machines have reported, and their risk tables are known");
     }
 
     @Test
     void successorLoadsRecordsFromItsReplica() {
-        JobSpec before = array(1, 10);
-        assertTrue(cluster.users().submit(0, before, LONG_RUNTIME));
+        JobSpec earlierJob = array(1, 10);
+        assertTrue(cluster.users().submit(0, earlierJob, LONG_RUNTIME));
         cluster.runSeconds(10);
-        int dead = cluster.leader();
+        int failedLeader = cluster.leader();
         for (int node = 0; node < 3; node++) {
             cluster.storeConnection(node).hidePrefix(RecordKeys.TASK_PREFIX);
         }
-        JobSpec lately = array(2, 4);
-        assertTrue(cluster.users().submit(other(dead), lately, SHORT_RUNTIME));
+        JobSpec recentJob = array(2, 4);
+        assertTrue(cluster.users().submit(nodeOtherThan(failedLeader), recentJob, SHORT_RUNTIME));
         cluster.runSeconds(0.5);
-        cluster.crash(dead);
-        secondsUntilAnotherLeads(dead);
+        cluster.crash(failedLeader);
+        awaitLeaderOtherThan(failedLeader);
         cluster.runSeconds(25);
         assertEquals(
                 Phase.DONE,
-                phaseOf(lately),
+                phaseOf(recentJob),
                 "task records come from the replica: the store refuses to list them");
         assertEquals(20, cluster.startCount());
     }
 
     @Test
     void standbyTooFarBehindReadsAllRecords() {
-        int dead = cluster.leader();
-        int successor = other(dead);
-        cluster.crash(3 - dead - successor);
+        int failedLeader = cluster.leader();
+        int successor = nodeOtherThan(failedLeader);
+        cluster.crash(3 - failedLeader - successor);
         cluster.storeConnection(successor).refuseRequests(true);
         cluster.runSeconds(1);
         JobSpec job = array(1, 5);
-        assertTrue(cluster.users().submit(dead, job, SHORT_RUNTIME));
-        for (int at = 0; at <= 10_000; at++) {
-            cluster.store().put("junk/" + at % 10, Map.of("at", (long) at));
+        assertTrue(cluster.users().submit(failedLeader, job, SHORT_RUNTIME));
+        for (int write = 0; write <= 10_000; write++) {
+            cluster.store().put("junk/" + write % 10, Map.of("at", (long) write));
         }
-        cluster.crash(dead);
+        cluster.crash(failedLeader);
         cluster.storeConnection(successor).refuseRequests(false);
-        assertEquals(successor, secondsUntilAnotherLeads(dead));
+        assertEquals(successor, awaitLeaderOtherThan(failedLeader));
         runUntilDone(job, 30);
         assertEquals(11, cluster.startCount());
     }
 
     @Test
     void standbyThatCannotCatchUpReadsAllRecords() {
-        int dead = cluster.leader();
-        int successor = other(dead);
-        cluster.crash(3 - dead - successor);
+        int failedLeader = cluster.leader();
+        int successor = nodeOtherThan(failedLeader);
+        cluster.crash(3 - failedLeader - successor);
         JobSpec job = array(1, 5);
-        assertTrue(cluster.users().submit(dead, job, SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(failedLeader, job, SHORT_RUNTIME));
         cluster.runSeconds(5);
         assertEquals(11, cluster.startCount());
         cluster.storeConnection(successor).failWatches(true);
-        cluster.crash(dead);
-        assertEquals(successor, secondsUntilAnotherLeads(dead));
+        cluster.crash(failedLeader);
+        assertEquals(successor, awaitLeaderOtherThan(failedLeader));
         cluster.runSeconds(1);
         cluster.storeConnection(successor).failWatches(false);
         JobSpec later = array(2, 3);
@@ -175,38 +176,38 @@
     }
 
     @Test
-    void storeOutageKeepsReplica() {
-        int standby = other(cluster.leader());
-        int pages = cluster.storeConnection(standby).pageReadCount();
+    void replicaSurvivesStoreOutageWithoutReloading() {
+        int standby = nodeOtherThan(cluster.leader());
+        int pagesBefore = cluster.storeConnection(standby).pageReadCount();
         cluster.store().setOutage(true);
         cluster.runSeconds(40);
         cluster.store().setOutage(false);
         cluster.runSeconds(20);
-        assertEquals(pages, cluster.storeConnection(standby).pageReadCount());
+        assertEquals(pagesBefore, cluster.storeConnection(standby).pageReadCount());
     }
 
     /**
      * Fails over while some machines hang and a job waits that needs all six machines, one per
      * task.
      */
-    private List<FakeWorker> failOverWithout(int machines) {
-        int dead = cluster.leader();
-        List<FakeWorker> late = cluster.workers().subList(0, machines);
-        late.forEach(worker -> worker.setHung(true));
-        cluster.crash(dead);
+    private List<FakeWorker> failOverWithHungMachines(int hungCount) {
+        int failedLeader = cluster.leader();
+        List<FakeWorker> hungMachines = cluster.workers().subList(0, hungCount);
+        hungMachines.forEach(worker -> worker.setHung(true));
+        cluster.crash(failedLeader);
         assertTrue(
                 cluster.users()
                         .submit(
-                                other(dead),
+                                nodeOtherThan(failedLeader),
                                 SimulatedCluster.spec(1, JobKind.ARRAY, 6, 4),
                                 LONG_RUNTIME));
-        secondsUntilAnotherLeads(dead);
-        return late;
+        awaitLeaderOtherThan(failedLeader);
+        return hungMachines;
     }
 
     @Test
     void firstRoundWaitsForHalfOfMachines() {
-        failOverWithout(4);
+        failOverWithHungMachines(4);
         cluster.runSeconds(1.5);
         assertEquals(
                 0,
@@ -215,19 +216,19 @@
     }
 
     @Test
-    void firstRoundWithHalfOfMachinesOnlyPlaces() {
-        int rentals = cluster.cloud().rentalCount();
-        List<FakeWorker> late = failOverWithout(2);
+    void firstRoundWithHalfOfMachinesPlacesWithoutRenting() {
+        int rentalsBefore = cluster.cloud().rentalCount();
+        List<FakeWorker> hungMachines = failOverWithHungMachines(2);
         for (int step = 0; step < 14 && cluster.startCount() == 6; step++) {
             cluster.runSeconds(0.25);
         }
         assertEquals(10, cluster.startCount(), "tasks start only on machines that have reported");
         cluster.runSeconds(1);
         assertEquals(
-                rentals,
+                rentalsBefore,
                 cluster.cloud().rentalCount(),
                 "no rental while machines that may have capacity have not reported");
-        late.forEach(worker -> worker.setHung(false));
+        hungMachines.forEach(worker -> worker.setHung(false));
         cluster.runSeconds(8);
         assertEquals(12, cluster.startCount());
     }
@@ -248,15 +249,15 @@
 
     @Test
     void standbyWithStalledReplicaDoesNotDecideFromIt() {
-        int dead = cluster.leader();
-        int successor = other(dead);
-        cluster.crash(3 - dead - successor);
+        int failedLeader = cluster.leader();
+        int successor = nodeOtherThan(failedLeader);
+        cluster.crash(3 - failedLeader - successor);
         cluster.storeConnection(successor).hideChanges(RecordKeys.JOB_PREFIX);
         JobSpec job = array(1, 5);
-        assertTrue(cluster.users().submit(dead, job, Duration.ofSeconds(60)));
+        assertTrue(cluster.users().submit(failedLeader, job, Duration.ofSeconds(60)));
         cluster.runSeconds(10);
         assertEquals(11, cluster.startCount());
-        cluster.crash(dead);
+        cluster.crash(failedLeader);
         cluster.runSeconds(40);
         assertEquals(successor, cluster.leader());
         cluster.storeConnection(successor).hideChanges(null);
@@ -269,14 +270,15 @@
 
     @Test
     void transactionAppliedAfterSuccessorCaughtUpHasNoEffect() {
-        int old = cluster.leader();
-        FakeStoreConnection connection = cluster.storeConnection(old);
+        int formerLeader = cluster.leader();
+        FakeStoreConnection connection = cluster.storeConnection(formerLeader);
         connection.holdCommits();
         JobSpec job = array(1, 5);
-        assertTrue(cluster.users().submit(other(old), job, Duration.ofSeconds(20)));
+        assertTrue(
+                cluster.users().submit(nodeOtherThan(formerLeader), job, Duration.ofSeconds(20)));
         cluster.runSeconds(3);
-        cluster.crash(old);
-        secondsUntilAnotherLeads(old);
+        cluster.crash(formerLeader);
+        awaitLeaderOtherThan(formerLeader);
         cluster.runSeconds(0.5);
         connection.holdRequests(false);
         runUntilDone(job, 40);
@@ -284,15 +286,15 @@
     }
 
     @Test
-    void starvedStandbyTakesOverWithItsReplica() {
-        int dead = cluster.leader();
-        int successor = other(dead);
+    void overloadedStandbyTakesOverWithItsReplica() {
+        int failedLeader = cluster.leader();
+        int successor = nodeOtherThan(failedLeader);
         cluster.overload(successor, true);
         JobSpec job = array(1, 5);
-        assertTrue(cluster.users().submit(dead, job, Duration.ofSeconds(60)));
+        assertTrue(cluster.users().submit(failedLeader, job, Duration.ofSeconds(60)));
         cluster.runSeconds(25);
-        cluster.crash(dead);
-        cluster.crash(3 - dead - successor);
+        cluster.crash(failedLeader);
+        cluster.crash(3 - failedLeader - successor);
         cluster.runSeconds(60);
         assertEquals(successor, cluster.leader());
         runUntilDone(job, 60);
@@ -302,16 +304,16 @@
     @Test
     void auditFindsDivergentRecordOfStandby() {
         JobSpec job = array(1, 4);
-        int standby = other(cluster.leader());
+        int standby = nodeOtherThan(cluster.leader());
         cluster.storeConnection(standby).skipChangesOf(RecordKeys.job(job.id()));
         assertTrue(cluster.users().submit(cluster.leader(), job, LONG_RUNTIME));
         cluster.runSeconds(130);
         cluster.storeConnection(standby).skipChangesOf(null);
-        wrongExpected = 1;
-        int dead = cluster.leader();
-        cluster.crash(dead);
-        cluster.crash(3 - dead - standby);
-        secondsUntilAnotherLeads(dead);
+        expectedDivergentRecords = 1;
+        int failedLeader = cluster.leader();
+        cluster.crash(failedLeader);
+        cluster.crash(3 - failedLeader - standby);
+        awaitLeaderOtherThan(failedLeader);
         cluster.runSeconds(20);
         assertEquals(Phase.RUNNING, phaseOf(job));
         assertEquals(10, cluster.startCount());
@@ -319,31 +321,33 @@
 
     @Test
     void terminatingLeaderHandsLeaseToStandby() {
-        cluster.runSeconds(LEARNT_S);
-        int ending = cluster.leader();
-        cluster.node(ending).handOver();
+        cluster.runSeconds(RISK_TABLE_LEARNING_S);
+        int terminatingLeader = cluster.leader();
+        cluster.node(terminatingLeader).handOver();
         cluster.runSeconds(0.6);
         int next = cluster.leader();
-        assertNotEquals(ending, next);
+        assertNotEquals(terminatingLeader, next);
         assertTrue(next >= 0, "the leader names one of two equally suitable standbys");
-        cluster.crash(ending);
+        cluster.crash(terminatingLeader);
         long fencingToken = cluster.fencingToken();
         cluster.runSeconds(5);
-        assertEquals(6, learnedObservationCount(next));
+        assertEquals(6, usableRiskTableCount(next));
         assertEquals(fencingToken, cluster.fencingToken());
     }
 
     @Test
     void nextStandbyTakesOverWhenPreferredSuccessorIsDown() {
-        int ending = cluster.leader();
-        int named = ending == 0 ? 1 : 0;
-        cluster.crash(named);
-        cluster.node(ending).handOver();
+        int terminatingLeader = cluster.leader();
+        int preferredSuccessor = terminatingLeader == 0 ? 1 : 0;
+        cluster.crash(preferredSuccessor);
+        cluster.node(terminatingLeader).handOver();
         cluster.runSeconds(0.5);
-        cluster.crash(ending);
+        cluster.crash(terminatingLeader);
         cluster.runSeconds(2.5);
         assertEquals(
-                3 - ending - named, cluster.leader(), "long before the lease would have expired");
+                3 - terminatingLeader - preferredSuccessor,
+                cluster.leader(),
+                "long before the lease would have expired");
     }
 
     @Test
@@ -357,38 +361,38 @@
                             return delta;
                         },
                         Duration.ofMillis(5));
-        cluster.runSeconds(LEARNT_S);
-        int first = cluster.leader();
-        cluster.crash(first);
-        int after = secondsUntilAnotherLeads(first);
+        cluster.runSeconds(RISK_TABLE_LEARNING_S);
+        int firstLeader = cluster.leader();
+        cluster.crash(firstLeader);
+        int secondLeader = awaitLeaderOtherThan(firstLeader);
         cluster.runSeconds(4);
-        assertEquals(6, learnedObservationCount(after), "full tables are requested instead");
-        cluster.restart(first);
+        assertEquals(6, usableRiskTableCount(secondLeader), "full tables are requested instead");
+        cluster.restart(firstLeader);
         cluster.network()
                 .interceptRiskTables(
                         delta -> {
                             throw new PeerGateway.UnreadableResponseException("damaged");
                         },
                         Duration.ofMillis(5));
-        cluster.runSeconds(LEARNT_S);
+        cluster.runSeconds(RISK_TABLE_LEARNING_S);
         JobSpec job = array(1, 4);
-        int dead = cluster.leader();
-        cluster.crash(dead);
-        int second = secondsUntilAnotherLeads(dead);
-        assertTrue(cluster.users().submit(second, job, SHORT_RUNTIME));
+        int failedLeader = cluster.leader();
+        cluster.crash(failedLeader);
+        int thirdLeader = awaitLeaderOtherThan(failedLeader);
+        assertTrue(cluster.users().submit(thirdLeader, job, SHORT_RUNTIME));
         runUntilDone(job, 30);
-        cluster.restart(dead);
+        cluster.restart(failedLeader);
         cluster.network().interceptRiskTables(UnaryOperator.identity(), Duration.ofMillis(5));
-        cluster.runSeconds(LEARNT_S);
-        cluster.crash(second);
-        int third = secondsUntilAnotherLeads(second);
+        cluster.runSeconds(RISK_TABLE_LEARNING_S);
+        cluster.crash(thirdLeader);
+        int fourthLeader = awaitLeaderOtherThan(thirdLeader);
         cluster.runSeconds(4);
-        assertEquals(6, learnedObservationCount(third));
+        assertEquals(6, usableRiskTableCount(fourthLeader));
     }
 
     @Test
     void riskTablesSurviveRestartOfAllControllers() {
-        cluster.runSeconds(2 * LEARNT_S);
+        cluster.runSeconds(2 * RISK_TABLE_LEARNING_S);
         cluster.crashAll();
         cluster.runSeconds(6);
         cluster.restartAll();
@@ -400,32 +404,34 @@
             cluster.storeConnection(node).hidePrefix("/");
         }
         cluster.runSeconds(20);
-        assertEquals(6, learnedObservationCount(cluster.leader()));
+        assertEquals(6, usableRiskTableCount(cluster.leader()));
     }
 
     @Test
     void incompleteSnapshotIsNotUsed() {
-        cluster.runSeconds(3 * LEARNT_S);
+        cluster.runSeconds(3 * RISK_TABLE_LEARNING_S);
         Map<String, Object> head = cluster.store().valueOf(RecordKeys.RISK_TABLE_HEAD_KEY);
-        int set = (int) (long) head.get("set");
-        Map<String, Object> older = cluster.store().valueOf(RecordKeys.riskTableChunk(1 - set, 0));
-        Map<String, Object> newest = cluster.store().valueOf(RecordKeys.riskTableChunk(set, 0));
+        int newestSet = (int) (long) head.get("set");
+        Map<String, Object> older =
+                cluster.store().valueOf(RecordKeys.riskTableChunk(1 - newestSet, 0));
+        Map<String, Object> newest =
+                cluster.store().valueOf(RecordKeys.riskTableChunk(newestSet, 0));
         cluster.crashAll();
-        cluster.store().put(RecordKeys.riskTableChunk(set, 0), older);
+        cluster.store().put(RecordKeys.riskTableChunk(newestSet, 0), older);
         cluster.restartAll();
         cluster.runSeconds(20);
         assertEquals(
                 0,
-                learnedObservationCount(cluster.leader()),
+                usableRiskTableCount(cluster.leader()),
                 "the chunk does not match the head record");
         cluster.crashAll();
-        cluster.store().put(RecordKeys.riskTableChunk(set, 0), newest);
+        cluster.store().put(RecordKeys.riskTableChunk(newestSet, 0), newest);
         Map<String, Object> unknown = new HashMap<>(head);
         unknown.put("form", 2L);
         cluster.store().put(RecordKeys.RISK_TABLE_HEAD_KEY, unknown);
         cluster.restartAll();
         cluster.runSeconds(20);
-        assertEquals(0, learnedObservationCount(cluster.leader()), "the form is unknown");
+        assertEquals(0, usableRiskTableCount(cluster.leader()), "the form is unknown");
         assertFalse(cluster.leader() < 0);
     }
 
@@ -446,17 +452,18 @@
     }
 
     @Test
-    void pausedLeaderDecidesNothingFromStaleState() {
-        int frozen = cluster.leader();
+    void resumedLeaderDecidesNothingFromStaleState() {
+        int pausedLeader = cluster.leader();
         JobSpec job = array(1, 6);
-        assertTrue(cluster.users().submit(other(frozen), job, Duration.ofSeconds(40)));
+        assertTrue(
+                cluster.users().submit(nodeOtherThan(pausedLeader), job, Duration.ofSeconds(40)));
         cluster.runSeconds(5);
-        cluster.pause(frozen);
-        int next = secondsUntilAnotherLeads(frozen);
+        cluster.pause(pausedLeader);
+        int next = awaitLeaderOtherThan(pausedLeader);
         JobSpec later = array(2, 6);
         assertTrue(cluster.users().submit(next, later, Duration.ofSeconds(40)));
         cluster.runSeconds(24);
-        cluster.resume(frozen);
+        cluster.resume(pausedLeader);
         runUntilDone(later, 60);
         assertEquals(Phase.DONE, phaseOf(job));
         assertEquals(next, cluster.leader());
