--- a/src/test/java/org/meadowhollow/simulation/GoldenTesTask.java
+++ b/src/test/java/org/meadowhollow/simulation/GoldenTesTask.java
@@ -7,14 +7,15 @@
 import java.util.Map;
 import org.meadowhollow.protocol.Http;
 
-/** The task of the task execution API that the golden files hold, sent at a fixed time of day. */
+/** The task of the task execution API in the golden files, created at a fixed wall-clock time. */
 final class GoldenTesTask {
     /**
-     * The time of day at which a simulation with golden files begins, in milliseconds of the epoch.
+     * The wall-clock time at which a simulation with golden files begins, in milliseconds since the
+     * epoch.
      */
-    static final long BEGIN_MILLIS = 1_700_000_060_000L;
+    static final long START_EPOCH_MILLIS = 1_700_000_060_000L;
 
-    static final String KEY = "golden";
+    static final String IDEMPOTENCY_KEY = "golden";
     static final String ID = "tes-b274ac907e9023b618e480ff70";
     static final String BODY =
             """
@@ -36,11 +37,12 @@
     private GoldenTesTask() {}
 
     /**
-     * A deployment that accepts the task before it has any machine: only the acceptance is written.
+     * Returns a cluster that accepted the task before it had any machine, so that the store holds
+     * only the acceptance.
      */
-    static SimulatedCluster accepted() {
+    static SimulatedCluster clusterWithAcceptedTask() {
         SimulatedCluster cluster = new SimulatedCluster();
-        cluster.loop().skip(Duration.ofMillis(BEGIN_MILLIS));
+        cluster.loop().skip(Duration.ofMillis(START_EPOCH_MILLIS));
         cluster.cloud().setBootTimes(Duration.ofHours(1), Duration.ZERO);
         cluster.runSeconds(12);
         Http.Reply reply =
@@ -51,7 +53,7 @@
                                 "POST",
                                 "/tasks",
                                 Map.of(),
-                                Map.of("Idempotency-Key", KEY),
+                                Map.of("Idempotency-Key", IDEMPOTENCY_KEY),
                                 BODY);
         assertEquals(200, reply.status(), new String(reply.body(), StandardCharsets.UTF_8));
         return cluster;
--- a/src/test/java/org/meadowhollow/simulation/KeyValueStoreHttpServer.java
+++ b/src/test/java/org/meadowhollow/simulation/KeyValueStoreHttpServer.java
@@ -16,44 +16,44 @@
 import org.meadowhollow.storage.LeaseId;
 import org.meadowhollow.storage.Transaction;
 
-/** The key-value store's HTTP interface as the protocol defines it, in front of the fake store. */
+/** Serves the fake key-value store over the HTTP interface that the protocol defines. */
 final class KeyValueStoreHttpServer implements Http.RequestHandler {
     private static final String KEY_PATH = "/kv/";
     private static final String LEASE_PATH = "/grants/";
     private static final String RENEW_SUFFIX = "/renew";
 
-    /** The wire's names of a revision of the store and of a lease. */
+    /** The wire's field names of a revision of the store and of a lease. */
     private static final String REVISION = "ledgerRev";
 
     private static final String LEASE = "tether";
 
     private final KeyValueStore store;
-    private final Runnable changed;
+    private final Runnable onChange;
 
     /**
-     * @param changed is told after each request that may have changed something
+     * @param onChange called after each commit, and after each renewal or revocation of a lease
      */
-    KeyValueStoreHttpServer(KeyValueStore store, Runnable changed) {
+    KeyValueStoreHttpServer(KeyValueStore store, Runnable onChange) {
         this.store = store;
-        this.changed = changed;
+        this.onChange = onChange;
     }
 
     @Override
     public CompletableFuture<Http.Reply> answer(Http.Request request) {
         try {
             return route(request)
-                    .handle((reply, failure) -> failure == null ? reply : refusal(failure));
-        } catch (MalformedMessageException | NumberFormatException broken) {
+                    .handle((reply, failure) -> failure == null ? reply : errorReply(failure));
+        } catch (MalformedMessageException | NumberFormatException malformed) {
             return CompletableFuture.completedFuture(
-                    Http.Reply.error(400, "outside the protocol: " + broken));
+                    Http.Reply.error(400, "outside the protocol: " + malformed));
         }
     }
 
-    private static Http.Reply refusal(Throwable failure) {
+    private static Http.Reply errorReply(Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
         Outcome outcome =
-                cause instanceof KeyValueStoreException refused
-                        ? refused.outcome()
+                cause instanceof KeyValueStoreException storeFailure
+                        ? storeFailure.outcome()
                         : Outcome.INDETERMINATE;
         return switch (outcome) {
             case LEASE_EXPIRED -> Http.Reply.error(400, "no such lease");
@@ -96,14 +96,14 @@
                 .handle(
                         (done, failure) ->
                                 Http.Reply.of(failure == null ? 200 : 404, MessageReader.mapOf()))
-                .whenComplete((reply, none) -> changed.run());
+                .whenComplete((reply, none) -> onChange.run());
     }
 
     private CompletableFuture<Http.Reply> list(Http.Request request) {
         return store.list(
-                        one(request, "prefix"),
-                        one(request, "after"),
-                        Integer.parseInt(one(request, "most")),
+                        queryParameter(request, "prefix"),
+                        queryParameter(request, "after"),
+                        Integer.parseInt(queryParameter(request, "most")),
                         RequestPriority.USER)
                 .thenApply(KeyValueStoreHttpServer::page);
     }
@@ -122,9 +122,9 @@
 
     private CompletableFuture<Http.Reply> watch(Http.Request request) {
         return store.watch(
-                        one(request, "prefix"),
-                        new Revision(Long.parseLong(one(request, "after"))),
-                        Duration.ofMillis(Long.parseLong(one(request, "blockMs"))))
+                        queryParameter(request, "prefix"),
+                        new Revision(Long.parseLong(queryParameter(request, "after"))),
+                        Duration.ofMillis(Long.parseLong(queryParameter(request, "blockMs"))))
                 .thenApply(KeyValueStoreHttpServer::changes);
     }
 
@@ -134,7 +134,7 @@
         return store.commit(transaction, RequestPriority.USER)
                 .thenApply(
                         result -> {
-                            changed.run();
+                            onChange.run();
                             return Http.Reply.of(
                                     result.isApplied() ? 200 : 409,
                                     MessageReader.mapOf(
@@ -152,7 +152,7 @@
                 .thenApply(lease -> Http.Reply.of(200, MessageReader.mapOf(LEASE, lease.value())));
     }
 
-    private static String one(Http.Request request, String parameter) {
+    private static String queryParameter(Http.Request request, String parameter) {
         List<String> values = request.query().get(parameter);
         return values == null ? null : values.get(0);
     }
