--- a/src/main/java/org/meadowhollow/coordination/UserReadiness.java
+++ b/src/main/java/org/meadowhollow/coordination/UserReadiness.java
@@ -128,7 +128,7 @@
         }
         if (sheddingUntil == null || sheddingUntil.isBefore(now)) {
             LOG.info(
-                    "leader overloaded, sends users to other nodes duration_s={}",
+                    "users redirected duration_s={} reason=leader is overloaded",
                     LOAD_SHEDDING_DURATION.toSeconds());
         }
         sheddingUntil = now.plus(LOAD_SHEDDING_DURATION);
--- a/src/main/java/org/meadowhollow/coordination/failover/ChangeFeedFollower.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/ChangeFeedFollower.java
@@ -139,7 +139,7 @@
             return false;
         }
         LOG.info(
-                "records exceed memory limit and are not followed prefix={} max_bytes={}",
+                "standby ignores records prefix={} max_bytes={} reason=records exceed memory limit",
                 prefix,
                 maxBytes);
         synchronized (this) {
@@ -179,10 +179,10 @@
                                     || countFailureAndCheckReload(
                                             KeyValueStoreException.outcomeOf(failure))) {
                                 LOG.info(
-                                        "standby reloads records prefix={} reason={}",
+                                        "record reload started prefix={} reason={}",
                                         prefix,
                                         failure == null
-                                                ? "key-value store returned an earlier revision="
+                                                ? "key-value store returned earlier revision "
                                                         + changeBatch.revision().value()
                                                 : failure.getMessage());
                                 generations.runLater(
--- a/src/main/java/org/meadowhollow/coordination/failover/FailoverTimeline.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/FailoverTimeline.java
@@ -94,7 +94,7 @@
         if (!logged) {
             logged = true;
             LOG.info(
-                    "failover complete token={} vacant_s={} records_loaded_s={} records={} first_round_s={}"
+                    "failover completed token={} vacant_s={} records_loaded_s={} records={} first_round_s={}"
                             + " {} full_round_s={} inherited_tables={}",
                     fencingToken,
                     seconds(vacantSince, leaderKeyTakenAt),
--- a/src/main/java/org/meadowhollow/coordination/failover/WarmStandby.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/WarmStandby.java
@@ -190,7 +190,7 @@
                             if (failure != null) {
                                 replica.requestFullSync();
                                 LOG.info(
-                                        "standby requests full risk tables node={} reason={}",
+                                        "full risk tables requested node={} reason={}",
                                         leader,
                                         reason(failure));
                             }
@@ -210,12 +210,12 @@
                 replica.apply(delta, highestTokenSupplier.get(), loop.now());
         if (applyResult == RiskTableReplica.ApplyResult.STALE_LEADER) {
             LOG.info(
-                    "risk tables dropped token={} node={} reason=stale leader",
+                    "risk tables dropped token={} node={} reason=leader is stale",
                     delta.token(),
                     leader);
         } else if (applyResult == RiskTableReplica.ApplyResult.INCONSISTENT) {
             LOG.info(
-                    "standby requests full risk tables node={} reason=delta is inconsistent with replica",
+                    "full risk tables requested node={} reason=delta is inconsistent with replica",
                     leader);
         }
         return applyResult == RiskTableReplica.ApplyResult.MORE_AVAILABLE
--- a/src/main/java/org/meadowhollow/coordination/fleet/MachineRenter.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/MachineRenter.java
@@ -131,7 +131,7 @@
     private void pausePool(CapacityPool pool, String reason) {
         Duration duration = backoff.recordRefusal(pool, loop.now());
         LOG.info(
-                "machine rental paused type={} zone={} pause_s={} reason={}",
+                "machine rental paused type={} zone={} duration_s={} reason={}",
                 pool.type(),
                 pool.zone(),
                 duration.toSeconds(),
--- a/src/main/java/org/meadowhollow/coordination/fleet/UnreachableMachineReturnPolicy.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/UnreachableMachineReturnPolicy.java
@@ -127,7 +127,7 @@
     private void suspend(MonotonicTime now) {
         if (suspendedUntil == null || suspendedUntil.isBefore(now)) {
             LOG.info(
-                    "silent machine returns suspended silence_limit_s={} suspended_s={}"
+                    "silent machine returns suspended silence_limit_s={} duration_s={}"
                             + " reason=heartbeats received from machines silent for longer",
                     urgentSilenceLimitSeconds(),
                     deploymentSettings.workerLease().toSeconds());
--- a/src/main/java/org/meadowhollow/coordination/leadership/Leadership.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/Leadership.java
@@ -377,7 +377,7 @@
                     elected.fencingToken(), elected.leaderKeyRevision(), elected.vacantSince());
             peerGateway.announceLeader(member, elected.fencingToken());
         } else if (notification instanceof NotifyLeadershipLost lost) {
-            LOG.info("leadership lost token={} reason=\"{}\"", lost.fencingToken(), lost.reason());
+            LOG.info("leadership lost token={} reason={}", lost.fencingToken(), lost.reason());
             listener.leadershipLost(lost.reason());
         } else if (notification instanceof NotifyFollowing following) {
             listener.following(following.leader());
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipStoreClient.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipStoreClient.java
@@ -232,8 +232,8 @@
 
     private void revokeSuspectLease(RevokeSuspectLease request) {
         LOG.info(
-                "lease revocation requested reason=\"suspected leader refuses connections\""
-                        + " node={} departures={}",
+                "lease revocation requested node={} departures={}"
+                        + " reason=suspected leader refuses connections",
                 request.suspect(),
                 request.departureCount());
         CompletableFuture<?> unusedReply =
--- a/src/main/java/org/meadowhollow/coordination/lifecycle/MachineRegistry.java
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/MachineRegistry.java
@@ -158,7 +158,7 @@
     public void onIncarnationReset(Machine machine, MonotonicTime now) {
         if (!machine.isIncarnationReset()) {
             LOG.info(
-                    "machine will be returned machine={} reason=its incarnation was reset",
+                    "machine return scheduled machine={} reason=incarnation was reset",
                     machine.id());
             machine.markIncarnationReset();
         }
--- a/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatReconciler.java
+++ b/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatReconciler.java
@@ -108,7 +108,8 @@
         }
         machine.preemptionDeadline(
                 now.plus(Duration.ofMillis((long) (noticeSeconds * MILLIS_PER_SECOND))));
-        LOG.info("machine will be preempted machine={} within_s={}", machine.id(), noticeSeconds);
+        LOG.info(
+                "machine preemption announced machine={} within_s={}", machine.id(), noticeSeconds);
         machine.cordon();
     }
 
--- a/src/main/java/org/meadowhollow/coordination/recovery/RiskTableRestorer.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/RiskTableRestorer.java
@@ -99,7 +99,7 @@
             } else {
                 complete = true;
                 LOG.info(
-                        "risk tables restored from the key-value store tables={}",
+                        "risk tables restored tables={} source=key-value store",
                         handoverState.inheritedTableCount());
             }
         }
--- a/src/main/java/org/meadowhollow/coordination/rounds/PlacementApplier.java
+++ b/src/main/java/org/meadowhollow/coordination/rounds/PlacementApplier.java
@@ -38,7 +38,7 @@
         }
         if (!decisions.isEmpty()) {
             LOG.info(
-                    "round placed tasks tasks={} total_by_risk={} total_by_capacity_alone={}",
+                    "round placed tasks tasks={} total_by_risk={} total_by_preference={}",
                     decisions.size(),
                     placedByRisk,
                     placedByCapacity);
@@ -76,6 +76,6 @@
                 placement.taskId(),
                 attemptNumber,
                 machine.id(),
-                decision.byRiskTable() ? "risk" : "capacity");
+                decision.byRiskTable() ? "risk" : "preference");
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/rounds/ReservationEnforcer.java
+++ b/src/main/java/org/meadowhollow/coordination/rounds/ReservationEnforcer.java
@@ -218,7 +218,7 @@
     private static void logWarning(ReservationView.PlannedEviction eviction) {
         Placement placement = eviction.placement();
         LOG.info(
-                "task will be stopped unless it completes task={} attempt={} machine={} within_s={} reason={}",
+                "task stop scheduled task={} attempt={} machine={} within_s={} reason={}",
                 placement.taskId(),
                 placement.attemptNumber(),
                 placement.machineId(),
--- a/src/main/java/org/meadowhollow/protocol/keyvalue/StoreHealth.java
+++ b/src/main/java/org/meadowhollow/protocol/keyvalue/StoreHealth.java
@@ -78,12 +78,10 @@
         }
     }
 
+    /** Records a failed request. Further requests are still sent while the store is unavailable. */
     synchronized void recordFailure(String reason) {
         if (lastFailureAt == null) {
-            LOG.info(
-                    "key-value store unavailable, requests are still sent address={} reason={}",
-                    address,
-                    reason);
+            LOG.info("key-value store unavailable address={} reason={}", address, reason);
         }
         lastFailureAt = loop.now();
     }
--- a/src/main/java/org/meadowhollow/protocol/tes/BearerTokens.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/BearerTokens.java
@@ -94,7 +94,8 @@
             return MessageDigest.getInstance("SHA-256")
                     .digest(text.getBytes(StandardCharsets.UTF_8));
         } catch (NoSuchAlgorithmException impossible) {
-            throw new IllegalStateException("every Java has SHA-256", impossible);
+            throw new IllegalStateException(
+                    "this Java runtime does not support SHA-256", impossible);
         }
     }
 }
--- a/src/main/java/org/meadowhollow/storage/RecordWriter.java
+++ b/src/main/java/org/meadowhollow/storage/RecordWriter.java
@@ -234,7 +234,7 @@
         if (KeyValueStoreException.outcomeOf(failure) == Outcome.REJECTED) {
             writeLimit.onRejected();
         }
-        LOG.info("transaction failed and will be retried reason={}", failure.getMessage());
+        LOG.info("transaction retry scheduled reason={}", failure.getMessage());
         pauseBeforeRetry();
     }
 
--- a/src/main/java/org/meadowhollow/transport/PemKeyManager.java
+++ b/src/main/java/org/meadowhollow/transport/PemKeyManager.java
@@ -154,7 +154,7 @@
                 LOG.info("certificate reloaded file={}", chainFile);
             }
         } catch (IOException unusable) {
-            LOG.info("certificate not reloaded reason={}", unusable.getMessage());
+            LOG.info("certificate reload failed reason={}", unusable.getMessage());
         }
         return keyMaterial;
     }
