--- a/src/main/java/org/meadowhollow/cli/Controller.java
+++ b/src/main/java/org/meadowhollow/cli/Controller.java
@@ -218,7 +218,7 @@
         }
 
         /**
-         * Keeps the state that a takeover needs loaded while another node leads.
+         * Replicates the state that a takeover needs while another node leads.
          *
          * @param softwareVersion the version to report to other nodes
          */
--- a/src/main/java/org/meadowhollow/cli/Listeners.java
+++ b/src/main/java/org/meadowhollow/cli/Listeners.java
@@ -41,8 +41,8 @@
     private static final double MIN_CALLER_SHARE = 0.5;
 
     /**
-     * The limit of connections for callers, divided by this, is the additional limit for clients of
-     * the task execution API.
+     * Divides the limit of connections for callers; the quotient is the additional limit for
+     * clients of the task execution API.
      */
     private static final int TES_CONNECTIONS_DIVISOR = 8;
 
--- a/src/main/java/org/meadowhollow/coordination/LeaderParts.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderParts.java
@@ -82,7 +82,7 @@
     /**
      * Creates all parts without starting any of them.
      *
-     * @param leader the object whose monitor is the lock of all parts, and that they call back
+     * @param leader the object that the parts call back, and whose monitor is their lock
      */
     LeaderParts(ControllerServices services, LeadershipTerm term, LeaderService leader) {
         this.leader = leader;
--- a/src/main/java/org/meadowhollow/coordination/LeaderService.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderService.java
@@ -197,8 +197,8 @@
         if (entry.isPresent()) {
             parts.jobRecords.apply(entry.get().key(), entry.get().value(), entry.get().revision());
         } else {
-            // Only an own transaction without a response can have moved the job to its final
-            // record.
+            // Only a transaction of this leader that got no response can have moved the job to its
+            // final record.
             parts.recordWriter.recordUnacknowledgedEnd(job);
         }
         parts.recordWriter.flush();
--- a/src/main/java/org/meadowhollow/coordination/LeaderlessHeartbeats.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderlessHeartbeats.java
@@ -16,9 +16,9 @@
 final class LeaderlessHeartbeats {
     /**
      * How long a heartbeat waits for a leader to be known; well below the 4 s that a worker waits
-     * for a response. If they were redirected at once, hundreds of workers would try all nodes
-     * every second, each time on a new connection, while the nodes have to elect a leader; and the
-     * new leader would receive most of their heartbeats late.
+     * for a response. If heartbeats were redirected immediately, hundreds of workers would try all
+     * nodes every second, each time on a new connection, while the nodes have to elect a leader;
+     * and the new leader would receive most of their heartbeats late.
      */
     private static final Duration MAX_LEADER_WAIT = Duration.ofMillis(2500);
 
--- a/src/main/java/org/meadowhollow/coordination/LeadershipTerm.java
+++ b/src/main/java/org/meadowhollow/coordination/LeadershipTerm.java
@@ -11,7 +11,7 @@
  *
  * @param leadership the node's lease and its knowledge of other leaders
  * @param fencingToken the token of this leadership
- * @param leaderKeyRevision the revision of the transaction that wrote the leader key
+ * @param leaderKeyRevision the revision of the transaction that wrote the leader record
  * @param handoverState the state that this node replicated as a standby, or {@link
  *     HandoverState#EMPTY}
  * @param noticedAt when this node noticed that there was no leader, or null
--- a/src/main/java/org/meadowhollow/coordination/UserReadiness.java
+++ b/src/main/java/org/meadowhollow/coordination/UserReadiness.java
@@ -81,8 +81,8 @@
     }
 
     /**
-     * Probes at intervals, while the key-value store does not serve this node, whether it does so
-     * again, and asks the peers whether it serves them.
+     * Probes the key-value store at intervals while it does not serve this node, and asks the peers
+     * whether it serves them.
      */
     void probeStoreDuringOutage() {
         if (isClosed.getAsBoolean()) {
--- a/src/main/java/org/meadowhollow/coordination/WorkerContactProbe.java
+++ b/src/main/java/org/meadowhollow/coordination/WorkerContactProbe.java
@@ -12,9 +12,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Probes workers from a node that gave up its leadership because it was isolated from them, until
- * one answers. The node has to ask, since workers send no heartbeats to a node that does not lead.
- * Keeps no state.
+ * Probes workers on behalf of a node that gave up its leadership because it was isolated from them,
+ * until one of them answers. The node has to send probes, since workers send no heartbeats to a
+ * node that does not lead. Keeps no state.
  */
 final class WorkerContactProbe {
     private static final Logger LOG = LoggerFactory.getLogger(WorkerContactProbe.class);
--- a/src/main/java/org/meadowhollow/coordination/admission/AdmissionService.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/AdmissionService.java
@@ -173,8 +173,8 @@
     }
 
     /**
-     * Rejects a job that fails the feasibility check, unless it was accepted before, when the check
-     * passed.
+     * Rejects a job that fails the feasibility check, unless the job was accepted before: the check
+     * passed at that time.
      */
     private CompletableFuture<SubmissionResult> rejectUnlessAccepted(JobId id, String reason) {
         return jobRecordReader
--- a/src/main/java/org/meadowhollow/coordination/admission/JobStatusCache.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/JobStatusCache.java
@@ -38,11 +38,15 @@
      */
     private static final Duration MIN_SYNC_INTERVAL = Duration.ofMillis(200);
 
-    /** More than one, so that a sync that hangs does not delay later readers. */
+    /**
+     * The maximum number of syncs in flight: more than one, so that a sync that hangs does not
+     * delay later readers.
+     */
     private static final int MAX_SYNCS_IN_FLIGHT = 4;
 
     /**
-     * Users wait 2 s for an answer; a later answer is of no use, because they repeat the request.
+     * The time limit of a read barrier. Users wait 2 s for an answer; a later one is of no use,
+     * because they repeat the request.
      */
     private static final Duration READ_BARRIER_TIMEOUT = Duration.ofMillis(1850);
 
--- a/src/main/java/org/meadowhollow/coordination/admission/JobStatusEntries.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/JobStatusEntries.java
@@ -14,7 +14,10 @@
  * that has happened.
  */
 final class JobStatusEntries {
-    /** A few times the number of jobs that are live at once in the largest known deployments. */
+    /**
+     * The maximum number of cached jobs: a few times the number that is live at the same time in
+     * the largest known deployments.
+     */
     private static final int MAX_CACHED_JOBS = 8000;
 
     private record CacheEntry(JobStatusCache.CachedStatus status, Revision revision) {}
--- a/src/main/java/org/meadowhollow/coordination/api/CloudProvider.java
+++ b/src/main/java/org/meadowhollow/coordination/api/CloudProvider.java
@@ -7,8 +7,8 @@
 import org.meadowhollow.model.MachineType;
 
 /**
- * The cloud from which machines are rented. All calls return at once; a failed future means that
- * the outcome is unknown, unless the method specifies otherwise.
+ * The cloud from which machines are rented. All calls return immediately; a failed future means
+ * that the outcome is unknown, unless the method specifies otherwise.
  */
 public interface CloudProvider {
     /**
@@ -38,7 +38,7 @@
      * unavailable or limits the rate of requests.
      */
     final class RequestRefusedException extends RuntimeException {
-        /** Creates it without a stack trace. */
+        /** Creates the exception, without a stack trace. */
         public RequestRefusedException(String reason) {
             super(reason, null, false, false);
         }
--- a/src/main/java/org/meadowhollow/coordination/api/DeploymentSettings.java
+++ b/src/main/java/org/meadowhollow/coordination/api/DeploymentSettings.java
@@ -10,7 +10,7 @@
  *
  * @param member the name of this node among the controllers
  * @param zones the zones in which machines may be rented
- * @param teamQuotas quotas by team; 0 in a limit means none
+ * @param teamQuotas the quotas of the teams; an amount of 0 in a limit means no limit
  * @param heartbeatInterval how often a worker sends a heartbeat
  * @param workerLease how long a worker runs tasks without an answered heartbeat
  * @param gangStartTimeout how long tasks of a gang wait for the others
--- a/src/main/java/org/meadowhollow/coordination/api/PeerGateway.java
+++ b/src/main/java/org/meadowhollow/coordination/api/PeerGateway.java
@@ -10,7 +10,7 @@
 
 /**
  * The connection to the other controllers. Information exchanged with them is a hint that saves
- * time; no decision that must be safe relies on it. All calls return at once.
+ * time; no decision that must be safe relies on it. All calls return immediately.
  */
 public interface PeerGateway {
     /** Announces the leader and its fencing token to all peers. */
@@ -27,7 +27,7 @@
         ISOLATED,
         /** Only this peer refuses the connection, while some other peer answers. */
         CONNECTION_REFUSED,
-        /** The peer does not answer, for whatever reason. */
+        /** The peer does not answer, for an unknown reason. */
         UNRESPONSIVE
     }
 
--- a/src/main/java/org/meadowhollow/coordination/api/RiskTableDelta.java
+++ b/src/main/java/org/meadowhollow/coordination/api/RiskTableDelta.java
@@ -12,8 +12,8 @@
  * @param lastSample the number of the last sample that it includes, after which the next request
  *     continues
  * @param fullTables whether it holds full tables instead of samples
- * @param hasMore whether to send the next request at once; with full tables, for those after the
- *     last machine in it
+ * @param hasMore whether to send the next request immediately; with full tables, for those after
+ *     the last machine in it
  */
 public record RiskTableDelta(
         FencingToken token,
@@ -24,8 +24,8 @@
     /**
      * The full table or the new samples of one machine.
      *
-     * @param machineIdentityHash a hash of what the machine's name stands for: its type, zone,
-     *     price model and address
+     * @param machineIdentityHash a hash of the type, zone, price model and address of the machine
+     *     that has this name
      * @param workerIncarnation the worker incarnation of the last heartbeat that it includes
      * @param sequenceNumber the sequence number of that heartbeat
      * @param table a full table as {@code RiskTable} exports it; empty if there are samples
--- a/src/main/java/org/meadowhollow/coordination/failover/ChangeFeedFollower.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/ChangeFeedFollower.java
@@ -223,8 +223,8 @@
         return store.watch(prefix, finalReplica.revision(), Duration.ZERO)
                 .handle(
                         (changeBatch, failure) -> {
-                            // Rejects a replica older than the leader record, and one from a
-                            // history that the store does not serve now (its revision went back).
+                            // Rejects a replica older than the leader record, and one whose
+                            // revision is above the store's: the store now has another history.
                             if (failure != null
                                     || atLeast.isAfter(changeBatch.revision())
                                     || finalReplica.revision().isAfter(changeBatch.revision())) {
--- a/src/main/java/org/meadowhollow/coordination/failover/FailoverPreconditions.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/FailoverPreconditions.java
@@ -24,29 +24,42 @@
     /** The checks, in the order in which they usually become true. */
     public enum Precondition {
         /**
-         * A process that was suspended, or has lost its lease, would decide at the same time as its
-         * successor.
+         * The lease has certainly not expired; otherwise a process that was suspended, or has lost
+         * its lease, would decide at the same time as its successor.
          */
         LEASE_VALID(FailureAction.WAIT),
         /**
-         * Workers reject answers with a fencing token below the highest that they have seen, so no
-         * decision would take effect.
+         * No higher fencing token has been observed; workers reject responses with a token below
+         * the highest that they have seen, so no decision would take effect.
          */
         TOKEN_IS_HIGHEST(FailureAction.STEP_DOWN),
-        /** A task whose record is not loaded would be started a second time. */
+        /**
+         * All records are loaded; a task whose record is not loaded would be started a second time.
+         */
         RECORDS_LOADED(FailureAction.WAIT),
         /**
-         * A replica that is older than the leader record may lack what the last leader committed
-         * just before it ended.
+         * The records are no older than the leader record; an older replica may lack what the last
+         * leader committed just before it ended.
          */
         RECORDS_COVER_LEADER_KEY(FailureAction.RELOAD),
-        /** Without machine types every task seems too large for any machine. */
+        /**
+         * The cloud's machine types are known; without them every task seems too large for any
+         * machine.
+         */
         MACHINE_TYPES_KNOWN(FailureAction.WAIT),
-        /** Where reservations are in use, a reserved machine seems free until they are loaded. */
+        /**
+         * The reservations are loaded if they are in use; until then a reserved machine seems free.
+         */
         RESERVATIONS_LOADED(FailureAction.WAIT),
-        /** A leader that hardly any worker reaches would take healthy machines for failed ones. */
+        /**
+         * Enough workers reach this node; a leader that hardly any worker reaches would take
+         * healthy machines for failed ones.
+         */
         WORKERS_REACHABLE(FailureAction.WAIT),
-        /** The few machines whose heartbeats arrive first seem to lack capacity for everything. */
+        /**
+         * Enough machines have sent a heartbeat; the few whose heartbeats arrive first seem to lack
+         * capacity for everything.
+         */
         ENOUGH_MACHINES_REPORTED(FailureAction.WAIT);
 
         private final FailureAction actionOnFailure;
--- a/src/main/java/org/meadowhollow/coordination/failover/RiskTablePublisher.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTablePublisher.java
@@ -92,7 +92,7 @@
 
     /**
      * Answers the request of a standby with the samples after those it has, or with a page of full
-     * tables if it asks for these or if its samples are not known here any more.
+     * tables if it asks for these or if its samples are no longer kept.
      */
     public RiskTableDelta answerRequest(
             RiskTableRequest request,
--- a/src/main/java/org/meadowhollow/coordination/failover/RiskTableSnapshotStore.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTableSnapshotStore.java
@@ -33,10 +33,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stores snapshots of the risk tables in the key-value store, so that they survive the end of all
- * controllers at once. A snapshot is split into a set of chunks. Two sets are written in turn, and
- * the head record, which names the newer set, is written last, so that an incomplete set is never
- * read. Guarded by the leader's lock.
+ * Stores snapshots of the risk tables in the key-value store, so that they survive the simultaneous
+ * end of all controllers. A snapshot is split into a set of chunks. Two sets are written in turn,
+ * and the head record, which names the newer set, is written last, so that an incomplete set is
+ * never read. Guarded by the leader's lock.
  */
 public final class RiskTableSnapshotStore {
     private static final Logger LOG = LoggerFactory.getLogger(RiskTableSnapshotStore.class);
@@ -60,8 +60,8 @@
     private static final int MAX_MACHINES = 2000;
 
     /**
-     * The most bytes of chunk text in one transaction: the protocol's limit of 64 KiB, less room
-     * for framing.
+     * The most bytes of chunk text in one transaction: the protocol's limit of 64 KiB less a
+     * reserve for framing.
      */
     private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
--- a/src/main/java/org/meadowhollow/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/FailureDetector.java
@@ -21,8 +21,8 @@
 
 /**
  * Classifies how well heartbeats reach the leader, and asks the other controllers about machines
- * whose heartbeats are overdue. Without it, a leader that lost only its network path to the workers
- * treated hundreds of healthy machines as failed, returned them to the cloud, and was refused
+ * whose heartbeats are overdue. Without it, a leader that loses only its network path to the
+ * workers treats hundreds of healthy machines as failed, returns them to the cloud, and is refused
  * replacements.
  *
  * <p>All state is guarded by the leader's lock, the monitor of the {@link LeadershipContext}.
@@ -204,8 +204,8 @@
      * machine is probably silent for a reason of its own, so its silence is no sign that the leader
      * is isolated; its tasks still count as running until their end is proven.
      *
-     * <p>Without this check, a new leader resigned as isolated when the first heartbeats that it
-     * received were stale ones from machines that were long gone.
+     * <p>Without this check, a new leader resigns as isolated when the first heartbeats that it
+     * receives are stale ones from machines that are long gone.
      */
     boolean isMissingFromMachineList(Machine machine) {
         if (lastMachineListAt == null) {
--- a/src/main/java/org/meadowhollow/coordination/fleet/ScaleOutPlanner.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/ScaleOutPlanner.java
@@ -135,7 +135,7 @@
         }
     }
 
-    /** Returns the first bin with room for another task, or null. */
+    /** Returns the first bin with capacity for another task, or null. */
     private Bin findFirstFit(DemandProgress progress) {
         JobSpec spec = progress.spec();
         for (Bin bin : bins) {
--- a/src/main/java/org/meadowhollow/coordination/fleet/UnreachableMachineReturnPolicy.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/UnreachableMachineReturnPolicy.java
@@ -20,8 +20,8 @@
 /**
  * Selects the silent machines to return to the cloud. The return of a machine proves that its tasks
  * have ended, which other work may be waiting for, but it is irreversible and therefore the last
- * resort. No machine is returned while many machines are silent at once, while most of its zone is
- * silent, or while another controller receives its heartbeats; and only a limited number is
+ * resort. No machine is returned while many machines are silent at the same time, while most of its
+ * zone is silent, or while another controller receives its heartbeats; and only a limited number is
  * returned in a short time.
  *
  * <p>Keeping a failed machine costs little: the cloud lists it as failed within a minute, and does
@@ -51,7 +51,7 @@
 
     /**
      * Silence, in worker leases, after which a machine is returned even if many machines are silent
-     * for a common cause. All partitions observed so far were over by then.
+     * for a common cause. All partitions observed so far ended sooner.
      */
     private static final double COMMON_CAUSE_RETURN_AFTER_LEASES = 10;
 
--- a/src/main/java/org/meadowhollow/coordination/heartbeat/DeferredHeartbeats.java
+++ b/src/main/java/org/meadowhollow/coordination/heartbeat/DeferredHeartbeats.java
@@ -13,8 +13,8 @@
 
 /**
  * Holds heartbeats whose responses are deferred. A leader sends starts of tasks in heartbeat
- * responses alone, so it defers responses to let a machine start a task at once instead of with its
- * next heartbeat. Another node defers them while no leader is known. Guarded by the lock of its
+ * responses alone, so it defers responses to let a machine start a task immediately instead of with
+ * its next heartbeat. Another node defers them while no leader is known. Guarded by the lock of its
  * owner.
  */
 public final class DeferredHeartbeats {
--- a/src/main/java/org/meadowhollow/coordination/heartbeat/LeaderReachability.java
+++ b/src/main/java/org/meadowhollow/coordination/heartbeat/LeaderReachability.java
@@ -7,9 +7,9 @@
 
 /**
  * Distinguishes a leader that is cut off from its workers from workers that have failed. Many
- * overdue heartbeats at once point to the network of the leader itself. The other controllers can
- * confirm it, because workers whose leader does not answer send their heartbeats to them. Pure
- * functions, usable from any thread.
+ * heartbeats that are overdue at the same time point to the network of the leader itself. The other
+ * controllers can confirm it, because workers whose leader does not answer send their heartbeats to
+ * them. Pure functions, usable from any thread.
  */
 public final class LeaderReachability {
     /**
@@ -30,7 +30,7 @@
 
     /**
      * Number of machines that a peer must have received heartbeats from to be a better leader: one
-     * or two machines lose a connection now and then.
+     * or two machines may lose a connection at any time.
      */
     static final int MIN_MACHINES_SEEN_BY_PEER = 3;
 
@@ -57,7 +57,7 @@
      * @param preferredSuccessor the member to hand the leadership to, if a better one is known
      */
     public record ResignationDecision(boolean resigns, Optional<String> preferredSuccessor) {
-        /** The leader stays. */
+        /** The decision to keep the leadership. */
         public static final ResignationDecision KEEP_LEADERSHIP =
                 new ResignationDecision(false, Optional.empty());
 
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeaderFailureDetection.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeaderFailureDetection.java
@@ -28,7 +28,7 @@
 final class LeaderFailureDetection {
     /**
      * The number of distinct workers that must have left a leader before its lease is revoked. One
-     * or two workers lose a connection now and then; that must not suffice while packet filters
+     * or two workers may lose a connection at any time; that must not suffice while packet filters
      * between the controllers refuse connections although the leader is healthy.
      */
     private static final int MIN_DEPARTED_WORKERS = 3;
--- a/src/main/java/org/meadowhollow/coordination/lifecycle/ImageCacheRecorder.java
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/ImageCacheRecorder.java
@@ -23,8 +23,8 @@
 /**
  * Records in the key-value store which machines have which container images cached. No heartbeat
  * reports the cached images, and a successor without these records would pull all images again. The
- * records are hints: a late or wrong one costs an image pull, no more. Guarded by the leader's
- * lock, except for the flag that a write is in flight, which is cleared when the store responds.
+ * records are hints: a late or wrong one only costs an image pull. Guarded by the leader's lock,
+ * except for the flag that a write is in flight, which is cleared when the store responds.
  */
 public final class ImageCacheRecorder {
     /**
@@ -34,7 +34,7 @@
     private static final Duration WRITE_INTERVAL = Duration.ofSeconds(10);
 
     /**
-     * Maximum size of a transaction in bytes: the protocol's limit of 64 KiB, less room for
+     * Maximum size of a transaction in bytes: the protocol's limit of 64 KiB less a reserve for
      * framing.
      */
     private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
@@ -52,7 +52,7 @@
     private MonotonicTime lastWrittenAt;
     private boolean writeInFlight;
 
-    /** Creates a recorder for the leader that wrote the leader key at a revision. */
+    /** Creates a recorder for the leader that wrote the leader record at a revision. */
     public ImageCacheRecorder(
             KeyValueStore store, Revision leaderVersion, DeploymentSettings deploymentSettings) {
         this.store = store;
--- a/src/main/java/org/meadowhollow/coordination/lifecycle/MachineRegistry.java
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/MachineRegistry.java
@@ -149,11 +149,11 @@
     /**
      * Handles a machine that responded to a direct request with a sequence number below one that it
      * had sent before. The numbers only grow, so the machine was reset to an unknown incarnation:
-     * its heartbeats cannot be told from late copies of earlier ones, nor its tasks from earlier
-     * tasks. The machine is therefore returned to the cloud, which proves that all its tasks have
-     * ended. Otherwise all its heartbeats would be ignored as copies and the machine would count as
-     * unresponsive, and a leader most of whose machines were reset would conclude that it is
-     * isolated itself.
+     * its heartbeats cannot be distinguished from late duplicates of earlier ones, nor its tasks
+     * from earlier tasks. The machine is therefore returned to the cloud, which proves that all its
+     * tasks have ended. Otherwise all its heartbeats would be ignored as duplicates and the machine
+     * would count as unresponsive, and a leader most of whose machines were reset would conclude
+     * that it is isolated itself.
      */
     public void onIncarnationReset(Machine machine, MonotonicTime now) {
         if (!machine.isIncarnationReset()) {
@@ -165,14 +165,14 @@
         machine.recordContact(now);
     }
 
-    /** Removes a machine that is gone for good, with its failure count and its risk table. */
+    /** Removes a machine that no longer exists, with its failure count and its risk table. */
     public void remove(MachineId id) {
         machines.remove(id);
         clusterState.riskTables().remove(id);
         failuresByMachine.removeInt(id);
     }
 
-    /** How many machines this leader has had contact with. */
+    /** The number of machines that this leader has had contact with. */
     public int contactedMachineCount() {
         return (int)
                 machines.values().stream()
@@ -180,7 +180,7 @@
                         .count();
     }
 
-    /** How many machines are known, including those that are known only from placements. */
+    /** The number of known machines, including those that are known only from placements. */
     public int knownMachineCount() {
         return machines.size() + clusterState.placementsOnUnseenMachines().size();
     }
--- a/src/main/java/org/meadowhollow/coordination/metrics/FairnessMetrics.java
+++ b/src/main/java/org/meadowhollow/coordination/metrics/FairnessMetrics.java
@@ -18,8 +18,8 @@
 /**
  * Counts the outcomes of jobs in each group, that is for each class and team, during one
  * leadership, and formats the counts for the log. A leadership starts with the jobs that are
- * unfinished at its start, so the counts of a day are those of all its leaders together, without
- * those that a leader had not logged yet when its leadership ended. Not thread-safe: guarded by the
+ * unfinished at its start, so the counts of a day are the sums over all its leaders. Counts that a
+ * leader had not logged when its leadership ended are missing. Not thread-safe: guarded by the
  * leader's lock.
  */
 public final class FairnessMetrics {
--- a/src/main/java/org/meadowhollow/coordination/metrics/GroupCounts.java
+++ b/src/main/java/org/meadowhollow/coordination/metrics/GroupCounts.java
@@ -13,7 +13,10 @@
      */
     private static final double MIN_STARTED_SHARE = 0.7;
 
-    /** The minimum number of started and starving jobs; fewer say nothing about their group. */
+    /**
+     * The minimum number of started and starving jobs; with fewer, the share carries no
+     * information.
+     */
     private static final int MIN_JOBS_FOR_STARVATION = 4;
 
     private int largestTaskCount;
--- a/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatHandler.java
+++ b/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatHandler.java
@@ -102,9 +102,9 @@
     }
 
     /**
-     * Answers a heartbeat: immediately, or a little later if the machine has free capacity. While
-     * this leader may not know of all cancellations it must not send a response that renews a
-     * lease, so heartbeats wait until it does, or until their wait times out.
+     * Answers a heartbeat: immediately, or a little later if the machine has free capacity. A
+     * leader that may not know all cancellations must not send a response that renews a lease, so
+     * heartbeats wait until it knows them, or until their wait times out.
      */
     public CompletableFuture<HeartbeatResponse> handleHeartbeat(Heartbeat heartbeat) {
         synchronized (context.lock()) {
@@ -153,11 +153,11 @@
     }
 
     /**
-     * Returns the response to a heartbeat that is older than what is known of its machine. A
+     * Returns the response to a heartbeat that is older than the newest one of its machine. A
      * heartbeat that was overtaken by a response to a direct command renews the lease, and so
-     * counts as contact with the machine. Any other is a late copy, or comes from a machine whose
-     * incarnation was reset: it must not renew a lease, because the machine's tasks are marked lost
-     * once it has been out of contact for long enough.
+     * counts as contact with the machine. Any other is a late duplicate, or comes from a machine
+     * whose incarnation was reset: it must not renew a lease, because the machine's tasks are
+     * marked lost once it has been out of contact for long enough.
      */
     private HeartbeatResponse respondToStaleHeartbeat(
             Machine machine, Heartbeat heartbeat, MonotonicTime now) {
@@ -208,7 +208,7 @@
     }
 
     /**
-     * Applies a heartbeat without renewing a lease, unless it is older than what is known of its
+     * Applies a heartbeat without renewing a lease, unless it is older than the newest one of its
      * machine. Called with the leader's lock held.
      *
      * @param machine the machine that sent it, or null if it is not known, in which case nothing is
--- a/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatReconciler.java
+++ b/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatReconciler.java
@@ -68,7 +68,7 @@
     /**
      * Applies the reports of a heartbeat to its machine and the machine's placements.
      *
-     * @return false if the heartbeat is older than what is known of the machine, and was ignored
+     * @return false if the heartbeat is older than the newest one of the machine, and was ignored
      */
     public boolean applyHeartbeat(Machine machine, Heartbeat heartbeat, MonotonicTime now) {
         if (machine.incarnation() != null
@@ -125,8 +125,8 @@
             Heartbeat.TaskStatus status,
             MonotonicTime now) {
         if (heartbeat.incarnation().isAfter(placement.incarnation())) {
-            // A heartbeat without this leader's fencing token may be a late copy from before the
-            // machine's incarnation was reset; the next heartbeat will show whether it is.
+            // A heartbeat without this leader's fencing token may be a late duplicate from before
+            // the machine's incarnation was reset; the next heartbeat will show whether it is.
             if (heartbeat.fencingToken().equals(fencingToken)) {
                 placementEvents.markTaskLost(machine, placement, "the worker's lease expired", now);
             }
@@ -140,8 +140,8 @@
                 placementEvents.markTaskLost(
                         machine, placement, "the machine's incarnation was reset", now);
             }
-            // Otherwise the heartbeat is a late copy from before the placement: a task with the
-            // same gang attempt may have ended on this machine at that time.
+            // Otherwise the heartbeat is a late duplicate from before the placement: a task with
+            // the same gang attempt may have ended on this machine at that time.
         } else if (status != null && status.attemptNumber().equals(placement.attemptNumber())) {
             applyTaskStatus(machine, placement, heartbeat, status, now);
         }
--- a/src/main/java/org/meadowhollow/coordination/reconciliation/RiskTableUpdater.java
+++ b/src/main/java/org/meadowhollow/coordination/reconciliation/RiskTableUpdater.java
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Adopts the risk table that this node replicated of a machine, at the machine's first
-     * heartbeat.
+     * Takes over the risk table that this node replicated for a machine when the machine's first
+     * heartbeat arrives.
      */
     void inheritTable(Machine machine, Heartbeat heartbeat, MonotonicTime now) {
         handoverState
--- a/src/main/java/org/meadowhollow/coordination/recovery/JobRecordApplier.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/JobRecordApplier.java
@@ -55,8 +55,8 @@
     }
 
     /**
-     * Notes that all earlier records are loaded, with those of tasks. A new job that is already
-     * cancelled when its record arrives after this has no tasks to stop.
+     * Records that all records of earlier leaders are loaded, including those of tasks. A job whose
+     * record arrives later and is already cancelled has no tasks to stop.
      */
     void onRecoveryComplete() {
         recoveryComplete = true;
--- a/src/main/java/org/meadowhollow/coordination/recovery/JobWatcher.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/JobWatcher.java
@@ -26,7 +26,7 @@
     private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(1);
 
     /**
-     * How long watches may fail, while other requests may be answered, before all job records are
+     * How long watches may fail, although other requests may succeed, before all job records are
      * read instead.
      */
     private static final Duration MAX_WATCH_FAILURE = Duration.ofSeconds(6);
--- a/src/main/java/org/meadowhollow/coordination/recovery/PageReader.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/PageReader.java
@@ -15,7 +15,7 @@
         this.context = context;
     }
 
-    /** How many records have been read so far. */
+    /** The number of records read so far. */
     int recordCount() {
         return recordCount;
     }
--- a/src/main/java/org/meadowhollow/coordination/recovery/StateRecovery.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/StateRecovery.java
@@ -40,7 +40,7 @@
     /**
      * Creates the recovery of one leadership.
      *
-     * @param leaderKeyRevision the revision of the transaction that wrote the leader key; this
+     * @param leaderKeyRevision the revision of the transaction that wrote the leader record; this
      *     node's replicas must cover it to be used
      */
     public StateRecovery(
--- a/src/main/java/org/meadowhollow/coordination/reservation/ReservationCalendarReplica.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservationCalendarReplica.java
@@ -48,7 +48,7 @@
     @GuardedBy("this")
     private boolean loaded;
 
-    /** Null if the plan has to be computed again. */
+    /** The last computed plan; null if it has to be computed again. */
     @GuardedBy("this")
     private ReservationPlan plan;
 
--- a/src/main/java/org/meadowhollow/coordination/reservation/package-info.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/package-info.java
@@ -12,7 +12,7 @@
  *   <li>{@link org.meadowhollow.coordination.reservation.ReservationService} serves operators'
  *       requests on every node.
  *   <li>{@link org.meadowhollow.coordination.reservation.ReservationCalendarReplica} keeps the
- *       leader's copy of the calendar, and {@link
+ *       leader's replica of the calendar, and {@link
  *       org.meadowhollow.coordination.reservation.ReservationView} holds the effects of the plan on
  *       one round: capacity held on machines, evictions and missing capacity.
  * </ul>
--- a/src/main/java/org/meadowhollow/coordination/rounds/RoundScheduler.java
+++ b/src/main/java/org/meadowhollow/coordination/rounds/RoundScheduler.java
@@ -115,8 +115,8 @@
     }
 
     /**
-     * Maximum number of jobs to place in a round. What a round decides should be written before the
-     * next round.
+     * Maximum number of jobs to place in a round. The decisions of a round should be written before
+     * the next one.
      */
     private int maxJobsPerRound() {
         return Math.max(0, recordWritesPerRound() - context.recordWriter().urgentDirtyShardCount());
--- a/src/main/java/org/meadowhollow/coordination/scheduling/CandidateQueue.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/CandidateQueue.java
@@ -106,8 +106,8 @@
 
     /**
      * Returns the first machine that still satisfies the constraints, or null. Machines before it
-     * are removed for good: tasks assigned since they were added have exhausted the job's limit in
-     * their zone or bound the job to another zone, and neither changes back for this job.
+     * are removed permanently: tasks assigned since they were added have exhausted the job's limit
+     * in their zone or bound the job to another zone, and neither changes back for this job.
      */
     private MachineCandidate peekUsable(PriorityQueue<MachineCandidate> queue) {
         MachineCandidate candidate = queue.peek();
--- a/src/main/java/org/meadowhollow/coordination/scheduling/PreemptionPlanner.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/PreemptionPlanner.java
@@ -99,7 +99,7 @@
 
     /**
      * Selects the best-effort tasks to preempt for all unplaced tasks of a job, gangs included. The
-     * wait budget is ignored: best-effort work runs only while nobody else needs the capacity, and
+     * wait budget is ignored: best-effort work runs only while no other job needs the capacity, and
      * an image pull on an empty machine would use up the budget. For a gang, the machines are then
      * held until the cooldown ends.
      *
@@ -122,7 +122,7 @@
         List<Placement> victims = slots.stream().flatMap(slot -> slot.victims().stream()).toList();
         if (gang && !victims.isEmpty()) {
             // Without the hold, smaller tasks that are placed first would take part of the freed
-            // capacity on each machine, and the gang would not fit any more.
+            // capacity on each machine, and the gang would no longer fit.
             MonotonicTime heldUntil = now.plus(PREEMPTION_COOLDOWN);
             for (FreedSlot<Placement> slot : slots) {
                 candidates
--- a/src/main/java/org/meadowhollow/coordination/scheduling/VictimSelector.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/VictimSelector.java
@@ -78,7 +78,7 @@
 
     /**
      * Returns the slots with the least lost work for several tasks. Only best-effort tasks are
-     * preempted: those of the lowest priority, which run on capacity that nobody else needs.
+     * preempted: those of the lowest priority, which run on capacity that no other job needs.
      * Capacity that is free already costs nothing.
      *
      * @param maxTasks the number of tasks that need capacity
--- a/src/main/java/org/meadowhollow/model/reservation/Occurrence.java
+++ b/src/main/java/org/meadowhollow/model/reservation/Occurrence.java
@@ -7,7 +7,7 @@
  * @param endMillis the exclusive end, in milliseconds of wall-clock time
  */
 public record Occurrence(long startMillis, long endMillis) {
-    /** Whether some time is part of both occurrences. */
+    /** Whether the two occurrences have any time in common. */
     public boolean overlaps(Occurrence other) {
         return startMillis < other.endMillis && other.startMillis < endMillis;
     }
--- a/src/main/java/org/meadowhollow/protocol/AdaptiveRateLimiter.java
+++ b/src/main/java/org/meadowhollow/protocol/AdaptiveRateLimiter.java
@@ -34,11 +34,11 @@
     @GuardedBy("this")
     private double rateFactor = 1;
 
-    /** Null before the first call. */
+    /** When tokens were last added to the bucket; null before the first call. */
     @GuardedBy("this")
     private MonotonicTime refilledAt;
 
-    /** Null before the first refusal. */
+    /** When the last refusal was counted; null before the first one. */
     @GuardedBy("this")
     private MonotonicTime lastRefusalAt;
 
--- a/src/main/java/org/meadowhollow/protocol/JsonCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/JsonCodec.java
@@ -14,8 +14,8 @@
  */
 public final class JsonCodec {
     /**
-     * Far deeper than any message of the protocols. Jackson's default of 1000 overflows the stack
-     * of a deployed node.
+     * The maximum nesting depth, far deeper than that of any message of the protocols. Jackson's
+     * default of 1000 overflows the stack of a deployed node.
      */
     private static final int MAX_NESTING_DEPTH = 32;
 
--- a/src/main/java/org/meadowhollow/protocol/MessagePackCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/MessagePackCodec.java
@@ -16,7 +16,10 @@
  * strings, numbers (long and double), booleans and null. Stateless.
  */
 public final class MessagePackCodec {
-    /** Deeper than any message of the protocols; protects the stack against malicious bodies. */
+    /**
+     * The maximum nesting depth, deeper than that of any message of the protocols; protects the
+     * stack against malicious bodies.
+     */
     private static final int MAX_NESTING_DEPTH = 16;
 
     private MessagePackCodec() {}
--- a/src/main/java/org/meadowhollow/protocol/cloud/CloudClient.java
+++ b/src/main/java/org/meadowhollow/protocol/cloud/CloudClient.java
@@ -17,7 +17,10 @@
  * delayed and sent in the order of the calls. Thread-safe: its only state is that of the limiter.
  */
 public final class CloudClient implements CloudProvider {
-    /** The cloud's control plane is slow; after this time no response is expected. */
+    /**
+     * The response timeout. The cloud's control plane is slow, but after this time no response is
+     * expected.
+     */
     private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(5);
 
     private static final int PAGE_SIZE = 500;
--- a/src/main/java/org/meadowhollow/protocol/keyvalue/RequestQueue.java
+++ b/src/main/java/org/meadowhollow/protocol/keyvalue/RequestQueue.java
@@ -28,8 +28,8 @@
  */
 final class RequestQueue {
     /**
-     * Enough for bursts of user requests. When the queue is full, a request fails at once so that
-     * its caller can retry.
+     * The maximum number of queued requests, enough for bursts of user requests. When the queue is
+     * full, a request fails immediately so that its caller can retry.
      */
     private static final int MAX_QUEUED = 256;
 
@@ -122,7 +122,7 @@
     @GuardedBy("this")
     private double userSurplus;
 
-    /** Null until this node writes leader records. */
+    /** When this node last wrote leader records; null before the first time. */
     @GuardedBy("this")
     private MonotonicTime lastLeaderWriteAt;
 
@@ -144,8 +144,8 @@
     }
 
     /**
-     * Queues a request and sends it as soon as the limits and its priority allow. Fails at once if
-     * the queue is full, except for lease requests.
+     * Queues a request and sends it as soon as the limits and its priority allow. Fails immediately
+     * if the queue is full, except for lease requests.
      */
     CompletableFuture<Http.Reply> enqueue(StoreRequest request) {
         QueuedRequest queuedRequest =
@@ -267,8 +267,8 @@
     /**
      * Returns the priorities in the order in which they are served. The requests of users and of
      * the leader alternate by their cost: if users always went first, a leader that receives many
-     * requests at once could neither load nor write its records, and cancelled tasks would run past
-     * the cancellation bound.
+     * requests at the same time could neither load nor write its records, and cancelled tasks would
+     * run past the cancellation bound.
      */
     @GuardedBy("this")
     private List<RequestPriority> dispatchOrder() {
--- a/src/main/java/org/meadowhollow/protocol/keyvalue/StoreHealth.java
+++ b/src/main/java/org/meadowhollow/protocol/keyvalue/StoreHealth.java
@@ -16,8 +16,8 @@
     private static final Logger LOG = LoggerFactory.getLogger(StoreHealth.class);
 
     /**
-     * Most responses take a few milliseconds, and some take a few hundred; after this time the
-     * connection is most likely dead.
+     * The normal response timeout. Most responses take a few milliseconds, and some take a few
+     * hundred; after this time the connection is most likely dead.
      */
     private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(1500);
 
@@ -37,7 +37,7 @@
     private final String address;
     private final EventLoop loop;
 
-    /** Null while the last request succeeded. */
+    /** The time of the last failure; null after a request has succeeded. */
     @GuardedBy("this")
     private MonotonicTime lastFailureAt;
 
--- a/src/main/java/org/meadowhollow/protocol/peers/HandoverSource.java
+++ b/src/main/java/org/meadowhollow/protocol/peers/HandoverSource.java
@@ -10,7 +10,9 @@
  * results are empty while this node does not lead.
  */
 public interface HandoverSource {
-    /** Returns what the risk tables have learned since the state that the request names. */
+    /**
+     * Returns the samples of the risk tables after those that the request names, or full tables.
+     */
     Optional<RiskTableDelta> riskTableDelta(RiskTableRequest request);
 
     /** Returns the digests of the records that the leader holds. */
--- a/src/main/java/org/meadowhollow/protocol/peers/PeerClient.java
+++ b/src/main/java/org/meadowhollow/protocol/peers/PeerClient.java
@@ -25,7 +25,10 @@
 public final class PeerClient implements PeerGateway {
     private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(2);
 
-    /** Long enough that a node that is up but slow does not count as unresponsive. */
+    /**
+     * The timeout of a probe: long enough that a node that is up but slow does not count as
+     * unresponsive.
+     */
     private static final Duration PROBE_TIMEOUT = Duration.ofSeconds(1);
 
     private final Http.Client http;
--- a/src/main/java/org/meadowhollow/protocol/peers/PeerMessageCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/peers/PeerMessageCodec.java
@@ -48,14 +48,14 @@
     static final int FORMAT_VERSION = 1;
 
     /**
-     * Enough for most messages, which hold a name and a number; the buffer grows for requests that
-     * name hundreds of machines.
+     * The initial size of the buffer: enough for most messages, which hold a name and a number; the
+     * buffer grows for requests that name hundreds of machines.
      */
     private static final int INITIAL_BUFFER_BYTES = 512;
 
     private static final int MAX_MESSAGE_BYTES = 60 * 1024;
 
-    /** Machines that one request may name. */
+    /** The maximum number of machines that one request may name. */
     private static final int MAX_MACHINES_PER_REQUEST = 1000;
 
     // Error texts that are sent to the other node; part of the protocol, so they must not change.
@@ -162,7 +162,7 @@
     /**
      * A decoded {@link RecentHeartbeatsMessage}.
      *
-     * @param storeReachable whether the key-value store answers the controller
+     * @param storeReachable whether the key-value store serves the controller
      * @param machines the requested machines whose heartbeats the controller received recently
      */
     record RecentHeartbeats(boolean storeReachable, Set<MachineId> machines) {}
--- a/src/main/java/org/meadowhollow/protocol/peers/PeerMessages.java
+++ b/src/main/java/org/meadowhollow/protocol/peers/PeerMessages.java
@@ -21,7 +21,7 @@
     /**
      * A controller's status.
      *
-     * @param served whether the key-value store answers this controller
+     * @param served whether the key-value store serves this controller
      * @param deaf whether this controller leads and misses the heartbeats of many workers
      */
     record StatusMessage(boolean served, boolean deaf) {}
@@ -37,14 +37,15 @@
     /**
      * The answer to a {@link RecentHeartbeatsRequest}.
      *
-     * @param served whether the key-value store answers this controller
+     * @param served whether the key-value store serves this controller
      * @param heard one bit for each machine, in the order of the request, in 64-bit words with the
      *     lowest bit first
      */
     record RecentHeartbeatsMessage(boolean served, long[] heard) {}
 
     /**
-     * Asks a leader for what its risk tables have learned, and describes the requesting node.
+     * Asks a leader for new samples of its risk tables or for full tables, and describes the
+     * requesting node.
      *
      * @param form the format version of the request
      * @param incarnation the incarnation of the requesting process
--- a/src/main/java/org/meadowhollow/protocol/peers/PeerPaths.java
+++ b/src/main/java/org/meadowhollow/protocol/peers/PeerPaths.java
@@ -6,15 +6,14 @@
     static final String LEADER = "/leader";
 
     /**
-     * GET: whether the key-value store answers the node, and whether the node is an isolated
-     * leader.
+     * GET: whether the key-value store serves the node, and whether the node is an isolated leader.
      */
     static final String STATUS = "/served";
 
-    /** POST: which machines have sent a heartbeat recently. */
+    /** POST: asks which machines have sent the node a heartbeat recently. */
     static final String RECENT_HEARTBEATS = "/hearing";
 
-    /** POST: what the leader's risk tables have learned. */
+    /** POST: requests new samples or full tables of the leader's risk tables. */
     static final String RISK_TABLES = "/tables";
 
     /** GET: the digests of the leader's records. */
--- a/src/main/java/org/meadowhollow/protocol/peers/PeerServer.java
+++ b/src/main/java/org/meadowhollow/protocol/peers/PeerServer.java
@@ -47,7 +47,7 @@
         this.codec = codec;
     }
 
-    /** Sets the supplier that tells whether the key-value store answers this node. */
+    /** Sets the supplier that tells whether the key-value store serves this node. */
     public void setStoreReachable(BooleanSupplier source) {
         storeReachable = source;
     }
--- a/src/main/java/org/meadowhollow/protocol/workers/WorkerClient.java
+++ b/src/main/java/org/meadowhollow/protocol/workers/WorkerClient.java
@@ -16,7 +16,7 @@
 public final class WorkerClient implements WorkerGateway {
     private static final String COMMANDS_PATH = "/orders";
 
-    /** A worker responds at once; a hung one responds much later or never. */
+    /** The timeout of a response: a worker responds immediately, a hung one much later or never. */
     private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(3);
 
     private final Http.Client http;
--- a/src/main/java/org/meadowhollow/storage/EndedJobCodec.java
+++ b/src/main/java/org/meadowhollow/storage/EndedJobCodec.java
@@ -6,7 +6,7 @@
 
 /**
  * Encodes and decodes the record of a job's final state. The record replaces the records of the
- * live job in one transaction and is kept for ever, so that repeated submissions and late status
+ * live job in one transaction and is never deleted, so that repeated submissions and late status
  * requests can be answered from it. Field names are part of the persisted format.
  */
 public final class EndedJobCodec {
--- a/src/main/java/org/meadowhollow/storage/KeyspaceReplica.java
+++ b/src/main/java/org/meadowhollow/storage/KeyspaceReplica.java
@@ -10,7 +10,7 @@
 import org.meadowhollow.storage.KeyValueStore.Entry;
 
 /**
- * A copy of the records under a prefix as of a revision, with decoded values. It is filled from
+ * A replica of the records under a prefix as of a revision, with decoded values. It is filled from
  * pages and kept up to date with watched changes. Not thread-safe: the owner synchronizes access.
  */
 public final class KeyspaceReplica {
--- a/src/main/java/org/meadowhollow/storage/ObsoleteRecordCleaner.java
+++ b/src/main/java/org/meadowhollow/storage/ObsoleteRecordCleaner.java
@@ -14,7 +14,7 @@
  * <p>Deletions have the lowest request priority, because they use up the rate limit for changes
  * that user requests and task starts wait for. One deletion transaction is sent at a time. It does
  * not count among the writer's transactions in flight, because it would delay them while it waits
- * for its turn.
+ * behind requests of higher priority.
  *
  * <p>Confined to the thread of its {@link RecordWriter}.
  */
--- a/src/main/java/org/meadowhollow/storage/RecordWriter.java
+++ b/src/main/java/org/meadowhollow/storage/RecordWriter.java
@@ -46,7 +46,10 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(RecordWriter.class);
 
-    /** While one transaction is being answered, the next one can be on its way. */
+    /**
+     * The maximum number of transactions in flight: a second one is sent while the store processes
+     * the first.
+     */
     private static final int MAX_TRANSACTIONS_IN_FLIGHT = 2;
 
     /**
@@ -68,7 +71,7 @@
     private boolean isClosed;
 
     /**
-     * Creates the writer for one term of leadership.
+     * Creates the writer of one leadership.
      *
      * @param maxWrites the largest number of writes that the store accepts in one transaction
      * @param leaderKeyRevision the revision of the leader key as this leader wrote it
@@ -111,7 +114,7 @@
         pending.dirtyShards().add(shard);
     }
 
-    /** Marks a job that has nothing left to do, so that its final state is written. */
+    /** Marks a job whose work has ended, so that its final state is written. */
     public void markEndPending(Job job) {
         pending.addEndedJob(job);
     }
--- a/src/main/java/org/meadowhollow/transport/PemKeyManager.java
+++ b/src/main/java/org/meadowhollow/transport/PemKeyManager.java
@@ -29,7 +29,7 @@
 /**
  * Key manager of a TLS server that reads a certificate and its private key from PEM files. It
  * reloads both when either file has been replaced, so that new connections use the new certificate
- * without a restart. If the new files cannot be used, it logs that and keeps the last valid
+ * without a restart. If the new files cannot be used, it logs the reason and keeps the last valid
  * certificate and key. Thread-safe.
  */
 public final class PemKeyManager extends X509ExtendedKeyManager {
