--- a/src/main/java/org/meadowhollow/cli/Listeners.java
+++ b/src/main/java/org/meadowhollow/cli/Listeners.java
@@ -34,7 +34,9 @@
      */
     private static final Duration MIN_IDLE_TIMEOUT = Duration.ofSeconds(20);
 
-    /** File descriptors that the process needs for other purposes than connections. */
+    /**
+     * The number of file descriptors that the process needs for other purposes than connections.
+     */
     private static final int RESERVED_FILE_DESCRIPTORS = 64;
 
     /** The least share of the process's file descriptors that is available to callers. */
--- a/src/main/java/org/meadowhollow/cli/Main.java
+++ b/src/main/java/org/meadowhollow/cli/Main.java
@@ -228,7 +228,10 @@
         }
     }
 
-    /** Not an exit code: the process runs on, kept alive by the controller's threads. */
+    /**
+     * The result of a command that started a controller, not an exit code: the process keeps
+     * running, kept alive by the controller's threads.
+     */
     private static final int KEEP_RUNNING = -1;
 
     /**
--- a/src/main/java/org/meadowhollow/cli/reservation/EntryCommand.java
+++ b/src/main/java/org/meadowhollow/cli/reservation/EntryCommand.java
@@ -35,7 +35,7 @@
     /** Adds a field for each flag that was given, except those of the schedule. */
     abstract void addFields(Map<String, Object> body) throws CommandFailedException;
 
-    // Known defect: the answer is UTF-8 but is decoded in the platform's charset.
+    // Known defect: the response is UTF-8 but is decoded in the platform's charset.
     @SuppressWarnings("DefaultCharset")
     @Override
     public Integer call() throws Exception {
--- a/src/main/java/org/meadowhollow/cli/reservation/NodeClient.java
+++ b/src/main/java/org/meadowhollow/cli/reservation/NodeClient.java
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Sends a request and returns the fields of the answer. Every request is idempotent, so one
-     * that gets no answer or status 503 is sent again.
+     * Sends a request and returns the fields of the response. Every request is idempotent, so one
+     * that gets no response or status 503 is sent again.
      */
     static Map<String, Object> sendWithRetries(HttpRequest request) throws CommandFailedException {
         String failure = "no answer";
--- a/src/main/java/org/meadowhollow/cli/reservation/NodeOptions.java
+++ b/src/main/java/org/meadowhollow/cli/reservation/NodeOptions.java
@@ -35,7 +35,7 @@
      * @param path the path below that of the API
      * @param version the revision that a change expects, or null
      * @param body the fields to send as JSON, or null for none
-     * @return the fields of the answer
+     * @return the fields of the response
      */
     Map<String, Object> sendRequest(
             Map<String, String> environment,
--- a/src/main/java/org/meadowhollow/cli/reservation/PlanRenderer.java
+++ b/src/main/java/org/meadowhollow/cli/reservation/PlanRenderer.java
@@ -34,10 +34,10 @@
     /**
      * Renders a plan.
      *
-     * @param plan the body of a node's answer
+     * @param plan the body of a node's response
      * @param zoneId the time zone in which times are shown
      * @param html whether to render an HTML page instead of text
-     * @throws MalformedMessageException if the answer or the time zone is invalid
+     * @throws MalformedMessageException if the response or the time zone is invalid
      */
     static String render(Map<String, Object> plan, String zoneId, boolean html)
             throws MalformedMessageException {
--- a/src/main/java/org/meadowhollow/coordination/ControllerNode.java
+++ b/src/main/java/org/meadowhollow/coordination/ControllerNode.java
@@ -50,7 +50,10 @@
     private final MachineTypeLoader machineTypeLoader;
     private final WorkerContactProbe workerContactProbe;
 
-    /** Replicates the leader's state while this node does not lead; null if that is disabled. */
+    /**
+     * The standby that replicates the leader's state while this node does not lead; null if
+     * disabled.
+     */
     private final WarmStandby warmStandby;
 
     /** The current leadership, or null while this node does not lead. */
--- a/src/main/java/org/meadowhollow/coordination/LeaderService.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderService.java
@@ -153,7 +153,7 @@
 
     // ---- Heartbeats and commands ----
 
-    /** Answers a worker's heartbeat, or defers the answer. */
+    /** Answers a worker's heartbeat, or defers the response. */
     CompletableFuture<HeartbeatResponse> handleHeartbeat(Heartbeat heartbeat) {
         return parts.heartbeatHandler.handleHeartbeat(heartbeat);
     }
--- a/src/main/java/org/meadowhollow/coordination/UserReadiness.java
+++ b/src/main/java/org/meadowhollow/coordination/UserReadiness.java
@@ -24,7 +24,7 @@
     private static final Duration OUTAGE_PROBE_INTERVAL = Duration.ofSeconds(1);
 
     /**
-     * How long a peer's answer that the key-value store serves it remains valid; a few probes of
+     * How long a peer's response that the key-value store serves it remains valid; a few probes of
      * the load balancer.
      */
     private static final Duration PEER_REACHES_STORE_VALIDITY = Duration.ofSeconds(3);
@@ -39,8 +39,8 @@
     private static final Duration LATE_THRESHOLD = Duration.ofMillis(300);
 
     /**
-     * Consecutive late checks before a leader sends users to other nodes; about the time that the
-     * load balancer's probes need.
+     * Number of consecutive late checks before a leader sends users to other nodes; about the time
+     * that the load balancer's probes need.
      */
     private static final int LATE_CHECKS_BEFORE_SHEDDING = 3;
 
--- a/src/main/java/org/meadowhollow/coordination/admission/FeasibilityCheck.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/FeasibilityCheck.java
@@ -77,7 +77,7 @@
     }
 
     /**
-     * Whether a gang is restricted to one zone that may not have all of its tasks. All tasks of a
+     * Whether a gang must run in one zone but has more tasks than one zone may take. All tasks of a
      * gang run at the same time, and each zone takes only a share of them; the tasks of an array or
      * a service may run one share after the other.
      */
--- a/src/main/java/org/meadowhollow/coordination/admission/JobStatusCache.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/JobStatusCache.java
@@ -45,7 +45,7 @@
     private static final int MAX_SYNCS_IN_FLIGHT = 4;
 
     /**
-     * The time limit of a read barrier. Users wait 2 s for an answer; a later one is of no use,
+     * The time limit of a read barrier. Users wait 2 s for a response; a later one is of no use,
      * because they repeat the request.
      */
     private static final Duration READ_BARRIER_TIMEOUT = Duration.ofMillis(1850);
--- a/src/main/java/org/meadowhollow/coordination/admission/TransactionRetrier.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/TransactionRetrier.java
@@ -18,7 +18,7 @@
  */
 final class TransactionRetrier {
     /**
-     * The time after which nothing is retried: users wait 5 s for an answer, and the last retry
+     * The time after which nothing is retried: users wait 5 s for a response, and the last retry
      * must have ended by then.
      */
     private static final Duration RETRY_DEADLINE = Duration.ofMillis(3500);
--- a/src/main/java/org/meadowhollow/coordination/api/CloudProvider.java
+++ b/src/main/java/org/meadowhollow/coordination/api/CloudProvider.java
@@ -58,9 +58,9 @@
             String requestId, String type, String zone, boolean spot, int count);
 
     /**
-     * Returns machines to the cloud; once this completes, they and all their tasks are gone. Fails
-     * with {@link RequestRefusedException} if the request certainly was not executed; after any
-     * other failure it may still be executed at any later time.
+     * Returns machines to the cloud; once the future completes, they and all their tasks are gone.
+     * Fails with {@link RequestRefusedException} if the request certainly was not executed; after
+     * any other failure it may still be executed at any later time.
      */
     CompletableFuture<Void> releaseMachines(List<MachineId> machines);
 
--- a/src/main/java/org/meadowhollow/coordination/api/HeartbeatResponse.java
+++ b/src/main/java/org/meadowhollow/coordination/api/HeartbeatResponse.java
@@ -4,7 +4,7 @@
 import org.meadowhollow.model.FencingToken;
 import org.meadowhollow.model.WorkerCommand;
 
-/** The answer to a worker's heartbeat. */
+/** The response to a worker's heartbeat. */
 public sealed interface HeartbeatResponse {
     /** Renews the worker's lease, and gives it commands under the leader's fencing token. */
     record Commands(FencingToken token, List<WorkerCommand> commands)
--- a/src/main/java/org/meadowhollow/coordination/api/WorkerGateway.java
+++ b/src/main/java/org/meadowhollow/coordination/api/WorkerGateway.java
@@ -14,7 +14,7 @@
 public interface WorkerGateway {
     /**
      * Sends commands to the worker at an address. The worker answers with a heartbeat, whether or
-     * not it executed them; the future fails if there is no answer in time.
+     * not it executed them; the future fails if there is no response in time.
      */
     CompletableFuture<Heartbeat> sendCommands(
             String address,
--- a/src/main/java/org/meadowhollow/coordination/failover/ChangeFeedFollower.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/ChangeFeedFollower.java
@@ -43,8 +43,8 @@
     private static final Duration OVERSIZE_RETRY_DELAY = Duration.ofMinutes(5);
 
     /**
-     * Failed watches after which all records are read again: the answer may be too large to be
-     * received.
+     * The number of failed watches after which all records are read again: the response may be too
+     * large to be received.
      */
     private static final int MAX_FAILURES = 3;
 
--- a/src/main/java/org/meadowhollow/coordination/failover/RiskTableReplica.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTableReplica.java
@@ -23,8 +23,8 @@
     private static final int MAX_TABLES = 2000;
 
     /**
-     * Tables that were last updated longer ago than this are discarded, since the machine may have
-     * changed. A table itself is rebuilt from samples of the same time span.
+     * The maximum age of a table since its last update. Older ones are discarded, since the machine
+     * may have changed. A table itself is rebuilt from samples of the same time span.
      */
     static final Duration MAX_AGE = RiskTable.SAMPLE_RETENTION;
 
--- a/src/main/java/org/meadowhollow/coordination/fleet/Autoscaler.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/Autoscaler.java
@@ -142,7 +142,7 @@
         if (leader.isClosed()) {
             return;
         }
-        // Lists lag by the listing delay anyway: polling more often than twice per delay finds
+        // Lists lag by the listing delay in any case: polling more often than twice per delay finds
         // little.
         Duration interval = deploymentSettings.cloudListingDelay().dividedBy(2);
         CompletableFuture<List<CloudProvider.ListedMachine>> unusedHandled =
--- a/src/main/java/org/meadowhollow/coordination/fleet/FailureDetector.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/FailureDetector.java
@@ -32,7 +32,7 @@
 public final class FailureDetector {
     private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
 
-    /** Heartbeats may arrive up to a quarter of the heartbeat interval late. */
+    /** Factor on the heartbeat interval: heartbeats may arrive up to a quarter of it late. */
     private static final double HEARTBEAT_LATENESS_FACTOR = 1.25;
 
     /** Time after which a worker that lost its connection tries the next node. */
--- a/src/main/java/org/meadowhollow/coordination/fleet/MachineReturner.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/MachineReturner.java
@@ -42,7 +42,10 @@
     @GuardedBy("lock")
     private final PendingRentals pendingRentals;
 
-    /** Returned machines, for as long as a stale list or heartbeat may still name them. */
+    /**
+     * When each machine was returned, kept for as long as a stale list or heartbeat may still name
+     * it.
+     */
     @GuardedBy("lock")
     private final Map<MachineId, MonotonicTime> returnedAt = new LinkedHashMap<>();
 
--- a/src/main/java/org/meadowhollow/coordination/fleet/PeerHeartbeatQuery.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/PeerHeartbeatQuery.java
@@ -16,8 +16,8 @@
 /**
  * Tracks which overdue machines the other controllers are asked about, and what they answered.
  * Sends nothing itself: {@link FailureDetector} takes a prepared query, sends it without holding
- * the lock, and records the answers. At most one query is in flight. Guarded by the leader's lock,
- * which every caller holds.
+ * the lock, and records the responses. At most one query is in flight. Guarded by the leader's
+ * lock, which every caller holds.
  */
 final class PeerHeartbeatQuery {
     /**
@@ -29,7 +29,7 @@
     /** Minimum time between two queries about the same machine. */
     private static final Duration QUERY_INTERVAL = Duration.ofSeconds(3);
 
-    /** Time for which the answer remains valid that no peer received heartbeats from a machine. */
+    /** Time for which the finding that no peer received heartbeats from a machine remains valid. */
     private static final Duration UNSEEN_VALIDITY = QUERY_INTERVAL.multipliedBy(2);
 
     private final Map<MachineId, MonotonicTime> queriedAt = new HashMap<>();
@@ -43,11 +43,11 @@
     private int answeredQuerySize;
     private List<PeerReachabilityReport> reports = List.of();
 
-    /** Time at which the last answers arrived, or null before the first ones. */
+    /** Time at which the last responses arrived, or null before the first ones. */
     private MonotonicTime reportsAt;
 
     /**
-     * Discards the answers about machines that are no longer overdue, and prepares the next query.
+     * Discards the results about machines that are no longer overdue, and prepares the next query.
      *
      * @param overdue all machines whose heartbeat is overdue
      * @param silentSeconds returns the seconds since anything was last received from a machine
@@ -68,7 +68,7 @@
 
     /**
      * Selects the machines that are due for a query, those silent for longest first: they may be
-     * the next to be returned, and the answers of the peers decide about that.
+     * the next to be returned, and the responses of the peers decide about that.
      */
     private List<MachineId> selectMachines(
             List<Machine> overdue, ToDoubleFunction<Machine> silentSeconds, MonotonicTime now) {
@@ -95,7 +95,7 @@
         return machines;
     }
 
-    /** Records the peers' answers to a query. */
+    /** Records the peers' responses to a query. */
     void recordReports(
             List<MachineId> queried, List<PeerReachabilityReport> received, MonotonicTime now) {
         inFlight = false;
@@ -118,17 +118,17 @@
         }
     }
 
-    /** Whether the last answers arrived at or after a given time. */
+    /** Whether the last responses arrived at or after a given time. */
     boolean hasReportsSince(MonotonicTime earliest) {
         return reportsAt != null && !reportsAt.isBefore(earliest);
     }
 
-    /** Returns the last answers, one for each peer; empty before the first ones. */
+    /** Returns the last responses, one for each peer; empty before the first ones. */
     List<PeerReachabilityReport> reports() {
         return reports;
     }
 
-    /** Returns the number of machines that the last answers are about. */
+    /** Returns the number of machines that the last responses are about. */
     int answeredQuerySize() {
         return answeredQuerySize;
     }
--- a/src/main/java/org/meadowhollow/coordination/fleet/PendingRentals.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/PendingRentals.java
@@ -20,8 +20,8 @@
  */
 final class PendingRentals {
     /**
-     * By the cloud's protocol, a boot usually takes up to this many times the boot time of its
-     * machine type.
+     * Factor on the boot time of a machine type: by the cloud's protocol, a boot usually takes no
+     * longer.
      */
     private static final double TYPICAL_BOOT_FACTOR = 1.5;
 
@@ -37,8 +37,8 @@
     static final double ABANDON_BOOT_FACTOR = 4;
 
     /**
-     * {@link #ABANDON_BOOT_FACTOR} for a machine that has been replaced. It is lower, since such a
-     * machine is paid for without being needed and occupies capacity that another machine could
+     * The {@link #ABANDON_BOOT_FACTOR} of a machine that has been replaced. It is lower, since such
+     * a machine is paid for without being needed and occupies capacity that another machine could
      * use.
      */
     private static final double ABANDON_REPLACED_BOOT_FACTOR = 2.5;
--- a/src/main/java/org/meadowhollow/coordination/fleet/package-info.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/package-info.java
@@ -8,7 +8,7 @@
  * ended ({@link org.meadowhollow.coordination.fleet.HeartbeatTimeoutMonitor}) and which silent
  * machines are returned ({@link
  * org.meadowhollow.coordination.fleet.UnreachableMachineReturnPolicy}). Owns the pending rentals,
- * the returned machines, the backoff of rental requests and the answers of the other controllers,
+ * the returned machines, the backoff of rental requests and the responses of the other controllers,
  * each for the time of one leadership; none of it is persisted.
  *
  * <p>Calls the cloud and the other controllers through {@code coordination.api}, probes workers
--- a/src/main/java/org/meadowhollow/coordination/heartbeat/DeferredHeartbeats.java
+++ b/src/main/java/org/meadowhollow/coordination/heartbeat/DeferredHeartbeats.java
@@ -24,7 +24,10 @@
             CompletableFuture<HeartbeatResponse> response,
             MonotonicTime deadline) {}
 
-    /** In the order of their deadlines, since all heartbeats are deferred by the same duration. */
+    /**
+     * The deferred heartbeats, in the order of their deadlines, since all heartbeats are deferred
+     * by the same duration.
+     */
     private final Map<MachineId, DeferredHeartbeat> byMachine = new LinkedHashMap<>();
 
     /**
--- a/src/main/java/org/meadowhollow/coordination/heartbeat/LeaderReachability.java
+++ b/src/main/java/org/meadowhollow/coordination/heartbeat/LeaderReachability.java
@@ -45,9 +45,12 @@
     public enum Reachability {
         /** Few heartbeats are overdue, each for a cause of its own. */
         HEALTHY,
-        /** So many are overdue that a common cause is likely, such as a zone or a network path. */
+        /**
+         * So many heartbeats are overdue that a common cause is likely, such as a zone or a network
+         * path.
+         */
         DEGRADED,
-        /** Nearly all are overdue: the leader itself is cut off from its workers. */
+        /** Nearly all heartbeats are overdue: the leader itself is cut off from its workers. */
         ISOLATED
     }
 
@@ -97,7 +100,7 @@
      * @param isolatedFor how long the leader has been isolated
      * @param queriedMachines how many overdue machines the peers were asked about
      * @param reports one report, or its absence, for each of the other controllers; empty before
-     *     the first round of answers
+     *     the first round of responses
      * @param mayResignWithoutSuccessor whether its last resignation without a known successor is
      *     long enough ago
      */
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeaderFailureDetection.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeaderFailureDetection.java
@@ -20,7 +20,7 @@
  * several distinct workers have left it, its lease is revoked.
  *
  * <p>A wrong suspicion costs a failover and nothing else: the next leader writes the leader record
- * with a compare-and-swap and a higher fencing token, as in every election. Missing answers and
+ * with a compare-and-swap and a higher fencing token, as in every election. Missing responses and
  * timeouts are no evidence; only refused connections are.
  *
  * <p>Pure functions of state, event and clock.
--- a/src/main/java/org/meadowhollow/coordination/leadership/Leadership.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/Leadership.java
@@ -209,7 +209,7 @@
      * with that token is over.
      *
      * @param fencingToken the fencing token of the leadership that read the cancellations
-     * @param upTo when the request was sent whose answer contained the last of them
+     * @param upTo when the request was sent whose response contained the last of them
      */
     public void advanceFreshness(FencingToken fencingToken, MonotonicTime upTo) {
         handle(new LeadershipEvent.FreshnessAdvanced(fencingToken, upTo));
@@ -262,7 +262,7 @@
 
     /**
      * Records that a worker has sent a heartbeat to this node, which does not lead. If the worker's
-     * last answer came from the current leader, the process of that leader may have ended: the
+     * last response came from the current leader, the process of that leader may have ended: the
      * leader is probed, and replaced before its lease expires if it has failed, see {@link
      * LeaderFailureDetection}.
      *
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipEvent.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipEvent.java
@@ -155,7 +155,7 @@
      * This node knows all changes of jobs up to a moment.
      *
      * @param fencingToken the fencing token of the leadership that read the changes
-     * @param freshAsOf when the request was sent whose answer contained the last of them
+     * @param freshAsOf when the request was sent whose response contained the last of them
      */
     record FreshnessAdvanced(FencingToken fencingToken, MonotonicTime freshAsOf)
             implements LeadershipEvent {}
--- a/src/main/java/org/meadowhollow/coordination/leadership/LeadershipSafety.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/LeadershipSafety.java
@@ -17,9 +17,9 @@
  *       was <em>sent</em>. The store executed it at L or later, so the lease lasts until L + {@link
  *       #LEASE_TTL} at least.
  *   <li><b>K</b>, {@link HeldLeadership#freshAsOf()}: when the request was <em>sent</em> whose
- *       answer showed the latest changes of jobs. It was executed at K or later, so this node knows
- *       every cancellation that was committed before K. There is no K until all job records of this
- *       fencing token are loaded.
+ *       response showed the latest changes of jobs. It was executed at K or later, so this node
+ *       knows every cancellation that was committed before K. There is no K until all job records
+ *       of this fencing token are loaded.
  *   <li><b>D</b>, the renewal bound: the cancellation bound less the duration of a worker lease
  *       less a margin of a second, see {@link #renewalBound}.
  * </ul>
@@ -41,20 +41,20 @@
  * earlier than L + 5 s, or by its holder, which stops deciding before it asks for that; only then
  * can another node write it. Revoking the lease of a suspected leader breaks this time bound, but
  * does no harm: every transaction of a leader requires the revision of its own leader record, so a
- * late transaction of a former leader fails (fencing), and workers reject answers with a lower
+ * late transaction of a former leader fails (fencing), and workers reject responses with a lower
  * fencing token than they have seen. The token counter is raised in the transaction that writes the
  * leader record, so no two leaderships have the same token.
  *
  * <p><b>Invariant 2: the task of a cancelled job is gone within the cancellation bound.</b> A
- * cancellation that the leader does not know was confirmed to its user at C &gt; K. An answer sent
+ * cancellation that the leader does not know was confirmed to its user at C &gt; K. A response sent
  * at t &lt; K + D renews the lease of a worker from when its heartbeat was sent, which is at t or
  * before, so that lease ends before K + D + worker lease = K + cancellation bound - 1 s &lt; C +
  * cancellation bound. The margin of one second covers a worker that notices late that its lease has
- * expired. Time that an answer spends in the network, or waits in this process, only shortens the
- * lease. A cancellation that the leader does know travels as a stop command in the same answer.
- * Starts are sent only in such answers and so have the same bound. Their own, shorter bound covers
- * a leader that is the only controller cut off from the store: it keeps that leader from starting
- * tasks of jobs that were cancelled through other controllers.
+ * expired. Time that a response spends in the network, or waits in this process, only shortens the
+ * lease. A cancellation that the leader does know travels as a stop command in the same response.
+ * Starts are sent only in such responses and so have the same bound. Their own, shorter bound
+ * covers a leader that is the only controller cut off from the store: it keeps that leader from
+ * starting tasks of jobs that were cancelled through other controllers.
  *
  * <p><b>Invariant 3: a successor can tell when the tasks of an earlier leader are gone.</b> It
  * follows from t &lt; L + D that no worker keeps a task under an earlier fencing token for longer
@@ -79,12 +79,12 @@
 
     /**
      * The maximum age of the leader's knowledge of cancellations at which it still sends starts:
-     * the wait of one watch (1 s), the time of its answer, and one retry.
+     * the wait of one watch (1 s), the time of its response, and one retry.
      */
     static final Duration MAX_STALENESS_FOR_STARTS = Duration.ofMillis(2500);
 
     /**
-     * The time that a worker needs to notice that its lease has expired. Answers that wait or are
+     * The time that a worker needs to notice that its lease has expired. Responses that wait or are
      * delayed need no margin: a worker lease counts from when the heartbeat was sent, which is
      * before the leader received it.
      */
--- a/src/main/java/org/meadowhollow/coordination/lifecycle/PlacementEvents.java
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/PlacementEvents.java
@@ -5,7 +5,7 @@
 import org.meadowhollow.model.MonotonicTime;
 import org.meadowhollow.model.Placement;
 
-/** Receives the events of a placement's life. Called with the leader's lock held. */
+/** Receives the events of a placement's lifecycle. Called with the leader's lock held. */
 public interface PlacementEvents {
     /** Handles a worker's report that the task is running; called again for each such heartbeat. */
     void onTaskRunning(Placement placement);
--- a/src/main/java/org/meadowhollow/coordination/reconciliation/DirectCommandSender.java
+++ b/src/main/java/org/meadowhollow/coordination/reconciliation/DirectCommandSender.java
@@ -20,7 +20,7 @@
     private final MachineRegistry machineRegistry;
     private final HeartbeatHandler heartbeatHandler;
 
-    /** Creates a sender whose answers go to {@code heartbeatHandler}. */
+    /** Creates a sender that passes the workers' responses to {@code heartbeatHandler}. */
     public DirectCommandSender(
             HeartbeatContext context,
             WorkerGateway workerGateway,
--- a/src/main/java/org/meadowhollow/coordination/recovery/JobWatcher.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/JobWatcher.java
@@ -36,7 +36,7 @@
     private final RecordRestorer restorer;
     private final JobRecordApplier jobRecords;
 
-    /** When the last watch that was answered was sent. */
+    /** The time at which the last answered watch was sent. */
     private MonotonicTime lastWatchSentAt;
 
     JobWatcher(
--- a/src/main/java/org/meadowhollow/coordination/reservation/RuntimeEstimator.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/RuntimeEstimator.java
@@ -24,12 +24,12 @@
     private static final double DEFAULT_MARGIN = 1.5;
 
     /**
-     * The bound is never below the owner's estimate, even if tasks of the class usually end
-     * earlier.
+     * The minimum margin: the bound is never below the owner's estimate, even if tasks of the class
+     * usually end earlier.
      */
     private static final double MIN_MARGIN = 1;
 
-    /** Outliers of one class must not keep machines empty for hours. */
+    /** The maximum margin: outliers of one class must not keep machines empty for hours. */
     private static final double MAX_MARGIN = 4;
 
     /** The estimated runtime of a task whose owner gives none. */
@@ -43,7 +43,10 @@
                 }
             };
 
-    /** Cached margins; the entry of a class is removed when a sample of the class is added. */
+    /**
+     * The cached margin of each class; the entry of a class is removed when a sample of the class
+     * is added.
+     */
     private final Map<String, Double> marginByClass = new HashMap<>();
 
     /**
--- a/src/main/java/org/meadowhollow/coordination/scheduling/CandidateScore.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/CandidateScore.java
@@ -10,8 +10,7 @@
  */
 final class CandidateScore {
     /**
-     * Estimates of image pulls are compared in steps of this length, since pull rates vary by a
-     * third.
+     * The step in which estimates of image pulls are compared, since pull rates vary by a third.
      */
     private static final double PULL_STEP_SECONDS = 5;
 
--- a/src/main/java/org/meadowhollow/coordination/scheduling/ClusterState.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/ClusterState.java
@@ -25,7 +25,7 @@
  * machine. Not thread-safe: guarded by the leader's lock.
  */
 public final class ClusterState {
-    /** Heartbeats missed in a row before a machine counts as silent. */
+    /** Number of heartbeats missed in a row before a machine counts as silent. */
     public static final double MISSED_HEARTBEATS_UNTIL_SILENT = 2.0;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -36,7 +36,7 @@
     private final DeploymentSettings deploymentSettings;
     private final FencingToken fencingToken;
 
-    /** Sorted so that every leader iterates over the jobs in the same order. */
+    /** The live jobs, sorted so that every leader iterates over the jobs in the same order. */
     private final Map<JobId, Job> jobs = new TreeMap<>();
 
     private final SortedMap<MachineId, Machine> machines = new TreeMap<>();
@@ -110,9 +110,9 @@
     }
 
     /**
-     * Whether start commands can reach a machine now. They are sent only in answers to heartbeats,
-     * so a machine that answers direct commands but whose heartbeats do not arrive cannot be used:
-     * its tasks would wait until it reaches a controller again.
+     * Whether start commands can reach a machine now. They are sent only in responses to
+     * heartbeats, so a machine that answers direct commands but whose heartbeats do not arrive
+     * cannot be used: its tasks would wait until it reaches a controller again.
      */
     public boolean isSchedulable(Machine machine, MonotonicTime now) {
         return !machine.isUnschedulable()
--- a/src/main/java/org/meadowhollow/coordination/scheduling/RiskTable.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/RiskTable.java
@@ -20,7 +20,7 @@
 
     private static final int RATE_WINDOW_COUNT = 3;
 
-    /** Older samples are left out of a rebuilt table. */
+    /** The maximum age of the samples from which a table is rebuilt. */
     public static final Duration SAMPLE_RETENTION = Duration.ofMinutes(10);
 
     /**
--- a/src/main/java/org/meadowhollow/model/Job.java
+++ b/src/main/java/org/meadowhollow/model/Job.java
@@ -86,7 +86,7 @@
         return secondaryRecord;
     }
 
-    // ---- life cycle ----
+    // ---- lifecycle ----
 
     /** The phase that interfaces with a secondary record show to their users. */
     public JobPhase phase() {
--- a/src/main/java/org/meadowhollow/model/JobPhase.java
+++ b/src/main/java/org/meadowhollow/model/JobPhase.java
@@ -1,7 +1,7 @@
 package org.meadowhollow.model;
 
 /**
- * The life-cycle phase of a job that was submitted through a secondary interface; each of these
+ * The lifecycle phase of a job that was submitted through a secondary interface; each of these
  * interfaces maps the phase to terms of its own.
  */
 public enum JobPhase implements StoredWord {
--- a/src/main/java/org/meadowhollow/model/Machine.java
+++ b/src/main/java/org/meadowhollow/model/Machine.java
@@ -164,7 +164,7 @@
     }
 
     /**
-     * The arrival time of the last heartbeat that this leader answered, or null. Only the answer
+     * The arrival time of the last heartbeat that this leader answered, or null. Only the response
      * renews the worker's lease.
      */
     public MonotonicTime lastAnsweredHeartbeatAt() {
--- a/src/main/java/org/meadowhollow/protocol/AdaptiveRateLimiter.java
+++ b/src/main/java/org/meadowhollow/protocol/AdaptiveRateLimiter.java
@@ -12,7 +12,8 @@
  */
 public final class AdaptiveRateLimiter {
     /**
-     * Refusals within this time count as one, since all requests in flight are refused together.
+     * The time within which refusals count as one, since all requests in flight are refused
+     * together.
      */
     private static final Duration REFUSAL_COALESCING_WINDOW = Duration.ofMillis(300);
 
--- a/src/main/java/org/meadowhollow/protocol/peers/PeerMessages.java
+++ b/src/main/java/org/meadowhollow/protocol/peers/PeerMessages.java
@@ -29,13 +29,13 @@
     /**
      * Asks a controller which of the given machines have recently sent it a heartbeat.
      *
-     * @param withinMillis heartbeats count if they arrived within this time before the answer, in
+     * @param withinMillis heartbeats count if they arrived within this time before the response, in
      *     milliseconds
      */
     record RecentHeartbeatsRequest(String[] machines, long withinMillis) {}
 
     /**
-     * The answer to a {@link RecentHeartbeatsRequest}.
+     * The response to a {@link RecentHeartbeatsRequest}.
      *
      * @param served whether the key-value store serves this controller
      * @param heard one bit for each machine, in the order of the request, in 64-bit words with the
@@ -54,7 +54,7 @@
      * @param revision the store revision up to which the requesting node's replica is current
      * @param term the fencing token of the leader from which the requesting node has its tables
      * @param after the number of the last sample that the requesting node has
-     * @param afterMachine the last machine of the previous page of a paged answer, or empty
+     * @param afterMachine the last machine of the previous page of a paged response, or empty
      */
     record RiskTablesRequest(
             int form,
@@ -78,13 +78,13 @@
     record ChecksummedMessage(int form, int checksum, byte[] body) {}
 
     /**
-     * The answer to a {@link RiskTablesRequest}: one column for each property of the machines'
+     * The response to a {@link RiskTablesRequest}: one column for each property of the machines'
      * entries, all of the same length.
      *
      * @param term the leader's fencing token
      * @param upTo the number of the last sample
      * @param whole whether whole tables are sent instead of samples
-     * @param more whether further machines follow in another answer
+     * @param more whether further machines follow in another response
      */
     record RiskTablesMessage(
             long term,
--- a/src/main/java/org/meadowhollow/protocol/reservation/ReservationCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/reservation/ReservationCodec.java
@@ -33,8 +33,8 @@
     private static final double MILLIS_PER_SECOND = 1000.0;
 
     /**
-     * Resources are stored in whole millionths of a unit; the JSON fields are in cores, devices and
-     * GB.
+     * The factor from the JSON fields to stored resources. These are in whole millionths of a unit;
+     * the JSON fields are in cores, devices and GB.
      */
     private static final double MILLIONTHS_PER_UNIT = 1e6;
 
--- a/src/main/java/org/meadowhollow/protocol/tes/TesTaskListing.java
+++ b/src/main/java/org/meadowhollow/protocol/tes/TesTaskListing.java
@@ -37,8 +37,8 @@
     private static final int TEAM_HASH_DIGITS = 16;
 
     /**
-     * Keys hold this value less the creation time, so that newer tasks sort first. It is the
-     * largest time of 13 digits, in the year 2286.
+     * The largest creation time. Keys hold this value less the creation time, so that newer tasks
+     * sort first. It is the largest time of 13 digits, in the year 2286.
      */
     private static final long MAX_CREATED_MILLIS = 9_999_999_999_999L;
 
--- a/src/main/java/org/meadowhollow/storage/IndeterminateOutcomeException.java
+++ b/src/main/java/org/meadowhollow/storage/IndeterminateOutcomeException.java
@@ -1,7 +1,7 @@
 package org.meadowhollow.storage;
 
 /**
- * Signals that no usable answer arrived because the store is unavailable or too slow. The request
+ * Signals that no usable response arrived because the store is unavailable or too slow. The request
  * may have been executed, or may still be executed later.
  */
 public final class IndeterminateOutcomeException extends KeyValueStoreException {
--- a/src/main/java/org/meadowhollow/storage/KeyValueStoreException.java
+++ b/src/main/java/org/meadowhollow/storage/KeyValueStoreException.java
@@ -18,7 +18,7 @@
         /** The request was refused and not executed. */
         REJECTED,
         /**
-         * No answer arrived: the request may have been executed, or may still be executed later.
+         * No response arrived: the request may have been executed, or may still be executed later.
          */
         INDETERMINATE,
         /** The lease has expired. */
--- a/src/main/java/org/meadowhollow/storage/PersistedChangePublisher.java
+++ b/src/main/java/org/meadowhollow/storage/PersistedChangePublisher.java
@@ -78,7 +78,7 @@
     }
 
     /**
-     * If a job is traced, traces its last attempts and then the job itself.
+     * Traces the last attempts of a job and then the job itself, if the job is traced.
      *
      * @param endedAtMillis when the job ended, in milliseconds of wall-clock time; no end is traced
      *     if it is 0
