--- a/src/main/java/org/meadowhollow/coordination/recovery/StateRecovery.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/StateRecovery.java
@@ -80,7 +80,7 @@
                                 }
                                 if (replicas.isEmpty()) {
                                     LOG.info(
-                                            "full recovery started token={} reason=local replica does not cover the leader key",
+                                            "full recovery started token={} reason=local replica does not cover the leader record",
                                             fencingToken);
                                     readJobs();
                                 } else {
--- a/src/main/java/org/meadowhollow/coordination/reservation/ReservableCapacity.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/ReservableCapacity.java
@@ -8,11 +8,11 @@
 /**
  * The capacity that reservations are planned from.
  *
- * @param machineTypes the machine types that the cloud provider offers
+ * @param machineTypes the machine types that the cloud offers
  * @param teamLimits the most that each team may use; an amount of 0 means no limit
  * @param maxMachines the largest number of machines of a type in a zone that the operators allow at
  *     a time, by {@code type/zone} or by type; types that are not listed have no limit, since the
- *     cloud provider publishes none
+ *     cloud publishes none
  */
 public record ReservableCapacity(
         List<MachineType> machineTypes,
--- a/src/main/java/org/meadowhollow/coordination/reservation/SlotPlanner.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/SlotPlanner.java
@@ -22,7 +22,7 @@
     /** A boot may take 1.5 times as long as usual; machines are rented early enough for that. */
     private static final double BOOT_TIME_FACTOR = 1.5;
 
-    /** Time before the boot: the scheduling round and the call to the cloud provider. */
+    /** Time before the boot: the scheduling round and the call to the cloud. */
     private static final double SCALE_OUT_MARGIN_SECONDS = 60;
 
     /**
--- a/src/main/java/org/meadowhollow/model/Heartbeat.java
+++ b/src/main/java/org/meadowhollow/model/Heartbeat.java
@@ -8,8 +8,8 @@
  * @param address the network address of the worker
  * @param sequenceNumber a number that increases with each heartbeat of an incarnation
  * @param fencingToken the highest fencing token that the worker has accepted
- * @param preemptionNoticeSeconds the seconds until the cloud provider reclaims the machine, or NaN
- *     if it gave no notice
+ * @param preemptionNoticeSeconds the seconds until the cloud reclaims the machine, or NaN if it
+ *     gave no notice
  * @param tasks the status of every task on the machine, running or exited
  */
 public record Heartbeat(
--- a/src/main/java/org/meadowhollow/model/Machine.java
+++ b/src/main/java/org/meadowhollow/model/Machine.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * The leader's state of a rented machine: what the cloud provider and the worker's heartbeats have
- * reported, and the placements on the machine. Not thread-safe: guarded by the leader's lock.
+ * The leader's state of a rented machine: what the cloud and the worker's heartbeats have reported,
+ * and the placements on the machine. Not thread-safe: guarded by the leader's lock.
  */
 public final class Machine {
     /**
@@ -71,7 +71,7 @@
 
     // ---- identity ----
 
-    /** The machine's identifier: the name that the cloud provider gave it. */
+    /** The machine's identifier: the name that the cloud gave it. */
     public MachineId id() {
         return id;
     }
@@ -86,7 +86,7 @@
         return zone;
     }
 
-    /** Whether the machine is a spot instance, which the cloud provider can preempt. */
+    /** Whether the machine is a spot instance, which the cloud can preempt. */
     public boolean isSpot() {
         return isSpot;
     }
@@ -128,7 +128,7 @@
     }
 
     /**
-     * The time at which this leader first learned of the machine, from the provider's list or a
+     * The time at which this leader first learned of the machine, from the cloud's list or a
      * heartbeat.
      */
     public MonotonicTime knownSince() {
@@ -140,12 +140,12 @@
         knownSince = since;
     }
 
-    /** The time at which the cloud provider's list last contained the machine, or null. */
+    /** The time at which the cloud's list last contained the machine, or null. */
     public MonotonicTime lastListedAt() {
         return lastListedAt;
     }
 
-    /** Records that the cloud provider's list contains the machine. */
+    /** Records that the cloud's list contains the machine. */
     public void recordListing(MonotonicTime now) {
         lastListedAt = now;
     }
@@ -179,14 +179,12 @@
 
     // ---- schedulability ----
 
-    /**
-     * The time at which the cloud provider will reclaim the machine, or null without such a notice.
-     */
+    /** The time at which the cloud will reclaim the machine, or null without such a notice. */
     public MonotonicTime preemptionDeadline() {
         return preemptionDeadline;
     }
 
-    /** Sets the time at which the cloud provider will reclaim the machine. */
+    /** Sets the time at which the cloud will reclaim the machine. */
     public void preemptionDeadline(MonotonicTime deadline) {
         preemptionDeadline = deadline;
     }
@@ -221,15 +219,12 @@
         return isIncarnationReset;
     }
 
-    /** Whether the machine is being returned to the cloud provider. */
+    /** Whether the machine is being returned to the cloud. */
     public boolean isReleasing() {
         return isReleasing;
     }
 
-    /**
-     * Sets whether the machine is being returned to the cloud provider; false after the return
-     * failed.
-     */
+    /** Sets whether the machine is being returned to the cloud; false after the return failed. */
     public void setReleasing(boolean releasing) {
         isReleasing = releasing;
     }
--- a/src/main/java/org/meadowhollow/model/MachineId.java
+++ b/src/main/java/org/meadowhollow/model/MachineId.java
@@ -1,6 +1,6 @@
 package org.meadowhollow.model;
 
-/** The identifier of a machine: the name that the cloud provider gave it. */
+/** The identifier of a machine: the name that the cloud gave it. */
 public record MachineId(String value) implements Comparable<MachineId> {
     @Override
     public int compareTo(MachineId other) {
--- a/src/main/java/org/meadowhollow/model/MachineType.java
+++ b/src/main/java/org/meadowhollow/model/MachineType.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * A machine type that the cloud provider offers.
+ * A machine type that the cloud offers.
  *
  * @param capacity the resources that are available to tasks
  * @param imageCacheGb the capacity of the container image cache, in gigabytes
@@ -11,7 +11,7 @@
  *     second
  * @param hourlyPrice the price per hour on demand
  * @param hourlySpotPrice the price per hour as a spot instance
- * @param bootSeconds the time that a machine takes to boot, as stated by the provider
+ * @param bootSeconds the time that a machine takes to boot, as stated by the cloud
  * @param zones the zones in which the type is offered
  */
 public record MachineType(
--- a/src/main/java/org/meadowhollow/model/MachineTypeCatalog.java
+++ b/src/main/java/org/meadowhollow/model/MachineTypeCatalog.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * The machine types that the cloud provider offers, as last listed. Thread-safe: a new list
- * replaces the previous one as a whole.
+ * The machine types that the cloud offers, as last listed. Thread-safe: a new list replaces the
+ * previous one as a whole.
  */
 public final class MachineTypeCatalog {
     private volatile Map<String, MachineType> types = Map.of();
--- a/src/main/java/org/meadowhollow/storage/MachineTypesCodec.java
+++ b/src/main/java/org/meadowhollow/storage/MachineTypesCodec.java
@@ -7,9 +7,9 @@
 import org.meadowhollow.model.MachineType;
 
 /**
- * Encodes and decodes the record of the machine types that the cloud provider offers. A node that
- * starts while the provider is unreachable takes the machine types from this record. Field names
- * are part of the persisted format.
+ * Encodes and decodes the record of the machine types that the cloud offers. A node that starts
+ * while the cloud is unreachable takes the machine types from this record. Field names are part of
+ * the persisted format.
  */
 public final class MachineTypesCodec {
     private static final String TYPES = "types";
--- a/src/main/java/org/meadowhollow/storage/RecordKeys.java
+++ b/src/main/java/org/meadowhollow/storage/RecordKeys.java
@@ -27,7 +27,7 @@
      */
     public static final String LEADER_KEY = "meta/leader";
 
-    /** The key of the machine types that the cloud provider offers. */
+    /** The key of the machine types that the cloud offers. */
     public static final String MACHINE_TYPES_KEY = "meta/types";
 
     /** Prefix of the records of live jobs. */
