--- a/src/main/java/org/meadowhollow/cli/Listeners.java
+++ b/src/main/java/org/meadowhollow/cli/Listeners.java
@@ -34,15 +34,17 @@
      */
     private static final Duration MIN_IDLE_TIMEOUT = Duration.ofSeconds(20);
 
-    /** File descriptors that the process needs for other purposes than connections. */
+    /**
+     * The number of file descriptors that the process needs for other purposes than connections.
+     */
     private static final int RESERVED_FILE_DESCRIPTORS = 64;
 
     /** The least share of the process's file descriptors that is available to callers. */
     private static final double MIN_CALLER_SHARE = 0.5;
 
     /**
-     * The limit of connections for callers, divided by this, is the additional limit for clients of
-     * the task execution API.
+     * Divides the limit of connections for callers; the quotient is the additional limit for
+     * clients of the task execution API.
      */
     private static final int TES_CONNECTIONS_DIVISOR = 8;
 
--- a/src/main/java/org/meadowhollow/coordination/admission/AdmissionService.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/AdmissionService.java
@@ -26,8 +26,8 @@
 
 /**
  * Accepts jobs, shows their states and cancels them. Any node answers directly from the key-value
- * store, so that users are served while the leadership changes, and no answer shows an older state
- * than another node has already shown. Submitting and cancelling are idempotent.
+ * store, so that users are served while the leadership changes, and no response shows an older
+ * state than another node has already shown. Submitting and cancelling are idempotent.
  *
  * <p>The returned futures fail with {@link TemporarilyUnavailableException} when the outcome is not
  * known in time, and with the store's exceptions when a read fails. Thread-safe; all state is in
@@ -173,8 +173,8 @@
     }
 
     /**
-     * Rejects a job that fails the feasibility check, unless it was accepted before, when the check
-     * passed.
+     * Rejects a job that fails the feasibility check, unless the job was accepted before: the check
+     * passed at that time.
      */
     private CompletableFuture<SubmissionResult> rejectUnlessAccepted(JobId id, String reason) {
         return jobRecordReader
--- a/src/main/java/org/meadowhollow/coordination/failover/ChangeFeedFollower.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/ChangeFeedFollower.java
@@ -43,8 +43,8 @@
     private static final Duration OVERSIZE_RETRY_DELAY = Duration.ofMinutes(5);
 
     /**
-     * Failed watches after which all records are read again: the answer may be too large to be
-     * received.
+     * The number of failed watches after which all records are read again: the response may be too
+     * large to be received.
      */
     private static final int MAX_FAILURES = 3;
 
@@ -139,7 +139,7 @@
             return false;
         }
         LOG.info(
-                "records exceed memory limit and are not followed prefix={} max_bytes={}",
+                "standby ignores records prefix={} max_bytes={} reason=records exceed memory limit",
                 prefix,
                 maxBytes);
         synchronized (this) {
@@ -179,10 +179,10 @@
                                     || countFailureAndCheckReload(
                                             KeyValueStoreException.outcomeOf(failure))) {
                                 LOG.info(
-                                        "standby reloads records prefix={} reason={}",
+                                        "record reload started prefix={} reason={}",
                                         prefix,
                                         failure == null
-                                                ? "key-value store returned an earlier revision="
+                                                ? "key-value store returned earlier revision "
                                                         + changeBatch.revision().value()
                                                 : failure.getMessage());
                                 generations.runLater(
@@ -223,8 +223,8 @@
         return store.watch(prefix, finalReplica.revision(), Duration.ZERO)
                 .handle(
                         (changeBatch, failure) -> {
-                            // Rejects a replica older than the leader record, and one from a
-                            // history that the store does not serve now (its revision went back).
+                            // Rejects a replica older than the leader record, and one whose
+                            // revision is above the store's: the store now has another history.
                             if (failure != null
                                     || atLeast.isAfter(changeBatch.revision())
                                     || finalReplica.revision().isAfter(changeBatch.revision())) {
--- a/src/main/java/org/meadowhollow/protocol/AdaptiveRateLimiter.java
+++ b/src/main/java/org/meadowhollow/protocol/AdaptiveRateLimiter.java
@@ -12,7 +12,8 @@
  */
 public final class AdaptiveRateLimiter {
     /**
-     * Refusals within this time count as one, since all requests in flight are refused together.
+     * The time within which refusals count as one, since all requests in flight are refused
+     * together.
      */
     private static final Duration REFUSAL_COALESCING_WINDOW = Duration.ofMillis(300);
 
@@ -34,11 +35,11 @@
     @GuardedBy("this")
     private double rateFactor = 1;
 
-    /** Null before the first call. */
+    /** When tokens were last added to the bucket; null before the first call. */
     @GuardedBy("this")
     private MonotonicTime refilledAt;
 
-    /** Null before the first refusal. */
+    /** When the last refusal was counted; null before the first one. */
     @GuardedBy("this")
     private MonotonicTime lastRefusalAt;
 
--- a/src/main/java/org/meadowhollow/protocol/keyvalue/StoreHealth.java
+++ b/src/main/java/org/meadowhollow/protocol/keyvalue/StoreHealth.java
@@ -16,8 +16,8 @@
     private static final Logger LOG = LoggerFactory.getLogger(StoreHealth.class);
 
     /**
-     * Most responses take a few milliseconds, and some take a few hundred; after this time the
-     * connection is most likely dead.
+     * The normal response timeout. Most responses take a few milliseconds, and some take a few
+     * hundred; after this time the connection is most likely dead.
      */
     private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(1500);
 
@@ -37,7 +37,7 @@
     private final String address;
     private final EventLoop loop;
 
-    /** Null while the last request succeeded. */
+    /** The time of the last failure; null after a request has succeeded. */
     @GuardedBy("this")
     private MonotonicTime lastFailureAt;
 
@@ -78,12 +78,10 @@
         }
     }
 
+    /** Records a failed request. Further requests are still sent while the store is unavailable. */
     synchronized void recordFailure(String reason) {
         if (lastFailureAt == null) {
-            LOG.info(
-                    "key-value store unavailable, requests are still sent address={} reason={}",
-                    address,
-                    reason);
+            LOG.info("key-value store unavailable address={} reason={}", address, reason);
         }
         lastFailureAt = loop.now();
     }
