--- a/src/main/java/org/meadowhollow/coordination/heartbeat/DeferredHeartbeats.java
+++ b/src/main/java/org/meadowhollow/coordination/heartbeat/DeferredHeartbeats.java
@@ -33,7 +33,7 @@
      * redirected.
      */
     public CompletableFuture<HeartbeatResponse> defer(Heartbeat heartbeat, MonotonicTime deadline) {
-        discardEarlier(heartbeat.machineId());
+        redirectEarlier(heartbeat.machineId());
         DeferredHeartbeat deferred =
                 new DeferredHeartbeat(heartbeat, new CompletableFuture<>(), deadline);
         byMachine.put(heartbeat.machineId(), deferred);
@@ -44,7 +44,7 @@
      * Answers a machine's earlier heartbeat with a redirect: a worker has one heartbeat in flight
      * at a time, so it no longer waits for that response.
      */
-    public void discardEarlier(MachineId machine) {
+    public void redirectEarlier(MachineId machine) {
         DeferredHeartbeat earlier = byMachine.remove(machine);
         if (earlier != null) {
             earlier.response().complete(new HeartbeatResponse.Redirect(null));
--- a/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatHandler.java
+++ b/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatHandler.java
@@ -137,7 +137,7 @@
 
     private CompletableFuture<HeartbeatResponse> respondToNewHeartbeat(
             Machine machine, Heartbeat heartbeat, MonotonicTime now) {
-        awaitingCommands.discardEarlier(heartbeat.machineId());
+        awaitingCommands.redirectEarlier(heartbeat.machineId());
         unreachableReturnPolicy.onHeartbeat(machine, now);
         machine.recordAnsweredHeartbeat(now);
         List<WorkerCommand> commands = heartbeatReconciler.commandsFor(machine, heartbeat, now);
