--- a/src/main/java/org/meadowhollow/coordination/failover/HandoverState.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/HandoverState.java
@@ -111,8 +111,8 @@
      * Adds the tables of a stored snapshot, for a leader that found no standby's tables because all
      * nodes had ended.
      */
-    public void snapshotTables(RiskTableSnapshotStore.StoredTables snapshot, MonotonicTime now) {
-        snapshotTables.addAll(snapshot.parts());
+    public void addSnapshotTables(RiskTableSnapshotStore.StoredTables snapshot, MonotonicTime now) {
+        snapshotTables.addAll(snapshot.machineEntries());
         snapshotTakenAt = new MonotonicTime(now.nanos() - snapshot.age().toNanos());
     }
 
--- a/src/main/java/org/meadowhollow/coordination/failover/RiskTableSnapshotStore.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/RiskTableSnapshotStore.java
@@ -271,7 +271,7 @@
     }
 
     /** The tables of a stored snapshot, and its age by the wall clock. */
-    public record StoredTables(List<RiskTableDelta.MachineEntry> parts, Duration age) {}
+    public record StoredTables(List<RiskTableDelta.MachineEntry> machineEntries, Duration age) {}
 
     /**
      * Reads the newest complete snapshot.
--- a/src/main/java/org/meadowhollow/coordination/recovery/RiskTableRestorer.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/RiskTableRestorer.java
@@ -80,7 +80,7 @@
                             synchronized (context.lock()) {
                                 read.ifPresent(
                                         snapshot ->
-                                                handoverState.snapshotTables(
+                                                handoverState.addSnapshotTables(
                                                         snapshot, context.loop().now()));
                             }
                             restoreBatch();
--- a/src/test/java/org/meadowhollow/storage/GoldenRecordsTest.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenRecordsTest.java
@@ -741,7 +741,7 @@
                                 store, new GoldenStore.FrozenEventLoop(SNAPSHOT_AT_MILLIS + 2500))
                         .join();
         assertEquals(Duration.ofMillis(2500), read.orElseThrow().age());
-        return read.get().parts();
+        return read.get().machineEntries();
     }
 
     /**
