--- a/src/main/java/org/meadowhollow/coordination/ControllerNode.java
+++ b/src/main/java/org/meadowhollow/coordination/ControllerNode.java
@@ -216,7 +216,7 @@
     }
 
     /** The number of replicated records that audits of this node's standby found to be wrong. */
-    public long divergentRecordCount() {
+    public long mismatchedRecordCount() {
         return warmStandby == null ? 0 : warmStandby.mismatchedRecordCount();
     }
 
--- a/src/main/java/org/meadowhollow/coordination/LeaderService.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderService.java
@@ -144,7 +144,7 @@
                 loop.schedule(WARM_CHECK_INTERVAL, this::checkWarmStart);
             }
             mustReadRiskTables =
-                    parts.stateRecovery.isComplete() && parts.riskTableRestorer.begin();
+                    parts.stateRecovery.isComplete() && parts.riskTableRestorer.beginRestoration();
         }
         if (mustReadRiskTables) {
             parts.riskTableRestorer.readSnapshot();
--- a/src/main/java/org/meadowhollow/coordination/recovery/RiskTableRestorer.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/RiskTableRestorer.java
@@ -44,7 +44,7 @@
      *
      * @return whether the stored snapshot must be read, with {@link #readSnapshot}
      */
-    public boolean begin() {
+    public boolean beginRestoration() {
         if (started) {
             return false;
         }
--- a/src/test/java/org/meadowhollow/simulation/RandomFaultsTest.java
+++ b/src/test/java/org/meadowhollow/simulation/RandomFaultsTest.java
@@ -46,7 +46,7 @@
         }
         assertAllJobsTerminate(cluster, jobs, 30, 400);
         for (int node = 0; node < 3; node++) {
-            assertEquals(0, cluster.node(node).divergentRecordCount());
+            assertEquals(0, cluster.node(node).mismatchedRecordCount());
         }
     }
 
--- a/src/test/java/org/meadowhollow/simulation/WarmStandbyScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/WarmStandbyScenarioTest.java
@@ -57,7 +57,7 @@
         long divergentRecords = 0;
         for (int node = 0; node < 3; node++) {
             divergentRecords +=
-                    cluster.node(node) == null ? 0 : cluster.node(node).divergentRecordCount();
+                    cluster.node(node) == null ? 0 : cluster.node(node).mismatchedRecordCount();
         }
         assertEquals(expectedDivergentRecords, divergentRecords);
     }
