--- a/src/main/java/org/meadowhollow/coordination/ControllerNode.java
+++ b/src/main/java/org/meadowhollow/coordination/ControllerNode.java
@@ -145,8 +145,8 @@
     // The chain completes each deferred response; nothing waits for the chain itself.
     @SuppressWarnings("FutureReturnValueIgnored")
     @Override
-    public void elected(
-            FencingToken fencingToken, Revision leaderKeyRevision, MonotonicTime noticedAt) {
+    public void onElected(
+            FencingToken fencingToken, Revision leaderKeyRevision, MonotonicTime vacantSince) {
         HandoverState handoverState =
                 warmStandby == null ? HandoverState.EMPTY : warmStandby.handOver();
         LeaderService elected =
@@ -157,7 +157,7 @@
                                 fencingToken,
                                 leaderKeyRevision,
                                 handoverState,
-                                noticedAt));
+                                vacantSince));
         synchronized (this) {
             if (leaderService != null) {
                 leaderService.close();
@@ -171,7 +171,7 @@
     }
 
     @Override
-    public void leadershipLost(String reason) {
+    public void onLeadershipLost(String reason) {
         List<String> addresses = List.of();
         synchronized (this) {
             if (leaderService != null) {
@@ -273,7 +273,7 @@
     }
 
     @Override
-    public void following(String leader) {
+    public void onFollowing(String leader) {
         DeferredHeartbeats.redirectAll(
                 leaderlessHeartbeats.takeAll(), isThisNode(leader) ? null : leader);
     }
--- a/src/main/java/org/meadowhollow/coordination/LeaderParts.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderParts.java
@@ -94,7 +94,7 @@
         this.leadership = term.leadership();
         this.startedAt = loop.now();
         this.failoverTimeline =
-                new FailoverTimeline(term.fencingToken(), term.noticedAt(), startedAt);
+                new FailoverTimeline(term.fencingToken(), term.vacantSince(), startedAt);
         this.clusterState = new ClusterState(deploymentSettings, term.fencingToken());
         this.objectives =
                 new ServiceLevelObjectives(deploymentSettings, services.machineTypeCatalog());
--- a/src/main/java/org/meadowhollow/coordination/LeadershipTerm.java
+++ b/src/main/java/org/meadowhollow/coordination/LeadershipTerm.java
@@ -14,11 +14,11 @@
  * @param leaderKeyRevision the revision of the transaction that wrote the leader key
  * @param handoverState the state that this node replicated as a standby, or {@link
  *     HandoverState#EMPTY}
- * @param noticedAt when this node noticed that there was no leader, or null
+ * @param vacantSince when this node noticed that there was no leader, or null
  */
 record LeadershipTerm(
         Leadership leadership,
         FencingToken fencingToken,
         Revision leaderKeyRevision,
         HandoverState handoverState,
-        MonotonicTime noticedAt) {}
+        MonotonicTime vacantSince) {}
--- a/src/main/java/org/meadowhollow/coordination/leadership/Leadership.java
+++ b/src/main/java/org/meadowhollow/coordination/leadership/Leadership.java
@@ -69,24 +69,25 @@
          *
          * @param fencingToken the fencing token of this leadership
          * @param leaderKeyRevision the revision of the transaction that wrote the leader record
-         * @param noticedAt when this node first saw that there was no leader, or null if it did not
+         * @param vacantSince when this node first saw that there was no leader, or null if it did
+         *     not
          */
-        void elected(
-                FencingToken fencingToken, Revision leaderKeyRevision, MonotonicTime noticedAt);
+        void onElected(
+                FencingToken fencingToken, Revision leaderKeyRevision, MonotonicTime vacantSince);
 
         /**
          * Called when this member no longer leads.
          *
          * @param reason the reason, for the log
          */
-        void leadershipLost(String reason);
+        void onLeadershipLost(String reason);
 
         /**
          * Called when another member is believed to lead.
          *
          * @param leader the name of that member
          */
-        void following(String leader);
+        void onFollowing(String leader);
     }
 
     private final EventLoop loop;
@@ -373,14 +374,14 @@
     private void publish(Notification notification) {
         if (notification instanceof NotifyElected elected) {
             LOG.info("leader elected node={} token={}", member, elected.fencingToken());
-            listener.elected(
+            listener.onElected(
                     elected.fencingToken(), elected.leaderKeyRevision(), elected.vacantSince());
             peerGateway.announceLeader(member, elected.fencingToken());
         } else if (notification instanceof NotifyLeadershipLost lost) {
             LOG.info("leadership lost token={} reason=\"{}\"", lost.fencingToken(), lost.reason());
-            listener.leadershipLost(lost.reason());
+            listener.onLeadershipLost(lost.reason());
         } else if (notification instanceof NotifyFollowing following) {
-            listener.following(following.leader());
+            listener.onFollowing(following.leader());
         }
     }
 }
--- a/src/test/java/org/meadowhollow/storage/GoldenStore.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenStore.java
@@ -42,16 +42,16 @@
         final List<String> following = new ArrayList<>();
 
         @Override
-        public void elected(
+        public void onElected(
                 FencingToken fencingToken, Revision leaderRevision, MonotonicTime observedAt) {
             elected.add(fencingToken);
         }
 
         @Override
-        public void leadershipLost(String reason) {}
+        public void onLeadershipLost(String reason) {}
 
         @Override
-        public void following(String leader) {
+        public void onFollowing(String leader) {
             following.add(leader);
         }
     }
