--- a/src/main/java/org/meadowhollow/model/ExitReason.java
+++ b/src/main/java/org/meadowhollow/model/ExitReason.java
@@ -19,14 +19,14 @@
     /** The worker does not know the task. */
     UNKNOWN("UNKNOWN");
 
-    private final String storedWord;
+    private final String storedName;
 
-    ExitReason(String storedWord) {
-        this.storedWord = storedWord;
+    ExitReason(String storedName) {
+        this.storedName = storedName;
     }
 
     @Override
-    public String storedWord() {
-        return storedWord;
+    public String storedName() {
+        return storedName;
     }
 }
--- a/src/main/java/org/meadowhollow/model/JobKind.java
+++ b/src/main/java/org/meadowhollow/model/JobKind.java
@@ -9,15 +9,15 @@
     /** Replicas that run until the job is cancelled. */
     SERVICE("SERVICE");
 
-    private final String storedWord;
+    private final String storedName;
 
-    JobKind(String storedWord) {
-        this.storedWord = storedWord;
+    JobKind(String storedName) {
+        this.storedName = storedName;
     }
 
     @Override
-    public String storedWord() {
-        return storedWord;
+    public String storedName() {
+        return storedName;
     }
 
     /**
@@ -25,7 +25,7 @@
      *
      * @throws IllegalArgumentException if there is none
      */
-    public static JobKind fromStoredWord(String storedWord) {
-        return StoredWord.find(values(), storedWord);
+    public static JobKind fromStoredName(String storedName) {
+        return StoredWord.find(values(), storedName);
     }
 }
--- a/src/main/java/org/meadowhollow/model/JobPhase.java
+++ b/src/main/java/org/meadowhollow/model/JobPhase.java
@@ -24,15 +24,15 @@
     /** Out of attempts, the last of which was preempted or ended with its preempted machine. */
     PREEMPTED("PREEMPTED");
 
-    private final String storedWord;
+    private final String storedName;
 
-    JobPhase(String storedWord) {
-        this.storedWord = storedWord;
+    JobPhase(String storedName) {
+        this.storedName = storedName;
     }
 
     @Override
-    public String storedWord() {
-        return storedWord;
+    public String storedName() {
+        return storedName;
     }
 
     /**
@@ -40,7 +40,7 @@
      *
      * @throws IllegalArgumentException if there is none
      */
-    public static JobPhase fromStoredWord(String storedWord) {
-        return StoredWord.find(values(), storedWord);
+    public static JobPhase fromStoredName(String storedName) {
+        return StoredWord.find(values(), storedName);
     }
 }
--- a/src/main/java/org/meadowhollow/model/Priority.java
+++ b/src/main/java/org/meadowhollow/model/Priority.java
@@ -11,15 +11,15 @@
     /** Best-effort work, whose records are also written last. */
     LOW("LOW");
 
-    private final String storedWord;
+    private final String storedName;
 
-    Priority(String storedWord) {
-        this.storedWord = storedWord;
+    Priority(String storedName) {
+        this.storedName = storedName;
     }
 
     @Override
-    public String storedWord() {
-        return storedWord;
+    public String storedName() {
+        return storedName;
     }
 
     /**
@@ -27,8 +27,8 @@
      *
      * @throws IllegalArgumentException if there is none
      */
-    public static Priority fromStoredWord(String storedWord) {
-        return StoredWord.find(values(), storedWord);
+    public static Priority fromStoredName(String storedName) {
+        return StoredWord.find(values(), storedName);
     }
 
     /** Whether this priority comes strictly before the other one. */
--- a/src/main/java/org/meadowhollow/model/SecondaryRecord.java
+++ b/src/main/java/org/meadowhollow/model/SecondaryRecord.java
@@ -172,7 +172,7 @@
     }
 
     private static boolean isCompletion(String reason) {
-        return reason.equals(ExitReason.DONE.storedWord());
+        return reason.equals(ExitReason.DONE.storedName());
     }
 
     private static JobPhase failurePhaseOf(String reason) {
@@ -274,7 +274,7 @@
 
     private Map<String, Object> encodeWith(JobPhase phase, List<Object> encodedAttempts) {
         Map<String, Object> entry = new LinkedHashMap<>(constantFields);
-        entry.put(PHASE_FIELD, phase.storedWord());
+        entry.put(PHASE_FIELD, phase.storedName());
         entry.put(ATTEMPTS_FIELD, encodedAttempts);
         return entry;
     }
@@ -282,13 +282,13 @@
     /** Copies an entry and sets its phase to {@link JobPhase#CANCELING}. */
     public static Map<String, Object> withCancellationRequested(Map<String, Object> entry) {
         Map<String, Object> copy = new LinkedHashMap<>(entry);
-        copy.put(PHASE_FIELD, JobPhase.CANCELING.storedWord());
+        copy.put(PHASE_FIELD, JobPhase.CANCELING.storedName());
         return copy;
     }
 
     /** Decodes the phase in an entry. */
     public static JobPhase phaseOf(Map<String, Object> entry) {
-        return JobPhase.fromStoredWord((String) entry.get(PHASE_FIELD));
+        return JobPhase.fromStoredName((String) entry.get(PHASE_FIELD));
     }
 
     /** Decodes the attempts in an entry, the oldest one first. */
--- a/src/main/java/org/meadowhollow/model/StoredWord.java
+++ b/src/main/java/org/meadowhollow/model/StoredWord.java
@@ -6,7 +6,7 @@
  */
 public interface StoredWord {
     /** The word that stands for this constant in stored records; unique within its enum. */
-    String storedWord();
+    String storedName();
 
     /**
      * The constant that a stored word stands for.
@@ -14,12 +14,12 @@
      * @param constants all constants of the enum
      * @throws IllegalArgumentException if no constant has this word, or if it is {@code null}
      */
-    static <E extends StoredWord> E find(E[] constants, String storedWord) {
+    static <E extends StoredWord> E find(E[] constants, String storedName) {
         for (E constant : constants) {
-            if (constant.storedWord().equals(storedWord)) {
+            if (constant.storedName().equals(storedName)) {
                 return constant;
             }
         }
-        throw new IllegalArgumentException("unknown stored word: " + storedWord);
+        throw new IllegalArgumentException("unknown stored word: " + storedName);
     }
 }
--- a/src/main/java/org/meadowhollow/model/reservation/MaintenanceWindow.java
+++ b/src/main/java/org/meadowhollow/model/reservation/MaintenanceWindow.java
@@ -27,15 +27,15 @@
         /** All machines in a zone. */
         ZONE("ZONE");
 
-        private final String storedWord;
+        private final String storedName;
 
-        Scope(String storedWord) {
-            this.storedWord = storedWord;
+        Scope(String storedName) {
+            this.storedName = storedName;
         }
 
         @Override
-        public String storedWord() {
-            return storedWord;
+        public String storedName() {
+            return storedName;
         }
 
         /**
@@ -43,8 +43,8 @@
          *
          * @throws IllegalArgumentException if there is none
          */
-        public static Scope fromStoredWord(String storedWord) {
-            return StoredWord.find(values(), storedWord);
+        public static Scope fromStoredName(String storedName) {
+            return StoredWord.find(values(), storedName);
         }
     }
 
--- a/src/main/java/org/meadowhollow/storage/CalendarRecordCodec.java
+++ b/src/main/java/org/meadowhollow/storage/CalendarRecordCodec.java
@@ -73,7 +73,7 @@
         Map<String, Object> fields =
                 encodeSchedule(reservation.name(), reservation.schedule(), acceptanceOrder);
         fields.put(TEAM, reservation.team());
-        fields.put(PRIORITY, reservation.priority().storedWord());
+        fields.put(PRIORITY, reservation.priority().storedName());
         fields.put(TASK_COUNT, (long) reservation.taskCount());
         RecordFields.putResources(fields, reservation.resourcesPerTask());
         fields.put(ALLOWED_MACHINE_TYPES, reservation.allowedMachineTypes());
@@ -95,7 +95,7 @@
     public static Map<String, Object> encode(MaintenanceWindow window, long acceptanceOrder) {
         Map<String, Object> fields =
                 encodeSchedule(window.name(), window.schedule(), acceptanceOrder);
-        fields.put(SCOPE, window.scope().storedWord());
+        fields.put(SCOPE, window.scope().storedName());
         fields.put(TARGETS, window.targets());
         fields.put(SERVICE_EVICTION_LEAD_MILLIS, window.serviceEvictionLead().toMillis());
         return fields;
@@ -129,7 +129,7 @@
         return new Reservation(
                 RecordFields.getString(fields, NAME),
                 RecordFields.getString(fields, TEAM),
-                Priority.fromStoredWord(RecordFields.getString(fields, PRIORITY)),
+                Priority.fromStoredName(RecordFields.getString(fields, PRIORITY)),
                 RecordFields.getInt(fields, TASK_COUNT),
                 RecordFields.getResources(fields),
                 RecordFields.getStringList(fields, ALLOWED_MACHINE_TYPES),
@@ -145,7 +145,7 @@
     static MaintenanceWindow decodeWindow(Map<String, Object> fields) {
         return new MaintenanceWindow(
                 RecordFields.getString(fields, NAME),
-                MaintenanceWindow.Scope.fromStoredWord(RecordFields.getString(fields, SCOPE)),
+                MaintenanceWindow.Scope.fromStoredName(RecordFields.getString(fields, SCOPE)),
                 RecordFields.getStringList(fields, TARGETS),
                 decodeSchedule(fields),
                 Duration.ofMillis(RecordFields.getLong(fields, SERVICE_EVICTION_LEAD_MILLIS)));
--- a/src/main/java/org/meadowhollow/storage/JobRecordCodec.java
+++ b/src/main/java/org/meadowhollow/storage/JobRecordCodec.java
@@ -67,8 +67,8 @@
     private static void putSpec(Map<String, Object> fields, JobSpec spec) {
         fields.put(JOB_CLASS, spec.jobClass());
         fields.put(TEAM, spec.team());
-        fields.put(KIND, spec.kind().storedWord());
-        fields.put(PRIORITY, spec.priority().storedWord());
+        fields.put(KIND, spec.kind().storedName());
+        fields.put(PRIORITY, spec.priority().storedName());
         fields.put(TASK_COUNT, (long) spec.taskCount());
         RecordFields.putResources(fields, spec.resourcesPerTask());
         fields.put(ALLOWED_MACHINE_TYPES, spec.allowedMachineTypes());
@@ -112,8 +112,8 @@
                 id,
                 RecordFields.getString(fields, JOB_CLASS),
                 RecordFields.getString(fields, TEAM),
-                JobKind.fromStoredWord(RecordFields.getString(fields, KIND)),
-                Priority.fromStoredWord(RecordFields.getString(fields, PRIORITY)),
+                JobKind.fromStoredName(RecordFields.getString(fields, KIND)),
+                Priority.fromStoredName(RecordFields.getString(fields, PRIORITY)),
                 taskCountOf(fields),
                 RecordFields.getResources(fields),
                 RecordFields.getStringList(fields, ALLOWED_MACHINE_TYPES),
--- a/src/main/java/org/meadowhollow/transport/tracing/OtlpTaskTracer.java
+++ b/src/main/java/org/meadowhollow/transport/tracing/OtlpTaskTracer.java
@@ -223,7 +223,7 @@
         String suffix = " " + attempt.attemptNumber();
         Attributes attributes = attributesOf(attempt);
         String failure =
-                ExitReason.DONE.storedWord().equals(attempt.endReason())
+                ExitReason.DONE.storedName().equals(attempt.endReason())
                         ? null
                         : attempt.endReason();
         boolean ran = attempt.startedAtMillis() > 0;
--- a/src/test/java/org/meadowhollow/model/StoredWordTest.java
+++ b/src/test/java/org/meadowhollow/model/StoredWordTest.java
@@ -11,22 +11,22 @@
     @Test
     void constantsAreFoundByStoredWord() {
         for (JobKind kind : JobKind.values()) {
-            assertEquals(kind, JobKind.fromStoredWord(kind.storedWord()));
+            assertEquals(kind, JobKind.fromStoredName(kind.storedName()));
         }
         for (Priority priority : Priority.values()) {
-            assertEquals(priority, Priority.fromStoredWord(priority.storedWord()));
+            assertEquals(priority, Priority.fromStoredName(priority.storedName()));
         }
         for (JobPhase phase : JobPhase.values()) {
-            assertEquals(phase, JobPhase.fromStoredWord(phase.storedWord()));
+            assertEquals(phase, JobPhase.fromStoredName(phase.storedName()));
         }
         for (MaintenanceWindow.Scope scope : MaintenanceWindow.Scope.values()) {
-            assertEquals(scope, MaintenanceWindow.Scope.fromStoredWord(scope.storedWord()));
+            assertEquals(scope, MaintenanceWindow.Scope.fromStoredName(scope.storedName()));
         }
     }
 
     @Test
     void unknownStoredWordIsRejected() {
-        assertThrows(IllegalArgumentException.class, () -> JobKind.fromStoredWord("array"));
-        assertThrows(IllegalArgumentException.class, () -> Priority.fromStoredWord(null));
+        assertThrows(IllegalArgumentException.class, () -> JobKind.fromStoredName("array"));
+        assertThrows(IllegalArgumentException.class, () -> Priority.fromStoredName(null));
     }
 }
--- a/src/test/java/org/meadowhollow/storage/GoldenRecordsTest.java
+++ b/src/test/java/org/meadowhollow/storage/GoldenRecordsTest.java
@@ -423,7 +423,7 @@
                                                 ExitReason.BUSY,
                                                 ExitReason.UNKNOWN,
                                                 ExitReason.DONE)
-                                        .map(ExitReason::storedWord))
+                                        .map(ExitReason::storedName))
                         .toList();
         for (int index = 0; index < 10; index++) {
             AttemptNumber attemptNumber = new AttemptNumber(index + 1);
@@ -504,14 +504,14 @@
     void storedNamesOfEnumConstantsAreUnchanged() {
         assertEquals(
                 List.of("ARRAY", "GANG", "SERVICE"),
-                Stream.of(JobKind.values()).map(JobKind::storedWord).toList());
+                Stream.of(JobKind.values()).map(JobKind::storedName).toList());
         assertEquals(
                 List.of("PRODUCTION", "HIGH", "NORMAL", "LOW"),
-                Stream.of(Priority.values()).map(Priority::storedWord).toList());
+                Stream.of(Priority.values()).map(Priority::storedName).toList());
         List<String> exitReasons =
                 List.of("DONE", "STOPPED", "PEERS", "ALONE", "ERROR", "NO_ROOM", "BUSY", "UNKNOWN");
         assertEquals(
-                exitReasons, Stream.of(ExitReason.values()).map(ExitReason::storedWord).toList());
+                exitReasons, Stream.of(ExitReason.values()).map(ExitReason::storedName).toList());
         // The leader stores the name of the constant.
         assertEquals(exitReasons, Stream.of(ExitReason.values()).map(ExitReason::name).toList());
         assertEquals(
@@ -525,11 +525,11 @@
                         "FAILED",
                         "LOST",
                         "PREEMPTED"),
-                Stream.of(JobPhase.values()).map(JobPhase::storedWord).toList());
+                Stream.of(JobPhase.values()).map(JobPhase::storedName).toList());
         assertEquals(
                 List.of("MACHINE", "TYPE", "ZONE"),
                 Stream.of(MaintenanceWindow.Scope.values())
-                        .map(MaintenanceWindow.Scope::storedWord)
+                        .map(MaintenanceWindow.Scope::storedName)
                         .toList());
         assertEquals("PREEMPTED", SecondaryRecord.PREEMPTED_REASON);
         assertEquals("LOST", SecondaryRecord.LOST_REASON);
