--- a/src/main/java/org/meadowhollow/coordination/admission/AdmissionService.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/AdmissionService.java
@@ -39,10 +39,10 @@
     /**
      * A job's state as users see it.
      *
-     * @param done the number of tasks that have completed
-     * @param running the number of tasks that are running
+     * @param completedTasks the number of tasks that have completed
+     * @param runningTasks the number of tasks that are running
      */
-    public record JobStatus(JobId id, Phase phase, int done, int running) {}
+    public record JobStatus(JobId id, Phase phase, int completedTasks, int runningTasks) {}
 
     /** The phases that users see. */
     public enum Phase {
--- a/src/main/java/org/meadowhollow/protocol/jobs/JobStatusCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/jobs/JobStatusCodec.java
@@ -26,9 +26,9 @@
                         PHASE,
                         encodePhase(status),
                         DONE_TASKS,
-                        (long) status.done(),
+                        (long) status.completedTasks(),
                         RUNNING_TASKS,
-                        (long) status.running()));
+                        (long) status.runningTasks()));
     }
 
     private static String encodePhase(AdmissionService.JobStatus status) {
--- a/src/test/java/org/meadowhollow/simulation/FailoverTimingScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/FailoverTimingScenarioTest.java
@@ -102,7 +102,7 @@
                 "several workers left it, and it refused peer connections");
         cluster.refusePeerConnections(first, false);
         cluster.runSeconds(60);
-        assertEquals(40, cluster.users().poll(first, job.id()).orElseThrow().done());
+        assertEquals(40, cluster.users().poll(first, job.id()).orElseThrow().completedTasks());
     }
 
     @Test
--- a/src/test/java/org/meadowhollow/simulation/GoldenStoreTest.java
+++ b/src/test/java/org/meadowhollow/simulation/GoldenStoreTest.java
@@ -124,7 +124,7 @@
     private void assertEnded(JobId id, Phase phase, int done) {
         var state = cluster.users().poll(1, id).orElseThrow();
         assertEquals(phase, state.phase(), id.value());
-        assertEquals(done, state.done(), id.value());
+        assertEquals(done, state.completedTasks(), id.value());
         assertNull(cluster.store().valueOf("job/" + id.value()));
         assertEquals(0, cluster.store().recordCount("task/" + id.value() + '/'));
         assertEquals(
@@ -231,10 +231,10 @@
         assertTrue(cluster.users().submit(2, cancelled, SHORT_RUNTIME));
         cluster.runSeconds(30);
         assertEquals(Phase.DONE, cluster.users().poll(1, done.id()).orElseThrow().phase());
-        assertEquals(4, cluster.users().poll(1, done.id()).orElseThrow().done());
+        assertEquals(4, cluster.users().poll(1, done.id()).orElseThrow().completedTasks());
         assertEquals(
                 Phase.CANCELLED, cluster.users().poll(1, cancelled.id()).orElseThrow().phase());
-        assertEquals(1, cluster.users().poll(1, cancelled.id()).orElseThrow().done());
+        assertEquals(1, cluster.users().poll(1, cancelled.id()).orElseThrow().completedTasks());
         assertNull(cluster.store().valueOf("job/req-000105"));
         assertNull(cluster.store().valueOf("job/req-000106"));
     }
--- a/src/test/java/org/meadowhollow/simulation/NightlyReservationsScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/NightlyReservationsScenarioTest.java
@@ -127,7 +127,7 @@
             cluster.restartAll();
             cluster.runSeconds(5);
             for (JobSpec each : backgroundJobs) {
-                otherTasksDone += cluster.users().poll(0, each.id()).orElseThrow().done();
+                otherTasksDone += cluster.users().poll(0, each.id()).orElseThrow().completedTasks();
                 cluster.users().cancel(1, each.id());
             }
             cluster.users().cancel(1, run.id());
