--- a/src/main/java/org/meadowhollow/protocol/keyvalue/KeyValueStoreClient.java
+++ b/src/main/java/org/meadowhollow/protocol/keyvalue/KeyValueStoreClient.java
@@ -114,10 +114,10 @@
      * requested wait.
      */
     @Override
-    public CompletableFuture<ChangeBatch> watch(String prefix, Revision after, Duration wait) {
-        String path = KeyValueCodec.changesPath(prefix, after, wait);
+    public CompletableFuture<ChangeBatch> watch(String prefix, Revision after, Duration maxWait) {
+        String path = KeyValueCodec.changesPath(prefix, after, maxWait);
         queue.chargeRequest();
-        return http.send(address, "GET", path, null, wait.plus(health.responseTimeout()))
+        return http.send(address, "GET", path, null, maxWait.plus(health.responseTimeout()))
                 .handle(
                         (reply, failure) -> {
                             if (failure != null) {
--- a/src/test/java/org/meadowhollow/simulation/FakeStoreConnection.java
+++ b/src/test/java/org/meadowhollow/simulation/FakeStoreConnection.java
@@ -327,13 +327,13 @@
     }
 
     @Override
-    public CompletableFuture<ChangeBatch> watch(String prefix, Revision after, Duration wait) {
+    public CompletableFuture<ChangeBatch> watch(String prefix, Revision after, Duration maxWait) {
         watchCount++;
         CompletableFuture<ChangeBatch> answer = new CompletableFuture<>();
         if (seemsUnavailable()) {
             loop.schedule(store.latency(), () -> fail(answer, Outcome.REJECTED));
         } else {
-            pollChanges(answer, prefix, after, loop.now().plus(wait));
+            pollChanges(answer, prefix, after, loop.now().plus(maxWait));
         }
         return answer;
     }
