--- a/src/test/java/org/meadowhollow/simulation/ClusterTestBase.java
+++ b/src/test/java/org/meadowhollow/simulation/ClusterTestBase.java
@@ -30,7 +30,7 @@
         cluster.runSeconds(12);
     }
 
-    static JobSpec array(int number, int tasks) {
+    static JobSpec arrayJob(int number, int tasks) {
         return SimulatedCluster.spec(number, JobKind.ARRAY, tasks, 1);
     }
 
@@ -66,7 +66,7 @@
         return JobSpecBuilder.from(spec).zone(zone).build();
     }
 
-    static JobSpec withTypes(JobSpec spec, List<String> types) {
+    static JobSpec withMachineTypes(JobSpec spec, List<String> types) {
         return JobSpecBuilder.from(spec).machineTypes(types).build();
     }
 
--- a/src/test/java/org/meadowhollow/simulation/GangSchedulingScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/GangSchedulingScenarioTest.java
@@ -107,7 +107,7 @@
     @Test
     void simultaneousTaskCompletionsCompleteGangOnce() {
         JobSpec gang = SimulatedCluster.spec(1, JobKind.GANG, 3, 8);
-        JobSpec next = array(2, 2);
+        JobSpec next = arrayJob(2, 2);
         assertTrue(cluster.users().submit(0, gang, SHORT_RUNTIME));
         cluster.runSeconds(25);
         assertEquals(Phase.DONE, phaseOf(gang));
--- a/src/test/java/org/meadowhollow/simulation/GoldenStoreTest.java
+++ b/src/test/java/org/meadowhollow/simulation/GoldenStoreTest.java
@@ -77,7 +77,7 @@
      * place on them; the third machine has rebooted and runs none.
      */
     private void fillFromGoldenFiles(String... leadershipFiles) {
-        cluster.loop().skip(Duration.ofMillis(GoldenTesTask.START_EPOCH_MILLIS));
+        cluster.loop().advanceWallClock(Duration.ofMillis(GoldenTesTask.START_EPOCH_MILLIS));
         cluster.crashAll();
         GOLDEN_FILES.forEach(this::putGoldenRecord);
         List.of(leadershipFiles).forEach(this::putGoldenRecord);
--- a/src/test/java/org/meadowhollow/simulation/GoldenTesTask.java
+++ b/src/test/java/org/meadowhollow/simulation/GoldenTesTask.java
@@ -42,7 +42,7 @@
      */
     static SimulatedCluster clusterWithAcceptedTask() {
         SimulatedCluster cluster = new SimulatedCluster();
-        cluster.loop().skip(Duration.ofMillis(START_EPOCH_MILLIS));
+        cluster.loop().advanceWallClock(Duration.ofMillis(START_EPOCH_MILLIS));
         cluster.cloud().setBootTimes(Duration.ofHours(1), Duration.ZERO);
         cluster.runSeconds(12);
         Http.Reply reply =
--- a/src/test/java/org/meadowhollow/simulation/JobLifecycleScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/JobLifecycleScenarioTest.java
@@ -19,7 +19,7 @@
 class JobLifecycleScenarioTest extends ClusterTestBase {
     @Test
     void acceptedJobRunsAndEveryControllerReportsItDone() {
-        JobSpec job = array(1, 7);
+        JobSpec job = arrayJob(1, 7);
         assertTrue(cluster.users().submit(1, job, SHORT_RUNTIME));
         cluster.runSeconds(30);
         for (int node = 0; node < 3; node++) {
@@ -41,7 +41,7 @@
 
     @Test
     void submissionRetriedAfterLostResponseCreatesOneJob() {
-        JobSpec job = array(1, 2);
+        JobSpec job = arrayJob(1, 2);
         cluster.storeConnection(0).loseResponses(true);
         cluster.users().submit(0, job, SHORT_RUNTIME);
         cluster.storeConnection(0).loseResponses(false);
@@ -71,7 +71,7 @@
         cluster.workers().forEach(worker -> worker.setHung(true));
         cluster.cloud().setOutage(true);
         cluster.runSeconds(10);
-        JobSpec job = array(1, 1);
+        JobSpec job = arrayJob(1, 1);
         assertTrue(cluster.users().submit(0, job, LONG_RUNTIME));
         cluster.runSeconds(3);
         int leader = cluster.leader();
@@ -85,7 +85,7 @@
 
     @Test
     void cancelledTaskOnUnreachableMachineStopsWithinBound() {
-        JobSpec job = array(1, 1);
+        JobSpec job = arrayJob(1, 1);
         assertTrue(cluster.users().submit(0, job, LONG_RUNTIME));
         cluster.runSeconds(10);
         FakeWorker hung = machineRunning(job, 0);
@@ -105,7 +105,7 @@
 
     @Test
     void newLeaderCompletesJobWhoseLastTaskWasRecordedByPredecessor() {
-        JobSpec job = array(1, 2);
+        JobSpec job = arrayJob(1, 2);
         cluster.cloud().setOutage(true);
         cluster.workers().forEach(worker -> worker.setHung(true));
         cluster.runSeconds(10);
@@ -126,7 +126,7 @@
     @Test
     void teamNeverExceedsItsQuotaLimit() {
         cluster.withTeam("small", 0, 3);
-        JobSpec plain = array(1, 9);
+        JobSpec plain = arrayJob(1, 9);
         JobSpec job = withTeam(plain, "small");
         assertTrue(cluster.users().submit(0, job, SHORT_RUNTIME));
         cluster.runSeconds(9);
@@ -137,8 +137,8 @@
 
     @Test
     void hugeJobKeepsRecordsSmallAndLeavesCapacityForOthers() {
-        JobSpec huge = array(1, 100_000);
-        JobSpec other = withZonePolicy(array(2, 3), false, false);
+        JobSpec huge = arrayJob(1, 100_000);
+        JobSpec other = withZonePolicy(arrayJob(2, 3), false, false);
         assertTrue(cluster.users().submit(0, huge, LONG_RUNTIME));
         cluster.runSeconds(5);
         assertTrue(cluster.users().submit(1, other, SHORT_RUNTIME));
@@ -153,7 +153,7 @@
 
     @Test
     void alwaysFailingTaskIsRetriedWithBackoff() {
-        JobSpec job = array(1, 1);
+        JobSpec job = arrayJob(1, 1);
         assertTrue(cluster.users().submit(0, job, LONG_RUNTIME));
         for (int second = 0; second < 120; second++) {
             FakeWorker worker = machineRunning(job, 0);
@@ -173,7 +173,7 @@
                 cluster.users()
                         .submit(0, SimulatedCluster.spec(1, JobKind.ARRAY, 1, 9), SHORT_RUNTIME),
                 "no machine has nine GPUs");
-        assertFalse(cluster.users().submit(0, withTeam(array(2, 1), "nobody"), SHORT_RUNTIME));
+        assertFalse(cluster.users().submit(0, withTeam(arrayJob(2, 1), "nobody"), SHORT_RUNTIME));
         cluster.withTeam("small", 0, 3);
         assertFalse(
                 cluster.users()
@@ -182,7 +182,7 @@
                                 withTeam(SimulatedCluster.spec(3, JobKind.GANG, 4, 1), "small"),
                                 SHORT_RUNTIME));
         assertTrue(
-                cluster.users().submit(0, withTeam(array(4, 4), "small"), SHORT_RUNTIME),
+                cluster.users().submit(0, withTeam(arrayJob(4, 4), "small"), SHORT_RUNTIME),
                 "an array can run one task at a time");
     }
 
@@ -215,7 +215,7 @@
                 cluster.users()
                         .submit(
                                 0,
-                                inZone(withZonePolicy(array(3, 4), false, true), "b"),
+                                inZone(withZonePolicy(arrayJob(3, 4), false, true), "b"),
                                 SHORT_RUNTIME),
                 "the tasks of an array need not run at once");
         assertTrue(
@@ -231,7 +231,7 @@
                                 SHORT_RUNTIME));
         cluster.runSeconds(60);
         for (int number = 2; number <= 4; number++) {
-            assertEquals(Phase.DONE, phaseOf(array(number, 1)), "job " + number);
+            assertEquals(Phase.DONE, phaseOf(arrayJob(number, 1)), "job " + number);
         }
         for (int node = 0; node < 3; node++) {
             assertInvalidSubmissionsAreRejected(node);
@@ -250,7 +250,8 @@
                 422,
                 cluster.users().postSubmission(node, SubmissionCodec.encode(tooLarge)),
                 "fits no machine");
-        JobSpec withoutTypes = withTypes(SimulatedCluster.spec(10, JobKind.ARRAY, 1, 1), List.of());
+        JobSpec withoutTypes =
+                withMachineTypes(SimulatedCluster.spec(10, JobKind.ARRAY, 1, 1), List.of());
         assertEquals(
                 422, cluster.users().postSubmission(node, SubmissionCodec.encode(withoutTypes)));
     }
--- a/src/test/java/org/meadowhollow/simulation/LeaderFailureScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/LeaderFailureScenarioTest.java
@@ -16,7 +16,7 @@
     @Test
     void controllerRefusedAloneByStoreReportsNotReady() {
         cluster.storeConnection(1).refuseRequests(true);
-        cluster.users().submit(1, array(1, 1), SHORT_RUNTIME);
+        cluster.users().submit(1, arrayJob(1, 1), SHORT_RUNTIME);
         cluster.runSeconds(5);
         assertFalse(cluster.isReady(1));
         assertTrue(cluster.isReady(0) && cluster.isReady(2));
@@ -64,7 +64,7 @@
         cluster.restart(leader);
         cluster.runSeconds(0.75);
         FakeWorker first = cluster.addMachine(SimulatedCluster.LARGE, "a");
-        JobSpec job = array(1, 1);
+        JobSpec job = arrayJob(1, 1);
         assertTrue(cluster.users().submit(leader, job, LONG_RUNTIME));
         TaskId task = new TaskId(job.id(), 0);
         cluster.runSeconds(3);
@@ -77,14 +77,14 @@
     void newLeaderKnowsImageCacheLocations() {
         // Without the image cache, the first of the equal machines would be chosen, which is in the
         // other zone.
-        JobSpec first = inZone(array(1, 1), "b");
+        JobSpec first = inZone(arrayJob(1, 1), "b");
         assertTrue(cluster.users().submit(0, first, SHORT_RUNTIME));
         cluster.runSeconds(6);
         FakeWorker cached = machineRunning(first, 0);
         cluster.runSeconds(25);
         cluster.crash(cluster.leader());
         cluster.runSeconds(15);
-        JobSpec next = array(3, 1);
+        JobSpec next = arrayJob(3, 1);
         assertTrue(cluster.users().submit(cluster.leader(), next, LONG_RUNTIME));
         cluster.runSeconds(8);
         assertEquals(cached, machineRunning(next, 0));
@@ -92,7 +92,7 @@
 
     @Test
     void tasksSurviveLeaderFailureWithoutRestart() {
-        JobSpec job = array(1, 5);
+        JobSpec job = arrayJob(1, 5);
         assertTrue(cluster.users().submit(0, job, Duration.ofSeconds(60)));
         cluster.runSeconds(15);
         int first = cluster.leader();
@@ -116,7 +116,7 @@
 
     @Test
     void jobCompletesAfterSimultaneousCrashOfAllControllers() {
-        JobSpec job = array(1, 5);
+        JobSpec job = arrayJob(1, 5);
         assertTrue(cluster.users().submit(0, job, Duration.ofSeconds(40)));
         cluster.runSeconds(10);
         cluster.crashAll();
@@ -129,17 +129,17 @@
 
     @Test
     void storeOutagePreservesTasksAndStartsNone() {
-        JobSpec running = array(1, 4);
+        JobSpec running = arrayJob(1, 4);
         assertTrue(cluster.users().submit(0, running, LONG_RUNTIME));
         cluster.runSeconds(10);
         cluster.store().setOutage(true);
         assertFalse(
-                cluster.users().submit(1, array(2, 1), SHORT_RUNTIME), "no job can be accepted");
+                cluster.users().submit(1, arrayJob(2, 1), SHORT_RUNTIME), "no job can be accepted");
         cluster.runSeconds(19);
         cluster.store().setOutage(false);
         cluster.runSeconds(20);
         assertEquals(4, cluster.startCount());
-        assertTrue(cluster.users().submit(1, array(2, 1), SHORT_RUNTIME));
+        assertTrue(cluster.users().submit(1, arrayJob(2, 1), SHORT_RUNTIME));
         cluster.runSeconds(20);
         assertEquals(5, cluster.startCount());
     }
@@ -181,7 +181,7 @@
     void delayedTransactionOfDeposedLeaderHasNoEffect() {
         int old = cluster.leader();
         cluster.storeConnection(old).holdRequests(true);
-        JobSpec job = array(1, 6);
+        JobSpec job = arrayJob(1, 6);
         assertTrue(cluster.users().submit((old + 1) % 3, job, LONG_RUNTIME));
         cluster.runSeconds(25);
         assertTrue(cluster.leader() != old);
@@ -195,7 +195,7 @@
     void delayedPlacementOfDeposedLeaderIsNotRecorded() {
         int old = cluster.leader();
         cluster.storeConnection(old).holdRequests(true);
-        assertTrue(cluster.users().submit((old + 1) % 3, array(1, 2), LONG_RUNTIME));
+        assertTrue(cluster.users().submit((old + 1) % 3, arrayJob(1, 2), LONG_RUNTIME));
         cluster.runSeconds(2);
         cluster.workers().forEach(worker -> worker.setHung(true));
         cluster.cloud().setOutage(true);
@@ -212,7 +212,7 @@
     @Test
     void leaderThatCannotRenewLeaseStartsNoTasks() {
         cluster.workers().forEach(worker -> worker.loseIncoming(true));
-        assertTrue(cluster.users().submit(0, array(1, 2), LONG_RUNTIME));
+        assertTrue(cluster.users().submit(0, arrayJob(1, 2), LONG_RUNTIME));
         cluster.runSeconds(4);
         cluster.store().setOutage(true);
         cluster.runSeconds(6);
@@ -229,7 +229,7 @@
 
     @Test
     void exitIsForgottenOnlyAfterItIsRecorded() {
-        JobSpec job = array(1, 1);
+        JobSpec job = arrayJob(1, 1);
         assertTrue(cluster.users().submit(0, job, SHORT_RUNTIME));
         cluster.runSeconds(8);
         cluster.store().setOutage(true);
--- a/src/test/java/org/meadowhollow/simulation/MachineFailureScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/MachineFailureScenarioTest.java
@@ -29,7 +29,7 @@
     void startIsSentWithoutWaitingForNextHeartbeat() {
         // All machines send heartbeats every 3 s from the same moment on, and have just done so.
         cluster.runSeconds(3.25);
-        JobSpec job = array(1, 6);
+        JobSpec job = arrayJob(1, 6);
         assertTrue(cluster.users().submit(0, job, LONG_RUNTIME));
         cluster.runSeconds(1.5);
         assertTrue(
@@ -68,7 +68,7 @@
     @Test
     void startWithLostResponseIsResent() {
         cluster.workers().forEach(worker -> worker.loseIncoming(true));
-        JobSpec job = array(1, 2);
+        JobSpec job = arrayJob(1, 2);
         assertTrue(cluster.users().submit(0, job, SHORT_RUNTIME));
         cluster.runSeconds(7);
         assertEquals(0, cluster.startCount());
@@ -138,7 +138,7 @@
 
     @Test
     void machinesScaleOutForWorkAndScaleInWhenIdle() {
-        JobSpec job = array(1, 60);
+        JobSpec job = arrayJob(1, 60);
         int before = cluster.workers().size();
         assertTrue(cluster.users().submit(0, job, Duration.ofSeconds(30)));
         cluster.runSeconds(40);
@@ -165,7 +165,7 @@
         worker.setHung(false);
         cluster.runSeconds(20);
         assertEquals(worker, machineRunning(job, 0));
-        JobSpec more = array(2, 47);
+        JobSpec more = arrayJob(2, 47);
         assertTrue(cluster.users().submit(0, more, LONG_RUNTIME));
         cluster.runSeconds(10);
         assertTrue(allTasksRunning(job) && allTasksRunning(more), "they fill the whole capacity");
--- a/src/test/java/org/meadowhollow/simulation/NightlyReservationsScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/NightlyReservationsScenarioTest.java
@@ -89,7 +89,7 @@
 
         private void skipTo(Instant time) {
             Instant now = Instant.ofEpochMilli(cluster.loop().wallClockMillis());
-            cluster.loop().skip(Duration.between(now, time));
+            cluster.loop().advanceWallClock(Duration.between(now, time));
         }
 
         private void reserveNightlyRun() {
--- a/src/test/java/org/meadowhollow/simulation/OverlappingFaultsScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/OverlappingFaultsScenarioTest.java
@@ -27,7 +27,7 @@
     private List<JobSpec> startLongJobs() {
         List<JobSpec> jobs =
                 List.of(
-                        array(1, 12),
+                        arrayJob(1, 12),
                         SimulatedCluster.spec(2, JobKind.GANG, 4, 2),
                         SimulatedCluster.spec(3, JobKind.SERVICE, 3, 1));
         for (JobSpec job : jobs) {
@@ -121,7 +121,7 @@
         int leader = cluster.leader();
         cluster.storeConnection(leader).failWatches(true);
         cancelAll(nodeAfter(leader, 1), jobs);
-        JobSpec newJob = array(4, 6);
+        JobSpec newJob = arrayJob(4, 6);
         cluster.users().submit(nodeAfter(leader, 2), newJob, HOURS_RUNTIME);
         cluster.runSeconds(40);
         assertNoTaskRuns(jobs);
@@ -195,7 +195,7 @@
     void jobAcceptedAndCancelledBetweenTwoReadsIsFinalised() {
         int leader = cluster.leader();
         cluster.storeConnection(leader).failWatches(true);
-        JobSpec job = array(1, 2);
+        JobSpec job = arrayJob(1, 2);
         assertTrue(cluster.users().submit(nodeAfter(leader, 1), job, HOURS_RUNTIME));
         assertTrue(cluster.users().cancel(nodeAfter(leader, 1), job.id()));
         // Without watches the leader lists all jobs, and finds that the job is already cancelled.
@@ -223,7 +223,7 @@
 
     @Test
     void newLeaderDoesNotWaitForCancelledTaskOfEarlierGeneration() {
-        JobSpec job = array(1, 1);
+        JobSpec job = arrayJob(1, 1);
         FakeWorker worker = cluster.workers().get(0);
         worker.setHung(true);
         cluster.runSeconds(20);
@@ -411,7 +411,7 @@
      */
     @Test
     void delayedCompletionAfterCancellationIsRejected() {
-        JobSpec job = array(1, 1);
+        JobSpec job = arrayJob(1, 1);
         int leader = cluster.leader();
         assertTrue(cluster.users().submit(nodeAfter(leader, 1), job, SHORT_RUNTIME));
         cluster.runSeconds(8);
@@ -446,7 +446,7 @@
     @Test
     void leaderRefusedByStoreSendsNoStartsOfJobsCancelledElsewhere() {
         cluster.workers().forEach(worker -> worker.setHung(true));
-        JobSpec job = array(1, 24);
+        JobSpec job = arrayJob(1, 24);
         int leader = cluster.leader();
         assertTrue(cluster.users().submit(nodeAfter(leader, 1), job, HOURS_RUNTIME));
         cluster.runSeconds(1.5);
@@ -480,7 +480,7 @@
         cluster.store().setLatency(Duration.ofMillis(800));
         cluster.runSeconds(10);
         int leader = cluster.leader();
-        JobSpec more = array(4, 3);
+        JobSpec more = arrayJob(4, 3);
         assertTrue(
                 cluster.users().submit(nodeAfter(leader, 1), more, HOURS_RUNTIME),
                 "accepted within five seconds");
--- a/src/test/java/org/meadowhollow/simulation/OverloadScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/OverloadScenarioTest.java
@@ -85,7 +85,7 @@
 
     @Test
     void bestEffortWorkIsPreemptedForGangThoughSmallTasksArriveFirst() {
-        JobSpec bestEffort = withPriority(array(1, 48), Priority.LOW, Resources.of(4, 1, 16));
+        JobSpec bestEffort = withPriority(arrayJob(1, 48), Priority.LOW, Resources.of(4, 1, 16));
         assertTrue(cluster.users().submit(0, bestEffort, Duration.ofMinutes(20)));
         cluster.cloud().limitMachines(6);
         cluster.runSeconds(10);
@@ -97,7 +97,7 @@
                         Resources.of(30, 8, 120));
         assertTrue(cluster.users().submit(1, gang, LONG_RUNTIME));
         for (int number = 3; number < 9; number++) {
-            assertTrue(cluster.users().submit(2, withDeadline(array(number, 3)), LONG_RUNTIME));
+            assertTrue(cluster.users().submit(2, withDeadline(arrayJob(number, 3)), LONG_RUNTIME));
             cluster.runSeconds(1);
         }
         cluster.runSeconds(15);
@@ -108,13 +108,14 @@
                     "task " + task + " of the gang");
         }
         for (int number = 3; number < 9; number++) {
-            assertTrue(machineRunning(array(number, 3), 2) != null, "the small jobs run as well");
+            assertTrue(
+                    machineRunning(arrayJob(number, 3), 2) != null, "the small jobs run as well");
         }
     }
 
     @Test
     void faultyJobIsProbedWithOneTaskAndNoMachineIsCordoned() {
-        JobSpec faulty = array(1, 30);
+        JobSpec faulty = arrayJob(1, 30);
         assertTrue(cluster.users().submit(0, faulty, LONG_RUNTIME));
         failAllTasksFor(40);
         assertEquals(
@@ -123,7 +124,7 @@
                 "no machine is returned for the failures of a job");
         failAllTasksFor(90);
         assertTrue(cluster.startCount() < 30 + 12, "started " + cluster.startCount() + " times");
-        JobSpec healthy = array(2, 40);
+        JobSpec healthy = arrayJob(2, 40);
         assertTrue(cluster.users().submit(1, healthy, SHORT_RUNTIME));
         cluster.runSeconds(40);
         assertEquals(Phase.DONE, phaseOf(healthy));
@@ -143,7 +144,7 @@
     @Test
     void machinesThatNeverBootAreReplacedWithBoundedRentals() {
         cluster.cloud().failNextBoots(4);
-        JobSpec job = array(1, 48 + 16);
+        JobSpec job = arrayJob(1, 48 + 16);
         assertTrue(cluster.users().submit(0, job, LONG_RUNTIME));
         cluster.runSeconds(45);
         assertEquals(48 + 16, cluster.startCount(), "no task waits for four boot times");
@@ -166,7 +167,7 @@
         int before = cluster.store().writeCount();
         for (int second = 0; second < 120; second++) {
             for (int each = 0; each < 4; each++) {
-                JobSpec job = array(jobs.size(), 1);
+                JobSpec job = arrayJob(jobs.size(), 1);
                 jobs.add(job);
                 int node = jobs.size() % 3;
                 submitUntilAccepted(node, job, cluster.loop().now(), acceptedInTime);
--- a/src/test/java/org/meadowhollow/simulation/QuotaScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/QuotaScenarioTest.java
@@ -85,7 +85,7 @@
                         assertTrue(
                                 cluster.users().cancel(nodeAfter(cluster.leader(), 1), job.id())));
         List<JobSpec> next =
-                List.of(withTeam(array(3, 12), "team"), withTeam(array(4, 8), "other"));
+                List.of(withTeam(arrayJob(3, 12), "team"), withTeam(arrayJob(4, 8), "other"));
         next.forEach(
                 job ->
                         assertTrue(
@@ -137,7 +137,7 @@
         int leader = cluster.leader();
         cluster.crash(leader);
         assertTrue(cluster.users().cancel(nodeAfter(leader, 1), job.id()));
-        JobSpec next = array(2, 8);
+        JobSpec next = arrayJob(2, 8);
         assertTrue(cluster.users().submit(nodeAfter(leader, 1), next, HOURS_RUNTIME));
         first.forEach(worker -> worker.loseIncoming(false));
         cluster.runSeconds(30);
@@ -179,7 +179,7 @@
             JobSpec job =
                     number % 6 == 0
                             ? SimulatedCluster.spec(number, JobKind.GANG, 2, 1)
-                            : array(number, 1);
+                            : arrayJob(number, 1);
             jobs.add(job);
             CompletableFuture<?> unused =
                     cluster.users().submitAsync(number % 3, job, HOURS_RUNTIME);
@@ -245,7 +245,7 @@
                         cluster.users()
                                 .submit(
                                         nodeAfter(cluster.leader(), 1),
-                                        array(3, 6),
+                                        arrayJob(3, 6),
                                         HOURS_RUNTIME));
             }
         }
@@ -254,7 +254,7 @@
                 "the leader changed " + (cluster.fencingToken() - fencingToken) + " times");
         cluster.beginFaultFreePhase();
         cluster.runSeconds(60);
-        assertTrue(allTasksRunning(uncancelled) && allTasksRunning(array(3, 6)));
+        assertTrue(allTasksRunning(uncancelled) && allTasksRunning(arrayJob(3, 6)));
         assertEquals(Phase.CANCELLED, phaseOf(cancelled));
     }
 
--- a/src/test/java/org/meadowhollow/simulation/StaleHeartbeatScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/StaleHeartbeatScenarioTest.java
@@ -79,7 +79,7 @@
         cluster.network().keepHeartbeatForNextLeader(worker);
         cluster.runSeconds(60);
         assertEquals(worker, machineRunning(gang, 0), "it was started again in the same attempt");
-        JobSpec next = array(2, 24);
+        JobSpec next = arrayJob(2, 24);
         assertTrue(cluster.users().submit(1, next, HOURS_RUNTIME));
         cluster.setImagePullTime(Duration.ofSeconds(1));
         cluster.cloud().setOutage(true);
@@ -159,7 +159,7 @@
         int leader = cluster.leader();
         cluster.crash(leader);
         assertTrue(cluster.users().cancel(nodeAfter(leader, 1), job.id()));
-        assertTrue(cluster.users().submit(nodeAfter(leader, 1), array(2, 12), LONG_RUNTIME));
+        assertTrue(cluster.users().submit(nodeAfter(leader, 1), arrayJob(2, 12), LONG_RUNTIME));
         cluster.runSeconds(11);
         assertTrue(cluster.network().deliveredToNextLeaderCount() > 0);
         assertTrue(
@@ -169,7 +169,7 @@
         silentMachines.forEach(worker -> worker.setHung(false));
         cluster.beginFaultFreePhase();
         cluster.runSeconds(60);
-        assertTrue(allTasksRunning(array(2, 12)));
+        assertTrue(allTasksRunning(arrayJob(2, 12)));
     }
 
     /**
@@ -180,7 +180,7 @@
     void higherIncarnationFromBeforeRebootDoesNotEndCurrentOne() {
         FakeWorker first = cluster.addMachine(SimulatedCluster.SMALL, "a");
         JobSpec fillingJob =
-                withTypes(
+                withMachineTypes(
                         withTeam(SimulatedCluster.spec(2, JobKind.SERVICE, 1, 2), "other"),
                         List.of("small"));
         assertTrue(cluster.users().submit(0, fillingJob, null));
@@ -197,7 +197,8 @@
         worker.reboot();
         cluster.crash(leader);
         cluster.runSeconds(12);
-        JobSpec job = withTypes(SimulatedCluster.spec(1, JobKind.SERVICE, 1, 1), List.of("small"));
+        JobSpec job =
+                withMachineTypes(SimulatedCluster.spec(1, JobKind.SERVICE, 1, 1), List.of("small"));
         assertTrue(cluster.users().submit(cluster.leader(), job, null));
         cluster.runSeconds(8);
         assertEquals(worker, machineRunning(job, 0), "in the first incarnation after its reboot");
--- a/src/test/java/org/meadowhollow/simulation/VirtualEventLoop.java
+++ b/src/test/java/org/meadowhollow/simulation/VirtualEventLoop.java
@@ -36,7 +36,7 @@
     }
 
     /** Advances the wall clock alone; monotonic time and timers are unaffected. */
-    public void skip(Duration duration) {
+    public void advanceWallClock(Duration duration) {
         wallClockOffsetMillis += duration.toMillis();
     }
 
--- a/src/test/java/org/meadowhollow/simulation/WarmStandbyScenarioTest.java
+++ b/src/test/java/org/meadowhollow/simulation/WarmStandbyScenarioTest.java
@@ -115,14 +115,14 @@
 
     @Test
     void successorLoadsRecordsFromItsReplica() {
-        JobSpec earlierJob = array(1, 10);
+        JobSpec earlierJob = arrayJob(1, 10);
         assertTrue(cluster.users().submit(0, earlierJob, LONG_RUNTIME));
         cluster.runSeconds(10);
         int failedLeader = cluster.leader();
         for (int node = 0; node < 3; node++) {
             cluster.storeConnection(node).hidePrefix(RecordKeys.TASK_PREFIX);
         }
-        JobSpec recentJob = array(2, 4);
+        JobSpec recentJob = arrayJob(2, 4);
         assertTrue(cluster.users().submit(nodeOtherThan(failedLeader), recentJob, SHORT_RUNTIME));
         cluster.runSeconds(0.5);
         cluster.crash(failedLeader);
@@ -142,7 +142,7 @@
         cluster.crash(3 - failedLeader - successor);
         cluster.storeConnection(successor).refuseRequests(true);
         cluster.runSeconds(1);
-        JobSpec job = array(1, 5);
+        JobSpec job = arrayJob(1, 5);
         assertTrue(cluster.users().submit(failedLeader, job, SHORT_RUNTIME));
         for (int write = 0; write <= 10_000; write++) {
             cluster.store().put("junk/" + write % 10, Map.of("at", (long) write));
@@ -159,7 +159,7 @@
         int failedLeader = cluster.leader();
         int successor = nodeOtherThan(failedLeader);
         cluster.crash(3 - failedLeader - successor);
-        JobSpec job = array(1, 5);
+        JobSpec job = arrayJob(1, 5);
         assertTrue(cluster.users().submit(failedLeader, job, SHORT_RUNTIME));
         cluster.runSeconds(5);
         assertEquals(11, cluster.startCount());
@@ -168,7 +168,7 @@
         assertEquals(successor, awaitLeaderOtherThan(failedLeader));
         cluster.runSeconds(1);
         cluster.storeConnection(successor).failWatches(false);
-        JobSpec later = array(2, 3);
+        JobSpec later = arrayJob(2, 3);
         assertTrue(cluster.users().submit(successor, later, SHORT_RUNTIME));
         runUntilDone(later, 30);
         assertEquals(Phase.DONE, phaseOf(job));
@@ -253,7 +253,7 @@
         int successor = nodeOtherThan(failedLeader);
         cluster.crash(3 - failedLeader - successor);
         cluster.storeConnection(successor).hideChanges(RecordKeys.JOB_PREFIX);
-        JobSpec job = array(1, 5);
+        JobSpec job = arrayJob(1, 5);
         assertTrue(cluster.users().submit(failedLeader, job, Duration.ofSeconds(60)));
         cluster.runSeconds(10);
         assertEquals(11, cluster.startCount());
@@ -273,7 +273,7 @@
         int formerLeader = cluster.leader();
         FakeStoreConnection connection = cluster.storeConnection(formerLeader);
         connection.holdCommits();
-        JobSpec job = array(1, 5);
+        JobSpec job = arrayJob(1, 5);
         assertTrue(
                 cluster.users().submit(nodeOtherThan(formerLeader), job, Duration.ofSeconds(20)));
         cluster.runSeconds(3);
@@ -290,7 +290,7 @@
         int failedLeader = cluster.leader();
         int successor = nodeOtherThan(failedLeader);
         cluster.overload(successor, true);
-        JobSpec job = array(1, 5);
+        JobSpec job = arrayJob(1, 5);
         assertTrue(cluster.users().submit(failedLeader, job, Duration.ofSeconds(60)));
         cluster.runSeconds(25);
         cluster.crash(failedLeader);
@@ -303,7 +303,7 @@
 
     @Test
     void auditFindsDivergentRecordOfStandby() {
-        JobSpec job = array(1, 4);
+        JobSpec job = arrayJob(1, 4);
         int standby = nodeOtherThan(cluster.leader());
         cluster.storeConnection(standby).skipChangesOf(RecordKeys.job(job.id()));
         assertTrue(cluster.users().submit(cluster.leader(), job, LONG_RUNTIME));
@@ -375,7 +375,7 @@
                         },
                         Duration.ofMillis(5));
         cluster.runSeconds(RISK_TABLE_LEARNING_S);
-        JobSpec job = array(1, 4);
+        JobSpec job = arrayJob(1, 4);
         int failedLeader = cluster.leader();
         cluster.crash(failedLeader);
         int thirdLeader = awaitLeaderOtherThan(failedLeader);
@@ -437,7 +437,7 @@
 
     @Test
     void rollingReplacementDuringStoreOutageKeepsTasks() {
-        JobSpec job = array(1, 12);
+        JobSpec job = arrayJob(1, 12);
         assertTrue(cluster.users().submit(0, job, Duration.ofSeconds(100)));
         cluster.runSeconds(10);
         cluster.store().setOutage(true);
@@ -454,13 +454,13 @@
     @Test
     void resumedLeaderDecidesNothingFromStaleState() {
         int pausedLeader = cluster.leader();
-        JobSpec job = array(1, 6);
+        JobSpec job = arrayJob(1, 6);
         assertTrue(
                 cluster.users().submit(nodeOtherThan(pausedLeader), job, Duration.ofSeconds(40)));
         cluster.runSeconds(5);
         cluster.pause(pausedLeader);
         int next = awaitLeaderOtherThan(pausedLeader);
-        JobSpec later = array(2, 6);
+        JobSpec later = arrayJob(2, 6);
         assertTrue(cluster.users().submit(next, later, Duration.ofSeconds(40)));
         cluster.runSeconds(24);
         cluster.resume(pausedLeader);
