--- a/src/main/java/org/meadowhollow/coordination/ControllerNode.java
+++ b/src/main/java/org/meadowhollow/coordination/ControllerNode.java
@@ -107,7 +107,7 @@
                         services.deploymentSettings().member(),
                         random.nextLong(),
                         settings.zone(),
-                        settings.programVersion(),
+                        settings.softwareVersion(),
                         RecordKeys.SCHEMA_VERSION,
                         Revision.ABSENT);
         return new WarmStandby(
--- a/src/main/java/org/meadowhollow/coordination/failover/StandbySettings.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/StandbySettings.java
@@ -4,9 +4,9 @@
  * Settings of the warm standby.
  *
  * @param enabled whether nodes that do not lead replicate the state that a new leader needs
- * @param programVersion this program's version, which is sent to other nodes
+ * @param softwareVersion this program's version, which is sent to other nodes
  * @param zone the zone of this node, which is sent to other nodes
  */
-public record StandbySettings(boolean enabled, String programVersion, String zone) {
+public record StandbySettings(boolean enabled, String softwareVersion, String zone) {
     public static final StandbySettings DISABLED = new StandbySettings(false, "", "");
 }
--- a/src/main/java/org/meadowhollow/coordination/lifecycle/ImageCacheRecorder.java
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/ImageCacheRecorder.java
@@ -40,7 +40,7 @@
     private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
     private final KeyValueStore store;
-    private final Revision leaderVersion;
+    private final Revision leaderKeyRevision;
     private final int maxWrites;
     private final int maxValueBytes;
     private final Map<String, Double> imageSizesGb = new HashMap<>();
@@ -54,9 +54,11 @@
 
     /** Creates a recorder for the leader that wrote the leader key at a revision. */
     public ImageCacheRecorder(
-            KeyValueStore store, Revision leaderVersion, DeploymentSettings deploymentSettings) {
+            KeyValueStore store,
+            Revision leaderKeyRevision,
+            DeploymentSettings deploymentSettings) {
         this.store = store;
-        this.leaderVersion = leaderVersion;
+        this.leaderKeyRevision = leaderKeyRevision;
         this.maxWrites = deploymentSettings.maxTransactionOperations();
         this.maxValueBytes = deploymentSettings.maxValueBytes();
     }
@@ -126,7 +128,7 @@
     /** Moves as many changes as fit into one transaction. */
     private Transaction collectChanges(Collection<Machine> machines) {
         Transaction transaction =
-                new Transaction().requireRevision(RecordKeys.LEADER_KEY, leaderVersion);
+                new Transaction().requireRevision(RecordKeys.LEADER_KEY, leaderKeyRevision);
         int bytes = 0;
         for (Iterator<String> images = changedImages.iterator();
                 images.hasNext() && transaction.writes().size() < maxWrites; ) {
