--- a/src/main/java/org/meadowhollow/cli/Controller.java
+++ b/src/main/java/org/meadowhollow/cli/Controller.java
@@ -121,7 +121,7 @@
                 machineTypeCatalog,
                 settings.deployment(),
                 jobEventListeners,
-                controllerNode::liveJobState);
+                controllerNode::liveJobStatus);
     }
 
     private Http.RequestHandler publicApi() {
--- a/src/main/java/org/meadowhollow/coordination/ControllerNode.java
+++ b/src/main/java/org/meadowhollow/coordination/ControllerNode.java
@@ -287,8 +287,8 @@
      * The task counts of a live job for display; empty if this node does not lead or does not know
      * the job.
      */
-    public Optional<AdmissionService.JobStatus> liveJobState(JobId id) {
-        return Optional.ofNullable(currentLeadership()).flatMap(leader -> leader.liveJobState(id));
+    public Optional<AdmissionService.JobStatus> liveJobStatus(JobId id) {
+        return Optional.ofNullable(currentLeadership()).flatMap(leader -> leader.liveJobStatus(id));
     }
 
     /** Stops this node: ends its leadership, and schedules no further work. */
--- a/src/main/java/org/meadowhollow/coordination/LeaderService.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderService.java
@@ -357,9 +357,9 @@
     }
 
     /** The task counts of a live job for display; empty if the job is not known here. */
-    synchronized Optional<AdmissionService.JobStatus> liveJobState(JobId id) {
+    synchronized Optional<AdmissionService.JobStatus> liveJobStatus(JobId id) {
         return parts.stateRecovery.isComplete()
-                ? parts.jobTracker.liveJobState(id)
+                ? parts.jobTracker.liveJobStatus(id)
                 : Optional.empty();
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/lifecycle/JobTracker.java
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/JobTracker.java
@@ -97,7 +97,7 @@
     }
 
     /** The status of a live job for display; empty if this leader does not know the job. */
-    public Optional<AdmissionService.JobStatus> liveJobState(JobId id) {
+    public Optional<AdmissionService.JobStatus> liveJobStatus(JobId id) {
         return Optional.ofNullable(jobs.get(id)).map(JobTracker::statusOf);
     }
 
--- a/src/test/java/org/meadowhollow/simulation/SimulatedNode.java
+++ b/src/test/java/org/meadowhollow/simulation/SimulatedNode.java
@@ -86,7 +86,7 @@
                         catalog,
                         settings,
                         cluster.jobEventListeners(),
-                        controller::liveJobState);
+                        controller::liveJobStatus);
         tesApi = newTesApi(nodeLoop, settings);
         reservationApi = newReservationApi(nodeLoop, settings, catalog);
         controller.start();
