--- a/src/main/java/org/meadowhollow/coordination/rounds/CapacityDemandSink.java
+++ b/src/main/java/org/meadowhollow/coordination/rounds/CapacityDemandSink.java
@@ -15,5 +15,6 @@
      *
      * @param retainedMachines machines that must not be returned to the cloud
      */
-    void capacityDemand(List<Autoscaler.CapacityDemand> demands, Set<MachineId> retainedMachines);
+    void updateCapacityDemand(
+            List<Autoscaler.CapacityDemand> demands, Set<MachineId> retainedMachines);
 }
--- a/src/main/java/org/meadowhollow/coordination/rounds/RoundScheduler.java
+++ b/src/main/java/org/meadowhollow/coordination/rounds/RoundScheduler.java
@@ -111,7 +111,7 @@
         Set<MachineId> retained = predicted.machines();
         retained.addAll(context.clusterState().reservationView().reservedMachines());
         demands.addAll(reservationEnforcer.capacityDemand());
-        capacityDemandSink.capacityDemand(demands, retained);
+        capacityDemandSink.updateCapacityDemand(demands, retained);
     }
 
     /**
