--- a/src/main/java/org/meadowhollow/coordination/LeaderService.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderService.java
@@ -68,7 +68,7 @@
         parts.reservationEnforcer.start();
         parts.autoscaler.start();
         loop.schedule(RoundScheduler.ROUND_INTERVAL, this::runRound);
-        if (term.handoverState().isWarm()) {
+        if (term.handoverState().wasStandby()) {
             loop.schedule(WARM_CHECK_INTERVAL, this::checkWarmStart);
         }
         parts.heartbeatHandler.start();
--- a/src/main/java/org/meadowhollow/coordination/StandbySupport.java
+++ b/src/main/java/org/meadowhollow/coordination/StandbySupport.java
@@ -29,7 +29,7 @@
         DeploymentSettings settings = services.deploymentSettings();
         this.loop = services.loop();
         this.clusterState = clusterState;
-        this.standbysEnabled = term.handoverState().isWarm();
+        this.standbysEnabled = term.handoverState().wasStandby();
         this.riskTablePublisher = new RiskTablePublisher(term.fencingToken(), standbysEnabled);
         this.riskTableSnapshots =
                 new RiskTableSnapshotStore(
--- a/src/main/java/org/meadowhollow/coordination/failover/HandoverState.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/HandoverState.java
@@ -52,7 +52,7 @@
     }
 
     /** Whether this node was a standby, so that the leader need not load all records again. */
-    public boolean isWarm() {
+    public boolean wasStandby() {
         return !followers.isEmpty();
     }
 
@@ -118,7 +118,7 @@
 
     /** Whether this node was a standby, but has received no tables from any leader. */
     public boolean hasNoTables() {
-        return isWarm() && inheritedTableCount == 0 && tableReplica.size() == 0;
+        return wasStandby() && inheritedTableCount == 0 && tableReplica.size() == 0;
     }
 
     /**
@@ -128,7 +128,7 @@
      * @param riskTables receives the tables of the other machines
      * @return whether there are more
      */
-    public boolean handOverSnapshotTables(
+    public boolean restoreSnapshotTables(
             Map<MachineId, Machine> machines,
             Map<MachineId, RiskTable> riskTables,
             MonotonicTime now) {
--- a/src/main/java/org/meadowhollow/coordination/recovery/RiskTableRestorer.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/RiskTableRestorer.java
@@ -93,7 +93,7 @@
             if (context.listener().isClosed()) {
                 return;
             }
-            if (handoverState.handOverSnapshotTables(
+            if (handoverState.restoreSnapshotTables(
                     clusterState.machines(), clusterState.riskTables(), context.loop().now())) {
                 context.loop().schedule(BATCH_INTERVAL, this::restoreBatch);
             } else {
--- a/src/main/java/org/meadowhollow/coordination/recovery/StateRecovery.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/StateRecovery.java
@@ -66,7 +66,7 @@
     // records.
     @SuppressWarnings("FutureReturnValueIgnored")
     public void start() {
-        if (!handoverState.isWarm()) {
+        if (!handoverState.wasStandby()) {
             readJobs();
             return;
         }
