--- a/src/main/java/org/meadowhollow/coordination/lifecycle/TaskLifecycle.java
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/TaskLifecycle.java
@@ -239,7 +239,7 @@
         }
         placement.requestStop(graceSeconds);
         Machine machine = machineRegistry.find(placement.machineId());
-        if (!placement.isCommitted()) {
+        if (!placement.isPersisted()) {
             // The start of an uncommitted placement was never sent and cannot be, so there is no
             // exit to wait for.
             removePlacement(machine, placement, now, true);
--- a/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatReconciler.java
+++ b/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatReconciler.java
@@ -293,7 +293,7 @@
      */
     private boolean mayStart(Placement placement, Machine machine, Heartbeat heartbeat) {
         return leadership.canStartTasks()
-                && placement.isCommitted()
+                && placement.isPersisted()
                 && !machine.isReleasing()
                 && placement.incarnation().equals(heartbeat.incarnation())
                 && isWholeGangCommitted(placement);
@@ -321,7 +321,7 @@
             return true;
         }
         for (Placement other : placement.job().placements()) {
-            if (!other.isCommitted()) {
+            if (!other.isPersisted()) {
                 return false;
             }
         }
--- a/src/main/java/org/meadowhollow/model/Placement.java
+++ b/src/main/java/org/meadowhollow/model/Placement.java
@@ -78,7 +78,7 @@
     }
 
     /** Whether the placement is persisted; only then may it be sent to the worker. */
-    public boolean isCommitted() {
+    public boolean isPersisted() {
         return job.shardOfTask(taskId.index()).isPersisted(shardChange);
     }
 
