--- a/src/main/java/org/meadowhollow/coordination/LeaderParts.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderParts.java
@@ -67,7 +67,7 @@
     final JobTracker jobTracker;
     final MachineRegistry machineRegistry;
     final TaskLifecycle taskLifecycle;
-    final JobRecordApplier jobRecords;
+    final JobRecordApplier jobRecordApplier;
     final RiskTableRestorer riskTableRestorer;
     final StateRecovery stateRecovery;
     final FailureDetector failureDetector;
@@ -105,7 +105,7 @@
         this.jobTracker = new JobTracker(loop, clusterState);
         this.machineRegistry = createMachineRegistry();
         this.taskLifecycle = createTaskLifecycle();
-        this.jobRecords = createJobRecordApplier();
+        this.jobRecordApplier = createJobRecordApplier();
         RecoveryContext recoveryContext = new RecoveryContext(leader, leader, store, loop);
         this.riskTableRestorer =
                 new RiskTableRestorer(recoveryContext, clusterState, term.handoverState());
@@ -181,12 +181,12 @@
                         clusterState,
                         recordWriter,
                         imageCacheRecorder,
-                        jobRecords,
+                        jobRecordApplier,
                         taskLifecycle);
         return new StateRecovery(
                 recoveryContext,
                 restorer,
-                jobRecords,
+                jobRecordApplier,
                 term.fencingToken(),
                 term.leaderKeyRevision(),
                 term.handoverState(),
--- a/src/main/java/org/meadowhollow/coordination/LeaderService.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderService.java
@@ -195,7 +195,8 @@
 
     private void applyConcurrentChange(Job job, Optional<KeyValueStore.Entry> entry) {
         if (entry.isPresent()) {
-            parts.jobRecords.apply(entry.get().key(), entry.get().value(), entry.get().revision());
+            parts.jobRecordApplier.apply(
+                    entry.get().key(), entry.get().value(), entry.get().revision());
         } else {
             // Only an own transaction without a response can have moved the job to its final
             // record.
--- a/src/main/java/org/meadowhollow/coordination/recovery/JobWatcher.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/JobWatcher.java
@@ -34,7 +34,7 @@
     private final RecoveryContext context;
     private final PageReader pageReader;
     private final RecordRestorer restorer;
-    private final JobRecordApplier jobRecords;
+    private final JobRecordApplier jobRecordApplier;
 
     /** When the last watch that was answered was sent. */
     private MonotonicTime lastWatchSentAt;
@@ -43,11 +43,11 @@
             RecoveryContext context,
             PageReader pageReader,
             RecordRestorer restorer,
-            JobRecordApplier jobRecords) {
+            JobRecordApplier jobRecordApplier) {
         this.context = context;
         this.pageReader = pageReader;
         this.restorer = restorer;
-        this.jobRecords = jobRecords;
+        this.jobRecordApplier = jobRecordApplier;
     }
 
     /**
@@ -93,7 +93,7 @@
         }
         for (KeyValueStore.Change change : batch.changes()) {
             if (change.value() != null) {
-                jobRecords.apply(change.key(), change.value(), change.revision());
+                jobRecordApplier.apply(change.key(), change.value(), change.revision());
             }
         }
         lastWatchSentAt = sentAt;
--- a/src/main/java/org/meadowhollow/coordination/recovery/RecordRestorer.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/RecordRestorer.java
@@ -21,7 +21,7 @@
     private final ClusterState clusterState;
     private final RecordWriter recordWriter;
     private final ImageCacheRecorder imageCacheRecorder;
-    private final JobRecordApplier jobRecords;
+    private final JobRecordApplier jobRecordApplier;
     private final TaskStopper taskStopper;
 
     /** Creates a restorer into {@code clusterState}. */
@@ -30,18 +30,19 @@
             ClusterState clusterState,
             RecordWriter recordWriter,
             ImageCacheRecorder imageCacheRecorder,
-            JobRecordApplier jobRecords,
+            JobRecordApplier jobRecordApplier,
             TaskStopper taskStopper) {
         this.loop = loop;
         this.clusterState = clusterState;
         this.recordWriter = recordWriter;
         this.imageCacheRecorder = imageCacheRecorder;
-        this.jobRecords = jobRecords;
+        this.jobRecordApplier = jobRecordApplier;
         this.taskStopper = taskStopper;
     }
 
     void restoreJobs(Collection<KeyValueStore.Entry> entries) {
-        entries.forEach(entry -> jobRecords.apply(entry.key(), entry.value(), entry.revision()));
+        entries.forEach(
+                entry -> jobRecordApplier.apply(entry.key(), entry.value(), entry.revision()));
     }
 
     /** Restores task shards; those of jobs that have ended are marked to be deleted. */
@@ -64,7 +65,7 @@
      *
      * @return the number of restored placements
      */
-    int finish() {
+    int finishRestoration() {
         int placementCount = 0;
         for (Job job : clusterState.jobs().values()) {
             recordWriter.markRestored(job);
@@ -79,7 +80,7 @@
                 recordWriter.markEndPending(job);
             }
         }
-        jobRecords.onRecoveryComplete();
+        jobRecordApplier.onRecoveryComplete();
         return placementCount;
     }
 
--- a/src/main/java/org/meadowhollow/coordination/recovery/StateRecovery.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/StateRecovery.java
@@ -46,7 +46,7 @@
     public StateRecovery(
             RecoveryContext context,
             RecordRestorer restorer,
-            JobRecordApplier jobRecords,
+            JobRecordApplier jobRecordApplier,
             FencingToken fencingToken,
             Revision leaderKeyRevision,
             HandoverState handoverState,
@@ -54,7 +54,7 @@
         this.context = context;
         this.restorer = restorer;
         this.pageReader = new PageReader(context);
-        this.jobWatcher = new JobWatcher(context, pageReader, restorer, jobRecords);
+        this.jobWatcher = new JobWatcher(context, pageReader, restorer, jobRecordApplier);
         this.fencingToken = fencingToken;
         this.leaderKeyRevision = leaderKeyRevision;
         this.handoverState = handoverState;
@@ -145,7 +145,7 @@
      * @param recoveredUpTo the revision up to which all records are loaded
      */
     private void finish(String source, int recordCount, Revision recoveredUpTo) {
-        int placementCount = restorer.finish();
+        int placementCount = restorer.finishRestoration();
         complete = true;
         recoveredRevision = recoveredUpTo;
         failoverTimeline.onRecordsLoaded(source, recordCount, context.loop().now());
