--- a/src/main/java/org/meadowhollow/cli/Controller.java
+++ b/src/main/java/org/meadowhollow/cli/Controller.java
@@ -79,7 +79,10 @@
         publicServer = listeners.openPublic(publicApi());
         tesServer =
                 Optional.ofNullable(options.tes)
-                        .map(tes -> listeners.openTes(tes.listen(), tesTls, tesApi(options)));
+                        .map(
+                                tes ->
+                                        listeners.openTes(
+                                                tes.listenEndpoint(), tesTls, tesApi(options)));
         reservationServer =
                 Optional.ofNullable(options.reservations)
                         .map(
@@ -247,7 +250,7 @@
             Optional<SSLContext> tesTls =
                     tes == null
                             ? Optional.empty()
-                            : loadTls(tes.certificateFile(), tes.privateKeyFile());
+                            : loadTls(tes.certificateChainFile(), tes.privateKeyFile());
             Optional<SSLContext> reservationTls =
                     reservations == null
                             ? Optional.empty()
--- a/src/main/java/org/meadowhollow/cli/TesOptions.java
+++ b/src/main/java/org/meadowhollow/cli/TesOptions.java
@@ -12,13 +12,16 @@
  * The options of the GA4GH task execution API, from the flags and environment variables of a
  * controller.
  *
- * @param listen the address that the API is served on
+ * @param listenEndpoint the address that the API is served on
  * @param tokens the teams' bearer tokens
- * @param certificateFile the certificate's file, or null for connections without TLS
+ * @param certificateChainFile the certificate's file, or null for connections without TLS
  * @param privateKeyFile the file of the certificate's key; null if there is no certificate
  */
 public record TesOptions(
-        Settings.Endpoint listen, BearerTokens tokens, Path certificateFile, Path privateKeyFile) {
+        Settings.Endpoint listenEndpoint,
+        BearerTokens tokens,
+        Path certificateChainFile,
+        Path privateKeyFile) {
     /**
      * The environment variable with tokens in the form of the flag, separated by blanks, for hosts
      * on which other users can read the command line.
@@ -30,9 +33,9 @@
      *
      * @param listen the value of {@code --tes-listen}, or null
      * @param tokens the values of {@code --tes-token}
-     * @param chain the value of {@code --tes-cert}, or null
-     * @param key the value of {@code --tes-key}, or null
-     * @param variables the environment variables
+     * @param certificateChain the value of {@code --tes-cert}, or null
+     * @param privateKey the value of {@code --tes-key}, or null
+     * @param environment the environment variables
      * @param settings the settings file, whose teams may have tokens
      * @return the options, or null if the API is not served
      * @throws Settings.InvalidSettingsException with a one-line message that names the flag
@@ -40,23 +43,23 @@
     static TesOptions parse(
             String listen,
             List<String> tokens,
-            Path chain,
-            Path key,
-            Map<String, String> variables,
+            Path certificateChain,
+            Path privateKey,
+            Map<String, String> environment,
             Settings settings)
             throws Settings.InvalidSettingsException {
         List<String> entries = new ArrayList<>(tokens);
-        Arrays.stream(variables.getOrDefault(TOKENS_VARIABLE, "").split("\\s+"))
+        Arrays.stream(environment.getOrDefault(TOKENS_VARIABLE, "").split("\\s+"))
                 .filter(entry -> !entry.isEmpty())
                 .forEach(entries::add);
         if (listen == null) {
-            if (!tokens.isEmpty() || chain != null || key != null) {
+            if (!tokens.isEmpty() || certificateChain != null || privateKey != null) {
                 throw new Settings.InvalidSettingsException(
                         "--tes-token, --tes-cert and --tes-key need --tes-listen");
             }
             return null;
         }
-        if ((chain == null) != (key == null)) {
+        if ((certificateChain == null) != (privateKey == null)) {
             throw new Settings.InvalidSettingsException(
                     "--tes-cert and --tes-key must be given together");
         }
@@ -74,7 +77,10 @@
                 }
             }
             return new TesOptions(
-                    Settings.parseEndpoint(listen, "--tes-listen"), parsedTokens, chain, key);
+                    Settings.parseEndpoint(listen, "--tes-listen"),
+                    parsedTokens,
+                    certificateChain,
+                    privateKey);
         } catch (MalformedMessageException wrong) {
             throw new Settings.InvalidSettingsException(wrong.getMessage());
         }
--- a/src/main/java/org/meadowhollow/protocol/keyvalue/KeyValueCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/keyvalue/KeyValueCodec.java
@@ -80,14 +80,14 @@
         return LEASES_PATH + "/" + lease.value();
     }
 
-    static String changesPath(String prefix, Revision after, Duration wait) {
+    static String changesPath(String prefix, Revision after, Duration maxWait) {
         return CHANGES_PATH
                 + "?prefix="
                 + prefix
                 + "&after="
                 + after.value()
                 + "&blockMs="
-                + wait.toMillis();
+                + maxWait.toMillis();
     }
 
     static byte[] encodeTransaction(Transaction transaction) {
