--- a/src/main/java/org/meadowhollow/model/AttemptRecord.java
+++ b/src/main/java/org/meadowhollow/model/AttemptRecord.java
@@ -9,7 +9,7 @@
  * happened. Field names are part of the persisted format.
  *
  * @param machineName the name of the machine that the task was placed on
- * @param endReason the stored word for the reason of the attempt's end, or null while it has not
+ * @param endReason the stored name for the reason of the attempt's end, or null while it has not
  *     ended
  */
 public record AttemptRecord(
--- a/src/main/java/org/meadowhollow/model/JobKind.java
+++ b/src/main/java/org/meadowhollow/model/JobKind.java
@@ -21,7 +21,7 @@
     }
 
     /**
-     * The kind that a stored word stands for.
+     * The kind that a stored name stands for.
      *
      * @throws IllegalArgumentException if there is none
      */
--- a/src/main/java/org/meadowhollow/model/JobPhase.java
+++ b/src/main/java/org/meadowhollow/model/JobPhase.java
@@ -36,7 +36,7 @@
     }
 
     /**
-     * The phase that a stored word stands for.
+     * The phase that a stored name stands for.
      *
      * @throws IllegalArgumentException if there is none
      */
--- a/src/main/java/org/meadowhollow/model/Priority.java
+++ b/src/main/java/org/meadowhollow/model/Priority.java
@@ -23,7 +23,7 @@
     }
 
     /**
-     * The priority that a stored word stands for.
+     * The priority that a stored name stands for.
      *
      * @throws IllegalArgumentException if there is none
      */
--- a/src/main/java/org/meadowhollow/model/SecondaryRecord.java
+++ b/src/main/java/org/meadowhollow/model/SecondaryRecord.java
@@ -11,7 +11,7 @@
  * transactions as the job's records, so that no reader sees one of them older than the other. Not
  * thread-safe: guarded like its job.
  *
- * <p>Field names and stored words in this class are part of the persisted format.
+ * <p>Field names and stored names in this class are part of the persisted format.
  */
 public final class SecondaryRecord {
     /**
@@ -144,7 +144,7 @@
      * Records that an attempt has ended. If it was the last attempt allowed and did not complete
      * the job, the job has failed.
      *
-     * @param reason the stored word of an exit reason, or one of the reasons of this class
+     * @param reason the stored name of an exit reason, or one of the reasons of this class
      */
     public void recordAttemptEnd(AttemptNumber attemptNumber, String reason, long nowMillis) {
         int index = indexOfAttempt(attemptNumber);
--- a/src/main/java/org/meadowhollow/model/reservation/MaintenanceWindow.java
+++ b/src/main/java/org/meadowhollow/model/reservation/MaintenanceWindow.java
@@ -39,7 +39,7 @@
         }
 
         /**
-         * The scope that a stored word stands for.
+         * The scope that a stored name stands for.
          *
          * @throws IllegalArgumentException if there is none
          */
--- a/src/test/java/org/meadowhollow/model/StoredWordTest.java
+++ b/src/test/java/org/meadowhollow/model/StoredWordTest.java
@@ -6,10 +6,10 @@
 import org.junit.jupiter.api.Test;
 import org.meadowhollow.model.reservation.MaintenanceWindow;
 
-/** Tests that each stored word is decoded to the constant that it encodes. */
+/** Tests that each stored name is decoded to the constant that it encodes. */
 class StoredWordTest {
     @Test
-    void constantsAreFoundByStoredWord() {
+    void constantsAreFoundByStoredName() {
         for (JobKind kind : JobKind.values()) {
             assertEquals(kind, JobKind.fromStoredName(kind.storedName()));
         }
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void unknownStoredWordIsRejected() {
+    void unknownStoredNameIsRejected() {
         assertThrows(IllegalArgumentException.class, () -> JobKind.fromStoredName("array"));
         assertThrows(IllegalArgumentException.class, () -> Priority.fromStoredName(null));
     }
