--- a/src/main/java/org/meadowhollow/coordination/ControllerNode.java
+++ b/src/main/java/org/meadowhollow/coordination/ControllerNode.java
@@ -110,7 +110,7 @@
                         services.deploymentSettings().member(),
                         random.nextLong(),
                         settings.zone(),
-                        settings.programVersion(),
+                        settings.softwareVersion(),
                         RecordKeys.SCHEMA_VERSION,
                         Revision.ABSENT);
         return new WarmStandby(
@@ -148,8 +148,8 @@
     // The chain completes each deferred response; nothing waits for the chain itself.
     @SuppressWarnings("FutureReturnValueIgnored")
     @Override
-    public void elected(
-            FencingToken fencingToken, Revision leaderKeyRevision, MonotonicTime noticedAt) {
+    public void onElected(
+            FencingToken fencingToken, Revision leaderKeyRevision, MonotonicTime vacantSince) {
         HandoverState handoverState =
                 warmStandby == null ? HandoverState.EMPTY : warmStandby.handOver();
         LeaderService elected =
@@ -160,7 +160,7 @@
                                 fencingToken,
                                 leaderKeyRevision,
                                 handoverState,
-                                noticedAt));
+                                vacantSince));
         synchronized (this) {
             if (leaderService != null) {
                 leaderService.close();
@@ -174,7 +174,7 @@
     }
 
     @Override
-    public void leadershipLost(String reason) {
+    public void onLeadershipLost(String reason) {
         List<String> addresses = List.of();
         synchronized (this) {
             if (leaderService != null) {
@@ -219,7 +219,7 @@
     }
 
     /** The number of replicated records that audits of this node's standby found to be wrong. */
-    public long divergentRecordCount() {
+    public long mismatchedRecordCount() {
         return warmStandby == null ? 0 : warmStandby.mismatchedRecordCount();
     }
 
@@ -276,7 +276,7 @@
     }
 
     @Override
-    public void following(String leader) {
+    public void onFollowing(String leader) {
         DeferredHeartbeats.redirectAll(
                 leaderlessHeartbeats.takeAll(), isThisNode(leader) ? null : leader);
     }
@@ -290,8 +290,8 @@
      * The task counts of a live job for display; empty if this node does not lead or does not know
      * the job.
      */
-    public Optional<AdmissionService.JobStatus> liveJobState(JobId id) {
-        return Optional.ofNullable(currentLeadership()).flatMap(leader -> leader.liveJobState(id));
+    public Optional<AdmissionService.JobStatus> liveJobStatus(JobId id) {
+        return Optional.ofNullable(currentLeadership()).flatMap(leader -> leader.liveJobStatus(id));
     }
 
     /** Stops this node: ends its leadership, and schedules no further work. */
--- a/src/main/java/org/meadowhollow/coordination/LeaderService.java
+++ b/src/main/java/org/meadowhollow/coordination/LeaderService.java
@@ -68,7 +68,7 @@
         parts.reservationEnforcer.start();
         parts.autoscaler.start();
         loop.schedule(RoundScheduler.ROUND_INTERVAL, this::runRound);
-        if (term.handoverState().isWarm()) {
+        if (term.handoverState().wasStandby()) {
             loop.schedule(WARM_CHECK_INTERVAL, this::checkWarmStart);
         }
         parts.heartbeatHandler.start();
@@ -144,7 +144,7 @@
                 loop.schedule(WARM_CHECK_INTERVAL, this::checkWarmStart);
             }
             mustReadRiskTables =
-                    parts.stateRecovery.isComplete() && parts.riskTableRestorer.begin();
+                    parts.stateRecovery.isComplete() && parts.riskTableRestorer.beginRestoration();
         }
         if (mustReadRiskTables) {
             parts.riskTableRestorer.readSnapshot();
@@ -195,7 +195,8 @@
 
     private void applyConcurrentChange(Job job, Optional<KeyValueStore.Entry> entry) {
         if (entry.isPresent()) {
-            parts.jobRecords.apply(entry.get().key(), entry.get().value(), entry.get().revision());
+            parts.jobRecordApplier.apply(
+                    entry.get().key(), entry.get().value(), entry.get().revision());
         } else {
             // Only a transaction of this leader that got no response can have moved the job to its
             // final record.
@@ -357,9 +358,9 @@
     }
 
     /** The task counts of a live job for display; empty if the job is not known here. */
-    synchronized Optional<AdmissionService.JobStatus> liveJobState(JobId id) {
+    synchronized Optional<AdmissionService.JobStatus> liveJobStatus(JobId id) {
         return parts.stateRecovery.isComplete()
-                ? parts.jobTracker.liveJobState(id)
+                ? parts.jobTracker.liveJobStatus(id)
                 : Optional.empty();
     }
 }
--- a/src/main/java/org/meadowhollow/coordination/failover/HandoverState.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/HandoverState.java
@@ -52,7 +52,7 @@
     }
 
     /** Whether this node was a standby, so that the leader need not load all records again. */
-    public boolean isWarm() {
+    public boolean wasStandby() {
         return !followers.isEmpty();
     }
 
@@ -111,14 +111,14 @@
      * Adds the tables of a stored snapshot, for a leader that found no standby's tables because all
      * nodes had ended.
      */
-    public void snapshotTables(RiskTableSnapshotStore.StoredTables snapshot, MonotonicTime now) {
-        snapshotTables.addAll(snapshot.parts());
+    public void addSnapshotTables(RiskTableSnapshotStore.StoredTables snapshot, MonotonicTime now) {
+        snapshotTables.addAll(snapshot.machineEntries());
         snapshotTakenAt = new MonotonicTime(now.nanos() - snapshot.age().toNanos());
     }
 
     /** Whether this node was a standby, but has received no tables from any leader. */
     public boolean hasNoTables() {
-        return isWarm() && inheritedTableCount == 0 && tableReplica.size() == 0;
+        return wasStandby() && inheritedTableCount == 0 && tableReplica.size() == 0;
     }
 
     /**
@@ -128,7 +128,7 @@
      * @param riskTables receives the tables of the other machines
      * @return whether there are more
      */
-    public boolean handOverSnapshotTables(
+    public boolean restoreSnapshotTables(
             Map<MachineId, Machine> machines,
             Map<MachineId, RiskTable> riskTables,
             MonotonicTime now) {
--- a/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatHandler.java
+++ b/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatHandler.java
@@ -137,7 +137,7 @@
 
     private CompletableFuture<HeartbeatResponse> respondToNewHeartbeat(
             Machine machine, Heartbeat heartbeat, MonotonicTime now) {
-        awaitingCommands.discardEarlier(heartbeat.machineId());
+        awaitingCommands.redirectEarlier(heartbeat.machineId());
         unreachableReturnPolicy.onHeartbeat(machine, now);
         machine.recordAnsweredHeartbeat(now);
         List<WorkerCommand> commands = heartbeatReconciler.commandsFor(machine, heartbeat, now);
@@ -268,7 +268,7 @@
         synchronized (context.lock()) {
             for (Placement placement : job.placements()) {
                 DeferredHeartbeat deferred =
-                        placement.startSentSequenceNumber() < 0 && placement.isCommitted()
+                        placement.startSentSequenceNumber() < 0 && placement.isPersisted()
                                 ? awaitingCommands.take(placement.machineId())
                                 : null;
                 if (deferred != null) {
--- a/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatReconciler.java
+++ b/src/main/java/org/meadowhollow/coordination/reconciliation/HeartbeatReconciler.java
@@ -294,7 +294,7 @@
      */
     private boolean mayStart(Placement placement, Machine machine, Heartbeat heartbeat) {
         return leadership.canStartTasks()
-                && placement.isCommitted()
+                && placement.isPersisted()
                 && !machine.isReleasing()
                 && placement.incarnation().equals(heartbeat.incarnation())
                 && isWholeGangCommitted(placement);
@@ -322,7 +322,7 @@
             return true;
         }
         for (Placement other : placement.job().placements()) {
-            if (!other.isCommitted()) {
+            if (!other.isPersisted()) {
                 return false;
             }
         }
--- a/src/main/java/org/meadowhollow/coordination/recovery/RiskTableRestorer.java
+++ b/src/main/java/org/meadowhollow/coordination/recovery/RiskTableRestorer.java
@@ -44,7 +44,7 @@
      *
      * @return whether the stored snapshot must be read, with {@link #readSnapshot}
      */
-    public boolean begin() {
+    public boolean beginRestoration() {
         if (started) {
             return false;
         }
@@ -80,7 +80,7 @@
                             synchronized (context.lock()) {
                                 read.ifPresent(
                                         snapshot ->
-                                                handoverState.snapshotTables(
+                                                handoverState.addSnapshotTables(
                                                         snapshot, context.loop().now()));
                             }
                             restoreBatch();
@@ -93,7 +93,7 @@
             if (context.listener().isClosed()) {
                 return;
             }
-            if (handoverState.handOverSnapshotTables(
+            if (handoverState.restoreSnapshotTables(
                     clusterState.machines(), clusterState.riskTables(), context.loop().now())) {
                 context.loop().schedule(BATCH_INTERVAL, this::restoreBatch);
             } else {
--- a/src/main/java/org/meadowhollow/model/JobKind.java
+++ b/src/main/java/org/meadowhollow/model/JobKind.java
@@ -9,23 +9,23 @@
     /** Replicas that run until the job is cancelled. */
     SERVICE("SERVICE");
 
-    private final String storedWord;
+    private final String storedName;
 
-    JobKind(String storedWord) {
-        this.storedWord = storedWord;
+    JobKind(String storedName) {
+        this.storedName = storedName;
     }
 
     @Override
-    public String storedWord() {
-        return storedWord;
+    public String storedName() {
+        return storedName;
     }
 
     /**
-     * The kind that a stored word stands for.
+     * The kind that a stored name stands for.
      *
      * @throws IllegalArgumentException if there is none
      */
-    public static JobKind fromStoredWord(String storedWord) {
-        return StoredWord.find(values(), storedWord);
+    public static JobKind fromStoredName(String storedName) {
+        return StoredWord.find(values(), storedName);
     }
 }
--- a/src/main/java/org/meadowhollow/model/SecondaryRecord.java
+++ b/src/main/java/org/meadowhollow/model/SecondaryRecord.java
@@ -11,7 +11,7 @@
  * transactions as the job's records, so that no reader sees one of them older than the other. Not
  * thread-safe: guarded like its job.
  *
- * <p>Field names and stored words in this class are part of the persisted format.
+ * <p>Field names and stored names in this class are part of the persisted format.
  */
 public final class SecondaryRecord {
     /**
@@ -144,7 +144,7 @@
      * Records that an attempt has ended. If it was the last attempt allowed and did not complete
      * the job, the job has failed.
      *
-     * @param reason the stored word of an exit reason, or one of the reasons of this class
+     * @param reason the stored name of an exit reason, or one of the reasons of this class
      */
     public void recordAttemptEnd(AttemptNumber attemptNumber, String reason, long nowMillis) {
         int index = indexOfAttempt(attemptNumber);
@@ -172,7 +172,7 @@
     }
 
     private static boolean isCompletion(String reason) {
-        return reason.equals(ExitReason.DONE.storedWord());
+        return reason.equals(ExitReason.DONE.storedName());
     }
 
     private static JobPhase failurePhaseOf(String reason) {
@@ -274,7 +274,7 @@
 
     private Map<String, Object> encodeWith(JobPhase phase, List<Object> encodedAttempts) {
         Map<String, Object> entry = new LinkedHashMap<>(constantFields);
-        entry.put(PHASE_FIELD, phase.storedWord());
+        entry.put(PHASE_FIELD, phase.storedName());
         entry.put(ATTEMPTS_FIELD, encodedAttempts);
         return entry;
     }
@@ -282,13 +282,13 @@
     /** Copies an entry and sets its phase to {@link JobPhase#CANCELING}. */
     public static Map<String, Object> withCancellationRequested(Map<String, Object> entry) {
         Map<String, Object> copy = new LinkedHashMap<>(entry);
-        copy.put(PHASE_FIELD, JobPhase.CANCELING.storedWord());
+        copy.put(PHASE_FIELD, JobPhase.CANCELING.storedName());
         return copy;
     }
 
     /** Decodes the phase in an entry. */
     public static JobPhase phaseOf(Map<String, Object> entry) {
-        return JobPhase.fromStoredWord((String) entry.get(PHASE_FIELD));
+        return JobPhase.fromStoredName((String) entry.get(PHASE_FIELD));
     }
 
     /** Decodes the attempts in an entry, the oldest one first. */
