--- a/src/main/java/org/meadowhollow/coordination/rounds/PlacementApplier.java
+++ b/src/main/java/org/meadowhollow/coordination/rounds/PlacementApplier.java
@@ -37,8 +37,9 @@
             applyOne(decision, gangAttempts, now);
         }
         if (!decisions.isEmpty()) {
+            // Operators' tools match this line, so its text must not change.
             LOG.info(
-                    "round placed tasks tasks={} total_by_risk={} total_by_preference={}",
+                    "placed {} tasks; so far {} by risk, {} by room alone",
                     decisions.size(),
                     placedByRisk,
                     placedByCapacity);
