--- a/src/main/java/org/meadowhollow/coordination/fleet/UnreachableMachineReturnPolicy.java
+++ b/src/main/java/org/meadowhollow/coordination/fleet/UnreachableMachineReturnPolicy.java
@@ -26,32 +26,36 @@
  *
  * <p>Keeping a failed machine costs little: the cloud lists it as failed within a minute, and does
  * not charge for it from then on; a preempted machine disappears from the list; only a machine that
- * hangs is still charged for. A machine that may not be returned for its silence alone is therefore
- * kept until the cloud's list shows its end, or until it has been silent for {@link
- * #COMMON_CAUSE_RETURN_AFTER_LEASES}.
+ * hangs is still charged for. A machine that may not be returned is therefore kept until the
+ * cloud's list shows its end. Once it has been silent for {@link
+ * #COMMON_CAUSE_RETURN_AFTER_LEASES}, neither the silence of many machines nor that of its zone
+ * protects it any longer; heartbeats at another controller and the limit on the number of returns
+ * still do.
  *
- * <p>Not thread-safe: {@link #onHeartbeat} is called with the leader's lock held, all other methods
- * from the leader's round without it, on the same event loop.
+ * <p>Not thread-safe; all methods run on the same event loop. {@link #onHeartbeat} is called with
+ * the leader's lock held. {@link Autoscaler} calls the other methods without it: {@link
+ * #selectForReturn} in each round, and {@link #recordReturned} when the cloud has confirmed a
+ * return.
  */
 public final class UnreachableMachineReturnPolicy {
     private static final Logger LOG = LoggerFactory.getLogger(UnreachableMachineReturnPolicy.class);
 
     /**
-     * Silence, in worker leases, after which a machine is returned. Its tasks have ended by then,
-     * but the machine may still resume.
+     * Silence, in worker leases, after which a machine may be returned. Its tasks have ended by
+     * then, but the machine may still resume.
      */
     private static final double RETURN_AFTER_LEASES = 1.5;
 
     /**
-     * Silence, in heartbeat intervals, after which a machine that blocks other work is returned:
-     * two heartbeats in a row at their latest (a quarter of the interval late each), and time for a
-     * probe. The return proves the end of its tasks before its lease expires.
+     * Silence, in heartbeat intervals, after which a machine that blocks other work may be
+     * returned: 2 x 1.25 for two heartbeats in a row that are each a quarter of the interval late,
+     * and 0.2 for a probe. The return proves the end of its tasks before its lease expires.
      */
     private static final double URGENT_RETURN_AFTER_HEARTBEATS = 2.7;
 
     /**
-     * Silence, in worker leases, after which a machine is returned even if many machines are silent
-     * for a common cause. All partitions observed so far ended sooner.
+     * Silence, in worker leases, after which a machine may be returned even if many machines, or
+     * most of its zone, are silent for a common cause. All partitions observed so far ended sooner.
      */
     private static final double COMMON_CAUSE_RETURN_AFTER_LEASES = 10;
 
@@ -65,9 +69,10 @@
     private static final int MIN_MACHINES_IN_ZONE = 4;
 
     /**
-     * Number of machines considered failed whose heartbeats, arriving within one lease, suspend
-     * returns. A single one is a machine that hung; several point to a fault of this node, which
-     * may itself have been paused.
+     * Number of late heartbeats within one lease that suspends returns. A heartbeat is late if its
+     * machine had been silent for longer than {@link #URGENT_RETURN_AFTER_HEARTBEATS}. A single one
+     * comes from a machine that hung; several point to a fault of this node, which may itself have
+     * been paused.
      */
     private static final int LATE_HEARTBEATS_TO_SUSPEND = 2;
 
@@ -75,17 +80,22 @@
     private final DeploymentSettings deploymentSettings;
 
     /**
-     * Times at which machines were returned for silence within the last lease, one entry for each
-     * machine.
+     * Times within the last lease at which returns of silent machines were confirmed, one entry for
+     * each machine.
      */
     private final ArrayDeque<MonotonicTime> returnedAt = new ArrayDeque<>();
 
     /**
-     * Times within the last lease at which heartbeats arrived from machines about to be returned.
+     * Times within the last lease at which late heartbeats arrived; see {@link
+     * #LATE_HEARTBEATS_TO_SUSPEND}.
      */
     private final ArrayDeque<MonotonicTime> lateHeartbeatsAt = new ArrayDeque<>();
 
-    /** End of the latest suspension of returns for silence alone, or null if there was none. */
+    /**
+     * End of the latest suspension of returns, or null if there was none. A suspension does not
+     * apply to machines that have been silent for longer than {@link
+     * #COMMON_CAUSE_RETURN_AFTER_LEASES}.
+     */
     private MonotonicTime suspendedUntil;
 
     /** Creates the policy of one leadership, with nothing returned so far. */
@@ -108,9 +118,9 @@
     }
 
     /**
-     * Suspends returns for one lease when heartbeats arrive from several machines that were about
-     * to be returned, since other silent machines may become reachable again as well. Must be
-     * called before the machine's last contact is updated.
+     * Records a heartbeat. If it is at least the second late one within a lease, returns are
+     * suspended for one lease from now, since other silent machines may become reachable again as
+     * well. Must be called before the machine's last contact is updated.
      */
     public void onHeartbeat(Machine machine, MonotonicTime now) {
         if (machine.lastContactAt() == null
@@ -146,7 +156,10 @@
         }
     }
 
-    /** Returns the silent machines to return now, the longest silent first. */
+    /**
+     * Returns the silent machines to return now, the longest silent first. They count against the
+     * limit only after {@link #recordReturned}.
+     */
     List<MachineId> selectForReturn(List<Machine> machines, MonotonicTime now) {
         List<Machine> inService =
                 machines.stream().filter(machine -> !machine.isReleasing()).toList();
@@ -167,6 +180,8 @@
                                 (!hasCommonCause && !partitionedZones.contains(machine.zone()))
                                         || detector.silentSeconds(machine, now)
                                                 > commonCauseLimitSeconds)
+                // Two conditions: a recent query found that no peer receives the machine's
+                // heartbeats, and no earlier query within the urgent limit found that one does.
                 .filter(
                         machine ->
                                 detector.isUnseenByAllPeers(machine, now)
@@ -212,7 +227,10 @@
         return partitioned;
     }
 
-    /** Returns the number of machines that may still be returned within the current lease. */
+    /**
+     * Returns the number of machines that may be returned now: the limit, less the machines whose
+     * return was confirmed within the last lease, a sliding window.
+     */
     private int remainingReturns(int machinesInService, MonotonicTime now) {
         dropOlderThanLease(returnedAt, now);
         int limit =
@@ -220,7 +238,7 @@
         return Math.max(0, limit - returnedAt.size());
     }
 
-    /** Records that machines were returned, which counts against the limit for one lease. */
+    /** Records that the cloud confirmed returns, which count against the limit for one lease. */
     void recordReturned(int machines, MonotonicTime now) {
         for (int recorded = 0; recorded < machines; recorded++) {
             returnedAt.add(now);
@@ -232,11 +250,11 @@
         return seenAt != null && now.secondsSince(seenAt) <= urgentSilenceLimitSeconds();
     }
 
-    /** Returns the seconds of silence after which a machine is returned. */
+    /** Returns the seconds of silence after which a machine may be returned. */
     private double silenceLimitSeconds(Machine machine) {
         if (machine.lastContactAt() == null) {
-            // No contact since this leadership began or the cloud listed it as running: treated as
-            // a machine that never finishes booting.
+            // This leader has never heard from the machine, which may still be booting. Its silence
+            // counts from Machine#knownSince, and the limit covers a slow boot.
             return Math.max(
                     machine.type().bootSeconds() * PendingRentals.ABANDON_BOOT_FACTOR,
                     ordinarySilenceLimitSeconds());
--- a/src/main/java/org/meadowhollow/coordination/scheduling/SchedulingSnapshot.java
+++ b/src/main/java/org/meadowhollow/coordination/scheduling/SchedulingSnapshot.java
@@ -21,12 +21,16 @@
 import org.meadowhollow.model.TaskId;
 
 /**
- * The input of a scheduling round: the machines that can take tasks, the waiting jobs in the order
- * in which they are placed, and the quota usage of the teams. Built from {@link ClusterState} under
- * the leader's lock; a round that runs on it changes the candidates and the usage.
+ * The input of a scheduling round: the machines that can take tasks, the waiting jobs in their
+ * order, and the quota usage of the teams. Built from {@link ClusterState} under the leader's lock.
+ * It is not a copy: it shares objects with the cluster state, and is valid only during its round,
+ * while the lock is held. The round changes the candidates and the usage.
  */
 public final class SchedulingSnapshot {
-    /** Limits the tasks of one job considered in a round; more than fit on any cluster. */
+    /**
+     * The maximum number of tasks of one array or service job that a round considers; more than fit
+     * on any cluster. A gang is always considered whole.
+     */
     private static final int MAX_TASKS_PER_JOB = 2000;
 
     private final ClusterState clusterState;
@@ -36,8 +40,8 @@
     private final List<PlacementRound.PendingJob> pendingJobs = new ArrayList<>();
 
     /**
-     * Tasks that a machine may be running without a recorded placement; they must not be placed
-     * again.
+     * Tasks that a machine listed in its heartbeat without a recorded placement there. They must
+     * not be placed until they have exited.
      */
     private final Set<TaskId> orphanedTasks = new HashSet<>();
 
@@ -64,7 +68,10 @@
         return candidates;
     }
 
-    /** The jobs with tasks that may be placed now, in the order in which they are placed. */
+    /**
+     * The jobs with tasks that may be placed now, in their order. A round places the best-effort
+     * jobs among them after all others, each of the two groups in this order.
+     */
     public List<PlacementRound.PendingJob> pendingJobs() {
         return pendingJobs;
     }
@@ -161,9 +168,10 @@
     }
 
     /**
-     * Returns the order in which jobs are placed. The criteria are, from the most to the least
-     * significant: a reservation slot that has begun, the guaranteed quota of the team, the
-     * priority, the deadline, the time of acceptance (oldest first) and the id.
+     * Returns the order of the jobs, in which a round places its regular jobs and then its
+     * best-effort jobs. The criteria are, from the most to the least significant: a reservation
+     * slot that has begun, the guaranteed quota of the team, the priority, the deadline, the time
+     * of acceptance (oldest first) and the id.
      */
     private Comparator<Job> jobOrder() {
         return Comparator.comparing(
@@ -216,8 +224,8 @@
         if (job.spec().kind() == JobKind.GANG) {
             return Integer.MAX_VALUE;
         }
-        // All tasks of a faulty job would fail alike, so only one at a time is tried and uses
-        // capacity.
+        // All tasks of a faulty job would fail alike and take capacity from other jobs, so only one
+        // is tried at a time.
         return job.isSuspectedFaulty()
                 ? Math.max(0, 1 - job.placements().size())
                 : MAX_TASKS_PER_JOB;
@@ -263,8 +271,8 @@
     }
 
     /**
-     * Whether a demand is covered by a guaranteed quota. A guaranteed amount of 0 does not restrict
-     * the demand for that resource; if all amounts are 0, nothing is guaranteed.
+     * Whether a demand is covered by a guaranteed quota. An amount of 0 is not checked; a quota
+     * with only zeros guarantees nothing.
      */
     private static boolean isWithinGuarantee(Resources demand, Resources guaranteed) {
         return (guaranteed.cpu() > 0 || guaranteed.gpu() > 0)
--- a/src/main/java/org/meadowhollow/protocol/JsonCodec.java
+++ b/src/main/java/org/meadowhollow/protocol/JsonCodec.java
@@ -9,13 +9,15 @@
 import java.util.Map;
 
 /**
- * Converts JSON objects to and from maps whose values have the same types as those of {@link
- * MessagePackCodec}. Stateless.
+ * Converts JSON objects to and from maps with string keys. The values are such maps, lists,
+ * strings, numbers ({@code Long} and {@code Double}), booleans and null. Used by the HTTP
+ * interfaces for external clients (TES and reservations), the settings file and the command line;
+ * the other protocols use {@link MessagePackCodec}. Stateless.
  */
 public final class JsonCodec {
     /**
-     * The maximum nesting depth, far deeper than that of any message of the protocols. Jackson's
-     * default of 1000 overflows the stack of a deployed node.
+     * The maximum nesting depth, far deeper than that of any message of the protocols. At Jackson's
+     * default of 1000, a malicious body would overflow the stack of a deployed node.
      */
     private static final int MAX_NESTING_DEPTH = 32;
 
@@ -35,11 +37,14 @@
      * Decodes a JSON object that is nested at most 32 levels deep. Jackson limits the length of
      * numbers; the caller must limit the size of the body.
      *
-     * @throws MalformedMessageException if the bytes are not a JSON object
+     * @throws MalformedMessageException if the bytes are not a JSON object, if it is nested too
+     *     deeply or contains a number that is too long, or if a string or key contains an unpaired
+     *     surrogate
      */
     public static Map<String, Object> decode(byte[] bytes) throws MalformedMessageException {
         try {
             Map<String, Object> map = JACKSON.mapFrom(bytes);
+            // Jackson returns null for the literal null.
             if (map != null) {
                 return normalize(map);
             }
@@ -48,11 +53,13 @@
         } catch (IllegalArgumentException malformed) {
             throw new MalformedMessageException(malformed.getMessage());
         }
-        // Jackson returns null for the literal null.
         throw new MalformedMessageException("not a JSON object");
     }
 
-    /** Encodes a map whose values have the types that {@link #decode} returns. */
+    /**
+     * Encodes a map whose values have the types that {@link #decode} returns. Values of other types
+     * are not rejected, unlike in {@link MessagePackCodec#encode}: Jackson chooses their form.
+     */
     public static byte[] encode(Map<String, ?> map) {
         try {
             return JACKSON.asBytes(map);
@@ -62,7 +69,7 @@
         }
     }
 
-    /** Converts integers to long: Jackson returns int or long, and callers expect long. */
+    /** Normalizes the values of a map, and rejects keys with unpaired surrogates. */
     private static Map<String, Object> normalize(Map<String, Object> map) {
         Map<String, Object> normalized = new LinkedHashMap<>();
         map.forEach((key, value) -> normalized.put(requirePairedSurrogates(key), normalize(value)));
@@ -85,6 +92,11 @@
         return text;
     }
 
+    /**
+     * Converts integers to long, also in nested maps and lists: Jackson returns int or long, and
+     * callers expect long. Rejects strings with unpaired surrogates. An integer outside the range
+     * of long stays a {@code BigInteger}.
+     */
     @SuppressWarnings("unchecked")
     private static Object normalize(Object value) {
         if (value instanceof Integer number) {
