--- a/src/main/java/org/meadowhollow/coordination/ControllerNode.java
+++ b/src/main/java/org/meadowhollow/coordination/ControllerNode.java
@@ -37,8 +37,10 @@
 import org.meadowhollow.storage.RecordKeys;
 
 /**
- * A controller node: follows the leader, and leads when elected. Its monitor guards its current
- * leadership and the state of its parts.
+ * A controller node: follows the leader, and leads when elected. {@link Leadership} notifies it of
+ * elections and losses; the servers that {@code cli.Controller} sets up query it. While it does not
+ * lead, queries about jobs and records return empty, and heartbeats are redirected or deferred. Its
+ * monitor guards its current leadership and the state of its parts.
  */
 public final class ControllerNode implements Leadership.Listener {
     private final EventLoop loop;
--- a/src/main/java/org/meadowhollow/coordination/admission/AdmissionService.java
+++ b/src/main/java/org/meadowhollow/coordination/admission/AdmissionService.java
@@ -27,7 +27,8 @@
 /**
  * Accepts jobs, shows their states and cancels them. Any node answers directly from the key-value
  * store, so that users are served while the leadership changes, and no response shows an older
- * state than another node has already shown. Submitting and cancelling are idempotent.
+ * state than another node has already shown. Submitting and cancelling are idempotent. Used by the
+ * native job API and the TES API.
  *
  * <p>The returned futures fail with {@link TemporarilyUnavailableException} when the outcome is not
  * known in time, and with the store's exceptions when a read fails. Thread-safe; all state is in
--- a/src/main/java/org/meadowhollow/coordination/api/RiskTableRequest.java
+++ b/src/main/java/org/meadowhollow/coordination/api/RiskTableRequest.java
@@ -4,7 +4,8 @@
 
 /**
  * The request of a standby to the leader for the samples after those it has, or for a page of full
- * tables.
+ * tables. A leader that does not have those samples, because it no longer keeps them or because its
+ * token is another, answers with the first page of full tables.
  *
  * @param requester the status of the standby, by which the leader chooses the preferred successor
  * @param token the token of the leader whose samples it has, or {@link FencingToken#NONE}
--- a/src/main/java/org/meadowhollow/coordination/failover/FailoverPreconditions.java
+++ b/src/main/java/org/meadowhollow/coordination/failover/FailoverPreconditions.java
@@ -8,7 +8,9 @@
 /**
  * The checks of a new leader before its first decision. They are a pure function of facts that are
  * collected in the same turn of the event loop as the decision, so that nothing can change in
- * between. docs/standby.md explains each check.
+ * between. {@code FirstRoundGate} makes them, and allows no scheduling round while one of them
+ * fails; it does not carry out the {@link FailureAction} itself. docs/standby.md explains each
+ * check.
  */
 public final class FailoverPreconditions {
     /** The action of a leader while a check fails. */
--- a/src/main/java/org/meadowhollow/coordination/lifecycle/JobTracker.java
+++ b/src/main/java/org/meadowhollow/coordination/lifecycle/JobTracker.java
@@ -19,7 +19,8 @@
 /**
  * Tracks the live jobs of one leadership: their admission and end, their fairness metrics, the
  * attempt history in their secondary records, and their status for display. Owns the fairness
- * metrics. Guarded by the leader's lock.
+ * metrics. Writes no records: callers mark a changed record in the record writer. Guarded by the
+ * leader's lock.
  */
 public final class JobTracker {
     private static final Logger LOG = LoggerFactory.getLogger(JobTracker.class);
--- a/src/main/java/org/meadowhollow/coordination/reservation/OutagePlanner.java
+++ b/src/main/java/org/meadowhollow/coordination/reservation/OutagePlanner.java
@@ -8,7 +8,8 @@
 
 /**
  * Adds the effects of maintenance windows on machines, and on the tasks that run on them, to a
- * view.
+ * view. Used by {@link ReservationView} whenever a view is computed; windows that have certainly
+ * ended are ignored.
  */
 final class OutagePlanner {
     /**
--- a/src/main/java/org/meadowhollow/protocol/AdaptiveRateLimiter.java
+++ b/src/main/java/org/meadowhollow/protocol/AdaptiveRateLimiter.java
@@ -9,6 +9,10 @@
  * and a node does not see the requests of the others. As in TCP congestion control, a refusal
  * lowers the rate by a factor, and the rate rises steadily while there is none, so that the rates
  * of all nodes together converge to the limit. Thread-safe.
+ *
+ * <p>A client asks for the delay before a request, and consumes tokens when it sends the request or
+ * schedules it. Only the client of the key-value store records refusals; the client of the cloud
+ * does not, and keeps the full rate.
  */
 public final class AdaptiveRateLimiter {
     /**
